--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -124,7 +124,7 @@
 // Promise answers a leader that asks whether this member campaigns. It does not for
 // the length of a promise if the state service refuses it as well.
 func (e *Elector) Promise(ctx context.Context, leader string, term uint64) bool {
-	// A member that keeps up a lapsed term does not promise: if it did not learn here
+	// A member that still holds a lapsed term does not promise: if it did not learn here
 	// that it is over, nobody would be entitled while the state service is out.
 	e.Heard(leader, term)
 	e.mu.Lock()
@@ -411,7 +411,7 @@
 	return time.Until(e.until), e.resigns
 }
 
-// renew keeps the lease until it is gone or a later term was heard of. In an
+// renew extends the lease until it is gone or a later term was heard of. In an
 // outage without promises the entitlement lapses but the term goes on: leases have
 // their full time again afterwards, so the same term may resume once the state
 // service says that the lease is still there. Nobody else's word brings it back.
--- a/internal/lead/pledge_test.go
+++ b/internal/lead/pledge_test.go
@@ -14,13 +14,13 @@
 type guard uint8
 
 const (
-	none        guard = iota
-	keeps             // a member that has promised does not campaign
-	waits             // a fresh process waits for what the one before may have promised
-	fromAsking        // a promise counts from when it was asked for, not from its answer
-	all               // every sibling has to have promised
-	notMeantime       // a member that campaigns does not promise
-	unbroken          // a promise does not bring a lapsed entitlement back
+	none         guard = iota
+	promiseHolds       // a member that has promised does not campaign
+	waits              // a fresh process waits for what the one before may have promised
+	fromAsking         // a promise counts from when it was asked for, not from its answer
+	all                // every sibling has to have promised
+	notMeantime        // a member that campaigns does not promise
+	unbroken           // a promise does not bring a lapsed entitlement back
 )
 
 const (
@@ -32,7 +32,7 @@
 // member is a process of a controller, with its wire to the two others.
 type member struct {
 	p       *pledge
-	reigns  bool
+	leading bool
 	term    int // of its last term
 	until   time.Time
 	trying  bool // an election that has begun and is not settled
@@ -70,7 +70,7 @@
 func (w *world) served(i int) bool { return !w.down && !w.m[i].refused }
 
 func (w *world) entitled(i int) bool {
-	return w.m[i].reigns && w.now.Before(w.entitledUntil(i))
+	return w.m[i].leading && w.now.Before(w.entitledUntil(i))
 }
 
 func (w *world) entitledUntil(i int) time.Time {
@@ -108,11 +108,11 @@
 	{Name: "refuse", Each: 3, Do: func(w *world, i int) bool { w.m[i].refused = !w.m[i].refused; return true }},
 	{Name: "renew", Each: 2, Do: func(w *world, i int) bool {
 		m := &w.m[i]
-		if !m.reigns || !w.served(i) {
+		if !m.leading || !w.served(i) {
 			return false
 		}
 		if w.holder != i {
-			m.reigns = false
+			m.leading = false
 			m.p.rest()
 			return true
 		}
@@ -121,11 +121,11 @@
 	}},
 	{Name: "campaign", Each: 3, Do: func(w *world, i int) bool {
 		m := &w.m[i]
-		if m.reigns || m.trying || !w.served(i) || w.holder >= 0 {
+		if m.leading || m.trying || !w.served(i) || w.holder >= 0 {
 			return false
 		}
 		may := m.p.campaign(w.now)
-		if w.out == keeps || w.out == waits && w.now.Before(m.p.born.Add(2*length)) {
+		if w.out == promiseHolds || w.out == waits && w.now.Before(m.p.born.Add(2*length)) {
 			m.p.campaigns, may = true, true
 		}
 		m.trying = may
@@ -144,20 +144,20 @@
 		}
 		w.holder, w.expires = i, w.now.Add(ttl)
 		w.term++
-		m.reigns, m.term, m.until = true, w.term, w.now.Add(ttl-50*time.Millisecond)
+		m.leading, m.term, m.until = true, w.term, w.now.Add(ttl-50*time.Millisecond)
 		return true
 	}},
 	// The leader, member 0 in most plays, asks a sibling, which answers at once; the
 	// answer may come late. No sibling knows of a later term than the leader's.
 	{Name: "ask", Each: 2, Do: func(w *world, i int) bool {
 		m, s := &w.m[0], &w.m[1+i]
-		if !m.reigns || w.served(0) {
+		if !m.leading || w.served(0) {
 			return false
 		}
 		if w.out == notMeantime {
 			s.p.campaigns = false
 		}
-		if !s.reigns && s.p.promise(!w.served(1+i), w.now) {
+		if !s.leading && s.p.promise(!w.served(1+i), w.now) {
 			m.answers[1+i] = w.now
 		}
 		return true
@@ -165,7 +165,7 @@
 	{Name: "answer", Each: 2, Do: func(w *world, i int) bool {
 		m := &w.m[0]
 		asked, ok := m.answers[1+i]
-		if !ok || !m.reigns {
+		if !ok || !m.leading {
 			return false
 		}
 		delete(m.answers, 1+i)
@@ -183,7 +183,7 @@
 	{Name: "hear", Each: 2, Do: func(w *world, i int) bool {
 		// Member 1 hears of the two others.
 		j := 2 * i
-		w.m[1].p.hears(fmt.Sprint(j), w.m[j].reigns)
+		w.m[1].p.hears(fmt.Sprint(j), w.m[j].leading)
 		return true
 	}},
 }
@@ -211,7 +211,7 @@
 	p.At(w.expires)
 	for i := range w.m {
 		m := &w.m[i]
-		p.Say("|", m.reigns, w.term-m.term, m.trying, m.refused, m.p.campaigns, len(m.p.idle))
+		p.Say("|", m.leading, w.term-m.term, m.trying, m.refused, m.p.campaigns, len(m.p.idle))
 		p.At(m.until, m.p.given, m.p.born.Add(length+m.p.slip()))
 		for j := range 3 {
 			p.At(m.p.got[fmt.Sprint(j)], m.answers[j])
@@ -228,7 +228,7 @@
 		out  guard
 	}{
 		{"as it is", none},
-		{"a member that has promised campaigns", keeps},
+		{"a member that has promised campaigns", promiseHolds},
 		{"a fresh process does not wait", waits},
 		{"a promise counted from its answer", fromAsking},
 		{"not every sibling has promised", all},
