--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	prefix    = "lead/"
-	keyHolder = "lead/holder"
+	keyPrefix = "lead/"
+	keyLeader = "lead/holder"
 	// KeyTerm holds the highest term; every write of a leader is conditional on
 	// its version.
 	KeyTerm = "lead/term"
 )
 
-type holder struct {
+type leaderRecord struct {
 	Member string `codec:"member"`
 	Term   uint64 `codec:"term"`
 }
@@ -60,34 +60,35 @@
 	log    *slog.Logger
 	lead   func(ctx context.Context, r Term)
 
-	mu          sync.Mutex
-	view        View
-	alive       time.Time // when a leader was last heard of
-	until       time.Time
-	leadingTerm uint64
-	deposed     chan struct{}
-	pledge      *pledge
-	ask         Ask
-	asking      bool
-	carried     bool // the entitlement rests on promises
-	resigns     bool // the lease is not renewed any more
+	mu                 sync.Mutex
+	view               View
+	leaderHeardAt      time.Time // when a leader was last heard of
+	leaseUntil         time.Time
+	leadingTerm        uint64
+	deposed            chan struct{}
+	promises           *promiseState
+	requestPromise     RequestPromiseFunc
+	requestingPromises bool
+	onPromises         bool // the entitlement rests on promises
+	resigns            bool // the lease is not renewed any more
 	// notBefore holds a member back that has given the lead away.
 	notBefore time.Time
 }
 
-// Ask asks a sibling to promise that it does not campaign for a while.
-type Ask func(ctx context.Context, sibling string, term uint64) (promised bool, err error)
+// RequestPromiseFunc asks a sibling to promise that it does not campaign for a while.
+type RequestPromiseFunc func(ctx context.Context, sibling string, term uint64) (promised bool, err error)
 
-// Pledge lets a leader that the state service does not answer go on for as long as
-// every sibling promises not to campaign; length 0: off.
-func (e *Elector) Pledge(length time.Duration, siblings []string, ask Ask) {
-	e.pledge, e.ask = newPledge(length, siblings, time.Now()), ask
+// EnablePromises lets a leader that the state service does not answer go on for
+// as long as every sibling promises not to campaign. length is how long one
+// promise lasts; 0 turns promises off. requestPromise asks one sibling.
+func (e *Elector) EnablePromises(length time.Duration, siblings []string, requestPromise RequestPromiseFunc) {
+	e.promises, e.requestPromise = newPromiseState(length, siblings, time.Now()), requestPromise
 }
 
 // New makes an elector; lead is run, with a context that ends with the term,
 // each time the member takes the lead.
 func New(member string, ttl time.Duration, st *state.Client, log *slog.Logger, lead func(context.Context, Term)) *Elector {
-	return &Elector{member: member, ttl: ttl, state: st, log: log, lead: lead, pledge: newPledge(0, nil, time.Now())}
+	return &Elector{member: member, ttl: ttl, state: st, log: log, lead: lead, promises: newPromiseState(0, nil, time.Now())}
 }
 
 // Entitled reports whether the member may act as leader of the term right now.
@@ -112,13 +113,13 @@
 // entitledUntil is when the entitlement ends without another renewal, by the state
 // service or by the siblings; the caller holds the lock.
 func (e *Elector) entitledUntil() time.Time {
-	if t := e.pledge.until(); !e.until.IsZero() && t.After(e.until) {
+	if t := e.promises.until(); !e.leaseUntil.IsZero() && t.After(e.leaseUntil) {
 		return t
 	}
-	return e.until
+	return e.leaseUntil
 }
 
-// probeTime bounds the look whether the state service answers this member.
+// probeTime bounds the check whether the state service answers this member.
 const probeTime = 400 * time.Millisecond
 
 // Promise answers a leader that asks whether this member campaigns. It does not for
@@ -128,18 +129,18 @@
 	// that it is over, nobody would be entitled while the state service is out.
 	e.Heard(leader, term)
 	e.mu.Lock()
-	off := e.pledge.length == 0 || term < e.view.Term
+	off := e.promises.length == 0 || term < e.view.Term
 	e.mu.Unlock()
 	if off {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, probeTime)
 	defer cancel()
-	_, err := e.state.Get(ctx, keyHolder)
+	_, err := e.state.Get(ctx, keyLeader)
 	refused := err != nil && !errors.Is(err, state.ErrNotFound)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.pledge.promise(refused, time.Now())
+	return e.promises.promise(refused, time.Now())
 }
 
 // resignTime is how long a member that has given the lead away leaves it to the
@@ -157,38 +158,38 @@
 	}
 }
 
-// Met takes in what a sibling says of itself.
-func (e *Elector) Met(member string, leads bool) {
+// ObserveSibling takes in whether a sibling says that it leads.
+func (e *Elector) ObserveSibling(member string, leads bool) {
 	e.mu.Lock()
-	e.pledge.hears(member, leads)
+	e.promises.observe(member, leads)
 	e.mu.Unlock()
 }
 
-// askEvery spaces the rounds of asking: a promise that is not renewed ends the
-// entitlement.
-const askEvery = 300 * time.Millisecond
+// promiseRequestInterval spaces the rounds of promise requests: a promise that is
+// not renewed ends the entitlement.
+const promiseRequestInterval = 300 * time.Millisecond
 
-// askAll asks every sibling for its promise, one round at a time.
-func (e *Elector) askAll(ctx context.Context, term uint64) {
+// requestPromises asks every sibling for its promise, one round at a time.
+func (e *Elector) requestPromises(ctx context.Context, term uint64) {
 	e.mu.Lock()
-	if e.pledge.length == 0 || e.asking {
+	if e.promises.length == 0 || e.requestingPromises {
 		e.mu.Unlock()
 		return
 	}
-	e.asking = true
-	siblings := e.pledge.siblings
+	e.requestingPromises = true
+	siblings := e.promises.siblings
 	e.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, 2*probeTime)
 	var wg sync.WaitGroup
 	for _, m := range siblings {
 		wg.Go(func() {
 			asked := time.Now()
-			if ok, err := e.ask(ctx, m, term); err != nil || !ok {
+			if ok, err := e.requestPromise(ctx, m, term); err != nil || !ok {
 				return
 			}
 			e.mu.Lock()
 			if e.leadingTerm == term {
-				e.pledge.take(m, asked, time.Now(), e.entitledUntil())
+				e.promises.record(m, asked, time.Now(), e.entitledUntil())
 			}
 			e.mu.Unlock()
 		})
@@ -197,13 +198,13 @@
 		wg.Wait()
 		cancel()
 		e.mu.Lock()
-		e.asking = false
+		e.requestingPromises = false
 		now := time.Now()
-		carried := e.leadingTerm == term && now.After(e.until) && now.Before(e.pledge.until())
-		was := e.carried
-		e.carried = carried
+		onPromises := e.leadingTerm == term && now.After(e.leaseUntil) && now.Before(e.promises.until())
+		was := e.onPromises
+		e.onPromises = onPromises
 		e.mu.Unlock()
-		if carried && !was {
+		if onPromises && !was {
 			e.log.Info("the state service answers nobody, going on by the siblings' promises", "term", term)
 		}
 	}()
@@ -225,31 +226,31 @@
 		e.view.Leader, e.view.Term = leader, term
 	}
 	if e.leadingTerm != 0 && term > e.leadingTerm && e.deposed != nil {
-		e.until = time.Time{}
+		e.leaseUntil = time.Time{}
 		close(e.deposed)
 		e.deposed = nil
 	}
 }
 
-// Alive notes that the leader has given a sign of life.
-func (e *Elector) Alive() {
+// LeaderHeartbeat notes that the leader has given a sign of life.
+func (e *Elector) LeaderHeartbeat() {
 	e.mu.Lock()
-	e.alive = time.Now()
+	e.leaderHeardAt = time.Now()
 	e.mu.Unlock()
 }
 
-// Vacant is how long the lead may still be held by a leader that gives no sign of
+// LeaderLeaseLeft is how long the lead may still be held by a leader that gives no sign of
 // life: what is left of its lease, as far as this node knows.
-func (e *Elector) Vacant() time.Duration {
+func (e *Elector) LeaderLeaseLeft() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return max(0, e.ttl-time.Since(e.alive))
+	return max(0, e.ttl-time.Since(e.leaderHeardAt))
 }
 
 // Run takes part until the context ends.
 func (e *Elector) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		epoch, held, termVersion, term, err := e.look(ctx)
+		epoch, held, termVersion, term, err := e.readLeadership(ctx)
 		if err != nil {
 			pause(ctx, 250*time.Millisecond)
 			continue
@@ -257,22 +258,22 @@
 		if !held {
 			e.mu.Lock()
 			now := time.Now()
-			may := !now.Before(e.notBefore) && e.pledge.campaign(now)
+			may := !now.Before(e.notBefore) && e.promises.startCampaign(now)
 			e.mu.Unlock()
 			if may {
 				e.campaign(ctx, term, termVersion)
 				e.mu.Lock()
-				e.pledge.rest()
+				e.promises.endCampaign()
 				e.mu.Unlock()
 			}
 			pause(ctx, 50*time.Millisecond)
 			continue
 		}
-		if _, _, err := e.state.Watch(ctx, prefix, epoch, 5*time.Second); err != nil && !errors.Is(err, state.ErrGone) {
+		if _, _, err := e.state.Watch(ctx, keyPrefix, epoch, 5*time.Second); err != nil && !errors.Is(err, state.ErrGone) {
 			pause(ctx, 250*time.Millisecond)
 			continue
 		}
-		e.seen()
+		e.markSeen()
 	}
 }
 
@@ -285,22 +286,22 @@
 	}
 }
 
-func (e *Elector) seen() {
+func (e *Elector) markSeen() {
 	e.mu.Lock()
 	e.view.Seen = time.Now()
 	e.mu.Unlock()
 }
 
-// look reads both keys in one listing, so that they belong together.
-func (e *Elector) look(ctx context.Context) (epoch uint64, held bool, termVersion, term uint64, err error) {
-	entries, epoch, err := e.state.List(ctx, prefix)
+// readLeadership reads both keys in one listing, so that they belong together.
+func (e *Elector) readLeadership(ctx context.Context) (epoch uint64, held bool, termVersion, term uint64, err error) {
+	entries, epoch, err := e.state.List(ctx, keyPrefix)
 	if err != nil {
 		return
 	}
-	var h holder
+	var h leaderRecord
 	for _, en := range entries {
 		switch en.Key {
-		case keyHolder:
+		case keyLeader:
 			held = wire.Unmarshal(en.Value, &h) == nil
 		case KeyTerm:
 			var t termRecord
@@ -320,9 +321,9 @@
 	return
 }
 
-// margin is taken off the lease: steady clocks differ by up to 0.05 %, on both
+// clockMargin is taken off the lease: steady clocks differ by up to 0.05 %, on both
 // sides, and the processor can be late.
-func (e *Elector) margin() time.Duration { return e.ttl/500 + 50*time.Millisecond }
+func (e *Elector) clockMargin() time.Duration { return e.ttl/500 + 50*time.Millisecond }
 
 func (e *Elector) campaign(ctx context.Context, term, termVersion uint64) {
 	begun := time.Now()
@@ -341,20 +342,20 @@
 		term = heard
 	}
 	term++
-	hv, err1 := state.Put(keyHolder, holder{Member: e.member, Term: term})
+	hv, err1 := state.Put(keyLeader, leaderRecord{Member: e.member, Term: term})
 	tv, err2 := state.Put(KeyTerm, termRecord{Term: term})
 	if err1 != nil || err2 != nil {
 		return
 	}
 	hv.Lease = lease
 	version, err := e.state.Commit(ctx, state.Txn{
-		If:     []state.Cond{{Key: keyHolder}, {Key: KeyTerm, Version: termVersion}},
+		If:     []state.Cond{{Key: keyLeader}, {Key: KeyTerm, Version: termVersion}},
 		Writes: []state.Write{hv, tv},
 	})
 	if errors.Is(err, state.ErrUnknown) {
-		// The commit may have gone through: the lease on the holder key tells.
-		en, gerr := e.state.Get(ctx, keyHolder)
-		var h holder
+		// The commit may have gone through: the lease on the leader key tells.
+		en, gerr := e.state.Get(ctx, keyLeader)
+		var h leaderRecord
 		if gerr == nil && en.Lease == lease && wire.Unmarshal(en.Value, &h) == nil && h.Term == term {
 			version, err = en.Version, nil
 		}
@@ -365,16 +366,16 @@
 		return
 	}
 	e.mu.Lock()
-	alive := e.alive
+	alive := e.leaderHeardAt
 	e.mu.Unlock()
-	e.leadFor(ctx, Term{Term: term, TermVersion: version, Since: time.Now(), Alive: alive, Restored: restored}, lease, begun)
+	e.holdTerm(ctx, Term{Term: term, TermVersion: version, Since: time.Now(), Alive: alive, Restored: restored}, lease, begun)
 }
 
-func (e *Elector) leadFor(ctx context.Context, r Term, lease uint64, begun time.Time) {
+func (e *Elector) holdTerm(ctx context.Context, r Term, lease uint64, begun time.Time) {
 	rctx, cancel := context.WithCancel(ctx)
 	deposed := make(chan struct{})
 	e.mu.Lock()
-	e.leadingTerm, e.until = r.Term, begun.Add(e.ttl-e.margin())
+	e.leadingTerm, e.leaseUntil = r.Term, begun.Add(e.ttl-e.clockMargin())
 	e.view = View{Leader: e.member, Term: r.Term, Seen: time.Now()}
 	e.deposed = deposed
 	e.mu.Unlock()
@@ -387,7 +388,7 @@
 	e.renew(rctx, r.Term, lease, deposed)
 	e.mu.Lock()
 	resigned := e.resigns
-	e.leadingTerm, e.until, e.deposed, e.resigns = 0, time.Time{}, nil, false
+	e.leadingTerm, e.leaseUntil, e.deposed, e.resigns = 0, time.Time{}, nil, false
 	if resigned {
 		e.notBefore = time.Now().Add(resignTime)
 	}
@@ -408,7 +409,7 @@
 func (e *Elector) resigning() (left time.Duration, resigns bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return time.Until(e.until), e.resigns
+	return time.Until(e.leaseUntil), e.resigns
 }
 
 // renew extends the lease until it is gone or a later term was heard of. In an
@@ -439,7 +440,7 @@
 		switch {
 		case err == nil:
 			e.mu.Lock()
-			e.until = begun.Add(e.ttl - e.margin())
+			e.leaseUntil = begun.Add(e.ttl - e.clockMargin())
 			e.view.Seen = time.Now()
 			e.mu.Unlock()
 		case errors.Is(err, state.ErrNotFound):
@@ -447,9 +448,9 @@
 		default:
 			e.log.Debug("lease renewal failed", "error", err)
 			if e.Entitled(term) {
-				e.askAll(ctx, term)
+				e.requestPromises(ctx, term)
 			}
-			wait = askEvery
+			wait = promiseRequestInterval
 		}
 		tick.Reset(wait)
 	}
--- a/internal/lead/pledge_test.go
+++ b/internal/lead/promise_test.go
@@ -31,7 +31,7 @@
 
 // member is a process of a controller, with its wire to the two others.
 type member struct {
-	p       *pledge
+	p       *promiseState
 	leading bool
 	term    int // of its last term
 	until   time.Time
@@ -64,7 +64,7 @@
 
 func (w *world) start(i int) {
 	siblings := slices.Delete([]string{"0", "1", "2"}, i, i+1)
-	w.m[i] = member{p: newPledge(length, siblings, w.now), refused: w.m[i].refused, answers: map[int]time.Time{}}
+	w.m[i] = member{p: newPromiseState(length, siblings, w.now), refused: w.m[i].refused, answers: map[int]time.Time{}}
 }
 
 func (w *world) served(i int) bool { return !w.down && !w.m[i].refused }
@@ -78,7 +78,7 @@
 	until := m.until
 	t := m.p.until()
 	if w.out == all {
-		for _, got := range m.p.got {
+		for _, got := range m.p.receivedUntil {
 			if got.After(t) {
 				t = got
 			}
@@ -113,7 +113,7 @@
 		}
 		if w.holder != i {
 			m.leading = false
-			m.p.rest()
+			m.p.endCampaign()
 			return true
 		}
 		m.until, w.expires = w.now.Add(ttl-50*time.Millisecond), w.now.Add(ttl)
@@ -124,9 +124,9 @@
 		if m.leading || m.trying || !w.served(i) || w.holder >= 0 {
 			return false
 		}
-		may := m.p.campaign(w.now)
-		if w.out == promiseHolds || w.out == waits && w.now.Before(m.p.born.Add(2*length)) {
-			m.p.campaigns, may = true, true
+		may := m.p.startCampaign(w.now)
+		if w.out == promiseHolds || w.out == waits && w.now.Before(m.p.started.Add(2*length)) {
+			m.p.campaigning, may = true, true
 		}
 		m.trying = may
 		return may
@@ -139,7 +139,7 @@
 		}
 		m.trying = false
 		if w.holder >= 0 {
-			m.p.rest()
+			m.p.endCampaign()
 			return true
 		}
 		w.holder, w.expires = i, w.now.Add(ttl)
@@ -155,7 +155,7 @@
 			return false
 		}
 		if w.out == notMeantime {
-			s.p.campaigns = false
+			s.p.campaigning = false
 		}
 		if !s.leading && s.p.promise(!w.served(1+i), w.now) {
 			m.answers[1+i] = w.now
@@ -176,14 +176,14 @@
 		if w.out == unbroken {
 			entitled = w.now.Add(ttl)
 		}
-		m.p.take(fmt.Sprint(1+i), asked, w.now, entitled)
+		m.p.record(fmt.Sprint(1+i), asked, w.now, entitled)
 		return true
 	}},
 	{Name: "end", Each: 2, Do: func(w *world, i int) bool { w.start(i); return true }},
 	{Name: "hear", Each: 2, Do: func(w *world, i int) bool {
 		// Member 1 hears of the two others.
 		j := 2 * i
-		w.m[1].p.hears(fmt.Sprint(j), w.m[j].leading)
+		w.m[1].p.observe(fmt.Sprint(j), w.m[j].leading)
 		return true
 	}},
 }
@@ -211,18 +211,19 @@
 	p.At(w.expires)
 	for i := range w.m {
 		m := &w.m[i]
-		p.Say("|", m.leading, w.term-m.term, m.trying, m.refused, m.p.campaigns, len(m.p.idle))
-		p.At(m.until, m.p.given, m.p.born.Add(length+m.p.slip()))
+		p.Say("|", m.leading, w.term-m.term, m.trying, m.refused, m.p.campaigning, len(m.p.notLeading))
+		p.At(m.until, m.p.givenUntil, m.p.started.Add(length+m.p.clockSlack()))
 		for j := range 3 {
-			p.At(m.p.got[fmt.Sprint(j)], m.answers[j])
+			p.At(m.p.receivedUntil[fmt.Sprint(j)], m.answers[j])
 		}
 	}
 	return p.String()
 }
 
-// TestPledge: never two members that are entitled, whatever is refused, down, ends
-// or comes late. With a guard taken out the explorer finds why it is there.
-func TestPledge(t *testing.T) {
+// TestPromisesNeverTwoLeaders: never two members that are entitled, whatever is
+// refused, down, ends or comes late. With a guard taken out the explorer finds
+// why it is there.
+func TestPromisesNeverTwoLeaders(t *testing.T) {
 	tests := []struct {
 		name string
 		out  guard
@@ -265,39 +266,39 @@
 	late := now.Add(time.Minute)
 	tests := []struct {
 		name string
-		do   func(p *pledge) bool
+		do   func(p *promiseState) bool
 		want bool
 	}{
-		{"not refused: it had better lead itself", func(p *pledge) bool { return p.promise(false, late) }, false},
-		{"refused as well", func(p *pledge) bool { return p.promise(true, late) }, true},
-		{"while it campaigns", func(p *pledge) bool { p.campaign(late); return p.promise(true, late) }, false},
-		{"it campaigns again after its promise", func(p *pledge) bool {
+		{"not refused: it had better lead itself", func(p *promiseState) bool { return p.promise(false, late) }, false},
+		{"refused as well", func(p *promiseState) bool { return p.promise(true, late) }, true},
+		{"while it campaigns", func(p *promiseState) bool { p.startCampaign(late); return p.promise(true, late) }, false},
+		{"it campaigns again after its promise", func(p *promiseState) bool {
 			p.promise(true, late)
-			return !p.campaign(late.Add(length)) && p.campaign(late.Add(length+p.slip()))
+			return !p.startCampaign(late.Add(length)) && p.startCampaign(late.Add(length+p.clockSlack()))
 		}, true},
-		{"a fresh process waits", func(p *pledge) bool { return p.campaign(now.Add(length)) }, false},
-		{"unless no sibling leads", func(p *pledge) bool { p.hears("a", false); p.hears("b", false); return p.campaign(now) }, true},
-		{"one does", func(p *pledge) bool {
-			p.hears("a", false)
-			p.hears("b", false)
-			p.hears("b", true)
-			return p.campaign(now)
+		{"a fresh process waits", func(p *promiseState) bool { return p.startCampaign(now.Add(length)) }, false},
+		{"unless no sibling leads", func(p *promiseState) bool { p.observe("a", false); p.observe("b", false); return p.startCampaign(now) }, true},
+		{"one does", func(p *promiseState) bool {
+			p.observe("a", false)
+			p.observe("b", false)
+			p.observe("b", true)
+			return p.startCampaign(now)
 		}, false},
-		{"the leader counts from the first promise that ends", func(p *pledge) bool {
-			p.take("a", late, late, late.Add(time.Second))
+		{"the leader counts from the first promise that ends", func(p *promiseState) bool {
+			p.record("a", late, late, late.Add(time.Second))
 			missing := p.until().IsZero()
-			p.take("b", late.Add(time.Second), late, late.Add(time.Second))
+			p.record("b", late.Add(time.Second), late, late.Add(time.Second))
 			return missing && p.until().Equal(late.Add(length))
 		}, true},
-		{"the last of them comes after the entitlement has lapsed", func(p *pledge) bool {
-			p.take("a", late, late, late.Add(time.Second))
-			p.take("b", late, late.Add(time.Second), late.Add(time.Second))
+		{"the last of them comes after the entitlement has lapsed", func(p *promiseState) bool {
+			p.record("a", late, late, late.Add(time.Second))
+			p.record("b", late, late.Add(time.Second), late.Add(time.Second))
 			return !p.until().IsZero()
 		}, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			if got := tt.do(newPledge(length, []string{"a", "b"}, now)); got != tt.want {
+			if got := tt.do(newPromiseState(length, []string{"a", "b"}, now)); got != tt.want {
 				t.Errorf("got %v, want %v", got, tt.want)
 			}
 		})
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -76,7 +76,7 @@
 	for i := range set.Siblings {
 		siblings[i] = set.Siblings[i].Member
 	}
-	n.elector.Pledge(time.Duration(tun.PromiseMs)*time.Millisecond, siblings, func(ctx context.Context, sibling string, term uint64) (bool, error) {
+	n.elector.EnablePromises(time.Duration(tun.PromiseMs)*time.Millisecond, siblings, func(ctx context.Context, sibling string, term uint64) (bool, error) {
 		p, err := n.mesh.Promise(ctx, sibling, &peer.PromiseRequest{Leader: set.Member, Term: term})
 		return err == nil && p.Given, err
 	})
@@ -138,12 +138,12 @@
 	wg.Go(func() {
 		mesh.Pings(ctx, func(h peer.Hello) {
 			n.elector.Heard(h.Leader, h.Term)
-			n.elector.Met(h.Member, h.Member == h.Leader)
+			n.elector.ObserveSibling(h.Member, h.Member == h.Leader)
 			if tun.YieldS > 0 {
 				n.yield.heard(h, time.Now())
 			}
 			if h.Member == h.Leader {
-				n.elector.Alive()
+				n.elector.LeaderHeartbeat()
 			}
 		})
 	})
@@ -261,7 +261,7 @@
 // more, but a user who comes a little early loses nothing by it.
 func (n *Node) vacant() *peer.Reply {
 	p := control.Later("no leader is to be reached")
-	p.RetryAfter = max(p.RetryAfter, int(n.elector.Vacant()/time.Second))
+	p.RetryAfter = max(p.RetryAfter, int(n.elector.LeaderLeaseLeft()/time.Second))
 	return p
 }
 
