--- a/internal/state/hedge.go
+++ b/internal/state/hedge.go
@@ -14,45 +14,47 @@
 // more beside the first, and the first answer counts (the hedged requests of Dean
 // and Barroso, "The Tail at Scale"): a user would wait for it, and a launch.
 const (
-	// hedgeTimes is after how many usual answer times a request is sent again.
-	hedgeTimes = 3
-	// hedgeLeast and hedgeMost bound that wait.
-	hedgeLeast = 25 * time.Millisecond
-	hedgeMost  = 300 * time.Millisecond
-	// usualPercent is the share of the answers that the usual time covers. More than
-	// that would count the late ones as usual.
-	usualPercent = 85
-	// usualEvery is after how many answers the usual time is taken anew.
-	usualEvery = 64
+	// hedgeDelayFactor is how many typical latencies a request waits before a
+	// hedged copy is sent.
+	hedgeDelayFactor = 3
+	// minHedgeDelay and maxHedgeDelay bound that delay.
+	minHedgeDelay = 25 * time.Millisecond
+	maxHedgeDelay = 300 * time.Millisecond
+	// typicalPercentile is the percentile of latencies taken as typical. A higher
+	// one would count the slow tail as typical.
+	typicalPercentile = 85
+	// recomputeEvery is after how many answers the typical latency is computed anew.
+	recomputeEvery = 64
 )
 
-// pace knows how long answers usually take.
-type pace struct {
+// latencyTracker records how long successful answers take and derives the delay
+// after which a request is hedged.
+type latencyTracker struct {
 	mu    sync.Mutex
 	hist  *hdrhistogram.Histogram // of milliseconds
 	count int
-	wait  time.Duration
+	wait  time.Duration // current hedge delay
 }
 
-func newPace() *pace {
-	return &pace{hist: hdrhistogram.New(1, callTimeout.Milliseconds(), 2), wait: hedgeMost}
+func newLatencyTracker() *latencyTracker {
+	return &latencyTracker{hist: hdrhistogram.New(1, callTimeout.Milliseconds(), 2), wait: maxHedgeDelay}
 }
 
-// took notes an answer.
-func (p *pace) took(d time.Duration) {
+// observe notes an answer.
+func (p *latencyTracker) observe(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	_ = p.hist.RecordValue(min(max(1, d.Milliseconds()), callTimeout.Milliseconds()))
-	if p.count++; p.count%usualEvery != 0 {
+	if p.count++; p.count%recomputeEvery != 0 {
 		return
 	}
-	usual := time.Duration(p.hist.ValueAtQuantile(usualPercent)) * time.Millisecond
-	p.wait = min(max(hedgeTimes*usual, hedgeLeast), hedgeMost)
+	usual := time.Duration(p.hist.ValueAtQuantile(typicalPercentile)) * time.Millisecond
+	p.wait = min(max(hedgeDelayFactor*usual, minHedgeDelay), maxHedgeDelay)
 	p.hist.Reset()
 }
 
-// after is when a request that has not been answered is late.
-func (p *pace) after() time.Duration {
+// hedgeDelay is when a request that has not been answered is late.
+func (p *latencyTracker) hedgeDelay() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.wait
@@ -67,7 +69,7 @@
 // hedged runs an attempt, and a second one beside it if the first is late and
 // again lets it. The first clear result counts. One that is not clear waits for
 // the other: the request may have been executed.
-func hedged[T any](ctx context.Context, p *pace, again func() bool, attempt func(context.Context) (T, error)) (T, error) {
+func hedged[T any](ctx context.Context, p *latencyTracker, again func() bool, attempt func(context.Context) (T, error)) (T, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	ch := make(chan result[T], 2)
@@ -75,12 +77,12 @@
 		begun := time.Now()
 		v, err := attempt(ctx)
 		if err == nil {
-			p.took(time.Since(begun))
+			p.observe(time.Since(begun))
 		}
 		ch <- result[T]{v, err}
 	}
 	go run()
-	late := time.NewTimer(p.after())
+	late := time.NewTimer(p.hedgeDelay())
 	defer late.Stop()
 	var rest result[T] // not clear: what is left if nothing better comes
 	for flying := 1; flying > 0; {
--- a/internal/state/hedge_test.go
+++ b/internal/state/hedge_test.go
@@ -26,22 +26,22 @@
 		took  time.Duration
 	}{
 		{"in time", []step{{5 * time.Millisecond, ok}}, true, ok, 1, 5 * time.Millisecond},
-		{"late: the second counts", []step{{time.Second, ok}, {5 * time.Millisecond, ok}}, true, ok, 2, hedgeMost + 5*time.Millisecond},
+		{"late: the second counts", []step{{time.Second, ok}, {5 * time.Millisecond, ok}}, true, ok, 2, maxHedgeDelay + 5*time.Millisecond},
 		{"late, and no budget for a second", []step{{time.Second, ok}}, false, ok, 1, time.Second},
 		{"both are late: the sooner counts", []step{{time.Second, ok}, {2 * time.Second, ok}}, true, ok, 2, time.Second},
 		{"a conflict counts", []step{{5 * time.Millisecond, ErrConflict}}, true, ErrConflict, 1, 5 * time.Millisecond},
 		{"refused at once", []step{{5 * time.Millisecond, ErrRefused}}, true, ErrRefused, 1, 5 * time.Millisecond},
 		{"the second is refused, the first is served", []step{{time.Second, ok}, {5 * time.Millisecond, ErrRefused}}, true, ok, 2, time.Second},
 		{"the first is lost, the second is refused: unclear", []step{{time.Second, ErrUnknown}, {5 * time.Millisecond, ErrRefused}}, true, ErrUnknown, 2, time.Second},
-		{"the first is refused late, the second is lost: unclear", []step{{400 * time.Millisecond, ErrRefused}, {time.Second, ErrUnknown}}, true, ErrUnknown, 2, hedgeMost + time.Second},
-		{"both are lost", []step{{time.Second, ErrUnknown}, {time.Second, ErrUnknown}}, true, ErrUnknown, 2, hedgeMost + time.Second},
+		{"the first is refused late, the second is lost: unclear", []step{{400 * time.Millisecond, ErrRefused}, {time.Second, ErrUnknown}}, true, ErrUnknown, 2, maxHedgeDelay + time.Second},
+		{"both are lost", []step{{time.Second, ErrUnknown}, {time.Second, ErrUnknown}}, true, ErrUnknown, 2, maxHedgeDelay + time.Second},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				begun := time.Now()
 				var sent atomic.Int32
-				_, err := hedged(context.Background(), newPace(), func() bool { return tt.again }, func(ctx context.Context) (int, error) {
+				_, err := hedged(context.Background(), newLatencyTracker(), func() bool { return tt.again }, func(ctx context.Context) (int, error) {
 					s := tt.steps[sent.Add(1)-1]
 					select {
 					case <-time.After(s.after):
@@ -59,30 +59,30 @@
 	}
 }
 
-// TestPace: what is late follows from how long answers usually take, within
+// TestLatencyTracker: what is late follows from how long answers usually take, within
 // bounds, and a few slow ones do not change it.
-func TestPace(t *testing.T) {
+func TestLatencyTracker(t *testing.T) {
 	tests := []struct {
 		name  string
 		usual time.Duration
 		slow  int // of a hundred
 		want  time.Duration
 	}{
-		{"quick", 2 * time.Millisecond, 0, hedgeLeast},
+		{"quick", 2 * time.Millisecond, 0, minHedgeDelay},
 		{"some are slow", 12 * time.Millisecond, 5, 36 * time.Millisecond},
-		{"always slow", 400 * time.Millisecond, 0, hedgeMost},
+		{"always slow", 400 * time.Millisecond, 0, maxHedgeDelay},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			p := newPace()
-			for i := range 4 * usualEvery {
+			p := newLatencyTracker()
+			for i := range 4 * recomputeEvery {
 				d := tt.usual
 				if i%100 < tt.slow {
 					d = time.Second
 				}
-				p.took(d)
+				p.observe(d)
 			}
-			if got := p.after(); got != tt.want {
+			if got := p.hedgeDelay(); got != tt.want {
 				t.Errorf("late after %v, want %v", got, tt.want)
 			}
 		})
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -89,27 +89,27 @@
 
 // Client talks to the state service.
 type Client struct {
-	base   string
-	http   *http.Client
-	watch  *http.Client
-	reads  *rate.Limiter
-	writes *rate.Limiter
-	pace   *pace
+	base    string
+	http    *http.Client
+	watch   *http.Client
+	reads   *rate.Limiter
+	writes  *rate.Limiter
+	latency *latencyTracker
 
 	mu     sync.Mutex
 	budget Budget // zero: unbounded
-	// part is the part of the budget that is in use: the service may take less than
-	// the settings say.
-	part    float64
-	changed time.Time // when part was last changed
+	// budgetFraction is the fraction of the budget that is in use: the service may
+	// take less than the settings say.
+	budgetFraction float64
+	changed        time.Time // when budgetFraction was last changed
 }
 
 // Budget is this node's share of the service's limits.
 type Budget struct{ RPS, WriteRPS float64 }
 
 const (
-	// leastPart is how far refusals may narrow the budget.
-	leastPart = 0.1
+	// minBudgetFraction is how far refusals may narrow the budget.
+	minBudgetFraction = 0.1
 	// narrowEvery and widenEvery space the steps: one burst is one refusal, and the
 	// way back is slower than the way down.
 	narrowEvery = 500 * time.Millisecond
@@ -125,7 +125,7 @@
 	if c.budget == (Budget{}) || now.Sub(c.changed) < narrowEvery {
 		return
 	}
-	c.part, c.changed = max(leastPart, c.part/2), now
+	c.budgetFraction, c.changed = max(minBudgetFraction, c.budgetFraction/2), now
 	c.apply()
 }
 
@@ -133,17 +133,17 @@
 func (c *Client) widen(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.part >= 1 || now.Sub(c.changed) < widenEvery {
+	if c.budgetFraction >= 1 || now.Sub(c.changed) < widenEvery {
 		return
 	}
-	c.part, c.changed = min(1, c.part*widenBy), now
+	c.budgetFraction, c.changed = min(1, c.budgetFraction*widenBy), now
 	c.apply()
 }
 
 // apply sets the limits; the caller holds the lock.
 func (c *Client) apply() {
-	c.reads.SetLimit(rate.Limit(c.part * c.budget.RPS))
-	c.writes.SetLimit(rate.Limit(c.part * c.budget.WriteRPS))
+	c.reads.SetLimit(rate.Limit(c.budgetFraction * c.budget.RPS))
+	c.writes.SetLimit(rate.Limit(c.budgetFraction * c.budget.WriteRPS))
 }
 
 func (b Budget) bursts() (reads, writes int) { return max(1, int(b.RPS/2)), max(12, int(b.WriteRPS/2)) }
@@ -162,7 +162,7 @@
 		watch:  &http.Client{Transport: transport(dial, 2)},
 		reads:  rate.NewLimiter(rate.Limit(b.RPS), reads),
 		writes: rate.NewLimiter(rate.Limit(b.WriteRPS), writes),
-		budget: b, part: 1, pace: newPace(),
+		budget: b, budgetFraction: 1, latency: newLatencyTracker(),
 	}
 }
 
@@ -171,13 +171,13 @@
 // from renewing, nor a successor from taking the lead.
 func Unbounded(addr string, dial DialFunc) *Client {
 	return &Client{
-		base:   "http://" + addr,
-		http:   &http.Client{Transport: transport(dial, 2)},
-		watch:  &http.Client{Transport: transport(dial, 2)},
-		reads:  rate.NewLimiter(rate.Inf, 1),
-		writes: rate.NewLimiter(rate.Inf, 1),
-		part:   1,
-		pace:   newPace(),
+		base:           "http://" + addr,
+		http:           &http.Client{Transport: transport(dial, 2)},
+		watch:          &http.Client{Transport: transport(dial, 2)},
+		reads:          rate.NewLimiter(rate.Inf, 1),
+		writes:         rate.NewLimiter(rate.Inf, 1),
+		budgetFraction: 1,
+		latency:        newLatencyTracker(),
 	}
 }
 
@@ -262,7 +262,7 @@
 	if err := c.reads.Wait(ctx); err != nil {
 		return Entry{}, fmt.Errorf("%w: %w", ErrRefused, err)
 	}
-	return hedged(ctx, c.pace, c.reads.Allow, func(ctx context.Context) (e Entry, err error) {
+	return hedged(ctx, c.latency, c.reads.Allow, func(ctx context.Context) (e Entry, err error) {
 		err = c.do(ctx, c.http, http.MethodGet, "/kv/"+key, nil, &e, callTimeout)
 		return e, err
 	})
@@ -286,7 +286,7 @@
 		if after != "" {
 			q.Set("after", after)
 		}
-		page, err := hedged(ctx, c.pace, c.reads.Allow, func(ctx context.Context) (p listPage, err error) {
+		page, err := hedged(ctx, c.latency, c.reads.Allow, func(ctx context.Context) (p listPage, err error) {
 			err = c.do(ctx, c.http, http.MethodGet, "/kv?"+q.Encode(), nil, &p, 3*time.Second)
 			return p, err
 		})
@@ -321,7 +321,7 @@
 		return 0, err
 	}
 	again := func() bool { return c.writes.AllowN(time.Now(), len(t.Writes)) && c.reads.Allow() }
-	return hedged(ctx, c.pace, again, func(ctx context.Context) (uint64, error) { return c.commit(ctx, t) })
+	return hedged(ctx, c.latency, again, func(ctx context.Context) (uint64, error) { return c.commit(ctx, t) })
 }
 
 // admit waits until the budget has room for a transaction.
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -30,9 +30,9 @@
 		want   float64
 	}{
 		{"one burst of refusals is one step", 429, 20, time.Millisecond, 1, 0.5},
-		{"refusals that go on", 429, 20, time.Second, 1, leastPart},
+		{"refusals that go on", 429, 20, time.Second, 1, minBudgetFraction},
 		{"an outage", 503, 20, time.Second, 1, 1},
-		{"served again", 200, 30, time.Second, leastPart, 1},
+		{"served again", 200, 30, time.Second, minBudgetFraction, 1},
 		{"never above the settings", 200, 30, time.Second, 1, 1},
 	}
 	for _, tt := range tests {
@@ -40,7 +40,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				c := New("state:1", nil, Budget{RPS: 1000, WriteRPS: 100})
 				c.http.Transport = answers(func(*http.Request) int { return tt.status })
-				c.part = tt.before
+				c.budgetFraction = tt.before
 				time.Sleep(time.Minute)
 				for range tt.calls {
 					_, err := c.Get(t.Context(), "k")
@@ -49,8 +49,8 @@
 					}
 					time.Sleep(tt.every)
 				}
-				if c.part != tt.want || math.Abs(float64(c.writes.Limit())-100*tt.want) > 1e-9 {
-					t.Errorf("part %v, %v writes a second, want %v", c.part, c.writes.Limit(), tt.want)
+				if c.budgetFraction != tt.want || math.Abs(float64(c.writes.Limit())-100*tt.want) > 1e-9 {
+					t.Errorf("budget fraction %v, %v writes a second, want %v", c.budgetFraction, c.writes.Limit(), tt.want)
 				}
 			})
 		})
