--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -182,34 +182,44 @@
 	ctx, cancel := context.WithTimeout(ctx, 2*probeTime)
 	var wg sync.WaitGroup
 	for _, m := range siblings {
-		wg.Go(func() {
-			asked := time.Now()
-			if ok, err := e.requestPromise(ctx, m, term); err != nil || !ok {
-				return
-			}
-			e.mu.Lock()
-			if e.leadingTerm == term {
-				e.promises.record(m, asked, time.Now(), e.entitledUntil())
-			}
-			e.mu.Unlock()
-		})
+		wg.Go(func() { e.requestPromiseFrom(ctx, m, term) })
 	}
 	go func() {
 		wg.Wait()
 		cancel()
-		e.mu.Lock()
-		e.requestingPromises = false
-		now := time.Now()
-		onPromises := e.leadingTerm == term && now.After(e.leaseUntil) && now.Before(e.promises.until())
-		was := e.onPromises
-		e.onPromises = onPromises
-		e.mu.Unlock()
-		if onPromises && !was {
-			e.log.Info("the state service answers nobody, going on by the siblings' promises", "term", term)
-		}
+		e.endPromiseRound(term)
 	}()
 }
 
+// requestPromiseFrom asks one sibling and records its promise while the term
+// lasts.
+func (e *Elector) requestPromiseFrom(ctx context.Context, sibling string, term uint64) {
+	asked := time.Now()
+	if ok, err := e.requestPromise(ctx, sibling, term); err != nil || !ok {
+		return
+	}
+	e.mu.Lock()
+	if e.leadingTerm == term {
+		e.promises.record(sibling, asked, time.Now(), e.entitledUntil())
+	}
+	e.mu.Unlock()
+}
+
+// endPromiseRound lets the next round begin and logs when the entitlement has
+// come to rest on the siblings' promises alone.
+func (e *Elector) endPromiseRound(term uint64) {
+	e.mu.Lock()
+	e.requestingPromises = false
+	now := time.Now()
+	onPromises := e.leadingTerm == term && now.After(e.leaseUntil) && now.Before(e.promises.until())
+	was := e.onPromises
+	e.onPromises = onPromises
+	e.mu.Unlock()
+	if onPromises && !was {
+		e.log.Info("the state service answers nobody, going on by the siblings' promises", "term", term)
+	}
+}
+
 // View returns what the node knows of the leadership.
 func (e *Elector) View() View {
 	e.mu.Lock()
@@ -325,32 +335,68 @@
 // sides, and the processor can be late.
 func (e *Elector) clockMargin() time.Duration { return e.ttl/500 + 50*time.Millisecond }
 
+// campaign tries to take the lead for the term after the stored one, under a
+// lease of its own, and leads until the term ends if it wins.
 func (e *Elector) campaign(ctx context.Context, term, termVersion uint64) {
 	begun := time.Now()
 	lease, err := e.state.Grant(ctx, e.ttl)
 	if err != nil {
 		return
 	}
+	term, restored := e.nextTerm(term)
+	writes, err := e.leadershipWrites(term, lease)
+	if err != nil {
+		return
+	}
+	version, err := e.commitLeadership(ctx, writes, term, termVersion, lease)
+	if err != nil {
+		// Without its lease a transaction that is applied late fails.
+		_ = e.state.Revoke(ctx, lease)
+		return
+	}
+	e.mu.Lock()
+	alive := e.leaderHeardAt
+	e.mu.Unlock()
+	e.holdTerm(ctx, Term{Term: term, TermVersion: version, Since: time.Now(), Alive: alive, Restored: restored}, lease, begun)
+}
+
+// nextTerm is the term to campaign for after the stored one. restored reports
+// that the stored term was behind the highest this node has seen, and the next
+// term is counted from that one instead.
+func (e *Elector) nextTerm(stored uint64) (next uint64, restored bool) {
 	e.mu.Lock()
 	heard := e.view.Term
 	e.mu.Unlock()
-	restored := heard > term
+	restored = heard > stored
 	if restored {
 		// A state service that has lost its last moments names a term below the tokens
 		// that workers have seen. They would drop every answer of the next one.
-		e.log.Warn("the stored term is behind what workers or siblings have seen, going above it", "stored", term, "seen", heard)
-		term = heard
+		e.log.Warn("the stored term is behind what workers or siblings have seen, going above it", "stored", stored, "seen", heard)
+		stored = heard
 	}
-	term++
-	hv, err1 := state.Put(keyLeader, leaderRecord{Member: e.member, Term: term})
-	tv, err2 := state.Put(KeyTerm, termRecord{Term: term})
+	return stored + 1, restored
+}
+
+// leadershipWrites are the writes that make this member leader of the term: the
+// leader key, bound to the lease, and the term key.
+func (e *Elector) leadershipWrites(term, lease uint64) ([]state.Write, error) {
+	leader, err1 := state.Put(keyLeader, leaderRecord{Member: e.member, Term: term})
+	termWrite, err2 := state.Put(KeyTerm, termRecord{Term: term})
 	if err1 != nil || err2 != nil {
-		return
+		return nil, errors.Join(err1, err2)
 	}
-	hv.Lease = lease
+	leader.Lease = lease
+	return []state.Write{leader, termWrite}, nil
+}
+
+// commitLeadership commits the writes as a compare-and-swap: the leader key must
+// be absent and the term key at the version that was read. It returns the
+// revision of the commit. If the answer was lost, the leader key tells whether
+// the commit went through.
+func (e *Elector) commitLeadership(ctx context.Context, writes []state.Write, term, termVersion, lease uint64) (uint64, error) {
 	version, err := e.state.Commit(ctx, state.Txn{
 		If:     []state.Cond{{Key: keyLeader}, {Key: KeyTerm, Version: termVersion}},
-		Writes: []state.Write{hv, tv},
+		Writes: writes,
 	})
 	if errors.Is(err, state.ErrUnknown) {
 		// The commit may have gone through: the lease on the leader key tells.
@@ -360,17 +406,11 @@
 			version, err = en.Version, nil
 		}
 	}
-	if err != nil {
-		// Without its lease a transaction that is applied late fails.
-		_ = e.state.Revoke(ctx, lease)
-		return
-	}
-	e.mu.Lock()
-	alive := e.leaderHeardAt
-	e.mu.Unlock()
-	e.holdTerm(ctx, Term{Term: term, TermVersion: version, Since: time.Now(), Alive: alive, Restored: restored}, lease, begun)
+	return version, err
 }
 
+// holdTerm leads for the term: it runs the lead function and renews the lease
+// until the term ends, then steps down and waits for the lead function to return.
 func (e *Elector) holdTerm(ctx context.Context, r Term, lease uint64, begun time.Time) {
 	rctx, cancel := context.WithCancel(ctx)
 	deposed := make(chan struct{})
@@ -434,24 +474,34 @@
 			tick.Reset(left)
 			continue
 		}
-		begun := time.Now()
-		err := e.state.Extend(ctx, lease)
-		wait := e.ttl / 4
-		switch {
-		case err == nil:
-			e.mu.Lock()
-			e.leaseUntil = begun.Add(e.ttl - e.clockMargin())
-			e.view.Seen = time.Now()
-			e.mu.Unlock()
-		case errors.Is(err, state.ErrNotFound):
+		wait, ended := e.extendLease(ctx, term, lease)
+		if ended {
 			return
-		default:
-			e.log.Debug("lease renewal failed", "error", err)
-			if e.Entitled(term) {
-				e.requestPromises(ctx, term)
-			}
-			wait = promiseRequestInterval
 		}
 		tick.Reset(wait)
 	}
 }
+
+// extendLease renews the lease once and returns when to try next; ended reports
+// that the lease is gone. While renewals fail and the member is entitled, it
+// asks the siblings for promises.
+func (e *Elector) extendLease(ctx context.Context, term, lease uint64) (wait time.Duration, ended bool) {
+	begun := time.Now()
+	err := e.state.Extend(ctx, lease)
+	switch {
+	case err == nil:
+		e.mu.Lock()
+		e.leaseUntil = begun.Add(e.ttl - e.clockMargin())
+		e.view.Seen = time.Now()
+		e.mu.Unlock()
+		return e.ttl / 4, false
+	case errors.Is(err, state.ErrNotFound):
+		return 0, true
+	default:
+		e.log.Debug("lease renewal failed", "error", err)
+		if e.Entitled(term) {
+			e.requestPromises(ctx, term)
+		}
+		return promiseRequestInterval, false
+	}
+}
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -197,20 +197,45 @@
 // packet costs one retry and not the leader's lease.
 const callTimeout = 1200 * time.Millisecond
 
+// maxResponseBytes bounds what is read of one answer.
+const maxResponseBytes = 8 << 20
+
+// do sends one request with the timeout and decodes the answer into out. The
+// error is one of the package's sentinels (or a *ConflictError), wrapped with
+// what went wrong, except for a body that cannot be encoded.
 func (c *Client) do(ctx context.Context, hc *http.Client, method, path string, body, out any, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
+	req, err := c.newRequest(ctx, method, path, body)
+	if err != nil {
+		return err
+	}
+	res, err := hc.Do(req)
+	if err != nil {
+		return fmt.Errorf("%w: %w", ErrUnknown, err)
+	}
+	defer res.Body.Close()
+	b, err := io.ReadAll(io.LimitReader(res.Body, maxResponseBytes))
+	if err != nil {
+		return fmt.Errorf("%w: %w", ErrUnknown, err)
+	}
+	c.adjustBudget(res.StatusCode, time.Now())
+	return decodeResponse(res.StatusCode, b, out, method, path)
+}
+
+// newRequest encodes body, if any, and makes the request.
+func (c *Client) newRequest(ctx context.Context, method, path string, body any) (*http.Request, error) {
 	var rd io.Reader
 	if body != nil {
 		b, err := wire.Marshal(body)
 		if err != nil {
-			return err
+			return nil, err
 		}
 		rd = bytes.NewReader(b)
 	}
 	req, err := http.NewRequestWithContext(ctx, method, c.base+path, rd)
 	if err != nil {
-		return fmt.Errorf("state request: %w", err)
+		return nil, fmt.Errorf("state request: %w", err)
 	}
 	// Never repeated by the transport itself: a commit that was sent twice is
 	// for the caller to settle.
@@ -218,21 +243,22 @@
 	if body != nil {
 		req.Header.Set("Content-Type", wire.ContentType)
 	}
-	res, err := hc.Do(req)
-	if err != nil {
-		return fmt.Errorf("%w: %w", ErrUnknown, err)
-	}
-	defer res.Body.Close()
-	b, err := io.ReadAll(io.LimitReader(res.Body, 8<<20))
-	if err != nil {
-		return fmt.Errorf("%w: %w", ErrUnknown, err)
-	}
-	if res.StatusCode == http.StatusTooManyRequests {
-		c.narrow(time.Now())
+	return req, nil
+}
+
+// adjustBudget narrows the budget on a refusal for the rate and widens it on
+// any other answer.
+func (c *Client) adjustBudget(status int, now time.Time) {
+	if status == http.StatusTooManyRequests {
+		c.narrow(now)
 	} else {
-		c.widen(time.Now())
+		c.widen(now)
 	}
-	switch res.StatusCode {
+}
+
+// decodeResponse turns an answer of the service into out or an error.
+func decodeResponse(status int, b []byte, out any, method, path string) error {
+	switch status {
 	case http.StatusOK:
 		if out == nil {
 			return nil
@@ -247,13 +273,13 @@
 		_ = wire.Unmarshal(b, &body) // without the names it is a conflict all the same
 		return &ConflictError{Failed: body.Failed}
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		return fmt.Errorf("%w: status %d", ErrRefused, res.StatusCode)
+		return fmt.Errorf("%w: status %d", ErrRefused, status)
 	case http.StatusBadRequest:
 		return fmt.Errorf("%w: %s %s", ErrRejected, method, path)
 	case http.StatusGone:
 		return ErrGone
 	default:
-		return fmt.Errorf("state service: status %d: %s %s", res.StatusCode, method, path)
+		return fmt.Errorf("state service: status %d: %s %s", status, method, path)
 	}
 }
 
