--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -50,6 +50,18 @@
 // Is makes a ConflictError an ErrConflict.
 func (e *ConflictError) Is(target error) bool { return target == ErrConflict }
 
+// StatusError is an answer of the service with a status that the client does not
+// expect; it matches none of the sentinel errors.
+type StatusError struct {
+	Status int    // HTTP status code of the answer
+	Method string // of the request
+	Path   string // of the request, with its query
+}
+
+func (e *StatusError) Error() string {
+	return fmt.Sprintf("state service: status %d: %s %s", e.Status, e.Method, e.Path)
+}
+
 // Entry is a key with its value.
 type Entry struct {
 	Key     string   `codec:"key"`
@@ -279,7 +291,7 @@
 	case http.StatusGone:
 		return ErrGone
 	default:
-		return fmt.Errorf("state service: status %d: %s %s", status, method, path)
+		return &StatusError{Status: status, Method: method, Path: path}
 	}
 }
 
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -74,3 +74,38 @@
 		}
 	})
 }
+
+// TestDecodeResponse: each status of the service comes back as its sentinel
+// error, and one that the client does not expect as a *StatusError.
+func TestDecodeResponse(t *testing.T) {
+	tests := []struct {
+		name   string
+		status int
+		want   error
+	}{
+		{"served", http.StatusOK, nil},
+		{"no such key", http.StatusNotFound, ErrNotFound},
+		{"a condition does not hold", http.StatusConflict, ErrConflict},
+		{"refused for the rate", http.StatusTooManyRequests, ErrRefused},
+		{"unavailable", http.StatusServiceUnavailable, ErrRefused},
+		{"malformed", http.StatusBadRequest, ErrRejected},
+		{"history compacted", http.StatusGone, ErrGone},
+	}
+	for _, tt := range tests {
+		t.Run(tt.name, func(t *testing.T) {
+			if err := decodeResponse(tt.status, []byte{0xa0}, nil, http.MethodGet, "/kv/k"); !errors.Is(err, tt.want) {
+				t.Errorf("status %d: %v, want %v", tt.status, err, tt.want)
+			}
+		})
+	}
+	t.Run("unexpected status", func(t *testing.T) {
+		err := decodeResponse(http.StatusInternalServerError, nil, nil, http.MethodGet, "/kv/k")
+		var se *StatusError
+		if !errors.As(err, &se) || se.Status != http.StatusInternalServerError || errors.Is(err, ErrUnknown) || errors.Is(err, ErrRefused) {
+			t.Errorf("got %v, want a *StatusError with status 500", err)
+		}
+		if want := "state service: status 500: GET /kv/k"; err.Error() != want {
+			t.Errorf("message %q, want %q", err.Error(), want)
+		}
+	})
+}
