--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -1,5 +1,9 @@
-// Package lead decides which controller leads: a lease in the state service,
-// a term that only ever rises, and the entitlement counted from them.
+// Package lead implements leader election among the controllers over the
+// consensus-backed key-value store (the state service). A member that wins a
+// compare-and-swap on the leader and term keys holds a lease in the store and a
+// term that only ever rises; the term is the fencing token of its writes. The
+// member may act as leader while its lease, less a clock margin, or the
+// promises of all its siblings not to campaign last.
 package lead
 
 import (
@@ -13,46 +17,52 @@
 	"vetchstream/internal/wire"
 )
 
+// Keys of the election in the state service.
 const (
 	keyPrefix = "lead/"
+	// keyLeader holds the leaderRecord, bound to the leader's lease.
 	keyLeader = "lead/holder"
 	// KeyTerm holds the highest term; every write of a leader is conditional on
 	// its version.
 	KeyTerm = "lead/term"
 )
 
+// leaderRecord is the value of keyLeader.
 type leaderRecord struct {
 	Member string `codec:"member"`
 	Term   uint64 `codec:"term"`
 }
 
+// termRecord is the value of KeyTerm.
 type termRecord struct {
 	Term uint64 `codec:"term"`
 }
 
-// Term is one time in the lead.
+// Term describes one term of leadership that this member has won; it is passed
+// to the lead function.
 type Term struct {
-	Term uint64
+	Term uint64 // the term number, the fencing token of the leader's writes
 	// TermVersion is the version of the term key that this term wrote.
 	TermVersion uint64
-	// Since is a moment at or after the end of every earlier entitlement.
+	// Since is a moment at or after the end of every earlier leader's entitlement.
 	Since time.Time
-	// Alive is when the leader before was last heard of; zero: never.
+	// Alive is when the previous leader last sent a heartbeat; zero: never.
 	Alive time.Time
-	// Restored: the stored term was behind what workers or siblings have seen, so the state
-	// service has lost its last moments.
+	// Restored reports that the stored term was behind what workers or siblings had
+	// seen: the state service has lost its latest writes.
 	Restored bool
 }
 
 // View is what a node believes about the leadership.
 type View struct {
-	Leader string
-	Term   uint64
+	Leader string // member name of the leader; empty: unknown or none
+	Term   uint64 // highest term known
 	// Seen is when the state service last answered this node.
 	Seen time.Time
 }
 
-// Elector takes part in the election on behalf of one member.
+// Elector takes part in the election on behalf of one member. Its methods are
+// safe for concurrent use; Run drives it.
 type Elector struct {
 	member string
 	ttl    time.Duration
@@ -75,7 +85,9 @@
 	notBefore time.Time
 }
 
-// RequestPromiseFunc asks a sibling to promise that it does not campaign for a while.
+// RequestPromiseFunc asks a sibling to promise that it does not campaign for the
+// length of a promise, on behalf of the leader of term. It is like a pre-vote
+// request; promised is false if the sibling declines.
 type RequestPromiseFunc func(ctx context.Context, sibling string, term uint64) (promised bool, err error)
 
 // EnablePromises lets a leader that the state service does not answer go on for
@@ -85,8 +97,9 @@
 	e.promises, e.requestPromise = newPromiseState(length, siblings, time.Now()), requestPromise
 }
 
-// New makes an elector; lead is run, with a context that ends with the term,
-// each time the member takes the lead.
+// New makes an elector for member with a lease of ttl in the state service st.
+// lead is run, with a context that ends with the term, each time the member
+// takes the lead. Promises are off until EnablePromises.
 func New(member string, ttl time.Duration, st *state.Client, log *slog.Logger, lead func(context.Context, Term)) *Elector {
 	return &Elector{member: member, ttl: ttl, state: st, log: log, lead: lead, promises: newPromiseState(0, nil, time.Now())}
 }
@@ -99,7 +112,7 @@
 }
 
 // Left is how long the member may still act as leader of the term without another
-// renewal; 0: it may not.
+// lease renewal or promise; 0: it may not.
 func (e *Elector) Left(term uint64) time.Duration {
 	now := time.Now()
 	e.mu.Lock()
@@ -122,8 +135,9 @@
 // probeTime bounds the check whether the state service answers this member.
 const probeTime = 400 * time.Millisecond
 
-// Promise answers a leader that asks whether this member campaigns. It does not for
-// the length of a promise if the state service refuses it as well.
+// Promise answers a leader of term that asks this member not to campaign. It
+// promises, and then does not campaign for the length of a promise, only if the
+// state service does not answer this member either (within probeTime).
 func (e *Elector) Promise(ctx context.Context, leader string, term uint64) bool {
 	// A member that still holds a lapsed term does not promise: if it did not learn here
 	// that it is over, nobody would be entitled while the state service is out.
@@ -147,9 +161,9 @@
 // others.
 const resignTime = 5 * time.Second
 
-// Resign gives the lead of the term away: the lease is not renewed, and ended once
-// the entitlement, and every grant that rests on it, has run out. The others need
-// not wait for it.
+// Resign gives up the lead of the term: the lease is no longer renewed and is
+// revoked once the entitlement, and every grant that rests on it, has run out.
+// Afterwards this member does not campaign for resignTime.
 func (e *Elector) Resign(term uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -158,7 +172,7 @@
 	}
 }
 
-// ObserveSibling takes in whether a sibling says that it leads.
+// ObserveSibling takes in whether a sibling says in its heartbeat that it leads.
 func (e *Elector) ObserveSibling(member string, leads bool) {
 	e.mu.Lock()
 	e.promises.observe(member, leads)
@@ -257,7 +271,8 @@
 	return max(0, e.ttl-time.Since(e.leaderHeardAt))
 }
 
-// Run takes part until the context ends.
+// Run takes part in the election until ctx ends: it watches the election keys,
+// campaigns when there is no leader, and leads when it wins.
 func (e *Elector) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		epoch, held, termVersion, term, err := e.readLeadership(ctx)
@@ -287,6 +302,7 @@
 	}
 }
 
+// pause waits for d or until ctx ends.
 func pause(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -296,13 +312,16 @@
 	}
 }
 
+// markSeen notes that the state service has just answered.
 func (e *Elector) markSeen() {
 	e.mu.Lock()
 	e.view.Seen = time.Now()
 	e.mu.Unlock()
 }
 
-// readLeadership reads both keys in one listing, so that they belong together.
+// readLeadership reads the leader and term keys in one listing, so that they
+// belong to the same revision, and updates the view. It returns that revision
+// (epoch), whether a leader holds the lead, and the stored term with its version.
 func (e *Elector) readLeadership(ctx context.Context) (epoch uint64, held bool, termVersion, term uint64, err error) {
 	entries, epoch, err := e.state.List(ctx, keyPrefix)
 	if err != nil {
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -1,5 +1,8 @@
-// Package state is the client of the state service: keys, transactions, leases
-// and watches, within the request and write budgets of the settings.
+// Package state is the client of the state service, the consensus-backed
+// key-value store of the cluster: reads, listings, compare-and-swap
+// transactions, leases and watches over HTTP with CBOR bodies. Requests are
+// paced by a per-node budget of requests and writes a second, which narrows
+// when the service refuses for its rate, and slow reads are hedged.
 package state
 
 import (
@@ -21,21 +24,26 @@
 	"vetchstream/internal/wire"
 )
 
-// DialFunc opens a connection.
+// DialFunc opens a network connection to addr, as net.Dialer.DialContext does.
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
 var (
-	// ErrNotFound means that there is no such key or lease.
+	// ErrNotFound means that there is no such key or lease (status 404).
 	ErrNotFound = errors.New("not found")
-	// ErrRefused means that the request was certainly not executed.
+	// ErrRefused means that the request was certainly not executed: the service
+	// refused it (status 429 or 503) or the budget's wait was cancelled.
 	ErrRefused = errors.New("state service refused")
-	// ErrUnknown means that no clear answer came; the request may be executed now or later.
+	// ErrUnknown means that no clear answer came; the request may be executed now
+	// or later.
 	ErrUnknown = errors.New("state service did not answer")
-	// ErrConflict means that a condition of the transaction does not hold.
+	// ErrConflict means that a condition of the transaction does not hold (status
+	// 409); the error is a *ConflictError.
 	ErrConflict = errors.New("condition failed")
-	// ErrRejected means that the service holds the request to be malformed, or too large.
+	// ErrRejected means that the service holds the request to be malformed, or too
+	// large (status 400).
 	ErrRejected = errors.New("state service rejected the request")
-	// ErrGone means that a watch was asked for changes that are no longer kept.
+	// ErrGone means that a watch was asked for changes that are no longer kept
+	// (status 410).
 	ErrGone = errors.New("history is gone")
 )
 
@@ -62,7 +70,8 @@
 	return fmt.Sprintf("state service: status %d: %s %s", e.Status, e.Method, e.Path)
 }
 
-// Entry is a key with its value.
+// Entry is a key with its value, the revision that last wrote it (Version) and
+// the lease it is bound to (0: none).
 type Entry struct {
 	Key     string   `codec:"key"`
 	Value   wire.Raw `codec:"data"`
@@ -70,13 +79,15 @@
 	Lease   uint64   `codec:"tenure"`
 }
 
-// Cond is a condition of a transaction; version 0 means that the key is absent.
+// Cond is a condition of a compare-and-swap transaction: the key is at Version;
+// Version 0 means that the key is absent.
 type Cond struct {
 	Key     string `codec:"key"`
 	Version uint64 `codec:"stamp"`
 }
 
-// Write is a put or a delete.
+// Write is one write of a transaction: a put of Value under the key Put, bound
+// to Lease if that is not 0, or a delete of the key Delete.
 type Write struct {
 	Put    string   `codec:"put,omitempty"`
 	Value  wire.Raw `codec:"data,omitempty"`
@@ -84,7 +95,8 @@
 	Delete string   `codec:"drop,omitempty"`
 }
 
-// Put makes a write that stores v under key.
+// Put makes a write that stores v, encoded as CBOR, under key. The error is
+// the encoder's.
 func Put(key string, v any) (Write, error) {
 	b, err := wire.Marshal(v)
 	if err != nil {
@@ -93,13 +105,14 @@
 	return Write{Put: key, Value: b}, nil
 }
 
-// Txn is a transaction.
+// Txn is a compare-and-swap transaction: the writes are applied together if
+// every condition holds, and none is applied otherwise.
 type Txn struct {
 	If     []Cond  `codec:"if"`
 	Writes []Write `codec:"writes"`
 }
 
-// Client talks to the state service.
+// Client talks to the state service. It is safe for concurrent use.
 type Client struct {
 	base    string
 	http    *http.Client
@@ -116,7 +129,8 @@
 	changed        time.Time // when budgetFraction was last changed
 }
 
-// Budget is this node's share of the service's limits.
+// Budget is this node's share of the service's limits, in requests (RPS) and
+// writes (WriteRPS) a second; the zero value means unbounded.
 type Budget struct{ RPS, WriteRPS float64 }
 
 const (
@@ -158,14 +172,16 @@
 	c.writes.SetLimit(rate.Limit(c.budgetFraction * c.budget.WriteRPS))
 }
 
+// bursts is how many reads and writes the limiters let through at once.
 func (b Budget) bursts() (reads, writes int) { return max(1, int(b.RPS/2)), max(12, int(b.WriteRPS/2)) }
 
+// transport makes an HTTP transport of at most conns connections.
 func transport(dial DialFunc, conns int) *http.Transport {
 	return &http.Transport{DialContext: dial, MaxConnsPerHost: conns, MaxIdleConnsPerHost: conns,
 		IdleConnTimeout: 30 * time.Second, DisableCompression: true}
 }
 
-// New makes a client for the service at addr.
+// New makes a client for the service at addr (host:port) within budget b.
 func New(addr string, dial DialFunc, b Budget) *Client {
 	reads, writes := b.bursts()
 	return &Client{
@@ -193,8 +209,8 @@
 	}
 }
 
-// SetBudget changes the node's share, when it takes the lead and when it leaves
-// it.
+// SetBudget changes the node's share, when it takes the lead and when it gives
+// it up.
 func (c *Client) SetBudget(b Budget) {
 	reads, writes := b.bursts()
 	c.mu.Lock()
@@ -295,7 +311,8 @@
 	}
 }
 
-// Get reads a key afresh.
+// Get reads a key from the service, hedged when the answer is late.
+// ErrNotFound means that the key is absent.
 func (c *Client) Get(ctx context.Context, key string) (Entry, error) {
 	if err := c.reads.Wait(ctx); err != nil {
 		return Entry{}, fmt.Errorf("%w: %w", ErrRefused, err)
@@ -306,14 +323,16 @@
 	})
 }
 
+// listPage is one page of a listing.
 type listPage struct {
 	Entries []Entry `codec:"entries"`
 	More    bool    `codec:"more"`
 	Epoch   uint64  `codec:"epoch"`
 }
 
-// List reads every key below a prefix, and the revision of the first page: a
-// watch after it misses nothing.
+// List reads every key that begins with under, in pages of 500, and returns
+// them with the revision of the first page: a watch from that revision misses
+// nothing.
 func (c *Client) List(ctx context.Context, under string) (all []Entry, epoch uint64, err error) {
 	after := ""
 	for {
@@ -342,7 +361,9 @@
 	}
 }
 
-// Commit runs a transaction once and returns the revision of its changes.
+// Commit runs a transaction once and returns the revision of its changes. A
+// failed condition is an ErrConflict; ErrUnknown means that it may have been
+// applied.
 func (c *Client) Commit(ctx context.Context, t Txn) (uint64, error) {
 	if err := c.admit(ctx, t); err != nil {
 		return 0, err
@@ -375,6 +396,7 @@
 	return nil
 }
 
+// commit sends the transaction; the service wants empty lists, not nil.
 func (c *Client) commit(ctx context.Context, t Txn) (uint64, error) {
 	if t.If == nil {
 		t.If = []Cond{}
@@ -403,7 +425,8 @@
 	return min(2*float64(writes), 0.95*float64(c.writes.Burst()))
 }
 
-// Grant opens a lease. Leases are never held up by the budget.
+// Grant opens a lease of ttl (whole milliseconds) and returns its ID. Leases
+// are never held up by the budget.
 func (c *Client) Grant(ctx context.Context, ttl time.Duration) (uint64, error) {
 	var out struct {
 		Lease uint64 `codec:"tenure"`
@@ -417,19 +440,20 @@
 	return c.do(ctx, c.http, http.MethodPost, "/leases/"+strconv.FormatUint(lease, 10)+"/extend", struct{}{}, nil, callTimeout)
 }
 
-// Revoke ends a lease.
+// Revoke ends a lease at once; the service removes the keys bound to it.
 func (c *Client) Revoke(ctx context.Context, lease uint64) error {
 	return c.do(ctx, c.http, http.MethodDelete, "/leases/"+strconv.FormatUint(lease, 10), nil, nil, callTimeout)
 }
 
-// Event is a change that a watch tells of.
+// Event is a change that a watch reports.
 type Event struct {
 	Put string `codec:"put"` // the key, or empty for a removal
 }
 
-// Watch waits until a key below the prefix has changed after the revision, or
-// the time is over, and returns the changes and the revision to go on from.
-// ErrGone means that the history is too short: the keys have to be read again.
+// Watch waits until a key that begins with under has changed after the revision
+// after, or wait is over, and returns the changes and the revision to go on
+// from. ErrGone means that the history is too short: the keys have to be listed
+// again.
 func (c *Client) Watch(ctx context.Context, under string, after uint64, wait time.Duration) ([]Event, uint64, error) {
 	q := url.Values{"under": {under}, "after": {strconv.FormatUint(after, 10)},
 		"wait_ms": {strconv.FormatInt(wait.Milliseconds(), 10)}}
