--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -175,8 +175,8 @@
 // ObserveSibling takes in whether a sibling says in its heartbeat that it leads.
 func (e *Elector) ObserveSibling(member string, leads bool) {
 	e.mu.Lock()
+	defer e.mu.Unlock()
 	e.promises.observe(member, leads)
-	e.mu.Unlock()
 }
 
 // promiseRequestInterval spaces the rounds of promise requests: a promise that is
@@ -213,10 +213,10 @@
 		return
 	}
 	e.mu.Lock()
+	defer e.mu.Unlock()
 	if e.leadingTerm == term {
 		e.promises.record(sibling, asked, time.Now(), e.entitledUntil())
 	}
-	e.mu.Unlock()
 }
 
 // endPromiseRound lets the next round begin and logs when the entitlement has
@@ -259,12 +259,12 @@
 // LeaderHeartbeat notes that the leader has given a sign of life.
 func (e *Elector) LeaderHeartbeat() {
 	e.mu.Lock()
+	defer e.mu.Unlock()
 	e.leaderHeardAt = time.Now()
-	e.mu.Unlock()
 }
 
-// LeaderLeaseLeft is how long the lead may still be held by a leader that gives no sign of
-// life: what is left of its lease, as far as this node knows.
+// LeaderLeaseLeft is how long the lead may still be held by a leader that sends
+// no heartbeat: what is left of its lease, as far as this node knows.
 func (e *Elector) LeaderLeaseLeft() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -315,8 +315,8 @@
 // markSeen notes that the state service has just answered.
 func (e *Elector) markSeen() {
 	e.mu.Lock()
+	defer e.mu.Unlock()
 	e.view.Seen = time.Now()
-	e.mu.Unlock()
 }
 
 // readLeadership reads the leader and term keys in one listing, so that they
