--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -275,7 +275,7 @@
 // campaigns when there is no leader, and leads when it wins.
 func (e *Elector) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		epoch, held, termVersion, term, err := e.readLeadership(ctx)
+		revision, held, termVersion, term, err := e.readLeadership(ctx)
 		if err != nil {
 			pause(ctx, 250*time.Millisecond)
 			continue
@@ -294,7 +294,7 @@
 			pause(ctx, 50*time.Millisecond)
 			continue
 		}
-		if _, _, err := e.state.Watch(ctx, keyPrefix, epoch, 5*time.Second); err != nil && !errors.Is(err, state.ErrGone) {
+		if _, _, err := e.state.Watch(ctx, keyPrefix, revision, 5*time.Second); err != nil && !errors.Is(err, state.ErrGone) {
 			pause(ctx, 250*time.Millisecond)
 			continue
 		}
@@ -320,10 +320,10 @@
 }
 
 // readLeadership reads the leader and term keys in one listing, so that they
-// belong to the same revision, and updates the view. It returns that revision
-// (epoch), whether a leader holds the lead, and the stored term with its version.
-func (e *Elector) readLeadership(ctx context.Context) (epoch uint64, held bool, termVersion, term uint64, err error) {
-	entries, epoch, err := e.state.List(ctx, keyPrefix)
+// belong to the same revision, and updates the view. It returns that revision,
+// whether a leader holds the lead, and the stored term with its version.
+func (e *Elector) readLeadership(ctx context.Context) (revision uint64, held bool, termVersion, term uint64, err error) {
+	entries, revision, err := e.state.List(ctx, keyPrefix)
 	if err != nil {
 		return
 	}
--- a/internal/state/hedge.go
+++ b/internal/state/hedge.go
@@ -60,48 +60,50 @@
 	return p.wait
 }
 
-// result is what an attempt has come to.
-type result[T any] struct {
+// attemptResult is what one attempt of a hedged request has come to.
+type attemptResult[T any] struct {
 	v   T
 	err error
 }
 
-// hedged runs an attempt, and a second one beside it if the first is late and
-// again lets it. The first clear result counts. One that is not clear waits for
-// the other: the request may have been executed.
-func hedged[T any](ctx context.Context, p *latencyTracker, again func() bool, attempt func(context.Context) (T, error)) (T, error) {
+// hedged runs attempt, and a second one beside it if the first has not answered
+// within the hedge delay and mayHedge allows it (the budget has room). The first
+// clear result counts: a success, or an error other than ErrUnknown and
+// ErrRefused. If none is clear, ErrUnknown wins over ErrRefused: the request may
+// have been executed.
+func hedged[T any](ctx context.Context, p *latencyTracker, mayHedge func() bool, attempt func(context.Context) (T, error)) (T, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	ch := make(chan result[T], 2)
-	run := func() {
+	results := make(chan attemptResult[T], 2)
+	runAttempt := func() {
 		begun := time.Now()
 		v, err := attempt(ctx)
 		if err == nil {
 			p.observe(time.Since(begun))
 		}
-		ch <- result[T]{v, err}
+		results <- attemptResult[T]{v, err}
 	}
-	go run()
-	late := time.NewTimer(p.hedgeDelay())
-	defer late.Stop()
-	var rest result[T] // not clear: what is left if nothing better comes
-	for flying := 1; flying > 0; {
+	go runAttempt()
+	hedgeTimer := time.NewTimer(p.hedgeDelay())
+	defer hedgeTimer.Stop()
+	var fallback attemptResult[T] // not clear: returned if nothing better comes
+	for inFlight := 1; inFlight > 0; {
 		select {
-		case <-late.C:
-			if again() {
-				flying++
-				go run()
+		case <-hedgeTimer.C:
+			if mayHedge() {
+				inFlight++
+				go runAttempt()
 			}
-		case r := <-ch:
-			flying--
+		case r := <-results:
+			inFlight--
 			unclear := errors.Is(r.err, ErrUnknown)
 			if !unclear && !errors.Is(r.err, ErrRefused) {
 				return r.v, r.err
 			}
-			if unclear || rest.err == nil {
-				rest = r
+			if unclear || fallback.err == nil {
+				fallback = r
 			}
 		}
 	}
-	return rest.v, rest.err
+	return fallback.v, fallback.err
 }
