--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -141,7 +141,7 @@
 func (e *Elector) Promise(ctx context.Context, leader string, term uint64) bool {
 	// A member that still holds a lapsed term does not promise: if it did not learn here
 	// that it is over, nobody would be entitled while the state service is out.
-	e.Heard(leader, term)
+	e.ObserveLeader(leader, term)
 	e.mu.Lock()
 	off := e.promises.length == 0 || term < e.view.Term
 	e.mu.Unlock()
@@ -241,9 +241,11 @@
 	return e.view
 }
 
-// Heard takes in a leader that a sibling or a worker has seen. A node that is
-// cut from the state service alone learns of its successor this way.
-func (e *Elector) Heard(leader string, term uint64) {
+// ObserveLeader takes in a leader of term that a sibling or a worker has seen
+// (empty when only the term is known). A member that leads an earlier term
+// steps down. A node that is cut from the state service alone learns of its
+// successor this way.
+func (e *Elector) ObserveLeader(leader string, term uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if term > e.view.Term {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -66,7 +66,7 @@
 		Cloud: hosts.NewCloud(set.Outside.Cloud, nw.Dial, set.Facts.Cloud.RPS), Dial: nw.Dial, Log: log, Meter: m,
 		Entitled: func(term uint64) bool { return n.elector.Entitled(term) },
 		Left:     func(term uint64) time.Duration { return n.elector.Left(term) },
-		Deposed:  func(term uint64) { n.elector.Heard("", term) },
+		Deposed:  func(term uint64) { n.elector.ObserveLeader("", term) },
 		Follow: func(ctx context.Context, q *dynconfig.Request) (*dynconfig.Reply, error) {
 			return n.home.follow(ctx, q)
 		}})
@@ -137,7 +137,7 @@
 	}
 	wg.Go(func() {
 		mesh.Pings(ctx, func(h peer.Hello) {
-			n.elector.Heard(h.Leader, h.Term)
+			n.elector.ObserveLeader(h.Leader, h.Term)
 			n.elector.ObserveSibling(h.Member, h.Member == h.Leader)
 			if tun.YieldS > 0 {
 				n.yield.heard(h, time.Now())
--- a/internal/node/share_holder.go
+++ b/internal/node/share_holder.go
@@ -187,7 +187,7 @@
 		return nil
 	case share.Lapsed:
 		if m.Token > term {
-			a.n.elector.Heard("", m.Token)
+			a.n.elector.ObserveLeader("", m.Token)
 		}
 		return control.Later("the leader has not renewed this node's grant")
 	}
