--- a/internal/calendar/fixtures_test.go
+++ b/internal/calendar/fixtures_test.go
@@ -167,13 +167,19 @@
 	}
 }
 
-// fixtures are the records of reservations and maintenance windows stored in the consensus-backed key-value store, and their specifications.
+// fixtures are the records of reservations and maintenance windows stored in
+// the consensus-backed key-value store, their specifications, and what the API
+// shows of them.
 var fixtures = []fixture{
 	{"reservation-record.cbor", filled[Record]()},
 	{"window-record.cbor", filled[WindowRecord]()},
 	{"reservation-spec.cbor", filled[Reservation]()},
 	{"window-spec.cbor", filled[Window]()},
 	{"span.cbor", filled[Span]()},
+	{"occurrence-outcome.cbor", filled[Outcome]()},
+	{"calendar-share.cbor", filled[Share]()},
+	{"reservation-status.cbor", filled[Status]()},
+	{"window-status.cbor", filled[WindowStatus]()},
 }
 
 func TestStoredFixtures(t *testing.T) { checkFixtures(t, fixtures) }
--- a/internal/control/fixtures_test.go
+++ b/internal/control/fixtures_test.go
@@ -167,12 +167,15 @@
 	}
 }
 
-// fixtures are the records of the controller stored in the consensus-backed key-value store; the records that other packages define are in their own fixtures.
+// fixtures are the records of the controller stored in the consensus-backed
+// key-value store and its answer to a configuration change; the records that
+// other packages define are in their own fixtures.
 var fixtures = []fixture{
 	{"registry-page-record.cbor", filled[pageRecord]()},
 	{"registry-host-record.cbor", filled[hostRecord]()},
 	{"registry-note-record.cbor", filled[noteRecord]()},
 	{"machine-types-record.cbor", filled[typesRecord]()},
+	{"config-change-answer.cbor", filled[changeAnswer]()},
 }
 
 func TestStoredFixtures(t *testing.T) { checkFixtures(t, fixtures) }
--- a/internal/dynconfig/fixtures_test.go
+++ b/internal/dynconfig/fixtures_test.go
@@ -167,7 +167,9 @@
 	}
 }
 
-// fixtures are the records of the teams' quotas stored in the consensus-backed key-value store, the messages of Follow sent over gRPC between controllers, and the configuration changes of the API.
+// fixtures are the records of the teams' quotas stored in the consensus-backed
+// key-value store, the messages of Follow sent over gRPC between controllers,
+// and the configuration changes of the API.
 var fixtures = []fixture{
 	{"follow-request.cbor", filled[Request]()},
 	{"follow-reply.cbor", filled[Reply]()},
--- a/internal/job/fixtures_test.go
+++ b/internal/job/fixtures_test.go
@@ -167,7 +167,8 @@
 	}
 }
 
-// fixtures are the records of jobs stored in the consensus-backed key-value store.
+// fixtures are the records of jobs stored in the consensus-backed key-value
+// store.
 var fixtures = []fixture{
 	{"job-record.cbor", filled[Record]()},
 	{"job-group-record.cbor", filled[Group]()},
--- a/internal/lead/fixtures_test.go
+++ b/internal/lead/fixtures_test.go
@@ -167,7 +167,8 @@
 	}
 }
 
-// fixtures are the records of the leader election stored in the consensus-backed key-value store.
+// fixtures are the records of the leader election stored in the consensus-
+// backed key-value store.
 var fixtures = []fixture{
 	{"leader-record.cbor", filled[holder]()},
 	{"term-record.cbor", filled[termRecord]()},
--- a/internal/rollout/fixtures_test.go
+++ b/internal/rollout/fixtures_test.go
@@ -167,7 +167,8 @@
 	}
 }
 
-// fixtures are the records of roll-outs stored in the consensus-backed key-value store, and their specifications and status.
+// fixtures are the records of roll-outs stored in the consensus-backed key-
+// value store, and their specifications and status.
 var fixtures = []fixture{
 	{"rollout-record.cbor", filled[Record]()},
 	{"rollout-batch.cbor", filled[Batch]()},
--- a/internal/share/fixtures_test.go
+++ b/internal/share/fixtures_test.go
@@ -167,7 +167,8 @@
 	}
 }
 
-// fixtures are the messages of shard holders and the leader, sent over gRPC between controllers.
+// fixtures are the messages of shard holders and the leader, sent over gRPC
+// between controllers.
 var fixtures = []fixture{
 	{"sync-request.cbor", filled[Request]()},
 	{"sync-reply.cbor", filled[Reply]()},
--- a/internal/state/fixtures_test.go
+++ b/internal/state/fixtures_test.go
@@ -167,7 +167,8 @@
 	}
 }
 
-// fixtures are the messages exchanged with the consensus-backed key-value store.
+// fixtures are the messages exchanged with the consensus-backed key-value
+// store.
 var fixtures = []fixture{
 	{"entry.cbor", filled[Entry]()},
 	{"condition.cbor", filled[Cond]()},
