--- /dev/null
+++ b/internal/rollout/fixtures_test.go
@@ -0,0 +1,24 @@
+package rollout
+
+import (
+	"testing"
+
+	"vetchstream/internal/fixture"
+)
+
+// fixtures are the records of roll-outs stored in the consensus-backed key-
+// value store, and their specifications and status.
+var fixtures = []fixture.Row{
+	{File: "rollout-record.cbor", Value: fixture.Filled[Record]()},
+	{File: "rollout-batch.cbor", Value: fixture.Filled[Batch]()},
+	{File: "rollout-failure.cbor", Value: fixture.Filled[Failure]()},
+	{File: "rollout-copy.cbor", Value: fixture.Filled[Copy]()},
+	{File: "rollout-view.cbor", Value: fixture.Filled[View]()},
+	{File: "rollout-spec.cbor", Value: fixture.Filled[Spec]()},
+	{File: "rollout-target.cbor", Value: fixture.Filled[Target]()},
+	{File: "rollout-check.cbor", Value: fixture.Filled[Check]()},
+	{File: "rollout-status.cbor", Value: fixture.Filled[Status]()},
+	{File: "rollout-batch-status.cbor", Value: fixture.Filled[BatchStatus]()},
+}
+
+func TestStoredFixtures(t *testing.T) { fixture.Check(t, fixtures) }
