--- a/internal/fleet/explore_test.go
+++ b/internal/fleet/explore_test.go
@@ -410,7 +410,7 @@
 		{"as it is", none, [][]string{met, held, slices.Concat(met, runs), slices.Concat(held, runs), slices.Concat(held, runs, answered),
 			slices.Concat(held, []string{"launch", "cancel"}, answered), slices.Concat(held, runs, answered, nearLimit)}},
 		{"the leader renews while a launch is on its way", withholds, [][]string{met}},
-		{"a holder keeps the machine", givesBack, [][]string{slices.Concat(held, runs)}},
+		{"a holder retains the machine", givesBack, [][]string{slices.Concat(held, runs)}},
 		{"a holder gives the machine back at the limit", inTime, [][]string{slices.Concat(held, runs, answered, nearLimit)}},
 		{"a holder answers for tasks that the leader does not know of", tellsFirst, [][]string{slices.Concat(held, []string{"launch", "cancel"}, answered)}},
 		{"the leader halts once in a while", alwaysHalts, [][]string{slices.Concat(met, runs)}},
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,4 +1,4 @@
-// Package fleet keeps the workers' sessions, the order of their messages, and
+// Package fleet records the workers' sessions, the order of their messages, and
 // the one ledger of what may be on each machine. It does no I/O and has no
 // goroutine: the leader's actor owns it and passes the time in.
 package fleet
--- a/internal/share/allot.go
+++ b/internal/share/allot.go
@@ -237,7 +237,7 @@
 }
 
 // cutTime is how long no report may come to the leader itself, while others are handed
-// on to it, before it counts as cut from the workers and keeps no machines.
+// on to it, before it counts as cut from the workers and holds no machines.
 const cutTime = 5 * time.Second
 
 // pinTime is how long a machine stays with the member through which its worker has
--- a/internal/share/explore_test.go
+++ b/internal/share/explore_test.go
@@ -23,7 +23,7 @@
 	withinLead           // a grant ends no later than the leader's entitlement
 	newestOnly           // a request that is not the newest is refused
 	tookIn               // a change counts once the holder has taken it in, not once it was sent
-	untilOver            // a silent holder keeps its machines until its grant has ended
+	untilOver            // a silent holder retains its machines until its grant has ended
 	afterLead            // a leader begins once the one before is not entitled any more
 	toldBeforeGone       // a holder tells what it answered before it let go
 )
--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -1,8 +1,8 @@
 // Package share divides the machines among the controllers. A share is the set of
 // machines that one controller, its holder, deals with: connections, reports,
 // leases, direct commands. The leader decides everything and owns the ledger; it
-// gives shares out by grants that end no later than its own entitlement, and the
-// holders are its arms (docs/shares.md).
+// gives shares out by grants that end no later than its own lease, and the
+// holders act only under those grants (docs/shares.md).
 //
 // Allotter is the leader's side, Holder the other. Both are pure: they are stepped
 // with messages and times, do no I/O and have no goroutine. Package control owns
@@ -26,7 +26,7 @@
 	// Rest is how long a member that has left gets none; it doubles with each time
 	// that it leaves, up to RestMost, and starts anew once it has stayed for RestMost.
 	Rest, RestMost time.Duration
-	// Least is the number of machines below which the leader keeps all.
+	// Least is the number of machines below which the leader holds all.
 	Least int
 	// PerS is how many machines are moved a second.
 	PerS float64
--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -146,7 +146,7 @@
 			b.play(100 * time.Second)
 			b.held(third)
 		}},
-		{"a new leader hears of two holders: each keeps what it names first, and no machine has two", nil, func(b *bed) {
+		{"a new leader hears of two holders: each retains what it names first, and no machine has two", nil, func(b *bed) {
 			for _, h := range b.h {
 				h.Follow()
 				h.have = append(h.have, "host-1", "host-2") // both say so
@@ -337,7 +337,7 @@
 	}
 }
 
-// TestKeep: a machine that the leader keeps comes back from its holder, and goes to nobody,
+// TestKeep: a machine that the leader retains comes back from its holder, and goes to nobody,
 // neither by its ranking nor because a member had it before, until it is released.
 func TestKeep(t *testing.T) {
 	b := newBed(t, 30, nil)
