--- a/internal/control/shares.go
+++ b/internal/control/shares.go
@@ -24,7 +24,7 @@
 	work     *work
 	commands *commands
 
-	allot   *share.Allotter // nil: off
+	allot   *share.Assigner // nil: off
 	holders map[string]*fleet.Holder
 	boxes   map[string]*box
 	relayed map[uint64]*relay
@@ -43,7 +43,7 @@
 	most    int // direct commands that it can have under way
 	under   int // those that it has
 	calls   []share.Call
-	settled []share.Settled
+	settled []share.ExitClearance
 	asked   []asked // reports that said something new and wait for an answer
 	answers []share.Answer
 }
@@ -85,7 +85,7 @@
 		r.Calls, b.calls = append(r.Calls, b.calls[0]), b.calls[1:]
 	}
 	for len(b.settled) > 0 && fits(64+orderBytes*len(b.settled[0].Clears)) {
-		r.Settled, b.settled = append(r.Settled, b.settled[0]), b.settled[1:]
+		r.Clearances, b.settled = append(r.Clearances, b.settled[0]), b.settled[1:]
 	}
 }
 
@@ -112,7 +112,7 @@
 	if perS == 0 {
 		perS = share.PerSecond(f.Resources.CoreShare)
 	}
-	sh.allot = share.NewAllotter(sh.term, sh.c.Settings.Member, sh.c.Settings.Site, share.Settings{
+	sh.allot = share.NewAssigner(sh.term, sh.c.Settings.Member, sh.c.Settings.Site, share.Settings{
 		Grant: time.Duration(t.GrantMs) * time.Millisecond, Join: config.Seconds(t.JoinS), Rest: config.Seconds(t.RestS),
 		RestMost: config.Seconds(t.RestMostS), Least: t.Least, PerS: perS, Own: t.Own, Room: Room(f.Resources.MaxSockets)}, now)
 	for _, h := range sh.fleet.All() {
@@ -249,7 +249,7 @@
 	sh.work.hearing(h, deaf)
 	sh.work.handle(ev, now)
 	if clears := h.Clears(maxOrders); clears != nil {
-		b.settled = append(b.settled, share.Settled{Host: e.Host, Clears: clears})
+		b.settled = append(b.settled, share.ExitClearance{Host: e.Host, Clears: clears})
 	}
 }
 
@@ -274,7 +274,7 @@
 }
 
 // free takes machines back from their holders.
-func (sh *shares) free(freed []share.Freed, now time.Time) {
+func (sh *shares) free(freed []share.Revocation, now time.Time) {
 	for _, f := range freed {
 		h := sh.fleet.Hosts[f.Name]
 		if h == nil {
--- a/internal/control/shares_test.go
+++ b/internal/control/shares_test.go
@@ -28,12 +28,12 @@
 			orders := make([]wire.Order, 20)
 			b := &box{calls: slices.Repeat([]share.Call{{Addr: "10.0.0.1:9000", Body: make([]byte, tt.body)}}, tt.calls),
 				answers: slices.Repeat([]share.Answer{{Host: "host-000001", Orders: orders}}, tt.answers),
-				settled: slices.Repeat([]share.Settled{{Host: "host-000001", Clears: orders}}, tt.clears)}
+				settled: slices.Repeat([]share.ExitClearance{{Host: "host-000001", Clears: orders}}, tt.clears)}
 			calls, answers, clears := 0, 0, 0
 			for range 100 {
 				r := &share.Reply{Term: 1}
 				b.fill(r)
-				calls, answers, clears = calls+len(r.Calls), answers+len(r.Answers), clears+len(r.Settled)
+				calls, answers, clears = calls+len(r.Calls), answers+len(r.Answers), clears+len(r.Clearances)
 				if enc, err := wire.Marshal(r); err != nil || len(enc) > 4*wire.MaxBody {
 					t.Fatalf("a reply of %d bytes: %v", len(enc), err)
 				}
--- a/internal/fleet/explore_test.go
+++ b/internal/fleet/explore_test.go
@@ -53,7 +53,7 @@
 	out       guard
 	now       time.Time
 	f         *Fleet
-	a         *share.Allotter
+	a         *share.Assigner
 	holder    *share.Holder
 	grantEnd  time.Time
 	by        *Holder
@@ -88,7 +88,7 @@
 	w.f = New(term, leaseTime, cancelTime)
 	w.h = w.f.Add("host-1", w.now)
 	w.h.Known, w.h.Durable, w.h.Type, w.h.Zone = true, true, 0, 0
-	w.a = share.NewAllotter(term, "n0", "", share.Settings{Grant: grantTime, Rest: tick, RestMost: tick, PerS: 1000, Own: 0.01, Room: 1}, w.now)
+	w.a = share.NewAssigner(term, "n0", "", share.Settings{Grant: grantTime, Rest: tick, RestMost: tick, PerS: 1000, Own: 0.01, Room: 1}, w.now)
 	w.a.Known("host-1", "")
 	w.by, w.kept = &Holder{Name: "n1"}, false
 	w.j.Noted.Add(w.h.Idx)
@@ -241,7 +241,7 @@
 // sync is a request of the holder's with its reply.
 func (w *world) sync() {
 	if w.f.Term > w.holder.Term() {
-		w.holder.Follow()
+		w.holder.EndTerm()
 	}
 	r := w.holder.Request(10, 1, false, w.now)
 	freed, ok := w.a.Sync(r, w.now)
@@ -275,7 +275,7 @@
 	w.f.Renew(w.h, e.Session, e.Seq, w.now.Add(-time.Duration(e.AgeMs)*time.Millisecond))
 }
 
-func (w *world) free(freed []share.Freed) {
+func (w *world) free(freed []share.Revocation) {
 	for _, f := range freed {
 		w.h.Unhold(f.Until)
 	}
--- a/internal/node/share_holder.go
+++ b/internal/node/share_holder.go
@@ -99,7 +99,7 @@
 		return false
 	}
 	if v.Term > a.holder.Term() {
-		a.holder.Follow()
+		a.holder.EndTerm()
 	}
 	sent := time.Now()
 	q := a.holder.Request(a.room, a.calls, a.n.lag.Behind(), sent)
--- a/internal/share/allot.go
+++ b/internal/share/assigner.go
@@ -42,8 +42,8 @@
 	kept bool
 }
 
-// Freed is a machine that its holder does not deal with any more.
-type Freed struct {
+// Revocation is a machine that its holder does not deal with any more.
+type Revocation struct {
 	Name, From, Why string
 	// Until is the last moment at which the holder may have answered a report.
 	Until time.Time
@@ -51,8 +51,8 @@
 	Since time.Time
 }
 
-// Allotter is the leader's side. Its owner steps it and passes the time in.
-type Allotter struct {
+// Assigner is the leader's side. Its owner steps it and passes the time in.
+type Assigner struct {
 	term     uint64
 	name     string
 	zone     string
@@ -73,18 +73,18 @@
 	moves           int
 }
 
-// NewAllotter makes the division of a term that has just begun: the leader deals
+// NewAssigner makes the division of a term that has just begun: the leader deals
 // with all machines.
-func NewAllotter(term uint64, name, zone string, set Settings, now time.Time) *Allotter {
-	return &Allotter{term: term, name: name, zone: zone, set: set, members: map[string]*member{}, machines: map[string]*machine{},
+func NewAssigner(term uint64, name, zone string, set Settings, now time.Time) *Assigner {
+	return &Assigner{term: term, name: name, zone: zone, set: set, members: map[string]*member{}, machines: map[string]*machine{},
 		stale: true, turnsAt: now, stepAt: now}
 }
 
 // Moves counts the changes of holder, to and from the leader.
-func (a *Allotter) Moves() int { return a.moves }
+func (a *Assigner) Moves() int { return a.moves }
 
 // Held returns how many machines each member has, with the leader's own.
-func (a *Allotter) Held() map[string]int {
+func (a *Assigner) Held() map[string]int {
 	out := map[string]int{a.name: len(a.machines)}
 	for _, m := range a.members {
 		if n := len(m.machines); n > 0 {
@@ -97,7 +97,7 @@
 
 // Holder names the member that may answer a machine's reports, and whether it may
 // be asked to send commands; empty: the leader.
-func (a *Allotter) Holder(name string) (member string, asked bool) {
+func (a *Assigner) Holder(name string) (member string, asked bool) {
 	k := a.machines[name]
 	if k == nil || k.m == nil {
 		return "", false
@@ -106,7 +106,7 @@
 }
 
 // Told is up to when all that the member has answered is known.
-func (a *Allotter) Told(member string) time.Time {
+func (a *Assigner) Told(member string) time.Time {
 	if m := a.members[member]; m != nil {
 		return m.told
 	}
@@ -114,7 +114,7 @@
 }
 
 // divide makes the seats, and their bounds.
-func (a *Allotter) divide(now time.Time) {
+func (a *Assigner) divide(now time.Time) {
 	if a.stale {
 		a.stale = false
 		a.epoch++
@@ -148,7 +148,7 @@
 // target is the controller that should have a machine: the first in its ranking
 // with room. One that has it stays while it is within its bound, unless the
 // ranking's very first has come to have room.
-func (a *Allotter) target(k *machine, now time.Time) *seat {
+func (a *Assigner) target(k *machine, now time.Time) *seat {
 	if k.epoch != a.epoch {
 		k.ranked, k.epoch = rank(k.name, k.zone, a.seats), a.epoch
 	}
@@ -179,7 +179,7 @@
 }
 
 // turn takes one from the moves that may be made now.
-func (a *Allotter) turn(now time.Time) bool {
+func (a *Assigner) turn(now time.Time) bool {
 	a.turns = min(max(1, a.set.PerS/2), a.turns+now.Sub(a.turnsAt).Seconds()*a.set.PerS)
 	a.turnsAt = now
 	if a.turns < 1 {
@@ -210,7 +210,7 @@
 const strayTime = 20 * time.Second
 
 // Report says who answers a report that has come to the leader.
-func (a *Allotter) Report(name, zone string, now time.Time) (Route, string) {
+func (a *Assigner) Report(name, zone string, now time.Time) (Route, string) {
 	k := a.machines[name]
 	if k == nil {
 		k = &machine{name: name, zone: zone, fresh: true}
@@ -248,7 +248,7 @@
 // be given away, so that the holder has it before the next report. Via is the
 // member that handed the report on; empty: it came from the worker. A leader that is
 // cut from its workers gives their machines to those that are not.
-func (a *Allotter) Served(name, via string, now time.Time) {
+func (a *Assigner) Served(name, via string, now time.Time) {
 	k := a.machines[name]
 	if k == nil || k.phase != own || k.kept || len(a.machines) < a.set.Least {
 		return
@@ -267,7 +267,7 @@
 	}
 }
 
-func (a *Allotter) give(k *machine, m *member, why string, now time.Time) {
+func (a *Assigner) give(k *machine, m *member, why string, now time.Time) {
 	k.m, k.phase, k.tag, k.since, k.why, k.sentAt, k.fresh = m, giving, 0, now, why, time.Time{}, false
 	m.machines[k] = struct{}{}
 	m.pending[k] = struct{}{}
@@ -280,10 +280,10 @@
 
 // HandoverTime is how long a machine that is taken back may still be answered by its
 // holder: the rest of a grant that was given before.
-func (a *Allotter) HandoverTime() time.Duration { return a.set.Grant + drift(a.set.Grant) }
+func (a *Assigner) HandoverTime() time.Duration { return a.set.Grant + drift(a.set.Grant) }
 
 // Keep lets the leader deal with a machine until Release; a holder gives it back.
-func (a *Allotter) Keep(name, why string, now time.Time) {
+func (a *Assigner) Keep(name, why string, now time.Time) {
 	if k := a.machines[name]; k != nil && !k.kept {
 		k.kept = true
 		a.take(k, why, now)
@@ -291,13 +291,13 @@
 }
 
 // Release lets a machine that was kept go to a holder again.
-func (a *Allotter) Release(name string) {
+func (a *Assigner) Release(name string) {
 	if k := a.machines[name]; k != nil {
 		k.kept = false
 	}
 }
 
-func (a *Allotter) take(k *machine, why string, now time.Time) {
+func (a *Assigner) take(k *machine, why string, now time.Time) {
 	if k.phase == own || k.phase == taking {
 		return
 	}
@@ -314,7 +314,7 @@
 
 // stray takes back a machine whose worker does not reach its holder. A holder that
 // many do not reach leaves.
-func (a *Allotter) stray(k *machine, now time.Time) {
+func (a *Assigner) stray(k *machine, now time.Time) {
 	m := k.m
 	a.take(k, "its worker does not reach the holder", now)
 	m.strays = append(slices.DeleteFunc(m.strays, func(t time.Time) bool { return now.Sub(t) > strayTime }), now)
@@ -324,8 +324,8 @@
 }
 
 // ends settles a machine that its holder does not deal with any more.
-func (a *Allotter) ends(k *machine, until time.Time) Freed {
-	f := Freed{Name: k.name, From: k.m.name, Why: k.why, Until: until, Since: k.since}
+func (a *Assigner) ends(k *machine, until time.Time) Revocation {
+	f := Revocation{Name: k.name, From: k.m.name, Why: k.why, Until: until, Since: k.since}
 	delete(k.m.machines, k)
 	delete(k.m.pending, k)
 	k.m, k.phase, k.tag, k.sentAt = nil, own, 0, time.Time{}
@@ -334,21 +334,21 @@
 }
 
 // Known notes a machine that has not reported yet.
-func (a *Allotter) Known(name, zone string) {
+func (a *Assigner) Known(name, zone string) {
 	if a.machines[name] == nil {
 		a.machines[name] = &machine{name: name, zone: zone}
 	}
 }
 
 // Heard notes that the holder has heard a machine.
-func (a *Allotter) Heard(name string) {
+func (a *Assigner) Heard(name string) {
 	if k := a.machines[name]; k != nil {
 		k.sentAt = time.Time{}
 	}
 }
 
 // Gone forgets a machine that was returned.
-func (a *Allotter) Gone(name string, now time.Time) {
+func (a *Assigner) Gone(name string, now time.Time) {
 	k := a.machines[name]
 	if k == nil {
 		return
@@ -372,7 +372,7 @@
 
 // Step does what time brings: members that have fallen silent, and shares that are
 // too large, at the pace of the settings.
-func (a *Allotter) Step(now time.Time) (freed []Freed) {
+func (a *Assigner) Step(now time.Time) (freed []Revocation) {
 	if now.Sub(a.stepAt) > gapTime {
 		// It is the leader that stood still: the members' requests wait behind this look.
 		a.patient = now.Add(gapTime)
@@ -422,7 +422,7 @@
 
 // lapse settles the members that have fallen silent, and lets those leave that are short of
 // processor.
-func (a *Allotter) lapse(now time.Time) (freed []Freed) {
+func (a *Assigner) lapse(now time.Time) (freed []Revocation) {
 	for _, name := range slices.Sorted(maps.Keys(a.members)) {
 		m := a.members[name]
 		quiet := now.Sub(m.heard) > a.set.Grant
--- a/internal/share/explore_test.go
+++ b/internal/share/explore_test.go
@@ -48,7 +48,7 @@
 type world struct {
 	out      guard
 	now      time.Time
-	lead     *Allotter
+	lead     *Assigner
 	entitled time.Time // when the leader's entitlement ends
 	deposed  bool
 	ends     map[uint64]time.Time // of the entitlement, by term
@@ -70,7 +70,7 @@
 }
 
 func (w *world) begin(term uint64) {
-	w.lead = NewAllotter(term, "lead", "", Settings{Grant: grantTime, Rest: tick, RestMost: 2 * tick, PerS: 1000, Own: 0.01, Room: 2}, w.now)
+	w.lead = NewAssigner(term, "lead", "", Settings{Grant: grantTime, Rest: tick, RestMost: 2 * tick, PerS: 1000, Own: 0.01, Room: 2}, w.now)
 	for _, n := range w.names {
 		w.lead.Known(n, "")
 	}
@@ -97,7 +97,7 @@
 }
 
 // freed takes in what the leader holds to be without a holder.
-func (w *world) freed(fs []Freed) {
+func (w *world) freed(fs []Revocation) {
 	for _, f := range fs {
 		k := slices.Index(w.names[:], f.Name)
 		if f.Until.After(w.known[k]) {
@@ -158,7 +158,7 @@
 			return false
 		}
 		if w.lead.term > s.h.Term() {
-			s.h.Follow()
+			s.h.EndTerm()
 		}
 		s.sent, s.req = w.now, s.h.Request(2, 1, false, w.now)
 		return true
--- a/internal/share/hold.go
+++ b/internal/share/holder.go
@@ -10,12 +10,12 @@
 	"vetchstream/internal/wire"
 )
 
-// Verdict says what a holder does with a report.
-type Verdict uint8
+// Outcome says what a holder does with a report.
+type Outcome uint8
 
 const (
 	// Elsewhere means that the machine is not in the share; the leader knows who has it.
-	Elsewhere Verdict = iota
+	Elsewhere Outcome = iota
 	// Lapsed means that it is in the share, but the grant has ended. Never answered with 200: the leader may
 	// have given the machine to another.
 	Lapsed
@@ -120,7 +120,7 @@
 // Report takes in a report of a worker. The orders of an answer are exits that the
 // worker may forget; the leader's own go by its answer to a report that says
 // something new, or by direct commands.
-func (h *Holder) Report(m *wire.Report, body []byte, now time.Time) ([]wire.Order, Verdict) {
+func (h *Holder) Report(m *wire.Report, body []byte, now time.Time) ([]wire.Order, Outcome) {
 	k := h.machines[m.Host]
 	if k == nil || k.dropped {
 		return nil, Elsewhere
@@ -269,8 +269,8 @@
 			delete(h.machines, name)
 		}
 	}
-	for i := range r.Settled {
-		h.settle(&r.Settled[i])
+	for i := range r.Clearances {
+		h.settle(&r.Clearances[i])
 	}
 	return r.Calls
 }
@@ -278,7 +278,7 @@
 // settle notes exits that may be cleared. One that the last report does not show is
 // dropped: the word is late, the exit has been cleared, and the same attempt of a
 // gang may have come back since.
-func (h *Holder) settle(s *Settled) {
+func (h *Holder) settle(s *ExitClearance) {
 	k := h.machines[s.Host]
 	if k == nil || k.dropped {
 		return
@@ -302,9 +302,9 @@
 	h.have = nil
 }
 
-// Follow ends the grant of an earlier term. The leader of the new one is told what
+// EndTerm ends the grant of an earlier term. The leader of the new one is told what
 // there was.
-func (h *Holder) Follow() {
+func (h *Holder) EndTerm() {
 	h.until, h.have = time.Time{}, nil
 	for name, k := range h.machines {
 		if !k.dropped && k.known {
--- a/internal/share/members.go
+++ b/internal/share/members.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// The members of an Allotter: which controllers hold a share, what they have acknowledged,
+// The members of an Assigner: which controllers hold a share, what they have acknowledged,
 // and the requests and replies that tell.
 
 // member is a controller that may hold a share.
@@ -43,7 +43,7 @@
 
 // restMore lengthens the time for which a member that has left gets no machines. A
 // member that comes and goes every few seconds moves its share a few times only.
-func (a *Allotter) restMore(m *member, now time.Time) {
+func (a *Assigner) restMore(m *member, now time.Time) {
 	if now.Sub(m.joinedAt) > a.set.RestMost {
 		m.rest = 0
 	}
@@ -52,7 +52,7 @@
 }
 
 // leave lets a member give back what it has, at the ordinary pace.
-func (a *Allotter) leave(m *member, why string, now time.Time) {
+func (a *Assigner) leave(m *member, why string, now time.Time) {
 	if m.leaving != "" || !m.joined {
 		return
 	}
@@ -61,15 +61,15 @@
 }
 
 // silent settles all machines of a member whose grants have ended.
-func (a *Allotter) silent(m *member, until time.Time, why string, now time.Time) []Freed {
-	var out []Freed
+func (a *Assigner) silent(m *member, until time.Time, why string, now time.Time) []Revocation {
+	var out []Revocation
 	for k := range m.machines {
 		if k.phase != taking {
 			k.since, k.why = now, why
 		}
 		out = append(out, a.ends(k, until))
 	}
-	slices.SortFunc(out, func(x, y Freed) int { return cmp.Compare(x.Name, y.Name) })
+	slices.SortFunc(out, func(x, y Revocation) int { return cmp.Compare(x.Name, y.Name) })
 	if m.joined {
 		m.joined, a.stale = false, true
 		a.restMore(m, now)
@@ -80,7 +80,7 @@
 
 // Sync takes in a request. It is refused, and its reports with it, if it is not the
 // member's newest.
-func (a *Allotter) Sync(r *Request, now time.Time) (freed []Freed, ok bool) {
+func (a *Assigner) Sync(r *Request, now time.Time) (freed []Revocation, ok bool) {
 	m := a.members[r.Member]
 	if m == nil {
 		m = &member{name: r.Member, zone: r.Zone, life: r.Life, since: now, ackedAt: now, at: map[uint64]time.Time{},
@@ -124,7 +124,7 @@
 
 // acknowledge takes in which of the leader's replies a member has taken in last, and with it
 // the changes that the reply carried.
-func (a *Allotter) acknowledge(m *member, r *Request, now time.Time) (freed []Freed, known bool) {
+func (a *Assigner) acknowledge(m *member, r *Request, now time.Time) (freed []Revocation, known bool) {
 	at, known := m.at[r.Number]
 	if !known {
 		return nil, false
@@ -157,7 +157,7 @@
 
 // member lets a member join that has asked without a gap for long enough; one that
 // dealt with machines until the lead changed, at once.
-func (a *Allotter) member(m *member, had bool, now time.Time) {
+func (a *Assigner) member(m *member, had bool, now time.Time) {
 	if m.joined || m.leaving != "" || !m.behind.IsZero() || now.Before(m.notUntil) || m.room <= 0 {
 		return
 	}
@@ -169,7 +169,7 @@
 // adopt leaves a member what it dealt with under the leader before, whose grants
 // have all ended, as far as the machines have not come here meanwhile: their
 // workers need not turn to another controller.
-func (a *Allotter) adopt(m *member, have []string, now time.Time) {
+func (a *Assigner) adopt(m *member, have []string, now time.Time) {
 	if len(a.machines) < a.set.Least {
 		return
 	}
@@ -181,7 +181,7 @@
 }
 
 // Due reports whether a reply has something to say besides the grant.
-func (a *Allotter) Due(member string) bool {
+func (a *Assigner) Due(member string) bool {
 	m := a.members[member]
 	if m == nil {
 		return false
@@ -196,7 +196,7 @@
 
 // Reply makes the answer to the member's newest request. The caller shortens ForMs
 // to what is left of the leader's own entitlement.
-func (a *Allotter) Reply(member string, now time.Time) *Reply {
+func (a *Assigner) Reply(member string, now time.Time) *Reply {
 	m := a.members[member]
 	m.number++
 	m.at[m.number] = now
--- a/internal/share/message.go
+++ b/internal/share/message.go
@@ -65,8 +65,8 @@
 	Orders  []wire.Order `codec:"orders"`
 }
 
-// Settled names exits of a machine that the worker may forget.
-type Settled struct {
+// ExitClearance names exits of a machine that the worker may forget.
+type ExitClearance struct {
 	Host   string       `codec:"host"`
 	Clears []wire.Order `codec:"clears"`
 }
@@ -80,10 +80,10 @@
 	// request was sent; 0: the member may not answer any machine.
 	ForMs int64 `codec:"for_ms"`
 	// Fresh: the member is to forget what it held before.
-	Fresh   bool      `codec:"fresh,omitempty"`
-	Add     []string  `codec:"add,omitempty"`
-	Drop    []string  `codec:"drop,omitempty"`
-	Calls   []Call    `codec:"calls,omitempty"`
-	Answers []Answer  `codec:"answers,omitempty"`
-	Settled []Settled `codec:"settled,omitempty"`
+	Fresh      bool            `codec:"fresh,omitempty"`
+	Add        []string        `codec:"add,omitempty"`
+	Drop       []string        `codec:"drop,omitempty"`
+	Calls      []Call          `codec:"calls,omitempty"`
+	Answers    []Answer        `codec:"answers,omitempty"`
+	Clearances []ExitClearance `codec:"settled,omitempty"`
 }
--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -4,7 +4,7 @@
 // gives shares out by grants that end no later than its own lease, and the
 // holders act only under those grants (docs/shares.md).
 //
-// Allotter is the leader's side, Holder the other. Both are pure: they are stepped
+// Assigner is the leader's side, Holder the other. Both are pure: they are stepped
 // with messages and times, do no I/O and have no goroutine. Package control owns
 // the one, package node the other.
 package share
--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -15,7 +15,7 @@
 type bed struct {
 	t    *testing.T
 	now  time.Time
-	a    *Allotter
+	a    *Assigner
 	h    map[string]*Holder
 	down map[string]bool
 	life uint64
@@ -30,7 +30,7 @@
 	if edit != nil {
 		edit(&set)
 	}
-	b.a = NewAllotter(7, "n0", "a", set, b.now)
+	b.a = NewAssigner(7, "n0", "a", set, b.now)
 	for i := range size {
 		b.a.Known(fmt.Sprintf("host-%d", i), zones[i%3])
 	}
@@ -148,10 +148,10 @@
 		}},
 		{"a new leader hears of two holders: each retains what it names first, and no machine has two", nil, func(b *bed) {
 			for _, h := range b.h {
-				h.Follow()
+				h.EndTerm()
 				h.have = append(h.have, "host-1", "host-2") // both say so
 			}
-			b.a = NewAllotter(8, "n0", "a", b.a.set, b.now)
+			b.a = NewAssigner(8, "n0", "a", b.a.set, b.now)
 			for i := range b.size {
 				b.a.Known(fmt.Sprintf("host-%d", i), zones[i%3])
 			}
@@ -263,12 +263,12 @@
 		{"an exit is cleared once the leader has settled it, and a late word clears nothing", func(h *Holder, say func(string, ...any)) {
 			o, _ := h.Report(rep(1, gone), body, now)
 			say("%d orders", len(o))
-			settled := []Settled{{Host: "m", Clears: []wire.Order{{Op: wire.Clear, Task: "run-1/0", Attempt: 3}}}}
-			h.Granted(&Reply{Term: 7, Number: 2, ForMs: 2000, Settled: settled}, now)
+			settled := []ExitClearance{{Host: "m", Clears: []wire.Order{{Op: wire.Clear, Task: "run-1/0", Attempt: 3}}}}
+			h.Granted(&Reply{Term: 7, Number: 2, ForMs: 2000, Clearances: settled}, now)
 			o, _ = h.Report(rep(2, gone), body, now)
 			say("%d orders", len(o))
 			h.Report(rep(3), body, now)
-			h.Granted(&Reply{Term: 7, Number: 3, ForMs: 2000, Settled: settled}, now)
+			h.Granted(&Reply{Term: 7, Number: 3, ForMs: 2000, Clearances: settled}, now)
 			o, _ = h.Report(rep(4, gone), body, now) // the same attempt of a gang once more
 			say("%d orders", len(o))
 		}, "0 orders; 1 orders; 0 orders"},
@@ -317,7 +317,7 @@
 		}, "0, 1 entries; 0 machines; body 1"},
 		{"a new term ends the grant, and is told what there was", func(h *Holder, say func(string, ...any)) {
 			h.Report(rep(1), body, now)
-			h.Follow()
+			h.EndTerm()
 			say("%v, %v", h.Valid(7, now), h.Request(1, 1, false, now).Have)
 			h.Granted(&Reply{Term: 8, Number: 1, ForMs: 2000, Add: []string{"m"}}, now)
 			say("%v, %v", h.Valid(7, now), h.Valid(8, now))
