--- a/internal/fleet/deaf_test.go
+++ b/internal/fleet/deaf_test.go
@@ -1,27 +1,32 @@
 package fleet
 
 import (
+	"slices"
 	"testing"
 	"time"
 
 	"vetchstream/internal/wire"
 )
 
+// deafCase is a case of TestDeaf.
+type deafCase struct {
+	name string
+	do   func(b *bed)
+}
+
 // TestDeaf: a worker whose reports arrive and that hears nothing, and copies of its
 // reports that come late. What may be on the machine, and whether it can be used, are
 // different questions. The numbers are the points of docs/safety.md.
 func TestDeaf(t *testing.T) {
-	run := map[uint64]string{1: wire.Running}
-	usable := func(b *bed, want bool, when string) {
-		b.t.Helper()
-		if got := b.h.Usable(); got != want {
-			b.t.Errorf("%s: usable %v, want %v", when, got, want)
-		}
+	tests := slices.Concat(deafLaunchCases(), deafSessionCases(), copyCases(), newSessionCases())
+	for _, tt := range tests {
+		t.Run(tt.name, func(t *testing.T) { tt.do(newBed(t)) })
 	}
-	tests := []struct {
-		name string
-		do   func(b *bed)
-	}{
+}
+
+// deafLaunchCases: point 18, launches to a worker that takes in nothing.
+func deafLaunchCases() []deafCase {
+	return []deafCase{
 		{"18: an answer that was not taken in: no more launches, the rest goes elsewhere", func(b *bed) {
 			b.msg(true, 1, 1, term, nil)
 			b.assign(1)
@@ -56,6 +61,13 @@
 			b.f.Observe(b.h, m, true, b.now, find(b))
 			usable(b, true, "its report shows the direct launch")
 		}},
+	}
+}
+
+// deafSessionCases: point 18, what may be on a deaf machine across sessions.
+func deafSessionCases() []deafCase {
+	run := map[uint64]string{1: wire.Running}
+	return []deafCase{
 		{"18: a session that ends although its reports were answered", func(b *bed) {
 			b.msg(true, 1, 1, term, run)
 			b.now = b.now.Add(8 * time.Second)
@@ -86,6 +98,13 @@
 			b.msg(true, 1, 2, term, nil)
 			usable(b, true, "after a report")
 		}},
+	}
+}
+
+// copyCases: points 9 and 19, copies of reports that come late.
+func copyCases() []deafCase {
+	run := map[uint64]string{1: wire.Running}
+	return []deafCase{
 		{"19: copies renew no lease", func(b *bed) {
 			b.msg(true, 1, 1, term, run)
 			b.msg(true, 1, 2, term, run)
@@ -123,6 +142,13 @@
 			b.f.Expire(b.now)
 			b.live(1, "14 s after the first report, 5 s after the one that was overtaken")
 		}},
+	}
+}
+
+// newSessionCases: points 18, 19 and 21, a worker that began anew.
+func newSessionCases() []deafCase {
+	run := map[uint64]string{1: wire.Running}
+	return []deafCase{
 		{"21: what was sent directly to a machine that began anew is on it for a lease", func(b *bed) {
 			b.msg(true, 1, 40, term, nil)
 			b.now = b.now.Add(6 * time.Second)
@@ -171,7 +197,12 @@
 			}
 		}},
 	}
-	for _, tt := range tests {
-		t.Run(tt.name, func(t *testing.T) { tt.do(newBed(t)) })
+}
+
+// usable checks whether the machine can be given work.
+func usable(b *bed, want bool, when string) {
+	b.t.Helper()
+	if got := b.h.Usable(); got != want {
+		b.t.Errorf("%s: usable %v, want %v", when, got, want)
 	}
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"testing"
 	"time"
 
@@ -70,14 +71,25 @@
 	}
 }
 
+// ledgerCase is a case of TestLedger.
+type ledgerCase struct {
+	name string
+	do   func(b *bed)
+}
+
 // TestLedger holds what may be on a machine through the messages that settle it.
 // The numbers are the points of docs/safety.md.
 func TestLedger(t *testing.T) {
+	tests := slices.Concat(ledgerLaunchCases(), ledgerDirectCases(), ledgerHolderCases(), ledgerLeaseCases(), ledgerSessionCases(), ledgerAbortCases())
+	for _, tt := range tests {
+		t.Run(tt.name, func(t *testing.T) { tt.do(newBed(t)) })
+	}
+}
+
+// ledgerLaunchCases: points 5 to 8, what is launched, and when it is settled.
+func ledgerLaunchCases() []ledgerCase {
 	run := map[uint64]string{1: wire.Running}
-	tests := []struct {
-		name string
-		do   func(b *bed)
-	}{
+	return []ledgerCase{
 		{"5: nothing is launched on a machine that is not fenced", func(b *bed) {
 			b.msg(true, 1, 1, term-1, nil)
 			b.assign(1)
@@ -119,6 +131,13 @@
 			b.msg(true, 1, 2, term, nil)
 			b.live(0, "after the next report")
 		}},
+	}
+}
+
+// ledgerDirectCases: points 8 and 15, halts and direct launches.
+func ledgerDirectCases() []ledgerCase {
+	run := map[uint64]string{1: wire.Running}
+	return []ledgerCase{
 		{"15: a halt without grace is repeated also while the task saves, one with grace is not", func(b *bed) {
 			b.msg(true, 1, 1, term, run)
 			for s := range b.f.On(b.j) {
@@ -164,6 +183,13 @@
 			b.msg(true, 2, 1, term, nil)
 			b.orders(b.compose(1, true), "")
 		}},
+	}
+}
+
+// ledgerHolderCases: points 4, 8, 9 and 15, machines under a holder, and launches that have to go.
+func ledgerHolderCases() []ledgerCase {
+	run := map[uint64]string{1: wire.Running}
+	return []ledgerCase{
 		{"4, 9: a held machine is judged as of what its holder has told, and at its end as of the grant", func(b *bed) {
 			by := &Holder{Name: "n1", Told: b.now}
 			b.msg(true, 1, 1, term, run)
@@ -204,6 +230,13 @@
 			b.j.Closing = wire.JobAborted
 			b.orders(b.compose(1, true), "halt 1;")
 		}},
+	}
+}
+
+// ledgerLeaseCases: points 8 and 9, unanswered launches and the lease.
+func ledgerLeaseCases() []ledgerCase {
+	run := map[uint64]string{1: wire.Running}
+	return []ledgerCase{
 		{"8: an unanswered direct launch outlives reports without it", func(b *bed) {
 			b.msg(true, 1, 1, term, nil)
 			b.assign(1)
@@ -247,6 +280,13 @@
 			b.f.Expire(b.now)
 			b.live(0, "11 s after the only report")
 		}},
+	}
+}
+
+// ledgerSessionCases: points 9, 11 and 12, sessions, clears and released machines.
+func ledgerSessionCases() []ledgerCase {
+	run := map[uint64]string{1: wire.Running}
+	return []ledgerCase{
 		{"9: a new session has its lease from its own begin", func(b *bed) {
 			b.now = b.now.Add(9 * time.Second) // after a takeover, by a direct command only
 			b.msg(false, 2, 1, term, nil)
@@ -281,6 +321,13 @@
 			b.f.Remove(b.h)
 			b.live(0, "after the release")
 		}},
+	}
+}
+
+// ledgerAbortCases: point 15 and terms, aborts and later leaders.
+func ledgerAbortCases() []ledgerCase {
+	run := map[uint64]string{1: wire.Running}
+	return []ledgerCase{
 		{"15: nothing is launched once an abort was sent, halts are repeated", func(b *bed) {
 			b.msg(true, 1, 1, term, run)
 			b.f.Assign(b.h, Key{b.j, 1, 1}, b.now)
@@ -303,9 +350,6 @@
 			b.live(0, "after a message of a later term")
 		}},
 	}
-	for _, tt := range tests {
-		t.Run(tt.name, func(t *testing.T) { tt.do(newBed(t)) })
-	}
 }
 
 func find(b *bed) func(string) *job.Job { return func(string) *job.Job { return b.j } }
--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -94,14 +95,31 @@
 	}
 }
 
+// shareCase is a case of TestShare.
+type shareCase struct {
+	name string
+	edit func(*Settings)
+	do   func(b *bed)
+}
+
 // TestShare: who holds how much, and how many machines move.
 func TestShare(t *testing.T) {
+	tests := slices.Concat(shareBalanceCases(), shareLeaderCases(), shareTurnoverCases())
+	for _, tt := range tests {
+		t.Run(tt.name, func(t *testing.T) {
+			b := newBed(t, max(600, 2000*strings.Count(tt.name, "2,000")), tt.edit)
+			b.start("n1", "b")
+			b.start("n2", "c")
+			b.play(30 * time.Second)
+			tt.do(b)
+		})
+	}
+}
+
+// shareBalanceCases: how the machines are divided, and what moves when a holder goes and comes back.
+func shareBalanceCases() []shareCase {
 	third := map[string]int{"n0": 200, "n1": 200, "n2": 200}
-	tests := []struct {
-		name string
-		edit func(*Settings)
-		do   func(b *bed)
-	}{
+	return []shareCase{
 		{"three alike", nil, func(b *bed) { b.held(third) }},
 		{"a small fleet is not shared", func(s *Settings) { s.Least = 601 }, func(b *bed) { b.held(map[string]int{"n0": 600}) }},
 		{"a silent holder's machines go to the others, and nothing else moves", nil, func(b *bed) {
@@ -138,6 +156,13 @@
 				b.t.Errorf("%d changes of holder in two minutes", n)
 			}
 		}},
+	}
+}
+
+// shareLeaderCases: a leader cut from its workers, and a new leader that hears of earlier holders.
+func shareLeaderCases() []shareCase {
+	third := map[string]int{"n0": 200, "n1": 200, "n2": 200}
+	return []shareCase{
 		{"a leader cut from its workers gives their machines to who hands their reports on", nil, func(b *bed) {
 			b.via = "n2"
 			b.play(20 * time.Second)
@@ -173,6 +198,12 @@
 				}
 			}
 		}},
+	}
+}
+
+// shareTurnoverCases: the pace of moves, and workers that do not reach their holder.
+func shareTurnoverCases() []shareCase {
+	return []shareCase{
 		{"2,000 machines whose only holder ends turn at the pace of the workers and the settings", func(s *Settings) { s.PerS = 40 }, func(b *bed) {
 			b.down["n1"] = true
 			b.play(30 * time.Second) // the other has joined late, and has all but the leader's
@@ -200,31 +231,43 @@
 			}
 		}},
 	}
+}
+
+// holderCase is a case of TestHolder. A line of do is a step; what it prints is
+// compared with want.
+type holderCase struct {
+	name string
+	do   func(h *Holder, say func(string, ...any))
+	want string
+}
+
+// TestHolder: what a holder answers, and what it tells.
+func TestHolder(t *testing.T) {
+	now := time.Unix(1000, 0)
+	tests := slices.Concat(holderRequestCases(), holderAnswerCases(), holderTermCases())
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newBed(t, max(600, 2000*strings.Count(tt.name, "2,000")), tt.edit)
-			b.start("n1", "b")
-			b.start("n2", "c")
-			b.play(30 * time.Second)
-			tt.do(b)
+			h := NewHolder("n1", "a", 1)
+			h.Request(1, 1, false, now)
+			h.Granted(&Reply{Term: 7, Number: 1, ForMs: 2000, Add: []string{"m"}}, now)
+			var said []string
+			tt.do(h, func(f string, a ...any) { said = append(said, fmt.Sprintf(f, a...)) })
+			if got := strings.Join(said, "; "); got != tt.want {
+				t.Errorf("got %q, want %q", got, tt.want)
+			}
 		})
 	}
 }
 
-// TestHolder: what a holder answers, and what it tells.
-func TestHolder(t *testing.T) {
+// holderRequestCases: what a holder tells the leader, and how exits are cleared.
+func holderRequestCases() []holderCase {
 	now := time.Unix(1000, 0)
 	body := []byte{1}
 	rep := func(seq uint64, tasks ...wire.TaskReport) *wire.Report {
 		return &wire.Report{Host: "m", Session: 1, Seq: seq, Token: 7, Tasks: tasks}
 	}
 	gone := wire.TaskReport{Task: "run-1/0", Attempt: 3, Phase: wire.Exited, Cause: wire.CauseDone}
-	// A line is a step; what it prints is compared with want.
-	tests := []struct {
-		name string
-		do   func(h *Holder, say func(string, ...any))
-		want string
-	}{
+	return []holderCase{
 		{"reports that say the same are told without their body", func(h *Holder, say func(string, ...any)) {
 			h.Report(rep(1), body, now)
 			q := h.Request(1, 1, false, now.Add(time.Second))
@@ -272,6 +315,18 @@
 			o, _ = h.Report(rep(4, gone), body, now) // the same attempt of a gang once more
 			say("%d orders", len(o))
 		}, "0 orders; 1 orders; 0 orders"},
+	}
+}
+
+// holderAnswerCases: which reports a holder answers itself, and when it may not.
+func holderAnswerCases() []holderCase {
+	now := time.Unix(1000, 0)
+	body := []byte{1}
+	rep := func(seq uint64, tasks ...wire.TaskReport) *wire.Report {
+		return &wire.Report{Host: "m", Session: 1, Seq: seq, Token: 7, Tasks: tasks}
+	}
+	gone := wire.TaskReport{Task: "run-1/0", Attempt: 3, Phase: wire.Exited, Cause: wire.CauseDone}
+	return []holderCase{
 		{"a report with a task that the leader has not been told of has no other answer, one with an exit or another phase has", func(h *Holder, say func(string, ...any)) {
 			runs := wire.TaskReport{Task: "run-1/1", Attempt: 4, Phase: wire.Pulling}
 			told := func(n uint64) {
@@ -303,6 +358,17 @@
 			m.Host = "other"
 			verdict(m, now)
 		}, "3; 1; 1; 1; 0"},
+	}
+}
+
+// holderTermCases: machines taken away, and a new term.
+func holderTermCases() []holderCase {
+	now := time.Unix(1000, 0)
+	body := []byte{1}
+	rep := func(seq uint64, tasks ...wire.TaskReport) *wire.Report {
+		return &wire.Report{Host: "m", Session: 1, Seq: seq, Token: 7, Tasks: tasks}
+	}
+	return []holderCase{
 		{"a machine that was taken away is told of, then forgotten; one that comes back is told in full", func(h *Holder, say func(string, ...any)) {
 			h.Report(rep(1), body, now)
 			h.Granted(&Reply{Term: 7, Number: 2, ForMs: 2000, Drop: []string{"m"}}, now)
@@ -323,18 +389,6 @@
 			say("%v, %v", h.Valid(7, now), h.Valid(8, now))
 		}, "false, [m]; false, true"},
 	}
-	for _, tt := range tests {
-		t.Run(tt.name, func(t *testing.T) {
-			h := NewHolder("n1", "a", 1)
-			h.Request(1, 1, false, now)
-			h.Granted(&Reply{Term: 7, Number: 1, ForMs: 2000, Add: []string{"m"}}, now)
-			var said []string
-			tt.do(h, func(f string, a ...any) { said = append(said, fmt.Sprintf(f, a...)) })
-			if got := strings.Join(said, "; "); got != tt.want {
-				t.Errorf("got %q, want %q", got, tt.want)
-			}
-		})
-	}
 }
 
 // TestKeep: a machine that the leader retains comes back from its holder, and goes to nobody,
