--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -166,7 +166,7 @@
 				if r.jobTable.get(id) != nil {
 					team = r.jobTable.get(id).TeamIdx
 				}
-				h.Old = append(h.Old, fleet.Past{ID: id, Team: team})
+				h.InheritedJobs = append(h.InheritedJobs, fleet.InheritedJob{ID: id, Team: team})
 			}
 			r.takeover.inherited = []*fleet.Host{h}
 			teams := make([]place.Team, 2)
@@ -207,7 +207,7 @@
 				if i < tt.silent {
 					r.takeover.inherited = append(r.takeover.inherited, h)
 					if tt.jobs {
-						h.Old = []fleet.Past{{ID: "run-1", Team: -1}}
+						h.InheritedJobs = []fleet.InheritedJob{{ID: "run-1", Team: -1}}
 					}
 				}
 			}
--- a/internal/control/registry.go
+++ b/internal/control/registry.go
@@ -512,7 +512,7 @@
 			team := g.names.team(nr.Team)
 			for idx, h := range byIdx {
 				if set.Has(idx) {
-					h.Old = append(h.Old, fleet.Past{ID: nr.Job, Team: team})
+					h.InheritedJobs = append(h.InheritedJobs, fleet.InheritedJob{ID: nr.Job, Team: team})
 				}
 			}
 		}
--- a/internal/control/registry_test.go
+++ b/internal/control/registry_test.go
@@ -239,7 +239,7 @@
 			}
 			for i := range 40 {
 				past := map[string]bool{}
-				for _, p := range next.fleet.Hosts[fmt.Sprintf("h%d", i)].Old {
+				for _, p := range next.fleet.Hosts[fmt.Sprintf("h%d", i)].InheritedJobs {
 					past[p.ID] = true
 				}
 				if !past[fmt.Sprintf("run-%d", i)] || !past[fmt.Sprintf("run-%d", (i+39)%40)] {
--- a/internal/control/takeover.go
+++ b/internal/control/takeover.go
@@ -150,7 +150,7 @@
 	out := map[*job.Job]bool{}
 	for _, h := range tk.inherited {
 		used := map[int]bool{}
-		for _, past := range h.Old {
+		for _, past := range h.InheritedJobs {
 			if j := tk.jobTable.get(past.ID); j != nil {
 				out[j] = true
 			}
@@ -234,7 +234,7 @@
 func (tk *takeover) silent() {
 	jobs := map[string]bool{}
 	for _, h := range tk.inherited {
-		for _, past := range h.Old {
+		for _, past := range h.InheritedJobs {
 			if j := tk.jobTable.get(past.ID); j != nil && j.Phase == "" {
 				jobs[past.ID] = true
 			}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -209,7 +209,7 @@
 func (f *Fleet) Settle() (open []*Host) {
 	for _, h := range f.order {
 		if h.Inherited && (h.Fenced || h.Lost) {
-			h.Inherited, h.Old = false, nil
+			h.Inherited, h.InheritedJobs = false, nil
 		}
 		if h.Inherited {
 			open = append(open, h)
--- a/internal/fleet/host.go
+++ b/internal/fleet/host.go
@@ -19,11 +19,11 @@
 	Durable bool // in the registry
 	// Inherited: registered by an earlier leader and not settled since.
 	Inherited bool
-	// Old are the jobs that the registry named when this term began; they hold
+	// InheritedJobs are the jobs that the registry named when this term began; they hold
 	// until the machine is settled.
-	Old     []Past
-	Born    time.Time
-	Booting bool // never heard of
+	InheritedJobs []InheritedJob
+	Born          time.Time
+	Booting       bool // never heard of
 
 	Session uint64
 	seq     uint64
@@ -91,9 +91,9 @@
 // Deaf reports whether the worker is known not to take in what is sent to it.
 func (h *Host) Deaf() bool { return !h.DeafAt.IsZero() }
 
-// Past is a job that an earlier leader may have launched on a machine. The team
+// InheritedJob is a job that an earlier leader may have launched on a machine. The team
 // is kept for a job that is over, and is -1 where it is not known.
-type Past struct {
+type InheritedJob struct {
 	ID   string
 	Team int
 }
