--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -11,19 +11,24 @@
 	"vetchstream/internal/wire"
 )
 
-// Fleet is the set of machines and the ledger.
+// Fleet is the set of machines and the ledger of the placements that may be on
+// them.
 type Fleet struct {
-	Term  uint64
-	Lease time.Duration // including the margin
+	// Term is the leader's term; a worker that has seen a later one deposes it.
+	Term uint64
+	// Lease is how long an answered report keeps a worker's placements, with the
+	// margin for clock drift and timer granularity that New adds.
+	Lease time.Duration
 	// CancelTime is how long after its user was told a task of a cancelled job may be on a
 	// machine.
 	CancelTime time.Duration
-	Hosts      map[string]*Host
-	order      []*Host
-	next       int
-	spare      []int // indices below next that are free
-	jobs       map[*job.Job]map[*Slot]struct{}
-	awake      []*Host
+	// Hosts are the machines by name.
+	Hosts map[string]*Host
+	order []*Host
+	next  int
+	spare []int // indices below next that are free
+	jobs  map[*job.Job]map[*Slot]struct{}
+	awake []*Host
 }
 
 // New makes an empty fleet for a term. The lease is lengthened by the drift of
--- a/internal/fleet/holder.go
+++ b/internal/fleet/holder.go
@@ -7,6 +7,7 @@
 // Holder is a controller that answers the reports of machines in the leader's
 // place (package share).
 type Holder struct {
+	// Name is the holder's member name.
 	Name string
 	// Told is up to when all that it has answered is known. A machine that it deals
 	// with can only be judged as of then: a later answer may have renewed its lease.
--- a/internal/fleet/host.go
+++ b/internal/fleet/host.go
@@ -9,11 +9,14 @@
 // Host is a machine.
 type Host struct {
 	// Idx is dense: it is used again once the machine and its record are gone.
-	Idx     int
-	Name    string
-	Addr    string
-	Type    int
-	Zone    int
+	Idx int
+	// Name is the machine's name, Addr the address of its worker for direct commands.
+	Name string
+	Addr string
+	// Type and Zone are indices of the machine type and zone; -1 until Known.
+	Type int
+	Zone int
+	// Spot: a spot (preemptible) instance.
 	Spot    bool
 	Known   bool // type and zone are known
 	Durable bool // in the registry
@@ -22,9 +25,12 @@
 	// InheritedJobs are the jobs that the registry named when this term began; they hold
 	// until the machine is settled.
 	InheritedJobs []InheritedJob
-	Born          time.Time
-	Booting       bool // never heard of
+	// Born is the time that was passed to Add or AddAt when the machine entered the
+	// ledger.
+	Born    time.Time
+	Booting bool // never heard of
 
+	// Session is the worker's newest session (agent incarnation) that was heard of.
 	Session uint64
 	seq     uint64
 	// reported is the newest report of the session; seq may be that of a direct answer.
@@ -51,10 +57,14 @@
 	// holder is the controller that answers the machine's reports; nil: the leader.
 	holder *Holder
 	// Lost: the lease has run out without a message; nothing is on the machine.
-	Lost     bool
-	LostAt   time.Time
-	RecallAt time.Time // zero: no notice
-
+	Lost bool
+	// LostAt is when the machine was found Lost.
+	LostAt time.Time
+	// RecallAt is when the machine is taken back, as a notice in the worker's report
+	// said; zero: no notice.
+	RecallAt time.Time
+
+	// Slots are the placements that may be on the machine.
 	Slots map[Key]*Slot
 	// Calling: a direct command is under way.
 	Calling bool
@@ -100,6 +110,7 @@
 
 // Image is a cached image.
 type Image struct {
+	// Idx is the image's index, GB its size in gigabytes.
 	Idx int
 	GB  float64
 }
--- a/internal/fleet/observe.go
+++ b/internal/fleet/observe.go
@@ -8,6 +8,7 @@
 
 // Result says what Observe made of a message.
 type Result struct {
+	// Events are the changes of slots that the message brought.
 	Events []Event
 	// Fresh: the message is newer than all others of the worker.
 	Fresh bool
--- a/internal/fleet/slot.go
+++ b/internal/fleet/slot.go
@@ -86,6 +86,7 @@
 
 // Event tells the leader about a slot.
 type Event struct {
+	// Kind is what happened to Slot.
 	Kind EventKind
 	Slot *Slot
 }
--- a/internal/share/assigner.go
+++ b/internal/share/assigner.go
@@ -44,6 +44,7 @@
 
 // Revocation is a machine that its holder does not deal with any more.
 type Revocation struct {
+	// Name is the machine, From the member that held it, Why the reason for the move.
 	Name, From, Why string
 	// Until is the last moment at which the holder may have answered a report.
 	Until time.Time
--- a/internal/share/message.go
+++ b/internal/share/message.go
@@ -2,15 +2,20 @@
 
 import "vetchstream/internal/wire"
 
+// The messages between a shard holder and the leader, sent over gRPC. Their codec
+// tags are the names on the wire that PROTOCOL gives: Go names may change, tags never.
+
 // Request is what a holder tells the leader and asks of it. A holder has one
 // request under way at a time, so all that it did before the last reply it took
 // in is in the requests up to this one.
 type Request struct {
+	// Member is the holder's member name, Zone its zone.
 	Member string `codec:"member"`
 	Zone   string `codec:"zone"`
-	// Life tells one process of the member from the next; a later one is higher.
+	// Life is the incarnation of the member's process: a later one is higher.
 	Life uint64 `codec:"life"`
-	Seq  uint64 `codec:"seq"`
+	// Seq numbers the requests of one Life from 1 up; the leader takes only a higher one.
+	Seq uint64 `codec:"seq"`
 	// Term and Number are those of the last reply taken in; 0: none.
 	Term   uint64 `codec:"term"`
 	Number uint64 `codec:"number"`
@@ -31,6 +36,7 @@
 
 // Entry is what a machine has reported since the last request that was answered.
 type Entry struct {
+	// Host names the machine; Session and Seq are those of its last report.
 	Host    string `codec:"host"`
 	Session uint64 `codec:"shift"`
 	Seq     uint64 `codec:"tick"`
@@ -42,6 +48,8 @@
 
 // Call is a direct command that the holder is to send.
 type Call struct {
+	// ID names the call in its Done; Addr is the worker's address, Body the encoded
+	// command.
 	ID   uint64 `codec:"id"`
 	Addr string `codec:"addr"`
 	Body []byte `codec:"body"`
@@ -49,16 +57,19 @@
 
 // Done is what became of a call.
 type Done struct {
+	// ID is that of the Call, Status the HTTP status of its answer.
 	ID     uint64 `codec:"id"`
 	Status int    `codec:"status"`
 	// Reached: something may have been sent.
-	Reached bool   `codec:"reached,omitempty"`
-	Report  []byte `codec:"report,omitempty"`
+	Reached bool `codec:"reached,omitempty"`
+	// Report is the worker's encoded answer; empty: none.
+	Report []byte `codec:"report,omitempty"`
 }
 
 // Answer is the leader's answer to a report that said something new. The holder
 // gives it if the worker still waits for it.
 type Answer struct {
+	// Host, Session and Seq name the report that is answered, Orders the answer.
 	Host    string       `codec:"host"`
 	Session uint64       `codec:"shift"`
 	Seq     uint64       `codec:"tick"`
@@ -67,6 +78,7 @@
 
 // ExitClearance names exits of a machine that the worker may forget.
 type ExitClearance struct {
+	// Host names the machine, Clears the clear orders of its exits.
 	Host   string       `codec:"host"`
 	Clears []wire.Order `codec:"clears"`
 }
@@ -74,13 +86,17 @@
 // Reply is the leader's answer to a request. Term 0: the node does not lead, or
 // the request is not the member's newest.
 type Reply struct {
+	// Term is the leader's term; Number counts the replies to the member in it.
 	Term   uint64 `codec:"term"`
 	Number uint64 `codec:"number"`
 	// ForMs is how long the grant holds, in milliseconds, counted from before the
 	// request was sent; 0: the member may not answer any machine.
 	ForMs int64 `codec:"for_ms"`
 	// Fresh: the member is to forget what it held before.
-	Fresh      bool            `codec:"fresh,omitempty"`
+	Fresh bool `codec:"fresh,omitempty"`
+	// Add and Drop name the machines that the shard gains and loses, Calls the
+	// direct commands to send, Answers the leader's answers to reports, and
+	// Clearances the exits that workers may forget.
 	Add        []string        `codec:"add,omitempty"`
 	Drop       []string        `codec:"drop,omitempty"`
 	Calls      []Call          `codec:"calls,omitempty"`
