--- a/internal/fleet/explore_test.go
+++ b/internal/fleet/explore_test.go
@@ -203,12 +203,12 @@
 	}
 	_, verdict := w.holder.Report(m, body, w.now)
 	switch verdict {
-	case share.Lapsed:
+	case share.GrantExpired:
 		return false
 	case share.Answered:
 		take(&wire.Answer{Token: w.holder.Term()})
 		return true
-	case share.Asked, share.Required:
+	case share.ReportChanged, share.LeaderRequired:
 		if fate != slow && w.holder.Term() == w.f.Term {
 			w.sync()
 			if w.h.Holder() != nil {
@@ -216,7 +216,7 @@
 				return true
 			}
 		}
-		if verdict == share.Asked || w.out == tellsFirst {
+		if verdict == share.ReportChanged || w.out == tellsFirst {
 			take(&wire.Answer{Token: w.holder.Term()})
 		}
 		return true
--- a/internal/node/share_holder.go
+++ b/internal/node/share_holder.go
@@ -178,29 +178,29 @@
 	orders, verdict := a.holder.Report(m, body, time.Now())
 	term := a.holder.Term()
 	q := ask{m.Session, m.Seq, make(chan []wire.Order, 1)}
-	if verdict >= share.Asked {
+	if verdict >= share.ReportChanged {
 		a.asks[m.Host] = q // an older one of the machine is not waited for any more
 	}
 	a.mu.Unlock()
 	switch verdict {
-	case share.Elsewhere:
+	case share.NotHeld:
 		return nil
-	case share.Lapsed:
+	case share.GrantExpired:
 		if m.Token > term {
 			a.n.elector.Heard("", m.Token)
 		}
 		return control.Later("the leader has not renewed this node's grant")
 	}
-	if verdict >= share.Asked {
+	if verdict >= share.ReportChanged {
 		patience := askTime
-		if verdict == share.Required {
+		if verdict == share.LeaderRequired {
 			patience = requiredTime
 		}
 		told, ok := a.await(ctx, m.Host, q, patience)
 		switch {
 		case ok:
 			orders = told
-		case verdict == share.Required:
+		case verdict == share.LeaderRequired:
 			return control.Later("the leader has not been told of all tasks of the machine")
 		}
 	}
--- a/internal/share/holder.go
+++ b/internal/share/holder.go
@@ -14,19 +14,19 @@
 type Outcome uint8
 
 const (
-	// Elsewhere means that the machine is not in the share; the leader knows who has it.
-	Elsewhere Outcome = iota
-	// Lapsed means that it is in the share, but the grant has ended. Never answered with 200: the leader may
+	// NotHeld means that the machine is not in the share; the leader knows who has it.
+	NotHeld Outcome = iota
+	// GrantExpired means that it is in the share, but the grant has ended. Never answered with 200: the leader may
 	// have given the machine to another.
-	Lapsed
+	GrantExpired
 	// Answered means that the orders are the answer.
 	Answered
-	// Asked means that the report says something new. The orders are the answer if none comes
+	// ReportChanged means that the report says something new. The orders are the answer if none comes
 	// from the leader in time; until then the worker waits.
-	Asked
-	// Required means that the report shows a task of which the leader has not been told. It
+	ReportChanged
+	// LeaderRequired means that the report shows a task of which the leader has not been told. It
 	// may be of a cancelled job, and only the leader's answer halts it: there is no other.
-	Required
+	LeaderRequired
 )
 
 // drift is what a grant loses for the clocks of the two sides: they may differ by
@@ -123,27 +123,27 @@
 func (h *Holder) Report(m *wire.Report, body []byte, now time.Time) ([]wire.Order, Outcome) {
 	k := h.machines[m.Host]
 	if k == nil || k.dropped {
-		return nil, Elsewhere
+		return nil, NotHeld
 	}
 	if !now.Before(h.until) || m.Token > h.term {
-		return nil, Lapsed
+		return nil, GrantExpired
 	}
 	if m.Session < k.session || (m.Session == k.session && m.Seq <= k.seq) {
 		// Held back on its way. An answer would renew nothing that a newer one has not.
-		return nil, Lapsed
+		return nil, GrantExpired
 	}
 	k.session, k.seq, k.at = m.Session, m.Seq, now
 	k.reports++
-	verdict := Answered
+	outcome := Answered
 	d := digest(m)
 	if !k.known || d != k.digest || m.Notice != nil {
-		verdict = Asked
+		outcome = ReportChanged
 		k.list(m)
 	}
 	if k.untold() {
-		verdict = Required
+		outcome = LeaderRequired
 	}
-	if verdict != Answered {
+	if outcome != Answered {
 		k.digest, k.known = d, true
 		k.full, k.fullAt = slices.Clone(body), k.reports
 	}
@@ -152,7 +152,7 @@
 	for _, e := range k.settled {
 		orders = append(orders, wire.Order{Op: wire.Clear, Task: e.task, Attempt: e.attempt})
 	}
-	return orders, verdict
+	return orders, outcome
 }
 
 // list notes what a report shows.
--- a/internal/share/holder_test.go
+++ b/internal/share/holder_test.go
@@ -112,7 +112,7 @@
 			}
 			required := func(seq uint64, tasks ...wire.TaskReport) {
 				_, v := h.Report(rep(seq, tasks...), body, now)
-				say("%v", v == Required)
+				say("%v", v == LeaderRequired)
 			}
 			required(1, gone)
 			required(2, gone, runs)
