--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -16,7 +16,7 @@
 type Fleet struct {
 	// Term is the leader's term; a worker that has seen a later one deposes it.
 	Term uint64
-	// Lease is how long an answered report keeps a worker's placements, with the
+	// Lease is how long an answered report holds a worker's placements, with the
 	// margin for clock drift and timer granularity that New adds.
 	Lease time.Duration
 	// CancelTime is how long after its user was told a task of a cancelled job may be on a
