--- a/internal/fleet/explore_test.go
+++ b/internal/fleet/explore_test.go
@@ -53,7 +53,7 @@
 	out       guard
 	now       time.Time
 	f         *Fleet
-	a         *share.Allotter
+	a         *share.Assigner
 	holder    *share.Holder
 	grantEnd  time.Time
 	by        *Holder
@@ -88,7 +88,7 @@
 	w.f = New(term, leaseTime, cancelTime)
 	w.h = w.f.Add("host-1", w.now)
 	w.h.Known, w.h.Durable, w.h.Type, w.h.Zone = true, true, 0, 0
-	w.a = share.NewAllotter(term, "n0", "", share.Settings{Grant: grantTime, Rest: tick, RestMost: tick, PerS: 1000, Own: 0.01, Room: 1}, w.now)
+	w.a = share.NewAssigner(term, "n0", "", share.Settings{Grant: grantTime, Rest: tick, RestMost: tick, PerS: 1000, Own: 0.01, Room: 1}, w.now)
 	w.a.Known("host-1", "")
 	w.by, w.kept = &Holder{Name: "n1"}, false
 	w.j.Noted.Add(w.h.Idx)
@@ -203,12 +203,12 @@
 	}
 	_, verdict := w.holder.Report(m, body, w.now)
 	switch verdict {
-	case share.Lapsed:
+	case share.GrantExpired:
 		return false
 	case share.Answered:
 		take(&wire.Answer{Token: w.holder.Term()})
 		return true
-	case share.Asked, share.Required:
+	case share.ReportChanged, share.LeaderRequired:
 		if fate != slow && w.holder.Term() == w.f.Term {
 			w.sync()
 			if w.h.Holder() != nil {
@@ -216,7 +216,7 @@
 				return true
 			}
 		}
-		if verdict == share.Asked || w.out == tellsFirst {
+		if verdict == share.ReportChanged || w.out == tellsFirst {
 			take(&wire.Answer{Token: w.holder.Term()})
 		}
 		return true
@@ -241,7 +241,7 @@
 // sync is a request of the holder's with its reply.
 func (w *world) sync() {
 	if w.f.Term > w.holder.Term() {
-		w.holder.Follow()
+		w.holder.EndTerm()
 	}
 	r := w.holder.Request(10, 1, false, w.now)
 	freed, ok := w.a.Sync(r, w.now)
@@ -275,7 +275,7 @@
 	w.f.Renew(w.h, e.Session, e.Seq, w.now.Add(-time.Duration(e.AgeMs)*time.Millisecond))
 }
 
-func (w *world) free(freed []share.Freed) {
+func (w *world) free(freed []share.Revocation) {
 	for _, f := range freed {
 		w.h.Unhold(f.Until)
 	}
@@ -410,7 +410,7 @@
 		{"as it is", none, [][]string{met, held, slices.Concat(met, runs), slices.Concat(held, runs), slices.Concat(held, runs, answered),
 			slices.Concat(held, []string{"launch", "cancel"}, answered), slices.Concat(held, runs, answered, nearLimit)}},
 		{"the leader renews while a launch is on its way", withholds, [][]string{met}},
-		{"a holder keeps the machine", givesBack, [][]string{slices.Concat(held, runs)}},
+		{"a holder retains the machine", givesBack, [][]string{slices.Concat(held, runs)}},
 		{"a holder gives the machine back at the limit", inTime, [][]string{slices.Concat(held, runs, answered, nearLimit)}},
 		{"a holder answers for tasks that the leader does not know of", tellsFirst, [][]string{slices.Concat(held, []string{"launch", "cancel"}, answered)}},
 		{"the leader halts once in a while", alwaysHalts, [][]string{slices.Concat(met, runs)}},
--- a/internal/share/explore_test.go
+++ b/internal/share/explore_test.go
@@ -23,7 +23,7 @@
 	withinLead           // a grant ends no later than the leader's entitlement
 	newestOnly           // a request that is not the newest is refused
 	tookIn               // a change counts once the holder has taken it in, not once it was sent
-	untilOver            // a silent holder keeps its machines until its grant has ended
+	untilOver            // a silent holder retains its machines until its grant has ended
 	afterLead            // a leader begins once the one before is not entitled any more
 	toldBeforeGone       // a holder tells what it answered before it let go
 )
@@ -48,7 +48,7 @@
 type world struct {
 	out      guard
 	now      time.Time
-	lead     *Allotter
+	lead     *Assigner
 	entitled time.Time // when the leader's entitlement ends
 	deposed  bool
 	ends     map[uint64]time.Time // of the entitlement, by term
@@ -70,7 +70,7 @@
 }
 
 func (w *world) begin(term uint64) {
-	w.lead = NewAllotter(term, "lead", "", Settings{Grant: grantTime, Rest: tick, RestMost: 2 * tick, PerS: 1000, Own: 0.01, Room: 2}, w.now)
+	w.lead = NewAssigner(term, "lead", "", Settings{Grant: grantTime, Rest: tick, RestMost: 2 * tick, PerS: 1000, Own: 0.01, Room: 2}, w.now)
 	for _, n := range w.names {
 		w.lead.Known(n, "")
 	}
@@ -97,7 +97,7 @@
 }
 
 // freed takes in what the leader holds to be without a holder.
-func (w *world) freed(fs []Freed) {
+func (w *world) freed(fs []Revocation) {
 	for _, f := range fs {
 		k := slices.Index(w.names[:], f.Name)
 		if f.Until.After(w.known[k]) {
@@ -158,7 +158,7 @@
 			return false
 		}
 		if w.lead.term > s.h.Term() {
-			s.h.Follow()
+			s.h.EndTerm()
 		}
 		s.sent, s.req = w.now, s.h.Request(2, 1, false, w.now)
 		return true
