--- a/internal/share/fixtures_test.go
+++ b/internal/share/fixtures_test.go
@@ -15,7 +15,7 @@
 	{File: "sync-call.cbor", Value: fixture.Filled[Call]()},
 	{File: "sync-done.cbor", Value: fixture.Filled[Done]()},
 	{File: "sync-answer.cbor", Value: fixture.Filled[Answer]()},
-	{File: "sync-settled.cbor", Value: fixture.Filled[Settled]()},
+	{File: "sync-settled.cbor", Value: fixture.Filled[ExitClearance]()},
 }
 
 func TestWireFixtures(t *testing.T) { fixture.Check(t, fixtures) }
