--- /dev/null
+++ b/internal/dynconfig/fixtures_test.go
@@ -0,0 +1,36 @@
+package dynconfig
+
+import (
+	"testing"
+
+	"vetchstream/internal/fixture"
+)
+
+// fixtures are the records of the teams' quotas stored in the consensus-backed
+// key-value store, the messages of Follow sent over gRPC between controllers,
+// and the configuration changes of the API.
+var fixtures = []fixture.Row{
+	{File: "follow-request.cbor", Value: fixture.Filled[Request]()},
+	{File: "follow-reply.cbor", Value: fixture.Filled[Reply]()},
+	{File: "team-record.cbor", Value: fixture.Filled[Record]()},
+	{File: "team-head.cbor", Value: fixture.Filled[Head]()},
+	{File: "team-grant.cbor", Value: fixture.Filled[Grant]()},
+	{File: "team-share.cbor", Value: fixture.Filled[Share]()},
+	{File: "team-entry.cbor", Value: fixture.Filled[Entry]()},
+	{File: "team-statement.cbor", Value: fixture.Filled[Statement]()},
+	{File: "change-history-entry.cbor", Value: fixture.Filled[Past]()},
+	{File: "change-history-summary.cbor", Value: fixture.Filled[PastSummary]()},
+	{File: "config-change.cbor", Value: fixture.Filled[Change]()},
+	{File: "config-team-change.cbor", Value: fixture.Filled[TeamChange]()},
+	{File: "config-part.cbor", Value: fixture.Filled[Part]()},
+	{File: "config-quota.cbor", Value: fixture.Filled[Quota]()},
+	{File: "config-refusal.cbor", Value: fixture.Filled[Refusal]()},
+	{File: "config-status.cbor", Value: fixture.Filled[Status]()},
+	{File: "config-region-status.cbor", Value: fixture.Filled[RegionStatus]()},
+	{File: "config-wait.cbor", Value: fixture.Filled[Wait]()},
+	{File: "config-team-status.cbor", Value: fixture.Filled[TeamStatus]()},
+	{File: "config-part-status.cbor", Value: fixture.Filled[PartStatus]()},
+	{File: "amount.cbor", Value: fixture.Filled[Amount]()},
+}
+
+func TestStoredFixtures(t *testing.T) { fixture.Check(t, fixtures) }
--- /dev/null
+++ b/internal/peer/fixtures_test.go
@@ -0,0 +1,106 @@
+package peer
+
+import (
+	"context"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"vetchstream/internal/dynconfig"
+	"vetchstream/internal/fixture"
+	"vetchstream/internal/share"
+)
+
+// wireFixtures are the messages that controllers send each other.
+var wireFixtures = []fixture.Row{
+	{File: "hello.cbor", Value: fixture.Filled[Hello]()},
+	{File: "forward-request.cbor", Value: fixture.Filled[Request]()},
+	{File: "forward-reply.cbor", Value: fixture.Filled[Reply]()},
+	{File: "operation.cbor", Value: fixture.Filled[Operation]()},
+	{File: "promise-request.cbor", Value: fixture.Filled[PromiseRequest]()},
+	{File: "promise.cbor", Value: fixture.Filled[Promise]()},
+}
+
+func TestWireFixtures(t *testing.T) { fixture.Check(t, wireFixtures) }
+
+// answering is a Handler that keeps the request it was given and answers with
+// filled values.
+type answering struct{ got any }
+
+func (a *answering) Hello() Hello { return *fixture.Filled[Hello]() }
+func (a *answering) Local(_ context.Context, r *Request) *Reply {
+	a.got = r
+	return fixture.Filled[Reply]()
+}
+func (a *answering) Sync(_ context.Context, r *share.Request) *share.Reply {
+	a.got = r
+	return fixture.Filled[share.Reply]()
+}
+func (a *answering) Follow(_ context.Context, r *dynconfig.Request) *dynconfig.Reply {
+	a.got = r
+	return fixture.Filled[dynconfig.Reply]()
+}
+func (a *answering) Promise(_ context.Context, r *PromiseRequest) *Promise {
+	a.got = r
+	return fixture.Filled[Promise]()
+}
+
+// TestServiceFixtures pins the service's name and methods, which are on the
+// wire, and feeds each method a fixture request.
+func TestServiceFixtures(t *testing.T) {
+	if service.ServiceName != "vetchstream.Peer" {
+		t.Fatalf("service name %q", service.ServiceName)
+	}
+	rows := []struct {
+		method  string
+		request string // a fixture; empty: the method takes no request
+		want    any    // the request as the handler must see it
+		answer  any    // the answer as the caller must decode it
+	}{
+		{"Ping", "", nil, fixture.Filled[Hello]()},
+		{"Forward", "forward-request.cbor", fixture.Filled[Request](), fixture.Filled[Reply]()},
+		{"Promise", "promise-request.cbor", fixture.Filled[PromiseRequest](), fixture.Filled[Promise]()},
+		{"Follow", "../../../dynconfig/testdata/fixtures/follow-request.cbor", fixture.Filled[dynconfig.Request](), fixture.Filled[dynconfig.Reply]()},
+		{"Sync", "../../../share/testdata/fixtures/sync-request.cbor", fixture.Filled[share.Request](), fixture.Filled[share.Reply]()},
+	}
+	if len(service.Methods) != len(rows) {
+		t.Fatalf("%d methods, want %d", len(service.Methods), len(rows))
+	}
+	for i, row := range rows {
+		t.Run(row.method, func(t *testing.T) {
+			m := service.Methods[i]
+			if m.MethodName != row.method {
+				t.Fatalf("method %d is %q, want %q", i, m.MethodName, row.method)
+			}
+			body := []byte{0xa0} // an empty map: the request of Ping
+			if row.request != "" {
+				var err error
+				if body, err = os.ReadFile(filepath.Join("testdata", "fixtures", row.request)); err != nil {
+					t.Fatal(err)
+				}
+			}
+			h := &answering{}
+			wireCodec := codec{}
+			dec := func(v any) error { return wireCodec.Unmarshal(body, v) }
+			res, err := m.Handler(h, context.Background(), dec, nil)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if !reflect.DeepEqual(h.got, row.want) {
+				t.Fatalf("handler got %#v, want %#v", h.got, row.want)
+			}
+			b, err := wireCodec.Marshal(res)
+			if err != nil {
+				t.Fatal(err)
+			}
+			got := reflect.New(reflect.TypeOf(row.answer).Elem())
+			if err := wireCodec.Unmarshal(b, got.Interface()); err != nil {
+				t.Fatal(err)
+			}
+			if !reflect.DeepEqual(got.Interface(), row.answer) {
+				t.Fatalf("answer %#v, want %#v", got.Interface(), row.answer)
+			}
+		})
+	}
+}
--- a/internal/share/hold.go
+++ b/internal/share/holder.go
@@ -10,23 +10,23 @@
 	"vetchstream/internal/wire"
 )
 
-// Verdict says what a holder does with a report.
-type Verdict uint8
+// Outcome says what a holder does with a report.
+type Outcome uint8
 
 const (
-	// Elsewhere means that the machine is not in the share; the leader knows who has it.
-	Elsewhere Verdict = iota
-	// Lapsed means that it is in the share, but the grant has ended. Never answered with 200: the leader may
+	// NotHeld means that the machine is not in the share; the leader knows who has it.
+	NotHeld Outcome = iota
+	// GrantExpired means that it is in the share, but the grant has ended. Never answered with 200: the leader may
 	// have given the machine to another.
-	Lapsed
+	GrantExpired
 	// Answered means that the orders are the answer.
 	Answered
-	// Asked means that the report says something new. The orders are the answer if none comes
+	// ReportChanged means that the report says something new. The orders are the answer if none comes
 	// from the leader in time; until then the worker waits.
-	Asked
-	// Required means that the report shows a task of which the leader has not been told. It
+	ReportChanged
+	// LeaderRequired means that the report shows a task of which the leader has not been told. It
 	// may be of a cancelled job, and only the leader's answer halts it: there is no other.
-	Required
+	LeaderRequired
 )
 
 // drift is what a grant loses for the clocks of the two sides: they may differ by
@@ -120,30 +120,30 @@
 // Report takes in a report of a worker. The orders of an answer are exits that the
 // worker may forget; the leader's own go by its answer to a report that says
 // something new, or by direct commands.
-func (h *Holder) Report(m *wire.Report, body []byte, now time.Time) ([]wire.Order, Verdict) {
+func (h *Holder) Report(m *wire.Report, body []byte, now time.Time) ([]wire.Order, Outcome) {
 	k := h.machines[m.Host]
 	if k == nil || k.dropped {
-		return nil, Elsewhere
+		return nil, NotHeld
 	}
 	if !now.Before(h.until) || m.Token > h.term {
-		return nil, Lapsed
+		return nil, GrantExpired
 	}
 	if m.Session < k.session || (m.Session == k.session && m.Seq <= k.seq) {
 		// Held back on its way. An answer would renew nothing that a newer one has not.
-		return nil, Lapsed
+		return nil, GrantExpired
 	}
 	k.session, k.seq, k.at = m.Session, m.Seq, now
 	k.reports++
-	verdict := Answered
+	outcome := Answered
 	d := digest(m)
 	if !k.known || d != k.digest || m.Notice != nil {
-		verdict = Asked
+		outcome = ReportChanged
 		k.list(m)
 	}
 	if k.untold() {
-		verdict = Required
+		outcome = LeaderRequired
 	}
-	if verdict != Answered {
+	if outcome != Answered {
 		k.digest, k.known = d, true
 		k.full, k.fullAt = slices.Clone(body), k.reports
 	}
@@ -152,7 +152,7 @@
 	for _, e := range k.settled {
 		orders = append(orders, wire.Order{Op: wire.Clear, Task: e.task, Attempt: e.attempt})
 	}
-	return orders, verdict
+	return orders, outcome
 }
 
 // list notes what a report shows.
@@ -269,8 +269,8 @@
 			delete(h.machines, name)
 		}
 	}
-	for i := range r.Settled {
-		h.settle(&r.Settled[i])
+	for i := range r.Clearances {
+		h.settle(&r.Clearances[i])
 	}
 	return r.Calls
 }
@@ -278,7 +278,7 @@
 // settle notes exits that may be cleared. One that the last report does not show is
 // dropped: the word is late, the exit has been cleared, and the same attempt of a
 // gang may have come back since.
-func (h *Holder) settle(s *Settled) {
+func (h *Holder) settle(s *ExitClearance) {
 	k := h.machines[s.Host]
 	if k == nil || k.dropped {
 		return
@@ -302,9 +302,9 @@
 	h.have = nil
 }
 
-// Follow ends the grant of an earlier term. The leader of the new one is told what
+// EndTerm ends the grant of an earlier term. The leader of the new one is told what
 // there was.
-func (h *Holder) Follow() {
+func (h *Holder) EndTerm() {
 	h.until, h.have = time.Time{}, nil
 	for name, k := range h.machines {
 		if !k.dropped && k.known {
--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -15,7 +16,7 @@
 type bed struct {
 	t    *testing.T
 	now  time.Time
-	a    *Allotter
+	a    *Assigner
 	h    map[string]*Holder
 	down map[string]bool
 	life uint64
@@ -30,7 +31,7 @@
 	if edit != nil {
 		edit(&set)
 	}
-	b.a = NewAllotter(7, "n0", "a", set, b.now)
+	b.a = NewAssigner(7, "n0", "a", set, b.now)
 	for i := range size {
 		b.a.Known(fmt.Sprintf("host-%d", i), zones[i%3])
 	}
@@ -94,14 +95,31 @@
 	}
 }
 
+// shareCase is a case of TestShare.
+type shareCase struct {
+	name string
+	edit func(*Settings)
+	do   func(b *bed)
+}
+
 // TestShare: who holds how much, and how many machines move.
 func TestShare(t *testing.T) {
+	tests := slices.Concat(shareBalanceCases(), shareLeaderCases(), shareTurnoverCases())
+	for _, tt := range tests {
+		t.Run(tt.name, func(t *testing.T) {
+			b := newBed(t, max(600, 2000*strings.Count(tt.name, "2,000")), tt.edit)
+			b.start("n1", "b")
+			b.start("n2", "c")
+			b.play(30 * time.Second)
+			tt.do(b)
+		})
+	}
+}
+
+// shareBalanceCases: how the machines are divided, and what moves when a holder goes and comes back.
+func shareBalanceCases() []shareCase {
 	third := map[string]int{"n0": 200, "n1": 200, "n2": 200}
-	tests := []struct {
-		name string
-		edit func(*Settings)
-		do   func(b *bed)
-	}{
+	return []shareCase{
 		{"three alike", nil, func(b *bed) { b.held(third) }},
 		{"a small fleet is not shared", func(s *Settings) { s.Least = 601 }, func(b *bed) { b.held(map[string]int{"n0": 600}) }},
 		{"a silent holder's machines go to the others, and nothing else moves", nil, func(b *bed) {
@@ -138,6 +156,13 @@
 				b.t.Errorf("%d changes of holder in two minutes", n)
 			}
 		}},
+	}
+}
+
+// shareLeaderCases: a leader cut from its workers, and a new leader that hears of earlier holders.
+func shareLeaderCases() []shareCase {
+	third := map[string]int{"n0": 200, "n1": 200, "n2": 200}
+	return []shareCase{
 		{"a leader cut from its workers gives their machines to who hands their reports on", nil, func(b *bed) {
 			b.via = "n2"
 			b.play(20 * time.Second)
@@ -146,12 +171,12 @@
 			b.play(100 * time.Second)
 			b.held(third)
 		}},
-		{"a new leader hears of two holders: each keeps what it names first, and no machine has two", nil, func(b *bed) {
+		{"a new leader hears of two holders: each retains what it names first, and no machine has two", nil, func(b *bed) {
 			for _, h := range b.h {
-				h.Follow()
+				h.EndTerm()
 				h.have = append(h.have, "host-1", "host-2") // both say so
 			}
-			b.a = NewAllotter(8, "n0", "a", b.a.set, b.now)
+			b.a = NewAssigner(8, "n0", "a", b.a.set, b.now)
 			for i := range b.size {
 				b.a.Known(fmt.Sprintf("host-%d", i), zones[i%3])
 			}
@@ -173,6 +198,12 @@
 				}
 			}
 		}},
+	}
+}
+
+// shareTurnoverCases: the pace of moves, and workers that do not reach their holder.
+func shareTurnoverCases() []shareCase {
+	return []shareCase{
 		{"2,000 machines whose only holder ends turn at the pace of the workers and the settings", func(s *Settings) { s.PerS = 40 }, func(b *bed) {
 			b.down["n1"] = true
 			b.play(30 * time.Second) // the other has joined late, and has all but the leader's
@@ -200,144 +231,9 @@
 			}
 		}},
 	}
-	for _, tt := range tests {
-		t.Run(tt.name, func(t *testing.T) {
-			b := newBed(t, max(600, 2000*strings.Count(tt.name, "2,000")), tt.edit)
-			b.start("n1", "b")
-			b.start("n2", "c")
-			b.play(30 * time.Second)
-			tt.do(b)
-		})
-	}
-}
-
-// TestHolder: what a holder answers, and what it tells.
-func TestHolder(t *testing.T) {
-	now := time.Unix(1000, 0)
-	body := []byte{1}
-	rep := func(seq uint64, tasks ...wire.TaskReport) *wire.Report {
-		return &wire.Report{Host: "m", Session: 1, Seq: seq, Token: 7, Tasks: tasks}
-	}
-	gone := wire.TaskReport{Task: "run-1/0", Attempt: 3, Phase: wire.Exited, Cause: wire.CauseDone}
-	// A line is a step; what it prints is compared with want.
-	tests := []struct {
-		name string
-		do   func(h *Holder, say func(string, ...any))
-		want string
-	}{
-		{"reports that say the same are told without their body", func(h *Holder, say func(string, ...any)) {
-			h.Report(rep(1), body, now)
-			q := h.Request(1, 1, false, now.Add(time.Second))
-			say("%d entries, body %d, age %d", len(q.Entries), len(q.Entries[0].Report), q.Entries[0].AgeMs)
-			h.Granted(&Reply{Term: 7, Number: 2, ForMs: 2000}, now)
-			h.Report(rep(2), body, now)
-			q = h.Request(1, 1, false, now)
-			say("%d entries, body %d", len(q.Entries), len(q.Entries[0].Report))
-		}, "1 entries, body 1, age 1000; 1 entries, body 0"},
-		{"what was in a request without an answer is told again", func(h *Holder, say func(string, ...any)) {
-			h.Report(rep(1, gone), body, now)
-			h.Finish(Done{ID: 4})
-			h.Request(1, 1, false, now)
-			h.Finish(Done{ID: 5})
-			h.Missed()
-			q := h.Request(1, 1, false, now)
-			say("%d entries, body %d, %d done", len(q.Entries), len(q.Entries[0].Report), len(q.Done))
-			h.Granted(&Reply{Term: 7, Number: 2, ForMs: 2000}, now)
-			q = h.Request(1, 1, false, now)
-			say("%d entries, %d done", len(q.Entries), len(q.Done))
-		}, "1 entries, body 1, 2 done; 0 entries, 0 done"},
-		{"a request stays below what the leader takes; the rest comes next", func(h *Holder, say func(string, ...any)) {
-			for i := range 100 {
-				h.Finish(Done{ID: uint64(i), Report: make([]byte, 3<<10)})
-			}
-			for n := uint64(2); n < 7; n++ {
-				size := 0
-				q := h.Request(1, 1, false, now)
-				for _, d := range q.Done {
-					size += len(d.Report)
-				}
-				say("%d up to %v", len(q.Done), size <= doneBytes+3<<10)
-				h.Granted(&Reply{Term: 7, Number: n, ForMs: 2000}, now)
-			}
-		}, "21 up to true; 21 up to true; 21 up to true; 21 up to true; 16 up to true"},
-		{"an exit is cleared once the leader has settled it, and a late word clears nothing", func(h *Holder, say func(string, ...any)) {
-			o, _ := h.Report(rep(1, gone), body, now)
-			say("%d orders", len(o))
-			settled := []Settled{{Host: "m", Clears: []wire.Order{{Op: wire.Clear, Task: "run-1/0", Attempt: 3}}}}
-			h.Granted(&Reply{Term: 7, Number: 2, ForMs: 2000, Settled: settled}, now)
-			o, _ = h.Report(rep(2, gone), body, now)
-			say("%d orders", len(o))
-			h.Report(rep(3), body, now)
-			h.Granted(&Reply{Term: 7, Number: 3, ForMs: 2000, Settled: settled}, now)
-			o, _ = h.Report(rep(4, gone), body, now) // the same attempt of a gang once more
-			say("%d orders", len(o))
-		}, "0 orders; 1 orders; 0 orders"},
-		{"a report with a task that the leader has not been told of has no other answer, one with an exit or another phase has", func(h *Holder, say func(string, ...any)) {
-			runs := wire.TaskReport{Task: "run-1/1", Attempt: 4, Phase: wire.Pulling}
-			told := func(n uint64) {
-				h.Request(1, 1, false, now)
-				h.Granted(&Reply{Term: 7, Number: n, ForMs: 2000}, now)
-			}
-			required := func(seq uint64, tasks ...wire.TaskReport) {
-				_, v := h.Report(rep(seq, tasks...), body, now)
-				say("%v", v == Required)
-			}
-			required(1, gone)
-			required(2, gone, runs)
-			required(3, gone, runs) // the same once more, the leader's word has not come
-			told(2)
-			required(4, gone, runs)
-			runs.Phase = wire.Running
-			required(5, runs)
-			runs.Attempt++
-			required(6, runs)
-		}, "false; true; true; false; false; true"},
-		{"no answer without a valid grant, for a late report, or below the worker's token", func(h *Holder, say func(string, ...any)) {
-			verdict := func(m *wire.Report, at time.Time) { _, v := h.Report(m, body, at); say("%d", v) }
-			verdict(rep(5), now)
-			verdict(rep(4), now)
-			verdict(rep(6), now.Add(2*time.Second))
-			m := rep(7)
-			m.Token = 8
-			verdict(m, now)
-			m.Host = "other"
-			verdict(m, now)
-		}, "3; 1; 1; 1; 0"},
-		{"a machine that was taken away is told of, then forgotten; one that comes back is told in full", func(h *Holder, say func(string, ...any)) {
-			h.Report(rep(1), body, now)
-			h.Granted(&Reply{Term: 7, Number: 2, ForMs: 2000, Drop: []string{"m"}}, now)
-			_, v := h.Report(rep(2), body, now)
-			q := h.Request(1, 1, false, now)
-			say("%d, %d entries", v, len(q.Entries))
-			h.Granted(&Reply{Term: 7, Number: 3, ForMs: 2000}, now)
-			say("%d machines", len(h.machines))
-			h.Granted(&Reply{Term: 7, Number: 4, ForMs: 2000, Add: []string{"m"}}, now)
-			h.Report(rep(3), body, now)
-			say("body %d", len(h.Request(1, 1, false, now).Entries[0].Report))
-		}, "0, 1 entries; 0 machines; body 1"},
-		{"a new term ends the grant, and is told what there was", func(h *Holder, say func(string, ...any)) {
-			h.Report(rep(1), body, now)
-			h.Follow()
-			say("%v, %v", h.Valid(7, now), h.Request(1, 1, false, now).Have)
-			h.Granted(&Reply{Term: 8, Number: 1, ForMs: 2000, Add: []string{"m"}}, now)
-			say("%v, %v", h.Valid(7, now), h.Valid(8, now))
-		}, "false, [m]; false, true"},
-	}
-	for _, tt := range tests {
-		t.Run(tt.name, func(t *testing.T) {
-			h := NewHolder("n1", "a", 1)
-			h.Request(1, 1, false, now)
-			h.Granted(&Reply{Term: 7, Number: 1, ForMs: 2000, Add: []string{"m"}}, now)
-			var said []string
-			tt.do(h, func(f string, a ...any) { said = append(said, fmt.Sprintf(f, a...)) })
-			if got := strings.Join(said, "; "); got != tt.want {
-				t.Errorf("got %q, want %q", got, tt.want)
-			}
-		})
-	}
 }
 
-// TestKeep: a machine that the leader keeps comes back from its holder, and goes to nobody,
+// TestKeep: a machine that the leader retains comes back from its holder, and goes to nobody,
 // neither by its ranking nor because a member had it before, until it is released.
 func TestKeep(t *testing.T) {
 	b := newBed(t, 30, nil)
