--- a/internal/control/admission.go
+++ b/internal/control/admission.go
@@ -28,23 +28,23 @@
 	groups   *groups
 	teams    *teams
 
-	limit     *rate.Limiter // of the writes of acceptances
-	pending   map[string]*arrival
-	queue     []*arrival // those of them whose commit is not under way
-	flying    int        // commits under way
-	most      int        // submissions in the queue
-	valueMax  int        // bytes that a group record may have
-	turnstile turnstile
+	limit      *rate.Limiter // of the writes of acceptances
+	pending    map[string]*pendingSubmission
+	queue      []*pendingSubmission // those of them whose commit is not under way
+	flying     int                  // commits under way
+	most       int                  // submissions in the queue
+	valueMax   int                  // bytes that a group record may have
+	retryPacer retryPacer
 }
 
-// arrival is a submission that is not durable yet, and who waits for it.
-type arrival struct {
+// pendingSubmission is a submission that is not durable yet, and who waits for it.
+type pendingSubmission struct {
 	rec   *job.Record
 	backs []func(*peer.Reply)
 }
 
 // tell answers those who wait. Whoever comes later is answered later.
-func (in *arrival) tell(p *peer.Reply) {
+func (in *pendingSubmission) tell(p *peer.Reply) {
 	for _, back := range in.backs {
 		back(p)
 	}
@@ -55,7 +55,7 @@
 // the sockets, which their waiting takes.
 func newAdmission(co *core, limit *rate.Limiter, txnOps int, valueKB float64, sockets int) *admission {
 	backlog := queueTime.Seconds() * float64(limit.Limit()) * float64(2*txnOps)
-	return &admission{core: co, limit: limit, pending: map[string]*arrival{}, valueMax: int(valueKB * 1024 * pageShare),
+	return &admission{core: co, limit: limit, pending: map[string]*pendingSubmission{}, valueMax: int(valueKB * 1024 * pageShare),
 		most: max(8, min(int(backlog), sockets/2))}
 }
 
@@ -160,15 +160,15 @@
 	ad.endings.readBack(id, absent, recorded, back)
 }
 
-// turnstile tells those who are turned away when to come back, each at a time of
+// retryPacer tells those who are turned away when to come back, each at a time of
 // its own, so that they do not come back together.
-type turnstile struct {
+type retryPacer struct {
 	perS float64   // submissions that can be stored in a second
 	next time.Time // when the last one that was turned away is expected
 }
 
-// away is when the next one that is turned away should come back.
-func (t *turnstile) away(now time.Time) time.Duration {
+// retryAfter is how long the next one that is turned away should wait before it comes back.
+func (t *retryPacer) retryAfter(now time.Time) time.Duration {
 	t.next = t.next.Add(time.Duration(float64(time.Second) / t.perS))
 	if soon := now.Add(time.Second); t.next.Before(soon) {
 		t.next = soon
@@ -218,7 +218,7 @@
 		ad.endings.readBack(id, bad, recorded, back)
 		return
 	}
-	switch p := ad.c.verdict(spec, ad.names.list(), ad.teams.find(spec.Team)); {
+	switch p := ad.c.admissionRefusal(spec, ad.names.list(), ad.teams.find(spec.Team)); {
 	case p == nil:
 	case p.Status == http.StatusServiceUnavailable:
 		back(p)
@@ -233,11 +233,11 @@
 	}
 	now := time.Now()
 	if len(ad.queue) >= ad.most {
-		ad.turnstile.perS = ad.rate()
-		back(busy(ad.turnstile.away(now)))
+		ad.retryPacer.perS = ad.rate()
+		back(busy(ad.retryPacer.retryAfter(now)))
 		return
 	}
-	in := &arrival{rec: &job.Record{Spec: *spec, At: now.UnixMilli()}, backs: []func(*peer.Reply){back}}
+	in := &pendingSubmission{rec: &job.Record{Spec: *spec, At: now.UnixMilli()}, backs: []func(*peer.Reply){back}}
 	ad.pending[id] = in
 	ad.queue = append(ad.queue, in)
 }
@@ -306,15 +306,19 @@
 }
 
 // done answers all who wait for a submission, for good.
-func (ad *admission) done(in *arrival, p *peer.Reply) {
+func (ad *admission) done(in *pendingSubmission, p *peer.Reply) {
 	delete(ad.pending, in.rec.Spec.ID)
 	in.tell(p)
 }
 
+// storeRetryPause is the wait before admission tries the state service again:
+// after an unclear commit, a conflict that did not name its keys, or a failed read.
+const storeRetryPause = 200 * time.Millisecond
+
 // create makes submissions durable before their users are told: one under its own
 // key, several in a group record. An unclear commit is tried again: either it was
 // applied, and the conditions show it, or the second one takes its place.
-func (ad *admission) create(key string, in []*arrival) {
+func (ad *admission) create(key string, in []*pendingSubmission) {
 	all := func(p *peer.Reply) {
 		ad.ahead(func() {
 			for _, x := range in {
@@ -339,31 +343,11 @@
 			ad.resolve(in[0])
 			return
 		case errors.As(err, &conflict):
-			e, gerr := ad.c.State.Get(ad.ctx, key)
-			switch {
-			case gerr == nil: // the unclear one was applied
-				ad.accepted(key, e.Version, in)
-				return
-			case !errors.Is(gerr, state.ErrNotFound):
-				unclear = true
-				ad.pause(200 * time.Millisecond)
-				continue
-			case slices.Contains(conflict.Failed, ad.fence.Key):
-				all(Later("leadership has changed"))
-				return
-			}
-			// Jobs that are known already must not keep the others out. (An unclear try
-			// with all of them fails from now on: a job's record moves, but never goes.)
-			known, rest := split(in, conflict.Failed)
-			for _, x := range known {
-				ad.resolve(x)
-			}
-			if len(rest) == 0 {
+			rest, unclearNow, over := ad.afterConflict(key, in, conflict, all)
+			if over {
 				return
 			}
-			if in = rest; len(known) == 0 {
-				ad.pause(200 * time.Millisecond) // the service did not say which
-			}
+			in, unclear = rest, unclear || unclearNow
 		case errors.Is(err, state.ErrRefused) && !unclear:
 			// Certainly not stored: the users are told at once to come back.
 			all(Later("state service refuses writes"))
@@ -388,13 +372,13 @@
 					x.tell(Later("submission is not settled yet"))
 				}
 			})
-			ad.pause(200 * time.Millisecond)
+			ad.pause(storeRetryPause)
 		}
 	}
 }
 
 // accepted takes in what has been stored.
-func (ad *admission) accepted(key string, version uint64, in []*arrival) {
+func (ad *admission) accepted(key string, version uint64, in []*pendingSubmission) {
 	kind := "own"
 	if key != "" {
 		kind = "group"
@@ -419,12 +403,12 @@
 }
 
 // resolve answers for a submission whose job exists already.
-func (ad *admission) resolve(in *arrival) {
+func (ad *admission) resolve(in *pendingSubmission) {
 	id := in.rec.Spec.ID
 	for ad.ctx.Err() == nil {
 		found, version, err := lookup(ad.ctx, ad.c.State, id)
 		if err != nil {
-			ad.pause(200 * time.Millisecond)
+			ad.pause(storeRetryPause)
 			continue
 		}
 		ad.ahead(func() {
@@ -449,8 +433,40 @@
 	}
 }
 
+// afterConflict handles a commit whose conditions failed: the unclear try before
+// may have been applied, the leadership may have changed, or some of the jobs are
+// known already. It returns the submissions to try again, and whether the state
+// of the last try is unclear; over means that nothing is left to try.
+func (ad *admission) afterConflict(key string, in []*pendingSubmission, conflict *state.ConflictError, all func(*peer.Reply)) (rest []*pendingSubmission, unclear, over bool) {
+	e, gerr := ad.c.State.Get(ad.ctx, key)
+	switch {
+	case gerr == nil: // the unclear one was applied
+		ad.accepted(key, e.Version, in)
+		return nil, false, true
+	case !errors.Is(gerr, state.ErrNotFound):
+		ad.pause(storeRetryPause)
+		return in, true, false
+	case slices.Contains(conflict.Failed, ad.fence.Key):
+		all(Later("leadership has changed"))
+		return nil, false, true
+	}
+	// Jobs that are known already must not keep the others out. (An unclear try
+	// with all of them fails from now on: a job's record moves, but never goes.)
+	known, rest := split(in, conflict.Failed)
+	for _, x := range known {
+		ad.resolve(x)
+	}
+	if len(rest) == 0 {
+		return nil, false, true
+	}
+	if len(known) == 0 {
+		ad.pause(storeRetryPause) // the service did not say which
+	}
+	return rest, false, false
+}
+
 // split parts the submissions of which a key is named from the others.
-func split(in []*arrival, keys []string) (named, rest []*arrival) {
+func split(in []*pendingSubmission, keys []string) (named, rest []*pendingSubmission) {
 	for _, x := range in {
 		id := x.rec.Spec.ID
 		if slices.Contains(keys, job.ActivePrefix+id) || slices.Contains(keys, job.FinalPrefix+id) {
@@ -464,7 +480,7 @@
 
 // admissionTxn is the transaction that makes jobs durable, each once: one under
 // its own key, or a group's under the group's.
-func admissionTxn(key string, in []*arrival) (txn state.Txn, err error) {
+func admissionTxn(key string, in []*pendingSubmission) (txn state.Txn, err error) {
 	var put state.Write
 	if key == "" {
 		put, err = state.Put(job.ActivePrefix+in[0].rec.Spec.ID, in[0].rec)
--- a/internal/control/group_reader.go
+++ b/internal/control/admission_group_reader.go
@@ -143,54 +143,72 @@
 // acceptance needs; the leader learns of it from a watch, the next one when it
 // loads. It is written without the term: nothing of it is decided here.
 func (c *Controller) Admit(ctx context.Context, body []byte) *peer.Reply {
-	later := func() *peer.Reply { return Later("no leader is to be reached") }
 	id, spec, invalid := submission(body)
-	var refusal *peer.Reply
-	var unchanged []state.Cond // what the verdict rests on
+	refusal, unchanged, err := c.admissionCheck(ctx, spec, invalid)
+	if err != nil {
+		return noLeader()
+	}
+	if refusal != nil {
+		return c.refuseUnlessRecorded(ctx, id, refusal)
+	}
+	return c.admitWithoutLeader(ctx, id, spec, unchanged)
+}
+
+// noLeader tells the client to come back when no leader is to be reached.
+func noLeader() *peer.Reply { return Later("no leader is to be reached") }
+
+// admissionCheck is the refusal of a submission, or nil, with the conditions on
+// the state service that the decision rests on; err: they could not be read.
+func (c *Controller) admissionCheck(ctx context.Context, spec *job.Spec, invalid error) (refusal *peer.Reply, unchanged []state.Cond, err error) {
 	if invalid != nil {
-		refusal = reply(http.StatusBadRequest, wire.Error{Error: invalid.Error()})
-	} else {
-		types, err := c.knownTypes(ctx)
-		if err != nil {
-			return later()
-		}
-		team, conds, err := c.storedTeam(ctx, spec.Team)
-		if err != nil {
-			return later()
-		}
-		unchanged = conds
-		refusal = c.verdict(spec, types, team)
+		return reply(http.StatusBadRequest, wire.Error{Error: invalid.Error()}), nil, nil
 	}
-	if refusal != nil && (id == "" || refusal.Status == http.StatusServiceUnavailable) {
-		return refusal
+	types, err := c.knownTypes(ctx)
+	if err != nil {
+		return nil, nil, err
 	}
-	if refusal != nil {
-		// A known id wins over every check.
-		switch rec, err := c.find(ctx, id); {
-		case err != nil:
-			return later()
-		case rec != nil:
-			return recorded(rec)
-		}
+	team, conds, err := c.storedTeam(ctx, spec.Team)
+	if err != nil {
+		return nil, nil, err
+	}
+	return c.admissionRefusal(spec, types, team), conds, nil
+}
+
+// refuseUnlessRecorded answers a refused submission: a job whose id is known
+// already is answered with its record, since a known id wins over every check.
+func (c *Controller) refuseUnlessRecorded(ctx context.Context, id string, refusal *peer.Reply) *peer.Reply {
+	if id == "" || refusal.Status == http.StatusServiceUnavailable {
 		return refusal
 	}
+	switch rec, err := c.find(ctx, id); {
+	case err != nil:
+		return noLeader()
+	case rec != nil:
+		return recorded(rec)
+	}
+	return refusal
+}
+
+// admitWithoutLeader commits the record of a job that passed the checks, on the
+// condition that what the checks read is unchanged.
+func (c *Controller) admitWithoutLeader(ctx context.Context, id string, spec *job.Spec, unchanged []state.Cond) *peer.Reply {
 	// The commit itself tells whether the job has a record of its own.
 	switch rec, err := c.groups.find(ctx, id); {
 	case err != nil:
-		return later()
+		return noLeader()
 	case rec != nil:
 		return recorded(rec)
 	}
 	rec := &job.Record{Spec: *spec, At: time.Now().UnixMilli()}
-	txn, err := admissionTxn("", []*arrival{{rec: rec}})
+	txn, err := admissionTxn("", []*pendingSubmission{{rec: rec}})
 	if err != nil {
-		return later()
+		return noLeader()
 	}
 	txn.If = append(txn.If, unchanged...)
 	// What does not fit the budget now is refused at once: waiting would hold up
 	// every later request of this node.
 	if c.State.Spare() < 1 {
-		return later()
+		return noLeader()
 	}
 	_, err = c.State.CommitOnce(ctx, txn)
 	switch {
@@ -198,10 +216,10 @@
 		if rec, err := c.find(ctx, id); err == nil && rec != nil {
 			return recorded(rec)
 		}
-		return later()
+		return noLeader()
 	case err != nil:
 		// Unclear, it may be: for the user's next try to settle.
-		return later()
+		return noLeader()
 	}
 	c.Meter.Add(meter.Accepted, "without the leader", 1)
 	c.Log.Info("admitted a job without the leader", "job", id)
--- a/internal/control/groups_test.go
+++ b/internal/control/admission_groups_test.go
@@ -142,14 +142,7 @@
 }
 
 func (s *stateService) ServeHTTP(rw http.ResponseWriter, q *http.Request) {
-	answer := func(status int, v any) {
-		b, err := wire.Marshal(v)
-		if err != nil {
-			panic(err)
-		}
-		rw.WriteHeader(status)
-		_, _ = rw.Write(b)
-	}
+	answer := func(status int, v any) { writeAnswer(rw, status, v) }
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	path := q.URL.Path
@@ -157,36 +150,7 @@
 	case s.out:
 		answer(503, map[string]any{})
 	case path == "/commit":
-		b, _ := io.ReadAll(q.Body)
-		var t state.Txn
-		if err := wire.Unmarshal(b, &t); err != nil || len(t.Writes) > s.most || len(t.If) > 4*s.most {
-			answer(400, wire.Error{Error: "malformed"})
-			return
-		}
-		f := served
-		of := func(prefixes string) bool {
-			return slices.ContainsFunc(t.Writes, func(w state.Write) bool { return strings.ContainsAny((w.Put + w.Delete)[:1], prefixes) })
-		}
-		if of("jgf") {
-			s.txns++
-		}
-		if of(s.doom) && len(s.fates) > 0 {
-			f, s.fates = s.fates[0], s.fates[1:]
-		}
-		switch f {
-		case served:
-			answer(s.apply(t))
-			return
-		case unheard:
-			s.apply(t)
-		case late, latest:
-			time.AfterFunc(map[fate]time.Duration{late: time.Second, latest: 8 * time.Second}[f], func() {
-				s.mu.Lock()
-				defer s.mu.Unlock()
-				s.apply(t)
-			})
-		}
-		panic(http.ErrAbortHandler)
+		s.serveCommit(q, answer)
 	case path == "/kv":
 		out := []state.Entry{}
 		for _, k := range slices.Sorted(maps.Keys(s.kv)) {
@@ -202,18 +166,69 @@
 			return
 		}
 		answer(200, e)
-	default: // a watch
-		s.mu.Unlock()
-		time.Sleep(100 * time.Millisecond)
-		s.mu.Lock()
-		var events []state.Event
-		for k := range s.kv {
-			if strings.HasPrefix(k, job.ActivePrefix) && !s.mute {
-				events = append(events, state.Event{Put: k})
-			}
+	default:
+		s.serveWatch(answer)
+	}
+}
+
+// writeAnswer writes an encoded answer.
+func writeAnswer(rw http.ResponseWriter, status int, v any) {
+	b, err := wire.Marshal(v)
+	if err != nil {
+		panic(err)
+	}
+	rw.WriteHeader(status)
+	_, _ = rw.Write(b)
+}
+
+// serveCommit applies a transaction, or loses its answer, as the next fate says.
+// It is called with s.mu held.
+func (s *stateService) serveCommit(q *http.Request, answer func(int, any)) {
+	b, _ := io.ReadAll(q.Body)
+	var t state.Txn
+	if err := wire.Unmarshal(b, &t); err != nil || len(t.Writes) > s.most || len(t.If) > 4*s.most {
+		answer(400, wire.Error{Error: "malformed"})
+		return
+	}
+	f := served
+	of := func(prefixes string) bool {
+		return slices.ContainsFunc(t.Writes, func(w state.Write) bool { return strings.ContainsAny((w.Put + w.Delete)[:1], prefixes) })
+	}
+	if of("jgf") {
+		s.txns++
+	}
+	if of(s.doom) && len(s.fates) > 0 {
+		f, s.fates = s.fates[0], s.fates[1:]
+	}
+	switch f {
+	case served:
+		answer(s.apply(t))
+		return
+	case unheard:
+		s.apply(t)
+	case late, latest:
+		time.AfterFunc(map[fate]time.Duration{late: time.Second, latest: 8 * time.Second}[f], func() {
+			s.mu.Lock()
+			defer s.mu.Unlock()
+			s.apply(t)
+		})
+	}
+	panic(http.ErrAbortHandler)
+}
+
+// serveWatch answers a watch with the active jobs, after a pause. It is called
+// with s.mu held, and lets it go while it waits.
+func (s *stateService) serveWatch(answer func(int, any)) {
+	s.mu.Unlock()
+	time.Sleep(100 * time.Millisecond)
+	s.mu.Lock()
+	var events []state.Event
+	for k := range s.kv {
+		if strings.HasPrefix(k, job.ActivePrefix) && !s.mute {
+			events = append(events, state.Event{Put: k})
 		}
-		answer(200, map[string]any{"epoch": s.rev, "events": events})
 	}
+	answer(200, map[string]any{"epoch": s.rev, "events": events})
 }
 
 // jobs counts the entries of active jobs, in groups and alone.
@@ -354,198 +369,203 @@
 	return n
 }
 
-// TestGroups: submissions that come together are stored together, and each keeps
-// its own answer.
-func TestGroups(t *testing.T) {
-	tests := []struct {
-		name string
-		do   func(t *testing.T, s *stateService)
-	}{
-		{"a swarm takes few writes, and one job a record of its own", func(t *testing.T, s *stateService) {
-			st := sit(t, s, 1)
-			if out := st.submit(swarm(0, 1)...); out[0] != 201 || s.keys("j") != 1 {
-				t.Errorf("one job: %v, %d records", out, s.keys("j"))
-			}
-			s.will("g")
-			if out := st.submit(swarm(100, 200)...); count(out, 201) != 200 {
-				t.Errorf("%d of 200 accepted", count(out, 201))
-			}
-			if txns, _ := s.seen(); txns > 30 {
-				t.Errorf("%d writes for 200 jobs", txns)
-			}
-		}},
-		{"malformed, impossible and repeated ones are answered each on its own", func(t *testing.T, s *stateService) {
-			st := sit(t, s, 1)
-			out := st.submit(body("run-1", nil), body("run-2", map[string]any{"pieces": -1}), body("run-3", map[string]any{"cpus": 99.0}),
-				body("run-4", nil), body("run-4", nil), body("run-5", map[string]any{"owner": "green"}))
-			again := slices.Clone(out[3:5]) // the two that repeat each other may come one after the other
-			out = slices.Delete(out, 3, 5)
-			if want := []int{201, 400, 422, 422}; !slices.Equal(out, want) || again[0]/100 != 2 || again[1]/100 != 2 {
-				t.Errorf("answers %v, want %v; to the repeated one %v", out, want, again)
-			}
-			if out := st.submit(body("run-4", nil)); out[0] != 200 {
-				t.Errorf("once more: %v", out)
-			}
-		}},
-		{"an unclear commit in the middle of a group that was applied", func(t *testing.T, s *stateService) {
-			st := sit(t, s, 1)
-			s.will("g", unheard)
-			st.submit(swarm(0, 100)...)
-			time.Sleep(2 * time.Second)
-			if out := st.submit(swarm(0, 100)...); count(out, 200) != 100 || s.jobs() != 100 {
-				t.Errorf("after it: %v, %d jobs", out, s.jobs())
-			}
-			if _, left := s.seen(); left > 0 {
-				t.Error("no group was stored")
-			}
-		}},
-		{"an unclear commit that is applied after the second try", func(t *testing.T, s *stateService) {
-			st := sit(t, s, 1)
-			s.will("g", late)
-			st.submit(swarm(0, 100)...)
-			time.Sleep(5 * time.Second)
-			if out := st.submit(swarm(0, 100)...); count(out, 200) != 100 || s.jobs() != 100 {
-				t.Errorf("after it: %v, %d jobs", out, s.jobs())
-			}
-			if _, left := s.seen(); left > 0 {
-				t.Error("no group was stored")
-			}
-		}},
-		{"a job alone that was stored and whose answer is lost, while another node reads it", func(t *testing.T, s *stateService) {
-			st := sit(t, s, 1)
-			s.will("j", unheard)
-			go st.ask(peer.KindSubmit, "", body("run-1", nil))
-			time.Sleep(50 * time.Millisecond)
-			if p := st.Direct(context.Background(), "run-1"); p.Status != 200 {
-				t.Errorf("another node says %d", p.Status)
-			}
-			if p := st.ask(peer.KindStatus, "run-1", nil); p.Status != 200 && p.Status != 503 {
-				t.Errorf("the leader says %d", p.Status)
-			}
-			time.Sleep(2 * time.Second)
-			if out := st.submit(body("run-1", nil)); out[0] != 200 || st.phase("run-1") != wire.JobPending || s.jobs() != 1 {
-				t.Errorf("once more: %v, %d jobs", out, s.jobs())
-			}
-		}},
-		{"admitted by another node, its answer lost, and asked again at the leader", func(t *testing.T, s *stateService) {
-			st := sit(t, s, 1)
-			s.will("j", unheard)
-			if p := st.Admit(context.Background(), body("run-1", nil)); p.Status != 503 {
-				t.Errorf("not settled: %d", p.Status)
-			}
-			for i, ask := range []func() int{func() int { return st.Admit(context.Background(), body("run-1", nil)).Status }, func() int { return st.submit(body("run-1", nil))[0] }} {
-				if status := ask(); status != 200 {
-					t.Errorf("try %d: %d", i, status)
-				}
-			}
-			if p := st.ask(peer.KindAbort, "run-1", nil); p.Status != 200 || st.phase("run-1") != wire.JobAborted {
-				t.Errorf("cancelled: %d, and it is %s", p.Status, st.phase("run-1"))
-			}
-		}},
-		{"jobs that another node has admitted do not keep out the others", func(t *testing.T, s *stateService) {
-			st := sit(t, s, 1)
-			for _, b := range swarm(15, 3) {
-				if p := st.Admit(context.Background(), b); p.Status != 201 {
-					t.Fatalf("admitted: %d", p.Status)
-				}
+// groupsCase is a case of TestGroups: do runs against a fresh state service.
+type groupsCase struct {
+	name string
+	do   func(t *testing.T, s *stateService)
+}
+
+// groupsCases are the cases of TestGroups.
+var groupsCases = []groupsCase{
+	{"a swarm takes few writes, and one job a record of its own", func(t *testing.T, s *stateService) {
+		st := sit(t, s, 1)
+		if out := st.submit(swarm(0, 1)...); out[0] != 201 || s.keys("j") != 1 {
+			t.Errorf("one job: %v, %d records", out, s.keys("j"))
+		}
+		s.will("g")
+		if out := st.submit(swarm(100, 200)...); count(out, 201) != 200 {
+			t.Errorf("%d of 200 accepted", count(out, 201))
+		}
+		if txns, _ := s.seen(); txns > 30 {
+			t.Errorf("%d writes for 200 jobs", txns)
+		}
+	}},
+	{"malformed, impossible and repeated ones are answered each on its own", func(t *testing.T, s *stateService) {
+		st := sit(t, s, 1)
+		out := st.submit(body("run-1", nil), body("run-2", map[string]any{"pieces": -1}), body("run-3", map[string]any{"cpus": 99.0}),
+			body("run-4", nil), body("run-4", nil), body("run-5", map[string]any{"owner": "green"}))
+		again := slices.Clone(out[3:5]) // the two that repeat each other may come one after the other
+		out = slices.Delete(out, 3, 5)
+		if want := []int{201, 400, 422, 422}; !slices.Equal(out, want) || again[0]/100 != 2 || again[1]/100 != 2 {
+			t.Errorf("answers %v, want %v; to the repeated one %v", out, want, again)
+		}
+		if out := st.submit(body("run-4", nil)); out[0] != 200 {
+			t.Errorf("once more: %v", out)
+		}
+	}},
+	{"an unclear commit in the middle of a group that was applied", func(t *testing.T, s *stateService) {
+		st := sit(t, s, 1)
+		s.will("g", unheard)
+		st.submit(swarm(0, 100)...)
+		time.Sleep(2 * time.Second)
+		if out := st.submit(swarm(0, 100)...); count(out, 200) != 100 || s.jobs() != 100 {
+			t.Errorf("after it: %v, %d jobs", out, s.jobs())
+		}
+		if _, left := s.seen(); left > 0 {
+			t.Error("no group was stored")
+		}
+	}},
+	{"an unclear commit that is applied after the second try", func(t *testing.T, s *stateService) {
+		st := sit(t, s, 1)
+		s.will("g", late)
+		st.submit(swarm(0, 100)...)
+		time.Sleep(5 * time.Second)
+		if out := st.submit(swarm(0, 100)...); count(out, 200) != 100 || s.jobs() != 100 {
+			t.Errorf("after it: %v, %d jobs", out, s.jobs())
+		}
+		if _, left := s.seen(); left > 0 {
+			t.Error("no group was stored")
+		}
+	}},
+	{"a job alone that was stored and whose answer is lost, while another node reads it", func(t *testing.T, s *stateService) {
+		st := sit(t, s, 1)
+		s.will("j", unheard)
+		go st.ask(peer.KindSubmit, "", body("run-1", nil))
+		time.Sleep(50 * time.Millisecond)
+		if p := st.Direct(context.Background(), "run-1"); p.Status != 200 {
+			t.Errorf("another node says %d", p.Status)
+		}
+		if p := st.ask(peer.KindStatus, "run-1", nil); p.Status != 200 && p.Status != 503 {
+			t.Errorf("the leader says %d", p.Status)
+		}
+		time.Sleep(2 * time.Second)
+		if out := st.submit(body("run-1", nil)); out[0] != 200 || st.phase("run-1") != wire.JobPending || s.jobs() != 1 {
+			t.Errorf("once more: %v, %d jobs", out, s.jobs())
+		}
+	}},
+	{"admitted by another node, its answer lost, and asked again at the leader", func(t *testing.T, s *stateService) {
+		st := sit(t, s, 1)
+		s.will("j", unheard)
+		if p := st.Admit(context.Background(), body("run-1", nil)); p.Status != 503 {
+			t.Errorf("not settled: %d", p.Status)
+		}
+		for i, ask := range []func() int{func() int { return st.Admit(context.Background(), body("run-1", nil)).Status }, func() int { return st.submit(body("run-1", nil))[0] }} {
+			if status := ask(); status != 200 {
+				t.Errorf("try %d: %d", i, status)
 			}
-			if out := st.submit(swarm(0, 20)...); count(out, 201) != 17 || count(out, 200) != 3 {
-				t.Errorf("answers %v", out)
+		}
+		if p := st.ask(peer.KindAbort, "run-1", nil); p.Status != 200 || st.phase("run-1") != wire.JobAborted {
+			t.Errorf("cancelled: %d, and it is %s", p.Status, st.phase("run-1"))
+		}
+	}},
+	{"jobs that another node has admitted do not keep out the others", func(t *testing.T, s *stateService) {
+		st := sit(t, s, 1)
+		for _, b := range swarm(15, 3) {
+			if p := st.Admit(context.Background(), b); p.Status != 201 {
+				t.Fatalf("admitted: %d", p.Status)
 			}
-		}},
-		{"the same group admitted by two nodes is one job each, done once", func(t *testing.T, s *stateService) {
-			st := sit(t, s, 1)
-			s.will("g", late) // the leader's comes after the other node's answer
-			var wg sync.WaitGroup
-			wg.Go(func() { st.submit(swarm(0, 40)...) })
-			for _, b := range swarm(0, 20) {
-				wg.Go(func() { st.Admit(context.Background(), b) })
+		}
+		if out := st.submit(swarm(0, 20)...); count(out, 201) != 17 || count(out, 200) != 3 {
+			t.Errorf("answers %v", out)
+		}
+	}},
+	{"the same group admitted by two nodes is one job each, done once", func(t *testing.T, s *stateService) {
+		st := sit(t, s, 1)
+		s.will("g", late) // the leader's comes after the other node's answer
+		var wg sync.WaitGroup
+		wg.Go(func() { st.submit(swarm(0, 40)...) })
+		for _, b := range swarm(0, 20) {
+			wg.Go(func() { st.Admit(context.Background(), b) })
+		}
+		wg.Wait()
+		time.Sleep(3 * time.Second)
+		for _, b := range swarm(20, 20) { // as it would be if the group had come between its look and its commit
+			_, spec, _ := submission(b)
+			if key := job.ActivePrefix + spec.ID; s.absent(key) {
+				s.put(key, &job.Record{Spec: *spec})
 			}
-			wg.Wait()
-			time.Sleep(3 * time.Second)
-			for _, b := range swarm(20, 20) { // as it would be if the group had come between its look and its commit
-				_, spec, _ := submission(b)
-				if key := job.ActivePrefix + spec.ID; s.absent(key) {
-					s.put(key, &job.Record{Spec: *spec})
-				}
+		}
+		time.Sleep(3 * time.Second)
+		for i := range 40 {
+			if p := st.ask(peer.KindAbort, fmt.Sprintf("run-%d", i), nil); p.Status != 200 {
+				t.Errorf("cancel: %d", p.Status)
 			}
-			time.Sleep(3 * time.Second)
-			for i := range 40 {
+		}
+		time.Sleep(time.Minute)
+		if s.keys("jg") != 0 || s.keys("f") != 40 {
+			t.Errorf("%d records of active jobs and groups, %d final ones", s.keys("jg"), s.keys("f"))
+		}
+	}},
+	{"ends that come together take one write, and an unclear one that was applied is told", func(t *testing.T, s *stateService) {
+		st := sit(t, s, 1)
+		st.submit(swarm(0, 100)...)
+		before := s.keys("j")
+		s.will("g", unheard)
+		var wg sync.WaitGroup
+		for i := range 100 {
+			wg.Go(func() {
 				if p := st.ask(peer.KindAbort, fmt.Sprintf("run-%d", i), nil); p.Status != 200 {
-					t.Errorf("cancel: %d", p.Status)
+					t.Errorf("run-%d: %d", i, p.Status)
 				}
+			})
+		}
+		wg.Wait()
+		if txns, left := s.seen(); left > 0 || txns-before > (100-before)/2 {
+			t.Errorf("%d writes for 100 ends, %d of them of jobs alone", txns, before)
+		}
+	}},
+	{"what another node reads as over the leader does not call active, before it knows", func(t *testing.T, s *stateService) {
+		st := sit(t, s, 1)
+		st.submit(swarm(0, 30)...)
+		for i := range 30 {
+			id := fmt.Sprintf("run-%d", i)
+			s.will("jgf", unheard)
+			go st.ask(peer.KindAbort, id, nil)
+			time.Sleep(100 * time.Millisecond)
+			var told wire.Status
+			if p := st.Direct(context.Background(), id); wire.Unmarshal(p.Body, &told) != nil || told.Phase != wire.JobAborted {
+				continue // its commit waits for others
 			}
-			time.Sleep(time.Minute)
-			if s.keys("jg") != 0 || s.keys("f") != 40 {
-				t.Errorf("%d records of active jobs and groups, %d final ones", s.keys("jg"), s.keys("f"))
-			}
-		}},
-		{"ends that come together take one write, and an unclear one that was applied is told", func(t *testing.T, s *stateService) {
-			st := sit(t, s, 1)
-			st.submit(swarm(0, 100)...)
-			before := s.keys("j")
-			s.will("g", unheard)
-			var wg sync.WaitGroup
-			for i := range 100 {
-				wg.Go(func() {
-					if p := st.ask(peer.KindAbort, fmt.Sprintf("run-%d", i), nil); p.Status != 200 {
-						t.Errorf("run-%d: %d", i, p.Status)
-					}
-				})
+			if got := st.phase(id); got != wire.JobAborted {
+				t.Errorf("%s is %s at the leader", id, got)
 			}
-			wg.Wait()
-			if txns, left := s.seen(); left > 0 || txns-before > (100-before)/2 {
-				t.Errorf("%d writes for 100 ends, %d of them of jobs alone", txns, before)
+			if out := st.submit(body(id, nil)); out[0] != 200 {
+				t.Errorf("%s once more: %d", id, out[0])
 			}
-		}},
-		{"what another node reads as over the leader does not call active, before it knows", func(t *testing.T, s *stateService) {
-			st := sit(t, s, 1)
-			st.submit(swarm(0, 30)...)
-			for i := range 30 {
-				id := fmt.Sprintf("run-%d", i)
-				s.will("jgf", unheard)
-				go st.ask(peer.KindAbort, id, nil)
-				time.Sleep(100 * time.Millisecond)
-				var told wire.Status
-				if p := st.Direct(context.Background(), id); wire.Unmarshal(p.Body, &told) != nil || told.Phase != wire.JobAborted {
-					continue // its commit waits for others
-				}
-				if got := st.phase(id); got != wire.JobAborted {
-					t.Errorf("%s is %s at the leader", id, got)
+		}
+	}},
+	{"a state service that takes less at a time", func(t *testing.T, s *stateService) {
+		s.most = 3 // before anybody asks
+		st := sit(t, s, 1)
+		st.submit(swarm(0, 40)...)
+		time.Sleep(5 * time.Second)
+		if out := st.submit(swarm(0, 40)...); count(out, 200) != 40 {
+			t.Errorf("answers %v", out)
+		}
+	}},
+	{"a node that does not lead finds them with one listing for all who wait", func(t *testing.T, s *stateService) {
+		st := sit(t, s, 1)
+		st.submit(swarm(0, 60)...)
+		var wg sync.WaitGroup
+		for i := range 61 {
+			wg.Go(func() {
+				want := 200
+				if i == 60 {
+					want = 404
 				}
-				if out := st.submit(body(id, nil)); out[0] != 200 {
-					t.Errorf("%s once more: %d", id, out[0])
+				if p := st.Direct(context.Background(), fmt.Sprintf("run-%d", i)); p.Status != want {
+					t.Errorf("run-%d: %d, want %d", i, p.Status, want)
 				}
-			}
-		}},
-		{"a state service that takes less at a time", func(t *testing.T, s *stateService) {
-			s.most = 3 // before anybody asks
-			st := sit(t, s, 1)
-			st.submit(swarm(0, 40)...)
-			time.Sleep(5 * time.Second)
-			if out := st.submit(swarm(0, 40)...); count(out, 200) != 40 {
-				t.Errorf("answers %v", out)
-			}
-		}},
-		{"a node that does not lead finds them with one listing for all who wait", func(t *testing.T, s *stateService) {
-			st := sit(t, s, 1)
-			st.submit(swarm(0, 60)...)
-			var wg sync.WaitGroup
-			for i := range 61 {
-				wg.Go(func() {
-					want := 200
-					if i == 60 {
-						want = 404
-					}
-					if p := st.Direct(context.Background(), fmt.Sprintf("run-%d", i)); p.Status != want {
-						t.Errorf("run-%d: %d, want %d", i, p.Status, want)
-					}
-				})
-			}
-			wg.Wait()
-		}},
-	}
-	for _, tt := range tests {
+			})
+		}
+		wg.Wait()
+	}},
+}
+
+// TestGroups: submissions that come together are stored together, and each retains
+// its own answer.
+func TestGroups(t *testing.T) {
+	for _, tt := range groupsCases {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) { tt.do(t, newStateService(t)) })
@@ -821,7 +841,7 @@
 					if phase != "" {
 						r.endings.remember(&job.Record{Spec: rec.Spec, Phase: phase})
 					}
-					in := &arrival{rec: rec, backs: []func(*peer.Reply){func(p *peer.Reply) { got <- p }}}
+					in := &pendingSubmission{rec: rec, backs: []func(*peer.Reply){func(p *peer.Reply) { got <- p }}}
 					r.admission.pending["run-5"] = in
 					go r.admission.resolve(in)
 				})
@@ -843,96 +863,114 @@
 // out at once or after newer ones. What operators were told last stands, also at the next
 // leader.
 func TestLateRecords(t *testing.T) {
-	type op struct {
-		peer.Operation
-		spec map[string]any
-	}
-	day := func(d, h int) string {
-		return time.Date(2000, 1, 1+d, h, 0, 0, 0, time.UTC).Format(time.RFC3339) // simulated time begins in 2000
-	}
-	named := func(verb string, window bool) op {
-		return op{peer.Operation{Verb: verb, Service: "x", Window: window}, nil}
-	}
-	records := []struct {
-		name, kind, doom string
-		ops              []op
-		want             string // in the state after the last of them; empty: it is not there
-	}{
-		{"a roll-out is started", peer.KindRollout, "r", []op{
-			{peer.Operation{Verb: peer.VerbStart}, map[string]any{"service": "x", "from": "run-1", "to": map[string]any{"uid": "run-2", "reel": "n"}}}}, "run-2"},
-		{"a roll-out is started and paused", peer.KindRollout, "r", []op{
-			{peer.Operation{Verb: peer.VerbStart}, map[string]any{"service": "x", "from": "run-1", "to": map[string]any{"uid": "run-2", "reel": "n"}}},
-			named(peer.VerbPause, false)}, "paused"},
-		{"a reservation is made", peer.KindCalendar, "c", []op{
-			{peer.Operation{Verb: peer.VerbStart}, map[string]any{"name": "x", "team": "red", "parts": 1, "cpus": 1.0, "mem_gb": 1.0, "start": day(2, 1), "end": day(2, 2)}}}, "booked"},
-		{"a reservation is made and cancelled", peer.KindCalendar, "c", []op{
-			{peer.Operation{Verb: peer.VerbStart}, map[string]any{"name": "x", "team": "red", "parts": 1, "cpus": 1.0, "mem_gb": 1.0, "start": day(2, 1), "end": day(2, 2)}},
-			named(peer.VerbCancel, false)}, ""},
-		{"a window is planned", peer.KindCalendar, "c", []op{
-			{peer.Operation{Verb: peer.VerbStart, Window: true}, map[string]any{"name": "x", "yard": "a", "start": day(3, 1), "end": day(3, 2), "force": true}}}, "2000-01-04"},
-		{"a window is planned and cancelled", peer.KindCalendar, "c", []op{
-			{peer.Operation{Verb: peer.VerbStart, Window: true}, map[string]any{"name": "x", "yard": "a", "start": day(3, 1), "end": day(3, 2), "force": true}},
-			named(peer.VerbCancel, true)}, ""},
-	}
-	for _, rec := range records {
+	for _, rec := range lateRecords {
 		for name, fates := range map[string][]fate{"carried out at once": {unheard}, "late": {late}, "after newer ones": {latest}, "twice": {latest, latest},
 			"the second at once": {served, unheard}, "the second late": {served, latest}} {
 			t.Run(rec.name+", "+name, func(t *testing.T) {
 				t.Parallel()
-				synctest.Test(t, func(t *testing.T) {
-					s := newStateService(t)
-					s.put(job.ActivePrefix+"run-1", &job.Record{Spec: job.Spec{ID: "run-1", Team: "red", ShapeName: "daemon", RankName: "idle", Tasks: 1, CPUs: 1, Image: "o"}})
-					on := func(tun *config.Tuning) { tun.Rollouts.Enabled, tun.Calendar.Enabled = true, true }
-					st := sitWith(t, s, 7, on)
-					ask := func(st *seat, o op) *peer.Reply {
-						if o.spec != nil {
-							b, err := wire.Marshal(o.spec)
-							if err != nil {
-								t.Fatal(err)
-							}
-							o.Spec = b
-						}
-						b, err := wire.Marshal(o.Operation)
-						if err != nil {
-							t.Fatal(err)
-						}
-						p := st.ask(rec.kind, "", b)
-						for range 30 {
-							if p.Status < 500 {
-								break
-							}
-							time.Sleep(time.Second)
-							p = st.ask(rec.kind, "", b)
-						}
-						return p
-					}
-					s.will(rec.doom, fates...)
-					for _, o := range rec.ops {
-						if p := ask(st, o); p.Status/100 != 2 {
-							t.Fatalf("%s: %d %s", o.Verb, p.Status, p.Body)
-						}
-					}
-					if _, left := s.seen(); left == len(fates) {
-						t.Error("no transaction met its fate")
-					}
-					look := named(peer.VerbStatus, strings.Contains(rec.name, "window"))
-					told := func(st *seat, who string) {
-						p := ask(st, look)
-						if (rec.want == "") != (p.Status == http.StatusNotFound) || !strings.Contains(string(p.Body), rec.want) {
-							t.Errorf("%s: %d %q, want %q", who, p.Status, p.Body, rec.want)
-						}
-					}
-					told(st, "the leader")
-					time.Sleep(20 * time.Second)
-					told(st, "the leader, later")
-					st.stop()
-					told(sitWith(t, s, 8, on), "the next one")
-				})
+				synctest.Test(t, func(t *testing.T) { checkLateRecord(t, rec, fates) })
 			})
 		}
 	}
 }
 
+// lateOp is an operation of TestLateRecords, with the spec that goes into its body.
+type lateOp struct {
+	peer.Operation
+	spec map[string]any
+}
+
+// simDay is hour h of day d of the simulated time, which begins in 2000.
+func simDay(d, h int) string {
+	return time.Date(2000, 1, 1+d, h, 0, 0, 0, time.UTC).Format(time.RFC3339)
+}
+
+// namedOp is an operation on the roll-out of service x, or the calendar entry x.
+func namedOp(verb string, window bool) lateOp {
+	return lateOp{peer.Operation{Verb: verb, Service: "x", Window: window}, nil}
+}
+
+// lateRecord is a case of TestLateRecords.
+type lateRecord struct {
+	name, kind, doom string
+	ops              []lateOp
+	want             string // in the state after the last of them; empty: it is not there
+}
+
+// lateRecords are the cases of TestLateRecords.
+var lateRecords = []lateRecord{
+	{"a roll-out is started", peer.KindRollout, "r", []lateOp{
+		{peer.Operation{Verb: peer.VerbStart}, map[string]any{"service": "x", "from": "run-1", "to": map[string]any{"uid": "run-2", "reel": "n"}}}}, "run-2"},
+	{"a roll-out is started and paused", peer.KindRollout, "r", []lateOp{
+		{peer.Operation{Verb: peer.VerbStart}, map[string]any{"service": "x", "from": "run-1", "to": map[string]any{"uid": "run-2", "reel": "n"}}},
+		namedOp(peer.VerbPause, false)}, "paused"},
+	{"a reservation is made", peer.KindCalendar, "c", []lateOp{
+		{peer.Operation{Verb: peer.VerbStart}, map[string]any{"name": "x", "team": "red", "parts": 1, "cpus": 1.0, "mem_gb": 1.0, "start": simDay(2, 1), "end": simDay(2, 2)}}}, "booked"},
+	{"a reservation is made and cancelled", peer.KindCalendar, "c", []lateOp{
+		{peer.Operation{Verb: peer.VerbStart}, map[string]any{"name": "x", "team": "red", "parts": 1, "cpus": 1.0, "mem_gb": 1.0, "start": simDay(2, 1), "end": simDay(2, 2)}},
+		namedOp(peer.VerbCancel, false)}, ""},
+	{"a window is planned", peer.KindCalendar, "c", []lateOp{
+		{peer.Operation{Verb: peer.VerbStart, Window: true}, map[string]any{"name": "x", "yard": "a", "start": simDay(3, 1), "end": simDay(3, 2), "force": true}}}, "2000-01-04"},
+	{"a window is planned and cancelled", peer.KindCalendar, "c", []lateOp{
+		{peer.Operation{Verb: peer.VerbStart, Window: true}, map[string]any{"name": "x", "yard": "a", "start": simDay(3, 1), "end": simDay(3, 2), "force": true}},
+		namedOp(peer.VerbCancel, true)}, ""},
+}
+
+// checkLateRecord carries out the operations of rec while the transactions meet
+// the given fates, and checks what the leader, and the next one, tell of it.
+func checkLateRecord(t *testing.T, rec lateRecord, fates []fate) {
+	s := newStateService(t)
+	s.put(job.ActivePrefix+"run-1", &job.Record{Spec: job.Spec{ID: "run-1", Team: "red", ShapeName: "daemon", RankName: "idle", Tasks: 1, CPUs: 1, Image: "o"}})
+	on := func(tun *config.Tuning) { tun.Rollouts.Enabled, tun.Calendar.Enabled = true, true }
+	st := sitWith(t, s, 7, on)
+	s.will(rec.doom, fates...)
+	for _, o := range rec.ops {
+		if p := askUntilAnswered(t, st, rec.kind, o); p.Status/100 != 2 {
+			t.Fatalf("%s: %d %s", o.Verb, p.Status, p.Body)
+		}
+	}
+	if _, left := s.seen(); left == len(fates) {
+		t.Error("no transaction met its fate")
+	}
+	look := namedOp(peer.VerbStatus, strings.Contains(rec.name, "window"))
+	told := func(st *seat, who string) {
+		p := askUntilAnswered(t, st, rec.kind, look)
+		if (rec.want == "") != (p.Status == http.StatusNotFound) || !strings.Contains(string(p.Body), rec.want) {
+			t.Errorf("%s: %d %q, want %q", who, p.Status, p.Body, rec.want)
+		}
+	}
+	told(st, "the leader")
+	time.Sleep(20 * time.Second)
+	told(st, "the leader, later")
+	st.stop()
+	told(sitWith(t, s, 8, on), "the next one")
+}
+
+// askUntilAnswered asks st to carry out o, and asks again while the answer is a
+// server error, 30 times at most, a second apart.
+func askUntilAnswered(t *testing.T, st *seat, kind string, o lateOp) *peer.Reply {
+	if o.spec != nil {
+		b, err := wire.Marshal(o.spec)
+		if err != nil {
+			t.Fatal(err)
+		}
+		o.Spec = b
+	}
+	b, err := wire.Marshal(o.Operation)
+	if err != nil {
+		t.Fatal(err)
+	}
+	p := st.ask(kind, "", b)
+	for range 30 {
+		if p.Status < 500 {
+			break
+		}
+		time.Sleep(time.Second)
+		p = st.ask(kind, "", b)
+	}
+	return p
+}
+
 // TestLapsed: an answer that has waited behind a busy actor until the entitlement was gone is
 // none: another may lead by then, and have told the user something newer.
 func TestLapsed(t *testing.T) {
--- a/internal/control/calendar_requests.go
+++ b/internal/control/calendar_requests.go
@@ -15,37 +15,37 @@
 )
 
 // operate answers a request about the calendar.
-func (ag *calendarStore) operate(op *peer.Operation, back func(*peer.Reply)) {
+func (cs *calendarStore) operate(op *peer.Operation, back func(*peer.Reply)) {
 	refuse := func(status int, why string) { back(reply(status, wire.Error{Error: why})) }
 	switch {
-	case !ag.on():
+	case !cs.on():
 		refuse(http.StatusNotFound, "the calendar is switched off here")
-	case len(ag.names.list()) == 0:
+	case len(cs.names.list()) == 0:
 		back(Later("machine types are not known yet"))
 	case op.Window && op.Team != "" && (op.Verb == peer.VerbStart || op.Verb == peer.VerbCancel):
 		refuse(http.StatusForbidden, "maintenance is an operator's")
 	case op.Verb == peer.VerbList:
-		back(reply(http.StatusOK, ag.page(op)))
+		back(reply(http.StatusOK, cs.page(op)))
 	case op.Verb == peer.VerbStart && op.Window:
-		ag.change(func() { ag.plan(op.Spec, back) }, back)
+		cs.change(func() { cs.plan(op.Spec, back) }, back)
 	case op.Verb == peer.VerbStart:
-		ag.change(func() { ag.reserve(op.Spec, op.Team, back) }, back)
-	case op.Window && ag.windows[op.Service] == 0:
+		cs.change(func() { cs.reserve(op.Spec, op.Team, back) }, back)
+	case op.Window && cs.windows[op.Service] == 0:
 		refuse(http.StatusNotFound, "no maintenance window of that name")
-	case !op.Window && !ag.sees(op.Team, op.Service):
+	case !op.Window && !cs.sees(op.Team, op.Service):
 		refuse(http.StatusNotFound, "no reservation of that name")
 	case op.Verb == peer.VerbCancel:
-		ag.change(func() { ag.cancel(op, back) }, back)
+		cs.change(func() { cs.cancel(op, back) }, back)
 	case op.Window:
-		back(reply(http.StatusOK, ag.windowStatus(op.Service)))
+		back(reply(http.StatusOK, cs.windowStatus(op.Service)))
 	default:
-		back(reply(http.StatusOK, ag.status(op.Service)))
+		back(reply(http.StatusOK, cs.status(op.Service)))
 	}
 }
 
 // sees reports whether there is a reservation that the team may see.
-func (ag *calendarStore) sees(team, name string) bool {
-	b := ag.bookings[name]
+func (cs *calendarStore) sees(team, name string) bool {
+	b := cs.bookings[name]
 	return b != nil && (team == "" || team == b.entry.Team)
 }
 
@@ -53,13 +53,13 @@
 const pageSize = 50
 
 // page lists entries by name, from after the given one on.
-func (ag *calendarStore) page(op *peer.Operation) any {
+func (cs *calendarStore) page(op *peer.Operation) any {
 	var names []string
 	if op.Window {
-		names = slices.Collect(maps.Keys(ag.windows))
+		names = slices.Collect(maps.Keys(cs.windows))
 	} else {
-		for name := range ag.bookings {
-			if ag.sees(op.Team, name) {
+		for name := range cs.bookings {
+			if cs.sees(op.Team, name) {
 				names = append(names, name)
 			}
 		}
@@ -71,9 +71,9 @@
 	bookings, windows := []calendar.Status{}, []calendar.WindowStatus{}
 	for _, n := range names {
 		if op.Window {
-			windows = append(windows, ag.windowStatus(n))
+			windows = append(windows, cs.windowStatus(n))
 		} else {
-			bookings = append(bookings, ag.status(n))
+			bookings = append(bookings, cs.status(n))
 		}
 	}
 	if op.Window {
@@ -82,30 +82,30 @@
 	return map[string]any{"reservations": bookings, "more": more}
 }
 
-func (ag *calendarStore) status(name string) calendar.Status {
-	b := ag.bookings[name]
-	s := calendar.Tell(b.rec, b.entry, ag.clock(time.Now()))
-	s.Held = ag.holds.count(name)
+func (cs *calendarStore) status(name string) calendar.Status {
+	b := cs.bookings[name]
+	s := calendar.Tell(b.rec, b.entry, cs.clock(time.Now()))
+	s.Held = cs.holds.count(name)
 	if len(s.Ahead) > 0 {
-		if j := ag.claims[claim{name, s.Ahead[0].From}]; j != nil {
+		if j := cs.claims[claim{name, s.Ahead[0].From}]; j != nil {
 			s.Claimer = j.ID
 		}
 	}
 	return s
 }
 
-func (ag *calendarStore) windowStatus(name string) calendar.WindowStatus {
-	p := ag.cal.Windows()[name]
-	s := calendar.TellWindow(p, ag.clock(time.Now()))
-	s.Machines, s.Busy, s.Late = ag.drains.state(p)
+func (cs *calendarStore) windowStatus(name string) calendar.WindowStatus {
+	p := cs.cal.Windows()[name]
+	s := calendar.TellWindow(p, cs.clock(time.Now()))
+	s.Machines, s.Busy, s.Late = cs.drains.state(p)
 	return s
 }
 
 // reserve takes in a reservation, if it fits.
-func (ag *calendarStore) reserve(body []byte, team string, back func(*peer.Reply)) {
+func (cs *calendarStore) reserve(body []byte, team string, back func(*peer.Reply)) {
 	refuse := func(status int, why string) { back(reply(status, wire.Error{Error: why})) }
-	at := ag.clock(time.Now())
-	r, err := calendar.ParseReservation(body, ag.limits(), at)
+	at := cs.clock(time.Now())
+	r, err := calendar.ParseReservation(body, cs.limits(), at)
 	if err != nil {
 		refuse(http.StatusBadRequest, err.Error())
 		return
@@ -114,130 +114,157 @@
 		refuse(http.StatusForbidden, "team: a reservation is made by its own team")
 		return
 	}
-	if b := ag.bookings[r.Name]; b != nil {
+	if b := cs.bookings[r.Name]; b != nil {
 		if calendar.Same(r, b.entry.Reservation) {
-			back(reply(http.StatusOK, ag.status(r.Name))) // the same request once more
+			back(reply(http.StatusOK, cs.status(r.Name))) // the same request once more
 			return
 		}
 		refuse(http.StatusConflict, "name: there is another reservation of that name; cancel it first")
 		return
 	}
-	ag.remake()
-	e, err := ag.cal.Fit(r, at)
+	cs.remake()
+	e, err := cs.cal.Fit(r, at)
 	if err != nil {
 		refuse(http.StatusConflict, err.Error())
 		return
 	}
 	key, rec := bookingPrefix+r.Name, calendar.NewRecord(e, at)
 	put, err := state.Put(key, rec)
-	if err != nil || ag.tooLarge(put) {
+	if err != nil || cs.tooLarge(put) {
 		refuse(http.StatusRequestEntityTooLarge, "the reservation is too large to be stored")
 		return
 	}
-	ag.store([]state.Cond{{Key: key}}, []state.Write{put}, func(v uint64, err error) {
+	cs.store([]state.Cond{{Key: key}}, []state.Write{put}, func(v uint64, err error) {
 		if err != nil {
 			refuse(http.StatusRequestEntityTooLarge, err.Error())
 		} else {
-			ag.adopt(rec, e, v)
-			ag.log.Info("reservation is taken in", "reservation", r.Name, "team", r.Team, "parts", r.Parts, "occurrences", len(r.Spans()), "machines", e.Shares)
-			back(reply(http.StatusCreated, ag.status(r.Name)))
+			cs.adopt(rec, e, v)
+			cs.log.Info("reservation is taken in", "reservation", r.Name, "team", r.Team, "parts", r.Parts, "occurrences", len(r.Spans()), "machines", e.Shares)
+			back(reply(http.StatusCreated, cs.status(r.Name)))
 		}
 	})
 }
 
 // tooLarge reports whether a record exceeds what the state service takes.
-func (ag *calendarStore) tooLarge(w state.Write) bool {
-	return float64(recordSize(w.Value)) > ag.c.Settings.Facts.State.ValueKB*1024*pageShare
+func (cs *calendarStore) tooLarge(w state.Write) bool {
+	return float64(recordSize(w.Value)) > cs.c.Settings.Facts.State.ValueKB*1024*pageShare
 }
 
 // plan takes in a maintenance window, and moves the reservations on its machines.
-func (ag *calendarStore) plan(body []byte, back func(*peer.Reply)) {
+func (cs *calendarStore) plan(body []byte, back func(*peer.Reply)) {
 	refuse := func(status int, why string) { back(reply(status, wire.Error{Error: why})) }
-	at := ag.clock(time.Now())
-	w, err := calendar.ParseWindow(body, ag.limits(), at)
+	at := cs.clock(time.Now())
+	w, err := calendar.ParseWindow(body, cs.limits(), at)
 	if err != nil {
 		refuse(http.StatusBadRequest, err.Error())
 		return
 	}
-	if p := ag.cal.Windows()[w.Name]; p != nil {
-		if calendar.SameWindow(w, p.Window) {
-			back(reply(http.StatusOK, ag.windowStatus(w.Name)))
-			return
-		}
-		refuse(http.StatusConflict, "name: there is another window of that name; cancel it first")
+	if p := cs.cal.Windows()[w.Name]; p != nil {
+		back(cs.windowAgain(w, p))
 		return
 	}
-	ag.remake()
-	a, err := ag.cal.Announce(w, ag.drains.machinesOf(w), at)
+	cs.remake()
+	a, err := cs.cal.Announce(w, cs.drains.machinesOf(w), at)
 	if err != nil {
 		refuse(http.StatusConflict, err.Error())
 		return
 	}
+	change, refusal := cs.windowChange(w, a)
+	if refusal != nil {
+		back(refusal)
+		return
+	}
+	cs.store(change.conds, change.writes, func(v uint64, err error) {
+		if err != nil {
+			refuse(http.StatusRequestEntityTooLarge, err.Error())
+		} else {
+			cs.windowStored(w, a, at, change, v, back)
+		}
+	})
+}
+
+// windowAgain answers a window whose name is taken: the same window once more is
+// an idempotent request, another one of that name a conflict.
+func (cs *calendarStore) windowAgain(w *calendar.Window, p *calendar.Plan) *peer.Reply {
+	if calendar.SameWindow(w, p.Window) {
+		return reply(http.StatusOK, cs.windowStatus(w.Name))
+	}
+	return reply(http.StatusConflict, wire.Error{Error: "name: there is another window of that name; cancel it first"})
+}
+
+// windowTxn is the transaction that stores a maintenance window together with
+// the reservations that it moves.
+type windowTxn struct {
+	conds   []state.Cond
+	writes  []state.Write
+	touched []*calendar.Entry           // reservations moved or lost
+	next    map[string]*calendar.Record // their records once moved, by name
+}
+
+// windowChange builds the one transaction of a window and of the reservations
+// that it moves; refusal is set if it cannot be stored.
+func (cs *calendarStore) windowChange(w *calendar.Window, a *calendar.Announced) (change *windowTxn, refusal *peer.Reply) {
 	key := windowPrefix + w.Name
 	put, err := state.Put(key, calendar.WindowRecord{Spec: *w, Closes: a.Plan.Closes})
-	if err != nil || ag.tooLarge(put) {
-		refuse(http.StatusRequestEntityTooLarge, "the window is too large to be stored; name fewer machines")
-		return
+	if err != nil || cs.tooLarge(put) {
+		return nil, reply(http.StatusRequestEntityTooLarge, wire.Error{Error: "the window is too large to be stored; name fewer machines"})
 	}
 	// All of it in one transaction: a leader that ends in between must not leave a
 	// window over reservations that were never moved.
-	conds, writes := []state.Cond{{Key: key}}, []state.Write{put}
-	touched := slices.Concat(a.Moved, a.Lost)
-	if most := ag.c.Settings.Facts.State.TxnOps - 2; len(touched) > most {
-		refuse(http.StatusConflict, fmt.Sprintf("%d reservations would have to move, and at most %d can at once; plan smaller windows", len(touched), most))
-		return
+	change = &windowTxn{conds: []state.Cond{{Key: key}}, writes: []state.Write{put}, touched: slices.Concat(a.Moved, a.Lost)}
+	if most := cs.c.Settings.Facts.State.TxnOps - 2; len(change.touched) > most {
+		why := fmt.Sprintf("%d reservations would have to move, and at most %d can at once; plan smaller windows", len(change.touched), most)
+		return nil, reply(http.StatusConflict, wire.Error{Error: why})
 	}
-	next := map[string]*calendar.Record{}
-	for _, e := range touched {
-		b := ag.bookings[e.Name]
+	change.next = map[string]*calendar.Record{}
+	for _, e := range change.touched {
+		b := cs.bookings[e.Name]
 		if b.writing {
-			back(settled(Later("a reservation is being stored")))
-			return
+			return nil, settled(Later("a reservation is being stored"))
 		}
-		next[e.Name] = b.rec.Moved(e)
-		p, err := state.Put(bookingPrefix+e.Name, next[e.Name])
+		change.next[e.Name] = b.rec.Moved(e)
+		p, err := state.Put(bookingPrefix+e.Name, change.next[e.Name])
 		if err != nil {
-			refuse(http.StatusInternalServerError, err.Error())
-			return
+			return nil, reply(http.StatusInternalServerError, wire.Error{Error: err.Error()})
 		}
-		conds, writes = append(conds, state.Cond{Key: p.Put, Version: b.version}), append(writes, p)
+		change.conds, change.writes = append(change.conds, state.Cond{Key: p.Put, Version: b.version}), append(change.writes, p)
 	}
-	ag.store(conds, writes, func(v uint64, err error) {
-		if err != nil {
-			refuse(http.StatusRequestEntityTooLarge, err.Error())
-		} else {
-			ag.cal.AddWindow(a.Plan)
-			ag.windows[w.Name] = v
-			for _, e := range touched {
-				ag.adopt(next[e.Name], e, v)
-			}
-			s := a.Tell(at)
-			s.Machines, s.Busy, s.Late = ag.drains.state(a.Plan)
-			ag.log.Info("maintenance window is taken in", "window", w.Name, "start", time.UnixMilli(w.Span().From).UTC(), "machines", s.Machines,
-				"moved", strings.Join(s.Moved, " "), "retired", strings.Join(s.Retired, " "))
-			back(reply(http.StatusCreated, s))
-		}
-	})
+	return change, nil
+}
+
+// windowStored takes in a window once it is stored, with the reservations that
+// it moved, and answers with its status.
+func (cs *calendarStore) windowStored(w *calendar.Window, a *calendar.Announced, at time.Time, change *windowTxn, v uint64, back func(*peer.Reply)) {
+	cs.cal.AddWindow(a.Plan)
+	cs.windows[w.Name] = v
+	for _, e := range change.touched {
+		cs.adopt(change.next[e.Name], e, v)
+	}
+	s := a.Tell(at)
+	s.Machines, s.Busy, s.Late = cs.drains.state(a.Plan)
+	cs.log.Info("maintenance window is taken in", "window", w.Name, "start", time.UnixMilli(w.Span().From).UTC(), "machines", s.Machines,
+		"moved", strings.Join(s.Moved, " "), "retired", strings.Join(s.Retired, " "))
+	back(reply(http.StatusCreated, s))
 }
 
 // cancel removes a reservation or a window. What runs goes on as ordinary work.
-func (ag *calendarStore) cancel(op *peer.Operation, back func(*peer.Reply)) {
+func (cs *calendarStore) cancel(op *peer.Operation, back func(*peer.Reply)) {
 	gone := reply(http.StatusNotFound, wire.Error{Error: "no entry of that name"})
 	if op.Window {
-		if ag.windows[op.Service] == 0 {
+		if cs.windows[op.Service] == 0 {
 			back(gone)
 			return
 		}
-		s := ag.windowStatus(op.Service)
-		ag.remove(windowPrefix+op.Service, ag.windows[op.Service], func() {
-			ag.forgetWindow(op.Service)
-			ag.log.Info("maintenance window is cancelled", "window", op.Service)
+		s := cs.windowStatus(op.Service)
+		cs.remove(windowPrefix+op.Service, cs.windows[op.Service], func() {
+			cs.forgetWindow(op.Service)
+			cs.log.Info("maintenance window is cancelled", "window", op.Service)
 			s.State = "cancelled"
 			back(reply(http.StatusOK, s))
 		})
 		return
 	}
-	b := ag.bookings[op.Service]
+	b := cs.bookings[op.Service]
 	switch {
 	case b == nil:
 		back(gone)
@@ -246,10 +273,10 @@
 		back(settled(Later("the reservation is being stored")))
 		return
 	}
-	s := ag.status(op.Service)
-	ag.remove(bookingPrefix+op.Service, b.version, func() {
-		ag.forget(op.Service)
-		ag.log.Info("reservation is cancelled", "reservation", op.Service, "by", op.Team)
+	s := cs.status(op.Service)
+	cs.remove(bookingPrefix+op.Service, b.version, func() {
+		cs.forget(op.Service)
+		cs.log.Info("reservation is cancelled", "reservation", op.Service, "by", op.Team)
 		s.State = "cancelled"
 		back(reply(http.StatusOK, s))
 	})
--- a/internal/control/calls.go
+++ b/internal/control/commands.go
@@ -92,7 +92,7 @@
 	}()
 }
 
-// DirectClient sends direct commands, and keeps as many idle connections for them.
+// DirectClient returns the HTTP client for direct commands; it holds at most idle connections open between them.
 func DirectClient(dial state.DialFunc, idle int) *http.Client {
 	return &http.Client{Transport: &http.Transport{DialContext: dial, MaxConnsPerHost: 2, MaxIdleConnsPerHost: 1, MaxIdleConns: idle,
 		IdleConnTimeout: 30 * time.Second, DisableCompression: true}}
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -140,8 +140,20 @@
 	if (q.Kind == peer.KindSubmit || q.Kind == peer.KindStatus) && !r.takeover.loaded() {
 		return nil // any node can answer that from the state service, sooner
 	}
-	var do func(*leaderTerm, func(*peer.Reply))
-	box := r.users
+	do, box, refusal := requestHandler(r, q)
+	if refusal != nil {
+		return refusal
+	}
+	return c.awaitActor(ctx, r, box, do)
+}
+
+// actorStep is what a request asks of the leader's actor; it answers through back.
+type actorStep func(r *leaderTerm, back func(*peer.Reply))
+
+// requestHandler decodes a request into the step that the actor takes for it and
+// the queue that the step waits in; refusal is set for a request that cannot be read.
+func requestHandler(r *leaderTerm, q *peer.Request) (do actorStep, box chan func(), refusal *peer.Reply) {
+	box = r.users
 	switch q.Kind {
 	case peer.KindSubmit:
 		id, spec, err := submission(q.Body)
@@ -151,32 +163,48 @@
 	case peer.KindAbort:
 		do = func(r *leaderTerm, back func(*peer.Reply)) { r.endings.abort(q.ID, back) }
 	case peer.KindRollout:
-		var op peer.Operation
-		if err := wire.Unmarshal(q.Body, &op); err != nil {
-			return reply(http.StatusBadRequest, wire.Error{Error: "malformed request"})
+		op, bad := decodeOperation(q.Body)
+		if bad != nil {
+			return nil, nil, bad
 		}
-		do = func(r *leaderTerm, back func(*peer.Reply)) { r.rollouts.operate(&op, back) }
+		do = func(r *leaderTerm, back func(*peer.Reply)) { r.rollouts.operate(op, back) }
 	case peer.KindCalendar:
-		var op peer.Operation
-		if err := wire.Unmarshal(q.Body, &op); err != nil {
-			return reply(http.StatusBadRequest, wire.Error{Error: "malformed request"})
+		op, bad := decodeOperation(q.Body)
+		if bad != nil {
+			return nil, nil, bad
 		}
-		do = func(r *leaderTerm, back func(*peer.Reply)) { r.calendarStore.operate(&op, back) }
+		do = func(r *leaderTerm, back func(*peer.Reply)) { r.calendarStore.operate(op, back) }
 	case peer.KindConfig:
-		var op peer.Operation
-		if err := wire.Unmarshal(q.Body, &op); err != nil {
-			return reply(http.StatusBadRequest, wire.Error{Error: "malformed request"})
+		op, bad := decodeOperation(q.Body)
+		if bad != nil {
+			return nil, nil, bad
 		}
-		do = func(r *leaderTerm, back func(*peer.Reply)) { r.homeTeams.operate(&op, back) }
+		do = func(r *leaderTerm, back func(*peer.Reply)) { r.homeTeams.operate(op, back) }
 	case peer.KindReport:
 		m := &wire.Report{}
 		if err := wire.Unmarshal(q.Body, m); err != nil || m.Host == "" || m.Session == 0 {
-			return reply(http.StatusBadRequest, wire.Error{Error: "malformed report"})
+			return nil, nil, reply(http.StatusBadRequest, wire.Error{Error: "malformed report"})
 		}
 		do, box = func(r *leaderTerm, back func(*peer.Reply)) { r.report(m, q.Via, back) }, r.inbox
 	default:
-		return reply(http.StatusBadRequest, wire.Error{Error: "unknown request"})
+		return nil, nil, reply(http.StatusBadRequest, wire.Error{Error: "unknown request"})
 	}
+	return do, box, nil
+}
+
+// decodeOperation reads the operation of a roll-out, calendar or configuration
+// request; bad refuses one that cannot be read.
+func decodeOperation(body []byte) (op *peer.Operation, bad *peer.Reply) {
+	op = &peer.Operation{}
+	if err := wire.Unmarshal(body, op); err != nil {
+		return nil, reply(http.StatusBadRequest, wire.Error{Error: "malformed request"})
+	}
+	return op, nil
+}
+
+// awaitActor hands a step to the leader's actor through box and waits for its
+// answer; nil means that the term has ended or the node is no longer entitled.
+func (c *Controller) awaitActor(ctx context.Context, r *leaderTerm, box chan func(), do actorStep) *peer.Reply {
 	ch := make(chan *peer.Reply, 1)
 	back := func(p *peer.Reply) {
 		select {
@@ -227,12 +255,12 @@
 	return spec.ID, spec, nil
 }
 
-// verdict is the refusal of a job that can never run, or cannot be judged yet;
+// admissionRefusal is the refusal of a job that can never run, or cannot be judged yet;
 // nil: it may be taken in.
-func (c *Controller) verdict(spec *job.Spec, types []wire.MachineType, team quota) *peer.Reply {
-	why, known := canNever(spec, types, team.now)
+func (c *Controller) admissionRefusal(spec *job.Spec, types []wire.MachineType, team quota) *peer.Reply {
+	why, known := neverSchedulable(spec, types, team.now)
 	if why != "" && team.soon != nil {
-		if later, _ := canNever(spec, types, team.soon); later == "" {
+		if later, _ := neverSchedulable(spec, types, team.soon); later == "" {
 			return Later("the team's quota is about to change")
 		}
 	}
@@ -270,8 +298,8 @@
 	return t.Types, nil
 }
 
-// canNever says why a job can never run, or that it cannot be told yet.
-func canNever(s *job.Spec, types []wire.MachineType, team *config.Team) (why string, known bool) {
+// neverSchedulable says why a job can never run, or that it cannot be told yet.
+func neverSchedulable(s *job.Spec, types []wire.MachineType, team *config.Team) (why string, known bool) {
 	if team == nil {
 		return "unknown team", true
 	}
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -327,15 +327,15 @@
 	}
 }
 
-// TestTurnstile: submissions beyond what can be stored are told to come back, each
+// TestRetryPacer: submissions beyond what can be stored are told to come back, each
 // at a time of its own, and never later than users heed.
-func TestTurnstile(t *testing.T) {
-	ts := turnstile{perS: 10}
+func TestRetryPacer(t *testing.T) {
+	ts := retryPacer{perS: 10}
 	now := time.Unix(1000, 0)
 	last := time.Duration(0)
 	at := map[int]int{} // second -> submissions that are told to come then
 	for range 600 {
-		d := ts.away(now)
+		d := ts.retryAfter(now)
 		if d < time.Second || d < last || d > longestRetry {
 			t.Fatalf("told to come back after %v, the one before after %v", d, last)
 		}
@@ -350,13 +350,13 @@
 			t.Errorf("%d come back after %d s, more than can be stored", at[s], s)
 		}
 	}
-	if d := ts.away(now.Add(time.Minute)); d != time.Second {
+	if d := ts.retryAfter(now.Add(time.Minute)); d != time.Second {
 		t.Errorf("a minute later one is turned away for %v", d)
 	}
 }
 
-// TestNever: what can never run is told from what cannot be told yet.
-func TestNever(t *testing.T) {
+// TestNeverSchedulable: what can never run is told from what cannot be told yet.
+func TestNeverSchedulable(t *testing.T) {
 	types := []wire.MachineType{
 		{Name: "small", CPUs: 4, MemGB: 16, Zones: []string{"a"}},
 		{Name: "large", CPUs: 64, GPUs: 8, MemGB: 128, Zones: []string{"b"}},
@@ -396,7 +396,7 @@
 			}
 			s := &job.Spec{ID: "run-1", Team: "red", ShapeName: "array", Tasks: 1, CPUs: 1, MemGB: 1}
 			tt.edit(s)
-			why, known := canNever(s, r.names.list(), r.teams.find(s.Team).now)
+			why, known := neverSchedulable(s, r.names.list(), r.teams.find(s.Team).now)
 			if (why != "") != tt.never || known != tt.known {
 				t.Errorf("%q, known %v", why, known)
 			}
@@ -427,8 +427,8 @@
 	}
 }
 
-// TestVerdict: what can never run is refused, and what cannot be judged yet waits.
-func TestVerdict(t *testing.T) {
+// TestAdmissionRefusal: what can never run is refused, and what cannot be judged yet waits.
+func TestAdmissionRefusal(t *testing.T) {
 	types := []wire.MachineType{{Name: "small", CPUs: 4, MemGB: 16, Zones: []string{"a"}}, {Name: "wide", CPUs: 8, GPUs: 2, MemGB: 16, Zones: []string{"a", "b"}}}
 	tests := []struct {
 		name string
@@ -462,13 +462,13 @@
 		s := job.Spec{ID: "run-1", Team: "red", ShapeName: "array", RankName: "idle", Tasks: 2, CPUs: 1, MemGB: 1}
 		tt.edit(&s)
 		got := 0
-		if p := r.c.verdict(&s, types, r.teams.find(s.Team)); p != nil {
+		if p := r.c.admissionRefusal(&s, types, r.teams.find(s.Team)); p != nil {
 			got = p.Status
 		}
 		if got != tt.want {
 			t.Errorf("%s: %d, want %d", tt.name, got, tt.want)
 		}
-		if p := r.c.verdict(&s, nil, r.teams.find(s.Team)); s.Team != "green" && (p == nil || p.Status != 503) {
+		if p := r.c.admissionRefusal(&s, nil, r.teams.find(s.Team)); s.Team != "green" && (p == nil || p.Status != 503) {
 			t.Errorf("%s, types not known: %v, want 503", tt.name, p)
 		}
 	}
--- a/internal/control/work.go
+++ b/internal/control/heartbeats.go
@@ -24,12 +24,12 @@
 }
 
 // observe takes in a worker's message.
-func (wk *work) observe(h *fleet.Host, m *wire.Report, isReport bool, now time.Time) (fresh, ok bool) {
+func (wk *work) observe(h *fleet.Host, m *wire.Report, isHeartbeat bool, now time.Time) (fresh, ok bool) {
 	if !h.Known || h.Type < 0 {
 		wk.names.describe(h, m.Type, m.Zone, m.Spot)
 	}
 	booting, deaf := h.Booting, h.Deaf()
-	res := wk.fleet.Observe(h, m, isReport, now, wk.jobTable.find)
+	res := wk.fleet.Observe(h, m, isHeartbeat, now, wk.jobTable.find)
 	if res.Deposed {
 		wk.log.Info("a worker has seen a later term", "host", h.Name, "seen", m.Token)
 		wk.c.Deposed(m.Token)
--- a/internal/control/names.go
+++ b/internal/control/name_index.go
@@ -29,7 +29,7 @@
 	return nm
 }
 
-// addTeam gives a team an index, and reports whether it had none. It keeps it for as long
+// addTeam gives a team an index, and reports whether it had none. It retains the index for as long
 // as the term lasts, also when it is removed.
 func (nm *names) addTeam(name string) bool {
 	if _, ok := nm.teamIdx[name]; ok {
@@ -43,7 +43,7 @@
 // teamNames are the teams, by index.
 func (nm *names) teamNames() []string { return nm.teams }
 
-// learn takes in a price list. A type keeps its index for as long as the term
+// learn takes in a price list. A type retains its index for as long as the term
 // lasts.
 func (nm *names) learn(types []wire.MachineType) {
 	for _, t := range types {
--- a/internal/control/registry.go
+++ b/internal/control/records_registry.go
@@ -292,34 +292,12 @@
 // launched.
 func (g *registry) take(now time.Time, most int, idle bool) (out []sent, txn state.Txn) {
 	stale := !now.Before(g.staleAt)
-	for i := 0; i < len(g.pages); i++ { // a split appends
-		if p := g.pages[i]; p.urgent {
-			g.split(p)
-		}
-	}
+	g.splitUrgent()
 	bytes := 0
 	together := map[*page]bool{} // in this transaction
 	txn.If = []state.Cond{g.fence}
-	var order []*page
-	for _, p := range g.pages {
-		if p.urgent {
-			order = append(order, p)
-		}
-	}
-	urgent := len(order)
-	if stale && idle {
-		for _, p := range g.pages {
-			if p.stale && !p.urgent {
-				order = append(order, p)
-			}
-		}
-		// The one that was not taken for longest comes first. In the order of the pages
-		// the last ones of a large fleet never had their turn, and a successor waited a
-		// full lease for machines that had long been returned.
-		slices.SortStableFunc(order[urgent:], func(a, b *page) int { return a.takenAt.Compare(b.takenAt) })
-	}
 	whole := true
-	for _, p := range order {
+	for _, p := range g.takeOrder(stale, idle) {
 		// What goes in one transaction is stored together, or not at all and waits again.
 		p.after = slices.DeleteFunc(p.after, func(w handover) bool { return w.page.stored >= w.take })
 		if slices.ContainsFunc(p.after, func(w handover) bool { return !together[w.page] }) {
@@ -330,28 +308,12 @@
 			whole = false
 			break
 		}
-		s := sent{page: p, hosts: slices.Clone(p.hosts), gone: p.gone, notes: slices.Clone(p.notes)}
-		rec := pageRecord{}
-		for _, h := range p.hosts {
-			rec.Hosts = append(rec.Hosts, g.entries[h].hostRecord)
-		}
-		for _, n := range p.notes {
-			g.prune(n)
-			set := slices.Clone(n.want)
-			s.sets = append(s.sets, set)
-			rec.Notes = append(rec.Notes, noteRecord{Job: n.id, Team: n.team, Hosts: set.Text()})
-		}
-		w, err := state.Put(p.key, rec)
+		s, w, err := g.encodePage(p)
 		if err != nil {
 			g.log.Error("page does not encode", "key", p.key, "error", err)
 			continue
 		}
-		for i, n := range s.notes {
-			n.setSure(n.sure.And(s.sets[i]))
-		}
-		p.urgent, p.stale, p.gone = false, false, nil
-		p.taken++
-		p.takenAt = now
+		markTaken(p, s, now)
 		together[p] = true
 		bytes += size
 		out = append(out, s)
@@ -367,6 +329,68 @@
 	return out, txn
 }
 
+// splitUrgent splits the pages that are to be stored next where they have
+// grown too large.
+func (g *registry) splitUrgent() {
+	for i := 0; i < len(g.pages); i++ { // a split appends
+		if p := g.pages[i]; p.urgent {
+			g.split(p)
+		}
+	}
+}
+
+// takeOrder is the order in which pages are taken: the urgent ones, then, when
+// the stale ones are due and nothing else waits, those.
+func (g *registry) takeOrder(stale, idle bool) []*page {
+	var order []*page
+	for _, p := range g.pages {
+		if p.urgent {
+			order = append(order, p)
+		}
+	}
+	urgent := len(order)
+	if stale && idle {
+		for _, p := range g.pages {
+			if p.stale && !p.urgent {
+				order = append(order, p)
+			}
+		}
+		// The one that was not taken for longest comes first. In the order of the pages
+		// the last ones of a large fleet never had their turn, and a successor waited a
+		// full lease for machines that had long been returned.
+		slices.SortStableFunc(order[urgent:], func(a, b *page) int { return a.takenAt.Compare(b.takenAt) })
+	}
+	return order
+}
+
+// encodePage makes the write of a page, and what it sends of its hosts and notes.
+func (g *registry) encodePage(p *page) (s sent, w state.Write, err error) {
+	s = sent{page: p, hosts: slices.Clone(p.hosts), gone: p.gone, notes: slices.Clone(p.notes)}
+	rec := pageRecord{}
+	for _, h := range p.hosts {
+		rec.Hosts = append(rec.Hosts, g.entries[h].hostRecord)
+	}
+	for _, n := range p.notes {
+		g.prune(n)
+		set := slices.Clone(n.want)
+		s.sets = append(s.sets, set)
+		rec.Notes = append(rec.Notes, noteRecord{Job: n.id, Team: n.team, Hosts: set.Text()})
+	}
+	w, err = state.Put(p.key, rec)
+	return s, w, err
+}
+
+// markTaken records that page p goes into the transaction: from here on only
+// what both the old and the new record name may be launched.
+func markTaken(p *page, s sent, now time.Time) {
+	for i, n := range s.notes {
+		n.setSure(n.sure.And(s.sets[i]))
+	}
+	p.urgent, p.stale, p.gone = false, false, nil
+	p.taken++
+	p.takenAt = now
+}
+
 // prune narrows the note of a gang to where its members may be now: it starts
 // anew elsewhere, and a silent machine must not hold it back for an attempt that
 // is over. An array comes back to the machines that it has used, so its note
@@ -446,85 +470,129 @@
 	g.changed()
 }
 
+// pageError is a stored page of the registry that cannot be taken in: a leader
+// must not take over from records that it cannot read whole.
+type pageError struct {
+	key string
+	err error
+}
+
+func (e *pageError) Error() string { return "page " + e.key + ": " + e.err.Error() }
+
+func (e *pageError) Unwrap() error { return e.err }
+
+// indexReusedError is a stored page that gives a machine's index to another
+// machine as well.
+type indexReusedError struct {
+	idx int
+}
+
+func (e *indexReusedError) Error() string { return fmt.Sprintf("index %d is used twice", e.idx) }
+
 // load takes in the pages of an earlier leader.
 func (g *registry) load(hosts, notes []state.Entry) error {
 	byIdx := map[int]*fleet.Host{}
-	read := func(prefix string, e state.Entry) (*page, *pageRecord, error) {
-		var rec pageRecord
-		var n int
-		if err := wire.Unmarshal(e.Value, &rec); err != nil {
-			return nil, nil, fmt.Errorf("page %s: %w", e.Key, err)
-		}
-		if _, err := fmt.Sscanf(e.Key[len(prefix):], "%d", &n); err != nil {
-			return nil, nil, fmt.Errorf("page %s: %w", e.Key, err)
-		}
-		g.next[prefix] = max(g.next[prefix], n+1)
-		p := &page{key: e.Key, version: e.Version, stale: true}
-		g.pages = append(g.pages, p)
-		return p, &rec, nil
-	}
 	for _, e := range hosts {
-		p, rec, err := read(hostPrefix, e)
+		p, rec, err := g.readPage(hostPrefix, e)
 		if err != nil {
 			return err
 		}
-		for _, hr := range rec.Hosts {
-			if h := byIdx[hr.Idx]; h != nil && h.Name == hr.Name {
-				g.twice(p, g.entries[h].page) // a move between pages was under way
-				continue
-			}
-			if byIdx[hr.Idx] != nil || hr.Idx < 0 {
-				return fmt.Errorf("page %s: index %d is used twice", e.Key, hr.Idx)
-			}
-			h := g.fleet.AddAt(hr.Name, hr.Idx, g.since)
-			byIdx[hr.Idx] = h
-			h.Addr, h.Durable, h.Inherited, h.Booting = hr.Addr, true, true, false
-			g.names.describe(h, hr.Type, hr.Zone, hr.Spot)
-			p.hosts = append(p.hosts, h)
-			g.entries[h] = entry{hr, p}
+		if err := g.loadHosts(e.Key, p, rec, byIdx); err != nil {
+			return err
 		}
 	}
 	for _, e := range notes {
-		p, rec, err := read(notePrefix, e)
+		p, rec, err := g.readPage(notePrefix, e)
 		if err != nil {
 			return err
 		}
-		for _, nr := range rec.Notes {
-			set, err := job.ParseSet(nr.Hosts)
-			if err != nil {
-				return fmt.Errorf("page %s: %w", e.Key, err)
-			}
-			if n := g.notes[nr.Job]; n != nil {
-				// A move between pages was under way. What both name together holds,
-				// and nothing is launched before one of them has it all.
-				for i := range 64 * len(set) {
-					if set.Has(i) {
-						n.want.Add(i)
-					}
-				}
-				n.sure = nil
-				g.twice(p, n.page)
-			} else {
-				n := &note{id: nr.Job, team: nr.Team, sure: set, want: slices.Clone(set), page: p}
-				p.notes = append(p.notes, n)
-				g.notes[n.id] = n
-			}
-			team := g.names.team(nr.Team)
-			for idx, h := range byIdx {
-				if set.Has(idx) {
-					h.InheritedJobs = append(h.InheritedJobs, fleet.InheritedJob{ID: nr.Job, Team: team})
-				}
+		if err := g.loadNotes(e.Key, p, rec, byIdx); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// readPage decodes a stored page and adds it, stale, to the registry.
+func (g *registry) readPage(prefix string, e state.Entry) (*page, *pageRecord, error) {
+	var rec pageRecord
+	var n int
+	if err := wire.Unmarshal(e.Value, &rec); err != nil {
+		return nil, nil, &pageError{key: e.Key, err: err}
+	}
+	if _, err := fmt.Sscanf(e.Key[len(prefix):], "%d", &n); err != nil {
+		return nil, nil, &pageError{key: e.Key, err: err}
+	}
+	g.next[prefix] = max(g.next[prefix], n+1)
+	p := &page{key: e.Key, version: e.Version, stale: true}
+	g.pages = append(g.pages, p)
+	return p, &rec, nil
+}
+
+// loadHosts adds the hosts of a stored page to the fleet, by their index.
+func (g *registry) loadHosts(key string, p *page, rec *pageRecord, byIdx map[int]*fleet.Host) error {
+	for _, hr := range rec.Hosts {
+		if h := byIdx[hr.Idx]; h != nil && h.Name == hr.Name {
+			g.orderHandover(p, g.entries[h].page) // a move between pages was under way
+			continue
+		}
+		if byIdx[hr.Idx] != nil || hr.Idx < 0 {
+			return &pageError{key: key, err: &indexReusedError{idx: hr.Idx}}
+		}
+		h := g.fleet.AddAt(hr.Name, hr.Idx, g.since)
+		byIdx[hr.Idx] = h
+		h.Addr, h.Durable, h.Inherited, h.Booting = hr.Addr, true, true, false
+		g.names.describe(h, hr.Type, hr.Zone, hr.Spot)
+		p.hosts = append(p.hosts, h)
+		g.entries[h] = entry{hr, p}
+	}
+	return nil
+}
+
+// loadNotes takes in the notes of a stored page, and tells each host which jobs
+// have run on it.
+func (g *registry) loadNotes(key string, p *page, rec *pageRecord, byIdx map[int]*fleet.Host) error {
+	for _, nr := range rec.Notes {
+		set, err := job.ParseSet(nr.Hosts)
+		if err != nil {
+			return &pageError{key: key, err: err}
+		}
+		g.loadNote(p, nr, set)
+		team := g.names.team(nr.Team)
+		for idx, h := range byIdx {
+			if set.Has(idx) {
+				h.InheritedJobs = append(h.InheritedJobs, fleet.InheritedJob{ID: nr.Job, Team: team})
 			}
 		}
 	}
 	return nil
 }
 
-// twice orders the pages of an entry that is in both: the one that keeps it is
-// stored before the other drops it.
-func (g *registry) twice(drops, keeps *page) {
-	keeps.urgent = true
-	drops.waitFor(keeps)
+// loadNote adds a stored note, or merges it into the one of the same job that
+// another page holds.
+func (g *registry) loadNote(p *page, nr noteRecord, set job.Set) {
+	if n := g.notes[nr.Job]; n != nil {
+		// A move between pages was under way. What both name together holds,
+		// and nothing is launched before one of them has it all.
+		for i := range 64 * len(set) {
+			if set.Has(i) {
+				n.want.Add(i)
+			}
+		}
+		n.sure = nil
+		g.orderHandover(p, n.page)
+		return
+	}
+	n := &note{id: nr.Job, team: nr.Team, sure: set, want: slices.Clone(set), page: p}
+	p.notes = append(p.notes, n)
+	g.notes[n.id] = n
+}
+
+// orderHandover orders the pages of an entry that is in both: the one that
+// retains it is stored before the other drops it.
+func (g *registry) orderHandover(drops, retains *page) {
+	retains.urgent = true
+	drops.waitFor(retains)
 }
 
 // sweepNotes drops the notes of jobs that are over, once every machine that they
--- a/internal/control/results.go
+++ b/internal/control/records_results.go
@@ -9,7 +9,7 @@
 	"vetchstream/internal/state"
 )
 
-// results keeps what has completed until it is durable, and drops it when its job
+// results holds what has completed until it is durable, and drops it when its job
 // is over.
 type results struct {
 	*core
--- a/internal/control/rollouts.go
+++ b/internal/control/rollout.go
@@ -439,72 +439,96 @@
 
 // start stores a new roll-out together with the job of its next version.
 func (ro *rollouts) start(body []byte, back func(*peer.Reply)) {
-	refuse := func(status int, why string) { back(reply(status, wire.Error{Error: why})) }
 	spec, err := rollout.Parse(body)
 	if err != nil {
-		refuse(http.StatusBadRequest, err.Error())
+		back(reply(http.StatusBadRequest, wire.Error{Error: err.Error()}))
 		return
 	}
 	s := ro.services[spec.Service]
-	handle, current := spec.From, spec.From
-	version := uint64(0)
-	if s != nil {
-		if spec.From != "" && spec.From != s.rec.Handle && spec.From != s.rec.Current {
-			refuse(http.StatusConflict, "from: the service runs "+s.rec.Current)
-			return
-		}
-		switch {
-		case s.writing:
-			back(Later("the service's record is being stored"))
-			return
-		case s.rec.Next == spec.To.ID && !s.rec.State.Over():
-			back(reply(http.StatusOK, ro.status(s))) // the same request once more
-			return
-		case !s.rec.State.Over() && !spec.Supersede:
-			refuse(http.StatusConflict, fmt.Sprintf("a roll-out of the service is %s; supersede it, or undo it first", s.rec.State))
-			return
-		case !s.rec.State.Over():
-			// What has been rolled out is taken back first; the new one is asked for again.
-			s.asked = append(s.asked, func(rec *rollout.Record) (bool, func()) {
-				return rollout.Undo(rec, time.Now()), func() { back(Later("the roll-out before is rolled back first")) }
-			})
-			return
-		}
-		handle, current, version = s.rec.Handle, s.rec.Current, s.version
-	} else if len(ro.services) >= ro.c.Tuning.Rollouts.Most {
-		refuse(http.StatusTooManyRequests, "too many services have roll-outs")
+	handle, current, version, answered := ro.startingPoint(s, spec, back)
+	if answered {
 		return
 	}
 	was := ro.jobTable.sound(current)
+	if p := ro.currentRefusal(s, current, was); p != nil {
+		back(p)
+		return
+	}
+	next := spec.Next(&was.Spec)
+	if p := ro.nextRefusal(&next); p != nil {
+		back(p)
+		return
+	}
+	now := time.Now()
+	rec := rollout.New(spec, handle, current, ro.zonesOf(was), now)
+	ro.create(rec, &job.Record{Spec: next, At: now.UnixMilli()}, version, back)
+}
+
+// startingPoint is the handle, the current version and the record's version that
+// a new roll-out of service s starts from. answered: back has been told, or will
+// be once the roll-out before is rolled back, and nothing is started now.
+func (ro *rollouts) startingPoint(s *service, spec *rollout.Spec, back func(*peer.Reply)) (handle, current string, version uint64, answered bool) {
+	refuse := func(status int, why string) { back(reply(status, wire.Error{Error: why})) }
+	if s == nil {
+		if len(ro.services) >= ro.c.Tuning.Rollouts.Most {
+			refuse(http.StatusTooManyRequests, "too many services have roll-outs")
+			return "", "", 0, true
+		}
+		return spec.From, spec.From, 0, false
+	}
+	if spec.From != "" && spec.From != s.rec.Handle && spec.From != s.rec.Current {
+		refuse(http.StatusConflict, "from: the service runs "+s.rec.Current)
+		return "", "", 0, true
+	}
+	switch {
+	case s.writing:
+		back(Later("the service's record is being stored"))
+		return "", "", 0, true
+	case s.rec.Next == spec.To.ID && !s.rec.State.Over():
+		back(reply(http.StatusOK, ro.status(s))) // the same request once more
+		return "", "", 0, true
+	case !s.rec.State.Over() && !spec.Supersede:
+		refuse(http.StatusConflict, fmt.Sprintf("a roll-out of the service is %s; supersede it, or undo it first", s.rec.State))
+		return "", "", 0, true
+	case !s.rec.State.Over():
+		// What has been rolled out is taken back first; the new one is asked for again.
+		s.asked = append(s.asked, func(rec *rollout.Record) (bool, func()) {
+			return rollout.Undo(rec, time.Now()), func() { back(Later("the roll-out before is rolled back first")) }
+		})
+		return "", "", 0, true
+	}
+	return s.rec.Handle, s.rec.Current, s.version, false
+}
+
+// currentRefusal refuses a roll-out whose current version is not a running
+// service of its own, or that comes while machines are reconciled after failover.
+func (ro *rollouts) currentRefusal(s *service, current string, was *job.Job) *peer.Reply {
+	refusal := func(status int, why string) *peer.Reply { return reply(status, wire.Error{Error: why}) }
 	switch {
 	case current == "":
-		refuse(http.StatusBadRequest, "from: missing in a service's first roll-out")
-		return
+		return refusal(http.StatusBadRequest, "from: missing in a service's first roll-out")
 	case gone(was):
-		refuse(http.StatusNotFound, "from: no such service is running")
-		return
+		return refusal(http.StatusNotFound, "from: no such service is running")
 	case was.Shape != job.Service:
-		refuse(http.StatusUnprocessableEntity, "from: the job is not a service")
-		return
+		return refusal(http.StatusUnprocessableEntity, "from: the job is not a service")
 	case ro.byJob[current] != nil && ro.byJob[current] != s:
-		refuse(http.StatusConflict, "from: the job belongs to the service "+ro.byJob[current].rec.Service)
-		return
+		return refusal(http.StatusConflict, "from: the job belongs to the service "+ro.byJob[current].rec.Service)
 	case !ro.takeover.settled():
-		back(Later("machines are being met after a change of leader"))
-		return
+		return Later("machines are being met after a change of leader")
 	}
-	next := spec.Next(&was.Spec)
-	if p := ro.c.verdict(&next, ro.names.list(), ro.teams.find(next.Team)); p != nil {
-		back(p)
-		return
+	return nil
+}
+
+// nextRefusal refuses a next version that admission would refuse, or whose job
+// exists already.
+func (ro *rollouts) nextRefusal(next *job.Spec) *peer.Reply {
+	if p := ro.c.admissionRefusal(next, ro.names.list(), ro.teams.find(next.Team)); p != nil {
+		return p
 	}
 	if ro.endings.known(next.ID) != nil || ro.groups.has(next.ID) {
-		refuse(http.StatusConflict, "to.uid: the job exists already")
-		return
+		return reply(http.StatusConflict, wire.Error{Error: "to.uid: the job exists already"})
 	}
-	now := time.Now()
-	rec := rollout.New(spec, handle, current, ro.zonesOf(was), now)
-	ro.create(rec, &job.Record{Spec: next, At: now.UnixMilli()}, version, back)
+	return nil
 }
 
 // zonesOf is where each replica runs.
