--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -16,21 +16,21 @@
 	"github.com/julienschmidt/httprouter"
 
 	"vetchstream/internal/job"
-	"vetchstream/internal/meter"
-	"vetchstream/internal/peer"
+	"vetchstream/internal/metrics"
+	"vetchstream/internal/rpc"
 	"vetchstream/internal/wire"
 )
 
 // Backend answers the requests that the listener lets in.
 type Backend interface {
 	// Answer answers a user's request, wherever the leader is.
-	Answer(ctx context.Context, q *peer.Request) *peer.Reply
+	Answer(ctx context.Context, q *rpc.Request) *rpc.Reply
 	// Report answers a worker's report as leader; nil: this node does not lead.
-	Report(ctx context.Context, q *peer.Request) *peer.Reply
+	Report(ctx context.Context, q *rpc.Request) *rpc.Reply
 	// Leader names the leader as far as this node knows, or is empty.
 	Leader() string
 	// Forward hands a worker's report to the leader.
-	Forward(ctx context.Context, q *peer.Request) *peer.Reply
+	Forward(ctx context.Context, q *rpc.Request) *rpc.Reply
 	// Healthy reports whether users should be sent here.
 	Healthy() bool
 }
@@ -47,14 +47,14 @@
 type Server struct {
 	back  Backend
 	log   *slog.Logger
-	meter *meter.Meter
+	meter *metrics.Meter
 
 	mu   sync.Mutex
 	sent map[string]time.Time // when a worker was last redirected, by its host
 }
 
 // New makes a listener before a backend.
-func New(back Backend, log *slog.Logger, m *meter.Meter) *Server {
+func New(back Backend, log *slog.Logger, m *metrics.Meter) *Server {
 	return &Server{back: back, log: log, meter: m, sent: map[string]time.Time{}}
 }
 
@@ -81,13 +81,13 @@
 			write(w, refuse(http.StatusBadRequest, err.Error()))
 			return
 		}
-		s.user(w, q, &peer.Request{Kind: peer.KindSubmit, ID: job.PeekID(body), Body: body}, submitTime)
+		s.user(w, q, &rpc.Request{Kind: rpc.KindSubmit, ID: job.PeekID(body), Body: body}, submitTime)
 	})
 	rt.GET("/api/jobs/:id", func(w http.ResponseWriter, q *http.Request, p httprouter.Params) {
-		s.user(w, q, &peer.Request{Kind: peer.KindStatus, ID: p.ByName("id")}, pollTime)
+		s.user(w, q, &rpc.Request{Kind: rpc.KindStatus, ID: p.ByName("id")}, pollTime)
 	})
 	rt.POST("/api/jobs/:id/abort", func(w http.ResponseWriter, q *http.Request, p httprouter.Params) {
-		s.user(w, q, &peer.Request{Kind: peer.KindAbort, ID: p.ByName("id")}, submitTime)
+		s.user(w, q, &rpc.Request{Kind: rpc.KindAbort, ID: p.ByName("id")}, submitTime)
 	})
 	s.rollouts(rt)
 	s.calendar(rt)
@@ -121,15 +121,15 @@
 	return b, nil
 }
 
-func refuse(status int, why string) *peer.Reply {
+func refuse(status int, why string) *rpc.Reply {
 	b, err := wire.Marshal(wire.Error{Error: why})
 	if err != nil {
-		return &peer.Reply{Status: http.StatusInternalServerError}
+		return &rpc.Reply{Status: http.StatusInternalServerError}
 	}
-	return &peer.Reply{Status: status, Body: b}
+	return &rpc.Reply{Status: status, Body: b}
 }
 
-func write(w http.ResponseWriter, p *peer.Reply) {
+func write(w http.ResponseWriter, p *rpc.Reply) {
 	h := w.Header()
 	h.Set("Content-Type", wire.ContentType)
 	h.Set("Content-Length", strconv.Itoa(len(p.Body)))
@@ -140,13 +140,13 @@
 	_, _ = w.Write(p.Body) // a client that has left is no concern of ours
 }
 
-func (s *Server) user(w http.ResponseWriter, q *http.Request, r *peer.Request, limit time.Duration) {
+func (s *Server) user(w http.ResponseWriter, q *http.Request, r *rpc.Request, limit time.Duration) {
 	ctx, cancel := context.WithTimeout(q.Context(), limit)
 	defer cancel()
 	begun := time.Now()
 	p := s.back.Answer(ctx, r)
-	s.meter.Took(meter.AnswerTime, r.Kind, time.Since(begun))
-	s.meter.Add(meter.Answers, r.Kind+" "+strconv.Itoa(p.Status), 1)
+	s.meter.Took(metrics.AnswerTime, r.Kind, time.Since(begun))
+	s.meter.Add(metrics.Answers, r.Kind+" "+strconv.Itoa(p.Status), 1)
 	write(w, p)
 }
 
@@ -162,7 +162,7 @@
 	}
 	ctx, cancel := context.WithTimeout(q.Context(), reportTime)
 	defer cancel()
-	r := &peer.Request{Kind: peer.KindReport, Body: body}
+	r := &rpc.Request{Kind: rpc.KindReport, Body: body}
 	if p := s.back.Report(ctx, r); p != nil {
 		if told, ok := ctx.Value(workKey{}).(func(bool)); ok {
 			told(p.Work)
@@ -184,7 +184,7 @@
 	if err != nil {
 		b = nil
 	}
-	write(w, &peer.Reply{Status: http.StatusMisdirectedRequest, Body: b})
+	write(w, &rpc.Reply{Status: http.StatusMisdirectedRequest, Body: b})
 }
 
 // redirected reports whether the worker was sent to this leader a short while
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -9,34 +9,34 @@
 	"strings"
 	"testing"
 
-	"vetchstream/internal/peer"
+	"vetchstream/internal/rpc"
 	"vetchstream/internal/wire"
 )
 
 // standIn is a backend whose answers a case chooses.
 type standIn struct {
-	answer    *peer.Reply
-	report    *peer.Reply
+	answer    *rpc.Reply
+	report    *rpc.Reply
 	leader    string
 	healthy   bool
 	forwarded int
 	asked     []string
 }
 
-func (s *standIn) Answer(_ context.Context, q *peer.Request) *peer.Reply {
+func (s *standIn) Answer(_ context.Context, q *rpc.Request) *rpc.Reply {
 	s.asked = append(s.asked, q.Kind+" "+q.ID)
 	return s.answer
 }
-func (s *standIn) Report(context.Context, *peer.Request) *peer.Reply { return s.report }
-func (s *standIn) Leader() string                                    { return s.leader }
-func (s *standIn) Healthy() bool                                     { return s.healthy }
-func (s *standIn) Forward(context.Context, *peer.Request) *peer.Reply {
+func (s *standIn) Report(context.Context, *rpc.Request) *rpc.Reply { return s.report }
+func (s *standIn) Leader() string                                  { return s.leader }
+func (s *standIn) Healthy() bool                                   { return s.healthy }
+func (s *standIn) Forward(context.Context, *rpc.Request) *rpc.Reply {
 	s.forwarded++
-	return &peer.Reply{Status: http.StatusOK}
+	return &rpc.Reply{Status: http.StatusOK}
 }
 
 func TestRoutes(t *testing.T) {
-	busy := &peer.Reply{Status: http.StatusServiceUnavailable, RetryAfter: 1}
+	busy := &rpc.Reply{Status: http.StatusServiceUnavailable, RetryAfter: 1}
 	tests := []struct {
 		name, method, path string
 		body               int
@@ -45,19 +45,19 @@
 		asked              string
 		retry              string
 	}{
-		{"submission", "POST", "/api/jobs", 5, standIn{answer: &peer.Reply{Status: 201}}, 201, "submit ", ""},
+		{"submission", "POST", "/api/jobs", 5, standIn{answer: &rpc.Reply{Status: 201}}, 201, "submit ", ""},
 		{"too large", "POST", "/api/jobs", wire.MaxBody + 1, standIn{}, 400, "", ""},
-		{"largest", "POST", "/api/jobs", wire.MaxBody, standIn{answer: &peer.Reply{Status: 400}}, 400, "submit ", ""},
-		{"status", "GET", "/api/jobs/run-1", 0, standIn{answer: &peer.Reply{Status: 200}}, 200, "status run-1", ""},
+		{"largest", "POST", "/api/jobs", wire.MaxBody, standIn{answer: &rpc.Reply{Status: 400}}, 400, "submit ", ""},
+		{"status", "GET", "/api/jobs/run-1", 0, standIn{answer: &rpc.Reply{Status: 200}}, 200, "status run-1", ""},
 		{"abort", "POST", "/api/jobs/run-1/abort", 0, standIn{answer: busy}, 503, "abort run-1", "1"},
 		{"wrong method", "DELETE", "/api/jobs/run-1", 0, standIn{}, 405, "", ""},
 		{"unknown route", "GET", "/api/job", 0, standIn{}, 404, "", ""},
 		{"healthy", "GET", "/healthz", 0, standIn{healthy: true}, 200, "", ""},
 		{"not healthy", "GET", "/healthz", 0, standIn{}, 503, "", ""},
-		{"a report to the leader", "POST", "/checkin", 5, standIn{report: &peer.Reply{Status: 200}}, 200, "", ""},
+		{"a report to the leader", "POST", "/checkin", 5, standIn{report: &rpc.Reply{Status: 200}}, 200, "", ""},
 		{"a report without a leader", "POST", "/checkin", 5, standIn{}, 503, "", ""},
 		{"a report to another node", "POST", "/checkin", 5, standIn{leader: "n2"}, 421, "", ""},
-		{"a report that is too large", "POST", "/checkin", wire.MaxBody + 1, standIn{report: &peer.Reply{Status: 200}}, 400, "", ""},
+		{"a report that is too large", "POST", "/checkin", wire.MaxBody + 1, standIn{report: &rpc.Reply{Status: 200}}, 400, "", ""},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/api/calendar.go
+++ b/internal/api/calendar.go
@@ -5,7 +5,7 @@
 
 	"github.com/julienschmidt/httprouter"
 
-	"vetchstream/internal/peer"
+	"vetchstream/internal/rpc"
 	"vetchstream/internal/wire"
 )
 
@@ -20,14 +20,14 @@
 // With ?team=NAME a request sees and changes that team's reservations alone.
 func (s *Server) calendar(rt *httprouter.Router) {
 	for place, window := range map[string]bool{"/api/reservations": false, "/api/maintenance": true} {
-		operate := func(w http.ResponseWriter, q *http.Request, op peer.Operation) {
+		operate := func(w http.ResponseWriter, q *http.Request, op rpc.Operation) {
 			op.Window, op.Team = window, q.URL.Query().Get("team")
 			b, err := wire.Marshal(op)
 			if err != nil {
 				write(w, refuse(http.StatusInternalServerError, err.Error()))
 				return
 			}
-			s.user(w, q, &peer.Request{Kind: peer.KindCalendar, Body: b}, submitTime)
+			s.user(w, q, &rpc.Request{Kind: rpc.KindCalendar, Body: b}, submitTime)
 		}
 		rt.POST(place, func(w http.ResponseWriter, q *http.Request, _ httprouter.Params) {
 			body, err := read(q)
@@ -35,16 +35,16 @@
 				write(w, refuse(http.StatusBadRequest, err.Error()))
 				return
 			}
-			operate(w, q, peer.Operation{Verb: peer.VerbStart, Spec: body})
+			operate(w, q, rpc.Operation{Verb: rpc.VerbStart, Spec: body})
 		})
 		rt.GET(place, func(w http.ResponseWriter, q *http.Request, _ httprouter.Params) {
-			operate(w, q, peer.Operation{Verb: peer.VerbList, Service: q.URL.Query().Get("after")})
+			operate(w, q, rpc.Operation{Verb: rpc.VerbList, Service: q.URL.Query().Get("after")})
 		})
 		rt.GET(place+"/:name", func(w http.ResponseWriter, q *http.Request, p httprouter.Params) {
-			operate(w, q, peer.Operation{Verb: peer.VerbStatus, Service: p.ByName("name")})
+			operate(w, q, rpc.Operation{Verb: rpc.VerbStatus, Service: p.ByName("name")})
 		})
 		rt.POST(place+"/:name/cancel", func(w http.ResponseWriter, q *http.Request, p httprouter.Params) {
-			operate(w, q, peer.Operation{Verb: peer.VerbCancel, Service: p.ByName("name")})
+			operate(w, q, rpc.Operation{Verb: rpc.VerbCancel, Service: p.ByName("name")})
 		})
 	}
 }
--- a/internal/api/configuration.go
+++ b/internal/api/configuration.go
@@ -5,7 +5,7 @@
 
 	"github.com/julienschmidt/httprouter"
 
-	"vetchstream/internal/peer"
+	"vetchstream/internal/rpc"
 	"vetchstream/internal/wire"
 )
 
@@ -18,13 +18,13 @@
 //	POST /api/config/rollback/{revision}
 //	                         take back what came after a revision, ?dry_run=true as above
 func (s *Server) configuration(rt *httprouter.Router) {
-	operate := func(w http.ResponseWriter, q *http.Request, op peer.Operation) {
+	operate := func(w http.ResponseWriter, q *http.Request, op rpc.Operation) {
 		b, err := wire.Marshal(op)
 		if err != nil {
 			write(w, refuse(http.StatusInternalServerError, err.Error()))
 			return
 		}
-		s.user(w, q, &peer.Request{Kind: peer.KindConfig, Body: b}, submitTime)
+		s.user(w, q, &rpc.Request{Kind: rpc.KindConfig, Body: b}, submitTime)
 	}
 	rt.POST("/api/config", func(w http.ResponseWriter, q *http.Request, _ httprouter.Params) {
 		body, err := read(q)
@@ -32,19 +32,19 @@
 			write(w, refuse(http.StatusBadRequest, err.Error()))
 			return
 		}
-		operate(w, q, peer.Operation{Verb: peer.VerbStart, Spec: body, Dry: dryRun(q)})
+		operate(w, q, rpc.Operation{Verb: rpc.VerbStart, Spec: body, Dry: dryRun(q)})
 	})
 	rt.GET("/api/config", func(w http.ResponseWriter, q *http.Request, _ httprouter.Params) {
-		operate(w, q, peer.Operation{Verb: peer.VerbList, Service: q.URL.Query().Get("after")})
+		operate(w, q, rpc.Operation{Verb: rpc.VerbList, Service: q.URL.Query().Get("after")})
 	})
 	rt.GET("/api/config/history", func(w http.ResponseWriter, q *http.Request, _ httprouter.Params) {
-		operate(w, q, peer.Operation{Verb: peer.VerbHistory})
+		operate(w, q, rpc.Operation{Verb: rpc.VerbHistory})
 	})
 	rt.POST("/api/config/rollback/:revision", func(w http.ResponseWriter, q *http.Request, p httprouter.Params) {
-		operate(w, q, peer.Operation{Verb: peer.VerbUndo, Service: p.ByName("revision"), Dry: dryRun(q)})
+		operate(w, q, rpc.Operation{Verb: rpc.VerbUndo, Service: p.ByName("revision"), Dry: dryRun(q)})
 	})
 	rt.GET("/api/config/status", func(w http.ResponseWriter, q *http.Request, _ httprouter.Params) {
-		operate(w, q, peer.Operation{Verb: peer.VerbStatus})
+		operate(w, q, rpc.Operation{Verb: rpc.VerbStatus})
 	})
 }
 
--- a/internal/api/rollouts.go
+++ b/internal/api/rollouts.go
@@ -5,7 +5,7 @@
 
 	"github.com/julienschmidt/httprouter"
 
-	"vetchstream/internal/peer"
+	"vetchstream/internal/rpc"
 	"vetchstream/internal/wire"
 )
 
@@ -16,13 +16,13 @@
 //	GET  /api/rollouts/{service}       one
 //	POST /api/rollouts/{service}/VERB  pause, resume or undo it
 func (s *Server) rollouts(rt *httprouter.Router) {
-	operate := func(w http.ResponseWriter, q *http.Request, op peer.Operation) {
+	operate := func(w http.ResponseWriter, q *http.Request, op rpc.Operation) {
 		b, err := wire.Marshal(op)
 		if err != nil {
 			write(w, refuse(http.StatusInternalServerError, err.Error()))
 			return
 		}
-		s.user(w, q, &peer.Request{Kind: peer.KindRollout, Body: b}, submitTime)
+		s.user(w, q, &rpc.Request{Kind: rpc.KindRollout, Body: b}, submitTime)
 	}
 	rt.POST("/api/rollouts", func(w http.ResponseWriter, q *http.Request, _ httprouter.Params) {
 		body, err := read(q)
@@ -30,18 +30,18 @@
 			write(w, refuse(http.StatusBadRequest, err.Error()))
 			return
 		}
-		operate(w, q, peer.Operation{Verb: peer.VerbStart, Spec: body})
+		operate(w, q, rpc.Operation{Verb: rpc.VerbStart, Spec: body})
 	})
 	rt.GET("/api/rollouts", func(w http.ResponseWriter, q *http.Request, _ httprouter.Params) {
-		operate(w, q, peer.Operation{Verb: peer.VerbList})
+		operate(w, q, rpc.Operation{Verb: rpc.VerbList})
 	})
 	rt.GET("/api/rollouts/:service", func(w http.ResponseWriter, q *http.Request, p httprouter.Params) {
-		operate(w, q, peer.Operation{Verb: peer.VerbStatus, Service: p.ByName("service")})
+		operate(w, q, rpc.Operation{Verb: rpc.VerbStatus, Service: p.ByName("service")})
 	})
 	rt.POST("/api/rollouts/:service/:verb", func(w http.ResponseWriter, q *http.Request, p httprouter.Params) {
 		switch verb := p.ByName("verb"); verb {
-		case peer.VerbPause, peer.VerbResume, peer.VerbUndo:
-			operate(w, q, peer.Operation{Verb: verb, Service: p.ByName("service")})
+		case rpc.VerbPause, rpc.VerbResume, rpc.VerbUndo:
+			operate(w, q, rpc.Operation{Verb: verb, Service: p.ByName("service")})
 		default:
 			write(w, refuse(http.StatusNotFound, "no such route"))
 		}
--- a/internal/hosts/cloud.go
+++ b/internal/autoscale/cloud.go
@@ -1,6 +1,6 @@
-// Package hosts rents and returns machines: the cloud's client, and the pure
+// Package autoscale rents and returns machines: the cloud's client, and the pure
 // decisions about what to rent and when to give it back.
-package hosts
+package autoscale
 
 import (
 	"bytes"
--- a/internal/hosts/plan_test.go
+++ b/internal/autoscale/plan_test.go
@@ -1,4 +1,4 @@
-package hosts
+package autoscale
 
 import (
 	"maps"
--- a/internal/control/admission.go
+++ b/internal/control/admission.go
@@ -10,8 +10,8 @@
 	"golang.org/x/time/rate"
 
 	"vetchstream/internal/job"
-	"vetchstream/internal/meter"
-	"vetchstream/internal/peer"
+	"vetchstream/internal/metrics"
+	"vetchstream/internal/rpc"
 	"vetchstream/internal/state"
 	"vetchstream/internal/wire"
 )
@@ -40,11 +40,11 @@
 // pendingSubmission is a submission that is not durable yet, and who waits for it.
 type pendingSubmission struct {
 	rec   *job.Record
-	backs []func(*peer.Reply)
+	backs []func(*rpc.Reply)
 }
 
 // tell answers those who wait. Whoever comes later is answered later.
-func (in *pendingSubmission) tell(p *peer.Reply) {
+func (in *pendingSubmission) tell(p *rpc.Reply) {
 	for _, back := range in.backs {
 		back(p)
 	}
@@ -143,7 +143,7 @@
 	}()
 }
 
-func (ad *admission) status(id string, back func(*peer.Reply)) {
+func (ad *admission) status(id string, back func(*rpc.Reply)) {
 	absent := reply(http.StatusNotFound, wire.Error{Error: "no such job"})
 	if !job.ValidID(id) {
 		back(absent)
@@ -183,14 +183,14 @@
 const longestRetry = 30 * time.Second
 
 // busy turns a user away until the wait is over.
-func busy(wait time.Duration) *peer.Reply {
+func busy(wait time.Duration) *rpc.Reply {
 	p := settled(Later("too many submissions at once"))
 	p.RetryAfter = int(math.Ceil(wait.Seconds()))
 	return p
 }
 
 // submit answers a submission. A known id wins over every check.
-func (ad *admission) submit(id string, spec *job.Spec, invalid error, back func(*peer.Reply)) {
+func (ad *admission) submit(id string, spec *job.Spec, invalid error, back func(*rpc.Reply)) {
 	if id != "" {
 		if p := ad.endings.known(id); p != nil {
 			back(p)
@@ -237,7 +237,7 @@
 		back(busy(ad.retryPacer.retryAfter(now)))
 		return
 	}
-	in := &pendingSubmission{rec: &job.Record{Spec: *spec, At: now.UnixMilli()}, backs: []func(*peer.Reply){back}}
+	in := &pendingSubmission{rec: &job.Record{Spec: *spec, At: now.UnixMilli()}, backs: []func(*rpc.Reply){back}}
 	ad.pending[id] = in
 	ad.queue = append(ad.queue, in)
 }
@@ -306,7 +306,7 @@
 }
 
 // done answers all who wait for a submission, for good.
-func (ad *admission) done(in *pendingSubmission, p *peer.Reply) {
+func (ad *admission) done(in *pendingSubmission, p *rpc.Reply) {
 	delete(ad.pending, in.rec.Spec.ID)
 	in.tell(p)
 }
@@ -319,7 +319,7 @@
 // key, several in a group record. An unclear commit is tried again: either it was
 // applied, and the conditions show it, or the second one takes its place.
 func (ad *admission) create(key string, in []*pendingSubmission) {
-	all := func(p *peer.Reply) {
+	all := func(p *rpc.Reply) {
 		ad.ahead(func() {
 			for _, x := range in {
 				ad.done(x, p)
@@ -383,7 +383,7 @@
 	if key != "" {
 		kind = "group"
 	}
-	ad.c.Meter.Add(meter.Accepted, kind, len(in))
+	ad.c.Meter.Add(metrics.Accepted, kind, len(in))
 	ad.ahead(func() {
 		if key != "" {
 			recs := make([]job.Record, len(in))
@@ -437,7 +437,7 @@
 // may have been applied, the leadership may have changed, or some of the jobs are
 // known already. It returns the submissions to try again, and whether the state
 // of the last try is unclear; over means that nothing is left to try.
-func (ad *admission) afterConflict(key string, in []*pendingSubmission, conflict *state.ConflictError, all func(*peer.Reply)) (rest []*pendingSubmission, unclear, over bool) {
+func (ad *admission) afterConflict(key string, in []*pendingSubmission, conflict *state.ConflictError, all func(*rpc.Reply)) (rest []*pendingSubmission, unclear, over bool) {
 	e, gerr := ad.c.State.Get(ad.ctx, key)
 	switch {
 	case gerr == nil: // the unclear one was applied
--- a/internal/control/admission_group_reader.go
+++ b/internal/control/admission_group_reader.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"vetchstream/internal/job"
-	"vetchstream/internal/meter"
-	"vetchstream/internal/peer"
+	"vetchstream/internal/metrics"
+	"vetchstream/internal/rpc"
 	"vetchstream/internal/state"
 	"vetchstream/internal/wire"
 )
@@ -142,7 +142,7 @@
 // leader, through the state service alone. The job's record is all that an
 // acceptance needs; the leader learns of it from a watch, the next one when it
 // loads. It is written without the term: nothing of it is decided here.
-func (c *Controller) Admit(ctx context.Context, body []byte) *peer.Reply {
+func (c *Controller) Admit(ctx context.Context, body []byte) *rpc.Reply {
 	id, spec, invalid := submission(body)
 	refusal, unchanged, err := c.admissionCheck(ctx, spec, invalid)
 	if err != nil {
@@ -155,11 +155,11 @@
 }
 
 // noLeader tells the client to come back when no leader is to be reached.
-func noLeader() *peer.Reply { return Later("no leader is to be reached") }
+func noLeader() *rpc.Reply { return Later("no leader is to be reached") }
 
 // admissionCheck is the refusal of a submission, or nil, with the conditions on
 // the state service that the decision rests on; err: they could not be read.
-func (c *Controller) admissionCheck(ctx context.Context, spec *job.Spec, invalid error) (refusal *peer.Reply, unchanged []state.Cond, err error) {
+func (c *Controller) admissionCheck(ctx context.Context, spec *job.Spec, invalid error) (refusal *rpc.Reply, unchanged []state.Cond, err error) {
 	if invalid != nil {
 		return reply(http.StatusBadRequest, wire.Error{Error: invalid.Error()}), nil, nil
 	}
@@ -176,7 +176,7 @@
 
 // refuseUnlessRecorded answers a refused submission: a job whose id is known
 // already is answered with its record, since a known id wins over every check.
-func (c *Controller) refuseUnlessRecorded(ctx context.Context, id string, refusal *peer.Reply) *peer.Reply {
+func (c *Controller) refuseUnlessRecorded(ctx context.Context, id string, refusal *rpc.Reply) *rpc.Reply {
 	if id == "" || refusal.Status == http.StatusServiceUnavailable {
 		return refusal
 	}
@@ -191,7 +191,7 @@
 
 // admitWithoutLeader commits the record of a job that passed the checks, on the
 // condition that what the checks read is unchanged.
-func (c *Controller) admitWithoutLeader(ctx context.Context, id string, spec *job.Spec, unchanged []state.Cond) *peer.Reply {
+func (c *Controller) admitWithoutLeader(ctx context.Context, id string, spec *job.Spec, unchanged []state.Cond) *rpc.Reply {
 	// The commit itself tells whether the job has a record of its own.
 	switch rec, err := c.groups.find(ctx, id); {
 	case err != nil:
@@ -221,14 +221,14 @@
 		// Unclear, it may be: for the user's next try to settle.
 		return noLeader()
 	}
-	c.Meter.Add(meter.Accepted, "without the leader", 1)
+	c.Meter.Add(metrics.Accepted, "without the leader", 1)
 	c.Log.Info("admitted a job without the leader", "job", id)
 	return reply(http.StatusCreated, recordStatus(rec))
 }
 
 // Direct answers a status request from the state service, for a node that
 // neither leads nor reaches the leader.
-func (c *Controller) Direct(ctx context.Context, id string) *peer.Reply {
+func (c *Controller) Direct(ctx context.Context, id string) *rpc.Reply {
 	rec, err := c.find(ctx, id)
 	switch {
 	case err != nil:
--- a/internal/control/admission_groups_test.go
+++ b/internal/control/admission_groups_test.go
@@ -16,12 +16,12 @@
 	"testing/synctest"
 	"time"
 
+	"vetchstream/internal/autoscale"
 	"vetchstream/internal/config"
+	"vetchstream/internal/election"
 	"vetchstream/internal/fleet"
-	"vetchstream/internal/hosts"
 	"vetchstream/internal/job"
-	"vetchstream/internal/lead"
-	"vetchstream/internal/peer"
+	"vetchstream/internal/rpc"
 	"vetchstream/internal/state"
 	"vetchstream/internal/wire"
 )
@@ -287,20 +287,20 @@
 	f.State.RPS, f.State.WriteRPS, f.State.TxnOps, f.State.ValueKB = 200, 24, 12, 16
 	f.Resources.MaxSockets = 800
 	c := New(Deps{Settings: set, Tuning: config.Defaults(), State: state.New("state:1", s.dial, StateBudget(set, false)),
-		Cloud: hosts.NewCloud("cloud:1", s.dial, 1), Dial: s.dial, Log: slog.New(slog.DiscardHandler),
+		Cloud: autoscale.NewCloud("cloud:1", s.dial, 1), Dial: s.dial, Log: slog.New(slog.DiscardHandler),
 		Entitled: func(uint64) bool { return !st.lapsed.Load() }, Deposed: func(uint64) {}})
 	st.Controller = c
 	tune(c.Tuning)
 	c.types = []wire.MachineType{{Name: "small", CPUs: 4, MemGB: 16, Zones: []string{"a"}}}
-	s.put(lead.KeyTerm, map[string]uint64{"term": term})
+	s.put(election.KeyTerm, map[string]uint64{"term": term})
 	s.mu.Lock()
-	version := s.kv[lead.KeyTerm].Version
+	version := s.kv[election.KeyTerm].Version
 	s.mu.Unlock()
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		c.Lead(ctx, lead.Term{Term: term, TermVersion: version, Since: time.Now()})
+		c.Lead(ctx, election.Term{Term: term, TermVersion: version, Since: time.Now()})
 	}()
 	st.stop = sync.OnceFunc(func() { cancel(); <-ended })
 	t.Cleanup(st.stop)
@@ -320,10 +320,10 @@
 }
 
 // ask is a user's request, patient for as long as a user is.
-func (st *seat) ask(kind, id string, b []byte) *peer.Reply {
+func (st *seat) ask(kind, id string, b []byte) *rpc.Reply {
 	ctx, cancel := context.WithTimeout(context.Background(), 3500*time.Millisecond)
 	defer cancel()
-	p := st.Answer(ctx, &peer.Request{Kind: kind, ID: id, Body: b})
+	p := st.Answer(ctx, &rpc.Request{Kind: kind, ID: id, Body: b})
 	if p == nil {
 		p = Later("nobody leads")
 	}
@@ -335,14 +335,14 @@
 	out := make([]int, len(bodies))
 	var wg sync.WaitGroup
 	for i, b := range bodies {
-		wg.Go(func() { out[i] = st.ask(peer.KindSubmit, "", b).Status })
+		wg.Go(func() { out[i] = st.ask(rpc.KindSubmit, "", b).Status })
 	}
 	wg.Wait()
 	return out
 }
 
 func (st *seat) phase(id string) string {
-	p := st.ask(peer.KindStatus, id, nil)
+	p := st.ask(rpc.KindStatus, id, nil)
 	var s wire.Status
 	if p.Status != 200 {
 		return fmt.Sprint(p.Status)
@@ -430,12 +430,12 @@
 	{"a job alone that was stored and whose answer is lost, while another node reads it", func(t *testing.T, s *stateService) {
 		st := sit(t, s, 1)
 		s.will("j", unheard)
-		go st.ask(peer.KindSubmit, "", body("run-1", nil))
+		go st.ask(rpc.KindSubmit, "", body("run-1", nil))
 		time.Sleep(50 * time.Millisecond)
 		if p := st.Direct(context.Background(), "run-1"); p.Status != 200 {
 			t.Errorf("another node says %d", p.Status)
 		}
-		if p := st.ask(peer.KindStatus, "run-1", nil); p.Status != 200 && p.Status != 503 {
+		if p := st.ask(rpc.KindStatus, "run-1", nil); p.Status != 200 && p.Status != 503 {
 			t.Errorf("the leader says %d", p.Status)
 		}
 		time.Sleep(2 * time.Second)
@@ -454,7 +454,7 @@
 				t.Errorf("try %d: %d", i, status)
 			}
 		}
-		if p := st.ask(peer.KindAbort, "run-1", nil); p.Status != 200 || st.phase("run-1") != wire.JobAborted {
+		if p := st.ask(rpc.KindAbort, "run-1", nil); p.Status != 200 || st.phase("run-1") != wire.JobAborted {
 			t.Errorf("cancelled: %d, and it is %s", p.Status, st.phase("run-1"))
 		}
 	}},
@@ -487,7 +487,7 @@
 		}
 		time.Sleep(3 * time.Second)
 		for i := range 40 {
-			if p := st.ask(peer.KindAbort, fmt.Sprintf("run-%d", i), nil); p.Status != 200 {
+			if p := st.ask(rpc.KindAbort, fmt.Sprintf("run-%d", i), nil); p.Status != 200 {
 				t.Errorf("cancel: %d", p.Status)
 			}
 		}
@@ -504,7 +504,7 @@
 		var wg sync.WaitGroup
 		for i := range 100 {
 			wg.Go(func() {
-				if p := st.ask(peer.KindAbort, fmt.Sprintf("run-%d", i), nil); p.Status != 200 {
+				if p := st.ask(rpc.KindAbort, fmt.Sprintf("run-%d", i), nil); p.Status != 200 {
 					t.Errorf("run-%d: %d", i, p.Status)
 				}
 			})
@@ -520,7 +520,7 @@
 		for i := range 30 {
 			id := fmt.Sprintf("run-%d", i)
 			s.will("jgf", unheard)
-			go st.ask(peer.KindAbort, id, nil)
+			go st.ask(rpc.KindAbort, id, nil)
 			time.Sleep(100 * time.Millisecond)
 			var told wire.Status
 			if p := st.Direct(context.Background(), id); wire.Unmarshal(p.Body, &told) != nil || told.Phase != wire.JobAborted {
@@ -592,7 +592,7 @@
 					s.fates = append(make([]fate, step), f)
 					s.mu.Unlock()
 					for i := range over {
-						go st.ask(peer.KindAbort, fmt.Sprintf("run-%d", i), nil)
+						go st.ask(rpc.KindAbort, fmt.Sprintf("run-%d", i), nil)
 					}
 					for range 100 {
 						time.Sleep(20 * time.Millisecond)
@@ -617,7 +617,7 @@
 							t.Errorf("%s is %s, was told to be over: %v", id, got, told[i])
 						}
 						if i < over {
-							next.ask(peer.KindAbort, id, nil)
+							next.ask(rpc.KindAbort, id, nil)
 						}
 					}
 					time.Sleep(time.Minute)
@@ -668,13 +668,13 @@
 		s.put(job.DonePrefix+"run-4/0", job.Chunk{})
 		s.put(job.ActivePrefix+"run-5", &job.Record{Spec: job.Spec{ID: "run-5", Team: "red", ShapeName: "array", RankName: "idle", Tasks: 1, CPUs: 1}})
 		st := sit(t, s, 7)
-		if p := st.ask(peer.KindStatus, "run-5", nil); p.Status != 200 {
+		if p := st.ask(rpc.KindStatus, "run-5", nil); p.Status != 200 {
 			t.Errorf("another job's status: %d", p.Status)
 		}
-		if p := st.ask(peer.KindStatus, "run-4", nil); p.Status != 503 {
+		if p := st.ask(rpc.KindStatus, "run-4", nil); p.Status != 503 {
 			t.Errorf("its own: %d, want 503", p.Status)
 		}
-		if p := st.ask(peer.KindSubmit, "run-6", body("run-6", nil)); p.Status/100 != 2 {
+		if p := st.ask(rpc.KindSubmit, "run-6", body("run-6", nil)); p.Status/100 != 2 {
 			t.Errorf("a new job: %d", p.Status)
 		}
 		time.Sleep(2 * auditEvery)
@@ -705,14 +705,14 @@
 			kind, id string
 			want     int
 		}{
-			{peer.KindStatus, "run-5", 200}, {peer.KindStatus, "run-6", 200}, {peer.KindStatus, "run-7", 200}, {peer.KindStatus, "run-4", 503},
-			{peer.KindSubmit, "run-5", 200}, {peer.KindSubmit, "run-6", 200}, {peer.KindSubmit, "run-7", 200}, {peer.KindSubmit, "run-4", 503},
-			{peer.KindAbort, "run-4", 503}, {peer.KindAbort, "run-6", 200},
+			{rpc.KindStatus, "run-5", 200}, {rpc.KindStatus, "run-6", 200}, {rpc.KindStatus, "run-7", 200}, {rpc.KindStatus, "run-4", 503},
+			{rpc.KindSubmit, "run-5", 200}, {rpc.KindSubmit, "run-6", 200}, {rpc.KindSubmit, "run-7", 200}, {rpc.KindSubmit, "run-4", 503},
+			{rpc.KindAbort, "run-4", 503}, {rpc.KindAbort, "run-6", 200},
 		} {
 			if p := st.ask(tt.kind, tt.id, body(tt.id, nil)); p.Status != tt.want {
 				t.Errorf("%s %s: %d, want %d", tt.kind, tt.id, p.Status, tt.want)
 			}
-			if p := st.Direct(context.Background(), tt.id); tt.kind == peer.KindStatus && p.Status != tt.want {
+			if p := st.Direct(context.Background(), tt.id); tt.kind == rpc.KindStatus && p.Status != tt.want {
 				t.Errorf("%s at another controller: %d, want %d", tt.id, p.Status, tt.want)
 			}
 		}
@@ -817,7 +817,7 @@
 				st.stop()
 				next := sit(t, s, 8)
 				var got wire.Status
-				if p := next.ask(peer.KindStatus, "run-4", nil); wire.Unmarshal(p.Body, &got) != nil || got.Done != 4 {
+				if p := next.ask(rpc.KindStatus, "run-4", nil); wire.Unmarshal(p.Body, &got) != nil || got.Done != 4 {
 					t.Errorf("the next leader knows %d results of 4", got.Done)
 				}
 			})
@@ -836,12 +836,12 @@
 				st := sit(t, s, 7)
 				rec := &job.Record{Spec: job.Spec{ID: "run-5", Team: "red", ShapeName: "array", RankName: "idle", Tasks: 1, CPUs: 1}}
 				s.put(job.ActivePrefix+"run-5", rec)
-				r, got := st.current(), make(chan *peer.Reply, 1)
+				r, got := st.current(), make(chan *rpc.Reply, 1)
 				r.ahead(func() {
 					if phase != "" {
 						r.endings.remember(&job.Record{Spec: rec.Spec, Phase: phase})
 					}
-					in := &pendingSubmission{rec: rec, backs: []func(*peer.Reply){func(p *peer.Reply) { got <- p }}}
+					in := &pendingSubmission{rec: rec, backs: []func(*rpc.Reply){func(p *rpc.Reply) { got <- p }}}
 					r.admission.pending["run-5"] = in
 					go r.admission.resolve(in)
 				})
@@ -876,7 +876,7 @@
 
 // lateOp is an operation of TestLateRecords, with the spec that goes into its body.
 type lateOp struct {
-	peer.Operation
+	rpc.Operation
 	spec map[string]any
 }
 
@@ -887,7 +887,7 @@
 
 // namedOp is an operation on the roll-out of service x, or the calendar entry x.
 func namedOp(verb string, window bool) lateOp {
-	return lateOp{peer.Operation{Verb: verb, Service: "x", Window: window}, nil}
+	return lateOp{rpc.Operation{Verb: verb, Service: "x", Window: window}, nil}
 }
 
 // lateRecord is a case of TestLateRecords.
@@ -899,21 +899,21 @@
 
 // lateRecords are the cases of TestLateRecords.
 var lateRecords = []lateRecord{
-	{"a roll-out is started", peer.KindRollout, "r", []lateOp{
-		{peer.Operation{Verb: peer.VerbStart}, map[string]any{"service": "x", "from": "run-1", "to": map[string]any{"uid": "run-2", "reel": "n"}}}}, "run-2"},
-	{"a roll-out is started and paused", peer.KindRollout, "r", []lateOp{
-		{peer.Operation{Verb: peer.VerbStart}, map[string]any{"service": "x", "from": "run-1", "to": map[string]any{"uid": "run-2", "reel": "n"}}},
-		namedOp(peer.VerbPause, false)}, "paused"},
-	{"a reservation is made", peer.KindCalendar, "c", []lateOp{
-		{peer.Operation{Verb: peer.VerbStart}, map[string]any{"name": "x", "team": "red", "parts": 1, "cpus": 1.0, "mem_gb": 1.0, "start": simDay(2, 1), "end": simDay(2, 2)}}}, "booked"},
-	{"a reservation is made and cancelled", peer.KindCalendar, "c", []lateOp{
-		{peer.Operation{Verb: peer.VerbStart}, map[string]any{"name": "x", "team": "red", "parts": 1, "cpus": 1.0, "mem_gb": 1.0, "start": simDay(2, 1), "end": simDay(2, 2)}},
-		namedOp(peer.VerbCancel, false)}, ""},
-	{"a window is planned", peer.KindCalendar, "c", []lateOp{
-		{peer.Operation{Verb: peer.VerbStart, Window: true}, map[string]any{"name": "x", "yard": "a", "start": simDay(3, 1), "end": simDay(3, 2), "force": true}}}, "2000-01-04"},
-	{"a window is planned and cancelled", peer.KindCalendar, "c", []lateOp{
-		{peer.Operation{Verb: peer.VerbStart, Window: true}, map[string]any{"name": "x", "yard": "a", "start": simDay(3, 1), "end": simDay(3, 2), "force": true}},
-		namedOp(peer.VerbCancel, true)}, ""},
+	{"a roll-out is started", rpc.KindRollout, "r", []lateOp{
+		{rpc.Operation{Verb: rpc.VerbStart}, map[string]any{"service": "x", "from": "run-1", "to": map[string]any{"uid": "run-2", "reel": "n"}}}}, "run-2"},
+	{"a roll-out is started and paused", rpc.KindRollout, "r", []lateOp{
+		{rpc.Operation{Verb: rpc.VerbStart}, map[string]any{"service": "x", "from": "run-1", "to": map[string]any{"uid": "run-2", "reel": "n"}}},
+		namedOp(rpc.VerbPause, false)}, "paused"},
+	{"a reservation is made", rpc.KindCalendar, "c", []lateOp{
+		{rpc.Operation{Verb: rpc.VerbStart}, map[string]any{"name": "x", "team": "red", "parts": 1, "cpus": 1.0, "mem_gb": 1.0, "start": simDay(2, 1), "end": simDay(2, 2)}}}, "booked"},
+	{"a reservation is made and cancelled", rpc.KindCalendar, "c", []lateOp{
+		{rpc.Operation{Verb: rpc.VerbStart}, map[string]any{"name": "x", "team": "red", "parts": 1, "cpus": 1.0, "mem_gb": 1.0, "start": simDay(2, 1), "end": simDay(2, 2)}},
+		namedOp(rpc.VerbCancel, false)}, ""},
+	{"a window is planned", rpc.KindCalendar, "c", []lateOp{
+		{rpc.Operation{Verb: rpc.VerbStart, Window: true}, map[string]any{"name": "x", "yard": "a", "start": simDay(3, 1), "end": simDay(3, 2), "force": true}}}, "2000-01-04"},
+	{"a window is planned and cancelled", rpc.KindCalendar, "c", []lateOp{
+		{rpc.Operation{Verb: rpc.VerbStart, Window: true}, map[string]any{"name": "x", "yard": "a", "start": simDay(3, 1), "end": simDay(3, 2), "force": true}},
+		namedOp(rpc.VerbCancel, true)}, ""},
 }
 
 // checkLateRecord carries out the operations of rec while the transactions meet
@@ -932,7 +932,7 @@
 	if _, left := s.seen(); left == len(fates) {
 		t.Error("no transaction met its fate")
 	}
-	look := namedOp(peer.VerbStatus, strings.Contains(rec.name, "window"))
+	look := namedOp(rpc.VerbStatus, strings.Contains(rec.name, "window"))
 	told := func(st *seat, who string) {
 		p := askUntilAnswered(t, st, rec.kind, look)
 		if (rec.want == "") != (p.Status == http.StatusNotFound) || !strings.Contains(string(p.Body), rec.want) {
@@ -948,7 +948,7 @@
 
 // askUntilAnswered asks st to carry out o, and asks again while the answer is a
 // server error, 30 times at most, a second apart.
-func askUntilAnswered(t *testing.T, st *seat, kind string, o lateOp) *peer.Reply {
+func askUntilAnswered(t *testing.T, st *seat, kind string, o lateOp) *rpc.Reply {
 	if o.spec != nil {
 		b, err := wire.Marshal(o.spec)
 		if err != nil {
@@ -974,14 +974,14 @@
 // TestLapsed: an answer that has waited behind a busy actor until the entitlement was gone is
 // none: another may lead by then, and have told the user something newer.
 func TestLapsed(t *testing.T) {
-	for _, kind := range []string{peer.KindStatus, peer.KindSubmit, peer.KindAbort} {
+	for _, kind := range []string{rpc.KindStatus, rpc.KindSubmit, rpc.KindAbort} {
 		t.Run(kind, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				st := sit(t, newStateService(t), 7)
 				if out := st.submit(body("run-5", nil)); out[0] != 201 {
 					t.Fatalf("submission: %d", out[0])
 				}
-				busy, got := make(chan struct{}), make(chan *peer.Reply, 1)
+				busy, got := make(chan struct{}), make(chan *rpc.Reply, 1)
 				st.current().ahead(func() { <-busy })
 				go func() { got <- st.ask(kind, "run-5", body("run-5", nil)) }()
 				time.Sleep(time.Second)
--- a/internal/control/calendar_requests.go
+++ b/internal/control/calendar_requests.go
@@ -9,32 +9,32 @@
 	"time"
 
 	"vetchstream/internal/calendar"
-	"vetchstream/internal/peer"
+	"vetchstream/internal/rpc"
 	"vetchstream/internal/state"
 	"vetchstream/internal/wire"
 )
 
 // operate answers a request about the calendar.
-func (cs *calendarStore) operate(op *peer.Operation, back func(*peer.Reply)) {
+func (cs *calendarStore) operate(op *rpc.Operation, back func(*rpc.Reply)) {
 	refuse := func(status int, why string) { back(reply(status, wire.Error{Error: why})) }
 	switch {
 	case !cs.on():
 		refuse(http.StatusNotFound, "the calendar is switched off here")
 	case len(cs.names.list()) == 0:
 		back(Later("machine types are not known yet"))
-	case op.Window && op.Team != "" && (op.Verb == peer.VerbStart || op.Verb == peer.VerbCancel):
+	case op.Window && op.Team != "" && (op.Verb == rpc.VerbStart || op.Verb == rpc.VerbCancel):
 		refuse(http.StatusForbidden, "maintenance is an operator's")
-	case op.Verb == peer.VerbList:
+	case op.Verb == rpc.VerbList:
 		back(reply(http.StatusOK, cs.page(op)))
-	case op.Verb == peer.VerbStart && op.Window:
+	case op.Verb == rpc.VerbStart && op.Window:
 		cs.change(func() { cs.plan(op.Spec, back) }, back)
-	case op.Verb == peer.VerbStart:
+	case op.Verb == rpc.VerbStart:
 		cs.change(func() { cs.reserve(op.Spec, op.Team, back) }, back)
 	case op.Window && cs.windows[op.Service] == 0:
 		refuse(http.StatusNotFound, "no maintenance window of that name")
 	case !op.Window && !cs.sees(op.Team, op.Service):
 		refuse(http.StatusNotFound, "no reservation of that name")
-	case op.Verb == peer.VerbCancel:
+	case op.Verb == rpc.VerbCancel:
 		cs.change(func() { cs.cancel(op, back) }, back)
 	case op.Window:
 		back(reply(http.StatusOK, cs.windowStatus(op.Service)))
@@ -53,7 +53,7 @@
 const pageSize = 50
 
 // page lists entries by name, from after the given one on.
-func (cs *calendarStore) page(op *peer.Operation) any {
+func (cs *calendarStore) page(op *rpc.Operation) any {
 	var names []string
 	if op.Window {
 		names = slices.Collect(maps.Keys(cs.windows))
@@ -102,7 +102,7 @@
 }
 
 // reserve takes in a reservation, if it fits.
-func (cs *calendarStore) reserve(body []byte, team string, back func(*peer.Reply)) {
+func (cs *calendarStore) reserve(body []byte, team string, back func(*rpc.Reply)) {
 	refuse := func(status int, why string) { back(reply(status, wire.Error{Error: why})) }
 	at := cs.clock(time.Now())
 	r, err := calendar.ParseReservation(body, cs.limits(), at)
@@ -151,7 +151,7 @@
 }
 
 // plan takes in a maintenance window, and moves the reservations on its machines.
-func (cs *calendarStore) plan(body []byte, back func(*peer.Reply)) {
+func (cs *calendarStore) plan(body []byte, back func(*rpc.Reply)) {
 	refuse := func(status int, why string) { back(reply(status, wire.Error{Error: why})) }
 	at := cs.clock(time.Now())
 	w, err := calendar.ParseWindow(body, cs.limits(), at)
@@ -185,7 +185,7 @@
 
 // windowAgain answers a window whose name is taken: the same window once more is
 // an idempotent request, another one of that name a conflict.
-func (cs *calendarStore) windowAgain(w *calendar.Window, p *calendar.Plan) *peer.Reply {
+func (cs *calendarStore) windowAgain(w *calendar.Window, p *calendar.Plan) *rpc.Reply {
 	if calendar.SameWindow(w, p.Window) {
 		return reply(http.StatusOK, cs.windowStatus(w.Name))
 	}
@@ -203,7 +203,7 @@
 
 // windowChange builds the one transaction of a window and of the reservations
 // that it moves; refusal is set if it cannot be stored.
-func (cs *calendarStore) windowChange(w *calendar.Window, a *calendar.Announced) (change *windowTxn, refusal *peer.Reply) {
+func (cs *calendarStore) windowChange(w *calendar.Window, a *calendar.Announced) (change *windowTxn, refusal *rpc.Reply) {
 	key := windowPrefix + w.Name
 	put, err := state.Put(key, calendar.WindowRecord{Spec: *w, Closes: a.Plan.Closes})
 	if err != nil || cs.tooLarge(put) {
@@ -234,7 +234,7 @@
 
 // windowStored takes in a window once it is stored, with the reservations that
 // it moved, and answers with its status.
-func (cs *calendarStore) windowStored(w *calendar.Window, a *calendar.Announced, at time.Time, change *windowTxn, v uint64, back func(*peer.Reply)) {
+func (cs *calendarStore) windowStored(w *calendar.Window, a *calendar.Announced, at time.Time, change *windowTxn, v uint64, back func(*rpc.Reply)) {
 	cs.cal.AddWindow(a.Plan)
 	cs.windows[w.Name] = v
 	for _, e := range change.touched {
@@ -248,7 +248,7 @@
 }
 
 // cancel removes a reservation or a window. What runs goes on as ordinary work.
-func (cs *calendarStore) cancel(op *peer.Operation, back func(*peer.Reply)) {
+func (cs *calendarStore) cancel(op *rpc.Operation, back func(*rpc.Reply)) {
 	gone := reply(http.StatusNotFound, wire.Error{Error: "no entry of that name"})
 	if op.Window {
 		if cs.windows[op.Service] == 0 {
--- a/internal/control/calendar_store.go
+++ b/internal/control/calendar_store.go
@@ -7,8 +7,8 @@
 
 	"vetchstream/internal/calendar"
 	"vetchstream/internal/job"
-	"vetchstream/internal/meter"
-	"vetchstream/internal/peer"
+	"vetchstream/internal/metrics"
+	"vetchstream/internal/rpc"
 	"vetchstream/internal/state"
 	"vetchstream/internal/wire"
 )
@@ -363,7 +363,7 @@
 			return
 		}
 		o := next.Past[len(next.Past)-1]
-		cs.c.Meter.Add(meter.Slots, o.What, 1)
+		cs.c.Meter.Add(metrics.Slots, o.What, 1)
 		cs.log.Info("slot is decided", "reservation", b.rec.Spec.Name, "start", time.UnixMilli(o.Start).UTC(), "outcome", o.What, "job", o.Job, "late_s", o.LateS)
 		b.rec, b.version, cs.near = next, v, nil
 		cs.changed()
@@ -400,7 +400,7 @@
 
 // change runs a change of the calendar, or lets it wait for the one before: what
 // fits is decided beside what is stored.
-func (cs *calendarStore) change(f func(), back func(*peer.Reply)) {
+func (cs *calendarStore) change(f func(), back func(*rpc.Reply)) {
 	switch {
 	case !cs.writing:
 		f()
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -11,13 +11,13 @@
 	"sync"
 	"time"
 
+	"vetchstream/internal/autoscale"
 	"vetchstream/internal/config"
-	"vetchstream/internal/hosts"
+	"vetchstream/internal/election"
 	"vetchstream/internal/job"
-	"vetchstream/internal/lead"
-	"vetchstream/internal/meter"
-	"vetchstream/internal/peer"
+	"vetchstream/internal/metrics"
 	"vetchstream/internal/place"
+	"vetchstream/internal/rpc"
 	"vetchstream/internal/state"
 	"vetchstream/internal/wire"
 )
@@ -27,10 +27,10 @@
 	Settings *config.Settings
 	Tuning   *config.Tuning
 	State    *state.Client
-	Cloud    *hosts.Cloud
+	Cloud    *autoscale.Cloud
 	Dial     state.DialFunc
 	Log      *slog.Logger
-	Meter    *meter.Meter // nil: off
+	Meter    *metrics.Meter // nil: off
 	// Entitled tells whether this node may act for the term right now.
 	Entitled func(term uint64) bool
 	// Follow asks the leader of the home region from another one.
@@ -81,16 +81,16 @@
 }
 
 // Lead runs one term until its context ends.
-func (c *Controller) Lead(ctx context.Context, l lead.Term) {
+func (c *Controller) Lead(ctx context.Context, l election.Term) {
 	c.State.SetBudget(StateBudget(c.Settings, true))
 	defer c.State.SetBudget(StateBudget(c.Settings, false))
 	r := newLeaderTerm(ctx, c, l)
 	c.mu.Lock()
 	c.leaderTerm = r
 	c.mu.Unlock()
-	c.Meter.Set(meter.Leading, 1)
+	c.Meter.Set(metrics.Leading, 1)
 	r.run()
-	c.Meter.Set(meter.Leading, 0)
+	c.Meter.Set(metrics.Leading, 0)
 	c.mu.Lock()
 	c.leaderTerm = nil
 	c.mu.Unlock()
@@ -108,16 +108,16 @@
 	return r != nil && c.Entitled(r.term)
 }
 
-func reply(status int, v any) *peer.Reply {
+func reply(status int, v any) *rpc.Reply {
 	b, err := wire.Marshal(v)
 	if err != nil {
-		return &peer.Reply{Status: http.StatusInternalServerError}
+		return &rpc.Reply{Status: http.StatusInternalServerError}
 	}
-	return &peer.Reply{Status: status, Body: b}
+	return &rpc.Reply{Status: status, Body: b}
 }
 
 // Later tells the client to come back.
-func Later(why string) *peer.Reply {
+func Later(why string) *rpc.Reply {
 	r := reply(http.StatusServiceUnavailable, wire.Error{Error: why})
 	r.RetryAfter = 1
 	return r
@@ -126,18 +126,18 @@
 // settled marks a refusal as the leader's own word: the node that handed the
 // request on must not try by itself, which would double the load that the
 // leader turns away.
-func settled(p *peer.Reply) *peer.Reply {
+func settled(p *rpc.Reply) *rpc.Reply {
 	p.Settled = true
 	return p
 }
 
 // Answer answers a request as leader; nil means that this node does not lead.
-func (c *Controller) Answer(ctx context.Context, q *peer.Request) *peer.Reply {
+func (c *Controller) Answer(ctx context.Context, q *rpc.Request) *rpc.Reply {
 	r := c.current()
 	if r == nil || !c.Entitled(r.term) {
 		return nil
 	}
-	if (q.Kind == peer.KindSubmit || q.Kind == peer.KindStatus) && !r.takeover.loaded() {
+	if (q.Kind == rpc.KindSubmit || q.Kind == rpc.KindStatus) && !r.takeover.loaded() {
 		return nil // any node can answer that from the state service, sooner
 	}
 	do, box, refusal := requestHandler(r, q)
@@ -148,44 +148,44 @@
 }
 
 // actorStep is what a request asks of the leader's actor; it answers through back.
-type actorStep func(r *leaderTerm, back func(*peer.Reply))
+type actorStep func(r *leaderTerm, back func(*rpc.Reply))
 
 // requestHandler decodes a request into the step that the actor takes for it and
 // the queue that the step waits in; refusal is set for a request that cannot be read.
-func requestHandler(r *leaderTerm, q *peer.Request) (do actorStep, box chan func(), refusal *peer.Reply) {
+func requestHandler(r *leaderTerm, q *rpc.Request) (do actorStep, box chan func(), refusal *rpc.Reply) {
 	box = r.users
 	switch q.Kind {
-	case peer.KindSubmit:
+	case rpc.KindSubmit:
 		id, spec, err := submission(q.Body)
-		do = func(r *leaderTerm, back func(*peer.Reply)) { r.admission.submit(id, spec, err, back) }
-	case peer.KindStatus:
-		do = func(r *leaderTerm, back func(*peer.Reply)) { r.admission.status(q.ID, back) }
-	case peer.KindAbort:
-		do = func(r *leaderTerm, back func(*peer.Reply)) { r.endings.abort(q.ID, back) }
-	case peer.KindRollout:
+		do = func(r *leaderTerm, back func(*rpc.Reply)) { r.admission.submit(id, spec, err, back) }
+	case rpc.KindStatus:
+		do = func(r *leaderTerm, back func(*rpc.Reply)) { r.admission.status(q.ID, back) }
+	case rpc.KindAbort:
+		do = func(r *leaderTerm, back func(*rpc.Reply)) { r.endings.abort(q.ID, back) }
+	case rpc.KindRollout:
 		op, bad := decodeOperation(q.Body)
 		if bad != nil {
 			return nil, nil, bad
 		}
-		do = func(r *leaderTerm, back func(*peer.Reply)) { r.rollouts.operate(op, back) }
-	case peer.KindCalendar:
+		do = func(r *leaderTerm, back func(*rpc.Reply)) { r.rollouts.operate(op, back) }
+	case rpc.KindCalendar:
 		op, bad := decodeOperation(q.Body)
 		if bad != nil {
 			return nil, nil, bad
 		}
-		do = func(r *leaderTerm, back func(*peer.Reply)) { r.calendarStore.operate(op, back) }
-	case peer.KindConfig:
+		do = func(r *leaderTerm, back func(*rpc.Reply)) { r.calendarStore.operate(op, back) }
+	case rpc.KindConfig:
 		op, bad := decodeOperation(q.Body)
 		if bad != nil {
 			return nil, nil, bad
 		}
-		do = func(r *leaderTerm, back func(*peer.Reply)) { r.homeTeams.operate(op, back) }
-	case peer.KindReport:
+		do = func(r *leaderTerm, back func(*rpc.Reply)) { r.homeTeams.operate(op, back) }
+	case rpc.KindReport:
 		m := &wire.Report{}
 		if err := wire.Unmarshal(q.Body, m); err != nil || m.Host == "" || m.Session == 0 {
 			return nil, nil, reply(http.StatusBadRequest, wire.Error{Error: "malformed report"})
 		}
-		do, box = func(r *leaderTerm, back func(*peer.Reply)) { r.report(m, q.Via, back) }, r.inbox
+		do, box = func(r *leaderTerm, back func(*rpc.Reply)) { r.report(m, q.Via, back) }, r.inbox
 	default:
 		return nil, nil, reply(http.StatusBadRequest, wire.Error{Error: "unknown request"})
 	}
@@ -194,8 +194,8 @@
 
 // decodeOperation reads the operation of a roll-out, calendar or configuration
 // request; bad refuses one that cannot be read.
-func decodeOperation(body []byte) (op *peer.Operation, bad *peer.Reply) {
-	op = &peer.Operation{}
+func decodeOperation(body []byte) (op *rpc.Operation, bad *rpc.Reply) {
+	op = &rpc.Operation{}
 	if err := wire.Unmarshal(body, op); err != nil {
 		return nil, reply(http.StatusBadRequest, wire.Error{Error: "malformed request"})
 	}
@@ -204,9 +204,9 @@
 
 // awaitActor hands a step to the leader's actor through box and waits for its
 // answer; nil means that the term has ended or the node is no longer entitled.
-func (c *Controller) awaitActor(ctx context.Context, r *leaderTerm, box chan func(), do actorStep) *peer.Reply {
-	ch := make(chan *peer.Reply, 1)
-	back := func(p *peer.Reply) {
+func (c *Controller) awaitActor(ctx context.Context, r *leaderTerm, box chan func(), do actorStep) *rpc.Reply {
+	ch := make(chan *rpc.Reply, 1)
+	back := func(p *rpc.Reply) {
 		select {
 		case ch <- p:
 		default:
@@ -257,7 +257,7 @@
 
 // admissionRefusal is the refusal of a job that can never run, or cannot be judged yet;
 // nil: it may be taken in.
-func (c *Controller) admissionRefusal(spec *job.Spec, types []wire.MachineType, team quota) *peer.Reply {
+func (c *Controller) admissionRefusal(spec *job.Spec, types []wire.MachineType, team quota) *rpc.Reply {
 	why, known := neverSchedulable(spec, types, team.now)
 	if why != "" && team.soon != nil {
 		if later, _ := neverSchedulable(spec, types, team.soon); later == "" {
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -8,13 +8,13 @@
 	"testing"
 	"time"
 
+	"vetchstream/internal/autoscale"
 	"vetchstream/internal/config"
+	"vetchstream/internal/election"
 	"vetchstream/internal/fleet"
-	"vetchstream/internal/hosts"
 	"vetchstream/internal/job"
-	"vetchstream/internal/lead"
-	"vetchstream/internal/peer"
 	"vetchstream/internal/place"
+	"vetchstream/internal/rpc"
 	"vetchstream/internal/state"
 	"vetchstream/internal/wire"
 )
@@ -30,7 +30,7 @@
 		Entitled: func(uint64) bool { return false }, Deposed: func(uint64) {}})
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel() // nothing that is started in the background may run on
-	return newLeaderTerm(ctx, c, lead.Term{Term: 7, Since: time.Unix(1000, 0)})
+	return newLeaderTerm(ctx, c, election.Term{Term: 7, Since: time.Unix(1000, 0)})
 }
 
 func (r *leaderTerm) host(name string) *fleet.Host { return r.fleet.Add(name, time.Unix(1000, 0)) }
@@ -280,7 +280,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			r := bench(t)
 			r.report(&wire.Report{Host: "h2", Type: "small", Zone: "a", Session: 1, Seq: 4, Tasks: []wire.TaskReport{{Task: "run-1/0", Attempt: 1, Phase: wire.Running}}},
-				"", func(*peer.Reply) {})
+				"", func(*rpc.Reply) {})
 			for _, names := range tt.lists {
 				var list []wire.CloudHost
 				for _, n := range names {
@@ -415,9 +415,9 @@
 			r.names.zone("a")
 			need := place.Amount{CPUs: 4}
 			gang := r.jobTable.add(&job.Record{Spec: job.Spec{ID: "run-1", ShapeName: "ensemble", RankName: "idle", Tasks: 2, CPUs: 4, OneZone: true}}, 1, r.since)
-			r.machines.want([]hosts.Want{{Demand: &place.Demand{ID: r.jobTable.index(gang), Shape: job.Gang, Need: need, Zone: -1, OneZone: true, InZone: make([]int, 2)}, Count: 2, Chosen: -7}})
+			r.machines.want([]autoscale.Want{{Demand: &place.Demand{ID: r.jobTable.index(gang), Shape: job.Gang, Need: need, Zone: -1, OneZone: true, InZone: make([]int, 2)}, Count: 2, Chosen: -7}})
 			for range slots {
-				r.holds.wants = append(r.holds.wants, hosts.Want{Demand: &place.Demand{Shape: job.Gang, Need: need, Zone: 0, InZone: make([]int, 2)}, Count: 1})
+				r.holds.wants = append(r.holds.wants, autoscale.Want{Demand: &place.Demand{Shape: job.Gang, Need: need, Zone: 0, InZone: make([]int, 2)}, Count: 1})
 			}
 			r.machines.rent(r.since)
 			if got := r.machines.wants[0].Chosen; got < 0 {
--- a/internal/control/drains.go
+++ b/internal/control/drains.go
@@ -7,7 +7,7 @@
 	"vetchstream/internal/calendar"
 	"vetchstream/internal/fleet"
 	"vetchstream/internal/job"
-	"vetchstream/internal/meter"
+	"vetchstream/internal/metrics"
 	"vetchstream/internal/place"
 	"vetchstream/internal/wire"
 )
@@ -235,7 +235,7 @@
 
 func (dr *drains) stop(s *fleet.Slot, grace float64, h *fleet.Host, p *calendar.Plan) {
 	dr.log.Info("moving a task for maintenance", "task", job.TaskName(s.Job.ID, s.Task), "host", h.Name, "window", p.Name, "save_s", grace)
-	dr.c.Meter.Add(meter.Moves, "", 1)
+	dr.c.Meter.Add(metrics.Moves, "", 1)
 	dr.work.stopSlot(s, grace)
 }
 
--- a/internal/control/endings.go
+++ b/internal/control/endings.go
@@ -9,8 +9,8 @@
 	"golang.org/x/time/rate"
 
 	"vetchstream/internal/job"
-	"vetchstream/internal/meter"
-	"vetchstream/internal/peer"
+	"vetchstream/internal/metrics"
+	"vetchstream/internal/rpc"
 	"vetchstream/internal/state"
 	"vetchstream/internal/wire"
 )
@@ -35,14 +35,14 @@
 	groups    *groups
 
 	finals  *finals
-	waiters map[*job.Job][]func(*peer.Reply) // who has asked to cancel
+	waiters map[*job.Job][]func(*rpc.Reply) // who has asked to cancel
 	limit   *rate.Limiter
 	moves   []move // records of jobs that are over, still under the key of active ones
 	moving  bool
 }
 
 func newEndings(co *core, limit *rate.Limiter) *endings {
-	return &endings{core: co, limit: limit, finals: newFinals(4096), waiters: map[*job.Job][]func(*peer.Reply){}}
+	return &endings{core: co, limit: limit, finals: newFinals(4096), waiters: map[*job.Job][]func(*rpc.Reply){}}
 }
 
 // reset forgets what a load that failed half-way has found.
@@ -109,7 +109,7 @@
 // known answers from memory; nil if the job is not there, or is about to be over.
 // From the moment the commit of its end is sent another node may have read and
 // told that end, while this one does not know of it yet: only a fresh read can say.
-func (en *endings) known(id string) *peer.Reply {
+func (en *endings) known(id string) *rpc.Reply {
 	if j := en.jobTable.sound(id); j != nil {
 		if j.Closing != "" && j.Phase == "" {
 			return nil
@@ -120,7 +120,7 @@
 }
 
 // past answers for a job that is over; nil: it is not, or it is forgotten here.
-func (en *endings) past(id string) *peer.Reply {
+func (en *endings) past(id string) *rpc.Reply {
 	if s, ok := en.finals.get(id); ok {
 		return reply(http.StatusOK, s)
 	}
@@ -132,7 +132,7 @@
 
 // readBack answers from a fresh read; absent is the answer for a job that was
 // never accepted, active makes the one for a job that is not over.
-func (en *endings) readBack(id string, absent *peer.Reply, active func(*job.Record) *peer.Reply, back func(*peer.Reply)) {
+func (en *endings) readBack(id string, absent *rpc.Reply, active func(*job.Record) *rpc.Reply, back func(*rpc.Reply)) {
 	go func() {
 		ctx, cancel := context.WithTimeout(en.ctx, 3*time.Second)
 		defer cancel()
@@ -152,9 +152,9 @@
 }
 
 // recorded answers with what a job's record says.
-func recorded(rec *job.Record) *peer.Reply { return reply(http.StatusOK, recordStatus(rec)) }
+func recorded(rec *job.Record) *rpc.Reply { return reply(http.StatusOK, recordStatus(rec)) }
 
-func (en *endings) abort(id string, back func(*peer.Reply)) {
+func (en *endings) abort(id string, back func(*rpc.Reply)) {
 	absent := reply(http.StatusNotFound, wire.Error{Error: "no such job"})
 	if !job.ValidID(id) {
 		back(absent)
@@ -178,12 +178,12 @@
 // abortUnknown answers for a job that is over and forgotten here, was never
 // accepted, or was admitted by another node a moment ago: that one is taken in,
 // and the user's next try finds it.
-func (en *endings) abortUnknown(id string, absent *peer.Reply, back func(*peer.Reply)) {
+func (en *endings) abortUnknown(id string, absent *rpc.Reply, back func(*rpc.Reply)) {
 	if p := en.past(id); p != nil {
 		back(p)
 		return
 	}
-	en.readBack(id, absent, func(*job.Record) *peer.Reply {
+	en.readBack(id, absent, func(*job.Record) *rpc.Reply {
 		en.ahead(func() { en.admission.admitted(id) })
 		return Later("job is being taken in")
 	}, back)
@@ -252,7 +252,7 @@
 
 func (en *endings) finished(j *job.Job, rec *job.Record) {
 	j.Phase = rec.Phase
-	en.c.Meter.Add(meter.Endings, j.Phase, 1)
+	en.c.Meter.Add(metrics.Endings, j.Phase, 1)
 	s := recordStatus(rec)
 	en.finals.put(s)
 	for _, back := range en.waiters[j] {
--- a/internal/control/holds.go
+++ b/internal/control/holds.go
@@ -7,12 +7,12 @@
 	"slices"
 	"time"
 
+	"vetchstream/internal/autoscale"
 	"vetchstream/internal/calendar"
 	"vetchstream/internal/config"
 	"vetchstream/internal/fleet"
-	"vetchstream/internal/hosts"
 	"vetchstream/internal/job"
-	"vetchstream/internal/meter"
+	"vetchstream/internal/metrics"
 	"vetchstream/internal/place"
 	"vetchstream/internal/wire"
 )
@@ -35,7 +35,7 @@
 	boots map[int]*calendar.Pace    // seconds, by machine type
 	hired map[*fleet.Host]bool      // rented in this term and not up yet
 	paces map[string]*calendar.Pace // run time over estimate, by class
-	wants []hosts.Want
+	wants []autoscale.Want
 }
 
 // slot is an occurrence that room is gathered for.
@@ -209,7 +209,7 @@
 			hd.drop(s)
 		}
 	}
-	defer func() { hd.c.Meter.Set(meter.Held, len(hd.held)) }()
+	defer func() { hd.c.Meter.Set(metrics.Held, len(hd.held)) }()
 	// The next slot chooses first, so that two leaders would choose alike.
 	order := slices.SortedFunc(maps.Keys(due), func(a, b string) int {
 		return cmp.Or(cmp.Compare(due[a].span.From, due[b].span.From), cmp.Compare(a, b))
@@ -477,12 +477,12 @@
 		}
 	}
 	d := &place.Demand{Shape: job.Gang, Need: need, TypeOK: ok, Zone: hd.names.zone(x.Zone), Spot: s.spot, Total: x.Machines, InZone: make([]int, len(hd.names.zoneNames()))}
-	hd.wants = append(hd.wants, hosts.Want{Demand: d, Count: x.Machines, TaskS: float64(s.span.To-s.span.From) / 1000, Urgent: true})
+	hd.wants = append(hd.wants, autoscale.Want{Demand: d, Count: x.Machines, TaskS: float64(s.span.To-s.span.From) / 1000, Urgent: true})
 }
 
 // missing is what has to be rented for the slots, by a fresh look: a machine that has
 // come up since the last one would be rented once more.
-func (hd *holds) missing(now time.Time) []hosts.Want {
+func (hd *holds) missing(now time.Time) []autoscale.Want {
 	hd.gather(now)
 	return hd.wants
 }
--- a/internal/control/home_teams.go
+++ b/internal/control/home_teams.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"vetchstream/internal/dynconfig"
-	"vetchstream/internal/meter"
-	"vetchstream/internal/peer"
+	"vetchstream/internal/metrics"
+	"vetchstream/internal/rpc"
 	"vetchstream/internal/state"
 	"vetchstream/internal/wire"
 )
@@ -40,7 +40,7 @@
 type pendingChange struct {
 	change *dynconfig.Change
 	dry    bool
-	back   func(*peer.Reply)
+	back   func(*rpc.Reply)
 }
 
 // waitingRegion is a request that is held until there is something to tell.
@@ -192,7 +192,7 @@
 const historyShare = 0.5
 
 // change lets a change wait for its turn.
-func (ht *homeTeams) change(c *dynconfig.Change, dry bool, back func(*peer.Reply)) {
+func (ht *homeTeams) change(c *dynconfig.Change, dry bool, back func(*rpc.Reply)) {
 	if len(ht.changes) >= mostChangesWaiting {
 		back(settled(Later("many changes of the configuration are being stored")))
 		return
@@ -247,7 +247,7 @@
 		}
 	}, func() {
 		ht.home.Keep(past)
-		ht.c.Meter.Add(meter.ConfigChanges, "taken", len(taken))
+		ht.c.Meter.Add(metrics.ConfigChanges, "taken", len(taken))
 		ht.log.Info("the configuration has changed", "revision", u.Head.Revision, "changes", len(taken), "teams", len(u.Records))
 		for _, p := range taken {
 			p.back(reply(http.StatusOK, changeAnswer{u.Head.Revision, false}))
@@ -284,7 +284,7 @@
 }
 
 func (ht *homeTeams) refuse(p *pendingChange, refusal *dynconfig.Refusal) {
-	ht.c.Meter.Add(meter.ConfigChanges, "refused", 1)
+	ht.c.Meter.Add(metrics.ConfigChanges, "refused", 1)
 	answer := reply(refusal.Status, wire.Error{Error: refusal.Error()})
 	if refusal.Status == http.StatusServiceUnavailable {
 		answer.RetryAfter = 1
@@ -344,20 +344,20 @@
 }
 
 // operate answers an operator's request.
-func (ht *homeTeams) operate(op *peer.Operation, back func(*peer.Reply)) {
+func (ht *homeTeams) operate(op *rpc.Operation, back func(*rpc.Reply)) {
 	if !ht.on() {
 		back(reply(http.StatusNotFound, wire.Error{Error: "no regions are named in the settings of this controller"}))
 		return
 	}
 	switch op.Verb {
-	case peer.VerbStart:
+	case rpc.VerbStart:
 		c, err := dynconfig.ParseChange(op.Spec)
 		if err != nil {
 			back(reply(http.StatusBadRequest, wire.Error{Error: err.Error()}))
 			return
 		}
 		ht.change(c, op.Dry, back)
-	case peer.VerbUndo:
+	case rpc.VerbUndo:
 		to, err := strconv.ParseUint(op.Service, 10, 64)
 		if err != nil {
 			back(reply(http.StatusBadRequest, wire.Error{Error: "revision: not a number"}))
@@ -370,11 +370,11 @@
 		}
 		c.Base = ht.home.Head().Revision // nothing may come in between
 		ht.change(c, op.Dry, back)
-	case peer.VerbHistory:
+	case rpc.VerbHistory:
 		back(reply(http.StatusOK, map[string]any{"changes": ht.home.History()}))
-	case peer.VerbStatus:
+	case rpc.VerbStatus:
 		back(reply(http.StatusOK, ht.home.Status(time.Now())))
-	case peer.VerbList:
+	case rpc.VerbList:
 		list, more := ht.home.Teams(op.Service, teamsPerPage)
 		back(reply(http.StatusOK, map[string]any{"revision": ht.home.Head().Revision, "teams": list, "more": more}))
 	default:
--- a/internal/control/leader_term.go
+++ b/internal/control/leader_term.go
@@ -10,10 +10,10 @@
 	"golang.org/x/time/rate"
 
 	"vetchstream/internal/config"
+	"vetchstream/internal/election"
 	"vetchstream/internal/fleet"
-	"vetchstream/internal/lead"
-	"vetchstream/internal/meter"
-	"vetchstream/internal/peer"
+	"vetchstream/internal/metrics"
+	"vetchstream/internal/rpc"
 	"vetchstream/internal/state"
 	"vetchstream/internal/wire"
 )
@@ -124,10 +124,10 @@
 	scanAt time.Time
 }
 
-func newLeaderTerm(ctx context.Context, c *Controller, l lead.Term) *leaderTerm {
+func newLeaderTerm(ctx context.Context, c *Controller, l election.Term) *leaderTerm {
 	f := &c.Settings.Facts
 	co := &core{c: c, ctx: ctx, log: c.Log.With("term", l.Term), debug: c.Log.Enabled(ctx, slog.LevelDebug),
-		term: l.Term, since: l.Since, alive: l.Alive, fence: state.Cond{Key: lead.KeyTerm, Version: l.TermVersion},
+		term: l.Term, since: l.Since, alive: l.Alive, fence: state.Cond{Key: election.KeyTerm, Version: l.TermVersion},
 		inbox: make(chan func(), 256), users: make(chan func(), 256), fleet: newFleet(l.Term, c.Settings)}
 	budget := StateBudget(c.Settings, true)
 	share := func(of float64) *rate.Limiter {
@@ -239,7 +239,7 @@
 
 // report takes in a worker's check-in and answers it; via is the member that has
 // handed it on.
-func (r *leaderTerm) report(m *wire.Report, via string, back func(*peer.Reply)) {
+func (r *leaderTerm) report(m *wire.Report, via string, back func(*rpc.Reply)) {
 	now := time.Now()
 	if r.machines.gone(m.Host) {
 		// A late message of a machine that is gone must not bring it back.
@@ -317,8 +317,8 @@
 	r.rollouts.step(now)
 	r.calendarStore.step(now)
 	r.planner.expire(now)
-	r.c.Meter.Set(meter.Machines, len(r.fleet.Hosts))
-	r.c.Meter.Set(meter.Jobs, len(r.jobTable.all()))
+	r.c.Meter.Set(metrics.Machines, len(r.fleet.Hosts))
+	r.c.Meter.Set(metrics.Jobs, len(r.jobTable.all()))
 	r.commands.fence(now)
 	r.jobTable.sweep()
 	r.registry.sweepNotes()
--- a/internal/control/plan.go
+++ b/internal/control/plan.go
@@ -4,10 +4,10 @@
 	"sort"
 	"time"
 
+	"vetchstream/internal/autoscale"
 	"vetchstream/internal/fleet"
-	"vetchstream/internal/hosts"
 	"vetchstream/internal/job"
-	"vetchstream/internal/meter"
+	"vetchstream/internal/metrics"
 	"vetchstream/internal/place"
 	"vetchstream/internal/wire"
 )
@@ -96,7 +96,7 @@
 	pl.holds.gather(now) // a machine that has just come up for a slot must not be filled
 	defer func() {
 		pl.passTook = time.Since(now)
-		pl.c.Meter.Took(meter.PlanTime, "", pl.passTook)
+		pl.c.Meter.Took(metrics.PlanTime, "", pl.passTook)
 	}()
 	in, ms, slots := pl.input(now)
 	if len(in.Demands) == 0 {
@@ -125,7 +125,7 @@
 		pl.fleet.Assign(h, fleet.Key{Job: j, Task: a.Task, Attempt: n}, now)
 		pl.registry.note(j, h)
 		j.LastHost = h.Idx
-		pl.c.Meter.Took(meter.StartWait, j.Class, now.Sub(j.WaitFrom))
+		pl.c.Meter.Took(metrics.StartWait, j.Class, now.Sub(j.WaitFrom))
 		j.WaitFrom = now
 		if k, ok := pl.keeps[h]; ok && k.job == j {
 			delete(pl.keeps, h)
@@ -140,7 +140,7 @@
 		}
 	}
 	pl.reserve(now, in, plan.Reserve, ms)
-	var wants []hosts.Want
+	var wants []autoscale.Want
 	for i := range in.Demands {
 		d := &in.Demands[i]
 		if plan.Short[i] == 0 {
@@ -150,7 +150,7 @@
 		if pl.holds.covers(j) {
 			continue
 		}
-		wants = append(wants, hosts.Want{Demand: d, Count: plan.Short[i], TaskS: estimate(j), Image: j.ImageGB,
+		wants = append(wants, autoscale.Want{Demand: d, Count: plan.Short[i], TaskS: estimate(j), Image: j.ImageGB,
 			Waited: d.Waited, Urgent: j.Shape == job.Gang})
 	}
 	sort.SliceStable(wants, func(a, b int) bool { return wants[a].Demand.LatestStart < wants[b].Demand.LatestStart })
--- a/internal/control/rent.go
+++ b/internal/control/rent.go
@@ -6,10 +6,10 @@
 	"slices"
 	"time"
 
+	"vetchstream/internal/autoscale"
 	"vetchstream/internal/config"
 	"vetchstream/internal/fleet"
-	"vetchstream/internal/hosts"
-	"vetchstream/internal/meter"
+	"vetchstream/internal/metrics"
 	"vetchstream/internal/place"
 	"vetchstream/internal/state"
 	"vetchstream/internal/wire"
@@ -30,12 +30,12 @@
 	drains   *drains
 	shares   *shares
 
-	wants     []hosts.Want // what the last plan found no room for
+	wants     []autoscale.Want // what the last plan found no room for
 	removed   map[string]bool
 	met       map[*fleet.Host]bool // by a report alone, no list has had them yet
-	renting   map[hosts.Offer]int
+	renting   map[autoscale.Offer]int
 	hires     uint64 // requests made in this term
-	backoff   *hosts.Backoff
+	backoff   *autoscale.Backoff
 	rentAt    time.Time
 	returns   []*fleet.Host // machines whose release is not answered yet
 	returning bool
@@ -48,12 +48,12 @@
 }
 
 func newMachines(co *core) *machines {
-	return &machines{core: co, removed: map[string]bool{}, met: map[*fleet.Host]bool{}, renting: map[hosts.Offer]int{}, backoff: hosts.NewBackoff(),
+	return &machines{core: co, removed: map[string]bool{}, met: map[*fleet.Host]bool{}, renting: map[autoscale.Offer]int{}, backoff: autoscale.NewBackoff(),
 		noticed: map[*fleet.Host]time.Time{}}
 }
 
 // want says what the last plan found no room for, the most urgent first.
-func (mc *machines) want(ws []hosts.Want) { mc.wants = ws }
+func (mc *machines) want(ws []autoscale.Want) { mc.wants = ws }
 
 // gone reports whether a machine of that name has been returned.
 func (mc *machines) gone(name string) bool { return mc.removed[name] }
@@ -244,7 +244,7 @@
 	}
 	if !h.Withheld {
 		mc.log.Info("a launch of a cancelled job may be on its way to a machine, its session has to end", "host", h.Name, "tasks", h.Jobs-h.Unsettled)
-		mc.c.Meter.Add(meter.Withheld, "", 1)
+		mc.c.Meter.Add(metrics.Withheld, "", 1)
 		mc.work.handle(mc.fleet.Withhold(h), now)
 	}
 	return false
@@ -317,14 +317,14 @@
 	if len(mc.wants)+len(slots) == 0 {
 		return
 	}
-	shop := hosts.Shop{Types: mc.names.list(), ZoneOf: mc.names.zonesByName(), Backoff: mc.backoff,
+	shop := autoscale.Shop{Types: mc.names.list(), ZoneOf: mc.names.zonesByName(), Backoff: mc.backoff,
 		MinFill: mc.c.Tuning.Hosts.MinFill, Patience: mc.c.Tuning.Hosts.PatienceS, Now: now,
-		Closed: func(o hosts.Offer) bool {
+		Closed: func(o autoscale.Offer) bool {
 			return mc.drains.closed(mc.names.list()[o.Type].Name, mc.names.zoneNames()[o.Zone], now)
 		}}
-	coming := func(o hosts.Offer) {
+	coming := func(o autoscale.Offer) {
 		t := &mc.names.list()[o.Type]
-		shop.Coming = append(shop.Coming, hosts.Coming{Offer: o, Free: place.Amount{CPUs: t.CPUs, GPUs: t.GPUs, MemGB: t.MemGB}})
+		shop.Coming = append(shop.Coming, autoscale.Coming{Offer: o, Free: place.Amount{CPUs: t.CPUs, GPUs: t.GPUs, MemGB: t.MemGB}})
 	}
 	shop.InZone = make([]int, len(mc.names.zoneNames()))
 	for _, h := range mc.fleet.All() {
@@ -332,7 +332,7 @@
 			shop.InZone[h.Zone]++
 		}
 		if !h.Releasing && h.Known && (h.Booting && now.Sub(h.Born) < 2*mc.boot(h) || !h.Booting && !h.Lost && !h.Durable) {
-			coming(hosts.Offer{Type: h.Type, Zone: h.Zone, Spot: h.Spot})
+			coming(autoscale.Offer{Type: h.Type, Zone: h.Zone, Spot: h.Spot})
 		}
 	}
 	for o, n := range mc.renting {
@@ -342,7 +342,7 @@
 	}
 	mc.gather()
 	all := slices.Concat(slots, mc.wants)
-	for o, n := range hosts.Rentals(shop, all) {
+	for o, n := range autoscale.Rentals(shop, all) {
 		mc.hire(o, min(n, 50))
 	}
 	// The zone that was chosen for a gang keeps its idle machines from being returned.
@@ -356,7 +356,7 @@
 	if !known || mc.drains.closed(typ, zone, now) {
 		return false
 	}
-	return mc.backoff.Open(hosts.Offer{Type: t, Zone: z}, now) || (spot && mc.backoff.Open(hosts.Offer{Type: t, Zone: z, Spot: true}, now))
+	return mc.backoff.Open(autoscale.Offer{Type: t, Zone: z}, now) || (spot && mc.backoff.Open(autoscale.Offer{Type: t, Zone: z, Spot: true}, now))
 }
 
 // gathered is for how many gangs that wait the room is looked at, zone by zone.
@@ -409,7 +409,7 @@
 	return false
 }
 
-func (mc *machines) hire(o hosts.Offer, n int) {
+func (mc *machines) hire(o autoscale.Offer, n int) {
 	mc.hires++
 	req := wire.Hire{Request: fmt.Sprintf("r-%d-%d", mc.term, mc.hires), Type: mc.names.list()[o.Type].Name, Zone: mc.names.zoneNames()[o.Zone], Spot: o.Spot, Count: n}
 	mc.renting[o] += n
@@ -421,7 +421,7 @@
 		// The same name again is safe: it rents nothing twice.
 		for try := 0; try < 4 && mc.ctx.Err() == nil; try++ {
 			if mc.c.Entitled(mc.term) {
-				if names, err = mc.c.Cloud.Rent(mc.ctx, req); err == nil || errors.Is(err, hosts.ErrNoCapacity) {
+				if names, err = mc.c.Cloud.Rent(mc.ctx, req); err == nil || errors.Is(err, autoscale.ErrNoCapacity) {
 					break
 				}
 			}
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -11,8 +11,8 @@
 	"vetchstream/internal/config"
 	"vetchstream/internal/fleet"
 	"vetchstream/internal/job"
-	"vetchstream/internal/peer"
 	"vetchstream/internal/rollout"
+	"vetchstream/internal/rpc"
 	"vetchstream/internal/state"
 	"vetchstream/internal/wire"
 )
@@ -387,16 +387,16 @@
 }
 
 // operate answers an operator's request.
-func (ro *rollouts) operate(op *peer.Operation, back func(*peer.Reply)) {
+func (ro *rollouts) operate(op *rpc.Operation, back func(*rpc.Reply)) {
 	if !ro.on() {
 		back(reply(http.StatusNotFound, wire.Error{Error: "roll-outs are switched off here"}))
 		return
 	}
 	switch op.Verb {
-	case peer.VerbStart:
+	case rpc.VerbStart:
 		ro.start(op.Spec, back)
 		return
-	case peer.VerbList:
+	case rpc.VerbList:
 		out := []rollout.Status{}
 		for _, name := range slices.Sorted(maps.Keys(ro.services)) {
 			out = append(out, ro.status(ro.services[name]))
@@ -411,11 +411,11 @@
 	}
 	var ask func(*rollout.Record, time.Time) bool
 	switch op.Verb {
-	case peer.VerbPause:
+	case rpc.VerbPause:
 		ask = rollout.Pause
-	case peer.VerbResume:
+	case rpc.VerbResume:
 		ask = rollout.Resume
-	case peer.VerbUndo:
+	case rpc.VerbUndo:
 		ask = rollout.Undo
 	default:
 		back(reply(http.StatusOK, ro.status(s)))
@@ -438,7 +438,7 @@
 }
 
 // start stores a new roll-out together with the job of its next version.
-func (ro *rollouts) start(body []byte, back func(*peer.Reply)) {
+func (ro *rollouts) start(body []byte, back func(*rpc.Reply)) {
 	spec, err := rollout.Parse(body)
 	if err != nil {
 		back(reply(http.StatusBadRequest, wire.Error{Error: err.Error()}))
@@ -467,7 +467,7 @@
 // startingPoint is the handle, the current version and the record's version that
 // a new roll-out of service s starts from. answered: back has been told, or will
 // be once the roll-out before is rolled back, and nothing is started now.
-func (ro *rollouts) startingPoint(s *service, spec *rollout.Spec, back func(*peer.Reply)) (handle, current string, version uint64, answered bool) {
+func (ro *rollouts) startingPoint(s *service, spec *rollout.Spec, back func(*rpc.Reply)) (handle, current string, version uint64, answered bool) {
 	refuse := func(status int, why string) { back(reply(status, wire.Error{Error: why})) }
 	if s == nil {
 		if len(ro.services) >= ro.c.Tuning.Rollouts.Most {
@@ -502,8 +502,8 @@
 
 // currentRefusal refuses a roll-out whose current version is not a running
 // service of its own, or that comes while machines are reconciled after failover.
-func (ro *rollouts) currentRefusal(s *service, current string, was *job.Job) *peer.Reply {
-	refusal := func(status int, why string) *peer.Reply { return reply(status, wire.Error{Error: why}) }
+func (ro *rollouts) currentRefusal(s *service, current string, was *job.Job) *rpc.Reply {
+	refusal := func(status int, why string) *rpc.Reply { return reply(status, wire.Error{Error: why}) }
 	switch {
 	case current == "":
 		return refusal(http.StatusBadRequest, "from: missing in a service's first roll-out")
@@ -521,7 +521,7 @@
 
 // nextRefusal refuses a next version that admission would refuse, or whose job
 // exists already.
-func (ro *rollouts) nextRefusal(next *job.Spec) *peer.Reply {
+func (ro *rollouts) nextRefusal(next *job.Spec) *rpc.Reply {
 	if p := ro.c.admissionRefusal(next, ro.names.list(), ro.teams.find(next.Team)); p != nil {
 		return p
 	}
@@ -543,7 +543,7 @@
 }
 
 // create makes a roll-out durable, with its job, before its operator is told.
-func (ro *rollouts) create(rec *rollout.Record, next *job.Record, version uint64, back func(*peer.Reply)) {
+func (ro *rollouts) create(rec *rollout.Record, next *job.Record, version uint64, back func(*rpc.Reply)) {
 	key, id := rolloutPrefix+rec.Service, next.Spec.ID
 	put, err1 := state.Put(key, rec)
 	job1, err2 := state.Put(job.ActivePrefix+id, next)
@@ -556,7 +556,7 @@
 	if s := ro.services[rec.Service]; s != nil {
 		s.writing = true
 	}
-	done := func(v uint64, p *peer.Reply) {
+	done := func(v uint64, p *rpc.Reply) {
 		ro.ahead(func() {
 			if s := ro.services[rec.Service]; s != nil {
 				s.writing = false
--- a/internal/control/shares.go
+++ b/internal/control/shares.go
@@ -7,9 +7,9 @@
 
 	"vetchstream/internal/config"
 	"vetchstream/internal/fleet"
-	"vetchstream/internal/meter"
-	"vetchstream/internal/peer"
-	"vetchstream/internal/share"
+	"vetchstream/internal/metrics"
+	"vetchstream/internal/rpc"
+	"vetchstream/internal/shard"
 	"vetchstream/internal/wire"
 )
 
@@ -24,7 +24,7 @@
 	work     *work
 	commands *commands
 
-	allot   *share.Assigner // nil: off
+	allot   *shard.Assigner // nil: off
 	holders map[string]*fleet.Holder
 	boxes   map[string]*box
 	relayed map[uint64]*relay
@@ -38,14 +38,14 @@
 
 // box is what waits for a member's next reply.
 type box struct {
-	back    func(*share.Reply) // answers the request under way; nil: there is none
+	back    func(*shard.Reply) // answers the request under way; nil: there is none
 	since   time.Time
 	most    int // direct commands that it can have under way
 	under   int // those that it has
-	calls   []share.Call
-	settled []share.ExitClearance
+	calls   []shard.Call
+	settled []shard.ExitClearance
 	asked   []asked // reports that said something new and wait for an answer
-	answers []share.Answer
+	answers []shard.Answer
 }
 
 // asked is a report whose answer the holder waits for.
@@ -71,7 +71,7 @@
 const orderBytes = 80
 
 // fill moves what waits into a reply, answers first: workers wait for them.
-func (b *box) fill(r *share.Reply) {
+func (b *box) fill(r *shard.Reply) {
 	size := 0
 	fits := func(n int) bool {
 		ok := size < replyBytes
@@ -110,9 +110,9 @@
 	}
 	perS := t.PerS
 	if perS == 0 {
-		perS = share.PerSecond(f.Resources.CoreShare)
+		perS = shard.PerSecond(f.Resources.CoreShare)
 	}
-	sh.allot = share.NewAssigner(sh.term, sh.c.Settings.Member, sh.c.Settings.Site, share.Settings{
+	sh.allot = shard.NewAssigner(sh.term, sh.c.Settings.Member, sh.c.Settings.Site, shard.Settings{
 		Grant: time.Duration(t.GrantMs) * time.Millisecond, Join: config.Seconds(t.JoinS), Rest: config.Seconds(t.RestS),
 		RestMost: config.Seconds(t.RestMostS), Least: t.Least, PerS: perS, Own: t.Own, Room: Room(f.Resources.MaxSockets)}, now)
 	for _, h := range sh.fleet.All() {
@@ -126,16 +126,16 @@
 
 // route says whether the leader answers a report that has come to it. If not, the
 // worker is sent to the holder, or the report waits until there is none.
-func (sh *shares) route(m *wire.Report, again func(), back func(*peer.Reply)) bool {
+func (sh *shares) route(m *wire.Report, again func(), back func(*rpc.Reply)) bool {
 	if sh.allot == nil {
 		return true
 	}
 	r, member := sh.allot.Report(m.Host, m.Zone, time.Now())
 	switch r {
-	case share.Send:
+	case shard.Send:
 		back(reply(http.StatusMisdirectedRequest, wire.Redirect{ReportTo: member}))
 		return false
-	case share.Wait:
+	case shard.Wait:
 		// One report of a worker is under way at a time, so this is bounded.
 		if len(sh.waiting[m.Host]) < 2 {
 			sh.waiting[m.Host] = append(sh.waiting[m.Host], again)
@@ -182,16 +182,16 @@
 
 // sync takes in a holder's request. It is answered once there is something to say,
 // and after holdTime in any case.
-func (sh *shares) sync(r *share.Request, back func(*share.Reply)) {
+func (sh *shares) sync(r *shard.Request, back func(*shard.Reply)) {
 	now := time.Now()
 	if sh.allot == nil {
-		back(&share.Reply{})
+		back(&shard.Reply{})
 		return
 	}
 	freed, ok := sh.allot.Sync(r, now)
 	if !ok {
 		sh.free(freed, now)
-		back(&share.Reply{})
+		back(&shard.Reply{})
 		return
 	}
 	b := sh.boxes[r.Member]
@@ -200,7 +200,7 @@
 		sh.boxes[r.Member] = b
 	}
 	if b.back != nil {
-		b.back(&share.Reply{}) // its caller has given up
+		b.back(&shard.Reply{}) // its caller has given up
 	}
 	b.back, b.since, b.most = back, now, r.Calls
 	if by := sh.holders[r.Member]; by != nil {
@@ -225,7 +225,7 @@
 }
 
 // entry takes in what a machine has reported to its holder.
-func (sh *shares) entry(b *box, e *share.Entry, now time.Time) {
+func (sh *shares) entry(b *box, e *shard.Entry, now time.Time) {
 	h := sh.fleet.Hosts[e.Host]
 	if h == nil || sh.machines.gone(e.Host) {
 		return
@@ -249,7 +249,7 @@
 	sh.work.hearing(h, deaf)
 	sh.work.handle(ev, now)
 	if clears := h.Clears(maxOrders); clears != nil {
-		b.settled = append(b.settled, share.ExitClearance{Host: e.Host, Clears: clears})
+		b.settled = append(b.settled, shard.ExitClearance{Host: e.Host, Clears: clears})
 	}
 }
 
@@ -267,14 +267,14 @@
 			orders, sent, ev := sh.fleet.Compose(a.host, a.seq, a.fresh, now, maxOrders)
 			sh.takeover.launched(len(sent), now)
 			sh.work.handle(ev, now)
-			b.answers = append(b.answers, share.Answer{Host: a.host.Name, Session: a.session, Seq: a.seq, Orders: orders})
+			b.answers = append(b.answers, shard.Answer{Host: a.host.Name, Session: a.session, Seq: a.seq, Orders: orders})
 		}
 		b.asked = nil
 	}
 }
 
 // free takes machines back from their holders.
-func (sh *shares) free(freed []share.Revocation, now time.Time) {
+func (sh *shares) free(freed []shard.Revocation, now time.Time) {
 	for _, f := range freed {
 		h := sh.fleet.Hosts[f.Name]
 		if h == nil {
@@ -289,7 +289,7 @@
 		}
 		m.machines++
 		m.longest = max(m.longest, now.Sub(f.Since))
-		sh.c.Meter.Add(meter.ShareMoves, f.Why, 1)
+		sh.c.Meter.Add(metrics.ShareMoves, f.Why, 1)
 		sh.again(f.Name)
 	}
 }
@@ -356,18 +356,18 @@
 	}
 	clear(sh.told)
 	for member, n := range held {
-		sh.c.Meter.SetFor(meter.ShareHeld, member, n)
+		sh.c.Meter.SetFor(metrics.ShareHeld, member, n)
 	}
 }
 
 // Sync answers a holder's request as leader.
-func (c *Controller) Sync(ctx context.Context, q *share.Request) *share.Reply {
+func (c *Controller) Sync(ctx context.Context, q *shard.Request) *shard.Reply {
 	r := c.current()
 	if r == nil || !c.Entitled(r.term) || !r.takeover.loaded() {
-		return &share.Reply{}
+		return &shard.Reply{}
 	}
-	ch := make(chan *share.Reply, 1)
-	back := func(p *share.Reply) {
+	ch := make(chan *shard.Reply, 1)
+	back := func(p *shard.Reply) {
 		select {
 		case ch <- p:
 		default:
@@ -376,9 +376,9 @@
 	select {
 	case r.inbox <- func() { r.shares.sync(q, back) }:
 	case <-r.ctx.Done():
-		return &share.Reply{}
+		return &shard.Reply{}
 	case <-ctx.Done():
-		return &share.Reply{}
+		return &shard.Reply{}
 	}
 	select {
 	case p := <-ch:
@@ -386,13 +386,13 @@
 		// from before it asked.
 		left := c.Left(r.term).Milliseconds()
 		if left <= 0 {
-			return &share.Reply{}
+			return &shard.Reply{}
 		}
 		p.ForMs = min(p.ForMs, left)
 		return p
 	case <-r.ctx.Done():
-		return &share.Reply{}
+		return &shard.Reply{}
 	case <-ctx.Done():
-		return &share.Reply{}
+		return &shard.Reply{}
 	}
 }
--- a/internal/control/shares_relay.go
+++ b/internal/control/shares_relay.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"vetchstream/internal/fleet"
-	"vetchstream/internal/share"
+	"vetchstream/internal/shard"
 )
 
 // Direct commands that go through the holder of a machine.
@@ -50,12 +50,12 @@
 	b := sh.boxes[member]
 	sh.calls++
 	b.under++
-	b.calls = append(b.calls, share.Call{ID: sh.calls, Addr: h.Addr, Body: body})
+	b.calls = append(b.calls, shard.Call{ID: sh.calls, Addr: h.Addr, Body: body})
 	sh.relayed[sh.calls] = &relay{host: h, member: member, sent: sent, at: now}
 }
 
 // done takes in what became of a command.
-func (sh *shares) done(d *share.Done) {
+func (sh *shares) done(d *shard.Done) {
 	r := sh.relayed[d.ID]
 	if r == nil {
 		return // given up, or told twice
@@ -73,7 +73,7 @@
 			b := sh.boxes[r.member]
 			b.under--
 			waits := len(b.calls)
-			b.calls = slices.DeleteFunc(b.calls, func(c share.Call) bool { return c.ID == id })
+			b.calls = slices.DeleteFunc(b.calls, func(c shard.Call) bool { return c.ID == id })
 			// One that has not left yet was certainly not sent.
 			sh.commands.ended(r.host, 0, nil, len(b.calls) == waits, errNoWord, r.sent)
 		}
--- a/internal/control/takeover.go
+++ b/internal/control/takeover.go
@@ -6,7 +6,7 @@
 
 	"vetchstream/internal/fleet"
 	"vetchstream/internal/job"
-	"vetchstream/internal/meter"
+	"vetchstream/internal/metrics"
 	"vetchstream/internal/place"
 	"vetchstream/internal/wire"
 )
@@ -79,7 +79,7 @@
 	}
 	for phase, at := range map[string]time.Time{"loaded": p.load, "met": p.meet, "launch": p.launch, "settled": p.settle} {
 		if !at.IsZero() {
-			tk.c.Meter.Took(meter.TakeoverTime, phase, at.Sub(tk.since))
+			tk.c.Meter.Took(metrics.TakeoverTime, phase, at.Sub(tk.since))
 		}
 	}
 	tk.log.Info("takeover", "lease_ms", lease, "loaded_ms", ms(p.load), "met_ms", ms(p.meet), "launch_ms", ms(p.launch),
@@ -88,7 +88,7 @@
 
 // launched notes that launches have left.
 func (tk *takeover) launched(n int, now time.Time) {
-	tk.c.Meter.Add(meter.Launches, "", n)
+	tk.c.Meter.Add(metrics.Launches, "", n)
 	if n > 0 && tk.phases.launch.IsZero() {
 		tk.phases.launch = now
 	}
--- a/internal/control/teams.go
+++ b/internal/control/teams.go
@@ -10,7 +10,7 @@
 	"vetchstream/internal/config"
 	"vetchstream/internal/dynconfig"
 	"vetchstream/internal/job"
-	"vetchstream/internal/meter"
+	"vetchstream/internal/metrics"
 	"vetchstream/internal/place"
 	"vetchstream/internal/state"
 	"vetchstream/internal/wire"
@@ -348,7 +348,7 @@
 	if added {
 		tm.jobTable.rebind()
 	}
-	tm.c.Meter.Set(meter.Revision, int(tm.replica.Revision()))
+	tm.c.Meter.Set(metrics.Revision, int(tm.replica.Revision()))
 	tm.changed()
 }
 
--- a/internal/dynconfig/explore_test.go
+++ b/internal/dynconfig/explore_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"vetchstream/internal/explore"
+	"vetchstream/internal/explorer"
 )
 
 // The explorer plays the orders in which a home region and two others that share the limit
@@ -172,11 +172,11 @@
 	s.reached = max(s.reached, now)
 }
 
-func (g *game) actions() []explore.Action[*game] {
-	act := func(name string, each int, do func(g *game, s *site, i int) bool) explore.Action[*game] {
-		return explore.Action[*game]{Name: name, Each: each, Do: func(g *game, i int) bool { return do(g, &g.sites[i%2], i) }}
+func (g *game) actions() []explorer.Action[*game] {
+	act := func(name string, each int, do func(g *game, s *site, i int) bool) explorer.Action[*game] {
+		return explorer.Action[*game]{Name: name, Each: each, Do: func(g *game, i int) bool { return do(g, &g.sites[i%2], i) }}
 	}
-	return []explore.Action[*game]{
+	return []explorer.Action[*game]{
 		act("change", len(wanted), func(g *game, _ *site, i int) bool {
 			u, err := g.home.Propose(wanted[i])
 			if err != nil || g.wants >= 3 {
@@ -333,9 +333,9 @@
 	}
 }
 
-// Print implements explore.World.
+// Print implements explorer.World.
 func (g *game) Print() string {
-	p := &explore.Printer{}
+	p := &explorer.Printer{}
 	p.Say(g.stored, " ", g.wants, g.ends, g.puts, len(g.home.dirty), g.home.head)
 	for _, n := range names {
 		for _, recs := range []map[string]*Record{g.home.teams, g.recs, g.older} {
@@ -367,7 +367,7 @@
 	return p.String()
 }
 
-// Broken implements explore.World.
+// Broken implements explorer.World.
 func (g *game) Broken() string {
 	sum := 0.0
 	for i := range g.sites {
@@ -430,11 +430,11 @@
 // guard taken out the explorer finds why it is there.
 func TestExplore(t *testing.T) {
 	const states, walks, steps, rounds = 300, 1500, 40, 3
-	play := func(out guard) *explore.Game[*game] {
-		return &explore.Game[*game]{New: func() *game { return newGame(out) }, Actions: (&game{}).actions(), Most: states, Every: 50, Settle: settles}
+	play := func(out guard) *explorer.Game[*game] {
+		return &explorer.Game[*game]{New: func() *game { return newGame(out) }, Actions: (&game{}).actions(), Most: states, Every: 50, Settle: settles}
 	}
 	names := play(none)
-	step := func(name string, i int) []explore.Step { return names.Steps(i+1, name)[i:] }
+	step := func(name string, i int) []explorer.Step { return names.Steps(i+1, name)[i:] }
 	round := append(names.Steps(2, "ask", "hear", "take", "store"), names.Steps(1, "step")...)
 	settled := slices.Concat(step("change", 0), round, round, round) // region a has all of the limit
 	moved := slices.Concat(settled, step("change", 1), round, round, round)
@@ -442,7 +442,7 @@
 	tests := []struct {
 		name  string
 		out   guard
-		start []explore.Step
+		start []explorer.Step
 	}{
 		{"as it is", none, nil},
 		{"as it is, a has all", none, settled},
--- a/internal/lead/lead.go
+++ b/internal/election/election.go
@@ -1,10 +1,10 @@
-// Package lead implements leader election among the controllers over the
+// Package election implements leader election among the controllers over the
 // consensus-backed key-value store (the state service). A member that wins a
 // compare-and-swap on the leader and term keys holds a lease in the store and a
 // term that only ever rises; the term is the fencing token of its writes. The
 // member may act as leader while its lease, less a clock margin, or the
 // promises of all its siblings not to campaign last.
-package lead
+package election
 
 import (
 	"context"
--- a/internal/lead/promise.go
+++ b/internal/election/promise.go
@@ -1,4 +1,4 @@
-package lead
+package election
 
 import (
 	"maps"
--- a/internal/lead/promise_test.go
+++ b/internal/election/promise_test.go
@@ -1,4 +1,4 @@
-package lead
+package election
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"vetchstream/internal/explore"
+	"vetchstream/internal/explorer"
 )
 
 // guard is one that can be taken out of a world, to see that the explorer notices.
@@ -90,7 +90,7 @@
 	return until
 }
 
-var actions = []explore.Action[*world]{
+var actions = []explorer.Action[*world]{
 	{Name: "tick", Each: 1, Do: func(w *world, _ int) bool {
 		w.now = w.now.Add(tick)
 		if w.holder >= 0 && !w.down && !w.now.Before(w.expires) {
@@ -206,7 +206,7 @@
 }
 
 func (w *world) Print() string {
-	p := &explore.Printer{Now: w.now, Past: 2 * length}
+	p := &explorer.Printer{Now: w.now, Past: 2 * length}
 	p.Say(w.down, w.holder)
 	p.At(w.expires)
 	for i := range w.m {
@@ -238,8 +238,8 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			g := &explore.Game[*world]{New: func() *world { return newWorld(tt.out) }, Actions: actions, Most: 2000}
-			one := func(name string) []explore.Step { return g.Steps(2, name)[1:] } // for the second thing alone
+			g := &explorer.Game[*world]{New: func() *world { return newWorld(tt.out) }, Actions: actions, Most: 2000}
+			one := func(name string) []explorer.Step { return g.Steps(2, name)[1:] } // for the second thing alone
 			leads := slices.Concat(g.Steps(1, "campaign", "elected"))
 			refused := slices.Concat(leads, g.Steps(3, "refuse"), g.Steps(1, "tick", "tick", "tick"))
 			asked := slices.Concat(refused, g.Steps(2, "ask"))
--- a/internal/explore/explore.go
+++ b/internal/explorer/explorer.go
@@ -1,7 +1,7 @@
-// Package explore plays every order of a few steps of a small world, states that
+// Package explorer plays every order of a few steps of a small world, states that
 // look alike once, and finds the shortest order that breaks something. It is for
 // tests of machines that are pure: stepped with messages, with time passed in.
-package explore
+package explorer
 
 import (
 	"fmt"
--- a/internal/fleet/explore_test.go
+++ b/internal/fleet/explore_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"vetchstream/internal/explore"
+	"vetchstream/internal/explorer"
 	"vetchstream/internal/job"
-	"vetchstream/internal/share"
+	"vetchstream/internal/shard"
 	"vetchstream/internal/wire"
 )
 
@@ -53,8 +53,8 @@
 	out       guard
 	now       time.Time
 	f         *Fleet
-	a         *share.Assigner
-	holder    *share.Holder
+	a         *shard.Assigner
+	holder    *shard.Holder
 	grantEnd  time.Time
 	by        *Holder
 	h         *Host
@@ -76,7 +76,7 @@
 }
 
 func newWorld(out guard) *world {
-	w := &world{out: out, now: time.Unix(1000, 0), holder: share.NewHolder("n1", "", 1),
+	w := &world{out: out, now: time.Unix(1000, 0), holder: shard.NewHolder("n1", "", 1),
 		j: job.New(&job.Record{Spec: job.Spec{ID: "run-1", ShapeName: "array", RankName: "standard", Tasks: 1, CPUs: 1}}, time.Unix(1000, 0))}
 	w.w = worker{session: 1, leased: w.now}
 	w.lead(1)
@@ -88,7 +88,7 @@
 	w.f = New(term, leaseTime, cancelTime)
 	w.h = w.f.Add("host-1", w.now)
 	w.h.Known, w.h.Durable, w.h.Type, w.h.Zone = true, true, 0, 0
-	w.a = share.NewAssigner(term, "n0", "", share.Settings{Grant: grantTime, Rest: tick, RestMost: tick, PerS: 1000, Own: 0.01, Room: 1}, w.now)
+	w.a = shard.NewAssigner(term, "n0", "", shard.Settings{Grant: grantTime, Rest: tick, RestMost: tick, PerS: 1000, Own: 0.01, Room: 1}, w.now)
 	w.a.Known("host-1", "")
 	w.by, w.kept = &Holder{Name: "n1"}, false
 	w.j.Noted.Add(w.h.Idx)
@@ -203,12 +203,12 @@
 	}
 	_, verdict := w.holder.Report(m, body, w.now)
 	switch verdict {
-	case share.GrantExpired:
+	case shard.GrantExpired:
 		return false
-	case share.Answered:
+	case shard.Answered:
 		take(&wire.Answer{Token: w.holder.Term()})
 		return true
-	case share.ReportChanged, share.LeaderRequired:
+	case shard.ReportChanged, shard.LeaderRequired:
 		if fate != slow && w.holder.Term() == w.f.Term {
 			w.sync()
 			if w.h.Holder() != nil {
@@ -216,12 +216,12 @@
 				return true
 			}
 		}
-		if verdict == share.ReportChanged || w.out == tellsFirst {
+		if verdict == shard.ReportChanged || w.out == tellsFirst {
 			take(&wire.Answer{Token: w.holder.Term()})
 		}
 		return true
 	}
-	if r, _ := w.a.Report("host-1", "", w.now); r != share.Serve || fate == slow {
+	if r, _ := w.a.Report("host-1", "", w.now); r != shard.Serve || fate == slow {
 		return false
 	}
 	fresh := w.observe(m, true)
@@ -263,7 +263,7 @@
 	w.bind()
 }
 
-func (w *world) entry(e *share.Entry) {
+func (w *world) entry(e *shard.Entry) {
 	w.a.Heard(e.Host)
 	if len(e.Report) > 0 {
 		m := &wire.Report{}
@@ -275,7 +275,7 @@
 	w.f.Renew(w.h, e.Session, e.Seq, w.now.Add(-time.Duration(e.AgeMs)*time.Millisecond))
 }
 
-func (w *world) free(freed []share.Revocation) {
+func (w *world) free(freed []shard.Revocation) {
 	for _, f := range freed {
 		w.h.Unhold(f.Until)
 	}
@@ -322,7 +322,7 @@
 	}
 }
 
-var actions = []explore.Action[*world]{
+var actions = []explorer.Action[*world]{
 	{Name: "tick", Each: 1, Do: func(w *world, _ int) bool { w.pass(tick); return true }},
 	{Name: "second", Each: 1, Do: func(w *world, _ int) bool { w.pass(time.Second); return true }},
 	{Name: "sync", Each: 1, Do: func(w *world, _ int) bool { w.sync(); return true }},
@@ -369,12 +369,12 @@
 	}},
 }
 
-// Broken implements explore.World.
+// Broken implements explorer.World.
 func (w *world) Broken() string { return w.broken }
 
-// Print implements explore.World.
+// Print implements explorer.World.
 func (w *world) Print() string {
-	p := &explore.Printer{Now: w.now, Past: cancelTime + tick}
+	p := &explorer.Printer{Now: w.now, Past: cancelTime + tick}
 	p.Say(w.f.Term, w.launched, w.over, w.kept, w.w.session, w.w.token, w.w.phase, len(w.held), w.holder.Term(), " ")
 	p.At(w.cancelled, w.w.leased, w.grantEnd, w.h.heard, w.h.directAt)
 	by, asked := w.a.Holder("host-1")
@@ -419,7 +419,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			g := &explore.Game[*world]{New: func() *world { return newWorld(tt.out) }, Actions: actions}
+			g := &explorer.Game[*world]{New: func() *world { return newWorld(tt.out) }, Actions: actions}
 			steps, broken := 0, ""
 			for i, start := range tt.starts {
 				if broken != "" {
--- a/internal/meter/meter.go
+++ b/internal/metrics/metrics.go
@@ -1,7 +1,7 @@
-// Package meter counts and times what a controller does, for operators: a page in
+// Package metrics counts and times what a controller does, for operators: a page in
 // the format of Prometheus on an address of its own. It is off by default; a nil
 // Meter takes in nothing and costs nothing.
-package meter
+package metrics
 
 import (
 	"context"
--- a/internal/meter/meter_test.go
+++ b/internal/metrics/metrics_test.go
@@ -1,4 +1,4 @@
-package meter
+package metrics
 
 import (
 	"fmt"
--- a/internal/node/home_region.go
+++ b/internal/node/home_region.go
@@ -11,14 +11,14 @@
 	"vetchstream/internal/config"
 	"vetchstream/internal/control"
 	"vetchstream/internal/dynconfig"
-	"vetchstream/internal/peer"
+	"vetchstream/internal/rpc"
 	"vetchstream/internal/state"
 )
 
 // homeRegion reaches the leader of the home region from another region. Which of its
 // controllers leads is found by asking them in turn.
 type homeRegion struct {
-	mesh    *peer.Mesh
+	mesh    *rpc.Mesh
 	members []string
 
 	mu   sync.Mutex
@@ -41,7 +41,7 @@
 		siblings = append(siblings, config.Sibling{Member: name, Address: a})
 	}
 	var err error
-	h.mesh, err = peer.Dial(siblings, dial)
+	h.mesh, err = rpc.Dial(siblings, dial)
 	return h, err
 }
 
@@ -85,7 +85,7 @@
 }
 
 // forward hands an operator's request on.
-func (h *homeRegion) forward(ctx context.Context, q *peer.Request) (out *peer.Reply) {
+func (h *homeRegion) forward(ctx context.Context, q *rpc.Request) (out *rpc.Reply) {
 	err := h.each(ctx, func(ctx context.Context, member string) bool {
 		p, ferr := h.mesh.Forward(ctx, member, q)
 		if ferr != nil || (p.Status == http.StatusServiceUnavailable && !p.Settled) {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -12,14 +12,14 @@
 	"time"
 
 	"vetchstream/internal/api"
+	"vetchstream/internal/autoscale"
 	"vetchstream/internal/config"
 	"vetchstream/internal/control"
 	"vetchstream/internal/dynconfig"
-	"vetchstream/internal/hosts"
-	"vetchstream/internal/lead"
-	"vetchstream/internal/meter"
-	"vetchstream/internal/peer"
-	"vetchstream/internal/share"
+	"vetchstream/internal/election"
+	"vetchstream/internal/metrics"
+	"vetchstream/internal/rpc"
+	"vetchstream/internal/shard"
 	"vetchstream/internal/state"
 )
 
@@ -39,9 +39,9 @@
 type Node struct {
 	set         *config.Settings
 	log         *slog.Logger
-	elector     *lead.Elector
+	elector     *election.Elector
 	ctl         *control.Controller
-	mesh        *peer.Mesh
+	mesh        *rpc.Mesh
 	home        *homeRegion // nil: no regions are named, or this is the home region
 	route       route
 	lag         lag
@@ -56,31 +56,31 @@
 // Run runs a controller until the context ends.
 func Run(ctx context.Context, set *config.Settings, tun *config.Tuning, nw Net, log *slog.Logger) error {
 	log = log.With("member", set.Member)
-	var m *meter.Meter
+	var m *metrics.Meter
 	if tun.MetricsListen != "" {
-		m = meter.New()
+		m = metrics.New()
 	}
 	st := state.New(set.Outside.State, nw.Dial, control.StateBudget(set, false))
 	n := &Node{set: set, log: log}
 	n.ctl = control.New(control.Deps{Settings: set, Tuning: tun, State: st,
-		Cloud: hosts.NewCloud(set.Outside.Cloud, nw.Dial, set.Facts.Cloud.RPS), Dial: nw.Dial, Log: log, Meter: m,
+		Cloud: autoscale.NewCloud(set.Outside.Cloud, nw.Dial, set.Facts.Cloud.RPS), Dial: nw.Dial, Log: log, Meter: m,
 		Entitled: func(term uint64) bool { return n.elector.Entitled(term) },
 		Left:     func(term uint64) time.Duration { return n.elector.Left(term) },
 		Deposed:  func(term uint64) { n.elector.ObserveLeader("", term) },
 		Follow: func(ctx context.Context, q *dynconfig.Request) (*dynconfig.Reply, error) {
 			return n.home.follow(ctx, q)
 		}})
-	n.elector = lead.New(set.Member, time.Duration(tun.LeaderLeaseMs)*time.Millisecond,
+	n.elector = election.New(set.Member, time.Duration(tun.LeaderLeaseMs)*time.Millisecond,
 		state.Unbounded(set.Outside.State, nw.Dial), log, n.ctl.Lead)
 	siblings := make([]string, len(set.Siblings))
 	for i := range set.Siblings {
 		siblings[i] = set.Siblings[i].Member
 	}
 	n.elector.EnablePromises(time.Duration(tun.PromiseMs)*time.Millisecond, siblings, func(ctx context.Context, sibling string, term uint64) (bool, error) {
-		p, err := n.mesh.Promise(ctx, sibling, &peer.PromiseRequest{Leader: set.Member, Term: term})
+		p, err := n.mesh.Promise(ctx, sibling, &rpc.PromiseRequest{Leader: set.Member, Term: term})
 		return err == nil && p.Given, err
 	})
-	mesh, err := peer.Dial(set.Siblings, nw.Dial)
+	mesh, err := rpc.Dial(set.Siblings, nw.Dial)
 	if err != nil {
 		return err
 	}
@@ -136,7 +136,7 @@
 		wg.Go(func() { n.shareHolder.run(ctx) })
 	}
 	wg.Go(func() {
-		mesh.Pings(ctx, func(h peer.Hello) {
+		mesh.Pings(ctx, func(h rpc.Hello) {
 			n.elector.ObserveLeader(h.Leader, h.Term)
 			n.elector.ObserveSibling(h.Member, h.Member == h.Leader)
 			if tun.YieldS > 0 {
@@ -148,7 +148,7 @@
 		})
 	})
 	wg.Go(func() {
-		if err := peer.Serve(ctx, pl, n); err != nil {
+		if err := rpc.Serve(ctx, pl, n); err != nil {
 			cancel(err)
 		}
 	})
@@ -170,18 +170,18 @@
 	return nil
 }
 
-// Hello implements peer.Handler.
-func (n *Node) Hello() peer.Hello {
+// Hello implements rpc.Handler.
+func (n *Node) Hello() rpc.Hello {
 	v := n.elector.View()
 	n.mu.Lock()
 	serves := time.Since(n.served) < servesTime
 	n.mu.Unlock()
-	return peer.Hello{Member: n.set.Member, Leader: v.Leader, Term: v.Term, Serves: serves, Behind: n.lag.Behind(),
+	return rpc.Hello{Member: n.set.Member, Leader: v.Leader, Term: v.Term, Serves: serves, Behind: n.lag.Behind(),
 		WorkUs: n.lag.Work().Microseconds(), Stored: time.Since(v.Seen) < storedTime}
 }
 
-// Local implements peer.Handler: only a leader answers for others.
-func (n *Node) Local(ctx context.Context, q *peer.Request) *peer.Reply {
+// Local implements rpc.Handler: only a leader answers for others.
+func (n *Node) Local(ctx context.Context, q *rpc.Request) *rpc.Reply {
 	if p := n.ctl.Answer(ctx, q); p != nil {
 		return p
 	}
@@ -197,16 +197,16 @@
 const servesTime = 3 * time.Second
 
 // Answer implements api.Backend.
-func (n *Node) Answer(ctx context.Context, q *peer.Request) *peer.Reply {
+func (n *Node) Answer(ctx context.Context, q *rpc.Request) *rpc.Reply {
 	n.mu.Lock()
 	n.served = time.Now()
 	n.mu.Unlock()
-	if q.Kind == peer.KindStatus {
+	if q.Kind == rpc.KindStatus {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, pollTime)
 		defer cancel()
 	}
-	if q.Kind == peer.KindConfig && n.home != nil {
+	if q.Kind == rpc.KindConfig && n.home != nil {
 		return n.home.forward(ctx, q)
 	}
 	if p := n.ctl.Answer(ctx, q); p != nil {
@@ -215,10 +215,10 @@
 	// A leader that does not answer pings would only use up the user's patience.
 	if l := n.Leader(); l != "" && n.mesh.Reached(l) {
 		limit := forwardTime
-		if q.Kind == peer.KindStatus {
+		if q.Kind == rpc.KindStatus {
 			limit = pollForwardTime
 		}
-		if q.Kind == peer.KindSubmit {
+		if q.Kind == rpc.KindSubmit {
 			limit = submitForwardTime
 			if n.route.direct(time.Now()) {
 				if p := n.admit(ctx, q); p.Status != http.StatusServiceUnavailable {
@@ -230,7 +230,7 @@
 		defer cancel()
 		begun := time.Now()
 		p, err := n.mesh.Forward(fctx, l, q)
-		if q.Kind == peer.KindSubmit {
+		if q.Kind == rpc.KindSubmit {
 			n.route.tookLeader(time.Since(begun))
 		}
 		if err == nil && (p.Settled || p.Status != http.StatusServiceUnavailable) {
@@ -239,9 +239,9 @@
 	}
 	if ctx.Err() == nil {
 		switch q.Kind {
-		case peer.KindStatus:
+		case rpc.KindStatus:
 			return n.ctl.Direct(ctx, q.ID)
-		case peer.KindSubmit:
+		case rpc.KindSubmit:
 			return n.admit(ctx, q)
 		}
 	}
@@ -249,7 +249,7 @@
 }
 
 // admit takes in a submission without the leader.
-func (n *Node) admit(ctx context.Context, q *peer.Request) *peer.Reply {
+func (n *Node) admit(ctx context.Context, q *rpc.Request) *rpc.Reply {
 	begun := time.Now()
 	p := n.ctl.Admit(ctx, q.Body)
 	n.route.tookOwn(time.Since(begun))
@@ -259,7 +259,7 @@
 // vacant tells a user to come back when the lead may have passed on: what is left
 // of the lease of a leader that is not to be reached. The next one takes a moment
 // more, but a user who comes a little early loses nothing by it.
-func (n *Node) vacant() *peer.Reply {
+func (n *Node) vacant() *rpc.Reply {
 	p := control.Later("no leader is to be reached")
 	p.RetryAfter = max(p.RetryAfter, int(n.elector.LeaderLeaseLeft()/time.Second))
 	return p
@@ -278,22 +278,22 @@
 // commit, a loading or a read is no answer.
 const pollTime = 1500 * time.Millisecond
 
-// Promise implements peer.Handler.
-func (n *Node) Promise(ctx context.Context, q *peer.PromiseRequest) *peer.Promise {
-	return &peer.Promise{Given: n.elector.Promise(ctx, q.Leader, q.Term)}
+// Promise implements rpc.Handler.
+func (n *Node) Promise(ctx context.Context, q *rpc.PromiseRequest) *rpc.Promise {
+	return &rpc.Promise{Given: n.elector.Promise(ctx, q.Leader, q.Term)}
 }
 
-// Follow implements peer.Handler: only a leader of the home region answers.
+// Follow implements rpc.Handler: only a leader of the home region answers.
 func (n *Node) Follow(ctx context.Context, q *dynconfig.Request) *dynconfig.Reply {
 	return n.ctl.FollowHome(ctx, q)
 }
 
-// Sync implements peer.Handler: only a leader gives shares.
-func (n *Node) Sync(ctx context.Context, r *share.Request) *share.Reply { return n.ctl.Sync(ctx, r) }
+// Sync implements rpc.Handler: only a leader gives shares.
+func (n *Node) Sync(ctx context.Context, r *shard.Request) *shard.Reply { return n.ctl.Sync(ctx, r) }
 
 // Report implements api.Backend: a worker is answered by the leader, or by the
 // holder of its machine.
-func (n *Node) Report(ctx context.Context, q *peer.Request) *peer.Reply {
+func (n *Node) Report(ctx context.Context, q *rpc.Request) *rpc.Reply {
 	if p := n.ctl.Answer(ctx, q); p != nil || n.shareHolder == nil {
 		return p
 	}
@@ -301,7 +301,7 @@
 }
 
 // Forward implements api.Backend.
-func (n *Node) Forward(ctx context.Context, q *peer.Request) *peer.Reply {
+func (n *Node) Forward(ctx context.Context, q *rpc.Request) *rpc.Reply {
 	h := *q
 	h.Via = n.set.Member
 	p, err := n.mesh.Forward(ctx, n.Leader(), &h)
--- a/internal/node/share_holder.go
+++ b/internal/node/share_holder.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"vetchstream/internal/control"
-	"vetchstream/internal/peer"
-	"vetchstream/internal/share"
+	"vetchstream/internal/rpc"
+	"vetchstream/internal/shard"
 	"vetchstream/internal/state"
 	"vetchstream/internal/wire"
 )
@@ -23,7 +23,7 @@
 	room  int // machines that it can deal with
 
 	mu     sync.Mutex
-	holder *share.Holder
+	holder *shard.Holder
 	asks   map[string]ask // by machine
 }
 
@@ -58,7 +58,7 @@
 		hc: control.DirectClient(dial, max(8, calls/4)),
 		// A later process has a later time of day, within its skew; the leader lets in one
 		// that has not once the grants of the process before have ended.
-		holder: share.NewHolder(n.set.Member, n.set.Site, uint64(time.Now().UnixNano()))}
+		holder: shard.NewHolder(n.set.Member, n.set.Site, uint64(time.Now().UnixNano()))}
 }
 
 // run asks the leader for this node's grant until the context ends.
@@ -131,13 +131,13 @@
 
 // send sends a command of the leader's to a worker. The leader bounds how many are
 // under way.
-func (a *shareHolder) send(ctx context.Context, term uint64, c share.Call) {
+func (a *shareHolder) send(ctx context.Context, term uint64, c shard.Call) {
 	status, answer, reached, err := control.Direct(ctx, a.hc, c.Addr, c.Body, func() bool { return a.valid(term) })
 	if err != nil {
 		a.n.log.Debug("direct command failed", "addr", c.Addr, "status", status, "error", err)
 	}
 	a.mu.Lock()
-	a.holder.Finish(share.Done{ID: c.ID, Status: status, Reached: reached, Report: answer})
+	a.holder.Finish(shard.Done{ID: c.ID, Status: status, Reached: reached, Report: answer})
 	a.mu.Unlock()
 }
 
@@ -169,7 +169,7 @@
 }
 
 // report answers the report of a machine in the share; nil: it is in none of ours.
-func (a *shareHolder) report(ctx context.Context, body []byte) *peer.Reply {
+func (a *shareHolder) report(ctx context.Context, body []byte) *rpc.Reply {
 	m := &wire.Report{}
 	if err := wire.Unmarshal(body, m); err != nil || m.Host == "" || m.Session == 0 {
 		return nil // the leader refuses it
@@ -178,29 +178,29 @@
 	orders, verdict := a.holder.Report(m, body, time.Now())
 	term := a.holder.Term()
 	q := ask{m.Session, m.Seq, make(chan []wire.Order, 1)}
-	if verdict >= share.ReportChanged {
+	if verdict >= shard.ReportChanged {
 		a.asks[m.Host] = q // an older one of the machine is not waited for any more
 	}
 	a.mu.Unlock()
 	switch verdict {
-	case share.NotHeld:
+	case shard.NotHeld:
 		return nil
-	case share.GrantExpired:
+	case shard.GrantExpired:
 		if m.Token > term {
 			a.n.elector.ObserveLeader("", m.Token)
 		}
 		return control.Later("the leader has not renewed this node's grant")
 	}
-	if verdict >= share.ReportChanged {
+	if verdict >= shard.ReportChanged {
 		patience := askTime
-		if verdict == share.LeaderRequired {
+		if verdict == shard.LeaderRequired {
 			patience = requiredTime
 		}
 		told, ok := a.await(ctx, m.Host, q, patience)
 		switch {
 		case ok:
 			orders = told
-		case verdict == share.LeaderRequired:
+		case verdict == shard.LeaderRequired:
 			return control.Later("the leader has not been told of all tasks of the machine")
 		}
 	}
@@ -212,5 +212,5 @@
 	if !a.valid(term) {
 		return control.Later("the leader has not renewed this node's grant")
 	}
-	return &peer.Reply{Status: http.StatusOK, Body: b, Work: len(m.Tasks) > 0}
+	return &rpc.Reply{Status: http.StatusOK, Body: b, Work: len(m.Tasks) > 0}
 }
--- a/internal/node/sim_test.go
+++ b/internal/node/sim_test.go
@@ -18,9 +18,9 @@
 	"time"
 
 	"vetchstream/internal/config"
+	"vetchstream/internal/election"
 	"vetchstream/internal/emulate"
 	"vetchstream/internal/job"
-	"vetchstream/internal/lead"
 	"vetchstream/internal/wire"
 )
 
@@ -211,7 +211,7 @@
 	var rec struct {
 		Term uint64 `codec:"term"`
 	}
-	if e, ok := s.store.Entry(lead.KeyTerm); !ok || wire.Unmarshal(e.Value, &rec) != nil {
+	if e, ok := s.store.Entry(election.KeyTerm); !ok || wire.Unmarshal(e.Value, &rec) != nil {
 		return 0
 	}
 	return rec.Term
@@ -474,7 +474,7 @@
 // long ago.
 func lostMoments(s *sim) {
 	for _, term := range []uint64{40, 3} {
-		if err := s.store.Put(lead.KeyTerm, map[string]any{"term": term}); err != nil {
+		if err := s.store.Put(election.KeyTerm, map[string]any{"term": term}); err != nil {
 			panic(err)
 		}
 		crash(1)(s) // the next term is one above
--- a/internal/node/yield.go
+++ b/internal/node/yield.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"vetchstream/internal/peer"
+	"vetchstream/internal/rpc"
 )
 
 // yield decides when a leader that can renew its lease, and serves badly, gives the
@@ -16,7 +16,7 @@
 	patience time.Duration
 
 	mu      sync.Mutex
-	said    map[string]peer.Hello
+	said    map[string]rpc.Hello
 	at      map[string]time.Time
 	behind  time.Time // since when this node has been behind as leader; zero: it is not
 	yielded time.Time
@@ -34,18 +34,18 @@
 )
 
 // heard notes what a sibling says of itself.
-func (y *yield) heard(h peer.Hello, now time.Time) {
+func (y *yield) heard(h rpc.Hello, now time.Time) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	if y.said == nil {
-		y.said, y.at = map[string]peer.Hello{}, map[string]time.Time{}
+		y.said, y.at = map[string]rpc.Hello{}, map[string]time.Time{}
 	}
 	y.said[h.Member], y.at[h.Member] = h, now
 }
 
 // due reports whether the leader should give the lead away now, and names a sibling
 // that could take it; self is what this node says of itself.
-func (y *yield) due(self peer.Hello, now time.Time) (to string, ok bool) {
+func (y *yield) due(self rpc.Hello, now time.Time) (to string, ok bool) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	if !self.Behind {
--- a/internal/peer/fixtures_test.go
+++ b/internal/rpc/fixtures_test.go
@@ -1,4 +1,4 @@
-package peer
+package rpc
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 
 	"vetchstream/internal/dynconfig"
 	"vetchstream/internal/fixture"
-	"vetchstream/internal/share"
+	"vetchstream/internal/shard"
 )
 
 // wireFixtures are the messages that controllers send each other.
@@ -33,9 +33,9 @@
 	a.got = r
 	return fixture.Filled[Reply]()
 }
-func (a *answering) Sync(_ context.Context, r *share.Request) *share.Reply {
+func (a *answering) Sync(_ context.Context, r *shard.Request) *shard.Reply {
 	a.got = r
-	return fixture.Filled[share.Reply]()
+	return fixture.Filled[shard.Reply]()
 }
 func (a *answering) Follow(_ context.Context, r *dynconfig.Request) *dynconfig.Reply {
 	a.got = r
@@ -62,7 +62,7 @@
 		{"Forward", "forward-request.cbor", fixture.Filled[Request](), fixture.Filled[Reply]()},
 		{"Promise", "promise-request.cbor", fixture.Filled[PromiseRequest](), fixture.Filled[Promise]()},
 		{"Follow", "../../../dynconfig/testdata/fixtures/follow-request.cbor", fixture.Filled[dynconfig.Request](), fixture.Filled[dynconfig.Reply]()},
-		{"Sync", "../../../share/testdata/fixtures/sync-request.cbor", fixture.Filled[share.Request](), fixture.Filled[share.Reply]()},
+		{"Sync", "../../../share/testdata/fixtures/sync-request.cbor", fixture.Filled[shard.Request](), fixture.Filled[shard.Reply]()},
 	}
 	if len(service.Methods) != len(rows) {
 		t.Fatalf("%d methods, want %d", len(service.Methods), len(rows))
--- a/internal/peer/peer.go
+++ b/internal/rpc/rpc.go
@@ -1,6 +1,6 @@
-// Package peer carries what controllers say to each other over gRPC: who leads,
+// Package rpc carries what controllers say to each other over gRPC: who leads,
 // requests that are forwarded to the leader, and the shares of the machines.
-package peer
+package rpc
 
 import (
 	"context"
@@ -18,7 +18,7 @@
 
 	"vetchstream/internal/config"
 	"vetchstream/internal/dynconfig"
-	"vetchstream/internal/share"
+	"vetchstream/internal/shard"
 	"vetchstream/internal/state"
 	"vetchstream/internal/wire"
 )
@@ -119,7 +119,7 @@
 	// Local answers a request as leader, and refuses it otherwise.
 	Local(ctx context.Context, r *Request) *Reply
 	// Sync answers a holder's request as leader, and refuses it otherwise.
-	Sync(ctx context.Context, r *share.Request) *share.Reply
+	Sync(ctx context.Context, r *shard.Request) *shard.Reply
 	// Follow answers the leader of a region as leader of the home region, and refuses it
 	// otherwise.
 	Follow(ctx context.Context, r *dynconfig.Request) *dynconfig.Reply
@@ -158,7 +158,7 @@
 		method("Forward", func(h Handler, ctx context.Context, r *Request) *Reply { return h.Local(ctx, r) }),
 		method("Promise", func(h Handler, ctx context.Context, r *PromiseRequest) *Promise { return h.Promise(ctx, r) }),
 		method("Follow", func(h Handler, ctx context.Context, r *dynconfig.Request) *dynconfig.Reply { return h.Follow(ctx, r) }),
-		method("Sync", func(h Handler, ctx context.Context, r *share.Request) *share.Reply { return h.Sync(ctx, r) }),
+		method("Sync", func(h Handler, ctx context.Context, r *shard.Request) *shard.Reply { return h.Sync(ctx, r) }),
 	},
 }
 
@@ -267,8 +267,8 @@
 }
 
 // Sync asks the leader for the grant of this member's share.
-func (m *Mesh) Sync(ctx context.Context, leader string, r *share.Request) (*share.Reply, error) {
-	return invoke[share.Reply](ctx, m, leader, "Sync", r)
+func (m *Mesh) Sync(ctx context.Context, leader string, r *shard.Request) (*shard.Reply, error) {
+	return invoke[shard.Reply](ctx, m, leader, "Sync", r)
 }
 
 // Follow asks a member of the home region for what is granted to this one.
--- a/internal/share/explore_test.go
+++ b/internal/shard/explore_test.go
@@ -1,4 +1,4 @@
-package share
+package shard
 
 import (
 	"flag"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"vetchstream/internal/explore"
+	"vetchstream/internal/explorer"
 	"vetchstream/internal/wire"
 )
 
@@ -144,7 +144,7 @@
 }
 
 // actions are the steps, for the holders or the machines.
-var actions = []explore.Action[*world]{
+var actions = []explorer.Action[*world]{
 	{Name: "tick", Do: func(w *world, _ int) bool {
 		w.now = w.now.Add(tick)
 		if w.leads() {
@@ -282,7 +282,7 @@
 
 // Print names the state: times are told from now, and those long past are alike.
 func (w *world) Print() string {
-	p := &explore.Printer{Now: w.now, Past: 4 * tick}
+	p := &explorer.Printer{Now: w.now, Past: 4 * tick}
 	a := w.lead
 	p.Say(a.term, w.deposed)
 	p.At(w.entitled)
@@ -319,7 +319,7 @@
 }
 
 // settle plays on without faults: every machine is to be served.
-func settle(g *explore.Game[*world], w *world) string {
+func settle(g *explorer.Game[*world], w *world) string {
 	for range 14 {
 		g.Do(w, "tick", 0)
 		g.Do(w, "renew", 0)
@@ -378,7 +378,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			g := &explore.Game[*world]{New: func() *world { return newWorld(tt.out) }, Actions: actions, Most: *most}
+			g := &explorer.Game[*world]{New: func() *world { return newWorld(tt.out) }, Actions: actions, Most: *most}
 			holders := 2
 			if tt.out == none {
 				g.Every, g.Settle = 37, func(w *world) string { return settle(g, w) }
--- a/internal/share/holder.go
+++ b/internal/shard/holder.go
@@ -1,4 +1,4 @@
-package share
+package shard
 
 import (
 	"encoding/binary"
--- a/internal/share/share.go
+++ b/internal/shard/shard.go
@@ -1,4 +1,4 @@
-// Package share divides the machines among the controllers. A share is the set of
+// Package shard divides the machines among the controllers. A share is the set of
 // machines that one controller, its holder, deals with: connections, reports,
 // leases, direct commands. The leader decides everything and owns the ledger; it
 // gives shares out by grants that end no later than its own lease, and the
@@ -7,7 +7,7 @@
 // Assigner is the leader's side, Holder the other. Both are pure: they are stepped
 // with messages and times, do no I/O and have no goroutine. Package control owns
 // the one, package node the other.
-package share
+package shard
 
 import (
 	"math"
