--- a/internal/rpc/fixtures_test.go
+++ b/internal/rpc/fixtures_test.go
@@ -62,7 +62,7 @@
 		{"Forward", "forward-request.cbor", fixture.Filled[Request](), fixture.Filled[Reply]()},
 		{"Promise", "promise-request.cbor", fixture.Filled[PromiseRequest](), fixture.Filled[Promise]()},
 		{"Follow", "../../../dynconfig/testdata/fixtures/follow-request.cbor", fixture.Filled[dynconfig.Request](), fixture.Filled[dynconfig.Reply]()},
-		{"Sync", "../../../share/testdata/fixtures/sync-request.cbor", fixture.Filled[shard.Request](), fixture.Filled[shard.Reply]()},
+		{"Sync", "../../../shard/testdata/fixtures/sync-request.cbor", fixture.Filled[shard.Request](), fixture.Filled[shard.Reply]()},
 	}
 	if len(service.Methods) != len(rows) {
 		t.Fatalf("%d methods, want %d", len(service.Methods), len(rows))
