--- a/internal/control/admission.go
+++ b/internal/control/admission.go
@@ -20,13 +20,13 @@
 // admitted while they could not reach the leader.
 type admission struct {
 	*core
-	names    *names
-	jobTable *jobTable
-	endings  *endings
-	writer   *writer
-	results  *results
-	groups   *groups
-	teams    *teams
+	nameIndex       *nameIndex
+	jobTable        *jobTable
+	completions     *completions
+	recordWriter    *recordWriter
+	results         *results
+	admissionGroups *admissionGroups
+	teamQuotas      *teamQuotas
 
 	limit      *rate.Limiter // of the writes of acceptances
 	pending    map[string]*pendingSubmission
@@ -107,12 +107,12 @@
 
 // has reports whether a job is known here, over, being stored or being read.
 func (ad *admission) has(id string) bool {
-	return ad.endings.over(id) || ad.pending[id] != nil || ad.jobTable.get(id) != nil
+	return ad.completions.over(id) || ad.pending[id] != nil || ad.jobTable.get(id) != nil
 }
 
 // admitted takes in a job whose record this term may not have made itself.
 func (ad *admission) admitted(id string) {
-	if ad.groups.has(id) {
+	if ad.admissionGroups.has(id) {
 		// Admitted by another node as well: one record is enough.
 		ad.results.drop(job.ActivePrefix + id)
 		return
@@ -149,7 +149,7 @@
 		back(absent)
 		return
 	}
-	if p := ad.endings.known(id); p != nil {
+	if p := ad.completions.known(id); p != nil {
 		back(p)
 		return
 	}
@@ -157,7 +157,7 @@
 		back(Later("submission is being stored"))
 		return
 	}
-	ad.endings.readBack(id, absent, recorded, back)
+	ad.completions.readBack(id, absent, recorded, back)
 }
 
 // retryPacer tells those who are turned away when to come back, each at a time of
@@ -192,12 +192,12 @@
 // submit answers a submission. A known id wins over every check.
 func (ad *admission) submit(id string, spec *job.Spec, invalid error, back func(*rpc.Reply)) {
 	if id != "" {
-		if p := ad.endings.known(id); p != nil {
+		if p := ad.completions.known(id); p != nil {
 			back(p)
 			return
 		}
 		if ad.jobTable.sound(id) != nil {
-			ad.endings.readBack(id, settled(Later("job is ending")), recorded, back)
+			ad.completions.readBack(id, settled(Later("job is ending")), recorded, back)
 			return
 		}
 		if in := ad.pending[id]; in != nil {
@@ -215,20 +215,20 @@
 			back(bad)
 			return
 		}
-		ad.endings.readBack(id, bad, recorded, back)
+		ad.completions.readBack(id, bad, recorded, back)
 		return
 	}
-	switch p := ad.c.admissionRefusal(spec, ad.names.list(), ad.teams.find(spec.Team)); {
+	switch p := ad.c.admissionRefusal(spec, ad.nameIndex.list(), ad.teamQuotas.find(spec.Team)); {
 	case p == nil:
 	case p.Status == http.StatusServiceUnavailable:
 		back(p)
 		return
 	default:
-		ad.endings.readBack(id, p, recorded, back)
+		ad.completions.readBack(id, p, recorded, back)
 		return
 	}
-	if ad.groups.doubtful() {
-		ad.endings.readBack(id, Later("a record cannot be read"), recorded, back)
+	if ad.admissionGroups.doubtful() {
+		ad.completions.readBack(id, Later("a record cannot be read"), recorded, back)
 		return
 	}
 	now := time.Now()
@@ -258,13 +258,13 @@
 
 // together is how many jobs one transaction may take in: each has two conditions,
 // and a transaction may have four times as many conditions as writes.
-func (ad *admission) together() int { return max(1, (4*ad.writer.size()-2)/2) }
+func (ad *admission) together() int { return max(1, (4*ad.recordWriter.size()-2)/2) }
 
 // flush stores what has arrived, as much together as fits. Beyond their share
 // submissions get what nobody else needs of the budget.
 func (ad *admission) flush(now time.Time) {
 	for len(ad.queue) > 0 && ad.flying < mostFlying {
-		if !ad.c.State.Idle(ad.writer.size()) && !ad.limit.AllowN(now, 1) {
+		if !ad.c.State.Idle(ad.recordWriter.size()) && !ad.limit.AllowN(now, 1) {
 			return
 		}
 		n, bytes := 0, 0
@@ -283,7 +283,7 @@
 		ad.queue = slices.Delete(ad.queue, 0, n)
 		key := ""
 		if n > 1 {
-			key = ad.groups.name()
+			key = ad.admissionGroups.name()
 		}
 		ad.flying++
 		go func() {
@@ -355,7 +355,7 @@
 		case errors.Is(err, state.ErrRejected) && !unclear:
 			// Too large, it may be: once more in smaller groups, but not alone.
 			ad.ahead(func() {
-				ad.writer.smaller(err)
+				ad.recordWriter.smaller(err)
 				for _, x := range in {
 					if len(in) == 1 {
 						ad.done(x, Later("state service rejects the submission"))
@@ -390,7 +390,7 @@
 			for i, x := range in {
 				recs[i] = *x.rec
 			}
-			ad.groups.add(key, version, recs)
+			ad.admissionGroups.add(key, version, recs)
 			version = 0
 		}
 		for _, x := range in {
@@ -418,11 +418,11 @@
 				ad.done(in, Later("leadership has changed"))
 				return
 			case found.Phase != "":
-				ad.endings.remember(found)
-			case ad.endings.over(id):
+				ad.completions.remember(found)
+			case ad.completions.over(id):
 				// It has ended since the read: taken in once more it would run again, and its
 				// user would be told that it waits.
-				ad.done(in, ad.endings.past(id))
+				ad.done(in, ad.completions.past(id))
 				return
 			case ad.jobTable.sound(id) == nil:
 				ad.jobTable.add(found, version, time.Now())
--- a/internal/control/admission_groups.go
+++ b/internal/control/admission_groups.go
@@ -13,14 +13,14 @@
 	"vetchstream/internal/wire"
 )
 
-// groups are the records of jobs that were accepted together. A swarm of small
+// admissionGroups are the records of jobs that were accepted together. A swarm of small
 // jobs comes faster than one record each can be written: the state service counts
 // writes, not bytes. Their ends go into the same record, and what is over moves
 // to its own final key when there is nothing better to do with the budget.
-type groups struct {
+type admissionGroups struct {
 	*core
-	writer  *writer
-	results *results
+	recordWriter *recordWriter
+	results      *results
 
 	limit *rate.Limiter // of endings, shared with those of jobs alone
 	next  uint64        // number of the next group of this term
@@ -50,28 +50,28 @@
 	then func()
 }
 
-func newGroups(co *core, limit *rate.Limiter) *groups {
-	gs := &groups{core: co, limit: limit}
+func newAdmissionGroups(co *core, limit *rate.Limiter) *admissionGroups {
+	gs := &admissionGroups{core: co, limit: limit}
 	gs.reset()
 	return gs
 }
 
 // reset forgets what a load that failed half-way has found.
-func (gs *groups) reset() {
+func (gs *admissionGroups) reset() {
 	gs.byJob, gs.open, gs.doubt = map[string]*group{}, map[*group]bool{}, false
 }
 
 // doubtful reports whether a job that is not known may be in a record that cannot be read.
-func (gs *groups) doubtful() bool { return gs.doubt }
+func (gs *admissionGroups) doubtful() bool { return gs.doubt }
 
 // name makes a key that no other term can make.
-func (gs *groups) name() string {
+func (gs *admissionGroups) name() string {
 	gs.next++
 	return fmt.Sprintf("%s%d-%d", job.GroupPrefix, gs.term, gs.next)
 }
 
 // add takes in a record that has been stored.
-func (gs *groups) add(key string, version uint64, recs []job.Record) {
+func (gs *admissionGroups) add(key string, version uint64, recs []job.Record) {
 	g := &group{key: key, version: version, jobs: recs}
 	for i := range recs {
 		gs.byJob[recs[i].Spec.ID] = g
@@ -82,10 +82,10 @@
 }
 
 // has reports whether a group record has the job.
-func (gs *groups) has(id string) bool { return gs.byJob[id] != nil }
+func (gs *admissionGroups) has(id string) bool { return gs.byJob[id] != nil }
 
 // find returns a job's entry as it is stored; nil: no group has it.
-func (gs *groups) find(id string) *job.Record {
+func (gs *admissionGroups) find(id string) *job.Record {
 	g := gs.byJob[id]
 	if g == nil {
 		return nil
@@ -97,14 +97,14 @@
 // end stores the end of a job of a group; then is called once it is durable. A
 // user waits for the end of a cancelled job; the others take turns, and what
 // comes meanwhile goes with them.
-func (gs *groups) end(rec *job.Record, then func()) {
+func (gs *admissionGroups) end(rec *job.Record, then func()) {
 	g := gs.byJob[rec.Spec.ID]
 	g.ends = append(g.ends, ending{rec, then})
 	gs.open[g] = true
 }
 
 // step stores ends and moves what is over, for each group that has any.
-func (gs *groups) step(now time.Time) {
+func (gs *admissionGroups) step(now time.Time) {
 	for g := range gs.open {
 		switch {
 		case g.writing:
@@ -112,14 +112,14 @@
 			gs.store(g)
 		case len(g.ends) > 0:
 			gs.await(g)
-		case !gs.moving && gs.c.State.Idle(gs.writer.size()) && !now.Before(g.restAt):
+		case !gs.moving && gs.c.State.Idle(gs.recordWriter.size()) && !now.Before(g.restAt):
 			gs.move(g)
 		}
 	}
 }
 
 // await stores a group's ends when its turn has come.
-func (gs *groups) await(g *group) {
+func (gs *admissionGroups) await(g *group) {
 	if g.waiting {
 		return
 	}
@@ -138,7 +138,7 @@
 }
 
 // store writes the record with the ends that have come.
-func (gs *groups) store(g *group) {
+func (gs *admissionGroups) store(g *group) {
 	ends := g.ends
 	g.ends = nil
 	jobs := slices.Clone(g.jobs)
@@ -164,13 +164,13 @@
 
 // move takes entries that are over out of a group, each to its own final key, in
 // one transaction: a crash at any step leaves an entry in one of the two places.
-func (gs *groups) move(g *group) {
+func (gs *admissionGroups) move(g *group) {
 	var conds []state.Cond
 	var writes []state.Write
 	var left []job.Record
 	for i := range g.jobs {
 		rec := &g.jobs[i]
-		if rec.Phase == "" || len(writes)+2 > gs.writer.size() {
+		if rec.Phase == "" || len(writes)+2 > gs.recordWriter.size() {
 			left = append(left, *rec)
 			continue
 		}
@@ -215,7 +215,7 @@
 // transaction of a group is under way at a time, and only an entitled leader
 // writes groups: a version that has moved on is the work of an unclear try of
 // this very transaction.
-func (gs *groups) commit(g *group, conds []state.Cond, writes []state.Write, then func()) {
+func (gs *admissionGroups) commit(g *group, conds []state.Cond, writes []state.Write, then func()) {
 	g.writing = true
 	was := g.version
 	gone := writes[len(writes)-1].Delete != ""
@@ -264,7 +264,7 @@
 					return
 				}
 			case errors.Is(err, state.ErrRejected):
-				gs.ahead(func() { gs.writer.smaller(err) })
+				gs.ahead(func() { gs.recordWriter.smaller(err) })
 				if len(conds) > 0 && !unclear {
 					gs.ahead(again)
 					return
@@ -279,7 +279,7 @@
 
 // load takes in the group records of earlier leaders, and calls take for each
 // entry. One that cannot be read is kept as it is, and does not hold up the others.
-func (gs *groups) load(entries []state.Entry, take func(*job.Record)) {
+func (gs *admissionGroups) load(entries []state.Entry, take func(*job.Record)) {
 	for _, e := range entries {
 		var rec job.Group
 		if err := wire.Unmarshal(e.Value, &rec); err != nil {
--- a/internal/control/admission_groups_test.go
+++ b/internal/control/admission_groups_test.go
@@ -735,7 +735,7 @@
 	r.ahead(func() {
 		h := r.fleet.Add(host, time.Now())
 		h.Known, h.Type, h.Zone = true, 0, 0
-		r.work.observe(h, &wire.Report{Host: host, Session: 1, Seq: seq, Token: st.term, Tasks: tasks}, true, time.Now())
+		r.taskTracker.observe(h, &wire.Report{Host: host, Session: 1, Seq: seq, Token: st.term, Tasks: tasks}, true, time.Now())
 	})
 	time.Sleep(time.Second)
 	done := make(chan struct{})
@@ -839,7 +839,7 @@
 				r, got := st.current(), make(chan *rpc.Reply, 1)
 				r.ahead(func() {
 					if phase != "" {
-						r.endings.remember(&job.Record{Spec: rec.Spec, Phase: phase})
+						r.completions.remember(&job.Record{Spec: rec.Spec, Phase: phase})
 					}
 					in := &pendingSubmission{rec: rec, backs: []func(*rpc.Reply){func(p *rpc.Reply) { got <- p }}}
 					r.admission.pending["run-5"] = in
--- a/internal/control/drains.go
+++ b/internal/control/calendar_drains.go
@@ -12,16 +12,16 @@
 	"vetchstream/internal/wire"
 )
 
-// drains empty machines before their maintenance and hand them back at its start.
+// maintenanceDrains empty machines before their maintenance and hand them back at its start.
 // What is to be done follows from the windows and the time of day: a leader that
 // comes late does what is left of it, and nothing once the window is over.
-type drains struct {
+type maintenanceDrains struct {
 	*core
-	names         *names
-	jobTable      *jobTable
-	calendarStore *calendarStore
-	holds         *holds
-	work          *work
+	nameIndex        *nameIndex
+	jobTable         *jobTable
+	calendarStore    *calendarStore
+	reservationHolds *reservationHolds
+	taskTracker      *taskTracker
 
 	// next is the first window, not over, of each machine that has one.
 	next   map[*fleet.Host]*calendar.Plan
@@ -31,28 +31,28 @@
 	told map[string]string // state of each window that was logged last
 }
 
-func newDrains(co *core) *drains {
-	dr := &drains{core: co}
+func newMaintenanceDrains(co *core) *maintenanceDrains {
+	dr := &maintenanceDrains{core: co}
 	dr.reset()
 	return dr
 }
 
-func (dr *drains) reset() {
+func (dr *maintenanceDrains) reset() {
 	dr.next, dr.late, dr.told, dr.looked = map[*fleet.Host]*calendar.Plan{}, map[*fleet.Slot]bool{}, map[string]string{}, time.Time{}
 }
 
 // on reports whether machines are drained.
-func (dr *drains) on() bool { return dr.calendarStore.on() && dr.c.Tuning.Calendar.Drain }
+func (dr *maintenanceDrains) on() bool { return dr.calendarStore.on() && dr.c.Tuning.Calendar.Drain }
 
 // takes reports whether a window is about a machine.
-func (dr *drains) takes(p *calendar.Window, h *fleet.Host) bool {
-	t := dr.names.typeOf(h)
-	return t != nil && h.Zone >= 0 && p.Takes(h.Name, h.Addr, t.Name, dr.names.zoneNames()[h.Zone])
+func (dr *maintenanceDrains) takes(p *calendar.Window, h *fleet.Host) bool {
+	t := dr.nameIndex.typeOf(h)
+	return t != nil && h.Zone >= 0 && p.Takes(h.Name, h.Addr, t.Name, dr.nameIndex.zoneNames()[h.Zone])
 }
 
 // machinesOf counts the machines that a window names, by type and zone; nil for one
 // that is about all of some kind.
-func (dr *drains) machinesOf(w *calendar.Window) []calendar.Share {
+func (dr *maintenanceDrains) machinesOf(w *calendar.Window) []calendar.Share {
 	if !w.Single() {
 		return nil
 	}
@@ -61,7 +61,7 @@
 		if h.Releasing || !dr.takes(w, h) {
 			continue
 		}
-		typ, zone := dr.names.typeOf(h).Name, dr.names.zoneNames()[h.Zone]
+		typ, zone := dr.nameIndex.typeOf(h).Name, dr.nameIndex.zoneNames()[h.Zone]
 		i := slices.IndexFunc(out, func(s calendar.Share) bool { return s.Type == typ && s.Zone == zone })
 		if i < 0 {
 			out, i = append(out, calendar.Share{Type: typ, Zone: zone}), len(out)
@@ -75,7 +75,7 @@
 const lookEvery = time.Second
 
 // look finds the machines' windows.
-func (dr *drains) look(now time.Time) {
+func (dr *maintenanceDrains) look(now time.Time) {
 	if now.Sub(dr.looked) < lookEvery {
 		return
 	}
@@ -95,7 +95,7 @@
 }
 
 // windowOf is a machine's next window; nil: it has none.
-func (dr *drains) windowOf(h *fleet.Host, now time.Time) *calendar.Plan {
+func (dr *maintenanceDrains) windowOf(h *fleet.Host, now time.Time) *calendar.Plan {
 	if !dr.on() || !dr.calendarStore.plans() {
 		return nil
 	}
@@ -104,17 +104,17 @@
 }
 
 // spares reports whether a machine stays out of maintenance for a span.
-func (dr *drains) spares(h *fleet.Host, s calendar.Span) bool {
+func (dr *maintenanceDrains) spares(h *fleet.Host, s calendar.Span) bool {
 	p := dr.windowOf(h, time.Now())
 	return p == nil || !p.Span().Meets(s)
 }
 
 // handBack is how long before the start a machine is to be empty: its worker has to
 // tell so.
-func (dr *drains) handBack() time.Duration { return 2*dr.reportTime() + time.Second }
+func (dr *maintenanceDrains) handBack() time.Duration { return 2*dr.reportTime() + time.Second }
 
 // mark tells the plan when a machine leaves.
-func (dr *drains) mark(m *place.Machine, h *fleet.Host, now time.Time) {
+func (dr *maintenanceDrains) mark(m *place.Machine, h *fleet.Host, now time.Time) {
 	p := dr.windowOf(h, now)
 	if p == nil {
 		return
@@ -125,7 +125,7 @@
 }
 
 // closed reports whether machines of a type in a zone would only be returned again.
-func (dr *drains) closed(typ, zone string, now time.Time) bool {
+func (dr *maintenanceDrains) closed(typ, zone string, now time.Time) bool {
 	if !dr.on() {
 		return false
 	}
@@ -139,13 +139,13 @@
 }
 
 // due reports whether a machine's maintenance has begun.
-func (dr *drains) due(h *fleet.Host, now time.Time) bool {
+func (dr *maintenanceDrains) due(h *fleet.Host, now time.Time) bool {
 	p := dr.windowOf(h, now)
 	return p != nil && dr.calendarStore.clock(now).UnixMilli() >= p.Span().From
 }
 
 // step moves what can be moved, and stops at last what has not ended.
-func (dr *drains) step(now time.Time) {
+func (dr *maintenanceDrains) step(now time.Time) {
 	if !dr.on() || !dr.calendarStore.plans() {
 		return
 	}
@@ -168,7 +168,7 @@
 }
 
 // tell logs each state of a window once.
-func (dr *drains) tell(name string, p *calendar.Plan, at time.Time) {
+func (dr *maintenanceDrains) tell(name string, p *calendar.Plan, at time.Time) {
 	s := calendar.TellWindow(p, at)
 	if s.State == "planned" || dr.told[name] == s.State {
 		return
@@ -180,14 +180,14 @@
 
 // empty lets a machine's work end, moves it or stops it, as the time that is left
 // demands.
-func (dr *drains) empty(h *fleet.Host, p *calendar.Plan, at, now time.Time) {
+func (dr *maintenanceDrains) empty(h *fleet.Host, p *calendar.Plan, at, now time.Time) {
 	left := time.UnixMilli(p.Span().From).Add(-dr.handBack()).Sub(at).Seconds()
 	for _, s := range h.Slots {
 		if !s.On() || s.Stopping {
 			continue
 		}
 		if !s.Sent {
-			dr.work.handle(dr.work.fleet.Stop(s, 0), now)
+			dr.taskTracker.handle(dr.taskTracker.fleet.Stop(s, 0), now)
 			continue
 		}
 		save := saveGrace(s.Job)
@@ -197,7 +197,7 @@
 			if left <= save+dr.handBack().Seconds() || dr.serving(s.Job) >= replicas(s.Job) {
 				dr.stop(s, save, h, p)
 			}
-		case dr.holds.leftOf(s, now) <= left:
+		case dr.reservationHolds.leftOf(s, now) <= left:
 			// It ends in time.
 		case save > 0:
 			dr.stop(s, save, h, p) // early: it goes on elsewhere
@@ -213,7 +213,7 @@
 
 // serving counts the replicas that run and are to go on. Those that are told to stop
 // still run until their worker says so: counted, they let all of a machine go at once.
-func (dr *drains) serving(j *job.Job) (n int) {
+func (dr *maintenanceDrains) serving(j *job.Job) (n int) {
 	for s := range dr.fleet.On(j) {
 		if s.Phase == wire.Running && !s.Stopping {
 			n++
@@ -233,10 +233,10 @@
 	return n
 }
 
-func (dr *drains) stop(s *fleet.Slot, grace float64, h *fleet.Host, p *calendar.Plan) {
+func (dr *maintenanceDrains) stop(s *fleet.Slot, grace float64, h *fleet.Host, p *calendar.Plan) {
 	dr.log.Info("moving a task for maintenance", "task", job.TaskName(s.Job.ID, s.Task), "host", h.Name, "window", p.Name, "save_s", grace)
 	dr.c.Meter.Add(metrics.Moves, "", 1)
-	dr.work.stopSlot(s, grace)
+	dr.taskTracker.stopSlot(s, grace)
 }
 
 // mostLate bounds the tasks that a status names.
@@ -244,7 +244,7 @@
 
 // state is how many machines a window takes, how many of them are busy, and the
 // tasks that it may cut off.
-func (dr *drains) state(p *calendar.Plan) (machines, busy int, late []string) {
+func (dr *maintenanceDrains) state(p *calendar.Plan) (machines, busy int, late []string) {
 	for _, h := range dr.fleet.All() {
 		if h.Releasing || !dr.takes(p.Window, h) {
 			continue
--- a/internal/control/holds.go
+++ b/internal/control/calendar_holds.go
@@ -17,18 +17,18 @@
 	"vetchstream/internal/wire"
 )
 
-// holds gather the room of reservations before their time: machines that will be
+// reservationHolds gather the room of reservations before their time: machines that will be
 // free are held, the others are rented ahead by what boots take here. What is held
 // follows from the calendar and from what is seen, so it is not stored.
-type holds struct {
+type reservationHolds struct {
 	*core
-	names         *names
-	jobTable      *jobTable
-	calendarStore *calendarStore
-	drains        *drains
-	machines      *machines
-	planner       *planner
-	rollouts      *rollouts
+	nameIndex         *nameIndex
+	jobTable          *jobTable
+	calendarStore     *calendarStore
+	maintenanceDrains *maintenanceDrains
+	machinePool       *machinePool
+	planner           *planner
+	rollouts          *rollouts
 
 	slots map[string]*slot // by reservation
 	held  map[*fleet.Host]*slot
@@ -56,27 +56,27 @@
 	covered bool
 }
 
-func newHolds(co *core) *holds {
-	hd := &holds{core: co}
+func newReservationHolds(co *core) *reservationHolds {
+	hd := &reservationHolds{core: co}
 	hd.reset()
 	return hd
 }
 
-func (hd *holds) reset() {
+func (hd *reservationHolds) reset() {
 	hd.slots, hd.held, hd.wants = map[string]*slot{}, map[*fleet.Host]*slot{}, nil
 	hd.boots, hd.paces, hd.hired = map[int]*calendar.Pace{}, map[string]*calendar.Pace{}, map[*fleet.Host]bool{}
 }
 
 // rented notes that a machine's boot can be timed. One that was met when it was up
 // would show boots that take no time, and slots would be rented too late.
-func (hd *holds) rented(h *fleet.Host) {
+func (hd *reservationHolds) rented(h *fleet.Host) {
 	if hd.calendarStore.on() {
 		hd.hired[h] = true
 	}
 }
 
 // booted takes in how long a machine took to come up.
-func (hd *holds) booted(h *fleet.Host, took time.Duration) {
+func (hd *reservationHolds) booted(h *fleet.Host, took time.Duration) {
 	if !hd.hired[h] {
 		return
 	}
@@ -90,7 +90,7 @@
 // ran takes in how long a job's first task ran, against its estimate. The tasks of one
 // job are alike: to count them all would make a class look surer than it is, and the
 // next job's tasks would overrun the start of a slot.
-func (hd *holds) ran(j *job.Job, secs float64) {
+func (hd *reservationHolds) ran(j *job.Job, secs float64) {
 	if !hd.calendarStore.on() || j.RunCount != 1 {
 		return
 	}
@@ -118,7 +118,7 @@
 
 // atMost is how long a task of the job runs at most, as far as estimates of its
 // class have shown, in seconds.
-func (hd *holds) atMost(j *job.Job) float64 {
+func (hd *reservationHolds) atMost(j *job.Job) float64 {
 	if j.Shape == job.Service {
 		return math.Inf(1)
 	}
@@ -134,10 +134,10 @@
 
 // endsIn is in how long a task of the job that is placed now is sure to be gone, in
 // seconds.
-func (hd *holds) endsIn(j *job.Job) float64 {
+func (hd *reservationHolds) endsIn(j *job.Job) float64 {
 	fetch := 0.0
-	for i := range hd.names.list() {
-		if r := hd.names.list()[i].FetchRate; r > 0 {
+	for i := range hd.nameIndex.list() {
+		if r := hd.nameIndex.list()[i].FetchRate; r > 0 {
 			fetch = max(fetch, j.ImageGB/r)
 		}
 	}
@@ -148,10 +148,10 @@
 // seconds: the claimer of a slot at most to the slot's end, which the calendar has kept
 // free of maintenance. By twice its estimate it was kept off its own machines when
 // maintenance came soon after the slot.
-func (hd *holds) needs(j *job.Job, now time.Time) float64 {
+func (hd *reservationHolds) needs(j *job.Job, now time.Time) float64 {
 	ends := hd.endsIn(j)
 	if s := hd.slots[j.Booking]; s != nil && s.claimer == j {
-		left := time.UnixMilli(s.span.To).Sub(hd.calendarStore.clock(now)) - hd.drains.handBack()
+		left := time.UnixMilli(s.span.To).Sub(hd.calendarStore.clock(now)) - hd.maintenanceDrains.handBack()
 		ends = min(ends, max(0, left.Seconds()))
 	}
 	return ends
@@ -159,7 +159,7 @@
 
 // leftOf is in how long a placement is sure to be gone, in seconds. One that has run
 // over everything that was known of its class may go on for a while.
-func (hd *holds) leftOf(s *fleet.Slot, now time.Time) float64 {
+func (hd *reservationHolds) leftOf(s *fleet.Slot, now time.Time) float64 {
 	most := hd.atMost(s.Job)
 	if s.RunAt.IsZero() {
 		return hd.endsIn(s.Job)
@@ -170,19 +170,19 @@
 // lead is how long before its start machines that are up are held for a reservation.
 // It comes before the renting: where nothing can be rented the machines are full of
 // work that takes longer to end than a machine to come up.
-func (hd *holds) lead(e *calendar.Entry) time.Duration {
+func (hd *reservationHolds) lead(e *calendar.Entry) time.Duration {
 	return max(hd.rentLead(e), config.Seconds(hd.c.Tuning.Calendar.HoldS))
 }
 
 // rentLead is how long before its start what a reservation misses is rented: what its
 // machines take to come up, as far as hardly any exceeds, and to be heard of.
-func (hd *holds) rentLead(e *calendar.Entry) time.Duration {
+func (hd *reservationHolds) rentLead(e *calendar.Entry) time.Duration {
 	if e.LeadS != nil {
 		return config.Seconds(*e.LeadS)
 	}
 	lead := 0.0
-	for i := range hd.names.list() {
-		t := &hd.names.list()[i]
+	for i := range hd.nameIndex.list() {
+		t := &hd.nameIndex.list()[i]
 		if !slices.ContainsFunc(e.Shares, func(s calendar.Share) bool { return s.Type == t.Name }) {
 			continue
 		}
@@ -198,7 +198,7 @@
 
 // gather brings the slots up to date: which there are, which machines are held for
 // them, and what has to be rented.
-func (hd *holds) gather(now time.Time) {
+func (hd *reservationHolds) gather(now time.Time) {
 	if !hd.calendarStore.on() {
 		return
 	}
@@ -234,13 +234,13 @@
 }
 
 // drop forgets a slot.
-func (hd *holds) drop(s *slot) {
+func (hd *reservationHolds) drop(s *slot) {
 	hd.release(s)
 	delete(hd.slots, s.name)
 }
 
 // release gives up what is held for a slot.
-func (hd *holds) release(s *slot) {
+func (hd *reservationHolds) release(s *slot) {
 	for h := range s.hosts {
 		delete(hd.held, h)
 	}
@@ -251,21 +251,21 @@
 }
 
 // watch notes when the claimer runs whole.
-func (hd *holds) watch(s *slot, now time.Time) {
+func (hd *reservationHolds) watch(s *slot, now time.Time) {
 	if s.claimer != nil && s.ran != s.claimer.ID && hd.whole(s.claimer) {
 		s.ran, s.runAt = s.claimer.ID, hd.calendarStore.clock(now)
 	}
 }
 
 // whole reports whether all of a job that has not ended runs.
-func (hd *holds) whole(j *job.Job) bool {
+func (hd *reservationHolds) whole(j *job.Job) bool {
 	n := hd.jobTable.running(j)
 	return n > 0 && (j.Waiting() == 0 || j.Over()) && (j.Shape != job.Gang || n == j.Tasks)
 }
 
 // began is when the claimer of an occurrence was first seen running whole; zero: not
 // yet.
-func (hd *holds) began(name string, from int64) time.Time {
+func (hd *reservationHolds) began(name string, from int64) time.Time {
 	if s := hd.slots[name]; s != nil && s.span.From == from && s.claimer != nil && s.ran == s.claimer.ID {
 		return s.runAt
 	}
@@ -273,7 +273,7 @@
 }
 
 // finished is the job that ran in an occurrence and is over; empty: none.
-func (hd *holds) finished(name string, from int64) (id string, at time.Time) {
+func (hd *reservationHolds) finished(name string, from int64) (id string, at time.Time) {
 	if s := hd.slots[name]; s != nil && s.span.From == from && s.ran != "" {
 		return s.ran, s.runAt
 	}
@@ -281,7 +281,7 @@
 }
 
 // count is how many machines are held for a reservation.
-func (hd *holds) count(name string) int {
+func (hd *reservationHolds) count(name string) int {
 	if s := hd.slots[name]; s != nil {
 		return len(s.hosts)
 	}
@@ -289,7 +289,7 @@
 }
 
 // hold chooses the machines for a slot, and asks for those that are missing.
-func (hd *holds) hold(s *slot, e *calendar.Entry, now time.Time) {
+func (hd *reservationHolds) hold(s *slot, e *calendar.Entry, now time.Time) {
 	until := time.UnixMilli(s.span.From).Sub(hd.calendarStore.clock(now)).Seconds()
 	if !s.renting && until <= hd.rentLead(e).Seconds() {
 		s.renting = true
@@ -326,7 +326,7 @@
 
 // settleOn holds exactly the machines on which the claimer runs: it may have started
 // on others, and a machine that came up after that is not needed any more.
-func (hd *holds) settleOn(s *slot) {
+func (hd *reservationHolds) settleOn(s *slot) {
 	on := map[*fleet.Host]bool{}
 	for x := range hd.fleet.On(s.claimer) {
 		if x.On() && (hd.held[x.Host] == nil || hd.held[x.Host] == s) {
@@ -346,20 +346,20 @@
 }
 
 // is reports whether a machine is of a share's type and zone.
-func (hd *holds) is(h *fleet.Host, x calendar.Share) bool {
-	t := hd.names.typeOf(h)
-	return t != nil && h.Zone >= 0 && t.Name == x.Type && hd.names.zoneNames()[h.Zone] == x.Zone
+func (hd *reservationHolds) is(h *fleet.Host, x calendar.Share) bool {
+	t := hd.nameIndex.typeOf(h)
+	return t != nil && h.Zone >= 0 && t.Name == x.Type && hd.nameIndex.zoneNames()[h.Zone] == x.Zone
 }
 
 // able reports whether a machine can serve a slot to its end.
-func (hd *holds) able(h *fleet.Host, s *slot) bool {
-	return h.Usable() && (s.spot || !h.Spot) && hd.drains.spares(h, s.span)
+func (hd *reservationHolds) able(h *fleet.Host, s *slot) bool {
+	return h.Usable() && (s.spot || !h.Spot) && hd.maintenanceDrains.spares(h, s.span)
 }
 
 // fill holds machines until each share has its number, those that are free soonest
 // first, and returns what is missing. A machine whose work is not sure to end in
 // time is not held before the start: it would be held in vain.
-func (hd *holds) fill(s *slot, until float64, now time.Time) (short []calendar.Share) {
+func (hd *reservationHolds) fill(s *slot, until float64, now time.Time) (short []calendar.Share) {
 	type candidate struct {
 		h    *fleet.Host
 		free float64
@@ -405,16 +405,16 @@
 // elsewhere chooses other machines for a slot if those that it lacks cannot be had:
 // their zone is silent, or the cloud has refused them lately. Stuck: they cannot be
 // had, and there are no others.
-func (hd *holds) elsewhere(s *slot, short []calendar.Share, now time.Time) (moved, stuck bool) {
+func (hd *reservationHolds) elsewhere(s *slot, short []calendar.Share, now time.Time) (moved, stuck bool) {
 	down := hd.silent(now)
-	barred := func(typ, zone string) bool { return down[zone] || !hd.machines.open(typ, zone, s.spot, now) }
+	barred := func(typ, zone string) bool { return down[zone] || !hd.machinePool.open(typ, zone, s.spot, now) }
 	if !slices.ContainsFunc(short, func(x calendar.Share) bool { return barred(x.Type, x.Zone) }) {
 		return false, false
 	}
 	there := map[[2]string]int{}
 	for _, h := range hd.fleet.All() {
-		if t := hd.names.typeOf(h); t != nil && h.Zone >= 0 && (hd.able(h, s) || h.Booting) && (hd.held[h] == nil || hd.held[h] == s) {
-			there[[2]string{t.Name, hd.names.zoneNames()[h.Zone]}]++
+		if t := hd.nameIndex.typeOf(h); t != nil && h.Zone >= 0 && (hd.able(h, s) || h.Booting) && (hd.held[h] == nil || hd.held[h] == s) {
+			there[[2]string{t.Name, hd.nameIndex.zoneNames()[h.Zone]}]++
 		}
 	}
 	most := func(typ, zone string) int {
@@ -439,14 +439,14 @@
 }
 
 // silent are the zones of which only silent machines are left.
-func (hd *holds) silent(now time.Time) map[string]bool {
+func (hd *reservationHolds) silent(now time.Time) map[string]bool {
 	quiet := hd.rollouts.quiet()
 	out, heard := map[string]bool{}, map[string]bool{}
 	for _, h := range hd.fleet.All() {
 		if h.Zone < 0 || h.Booting {
 			continue
 		}
-		zone := hd.names.zoneNames()[h.Zone]
+		zone := hd.nameIndex.zoneNames()[h.Zone]
 		if h.Lost || h.Silent(now) > quiet {
 			out[zone] = true
 		} else {
@@ -461,14 +461,14 @@
 
 // covers reports whether what a job needs is left to its slot: it would be rented
 // twice.
-func (hd *holds) covers(j *job.Job) bool {
+func (hd *reservationHolds) covers(j *job.Job) bool {
 	s := hd.slots[j.Booking]
 	return s != nil && s.claimer == j && s.covered
 }
 
 // want asks for the machines that a slot is short of, as whole machines.
-func (hd *holds) want(s *slot, x calendar.Share) {
-	types := hd.names.list()
+func (hd *reservationHolds) want(s *slot, x calendar.Share) {
+	types := hd.nameIndex.list()
 	ok := make([]bool, len(types))
 	need := place.Amount{}
 	for i := range types {
@@ -476,25 +476,25 @@
 			ok[i], need = true, place.Amount{CPUs: types[i].CPUs, GPUs: types[i].GPUs, MemGB: types[i].MemGB}
 		}
 	}
-	d := &place.Demand{Shape: job.Gang, Need: need, TypeOK: ok, Zone: hd.names.zone(x.Zone), Spot: s.spot, Total: x.Machines, InZone: make([]int, len(hd.names.zoneNames()))}
+	d := &place.Demand{Shape: job.Gang, Need: need, TypeOK: ok, Zone: hd.nameIndex.zone(x.Zone), Spot: s.spot, Total: x.Machines, InZone: make([]int, len(hd.nameIndex.zoneNames()))}
 	hd.wants = append(hd.wants, autoscale.Want{Demand: d, Count: x.Machines, TaskS: float64(s.span.To-s.span.From) / 1000, Urgent: true})
 }
 
 // missing is what has to be rented for the slots, by a fresh look: a machine that has
 // come up since the last one would be rented once more.
-func (hd *holds) missing(now time.Time) []autoscale.Want {
+func (hd *reservationHolds) missing(now time.Time) []autoscale.Want {
 	hd.gather(now)
 	return hd.wants
 }
 
 // holding reports whether a machine is to be kept although it is idle: it is held for a
 // slot that is near, or nothing else may run on it.
-func (hd *holds) holding(h *fleet.Host) bool {
+func (hd *reservationHolds) holding(h *fleet.Host) bool {
 	return hd.held[h] != nil && (hd.held[h].renting || !hd.c.Tuning.Calendar.Backfill)
 }
 
 // forget forgets a machine that has been returned.
-func (hd *holds) forget(h *fleet.Host) {
+func (hd *reservationHolds) forget(h *fleet.Host) {
 	delete(hd.hired, h)
 	if s := hd.held[h]; s != nil {
 		delete(s.hosts, h)
@@ -503,7 +503,7 @@
 }
 
 // mark tells the plan for whom a machine is held, and for when.
-func (hd *holds) mark(m *place.Machine, h *fleet.Host, now time.Time) {
+func (hd *reservationHolds) mark(m *place.Machine, h *fleet.Host, now time.Time) {
 	s := hd.held[h]
 	if s == nil {
 		return
@@ -519,13 +519,13 @@
 
 // enough reports whether the machines that are held for a job have room for n of its
 // tasks now.
-func (hd *holds) enough(j *job.Job, n int) bool {
+func (hd *reservationHolds) enough(j *job.Job, n int) bool {
 	s := hd.slots[j.Booking]
 	if s == nil || s.claimer != j {
 		return false
 	}
 	for h := range s.hosts {
-		if t := hd.names.typeOf(h); t != nil && h.Usable() {
+		if t := hd.nameIndex.typeOf(h); t != nil && h.Usable() {
 			n -= freeOn(t, h).Times(needOf(j))
 		}
 	}
--- a/internal/control/calendar_requests.go
+++ b/internal/control/calendar_requests.go
@@ -20,7 +20,7 @@
 	switch {
 	case !cs.on():
 		refuse(http.StatusNotFound, "the calendar is switched off here")
-	case len(cs.names.list()) == 0:
+	case len(cs.nameIndex.list()) == 0:
 		back(Later("machine types are not known yet"))
 	case op.Window && op.Team != "" && (op.Verb == rpc.VerbStart || op.Verb == rpc.VerbCancel):
 		refuse(http.StatusForbidden, "maintenance is an operator's")
@@ -85,7 +85,7 @@
 func (cs *calendarStore) status(name string) calendar.Status {
 	b := cs.bookings[name]
 	s := calendar.Tell(b.rec, b.entry, cs.clock(time.Now()))
-	s.Held = cs.holds.count(name)
+	s.Held = cs.reservationHolds.count(name)
 	if len(s.Ahead) > 0 {
 		if j := cs.claims[claim{name, s.Ahead[0].From}]; j != nil {
 			s.Claimer = j.ID
@@ -97,7 +97,7 @@
 func (cs *calendarStore) windowStatus(name string) calendar.WindowStatus {
 	p := cs.cal.Windows()[name]
 	s := calendar.TellWindow(p, cs.clock(time.Now()))
-	s.Machines, s.Busy, s.Late = cs.drains.state(p)
+	s.Machines, s.Busy, s.Late = cs.maintenanceDrains.state(p)
 	return s
 }
 
@@ -164,7 +164,7 @@
 		return
 	}
 	cs.remake()
-	a, err := cs.cal.Announce(w, cs.drains.machinesOf(w), at)
+	a, err := cs.cal.Announce(w, cs.maintenanceDrains.machinesOf(w), at)
 	if err != nil {
 		refuse(http.StatusConflict, err.Error())
 		return
@@ -241,7 +241,7 @@
 		cs.adopt(change.next[e.Name], e, v)
 	}
 	s := a.Tell(at)
-	s.Machines, s.Busy, s.Late = cs.drains.state(a.Plan)
+	s.Machines, s.Busy, s.Late = cs.maintenanceDrains.state(a.Plan)
 	cs.log.Info("maintenance window is taken in", "window", w.Name, "start", time.UnixMilli(w.Span().From).UTC(), "machines", s.Machines,
 		"moved", strings.Join(s.Moved, " "), "retired", strings.Join(s.Retired, " "))
 	back(reply(http.StatusCreated, s))
--- a/internal/control/calendar_store.go
+++ b/internal/control/calendar_store.go
@@ -28,12 +28,12 @@
 // each occurrence. What follows on the machines is the holds' and the drains' duty.
 type calendarStore struct {
 	*core
-	names    *names
-	jobTable *jobTable
-	takeover *takeover
-	holds    *holds
-	drains   *drains
-	teams    *teams
+	nameIndex         *nameIndex
+	jobTable          *jobTable
+	takeover          *takeover
+	reservationHolds  *reservationHolds
+	maintenanceDrains *maintenanceDrains
+	teamQuotas        *teamQuotas
 
 	cal      *calendar.Calendar
 	made     madeOf
@@ -105,7 +105,7 @@
 		}
 		return -1
 	}
-	return calendar.Facts{Types: types, Zones: zones, Teams: cs.teams.all(), Counted: counted, Limits: cs.limits()}
+	return calendar.Facts{Types: types, Zones: zones, Teams: cs.teamQuotas.all(), Counted: counted, Limits: cs.limits()}
 }
 
 // list reads the records; none while the calendar is switched off.
@@ -168,8 +168,8 @@
 
 // remake fits the calendar to a price list that has become longer.
 func (cs *calendarStore) remake() {
-	types, zones := cs.names.list(), cs.names.zoneNames()
-	if n := (madeOf{len(types), len(zones), cs.teams.sequence()}); n != cs.made {
+	types, zones := cs.nameIndex.list(), cs.nameIndex.zoneNames()
+	if n := (madeOf{len(types), len(zones), cs.teamQuotas.sequence()}); n != cs.made {
 		cs.made = n
 		was := cs.cal
 		cs.cal = calendar.New(cs.facts(types, zones))
@@ -196,7 +196,7 @@
 		return
 	}
 	cs.remake()
-	cs.holds.gather(now)
+	cs.reservationHolds.gather(now)
 	if !cs.takeover.settled() {
 		return // what runs where is not known yet: nothing is decided, nothing is stopped
 	}
@@ -204,7 +204,7 @@
 	for _, b := range cs.bookings {
 		cs.decide(b, at)
 	}
-	cs.drains.step(now)
+	cs.maintenanceDrains.step(now)
 	cs.tidy(at)
 }
 
@@ -340,9 +340,9 @@
 	}
 	l := calendar.Look{Now: at}
 	if j := cs.claims[claim{b.rec.Spec.Name, b.rec.Next}]; j != nil {
-		l.Claimer, l.RunAt = j.ID, cs.holds.began(b.rec.Spec.Name, b.rec.Next)
+		l.Claimer, l.RunAt = j.ID, cs.reservationHolds.began(b.rec.Spec.Name, b.rec.Next)
 	} else {
-		l.Claimer, l.RunAt = cs.holds.finished(b.rec.Spec.Name, b.rec.Next)
+		l.Claimer, l.RunAt = cs.reservationHolds.finished(b.rec.Spec.Name, b.rec.Next)
 	}
 	f := &cs.c.Settings.Facts
 	next, changed := calendar.Step(b.rec, b.entry, l, calendar.Tolerance(f.Workers.ReportS, f.SkewMs))
--- a/internal/control/calendar_store_test.go
+++ b/internal/control/calendar_store_test.go
@@ -111,10 +111,10 @@
 	}
 	claimer, other := add("run-1", "r0"), add("run-2", "")
 	r.calendarStore.step(now)
-	if got := r.holds.needs(claimer, now); got > 1800 {
+	if got := r.reservationHolds.needs(claimer, now); got > 1800 {
 		t.Errorf("the claimer needs its machines for %.0f s", got)
 	}
-	if got := r.holds.needs(other, now); got < 4800 {
+	if got := r.reservationHolds.needs(other, now); got < 4800 {
 		t.Errorf("another needs its machines for %.0f s", got)
 	}
 }
--- a/internal/control/commands.go
+++ b/internal/control/commands.go
@@ -18,9 +18,9 @@
 // commands sends direct commands, a bounded number at a time.
 type commands struct {
 	*core
-	work     *work
-	takeover *takeover
-	shares   *shares
+	taskTracker *taskTracker
+	takeover    *takeover
+	shards      *shards
 
 	calls int // under way
 	most  int
@@ -60,7 +60,7 @@
 	if h.Calling || h.Lost || h.Addr == "" || !h.Durable || now.Before(h.NextCall) {
 		return false
 	}
-	relayed, may := cm.shares.takes(h)
+	relayed, may := cm.shards.takes(h)
 	return may && (relayed || cm.calls < cm.most)
 }
 
@@ -70,15 +70,15 @@
 	session := max(1, h.Session)
 	orders, sent, ev := cm.fleet.Compose(h, 0, h.Usable(), now, maxOrders)
 	cm.takeover.launched(len(sent), now)
-	cm.work.handle(ev, now)
+	cm.taskTracker.handle(ev, now)
 	body, err := wire.Marshal(wire.Direct{Token: cm.term, Session: session, Orders: orders})
 	if err != nil {
 		cm.log.Error("orders do not encode", "error", err)
 		return
 	}
 	h.Calling = true
-	if relayed, _ := cm.shares.takes(h); relayed {
-		cm.shares.relay(h, body, sent, now)
+	if relayed, _ := cm.shards.takes(h); relayed {
+		cm.shards.relay(h, body, sent, now)
 		return
 	}
 	cm.calls++
@@ -151,7 +151,7 @@
 	}
 	if !reached || (status != http.StatusOK && rep != nil) || status == http.StatusBadRequest {
 		// Nothing was executed, and nothing will be.
-		cm.work.handle(cm.fleet.Unsent(sent), now)
+		cm.taskTracker.handle(cm.fleet.Unsent(sent), now)
 	}
 	if rep == nil {
 		cm.log.Debug("direct command failed", "host", h.Name, "status", status, "error", err)
@@ -161,7 +161,7 @@
 		// A machine that hangs, or that nothing reaches, has much room and would be
 		// chosen again and again.
 		h.Unheard = true
-		cm.work.handle(cm.fleet.Withdraw(h), now)
+		cm.taskTracker.handle(cm.fleet.Withdraw(h), now)
 		return
 	}
 	h.Failures = 0
@@ -169,5 +169,5 @@
 		h.NextCall = now.Add(10 * time.Second)
 		return
 	}
-	cm.work.observe(h, rep, false, now)
+	cm.taskTracker.observe(h, rep, false, now)
 }
--- a/internal/control/endings.go
+++ b/internal/control/completions.go
@@ -23,42 +23,42 @@
 	endingShare = 0.35
 )
 
-// endings moves jobs to their final phase, once and for ever, and answers for
+// completions moves jobs to their final phase, once and for ever, and answers for
 // jobs from what is known of them.
-type endings struct {
+type completions struct {
 	*core
-	jobTable  *jobTable
-	results   *results
-	work      *work
-	writer    *writer
-	admission *admission
-	groups    *groups
+	jobTable        *jobTable
+	results         *results
+	taskTracker     *taskTracker
+	recordWriter    *recordWriter
+	admission       *admission
+	admissionGroups *admissionGroups
 
-	finals  *finals
+	finals  *finalStatusCache
 	waiters map[*job.Job][]func(*rpc.Reply) // who has asked to cancel
 	limit   *rate.Limiter
 	moves   []move // records of jobs that are over, still under the key of active ones
 	moving  bool
 }
 
-func newEndings(co *core, limit *rate.Limiter) *endings {
-	return &endings{core: co, limit: limit, finals: newFinals(4096), waiters: map[*job.Job][]func(*rpc.Reply){}}
+func newCompletions(co *core, limit *rate.Limiter) *completions {
+	return &completions{core: co, limit: limit, finals: newFinalStatusCache(4096), waiters: map[*job.Job][]func(*rpc.Reply){}}
 }
 
 // reset forgets what a load that failed half-way has found.
-func (en *endings) reset() { en.moves = nil }
+func (en *completions) reset() { en.moves = nil }
 
 // remember notes how a job has ended.
-func (en *endings) remember(rec *job.Record) { en.finals.put(recordStatus(rec)) }
+func (en *completions) remember(rec *job.Record) { en.finals.put(recordStatus(rec)) }
 
 // over reports whether a job is remembered as over.
-func (en *endings) over(id string) bool {
+func (en *completions) over(id string) bool {
 	_, ok := en.finals.get(id)
 	return ok
 }
 
 // inherit takes in a record of a job that is over and still under its active key.
-func (en *endings) inherit(rec *job.Record, version uint64) {
+func (en *completions) inherit(rec *job.Record, version uint64) {
 	en.remember(rec)
 	en.moves = append(en.moves, move{rec, version})
 }
@@ -72,11 +72,11 @@
 // settleFinals moves records of jobs that are over to their own keys, when there
 // is nothing better to do with the budget: the list of active jobs is what a
 // successor has to read.
-func (en *endings) settleFinals() {
-	if en.moving || len(en.moves) == 0 || !en.c.State.Idle(en.writer.size()) {
+func (en *completions) settleFinals() {
+	if en.moving || len(en.moves) == 0 || !en.c.State.Idle(en.recordWriter.size()) {
 		return
 	}
-	n := min(len(en.moves), max(1, en.writer.size()/2))
+	n := min(len(en.moves), max(1, en.recordWriter.size()/2))
 	txn := state.Txn{If: []state.Cond{en.fence}}
 	for _, m := range en.moves[:n] {
 		id := m.rec.Spec.ID
@@ -96,7 +96,7 @@
 		}
 		en.ahead(func() {
 			en.moving = false
-			en.writer.smaller(err)
+			en.recordWriter.smaller(err)
 			// On a conflict an unclear commit of before was applied; what is left of the
 			// batch is found by the next leader.
 			if err == nil || errors.Is(err, state.ErrConflict) {
@@ -109,7 +109,7 @@
 // known answers from memory; nil if the job is not there, or is about to be over.
 // From the moment the commit of its end is sent another node may have read and
 // told that end, while this one does not know of it yet: only a fresh read can say.
-func (en *endings) known(id string) *rpc.Reply {
+func (en *completions) known(id string) *rpc.Reply {
 	if j := en.jobTable.sound(id); j != nil {
 		if j.Closing != "" && j.Phase == "" {
 			return nil
@@ -120,11 +120,11 @@
 }
 
 // past answers for a job that is over; nil: it is not, or it is forgotten here.
-func (en *endings) past(id string) *rpc.Reply {
+func (en *completions) past(id string) *rpc.Reply {
 	if s, ok := en.finals.get(id); ok {
 		return reply(http.StatusOK, s)
 	}
-	if rec := en.groups.find(id); rec != nil && rec.Phase != "" {
+	if rec := en.admissionGroups.find(id); rec != nil && rec.Phase != "" {
 		return recorded(rec)
 	}
 	return nil
@@ -132,7 +132,7 @@
 
 // readBack answers from a fresh read; absent is the answer for a job that was
 // never accepted, active makes the one for a job that is not over.
-func (en *endings) readBack(id string, absent *rpc.Reply, active func(*job.Record) *rpc.Reply, back func(*rpc.Reply)) {
+func (en *completions) readBack(id string, absent *rpc.Reply, active func(*job.Record) *rpc.Reply, back func(*rpc.Reply)) {
 	go func() {
 		ctx, cancel := context.WithTimeout(en.ctx, 3*time.Second)
 		defer cancel()
@@ -154,7 +154,7 @@
 // recorded answers with what a job's record says.
 func recorded(rec *job.Record) *rpc.Reply { return reply(http.StatusOK, recordStatus(rec)) }
 
-func (en *endings) abort(id string, back func(*rpc.Reply)) {
+func (en *completions) abort(id string, back func(*rpc.Reply)) {
 	absent := reply(http.StatusNotFound, wire.Error{Error: "no such job"})
 	if !job.ValidID(id) {
 		back(absent)
@@ -178,7 +178,7 @@
 // abortUnknown answers for a job that is over and forgotten here, was never
 // accepted, or was admitted by another node a moment ago: that one is taken in,
 // and the user's next try finds it.
-func (en *endings) abortUnknown(id string, absent *rpc.Reply, back func(*rpc.Reply)) {
+func (en *completions) abortUnknown(id string, absent *rpc.Reply, back func(*rpc.Reply)) {
 	if p := en.past(id); p != nil {
 		back(p)
 		return
@@ -192,21 +192,21 @@
 // finish moves a job to its final phase. From here on nothing of it is launched,
 // whatever becomes of the commit. Done and aborted race on the version of the
 // active record; the first to commit stands for ever.
-func (en *endings) finish(j *job.Job, phase string) {
+func (en *completions) finish(j *job.Job, phase string) {
 	j.Closing = phase
 	if phase == wire.JobAborted {
 		j.CancelledAt = time.Now()
 	}
-	en.work.stopAll(j)
+	en.taskTracker.stopAll(j)
 	rec := &job.Record{Spec: j.Spec, Phase: phase, Done: j.DoneCount}
 	rec.At = j.At
-	if en.groups.has(j.ID) {
-		en.groups.end(rec, func() { en.finished(j, rec) })
+	if en.admissionGroups.has(j.ID) {
+		en.admissionGroups.end(rec, func() { en.finished(j, rec) })
 		return
 	}
 	// The final record moves to its own key at once, or later where many jobs end
 	// together: the phase alone takes half the writes.
-	inPlace := !en.c.State.Idle(en.writer.size())
+	inPlace := !en.c.State.Idle(en.recordWriter.size())
 	key, writes := job.FinalPrefix+j.ID, []state.Write{{Delete: job.ActivePrefix + j.ID}}
 	if inPlace {
 		key, writes = job.ActivePrefix+j.ID, nil
@@ -250,7 +250,7 @@
 	}()
 }
 
-func (en *endings) finished(j *job.Job, rec *job.Record) {
+func (en *completions) finished(j *job.Job, rec *job.Record) {
 	j.Phase = rec.Phase
 	en.c.Meter.Add(metrics.Endings, j.Phase, 1)
 	s := recordStatus(rec)
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -161,7 +161,7 @@
 	case rpc.KindStatus:
 		do = func(r *leaderTerm, back func(*rpc.Reply)) { r.admission.status(q.ID, back) }
 	case rpc.KindAbort:
-		do = func(r *leaderTerm, back func(*rpc.Reply)) { r.endings.abort(q.ID, back) }
+		do = func(r *leaderTerm, back func(*rpc.Reply)) { r.completions.abort(q.ID, back) }
 	case rpc.KindRollout:
 		op, bad := decodeOperation(q.Body)
 		if bad != nil {
@@ -179,7 +179,7 @@
 		if bad != nil {
 			return nil, nil, bad
 		}
-		do = func(r *leaderTerm, back func(*rpc.Reply)) { r.homeTeams.operate(op, back) }
+		do = func(r *leaderTerm, back func(*rpc.Reply)) { r.homeQuotas.operate(op, back) }
 	case rpc.KindReport:
 		m := &wire.Report{}
 		if err := wire.Unmarshal(q.Body, m); err != nil || m.Host == "" || m.Session == 0 {
--- a/internal/control/gangs_test.go
+++ b/internal/control/gangs_test.go
@@ -32,7 +32,7 @@
 			s := r.fleet.Assign(r.host("h1"), fleet.Key{Job: j, Task: int32(i + 1), Attempt: 5}, now)
 			s.Phase, s.Sent = phase, true
 		}
-		r.work.ended(&fleet.Slot{Key: fleet.Key{Job: j, Attempt: 5}, Phase: wire.Exited, Cause: wire.CauseIncomplete}, j, r.host("h2"), now)
+		r.taskTracker.ended(&fleet.Slot{Key: fleet.Key{Job: j, Attempt: 5}, Phase: wire.Exited, Cause: wire.CauseIncomplete}, j, r.host("h2"), now)
 		if j.GangBroken != tt.broken || (!tt.broken && j.GangAttempt != 5) {
 			t.Errorf("%s: begins anew %v, want %v", tt.name, j.GangBroken, tt.broken)
 		}
@@ -59,12 +59,12 @@
 		r.learn([]wire.MachineType{{Name: "x", CPUs: 8, BootS: 1000, Zones: []string{"a"}}})
 		now := r.since.Add(tt.deaf)
 		h := r.host("h1")
-		r.names.describe(h, "x", "a", false)
+		r.nameIndex.describe(h, "x", "a", false)
 		h.Booting, h.Durable, h.Fenced, h.IdleFrom = false, true, !tt.old, now
 		if h.Inherited = tt.old; !tt.old {
 			r.fleet.Deafen(h, r.since)
 		}
-		r.machines.giveBack(now)
+		r.machinePool.giveBack(now)
 		if h.Releasing != tt.returned {
 			t.Errorf("%s: returned %v, want %v", tt.name, h.Releasing, tt.returned)
 		}
--- a/internal/control/jobs.go
+++ b/internal/control/job_table.go
@@ -12,11 +12,11 @@
 // jobTable holds the jobs that the leader looks after, under a dense index each.
 type jobTable struct {
 	*core
-	names    *names
-	registry *registry
-	planner  *planner
-	work     *work
-	groups   *groups
+	nameIndex       *nameIndex
+	registry        *registry
+	planner         *planner
+	taskTracker     *taskTracker
+	admissionGroups *admissionGroups
 
 	jobs   map[string]*job.Job
 	ids    map[*job.Job]int
@@ -70,7 +70,7 @@
 		bk.bind(j)
 	}
 	for _, h := range bk.fleet.All() {
-		if bk.names.typeOf(h) != nil {
+		if bk.nameIndex.typeOf(h) != nil {
 			h.Known = true
 		}
 	}
@@ -91,16 +91,16 @@
 
 // bind maps a job's names to indices.
 func (bk *jobTable) bind(j *job.Job) {
-	if t := bk.names.team(j.Team); t >= 0 {
+	if t := bk.nameIndex.team(j.Team); t >= 0 {
 		j.TeamIdx = t
 	}
-	j.ImageIdx = bk.names.image(j.Image)
+	j.ImageIdx = bk.nameIndex.image(j.Image)
 	if j.Zone != "" {
-		j.ZoneIdx = bk.names.zone(j.Zone)
+		j.ZoneIdx = bk.nameIndex.zone(j.Zone)
 	}
 	j.TypeOK = nil
 	if j.Types != nil {
-		j.TypeOK = bk.names.allowed(j.Types)
+		j.TypeOK = bk.nameIndex.allowed(j.Types)
 	}
 }
 
@@ -111,7 +111,7 @@
 	}
 	// Over, or unknown: its record is read, because what its tasks take still
 	// counts against its team. Nothing of it may go on.
-	if rec := bk.groups.find(id); rec != nil {
+	if rec := bk.admissionGroups.find(id); rec != nil {
 		return bk.add(rec, 0, time.Now())
 	}
 	rec := &job.Record{Spec: job.Spec{ID: id, Tasks: job.MaxTasks, ShapeName: "array", RankName: "idle"}, Phase: wire.JobAborted}
--- a/internal/control/leader_term.go
+++ b/internal/control/leader_term.go
@@ -100,26 +100,26 @@
 // through its methods, never its fields (TestParts).
 type leaderTerm struct {
 	*core
-	names         *names
-	jobTable      *jobTable
-	admission     *admission
-	endings       *endings
-	results       *results
-	registry      *registry
-	machines      *machines
-	takeover      *takeover
-	commands      *commands
-	planner       *planner
-	work          *work
-	writer        *writer
-	groups        *groups
-	rollouts      *rollouts
-	calendarStore *calendarStore
-	holds         *holds
-	drains        *drains
-	shares        *shares
-	teams         *teams
-	homeTeams     *homeTeams
+	nameIndex         *nameIndex
+	jobTable          *jobTable
+	admission         *admission
+	completions       *completions
+	results           *results
+	registry          *registry
+	machinePool       *machinePool
+	takeover          *takeover
+	commands          *commands
+	planner           *planner
+	taskTracker       *taskTracker
+	recordWriter      *recordWriter
+	admissionGroups   *admissionGroups
+	rollouts          *rollouts
+	calendarStore     *calendarStore
+	reservationHolds  *reservationHolds
+	maintenanceDrains *maintenanceDrains
+	shards            *shards
+	teamQuotas        *teamQuotas
+	homeQuotas        *homeQuotas
 
 	scanAt time.Time
 }
@@ -134,11 +134,11 @@
 		return rate.NewLimiter(rate.Limit(of*budget.WriteRPS), max(2, int(of*budget.WriteRPS)))
 	}
 	ends := share(endingShare)
-	r := &leaderTerm{core: co, names: newNames(f.Zones, f.Teams), jobTable: newJobTable(co), admission: newAdmission(co, share(admitShare), f.State.TxnOps, f.State.ValueKB, f.Resources.MaxSockets),
-		endings: newEndings(co, ends), groups: newGroups(co, ends), rollouts: newRollouts(co), calendarStore: newCalendarStore(co), shares: newShares(co), holds: newHolds(co), drains: newDrains(co), results: newResults(co), registry: newRegistry(co, f.State.ValueKB),
-		machines: newMachines(co), takeover: &takeover{core: co}, commands: &commands{core: co, most: DirectCalls(f.Resources.MaxSockets)},
-		teams: newTeams(co, l.Restored), homeTeams: newHomeTeams(co),
-		planner: newPlanner(co), work: &work{core: co}, writer: &writer{core: co, batch: f.State.TxnOps}}
+	r := &leaderTerm{core: co, nameIndex: newNameIndex(f.Zones, f.Teams), jobTable: newJobTable(co), admission: newAdmission(co, share(admitShare), f.State.TxnOps, f.State.ValueKB, f.Resources.MaxSockets),
+		completions: newCompletions(co, ends), admissionGroups: newAdmissionGroups(co, ends), rollouts: newRollouts(co), calendarStore: newCalendarStore(co), shards: newShards(co), reservationHolds: newReservationHolds(co), maintenanceDrains: newMaintenanceDrains(co), results: newResults(co), registry: newRegistry(co, f.State.ValueKB),
+		machinePool: newMachinePool(co), takeover: &takeover{core: co}, commands: &commands{core: co, most: DirectCalls(f.Resources.MaxSockets)},
+		teamQuotas: newTeamQuotas(co, l.Restored), homeQuotas: newHomeQuotas(co),
+		planner: newPlanner(co), taskTracker: &taskTracker{core: co}, recordWriter: &recordWriter{core: co, batch: f.State.TxnOps}}
 	r.wire()
 	r.calendarStore.reset()
 	return r
@@ -152,37 +152,37 @@
 
 // wire tells each part whom it may ask.
 func (r *leaderTerm) wire() {
-	r.jobTable.names, r.jobTable.registry, r.jobTable.planner, r.jobTable.work = r.names, r.registry, r.planner, r.work
-	r.admission.names, r.admission.jobTable, r.admission.endings, r.admission.writer = r.names, r.jobTable, r.endings, r.writer
-	r.endings.jobTable, r.endings.results, r.endings.work, r.endings.writer, r.endings.admission = r.jobTable, r.results, r.work, r.writer, r.admission
-	r.results.writer = r.writer
-	r.registry.names, r.registry.jobTable, r.registry.takeover, r.registry.writer = r.names, r.jobTable, r.takeover, r.writer
-	r.machines.names, r.machines.jobTable, r.machines.registry, r.machines.takeover = r.names, r.jobTable, r.registry, r.takeover
-	r.machines.planner, r.machines.work, r.machines.writer = r.planner, r.work, r.writer
-	r.takeover.names, r.takeover.jobTable, r.takeover.registry, r.takeover.machines = r.names, r.jobTable, r.registry, r.machines
-	r.takeover.admission, r.takeover.endings, r.takeover.results = r.admission, r.endings, r.results
-	r.commands.work, r.commands.takeover = r.work, r.takeover
-	r.planner.names, r.planner.jobTable, r.planner.registry, r.planner.machines = r.names, r.jobTable, r.registry, r.machines
-	r.planner.takeover, r.planner.work = r.takeover, r.work
-	r.work.names, r.work.jobTable, r.work.registry, r.work.machines = r.names, r.jobTable, r.registry, r.machines
-	r.work.endings, r.work.results = r.endings, r.results
-	r.writer.registry = r.registry
-	r.shares.names, r.shares.machines, r.shares.takeover, r.shares.work, r.shares.commands = r.names, r.machines, r.takeover, r.work, r.commands
-	r.commands.shares, r.machines.shares, r.takeover.shares = r.shares, r.shares, r.shares
-	r.rollouts.names, r.rollouts.jobTable, r.rollouts.endings, r.rollouts.work, r.rollouts.takeover = r.names, r.jobTable, r.endings, r.work, r.takeover
-	r.rollouts.groups, r.work.rollouts, r.takeover.rollouts = r.groups, r.rollouts, r.rollouts
-	r.calendarStore.names, r.calendarStore.jobTable, r.calendarStore.takeover, r.calendarStore.holds, r.calendarStore.drains = r.names, r.jobTable, r.takeover, r.holds, r.drains
-	r.holds.names, r.holds.jobTable, r.holds.calendarStore, r.holds.drains, r.holds.machines = r.names, r.jobTable, r.calendarStore, r.drains, r.machines
-	r.holds.planner, r.holds.rollouts = r.planner, r.rollouts
-	r.drains.names, r.drains.jobTable, r.drains.calendarStore, r.drains.holds, r.drains.work = r.names, r.jobTable, r.calendarStore, r.holds, r.work
-	r.planner.calendarStore, r.planner.holds, r.planner.drains = r.calendarStore, r.holds, r.drains
-	r.machines.holds, r.machines.drains, r.work.holds = r.holds, r.drains, r.holds
-	r.takeover.calendarStore, r.takeover.holds, r.takeover.drains = r.calendarStore, r.holds, r.drains
-	r.teams.names, r.teams.jobTable, r.teams.takeover, r.teams.admission, r.teams.homeTeams = r.names, r.jobTable, r.takeover, r.admission, r.homeTeams
-	r.planner.teams, r.admission.teams, r.calendarStore.teams, r.rollouts.teams = r.teams, r.teams, r.teams, r.teams
-	r.takeover.teams, r.takeover.homeTeams = r.teams, r.homeTeams
-	r.groups.writer, r.groups.results = r.writer, r.results
-	r.admission.groups, r.admission.results, r.endings.groups, r.jobTable.groups, r.takeover.groups = r.groups, r.results, r.groups, r.groups, r.groups
+	r.jobTable.nameIndex, r.jobTable.registry, r.jobTable.planner, r.jobTable.taskTracker = r.nameIndex, r.registry, r.planner, r.taskTracker
+	r.admission.nameIndex, r.admission.jobTable, r.admission.completions, r.admission.recordWriter = r.nameIndex, r.jobTable, r.completions, r.recordWriter
+	r.completions.jobTable, r.completions.results, r.completions.taskTracker, r.completions.recordWriter, r.completions.admission = r.jobTable, r.results, r.taskTracker, r.recordWriter, r.admission
+	r.results.recordWriter = r.recordWriter
+	r.registry.nameIndex, r.registry.jobTable, r.registry.takeover, r.registry.recordWriter = r.nameIndex, r.jobTable, r.takeover, r.recordWriter
+	r.machinePool.nameIndex, r.machinePool.jobTable, r.machinePool.registry, r.machinePool.takeover = r.nameIndex, r.jobTable, r.registry, r.takeover
+	r.machinePool.planner, r.machinePool.taskTracker, r.machinePool.recordWriter = r.planner, r.taskTracker, r.recordWriter
+	r.takeover.nameIndex, r.takeover.jobTable, r.takeover.registry, r.takeover.machinePool = r.nameIndex, r.jobTable, r.registry, r.machinePool
+	r.takeover.admission, r.takeover.completions, r.takeover.results = r.admission, r.completions, r.results
+	r.commands.taskTracker, r.commands.takeover = r.taskTracker, r.takeover
+	r.planner.nameIndex, r.planner.jobTable, r.planner.registry, r.planner.machinePool = r.nameIndex, r.jobTable, r.registry, r.machinePool
+	r.planner.takeover, r.planner.taskTracker = r.takeover, r.taskTracker
+	r.taskTracker.nameIndex, r.taskTracker.jobTable, r.taskTracker.registry, r.taskTracker.machinePool = r.nameIndex, r.jobTable, r.registry, r.machinePool
+	r.taskTracker.completions, r.taskTracker.results = r.completions, r.results
+	r.recordWriter.registry = r.registry
+	r.shards.nameIndex, r.shards.machinePool, r.shards.takeover, r.shards.taskTracker, r.shards.commands = r.nameIndex, r.machinePool, r.takeover, r.taskTracker, r.commands
+	r.commands.shards, r.machinePool.shards, r.takeover.shards = r.shards, r.shards, r.shards
+	r.rollouts.nameIndex, r.rollouts.jobTable, r.rollouts.completions, r.rollouts.taskTracker, r.rollouts.takeover = r.nameIndex, r.jobTable, r.completions, r.taskTracker, r.takeover
+	r.rollouts.admissionGroups, r.taskTracker.rollouts, r.takeover.rollouts = r.admissionGroups, r.rollouts, r.rollouts
+	r.calendarStore.nameIndex, r.calendarStore.jobTable, r.calendarStore.takeover, r.calendarStore.reservationHolds, r.calendarStore.maintenanceDrains = r.nameIndex, r.jobTable, r.takeover, r.reservationHolds, r.maintenanceDrains
+	r.reservationHolds.nameIndex, r.reservationHolds.jobTable, r.reservationHolds.calendarStore, r.reservationHolds.maintenanceDrains, r.reservationHolds.machinePool = r.nameIndex, r.jobTable, r.calendarStore, r.maintenanceDrains, r.machinePool
+	r.reservationHolds.planner, r.reservationHolds.rollouts = r.planner, r.rollouts
+	r.maintenanceDrains.nameIndex, r.maintenanceDrains.jobTable, r.maintenanceDrains.calendarStore, r.maintenanceDrains.reservationHolds, r.maintenanceDrains.taskTracker = r.nameIndex, r.jobTable, r.calendarStore, r.reservationHolds, r.taskTracker
+	r.planner.calendarStore, r.planner.reservationHolds, r.planner.maintenanceDrains = r.calendarStore, r.reservationHolds, r.maintenanceDrains
+	r.machinePool.reservationHolds, r.machinePool.maintenanceDrains, r.taskTracker.reservationHolds = r.reservationHolds, r.maintenanceDrains, r.reservationHolds
+	r.takeover.calendarStore, r.takeover.reservationHolds, r.takeover.maintenanceDrains = r.calendarStore, r.reservationHolds, r.maintenanceDrains
+	r.teamQuotas.nameIndex, r.teamQuotas.jobTable, r.teamQuotas.takeover, r.teamQuotas.admission, r.teamQuotas.homeQuotas = r.nameIndex, r.jobTable, r.takeover, r.admission, r.homeQuotas
+	r.planner.teamQuotas, r.admission.teamQuotas, r.calendarStore.teamQuotas, r.rollouts.teamQuotas = r.teamQuotas, r.teamQuotas, r.teamQuotas, r.teamQuotas
+	r.takeover.teamQuotas, r.takeover.homeQuotas = r.teamQuotas, r.homeQuotas
+	r.admissionGroups.recordWriter, r.admissionGroups.results = r.recordWriter, r.results
+	r.admission.admissionGroups, r.admission.results, r.completions.admissionGroups, r.jobTable.admissionGroups, r.takeover.admissionGroups = r.admissionGroups, r.results, r.admissionGroups, r.admissionGroups, r.admissionGroups
 }
 
 func (r *leaderTerm) run() {
@@ -241,7 +241,7 @@
 // handed it on.
 func (r *leaderTerm) report(m *wire.Report, via string, back func(*rpc.Reply)) {
 	now := time.Now()
-	if r.machines.gone(m.Host) {
+	if r.machinePool.gone(m.Host) {
 		// A late message of a machine that is gone must not bring it back.
 		back(Later("machine was returned"))
 		return
@@ -254,30 +254,30 @@
 		back(Later("a newer report was answered"))
 		return
 	}
-	if !r.shares.route(m, func() { r.report(m, via, back) }, back) {
+	if !r.shards.route(m, func() { r.report(m, via, back) }, back) {
 		return
 	}
 	h := r.fleet.Hosts[m.Host]
 	if h == nil {
-		h = r.machines.adopt(m, now)
+		h = r.machinePool.adopt(m, now)
 	}
-	fresh, ok := r.work.observe(h, m, true, now)
+	fresh, ok := r.taskTracker.observe(h, m, true, now)
 	if !ok {
 		back(Later("a later term is known"))
 		return
 	}
-	if !r.machines.renewable(h, now) {
+	if !r.machinePool.renewable(h, now) {
 		back(Later("a launch of a cancelled job may be on its way to the machine"))
 		return
 	}
 	r.planner.place(now)
 	orders, sent, ev := r.fleet.Compose(h, m.Seq, fresh, now, maxOrders)
 	r.takeover.launched(len(sent), now)
-	r.work.handle(ev, now)
+	r.taskTracker.handle(ev, now)
 	p := reply(http.StatusOK, wire.Answer{Token: r.term, Orders: orders})
 	p.Work = h.Busy()
 	back(p)
-	r.shares.served(h, via, now)
+	r.shards.served(h, via, now)
 }
 
 // scanEvery spaces the looks at every machine and every job: in a large fleet one
@@ -293,24 +293,24 @@
 		if lost > 0 {
 			r.log.Info("leases of machines have run out", "machines", lost, "tasks", len(ev))
 		}
-		r.work.handle(ev, now)
+		r.taskTracker.handle(ev, now)
 	}
 	if !r.c.Entitled(r.term) {
 		r.admission.refuse()
 		return
 	}
 	r.admission.flush(now)
-	r.groups.step(now)
+	r.admissionGroups.step(now)
 	r.results.flush(now)
 	r.results.tidy()
-	r.endings.settleFinals()
-	r.machines.cloud(now)
+	r.completions.settleFinals()
+	r.machinePool.cloud(now)
 	r.planner.place(now)
 	r.registry.register(now)
-	r.shares.answer(now)
+	r.shards.answer(now)
 	r.commands.urgent(now)
-	r.shares.step(now, scan)
-	r.homeTeams.step(now)
+	r.shards.step(now, scan)
+	r.homeQuotas.step(now)
 	if !scan {
 		return
 	}
--- a/internal/control/rent.go
+++ b/internal/control/machine_pool.go
@@ -15,20 +15,20 @@
 	"vetchstream/internal/wire"
 )
 
-// machines rents, lists and returns machines, and empties those that are taken
+// machinePool rents, lists and returns machines, and empties those that are taken
 // back.
-type machines struct {
+type machinePool struct {
 	*core
-	names    *names
-	jobTable *jobTable
-	registry *registry
-	takeover *takeover
-	planner  *planner
-	work     *work
-	writer   *writer
-	holds    *holds
-	drains   *drains
-	shares   *shares
+	nameIndex         *nameIndex
+	jobTable          *jobTable
+	registry          *registry
+	takeover          *takeover
+	planner           *planner
+	taskTracker       *taskTracker
+	recordWriter      *recordWriter
+	reservationHolds  *reservationHolds
+	maintenanceDrains *maintenanceDrains
+	shards            *shards
 
 	wants     []autoscale.Want // what the last plan found no room for
 	removed   map[string]bool
@@ -47,19 +47,19 @@
 	typing    bool
 }
 
-func newMachines(co *core) *machines {
-	return &machines{core: co, removed: map[string]bool{}, met: map[*fleet.Host]bool{}, renting: map[autoscale.Offer]int{}, backoff: autoscale.NewBackoff(),
+func newMachinePool(co *core) *machinePool {
+	return &machinePool{core: co, removed: map[string]bool{}, met: map[*fleet.Host]bool{}, renting: map[autoscale.Offer]int{}, backoff: autoscale.NewBackoff(),
 		noticed: map[*fleet.Host]time.Time{}}
 }
 
 // want says what the last plan found no room for, the most urgent first.
-func (mc *machines) want(ws []autoscale.Want) { mc.wants = ws }
+func (mc *machinePool) want(ws []autoscale.Want) { mc.wants = ws }
 
 // gone reports whether a machine of that name has been returned.
-func (mc *machines) gone(name string) bool { return mc.removed[name] }
+func (mc *machinePool) gone(name string) bool { return mc.removed[name] }
 
 // adopt takes in a machine that nobody expected and that reports.
-func (mc *machines) adopt(m *wire.Report, now time.Time) *fleet.Host {
+func (mc *machinePool) adopt(m *wire.Report, now time.Time) *fleet.Host {
 	mc.log.Info("adopting a machine that nobody expected", "host", m.Host, "type", m.Type, "zone", m.Zone)
 	h := mc.fleet.Add(m.Host, now)
 	mc.met[h] = true
@@ -70,7 +70,7 @@
 // ones: they were gone when it was made (takeover.listed says why). A late copy of a
 // report has brought back a machine that an earlier leader has returned; until it is
 // settled, the jobs that it names would wait for a lease.
-func (mc *machines) strays(list []wire.CloudHost) {
+func (mc *machinePool) strays(list []wire.CloudHost) {
 	if len(list) == 0 || len(mc.met) == 0 {
 		return
 	}
@@ -90,7 +90,7 @@
 
 // cloud looks after the machines: the price list, the machine list, rentals and
 // returns.
-func (mc *machines) cloud(now time.Time) {
+func (mc *machinePool) cloud(now time.Time) {
 	if !mc.typing && now.After(mc.typesAt) {
 		mc.typing = true
 		go func() {
@@ -122,7 +122,7 @@
 			})
 		}()
 	}
-	if now.Before(mc.rentAt) || len(mc.names.list()) == 0 {
+	if now.Before(mc.rentAt) || len(mc.nameIndex.list()) == 0 {
 		return
 	}
 	mc.rentAt = now.Add(500 * time.Millisecond)
@@ -131,25 +131,25 @@
 	mc.rent(now)
 }
 
-func (mc *machines) newTypes(types []wire.MachineType) {
-	first := len(mc.names.list()) == 0
-	mc.names.learn(types)
+func (mc *machinePool) newTypes(types []wire.MachineType) {
+	first := len(mc.nameIndex.list()) == 0
+	mc.nameIndex.learn(types)
 	mc.jobTable.rebind()
 	mc.c.mu.Lock()
-	mc.c.types = mc.names.list()
+	mc.c.types = mc.nameIndex.list()
 	mc.c.mu.Unlock()
 	mc.changed()
 	if first {
 		// Kept for a leader that finds the cloud out of order.
 		if w, err := state.Put(typesKey, typesRecord{Types: types}); err == nil {
-			mc.writer.write([]state.Write{w}, func(error) {})
+			mc.recordWriter.write([]state.Write{w}, func(error) {})
 		}
 	}
 }
 
 // listed takes in the machine list. It lags, so a machine that it lacks may be
 // up, and one that it has may be gone.
-func (mc *machines) listed(list []wire.CloudHost) {
+func (mc *machinePool) listed(list []wire.CloudHost) {
 	now := time.Now()
 	mc.takeover.listed(list)
 	mc.strays(list)
@@ -165,7 +165,7 @@
 			mc.log.Info("machine found in the list", "host", c.Name, "phase", c.Phase)
 		}
 		if !h.Known {
-			mc.names.describe(h, c.Type, c.Zone, c.Spot)
+			mc.nameIndex.describe(h, c.Type, c.Zone, c.Spot)
 		}
 		if h.Addr == "" {
 			h.Addr = c.Addr
@@ -176,8 +176,8 @@
 	}
 }
 
-func (mc *machines) boot(h *fleet.Host) time.Duration {
-	if t := mc.names.typeOf(h); t != nil {
+func (mc *machinePool) boot(h *fleet.Host) time.Duration {
+	if t := mc.nameIndex.typeOf(h); t != nil {
 		return config.Seconds(t.BootS)
 	}
 	return time.Minute
@@ -189,7 +189,7 @@
 
 // giveBack returns machines that are idle, silent, sick or never came up. After a
 // takeover those that have answered need not wait for those that have not.
-func (mc *machines) giveBack(now time.Time) {
+func (mc *machinePool) giveBack(now time.Time) {
 	patience := mc.fleet.Lease + lostGrace
 	for _, h := range mc.fleet.All() {
 		if h.Releasing {
@@ -224,9 +224,9 @@
 			mc.release(h, "it is sick")
 		case !h.RecallAt.IsZero():
 			mc.release(h, "it is being taken back and is empty")
-		case mc.drains.due(h, now):
+		case mc.maintenanceDrains.due(h, now):
 			mc.release(h, "its maintenance begins")
-		case mc.planner.kept(h) || mc.holds.holding(h):
+		case mc.planner.kept(h) || mc.reservationHolds.holding(h):
 		case now.Sub(h.IdleFrom) > time.Duration(t.IdleBoots*float64(mc.boot(h))):
 			if !mc.awaited(h, now) {
 				mc.release(h, "it is idle")
@@ -237,7 +237,7 @@
 
 // renewable reports whether an answer may renew the machine's lease. Where it may not, the
 // worker's session has to end: what runs there is lost.
-func (mc *machines) renewable(h *fleet.Host, now time.Time) bool {
+func (mc *machinePool) renewable(h *fleet.Host, now time.Time) bool {
 	if mc.fleet.Renewable(h, now, maxOrders) {
 		h.Withheld = false
 		return true
@@ -245,12 +245,12 @@
 	if !h.Withheld {
 		mc.log.Info("a launch of a cancelled job may be on its way to a machine, its session has to end", "host", h.Name, "tasks", h.Jobs-h.Unsettled)
 		mc.c.Meter.Add(metrics.Withheld, "", 1)
-		mc.work.handle(mc.fleet.Withhold(h), now)
+		mc.taskTracker.handle(mc.fleet.Withhold(h), now)
 	}
 	return false
 }
 
-func (mc *machines) unsettled(h *fleet.Host) bool {
+func (mc *machinePool) unsettled(h *fleet.Host) bool {
 	for _, s := range h.Slots {
 		if !s.Settled {
 			return true
@@ -261,7 +261,7 @@
 
 // release returns a machine. A release that was sent is never taken back: it may
 // be executed at any later time.
-func (mc *machines) release(h *fleet.Host, why string) {
+func (mc *machinePool) release(h *fleet.Host, why string) {
 	h.Releasing = true
 	mc.log.Info("returning a machine", "host", h.Name, "why", why)
 	mc.returns = append(mc.returns, h)
@@ -272,7 +272,7 @@
 
 // sendReturns hands machines back, many in one request: the cloud takes a few
 // requests a second, and rentals need them too.
-func (mc *machines) sendReturns(now time.Time) {
+func (mc *machinePool) sendReturns(now time.Time) {
 	if mc.returning || len(mc.returns) == 0 || now.Before(mc.returnAt) || !mc.c.Entitled(mc.term) {
 		return
 	}
@@ -299,12 +299,12 @@
 }
 
 // returned forgets a machine that is gone with all on it.
-func (mc *machines) returned(h *fleet.Host) {
-	mc.work.handle(mc.fleet.Remove(h), time.Now())
+func (mc *machinePool) returned(h *fleet.Host) {
+	mc.taskTracker.handle(mc.fleet.Remove(h), time.Now())
 	mc.removed[h.Name] = true
 	mc.planner.gone(h)
-	mc.holds.forget(h)
-	mc.shares.gone(h)
+	mc.reservationHolds.forget(h)
+	mc.shards.gone(h)
 	delete(mc.noticed, h)
 	delete(mc.met, h)
 	if mc.registry.leave(h) {
@@ -312,21 +312,21 @@
 	}
 }
 
-func (mc *machines) rent(now time.Time) {
-	slots := mc.holds.missing(now)
+func (mc *machinePool) rent(now time.Time) {
+	slots := mc.reservationHolds.missing(now)
 	if len(mc.wants)+len(slots) == 0 {
 		return
 	}
-	shop := autoscale.Shop{Types: mc.names.list(), ZoneOf: mc.names.zonesByName(), Backoff: mc.backoff,
+	shop := autoscale.Shop{Types: mc.nameIndex.list(), ZoneOf: mc.nameIndex.zonesByName(), Backoff: mc.backoff,
 		MinFill: mc.c.Tuning.Hosts.MinFill, Patience: mc.c.Tuning.Hosts.PatienceS, Now: now,
 		Closed: func(o autoscale.Offer) bool {
-			return mc.drains.closed(mc.names.list()[o.Type].Name, mc.names.zoneNames()[o.Zone], now)
+			return mc.maintenanceDrains.closed(mc.nameIndex.list()[o.Type].Name, mc.nameIndex.zoneNames()[o.Zone], now)
 		}}
 	coming := func(o autoscale.Offer) {
-		t := &mc.names.list()[o.Type]
+		t := &mc.nameIndex.list()[o.Type]
 		shop.Coming = append(shop.Coming, autoscale.Coming{Offer: o, Free: place.Amount{CPUs: t.CPUs, GPUs: t.GPUs, MemGB: t.MemGB}})
 	}
-	shop.InZone = make([]int, len(mc.names.zoneNames()))
+	shop.InZone = make([]int, len(mc.nameIndex.zoneNames()))
 	for _, h := range mc.fleet.All() {
 		if h.Zone >= 0 {
 			shop.InZone[h.Zone]++
@@ -351,9 +351,9 @@
 
 // open reports whether machines of a type in a zone may be had, as far as the last
 // answers have shown.
-func (mc *machines) open(typ, zone string, spot bool, now time.Time) bool {
-	t, z, known := mc.names.offer(typ, zone)
-	if !known || mc.drains.closed(typ, zone, now) {
+func (mc *machinePool) open(typ, zone string, spot bool, now time.Time) bool {
+	t, z, known := mc.nameIndex.offer(typ, zone)
+	if !known || mc.maintenanceDrains.closed(typ, zone, now) {
 		return false
 	}
 	return mc.backoff.Open(autoscale.Offer{Type: t, Zone: z}, now) || (spot && mc.backoff.Open(autoscale.Offer{Type: t, Zone: z, Spot: true}, now))
@@ -363,7 +363,7 @@
 const gathered = 20
 
 // gather finds out how much room there is for gangs that have to be in one zone.
-func (mc *machines) gather() {
+func (mc *machinePool) gather() {
 	n := 0
 	for i := range mc.wants {
 		w := &mc.wants[i]
@@ -373,13 +373,13 @@
 		}
 		n++
 		j := mc.jobTable.at(d.ID)
-		w.Room = make([]int, len(mc.names.zoneNames()))
+		w.Room = make([]int, len(mc.nameIndex.zoneNames()))
 		for _, h := range mc.fleet.All() {
-			t := mc.names.typeOf(h)
+			t := mc.nameIndex.typeOf(h)
 			if !h.Usable() || t == nil || (d.TypeOK != nil && !d.TypeOK[h.Type]) || (h.Spot && !d.Spot) {
 				continue
 			}
-			if k := mc.planner.keeper(h); (k != nil && k != j) || mc.holds.holding(h) {
+			if k := mc.planner.keeper(h); (k != nil && k != j) || mc.reservationHolds.holding(h) {
 				continue
 			}
 			w.Room[h.Zone] += place.Amount{CPUs: t.CPUs - h.CPUs, GPUs: t.GPUs - h.GPUs, MemGB: t.MemGB - h.MemGB}.Times(d.Need)
@@ -393,8 +393,8 @@
 
 // awaited reports whether an idle machine is a part of the room that a gang
 // gathers.
-func (mc *machines) awaited(h *fleet.Host, now time.Time) bool {
-	t := mc.names.typeOf(h)
+func (mc *machinePool) awaited(h *fleet.Host, now time.Time) bool {
+	t := mc.nameIndex.typeOf(h)
 	if t == nil || now.Sub(h.IdleFrom) > awaitedBoots*mc.boot(h) {
 		return false
 	}
@@ -409,9 +409,9 @@
 	return false
 }
 
-func (mc *machines) hire(o autoscale.Offer, n int) {
+func (mc *machinePool) hire(o autoscale.Offer, n int) {
 	mc.hires++
-	req := wire.Hire{Request: fmt.Sprintf("r-%d-%d", mc.term, mc.hires), Type: mc.names.list()[o.Type].Name, Zone: mc.names.zoneNames()[o.Zone], Spot: o.Spot, Count: n}
+	req := wire.Hire{Request: fmt.Sprintf("r-%d-%d", mc.term, mc.hires), Type: mc.nameIndex.list()[o.Type].Name, Zone: mc.nameIndex.zoneNames()[o.Zone], Spot: o.Spot, Count: n}
 	mc.renting[o] += n
 	mc.log.Info("renting", "request", req.Request, "type", req.Type, "zone", req.Zone, "spot", req.Spot, "count", n)
 	asked := time.Now()
@@ -445,15 +445,15 @@
 					continue
 				}
 				h := mc.fleet.Add(name, asked)
-				mc.names.describe(h, req.Type, req.Zone, o.Spot)
-				mc.holds.rented(h)
+				mc.nameIndex.describe(h, req.Type, req.Zone, o.Spot)
+				mc.reservationHolds.rented(h)
 			}
 		})
 	}()
 }
 
 // recall empties a machine that the cloud takes back.
-func (mc *machines) recall(h *fleet.Host, now time.Time) {
+func (mc *machinePool) recall(h *fleet.Host, now time.Time) {
 	left := h.RecallAt.Sub(now).Seconds()
 	if _, told := mc.noticed[h]; !told {
 		mc.log.Info("machine is being taken back", "host", h.Name, "in", left)
@@ -464,7 +464,7 @@
 			continue
 		}
 		if g := saveGrace(s.Job); g > 0 && left > s.Job.SaveS {
-			mc.work.stopSlot(s, g)
+			mc.taskTracker.stopSlot(s, g)
 			continue
 		}
 		ran := 0.0
@@ -472,7 +472,7 @@
 			ran = now.Sub(s.RunAt).Seconds()
 		}
 		if s.Phase != wire.Running || estimate(s.Job)-ran > left {
-			mc.work.stopSlot(s, 0)
+			mc.taskTracker.stopSlot(s, 0)
 		}
 	}
 }
--- a/internal/control/blame.go
+++ b/internal/control/machine_quarantine.go
@@ -10,7 +10,7 @@
 // blame decides whether an error is the machine's or the job's. A job that has
 // failed on several machines and worked on none is at fault itself; the others'
 // errors count against the machine.
-func (wk *work) blame(j *job.Job, h *fleet.Host, now time.Time) {
+func (wk *taskTracker) blame(j *job.Job, h *fleet.Host, now time.Time) {
 	j.ErrorHosts[h.Name] = true
 	if !j.Worked && len(j.ErrorHosts) > 1 {
 		wk.holdBack(j, now)
@@ -24,7 +24,7 @@
 // judge condemns a machine on which sound work keeps failing: several jobs, or
 // one that works elsewhere. One job alone may be at fault itself; until another
 // machine has shown that, this one is only avoided.
-func (wk *work) judge(h *fleet.Host) {
+func (wk *taskTracker) judge(h *fleet.Host) {
 	sound, jobs := false, 0
 	for j := range h.ErrorJobs {
 		if j.Worked {
@@ -50,7 +50,7 @@
 )
 
 // pace compares a completed task with its job's others on other machines.
-func (wk *work) pace(s *fleet.Slot, j *job.Job, h *fleet.Host, now time.Time) {
+func (wk *taskTracker) pace(s *fleet.Slot, j *job.Job, h *fleet.Host, now time.Time) {
 	// Of a task that an earlier leader launched only the end is known: its short
 	// remainder would make all others look slow.
 	if s.RunAt.IsZero() || s.Adopted {
@@ -73,7 +73,7 @@
 }
 
 // holdBack makes a job that keeps failing wait, longer each time.
-func (wk *work) holdBack(j *job.Job, now time.Time) {
+func (wk *taskTracker) holdBack(j *job.Job, now time.Time) {
 	if now.Before(j.NotBefore) {
 		return
 	}
--- a/internal/control/name_index.go
+++ b/internal/control/name_index.go
@@ -6,9 +6,9 @@
 	"vetchstream/internal/wire"
 )
 
-// names maps the names of machine types, zones, teams and images to the dense
+// nameIndex maps the names of machine types, zones, teams and images to the dense
 // indices that the parts work with.
-type names struct {
+type nameIndex struct {
 	types   []wire.MachineType
 	typeIdx map[string]int
 	zones   []string
@@ -18,8 +18,8 @@
 	images  map[string]int
 }
 
-func newNames(zones []string, teams []config.Team) *names {
-	nm := &names{typeIdx: map[string]int{}, zoneIdx: map[string]int{}, teamIdx: map[string]int{}, images: map[string]int{}}
+func newNameIndex(zones []string, teams []config.Team) *nameIndex {
+	nm := &nameIndex{typeIdx: map[string]int{}, zoneIdx: map[string]int{}, teamIdx: map[string]int{}, images: map[string]int{}}
 	for _, z := range zones {
 		nm.zone(z)
 	}
@@ -31,7 +31,7 @@
 
 // addTeam gives a team an index, and reports whether it had none. It retains the index for as long
 // as the term lasts, also when it is removed.
-func (nm *names) addTeam(name string) bool {
+func (nm *nameIndex) addTeam(name string) bool {
 	if _, ok := nm.teamIdx[name]; ok {
 		return false
 	}
@@ -41,11 +41,11 @@
 }
 
 // teamNames are the teams, by index.
-func (nm *names) teamNames() []string { return nm.teams }
+func (nm *nameIndex) teamNames() []string { return nm.teams }
 
 // learn takes in a price list. A type retains its index for as long as the term
 // lasts.
-func (nm *names) learn(types []wire.MachineType) {
+func (nm *nameIndex) learn(types []wire.MachineType) {
 	for _, t := range types {
 		for _, z := range t.Zones {
 			nm.zone(z)
@@ -60,10 +60,10 @@
 }
 
 // list is the price list, by index.
-func (nm *names) list() []wire.MachineType { return nm.types }
+func (nm *nameIndex) list() []wire.MachineType { return nm.types }
 
 // typeOf is a machine's type; nil if it is not known.
-func (nm *names) typeOf(h *fleet.Host) *wire.MachineType {
+func (nm *nameIndex) typeOf(h *fleet.Host) *wire.MachineType {
 	if h.Type < 0 || h.Type >= len(nm.types) {
 		return nil
 	}
@@ -71,7 +71,7 @@
 }
 
 // team is a team's index; -1: there is none of that name.
-func (nm *names) team(name string) int {
+func (nm *nameIndex) team(name string) int {
 	if i, ok := nm.teamIdx[name]; ok {
 		return i
 	}
@@ -79,14 +79,14 @@
 }
 
 // offer is the indices of a type and a zone.
-func (nm *names) offer(typ, zone string) (t, z int, known bool) {
+func (nm *nameIndex) offer(typ, zone string) (t, z int, known bool) {
 	t, known = nm.typeIdx[typ]
 	z, there := nm.zoneIdx[zone]
 	return t, z, known && there
 }
 
 // allowed tells, by index, which of the named types are in the price list.
-func (nm *names) allowed(types []string) []bool {
+func (nm *nameIndex) allowed(types []string) []bool {
 	ok := make([]bool, len(nm.types))
 	for _, n := range types {
 		if i, known := nm.typeIdx[n]; known {
@@ -97,12 +97,12 @@
 }
 
 // zoneNames are the zones, by index.
-func (nm *names) zoneNames() []string { return nm.zones }
+func (nm *nameIndex) zoneNames() []string { return nm.zones }
 
 // zonesByName are the zones' indices.
-func (nm *names) zonesByName() map[string]int { return nm.zoneIdx }
+func (nm *nameIndex) zonesByName() map[string]int { return nm.zoneIdx }
 
-func (nm *names) zone(name string) int {
+func (nm *nameIndex) zone(name string) int {
 	if i, ok := nm.zoneIdx[name]; ok {
 		return i
 	}
@@ -111,7 +111,7 @@
 	return len(nm.zones) - 1
 }
 
-func (nm *names) image(name string) int {
+func (nm *nameIndex) image(name string) int {
 	if i, ok := nm.images[name]; ok {
 		return i
 	}
@@ -120,7 +120,7 @@
 }
 
 // describe notes a machine's type, zone and kind.
-func (nm *names) describe(h *fleet.Host, typ, zone string, spot bool) {
+func (nm *nameIndex) describe(h *fleet.Host, typ, zone string, spot bool) {
 	if zone == "" || typ == "" {
 		return
 	}
--- a/internal/control/plan.go
+++ b/internal/control/planner.go
@@ -31,16 +31,16 @@
 // planner makes plans and carries them out: what is placed, stopped and kept.
 type planner struct {
 	*core
-	names         *names
-	jobTable      *jobTable
-	registry      *registry
-	machines      *machines
-	takeover      *takeover
-	work          *work
-	calendarStore *calendarStore
-	holds         *holds
-	drains        *drains
-	teams         *teams
+	nameIndex         *nameIndex
+	jobTable          *jobTable
+	registry          *registry
+	machinePool       *machinePool
+	takeover          *takeover
+	taskTracker       *taskTracker
+	calendarStore     *calendarStore
+	reservationHolds  *reservationHolds
+	maintenanceDrains *maintenanceDrains
+	teamQuotas        *teamQuotas
 
 	keeps     map[*fleet.Host]keep
 	attempts  uint64 // made in this term
@@ -93,14 +93,14 @@
 		}
 	}
 	pl.passAt, pl.dirty = now, false
-	pl.holds.gather(now) // a machine that has just come up for a slot must not be filled
+	pl.reservationHolds.gather(now) // a machine that has just come up for a slot must not be filled
 	defer func() {
 		pl.passTook = time.Since(now)
 		pl.c.Meter.Took(metrics.PlanTime, "", pl.passTook)
 	}()
 	in, ms, slots := pl.input(now)
 	if len(in.Demands) == 0 {
-		pl.machines.want(nil)
+		pl.machinePool.want(nil)
 		return
 	}
 	plan := place.Make(in)
@@ -136,7 +136,7 @@
 		pl.log.Info("making room", "job", j.ID, "host", h.Name, "stops", len(p.Victims))
 		pl.keeps[h] = keep{job: j, until: now.Add(15 * time.Second)}
 		for _, v := range p.Victims {
-			pl.work.stopSlot(slots[v], saveGrace(slots[v].Job))
+			pl.taskTracker.stopSlot(slots[v], saveGrace(slots[v].Job))
 		}
 	}
 	pl.reserve(now, in, plan.Reserve, ms)
@@ -147,14 +147,14 @@
 			continue
 		}
 		j := pl.jobTable.at(d.ID)
-		if pl.holds.covers(j) {
+		if pl.reservationHolds.covers(j) {
 			continue
 		}
 		wants = append(wants, autoscale.Want{Demand: d, Count: plan.Short[i], TaskS: estimate(j), Image: j.ImageGB,
 			Waited: d.Waited, Urgent: j.Shape == job.Gang})
 	}
 	sort.SliceStable(wants, func(a, b int) bool { return wants[a].Demand.LatestStart < wants[b].Demand.LatestStart })
-	pl.machines.want(wants)
+	pl.machinePool.want(wants)
 	if now.Sub(pl.logWaitAt) > 5*time.Second && len(wants) > 0 {
 		pl.logWaitAt = now
 		for i, w := range wants {
@@ -199,7 +199,7 @@
 
 // inZone counts, per zone, what may be running of a job.
 func (pl *planner) inZone(j *job.Job) []int {
-	z := make([]int, len(pl.names.zoneNames()))
+	z := make([]int, len(pl.nameIndex.zoneNames()))
 	if j.Shape == job.Array && !j.OneZone && !j.Spread {
 		return z // nothing depends on it
 	}
--- a/internal/control/plan_input.go
+++ b/internal/control/planner_input.go
@@ -51,8 +51,8 @@
 // slowestFetch is at how many GB a second images come at the least.
 func (pl *planner) slowestFetch() float64 {
 	slowest := math.Inf(1)
-	for i := range pl.names.list() {
-		if r := pl.names.list()[i].FetchRate; r > 0 {
+	for i := range pl.nameIndex.list() {
+		if r := pl.nameIndex.list()[i].FetchRate; r > 0 {
 			slowest = min(slowest, r)
 		}
 	}
@@ -61,7 +61,7 @@
 
 // addTeams adds the teams with what their work takes.
 func (p *planInput) addTeams() {
-	for _, t := range p.teams.all() {
+	for _, t := range p.teamQuotas.all() {
 		p.in.Teams = append(p.in.Teams, place.Team{
 			Guarantee: place.Amount{CPUs: t.CPUs, GPUs: t.GPUs},
 			Limit:     place.Amount{CPUs: t.CPUsMax, GPUs: t.GPUsMax}})
@@ -116,8 +116,8 @@
 		return d, false
 	}
 	if p.calendarStore.on() {
-		d.EndsIn, d.Movable = p.holds.needs(j, p.now), j.Shape == job.Service || j.Checkpoint > 0
-		d.HeldOnly = j.Booking != "" && p.holds.enough(j, len(d.Pending))
+		d.EndsIn, d.Movable = p.reservationHolds.needs(j, p.now), j.Shape == job.Service || j.Checkpoint > 0
+		d.HeldOnly = j.Booking != "" && p.reservationHolds.enough(j, len(d.Pending))
 	}
 	left := d.LatestStart - p.now.Sub(p.since).Seconds()
 	late := left < lateS
@@ -162,15 +162,15 @@
 // addMachines adds the machines that may take work.
 func (p *planInput) addMachines() {
 	smallest, cheapest := math.Inf(1), math.Inf(1)
-	for i := range p.names.list() {
-		t := &p.names.list()[i]
+	for i := range p.nameIndex.list() {
+		t := &p.nameIndex.list()[i]
 		smallest = min(smallest, t.CPUs)
 		cheapest = min(cheapest, cpuPrice(t, false), cpuPrice(t, true))
 	}
 	for _, h := range p.fleet.All() {
 		// One that answers direct commands and whose reports do not come any more has less
 		// than half of its lease left: what it gets now would end with it.
-		if !h.Usable() || h.Silent(p.now) > p.fleet.Lease/2 || h.Type >= len(p.names.list()) {
+		if !h.Usable() || h.Silent(p.now) > p.fleet.Lease/2 || h.Type >= len(p.nameIndex.list()) {
 			continue
 		}
 		m := p.machine(h, smallest, cheapest)
@@ -184,7 +184,7 @@
 
 // machine is a machine with its free room and what it has cached.
 func (p *planInput) machine(h *fleet.Host, smallest, cheapest float64) place.Machine {
-	t := &p.names.list()[h.Type]
+	t := &p.nameIndex.list()[h.Type]
 	m := place.Machine{ID: h.Idx, Type: h.Type, Zone: h.Zone, Spot: h.Spot,
 		Total: place.Amount{CPUs: t.CPUs, GPUs: t.GPUs, MemGB: t.MemGB},
 		Free:  place.Amount{CPUs: t.CPUs - h.CPUs, GPUs: t.GPUs - h.GPUs, MemGB: t.MemGB - h.MemGB},
@@ -204,8 +204,8 @@
 		m.KeptFor, m.Reserved = p.jobTable.index(k.job), k.reserved
 		m.Kept = place.Amount{CPUs: k.job.CPUs, GPUs: k.job.GPUs, MemGB: k.job.MemGB}
 	}
-	p.holds.mark(&m, h, p.now)
-	p.drains.mark(&m, h, p.now)
+	p.reservationHolds.mark(&m, h, p.now)
+	p.maintenanceDrains.mark(&m, h, p.now)
 	return m
 }
 
--- a/internal/control/teams.go
+++ b/internal/control/quotas.go
@@ -28,15 +28,15 @@
 // Follow asks the leader of the home region.
 type Follow func(ctx context.Context, q *dynconfig.Request) (*dynconfig.Reply, error)
 
-// teams knows the teams that there are now: those of the platform's file, and over them
+// teamQuotas knows the teams that there are now: those of the platform's file, and over them
 // what the home region has granted. It follows the home region.
-type teams struct {
+type teamQuotas struct {
 	*core
-	names     *names
-	jobTable  *jobTable
-	takeover  *takeover
-	admission *admission
-	homeTeams *homeTeams
+	nameIndex  *nameIndex
+	jobTable   *jobTable
+	takeover   *takeover
+	admission  *admission
+	homeQuotas *homeQuotas
 
 	replica  *dynconfig.Replica // nil: no regions are named
 	restored bool               // the state service had lost its last moments when this term began
@@ -44,13 +44,15 @@
 	marker   uint64             // version of unconfirmedKey; 0: it is not there
 }
 
-func newTeams(co *core, restored bool) *teams { return &teams{core: co, restored: restored} }
+func newTeamQuotas(co *core, restored bool) *teamQuotas {
+	return &teamQuotas{core: co, restored: restored}
+}
 
 // on reports whether regions are named in the operators' settings.
-func (tm *teams) on() bool { return tm.c.Tuning.Regions.Name != "" }
+func (tm *teamQuotas) on() bool { return tm.c.Tuning.Regions.Name != "" }
 
 // list reads the stored entries; none while no regions are named.
-func (tm *teams) list() ([]state.Entry, error) {
+func (tm *teamQuotas) list() ([]state.Entry, error) {
 	if !tm.on() {
 		return nil, nil
 	}
@@ -70,7 +72,7 @@
 }
 
 // mark stores that the limits have to be confirmed, for the leaders to come.
-func (tm *teams) mark() (version uint64, err error) {
+func (tm *teamQuotas) mark() (version uint64, err error) {
 	put, err := state.Put(unconfirmedKey, struct{}{})
 	if err != nil {
 		return 0, err
@@ -81,7 +83,7 @@
 // load takes in the entries of earlier leaders, before any job is bound to its team. Where
 // an entry cannot be read its limit is not known: the team starts nothing until the home
 // region has told it once more.
-func (tm *teams) load(stored []state.Entry) {
+func (tm *teamQuotas) load(stored []state.Entry) {
 	if !tm.on() {
 		return
 	}
@@ -96,7 +98,7 @@
 		}
 		entries = append(entries, e)
 		tm.versions[e.Team] = s.Version
-		tm.names.addTeam(e.Team)
+		tm.nameIndex.addTeam(e.Team)
 	}
 	tm.replica = dynconfig.NewReplica(tm.c.Tuning.Regions.Name, tm.term, tm.c.fileShares(), entries, tm.marker != 0)
 }
@@ -136,7 +138,7 @@
 }
 
 // all are the teams, by index.
-func (tm *teams) all() []config.Team {
+func (tm *teamQuotas) all() []config.Team {
 	if tm.replica == nil {
 		return tm.c.Settings.Facts.Teams
 	}
@@ -144,8 +146,8 @@
 	if tm.replica.Unconfirmed() {
 		uses = tm.usage()
 	}
-	out := make([]config.Team, 0, len(tm.names.teamNames()))
-	for _, name := range tm.names.teamNames() {
+	out := make([]config.Team, 0, len(tm.nameIndex.teamNames()))
+	for _, name := range tm.nameIndex.teamNames() {
 		share, _ := tm.replica.Share(name, uses)
 		out = append(out, teamOf(name, share))
 	}
@@ -153,10 +155,10 @@
 }
 
 // uses is asked where limits are confirmed and what is in use does not matter.
-func (tm *teams) uses(string) (dynconfig.Amount, bool) { return dynconfig.Amount{}, false }
+func (tm *teamQuotas) uses(string) (dynconfig.Amount, bool) { return dynconfig.Amount{}, false }
 
 // find is a team that takes jobs.
-func (tm *teams) find(name string) quota {
+func (tm *teamQuotas) find(name string) quota {
 	if tm.replica == nil {
 		return quota{now: tm.c.fileTeam(name)}
 	}
@@ -177,7 +179,7 @@
 }
 
 // sequence changes whenever a team does.
-func (tm *teams) sequence() uint64 {
+func (tm *teamQuotas) sequence() uint64 {
 	if tm.replica == nil {
 		return 0
 	}
@@ -186,8 +188,8 @@
 
 // usage adds up what each team uses, with everything that may be on a machine, and which
 // teams have jobs that are not over.
-func (tm *teams) usage() dynconfig.Uses {
-	all := make([]place.Team, len(tm.names.teamNames()))
+func (tm *teamQuotas) usage() dynconfig.Uses {
+	all := make([]place.Team, len(tm.nameIndex.teamNames()))
 	busy := make([]bool, len(all))
 	for _, j := range tm.jobTable.all() {
 		if j.TeamIdx < 0 {
@@ -205,7 +207,7 @@
 	}
 	tm.takeover.blocked(all)
 	return func(team string) (dynconfig.Amount, bool) {
-		i := tm.names.team(team)
+		i := tm.nameIndex.team(team)
 		if i < 0 {
 			return dynconfig.Amount{}, false
 		}
@@ -215,7 +217,7 @@
 
 // known reports whether it is known what the teams use: not before the machines of earlier
 // leaders are met, nor while a machine runs a task of a job whose record is not read.
-func (tm *teams) known() bool {
+func (tm *teamQuotas) known() bool {
 	return tm.takeover.around() && len(tm.jobTable.strange()) == 0
 }
 
@@ -230,7 +232,7 @@
 )
 
 // follow keeps asking the home region and stores what it grants, until the term ends.
-func (tm *teams) follow() {
+func (tm *teamQuotas) follow() {
 	if !tm.on() {
 		return
 	}
@@ -274,7 +276,7 @@
 }
 
 // request is what to ask next; nil: not yet.
-func (tm *teams) request() *dynconfig.Request {
+func (tm *teamQuotas) request() *dynconfig.Request {
 	if !tm.known() {
 		return nil
 	}
@@ -282,17 +284,17 @@
 }
 
 // ask asks the home region's leader, which may be this one.
-func (tm *teams) ask(q *dynconfig.Request) (*dynconfig.Reply, error) {
+func (tm *teamQuotas) ask(q *dynconfig.Request) (*dynconfig.Reply, error) {
 	ctx, cancel := context.WithTimeout(tm.ctx, followTime)
 	defer cancel()
-	if tm.homeTeams.on() {
+	if tm.homeQuotas.on() {
 		return tm.c.FollowHome(ctx, q), nil
 	}
 	return tm.c.Follow(ctx, q)
 }
 
 // keep stores entries, and lets them count once they are stored.
-func (tm *teams) keep(entries []dynconfig.Entry) {
+func (tm *teamQuotas) keep(entries []dynconfig.Entry) {
 	most := max(1, tm.c.Settings.Facts.State.TxnOps)
 	for len(entries) > 0 && tm.ctx.Err() == nil {
 		part := entries[:min(most, len(entries))]
@@ -306,7 +308,7 @@
 }
 
 // store stores entries in one transaction and waits for its outcome.
-func (tm *teams) store(entries []dynconfig.Entry) (version uint64, ok bool) {
+func (tm *teamQuotas) store(entries []dynconfig.Entry) (version uint64, ok bool) {
 	versions := await(tm.core, func() []uint64 {
 		out := make([]uint64, len(entries))
 		for i, e := range entries {
@@ -337,11 +339,11 @@
 }
 
 // stored lets entries count.
-func (tm *teams) stored(entries []dynconfig.Entry, version uint64) {
+func (tm *teamQuotas) stored(entries []dynconfig.Entry, version uint64) {
 	added := false
 	for _, e := range entries {
 		tm.versions[e.Team] = version
-		added = tm.names.addTeam(e.Team) || added
+		added = tm.nameIndex.addTeam(e.Team) || added
 		tm.log.Info("team has changed", "team", e.Team, "revision", e.Revision, "cpus_max", e.Limit.CPUs, "gpus_max", e.Limit.GPUs, "removed", e.Removed)
 	}
 	tm.replica.Stored(entries)
@@ -353,7 +355,7 @@
 }
 
 // confirm strikes the marker off once the home region has confirmed the limits.
-func (tm *teams) confirm() {
+func (tm *teamQuotas) confirm() {
 	if tm.marker == 0 || tm.replica.Unconfirmed() {
 		return
 	}
--- a/internal/control/home_teams.go
+++ b/internal/control/quotas_home.go
@@ -23,9 +23,9 @@
 	historyPrefix = "t/c/"
 )
 
-// homeTeams decides how teams change in all regions. Only the leader of the home region
+// homeQuotas decides how teams change in all regions. Only the leader of the home region
 // has something to do here.
-type homeTeams struct {
+type homeQuotas struct {
 	*core
 
 	home    *dynconfig.Home
@@ -63,16 +63,16 @@
 	teamsPerPage = 50
 )
 
-func newHomeTeams(co *core) *homeTeams { return &homeTeams{core: co} }
+func newHomeQuotas(co *core) *homeQuotas { return &homeQuotas{core: co} }
 
 // on reports whether this is the home region.
-func (ht *homeTeams) on() bool {
+func (ht *homeQuotas) on() bool {
 	r := &ht.c.Tuning.Regions
 	return r.Name != "" && r.Name == r.Home
 }
 
 // list reads the stored records.
-func (ht *homeTeams) list() (head state.Entry, records, history []state.Entry, err error) {
+func (ht *homeQuotas) list() (head state.Entry, records, history []state.Entry, err error) {
 	if !ht.on() {
 		return head, nil, nil, nil
 	}
@@ -88,7 +88,7 @@
 
 // load takes in what earlier leaders have stored. What cannot be read is made anew from
 // what the regions say that they hold.
-func (ht *homeTeams) load(stored state.Entry, entries, history []state.Entry) {
+func (ht *homeQuotas) load(stored state.Entry, entries, history []state.Entry) {
 	if !ht.on() {
 		return
 	}
@@ -116,7 +116,7 @@
 }
 
 // hear takes in a region's request.
-func (ht *homeTeams) hear(q *dynconfig.Request, back func(*dynconfig.Reply)) {
+func (ht *homeQuotas) hear(q *dynconfig.Request, back func(*dynconfig.Reply)) {
 	now := time.Now()
 	if p := ht.home.Hear(q, now); p != nil {
 		back(p)
@@ -132,7 +132,7 @@
 
 // step answers regions for which there is something to tell, and stores what follows from
 // what they have said and from changes.
-func (ht *homeTeams) step(now time.Time) {
+func (ht *homeQuotas) step(now time.Time) {
 	if ht.home == nil {
 		return
 	}
@@ -158,11 +158,11 @@
 }
 
 // mostRecords is how many records a transaction takes beside the head and the history.
-func (ht *homeTeams) mostRecords() int { return max(1, ht.c.Settings.Facts.State.TxnOps-2) }
+func (ht *homeQuotas) mostRecords() int { return max(1, ht.c.Settings.Facts.State.TxnOps-2) }
 
 // remember takes in the changes that earlier leaders have kept. One that cannot be read is
 // as if it had not been kept.
-func (ht *homeTeams) remember(entries []state.Entry) {
+func (ht *homeQuotas) remember(entries []state.Entry) {
 	var past []*dynconfig.Past
 	for _, e := range entries {
 		p := &dynconfig.Past{}
@@ -176,7 +176,7 @@
 }
 
 // historyWrite keeps a change, without what was there before if that does not fit a value.
-func (ht *homeTeams) historyWrite(p *dynconfig.Past) (*dynconfig.Past, state.Write, error) {
+func (ht *homeQuotas) historyWrite(p *dynconfig.Past) (*dynconfig.Past, state.Write, error) {
 	key := fmt.Sprintf("%s%03d", historyPrefix, p.Slot())
 	put, err := state.Put(key, p)
 	if err != nil || float64(len(put.Value)) < ht.c.Settings.Facts.State.ValueKB*1024*historyShare {
@@ -192,7 +192,7 @@
 const historyShare = 0.5
 
 // change lets a change wait for its turn.
-func (ht *homeTeams) change(c *dynconfig.Change, dry bool, back func(*rpc.Reply)) {
+func (ht *homeQuotas) change(c *dynconfig.Change, dry bool, back func(*rpc.Reply)) {
 	if len(ht.changes) >= mostChangesWaiting {
 		back(settled(Later("many changes of the configuration are being stored")))
 		return
@@ -203,7 +203,7 @@
 
 // take stores the changes that wait, under one revision as far as they are of different
 // teams.
-func (ht *homeTeams) take() {
+func (ht *homeQuotas) take() {
 	joined, taken := &dynconfig.Change{}, []*pendingChange{}
 	named := map[string]bool{}
 	for len(ht.changes) > 0 {
@@ -283,7 +283,7 @@
 	Dry bool `codec:"dry_run,omitempty" json:"dry_run,omitempty"`
 }
 
-func (ht *homeTeams) refuse(p *pendingChange, refusal *dynconfig.Refusal) {
+func (ht *homeQuotas) refuse(p *pendingChange, refusal *dynconfig.Refusal) {
 	ht.c.Meter.Add(metrics.ConfigChanges, "refused", 1)
 	answer := reply(refusal.Status, wire.Error{Error: refusal.Error()})
 	if refusal.Status == http.StatusServiceUnavailable {
@@ -294,7 +294,7 @@
 
 // store stores an update, in as many transactions as it takes, with further writes in the
 // last one, and lets it count.
-func (ht *homeTeams) store(u dynconfig.Update, beside []state.Write, failed, done func()) {
+func (ht *homeQuotas) store(u dynconfig.Update, beside []state.Write, failed, done func()) {
 	ht.storing = true
 	head, most := ht.head, ht.mostRecords()
 	go func() {
@@ -324,7 +324,7 @@
 }
 
 // storePart stores some records with the head, and further writes.
-func (ht *homeTeams) storePart(head dynconfig.Head, records []*dynconfig.Record, beside []state.Write, was uint64) (version uint64, err error) {
+func (ht *homeQuotas) storePart(head dynconfig.Head, records []*dynconfig.Record, beside []state.Write, was uint64) (version uint64, err error) {
 	put, err := state.Put(headKey, head)
 	if err != nil {
 		return was, err
@@ -344,7 +344,7 @@
 }
 
 // operate answers an operator's request.
-func (ht *homeTeams) operate(op *rpc.Operation, back func(*rpc.Reply)) {
+func (ht *homeQuotas) operate(op *rpc.Operation, back func(*rpc.Reply)) {
 	if !ht.on() {
 		back(reply(http.StatusNotFound, wire.Error{Error: "no regions are named in the settings of this controller"}))
 		return
@@ -387,12 +387,12 @@
 func (c *Controller) FollowHome(ctx context.Context, q *dynconfig.Request) *dynconfig.Reply {
 	refused := &dynconfig.Reply{Refused: "not the leader of the home region"}
 	r := c.current()
-	if r == nil || !c.Entitled(r.term) || !r.takeover.loaded() || !r.homeTeams.on() {
+	if r == nil || !c.Entitled(r.term) || !r.takeover.loaded() || !r.homeQuotas.on() {
 		return refused
 	}
 	answer := make(chan *dynconfig.Reply, 1)
 	select {
-	case r.users <- func() { r.homeTeams.hear(q, func(p *dynconfig.Reply) { answer <- p }) }:
+	case r.users <- func() { r.homeQuotas.hear(q, func(p *dynconfig.Reply) { answer <- p }) }:
 	case <-r.ctx.Done():
 		return refused
 	case <-ctx.Done():
--- a/internal/control/records_registry.go
+++ b/internal/control/records_registry.go
@@ -106,10 +106,10 @@
 
 type registry struct {
 	*core
-	names    *names
-	jobTable *jobTable
-	takeover *takeover
-	writer   *writer
+	nameIndex    *nameIndex
+	jobTable     *jobTable
+	takeover     *takeover
+	recordWriter *recordWriter
 
 	pages   []*page // of machines, then of notes as they come
 	next    map[string]int
@@ -411,11 +411,11 @@
 		return
 	}
 	// What is left of the budget after users, who come first.
-	most := min(g.writer.size(), g.c.State.Spare()-2)
+	most := min(g.recordWriter.size(), g.c.State.Spare()-2)
 	if most < 1 {
 		return
 	}
-	out, txn := g.take(now, most, g.c.State.Idle(g.writer.size()))
+	out, txn := g.take(now, most, g.c.State.Idle(g.recordWriter.size()))
 	if len(out) == 0 {
 		return
 	}
@@ -450,7 +450,7 @@
 			s.page.urgent = true
 			s.page.gone = append(s.page.gone, s.gone...)
 		}
-		g.writer.smaller(err)
+		g.recordWriter.smaller(err)
 		return
 	}
 	for _, s := range out {
@@ -542,7 +542,7 @@
 		h := g.fleet.AddAt(hr.Name, hr.Idx, g.since)
 		byIdx[hr.Idx] = h
 		h.Addr, h.Durable, h.Inherited, h.Booting = hr.Addr, true, true, false
-		g.names.describe(h, hr.Type, hr.Zone, hr.Spot)
+		g.nameIndex.describe(h, hr.Type, hr.Zone, hr.Spot)
 		p.hosts = append(p.hosts, h)
 		g.entries[h] = entry{hr, p}
 	}
@@ -558,7 +558,7 @@
 			return &pageError{key: key, err: err}
 		}
 		g.loadNote(p, nr, set)
-		team := g.names.team(nr.Team)
+		team := g.nameIndex.team(nr.Team)
 		for idx, h := range byIdx {
 			if set.Has(idx) {
 				h.InheritedJobs = append(h.InheritedJobs, fleet.InheritedJob{ID: nr.Job, Team: team})
--- a/internal/control/records_results.go
+++ b/internal/control/records_results.go
@@ -13,7 +13,7 @@
 // is over.
 type results struct {
 	*core
-	writer *writer
+	recordWriter *recordWriter
 
 	unstored map[*job.Job][]*fleet.Slot // done, and not durable yet
 	orphans  []string                   // keys that are of no use any more
@@ -54,18 +54,18 @@
 // tidy drops results of jobs that are over. It comes after the final record and
 // apart from it, so that ending a job takes a small transaction.
 func (rs *results) tidy() {
-	if rs.dropping || len(rs.orphans) == 0 || !rs.c.State.Idle(rs.writer.size()) {
+	if rs.dropping || len(rs.orphans) == 0 || !rs.c.State.Idle(rs.recordWriter.size()) {
 		return
 	}
-	keys := rs.orphans[:min(len(rs.orphans), rs.writer.size())]
+	keys := rs.orphans[:min(len(rs.orphans), rs.recordWriter.size())]
 	var writes []state.Write
 	for _, k := range keys {
 		writes = append(writes, state.Write{Delete: k})
 	}
 	rs.dropping = true
-	rs.writer.write(writes, func(err error) {
+	rs.recordWriter.write(writes, func(err error) {
 		rs.dropping = false
-		rs.writer.smaller(err)
+		rs.recordWriter.smaller(err)
 		if err == nil {
 			rs.orphans = rs.orphans[len(keys):]
 		}
@@ -87,7 +87,7 @@
 
 // flush stores results, so that the workers may forget them.
 func (rs *results) flush(now time.Time) {
-	if rs.flushing || now.Before(rs.flushAt) || rs.c.State.Spare() < rs.writer.size() {
+	if rs.flushing || now.Before(rs.flushAt) || rs.c.State.Spare() < rs.recordWriter.size() {
 		return
 	}
 	t := rs.gather()
@@ -112,7 +112,7 @@
 			continue
 		}
 		dirty := j.Dirty()
-		if n := len(t.txn.Writes); len(dirty) == 0 || (n > 0 && n+len(dirty) > rs.writer.size()) {
+		if n := len(t.txn.Writes); len(dirty) == 0 || (n > 0 && n+len(dirty) > rs.recordWriter.size()) {
 			continue
 		}
 		for _, c := range dirty {
@@ -157,7 +157,7 @@
 // flushed takes in what has become of the transaction.
 func (rs *results) flushed(t *resultsTxn, found map[chunk]uint64, err error) {
 	rs.flushing = false
-	rs.writer.smaller(err)
+	rs.recordWriter.smaller(err)
 	for p, v := range found {
 		p.j.MarkSaved(p.c, v)
 	}
--- a/internal/control/records_writer.go
+++ b/internal/control/records_writer.go
@@ -7,9 +7,9 @@
 	"vetchstream/internal/state"
 )
 
-// writer runs the leader's transactions and knows how large the state service
+// recordWriter runs the leader's transactions and knows how large the state service
 // lets them be.
-type writer struct {
+type recordWriter struct {
 	*core
 	registry *registry
 
@@ -17,12 +17,12 @@
 }
 
 // size is the most writes that a transaction may have.
-func (wr *writer) size() int { return wr.batch }
+func (wr *recordWriter) size() int { return wr.batch }
 
 // smaller halves the batches when the state service rejects one: its limits may
 // have become tighter than the settings say, and the same transaction again
 // would stop all placing.
-func (wr *writer) smaller(err error) {
+func (wr *recordWriter) smaller(err error) {
 	if errors.Is(err, state.ErrRejected) && (wr.batch > 1 || wr.registry.loose()) {
 		wr.batch = max(1, wr.batch/2)
 		wr.registry.tighten()
@@ -32,7 +32,7 @@
 
 // write runs a fenced transaction and hands its outcome to the actor. The
 // writes may be repeated safely: only this term can make them.
-func (wr *writer) write(writes []state.Write, then func(error)) {
+func (wr *recordWriter) write(writes []state.Write, then func(error)) {
 	go func() {
 		_, err := wr.c.State.Commit(wr.ctx, state.Txn{If: []state.Cond{wr.fence}, Writes: writes})
 		if err != nil {
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -26,13 +26,13 @@
 // successor.
 type rollouts struct {
 	*core
-	names    *names
-	jobTable *jobTable
-	endings  *endings
-	work     *work
-	takeover *takeover
-	groups   *groups
-	teams    *teams
+	nameIndex       *nameIndex
+	jobTable        *jobTable
+	completions     *completions
+	taskTracker     *taskTracker
+	takeover        *takeover
+	admissionGroups *admissionGroups
+	teamQuotas      *teamQuotas
 
 	services map[string]*service
 	byJob    map[string]*service // versions, by job id
@@ -230,7 +230,7 @@
 
 // down are the zones in which there are machines, and none that can take work.
 func (ro *rollouts) down(now time.Time) map[string]bool {
-	zones := ro.names.zoneNames()
+	zones := ro.nameIndex.zoneNames()
 	there, able := make([]bool, len(zones)), make([]bool, len(zones))
 	quiet := ro.quiet()
 	for _, h := range ro.fleet.All() {
@@ -361,7 +361,7 @@
 // user's, and stays until they cancel it.
 func (ro *rollouts) retire(j *job.Job, handle string) {
 	if j != nil && j.ID != handle && j.Phase+j.Closing == "" {
-		ro.endings.finish(j, wire.JobAborted)
+		ro.completions.finish(j, wire.JobAborted)
 	}
 }
 
@@ -372,7 +372,7 @@
 		ok, zone := want(i)
 		q.Allowed[i], q.Zone[i] = ok, -1
 		if zone != "" {
-			q.Zone[i] = ro.names.zone(zone)
+			q.Zone[i] = ro.nameIndex.zone(zone)
 		}
 	}
 	if j.Quota == nil || !slices.Equal(j.Quota.Allowed, q.Allowed) {
@@ -381,7 +381,7 @@
 	j.Quota = q
 	for s := range ro.fleet.On(j) {
 		if s.On() && !s.Stopping && !q.Allowed[s.Task] {
-			ro.work.stopSlot(s, saveGrace(j))
+			ro.taskTracker.stopSlot(s, saveGrace(j))
 		}
 	}
 }
@@ -522,10 +522,10 @@
 // nextRefusal refuses a next version that admission would refuse, or whose job
 // exists already.
 func (ro *rollouts) nextRefusal(next *job.Spec) *rpc.Reply {
-	if p := ro.c.admissionRefusal(next, ro.names.list(), ro.teams.find(next.Team)); p != nil {
+	if p := ro.c.admissionRefusal(next, ro.nameIndex.list(), ro.teamQuotas.find(next.Team)); p != nil {
 		return p
 	}
-	if ro.endings.known(next.ID) != nil || ro.groups.has(next.ID) {
+	if ro.completions.known(next.ID) != nil || ro.admissionGroups.has(next.ID) {
 		return reply(http.StatusConflict, wire.Error{Error: "to.uid: the job exists already"})
 	}
 	return nil
@@ -536,7 +536,7 @@
 	out := make([]string, j.Tasks)
 	for s := range ro.fleet.On(j) {
 		if s.On() && s.Host.Zone >= 0 {
-			out[s.Task] = ro.names.zoneNames()[s.Host.Zone]
+			out[s.Task] = ro.nameIndex.zoneNames()[s.Host.Zone]
 		}
 	}
 	return out
--- a/internal/control/rollout_test.go
+++ b/internal/control/rollout_test.go
@@ -23,7 +23,7 @@
 	var hosts []*fleet.Host
 	for i := range max(2, services*replicas/20) {
 		h := r.host(fmt.Sprintf("h%d", i))
-		r.names.describe(h, "small", []string{"a", "b"}[i%2], false)
+		r.nameIndex.describe(h, "small", []string{"a", "b"}[i%2], false)
 		r.fleet.Observe(h, &wire.Report{Host: h.Name, Addr: "10.0.0.1:1", Session: 1, Seq: 1, Token: r.term}, true, now, r.jobTable.find)
 		h.Durable = true
 		hosts = append(hosts, h)
@@ -36,7 +36,7 @@
 			h := hosts[(i*replicas+t)%len(hosts)]
 			s := r.fleet.Assign(h, fleet.Key{Job: old, Task: int32(t), Attempt: 1}, now)
 			s.Sent, s.Seen, s.Phase, s.Health, s.RunAt = true, true, wire.Running, wire.HealthGood, now.Add(-time.Minute)
-			zones[t] = r.names.zoneNames()[h.Zone]
+			zones[t] = r.nameIndex.zoneNames()[h.Zone]
 		}
 		spec.ID = fmt.Sprintf("run-%d", 10_000+i)
 		r.jobTable.add(&job.Record{Spec: spec}, 1, now)
--- a/internal/control/shares.go
+++ b/internal/control/shards.go
@@ -13,16 +13,16 @@
 	"vetchstream/internal/wire"
 )
 
-// shares gives the machines out among the controllers and is the leader's end of
+// shards gives the machines out among the controllers and is the leader's end of
 // what it says to the holders. Who has which machine is decided by package share;
 // what may be on it stays in the one ledger.
-type shares struct {
+type shards struct {
 	*core
-	names    *names
-	machines *machines
-	takeover *takeover
-	work     *work
-	commands *commands
+	nameIndex   *nameIndex
+	machinePool *machinePool
+	takeover    *takeover
+	taskTracker *taskTracker
+	commands    *commands
 
 	allot   *shard.Assigner // nil: off
 	holders map[string]*fleet.Holder
@@ -93,8 +93,8 @@
 // that come as often as they can would take the processor of both sides.
 const holdTime = 50 * time.Millisecond
 
-func newShares(co *core) *shares {
-	return &shares{core: co, holders: map[string]*fleet.Holder{}, boxes: map[string]*box{}, relayed: map[uint64]*relay{},
+func newShards(co *core) *shards {
+	return &shards{core: co, holders: map[string]*fleet.Holder{}, boxes: map[string]*box{}, relayed: map[uint64]*relay{},
 		waiting: map[string][]func(){}, told: map[moveKind]*moved{}, kept: map[*fleet.Host]struct{}{}}
 }
 
@@ -103,7 +103,7 @@
 func Room(maxSockets int) int { return max(0, (maxSockets-2*DirectCalls(maxSockets)-40)*5/6) }
 
 // begin starts with what the registry names; the leader deals with all of it.
-func (sh *shares) begin(now time.Time) {
+func (sh *shards) begin(now time.Time) {
 	t, f := sh.c.Tuning.Shares, &sh.c.Settings.Facts
 	if !t.Enabled || len(sh.c.Settings.Siblings) == 0 {
 		return
@@ -118,7 +118,7 @@
 	for _, h := range sh.fleet.All() {
 		zone := ""
 		if h.Zone >= 0 {
-			zone = sh.names.zoneNames()[h.Zone]
+			zone = sh.nameIndex.zoneNames()[h.Zone]
 		}
 		sh.allot.Known(h.Name, zone)
 	}
@@ -126,7 +126,7 @@
 
 // route says whether the leader answers a report that has come to it. If not, the
 // worker is sent to the holder, or the report waits until there is none.
-func (sh *shares) route(m *wire.Report, again func(), back func(*rpc.Reply)) bool {
+func (sh *shards) route(m *wire.Report, again func(), back func(*rpc.Reply)) bool {
 	if sh.allot == nil {
 		return true
 	}
@@ -150,7 +150,7 @@
 // served notes that the leader has answered a machine. One that is new is given away
 // before it has seen the term and is in the registry, which a launch still waits for:
 // a fleet that boots within a minute would take all sockets of the leader first.
-func (sh *shares) served(h *fleet.Host, via string, now time.Time) {
+func (sh *shards) served(h *fleet.Host, via string, now time.Time) {
 	if sh.allot == nil || h.Releasing {
 		return
 	}
@@ -160,7 +160,7 @@
 }
 
 // bind ties the ledger's machine to its holder.
-func (sh *shares) bind(h *fleet.Host) {
+func (sh *shards) bind(h *fleet.Host) {
 	if member, _ := sh.allot.Holder(h.Name); member != "" && h.Holder() == nil {
 		by := sh.holders[member]
 		if by == nil {
@@ -172,7 +172,7 @@
 }
 
 // gone forgets a machine that was returned.
-func (sh *shares) gone(h *fleet.Host) {
+func (sh *shards) gone(h *fleet.Host) {
 	if sh.allot == nil {
 		return
 	}
@@ -182,7 +182,7 @@
 
 // sync takes in a holder's request. It is answered once there is something to say,
 // and after holdTime in any case.
-func (sh *shares) sync(r *shard.Request, back func(*shard.Reply)) {
+func (sh *shards) sync(r *shard.Request, back func(*shard.Reply)) {
 	now := time.Now()
 	if sh.allot == nil {
 		back(&shard.Reply{})
@@ -225,9 +225,9 @@
 }
 
 // entry takes in what a machine has reported to its holder.
-func (sh *shares) entry(b *box, e *shard.Entry, now time.Time) {
+func (sh *shards) entry(b *box, e *shard.Entry, now time.Time) {
 	h := sh.fleet.Hosts[e.Host]
-	if h == nil || sh.machines.gone(e.Host) {
+	if h == nil || sh.machinePool.gone(e.Host) {
 		return
 	}
 	sh.allot.Heard(e.Host)
@@ -236,7 +236,7 @@
 		if err := wire.Unmarshal(e.Report, m); err != nil || m.Host != e.Host {
 			return // it was read once by the holder
 		}
-		fresh, ok := sh.work.observe(h, m, true, now)
+		fresh, ok := sh.taskTracker.observe(h, m, true, now)
 		if !ok {
 			return
 		}
@@ -246,8 +246,8 @@
 	// one above was told before and its telling was not acknowledged.
 	deaf := h.Deaf()
 	ev := sh.fleet.Renew(h, e.Session, e.Seq, now.Add(-time.Duration(max(0, e.AgeMs))*time.Millisecond))
-	sh.work.hearing(h, deaf)
-	sh.work.handle(ev, now)
+	sh.taskTracker.hearing(h, deaf)
+	sh.taskTracker.handle(ev, now)
 	if clears := h.Clears(maxOrders); clears != nil {
 		b.settled = append(b.settled, shard.ExitClearance{Host: e.Host, Clears: clears})
 	}
@@ -255,18 +255,18 @@
 
 // answer answers the reports that wait for it, as the leader answers those that
 // come to it. It comes before the direct commands: what goes by an answer needs none.
-func (sh *shares) answer(now time.Time) {
+func (sh *shards) answer(now time.Time) {
 	for member, b := range sh.boxes {
 		for _, a := range b.asked {
 			if by := a.host.Holder(); by == nil || by.Name != member || sh.fleet.Hosts[a.host.Name] != a.host || a.host.Session != a.session {
 				continue
 			}
-			if !sh.machines.renewable(a.host, now) {
+			if !sh.machinePool.renewable(a.host, now) {
 				continue
 			}
 			orders, sent, ev := sh.fleet.Compose(a.host, a.seq, a.fresh, now, maxOrders)
 			sh.takeover.launched(len(sent), now)
-			sh.work.handle(ev, now)
+			sh.taskTracker.handle(ev, now)
 			b.answers = append(b.answers, shard.Answer{Host: a.host.Name, Session: a.session, Seq: a.seq, Orders: orders})
 		}
 		b.asked = nil
@@ -274,7 +274,7 @@
 }
 
 // free takes machines back from their holders.
-func (sh *shares) free(freed []shard.Revocation, now time.Time) {
+func (sh *shards) free(freed []shard.Revocation, now time.Time) {
 	for _, f := range freed {
 		h := sh.fleet.Hosts[f.Name]
 		if h == nil {
@@ -295,7 +295,7 @@
 }
 
 // again looks once more at the reports of a machine whose holder was changing.
-func (sh *shares) again(name string) {
+func (sh *shards) again(name string) {
 	waiting := sh.waiting[name]
 	delete(sh.waiting, name)
 	for _, do := range waiting {
@@ -304,7 +304,7 @@
 }
 
 // taken sends on the workers of machines that the member has taken over meanwhile.
-func (sh *shares) taken(member string) {
+func (sh *shards) taken(member string) {
 	var names []string
 	for name := range sh.waiting {
 		if by, has := sh.allot.Holder(name); has && by == member {
@@ -318,7 +318,7 @@
 
 // step does what time brings, and answers the requests that have something to be
 // told or have waited for long enough.
-func (sh *shares) step(now time.Time, scan bool) {
+func (sh *shards) step(now time.Time, scan bool) {
 	if sh.allot == nil {
 		return
 	}
@@ -344,7 +344,7 @@
 }
 
 // tell logs the moves of the last second, a line for each kind.
-func (sh *shares) tell(now time.Time) {
+func (sh *shards) tell(now time.Time) {
 	if now.Sub(sh.toldAt) < time.Second || len(sh.told) == 0 {
 		return
 	}
@@ -374,7 +374,7 @@
 		}
 	}
 	select {
-	case r.inbox <- func() { r.shares.sync(q, back) }:
+	case r.inbox <- func() { r.shards.sync(q, back) }:
 	case <-r.ctx.Done():
 		return &shard.Reply{}
 	case <-ctx.Done():
--- a/internal/control/shares_keep.go
+++ b/internal/control/shards_reclaim.go
@@ -10,7 +10,7 @@
 
 // keep takes a machine back from its holder, or keeps it here, in time before its lease may
 // only be renewed by answers that carry halts.
-func (sh *shares) keep(h *fleet.Host, now time.Time) {
+func (sh *shards) keep(h *fleet.Host, now time.Time) {
 	limit, bounded := sh.fleet.RenewalLimit(h)
 	if !bounded || limit.Sub(now) > sh.allot.HandoverTime()+2*urgentEvery {
 		return
@@ -22,7 +22,7 @@
 // keepDue looks for machines that have to be kept, among those that wait for a command, and
 // lets go of those that need not be any more. It comes before each reply to a holder, since
 // a reply prolongs its grant.
-func (sh *shares) keepDue(now time.Time) {
+func (sh *shards) keepDue(now time.Time) {
 	if now.Sub(sh.keptAt) < urgentEvery {
 		return
 	}
--- a/internal/control/shares_relay.go
+++ b/internal/control/shards_relay.go
@@ -32,7 +32,7 @@
 
 // takes reports whether a direct command to a machine goes through its holder, and
 // whether it may go now.
-func (sh *shares) takes(h *fleet.Host) (relayed, now bool) {
+func (sh *shards) takes(h *fleet.Host) (relayed, now bool) {
 	if sh.allot == nil || h.Holder() == nil {
 		return false, true
 	}
@@ -45,7 +45,7 @@
 }
 
 // relay hands a direct command to the machine's holder.
-func (sh *shares) relay(h *fleet.Host, body []byte, sent []*fleet.Slot, now time.Time) {
+func (sh *shards) relay(h *fleet.Host, body []byte, sent []*fleet.Slot, now time.Time) {
 	member, _ := sh.allot.Holder(h.Name)
 	b := sh.boxes[member]
 	sh.calls++
@@ -55,7 +55,7 @@
 }
 
 // done takes in what became of a command.
-func (sh *shares) done(d *shard.Done) {
+func (sh *shards) done(d *shard.Done) {
 	r := sh.relayed[d.ID]
 	if r == nil {
 		return // given up, or told twice
@@ -66,7 +66,7 @@
 }
 
 // expireRelays gives up the commands of which the holder has told nothing for too long.
-func (sh *shares) expireRelays(now time.Time) {
+func (sh *shards) expireRelays(now time.Time) {
 	for id, r := range sh.relayed {
 		if now.Sub(r.at) > relayTime {
 			delete(sh.relayed, id)
--- a/internal/control/shares_test.go
+++ b/internal/control/shards_test.go
@@ -51,16 +51,16 @@
 	r := bench(t)
 	r.c.Settings.Siblings, r.c.Tuning.Shares.Enabled = []config.Sibling{{Member: "n1"}}, true
 	now := r.since
-	r.shares.begin(now)
+	r.shards.begin(now)
 	h := r.host("h1")
 	m := &wire.Report{Host: "h1", Type: "x", Zone: "a", Session: 1, Seq: 10, Token: 7}
 	full, err := wire.Marshal(m)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.shares.entry(&box{}, &shard.Entry{Host: "h1", Session: 1, Seq: 10, Report: full}, now)
+	r.shards.entry(&box{}, &shard.Entry{Host: "h1", Session: 1, Seq: 10, Report: full}, now)
 	now = now.Add(8 * time.Second)
-	r.shares.entry(&box{}, &shard.Entry{Host: "h1", Session: 1, Seq: 11, Report: full}, now)
+	r.shards.entry(&box{}, &shard.Entry{Host: "h1", Session: 1, Seq: 11, Report: full}, now)
 	now = now.Add(5 * time.Second)
 	if r.fleet.Expire(now); h.Lost {
 		t.Error("lost 5 s after a report that the holder answered")
--- a/internal/control/takeover.go
+++ b/internal/control/takeover.go
@@ -19,21 +19,21 @@
 // machines may still run what it has not seen.
 type takeover struct {
 	*core
-	names         *names
-	jobTable      *jobTable
-	registry      *registry
-	machines      *machines
-	admission     *admission
-	endings       *endings
-	results       *results
-	groups        *groups
-	rollouts      *rollouts
-	calendarStore *calendarStore
-	holds         *holds
-	drains        *drains
-	shares        *shares
-	teams         *teams
-	homeTeams     *homeTeams
+	nameIndex         *nameIndex
+	jobTable          *jobTable
+	registry          *registry
+	machinePool       *machinePool
+	admission         *admission
+	completions       *completions
+	results           *results
+	admissionGroups   *admissionGroups
+	rollouts          *rollouts
+	calendarStore     *calendarStore
+	reservationHolds  *reservationHolds
+	maintenanceDrains *maintenanceDrains
+	shards            *shards
+	teamQuotas        *teamQuotas
+	homeQuotas        *homeQuotas
 
 	ready     bool // every machine of earlier leaders is settled
 	inherited []*fleet.Host
@@ -127,7 +127,7 @@
 	if now.Sub(tk.begun()) > meetTime {
 		for _, h := range tk.inherited {
 			if tk.missing[h.Name] && !h.Releasing {
-				tk.machines.release(h, "an earlier leader has returned it")
+				tk.machinePool.release(h, "an earlier leader has returned it")
 			}
 		}
 	}
@@ -162,7 +162,7 @@
 				used[t] = true // its team is not known here: it may be any
 			}
 		}
-		t := &tk.names.list()[h.Type]
+		t := &tk.nameIndex.list()[h.Type]
 		for i := range used {
 			teams[i].Used.CPUs += t.CPUs
 			teams[i].Used.GPUs += t.GPUs
@@ -246,7 +246,7 @@
 	}
 	for _, h := range tk.inherited {
 		if !h.Releasing {
-			tk.machines.release(h, "it is silent after a change of leader, and jobs wait for it")
+			tk.machinePool.release(h, "it is silent after a change of leader, and jobs wait for it")
 		}
 	}
 }
--- a/internal/control/takeover_load.go
+++ b/internal/control/takeover_load.go
@@ -17,7 +17,7 @@
 			tk.pause(200 * time.Millisecond)
 			continue
 		}
-		tk.shares.begin(time.Now())
+		tk.shards.begin(time.Now())
 		tk.read.Store(true)
 		tk.phases.load, tk.phases.machines, tk.phases.jobs = time.Now(), len(tk.fleet.Hosts), len(tk.jobTable.all())
 		for _, j := range tk.jobTable.all() {
@@ -63,10 +63,10 @@
 	if st.bookings, st.windows, err = tk.calendarStore.list(); err != nil {
 		return nil, err
 	}
-	if st.teams, err = tk.teams.list(); err != nil {
+	if st.teams, err = tk.teamQuotas.list(); err != nil {
 		return nil, err
 	}
-	st.homeHead, st.homeTeams, st.homeHistory, err = tk.homeTeams.list()
+	st.homeHead, st.homeTeams, st.homeHistory, err = tk.homeQuotas.list()
 	return st, err
 }
 
@@ -76,10 +76,10 @@
 	tk.registry.reset()
 	tk.jobTable.reset()
 	tk.results.reset()
-	tk.endings.reset()
-	tk.groups.reset()
-	tk.holds.reset()
-	tk.drains.reset()
+	tk.completions.reset()
+	tk.admissionGroups.reset()
+	tk.reservationHolds.reset()
+	tk.maintenanceDrains.reset()
 }
 
 func (tk *takeover) tryLoad() error {
@@ -88,9 +88,9 @@
 		return err
 	}
 	tk.reset()
-	tk.names.learn(st.types)
-	tk.teams.load(st.teams)
-	tk.homeTeams.load(st.homeHead, st.homeTeams, st.homeHistory)
+	tk.nameIndex.learn(st.types)
+	tk.teamQuotas.load(st.teams)
+	tk.homeQuotas.load(st.homeHead, st.homeTeams, st.homeHistory)
 	if err := tk.registry.load(st.hosts, st.notes); err != nil {
 		return err
 	}
@@ -98,9 +98,9 @@
 	submitted := func(rec *job.Record) time.Time {
 		return now.Add(-time.Duration(max(0, now.UnixMilli()-rec.At)) * time.Millisecond)
 	}
-	tk.groups.load(st.groups, func(rec *job.Record) {
+	tk.admissionGroups.load(st.groups, func(rec *job.Record) {
 		if rec.Phase != "" {
-			tk.endings.remember(rec)
+			tk.completions.remember(rec)
 			return
 		}
 		tk.jobTable.add(rec, 0, submitted(rec))
@@ -115,11 +115,11 @@
 	tk.calendarStore.load(st.bookings, st.windows)
 	for _, j := range tk.jobTable.all() {
 		if j.Over() {
-			tk.endings.finish(j, wire.JobDone)
+			tk.completions.finish(j, wire.JobDone)
 		}
 	}
 	go tk.admission.follow(st.epoch)
-	go tk.teams.follow()
+	go tk.teamQuotas.follow()
 	return nil
 }
 
@@ -134,13 +134,13 @@
 			unreadable[e.Key[len(job.ActivePrefix):]] = true
 			continue
 		}
-		if tk.groups.has(rec.Spec.ID) {
+		if tk.admissionGroups.has(rec.Spec.ID) {
 			// Another node has admitted the job once more: one record is enough.
 			tk.results.drop(e.Key)
 			continue
 		}
 		if rec.Phase != "" {
-			tk.endings.inherit(&rec, e.Version)
+			tk.completions.inherit(&rec, e.Version)
 			continue
 		}
 		if tk.jobTable.get(rec.Spec.ID) == nil {
@@ -165,7 +165,7 @@
 			}
 		}
 		j := tk.jobTable.get(id)
-		if unreadable[id] || (j == nil && tk.groups.doubtful()) {
+		if unreadable[id] || (j == nil && tk.admissionGroups.doubtful()) {
 			continue
 		}
 		if j == nil {
--- a/internal/control/heartbeats.go
+++ b/internal/control/tasks_heartbeats.go
@@ -8,25 +8,25 @@
 	"vetchstream/internal/wire"
 )
 
-// work follows what becomes of placements: messages, ends, gangs, blame. What is
+// taskTracker follows what becomes of placements: messages, ends, gangs, blame. What is
 // on the machines is in the ledger (core.fleet), and what is known of a job in
 // the job, so it has no state of its own.
-type work struct {
+type taskTracker struct {
 	*core
-	names    *names
-	jobTable *jobTable
-	registry *registry
-	machines *machines
-	endings  *endings
-	results  *results
-	rollouts *rollouts
-	holds    *holds
+	nameIndex        *nameIndex
+	jobTable         *jobTable
+	registry         *registry
+	machinePool      *machinePool
+	completions      *completions
+	results          *results
+	rollouts         *rollouts
+	reservationHolds *reservationHolds
 }
 
 // observe takes in a worker's message.
-func (wk *work) observe(h *fleet.Host, m *wire.Report, isHeartbeat bool, now time.Time) (fresh, ok bool) {
+func (wk *taskTracker) observe(h *fleet.Host, m *wire.Report, isHeartbeat bool, now time.Time) (fresh, ok bool) {
 	if !h.Known || h.Type < 0 {
-		wk.names.describe(h, m.Type, m.Zone, m.Spot)
+		wk.nameIndex.describe(h, m.Type, m.Zone, m.Spot)
 	}
 	booting, deaf := h.Booting, h.Deaf()
 	res := wk.fleet.Observe(h, m, isHeartbeat, now, wk.jobTable.find)
@@ -39,7 +39,7 @@
 	if res.Fresh && booting && !h.Booting {
 		wk.log.Info("machine is up", "host", h.Name, "after", now.Sub(h.Born).Round(time.Second))
 		h.IdleFrom = now
-		wk.holds.booted(h, now.Sub(h.Born))
+		wk.reservationHolds.booted(h, now.Sub(h.Born))
 		wk.changed()
 	}
 	for _, s := range h.Slots {
@@ -56,16 +56,16 @@
 	}
 	wk.handle(res.Events, now)
 	if h.Fenced && !h.Durable && h.Known && h.Addr != "" && !h.Lost && !h.Releasing {
-		wk.registry.enter(h, wk.names.list()[h.Type].Name, wk.names.zoneNames()[h.Zone])
+		wk.registry.enter(h, wk.nameIndex.list()[h.Type].Name, wk.nameIndex.zoneNames()[h.Zone])
 	}
 	if res.Fresh && !h.RecallAt.IsZero() {
-		wk.machines.recall(h, now)
+		wk.machinePool.recall(h, now)
 	}
 	return res.Fresh, true
 }
 
 // hearing tells of a machine that has turned deaf, or hears again.
-func (wk *work) hearing(h *fleet.Host, was bool) {
+func (wk *taskTracker) hearing(h *fleet.Host, was bool) {
 	switch {
 	case h.Deaf() && !was:
 		wk.log.Info("machine reports and takes in nothing that is sent to it, no more work for now", "host", h.Name)
@@ -77,7 +77,7 @@
 
 // gangSeen ties a gang to the attempt that a report shows: the number survives
 // a change of leader this way.
-func (wk *work) gangSeen(s *fleet.Slot) {
+func (wk *taskTracker) gangSeen(s *fleet.Slot) {
 	j := s.Job
 	switch {
 	case j.GangAttempt == 0:
@@ -90,7 +90,7 @@
 	}
 }
 
-func (wk *work) breakGang(j *job.Job) {
+func (wk *taskTracker) breakGang(j *job.Job) {
 	if !j.GangBroken {
 		j.GangBroken = true
 		wk.stopAll(j)
@@ -98,9 +98,9 @@
 }
 
 // stopAll stops every placement of a job without grace.
-func (wk *work) stopAll(j *job.Job) { wk.stopJob(j, 0) }
+func (wk *taskTracker) stopAll(j *job.Job) { wk.stopJob(j, 0) }
 
-func (wk *work) stopJob(j *job.Job, grace float64) {
+func (wk *taskTracker) stopJob(j *job.Job, grace float64) {
 	now := time.Now()
 	for s := range wk.fleet.On(j) {
 		wk.handle(wk.fleet.Stop(s, grace), now)
@@ -109,7 +109,7 @@
 
 // stopSlot stops one placement in good order: a gang is stopped whole, because
 // a save needs all its members.
-func (wk *work) stopSlot(s *fleet.Slot, grace float64) {
+func (wk *taskTracker) stopSlot(s *fleet.Slot, grace float64) {
 	if s.Job.Shape == job.Gang {
 		s.Job.GangBroken = true
 		wk.stopJob(s.Job, grace)
@@ -127,7 +127,7 @@
 }
 
 // handle deals with what became of placements.
-func (wk *work) handle(ev []fleet.Event, now time.Time) {
+func (wk *taskTracker) handle(ev []fleet.Event, now time.Time) {
 	for _, e := range ev {
 		s, j, h := e.Slot, e.Slot.Job, e.Slot.Host
 		wk.changed()
@@ -141,7 +141,7 @@
 		switch e.Kind {
 		case fleet.Started:
 			cache := 0.0
-			if t := wk.names.typeOf(h); t != nil {
+			if t := wk.nameIndex.typeOf(h); t != nil {
 				cache = t.CacheGB
 			}
 			h.Touch(j.ImageIdx, j.ImageGB, cache)
@@ -167,7 +167,7 @@
 	}
 }
 
-func (wk *work) ended(s *fleet.Slot, j *job.Job, h *fleet.Host, now time.Time) {
+func (wk *taskTracker) ended(s *fleet.Slot, j *job.Job, h *fleet.Host, now time.Time) {
 	if wk.debug {
 		wk.log.Debug("task ended", "task", job.TaskName(j.ID, s.Task), "host", h.Name, "cause", s.Cause)
 	}
@@ -189,7 +189,7 @@
 		}
 		wk.pace(s, j, h, now)
 		if !s.RunAt.IsZero() && !s.Adopted {
-			wk.holds.ran(j, now.Sub(s.RunAt).Seconds())
+			wk.reservationHolds.ran(j, now.Sub(s.RunAt).Seconds())
 		}
 		wk.results.add(s)
 		if j.Shape == job.Service {
@@ -204,7 +204,7 @@
 			}
 		}
 		if j.Over() && j.Closing == "" {
-			wk.endings.finish(j, wire.JobDone)
+			wk.completions.finish(j, wire.JobDone)
 		}
 		return
 	case wire.CauseError:
@@ -223,7 +223,7 @@
 // fetches would be given up, and a gang one of whose images takes longer than members
 // wait would go round like that for ever. With another member without a place the gang
 // gives way, so that two halves of gangs do not hold each other's room.
-func (wk *work) fetching(j *job.Job) bool {
+func (wk *taskTracker) fetching(j *job.Job) bool {
 	if j.GangBroken || j.GangRan || len(j.Live) != j.Tasks-1 {
 		return false
 	}
