--- a/cmd/vetchstream/client.go
+++ b/cmd/vetchstream/client.go
@@ -74,7 +74,7 @@
 			if _, err := config.LoadTuning(*tuning); err != nil {
 				return err
 			}
-			for _, line := range set.Doubts() {
+			for _, line := range set.Warnings() {
 				fmt.Fprintln(cmd.OutOrStdout(), "doubtful:", line)
 			}
 			fmt.Fprintln(cmd.OutOrStdout(), "settings are valid")
@@ -86,7 +86,7 @@
 
 // job makes a request and shows the job that it answers with.
 func (c *client) job(cmd *cobra.Command, method, path string, body []byte) error {
-	var s wire.Status
+	var s wire.JobStatus
 	if err := c.call(cmd, method, path, body, &s); err != nil {
 		return err
 	}
--- a/cmd/vetchstream/demo_rollout.go
+++ b/cmd/vetchstream/demo_rollout.go
@@ -80,7 +80,7 @@
 		}
 		return cl.call(cmd, http.MethodPost, path, b, out)
 	}
-	var job wire.Status
+	var job wire.JobStatus
 	fmt.Fprintf(w, "A service of %d replicas starts.\n", demoCopies)
 	if err := post("/api/jobs", map[string]any{"uid": demoJob, "breed": "captions", "owner": "blue", "shape": "daemon", "rank": "standard", "pieces": demoCopies,
 		"cpus": 1.0, "accelerators": 0.0, "mem_gb": 1.0, "reel": "captions-1", "image_gb": 0.4, "same_place": false, "apart": false, "loaners": true,
--- a/cmd/vetchstream/main_test.go
+++ b/cmd/vetchstream/main_test.go
@@ -33,7 +33,7 @@
 		case strings.Contains(q.URL.Path, "run-9"):
 			answer(404, wire.Error{Error: "no such job"})
 		default:
-			answer(200, wire.Status{ID: "run-1", Phase: wire.JobRunning, Done: 3, Running: 2})
+			answer(200, wire.JobStatus{ID: "run-1", Phase: wire.JobRunning, Done: 3, Running: 2})
 		}
 	}))
 	defer srv.Close()
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -23,23 +23,23 @@
 
 // Backend answers the requests that the listener lets in.
 type Backend interface {
-	// Answer answers a user's request, wherever the leader is.
-	Answer(ctx context.Context, q *rpc.Request) *rpc.Reply
-	// Report answers a worker's report as leader; nil: this node does not lead.
-	Report(ctx context.Context, q *rpc.Request) *rpc.Reply
+	// HandleUser answers a user's request, wherever the leader is.
+	HandleUser(ctx context.Context, q *rpc.Request) *rpc.Reply
+	// Heartbeat answers a worker's report as leader; nil: this node does not lead.
+	Heartbeat(ctx context.Context, q *rpc.Request) *rpc.Reply
 	// Leader names the leader as far as this node knows, or is empty.
 	Leader() string
-	// Forward hands a worker's report to the leader.
-	Forward(ctx context.Context, q *rpc.Request) *rpc.Reply
+	// ForwardHeartbeat hands a worker's report to the leader.
+	ForwardHeartbeat(ctx context.Context, q *rpc.Request) *rpc.Reply
 	// Healthy reports whether users should be sent here.
 	Healthy() bool
 }
 
 type workKey struct{}
 
-// WithWork hands the listener of a connection's requests whom to tell whether its worker
+// WithTaskObserver hands the listener of a connection's requests whom to tell whether its worker
 // has tasks.
-func WithWork(ctx context.Context, told func(work bool)) context.Context {
+func WithTaskObserver(ctx context.Context, told func(work bool)) context.Context {
 	return context.WithValue(ctx, workKey{}, told)
 }
 
@@ -87,7 +87,7 @@
 		s.user(w, q, &rpc.Request{Kind: rpc.KindStatus, ID: p.ByName("id")}, pollTime)
 	})
 	rt.POST("/api/jobs/:id/abort", func(w http.ResponseWriter, q *http.Request, p httprouter.Params) {
-		s.user(w, q, &rpc.Request{Kind: rpc.KindAbort, ID: p.ByName("id")}, submitTime)
+		s.user(w, q, &rpc.Request{Kind: rpc.KindCancel, ID: p.ByName("id")}, submitTime)
 	})
 	s.rollouts(rt)
 	s.calendar(rt)
@@ -144,9 +144,9 @@
 	ctx, cancel := context.WithTimeout(q.Context(), limit)
 	defer cancel()
 	begun := time.Now()
-	p := s.back.Answer(ctx, r)
-	s.meter.Took(metrics.AnswerTime, r.Kind, time.Since(begun))
-	s.meter.Add(metrics.Answers, r.Kind+" "+strconv.Itoa(p.Status), 1)
+	p := s.back.HandleUser(ctx, r)
+	s.meter.Observe(metrics.UserResponseTime, r.Kind, time.Since(begun))
+	s.meter.Add(metrics.UserResponses, r.Kind+" "+strconv.Itoa(p.Status), 1)
 	write(w, p)
 }
 
@@ -162,10 +162,10 @@
 	}
 	ctx, cancel := context.WithTimeout(q.Context(), reportTime)
 	defer cancel()
-	r := &rpc.Request{Kind: rpc.KindReport, Body: body}
-	if p := s.back.Report(ctx, r); p != nil {
+	r := &rpc.Request{Kind: rpc.KindHeartbeat, Body: body}
+	if p := s.back.Heartbeat(ctx, r); p != nil {
 		if told, ok := ctx.Value(workKey{}).(func(bool)); ok {
-			told(p.Work)
+			told(p.HasTasks)
 		}
 		write(w, p)
 		return
@@ -177,7 +177,7 @@
 	}
 	from, _, _ := net.SplitHostPort(q.RemoteAddr)
 	if s.redirected(from, leader) {
-		write(w, s.back.Forward(ctx, r))
+		write(w, s.back.ForwardHeartbeat(ctx, r))
 		return
 	}
 	b, err := wire.Marshal(wire.Redirect{ReportTo: leader})
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -23,14 +23,14 @@
 	asked     []string
 }
 
-func (s *standIn) Answer(_ context.Context, q *rpc.Request) *rpc.Reply {
+func (s *standIn) HandleUser(_ context.Context, q *rpc.Request) *rpc.Reply {
 	s.asked = append(s.asked, q.Kind+" "+q.ID)
 	return s.answer
 }
-func (s *standIn) Report(context.Context, *rpc.Request) *rpc.Reply { return s.report }
-func (s *standIn) Leader() string                                  { return s.leader }
-func (s *standIn) Healthy() bool                                   { return s.healthy }
-func (s *standIn) Forward(context.Context, *rpc.Request) *rpc.Reply {
+func (s *standIn) Heartbeat(context.Context, *rpc.Request) *rpc.Reply { return s.report }
+func (s *standIn) Leader() string                                     { return s.leader }
+func (s *standIn) Healthy() bool                                      { return s.healthy }
+func (s *standIn) ForwardHeartbeat(context.Context, *rpc.Request) *rpc.Reply {
 	s.forwarded++
 	return &rpc.Reply{Status: http.StatusOK}
 }
--- a/internal/api/calendar.go
+++ b/internal/api/calendar.go
@@ -38,13 +38,13 @@
 			operate(w, q, rpc.Operation{Verb: rpc.VerbStart, Spec: body})
 		})
 		rt.GET(place, func(w http.ResponseWriter, q *http.Request, _ httprouter.Params) {
-			operate(w, q, rpc.Operation{Verb: rpc.VerbList, Service: q.URL.Query().Get("after")})
+			operate(w, q, rpc.Operation{Verb: rpc.VerbList, Name: q.URL.Query().Get("after")})
 		})
 		rt.GET(place+"/:name", func(w http.ResponseWriter, q *http.Request, p httprouter.Params) {
-			operate(w, q, rpc.Operation{Verb: rpc.VerbStatus, Service: p.ByName("name")})
+			operate(w, q, rpc.Operation{Verb: rpc.VerbStatus, Name: p.ByName("name")})
 		})
 		rt.POST(place+"/:name/cancel", func(w http.ResponseWriter, q *http.Request, p httprouter.Params) {
-			operate(w, q, rpc.Operation{Verb: rpc.VerbCancel, Service: p.ByName("name")})
+			operate(w, q, rpc.Operation{Verb: rpc.VerbCancel, Name: p.ByName("name")})
 		})
 	}
 }
--- a/internal/api/configuration.go
+++ b/internal/api/configuration.go
@@ -32,16 +32,16 @@
 			write(w, refuse(http.StatusBadRequest, err.Error()))
 			return
 		}
-		operate(w, q, rpc.Operation{Verb: rpc.VerbStart, Spec: body, Dry: dryRun(q)})
+		operate(w, q, rpc.Operation{Verb: rpc.VerbStart, Spec: body, DryRun: dryRun(q)})
 	})
 	rt.GET("/api/config", func(w http.ResponseWriter, q *http.Request, _ httprouter.Params) {
-		operate(w, q, rpc.Operation{Verb: rpc.VerbList, Service: q.URL.Query().Get("after")})
+		operate(w, q, rpc.Operation{Verb: rpc.VerbList, Name: q.URL.Query().Get("after")})
 	})
 	rt.GET("/api/config/history", func(w http.ResponseWriter, q *http.Request, _ httprouter.Params) {
 		operate(w, q, rpc.Operation{Verb: rpc.VerbHistory})
 	})
 	rt.POST("/api/config/rollback/:revision", func(w http.ResponseWriter, q *http.Request, p httprouter.Params) {
-		operate(w, q, rpc.Operation{Verb: rpc.VerbUndo, Service: p.ByName("revision"), Dry: dryRun(q)})
+		operate(w, q, rpc.Operation{Verb: rpc.VerbRollback, Name: p.ByName("revision"), DryRun: dryRun(q)})
 	})
 	rt.GET("/api/config/status", func(w http.ResponseWriter, q *http.Request, _ httprouter.Params) {
 		operate(w, q, rpc.Operation{Verb: rpc.VerbStatus})
--- a/internal/api/rollouts.go
+++ b/internal/api/rollouts.go
@@ -36,12 +36,12 @@
 		operate(w, q, rpc.Operation{Verb: rpc.VerbList})
 	})
 	rt.GET("/api/rollouts/:service", func(w http.ResponseWriter, q *http.Request, p httprouter.Params) {
-		operate(w, q, rpc.Operation{Verb: rpc.VerbStatus, Service: p.ByName("service")})
+		operate(w, q, rpc.Operation{Verb: rpc.VerbStatus, Name: p.ByName("service")})
 	})
 	rt.POST("/api/rollouts/:service/:verb", func(w http.ResponseWriter, q *http.Request, p httprouter.Params) {
 		switch verb := p.ByName("verb"); verb {
-		case rpc.VerbPause, rpc.VerbResume, rpc.VerbUndo:
-			operate(w, q, rpc.Operation{Verb: verb, Service: p.ByName("service")})
+		case rpc.VerbPause, rpc.VerbResume, rpc.VerbRollback:
+			operate(w, q, rpc.Operation{Verb: verb, Name: p.ByName("service")})
 		default:
 			write(w, refuse(http.StatusNotFound, "no such route"))
 		}
--- a/internal/autoscale/cloud.go
+++ b/internal/autoscale/cloud.go
@@ -91,15 +91,15 @@
 }
 
 // List reads the whole list of machines.
-func (c *Cloud) List(ctx context.Context) ([]wire.CloudHost, error) {
-	var all []wire.CloudHost
+func (c *Cloud) List(ctx context.Context) ([]wire.CloudMachine, error) {
+	var all []wire.CloudMachine
 	after := ""
 	for {
 		q := url.Values{"page": {"500"}}
 		if after != "" {
 			q.Set("after", after)
 		}
-		var page wire.CloudHosts
+		var page wire.CloudMachinePage
 		if err := c.do(ctx, http.MethodGet, "/hosts?"+q.Encode(), nil, &page); err != nil {
 			return nil, err
 		}
@@ -112,8 +112,8 @@
 }
 
 // Rent asks for machines and returns the names of those rented.
-func (c *Cloud) Rent(ctx context.Context, h wire.Hire) ([]string, error) {
-	var out wire.HostNames
+func (c *Cloud) Rent(ctx context.Context, h wire.RentalRequest) ([]string, error) {
+	var out wire.MachineNames
 	err := c.do(ctx, http.MethodPost, "/hosts", h, &out)
 	return out.Hosts, err
 }
@@ -121,5 +121,5 @@
 // Release returns machines; without an error they are gone with all on them.
 func (c *Cloud) Release(ctx context.Context, names []string) error {
 	var out struct{}
-	return c.do(ctx, http.MethodPost, "/hosts/release", wire.HostNames{Hosts: names}, &out)
+	return c.do(ctx, http.MethodPost, "/hosts/release", wire.MachineNames{Hosts: names}, &out)
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -191,10 +191,10 @@
 	return nil
 }
 
-// Doubts are contradictions in the settings that a controller can live with, each in a
+// Warnings are contradictions in the settings that a controller can live with, each in a
 // line: it starts all the same, because a cluster that does not start for the name of a
 // zone is the worse outcome.
-func (s *Settings) Doubts() (lines []string) {
+func (s *Settings) Warnings() (lines []string) {
 	f := &s.Facts
 	if n := len(s.Siblings) + 1; f.Nodes != 0 && f.Nodes != n {
 		lines = append(lines, fmt.Sprintf("facts.nodes: %d, but %d controllers are named; those count", f.Nodes, n))
@@ -223,38 +223,38 @@
 	// HoldS is how long before a slot machines that are up are held for it, in seconds:
 	// until then only work that is sure to be gone in time is placed on them.
 	HoldS float64 `json:"hold_s"`
-	// Days is how far ahead anything may be planned.
-	Days int `json:"days"`
-	// Most, PerTeam and Windows bound the reservations, those of one team, and the
+	// HorizonDays is how far ahead anything may be planned.
+	HorizonDays int `json:"days"`
+	// MaxReservations, PerTeam and Windows bound the reservations, those of one team, and the
 	// maintenance windows; Occurrences those of one reservation.
-	Most        int `json:"most"`
-	PerTeam     int `json:"per_team"`
-	Windows     int `json:"windows"`
-	Occurrences int `json:"occurrences"`
-	// CountOn is how many machines of a type are counted upon in each zone; a type that
+	MaxReservations int `json:"most"`
+	MaxPerTeam      int `json:"per_team"`
+	MaxWindows      int `json:"windows"`
+	MaxOccurrences  int `json:"occurrences"`
+	// AssumedCapacity is how many machines of a type are counted upon in each zone; a type that
 	// is not named has no bound.
-	CountOn map[string]int `json:"count_on"`
+	AssumedCapacity map[string]int `json:"count_on"`
 }
 
-// Shares holds the operators' settings for sharing the machines among the
+// Sharding holds the operators' settings for sharing the machines among the
 // controllers.
-type Shares struct {
+type Sharding struct {
 	Enabled bool `json:"enabled"`
-	// Least is the number of machines below which the leader deals with all.
-	Least int `json:"least"`
+	// MinMachines is the number of machines below which the leader deals with all.
+	MinMachines int `json:"least"`
 	// GrantMs is how long a holder may answer without hearing from the leader, in
 	// milliseconds; never beyond the leader's own entitlement.
 	GrantMs int `json:"grant_ms"`
-	// JoinS is how long a controller must be there before it gets machines, in seconds;
+	// JoinDelayS is how long a controller must be there before it gets machines, in seconds;
 	// RestS how long one that has left gets none. It doubles with each time that it
 	// leaves, up to RestMostS.
-	JoinS     float64 `json:"join_s"`
-	RestS     float64 `json:"rest_s"`
-	RestMostS float64 `json:"rest_most_s"`
-	// PerS is how many machines change their holder a second; 0: from core_share.
-	PerS float64 `json:"per_s"`
-	// Own is the leader's part beside 1 for each of the others.
-	Own float64 `json:"own"`
+	JoinDelayS      float64 `json:"join_s"`
+	RejoinDelayS    float64 `json:"rest_s"`
+	MaxRejoinDelayS float64 `json:"rest_most_s"`
+	// MovesPerS is how many machines change their holder a second; 0: from core_share.
+	MovesPerS float64 `json:"per_s"`
+	// LeaderWeight is the leader's part beside 1 for each of the others.
+	LeaderWeight float64 `json:"own"`
 }
 
 // Regions holds the operators' settings for several regions with one configuration.
@@ -298,10 +298,10 @@
 	// state service answers nobody, in milliseconds; 0: a leader that cannot renew its
 	// lease stops.
 	PromiseMs int `json:"promise_ms"`
-	// YieldS is for how long a leader must have been short of processor, in seconds,
+	// TransferAfterS is for how long a leader must have been short of processor, in seconds,
 	// before it gives the lead to a controller that computes at least twice as fast; 0:
 	// it keeps it.
-	YieldS float64 `json:"yield_s"`
+	TransferAfterS float64 `json:"yield_s"`
 	// Rollouts switches roll-outs of services on.
 	Rollouts struct {
 		Enabled bool `json:"enabled"`
@@ -312,8 +312,8 @@
 	} `json:"rollouts"`
 	// Calendar switches reservations and maintenance windows on.
 	Calendar Calendar `json:"calendar"`
-	// Shares switches the sharing of the machines on.
-	Shares Shares `json:"shares"`
+	// Sharding switches the sharing of the machines on.
+	Sharding Sharding `json:"shares"`
 	// Regions names the regions that share one configuration.
 	Regions Regions `json:"regions"`
 	// MetricsListen is the address of the metrics page; empty: there is none.
@@ -353,8 +353,8 @@
 	w.Queue, w.Jobs, w.CPU, w.Price = 13, 7, 1, 30
 	w.Image, w.Sticky, w.SameZone, w.Unreliable, w.Empty = 150, 100, 100, 400, 300
 	t.Rollouts.Most, t.Rollouts.Checks = 1000, 16
-	t.Calendar = Calendar{Hold: true, Drain: true, Backfill: true, HoldS: 900, Days: 100, Most: 2000, PerTeam: 500, Windows: 100, Occurrences: 400}
-	t.Shares = Shares{Least: 200, GrantMs: 2000, JoinS: 3, RestS: 5, RestMostS: 120, Own: 0.45}
+	t.Calendar = Calendar{Hold: true, Drain: true, Backfill: true, HoldS: 900, HorizonDays: 100, MaxReservations: 2000, MaxPerTeam: 500, MaxWindows: 100, MaxOccurrences: 400}
+	t.Sharding = Sharding{MinMachines: 200, GrantMs: 2000, JoinDelayS: 3, RejoinDelayS: 5, MaxRejoinDelayS: 120, LeaderWeight: 0.45}
 	h := &t.Hosts
 	h.IdleBoots, h.GiveUpBoots, h.MinFill, h.PatienceS, h.SickErrors = 1, 4, 0.5, 15, 3
 	return t
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -116,7 +116,7 @@
 			t.Errorf("%s: %v", tt.name, err)
 			continue
 		}
-		got := strings.Join(s.Doubts(), "\n")
+		got := strings.Join(s.Warnings(), "\n")
 		if (tt.want == "") != (got == "") || !strings.Contains(got, tt.want) {
 			t.Errorf("%s: %q, want %q", tt.name, got, tt.want)
 		}
--- a/internal/control/admission.go
+++ b/internal/control/admission.go
@@ -383,7 +383,7 @@
 	if key != "" {
 		kind = "group"
 	}
-	ad.c.Meter.Add(metrics.Accepted, kind, len(in))
+	ad.c.Meter.Add(metrics.JobsAccepted, kind, len(in))
 	ad.ahead(func() {
 		if key != "" {
 			recs := make([]job.Record, len(in))
--- a/internal/control/admission_group_reader.go
+++ b/internal/control/admission_group_reader.go
@@ -221,7 +221,7 @@
 		// Unclear, it may be: for the user's next try to settle.
 		return noLeader()
 	}
-	c.Meter.Add(metrics.Accepted, "without the leader", 1)
+	c.Meter.Add(metrics.JobsAccepted, "without the leader", 1)
 	c.Log.Info("admitted a job without the leader", "job", id)
 	return reply(http.StatusCreated, recordStatus(rec))
 }
--- a/internal/control/admission_groups_test.go
+++ b/internal/control/admission_groups_test.go
@@ -343,7 +343,7 @@
 
 func (st *seat) phase(id string) string {
 	p := st.ask(rpc.KindStatus, id, nil)
-	var s wire.Status
+	var s wire.JobStatus
 	if p.Status != 200 {
 		return fmt.Sprint(p.Status)
 	}
@@ -454,7 +454,7 @@
 				t.Errorf("try %d: %d", i, status)
 			}
 		}
-		if p := st.ask(rpc.KindAbort, "run-1", nil); p.Status != 200 || st.phase("run-1") != wire.JobAborted {
+		if p := st.ask(rpc.KindCancel, "run-1", nil); p.Status != 200 || st.phase("run-1") != wire.JobCancelled {
 			t.Errorf("cancelled: %d, and it is %s", p.Status, st.phase("run-1"))
 		}
 	}},
@@ -487,7 +487,7 @@
 		}
 		time.Sleep(3 * time.Second)
 		for i := range 40 {
-			if p := st.ask(rpc.KindAbort, fmt.Sprintf("run-%d", i), nil); p.Status != 200 {
+			if p := st.ask(rpc.KindCancel, fmt.Sprintf("run-%d", i), nil); p.Status != 200 {
 				t.Errorf("cancel: %d", p.Status)
 			}
 		}
@@ -504,7 +504,7 @@
 		var wg sync.WaitGroup
 		for i := range 100 {
 			wg.Go(func() {
-				if p := st.ask(rpc.KindAbort, fmt.Sprintf("run-%d", i), nil); p.Status != 200 {
+				if p := st.ask(rpc.KindCancel, fmt.Sprintf("run-%d", i), nil); p.Status != 200 {
 					t.Errorf("run-%d: %d", i, p.Status)
 				}
 			})
@@ -520,13 +520,13 @@
 		for i := range 30 {
 			id := fmt.Sprintf("run-%d", i)
 			s.will("jgf", unheard)
-			go st.ask(rpc.KindAbort, id, nil)
+			go st.ask(rpc.KindCancel, id, nil)
 			time.Sleep(100 * time.Millisecond)
-			var told wire.Status
-			if p := st.Direct(context.Background(), id); wire.Unmarshal(p.Body, &told) != nil || told.Phase != wire.JobAborted {
+			var told wire.JobStatus
+			if p := st.Direct(context.Background(), id); wire.Unmarshal(p.Body, &told) != nil || told.Phase != wire.JobCancelled {
 				continue // its commit waits for others
 			}
-			if got := st.phase(id); got != wire.JobAborted {
+			if got := st.phase(id); got != wire.JobCancelled {
 				t.Errorf("%s is %s at the leader", id, got)
 			}
 			if out := st.submit(body(id, nil)); out[0] != 200 {
@@ -592,7 +592,7 @@
 					s.fates = append(make([]fate, step), f)
 					s.mu.Unlock()
 					for i := range over {
-						go st.ask(rpc.KindAbort, fmt.Sprintf("run-%d", i), nil)
+						go st.ask(rpc.KindCancel, fmt.Sprintf("run-%d", i), nil)
 					}
 					for range 100 {
 						time.Sleep(20 * time.Millisecond)
@@ -605,7 +605,7 @@
 					}
 					told := map[int]bool{}
 					for i := range over {
-						told[i] = st.phase(fmt.Sprintf("run-%d", i)) == wire.JobAborted
+						told[i] = st.phase(fmt.Sprintf("run-%d", i)) == wire.JobCancelled
 					}
 					st.stop()
 					next := sit(t, s, 2)
@@ -613,11 +613,11 @@
 					for i := range jobs {
 						id := fmt.Sprintf("run-%d", i)
 						got := next.phase(id)
-						if told[i] && got != wire.JobAborted || i >= over && got != wire.JobPending || got == "404" {
+						if told[i] && got != wire.JobCancelled || i >= over && got != wire.JobPending || got == "404" {
 							t.Errorf("%s is %s, was told to be over: %v", id, got, told[i])
 						}
 						if i < over {
-							next.ask(rpc.KindAbort, id, nil)
+							next.ask(rpc.KindCancel, id, nil)
 						}
 					}
 					time.Sleep(time.Minute)
@@ -625,7 +625,7 @@
 						t.Errorf("%d final records, want %d", n, over)
 					}
 					for i := range over {
-						if got := next.phase(fmt.Sprintf("run-%d", i)); got != wire.JobAborted {
+						if got := next.phase(fmt.Sprintf("run-%d", i)); got != wire.JobCancelled {
 							t.Errorf("run-%d is %s at the end", i, got)
 						}
 					}
@@ -707,7 +707,7 @@
 		}{
 			{rpc.KindStatus, "run-5", 200}, {rpc.KindStatus, "run-6", 200}, {rpc.KindStatus, "run-7", 200}, {rpc.KindStatus, "run-4", 503},
 			{rpc.KindSubmit, "run-5", 200}, {rpc.KindSubmit, "run-6", 200}, {rpc.KindSubmit, "run-7", 200}, {rpc.KindSubmit, "run-4", 503},
-			{rpc.KindAbort, "run-4", 503}, {rpc.KindAbort, "run-6", 200},
+			{rpc.KindCancel, "run-4", 503}, {rpc.KindCancel, "run-6", 200},
 		} {
 			if p := st.ask(tt.kind, tt.id, body(tt.id, nil)); p.Status != tt.want {
 				t.Errorf("%s %s: %d, want %d", tt.kind, tt.id, p.Status, tt.want)
@@ -730,12 +730,12 @@
 }
 
 // shows lets a machine report, and returns what the leader then has of it.
-func (st *seat) shows(host string, seq uint64, tasks ...wire.TaskReport) (slots []fleet.Slot) {
+func (st *seat) shows(host string, seq uint64, tasks ...wire.TaskStatus) (slots []fleet.Slot) {
 	r := st.current()
 	r.ahead(func() {
 		h := r.fleet.Add(host, time.Now())
 		h.Known, h.Type, h.Zone = true, 0, 0
-		r.taskTracker.observe(h, &wire.Report{Host: host, Session: 1, Seq: seq, Token: st.term, Tasks: tasks}, true, time.Now())
+		r.taskTracker.observe(h, &wire.Heartbeat{Host: host, Session: 1, Seq: seq, Token: st.term, Tasks: tasks}, true, time.Now())
 	})
 	time.Sleep(time.Second)
 	done := make(chan struct{})
@@ -751,7 +751,7 @@
 
 // stops reports whether the leader stops a task that a machine shows running.
 func (st *seat) stops(host, task string) bool {
-	slots := st.shows(host, 5, wire.TaskReport{Task: task, Attempt: 1, Phase: wire.Running})
+	slots := st.shows(host, 5, wire.TaskStatus{Task: task, Attempt: 1, Phase: wire.TaskRunning})
 	return len(slots) == 1 && slots[0].Stopping
 }
 
@@ -764,7 +764,7 @@
 		name  string
 		phase string // of its record; empty: there is none
 	}{
-		{"cancelled through the leader before", wire.JobAborted},
+		{"cancelled through the leader before", wire.JobCancelled},
 		{"done", wire.JobDone},
 		{"never heard of", ""},
 	}
@@ -807,7 +807,7 @@
 				st := sit(t, s, 7)
 				s.will(job.DonePrefix[:1], tt.fates...)
 				for i := range 4 {
-					st.shows("host-1", uint64(1+i), wire.TaskReport{Task: fmt.Sprintf("run-4/%d", i), Attempt: 1, Phase: wire.Exited, Cause: wire.CauseDone})
+					st.shows("host-1", uint64(1+i), wire.TaskStatus{Task: fmt.Sprintf("run-4/%d", i), Attempt: 1, Phase: wire.TaskExited, Cause: wire.CauseDone})
 					time.Sleep(2 * time.Second)
 				}
 				time.Sleep(20 * time.Second)
@@ -816,7 +816,7 @@
 				}
 				st.stop()
 				next := sit(t, s, 8)
-				var got wire.Status
+				var got wire.JobStatus
 				if p := next.ask(rpc.KindStatus, "run-4", nil); wire.Unmarshal(p.Body, &got) != nil || got.Done != 4 {
 					t.Errorf("the next leader knows %d results of 4", got.Done)
 				}
@@ -828,7 +828,7 @@
 // TestResolve: a submission meets the record of a job that another node has admitted, read
 // before the job ended. It is not taken in once more, and its user is told the end.
 func TestResolve(t *testing.T) {
-	for _, phase := range []string{"", wire.JobDone, wire.JobAborted} {
+	for _, phase := range []string{"", wire.JobDone, wire.JobCancelled} {
 		t.Run("ended: "+phase, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := newStateService(t)
@@ -845,7 +845,7 @@
 					r.admission.pending["run-5"] = in
 					go r.admission.resolve(in)
 				})
-				var told wire.Status
+				var told wire.JobStatus
 				if p := <-got; p.Status != 200 || wire.Unmarshal(p.Body, &told) != nil || (phase != "" && told.Phase != phase) {
 					t.Errorf("answer %d %s", p.Status, told.Phase)
 				}
@@ -887,7 +887,7 @@
 
 // namedOp is an operation on the roll-out of service x, or the calendar entry x.
 func namedOp(verb string, window bool) lateOp {
-	return lateOp{rpc.Operation{Verb: verb, Service: "x", Window: window}, nil}
+	return lateOp{rpc.Operation{Verb: verb, Name: "x", Window: window}, nil}
 }
 
 // lateRecord is a case of TestLateRecords.
@@ -974,7 +974,7 @@
 // TestLapsed: an answer that has waited behind a busy actor until the entitlement was gone is
 // none: another may lead by then, and have told the user something newer.
 func TestLapsed(t *testing.T) {
-	for _, kind := range []string{rpc.KindStatus, rpc.KindSubmit, rpc.KindAbort} {
+	for _, kind := range []string{rpc.KindStatus, rpc.KindSubmit, rpc.KindCancel} {
 		t.Run(kind, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				st := sit(t, newStateService(t), 7)
--- a/internal/control/calendar_drains.go
+++ b/internal/control/calendar_drains.go
@@ -215,7 +215,7 @@
 // still run until their worker says so: counted, they let all of a machine go at once.
 func (dr *maintenanceDrains) serving(j *job.Job) (n int) {
 	for s := range dr.fleet.On(j) {
-		if s.Phase == wire.Running && !s.Stopping {
+		if s.Phase == wire.TaskRunning && !s.Stopping {
 			n++
 		}
 	}
@@ -235,7 +235,7 @@
 
 func (dr *maintenanceDrains) stop(s *fleet.Slot, grace float64, h *fleet.Host, p *calendar.Plan) {
 	dr.log.Info("moving a task for maintenance", "task", job.TaskName(s.Job.ID, s.Task), "host", h.Name, "window", p.Name, "save_s", grace)
-	dr.c.Meter.Add(metrics.Moves, "", 1)
+	dr.c.Meter.Add(metrics.MaintenanceMoves, "", 1)
 	dr.taskTracker.stopSlot(s, grace)
 }
 
--- a/internal/control/calendar_holds.go
+++ b/internal/control/calendar_holds.go
@@ -209,7 +209,7 @@
 			hd.drop(s)
 		}
 	}
-	defer func() { hd.c.Meter.Set(metrics.Held, len(hd.held)) }()
+	defer func() { hd.c.Meter.Set(metrics.ReservedMachines, len(hd.held)) }()
 	// The next slot chooses first, so that two leaders would choose alike.
 	order := slices.SortedFunc(maps.Keys(due), func(a, b string) int {
 		return cmp.Or(cmp.Compare(due[a].span.From, due[b].span.From), cmp.Compare(a, b))
--- a/internal/control/calendar_requests.go
+++ b/internal/control/calendar_requests.go
@@ -30,16 +30,16 @@
 		cs.change(func() { cs.plan(op.Spec, back) }, back)
 	case op.Verb == rpc.VerbStart:
 		cs.change(func() { cs.reserve(op.Spec, op.Team, back) }, back)
-	case op.Window && cs.windows[op.Service] == 0:
+	case op.Window && cs.windows[op.Name] == 0:
 		refuse(http.StatusNotFound, "no maintenance window of that name")
-	case !op.Window && !cs.sees(op.Team, op.Service):
+	case !op.Window && !cs.sees(op.Team, op.Name):
 		refuse(http.StatusNotFound, "no reservation of that name")
 	case op.Verb == rpc.VerbCancel:
 		cs.change(func() { cs.cancel(op, back) }, back)
 	case op.Window:
-		back(reply(http.StatusOK, cs.windowStatus(op.Service)))
+		back(reply(http.StatusOK, cs.windowStatus(op.Name)))
 	default:
-		back(reply(http.StatusOK, cs.status(op.Service)))
+		back(reply(http.StatusOK, cs.status(op.Name)))
 	}
 }
 
@@ -64,7 +64,7 @@
 			}
 		}
 	}
-	names = slices.DeleteFunc(names, func(n string) bool { return n <= op.Service })
+	names = slices.DeleteFunc(names, func(n string) bool { return n <= op.Name })
 	slices.Sort(names)
 	more := len(names) > pageSize
 	names = names[:min(len(names), pageSize)]
@@ -251,20 +251,20 @@
 func (cs *calendarStore) cancel(op *rpc.Operation, back func(*rpc.Reply)) {
 	gone := reply(http.StatusNotFound, wire.Error{Error: "no entry of that name"})
 	if op.Window {
-		if cs.windows[op.Service] == 0 {
+		if cs.windows[op.Name] == 0 {
 			back(gone)
 			return
 		}
-		s := cs.windowStatus(op.Service)
-		cs.remove(windowPrefix+op.Service, cs.windows[op.Service], func() {
-			cs.forgetWindow(op.Service)
-			cs.log.Info("maintenance window is cancelled", "window", op.Service)
+		s := cs.windowStatus(op.Name)
+		cs.remove(windowPrefix+op.Name, cs.windows[op.Name], func() {
+			cs.forgetWindow(op.Name)
+			cs.log.Info("maintenance window is cancelled", "window", op.Name)
 			s.State = "cancelled"
 			back(reply(http.StatusOK, s))
 		})
 		return
 	}
-	b := cs.bookings[op.Service]
+	b := cs.bookings[op.Name]
 	switch {
 	case b == nil:
 		back(gone)
@@ -273,10 +273,10 @@
 		back(settled(Later("the reservation is being stored")))
 		return
 	}
-	s := cs.status(op.Service)
-	cs.remove(bookingPrefix+op.Service, b.version, func() {
-		cs.forget(op.Service)
-		cs.log.Info("reservation is cancelled", "reservation", op.Service, "by", op.Team)
+	s := cs.status(op.Name)
+	cs.remove(bookingPrefix+op.Name, b.version, func() {
+		cs.forget(op.Name)
+		cs.log.Info("reservation is cancelled", "reservation", op.Name, "by", op.Team)
 		s.State = "cancelled"
 		back(reply(http.StatusOK, s))
 	})
--- a/internal/control/calendar_store.go
+++ b/internal/control/calendar_store.go
@@ -95,12 +95,12 @@
 
 func (cs *calendarStore) limits() calendar.Limits {
 	t := &cs.c.Tuning.Calendar
-	return calendar.Limits{Days: t.Days, Entries: t.Most, PerTeam: t.PerTeam, Windows: t.Windows, Occurrences: t.Occurrences}
+	return calendar.Limits{Days: t.HorizonDays, Entries: t.MaxReservations, PerTeam: t.MaxPerTeam, Windows: t.MaxWindows, Occurrences: t.MaxOccurrences}
 }
 
 func (cs *calendarStore) facts(types []wire.MachineType, zones []string) calendar.Facts {
 	counted := func(typ, _ string) int {
-		if n, ok := cs.c.Tuning.Calendar.CountOn[typ]; ok {
+		if n, ok := cs.c.Tuning.Calendar.AssumedCapacity[typ]; ok {
 			return n
 		}
 		return -1
@@ -363,7 +363,7 @@
 			return
 		}
 		o := next.Past[len(next.Past)-1]
-		cs.c.Meter.Add(metrics.Slots, o.What, 1)
+		cs.c.Meter.Add(metrics.ReservationSlots, o.What, 1)
 		cs.log.Info("slot is decided", "reservation", b.rec.Spec.Name, "start", time.UnixMilli(o.Start).UTC(), "outcome", o.What, "job", o.Job, "late_s", o.LateS)
 		b.rec, b.version, cs.near = next, v, nil
 		cs.changed()
--- a/internal/control/commands.go
+++ b/internal/control/commands.go
@@ -71,7 +71,7 @@
 	orders, sent, ev := cm.fleet.Compose(h, 0, h.Usable(), now, maxOrders)
 	cm.takeover.launched(len(sent), now)
 	cm.taskTracker.handle(ev, now)
-	body, err := wire.Marshal(wire.Direct{Token: cm.term, Session: session, Orders: orders})
+	body, err := wire.Marshal(wire.DirectCommands{Token: cm.term, Session: session, Commands: orders})
 	if err != nil {
 		cm.log.Error("orders do not encode", "error", err)
 		return
@@ -142,9 +142,9 @@
 	if cm.fleet.Hosts[h.Name] != h {
 		return
 	}
-	var rep *wire.Report
+	var rep *wire.Heartbeat
 	if len(answer) > 0 {
-		rep = &wire.Report{}
+		rep = &wire.Heartbeat{}
 		if err := wire.Unmarshal(answer, rep); err != nil || rep.Session == 0 {
 			rep = nil
 		}
--- a/internal/control/completions.go
+++ b/internal/control/completions.go
@@ -171,7 +171,7 @@
 	}
 	en.waiters[j] = append(en.waiters[j], back)
 	if j.Closing == "" {
-		en.finish(j, wire.JobAborted)
+		en.finish(j, wire.JobCancelled)
 	}
 }
 
@@ -194,7 +194,7 @@
 // active record; the first to commit stands for ever.
 func (en *completions) finish(j *job.Job, phase string) {
 	j.Closing = phase
-	if phase == wire.JobAborted {
+	if phase == wire.JobCancelled {
 		j.CancelledAt = time.Now()
 	}
 	en.taskTracker.stopAll(j)
@@ -252,7 +252,7 @@
 
 func (en *completions) finished(j *job.Job, rec *job.Record) {
 	j.Phase = rec.Phase
-	en.c.Meter.Add(metrics.Endings, j.Phase, 1)
+	en.c.Meter.Add(metrics.JobsEnded, j.Phase, 1)
 	s := recordStatus(rec)
 	en.finals.put(s)
 	for _, back := range en.waiters[j] {
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -127,7 +127,7 @@
 // request on must not try by itself, which would double the load that the
 // leader turns away.
 func settled(p *rpc.Reply) *rpc.Reply {
-	p.Settled = true
+	p.Final = true
 	return p
 }
 
@@ -160,7 +160,7 @@
 		do = func(r *leaderTerm, back func(*rpc.Reply)) { r.admission.submit(id, spec, err, back) }
 	case rpc.KindStatus:
 		do = func(r *leaderTerm, back func(*rpc.Reply)) { r.admission.status(q.ID, back) }
-	case rpc.KindAbort:
+	case rpc.KindCancel:
 		do = func(r *leaderTerm, back func(*rpc.Reply)) { r.completions.abort(q.ID, back) }
 	case rpc.KindRollout:
 		op, bad := decodeOperation(q.Body)
@@ -180,12 +180,12 @@
 			return nil, nil, bad
 		}
 		do = func(r *leaderTerm, back func(*rpc.Reply)) { r.homeQuotas.operate(op, back) }
-	case rpc.KindReport:
-		m := &wire.Report{}
+	case rpc.KindHeartbeat:
+		m := &wire.Heartbeat{}
 		if err := wire.Unmarshal(q.Body, m); err != nil || m.Host == "" || m.Session == 0 {
 			return nil, nil, reply(http.StatusBadRequest, wire.Error{Error: "malformed report"})
 		}
-		do, box = func(r *leaderTerm, back func(*rpc.Reply)) { r.report(m, q.Via, back) }, r.inbox
+		do, box = func(r *leaderTerm, back func(*rpc.Reply)) { r.report(m, q.ForwardedBy, back) }, r.inbox
 	default:
 		return nil, nil, reply(http.StatusBadRequest, wire.Error{Error: "unknown request"})
 	}
@@ -238,8 +238,8 @@
 	Types []wire.MachineType `codec:"types"`
 }
 
-func recordStatus(rec *job.Record) wire.Status {
-	s := wire.Status{ID: rec.Spec.ID, Phase: rec.Phase, Done: rec.Done}
+func recordStatus(rec *job.Record) wire.JobStatus {
+	s := wire.JobStatus{ID: rec.Spec.ID, Phase: rec.Phase, Done: rec.Done}
 	if s.Phase == "" {
 		s.Phase = wire.JobPending
 	}
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -243,9 +243,9 @@
 				r.nameIndex.describe(h, "small", "a", false)
 				h.Inherited = true
 			}
-			var list []wire.CloudHost
+			var list []wire.CloudMachine
 			for _, n := range tt.list {
-				list = append(list, wire.CloudHost{Name: n})
+				list = append(list, wire.CloudMachine{Name: n})
 			}
 			r.takeover.listed(list)
 			r.takeover.settle(r.since.Add(tt.after))
@@ -279,12 +279,12 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			r := bench(t)
-			r.report(&wire.Report{Host: "h2", Type: "small", Zone: "a", Session: 1, Seq: 4, Tasks: []wire.TaskReport{{Task: "run-1/0", Attempt: 1, Phase: wire.Running}}},
+			r.report(&wire.Heartbeat{Host: "h2", Type: "small", Zone: "a", Session: 1, Seq: 4, Tasks: []wire.TaskStatus{{Task: "run-1/0", Attempt: 1, Phase: wire.TaskRunning}}},
 				"", func(*rpc.Reply) {})
 			for _, names := range tt.lists {
-				var list []wire.CloudHost
+				var list []wire.CloudMachine
 				for _, n := range names {
-					list = append(list, wire.CloudHost{Name: n})
+					list = append(list, wire.CloudMachine{Name: n})
 				}
 				r.machinePool.listed(list)
 			}
--- a/internal/control/gangs_test.go
+++ b/internal/control/gangs_test.go
@@ -15,13 +15,13 @@
 func TestIncomplete(t *testing.T) {
 	tests := []struct {
 		name   string
-		phases []string // of the members but the first, which leaves
+		phases []wire.TaskPhase // of the members but the first, which leaves
 		broken bool
 	}{
-		{"another fetches", []string{wire.Waiting, wire.Pulling}, false},
-		{"another's launch has not been shown yet", []string{wire.Waiting, ""}, false},
-		{"nobody fetches any more", []string{wire.Waiting, wire.Waiting}, true},
-		{"another has no place", []string{wire.Pulling}, true},
+		{"another fetches", []wire.TaskPhase{wire.TaskWaiting, wire.TaskFetching}, false},
+		{"another's launch has not been shown yet", []wire.TaskPhase{wire.TaskWaiting, ""}, false},
+		{"nobody fetches any more", []wire.TaskPhase{wire.TaskWaiting, wire.TaskWaiting}, true},
+		{"another has no place", []wire.TaskPhase{wire.TaskFetching}, true},
 	}
 	for _, tt := range tests {
 		r := bench(t)
@@ -32,7 +32,7 @@
 			s := r.fleet.Assign(r.host("h1"), fleet.Key{Job: j, Task: int32(i + 1), Attempt: 5}, now)
 			s.Phase, s.Sent = phase, true
 		}
-		r.taskTracker.ended(&fleet.Slot{Key: fleet.Key{Job: j, Attempt: 5}, Phase: wire.Exited, Cause: wire.CauseIncomplete}, j, r.host("h2"), now)
+		r.taskTracker.ended(&fleet.Slot{Key: fleet.Key{Job: j, Attempt: 5}, Phase: wire.TaskExited, Cause: wire.CauseGangIncomplete}, j, r.host("h2"), now)
 		if j.GangBroken != tt.broken || (!tt.broken && j.GangAttempt != 5) {
 			t.Errorf("%s: begins anew %v, want %v", tt.name, j.GangBroken, tt.broken)
 		}
--- a/internal/control/job_table.go
+++ b/internal/control/job_table.go
@@ -114,7 +114,7 @@
 	if rec := bk.admissionGroups.find(id); rec != nil {
 		return bk.add(rec, 0, time.Now())
 	}
-	rec := &job.Record{Spec: job.Spec{ID: id, Tasks: job.MaxTasks, ShapeName: "array", RankName: "idle"}, Phase: wire.JobAborted}
+	rec := &job.Record{Spec: job.Spec{ID: id, Tasks: job.MaxTasks, ShapeName: "array", RankName: "idle"}, Phase: wire.JobCancelled}
 	j := bk.add(rec, 0, time.Now())
 	bk.strangers[j] = true
 	go bk.identify(j, id)
@@ -182,7 +182,7 @@
 
 func (bk *jobTable) running(j *job.Job) (n int) {
 	for s := range bk.fleet.On(j) {
-		if s.Phase == wire.Running || s.Phase == wire.Saving {
+		if s.Phase == wire.TaskRunning || s.Phase == wire.TaskCheckpointing {
 			n++
 		}
 	}
--- a/internal/control/leader_term.go
+++ b/internal/control/leader_term.go
@@ -239,7 +239,7 @@
 
 // report takes in a worker's check-in and answers it; via is the member that has
 // handed it on.
-func (r *leaderTerm) report(m *wire.Report, via string, back func(*rpc.Reply)) {
+func (r *leaderTerm) report(m *wire.Heartbeat, via string, back func(*rpc.Reply)) {
 	now := time.Now()
 	if r.machinePool.gone(m.Host) {
 		// A late message of a machine that is gone must not bring it back.
@@ -274,8 +274,8 @@
 	orders, sent, ev := r.fleet.Compose(h, m.Seq, fresh, now, maxOrders)
 	r.takeover.launched(len(sent), now)
 	r.taskTracker.handle(ev, now)
-	p := reply(http.StatusOK, wire.Answer{Token: r.term, Orders: orders})
-	p.Work = h.Busy()
+	p := reply(http.StatusOK, wire.HeartbeatResponse{Token: r.term, Commands: orders})
+	p.HasTasks = h.Busy()
 	back(p)
 	r.shards.served(h, via, now)
 }
--- a/internal/control/machine_pool.go
+++ b/internal/control/machine_pool.go
@@ -59,7 +59,7 @@
 func (mc *machinePool) gone(name string) bool { return mc.removed[name] }
 
 // adopt takes in a machine that nobody expected and that reports.
-func (mc *machinePool) adopt(m *wire.Report, now time.Time) *fleet.Host {
+func (mc *machinePool) adopt(m *wire.Heartbeat, now time.Time) *fleet.Host {
 	mc.log.Info("adopting a machine that nobody expected", "host", m.Host, "type", m.Type, "zone", m.Zone)
 	h := mc.fleet.Add(m.Host, now)
 	mc.met[h] = true
@@ -70,7 +70,7 @@
 // ones: they were gone when it was made (takeover.listed says why). A late copy of a
 // report has brought back a machine that an earlier leader has returned; until it is
 // settled, the jobs that it names would wait for a lease.
-func (mc *machinePool) strays(list []wire.CloudHost) {
+func (mc *machinePool) strays(list []wire.CloudMachine) {
 	if len(list) == 0 || len(mc.met) == 0 {
 		return
 	}
@@ -149,7 +149,7 @@
 
 // listed takes in the machine list. It lags, so a machine that it lacks may be
 // up, and one that it has may be gone.
-func (mc *machinePool) listed(list []wire.CloudHost) {
+func (mc *machinePool) listed(list []wire.CloudMachine) {
 	now := time.Now()
 	mc.takeover.listed(list)
 	mc.strays(list)
@@ -170,7 +170,7 @@
 		if h.Addr == "" {
 			h.Addr = c.Addr
 		}
-		if c.Phase == "failed" && !h.Releasing {
+		if c.Phase == wire.MachineFailed && !h.Releasing {
 			mc.release(h, "it has failed")
 		}
 	}
@@ -244,7 +244,7 @@
 	}
 	if !h.Withheld {
 		mc.log.Info("a launch of a cancelled job may be on its way to a machine, its session has to end", "host", h.Name, "tasks", h.Jobs-h.Unsettled)
-		mc.c.Meter.Add(metrics.Withheld, "", 1)
+		mc.c.Meter.Add(metrics.SessionsExpired, "", 1)
 		mc.taskTracker.handle(mc.fleet.Withhold(h), now)
 	}
 	return false
@@ -411,7 +411,7 @@
 
 func (mc *machinePool) hire(o autoscale.Offer, n int) {
 	mc.hires++
-	req := wire.Hire{Request: fmt.Sprintf("r-%d-%d", mc.term, mc.hires), Type: mc.nameIndex.list()[o.Type].Name, Zone: mc.nameIndex.zoneNames()[o.Zone], Spot: o.Spot, Count: n}
+	req := wire.RentalRequest{Request: fmt.Sprintf("r-%d-%d", mc.term, mc.hires), Type: mc.nameIndex.list()[o.Type].Name, Zone: mc.nameIndex.zoneNames()[o.Zone], Spot: o.Spot, Count: n}
 	mc.renting[o] += n
 	mc.log.Info("renting", "request", req.Request, "type", req.Type, "zone", req.Zone, "spot", req.Spot, "count", n)
 	asked := time.Now()
@@ -471,7 +471,7 @@
 		if !s.RunAt.IsZero() {
 			ran = now.Sub(s.RunAt).Seconds()
 		}
-		if s.Phase != wire.Running || estimate(s.Job)-ran > left {
+		if s.Phase != wire.TaskRunning || estimate(s.Job)-ran > left {
 			mc.taskTracker.stopSlot(s, 0)
 		}
 	}
--- a/internal/control/planner.go
+++ b/internal/control/planner.go
@@ -96,7 +96,7 @@
 	pl.reservationHolds.gather(now) // a machine that has just come up for a slot must not be filled
 	defer func() {
 		pl.passTook = time.Since(now)
-		pl.c.Meter.Took(metrics.PlanTime, "", pl.passTook)
+		pl.c.Meter.Observe(metrics.PlanTime, "", pl.passTook)
 	}()
 	in, ms, slots := pl.input(now)
 	if len(in.Demands) == 0 {
@@ -125,7 +125,7 @@
 		pl.fleet.Assign(h, fleet.Key{Job: j, Task: a.Task, Attempt: n}, now)
 		pl.registry.note(j, h)
 		j.LastHost = h.Idx
-		pl.c.Meter.Took(metrics.StartWait, j.Class, now.Sub(j.WaitFrom))
+		pl.c.Meter.Observe(metrics.StartWait, j.Class, now.Sub(j.WaitFrom))
 		j.WaitFrom = now
 		if k, ok := pl.keeps[h]; ok && k.job == j {
 			delete(pl.keeps, h)
--- a/internal/control/planner_input.go
+++ b/internal/control/planner_input.go
@@ -195,7 +195,7 @@
 	}
 	if h.Queue > 0 {
 		for _, s := range h.Slots {
-			if s.On() && (s.Phase == "" || s.Phase == wire.Pulling) && !slices.Contains(m.Images, s.Job.ImageIdx) {
+			if s.On() && (s.Phase == "" || s.Phase == wire.TaskFetching) && !slices.Contains(m.Images, s.Job.ImageIdx) {
 				m.Images = append(m.Images, s.Job.ImageIdx) // one fetch serves all that wait for it
 			}
 		}
--- a/internal/control/quotas.go
+++ b/internal/control/quotas.go
@@ -350,7 +350,7 @@
 	if added {
 		tm.jobTable.rebind()
 	}
-	tm.c.Meter.Set(metrics.Revision, int(tm.replica.Revision()))
+	tm.c.Meter.Set(metrics.ConfigRevision, int(tm.replica.Revision()))
 	tm.changed()
 }
 
--- a/internal/control/quotas_home.go
+++ b/internal/control/quotas_home.go
@@ -356,9 +356,9 @@
 			back(reply(http.StatusBadRequest, wire.Error{Error: err.Error()}))
 			return
 		}
-		ht.change(c, op.Dry, back)
-	case rpc.VerbUndo:
-		to, err := strconv.ParseUint(op.Service, 10, 64)
+		ht.change(c, op.DryRun, back)
+	case rpc.VerbRollback:
+		to, err := strconv.ParseUint(op.Name, 10, 64)
 		if err != nil {
 			back(reply(http.StatusBadRequest, wire.Error{Error: "revision: not a number"}))
 			return
@@ -369,13 +369,13 @@
 			return
 		}
 		c.Base = ht.home.Head().Revision // nothing may come in between
-		ht.change(c, op.Dry, back)
+		ht.change(c, op.DryRun, back)
 	case rpc.VerbHistory:
 		back(reply(http.StatusOK, map[string]any{"changes": ht.home.History()}))
 	case rpc.VerbStatus:
 		back(reply(http.StatusOK, ht.home.Status(time.Now())))
 	case rpc.VerbList:
-		list, more := ht.home.Teams(op.Service, teamsPerPage)
+		list, more := ht.home.Teams(op.Name, teamsPerPage)
 		back(reply(http.StatusOK, map[string]any{"revision": ht.home.Head().Revision, "teams": list, "more": more}))
 	default:
 		back(reply(http.StatusBadRequest, wire.Error{Error: "unknown request"}))
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -283,7 +283,7 @@
 		c.Live = true
 		h := s.Host
 		c.Lost = c.Lost || h.Lost || h.Draining || h.Releasing || !h.RecallAt.IsZero() || h.Silent(now) > ro.quiet()
-		if s.Phase == wire.Running && !s.Stopping {
+		if s.Phase == wire.TaskRunning && !s.Stopping {
 			c.Running, c.Health = true, health(s)
 			if !s.RunAt.IsZero() {
 				c.SinceS = now.Sub(s.RunAt).Seconds()
@@ -361,7 +361,7 @@
 // user's, and stays until they cancel it.
 func (ro *rollouts) retire(j *job.Job, handle string) {
 	if j != nil && j.ID != handle && j.Phase+j.Closing == "" {
-		ro.completions.finish(j, wire.JobAborted)
+		ro.completions.finish(j, wire.JobCancelled)
 	}
 }
 
@@ -404,7 +404,7 @@
 		back(reply(http.StatusOK, map[string]any{"rollouts": out}))
 		return
 	}
-	s := ro.services[op.Service]
+	s := ro.services[op.Name]
 	if s == nil {
 		back(reply(http.StatusNotFound, wire.Error{Error: "no roll-out of that service"}))
 		return
@@ -415,7 +415,7 @@
 		ask = rollout.Pause
 	case rpc.VerbResume:
 		ask = rollout.Resume
-	case rpc.VerbUndo:
+	case rpc.VerbRollback:
 		ask = rollout.Undo
 	default:
 		back(reply(http.StatusOK, ro.status(s)))
--- a/internal/control/rollout_checks.go
+++ b/internal/control/rollout_checks.go
@@ -49,7 +49,7 @@
 			if most == 0 || ro.checker.free == 0 {
 				return
 			}
-			if !sl.On() || sl.Phase != wire.Running || sl.Host.Addr == "" {
+			if !sl.On() || sl.Phase != wire.TaskRunning || sl.Host.Addr == "" {
 				continue
 			}
 			most--
@@ -69,7 +69,7 @@
 func (ro *rollouts) probe(sl *fleet.Slot, path string) {
 	at := "http://" + sl.Host.Addr + path + "?" + url.Values{"piece": {job.TaskName(sl.Job.ID, sl.Task)}}.Encode()
 	go func() {
-		said := noAnswer
+		said := wire.ReplicaHealth(noAnswer)
 		ctx, cancel := context.WithTimeout(ro.ctx, checkTime)
 		defer cancel()
 		if req, err := http.NewRequestWithContext(ctx, http.MethodGet, at, nil); err == nil {
--- a/internal/control/rollout_test.go
+++ b/internal/control/rollout_test.go
@@ -24,7 +24,7 @@
 	for i := range max(2, services*replicas/20) {
 		h := r.host(fmt.Sprintf("h%d", i))
 		r.nameIndex.describe(h, "small", []string{"a", "b"}[i%2], false)
-		r.fleet.Observe(h, &wire.Report{Host: h.Name, Addr: "10.0.0.1:1", Session: 1, Seq: 1, Token: r.term}, true, now, r.jobTable.find)
+		r.fleet.Observe(h, &wire.Heartbeat{Host: h.Name, Addr: "10.0.0.1:1", Session: 1, Seq: 1, Token: r.term}, true, now, r.jobTable.find)
 		h.Durable = true
 		hosts = append(hosts, h)
 	}
@@ -35,7 +35,7 @@
 		for t := range replicas {
 			h := hosts[(i*replicas+t)%len(hosts)]
 			s := r.fleet.Assign(h, fleet.Key{Job: old, Task: int32(t), Attempt: 1}, now)
-			s.Sent, s.Seen, s.Phase, s.Health, s.RunAt = true, true, wire.Running, wire.HealthGood, now.Add(-time.Minute)
+			s.Sent, s.Seen, s.Phase, s.Health, s.RunAt = true, true, wire.TaskRunning, wire.HealthGood, now.Add(-time.Minute)
 			zones[t] = r.nameIndex.zoneNames()[h.Zone]
 		}
 		spec.ID = fmt.Sprintf("run-%d", 10_000+i)
--- a/internal/control/shards.go
+++ b/internal/control/shards.go
@@ -104,17 +104,17 @@
 
 // begin starts with what the registry names; the leader deals with all of it.
 func (sh *shards) begin(now time.Time) {
-	t, f := sh.c.Tuning.Shares, &sh.c.Settings.Facts
+	t, f := sh.c.Tuning.Sharding, &sh.c.Settings.Facts
 	if !t.Enabled || len(sh.c.Settings.Siblings) == 0 {
 		return
 	}
-	perS := t.PerS
+	perS := t.MovesPerS
 	if perS == 0 {
 		perS = shard.PerSecond(f.Resources.CoreShare)
 	}
 	sh.allot = shard.NewAssigner(sh.term, sh.c.Settings.Member, sh.c.Settings.Site, shard.Settings{
-		Grant: time.Duration(t.GrantMs) * time.Millisecond, Join: config.Seconds(t.JoinS), Rest: config.Seconds(t.RestS),
-		RestMost: config.Seconds(t.RestMostS), Least: t.Least, PerS: perS, Own: t.Own, Room: Room(f.Resources.MaxSockets)}, now)
+		Grant: time.Duration(t.GrantMs) * time.Millisecond, Join: config.Seconds(t.JoinDelayS), Rest: config.Seconds(t.RejoinDelayS),
+		RestMost: config.Seconds(t.MaxRejoinDelayS), Least: t.MinMachines, PerS: perS, Own: t.LeaderWeight, Room: Room(f.Resources.MaxSockets)}, now)
 	for _, h := range sh.fleet.All() {
 		zone := ""
 		if h.Zone >= 0 {
@@ -126,7 +126,7 @@
 
 // route says whether the leader answers a report that has come to it. If not, the
 // worker is sent to the holder, or the report waits until there is none.
-func (sh *shards) route(m *wire.Report, again func(), back func(*rpc.Reply)) bool {
+func (sh *shards) route(m *wire.Heartbeat, again func(), back func(*rpc.Reply)) bool {
 	if sh.allot == nil {
 		return true
 	}
@@ -232,7 +232,7 @@
 	}
 	sh.allot.Heard(e.Host)
 	if len(e.Report) > 0 {
-		m := &wire.Report{}
+		m := &wire.Heartbeat{}
 		if err := wire.Unmarshal(e.Report, m); err != nil || m.Host != e.Host {
 			return // it was read once by the holder
 		}
@@ -289,7 +289,7 @@
 		}
 		m.machines++
 		m.longest = max(m.longest, now.Sub(f.Since))
-		sh.c.Meter.Add(metrics.ShareMoves, f.Why, 1)
+		sh.c.Meter.Add(metrics.ShardReturns, f.Why, 1)
 		sh.again(f.Name)
 	}
 }
@@ -356,7 +356,7 @@
 	}
 	clear(sh.told)
 	for member, n := range held {
-		sh.c.Meter.SetFor(metrics.ShareHeld, member, n)
+		sh.c.Meter.SetLabeled(metrics.ShardMachines, member, n)
 	}
 }
 
--- a/internal/control/shards_test.go
+++ b/internal/control/shards_test.go
@@ -25,7 +25,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			orders := make([]wire.Order, 20)
+			orders := make([]wire.Command, 20)
 			b := &box{calls: slices.Repeat([]shard.Call{{Addr: "10.0.0.1:9000", Body: make([]byte, tt.body)}}, tt.calls),
 				answers: slices.Repeat([]shard.Answer{{Host: "host-000001", Orders: orders}}, tt.answers),
 				settled: slices.Repeat([]shard.ExitClearance{{Host: "host-000001", Clears: orders}}, tt.clears)}
@@ -49,11 +49,11 @@
 // come with a later report that it has answered meanwhile. That one renewed the lease.
 func TestEntry(t *testing.T) {
 	r := bench(t)
-	r.c.Settings.Siblings, r.c.Tuning.Shares.Enabled = []config.Sibling{{Member: "n1"}}, true
+	r.c.Settings.Siblings, r.c.Tuning.Sharding.Enabled = []config.Sibling{{Member: "n1"}}, true
 	now := r.since
 	r.shards.begin(now)
 	h := r.host("h1")
-	m := &wire.Report{Host: "h1", Type: "x", Zone: "a", Session: 1, Seq: 10, Token: 7}
+	m := &wire.Heartbeat{Host: "h1", Type: "x", Zone: "a", Session: 1, Seq: 10, Token: 7}
 	full, err := wire.Marshal(m)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/control/takeover.go
+++ b/internal/control/takeover.go
@@ -79,7 +79,7 @@
 	}
 	for phase, at := range map[string]time.Time{"loaded": p.load, "met": p.meet, "launch": p.launch, "settled": p.settle} {
 		if !at.IsZero() {
-			tk.c.Meter.Took(metrics.TakeoverTime, phase, at.Sub(tk.since))
+			tk.c.Meter.Observe(metrics.TakeoverTime, phase, at.Sub(tk.since))
 		}
 	}
 	tk.log.Info("takeover", "lease_ms", lease, "loaded_ms", ms(p.load), "met_ms", ms(p.meet), "launch_ms", ms(p.launch),
@@ -88,7 +88,7 @@
 
 // launched notes that launches have left.
 func (tk *takeover) launched(n int, now time.Time) {
-	tk.c.Meter.Add(metrics.Launches, "", n)
+	tk.c.Meter.Add(metrics.TaskLaunches, "", n)
 	if n > 0 && tk.phases.launch.IsZero() {
 		tk.phases.launch = now
 	}
@@ -210,7 +210,7 @@
 // until it is gone. An earlier leader has returned it and could not strike it off
 // the registry any more. It is returned once more, which settles it; if the list
 // were wrong, work would be lost and no rule broken.
-func (tk *takeover) listed(list []wire.CloudHost) {
+func (tk *takeover) listed(list []wire.CloudMachine) {
 	if tk.ready || len(list) == 0 {
 		return
 	}
--- a/internal/control/tasks_heartbeats.go
+++ b/internal/control/tasks_heartbeats.go
@@ -24,7 +24,7 @@
 }
 
 // observe takes in a worker's message.
-func (wk *taskTracker) observe(h *fleet.Host, m *wire.Report, isHeartbeat bool, now time.Time) (fresh, ok bool) {
+func (wk *taskTracker) observe(h *fleet.Host, m *wire.Heartbeat, isHeartbeat bool, now time.Time) (fresh, ok bool) {
 	if !h.Known || h.Type < 0 {
 		wk.nameIndex.describe(h, m.Type, m.Zone, m.Spot)
 	}
@@ -85,7 +85,7 @@
 	case j.GangAttempt != s.Attempt:
 		wk.breakGang(j)
 	}
-	if s.Phase == wire.Running || s.Phase == wire.Saving {
+	if s.Phase == wire.TaskRunning || s.Phase == wire.TaskCheckpointing {
 		j.GangRan = true
 	}
 }
@@ -210,10 +210,10 @@
 	case wire.CauseError:
 		wk.blame(j, h, now)
 		wk.rollouts.failed(j, s.Task, h.Name)
-	case wire.CauseNoSuch:
+	case wire.CauseUnknownTask:
 		wk.holdBack(j, now)
 	}
-	if j.Shape == job.Gang && s.Cause != wire.CauseFull && !(s.Cause == wire.CauseIncomplete && wk.fetching(j)) {
+	if j.Shape == job.Gang && s.Cause != wire.CauseNoResources && !(s.Cause == wire.CauseGangIncomplete && wk.fetching(j)) {
 		wk.breakGang(j)
 	}
 }
@@ -228,7 +228,7 @@
 		return false
 	}
 	for s := range wk.fleet.On(j) {
-		if s.On() && !s.Stopping && (s.Phase == "" || s.Phase == wire.Pulling) {
+		if s.On() && !s.Stopping && (s.Phase == "" || s.Phase == wire.TaskFetching) {
 			return true
 		}
 	}
--- a/internal/emulate/history.go
+++ b/internal/emulate/history.go
@@ -3,6 +3,8 @@
 import (
 	"slices"
 	"time"
+
+	"vetchstream/internal/wire"
 )
 
 // Event is a start of a task, or the end of one that ran.
@@ -14,7 +16,7 @@
 	Zone  string
 	Start bool
 	// Cause is why it ended: the worker's word, or Lost with its machine or lease.
-	Cause string
+	Cause wire.ExitCause
 }
 
 // Lost is the cause of an end that no worker has told.
--- a/internal/emulate/judge.go
+++ b/internal/emulate/judge.go
@@ -97,10 +97,10 @@
 }
 
 // arrived notes direct commands that reach a worker; the caller holds the lock.
-func (w *World) arrived(orders []wire.Order, carriedOut bool) {
+func (w *World) arrived(orders []wire.Command, carriedOut bool) {
 	for _, o := range orders {
 		id, _, ok := job.SplitTask(o.Task)
-		if !ok || o.Op != wire.Launch {
+		if !ok || o.Verb != wire.CommandLaunch {
 			continue
 		}
 		if at, cancelled := w.judge.aborted[id]; cancelled && time.Since(at) > w.cfg.Cancel {
@@ -143,7 +143,7 @@
 	defer w.mu.Unlock()
 	open := map[string]string{}
 	for id := range w.specs {
-		if p := w.judge.told[id]; p != wire.JobDone && p != wire.JobAborted {
+		if p := w.judge.told[id]; p != wire.JobDone && p != wire.JobCancelled {
 			open[id] = p
 		}
 	}
@@ -169,7 +169,7 @@
 // cancelled notes when a user was first told that a job is cancelled, by whichever
 // controller and in answer to whatever; the caller holds the lock.
 func (w *World) cancelled(id, phase string) {
-	if _, known := w.judge.aborted[id]; phase == wire.JobAborted && !known {
+	if _, known := w.judge.aborted[id]; phase == wire.JobCancelled && !known {
 		w.judge.aborted[id] = time.Now()
 	}
 }
@@ -192,10 +192,10 @@
 	if n := len(w.judge.done[spec.ID]); phase == wire.JobDone && n != spec.Tasks {
 		w.breaks("not_done: %s has %d of %d tasks", spec.ID, n, spec.Tasks)
 	}
-	if phase == wire.JobAborted && !cancelled && !w.judge.users.cancels[spec.ID] {
+	if phase == wire.JobCancelled && !cancelled && !w.judge.users.cancels[spec.ID] {
 		w.breaks("went_back: %s was not cancelled by its user", spec.ID)
 	}
-	if phase == wire.JobDone || phase == wire.JobAborted {
+	if phase == wire.JobDone || phase == wire.JobCancelled {
 		w.judge.told[spec.ID] = phase
 		w.cancelled(spec.ID, phase)
 		return phase
--- a/internal/emulate/users.go
+++ b/internal/emulate/users.go
@@ -85,7 +85,7 @@
 func (w *World) Told(id string) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if p := w.judge.told[id]; p == wire.JobDone || p == wire.JobAborted {
+	if p := w.judge.told[id]; p == wire.JobDone || p == wire.JobCancelled {
 		return p
 	}
 	return ""
@@ -204,7 +204,7 @@
 	placed, used := map[string]int{}, map[string]Limit{}
 	for _, k := range w.workers {
 		for _, t := range k.tasks {
-			if t.spec != nil && t.phase != wire.Exited {
+			if t.spec != nil && t.phase != wire.TaskExited {
 				placed[t.id()]++
 				l := used[t.spec.Team]
 				used[t.spec.Team] = Limit{l.CPUs + t.spec.CPUs, l.GPUs + t.spec.GPUs}
@@ -292,7 +292,7 @@
 	defer w.mu.Unlock()
 	by := map[string][]*job.Spec{}
 	for id, s := range w.specs {
-		if _, ok := w.judge.users.accepted[id]; !ok || w.judge.told[id] == wire.JobAborted || (possible != nil && !possible(s)) {
+		if _, ok := w.judge.users.accepted[id]; !ok || w.judge.told[id] == wire.JobCancelled || (possible != nil && !possible(s)) {
 			continue
 		}
 		by["class "+s.Class] = append(by["class "+s.Class], s)
--- a/internal/emulate/users_test.go
+++ b/internal/emulate/users_test.go
@@ -16,7 +16,7 @@
 	at := func(w *World, name, zone string, sp *job.Spec) {
 		k := &Worker{w: w, name: name, zone: zone, typ: "x", leased: now, tasks: map[string]*task{}}
 		w.workers[name] = k
-		tk := &task{name: job.TaskName(sp.ID, int32(len(w.workers))), spec: sp, phase: wire.Running}
+		tk := &task{name: job.TaskName(sp.ID, int32(len(w.workers))), spec: sp, phase: wire.TaskRunning}
 		k.add(tk.name, tk)
 		w.started(k, tk)
 	}
@@ -69,7 +69,7 @@
 			w.Repeated(&job.Spec{ID: "run-1"}, 422, "", "")
 		}, "forgotten"},
 		{"a poll that is older than what another controller told", func(w *World) {
-			w.judge.told["run-1"] = wire.JobAborted
+			w.judge.told["run-1"] = wire.JobCancelled
 			w.Polled(&job.Spec{ID: "run-1"}, 200, wire.JobRunning, w.Told("run-1"), true)
 		}, "went_back"},
 		{"a task starts after the time that its cancelled job has", func(w *World) {
@@ -115,7 +115,7 @@
 			sp := &job.Spec{ID: "run-1", Tasks: 2}
 			at(w, "a", "x", sp)
 			k := &Worker{w: w, name: "b", zone: "x", typ: "x", leased: now, tasks: map[string]*task{}}
-			again := &task{name: job.TaskName(sp.ID, 1), spec: sp, phase: wire.Running, attempt: 2}
+			again := &task{name: job.TaskName(sp.ID, 1), spec: sp, phase: wire.TaskRunning, attempt: 2}
 			k.add("again", again)
 			w.started(k, again)
 		}, "ran_twice"},
--- a/internal/emulate/worker.go
+++ b/internal/emulate/worker.go
@@ -26,16 +26,16 @@
 	spec    *job.Spec // nil: nobody has described the job
 	idx     int32
 	attempt uint64
-	phase   string
-	cause   string
+	phase   wire.TaskPhase
+	cause   wire.ExitCause
 	saved   bool
 	ready   time.Time // its image is there
 	runs    time.Time
 	saves   time.Time
-	health  string
+	health  wire.ReplicaHealth
 }
 
-func (t *task) exit(cause string) { t.phase, t.cause = wire.Exited, cause }
+func (t *task) exit(cause wire.ExitCause) { t.phase, t.cause = wire.TaskExited, cause }
 
 // id is the job's id, or empty if it is not known.
 func (t *task) id() string {
@@ -81,59 +81,59 @@
 
 func key(name string, attempt uint64) string { return fmt.Sprintf("%s#%d", name, attempt) }
 
-func (k *Worker) report() wire.Report {
+func (k *Worker) report() wire.Heartbeat {
 	k.seq++
-	r := wire.Report{Host: k.name, Addr: k.addr, Type: k.typ, Zone: k.zone, Spot: k.spot, Session: k.session, Seq: k.seq, Token: k.token, Tasks: []wire.TaskReport{}}
+	r := wire.Heartbeat{Host: k.name, Addr: k.addr, Type: k.typ, Zone: k.zone, Spot: k.spot, Session: k.session, Seq: k.seq, Token: k.token, Tasks: []wire.TaskStatus{}}
 	for _, n := range slices.Sorted(maps.Keys(k.tasks)) {
 		t := k.tasks[n]
-		r.Tasks = append(r.Tasks, wire.TaskReport{Task: t.name, Attempt: t.attempt, Phase: t.phase, Cause: t.cause, Saved: t.saved, Health: t.health})
+		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: t.name, Attempt: t.attempt, Phase: t.phase, Cause: t.cause, CheckpointSaved: t.saved, Health: t.health})
 	}
 	return r
 }
 
-func (k *Worker) obey(orders []wire.Order) {
+func (k *Worker) obey(orders []wire.Command) {
 	for _, o := range orders {
 		id := key(o.Task, o.Attempt)
 		t := k.tasks[id]
-		switch o.Op {
-		case wire.Launch:
+		switch o.Verb {
+		case wire.CommandLaunch:
 			if t == nil {
 				k.launch(id, o)
 			}
-		case wire.Halt:
-			if t == nil || t.phase == wire.Exited {
+		case wire.CommandStop:
+			if t == nil || t.phase == wire.TaskExited {
 				continue
 			}
 			k.change = true
-			if t.phase == wire.Running && t.spec.Checkpoint > 0 && o.Grace != nil && *o.Grace >= t.spec.SaveS {
-				t.phase, t.saves = wire.Saving, time.Now().Add(time.Duration(t.spec.SaveS*float64(time.Second)))
+			if t.phase == wire.TaskRunning && t.spec.Checkpoint > 0 && o.GraceS != nil && *o.GraceS >= t.spec.SaveS {
+				t.phase, t.saves = wire.TaskCheckpointing, time.Now().Add(time.Duration(t.spec.SaveS*float64(time.Second)))
 				continue
 			}
-			if t.phase == wire.Saving && o.Grace != nil && *o.Grace > 0 {
+			if t.phase == wire.TaskCheckpointing && o.GraceS != nil && *o.GraceS > 0 {
 				continue
 			}
 			was := t.phase
-			t.exit(wire.CauseHalted)
+			t.exit(wire.CauseStopped)
 			k.ended(t, was, time.Now())
-		case wire.Clear:
-			if t != nil && t.phase == wire.Exited {
+		case wire.CommandClear:
+			if t != nil && t.phase == wire.TaskExited {
 				k.delete(id)
 			}
 		}
 	}
 }
 
-func (k *Worker) launch(id string, o wire.Order) {
+func (k *Worker) launch(id string, o wire.Command) {
 	jid, idx, _ := job.SplitTask(o.Task)
 	spec := k.w.spec(jid)
-	t := &task{name: o.Task, idx: idx, attempt: o.Attempt, spec: spec, phase: wire.Pulling, ready: time.Now().Add(k.w.cfg.Fetch + k.late)}
+	t := &task{name: o.Task, idx: idx, attempt: o.Attempt, spec: spec, phase: wire.TaskFetching, ready: time.Now().Add(k.w.cfg.Fetch + k.late)}
 	k.add(id, t)
 	k.change = true
 	switch {
 	case spec == nil:
-		t.exit(wire.CauseNoSuch)
+		t.exit(wire.CauseUnknownTask)
 	case k.full():
-		t.exit(wire.CauseFull)
+		t.exit(wire.CauseNoResources)
 	}
 }
 
@@ -145,7 +145,7 @@
 	typ, m := k.w.kind(k.typ), float64(n)
 	cpus, gpus, mem := typ.CPUs+1e-9-m*s.CPUs, typ.GPUs+1e-9-m*s.GPUs, typ.MemGB+1e-9-m*s.MemGB
 	for _, t := range k.tasks {
-		if t.phase != wire.Exited && t.spec != nil {
+		if t.phase != wire.TaskExited && t.spec != nil {
 			cpus, gpus, mem = cpus-t.spec.CPUs, gpus-t.spec.GPUs, mem-t.spec.MemGB
 		}
 	}
@@ -154,7 +154,7 @@
 
 // on reports whether the task holds its machine, as the rules count it.
 func (k *Worker) on(t *task) bool {
-	return t.phase != wire.Exited && t.phase != wire.Pulling && !k.gone && time.Since(k.leased) <= k.w.cfg.Lease
+	return t.phase != wire.TaskExited && t.phase != wire.TaskFetching && !k.gone && time.Since(k.leased) <= k.w.cfg.Lease
 }
 
 func (k *Worker) step(now time.Time) {
@@ -167,19 +167,19 @@
 		was := t.phase
 		defer k.ended(t, was, now)
 		switch t.phase {
-		case wire.Pulling:
+		case wire.TaskFetching:
 			k.begin(t, now)
-		case wire.Waiting:
-			if k.w.mates(t, wire.Waiting, wire.Running) == t.spec.Tasks {
-				t.phase, t.runs = wire.Running, now
+		case wire.TaskWaiting:
+			if k.w.mates(t, wire.TaskWaiting, wire.TaskRunning) == t.spec.Tasks {
+				t.phase, t.runs = wire.TaskRunning, now
 			} else if now.Sub(t.runs) > k.w.cfg.GangWait {
-				t.exit(wire.CauseIncomplete)
+				t.exit(wire.CauseGangIncomplete)
 			}
-		case wire.Running:
+		case wire.TaskRunning:
 			k.advance(t, now)
-		case wire.Saving:
+		case wire.TaskCheckpointing:
 			if now.After(t.saves) {
-				t.exit(wire.CauseHalted)
+				t.exit(wire.CauseStopped)
 				t.saved = true
 			}
 		}
@@ -195,9 +195,9 @@
 	}
 	k.w.started(k, t)
 	k.w.record(Event{At: now, Task: t.name, Image: t.spec.Image, Host: k.name, Zone: k.zone, Start: true})
-	t.phase, t.runs = wire.Running, now
+	t.phase, t.runs = wire.TaskRunning, now
 	if t.spec.ShapeName == gang {
-		t.phase = wire.Waiting
+		t.phase = wire.TaskWaiting
 	}
 	if k.sick {
 		t.exit(wire.CauseError)
@@ -212,8 +212,8 @@
 	ran := now.Sub(t.runs)
 	crash := k.w.images[t.spec.Image].CrashAfter
 	switch {
-	case t.spec.ShapeName == gang && k.w.mates(t, wire.Waiting, wire.Running, wire.Exited) < t.spec.Tasks:
-		t.exit(wire.CauseMatesGone)
+	case t.spec.ShapeName == gang && k.w.mates(t, wire.TaskWaiting, wire.TaskRunning, wire.TaskExited) < t.spec.Tasks:
+		t.exit(wire.CausePeerLost)
 	case crash > 0 && ran > crash:
 		t.exit(wire.CauseError)
 	case t.spec.ShapeName == service:
@@ -227,9 +227,9 @@
 }
 
 // mates counts the gang's members of the attempt in one of the phases.
-func (w *World) mates(t *task, phases ...string) (n int) {
+func (w *World) mates(t *task, phases ...wire.TaskPhase) (n int) {
 	for x := range w.index.byJob[t.id()] {
-		if x.attempt == t.attempt && slices.Contains(phases, x.phase) && (x.phase != wire.Exited || x.cause == wire.CauseDone) {
+		if x.attempt == t.attempt && slices.Contains(phases, x.phase) && (x.phase != wire.TaskExited || x.cause == wire.CauseDone) {
 			n++
 		}
 	}
@@ -306,7 +306,7 @@
 	}
 }
 
-func (k *Worker) checkin(hc *http.Client, rep wire.Report, sent time.Time) {
+func (k *Worker) checkin(hc *http.Client, rep wire.Heartbeat, sent time.Time) {
 	w := k.w
 	b, err := wire.Marshal(rep)
 	if err != nil {
@@ -330,7 +330,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if err == nil && status == http.StatusOK {
-		var a wire.Answer
+		var a wire.HeartbeatResponse
 		if wire.Unmarshal(body, &a) != nil || a.Token < k.token || rep.Session != k.session || time.Since(sent) > answerTime || k.gone || k.hung {
 			return
 		}
@@ -343,7 +343,7 @@
 			k.mute = time.Time{}
 		}
 		w.judge.answers[w.cfg.Controllers[node].Member]++
-		k.obey(a.Orders)
+		k.obey(a.Commands)
 		return
 	}
 	if k.mute.IsZero() {
@@ -360,8 +360,8 @@
 }
 
 // ended notes in the history that a task that ran does so no more.
-func (k *Worker) ended(t *task, was string, now time.Time) {
-	if (was == wire.Running || was == wire.Saving) && t.phase == wire.Exited {
+func (k *Worker) ended(t *task, was wire.TaskPhase, now time.Time) {
+	if (was == wire.TaskRunning || was == wire.TaskCheckpointing) && t.phase == wire.TaskExited {
 		k.w.record(Event{At: now, Task: t.name, Image: t.spec.Image, Host: k.name, Zone: k.zone, Cause: t.cause})
 	}
 }
@@ -377,7 +377,7 @@
 func (k *Worker) lose(now time.Time) {
 	for id, t := range k.tasks {
 		k.delete(id)
-		if t.phase == wire.Running || t.phase == wire.Saving {
+		if t.phase == wire.TaskRunning || t.phase == wire.TaskCheckpointing {
 			k.w.judge.lapsed++
 			k.w.record(Event{At: now, Task: t.name, Image: t.spec.Image, Host: k.name, Zone: k.zone, Cause: Lost})
 		}
@@ -390,7 +390,7 @@
 		panic(http.ErrAbortHandler) // ends the connection without an answer
 	}
 	for _, t := range k.tasks {
-		if t.name != piece || t.phase != wire.Running {
+		if t.name != piece || t.phase != wire.TaskRunning {
 			continue
 		}
 		if k.w.images[t.spec.Image].health(time.Since(t.runs)) == wire.HealthBad {
@@ -420,7 +420,7 @@
 
 // serve answers direct commands and health checks.
 func (k *Worker) serve(rw http.ResponseWriter, q *http.Request) {
-	var d wire.Direct
+	var d wire.DirectCommands
 	ok := q.URL.Path == "/do" && decode(q, &d)
 	k.awake()
 	defer k.w.mu.Unlock()
@@ -429,7 +429,7 @@
 	}
 	k.step(time.Now())
 	valid := d.Token >= k.token && d.Session == k.session
-	k.w.arrived(d.Orders, valid)
+	k.w.arrived(d.Commands, valid)
 	switch {
 	case q.URL.Path == "/show":
 	case q.Method == http.MethodGet:
@@ -446,7 +446,7 @@
 			k.token, k.change = d.Token, true
 		}
 		k.w.judge.directs++
-		k.obey(d.Orders)
+		k.obey(d.Commands)
 	}
 	encode(rw, http.StatusOK, k.report())
 }
--- a/internal/emulate/world.go
+++ b/internal/emulate/world.go
@@ -129,7 +129,7 @@
 }
 
 // health is what a worker says of a replica that has run for so long.
-func (b Image) health(ran time.Duration) string {
+func (b Image) health(ran time.Duration) wire.ReplicaHealth {
 	switch {
 	case b.Mute:
 		return ""
@@ -178,7 +178,7 @@
 	for _, k := range w.workers {
 		busy := false
 		for _, t := range k.tasks {
-			busy = busy || t.phase != wire.Exited
+			busy = busy || t.phase != wire.TaskExited
 		}
 		if !busy && time.Now().After(k.up) {
 			n++
@@ -193,7 +193,7 @@
 	defer w.mu.Unlock()
 	for _, k := range w.workers {
 		for _, t := range k.tasks {
-			if t.phase == wire.Running && t.spec.ID == id {
+			if t.phase == wire.TaskRunning && t.spec.ID == id {
 				n++
 			}
 		}
@@ -368,7 +368,7 @@
 	case "/machine_types":
 		encode(rw, 200, wire.MachineTypes{Types: w.cfg.Types})
 	case "/hosts/release":
-		var in wire.HostNames
+		var in wire.MachineNames
 		if !decode(q, &in) {
 			encode(rw, 400, wire.Error{Error: "malformed"})
 			return
@@ -384,13 +384,13 @@
 			encode(rw, 200, w.list(q.URL.Query().Get("after")))
 			return
 		}
-		var in wire.Hire
+		var in wire.RentalRequest
 		if !decode(q, &in) || w.kind(in.Type) == nil {
 			encode(rw, 400, wire.Error{Error: "malformed"})
 			return
 		}
 		if old, ok := w.hires[in.Request]; ok {
-			encode(rw, 200, wire.HostNames{Hosts: old})
+			encode(rw, 200, wire.MachineNames{Hosts: old})
 			return
 		}
 		n := min(in.Count, w.cfg.Most-len(w.workers), w.left(in.Zone))
@@ -408,7 +408,7 @@
 			names = append(names, w.boot(in.Type, in.Zone, in.Spot, takes))
 		}
 		w.hires[in.Request] = names
-		encode(rw, 200, wire.HostNames{Hosts: names})
+		encode(rw, 200, wire.MachineNames{Hosts: names})
 	default:
 		encode(rw, 404, wire.Error{Error: "no such route"})
 	}
@@ -452,17 +452,17 @@
 }
 
 // list is the machine list, which lags.
-func (w *World) list(after string) wire.CloudHosts {
-	out := []wire.CloudHost{}
+func (w *World) list(after string) wire.CloudMachinePage {
+	out := []wire.CloudMachine{}
 	for _, n := range slices.Sorted(maps.Keys(w.workers)) {
 		k := w.workers[n]
-		phase := "running"
+		phase := wire.MachineRunning
 		if time.Now().Before(k.up) {
-			phase = "booting"
+			phase = wire.MachineBooting
 		}
 		if n > after && time.Since(k.born) > w.cfg.ListLag {
-			out = append(out, wire.CloudHost{Name: n, Addr: k.addr, Type: k.typ, Zone: k.zone, Spot: k.spot, Phase: phase, AgeS: time.Since(k.born).Seconds()})
+			out = append(out, wire.CloudMachine{Name: n, Addr: k.addr, Type: k.typ, Zone: k.zone, Spot: k.spot, Phase: phase, AgeS: time.Since(k.born).Seconds()})
 		}
 	}
-	return wire.CloudHosts{Hosts: out}
+	return wire.CloudMachinePage{Hosts: out}
 }
--- a/internal/fleet/compose.go
+++ b/internal/fleet/compose.go
@@ -12,8 +12,8 @@
 // the report that is answered; 0: a direct command, which carries no clear.
 // Launches are left out for a stale report and while a direct command is under
 // way, whose order against this answer is not known.
-func (f *Fleet) Compose(h *Host, seq uint64, launches bool, now time.Time, limit int) (orders []wire.Order, sent []*Slot, ev []Event) {
-	orders = []wire.Order{}
+func (f *Fleet) Compose(h *Host, seq uint64, launches bool, now time.Time, limit int) (orders []wire.Command, sent []*Slot, ev []Event) {
+	orders = []wire.Command{}
 	if seq != 0 {
 		orders = h.haltCancelled(orders, now, limit)
 	}
@@ -39,19 +39,19 @@
 				h.directAt = now
 			}
 			sent = append(sent, s)
-			orders = append(orders, wire.Order{Op: wire.Launch, Task: name(), Attempt: s.Attempt})
+			orders = append(orders, wire.Command{Verb: wire.CommandLaunch, Task: name(), Attempt: s.Attempt})
 		case (seq != 0 || h.holder != nil) && launches && h.Fenced && s.doubtful(now):
 			// The worker has it once, whichever copy comes first, as long as its exit is
 			// not cleared. One that has to go is launched to be stopped: an exit settles it.
 			s.again = now
-			orders = append(orders, wire.Order{Op: wire.Launch, Task: name(), Attempt: s.Attempt})
+			orders = append(orders, wire.Command{Verb: wire.CommandLaunch, Task: name(), Attempt: s.Attempt})
 			if s.Stopping {
 				orders = append(orders, s.halt(now))
 			}
 		case s.haltDue(now):
 			orders = append(orders, s.halt(now))
 		case seq != 0 && !s.On() && s.Settled && s.again.IsZero():
-			orders = append(orders, wire.Order{Op: wire.Clear, Task: name(), Attempt: s.Attempt})
+			orders = append(orders, wire.Command{Verb: wire.CommandClear, Task: name(), Attempt: s.Attempt})
 		}
 	}
 	h.Recount()
@@ -59,15 +59,15 @@
 }
 
 // halt makes the order that stops the placement, and notes that it is sent.
-func (s *Slot) halt(now time.Time) wire.Order {
+func (s *Slot) halt(now time.Time) wire.Command {
 	s.Halted = now
-	return wire.Order{Op: wire.Halt, Task: job.TaskName(s.Job.ID, s.Task), Attempt: s.Attempt, Grace: grace(s.Grace)}
+	return wire.Command{Verb: wire.CommandStop, Task: job.TaskName(s.Job.ID, s.Task), Attempt: s.Attempt, GraceS: grace(s.Grace)}
 }
 
 // haltCancelled halts, without time to save, all that the worker has shown of cancelled
 // jobs. An answer to a report renews the lease, so each carries these first, however short
 // a time ago they were sent before (renewal.go).
-func (h *Host) haltCancelled(orders []wire.Order, now time.Time, limit int) []wire.Order {
+func (h *Host) haltCancelled(orders []wire.Command, now time.Time, limit int) []wire.Command {
 	for _, s := range h.Slots {
 		if s.Seen && s.expiring() && len(orders) < limit {
 			s.Grace = 0
@@ -79,13 +79,13 @@
 
 // Clears are the exits that the worker may forget, for the next answer of the
 // holder.
-func (h *Host) Clears(limit int) (orders []wire.Order) {
+func (h *Host) Clears(limit int) (orders []wire.Command) {
 	if h.Exits == 0 {
 		return nil
 	}
 	for _, s := range h.Slots {
 		if !s.On() && s.Settled && s.again.IsZero() && len(orders) < limit {
-			orders = append(orders, wire.Order{Op: wire.Clear, Task: job.TaskName(s.Job.ID, s.Task), Attempt: s.Attempt})
+			orders = append(orders, wire.Command{Verb: wire.CommandClear, Task: job.TaskName(s.Job.ID, s.Task), Attempt: s.Attempt})
 		}
 	}
 	return orders
--- a/internal/fleet/deaf_test.go
+++ b/internal/fleet/deaf_test.go
@@ -57,7 +57,7 @@
 			b.compose(0, true)
 			b.msg(true, 1, 2, term, nil)
 			usable(b, false, "after the lost answer")
-			m := &wire.Report{Host: "host-1", Session: 1, Seq: 3, Token: term, Tasks: []wire.TaskReport{{Task: "run-1/1", Attempt: 2, Phase: wire.Running}}}
+			m := &wire.Heartbeat{Host: "host-1", Session: 1, Seq: 3, Token: term, Tasks: []wire.TaskStatus{{Task: "run-1/1", Attempt: 2, Phase: wire.TaskRunning}}}
 			b.f.Observe(b.h, m, true, b.now, find(b))
 			usable(b, true, "its report shows the direct launch")
 		}},
@@ -66,7 +66,7 @@
 
 // deafSessionCases: point 18, what may be on a deaf machine across sessions.
 func deafSessionCases() []deafCase {
-	run := map[uint64]string{1: wire.Running}
+	run := map[uint64]wire.TaskPhase{1: wire.TaskRunning}
 	return []deafCase{
 		{"18: a session that ends although its reports were answered", func(b *bed) {
 			b.msg(true, 1, 1, term, run)
@@ -103,7 +103,7 @@
 
 // copyCases: points 9 and 19, copies of reports that come late.
 func copyCases() []deafCase {
-	run := map[uint64]string{1: wire.Running}
+	run := map[uint64]wire.TaskPhase{1: wire.TaskRunning}
 	return []deafCase{
 		{"19: copies renew no lease", func(b *bed) {
 			b.msg(true, 1, 1, term, run)
@@ -147,7 +147,7 @@
 
 // newSessionCases: points 18, 19 and 21, a worker that began anew.
 func newSessionCases() []deafCase {
-	run := map[uint64]string{1: wire.Running}
+	run := map[uint64]wire.TaskPhase{1: wire.TaskRunning}
 	return []deafCase{
 		{"21: what was sent directly to a machine that began anew is on it for a lease", func(b *bed) {
 			b.msg(true, 1, 40, term, nil)
--- a/internal/fleet/explore_test.go
+++ b/internal/fleet/explore_test.go
@@ -63,7 +63,7 @@
 	launched  bool
 	cancelled time.Time // when the user may first have been told
 	over      bool      // the leader has not loaded the job: it was over before
-	held      []wire.Direct
+	held      []wire.DirectCommands
 	w         worker
 	broken    string
 }
@@ -72,7 +72,7 @@
 type worker struct {
 	session, seq, token uint64
 	leased              time.Time
-	phase               string // of the one task; empty: it has not been here
+	phase               wire.TaskPhase // of the one task; empty: it has not been here
 }
 
 func newWorld(out guard) *world {
@@ -94,7 +94,7 @@
 	w.j.Noted.Add(w.h.Idx)
 	w.over = !w.cancelled.IsZero()
 	if w.over {
-		rec := &job.Record{Spec: w.j.Spec, Phase: wire.JobAborted}
+		rec := &job.Record{Spec: w.j.Spec, Phase: wire.JobCancelled}
 		w.j.Become(rec, w.now)
 		if w.out == unknownIsPast {
 			w.j.CancelledAt = w.now
@@ -108,7 +108,7 @@
 func (w *world) find(string) *job.Job { return w.j }
 
 // observe takes in a message as the leader does.
-func (w *world) observe(m *wire.Report, isReport bool) (fresh bool) {
+func (w *world) observe(m *wire.Heartbeat, isReport bool) (fresh bool) {
 	fresh = w.f.Observe(w.h, m, isReport, w.now, w.find).Fresh
 	for s := range w.f.On(w.j) {
 		if s.On() && w.j.Cancelled() && !s.Stopping {
@@ -137,7 +137,7 @@
 }
 
 // answer makes the leader's answer to a report; nil: there is none.
-func (w *world) answer(m *wire.Report, fresh bool) *wire.Answer {
+func (w *world) answer(m *wire.Heartbeat, fresh bool) *wire.HeartbeatResponse {
 	if w.out != withholds && !w.f.Renewable(w.h, w.now, 100) {
 		return nil
 	}
@@ -149,43 +149,43 @@
 	if w.out == alwaysHalts && lately {
 		orders = nil
 	}
-	return &wire.Answer{Token: w.f.Term, Orders: orders}
+	return &wire.HeartbeatResponse{Token: w.f.Term, Commands: orders}
 }
 
 // report is the worker's next report.
-func (w *world) report() *wire.Report {
+func (w *world) report() *wire.Heartbeat {
 	w.w.seq++
-	m := &wire.Report{Host: "host-1", Session: w.w.session, Seq: w.w.seq, Token: w.w.token}
+	m := &wire.Heartbeat{Host: "host-1", Session: w.w.session, Seq: w.w.seq, Token: w.w.token}
 	if w.w.phase != "" {
-		m.Tasks = []wire.TaskReport{{Task: "run-1/0", Attempt: 1, Phase: w.w.phase, Cause: wire.CauseHalted}}
+		m.Tasks = []wire.TaskStatus{{Task: "run-1/0", Attempt: 1, Phase: w.w.phase, Cause: wire.CauseStopped}}
 	}
 	return m
 }
 
 // take lets the worker take in an answer at once.
-func (w *world) take(a *wire.Answer) {
+func (w *world) take(a *wire.HeartbeatResponse) {
 	if a == nil || a.Token < w.w.token {
 		return
 	}
 	w.w.token, w.w.leased = a.Token, w.now
-	w.obey(a.Orders)
+	w.obey(a.Commands)
 }
 
-func (w *world) obey(orders []wire.Order) {
+func (w *world) obey(orders []wire.Command) {
 	for _, o := range orders {
 		switch {
-		case o.Op == wire.Launch && w.w.phase == "":
-			w.w.phase = wire.Running
+		case o.Verb == wire.CommandLaunch && w.w.phase == "":
+			w.w.phase = wire.TaskRunning
 			w.judge("starts")
-		case o.Op == wire.Halt && w.w.phase != "":
-			w.w.phase = wire.Exited
+		case o.Verb == wire.CommandStop && w.w.phase != "":
+			w.w.phase = wire.TaskExited
 		}
 	}
 }
 
 // judge looks whether a task is there that must not be.
 func (w *world) judge(what string) {
-	if w.w.phase == wire.Running && !w.cancelled.IsZero() && w.now.Sub(w.cancelled) > cancelTime {
+	if w.w.phase == wire.TaskRunning && !w.cancelled.IsZero() && w.now.Sub(w.cancelled) > cancelTime {
 		w.broken = "ran_cancelled: the task " + what + " " + w.now.Sub(w.cancelled).String() + " after the cancellation"
 	}
 }
@@ -194,7 +194,7 @@
 func (w *world) checkin(fate int) bool {
 	take := w.take
 	if fate == lost {
-		take = func(*wire.Answer) {}
+		take = func(*wire.HeartbeatResponse) {}
 	}
 	m := w.report()
 	body, err := wire.Marshal(m)
@@ -206,7 +206,7 @@
 	case shard.GrantExpired:
 		return false
 	case shard.Answered:
-		take(&wire.Answer{Token: w.holder.Term()})
+		take(&wire.HeartbeatResponse{Token: w.holder.Term()})
 		return true
 	case shard.ReportChanged, shard.LeaderRequired:
 		if fate != slow && w.holder.Term() == w.f.Term {
@@ -217,7 +217,7 @@
 			}
 		}
 		if verdict == shard.ReportChanged || w.out == tellsFirst {
-			take(&wire.Answer{Token: w.holder.Term()})
+			take(&wire.HeartbeatResponse{Token: w.holder.Term()})
 		}
 		return true
 	}
@@ -266,7 +266,7 @@
 func (w *world) entry(e *shard.Entry) {
 	w.a.Heard(e.Host)
 	if len(e.Report) > 0 {
-		m := &wire.Report{}
+		m := &wire.Heartbeat{}
 		if err := wire.Unmarshal(e.Report, m); err != nil {
 			panic(err)
 		}
@@ -285,7 +285,7 @@
 func (w *world) send() bool {
 	orders, _, _ := w.f.Compose(w.h, 0, w.h.Usable(), w.now, 100)
 	if len(orders) > 0 && len(w.held) < mostHeld {
-		w.held = append(w.held, wire.Direct{Token: w.f.Term, Session: max(1, w.h.Session), Orders: orders})
+		w.held = append(w.held, wire.DirectCommands{Token: w.f.Term, Session: max(1, w.h.Session), Commands: orders})
 	}
 	return len(orders) > 0
 }
@@ -299,7 +299,7 @@
 	w.held = w.held[1:]
 	if d.Token >= w.w.token && d.Session == w.w.session {
 		w.w.token = d.Token
-		w.obey(d.Orders)
+		w.obey(d.Commands)
 		if m := w.report(); answered {
 			w.observe(m, false)
 		}
@@ -348,7 +348,7 @@
 		if !w.launched || !w.cancelled.IsZero() {
 			return false
 		}
-		w.cancelled, w.j.Closing, w.j.CancelledAt = w.now, wire.JobAborted, w.now
+		w.cancelled, w.j.Closing, w.j.CancelledAt = w.now, wire.JobCancelled, w.now
 		if w.out == fromSending {
 			w.j.CancelledAt = w.now.Add(tick)
 		}
@@ -384,7 +384,7 @@
 		p.At(s.Halted, s.again, s.At)
 	}
 	for _, d := range w.held {
-		p.Say(d.Token, d.Session, len(d.Orders), d.Orders[0].Op)
+		p.Say(d.Token, d.Session, len(d.Commands), d.Commands[0].Verb)
 	}
 	return p.String()
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -160,7 +160,7 @@
 		return nil
 	}
 	s.Job.AddLive(s.Task, -1)
-	s.Phase = wire.Exited
+	s.Phase = wire.TaskExited
 	return []Event{{kind, s}}
 }
 
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -33,11 +33,11 @@
 }
 
 // msg lets the worker speak; phases maps attempts of task 0 to their phases.
-func (b *bed) msg(report bool, session, seq, token uint64, phases map[uint64]string) Result {
-	m := &wire.Report{Host: "host-1", Session: session, Seq: seq, Token: token}
+func (b *bed) msg(report bool, session, seq, token uint64, phases map[uint64]wire.TaskPhase) Result {
+	m := &wire.Heartbeat{Host: "host-1", Session: session, Seq: seq, Token: token}
 	for a, p := range phases {
-		tr := wire.TaskReport{Task: "run-1/0", Attempt: a, Phase: p}
-		if p == wire.Exited {
+		tr := wire.TaskStatus{Task: "run-1/0", Attempt: a, Phase: p}
+		if p == wire.TaskExited {
 			tr.Cause = wire.CauseDone
 		}
 		m.Tasks = append(m.Tasks, tr)
@@ -47,7 +47,7 @@
 
 func (b *bed) assign(attempt uint64) { b.f.Assign(b.h, Key{b.j, 0, attempt}, b.now) }
 
-func (b *bed) compose(seq uint64, launches bool) []wire.Order {
+func (b *bed) compose(seq uint64, launches bool) []wire.Command {
 	o, sent, _ := b.f.Compose(b.h, seq, launches, b.now, 100)
 	b.sent = sent
 	return o
@@ -60,11 +60,11 @@
 	}
 }
 
-func (b *bed) orders(o []wire.Order, want string) {
+func (b *bed) orders(o []wire.Command, want string) {
 	b.t.Helper()
 	got := ""
 	for _, x := range o {
-		got += fmt.Sprintf("%s %d;", x.Op, x.Attempt)
+		got += fmt.Sprintf("%s %d;", x.Verb, x.Attempt)
 	}
 	if got != want {
 		b.t.Errorf("orders %q, want %q", got, want)
@@ -88,7 +88,7 @@
 
 // ledgerLaunchCases: points 5 to 8, what is launched, and when it is settled.
 func ledgerLaunchCases() []ledgerCase {
-	run := map[uint64]string{1: wire.Running}
+	run := map[uint64]wire.TaskPhase{1: wire.TaskRunning}
 	return []ledgerCase{
 		{"5: nothing is launched on a machine that is not fenced", func(b *bed) {
 			b.msg(true, 1, 1, term-1, nil)
@@ -136,14 +136,14 @@
 
 // ledgerDirectCases: points 8 and 15, halts and direct launches.
 func ledgerDirectCases() []ledgerCase {
-	run := map[uint64]string{1: wire.Running}
+	run := map[uint64]wire.TaskPhase{1: wire.TaskRunning}
 	return []ledgerCase{
 		{"15: a halt without grace is repeated also while the task saves, one with grace is not", func(b *bed) {
 			b.msg(true, 1, 1, term, run)
 			for s := range b.f.On(b.j) {
 				b.f.Stop(s, 5)
 				b.orders(b.compose(1, true), "halt 1;")
-				b.msg(true, 1, 2, term, map[uint64]string{1: wire.Saving})
+				b.msg(true, 1, 2, term, map[uint64]wire.TaskPhase{1: wire.TaskCheckpointing})
 				b.now = b.now.Add(haltEvery)
 				b.orders(b.compose(2, true), "")
 				b.f.Stop(s, 0) // its job is cancelled
@@ -174,7 +174,7 @@
 			b.msg(true, 1, 4, term, nil)
 			b.orders(b.compose(4, true), "")
 			b.live(1, "the second copy may be lost too")
-			b.msg(true, 1, 5, term, map[uint64]string{1: wire.Exited})
+			b.msg(true, 1, 5, term, map[uint64]wire.TaskPhase{1: wire.TaskExited})
 			b.live(0, "once its exit is seen")
 			for s := range b.f.On(b.j) {
 				s.Settled = true
@@ -188,7 +188,7 @@
 
 // ledgerHolderCases: points 4, 8, 9 and 15, machines under a holder, and launches that have to go.
 func ledgerHolderCases() []ledgerCase {
-	run := map[uint64]string{1: wire.Running}
+	run := map[uint64]wire.TaskPhase{1: wire.TaskRunning}
 	return []ledgerCase{
 		{"4, 9: a held machine is judged as of what its holder has told, and at its end as of the grant", func(b *bed) {
 			by := &Holder{Name: "n1", Told: b.now}
@@ -227,7 +227,7 @@
 			b.now = b.now.Add(doubtTime)
 			b.orders(b.compose(1, true), "launch 1;halt 1;")
 			b.now = b.now.Add(doubtTime)
-			b.j.Closing = wire.JobAborted
+			b.j.Closing = wire.JobCancelled
 			b.orders(b.compose(1, true), "halt 1;")
 		}},
 	}
@@ -235,7 +235,7 @@
 
 // ledgerLeaseCases: points 8 and 9, unanswered launches and the lease.
 func ledgerLeaseCases() []ledgerCase {
-	run := map[uint64]string{1: wire.Running}
+	run := map[uint64]wire.TaskPhase{1: wire.TaskRunning}
 	return []ledgerCase{
 		{"8: an unanswered direct launch outlives reports without it", func(b *bed) {
 			b.msg(true, 1, 1, term, nil)
@@ -285,7 +285,7 @@
 
 // ledgerSessionCases: points 9, 11 and 12, sessions, clears and released machines.
 func ledgerSessionCases() []ledgerCase {
-	run := map[uint64]string{1: wire.Running}
+	run := map[uint64]wire.TaskPhase{1: wire.TaskRunning}
 	return []ledgerCase{
 		{"9: a new session has its lease from its own begin", func(b *bed) {
 			b.now = b.now.Add(9 * time.Second) // after a takeover, by a direct command only
@@ -310,7 +310,7 @@
 			b.live(0, "after a message of the dead session")
 		}},
 		{"11: clear is sent once the exit is settled", func(b *bed) {
-			r := b.msg(true, 1, 1, term, map[uint64]string{1: wire.Exited})
+			r := b.msg(true, 1, 1, term, map[uint64]wire.TaskPhase{1: wire.TaskExited})
 			b.orders(b.compose(1, true), "")
 			r.Events[0].Slot.Settled = true
 			b.orders(b.compose(0, true), "")
@@ -326,12 +326,12 @@
 
 // ledgerAbortCases: point 15 and terms, aborts and later leaders.
 func ledgerAbortCases() []ledgerCase {
-	run := map[uint64]string{1: wire.Running}
+	run := map[uint64]wire.TaskPhase{1: wire.TaskRunning}
 	return []ledgerCase{
 		{"15: nothing is launched once an abort was sent, halts are repeated", func(b *bed) {
 			b.msg(true, 1, 1, term, run)
 			b.f.Assign(b.h, Key{b.j, 1, 1}, b.now)
-			b.j.Closing = wire.JobAborted
+			b.j.Closing = wire.JobCancelled
 			for _, s := range b.h.Slots {
 				b.f.Stop(s, 0)
 			}
--- a/internal/fleet/host.go
+++ b/internal/fleet/host.go
@@ -156,7 +156,7 @@
 		h.GPUs += s.Job.GPUs
 		h.MemGB += s.Job.MemGB
 		h.Jobs++
-		if s.Phase != wire.Running && s.Phase != wire.Saving {
+		if s.Phase != wire.TaskRunning && s.Phase != wire.TaskCheckpointing {
 			h.Queue++
 		}
 		if s.expiring() && s.inFlight() {
--- a/internal/fleet/observe.go
+++ b/internal/fleet/observe.go
@@ -20,7 +20,7 @@
 type observation struct {
 	f        *Fleet
 	h        *Host
-	m        *wire.Report
+	m        *wire.Heartbeat
 	isReport bool
 	now      time.Time
 	events   []Event
@@ -31,7 +31,7 @@
 
 // Observe takes in a message. isReport is true for check-ins, whose answers
 // renew the lease, and false for the answers to direct commands.
-func (f *Fleet) Observe(h *Host, m *wire.Report, isReport bool, now time.Time, find func(id string) *job.Job) Result {
+func (f *Fleet) Observe(h *Host, m *wire.Heartbeat, isReport bool, now time.Time, find func(id string) *job.Job) Result {
 	if m.Token > f.Term {
 		return Result{Deposed: true}
 	}
@@ -73,7 +73,7 @@
 
 // renewed notes that the worker may be waiting for the answer to a report, which renews its
 // lease. A report that is older than a direct answer may be that one too.
-func (h *Host) renewed(m *wire.Report, now time.Time) {
+func (h *Host) renewed(m *wire.Heartbeat, now time.Time) {
 	if h.Lost && m.Session <= h.Session {
 		return
 	}
@@ -121,14 +121,14 @@
 		h.Addr = m.Addr
 	}
 	h.RecallAt = time.Time{}
-	if m.Notice != nil {
-		h.RecallAt = o.now.Add(time.Duration(max(0.001, *m.Notice) * float64(time.Second)))
+	if m.NoticeS != nil {
+		h.RecallAt = o.now.Add(time.Duration(max(0.001, *m.NoticeS) * float64(time.Second)))
 	}
 	h.messages++
 }
 
 // task takes in what the message says of one task.
-func (o *observation) task(t *wire.TaskReport, find func(id string) *job.Job) {
+func (o *observation) task(t *wire.TaskStatus, find func(id string) *job.Job) {
 	id, task, ok := job.SplitTask(t.Task)
 	if !ok {
 		return
@@ -141,8 +141,8 @@
 	s := h.Slots[k]
 	if s == nil {
 		s = &Slot{Key: k, Host: h, Adopted: true, At: o.now}
-		if t.Phase == wire.Exited {
-			s.Phase = wire.Pulling
+		if t.Phase == wire.TaskExited {
+			s.Phase = wire.TaskFetching
 		}
 		o.f.link(h, s)
 	}
@@ -150,20 +150,20 @@
 	o.hears = o.hears || (s.Sent && !s.Seen)
 	s.Sent, s.Seen, s.Direct = true, true, false
 	was := s.Phase
-	if was == wire.Exited {
+	if was == wire.TaskExited {
 		return
 	}
-	s.Phase, s.Cause, s.Saved = t.Phase, t.Cause, t.Saved
+	s.Phase, s.Cause, s.Saved = t.Phase, t.Cause, t.CheckpointSaved
 	if s.Health == wire.HealthGood && t.Health == wire.HealthBad {
 		o.events = append(o.events, Event{Sickened, s})
 	}
 	s.Health = t.Health
 	s.Judge(o.now)
 	switch {
-	case t.Phase == wire.Exited:
+	case t.Phase == wire.TaskExited:
 		j.AddLive(task, -1)
 		o.events = append(o.events, Event{Ended, s})
-	case t.Phase == wire.Running && was != wire.Running:
+	case t.Phase == wire.TaskRunning && was != wire.TaskRunning:
 		s.RunAt = o.now
 		o.events = append(o.events, Event{Started, s})
 	}
@@ -195,7 +195,7 @@
 // is saving is left to it, unless it has no time to save: its job is cancelled, and a
 // lost halt would let it save for as long as it likes.
 func (s *Slot) haltDue(now time.Time) bool {
-	return s.Stopping && s.On() && (s.Halted.IsZero() || now.Sub(s.Halted) >= haltEvery && (s.Phase != wire.Saving || s.Grace == 0))
+	return s.Stopping && s.On() && (s.Halted.IsZero() || now.Sub(s.Halted) >= haltEvery && (s.Phase != wire.TaskCheckpointing || s.Grace == 0))
 }
 
 // doubtTime is how old a direct launch must be, that nothing has settled, before
--- a/internal/fleet/renewal_test.go
+++ b/internal/fleet/renewal_test.go
@@ -9,7 +9,7 @@
 
 // cancel notes that the job's cancellation is sent.
 func (b *bed) cancel() {
-	b.j.Closing, b.j.CancelledAt = wire.JobAborted, b.now
+	b.j.Closing, b.j.CancelledAt = wire.JobCancelled, b.now
 	for s := range b.f.On(b.j) {
 		b.f.Stop(s, 0)
 	}
@@ -36,7 +36,7 @@
 	b.cancel()
 }
 
-var running = map[uint64]string{1: wire.Running}
+var running = map[uint64]wire.TaskPhase{1: wire.TaskRunning}
 
 // limit is when, after the cancellation, the lease may be renewed no more: cancel_s is 25 s,
 // the lease with its margin 10.51 s.
@@ -67,7 +67,7 @@
 			if _, bounded := b.f.RenewalLimit(b.h); !bounded {
 				b.t.Error("who answers without halts may renew")
 			}
-			b.msg(true, 1, 3, term, map[uint64]string{1: wire.Exited})
+			b.msg(true, 1, 3, term, map[uint64]wire.TaskPhase{1: wire.TaskExited})
 			if _, bounded := b.f.RenewalLimit(b.h); bounded {
 				b.t.Error("bounded after the exit")
 			}
@@ -79,7 +79,7 @@
 			b.renewable(true, "after the refusal")
 		}},
 		{"cancelled by an earlier leader: nobody knows when", func(b *bed) {
-			b.j.Phase = wire.JobAborted
+			b.j.Phase = wire.JobCancelled
 			b.msg(true, 1, 1, term-1, running)
 			b.renewable(true, "by an answer with halts")
 			if at, bounded := b.f.RenewalLimit(b.h); !bounded || at.After(b.now) {
@@ -96,7 +96,7 @@
 func TestRenewalBeside(t *testing.T) {
 	tests := []renewal{
 		{"more to halt than an answer holds", func(b *bed) {
-			b.msg(true, 1, 1, term, map[uint64]string{1: wire.Running, 2: wire.Running})
+			b.msg(true, 1, 1, term, map[uint64]wire.TaskPhase{1: wire.TaskRunning, 2: wire.TaskRunning})
 			b.cancel()
 			b.now = b.now.Add(limit)
 			if b.f.Renewable(b.h, b.now, 1) || !b.f.Renewable(b.h, b.now, 2) {
--- a/internal/fleet/slot.go
+++ b/internal/fleet/slot.go
@@ -18,12 +18,12 @@
 	Key
 	Host *Host
 	// Phase is the worker's word, or empty before the first one.
-	Phase string
-	Cause string
+	Phase wire.TaskPhase
+	Cause wire.ExitCause
 	Saved bool
 	// Health is the worker's word on a running replica, Checked what the last check
 	// of it said (the same words; empty: nothing).
-	Health, Checked string
+	Health, Checked wire.ReplicaHealth
 	// BadAt is since when either has said that it is bad; zero: neither does.
 	BadAt time.Time
 	// Sent: the launch has left, or may have. Before that the slot only holds
@@ -66,7 +66,7 @@
 }
 
 // On reports whether the task may take room on its machine.
-func (s *Slot) On() bool { return s.Phase != wire.Exited }
+func (s *Slot) On() bool { return s.Phase != wire.TaskExited }
 
 // EventKind says what became of a slot.
 type EventKind uint8
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -256,7 +256,7 @@
 
 // Cancelled reports whether the job's user may have been told that it is cancelled.
 func (j *Job) Cancelled() bool {
-	return j.Phase == wire.JobAborted || (j.Phase == "" && j.Closing == wire.JobAborted)
+	return j.Phase == wire.JobCancelled || (j.Phase == "" && j.Closing == wire.JobCancelled)
 }
 
 func (j *Job) recount() {
@@ -338,8 +338,8 @@
 }
 
 // Status is what the job's user is told.
-func (j *Job) Status(running int) wire.Status {
-	s := wire.Status{ID: j.ID, Phase: wire.JobPending, Done: j.DoneCount, Running: running, Notice: j.Notice}
+func (j *Job) Status(running int) wire.JobStatus {
+	s := wire.JobStatus{ID: j.ID, Phase: wire.JobPending, Done: j.DoneCount, Running: running, Notice: j.Notice}
 	switch {
 	case j.Phase != "":
 		s.Phase, s.Running = j.Phase, 0
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -23,34 +23,34 @@
 
 // What is counted.
 var (
-	Answers    = Metric{"vetchstream_answers_total", "Answers to users, by kind of request and status.", "request"}
-	Launches   = Metric{"vetchstream_launches_total", "Launches sent to workers.", ""}
-	Endings    = Metric{"vetchstream_jobs_ended_total", "Jobs that are over, by their final phase.", "phase"}
-	Slots      = Metric{"vetchstream_slots_total", "Occurrences of reservations that are decided, by outcome.", "outcome"}
-	Moves      = Metric{"vetchstream_maintenance_moves_total", "Tasks moved or stopped for maintenance.", ""}
-	ShareMoves = Metric{"vetchstream_share_moves_total", "Machines that a holder has given back or lost, by the reason.", "why"}
+	UserResponses    = Metric{"vetchstream_answers_total", "Answers to users, by kind of request and status.", "request"}
+	TaskLaunches     = Metric{"vetchstream_launches_total", "Launches sent to workers.", ""}
+	JobsEnded        = Metric{"vetchstream_jobs_ended_total", "Jobs that are over, by their final phase.", "phase"}
+	ReservationSlots = Metric{"vetchstream_slots_total", "Occurrences of reservations that are decided, by outcome.", "outcome"}
+	MaintenanceMoves = Metric{"vetchstream_maintenance_moves_total", "Tasks moved or stopped for maintenance.", ""}
+	ShardReturns     = Metric{"vetchstream_share_moves_total", "Machines that a holder has given back or lost, by the reason.", "why"}
 	// ConfigChanges counts changes of the configuration at the home region.
-	ConfigChanges = Metric{"vetchstream_config_changes_total", "Changes of the configuration, by what became of them.", "result"}
-	Withheld      = Metric{"vetchstream_sessions_ended_total", "Machines whose reports went unanswered, so that a launch of a cancelled job cannot be carried out.", ""}
-	Accepted      = Metric{"vetchstream_jobs_accepted_total", "Jobs accepted by this node, by the kind of record.", "record"}
+	ConfigChanges   = Metric{"vetchstream_config_changes_total", "Changes of the configuration, by what became of them.", "result"}
+	SessionsExpired = Metric{"vetchstream_sessions_ended_total", "Machines whose reports went unanswered, so that a launch of a cancelled job cannot be carried out.", ""}
+	JobsAccepted    = Metric{"vetchstream_jobs_accepted_total", "Jobs accepted by this node, by the kind of record.", "record"}
 )
 
 // What is timed, in seconds.
 var (
-	AnswerTime   = Metric{"vetchstream_answer_seconds", "Time to answer users, by kind of request.", "request"}
-	PlanTime     = Metric{"vetchstream_plan_seconds", "Time to make and carry out a plan.", ""}
-	StartWait    = Metric{"vetchstream_start_wait_seconds", "Wait of tasks for a machine, by class of their job.", "class"}
-	TakeoverTime = Metric{"vetchstream_takeover_seconds", "Takeovers, by the phase that was reached.", "phase"}
+	UserResponseTime = Metric{"vetchstream_answer_seconds", "Time to answer users, by kind of request.", "request"}
+	PlanTime         = Metric{"vetchstream_plan_seconds", "Time to make and carry out a plan.", ""}
+	StartWait        = Metric{"vetchstream_start_wait_seconds", "Wait of tasks for a machine, by class of their job.", "class"}
+	TakeoverTime     = Metric{"vetchstream_takeover_seconds", "Takeovers, by the phase that was reached.", "phase"}
 )
 
 // What is shown as it stands.
 var (
-	Machines  = Metric{"vetchstream_machines", "Machines that the leader looks after.", ""}
-	Jobs      = Metric{"vetchstream_jobs", "Jobs that the leader looks after.", ""}
-	Held      = Metric{"vetchstream_machines_held", "Machines held for reservations.", ""}
-	ShareHeld = Metric{"vetchstream_share_machines", "Machines that each controller deals with, at the leader.", "member"}
-	Revision  = Metric{"vetchstream_config_revision", "Highest revision of the configuration of which anything is in force here.", ""}
-	Leading   = Metric{"vetchstream_leading", "1 while this node leads.", ""}
+	Machines         = Metric{"vetchstream_machines", "Machines that the leader looks after.", ""}
+	Jobs             = Metric{"vetchstream_jobs", "Jobs that the leader looks after.", ""}
+	ReservedMachines = Metric{"vetchstream_machines_held", "Machines held for reservations.", ""}
+	ShardMachines    = Metric{"vetchstream_share_machines", "Machines that each controller deals with, at the leader.", "member"}
+	ConfigRevision   = Metric{"vetchstream_config_revision", "Highest revision of the configuration of which anything is in force here.", ""}
+	Leading          = Metric{"vetchstream_leading", "1 while this node leads.", ""}
 )
 
 // maxLabels bounds the values of a label: classes are the users' to name. What
@@ -115,10 +115,10 @@
 }
 
 // Set shows a figure as it stands.
-func (m *Meter) Set(of Metric, n int) { m.SetFor(of, "", n) }
+func (m *Meter) Set(of Metric, n int) { m.SetLabeled(of, "", n) }
 
-// SetFor is Set for one value of the metric's label.
-func (m *Meter) SetFor(of Metric, value string, n int) {
+// SetLabeled is Set for one value of the metric's label.
+func (m *Meter) SetLabeled(of Metric, value string, n int) {
 	if m == nil {
 		return
 	}
@@ -127,8 +127,8 @@
 	m.gauges[m.key(of, value)] = float64(n)
 }
 
-// Took notes a time.
-func (m *Meter) Took(of Metric, value string, d time.Duration) {
+// Observe notes a time.
+func (m *Meter) Observe(of Metric, value string, d time.Duration) {
 	if m == nil {
 		return
 	}
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -17,18 +17,18 @@
 		want []string
 	}{
 		{"nothing yet", func(*Meter) {}, nil},
-		{"counts add up", func(m *Meter) { m.Add(Answers, "submit 201", 2); m.Add(Answers, "submit 201", 3) },
+		{"counts add up", func(m *Meter) { m.Add(UserResponses, "submit 201", 2); m.Add(UserResponses, "submit 201", 3) },
 			[]string{`vetchstream_answers_total{request="submit 201"} 5`}},
 		{"the last figure stands", func(m *Meter) { m.Set(Machines, 7); m.Set(Machines, 5) }, []string{"vetchstream_machines 5"}},
 		{"times have quantiles, sum and count", func(m *Meter) {
 			for i := range 100 {
-				m.Took(PlanTime, "", time.Duration(i+1)*time.Millisecond)
+				m.Observe(PlanTime, "", time.Duration(i+1)*time.Millisecond)
 			}
 		}, []string{`vetchstream_plan_seconds{quantile="0.5"} 0.05`, "vetchstream_plan_seconds_sum 5.05", "vetchstream_plan_seconds_count 100"}},
-		{"a time beyond all bounds", func(m *Meter) { m.Took(PlanTime, "", 90*time.Hour) }, []string{"vetchstream_plan_seconds_sum 3600"}},
+		{"a time beyond all bounds", func(m *Meter) { m.Observe(PlanTime, "", 90*time.Hour) }, []string{"vetchstream_plan_seconds_sum 3600"}},
 		{"more classes than are told apart", func(m *Meter) {
 			for i := range 100 {
-				m.Add(Endings, fmt.Sprint(i), 1)
+				m.Add(JobsEnded, fmt.Sprint(i), 1)
 			}
 		}, []string{`vetchstream_jobs_ended_total{phase="0"} 1`, `vetchstream_jobs_ended_total{phase="other"} 68`}},
 	}
--- a/internal/node/calendar_test.go
+++ b/internal/node/calendar_test.go
@@ -35,7 +35,7 @@
 		c.Types = []wire.MachineType{{Name: "small", CPUs: 4, MemGB: 64, CacheGB: 10, FetchRate: 1, Price: 0.2, SpotPrice: 0.05, BootS: 10, Zones: []string{"a", "b", "c"}}}
 	}, func(_ *config.Settings, tun *config.Tuning) {
 		tun.Rollouts.Enabled = true
-		tun.Calendar.Enabled, tun.Calendar.CountOn = true, map[string]int{"small": most / 3}
+		tun.Calendar.Enabled, tun.Calendar.AssumedCapacity = true, map[string]int{"small": most / 3}
 		if tune != nil {
 			tune(&tun.Calendar)
 		}
@@ -57,7 +57,7 @@
 		b.t.Fatal(err)
 	}
 	got := 0
-	b.user(b.hc, "POST", path, body, func(status int, _ wire.Status) bool {
+	b.user(b.hc, "POST", path, body, func(status int, _ wire.JobStatus) bool {
 		got = status
 		return status < 500
 	})
@@ -66,7 +66,7 @@
 
 // show reads an entry of the calendar.
 func (b *slotBed) show(path string, out any) {
-	b.user(b.hc, "GET", path, nil, func(status int, _ wire.Status) bool { return status == 200 })
+	b.user(b.hc, "GET", path, nil, func(status int, _ wire.JobStatus) bool { return status == 200 })
 	for i := range 90 {
 		if res, err := b.hc.Get("http://" + controllers[i%3].Addr + path); err == nil {
 			if body := readAll(res); res.StatusCode == 200 && wire.Unmarshal(body, out) == nil {
@@ -114,7 +114,7 @@
 			if err != nil {
 				continue
 			}
-			var st wire.Status
+			var st wire.JobStatus
 			if body := readAll(res); res.StatusCode == 404 || (res.StatusCode == 200 && wire.Unmarshal(body, &st) == nil) {
 				final = b.Polled(&real, res.StatusCode, st.Phase, final, false)
 			}
@@ -164,7 +164,7 @@
 		{"nothing goes wrong", 12, nil, nil, nil, 0, calendar.Kept},
 		{"holding is switched off", 12, func(c *config.Calendar) { c.Hold = false }, nil, nil, -1, calendar.Missed},
 		{"without backfill", 12, func(c *config.Calendar) { c.Backfill = false }, nil, nil, 0, calendar.Kept},
-		{"the cloud has less than anybody knew", 12, func(c *config.Calendar) { c.CountOn = nil }, nil, nil, 0, calendar.Kept},
+		{"the cloud has less than anybody knew", 12, func(c *config.Calendar) { c.AssumedCapacity = nil }, nil, nil, 0, calendar.Kept},
 		{"in one place", 24, nil, map[string]any{"same_place": true}, nil, 0, calendar.Kept},
 		{"the leader ends at the very start", 12, nil, nil, func(b *slotBed) { b.at(-100 * time.Millisecond); crash(1)(b.sim) }, 20 * time.Second, ""},
 		{"all controllers end just before", 12, nil, nil, func(b *slotBed) { b.at(-6 * time.Second); crash(3)(b.sim) }, 20 * time.Second, ""},
@@ -364,8 +364,8 @@
 				}
 				var cut []string
 				for _, e := range b.History() {
-					if !e.Start && e.Zone == "a" && e.Host != stuck && e.At.After(b.start.Add(-70*time.Second)) && (e.Cause == emulate.Lost || (e.Cause == wire.CauseHalted && e.Task[:10] == "run-000001")) {
-						cut = append(cut, e.Task+" "+e.Cause)
+					if !e.Start && e.Zone == "a" && e.Host != stuck && e.At.After(b.start.Add(-70*time.Second)) && (e.Cause == emulate.Lost || (e.Cause == wire.CauseStopped && e.Task[:10] == "run-000001")) {
+						cut = append(cut, e.Task+" "+string(e.Cause))
 					}
 				}
 				if (len(cut) > 0) != tt.cut {
--- a/internal/node/home_region.go
+++ b/internal/node/home_region.go
@@ -74,7 +74,7 @@
 // follow asks for what is granted to this region.
 func (h *homeRegion) follow(ctx context.Context, q *dynconfig.Request) (out *dynconfig.Reply, err error) {
 	err = h.each(ctx, func(ctx context.Context, member string) bool {
-		p, ferr := h.mesh.Follow(ctx, member, q)
+		p, ferr := h.mesh.FollowConfig(ctx, member, q)
 		if ferr != nil || p.Refused != "" {
 			return false
 		}
@@ -88,7 +88,7 @@
 func (h *homeRegion) forward(ctx context.Context, q *rpc.Request) (out *rpc.Reply) {
 	err := h.each(ctx, func(ctx context.Context, member string) bool {
 		p, ferr := h.mesh.Forward(ctx, member, q)
-		if ferr != nil || (p.Status == http.StatusServiceUnavailable && !p.Settled) {
+		if ferr != nil || (p.Status == http.StatusServiceUnavailable && !p.Final) {
 			return false
 		}
 		out = p
--- a/internal/node/meetings_test.go
+++ b/internal/node/meetings_test.go
@@ -229,7 +229,7 @@
 			}
 			b, err = io.ReadAll(res.Body)
 			_ = res.Body.Close()
-			var st wire.Status
+			var st wire.JobStatus
 			if err != nil || (res.StatusCode == 200 && wire.Unmarshal(b, &st) != nil) || res.StatusCode >= 429 {
 				return 0, ""
 			}
@@ -319,7 +319,7 @@
 			}
 			b, err := io.ReadAll(res.Body)
 			_ = res.Body.Close()
-			var st wire.Status
+			var st wire.JobStatus
 			if err != nil || (res.StatusCode/100 == 2 && wire.Unmarshal(b, &st) != nil) {
 				return
 			}
@@ -400,7 +400,7 @@
 // abortNow calls a job off and judges the answer.
 func (s *sim) abortNow(spec *job.Spec) {
 	hc := s.client(5 * time.Second)
-	s.user(hc, "POST", "/api/jobs/"+spec.ID+"/abort", nil, func(status int, st wire.Status) bool {
+	s.user(hc, "POST", "/api/jobs/"+spec.ID+"/abort", nil, func(status int, st wire.JobStatus) bool {
 		if status == 404 {
 			s.Fail("forgotten: abort of %s got 404", spec.ID)
 		}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -92,7 +92,7 @@
 		}
 		defer n.home.close()
 	}
-	if tun.Shares.Enabled && len(set.Siblings) > 0 {
+	if tun.Sharding.Enabled && len(set.Siblings) > 0 {
 		n.shareHolder = newShareHolder(n, nw.Dial)
 	}
 
@@ -112,7 +112,7 @@
 	}
 	d := newBoundedListener(hl, inbound(set))
 	srv := &http.Server{ConnState: d.state, ConnContext: func(ctx context.Context, c net.Conn) context.Context {
-		return api.WithWork(ctx, c.(*boundedConn).keeps)
+		return api.WithTaskObserver(ctx, c.(*boundedConn).keeps)
 	}, Handler: api.New(n, log, m).Handler(), ReadHeaderTimeout: 10 * time.Second,
 		ReadTimeout: 20 * time.Second, WriteTimeout: 20 * time.Second, IdleTimeout: 90 * time.Second,
 		MaxHeaderBytes: 16 << 10, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug)}
@@ -128,18 +128,18 @@
 			}
 		})
 	}
-	if tun.YieldS > 0 {
-		n.yield.patience = config.Seconds(tun.YieldS)
+	if tun.TransferAfterS > 0 {
+		n.yield.patience = config.Seconds(tun.TransferAfterS)
 		wg.Go(func() { n.watchLead(ctx) })
 	}
 	if n.shareHolder != nil {
 		wg.Go(func() { n.shareHolder.run(ctx) })
 	}
 	wg.Go(func() {
-		mesh.Pings(ctx, func(h rpc.Hello) {
+		mesh.PingSiblings(ctx, func(h rpc.NodeStatus) {
 			n.elector.ObserveLeader(h.Leader, h.Term)
 			n.elector.ObserveSibling(h.Member, h.Member == h.Leader)
-			if tun.YieldS > 0 {
+			if tun.TransferAfterS > 0 {
 				n.yield.heard(h, time.Now())
 			}
 			if h.Member == h.Leader {
@@ -157,7 +157,7 @@
 			cancel(fmt.Errorf("listen: %w", err))
 		}
 	})
-	for _, line := range set.Doubts() {
+	for _, line := range set.Warnings() {
 		log.Warn("settings: " + line)
 	}
 	log.Info("started", "site", set.Site, "listen", set.Listen)
@@ -170,18 +170,18 @@
 	return nil
 }
 
-// Hello implements rpc.Handler.
-func (n *Node) Hello() rpc.Hello {
+// NodeStatus implements rpc.Handler.
+func (n *Node) NodeStatus() rpc.NodeStatus {
 	v := n.elector.View()
 	n.mu.Lock()
 	serves := time.Since(n.served) < servesTime
 	n.mu.Unlock()
-	return rpc.Hello{Member: n.set.Member, Leader: v.Leader, Term: v.Term, Serves: serves, Behind: n.lag.Behind(),
-		WorkUs: n.lag.Work().Microseconds(), Stored: time.Since(v.Seen) < storedTime}
+	return rpc.NodeStatus{Member: n.set.Member, Leader: v.Leader, Term: v.Term, ServesUsers: serves, Overloaded: n.lag.Behind(),
+		ProbeUs: n.lag.Work().Microseconds(), StoreReachable: time.Since(v.Seen) < storedTime}
 }
 
-// Local implements rpc.Handler: only a leader answers for others.
-func (n *Node) Local(ctx context.Context, q *rpc.Request) *rpc.Reply {
+// HandleForwarded implements rpc.Handler: only a leader answers for others.
+func (n *Node) HandleForwarded(ctx context.Context, q *rpc.Request) *rpc.Reply {
 	if p := n.ctl.Answer(ctx, q); p != nil {
 		return p
 	}
@@ -196,8 +196,8 @@
 // last of them came.
 const servesTime = 3 * time.Second
 
-// Answer implements api.Backend.
-func (n *Node) Answer(ctx context.Context, q *rpc.Request) *rpc.Reply {
+// HandleUser implements api.Backend.
+func (n *Node) HandleUser(ctx context.Context, q *rpc.Request) *rpc.Reply {
 	n.mu.Lock()
 	n.served = time.Now()
 	n.mu.Unlock()
@@ -213,7 +213,7 @@
 		return p
 	}
 	// A leader that does not answer pings would only use up the user's patience.
-	if l := n.Leader(); l != "" && n.mesh.Reached(l) {
+	if l := n.Leader(); l != "" && n.mesh.Reachable(l) {
 		limit := forwardTime
 		if q.Kind == rpc.KindStatus {
 			limit = pollForwardTime
@@ -233,7 +233,7 @@
 		if q.Kind == rpc.KindSubmit {
 			n.route.tookLeader(time.Since(begun))
 		}
-		if err == nil && (p.Settled || p.Status != http.StatusServiceUnavailable) {
+		if err == nil && (p.Final || p.Status != http.StatusServiceUnavailable) {
 			return p
 		}
 	}
@@ -283,27 +283,29 @@
 	return &rpc.Promise{Given: n.elector.Promise(ctx, q.Leader, q.Term)}
 }
 
-// Follow implements rpc.Handler: only a leader of the home region answers.
-func (n *Node) Follow(ctx context.Context, q *dynconfig.Request) *dynconfig.Reply {
+// FollowConfig implements rpc.Handler: only a leader of the home region answers.
+func (n *Node) FollowConfig(ctx context.Context, q *dynconfig.Request) *dynconfig.Reply {
 	return n.ctl.FollowHome(ctx, q)
 }
 
-// Sync implements rpc.Handler: only a leader gives shares.
-func (n *Node) Sync(ctx context.Context, r *shard.Request) *shard.Reply { return n.ctl.Sync(ctx, r) }
+// SyncShard implements rpc.Handler: only a leader gives shares.
+func (n *Node) SyncShard(ctx context.Context, r *shard.Request) *shard.Reply {
+	return n.ctl.Sync(ctx, r)
+}
 
-// Report implements api.Backend: a worker is answered by the leader, or by the
+// Heartbeat implements api.Backend: a worker is answered by the leader, or by the
 // holder of its machine.
-func (n *Node) Report(ctx context.Context, q *rpc.Request) *rpc.Reply {
+func (n *Node) Heartbeat(ctx context.Context, q *rpc.Request) *rpc.Reply {
 	if p := n.ctl.Answer(ctx, q); p != nil || n.shareHolder == nil {
 		return p
 	}
 	return n.shareHolder.report(ctx, q.Body)
 }
 
-// Forward implements api.Backend.
-func (n *Node) Forward(ctx context.Context, q *rpc.Request) *rpc.Reply {
+// ForwardHeartbeat implements api.Backend.
+func (n *Node) ForwardHeartbeat(ctx context.Context, q *rpc.Request) *rpc.Reply {
 	h := *q
-	h.Via = n.set.Member
+	h.ForwardedBy = n.set.Member
 	p, err := n.mesh.Forward(ctx, n.Leader(), &h)
 	if err != nil {
 		return control.Later("the leader is not to be reached")
@@ -330,11 +332,11 @@
 // without it. Not before the load balancer sends users to one of them: after a
 // restart it waits for up to a minute.
 func (n *Node) Healthy() bool {
-	if n.ctl.Leading() && n.lag.Behind() && n.mesh.AnyServes() {
+	if n.ctl.Leading() && n.lag.Behind() && n.mesh.AnyServesUsers() {
 		return false
 	}
 	v := n.elector.View()
-	able := n.ctl.Leading() || time.Since(v.Seen) < 8*time.Second || (v.Leader != "" && n.mesh.Reached(v.Leader))
+	able := n.ctl.Leading() || time.Since(v.Seen) < 8*time.Second || (v.Leader != "" && n.mesh.Reachable(v.Leader))
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if able {
--- a/internal/node/rollout_test.go
+++ b/internal/node/rollout_test.go
@@ -76,7 +76,7 @@
 		b.t.Fatal(err)
 	}
 	got := 0
-	b.user(b.hc, "POST", "/api/rollouts", body, func(status int, _ wire.Status) bool {
+	b.user(b.hc, "POST", "/api/rollouts", body, func(status int, _ wire.JobStatus) bool {
 		got = status
 		return status < 500
 	})
@@ -173,14 +173,14 @@
 		{"its user cancels the service", 0, func(b *rollBed) {
 			b.start(nil)
 			b.until(100, func() bool { return b.Running("run-2") >= 3 })
-			b.user(b.hc, "POST", "/api/jobs/run-1/abort", nil, func(status int, st wire.Status) bool { return status == 200 && st.Phase == wire.JobAborted })
+			b.user(b.hc, "POST", "/api/jobs/run-1/abort", nil, func(status int, st wire.JobStatus) bool { return status == 200 && st.Phase == wire.JobCancelled })
 			b.until(25, func() bool { return b.Running("run-1") == 0 && b.Running("run-2") == 0 })
 			b.until(20, b.is(rollout.Failed))
 		}},
 		{"its user cancels the service, and the state service is out at once", 0, func(b *rollBed) {
 			b.start(nil)
 			b.until(100, func() bool { return b.Running("run-2") >= 3 })
-			b.user(b.hc, "POST", "/api/jobs/run-1/abort", nil, func(status int, st wire.Status) bool { return status == 200 && st.Phase == wire.JobAborted })
+			b.user(b.hc, "POST", "/api/jobs/run-1/abort", nil, func(status int, st wire.JobStatus) bool { return status == 200 && st.Phase == wire.JobCancelled })
 			b.store.Outage(true)
 			b.until(25, func() bool { return b.Running("run-1") == 0 && b.Running("run-2") == 0 })
 			b.store.Outage(false)
@@ -233,7 +233,7 @@
 						case <-time.After(2 * time.Second):
 						}
 						if res, err := b.hc.Get("http://" + controllers[1].Addr + "/api/jobs/run-1"); err == nil {
-							var st wire.Status
+							var st wire.JobStatus
 							body := readAll(res)
 							if res.StatusCode == 404 || (res.StatusCode == 200 && wire.Unmarshal(body, &st) == nil) {
 								before = b.Polled(b.spec, res.StatusCode, st.Phase, before, strings.Contains(tt.name, "cancels"))
--- a/internal/node/shard_holder.go
+++ b/internal/node/shard_holder.go
@@ -30,7 +30,7 @@
 // ask is a report that waits for the leader's answer.
 type ask struct {
 	session, seq uint64
-	orders       chan []wire.Order
+	orders       chan []wire.Command
 }
 
 const (
@@ -106,7 +106,7 @@
 	a.mu.Unlock()
 	sctx, cancel := context.WithTimeout(ctx, syncTime)
 	defer cancel()
-	p, err := a.n.mesh.Sync(sctx, v.Leader, q)
+	p, err := a.n.mesh.SyncShard(sctx, v.Leader, q)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if err != nil || p.Term == 0 {
@@ -142,7 +142,7 @@
 }
 
 // await waits for the leader's answer to a report of a machine.
-func (a *shareHolder) await(ctx context.Context, machine string, q ask, patience time.Duration) (orders []wire.Order, ok bool) {
+func (a *shareHolder) await(ctx context.Context, machine string, q ask, patience time.Duration) (orders []wire.Command, ok bool) {
 	t := time.NewTimer(patience)
 	defer t.Stop()
 	select {
@@ -170,14 +170,14 @@
 
 // report answers the report of a machine in the share; nil: it is in none of ours.
 func (a *shareHolder) report(ctx context.Context, body []byte) *rpc.Reply {
-	m := &wire.Report{}
+	m := &wire.Heartbeat{}
 	if err := wire.Unmarshal(body, m); err != nil || m.Host == "" || m.Session == 0 {
 		return nil // the leader refuses it
 	}
 	a.mu.Lock()
 	orders, verdict := a.holder.Report(m, body, time.Now())
 	term := a.holder.Term()
-	q := ask{m.Session, m.Seq, make(chan []wire.Order, 1)}
+	q := ask{m.Session, m.Seq, make(chan []wire.Command, 1)}
 	if verdict >= shard.ReportChanged {
 		a.asks[m.Host] = q // an older one of the machine is not waited for any more
 	}
@@ -204,7 +204,7 @@
 			return control.Later("the leader has not been told of all tasks of the machine")
 		}
 	}
-	b, err := wire.Marshal(wire.Answer{Token: term, Orders: orders})
+	b, err := wire.Marshal(wire.HeartbeatResponse{Token: term, Commands: orders})
 	if err != nil {
 		return control.Later("the answer does not encode")
 	}
@@ -212,5 +212,5 @@
 	if !a.valid(term) {
 		return control.Later("the leader has not renewed this node's grant")
 	}
-	return &rpc.Reply{Status: http.StatusOK, Body: b, Work: len(m.Tasks) > 0}
+	return &rpc.Reply{Status: http.StatusOK, Body: b, HasTasks: len(m.Tasks) > 0}
 }
--- a/internal/node/shards_test.go
+++ b/internal/node/shards_test.go
@@ -11,9 +11,9 @@
 
 // shared lets the controllers share every machine, quickly.
 func shared(_ *config.Settings, tun *config.Tuning) {
-	sh := &tun.Shares
+	sh := &tun.Sharding
 	tun.PromiseMs = 2000
-	sh.Enabled, sh.Least, sh.JoinS, sh.RestS, sh.PerS = true, 1, 1, 2, 200
+	sh.Enabled, sh.MinMachines, sh.JoinDelayS, sh.RejoinDelayS, sh.MovesPerS = true, 1, 1, 2, 200
 }
 
 // crashOther ends a controller that does not lead, and with it the holder of a
--- a/internal/node/sim_test.go
+++ b/internal/node/sim_test.go
@@ -258,7 +258,7 @@
 }
 
 // user repeats a request until it has a clear answer, and judges the answers.
-func (s *sim) user(hc *http.Client, method, path string, body []byte, want func(status int, st wire.Status) bool) bool {
+func (s *sim) user(hc *http.Client, method, path string, body []byte, want func(status int, st wire.JobStatus) bool) bool {
 	id, _, _ := strings.Cut(strings.TrimPrefix(path, "/api/jobs/"), "/")
 	first := int(s.asks.Add(1)) // a balancer sends each to another controller
 	for try := range 90 {
@@ -275,7 +275,7 @@
 		if err == nil {
 			b, rerr := io.ReadAll(res.Body)
 			res.Body.Close()
-			var st wire.Status
+			var st wire.JobStatus
 			if rerr == nil && (res.StatusCode != 200 && res.StatusCode != 201 || wire.Unmarshal(b, &st) == nil) && want(res.StatusCode, st) {
 				return true
 			}
@@ -288,7 +288,7 @@
 
 // submit hands in a job until it is accepted, and judges the answers.
 func (s *sim) submit(hc *http.Client, spec *job.Spec) bool {
-	return s.user(hc, "POST", "/api/jobs", submission(spec), func(status int, _ wire.Status) bool {
+	return s.user(hc, "POST", "/api/jobs", submission(spec), func(status int, _ wire.JobStatus) bool {
 		if status == 400 || status == 422 || status == 404 {
 			s.Fail("refused: %s got %d", spec.ID, status)
 		}
@@ -298,7 +298,7 @@
 
 // again repeats the submission of a job that is over, as a user whose retry comes late.
 func (s *sim) again(hc *http.Client, spec *job.Spec, final string) {
-	s.user(hc, "POST", "/api/jobs", submission(spec), func(status int, st wire.Status) bool {
+	s.user(hc, "POST", "/api/jobs", submission(spec), func(status int, st wire.JobStatus) bool {
 		s.Repeated(spec, status, st.Phase, final)
 		return status < 429
 	})
@@ -341,7 +341,7 @@
 		told := make(chan struct{})
 		defer close(told)
 		s.Go(func() { s.looks(spec, told) })
-		s.user(hc, "POST", "/api/jobs/"+spec.ID+"/abort", nil, func(status int, st wire.Status) bool {
+		s.user(hc, "POST", "/api/jobs/"+spec.ID+"/abort", nil, func(status int, st wire.JobStatus) bool {
 			if status == 404 {
 				s.Fail("forgotten: abort of %s got 404", spec.ID)
 			}
@@ -359,7 +359,7 @@
 			s.again(hc, spec, final)
 			repeated = true
 		}
-		if !s.user(hc, "GET", "/api/jobs/"+spec.ID, nil, func(status int, st wire.Status) bool {
+		if !s.user(hc, "GET", "/api/jobs/"+spec.ID, nil, func(status int, st wire.JobStatus) bool {
 			before := final
 			if final = s.Polled(spec, status, st.Phase, final, abort > 0); final != before {
 				s.looksClosely(spec, abort > 0)
@@ -397,7 +397,7 @@
 		}
 		b, err := io.ReadAll(res.Body)
 		_ = res.Body.Close()
-		var st wire.Status
+		var st wire.JobStatus
 		if err == nil && res.StatusCode == http.StatusOK && wire.Unmarshal(b, &st) == nil {
 			before = s.Polled(spec, res.StatusCode, st.Phase, before, true)
 		}
@@ -546,8 +546,8 @@
 			}
 			if i%4 == 0 {
 				s.Go(func() {
-					s.user(hc, "POST", "/api/jobs/"+spec.ID+"/abort", nil, func(status int, st wire.Status) bool {
-						if status == 200 && st.Phase != wire.JobAborted && st.Phase != wire.JobDone {
+					s.user(hc, "POST", "/api/jobs/"+spec.ID+"/abort", nil, func(status int, st wire.JobStatus) bool {
+						if status == 200 && st.Phase != wire.JobCancelled && st.Phase != wire.JobDone {
 							s.Fail("went_back: an abort of %s got %s", spec.ID, st.Phase)
 						}
 						return status == 200 || status == 404 // not submitted yet
--- a/internal/node/storm_test.go
+++ b/internal/node/storm_test.go
@@ -97,7 +97,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !s.user(hc, "POST", "/api/rollouts", body, func(status int, _ wire.Status) bool {
+		if !s.user(hc, "POST", "/api/rollouts", body, func(status int, _ wire.JobStatus) bool {
 			if status == 400 || status == 422 {
 				t.Errorf("%s: roll-out refused with %d", sv.name, status)
 			}
@@ -214,7 +214,7 @@
 			// A replica that was stopped on purpose while no other copy of it ran is one
 			// that the roll-out took away: there is one extra, so none may be
 			// missing; but for a copy whose machine has gone and nobody knows it yet.
-			if !e.Start && e.Cause == wire.CauseHalted && up && running[replica] == 0 && e.Image == sv.spec.Image && e.At.Sub(lost[replica]) > lostTime {
+			if !e.Start && e.Cause == wire.CauseStopped && up && running[replica] == 0 && e.Image == sv.spec.Image && e.At.Sub(lost[replica]) > lostTime {
 				broken = append(broken, fmt.Sprintf("%s fell below its floor: %s was stopped at %v with no copy of it elsewhere", sv.name, e.Task, e.At))
 			}
 			up = up || len(running) == sv.spec.Tasks
--- a/internal/node/week_test.go
+++ b/internal/node/week_test.go
@@ -82,7 +82,7 @@
 		if wk.cushion > 0 {
 			set.Facts.Teams[0].CPUsMax = weekCPUs - wk.cushion
 		}
-		tun.Calendar.Enabled, tun.Calendar.CountOn = wk.calendar, map[string]int{"small": 6}
+		tun.Calendar.Enabled, tun.Calendar.AssumedCapacity = wk.calendar, map[string]int{"small": 6}
 		tun.Calendar.Hold, tun.Calendar.Backfill, tun.Calendar.Drain, tun.Calendar.HoldS = wk.hold, wk.backfill, wk.drain, 60
 	})
 	b := &slotBed{sim: s, t: t, hc: &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DialContext: s.net.Dialer("user"), DisableKeepAlives: true}}}
@@ -237,7 +237,7 @@
 		default:
 			out.lost += e.At.Sub(began[key]).Hours()
 			for night, zone := range windows {
-				if e.Zone == zone && (e.Cause == emulate.Lost && e.At.Sub(night).Abs() < time.Second || e.Cause == wire.CauseHalted && bulk && e.At.After(night.Add(-6*time.Second)) && e.At.Before(night.Add(time.Second))) {
+				if e.Zone == zone && (e.Cause == emulate.Lost && e.At.Sub(night).Abs() < time.Second || e.Cause == wire.CauseStopped && bulk && e.At.After(night.Add(-6*time.Second)) && e.At.Before(night.Add(time.Second))) {
 					out.cut = append(out.cut, fmt.Sprintf("%s %s %s", e.Task, e.Cause, e.At.Sub(night)))
 				}
 			}
--- a/internal/node/yield.go
+++ b/internal/node/yield.go
@@ -16,7 +16,7 @@
 	patience time.Duration
 
 	mu      sync.Mutex
-	said    map[string]rpc.Hello
+	said    map[string]rpc.NodeStatus
 	at      map[string]time.Time
 	behind  time.Time // since when this node has been behind as leader; zero: it is not
 	yielded time.Time
@@ -34,21 +34,21 @@
 )
 
 // heard notes what a sibling says of itself.
-func (y *yield) heard(h rpc.Hello, now time.Time) {
+func (y *yield) heard(h rpc.NodeStatus, now time.Time) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	if y.said == nil {
-		y.said, y.at = map[string]rpc.Hello{}, map[string]time.Time{}
+		y.said, y.at = map[string]rpc.NodeStatus{}, map[string]time.Time{}
 	}
 	y.said[h.Member], y.at[h.Member] = h, now
 }
 
 // due reports whether the leader should give the lead away now, and names a sibling
 // that could take it; self is what this node says of itself.
-func (y *yield) due(self rpc.Hello, now time.Time) (to string, ok bool) {
+func (y *yield) due(self rpc.NodeStatus, now time.Time) (to string, ok bool) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
-	if !self.Behind {
+	if !self.Overloaded {
 		y.behind = time.Time{}
 		return "", false
 	}
@@ -59,7 +59,7 @@
 		return "", false
 	}
 	for name, h := range y.said {
-		if now.Sub(y.at[name]) < helloTime && !h.Behind && h.Stored && h.WorkUs > 0 && self.WorkUs >= fasterBy*h.WorkUs {
+		if now.Sub(y.at[name]) < helloTime && !h.Overloaded && h.StoreReachable && h.ProbeUs > 0 && self.ProbeUs >= fasterBy*h.ProbeUs {
 			y.yielded, y.behind = now, time.Time{}
 			y.rest = min(max(yieldRest, 2*y.rest), yieldMost)
 			return name, true
@@ -80,12 +80,12 @@
 		case <-t.C:
 		}
 		n.lag.measure()
-		self := n.Hello()
+		self := n.NodeStatus()
 		if self.Leader != self.Member || !n.ctl.Leading() {
 			continue
 		}
 		if to, ok := n.yield.due(self, time.Now()); ok {
-			n.log.Info("giving the lead away, this controller is short of processor", "term", self.Term, "work_us", self.WorkUs, "to", to)
+			n.log.Info("giving the lead away, this controller is short of processor", "term", self.Term, "work_us", self.ProbeUs, "to", to)
 			n.elector.Resign(self.Term)
 		}
 	}
--- a/internal/rpc/fixtures_test.go
+++ b/internal/rpc/fixtures_test.go
@@ -14,7 +14,7 @@
 
 // wireFixtures are the messages that controllers send each other.
 var wireFixtures = []fixture.Row{
-	{File: "hello.cbor", Value: fixture.Filled[Hello]()},
+	{File: "hello.cbor", Value: fixture.Filled[NodeStatus]()},
 	{File: "forward-request.cbor", Value: fixture.Filled[Request]()},
 	{File: "forward-reply.cbor", Value: fixture.Filled[Reply]()},
 	{File: "operation.cbor", Value: fixture.Filled[Operation]()},
@@ -28,16 +28,16 @@
 // filled values.
 type answering struct{ got any }
 
-func (a *answering) Hello() Hello { return *fixture.Filled[Hello]() }
-func (a *answering) Local(_ context.Context, r *Request) *Reply {
+func (a *answering) NodeStatus() NodeStatus { return *fixture.Filled[NodeStatus]() }
+func (a *answering) HandleForwarded(_ context.Context, r *Request) *Reply {
 	a.got = r
 	return fixture.Filled[Reply]()
 }
-func (a *answering) Sync(_ context.Context, r *shard.Request) *shard.Reply {
+func (a *answering) SyncShard(_ context.Context, r *shard.Request) *shard.Reply {
 	a.got = r
 	return fixture.Filled[shard.Reply]()
 }
-func (a *answering) Follow(_ context.Context, r *dynconfig.Request) *dynconfig.Reply {
+func (a *answering) FollowConfig(_ context.Context, r *dynconfig.Request) *dynconfig.Reply {
 	a.got = r
 	return fixture.Filled[dynconfig.Reply]()
 }
@@ -58,7 +58,7 @@
 		want    any    // the request as the handler must see it
 		answer  any    // the answer as the caller must decode it
 	}{
-		{"Ping", "", nil, fixture.Filled[Hello]()},
+		{"Ping", "", nil, fixture.Filled[NodeStatus]()},
 		{"Forward", "forward-request.cbor", fixture.Filled[Request](), fixture.Filled[Reply]()},
 		{"Promise", "promise-request.cbor", fixture.Filled[PromiseRequest](), fixture.Filled[Promise]()},
 		{"Follow", "../../../dynconfig/testdata/fixtures/follow-request.cbor", fixture.Filled[dynconfig.Request](), fixture.Filled[dynconfig.Reply]()},
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -32,27 +32,27 @@
 
 func init() { encoding.RegisterCodec(codec{}) }
 
-// Hello is the answer to a ping: what the node knows of the leadership.
-type Hello struct {
+// NodeStatus is the answer to a ping: what the node knows of the leadership.
+type NodeStatus struct {
 	Member string `codec:"member"`
 	Leader string `codec:"leader"`
 	Term   uint64 `codec:"term"`
-	// Serves: users have come to the node lately, so the load balancer sends them.
-	Serves bool `codec:"serves,omitempty"`
-	// Behind: the process is short of processor. WorkUs is how long it takes for a
+	// ServesUsers: users have come to the node lately, so the load balancer sends them.
+	ServesUsers bool `codec:"serves,omitempty"`
+	// Overloaded: the process is short of processor. WorkUs is how long it takes for a
 	// piece of work that is the same everywhere, in microseconds; 0: not known.
-	Behind bool  `codec:"behind,omitempty"`
-	WorkUs int64 `codec:"work_us,omitempty"`
-	// Stored: the state service has answered the member lately.
-	Stored bool `codec:"stored,omitempty"`
+	Overloaded bool  `codec:"behind,omitempty"`
+	ProbeUs    int64 `codec:"work_us,omitempty"`
+	// StoreReachable: the state service has answered the member lately.
+	StoreReachable bool `codec:"stored,omitempty"`
 }
 
 // Kinds of forwarded requests.
 const (
-	KindSubmit = "submit"
-	KindStatus = "status"
-	KindAbort  = "abort"
-	KindReport = "report"
+	KindSubmit    = "submit"
+	KindStatus    = "status"
+	KindCancel    = "abort"
+	KindHeartbeat = "report"
 	// KindRollout is a request about roll-outs; its body is an Operation.
 	KindRollout = "rollout"
 	// KindCalendar is a request about reservations and maintenance; its body is an
@@ -68,34 +68,34 @@
 	Kind string `codec:"kind"`
 	ID   string `codec:"id,omitempty"`
 	Body []byte `codec:"body,omitempty"`
-	// Via is the member that hands a report on; empty: it came from the worker.
-	Via string `codec:"via,omitempty"`
+	// ForwardedBy is the member that hands a report on; empty: it came from the worker.
+	ForwardedBy string `codec:"via,omitempty"`
 }
 
 // Operation is a request about a roll-out or the calendar: what to do with which
 // service, reservation or window, and a specification where one is needed.
 type Operation struct {
-	Verb    string `codec:"verb"`
-	Service string `codec:"service,omitempty"`
-	Spec    []byte `codec:"spec,omitempty"`
+	Verb string `codec:"verb"`
+	Name string `codec:"service,omitempty"`
+	Spec []byte `codec:"spec,omitempty"`
 	// Team restricts a request about the calendar to what is the team's; empty: an
 	// operator's. In a list Service is the name to go on after.
 	Team string `codec:"team,omitempty"`
 	// Window: the request is about maintenance windows, not reservations.
 	Window bool `codec:"window,omitempty"`
-	// Dry: a change of the configuration is only checked.
-	Dry bool `codec:"dry,omitempty"`
+	// DryRun: a change of the configuration is only checked.
+	DryRun bool `codec:"dry,omitempty"`
 }
 
 // Verbs of operations.
 const (
-	VerbStart  = "start"
-	VerbStatus = "status"
-	VerbList   = "list"
-	VerbPause  = "pause"
-	VerbResume = "resume"
-	VerbUndo   = "undo"
-	VerbCancel = "cancel"
+	VerbStart    = "start"
+	VerbStatus   = "status"
+	VerbList     = "list"
+	VerbPause    = "pause"
+	VerbResume   = "resume"
+	VerbRollback = "undo"
+	VerbCancel   = "cancel"
 	// VerbHistory lists changes that were made.
 	VerbHistory = "history"
 )
@@ -106,23 +106,23 @@
 	Status     int    `codec:"status"`
 	Body       []byte `codec:"body,omitempty"`
 	RetryAfter int    `codec:"retry_after,omitempty"`
-	// Settled: a refusal that is the leader's own word, to be handed to the client
+	// Final: a refusal that is the leader's own word, to be handed to the client
 	// as it is.
-	Settled bool `codec:"settled,omitempty"`
-	// Work: the worker that is answered has tasks.
-	Work bool `codec:"work,omitempty"`
+	Final bool `codec:"settled,omitempty"`
+	// HasTasks: the worker that is answered has tasks.
+	HasTasks bool `codec:"work,omitempty"`
 }
 
 // Handler answers siblings.
 type Handler interface {
-	Hello() Hello
-	// Local answers a request as leader, and refuses it otherwise.
-	Local(ctx context.Context, r *Request) *Reply
-	// Sync answers a holder's request as leader, and refuses it otherwise.
-	Sync(ctx context.Context, r *shard.Request) *shard.Reply
-	// Follow answers the leader of a region as leader of the home region, and refuses it
+	NodeStatus() NodeStatus
+	// HandleForwarded answers a request as leader, and refuses it otherwise.
+	HandleForwarded(ctx context.Context, r *Request) *Reply
+	// SyncShard answers a holder's request as leader, and refuses it otherwise.
+	SyncShard(ctx context.Context, r *shard.Request) *shard.Reply
+	// FollowConfig answers the leader of a region as leader of the home region, and refuses it
 	// otherwise.
-	Follow(ctx context.Context, r *dynconfig.Request) *dynconfig.Reply
+	FollowConfig(ctx context.Context, r *dynconfig.Request) *dynconfig.Reply
 	// Promise answers a leader that asks this member not to campaign for a while.
 	Promise(ctx context.Context, r *PromiseRequest) *Promise
 }
@@ -154,11 +154,13 @@
 	ServiceName: "vetchstream.Peer",
 	HandlerType: (*Handler)(nil),
 	Methods: []grpc.MethodDesc{
-		method("Ping", func(h Handler, _ context.Context, _ *none) *Hello { v := h.Hello(); return &v }),
-		method("Forward", func(h Handler, ctx context.Context, r *Request) *Reply { return h.Local(ctx, r) }),
+		method("Ping", func(h Handler, _ context.Context, _ *none) *NodeStatus { v := h.NodeStatus(); return &v }),
+		method("Forward", func(h Handler, ctx context.Context, r *Request) *Reply { return h.HandleForwarded(ctx, r) }),
 		method("Promise", func(h Handler, ctx context.Context, r *PromiseRequest) *Promise { return h.Promise(ctx, r) }),
-		method("Follow", func(h Handler, ctx context.Context, r *dynconfig.Request) *dynconfig.Reply { return h.Follow(ctx, r) }),
-		method("Sync", func(h Handler, ctx context.Context, r *shard.Request) *shard.Reply { return h.Sync(ctx, r) }),
+		method("Follow", func(h Handler, ctx context.Context, r *dynconfig.Request) *dynconfig.Reply {
+			return h.FollowConfig(ctx, r)
+		}),
+		method("Sync", func(h Handler, ctx context.Context, r *shard.Request) *shard.Reply { return h.SyncShard(ctx, r) }),
 	},
 }
 
@@ -215,21 +217,21 @@
 	}
 }
 
-// Reached reports whether the member answered a ping lately.
-func (m *Mesh) Reached(member string) bool {
+// Reachable reports whether the member answered a ping lately.
+func (m *Mesh) Reachable(member string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	t, ok := m.heard[member]
 	return ok && time.Since(t) < 2500*time.Millisecond
 }
 
-// AnyServes reports whether any member that answered a ping lately has users.
-func (m *Mesh) AnyServes() bool {
+// AnyServesUsers reports whether any member that answered a ping lately has users.
+func (m *Mesh) AnyServesUsers() bool {
 	for name := range m.conns {
 		m.mu.Lock()
 		serves := m.serves[name]
 		m.mu.Unlock()
-		if serves && m.Reached(name) {
+		if serves && m.Reachable(name) {
 			return true
 		}
 	}
@@ -266,13 +268,13 @@
 	return out, nil
 }
 
-// Sync asks the leader for the grant of this member's share.
-func (m *Mesh) Sync(ctx context.Context, leader string, r *shard.Request) (*shard.Reply, error) {
+// SyncShard asks the leader for the grant of this member's share.
+func (m *Mesh) SyncShard(ctx context.Context, leader string, r *shard.Request) (*shard.Reply, error) {
 	return invoke[shard.Reply](ctx, m, leader, "Sync", r)
 }
 
-// Follow asks a member of the home region for what is granted to this one.
-func (m *Mesh) Follow(ctx context.Context, member string, r *dynconfig.Request) (*dynconfig.Reply, error) {
+// FollowConfig asks a member of the home region for what is granted to this one.
+func (m *Mesh) FollowConfig(ctx context.Context, member string, r *dynconfig.Request) (*dynconfig.Reply, error) {
 	return invoke[dynconfig.Reply](ctx, m, member, "Follow", r)
 }
 
@@ -281,8 +283,8 @@
 	return invoke[Promise](ctx, m, member, "Promise", r)
 }
 
-// Pings asks every sibling once a second what it knows, until the context ends.
-func (m *Mesh) Pings(ctx context.Context, told func(Hello)) {
+// PingSiblings asks every sibling once a second what it knows, until the context ends.
+func (m *Mesh) PingSiblings(ctx context.Context, told func(NodeStatus)) {
 	var wg sync.WaitGroup
 	for name, c := range m.conns {
 		wg.Go(func() {
@@ -290,10 +292,10 @@
 			defer t.Stop()
 			for {
 				pctx, cancel := context.WithTimeout(ctx, 900*time.Millisecond)
-				out := &Hello{}
+				out := &NodeStatus{}
 				if err := c.Invoke(pctx, "/vetchstream.Peer/Ping", &none{}, out); err == nil {
 					m.mu.Lock()
-					m.heard[name], m.serves[name] = time.Now(), out.Serves
+					m.heard[name], m.serves[name] = time.Now(), out.ServesUsers
 					m.mu.Unlock()
 					told(*out)
 				}
--- a/internal/scale/users.go
+++ b/internal/scale/users.go
@@ -206,7 +206,7 @@
 	if err != nil {
 		return 0, ""
 	}
-	var s wire.Status
+	var s wire.JobStatus
 	_ = wire.Unmarshal(b, &s) // a refusal has another body
 	return res.StatusCode, s.Phase
 }
--- a/internal/shard/explore_test.go
+++ b/internal/shard/explore_test.go
@@ -218,7 +218,7 @@
 		// The worker reports to whoever answers it.
 		for i := range w.sides {
 			w.seq[k]++
-			m := &wire.Report{Host: w.names[k], Session: 1, Seq: w.seq[k]}
+			m := &wire.Heartbeat{Host: w.names[k], Session: 1, Seq: w.seq[k]}
 			if _, v := w.sides[i].h.Report(m, []byte{1}, w.now); v >= Answered {
 				w.answered[k] = w.now
 				return true
--- a/internal/shard/holder.go
+++ b/internal/shard/holder.go
@@ -89,7 +89,7 @@
 
 // digest sums up what of a report the leader acts on. The number of the report is
 // left out: two that differ in it alone say the same.
-func digest(m *wire.Report) uint64 {
+func digest(m *wire.Heartbeat) uint64 {
 	d := xxhash.New()
 	num := func(n uint64) {
 		var b [8]byte
@@ -107,10 +107,10 @@
 		t := &m.Tasks[i]
 		text(t.Task)
 		num(t.Attempt)
-		text(t.Phase)
-		text(t.Cause)
-		text(t.Health)
-		if t.Saved {
+		text(string(t.Phase))
+		text(string(t.Cause))
+		text(string(t.Health))
+		if t.CheckpointSaved {
 			num(1)
 		}
 	}
@@ -120,7 +120,7 @@
 // Report takes in a report of a worker. The orders of an answer are exits that the
 // worker may forget; the leader's own go by its answer to a report that says
 // something new, or by direct commands.
-func (h *Holder) Report(m *wire.Report, body []byte, now time.Time) ([]wire.Order, Outcome) {
+func (h *Holder) Report(m *wire.Heartbeat, body []byte, now time.Time) ([]wire.Command, Outcome) {
 	k := h.machines[m.Host]
 	if k == nil || k.dropped {
 		return nil, NotHeld
@@ -136,7 +136,7 @@
 	k.reports++
 	outcome := Answered
 	d := digest(m)
-	if !k.known || d != k.digest || m.Notice != nil {
+	if !k.known || d != k.digest || m.NoticeS != nil {
 		outcome = ReportChanged
 		k.list(m)
 	}
@@ -147,20 +147,20 @@
 		k.digest, k.known = d, true
 		k.full, k.fullAt = slices.Clone(body), k.reports
 	}
-	orders := []wire.Order{}
+	orders := []wire.Command{}
 	k.settled = slices.DeleteFunc(k.settled, func(e placement) bool { return !slices.Contains(k.exits, e) })
 	for _, e := range k.settled {
-		orders = append(orders, wire.Order{Op: wire.Clear, Task: e.task, Attempt: e.attempt})
+		orders = append(orders, wire.Command{Verb: wire.CommandClear, Task: e.task, Attempt: e.attempt})
 	}
 	return orders, outcome
 }
 
 // list notes what a report shows.
-func (k *held) list(m *wire.Report) {
+func (k *held) list(m *wire.Heartbeat) {
 	k.exits, k.tasks = k.exits[:0], k.tasks[:0]
 	for i := range m.Tasks {
 		t := &m.Tasks[i]
-		if t.Phase == wire.Exited {
+		if t.Phase == wire.TaskExited {
 			k.exits = append(k.exits, placement{t.Task, t.Attempt})
 		} else {
 			k.tasks = append(k.tasks, placement{t.Task, t.Attempt})
--- a/internal/shard/holder_test.go
+++ b/internal/shard/holder_test.go
@@ -40,10 +40,10 @@
 func holderRequestCases() []holderCase {
 	now := time.Unix(1000, 0)
 	body := []byte{1}
-	rep := func(seq uint64, tasks ...wire.TaskReport) *wire.Report {
-		return &wire.Report{Host: "m", Session: 1, Seq: seq, Token: 7, Tasks: tasks}
+	rep := func(seq uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
+		return &wire.Heartbeat{Host: "m", Session: 1, Seq: seq, Token: 7, Tasks: tasks}
 	}
-	gone := wire.TaskReport{Task: "run-1/0", Attempt: 3, Phase: wire.Exited, Cause: wire.CauseDone}
+	gone := wire.TaskStatus{Task: "run-1/0", Attempt: 3, Phase: wire.TaskExited, Cause: wire.CauseDone}
 	return []holderCase{
 		{"reports that say the same are told without their body", func(h *Holder, say func(string, ...any)) {
 			h.Report(rep(1), body, now)
@@ -83,7 +83,7 @@
 		{"an exit is cleared once the leader has settled it, and a late word clears nothing", func(h *Holder, say func(string, ...any)) {
 			o, _ := h.Report(rep(1, gone), body, now)
 			say("%d orders", len(o))
-			settled := []ExitClearance{{Host: "m", Clears: []wire.Order{{Op: wire.Clear, Task: "run-1/0", Attempt: 3}}}}
+			settled := []ExitClearance{{Host: "m", Clears: []wire.Command{{Verb: wire.CommandClear, Task: "run-1/0", Attempt: 3}}}}
 			h.Granted(&Reply{Term: 7, Number: 2, ForMs: 2000, Clearances: settled}, now)
 			o, _ = h.Report(rep(2, gone), body, now)
 			say("%d orders", len(o))
@@ -99,18 +99,18 @@
 func holderAnswerCases() []holderCase {
 	now := time.Unix(1000, 0)
 	body := []byte{1}
-	rep := func(seq uint64, tasks ...wire.TaskReport) *wire.Report {
-		return &wire.Report{Host: "m", Session: 1, Seq: seq, Token: 7, Tasks: tasks}
+	rep := func(seq uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
+		return &wire.Heartbeat{Host: "m", Session: 1, Seq: seq, Token: 7, Tasks: tasks}
 	}
-	gone := wire.TaskReport{Task: "run-1/0", Attempt: 3, Phase: wire.Exited, Cause: wire.CauseDone}
+	gone := wire.TaskStatus{Task: "run-1/0", Attempt: 3, Phase: wire.TaskExited, Cause: wire.CauseDone}
 	return []holderCase{
 		{"a report with a task that the leader has not been told of has no other answer, one with an exit or another phase has", func(h *Holder, say func(string, ...any)) {
-			runs := wire.TaskReport{Task: "run-1/1", Attempt: 4, Phase: wire.Pulling}
+			runs := wire.TaskStatus{Task: "run-1/1", Attempt: 4, Phase: wire.TaskFetching}
 			told := func(n uint64) {
 				h.Request(1, 1, false, now)
 				h.Granted(&Reply{Term: 7, Number: n, ForMs: 2000}, now)
 			}
-			required := func(seq uint64, tasks ...wire.TaskReport) {
+			required := func(seq uint64, tasks ...wire.TaskStatus) {
 				_, v := h.Report(rep(seq, tasks...), body, now)
 				say("%v", v == LeaderRequired)
 			}
@@ -119,13 +119,13 @@
 			required(3, gone, runs) // the same once more, the leader's word has not come
 			told(2)
 			required(4, gone, runs)
-			runs.Phase = wire.Running
+			runs.Phase = wire.TaskRunning
 			required(5, runs)
 			runs.Attempt++
 			required(6, runs)
 		}, "false; true; true; false; false; true"},
 		{"no answer without a valid grant, for a late report, or below the worker's token", func(h *Holder, say func(string, ...any)) {
-			verdict := func(m *wire.Report, at time.Time) { _, v := h.Report(m, body, at); say("%d", v) }
+			verdict := func(m *wire.Heartbeat, at time.Time) { _, v := h.Report(m, body, at); say("%d", v) }
 			verdict(rep(5), now)
 			verdict(rep(4), now)
 			verdict(rep(6), now.Add(2*time.Second))
@@ -142,8 +142,8 @@
 func holderTermCases() []holderCase {
 	now := time.Unix(1000, 0)
 	body := []byte{1}
-	rep := func(seq uint64, tasks ...wire.TaskReport) *wire.Report {
-		return &wire.Report{Host: "m", Session: 1, Seq: seq, Token: 7, Tasks: tasks}
+	rep := func(seq uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
+		return &wire.Heartbeat{Host: "m", Session: 1, Seq: seq, Token: 7, Tasks: tasks}
 	}
 	return []holderCase{
 		{"a machine that was taken away is told of, then forgotten; one that comes back is told in full", func(h *Holder, say func(string, ...any)) {
--- a/internal/shard/message.go
+++ b/internal/shard/message.go
@@ -70,17 +70,17 @@
 // gives it if the worker still waits for it.
 type Answer struct {
 	// Host, Session and Seq name the report that is answered, Orders the answer.
-	Host    string       `codec:"host"`
-	Session uint64       `codec:"shift"`
-	Seq     uint64       `codec:"tick"`
-	Orders  []wire.Order `codec:"orders"`
+	Host    string         `codec:"host"`
+	Session uint64         `codec:"shift"`
+	Seq     uint64         `codec:"tick"`
+	Orders  []wire.Command `codec:"orders"`
 }
 
 // ExitClearance names exits of a machine that the worker may forget.
 type ExitClearance struct {
 	// Host names the machine, Clears the clear orders of its exits.
-	Host   string       `codec:"host"`
-	Clears []wire.Order `codec:"clears"`
+	Host   string         `codec:"host"`
+	Clears []wire.Command `codec:"clears"`
 }
 
 // Reply is the leader's answer to a request. Term 0: the node does not lead, or
--- a/internal/shard/shard_test.go
+++ b/internal/shard/shard_test.go
@@ -62,7 +62,7 @@
 	}
 	for i := n % 10; i < b.size; i += 10 {
 		name := fmt.Sprintf("host-%d", i)
-		m := &wire.Report{Host: name, Session: 1, Seq: b.seq}
+		m := &wire.Heartbeat{Host: name, Session: 1, Seq: b.seq}
 		served := false
 		for member, h := range b.h {
 			if _, v := h.Report(m, []byte{1}, b.now); v >= Answered && !b.down[member] {
