--- a/cmd/vetchstream/emulate.go
+++ b/cmd/vetchstream/emulate.go
@@ -152,7 +152,7 @@
 	c := &cluster{Cluster: cl, stop: stop}
 	for _, set := range cl.Settings {
 		c.wg.Go(func() {
-			if err := node.Run(ctx, set, tun, node.System(), log); err != nil {
+			if err := node.Run(ctx, set, tun, node.SystemNetwork(), log); err != nil {
 				c.mu.Lock()
 				c.failed = errors.Join(c.failed, fmt.Errorf("%s: %w", set.Member, err))
 				c.mu.Unlock()
--- a/cmd/vetchstream/main.go
+++ b/cmd/vetchstream/main.go
@@ -119,5 +119,5 @@
 	log := logger()
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	return node.Run(ctx, set, tun, node.System(), log)
+	return node.Run(ctx, set, tun, node.SystemNetwork(), log)
 }
--- a/internal/node/bounded_listener_test.go
+++ b/internal/node/bounded_listener_test.go
@@ -8,86 +8,122 @@
 	"time"
 )
 
-// TestDoor: a flood of connections must not shut out health checks and users, and
-// one whose request is under way is never closed for another.
+// listenerTestLimit is the number of connections that the tested listener admits.
+const listenerTestLimit = 4
+
+// slowServer is an HTTP server behind a boundedListener. Requests for /slow are in
+// progress until release is closed.
+type slowServer struct {
+	url     string
+	entered chan struct{} // a value for each request for /slow that has arrived
+	release chan struct{}
+	server  *http.Server
+	served  chan struct{} // closed when the server has ended
+}
+
+func startSlowServer(t *testing.T) *slowServer {
+	t.Helper()
+	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	bounded := newBoundedListener(l, listenerTestLimit)
+	s := &slowServer{
+		url:     "http://" + l.Addr().String(),
+		entered: make(chan struct{}, 16),
+		release: make(chan struct{}),
+		served:  make(chan struct{}),
+	}
+	s.server = &http.Server{ConnState: bounded.trackState, Handler: http.HandlerFunc(s.handle)}
+	go func() {
+		defer close(s.served)
+		_ = s.server.Serve(bounded)
+	}()
+	return s
+}
+
+func (s *slowServer) handle(_ http.ResponseWriter, r *http.Request) {
+	if r.URL.Path == "/slow" {
+		s.entered <- struct{}{}
+		<-s.release
+	}
+}
+
+// close ends the server and waits for its end.
+func (s *slowServer) close() {
+	_ = s.server.Close()
+	<-s.served
+}
+
+// get makes a request on a connection of its own, which stays open and idle.
+func (s *slowServer) get(path string, timeout time.Duration) error {
+	client := &http.Client{Timeout: timeout, Transport: &http.Transport{}}
+	res, err := client.Get(s.url + path)
+	if err != nil {
+		return err
+	}
+	return res.Body.Close()
+}
+
+// startSlow starts requests that are in progress when it returns. Their results come
+// from the channel.
+func (s *slowServer) startSlow(requests int) <-chan error {
+	results := make(chan error, requests)
+	for range requests {
+		go func() { results <- s.get("/slow", 0) }()
+		<-s.entered
+	}
+	return results
+}
+
+// TestBoundedListener: a flood of connections must not shut out health checks and
+// users, and a connection whose request is in progress is never closed for another.
 func TestBoundedListener(t *testing.T) {
 	tests := []struct {
 		name  string
-		idle  int // connections that are kept open without a request
-		slow  int // connections whose request is under way
+		idle  int // connections that stay open without a request
+		slow  int // connections whose request is in progress
 		serve bool
 	}{
 		{"room for all", 2, 0, true},
-		{"idle ones yield", 10, 0, true},
-		{"idle ones yield beside slow ones", 5, 3, true},
-		{"all are busy", 0, 4, false},
+		{"idle ones are replaced", 10, 0, true},
+		{"idle ones are replaced beside slow ones", 5, 3, true},
+		{"all are busy", 0, listenerTestLimit, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			ln, err := net.Listen("tcp4", "127.0.0.1:0")
-			if err != nil {
-				t.Fatal(err)
-			}
-			d := newBoundedListener(ln, 4)
-			entered, leave := make(chan struct{}, 16), make(chan struct{})
-			srv := &http.Server{ConnState: d.state, Handler: http.HandlerFunc(func(_ http.ResponseWriter, q *http.Request) {
-				if q.URL.Path == "/slow" {
-					entered <- struct{}{}
-					<-leave
-				}
-			})}
-			served := make(chan struct{})
-			go func() { defer close(served); _ = srv.Serve(d) }()
-			url := "http://" + ln.Addr().String()
-			slow := make(chan error, tt.slow)
-			for range tt.slow {
-				go func() {
-					res, err := (&http.Client{Transport: &http.Transport{}}).Get(url + "/slow")
-					if err == nil {
-						res.Body.Close()
-					}
-					slow <- err
-				}()
-				<-entered
-			}
-			get := func(patience time.Duration) error {
-				res, err := (&http.Client{Timeout: patience, Transport: &http.Transport{}}).Get(url + "/healthz")
-				if err == nil {
-					res.Body.Close() // the connection stays open, idle
-				}
-				return err
-			}
+			s := startSlowServer(t)
+			slow := s.startSlow(tt.slow)
 			for range tt.idle {
-				if err := get(10 * time.Second); err != nil {
+				if err := s.get("/healthz", 10*time.Second); err != nil {
 					t.Fatalf("idle connection: %v", err)
 				}
 			}
 			if tt.serve {
-				if err := get(10 * time.Second); err != nil {
+				if err := s.get("/healthz", 10*time.Second); err != nil {
 					t.Errorf("not served: %v", err)
 				}
-			} else if get(50*time.Millisecond) == nil {
+			} else if s.get("/healthz", 50*time.Millisecond) == nil {
 				t.Error("served beyond the limit")
 			}
-			close(leave)
+			close(s.release)
 			for range tt.slow {
 				if err := <-slow; err != nil {
-					t.Errorf("a request under way was cut off: %v", err)
+					t.Errorf("a request in progress was cut off: %v", err)
 				}
 			}
-			_ = srv.Close()
-			<-served
+			s.close()
 		})
 	}
 }
 
-// TestDoorKeeps: connections of workers that have tasks yield last, whatever idles
-// for longer.
-func TestBoundedListenerKeeps(t *testing.T) {
+// TestBoundedListenerReplacement: connections of workers that have tasks are replaced
+// last, even if others have been idle for a shorter time.
+func TestBoundedListenerReplacement(t *testing.T) {
 	tests := []struct {
-		name  string
-		work  []bool // of the connections, in the order in which they became idle
-		wants []int  // the order in which they yield
+		name     string
+		hasTasks []bool // of the connections, in the order in which they became idle
+		want     []int  // the order in which they are closed
 	}{
 		{"longest idle first", []bool{false, false, false}, []int{0, 1, 2}},
 		{"without tasks first", []bool{true, false, true, false}, []int{1, 3, 0, 2}},
@@ -95,30 +131,36 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			d := newBoundedListener(nil, len(tt.work))
+			l := newBoundedListener(nil, len(tt.hasTasks))
 			var closed []int
-			for i, work := range tt.work {
-				if !d.admit() {
-					t.Fatal("no room")
+			for i, hasTasks := range tt.hasTasks {
+				if !l.admit() {
+					t.Fatal("no place")
+				}
+				c := &boundedConn{
+					Conn:     closeRecorder{onClose: func() { closed = append(closed, i) }},
+					listener: l,
 				}
-				c := &boundedConn{Conn: closer{closed: func() { closed = append(closed, i) }}, d: d}
-				c.keeps(work)
-				d.state(c, http.StateIdle)
+				c.setHasTasks(hasTasks)
+				l.trackState(c, http.StateIdle)
 			}
-			for range tt.work {
-				d.admit()
+			for range tt.hasTasks {
+				l.admit()
 			}
-			if !slices.Equal(closed, tt.wants) {
-				t.Errorf("closed %v, want %v", closed, tt.wants)
+			if !slices.Equal(closed, tt.want) {
+				t.Errorf("closed %v, want %v", closed, tt.want)
 			}
 		})
 	}
 }
 
-// closer is a connection that tells when it is closed.
-type closer struct {
+// closeRecorder is a connection that calls onClose when it is closed.
+type closeRecorder struct {
 	net.Conn
-	closed func()
+	onClose func()
 }
 
-func (c closer) Close() error { c.closed(); return nil }
+func (c closeRecorder) Close() error {
+	c.onClose()
+	return nil
+}
--- a/internal/node/lag_test.go
+++ b/internal/node/delay_monitor_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestLag: a process counts as behind after a while of late timers, not for one of
-// them, and as caught up only when it has been in time for longer.
-func TestLag(t *testing.T) {
+// TestDelayMonitor: a process counts as overloaded after a while of late timers, not for one of
+// them, and as recovered only when they have been in time for longer.
+func TestDelayMonitor(t *testing.T) {
 	type span struct {
 		late  time.Duration
 		lasts time.Duration
@@ -28,16 +28,16 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			var l lag
+			var monitor delayMonitor
 			now := time.Unix(1000, 0)
 			for _, s := range tt.spans {
-				for range s.lasts / lagEvery {
-					now = now.Add(lagEvery)
-					l.late(s.late, now)
+				for range s.lasts / delayInterval {
+					now = now.Add(delayInterval)
+					monitor.observe(s.late, now)
 				}
 			}
-			if l.Behind() != tt.want {
-				t.Errorf("behind: %v, want %v (mean %v)", l.Behind(), tt.want, l.mean)
+			if monitor.Overloaded() != tt.want {
+				t.Errorf("overloaded: %v, want %v (mean %v)", monitor.Overloaded(), tt.want, monitor.meanDelay)
 			}
 		})
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,4 +1,9 @@
-// Package node puts the parts of one controller together.
+// Package node runs one controller: it builds the controller's parts, connects them
+// with each other, and starts and ends them.
+//
+// A request of a user or a worker arrives at the HTTP listener (package api), whose
+// backend is the Node. The leader answers it (package control); the other nodes forward
+// it to the leader (package rpc), or answer what they can without it.
 package node
 
 import (
@@ -19,332 +24,255 @@
 	"vetchstream/internal/election"
 	"vetchstream/internal/metrics"
 	"vetchstream/internal/rpc"
-	"vetchstream/internal/shard"
 	"vetchstream/internal/state"
 )
 
-// Net is the network that a controller lives on.
-type Net struct {
+// Network is how a controller opens connections and listens for them.
+type Network struct {
 	Dial   state.DialFunc
 	Listen func(addr string) (net.Listener, error)
 }
 
-// System is the operating system's network.
-func System() Net {
-	d := &net.Dialer{Timeout: time.Second, KeepAlive: 5 * time.Second}
-	return Net{Dial: d.DialContext, Listen: func(addr string) (net.Listener, error) { return net.Listen("tcp4", addr) }}
+const (
+	dialTimeout     = time.Second
+	keepaliveProbes = 5 * time.Second
+)
+
+// SystemNetwork returns the operating system's network.
+func SystemNetwork() Network {
+	dialer := &net.Dialer{Timeout: dialTimeout, KeepAlive: keepaliveProbes}
+	return Network{
+		Dial:   dialer.DialContext,
+		Listen: func(addr string) (net.Listener, error) { return net.Listen("tcp4", addr) },
+	}
 }
 
+// Limits of the HTTP server. Workers and the load balancer keep connections open, so
+// idle ones live long.
+const (
+	readHeaderTimeout = 10 * time.Second
+	readTimeout       = 20 * time.Second
+	writeTimeout      = 20 * time.Second
+	idleTimeout       = 90 * time.Second
+	maxHeaderBytes    = 16 << 10
+)
+
 // Node is one controller.
 type Node struct {
-	set         *config.Settings
+	settings    *config.Settings
+	tuning      *config.Tuning
 	log         *slog.Logger
+	meter       *metrics.Meter // nil: there is no metrics page
 	elector     *election.Elector
-	ctl         *control.Controller
-	mesh        *rpc.Mesh
-	home        *homeRegion // nil: no regions are named, or this is the home region
-	route       route
-	lag         lag
-	shareHolder *shareHolder // nil: the machines are not shared
-	yield       yield
+	controller  *control.Controller
+	mesh        *rpc.Mesh    // connections to the siblings
+	home        *homeRegion  // nil: no regions are named, or this is the home region
+	shareHolder *shareHolder // nil: the leader deals with all machines
+	route       admissionRoute
+	delay       delayMonitor
+	transfer    transferPolicy
 
-	mu      sync.Mutex
-	served  time.Time // when a user last came here
-	useless time.Time // since when users could not be served here; zero: they can
+	mu          sync.Mutex
+	lastUserAt  time.Time // when a user's request last arrived here
+	unableSince time.Time // since when users could not be served here; zero: they can
 }
 
-// Run runs a controller until the context ends.
-func Run(ctx context.Context, set *config.Settings, tun *config.Tuning, nw Net, log *slog.Logger) error {
-	log = log.With("member", set.Member)
-	var m *metrics.Meter
-	if tun.MetricsListen != "" {
-		m = metrics.New()
-	}
-	st := state.New(set.Outside.State, nw.Dial, control.StateBudget(set, false))
-	n := &Node{set: set, log: log}
-	n.ctl = control.New(control.Deps{Settings: set, Tuning: tun, State: st,
-		Cloud: autoscale.NewCloud(set.Outside.Cloud, nw.Dial, set.Facts.Cloud.RPS), Dial: nw.Dial, Log: log, Meter: m,
-		Entitled: func(term uint64) bool { return n.elector.Entitled(term) },
-		Left:     func(term uint64) time.Duration { return n.elector.Left(term) },
-		Deposed:  func(term uint64) { n.elector.ObserveLeader("", term) },
-		Follow: func(ctx context.Context, q *dynconfig.Request) (*dynconfig.Reply, error) {
-			return n.home.follow(ctx, q)
-		}})
-	n.elector = election.New(set.Member, time.Duration(tun.LeaderLeaseMs)*time.Millisecond,
-		state.Unbounded(set.Outside.State, nw.Dial), log, n.ctl.Lead)
-	siblings := make([]string, len(set.Siblings))
-	for i := range set.Siblings {
-		siblings[i] = set.Siblings[i].Member
-	}
-	n.elector.EnablePromises(time.Duration(tun.PromiseMs)*time.Millisecond, siblings, func(ctx context.Context, sibling string, term uint64) (bool, error) {
-		p, err := n.mesh.Promise(ctx, sibling, &rpc.PromiseRequest{Leader: set.Member, Term: term})
-		return err == nil && p.Given, err
-	})
-	mesh, err := rpc.Dial(set.Siblings, nw.Dial)
+// Run runs a controller until the context ends. It returns an error if the controller
+// cannot start or one of its listeners fails.
+func Run(ctx context.Context, settings *config.Settings, tuning *config.Tuning, network Network, log *slog.Logger) error {
+	n, err := newNode(settings, tuning, network, log.With("member", settings.Member))
 	if err != nil {
 		return err
 	}
-	defer mesh.Close()
-	n.mesh = mesh
-	if tun.Regions.Name != tun.Regions.Home {
-		if n.home, err = dialHome(tun.Regions.HomeAddresses, nw.Dial); err != nil {
-			return err
-		}
-		defer n.home.close()
-	}
-	if tun.Sharding.Enabled && len(set.Siblings) > 0 {
-		n.shareHolder = newShareHolder(n, nw.Dial)
-	}
-
-	pl, err := nw.Listen(set.PeerListen)
-	if err != nil {
-		return fmt.Errorf("peer_listen: %w", err)
-	}
-	hl, err := nw.Listen(set.Listen)
+	defer n.close()
+	l, err := n.listen(network)
 	if err != nil {
-		return fmt.Errorf("listen: %w", err)
-	}
-	var ml net.Listener
-	if m != nil {
-		if ml, err = nw.Listen(tun.MetricsListen); err != nil {
-			return fmt.Errorf("metrics_listen: %w", err)
-		}
-	}
-	d := newBoundedListener(hl, inbound(set))
-	srv := &http.Server{ConnState: d.state, ConnContext: func(ctx context.Context, c net.Conn) context.Context {
-		return api.WithTaskObserver(ctx, c.(*boundedConn).keeps)
-	}, Handler: api.New(n, log, m).Handler(), ReadHeaderTimeout: 10 * time.Second,
-		ReadTimeout: 20 * time.Second, WriteTimeout: 20 * time.Second, IdleTimeout: 90 * time.Second,
-		MaxHeaderBytes: 16 << 10, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug)}
-	ctx, cancel := context.WithCancelCause(ctx)
-	defer cancel(nil)
-	var wg sync.WaitGroup
-	wg.Go(func() { n.elector.Run(ctx) })
-	wg.Go(func() { n.lag.watch(ctx) })
-	if m != nil {
-		wg.Go(func() {
-			if err := m.Serve(ctx, ml); err != nil {
-				log.Error("metrics page failed", "error", err)
-			}
-		})
-	}
-	if tun.TransferAfterS > 0 {
-		n.yield.patience = config.Seconds(tun.TransferAfterS)
-		wg.Go(func() { n.watchLead(ctx) })
+		return err
 	}
-	if n.shareHolder != nil {
-		wg.Go(func() { n.shareHolder.run(ctx) })
+	ctx, stop := context.WithCancelCause(ctx)
+	defer stop(nil)
+	users := newBoundedListener(l.http, inboundLimit(settings))
+	server := n.newServer(users)
+	var tasks sync.WaitGroup
+	n.startLoops(ctx, &tasks, l.metrics)
+	n.startServers(ctx, &tasks, stop, l.peer, server, users)
+	for _, warning := range settings.Warnings() {
+		n.log.Warn("settings: " + warning)
 	}
-	wg.Go(func() {
-		mesh.PingSiblings(ctx, func(h rpc.NodeStatus) {
-			n.elector.ObserveLeader(h.Leader, h.Term)
-			n.elector.ObserveSibling(h.Member, h.Member == h.Leader)
-			if tun.TransferAfterS > 0 {
-				n.yield.heard(h, time.Now())
-			}
-			if h.Member == h.Leader {
-				n.elector.LeaderHeartbeat()
-			}
-		})
-	})
-	wg.Go(func() {
-		if err := rpc.Serve(ctx, pl, n); err != nil {
-			cancel(err)
-		}
-	})
-	wg.Go(func() {
-		if err := srv.Serve(d); err != nil && !errors.Is(err, http.ErrServerClosed) {
-			cancel(fmt.Errorf("listen: %w", err))
-		}
-	})
-	for _, line := range set.Warnings() {
-		log.Warn("settings: " + line)
-	}
-	log.Info("started", "site", set.Site, "listen", set.Listen)
+	n.log.Info("started", "site", settings.Site, "listen", settings.Listen)
 	<-ctx.Done()
-	_ = srv.Close()
-	wg.Wait()
+	_ = server.Close()
+	tasks.Wait()
 	if err := context.Cause(ctx); !errors.Is(err, context.Canceled) {
 		return err
 	}
 	return nil
 }
 
-// NodeStatus implements rpc.Handler.
-func (n *Node) NodeStatus() rpc.NodeStatus {
-	v := n.elector.View()
-	n.mu.Lock()
-	serves := time.Since(n.served) < servesTime
-	n.mu.Unlock()
-	return rpc.NodeStatus{Member: n.set.Member, Leader: v.Leader, Term: v.Term, ServesUsers: serves, Overloaded: n.lag.Behind(),
-		ProbeUs: n.lag.Work().Microseconds(), StoreReachable: time.Since(v.Seen) < storedTime}
-}
-
-// HandleForwarded implements rpc.Handler: only a leader answers for others.
-func (n *Node) HandleForwarded(ctx context.Context, q *rpc.Request) *rpc.Reply {
-	if p := n.ctl.Answer(ctx, q); p != nil {
-		return p
+// newNode builds the parts of a controller. Nothing runs yet, and connections are
+// opened on first use.
+func newNode(settings *config.Settings, tuning *config.Tuning, network Network, log *slog.Logger) (*Node, error) {
+	n := &Node{settings: settings, tuning: tuning, log: log}
+	if tuning.MetricsListen != "" {
+		n.meter = metrics.New()
 	}
-	return control.Later("not the leader")
-}
-
-// storedTime is for how long a node counts as one that the state service answers:
-// its watch comes back every five seconds.
-const storedTime = 7 * time.Second
-
-// servesTime is for how long a node counts as one that users are sent to after the
-// last of them came.
-const servesTime = 3 * time.Second
-
-// HandleUser implements api.Backend.
-func (n *Node) HandleUser(ctx context.Context, q *rpc.Request) *rpc.Reply {
-	n.mu.Lock()
-	n.served = time.Now()
-	n.mu.Unlock()
-	if q.Kind == rpc.KindStatus {
-		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, pollTime)
-		defer cancel()
-	}
-	if q.Kind == rpc.KindConfig && n.home != nil {
-		return n.home.forward(ctx, q)
+	n.controller = n.newController(network)
+	n.elector = n.newElector(network)
+	var err error
+	if n.mesh, err = rpc.Dial(settings.Siblings, network.Dial); err != nil {
+		return nil, err
 	}
-	if p := n.ctl.Answer(ctx, q); p != nil {
-		return p
-	}
-	// A leader that does not answer pings would only use up the user's patience.
-	if l := n.Leader(); l != "" && n.mesh.Reachable(l) {
-		limit := forwardTime
-		if q.Kind == rpc.KindStatus {
-			limit = pollForwardTime
-		}
-		if q.Kind == rpc.KindSubmit {
-			limit = submitForwardTime
-			if n.route.direct(time.Now()) {
-				if p := n.admit(ctx, q); p.Status != http.StatusServiceUnavailable {
-					return p
-				}
-			}
-		}
-		fctx, cancel := context.WithTimeout(ctx, limit)
-		defer cancel()
-		begun := time.Now()
-		p, err := n.mesh.Forward(fctx, l, q)
-		if q.Kind == rpc.KindSubmit {
-			n.route.tookLeader(time.Since(begun))
-		}
-		if err == nil && (p.Final || p.Status != http.StatusServiceUnavailable) {
-			return p
+	if tuning.Regions.Name != tuning.Regions.Home {
+		if n.home, err = dialHome(tuning.Regions.HomeAddresses, network.Dial); err != nil {
+			n.mesh.Close()
+			return nil, err
 		}
 	}
-	if ctx.Err() == nil {
-		switch q.Kind {
-		case rpc.KindStatus:
-			return n.ctl.Direct(ctx, q.ID)
-		case rpc.KindSubmit:
-			return n.admit(ctx, q)
-		}
+	if tuning.Sharding.Enabled && len(settings.Siblings) > 0 {
+		n.shareHolder = newShareHolder(n, network.Dial)
 	}
-	return n.vacant()
+	n.transfer.overloadTime = config.Seconds(tuning.TransferAfterS)
+	return n, nil
 }
 
-// admit takes in a submission without the leader.
-func (n *Node) admit(ctx context.Context, q *rpc.Request) *rpc.Reply {
-	begun := time.Now()
-	p := n.ctl.Admit(ctx, q.Body)
-	n.route.tookOwn(time.Since(begun))
-	return p
+// newController builds the part that acts while this node leads. It refers to the
+// elector and the home region, which are built after it, through the node.
+func (n *Node) newController(network Network) *control.Controller {
+	return control.New(control.Deps{
+		Settings: n.settings,
+		Tuning:   n.tuning,
+		State:    state.New(n.settings.Outside.State, network.Dial, control.StateBudget(n.settings, false)),
+		Cloud:    autoscale.NewCloud(n.settings.Outside.Cloud, network.Dial, n.settings.Facts.Cloud.RPS),
+		Dial:     network.Dial,
+		Log:      n.log,
+		Meter:    n.meter,
+		Entitled: func(term uint64) bool { return n.elector.Entitled(term) },
+		Left:     func(term uint64) time.Duration { return n.elector.Left(term) },
+		Deposed:  func(term uint64) { n.elector.ObserveLeader("", term) },
+		Follow: func(ctx context.Context, request *dynconfig.Request) (*dynconfig.Reply, error) {
+			return n.home.follow(ctx, request)
+		},
+	})
 }
 
-// vacant tells a user to come back when the lead may have passed on: what is left
-// of the lease of a leader that is not to be reached. The next one takes a moment
-// more, but a user who comes a little early loses nothing by it.
-func (n *Node) vacant() *rpc.Reply {
-	p := control.Later("no leader is to be reached")
-	p.RetryAfter = max(p.RetryAfter, int(n.elector.LeaderLeaseLeft()/time.Second))
-	return p
+// newElector builds the leader election, which makes the controller lead when this node
+// is elected and asks siblings for promises while the key-value store does not answer.
+func (n *Node) newElector(network Network) *election.Elector {
+	lease := time.Duration(n.tuning.LeaderLeaseMs) * time.Millisecond
+	store := state.Unbounded(n.settings.Outside.State, network.Dial)
+	elector := election.New(n.settings.Member, lease, store, n.log, n.controller.Lead)
+	siblings := make([]string, len(n.settings.Siblings))
+	for i := range n.settings.Siblings {
+		siblings[i] = n.settings.Siblings[i].Member
+	}
+	promise := time.Duration(n.tuning.PromiseMs) * time.Millisecond
+	elector.EnablePromises(promise, siblings, n.requestPromise)
+	return elector
 }
 
-// forwardTime bounds the wait for the leader, so that time is left for a read of
-// the state service. A submission needs no leader, so it waits for a leader that
-// stands still for no longer than an answer usually takes.
-const (
-	forwardTime       = 1200 * time.Millisecond
-	submitForwardTime = 400 * time.Millisecond
-	pollForwardTime   = 900 * time.Millisecond
-)
-
-// pollTime bounds a poll: its user waits for two seconds, and one that hangs in a
-// commit, a loading or a read is no answer.
-const pollTime = 1500 * time.Millisecond
-
-// Promise implements rpc.Handler.
-func (n *Node) Promise(ctx context.Context, q *rpc.PromiseRequest) *rpc.Promise {
-	return &rpc.Promise{Given: n.elector.Promise(ctx, q.Leader, q.Term)}
+// requestPromise asks a sibling not to campaign against this node, the leader of the
+// term, for a while.
+func (n *Node) requestPromise(ctx context.Context, sibling string, term uint64) (bool, error) {
+	promise, err := n.mesh.Promise(ctx, sibling, &rpc.PromiseRequest{Leader: n.settings.Member, Term: term})
+	if err != nil {
+		return false, err
+	}
+	return promise.Given, nil
 }
 
-// FollowConfig implements rpc.Handler: only a leader of the home region answers.
-func (n *Node) FollowConfig(ctx context.Context, q *dynconfig.Request) *dynconfig.Reply {
-	return n.ctl.FollowHome(ctx, q)
+// close closes the connections to other controllers.
+func (n *Node) close() {
+	if n.home != nil {
+		n.home.close()
+	}
+	n.mesh.Close()
 }
 
-// SyncShard implements rpc.Handler: only a leader gives shares.
-func (n *Node) SyncShard(ctx context.Context, r *shard.Request) *shard.Reply {
-	return n.ctl.Sync(ctx, r)
+// listeners are the addresses that a controller listens on.
+type listeners struct {
+	peer    net.Listener // gRPC of the siblings
+	http    net.Listener // users, workers and health checks
+	metrics net.Listener // nil: there is no metrics page
 }
 
-// Heartbeat implements api.Backend: a worker is answered by the leader, or by the
-// holder of its machine.
-func (n *Node) Heartbeat(ctx context.Context, q *rpc.Request) *rpc.Reply {
-	if p := n.ctl.Answer(ctx, q); p != nil || n.shareHolder == nil {
-		return p
+// listen opens the controller's addresses.
+func (n *Node) listen(network Network) (l listeners, err error) {
+	if l.peer, err = network.Listen(n.settings.PeerListen); err != nil {
+		return l, fmt.Errorf("peer_listen: %w", err)
+	}
+	if l.http, err = network.Listen(n.settings.Listen); err != nil {
+		return l, fmt.Errorf("listen: %w", err)
 	}
-	return n.shareHolder.report(ctx, q.Body)
+	if n.meter != nil {
+		if l.metrics, err = network.Listen(n.tuning.MetricsListen); err != nil {
+			return l, fmt.Errorf("metrics_listen: %w", err)
+		}
+	}
+	return l, nil
 }
 
-// ForwardHeartbeat implements api.Backend.
-func (n *Node) ForwardHeartbeat(ctx context.Context, q *rpc.Request) *rpc.Reply {
-	h := *q
-	h.ForwardedBy = n.set.Member
-	p, err := n.mesh.Forward(ctx, n.Leader(), &h)
-	if err != nil {
-		return control.Later("the leader is not to be reached")
+// newServer builds the HTTP server for users, workers and health checks. The listener
+// learns from it which connections are idle, and which are those of workers with tasks.
+func (n *Node) newServer(l *boundedListener) *http.Server {
+	return &http.Server{
+		Handler:   api.New(n, n.log, n.meter).Handler(),
+		ConnState: l.trackState,
+		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
+			return api.WithTaskObserver(ctx, c.(*boundedConn).setHasTasks)
+		},
+		ReadHeaderTimeout: readHeaderTimeout,
+		ReadTimeout:       readTimeout,
+		WriteTimeout:      writeTimeout,
+		IdleTimeout:       idleTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
+		ErrorLog:          slog.NewLogLogger(n.log.Handler(), slog.LevelDebug),
 	}
-	return p
 }
 
-// Leader implements api.Backend.
-func (n *Node) Leader() string {
-	v := n.elector.View()
-	if v.Leader == n.set.Member {
-		return ""
+// startLoops starts what runs in the background until the context ends.
+func (n *Node) startLoops(ctx context.Context, tasks *sync.WaitGroup, metricsListener net.Listener) {
+	tasks.Go(func() { n.elector.Run(ctx) })
+	tasks.Go(func() { n.delay.run(ctx) })
+	if n.meter != nil {
+		tasks.Go(func() {
+			if err := n.meter.Serve(ctx, metricsListener); err != nil {
+				n.log.Error("metrics page failed", "error", err)
+			}
+		})
 	}
-	return v.Leader
+	if n.tuning.TransferAfterS > 0 {
+		tasks.Go(func() { n.watchTransfer(ctx) })
+	}
+	if n.shareHolder != nil {
+		tasks.Go(func() { n.shareHolder.run(ctx) })
+	}
+	tasks.Go(func() { n.mesh.PingSiblings(ctx, n.observeSibling) })
 }
 
-// patience is how long a node without leader and state service stays healthy:
-// being taken out and put back costs users more than a short outage, in which no
-// other node could serve them either.
-const patience = 20 * time.Second
+// startServers starts to answer siblings, users and workers. A server that fails calls
+// stop with its error.
+func (n *Node) startServers(ctx context.Context, tasks *sync.WaitGroup, stop context.CancelCauseFunc, peers net.Listener, server *http.Server, users net.Listener) {
+	tasks.Go(func() {
+		if err := rpc.Serve(ctx, peers, n); err != nil {
+			stop(err)
+		}
+	})
+	tasks.Go(func() {
+		if err := server.Serve(users); err != nil && !errors.Is(err, http.ErrServerClosed) {
+			stop(fmt.Errorf("listen: %w", err))
+		}
+	})
+}
 
-// Healthy implements api.Backend. A leader that is short of processor sends its
-// users to the other nodes, which have little to do: they can admit and answer
-// without it. Not before the load balancer sends users to one of them: after a
-// restart it waits for up to a minute.
-func (n *Node) Healthy() bool {
-	if n.ctl.Leading() && n.lag.Behind() && n.mesh.AnyServesUsers() {
-		return false
-	}
-	v := n.elector.View()
-	able := n.ctl.Leading() || time.Since(v.Seen) < 8*time.Second || (v.Leader != "" && n.mesh.Reachable(v.Leader))
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if able {
-		n.useless = time.Time{}
-		return true
+// observeSibling takes in a sibling's answer to a ping.
+func (n *Node) observeSibling(status rpc.NodeStatus) {
+	leads := status.Member == status.Leader
+	n.elector.ObserveLeader(status.Leader, status.Term)
+	n.elector.ObserveSibling(status.Member, leads)
+	if n.tuning.TransferAfterS > 0 {
+		n.transfer.observeSibling(status, time.Now())
 	}
-	if n.useless.IsZero() {
-		n.useless = time.Now()
+	if leads {
+		n.elector.LeaderHeartbeat()
 	}
-	return time.Since(n.useless) < patience
 }
--- a/internal/node/shard_holder.go
+++ b/internal/node/shard_holder.go
@@ -50,7 +50,7 @@
 )
 
 func newShareHolder(n *Node, dial state.DialFunc) *shareHolder {
-	sockets := n.set.Facts.Resources.MaxSockets
+	sockets := n.settings.Facts.Resources.MaxSockets
 	calls := control.DirectCalls(sockets)
 	// Each controller keeps connections for commands, so each keeps fewer than a leader
 	// that sends all of them.
@@ -58,7 +58,7 @@
 		hc: control.DirectClient(dial, max(8, calls/4)),
 		// A later process has a later time of day, within its skew; the leader lets in one
 		// that has not once the grants of the process before have ended.
-		holder: shard.NewHolder(n.set.Member, n.set.Site, uint64(time.Now().UnixNano()))}
+		holder: shard.NewHolder(n.settings.Member, n.settings.Site, uint64(time.Now().UnixNano()))}
 }
 
 // run asks the leader for this node's grant until the context ends.
@@ -91,10 +91,10 @@
 func (a *shareHolder) sync(ctx context.Context) bool {
 	v := a.n.elector.View()
 	a.mu.Lock()
-	if v.Leader == a.n.set.Member {
+	if v.Leader == a.n.settings.Member {
 		a.holder.Lead()
 	}
-	if v.Leader == "" || v.Leader == a.n.set.Member {
+	if v.Leader == "" || v.Leader == a.n.settings.Member {
 		a.mu.Unlock()
 		return false
 	}
@@ -102,7 +102,7 @@
 		a.holder.EndTerm()
 	}
 	sent := time.Now()
-	q := a.holder.Request(a.room, a.calls, a.n.lag.Behind(), sent)
+	q := a.holder.Request(a.room, a.calls, a.n.delay.Overloaded(), sent)
 	a.mu.Unlock()
 	sctx, cancel := context.WithTimeout(ctx, syncTime)
 	defer cancel()
--- a/internal/node/sim_test.go
+++ b/internal/node/sim_test.go
@@ -174,7 +174,7 @@
 	}
 	dial := s.net.Dialer(fmt.Sprintf("n%d", i))
 	g := &s.still[i]
-	nw := Net{Listen: func(addr string) (net.Listener, error) {
+	nw := Network{Listen: func(addr string) (net.Listener, error) {
 		l, err := s.net.Listen(addr)
 		return gateListener{l, g}, err
 	}, Dial: func(c context.Context, network, addr string) (net.Conn, error) {
