--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -1,5 +1,5 @@
-// Package api is the HTTP listener for users, workers and health checks. A request
-// that reaches another node than the leader is handed on over peer.
+// Package api is the HTTP server for users, workers, operators and health checks. It
+// reads and bounds requests, and passes them to a Backend, which knows who leads.
 package api
 
 import (
@@ -21,186 +21,228 @@
 	"vetchstream/internal/wire"
 )
 
-// Backend answers the requests that the listener lets in.
+// Backend answers the requests that the server accepts.
 type Backend interface {
-	// HandleUser answers a user's request, wherever the leader is.
+	// HandleUser answers a user's or an operator's request, whichever node leads.
 	HandleUser(ctx context.Context, q *rpc.Request) *rpc.Reply
-	// Heartbeat answers a worker's report as leader; nil: this node does not lead.
+	// Heartbeat answers a worker's heartbeat; nil: this node does not answer for the
+	// worker's machine.
 	Heartbeat(ctx context.Context, q *rpc.Request) *rpc.Reply
-	// Leader names the leader as far as this node knows, or is empty.
+	// Leader names the leader as far as this node knows; empty: none, or this node.
 	Leader() string
-	// ForwardHeartbeat hands a worker's report to the leader.
+	// ForwardHeartbeat forwards a worker's heartbeat to the leader.
 	ForwardHeartbeat(ctx context.Context, q *rpc.Request) *rpc.Reply
-	// Healthy reports whether users should be sent here.
+	// Healthy reports whether users should be sent to this node.
 	Healthy() bool
 }
 
-type workKey struct{}
+// taskObserverKey is the key of a connection's task observer in its context.
+type taskObserverKey struct{}
 
-// WithTaskObserver hands the listener of a connection's requests whom to tell whether its worker
-// has tasks.
-func WithTaskObserver(ctx context.Context, told func(work bool)) context.Context {
-	return context.WithValue(ctx, workKey{}, told)
+// WithTaskObserver returns the context of a connection whose server calls observe after
+// each heartbeat that comes in on it, with whether the worker has tasks.
+func WithTaskObserver(ctx context.Context, observe func(hasTasks bool)) context.Context {
+	return context.WithValue(ctx, taskObserverKey{}, observe)
 }
 
-// Server is the listener.
+// observeTasks calls the task observer of the request's connection, if it has one.
+func observeTasks(ctx context.Context, hasTasks bool) {
+	if observe, ok := ctx.Value(taskObserverKey{}).(func(bool)); ok {
+		observe(hasTasks)
+	}
+}
+
+// Server is the HTTP server of one node.
 type Server struct {
-	back  Backend
-	log   *slog.Logger
-	meter *metrics.Meter
+	backend Backend
+	log     *slog.Logger
+	meter   *metrics.Meter // nil: off
 
-	mu   sync.Mutex
-	sent map[string]time.Time // when a worker was last redirected, by its host
+	mu        sync.Mutex
+	redirects map[string]time.Time // when a worker was last redirected, by its host and the leader
 }
 
-// New makes a listener before a backend.
-func New(back Backend, log *slog.Logger, m *metrics.Meter) *Server {
-	return &Server{back: back, log: log, meter: m, sent: map[string]time.Time{}}
+// New returns a server of a backend.
+func New(backend Backend, log *slog.Logger, meter *metrics.Meter) *Server {
+	return &Server{
+		backend:   backend,
+		log:       log,
+		meter:     meter,
+		redirects: map[string]time.Time{},
+	}
 }
 
-// userTime bounds the answer to a user, below the user's own patience (5 s for
-// submissions, 2 s for polls).
+// Limits of the time for an answer. They are below the time that the client waits: 5 s
+// for submissions and other changes, 2 s for polls, and 4 s for heartbeats.
 const (
-	submitTime = 3500 * time.Millisecond
-	pollTime   = 1700 * time.Millisecond
-	reportTime = 3 * time.Second
+	changeTimeout    = 3500 * time.Millisecond
+	statusTimeout    = 1700 * time.Millisecond
+	heartbeatTimeout = 3 * time.Second
 )
 
-// Handler returns the routes.
+// Handler returns the handler of all routes.
 func (s *Server) Handler() http.Handler {
-	rt := httprouter.New()
-	rt.HandleMethodNotAllowed = true
-	rt.RedirectTrailingSlash, rt.RedirectFixedPath = false, false
-	rt.PanicHandler = func(w http.ResponseWriter, _ *http.Request, v any) {
-		s.log.Error("request failed", "panic", v)
-		w.WriteHeader(http.StatusInternalServerError)
-	}
-	rt.POST("/api/jobs", func(w http.ResponseWriter, q *http.Request, _ httprouter.Params) {
-		body, err := read(q)
-		if err != nil {
-			write(w, refuse(http.StatusBadRequest, err.Error()))
-			return
-		}
-		s.user(w, q, &rpc.Request{Kind: rpc.KindSubmit, ID: job.PeekID(body), Body: body}, submitTime)
+	router := httprouter.New()
+	router.HandleMethodNotAllowed = true
+	router.RedirectTrailingSlash = false
+	router.RedirectFixedPath = false
+	router.PanicHandler = s.recoverPanic
+	s.routeJobs(router)
+	s.routeRollouts(router)
+	s.routeCalendar(router)
+	s.routeConfiguration(router)
+	router.POST("/checkin", s.serveHeartbeat)
+	router.GET("/healthz", s.serveHealth)
+	router.NotFound = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		writeReply(w, errorReply(http.StatusNotFound, "no such route"))
 	})
-	rt.GET("/api/jobs/:id", func(w http.ResponseWriter, q *http.Request, p httprouter.Params) {
-		s.user(w, q, &rpc.Request{Kind: rpc.KindStatus, ID: p.ByName("id")}, pollTime)
+	router.MethodNotAllowed = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		writeReply(w, errorReply(http.StatusMethodNotAllowed, "method not allowed"))
 	})
-	rt.POST("/api/jobs/:id/abort", func(w http.ResponseWriter, q *http.Request, p httprouter.Params) {
-		s.user(w, q, &rpc.Request{Kind: rpc.KindCancel, ID: p.ByName("id")}, submitTime)
-	})
-	s.rollouts(rt)
-	s.calendar(rt)
-	s.configuration(rt)
-	rt.POST("/checkin", s.checkin)
-	rt.GET("/healthz", func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
-		if !s.back.Healthy() {
-			w.WriteHeader(http.StatusServiceUnavailable)
-		}
-	})
-	rt.NotFound = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		write(w, refuse(http.StatusNotFound, "no such route"))
-	})
-	rt.MethodNotAllowed = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		write(w, refuse(http.StatusMethodNotAllowed, "method not allowed"))
-	})
-	return rt
+	return router
 }
 
-// errTooLarge is the refusal of a body over the limit.
-var errTooLarge = errors.New("body is too large")
-
-func read(q *http.Request) ([]byte, error) {
-	b, err := io.ReadAll(io.LimitReader(q.Body, wire.MaxBody+1))
-	if err != nil {
-		return nil, err
-	}
-	if len(b) > wire.MaxBody {
-		return nil, errTooLarge
-	}
-	return b, nil
+// recoverPanic answers a request whose handler has panicked.
+func (s *Server) recoverPanic(w http.ResponseWriter, _ *http.Request, v any) {
+	s.log.Error("request failed", "panic", v)
+	w.WriteHeader(http.StatusInternalServerError)
 }
 
-func refuse(status int, why string) *rpc.Reply {
-	b, err := wire.Marshal(wire.Error{Error: why})
-	if err != nil {
-		return &rpc.Reply{Status: http.StatusInternalServerError}
-	}
-	return &rpc.Reply{Status: status, Body: b}
-}
-
-func write(w http.ResponseWriter, p *rpc.Reply) {
-	h := w.Header()
-	h.Set("Content-Type", wire.ContentType)
-	h.Set("Content-Length", strconv.Itoa(len(p.Body)))
-	if p.RetryAfter > 0 {
-		h.Set("Retry-After", strconv.Itoa(p.RetryAfter))
-	}
-	w.WriteHeader(p.Status)
-	_, _ = w.Write(p.Body) // a client that has left is no concern of ours
+// routeJobs adds the protocol's routes for users.
+func (s *Server) routeJobs(router *httprouter.Router) {
+	router.POST("/api/jobs", func(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
+		body, err := readBody(r)
+		if err != nil {
+			writeReply(w, errorReply(http.StatusBadRequest, err.Error()))
+			return
+		}
+		s.serveUser(w, r, &rpc.Request{Kind: rpc.KindSubmit, ID: job.PeekID(body), Body: body}, changeTimeout)
+	})
+	router.GET("/api/jobs/:id", func(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
+		s.serveUser(w, r, &rpc.Request{Kind: rpc.KindStatus, ID: p.ByName("id")}, statusTimeout)
+	})
+	router.POST("/api/jobs/:id/abort", func(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
+		s.serveUser(w, r, &rpc.Request{Kind: rpc.KindCancel, ID: p.ByName("id")}, changeTimeout)
+	})
 }
 
-func (s *Server) user(w http.ResponseWriter, q *http.Request, r *rpc.Request, limit time.Duration) {
-	ctx, cancel := context.WithTimeout(q.Context(), limit)
+// serveUser passes a user's or an operator's request to the backend and writes its reply.
+func (s *Server) serveUser(w http.ResponseWriter, r *http.Request, q *rpc.Request, timeout time.Duration) {
+	ctx, cancel := context.WithTimeout(r.Context(), timeout)
 	defer cancel()
 	begun := time.Now()
-	p := s.back.HandleUser(ctx, r)
-	s.meter.Observe(metrics.UserResponseTime, r.Kind, time.Since(begun))
-	s.meter.Add(metrics.UserResponses, r.Kind+" "+strconv.Itoa(p.Status), 1)
-	write(w, p)
+	reply := s.backend.HandleUser(ctx, q)
+	kind := string(q.Kind)
+	s.meter.Observe(metrics.UserResponseTime, kind, time.Since(begun))
+	s.meter.Add(metrics.UserResponses, kind+" "+strconv.Itoa(reply.Status), 1)
+	writeReply(w, reply)
 }
 
-// redirectAgain is how long a worker that comes back after a redirect is served
-// through this node instead: it may be cut off from the leader.
-const redirectAgain = 20 * time.Second
+// serveHealth answers the health checks of the load balancer.
+func (s *Server) serveHealth(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
+	if !s.backend.Healthy() {
+		w.WriteHeader(http.StatusServiceUnavailable)
+	}
+}
 
-func (s *Server) checkin(w http.ResponseWriter, q *http.Request, _ httprouter.Params) {
-	body, err := read(q)
+// serveHeartbeat answers a worker's heartbeat. A node that does not answer for the
+// worker's machine redirects the worker to the leader, and forwards the heartbeat if
+// the worker comes back all the same.
+func (s *Server) serveHeartbeat(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
+	body, err := readBody(r)
 	if err != nil {
-		write(w, refuse(http.StatusBadRequest, err.Error()))
+		writeReply(w, errorReply(http.StatusBadRequest, err.Error()))
 		return
 	}
-	ctx, cancel := context.WithTimeout(q.Context(), reportTime)
+	ctx, cancel := context.WithTimeout(r.Context(), heartbeatTimeout)
 	defer cancel()
-	r := &rpc.Request{Kind: rpc.KindHeartbeat, Body: body}
-	if p := s.back.Heartbeat(ctx, r); p != nil {
-		if told, ok := ctx.Value(workKey{}).(func(bool)); ok {
-			told(p.HasTasks)
-		}
-		write(w, p)
+	q := &rpc.Request{Kind: rpc.KindHeartbeat, Body: body}
+	if reply := s.backend.Heartbeat(ctx, q); reply != nil {
+		observeTasks(ctx, reply.HasTasks)
+		writeReply(w, reply)
 		return
 	}
-	leader := s.back.Leader()
+	leader := s.backend.Leader()
 	if leader == "" {
-		write(w, refuse(http.StatusServiceUnavailable, "no leader is known"))
+		writeReply(w, errorReply(http.StatusServiceUnavailable, "no leader is known"))
 		return
 	}
-	from, _, _ := net.SplitHostPort(q.RemoteAddr)
-	if s.redirected(from, leader) {
-		write(w, s.back.ForwardHeartbeat(ctx, r))
+	host, _, _ := net.SplitHostPort(r.RemoteAddr)
+	if s.redirected(host, leader) {
+		writeReply(w, s.backend.ForwardHeartbeat(ctx, q))
 		return
 	}
-	b, err := wire.Marshal(wire.Redirect{ReportTo: leader})
-	if err != nil {
-		b = nil
-	}
-	write(w, &rpc.Reply{Status: http.StatusMisdirectedRequest, Body: b})
+	writeReply(w, redirectReply(leader))
 }
 
-// redirected reports whether the worker was sent to this leader a short while
-// ago, and notes that it is now.
-func (s *Server) redirected(from, leader string) bool {
+const (
+	// redirectWindow is how long a worker that comes back after a redirect is served
+	// through this node instead: it may be cut off from the leader.
+	redirectWindow = 20 * time.Second
+	// maxRedirects bounds the redirects that are remembered. Beyond it all are forgotten,
+	// which costs some workers a second redirect.
+	maxRedirects = 1000
+)
+
+// redirected reports whether the worker on the host was redirected to this leader
+// within redirectWindow. If not, it records that the worker is redirected now.
+func (s *Server) redirected(host, leader string) bool {
 	now := time.Now()
-	key := from + " " + leader
+	key := host + " " + leader
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t, ok := s.sent[key]
-	if ok && now.Sub(t) < redirectAgain {
+	last, ok := s.redirects[key]
+	if ok && now.Sub(last) < redirectWindow {
 		return true
 	}
-	if len(s.sent) > 1000 {
-		clear(s.sent)
+	if len(s.redirects) > maxRedirects {
+		clear(s.redirects)
 	}
-	s.sent[key] = now
+	s.redirects[key] = now
 	return false
 }
+
+// redirectReply is a 421 that names the leader.
+func redirectReply(leader string) *rpc.Reply {
+	body, err := wire.Marshal(wire.Redirect{ReportTo: leader})
+	if err != nil {
+		body = nil // the worker tries the next node
+	}
+	return &rpc.Reply{Status: http.StatusMisdirectedRequest, Body: body}
+}
+
+// errorReply is a refusal with a reason.
+func errorReply(status int, reason string) *rpc.Reply {
+	body, err := wire.Marshal(wire.Error{Error: reason})
+	if err != nil {
+		return &rpc.Reply{Status: http.StatusInternalServerError}
+	}
+	return &rpc.Reply{Status: status, Body: body}
+}
+
+// errTooLarge is returned by readBody for a body over wire.MaxBody.
+var errTooLarge = errors.New("body is too large")
+
+// readBody reads a request's body.
+func readBody(r *http.Request) ([]byte, error) {
+	body, err := io.ReadAll(io.LimitReader(r.Body, wire.MaxBody+1))
+	if err != nil {
+		return nil, err
+	}
+	if len(body) > wire.MaxBody {
+		return nil, errTooLarge
+	}
+	return body, nil
+}
+
+// writeReply writes a reply as the response to a request.
+func writeReply(w http.ResponseWriter, reply *rpc.Reply) {
+	header := w.Header()
+	header.Set("Content-Type", wire.ContentType)
+	header.Set("Content-Length", strconv.Itoa(len(reply.Body)))
+	if reply.RetryAfter > 0 {
+		header.Set("Retry-After", strconv.Itoa(reply.RetryAfter))
+	}
+	w.WriteHeader(reply.Status)
+	_, _ = w.Write(reply.Body) // fails only if the client has left
+}
--- a/internal/api/calendar.go
+++ b/internal/api/calendar.go
@@ -9,7 +9,7 @@
 	"vetchstream/internal/wire"
 )
 
-// calendar are the routes for reservations and maintenance windows, beside the
+// routeCalendar are the routes for reservations and maintenance windows, beside the
 // protocol's own; PLACE is reservations or maintenance:
 //
 //	POST /api/PLACE                create one; the body is its specification
@@ -18,21 +18,21 @@
 //	POST /api/PLACE/{name}/cancel  cancel it
 //
 // With ?team=NAME a request sees and changes that team's reservations alone.
-func (s *Server) calendar(rt *httprouter.Router) {
+func (s *Server) routeCalendar(rt *httprouter.Router) {
 	for place, window := range map[string]bool{"/api/reservations": false, "/api/maintenance": true} {
 		operate := func(w http.ResponseWriter, q *http.Request, op rpc.Operation) {
 			op.Window, op.Team = window, q.URL.Query().Get("team")
 			b, err := wire.Marshal(op)
 			if err != nil {
-				write(w, refuse(http.StatusInternalServerError, err.Error()))
+				writeReply(w, errorReply(http.StatusInternalServerError, err.Error()))
 				return
 			}
-			s.user(w, q, &rpc.Request{Kind: rpc.KindCalendar, Body: b}, submitTime)
+			s.serveUser(w, q, &rpc.Request{Kind: rpc.KindCalendar, Body: b}, changeTimeout)
 		}
 		rt.POST(place, func(w http.ResponseWriter, q *http.Request, _ httprouter.Params) {
-			body, err := read(q)
+			body, err := readBody(q)
 			if err != nil {
-				write(w, refuse(http.StatusBadRequest, err.Error()))
+				writeReply(w, errorReply(http.StatusBadRequest, err.Error()))
 				return
 			}
 			operate(w, q, rpc.Operation{Verb: rpc.VerbStart, Spec: body})
--- a/internal/api/configuration.go
+++ b/internal/api/configuration.go
@@ -9,7 +9,7 @@
 	"vetchstream/internal/wire"
 )
 
-// configuration are the routes for what holds in all regions, beside the protocol's own:
+// routeConfiguration are the routes for what holds in all regions, beside the protocol's own:
 //
 //	POST /api/config         change it; the body is the change, ?dry_run=true only checks it
 //	GET  /api/config         a page of the teams by name, after ?after=NAME
@@ -17,19 +17,19 @@
 //	GET  /api/config/history the changes that are kept, the last one first
 //	POST /api/config/rollback/{revision}
 //	                         take back what came after a revision, ?dry_run=true as above
-func (s *Server) configuration(rt *httprouter.Router) {
+func (s *Server) routeConfiguration(rt *httprouter.Router) {
 	operate := func(w http.ResponseWriter, q *http.Request, op rpc.Operation) {
 		b, err := wire.Marshal(op)
 		if err != nil {
-			write(w, refuse(http.StatusInternalServerError, err.Error()))
+			writeReply(w, errorReply(http.StatusInternalServerError, err.Error()))
 			return
 		}
-		s.user(w, q, &rpc.Request{Kind: rpc.KindConfig, Body: b}, submitTime)
+		s.serveUser(w, q, &rpc.Request{Kind: rpc.KindConfig, Body: b}, changeTimeout)
 	}
 	rt.POST("/api/config", func(w http.ResponseWriter, q *http.Request, _ httprouter.Params) {
-		body, err := read(q)
+		body, err := readBody(q)
 		if err != nil {
-			write(w, refuse(http.StatusBadRequest, err.Error()))
+			writeReply(w, errorReply(http.StatusBadRequest, err.Error()))
 			return
 		}
 		operate(w, q, rpc.Operation{Verb: rpc.VerbStart, Spec: body, DryRun: dryRun(q)})
--- a/internal/api/rollouts.go
+++ b/internal/api/rollouts.go
@@ -9,25 +9,25 @@
 	"vetchstream/internal/wire"
 )
 
-// rollouts are the routes for operators' roll-outs, beside the protocol's own:
+// routeRollouts are the routes for operators' roll-outs, beside the protocol's own:
 //
 //	POST /api/rollouts                 start one; the body is its specification
 //	GET  /api/rollouts                 all of them
 //	GET  /api/rollouts/{service}       one
 //	POST /api/rollouts/{service}/VERB  pause, resume or undo it
-func (s *Server) rollouts(rt *httprouter.Router) {
+func (s *Server) routeRollouts(rt *httprouter.Router) {
 	operate := func(w http.ResponseWriter, q *http.Request, op rpc.Operation) {
 		b, err := wire.Marshal(op)
 		if err != nil {
-			write(w, refuse(http.StatusInternalServerError, err.Error()))
+			writeReply(w, errorReply(http.StatusInternalServerError, err.Error()))
 			return
 		}
-		s.user(w, q, &rpc.Request{Kind: rpc.KindRollout, Body: b}, submitTime)
+		s.serveUser(w, q, &rpc.Request{Kind: rpc.KindRollout, Body: b}, changeTimeout)
 	}
 	rt.POST("/api/rollouts", func(w http.ResponseWriter, q *http.Request, _ httprouter.Params) {
-		body, err := read(q)
+		body, err := readBody(q)
 		if err != nil {
-			write(w, refuse(http.StatusBadRequest, err.Error()))
+			writeReply(w, errorReply(http.StatusBadRequest, err.Error()))
 			return
 		}
 		operate(w, q, rpc.Operation{Verb: rpc.VerbStart, Spec: body})
@@ -39,11 +39,11 @@
 		operate(w, q, rpc.Operation{Verb: rpc.VerbStatus, Name: p.ByName("service")})
 	})
 	rt.POST("/api/rollouts/:service/:verb", func(w http.ResponseWriter, q *http.Request, p httprouter.Params) {
-		switch verb := p.ByName("verb"); verb {
+		switch verb := rpc.Verb(p.ByName("verb")); verb {
 		case rpc.VerbPause, rpc.VerbResume, rpc.VerbRollback:
 			operate(w, q, rpc.Operation{Verb: verb, Name: p.ByName("service")})
 		default:
-			write(w, refuse(http.StatusNotFound, "no such route"))
+			writeReply(w, errorReply(http.StatusNotFound, "no such route"))
 		}
 	})
 }
--- a/internal/control/admission_groups_test.go
+++ b/internal/control/admission_groups_test.go
@@ -320,7 +320,7 @@
 }
 
 // ask is a user's request, patient for as long as a user is.
-func (st *seat) ask(kind, id string, b []byte) *rpc.Reply {
+func (st *seat) ask(kind rpc.RequestKind, id string, b []byte) *rpc.Reply {
 	ctx, cancel := context.WithTimeout(context.Background(), 3500*time.Millisecond)
 	defer cancel()
 	p := st.Answer(ctx, &rpc.Request{Kind: kind, ID: id, Body: b})
@@ -702,8 +702,9 @@
 		s.put(job.FinalPrefix+"run-7", &job.Record{Spec: job.Spec{ID: "run-7", Team: "red", ShapeName: "array", RankName: "idle", Tasks: 1, CPUs: 1}, Phase: wire.JobDone})
 		st := sit(t, s, 7)
 		for _, tt := range []struct {
-			kind, id string
-			want     int
+			kind rpc.RequestKind
+			id   string
+			want int
 		}{
 			{rpc.KindStatus, "run-5", 200}, {rpc.KindStatus, "run-6", 200}, {rpc.KindStatus, "run-7", 200}, {rpc.KindStatus, "run-4", 503},
 			{rpc.KindSubmit, "run-5", 200}, {rpc.KindSubmit, "run-6", 200}, {rpc.KindSubmit, "run-7", 200}, {rpc.KindSubmit, "run-4", 503},
@@ -886,15 +887,17 @@
 }
 
 // namedOp is an operation on the roll-out of service x, or the calendar entry x.
-func namedOp(verb string, window bool) lateOp {
+func namedOp(verb rpc.Verb, window bool) lateOp {
 	return lateOp{rpc.Operation{Verb: verb, Name: "x", Window: window}, nil}
 }
 
 // lateRecord is a case of TestLateRecords.
 type lateRecord struct {
-	name, kind, doom string
-	ops              []lateOp
-	want             string // in the state after the last of them; empty: it is not there
+	name string
+	kind rpc.RequestKind
+	doom string
+	ops  []lateOp
+	want string // in the state after the last of them; empty: it is not there
 }
 
 // lateRecords are the cases of TestLateRecords.
@@ -948,7 +951,7 @@
 
 // askUntilAnswered asks st to carry out o, and asks again while the answer is a
 // server error, 30 times at most, a second apart.
-func askUntilAnswered(t *testing.T, st *seat, kind string, o lateOp) *rpc.Reply {
+func askUntilAnswered(t *testing.T, st *seat, kind rpc.RequestKind, o lateOp) *rpc.Reply {
 	if o.spec != nil {
 		b, err := wire.Marshal(o.spec)
 		if err != nil {
@@ -974,8 +977,8 @@
 // TestLapsed: an answer that has waited behind a busy actor until the entitlement was gone is
 // none: another may lead by then, and have told the user something newer.
 func TestLapsed(t *testing.T) {
-	for _, kind := range []string{rpc.KindStatus, rpc.KindSubmit, rpc.KindCancel} {
-		t.Run(kind, func(t *testing.T) {
+	for _, kind := range []rpc.RequestKind{rpc.KindStatus, rpc.KindSubmit, rpc.KindCancel} {
+		t.Run(string(kind), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				st := sit(t, newStateService(t), 7)
 				if out := st.submit(body("run-5", nil)); out[0] != 201 {
--- a/internal/node/node_requests.go
+++ b/internal/node/node_requests.go
@@ -80,7 +80,7 @@
 }
 
 // forwardLimit returns how long a request of the kind waits for the leader.
-func forwardLimit(kind string) time.Duration {
+func forwardLimit(kind rpc.RequestKind) time.Duration {
 	switch kind {
 	case rpc.KindStatus:
 		return statusForwardTime
--- a/internal/rpc/fixtures_test.go
+++ b/internal/rpc/fixtures_test.go
@@ -24,7 +24,7 @@
 
 func TestWireFixtures(t *testing.T) { fixture.Check(t, wireFixtures) }
 
-// answering is a Handler that keeps the request it was given and answers with
+// answering is a Handler that records the request it was given and answers with
 // filled values.
 type answering struct{ got any }
 
