--- a/internal/config/config_test.go
+++ b/internal/config/settings_test.go
@@ -1,11 +1,12 @@
 package config
 
 import (
+	"errors"
 	"strings"
 	"testing"
 )
 
-const good = `
+const validSettings = `
 member = "drover-0"
 site = "austin"
 listen = "10.0.0.1:8080"
@@ -60,7 +61,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			_, err := Parse([]byte(strings.Replace(good, tt.old, tt.new, 1)))
+			_, err := Parse([]byte(strings.Replace(validSettings, tt.old, tt.new, 1)))
 			if tt.want == "" {
 				if err != nil {
 					t.Fatal(err)
@@ -74,6 +75,15 @@
 	}
 }
 
+// TestFieldError: a caller can tell which setting is invalid.
+func TestFieldError(t *testing.T) {
+	_, err := Parse([]byte(strings.Replace(validSettings, `txn_ops = 12`, `txn_ops = 1`, 1)))
+	var fieldErr *FieldError
+	if !errors.As(err, &fieldErr) || fieldErr.Field != "facts.state.txn_ops" {
+		t.Errorf("error %v, want a FieldError of facts.state.txn_ops", err)
+	}
+}
+
 func TestParseTuning(t *testing.T) {
 	tests := []struct{ name, in, want string }{
 		{"nothing", `{}`, ""},
@@ -101,8 +111,8 @@
 	}
 }
 
-// TestDoubts: contradictions that a controller starts with, each told in a line.
-func TestDoubts(t *testing.T) {
+// TestWarnings: contradictions that a controller can run with are one warning each.
+func TestWarnings(t *testing.T) {
 	tests := []struct{ name, old, new, want string }{
 		{"none", "", "", ""},
 		{"more nodes than siblings", `zones = ["austin"]`, "nodes = 3\nzones = [\"austin\"]", "facts.nodes: 3, but 2 controllers"},
@@ -111,7 +121,7 @@
 		{"a sibling's site that is no zone", `member = "drover-1"`, "member = \"drover-1\"\nsite = \"houston\"", "siblings[0].site: \"houston\""},
 	}
 	for _, tt := range tests {
-		s, err := Parse([]byte(strings.Replace(good, tt.old, tt.new, 1)))
+		s, err := Parse([]byte(strings.Replace(validSettings, tt.old, tt.new, 1)))
 		if err != nil {
 			t.Errorf("%s: %v", tt.name, err)
 			continue
--- a/internal/control/job_table.go
+++ b/internal/control/job_table.go
@@ -5,6 +5,7 @@
 	"math"
 	"time"
 
+	"vetchstream/internal/config"
 	"vetchstream/internal/job"
 	"vetchstream/internal/wire"
 )
@@ -165,9 +166,9 @@
 			continue
 		}
 		switch o.Kind {
-		case "wait":
+		case config.ObjectiveWait:
 			best = min(best, at+o.WithinS)
-		case "finished":
+		case config.ObjectiveFinished:
 			// An aim that the job's own run time rules out gives no reason to hurry.
 			if o.WithinS > estimate(j) {
 				best = min(best, at+o.WithinS-estimate(j))
--- a/internal/control/machine_pool.go
+++ b/internal/control/machine_pool.go
@@ -203,7 +203,7 @@
 			}
 			continue
 		}
-		t := mc.c.Tuning.Hosts
+		t := mc.c.Tuning.Machines
 		switch {
 		case h.Deaf() && now.Sub(h.DeafAt) > patience:
 			mc.release(h, "it reports and takes in nothing that is sent to it")
@@ -318,7 +318,7 @@
 		return
 	}
 	shop := autoscale.Shop{Types: mc.nameIndex.list(), ZoneOf: mc.nameIndex.zonesByName(), Backoff: mc.backoff,
-		MinFill: mc.c.Tuning.Hosts.MinFill, Patience: mc.c.Tuning.Hosts.PatienceS, Now: now,
+		MinFill: mc.c.Tuning.Machines.MinFill, Patience: mc.c.Tuning.Machines.PatienceS, Now: now,
 		Closed: func(o autoscale.Offer) bool {
 			return mc.maintenanceDrains.closed(mc.nameIndex.list()[o.Type].Name, mc.nameIndex.zoneNames()[o.Zone], now)
 		}}
--- a/internal/control/machine_quarantine.go
+++ b/internal/control/machine_quarantine.go
@@ -34,7 +34,7 @@
 			jobs++
 		}
 	}
-	if h.Draining || h.Errors < wk.c.Tuning.Hosts.SickErrors || (!sound && jobs < 2) {
+	if h.Draining || h.Errors < wk.c.Tuning.Machines.QuarantineErrors || (!sound && jobs < 2) {
 		return
 	}
 	wk.log.Info("machine fails what it starts, returning it", "host", h.Name, "errors", h.Errors, "jobs", len(h.ErrorJobs))
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -60,7 +60,7 @@
 }
 
 func newRollouts(co *core) *rollouts {
-	ro := &rollouts{core: co, checker: checker{free: co.c.Tuning.Rollouts.Checks}}
+	ro := &rollouts{core: co, checker: checker{free: co.c.Tuning.Rollouts.MaxChecks}}
 	ro.reset()
 	return ro
 }
@@ -470,7 +470,7 @@
 func (ro *rollouts) startingPoint(s *service, spec *rollout.Spec, back func(*rpc.Reply)) (handle, current string, version uint64, answered bool) {
 	refuse := func(status int, why string) { back(reply(status, wire.Error{Error: why})) }
 	if s == nil {
-		if len(ro.services) >= ro.c.Tuning.Rollouts.Most {
+		if len(ro.services) >= ro.c.Tuning.Rollouts.MaxServices {
 			refuse(http.StatusTooManyRequests, "too many services have roll-outs")
 			return "", "", 0, true
 		}
--- a/internal/emulate/cluster.go
+++ b/internal/emulate/cluster.go
@@ -93,11 +93,11 @@
 		}()
 		return ln.Addr().String(), nil
 	}
-	if facts.Outside.State, err = serve("state", cl.Store); err != nil {
+	if facts.External.State, err = serve("state", cl.Store); err != nil {
 		cl.Close()
 		return nil, err
 	}
-	if facts.Outside.Cloud, err = serve("cloud", cl.World); err != nil {
+	if facts.External.Cloud, err = serve("cloud", cl.World); err != nil {
 		cl.Close()
 		return nil, err
 	}
--- a/internal/emulate/emulate_test.go
+++ b/internal/emulate/emulate_test.go
@@ -69,7 +69,7 @@
 				if err != nil {
 					t.Fatalf("%v in\n%s", err, b)
 				}
-				if got.Member != set.Member || len(got.Siblings) != tt.o.Nodes-1 || got.Outside.State != set.Outside.State {
+				if got.Member != set.Member || len(got.Siblings) != tt.o.Nodes-1 || got.External.State != set.External.State {
 					t.Errorf("read back as %+v", got)
 				}
 			}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -141,8 +141,8 @@
 	return control.New(control.Deps{
 		Settings: n.settings,
 		Tuning:   n.tuning,
-		State:    state.New(n.settings.Outside.State, network.Dial, control.StateBudget(n.settings, false)),
-		Cloud:    autoscale.NewCloud(n.settings.Outside.Cloud, network.Dial, n.settings.Facts.Cloud.RPS),
+		State:    state.New(n.settings.External.State, network.Dial, control.StateBudget(n.settings, false)),
+		Cloud:    autoscale.NewCloud(n.settings.External.Cloud, network.Dial, n.settings.Facts.Cloud.RPS),
 		Dial:     network.Dial,
 		Log:      n.log,
 		Meter:    n.meter,
@@ -159,7 +159,7 @@
 // is elected and asks siblings for promises while the key-value store does not answer.
 func (n *Node) newElector(network Network) *election.Elector {
 	lease := time.Duration(n.tuning.LeaderLeaseMs) * time.Millisecond
-	store := state.Unbounded(n.settings.Outside.State, network.Dial)
+	store := state.Unbounded(n.settings.External.State, network.Dial)
 	elector := election.New(n.settings.Member, lease, store, n.log, n.controller.Lead)
 	siblings := make([]string, len(n.settings.Siblings))
 	for i := range n.settings.Siblings {
--- a/internal/scale/region.go
+++ b/internal/scale/region.go
@@ -142,10 +142,10 @@
 // settings are what all controllers of the region are told.
 func (r *region) settings(l *emulate.Loopback) (s *config.Settings, err error) {
 	s = &config.Settings{}
-	if s.Outside.State, err = r.serve(l, "state", r.store); err != nil {
+	if s.External.State, err = r.serve(l, "state", r.store); err != nil {
 		return nil, err
 	}
-	if s.Outside.Cloud, err = r.serve(l, "cloud", r.world); err != nil {
+	if s.External.Cloud, err = r.serve(l, "cloud", r.world); err != nil {
 		return nil, err
 	}
 	f := &s.Facts
@@ -153,7 +153,7 @@
 	for _, t := range r.teamNames() {
 		f.Teams = append(f.Teams, config.Team{Name: t, CPUs: r.limit() / (2 * limitTimes), CPUsMax: r.limit()})
 	}
-	f.Objectives = []config.Objective{{Kind: "wait", Class: urgentClass, WithinS: urgentS, Share: urgentShare}}
+	f.Objectives = []config.Objective{{Kind: config.ObjectiveWait, Class: urgentClass, WithinS: urgentS, Share: urgentShare}}
 	f.Workers = config.Workers{ReportS: reportS, LeaseS: leaseS, GangWaitS: gangWaitS, GangPeerS: gangPeerS, CancelS: cancelS}
 	f.State.RPS, f.State.WriteRPS, f.State.ValueKB, f.State.TxnOps = stateRPS, stateWriteRPS, valueKB, txnOps
 	f.Cloud.RPS, f.Cloud.ListLagS = cloudRPS, listLagS
