--- a/internal/schema/schema.go
+++ b/internal/schema/schema.go
@@ -1,5 +1,5 @@
-// Package schema checks documents of operators and users against a JSON schema
-// and names the first field that is wrong.
+// Package schema checks documents that operators and users send against a JSON schema,
+// and names the first field that is invalid.
 package schema
 
 import (
@@ -15,57 +15,74 @@
 	"vetchstream/internal/wire"
 )
 
-// Schema is a schema that is compiled when it is first needed.
+// FieldError is the error for a document with an invalid field.
+type FieldError struct {
+	Field  string // path of the field, such as "to.image"
+	Reason string
+}
+
+// Error implements error.
+func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
+
+// ErrNotMap is returned by Decode for a body that is not a map.
+var ErrNotMap = errors.New("body is not a map")
+
+// Schema is a JSON schema that is compiled when it is first needed.
 type Schema struct {
 	compile func() (*jsonschema.Schema, error)
 }
 
-// New makes a schema of its text; a mistake in the text shows at the first check.
+// New returns the schema with the given text. The name appears in the errors of a text
+// that does not compile, which the first check returns.
 func New(name string, text []byte) *Schema {
-	return &Schema{sync.OnceValues(func() (*jsonschema.Schema, error) {
-		doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
-		if err != nil {
-			return nil, fmt.Errorf("schema of %s: %w", name, err)
-		}
-		c := jsonschema.NewCompiler()
-		if err := c.AddResource("urn:vetchstream:"+name, doc); err != nil {
-			return nil, fmt.Errorf("schema of %s: %w", name, err)
-		}
-		return c.Compile("urn:vetchstream:" + name)
-	})}
+	return &Schema{sync.OnceValues(func() (*jsonschema.Schema, error) { return compile(name, text) })}
 }
 
-// Check validates a document of maps, lists, texts, numbers and flags.
+func compile(name string, text []byte) (*jsonschema.Schema, error) {
+	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
+	if err != nil {
+		return nil, fmt.Errorf("schema of %s: %w", name, err)
+	}
+	url := "urn:vetchstream:" + name
+	compiler := jsonschema.NewCompiler()
+	if err := compiler.AddResource(url, doc); err != nil {
+		return nil, fmt.Errorf("schema of %s: %w", name, err)
+	}
+	return compiler.Compile(url)
+}
+
+// Check validates a document that was decoded from CBOR. An invalid field gives a
+// *FieldError.
 func (s *Schema) Check(doc any) error {
-	sch, err := s.compile()
+	compiled, err := s.compile()
 	if err != nil {
 		return err
 	}
-	err = sch.Validate(plain(doc))
-	var ve *jsonschema.ValidationError
-	if errors.As(err, &ve) {
-		return errors.New(place(ve))
+	err = compiled.Validate(normalize(doc))
+	var invalid *jsonschema.ValidationError
+	if errors.As(err, &invalid) {
+		return firstFieldError(invalid)
 	}
 	return err
 }
 
-// Decode reads an encoded document, checks it, and decodes it into out. Of
-// integers lists the fields that are counts: the schema has checked that they are
-// whole, but JSON has one kind of number.
+// Decode checks an encoded document and decodes it into out. The fields named in
+// integers are counts: the schema has checked that they are whole, but JSON has one
+// kind of number.
 func (s *Schema) Decode(body []byte, out any, integers ...string) error {
 	var doc map[string]any
 	if err := wire.Unmarshal(body, &doc); err != nil {
 		return err
 	}
 	if doc == nil {
-		return errors.New("body is not a map")
+		return ErrNotMap
 	}
 	if err := s.Check(doc); err != nil {
 		return err
 	}
-	for _, k := range integers {
-		if f, ok := doc[k].(float64); ok {
-			doc[k] = int64(f)
+	for _, field := range integers {
+		if f, ok := doc[field].(float64); ok {
+			doc[field] = int64(f)
 		}
 	}
 	body, err := wire.Marshal(doc)
@@ -75,17 +92,17 @@
 	return wire.Unmarshal(body, out)
 }
 
-// plain turns what the decoder makes of numbers and lists into what the schema's
-// validator knows.
-func plain(v any) any {
+// normalize replaces the integers of a decoded document by the floating point numbers
+// that the validator knows. It changes maps and lists in place.
+func normalize(v any) any {
 	switch x := v.(type) {
 	case map[string]any:
-		for k, e := range x {
-			x[k] = plain(e)
+		for key, element := range x {
+			x[key] = normalize(element)
 		}
 	case []any:
-		for i, e := range x {
-			x[i] = plain(e)
+		for i, element := range x {
+			x[i] = normalize(element)
 		}
 	case uint64:
 		return float64(x)
@@ -95,23 +112,25 @@
 	return v
 }
 
-// place names the first field that is wrong, and how.
-func place(e *jsonschema.ValidationError) string {
+// firstFieldError returns the innermost first cause of a failed validation.
+func firstFieldError(e *jsonschema.ValidationError) *FieldError {
 	for len(e.Causes) > 0 {
 		e = e.Causes[0]
 	}
-	at := strings.Join(e.InstanceLocation, ".")
 	switch k := e.ErrorKind.(type) {
 	case *kind.Required:
-		at = strings.Join(append(e.InstanceLocation, k.Missing[0]), ".")
-		return at + ": missing"
+		return &FieldError{fieldPath(e, k.Missing[0]), "missing"}
 	case *kind.AdditionalProperties:
-		at = strings.Join(append(e.InstanceLocation, k.Properties[0]), ".")
-		return at + ": unknown field"
+		return &FieldError{fieldPath(e, k.Properties[0]), "unknown field"}
 	}
-	msg := e.Error()
-	if i := strings.LastIndex(msg, ": "); i >= 0 {
-		msg = msg[i+2:]
+	reason := e.Error()
+	if i := strings.LastIndex(reason, ": "); i >= 0 {
+		reason = reason[i+2:] // without the location, which the library puts before it
 	}
-	return at + ": " + msg
+	return &FieldError{fieldPath(e), reason}
+}
+
+// fieldPath joins the location of an error and further fields below it.
+func fieldPath(e *jsonschema.ValidationError, fields ...string) string {
+	return strings.Join(append(e.InstanceLocation, fields...), ".")
 }
