--- a/cmd/vetchstream/calendar.go
+++ b/cmd/vetchstream/calendar.go
@@ -27,7 +27,7 @@
 func calendarCommands(c *client) []*cobra.Command {
 	var team string
 	about := func(use, short, method, path, suffix string, do func(*cobra.Command, string, string, []byte) error) *cobra.Command {
-		return &cobra.Command{Use: use + " NAME", Short: short, Args: one, RunE: func(cmd *cobra.Command, args []string) error {
+		return &cobra.Command{Use: use + " NAME", Short: short, Args: exactlyOne, RunE: func(cmd *cobra.Command, args []string) error {
 			return do(cmd, method, path+"/"+url.PathEscape(args[0])+suffix+asTeam(team, "?"), nil)
 		}}
 	}
@@ -51,7 +51,7 @@
 	}
 	reserve := group("reserve", "Reserve room at a time", "create, list, show and cancel")
 	reserve.AddCommand(
-		&cobra.Command{Use: "create FILE", Short: "Make a reservation described in a JSON file (- for standard input)", Args: one,
+		&cobra.Command{Use: "create FILE", Short: "Make a reservation described in a JSON file (- for standard input)", Args: exactlyOne,
 			RunE: func(cmd *cobra.Command, args []string) error {
 				body, err := encodeFile(args[0])
 				if err != nil {
@@ -80,7 +80,7 @@
 		about("cancel", "Cancel a reservation; what runs goes on as ordinary work", http.MethodPost, reservationPath, "/cancel", booking))
 	maintenance := group("maintenance", "Plan the service of machines", "plan, list, show and cancel")
 	maintenance.AddCommand(
-		&cobra.Command{Use: "plan FILE", Short: "Plan a maintenance window described in a JSON file (- for standard input)", Args: one,
+		&cobra.Command{Use: "plan FILE", Short: "Plan a maintenance window described in a JSON file (- for standard input)", Args: exactlyOne,
 			RunE: func(cmd *cobra.Command, args []string) error {
 				body, err := encodeFile(args[0])
 				if err != nil {
--- /dev/null
+++ b/cmd/vetchstream/demo.go
@@ -0,0 +1,135 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"sync"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"vetchstream/internal/config"
+	"vetchstream/internal/emulate"
+	"vetchstream/internal/node"
+)
+
+const (
+	// demoNodes is the number of controllers unless --nodes says otherwise.
+	demoNodes = 3
+	// statusInterval is the time between two lines of the demo about the cluster's status.
+	statusInterval = 5 * time.Second
+)
+
+// cluster is an emulation together with its controllers, in one process.
+type cluster struct {
+	*emulate.Cluster
+	controllers sync.WaitGroup
+	stop        context.CancelFunc // ends the controllers
+
+	mu  sync.Mutex
+	err error // of the controllers that have failed
+}
+
+// startCluster starts an emulation and its controllers. They run until the cluster is
+// closed or one of them fails, also after the end of the context.
+func startCluster(ctx context.Context, options emulate.Options, tuning *config.Tuning, log *slog.Logger) (*cluster, error) {
+	emulated, err := emulate.Start(options)
+	if err != nil {
+		return nil, usageError{err}
+	}
+	ctx, stop := context.WithCancel(context.WithoutCancel(ctx))
+	c := &cluster{Cluster: emulated, stop: stop}
+	for _, settings := range emulated.Settings {
+		c.controllers.Go(func() {
+			if err := node.Run(ctx, settings, tuning, node.SystemNetwork(), log); err != nil {
+				c.addError(fmt.Errorf("%s: %w", settings.Member, err))
+				stop()
+			}
+		})
+	}
+	return c, nil
+}
+
+func (c *cluster) addError(err error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.err = errors.Join(c.err, err)
+}
+
+// close ends the controllers, then the emulation, and returns the controllers' errors.
+func (c *cluster) close() error {
+	c.stop()
+	c.controllers.Wait()
+	c.Cluster.Close()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.err
+}
+
+// demoCommand returns the command that runs a whole cluster in one process.
+func demoCommand(tuning *string) *cobra.Command {
+	var flags emulationFlags
+	cmd := &cobra.Command{
+		Use:   "demo",
+		Short: "Run a whole cluster on this machine: emulated machines and three controllers",
+		Args:  noArgs,
+		Long:  "demo runs three controllers in one process on an emulated state service, cloud and workers, and says how it stands\nuntil ctrl-C. The client commands reach it at their default address.\n\n" + emulatedNotice,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			return flags.runDemo(cmd, *tuning)
+		},
+	}
+	flags.register(cmd, demoNodes)
+	cmd.AddCommand(demoRollout(tuning))
+	return cmd
+}
+
+// runDemo runs a cluster and prints its status until the duration is over, ctrl-C, or
+// the failure of a controller.
+func (e *emulationFlags) runDemo(cmd *cobra.Command, tuningFile string) error {
+	tuning, err := config.LoadTuning(tuningFile)
+	if err != nil {
+		return err
+	}
+	ctx, stop := e.runContext(cmd)
+	defer stop()
+	c, err := startCluster(ctx, e.options, tuning, logger())
+	if err != nil {
+		return err
+	}
+	w := cmd.OutOrStdout()
+	fmt.Fprintln(w, emulatedNotice)
+	fmt.Fprintf(w, "Clients: --server %s (and %d more controllers on the next ports). ctrl-C ends it.\n", e.options.Listen, e.options.Nodes-1)
+	err = e.playTroubles(ctx, c.Cluster)
+	if err == nil {
+		c.printStatus(ctx, w, e.options.Listen)
+	}
+	return errors.Join(err, c.close())
+}
+
+// printStatus prints the cluster's status at intervals until the context ends or the
+// controllers have.
+func (c *cluster) printStatus(ctx context.Context, w io.Writer, server string) {
+	ticker := time.NewTicker(statusInterval)
+	defer ticker.Stop()
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		c.controllers.Wait()
+	}()
+	begun := time.Now()
+	for {
+		all, up := c.World.Machines()
+		fmt.Fprintf(w, "%4.0f s  clients: %s  machines: %d up, %d booting  tasks started: %d\n",
+			time.Since(begun).Seconds(), server, up, all-up, c.World.Starts())
+		select {
+		case <-ctx.Done():
+			return
+		case <-ended:
+			return
+		case <-ticker.C:
+		}
+	}
+}
--- a/cmd/vetchstream/demo_rollout.go
+++ b/cmd/vetchstream/demo_rollout.go
@@ -33,20 +33,20 @@
 )
 
 func demoRollout(tuning *string) *cobra.Command {
-	em := emulation{options: emulate.Options{Nodes: 3, Machines: 24}}
+	em := emulationFlags{options: emulate.Options{Nodes: 3, Machines: 24}}
 	cmd := &cobra.Command{
 		Use: "rollout", Short: "Show a good and a bad roll-out on an emulated cluster, in under a minute", Args: noArgs,
-		Long: "rollout runs a cluster as demo does, rolls a service out to a good build and then to a bad one, which turns unhealthy\ntwo seconds after it starts, and reports from the emulated machines' own history which build ran where.\n\n" + gone,
+		Long: "rollout runs a cluster as demo does, rolls a service out to a good build and then to a bad one, which turns unhealthy\ntwo seconds after it starts, and reports from the emulated machines' own history which build ran where.\n\n" + emulatedNotice,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			tun, err := config.LoadTuning(*tuning)
 			if err != nil {
 				return err
 			}
 			tun.Rollouts.Enabled = true
-			em.length = demoTime
-			ctx, stop := em.until(cmd)
+			em.duration = demoTime
+			ctx, stop := em.runContext(cmd)
 			defer stop()
-			c, err := launch(ctx, em.options, tun, logger())
+			c, err := startCluster(ctx, em.options, tun, logger())
 			if err != nil {
 				return err
 			}
@@ -63,7 +63,7 @@
 // playRollouts plays the demonstration and reports on it.
 func playRollouts(ctx context.Context, cmd *cobra.Command, c *cluster, server string) error {
 	w := cmd.OutOrStdout()
-	fmt.Fprintln(w, gone)
+	fmt.Fprintln(w, emulatedNotice)
 	pause := func(d time.Duration) {
 		t := time.NewTimer(d)
 		defer t.Stop()
@@ -72,7 +72,7 @@
 		case <-t.C:
 		}
 	}
-	cl := &client{server: server, output: "table", pause: pause}
+	cl := &client{server: server, output: "table", sleep: pause}
 	post := func(path string, doc map[string]any, out any) error {
 		b, err := wire.Marshal(doc)
 		if err != nil {
--- a/cmd/vetchstream/main.go
+++ b/cmd/vetchstream/main.go
@@ -1,4 +1,5 @@
-// Command vetchstream is the cluster scheduler's daemon and its client.
+// Command vetchstream is the cluster scheduler: the controller daemon, its client, and
+// emulations to try and to measure it.
 package main
 
 import (
@@ -23,38 +24,47 @@
 // version is set by releases with -ldflags "-X main.version=...".
 var version = "0.1.0-dev"
 
-// usageError marks a mistake in the call, which exits with 2.
+// tuningVariable is the environment variable with the default of --tuning.
+const tuningVariable = "VETCHSTREAM_TUNING"
+
+// Exit codes.
+const (
+	exitOK     = 0
+	exitFailed = 1
+	exitUsage  = 2 // a mistake in the call
+)
+
+// usageError is a mistake in the call. It is shown with the command's help.
 type usageError struct{ error }
 
-// flagError marks a flag that cannot be used, which exits with 2 and is told in one line.
+// flagError is a flag that cannot be used. It is shown in one line, without help.
 type flagError struct{ error }
 
 func main() {
 	os.Exit(run(rootCommand(time.Sleep), os.Stderr))
 }
 
-// run executes a command line and returns the exit code: 2 for a mistake in the
-// call, with help, and 1 for everything else that fails.
+// run executes a command line and returns the exit code. Errors are written to out.
 func run(root *cobra.Command, out io.Writer) int {
 	cmd, err := root.ExecuteC()
 	if err == nil {
-		return 0
+		return exitOK
 	}
 	fmt.Fprintln(out, "vetchstream:", err)
 	var flag flagError
 	if errors.As(err, &flag) {
-		return 2
+		return exitUsage
 	}
 	var usage usageError
 	if errors.As(err, &usage) {
 		fmt.Fprintln(out, cmd.UsageString())
-		return 2
+		return exitUsage
 	}
-	return 1
+	return exitFailed
 }
 
-// rootCommand makes the command line; pause waits between a client's tries.
-func rootCommand(pause func(time.Duration)) *cobra.Command {
+// rootCommand returns the command line. The client waits between its attempts with sleep.
+func rootCommand(sleep func(time.Duration)) *cobra.Command {
 	var settings, tuning string
 	root := &cobra.Command{
 		Use:           "vetchstream",
@@ -64,22 +74,23 @@
 		SilenceErrors: true,
 		SilenceUsage:  true,
 		Args:          noArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error {
+		RunE: func(*cobra.Command, []string) error {
 			if settings == "" {
-				return usageError{fmt.Errorf("--config FILE is needed to run a controller")}
+				return usageError{errors.New("--config FILE is needed to run a controller")}
 			}
-			return daemon(settings, tuning)
+			return runController(settings, tuning)
 		},
 	}
 	root.Flags().StringVar(&settings, "config", "", "settings file of the platform (TOML)")
-	root.PersistentFlags().StringVar(&tuning, "tuning", os.Getenv("VETCHSTREAM_TUNING"), "operators' own settings (JSON); also VETCHSTREAM_TUNING")
+	root.PersistentFlags().StringVar(&tuning, "tuning", os.Getenv(tuningVariable), "operators' own settings (JSON); also "+tuningVariable)
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError{err} })
-	root.AddCommand(clientCommands(&tuning, pause)...)
+	root.AddCommand(clientCommands(&tuning, sleep)...)
 	root.AddCommand(emulateCommands(&tuning)...)
 	root.AddCommand(scaleCommand())
 	return root
 }
 
+// noArgs refuses arguments.
 func noArgs(_ *cobra.Command, args []string) error {
 	if len(args) > 0 {
 		return usageError{fmt.Errorf("unexpected argument %q", args[0])}
@@ -87,12 +98,29 @@
 	return nil
 }
 
-// logger writes to standard error, as much as LOG_LEVEL says.
+// exactlyOne requires exactly one argument.
+func exactlyOne(cmd *cobra.Command, args []string) error {
+	if err := cobra.ExactArgs(1)(cmd, args); err != nil {
+		return usageError{err}
+	}
+	return nil
+}
+
+// commandContext returns the context of a command that ends on ctrl-C or SIGTERM.
+func commandContext(cmd *cobra.Command) (context.Context, context.CancelFunc) {
+	ctx := cmd.Context()
+	if ctx == nil {
+		ctx = context.Background()
+	}
+	return signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
+}
+
+// logger returns a logger to standard error, with the level that LOG_LEVEL says.
 func logger() *slog.Logger {
-	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level()}))
+	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: logLevel()}))
 }
 
-func level() slog.Level {
+func logLevel() slog.Level {
 	switch os.Getenv("LOG_LEVEL") {
 	case "debug":
 		return slog.LevelDebug
@@ -102,22 +130,35 @@
 	return slog.LevelInfo
 }
 
-func daemon(settings, tuning string) error {
-	set, err := config.Load(settings)
+// runController runs a controller until ctrl-C or SIGTERM.
+func runController(settingsFile, tuningFile string) error {
+	settings, err := config.Load(settingsFile)
 	if err != nil {
 		return err
 	}
-	tun, err := config.LoadTuning(tuning)
+	tuning, err := config.LoadTuning(tuningFile)
 	if err != nil {
 		return err
 	}
-	// One thread runs at a time, and a process over its memory is killed: collect
-	// rarely while there is room, and hard when it gets tight.
-	runtime.GOMAXPROCS(1)
-	debug.SetGCPercent(200)
-	debug.SetMemoryLimit(int64(set.Facts.Resources.RAMMB * 0.6 * (1 << 20)))
+	limitRuntime(settings.Facts.Resources.RAMMB)
 	log := logger()
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	return node.Run(ctx, set, tun, node.SystemNetwork(), log)
+	return node.Run(ctx, settings, tuning, node.SystemNetwork(), log)
+}
+
+const (
+	// gcPercent makes garbage collection rare while there is memory.
+	gcPercent = 200
+	// softMemoryShare is the share of the memory from which on collection becomes
+	// frequent: a process that exceeds its memory is killed.
+	softMemoryShare = 0.6
+)
+
+// limitRuntime fits the Go runtime to a controller's resources: a share of one core, and
+// memory in MiB.
+func limitRuntime(memoryMB float64) {
+	runtime.GOMAXPROCS(1)
+	debug.SetGCPercent(gcPercent)
+	debug.SetMemoryLimit(int64(memoryMB * softMemoryShare * (1 << 20)))
 }
--- a/cmd/vetchstream/main_test.go
+++ b/cmd/vetchstream/main_test.go
@@ -6,6 +6,7 @@
 	"net/http/httptest"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -13,44 +14,61 @@
 	"vetchstream/internal/wire"
 )
 
-func TestCommandLine(t *testing.T) {
-	// The service asks for patience once, then answers.
-	calls := 0
-	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		calls++
-		answer := func(status int, v any) {
-			b, err := wire.Marshal(v)
-			if err != nil {
-				t.Error(err)
-			}
-			w.WriteHeader(status)
-			_, _ = w.Write(b)
-		}
-		switch {
-		case calls == 1:
-			w.Header().Set("Retry-After", "3")
-			answer(503, wire.Error{Error: "not yet"})
-		case strings.Contains(q.URL.Path, "run-9"):
-			answer(404, wire.Error{Error: "no such job"})
-		default:
-			answer(200, wire.JobStatus{ID: "run-1", Phase: wire.JobRunning, Done: 3, Running: 2})
-		}
-	}))
-	defer srv.Close()
-	jobFile := filepath.Join(t.TempDir(), "job.json")
+// fakeService asks its client to come back after 3 s once, and then answers.
+type fakeService struct {
+	t        *testing.T
+	requests int
+}
+
+func (s *fakeService) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	s.requests++
+	switch {
+	case s.requests == 1:
+		w.Header().Set("Retry-After", "3")
+		s.answer(w, http.StatusServiceUnavailable, wire.Error{Error: "not yet"})
+	case strings.Contains(r.URL.Path, "run-9"):
+		s.answer(w, http.StatusNotFound, wire.Error{Error: "no such job"})
+	default:
+		s.answer(w, http.StatusOK, wire.JobStatus{ID: "run-1", Phase: wire.JobRunning, Done: 3, Running: 2})
+	}
+}
+
+func (s *fakeService) answer(w http.ResponseWriter, status int, v any) {
+	body, err := wire.Marshal(v)
+	if err != nil {
+		s.t.Error(err)
+	}
+	w.WriteHeader(status)
+	_, _ = w.Write(body)
+}
+
+// writeJobFile writes the specification of job run-1 and returns its file's name.
+func writeJobFile(t *testing.T) string {
+	t.Helper()
+	file := filepath.Join(t.TempDir(), "job.json")
 	spec := `{"uid":"run-1","breed":"b","owner":"o","shape":"array","rank":"idle","pieces":2,"cpus":1,"accelerators":0,"mem_gb":1,
 		"reel":"i","image_gb":1,"same_place":false,"apart":false,"loaners":true,"guess_s":3,"mark_s":0,"stash_s":0}`
-	if err := os.WriteFile(jobFile, []byte(spec), 0o600); err != nil {
+	if err := os.WriteFile(file, []byte(spec), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	at := strings.TrimPrefix(srv.URL, "http://")
+	return file
+}
+
+// TestCommandLine: exit codes and outputs of the commands, and the wait that a client
+// makes when the service asks for it.
+func TestCommandLine(t *testing.T) {
+	service := &fakeService{t: t}
+	srv := httptest.NewServer(service)
+	defer srv.Close()
+	server := strings.TrimPrefix(srv.URL, "http://")
+	jobFile := writeJobFile(t)
 	tests := []struct {
 		args []string
 		code int
 		out  string
 	}{
-		{[]string{"get", "run-1", "--server", at}, 0, "run-1: running, 3 tasks done, 2 running"},
-		{[]string{"get", "run-1", "--server", at, "--output", "json"}, 0, `"phase": "running"`},
+		{[]string{"get", "run-1", "--server", server}, 0, "run-1: running, 3 tasks done, 2 running"},
+		{[]string{"get", "run-1", "--server", server, "--output", "json"}, 0, `"phase": "running"`},
 		{[]string{"get", "run-1", "--output", "xml"}, 2, "neither table nor json"},
 		{[]string{"rollout"}, 2, "is needed"},
 		{[]string{"rollout", "start", jobFile}, 2, "service: missing"},
@@ -58,9 +76,9 @@
 		{[]string{"reserve", "create", jobFile}, 2, "name: missing"},
 		{[]string{"maintenance", "plan", jobFile}, 2, "missing"},
 		{[]string{"calendar", "show", "--days", "0"}, 2, "--days"},
-		{[]string{"submit", jobFile, "--server", at}, 0, "run-1: running"},
-		{[]string{"abort", "run-1", "--server", at}, 0, "run-1: running"},
-		{[]string{"get", "run-9", "--server", at}, 1, "no such job"},
+		{[]string{"submit", jobFile, "--server", server}, 0, "run-1: running"},
+		{[]string{"abort", "run-1", "--server", server}, 0, "run-1: running"},
+		{[]string{"get", "run-9", "--server", server}, 1, "no such job"},
 		{[]string{"get", "x"}, 2, "Usage:"},
 		{[]string{"get"}, 2, "Usage:"},
 		{[]string{"dance"}, 2, "Usage:"},
@@ -71,9 +89,11 @@
 		{[]string{"emulate"}, 2, "--settings FILE is needed"},
 		{[]string{"demo", "--listen", "10.0.0.1:80"}, 2, "not an address of loopback"},
 		{[]string{"demo", "--nodes", "0", "--for", "1s"}, 2, "controllers"},
+		{[]string{"config", "apply", jobFile}, 2, "unknown field"},
+		{[]string{"config", "rollback", "x"}, 2, "not a revision"},
 	}
 	for _, tt := range tests {
-		calls = 0
+		service.requests = 0
 		var out bytes.Buffer
 		var waits []time.Duration
 		root := rootCommand(func(d time.Duration) { waits = append(waits, d) })
@@ -83,7 +103,7 @@
 		if code != tt.code || !strings.Contains(out.String(), tt.out) {
 			t.Errorf("%v: code %d, want %d with %q, got %s", tt.args, code, tt.code, tt.out, out.String())
 		}
-		if calls > 0 && (len(waits) != 1 || waits[0] != 3*time.Second) {
+		if service.requests > 0 && !slices.Equal(waits, []time.Duration{3 * time.Second}) {
 			t.Errorf("%v: waited %v, want the 3 s that were asked for", tt.args, waits)
 		}
 	}
--- a/cmd/vetchstream/rollout.go
+++ b/cmd/vetchstream/rollout.go
@@ -24,7 +24,7 @@
 		},
 	}
 	start := &cobra.Command{
-		Use: "start FILE", Short: "Start a roll-out described in a JSON file (- for standard input)", Args: one,
+		Use: "start FILE", Short: "Start a roll-out described in a JSON file (- for standard input)", Args: exactlyOne,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			body, err := encodeFile(args[0])
 			if err != nil {
@@ -38,7 +38,7 @@
 	}
 	var watch bool
 	status := &cobra.Command{
-		Use: "status SERVICE", Short: "Show a roll-out: its batches, their health, what it waits for", Args: one,
+		Use: "status SERVICE", Short: "Show a roll-out: its batches, their health, what it waits for", Args: exactlyOne,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if !watch {
 				return c.rollout(cmd, http.MethodGet, "/api/rollouts/"+args[0], nil)
@@ -68,7 +68,7 @@
 	}
 	root.AddCommand(start, status, list)
 	for _, v := range [][2]string{{"pause", "Stop a roll-out where it is"}, {"resume", "Go on with a paused roll-out"}, {"undo", "Roll back"}} {
-		root.AddCommand(&cobra.Command{Use: v[0] + " SERVICE", Short: v[1], Args: one, RunE: func(cmd *cobra.Command, args []string) error {
+		root.AddCommand(&cobra.Command{Use: v[0] + " SERVICE", Short: v[1], Args: exactlyOne, RunE: func(cmd *cobra.Command, args []string) error {
 			return c.rollout(cmd, http.MethodPost, "/api/rollouts/"+args[0]+"/"+v[0], nil)
 		}})
 	}
@@ -112,7 +112,7 @@
 		case state.Over():
 			return errNotDone
 		}
-		c.pause(watchEvery)
+		c.sleep(watchEvery)
 	}
 }
 
--- a/cmd/vetchstream/scale.go
+++ b/cmd/vetchstream/scale.go
@@ -1,13 +1,9 @@
 package main
 
 import (
-	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"os"
-	"os/signal"
-	"syscall"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -15,77 +11,92 @@
 	"vetchstream/internal/scale"
 )
 
-// errRules ends a run in which a rule of the protocol was broken.
-var errRules = errors.New("rules were broken")
+// errRulesBroken ends a run in which a rule of the protocol was broken.
+var errRulesBroken = errors.New("rules were broken")
 
-// scaleCommand runs real controllers beside hollow workers.
+// scaleFlags are the flags of the scale command.
+type scaleFlags struct {
+	options  scale.Options
+	troubles string // file of the troubles; empty: none
+	output   string // outputTable or outputJSON
+}
+
+// scaleCommand returns the command that measures real controllers beside workers that
+// run no tasks.
 func scaleCommand() *cobra.Command {
-	var o scale.Options
-	var troubles, output string
+	var flags scaleFlags
 	cmd := &cobra.Command{
-		Use: "scale", Short: "Measure real controllers of several regions beside workers that run no tasks", Args: noArgs,
-		Long: "scale starts the controllers of several regions as processes of this program, on emulated state services and clouds,\nwith thousands of emulated workers and users, and measures what each role takes. See docs/CAPACITY.md.\n\n" + gone,
+		Use:   "scale",
+		Short: "Measure real controllers of several regions beside workers that run no tasks",
+		Args:  noArgs,
+		Long:  "scale starts the controllers of several regions as processes of this program, on emulated state services and clouds,\nwith thousands of emulated workers and users, and measures what each role takes. See docs/CAPACITY.md.\n\n" + emulatedNotice,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if output != "table" && output != "json" {
-				return flagError{fmt.Errorf("--output %q is neither table nor json", output)}
-			}
-			if troubles != "" {
-				b, err := os.ReadFile(troubles)
-				if err != nil {
-					return flagError{fmt.Errorf("--troubles: %w", err)}
-				}
-				if o.Troubles, err = scale.ParseTroubles(b); err != nil {
-					return flagError{err}
-				}
-			}
-			if err := o.Check(); err != nil {
+			if err := flags.check(); err != nil {
 				return flagError{err}
 			}
-			return runScale(cmd, o, output)
+			return flags.run(cmd)
 		},
 	}
 	cmd.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return flagError{err} })
-	f := cmd.Flags()
-	f.Float64Var(&o.Factor, "factor", 0.02, "part of the planned size: 1 is 4,600 workers and 3,200 task starts a second")
-	f.IntVar(&o.Regions, "regions", scale.PlannedRegions, "number of regions; the first holds a third of the workers")
-	f.IntVar(&o.Controllers, "controllers", scale.PlannedControllers, "number of controllers in all regions together")
-	f.Float64Var(&o.StartsPerS, "starts", 0, "task starts a second that users ask for; 0: as planned, times the factor")
-	f.DurationVar(&o.Duration, "duration", time.Minute, "how long the load lasts")
-	f.Float64Var(&o.Changes, "changes", 60, "changes of teams' quotas a minute; the plan has 7 as a mean and 500 in a burst")
-	f.Uint64Var(&o.Seed, "seed", 1, "draws the jobs and what troubles hit")
-	f.StringVar(&troubles, "troubles", "", "what goes wrong when (JSON list, see docs/CAPACITY.md)")
-	f.StringVar(&output, "output", "table", "how to print: table, for people, or json")
+	flags.register(cmd)
 	return cmd
 }
 
-func runScale(cmd *cobra.Command, o scale.Options, output string) error {
-	ctx := cmd.Context()
-	if ctx == nil {
-		ctx = context.Background()
+// register adds the flags to the command.
+func (s *scaleFlags) register(cmd *cobra.Command) {
+	flags := cmd.Flags()
+	flags.Float64Var(&s.options.Factor, "factor", 0.02, "part of the planned size: 1 is 4,600 workers and 3,200 task starts a second")
+	flags.IntVar(&s.options.Regions, "regions", scale.PlannedRegions, "number of regions; the first holds a third of the workers")
+	flags.IntVar(&s.options.Controllers, "controllers", scale.PlannedControllers, "number of controllers in all regions together")
+	flags.Float64Var(&s.options.StartsPerS, "starts", 0, "task starts a second that users ask for; 0: as planned, times the factor")
+	flags.DurationVar(&s.options.Duration, "duration", time.Minute, "how long the load lasts")
+	flags.Float64Var(&s.options.Changes, "changes", 60, "changes of teams' quotas a minute; the plan has 7 as a mean and 500 in a burst")
+	flags.Uint64Var(&s.options.Seed, "seed", 1, "draws the jobs and what troubles hit")
+	flags.StringVar(&s.troubles, "troubles", "", "what goes wrong when (JSON list, see docs/CAPACITY.md)")
+	flags.StringVar(&s.output, "output", outputTable, outputUsage)
+}
+
+// check checks the flags and reads the troubles. The error names the flag.
+func (s *scaleFlags) check() error {
+	if err := checkOutput(s.output); err != nil {
+		return err
 	}
-	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
+	if s.troubles != "" {
+		b, err := os.ReadFile(s.troubles)
+		if err != nil {
+			return fmt.Errorf("--troubles: %w", err)
+		}
+		if s.options.Troubles, err = scale.ParseTroubles(b); err != nil {
+			return err
+		}
+	}
+	return s.options.Check()
+}
+
+// run measures until the end of the load, ctrl-C or SIGTERM, and prints the report.
+func (s *scaleFlags) run(cmd *cobra.Command) error {
+	ctx, stop := commandContext(cmd)
 	defer stop()
-	var err error
-	if o.Binary == "" {
-		if o.Binary, err = os.Executable(); err != nil {
+	if s.options.Binary == "" {
+		binary, err := os.Executable()
+		if err != nil {
 			return err
 		}
+		s.options.Binary = binary
 	}
-	o.Log = logger()
-	p, err := scale.Run(ctx, o)
+	s.options.Log = logger()
+	report, err := scale.Run(ctx, s.options)
 	if err != nil {
 		return err
 	}
 	w := cmd.OutOrStdout()
-	if output == "json" {
-		enc := json.NewEncoder(w)
-		enc.SetIndent("", "  ")
-		err = enc.Encode(p)
+	if s.output == outputJSON {
+		err = printJSON(w, report)
 	} else {
-		p.Print(w)
+		report.Print(w)
 	}
-	if len(p.RulesBroken) > 0 {
-		return errors.Join(err, errRules)
+	if len(report.RulesBroken) > 0 {
+		return errors.Join(err, errRulesBroken)
 	}
 	return err
 }
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -63,16 +63,14 @@
 	}
 }
 
-func handlePing(h Handler, _ context.Context, _ *pingRequest) *NodeStatus {
-	status := h.NodeStatus()
-	return &status
-}
-
 var service = grpc.ServiceDesc{
 	ServiceName: serviceName,
 	HandlerType: (*Handler)(nil),
 	Methods: []grpc.MethodDesc{
-		method(methodPing, handlePing),
+		method(methodPing, func(h Handler, _ context.Context, _ *pingRequest) *NodeStatus {
+			status := h.NodeStatus()
+			return &status
+		}),
 		method(methodForward, Handler.HandleForwarded),
 		method(methodPromise, Handler.Promise),
 		method(methodFollow, Handler.FollowConfig),
