--- a/internal/control/admission.go
+++ b/internal/control/admission.go
@@ -62,15 +62,15 @@
 // follow takes in jobs that other nodes have admitted while they could not reach
 // the leader.
 func (ad *admission) follow(epoch uint64) {
-	take := func(key string) { ad.ahead(func() { ad.admitted(key[len(job.ActivePrefix):]) }) }
+	take := func(key string) { ad.enqueueForUser(func() { ad.admitted(key[len(job.ActivePrefix):]) }) }
 	listed := time.Now()
 	for ad.ctx.Err() == nil {
-		events, next, err := ad.c.State.Watch(ad.ctx, job.ActivePrefix, epoch, 10*time.Second)
+		events, next, err := ad.controller.State.Watch(ad.ctx, job.ActivePrefix, epoch, 10*time.Second)
 		switch {
 		case errors.Is(err, state.ErrGone) || time.Since(listed) > auditEvery:
-			entries, at, err := ad.c.State.List(ad.ctx, job.ActivePrefix)
+			entries, at, err := ad.controller.State.List(ad.ctx, job.ActivePrefix)
 			if err != nil {
-				ad.pause(300 * time.Millisecond)
+				ad.sleep(300 * time.Millisecond)
 				continue
 			}
 			listed = time.Now()
@@ -79,7 +79,7 @@
 			}
 			epoch = at
 		case err != nil:
-			ad.pause(300 * time.Millisecond)
+			ad.sleep(300 * time.Millisecond)
 		default:
 			for _, e := range events {
 				if e.Put != "" {
@@ -107,7 +107,7 @@
 
 // has reports whether a job is known here, over, being stored or being read.
 func (ad *admission) has(id string) bool {
-	return ad.completions.over(id) || ad.pending[id] != nil || ad.jobTable.get(id) != nil
+	return ad.completions.isOver(id) || ad.pending[id] != nil || ad.jobTable.get(id) != nil
 }
 
 // admitted takes in a job whose record this term may not have made itself.
@@ -123,16 +123,16 @@
 	// The event may be old: a job that is over by now is under its final key.
 	go func() {
 		for ad.ctx.Err() == nil {
-			now, v, err := lookup(ad.ctx, ad.c.State, id)
+			now, v, err := lookup(ad.ctx, ad.controller.State, id)
 			if errors.Is(err, errUnreadable) {
 				return // the next audit looks again
 			}
 			if err != nil {
-				ad.pause(300 * time.Millisecond)
+				ad.sleep(300 * time.Millisecond)
 				continue
 			}
 			if now != nil && now.Phase == "" {
-				ad.ahead(func() {
+				ad.enqueueForUser(func() {
 					if !ad.has(id) {
 						ad.jobTable.add(now, v, time.Now())
 					}
@@ -149,15 +149,15 @@
 		back(absent)
 		return
 	}
-	if p := ad.completions.known(id); p != nil {
+	if p := ad.completions.answerFromMemory(id); p != nil {
 		back(p)
 		return
 	}
 	if ad.pending[id] != nil {
-		back(Later("submission is being stored"))
+		back(Unavailable("submission is being stored"))
 		return
 	}
-	ad.completions.readBack(id, absent, recorded, back)
+	ad.completions.answerFromStore(id, absent, recordReply, back)
 }
 
 // retryPacer tells those who are turned away when to come back, each at a time of
@@ -184,7 +184,7 @@
 
 // busy turns a user away until the wait is over.
 func busy(wait time.Duration) *rpc.Reply {
-	p := settled(Later("too many submissions at once"))
+	p := finalRefusal(Unavailable("too many submissions at once"))
 	p.RetryAfter = int(math.Ceil(wait.Seconds()))
 	return p
 }
@@ -192,17 +192,17 @@
 // submit answers a submission. A known id wins over every check.
 func (ad *admission) submit(id string, spec *job.Spec, invalid error, back func(*rpc.Reply)) {
 	if id != "" {
-		if p := ad.completions.known(id); p != nil {
+		if p := ad.completions.answerFromMemory(id); p != nil {
 			back(p)
 			return
 		}
-		if ad.jobTable.sound(id) != nil {
-			ad.completions.readBack(id, settled(Later("job is ending")), recorded, back)
+		if ad.jobTable.identified(id) != nil {
+			ad.completions.answerFromStore(id, finalRefusal(Unavailable("job is ending")), recordReply, back)
 			return
 		}
 		if in := ad.pending[id]; in != nil {
 			if len(in.backs) >= mostBacks {
-				back(settled(Later("submission is being stored")))
+				back(finalRefusal(Unavailable("submission is being stored")))
 				return
 			}
 			in.backs = append(in.backs, back)
@@ -215,20 +215,20 @@
 			back(bad)
 			return
 		}
-		ad.completions.readBack(id, bad, recorded, back)
+		ad.completions.answerFromStore(id, bad, recordReply, back)
 		return
 	}
-	switch p := ad.c.admissionRefusal(spec, ad.nameIndex.list(), ad.teamQuotas.find(spec.Team)); {
+	switch p := ad.controller.admissionRefusal(spec, ad.nameIndex.list(), ad.teamQuotas.find(spec.Team)); {
 	case p == nil:
 	case p.Status == http.StatusServiceUnavailable:
 		back(p)
 		return
 	default:
-		ad.completions.readBack(id, p, recorded, back)
+		ad.completions.answerFromStore(id, p, recordReply, back)
 		return
 	}
 	if ad.admissionGroups.doubtful() {
-		ad.completions.readBack(id, Later("a record cannot be read"), recorded, back)
+		ad.completions.answerFromStore(id, Unavailable("a record cannot be read"), recordReply, back)
 		return
 	}
 	now := time.Now()
@@ -264,7 +264,7 @@
 // submissions get what nobody else needs of the budget.
 func (ad *admission) flush(now time.Time) {
 	for len(ad.queue) > 0 && ad.flying < mostFlying {
-		if !ad.c.State.Idle(ad.recordWriter.size()) && !ad.limit.AllowN(now, 1) {
+		if !ad.controller.State.Idle(ad.recordWriter.size()) && !ad.limit.AllowN(now, 1) {
 			return
 		}
 		n, bytes := 0, 0
@@ -288,7 +288,7 @@
 		ad.flying++
 		go func() {
 			ad.create(key, in)
-			ad.ahead(func() { ad.flying-- })
+			ad.enqueueForUser(func() { ad.flying-- })
 		}()
 	}
 }
@@ -300,7 +300,7 @@
 // refuse turns away what waits, when this node may not act.
 func (ad *admission) refuse() {
 	for _, in := range ad.queue {
-		ad.done(in, Later("leadership is not certain"))
+		ad.done(in, Unavailable("leadership is not certain"))
 	}
 	ad.queue = nil
 }
@@ -320,7 +320,7 @@
 // applied, and the conditions show it, or the second one takes its place.
 func (ad *admission) create(key string, in []*pendingSubmission) {
 	all := func(p *rpc.Reply) {
-		ad.ahead(func() {
+		ad.enqueueForUser(func() {
 			for _, x := range in {
 				ad.done(x, p)
 			}
@@ -333,7 +333,7 @@
 			return
 		}
 		txn.If = append(txn.If, ad.fence)
-		version, err := ad.c.State.CommitOnce(ad.ctx, txn)
+		version, err := ad.controller.State.CommitOnce(ad.ctx, txn)
 		var conflict *state.ConflictError
 		switch {
 		case err == nil:
@@ -350,15 +350,15 @@
 			in, unclear = rest, unclear || unclearNow
 		case errors.Is(err, state.ErrRefused) && !unclear:
 			// Certainly not stored: the users are told at once to come back.
-			all(Later("state service refuses writes"))
+			all(Unavailable("state service refuses writes"))
 			return
 		case errors.Is(err, state.ErrRejected) && !unclear:
 			// Too large, it may be: once more in smaller groups, but not alone.
-			ad.ahead(func() {
+			ad.enqueueForUser(func() {
 				ad.recordWriter.smaller(err)
 				for _, x := range in {
 					if len(in) == 1 {
-						ad.done(x, Later("state service rejects the submission"))
+						ad.done(x, Unavailable("state service rejects the submission"))
 					} else {
 						ad.queue = append(ad.queue, x)
 					}
@@ -367,12 +367,12 @@
 			return
 		default:
 			unclear = true
-			ad.ahead(func() {
+			ad.enqueueForUser(func() {
 				for _, x := range in {
-					x.tell(Later("submission is not settled yet"))
+					x.tell(Unavailable("submission is not settled yet"))
 				}
 			})
-			ad.pause(storeRetryPause)
+			ad.sleep(storeRetryPause)
 		}
 	}
 }
@@ -383,8 +383,8 @@
 	if key != "" {
 		kind = "group"
 	}
-	ad.c.Meter.Add(metrics.Accepted, kind, len(in))
-	ad.ahead(func() {
+	ad.controller.Meter.Add(metrics.Accepted, kind, len(in))
+	ad.enqueueForUser(func() {
 		if key != "" {
 			recs := make([]job.Record, len(in))
 			for i, x := range in {
@@ -394,7 +394,7 @@
 			version = 0
 		}
 		for _, x := range in {
-			if ad.jobTable.sound(x.rec.Spec.ID) == nil {
+			if ad.jobTable.identified(x.rec.Spec.ID) == nil {
 				ad.jobTable.add(x.rec, version, time.Now())
 			}
 			ad.done(x, reply(http.StatusCreated, recordStatus(x.rec)))
@@ -406,28 +406,28 @@
 func (ad *admission) resolve(in *pendingSubmission) {
 	id := in.rec.Spec.ID
 	for ad.ctx.Err() == nil {
-		found, version, err := lookup(ad.ctx, ad.c.State, id)
+		found, version, err := lookup(ad.ctx, ad.controller.State, id)
 		if err != nil {
-			ad.pause(storeRetryPause)
+			ad.sleep(storeRetryPause)
 			continue
 		}
-		ad.ahead(func() {
+		ad.enqueueForUser(func() {
 			switch {
 			case found == nil:
 				// The term has moved on.
-				ad.done(in, Later("leadership has changed"))
+				ad.done(in, Unavailable("leadership has changed"))
 				return
 			case found.Phase != "":
-				ad.completions.remember(found)
-			case ad.completions.over(id):
+				ad.completions.cacheFinalStatus(found)
+			case ad.completions.isOver(id):
 				// It has ended since the read: taken in once more it would run again, and its
 				// user would be told that it waits.
-				ad.done(in, ad.completions.past(id))
+				ad.done(in, ad.completions.answerIfOver(id))
 				return
-			case ad.jobTable.sound(id) == nil:
+			case ad.jobTable.identified(id) == nil:
 				ad.jobTable.add(found, version, time.Now())
 			}
-			ad.done(in, recorded(found))
+			ad.done(in, recordReply(found))
 		})
 		return
 	}
@@ -438,16 +438,16 @@
 // known already. It returns the submissions to try again, and whether the state
 // of the last try is unclear; over means that nothing is left to try.
 func (ad *admission) afterConflict(key string, in []*pendingSubmission, conflict *state.ConflictError, all func(*rpc.Reply)) (rest []*pendingSubmission, unclear, over bool) {
-	e, gerr := ad.c.State.Get(ad.ctx, key)
+	e, gerr := ad.controller.State.Get(ad.ctx, key)
 	switch {
 	case gerr == nil: // the unclear one was applied
 		ad.accepted(key, e.Version, in)
 		return nil, false, true
 	case !errors.Is(gerr, state.ErrNotFound):
-		ad.pause(storeRetryPause)
+		ad.sleep(storeRetryPause)
 		return in, true, false
 	case slices.Contains(conflict.Failed, ad.fence.Key):
-		all(Later("leadership has changed"))
+		all(Unavailable("leadership has changed"))
 		return nil, false, true
 	}
 	// Jobs that are known already must not keep the others out. (An unclear try
@@ -460,7 +460,7 @@
 		return nil, false, true
 	}
 	if len(known) == 0 {
-		ad.pause(storeRetryPause) // the service did not say which
+		ad.sleep(storeRetryPause) // the service did not say which
 	}
 	return rest, false, false
 }
--- a/internal/control/admission_group_reader.go
+++ b/internal/control/admission_group_reader.go
@@ -155,7 +155,7 @@
 }
 
 // noLeader tells the client to come back when no leader is to be reached.
-func noLeader() *rpc.Reply { return Later("no leader is to be reached") }
+func noLeader() *rpc.Reply { return Unavailable("no leader is to be reached") }
 
 // admissionCheck is the refusal of a submission, or nil, with the conditions on
 // the state service that the decision rests on; err: they could not be read.
@@ -184,7 +184,7 @@
 	case err != nil:
 		return noLeader()
 	case rec != nil:
-		return recorded(rec)
+		return recordReply(rec)
 	}
 	return refusal
 }
@@ -197,7 +197,7 @@
 	case err != nil:
 		return noLeader()
 	case rec != nil:
-		return recorded(rec)
+		return recordReply(rec)
 	}
 	rec := &job.Record{Spec: *spec, At: time.Now().UnixMilli()}
 	txn, err := admissionTxn("", []*pendingSubmission{{rec: rec}})
@@ -214,7 +214,7 @@
 	switch {
 	case errors.Is(err, state.ErrConflict):
 		if rec, err := c.find(ctx, id); err == nil && rec != nil {
-			return recorded(rec)
+			return recordReply(rec)
 		}
 		return noLeader()
 	case err != nil:
@@ -232,7 +232,7 @@
 	rec, err := c.find(ctx, id)
 	switch {
 	case err != nil:
-		return Later("no leader and no state service")
+		return Unavailable("no leader and no state service")
 	case rec == nil:
 		return reply(http.StatusNotFound, wire.Error{Error: "no such job"})
 	}
--- a/internal/control/admission_groups.go
+++ b/internal/control/admission_groups.go
@@ -112,7 +112,7 @@
 			gs.store(g)
 		case len(g.ends) > 0:
 			gs.await(g)
-		case !gs.moving && gs.c.State.Idle(gs.recordWriter.size()) && !now.Before(g.restAt):
+		case !gs.moving && gs.controller.State.Idle(gs.recordWriter.size()) && !now.Before(g.restAt):
 			gs.move(g)
 		}
 	}
@@ -128,7 +128,7 @@
 		if gs.limit.Wait(gs.ctx) != nil {
 			return
 		}
-		gs.ahead(func() {
+		gs.enqueueForUser(func() {
 			g.waiting = false
 			if !g.writing && len(g.ends) > 0 {
 				gs.store(g)
@@ -221,7 +221,7 @@
 	gone := writes[len(writes)-1].Delete != ""
 	txn := state.Txn{If: append([]state.Cond{gs.fence, {Key: g.key, Version: was}}, conds...), Writes: writes}
 	done := func(version uint64) {
-		gs.ahead(func() {
+		gs.enqueueForUser(func() {
 			g.writing, g.version = false, version
 			gs.moving = gs.moving && len(conds) == 0
 			then()
@@ -236,14 +236,14 @@
 	}
 	go func() {
 		for unclear := false; gs.ctx.Err() == nil; {
-			version, err := gs.c.State.Commit(gs.ctx, txn)
+			version, err := gs.controller.State.Commit(gs.ctx, txn)
 			var conflict *state.ConflictError
 			switch {
 			case err == nil:
 				done(version)
 				return
 			case errors.As(err, &conflict):
-				e, gerr := gs.c.State.Get(gs.ctx, g.key)
+				e, gerr := gs.controller.State.Get(gs.ctx, g.key)
 				switch {
 				case gerr == nil && e.Version != was:
 					done(e.Version)
@@ -253,7 +253,7 @@
 					return
 				case gerr == nil && len(conds) > 0:
 					// A job that was admitted twice: the other record goes first.
-					gs.ahead(func() {
+					gs.enqueueForUser(func() {
 						for _, c := range conds {
 							if slices.Contains(conflict.Failed, c.Key) {
 								gs.results.drop(c.Key)
@@ -264,15 +264,15 @@
 					return
 				}
 			case errors.Is(err, state.ErrRejected):
-				gs.ahead(func() { gs.recordWriter.smaller(err) })
+				gs.enqueueForUser(func() { gs.recordWriter.smaller(err) })
 				if len(conds) > 0 && !unclear {
-					gs.ahead(again)
+					gs.enqueueForUser(again)
 					return
 				}
 			case !errors.Is(err, state.ErrRefused):
 				unclear = true
 			}
-			gs.pause(200 * time.Millisecond)
+			gs.sleep(200 * time.Millisecond)
 		}
 	}()
 }
--- a/internal/control/admission_groups_test.go
+++ b/internal/control/admission_groups_test.go
@@ -325,7 +325,7 @@
 	defer cancel()
 	p := st.Answer(ctx, &rpc.Request{Kind: kind, ID: id, Body: b})
 	if p == nil {
-		p = Later("nobody leads")
+		p = Unavailable("nobody leads")
 	}
 	return p
 }
@@ -642,11 +642,11 @@
 		s := newStateService(t)
 		s.mute = true
 		st := sit(t, s, 7)
-		s.put(job.ActivePrefix+"run-5", &job.Record{Spec: job.Spec{ID: "run-5", Team: "red", ShapeName: "array", RankName: "idle", Tasks: 1, CPUs: 1}})
+		s.put(job.ActivePrefix+"run-5", &job.Record{Spec: job.Spec{ID: "run-5", Team: "red", ShapeName: "array", PriorityName: "idle", Tasks: 1, CPUs: 1}})
 		owned := func() bool {
 			has := make(chan bool, 1)
-			r := st.current()
-			r.ahead(func() { has <- r.jobTable.get("run-5") != nil })
+			r := st.currentTerm()
+			r.enqueueForUser(func() { has <- r.jobTable.get("run-5") != nil })
 			return <-has
 		}
 		time.Sleep(auditEvery / 2)
@@ -666,7 +666,7 @@
 		s := newStateService(t)
 		s.put(job.ActivePrefix+"run-4", "no record")
 		s.put(job.DonePrefix+"run-4/0", job.Chunk{})
-		s.put(job.ActivePrefix+"run-5", &job.Record{Spec: job.Spec{ID: "run-5", Team: "red", ShapeName: "array", RankName: "idle", Tasks: 1, CPUs: 1}})
+		s.put(job.ActivePrefix+"run-5", &job.Record{Spec: job.Spec{ID: "run-5", Team: "red", ShapeName: "array", PriorityName: "idle", Tasks: 1, CPUs: 1}})
 		st := sit(t, s, 7)
 		if p := st.ask(rpc.KindStatus, "run-5", nil); p.Status != 200 {
 			t.Errorf("another job's status: %d", p.Status)
@@ -697,9 +697,9 @@
 		s := newStateService(t)
 		s.put(job.GroupPrefix+"6-1", "no record")
 		s.put(job.DonePrefix+"run-4/0", job.Chunk{})
-		s.put(job.GroupPrefix+"6-2", job.Group{Jobs: []job.Record{{Spec: job.Spec{ID: "run-6", Team: "red", ShapeName: "array", RankName: "idle", Tasks: 1, CPUs: 1}}}})
-		s.put(job.ActivePrefix+"run-5", &job.Record{Spec: job.Spec{ID: "run-5", Team: "red", ShapeName: "array", RankName: "idle", Tasks: 1, CPUs: 1}})
-		s.put(job.FinalPrefix+"run-7", &job.Record{Spec: job.Spec{ID: "run-7", Team: "red", ShapeName: "array", RankName: "idle", Tasks: 1, CPUs: 1}, Phase: wire.JobDone})
+		s.put(job.GroupPrefix+"6-2", job.Group{Jobs: []job.Record{{Spec: job.Spec{ID: "run-6", Team: "red", ShapeName: "array", PriorityName: "idle", Tasks: 1, CPUs: 1}}}})
+		s.put(job.ActivePrefix+"run-5", &job.Record{Spec: job.Spec{ID: "run-5", Team: "red", ShapeName: "array", PriorityName: "idle", Tasks: 1, CPUs: 1}})
+		s.put(job.FinalPrefix+"run-7", &job.Record{Spec: job.Spec{ID: "run-7", Team: "red", ShapeName: "array", PriorityName: "idle", Tasks: 1, CPUs: 1}, Phase: wire.JobDone})
 		st := sit(t, s, 7)
 		for _, tt := range []struct {
 			kind, id string
@@ -731,15 +731,15 @@
 
 // shows lets a machine report, and returns what the leader then has of it.
 func (st *seat) shows(host string, seq uint64, tasks ...wire.TaskReport) (slots []fleet.Slot) {
-	r := st.current()
-	r.ahead(func() {
+	r := st.currentTerm()
+	r.enqueueForUser(func() {
 		h := r.fleet.Add(host, time.Now())
 		h.Known, h.Type, h.Zone = true, 0, 0
 		r.taskTracker.observe(h, &wire.Report{Host: host, Session: 1, Seq: seq, Token: st.term, Tasks: tasks}, true, time.Now())
 	})
 	time.Sleep(time.Second)
 	done := make(chan struct{})
-	r.ahead(func() {
+	r.enqueueForUser(func() {
 		defer close(done)
 		for _, sl := range r.fleet.Hosts[host].Slots {
 			slots = append(slots, *sl)
@@ -773,7 +773,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				s := newStateService(t)
 				if tt.phase != "" {
-					s.put(job.FinalPrefix+"run-4", &job.Record{Spec: job.Spec{ID: "run-4", Team: "red", ShapeName: "array", RankName: "idle", Tasks: 1, CPUs: 1}, Phase: tt.phase})
+					s.put(job.FinalPrefix+"run-4", &job.Record{Spec: job.Spec{ID: "run-4", Team: "red", ShapeName: "array", PriorityName: "idle", Tasks: 1, CPUs: 1}, Phase: tt.phase})
 				}
 				st := sit(t, s, 7)
 				s.mu.Lock()
@@ -803,7 +803,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := newStateService(t)
-				s.put(job.ActivePrefix+"run-4", &job.Record{Spec: job.Spec{ID: "run-4", Team: "red", ShapeName: "array", RankName: "idle", Tasks: 5, CPUs: 1}})
+				s.put(job.ActivePrefix+"run-4", &job.Record{Spec: job.Spec{ID: "run-4", Team: "red", ShapeName: "array", PriorityName: "idle", Tasks: 5, CPUs: 1}})
 				st := sit(t, s, 7)
 				s.will(job.DonePrefix[:1], tt.fates...)
 				for i := range 4 {
@@ -834,12 +834,12 @@
 				s := newStateService(t)
 				s.mute = true
 				st := sit(t, s, 7)
-				rec := &job.Record{Spec: job.Spec{ID: "run-5", Team: "red", ShapeName: "array", RankName: "idle", Tasks: 1, CPUs: 1}}
+				rec := &job.Record{Spec: job.Spec{ID: "run-5", Team: "red", ShapeName: "array", PriorityName: "idle", Tasks: 1, CPUs: 1}}
 				s.put(job.ActivePrefix+"run-5", rec)
-				r, got := st.current(), make(chan *rpc.Reply, 1)
-				r.ahead(func() {
+				r, got := st.currentTerm(), make(chan *rpc.Reply, 1)
+				r.enqueueForUser(func() {
 					if phase != "" {
-						r.completions.remember(&job.Record{Spec: rec.Spec, Phase: phase})
+						r.completions.cacheFinalStatus(&job.Record{Spec: rec.Spec, Phase: phase})
 					}
 					in := &pendingSubmission{rec: rec, backs: []func(*rpc.Reply){func(p *rpc.Reply) { got <- p }}}
 					r.admission.pending["run-5"] = in
@@ -850,7 +850,7 @@
 					t.Errorf("answer %d %s", p.Status, told.Phase)
 				}
 				owned := make(chan bool, 1)
-				r.ahead(func() { owned <- r.jobTable.get("run-5") != nil })
+				r.enqueueForUser(func() { owned <- r.jobTable.get("run-5") != nil })
 				if has := <-owned; has != (phase == "") {
 					t.Errorf("looked after: %v", has)
 				}
@@ -920,7 +920,7 @@
 // the given fates, and checks what the leader, and the next one, tell of it.
 func checkLateRecord(t *testing.T, rec lateRecord, fates []fate) {
 	s := newStateService(t)
-	s.put(job.ActivePrefix+"run-1", &job.Record{Spec: job.Spec{ID: "run-1", Team: "red", ShapeName: "daemon", RankName: "idle", Tasks: 1, CPUs: 1, Image: "o"}})
+	s.put(job.ActivePrefix+"run-1", &job.Record{Spec: job.Spec{ID: "run-1", Team: "red", ShapeName: "daemon", PriorityName: "idle", Tasks: 1, CPUs: 1, Image: "o"}})
 	on := func(tun *config.Tuning) { tun.Rollouts.Enabled, tun.Calendar.Enabled = true, true }
 	st := sitWith(t, s, 7, on)
 	s.will(rec.doom, fates...)
@@ -982,7 +982,7 @@
 					t.Fatalf("submission: %d", out[0])
 				}
 				busy, got := make(chan struct{}), make(chan *rpc.Reply, 1)
-				st.current().ahead(func() { <-busy })
+				st.currentTerm().enqueueForUser(func() { <-busy })
 				go func() { got <- st.ask(kind, "run-5", body("run-5", nil)) }()
 				time.Sleep(time.Second)
 				st.lapsed.Store(true)
--- a/internal/control/calendar_drains.go
+++ b/internal/control/calendar_drains.go
@@ -42,7 +42,9 @@
 }
 
 // on reports whether machines are drained.
-func (dr *maintenanceDrains) on() bool { return dr.calendarStore.on() && dr.c.Tuning.Calendar.Drain }
+func (dr *maintenanceDrains) on() bool {
+	return dr.calendarStore.on() && dr.controller.Tuning.Calendar.Drain
+}
 
 // takes reports whether a window is about a machine.
 func (dr *maintenanceDrains) takes(p *calendar.Window, h *fleet.Host) bool {
@@ -111,7 +113,7 @@
 
 // handBack is how long before the start a machine is to be empty: its worker has to
 // tell so.
-func (dr *maintenanceDrains) handBack() time.Duration { return 2*dr.reportTime() + time.Second }
+func (dr *maintenanceDrains) handBack() time.Duration { return 2*dr.heartbeatInterval() + time.Second }
 
 // mark tells the plan when a machine leaves.
 func (dr *maintenanceDrains) mark(m *place.Machine, h *fleet.Host, now time.Time) {
@@ -187,7 +189,7 @@
 			continue
 		}
 		if !s.Sent {
-			dr.taskTracker.handle(dr.taskTracker.fleet.Stop(s, 0), now)
+			dr.taskTracker.applyEvents(dr.taskTracker.fleet.Stop(s, 0), now)
 			continue
 		}
 		save := saveGrace(s.Job)
@@ -226,7 +228,7 @@
 func replicas(j *job.Job) int {
 	n := 0
 	for t := range int32(j.Tasks) {
-		if j.May(t) {
+		if j.MayRun(t) {
 			n++
 		}
 	}
@@ -235,7 +237,7 @@
 
 func (dr *maintenanceDrains) stop(s *fleet.Slot, grace float64, h *fleet.Host, p *calendar.Plan) {
 	dr.log.Info("moving a task for maintenance", "task", job.TaskName(s.Job.ID, s.Task), "host", h.Name, "window", p.Name, "save_s", grace)
-	dr.c.Meter.Add(metrics.Moves, "", 1)
+	dr.controller.Meter.Add(metrics.Moves, "", 1)
 	dr.taskTracker.stopSlot(s, grace)
 }
 
--- a/internal/control/calendar_holds.go
+++ b/internal/control/calendar_holds.go
@@ -102,7 +102,7 @@
 		p = &calendar.Pace{}
 		hd.paces[j.Class] = p
 	}
-	p.Add(secs / estimate(j))
+	p.Add(secs / runTimeEstimate(j))
 }
 
 // mostClasses bounds the classes whose estimates are judged: users choose the names.
@@ -129,7 +129,7 @@
 			sure = max(1, p.Bound(1))
 		}
 	}
-	return estimate(j) * sure
+	return runTimeEstimate(j) * sure
 }
 
 // endsIn is in how long a task of the job that is placed now is sure to be gone, in
@@ -141,7 +141,7 @@
 			fetch = max(fetch, j.ImageGB/r)
 		}
 	}
-	return fetch + 2*hd.reportTime().Seconds() + hd.atMost(j)
+	return fetch + 2*hd.heartbeatInterval().Seconds() + hd.atMost(j)
 }
 
 // needs is for how long a task of the job that is placed now is to have its machine, in
@@ -150,7 +150,7 @@
 // maintenance came soon after the slot.
 func (hd *reservationHolds) needs(j *job.Job, now time.Time) float64 {
 	ends := hd.endsIn(j)
-	if s := hd.slots[j.Booking]; s != nil && s.claimer == j {
+	if s := hd.slots[j.Reservation]; s != nil && s.claimer == j {
 		left := time.UnixMilli(s.span.To).Sub(hd.calendarStore.clock(now)) - hd.maintenanceDrains.handBack()
 		ends = min(ends, max(0, left.Seconds()))
 	}
@@ -171,7 +171,7 @@
 // It comes before the renting: where nothing can be rented the machines are full of
 // work that takes longer to end than a machine to come up.
 func (hd *reservationHolds) lead(e *calendar.Entry) time.Duration {
-	return max(hd.rentLead(e), config.Seconds(hd.c.Tuning.Calendar.HoldS))
+	return max(hd.rentLead(e), config.Seconds(hd.controller.Tuning.Calendar.HoldS))
 }
 
 // rentLead is how long before its start what a reservation misses is rented: what its
@@ -193,7 +193,7 @@
 		}
 		lead = max(lead, p.Bound(t.BootS))
 	}
-	return config.Seconds(lead) + 3*hd.reportTime() + 2*calendarEvery
+	return config.Seconds(lead) + 3*hd.heartbeatInterval() + 2*calendarEvery
 }
 
 // gather brings the slots up to date: which there are, which machines are held for
@@ -209,7 +209,7 @@
 			hd.drop(s)
 		}
 	}
-	defer func() { hd.c.Meter.Set(metrics.Held, len(hd.held)) }()
+	defer func() { hd.controller.Meter.Set(metrics.Held, len(hd.held)) }()
 	// The next slot chooses first, so that two leaders would choose alike.
 	order := slices.SortedFunc(maps.Keys(due), func(a, b string) int {
 		return cmp.Or(cmp.Compare(due[a].span.From, due[b].span.From), cmp.Compare(a, b))
@@ -227,7 +227,7 @@
 			hd.release(s) // its job is over
 			continue
 		}
-		if hd.c.Tuning.Calendar.Hold {
+		if hd.controller.Tuning.Calendar.Hold {
 			hd.hold(s, d.entry, now)
 		}
 	}
@@ -245,7 +245,7 @@
 		delete(hd.held, h)
 	}
 	if len(s.hosts) > 0 {
-		hd.changed()
+		hd.requestPlan()
 	}
 	clear(s.hosts)
 }
@@ -259,8 +259,8 @@
 
 // whole reports whether all of a job that has not ended runs.
 func (hd *reservationHolds) whole(j *job.Job) bool {
-	n := hd.jobTable.running(j)
-	return n > 0 && (j.Waiting() == 0 || j.Over()) && (j.Shape != job.Gang || n == j.Tasks)
+	n := hd.jobTable.runningTasks(j)
+	return n > 0 && (j.UnplacedCount() == 0 || j.Complete()) && (j.Shape != job.Gang || n == j.Tasks)
 }
 
 // began is when the claimer of an occurrence was first seen running whole; zero: not
@@ -303,7 +303,7 @@
 		if !hd.able(h, s) || !slices.ContainsFunc(s.shares, func(x calendar.Share) bool { return hd.is(h, x) }) {
 			delete(s.hosts, h)
 			delete(hd.held, h)
-			hd.changed()
+			hd.requestPlan()
 		}
 	}
 	short := hd.fill(s, until, now)
@@ -337,7 +337,7 @@
 		if !on[h] {
 			delete(s.hosts, h)
 			delete(hd.held, h)
-			hd.changed()
+			hd.requestPlan()
 		}
 	}
 	for h := range on {
@@ -392,7 +392,7 @@
 		for _, c := range all[:min(max(0, n), len(all))] {
 			s.hosts[c.h], hd.held[c.h] = true, s
 			n--
-			hd.changed()
+			hd.requestPlan()
 		}
 		if n > 0 {
 			x.Machines = n
@@ -462,7 +462,7 @@
 // covers reports whether what a job needs is left to its slot: it would be rented
 // twice.
 func (hd *reservationHolds) covers(j *job.Job) bool {
-	s := hd.slots[j.Booking]
+	s := hd.slots[j.Reservation]
 	return s != nil && s.claimer == j && s.covered
 }
 
@@ -490,7 +490,7 @@
 // holding reports whether a machine is to be kept although it is idle: it is held for a
 // slot that is near, or nothing else may run on it.
 func (hd *reservationHolds) holding(h *fleet.Host) bool {
-	return hd.held[h] != nil && (hd.held[h].renting || !hd.c.Tuning.Calendar.Backfill)
+	return hd.held[h] != nil && (hd.held[h].renting || !hd.controller.Tuning.Calendar.Backfill)
 }
 
 // forget forgets a machine that has been returned.
@@ -512,7 +512,7 @@
 	if s.claimer != nil {
 		m.HeldFor = hd.jobTable.index(s.claimer)
 	}
-	if hd.c.Tuning.Calendar.Backfill {
+	if hd.controller.Tuning.Calendar.Backfill {
 		m.HeldIn = time.UnixMilli(s.span.From).Sub(hd.calendarStore.clock(now)).Seconds()
 	}
 }
@@ -520,7 +520,7 @@
 // enough reports whether the machines that are held for a job have room for n of its
 // tasks now.
 func (hd *reservationHolds) enough(j *job.Job, n int) bool {
-	s := hd.slots[j.Booking]
+	s := hd.slots[j.Reservation]
 	if s == nil || s.claimer != j {
 		return false
 	}
--- a/internal/control/calendar_requests.go
+++ b/internal/control/calendar_requests.go
@@ -21,7 +21,7 @@
 	case !cs.on():
 		refuse(http.StatusNotFound, "the calendar is switched off here")
 	case len(cs.nameIndex.list()) == 0:
-		back(Later("machine types are not known yet"))
+		back(Unavailable("machine types are not known yet"))
 	case op.Window && op.Team != "" && (op.Verb == rpc.VerbStart || op.Verb == rpc.VerbCancel):
 		refuse(http.StatusForbidden, "maintenance is an operator's")
 	case op.Verb == rpc.VerbList:
@@ -147,7 +147,7 @@
 
 // tooLarge reports whether a record exceeds what the state service takes.
 func (cs *calendarStore) tooLarge(w state.Write) bool {
-	return float64(recordSize(w.Value)) > cs.c.Settings.Facts.State.ValueKB*1024*pageShare
+	return float64(recordSize(w.Value)) > cs.controller.Settings.Facts.State.ValueKB*1024*pageShare
 }
 
 // plan takes in a maintenance window, and moves the reservations on its machines.
@@ -212,7 +212,7 @@
 	// All of it in one transaction: a leader that ends in between must not leave a
 	// window over reservations that were never moved.
 	change = &windowTxn{conds: []state.Cond{{Key: key}}, writes: []state.Write{put}, touched: slices.Concat(a.Moved, a.Lost)}
-	if most := cs.c.Settings.Facts.State.TxnOps - 2; len(change.touched) > most {
+	if most := cs.controller.Settings.Facts.State.TxnOps - 2; len(change.touched) > most {
 		why := fmt.Sprintf("%d reservations would have to move, and at most %d can at once; plan smaller windows", len(change.touched), most)
 		return nil, reply(http.StatusConflict, wire.Error{Error: why})
 	}
@@ -220,7 +220,7 @@
 	for _, e := range change.touched {
 		b := cs.bookings[e.Name]
 		if b.writing {
-			return nil, settled(Later("a reservation is being stored"))
+			return nil, finalRefusal(Unavailable("a reservation is being stored"))
 		}
 		change.next[e.Name] = b.rec.Moved(e)
 		p, err := state.Put(bookingPrefix+e.Name, change.next[e.Name])
@@ -270,7 +270,7 @@
 		back(gone)
 		return
 	case b.writing:
-		back(settled(Later("the reservation is being stored")))
+		back(finalRefusal(Unavailable("the reservation is being stored")))
 		return
 	}
 	s := cs.status(op.Service)
--- a/internal/control/calendar_store.go
+++ b/internal/control/calendar_store.go
@@ -82,7 +82,7 @@
 }
 
 // on reports whether the calendar is switched on.
-func (cs *calendarStore) on() bool { return cs.c.Tuning.Calendar.Enabled }
+func (cs *calendarStore) on() bool { return cs.controller.Tuning.Calendar.Enabled }
 
 // empty reports whether there is nothing to do for it.
 func (cs *calendarStore) empty() bool { return len(cs.bookings) == 0 && len(cs.windows) == 0 }
@@ -90,17 +90,17 @@
 // clock is the time of day as this term goes on from its begin: a jump of the
 // machine's clock must not let every slot of a year lapse at once.
 func (cs *calendarStore) clock(now time.Time) time.Time {
-	return cs.since.Round(0).Add(now.Sub(cs.since))
+	return cs.termStart.Round(0).Add(now.Sub(cs.termStart))
 }
 
 func (cs *calendarStore) limits() calendar.Limits {
-	t := &cs.c.Tuning.Calendar
+	t := &cs.controller.Tuning.Calendar
 	return calendar.Limits{Days: t.Days, Entries: t.Most, PerTeam: t.PerTeam, Windows: t.Windows, Occurrences: t.Occurrences}
 }
 
 func (cs *calendarStore) facts(types []wire.MachineType, zones []string) calendar.Facts {
 	counted := func(typ, _ string) int {
-		if n, ok := cs.c.Tuning.Calendar.CountOn[typ]; ok {
+		if n, ok := cs.controller.Tuning.Calendar.CountOn[typ]; ok {
 			return n
 		}
 		return -1
@@ -113,15 +113,15 @@
 	if !cs.on() {
 		return nil, nil, nil
 	}
-	e, err := cs.c.State.Get(cs.ctx, changesKey)
+	e, err := cs.controller.State.Get(cs.ctx, changesKey)
 	if err != nil && !errors.Is(err, state.ErrNotFound) {
 		return nil, nil, err
 	}
 	cs.version = e.Version
-	if bookings, _, err = cs.c.State.List(cs.ctx, bookingPrefix); err != nil {
+	if bookings, _, err = cs.controller.State.List(cs.ctx, bookingPrefix); err != nil {
 		return nil, nil, err
 	}
-	windows, _, err = cs.c.State.List(cs.ctx, windowPrefix)
+	windows, _, err = cs.controller.State.List(cs.ctx, windowPrefix)
 	return bookings, windows, err
 }
 
@@ -197,7 +197,7 @@
 	}
 	cs.remake()
 	cs.reservationHolds.gather(now)
-	if !cs.takeover.settled() {
+	if !cs.takeover.reconciled() {
 		return // what runs where is not known yet: nothing is decided, nothing is stopped
 	}
 	at := cs.clock(now)
@@ -248,14 +248,14 @@
 func (cs *calendarStore) claimed() {
 	clear(cs.claims)
 	for _, j := range cs.jobTable.all() {
-		if j.Booking == "" || j.Phase+j.Closing != "" || cs.jobTable.stranger(j) {
+		if j.Reservation == "" || j.Phase+j.Closing != "" || cs.jobTable.isUnidentified(j) {
 			continue
 		}
 		c, why := cs.claimOf(j)
 		if why != "" {
 			if j.Notice == "" {
-				j.Notice = "reservation " + j.Booking + " " + why + ": the job runs without it"
-				cs.log.Info("claim fits no reservation", "job", j.ID, "reservation", j.Booking, "why", why)
+				j.Notice = "reservation " + j.Reservation + " " + why + ": the job runs without it"
+				cs.log.Info("claim fits no reservation", "job", j.ID, "reservation", j.Reservation, "why", why)
 			}
 			continue
 		}
@@ -268,7 +268,7 @@
 // claimOf is the occurrence that a job asks for. A claim that fits none is no
 // mistake: the job competes like any other, and its user is told why.
 func (cs *calendarStore) claimOf(j *job.Job) (c claim, misfits string) {
-	b := cs.bookings[j.Booking]
+	b := cs.bookings[j.Reservation]
 	if b == nil {
 		return claim{}, "does not exist"
 	}
@@ -282,12 +282,12 @@
 	case b.entry.Lost[s.From]:
 		return claim{}, "has lost its room to maintenance"
 	}
-	return claim{j.Booking, s.From}, ""
+	return claim{j.Reservation, s.From}, ""
 }
 
 // waits reports whether a job is to wait for its slot to begin.
 func (cs *calendarStore) waits(j *job.Job, now time.Time) bool {
-	if j.Booking == "" || !cs.on() {
+	if j.Reservation == "" || !cs.on() {
 		return false
 	}
 	c, why := cs.claimOf(j)
@@ -344,7 +344,7 @@
 	} else {
 		l.Claimer, l.RunAt = cs.reservationHolds.finished(b.rec.Spec.Name, b.rec.Next)
 	}
-	f := &cs.c.Settings.Facts
+	f := &cs.controller.Settings.Facts
 	next, changed := calendar.Step(b.rec, b.entry, l, calendar.Tolerance(f.Workers.ReportS, f.SkewMs))
 	if !changed {
 		return
@@ -363,19 +363,19 @@
 			return
 		}
 		o := next.Past[len(next.Past)-1]
-		cs.c.Meter.Add(metrics.Slots, o.What, 1)
+		cs.controller.Meter.Add(metrics.Slots, o.What, 1)
 		cs.log.Info("slot is decided", "reservation", b.rec.Spec.Name, "start", time.UnixMilli(o.Start).UTC(), "outcome", o.What, "job", o.Job, "late_s", o.LateS)
 		b.rec, b.version, cs.near = next, v, nil
-		cs.changed()
+		cs.requestPlan()
 	})
 }
 
 // commit runs a fenced transaction until its outcome is clear, and hands it to the actor.
 func (cs *calendarStore) commit(key string, was uint64, conds []state.Cond, writes []state.Write, then func(version uint64, err error)) {
 	go func() {
-		v, err := cs.settle(key, was, conds, writes)
+		v, err := cs.commitUntilSettled(key, was, conds, writes)
 		if cs.ctx.Err() == nil {
-			cs.ahead(func() { then(v, err) })
+			cs.enqueueForUser(func() { then(v, err) })
 		}
 	}()
 }
@@ -405,7 +405,7 @@
 	case !cs.writing:
 		f()
 	case len(cs.queue) >= mostChanges:
-		back(settled(Later("many changes of the calendar are being stored")))
+		back(finalRefusal(Unavailable("many changes of the calendar are being stored")))
 	default:
 		cs.queue = append(cs.queue, f)
 	}
@@ -418,7 +418,7 @@
 func (cs *calendarStore) stored() {
 	cs.writing = false
 	cs.stepAt = time.Time{}
-	cs.changed()
+	cs.requestPlan()
 	for len(cs.queue) > 0 && !cs.writing {
 		f := cs.queue[0]
 		cs.queue = cs.queue[1:]
--- a/internal/control/calendar_store_test.go
+++ b/internal/control/calendar_store_test.go
@@ -17,23 +17,23 @@
 // earlier one.
 func booked(tb testing.TB, n int) *leaderTerm {
 	tb.Helper()
-	r := bench(tb, config.Team{Name: "red"})
-	r.c.Tuning.Calendar.Enabled = true
+	r := newTestTerm(tb, config.Team{Name: "red"})
+	r.controller.Tuning.Calendar.Enabled = true
 	r.learn([]wire.MachineType{{Name: "small", CPUs: 4, MemGB: 16, BootS: 60, Zones: []string{"a", "b"}}})
-	r.takeover.ready = true
+	r.takeover.allReconciled = true
 	var stored []state.Entry
 	for i := range n {
-		start := r.since.UTC().Add(time.Duration(i+1) * time.Hour)
+		start := r.termStart.UTC().Add(time.Duration(i+1) * time.Hour)
 		body, err := wire.Marshal(map[string]any{"name": fmt.Sprintf("r%d", i), "team": "red", "parts": 2, "cpus": 4.0, "mem_gb": 4.0,
 			"start": start.Format(time.RFC3339), "end": start.Add(30 * time.Minute).Format(time.RFC3339)})
 		if err != nil {
 			tb.Fatal(err)
 		}
-		spec, err := calendar.ParseReservation(body, calendar.Limits{Days: 10_000, Occurrences: 10}, r.since)
+		spec, err := calendar.ParseReservation(body, calendar.Limits{Days: 10_000, Occurrences: 10}, r.termStart)
 		if err != nil {
 			tb.Fatal(err)
 		}
-		rec := calendar.NewRecord(&calendar.Entry{Reservation: spec, Seq: uint64(i), Shares: []calendar.Share{{Type: "small", Zone: "a", Machines: 2, Parts: 2}}}, r.since)
+		rec := calendar.NewRecord(&calendar.Entry{Reservation: spec, Seq: uint64(i), Shares: []calendar.Share{{Type: "small", Zone: "a", Machines: 2, Parts: 2}}}, r.termStart)
 		put, err := state.Put(bookingPrefix+spec.Name, rec)
 		if err != nil {
 			tb.Fatal(err)
@@ -79,10 +79,10 @@
 			r := booked(t, 2)
 			var jobs []*job.Job
 			for i, a := range tt.jobs {
-				jobs = append(jobs, r.jobTable.add(&job.Record{At: r.since.Add(a.at).UnixMilli(), Spec: job.Spec{ID: fmt.Sprintf("run-%d", i), Team: a.team,
-					ShapeName: "ensemble", RankName: "idle", Tasks: a.tasks, CPUs: a.cpus, Booking: a.booking}}, 1, r.since))
+				jobs = append(jobs, r.jobTable.add(&job.Record{At: r.termStart.Add(a.at).UnixMilli(), Spec: job.Spec{ID: fmt.Sprintf("run-%d", i), Team: a.team,
+					ShapeName: "ensemble", PriorityName: "idle", Tasks: a.tasks, CPUs: a.cpus, Reservation: a.booking}}, 1, r.termStart))
 			}
-			now := r.since.Add(time.Second)
+			now := r.termStart.Add(time.Second)
 			r.calendarStore.step(now)
 			var waits []string
 			for i, j := range jobs {
@@ -104,10 +104,10 @@
 // for as long as they may run.
 func TestNeeds(t *testing.T) {
 	r := booked(t, 1)
-	now := r.since.Add(time.Hour) // the slot begins, and lasts half an hour
+	now := r.termStart.Add(time.Hour) // the slot begins, and lasts half an hour
 	add := func(id, booking string) *job.Job {
-		return r.jobTable.add(&job.Record{At: r.since.UnixMilli(), Spec: job.Spec{ID: id, Team: "red", ShapeName: "ensemble", RankName: "idle",
-			Tasks: 2, CPUs: 4, EstimateS: 2400, Booking: booking}}, 1, r.since)
+		return r.jobTable.add(&job.Record{At: r.termStart.UnixMilli(), Spec: job.Spec{ID: id, Team: "red", ShapeName: "ensemble", PriorityName: "idle",
+			Tasks: 2, CPUs: 4, EstimateS: 2400, Reservation: booking}}, 1, r.termStart)
 	}
 	claimer, other := add("run-1", "r0"), add("run-2", "")
 	r.calendarStore.step(now)
@@ -124,7 +124,7 @@
 	for _, n := range []int{100, 1000, 10_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			r := booked(b, n)
-			at := r.since.Add(time.Second)
+			at := r.termStart.Add(time.Second)
 			for b.Loop() {
 				at = at.Add(calendarEvery)
 				r.calendarStore.step(at)
--- a/internal/control/commands.go
+++ b/internal/control/commands.go
@@ -22,55 +22,55 @@
 	takeover    *takeover
 	shards      *shards
 
-	calls int // under way
-	most  int
-	next  time.Time // of the next look at what cannot wait
+	callsInFlight  int // under way
+	maxCalls       int
+	nextUrgentScan time.Time // of the next look at what cannot wait
 }
 
-// urgentEvery spaces the looks at the machines that wait for a command: in a large
+// urgentScanInterval spaces the looks at the machines that wait for a command: in a large
 // fleet they are hundreds, and one after each message took a fifth of the leader's
 // time.
-const urgentEvery = 20 * time.Millisecond
+const urgentScanInterval = 20 * time.Millisecond
 
-// urgent sends what cannot wait for the next reports.
-func (cm *commands) urgent(now time.Time) {
-	if now.Before(cm.next) {
+// sendUrgent sends what cannot wait for the next reports.
+func (cm *commands) sendUrgent(now time.Time) {
+	if now.Before(cm.nextUrgentScan) {
 		return
 	}
-	cm.next = now.Add(urgentEvery)
+	cm.nextUrgentScan = now.Add(urgentScanInterval)
 	for _, h := range cm.fleet.Awake() {
-		if cm.reachable(h, now) && h.Urgent(now) {
-			cm.call(h, now)
+		if cm.mayCall(h, now) && h.Urgent(now) {
+			cm.send(h, now)
 		}
 	}
 }
 
-// fence calls the workers that have not shown this term yet, and those that do not
+// fenceWorkers calls the workers that have not shown this term yet, and those that do not
 // seem to hear: an answer brings them back into use.
-func (cm *commands) fence(now time.Time) {
+func (cm *commands) fenceWorkers(now time.Time) {
 	for _, h := range cm.fleet.All() {
-		if (!h.Fenced || h.Deaf() || h.Unheard) && cm.reachable(h, now) {
-			cm.call(h, now)
+		if (!h.Fenced || h.Deaf() || h.Unheard) && cm.mayCall(h, now) {
+			cm.send(h, now)
 		}
 	}
 }
 
-// reachable reports whether a direct command may be sent now.
-func (cm *commands) reachable(h *fleet.Host, now time.Time) bool {
+// mayCall reports whether a direct command may be sent now.
+func (cm *commands) mayCall(h *fleet.Host, now time.Time) bool {
 	if h.Calling || h.Lost || h.Addr == "" || !h.Durable || now.Before(h.NextCall) {
 		return false
 	}
 	relayed, may := cm.shards.takes(h)
-	return may && (relayed || cm.calls < cm.most)
+	return may && (relayed || cm.callsInFlight < cm.maxCalls)
 }
 
-// call sends a direct command: it fences a worker after a takeover, and brings
+// send sends a direct command: it fences a worker after a takeover, and brings
 // launches and halts without waiting for the next report.
-func (cm *commands) call(h *fleet.Host, now time.Time) {
+func (cm *commands) send(h *fleet.Host, now time.Time) {
 	session := max(1, h.Session)
 	orders, sent, ev := cm.fleet.Compose(h, 0, h.Usable(), now, maxOrders)
-	cm.takeover.launched(len(sent), now)
-	cm.taskTracker.handle(ev, now)
+	cm.takeover.recordLaunches(len(sent), now)
+	cm.taskTracker.applyEvents(ev, now)
 	body, err := wire.Marshal(wire.Direct{Token: cm.term, Session: session, Orders: orders})
 	if err != nil {
 		cm.log.Error("orders do not encode", "error", err)
@@ -81,13 +81,13 @@
 		cm.shards.relay(h, body, sent, now)
 		return
 	}
-	cm.calls++
+	cm.callsInFlight++
 	addr := h.Addr
 	go func() {
-		status, b, reached, err := Direct(cm.ctx, cm.c.direct, addr, body, func() bool { return cm.c.Entitled(cm.term) })
-		cm.post(func() {
-			cm.calls--
-			cm.ended(h, status, b, reached, err, sent)
+		status, b, reached, err := SendDirect(cm.ctx, cm.controller.directClient, addr, body, func() bool { return cm.controller.Entitled(cm.term) })
+		cm.enqueue(func() {
+			cm.callsInFlight--
+			cm.finishCall(h, status, b, reached, err, sent)
 		})
 	}()
 }
@@ -101,14 +101,14 @@
 // errNotEntitled: the sender may not act for the leader any more.
 var errNotEntitled = errors.New("not entitled")
 
-// directTime bounds a direct command.
-const directTime = 2500 * time.Millisecond
+// directTimeout bounds a direct command.
+const directTimeout = 2500 * time.Millisecond
 
-// Direct sends a direct command and returns the worker's answer; reached tells
+// SendDirect sends a direct command and returns the worker's answer; reached tells
 // whether anything can have been sent. Whether the sender may is asked as late as
 // possible.
-func Direct(ctx context.Context, hc *http.Client, addr string, body []byte, may func() bool) (status int, answer []byte, reached bool, err error) {
-	ctx, cancel := context.WithTimeout(ctx, directTime)
+func SendDirect(ctx context.Context, hc *http.Client, addr string, body []byte, may func() bool) (status int, answer []byte, reached bool, err error) {
+	ctx, cancel := context.WithTimeout(ctx, directTimeout)
 	defer cancel()
 	var got atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { got.Store(true) }})
@@ -133,10 +133,10 @@
 	return res.StatusCode, b, true, nil
 }
 
-const maxCallPause = 4 * time.Second
+const maxCallBackoff = 4 * time.Second
 
-// ended takes in what became of a direct command, whoever sent it.
-func (cm *commands) ended(h *fleet.Host, status int, answer []byte, reached bool, err error, sent []*fleet.Slot) {
+// finishCall takes in what became of a direct command, whoever sent it.
+func (cm *commands) finishCall(h *fleet.Host, status int, answer []byte, reached bool, err error, sent []*fleet.Slot) {
 	now := time.Now()
 	h.Calling = false
 	if cm.fleet.Hosts[h.Name] != h {
@@ -151,17 +151,17 @@
 	}
 	if !reached || (status != http.StatusOK && rep != nil) || status == http.StatusBadRequest {
 		// Nothing was executed, and nothing will be.
-		cm.taskTracker.handle(cm.fleet.Unsent(sent), now)
+		cm.taskTracker.applyEvents(cm.fleet.Unsent(sent), now)
 	}
 	if rep == nil {
 		cm.log.Debug("direct command failed", "host", h.Name, "status", status, "error", err)
 		// Silent machines must not hold the few calls at a time that there are.
-		h.NextCall = now.Add(min(maxCallPause, time.Second<<min(h.Failures, 8)))
+		h.NextCall = now.Add(min(maxCallBackoff, time.Second<<min(h.Failures, 8)))
 		h.Failures++
 		// A machine that hangs, or that nothing reaches, has much room and would be
 		// chosen again and again.
 		h.Unheard = true
-		cm.taskTracker.handle(cm.fleet.Withdraw(h), now)
+		cm.taskTracker.applyEvents(cm.fleet.Withdraw(h), now)
 		return
 	}
 	h.Failures = 0
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -35,8 +35,8 @@
 	Entitled func(term uint64) bool
 	// Follow asks the leader of the home region from another one.
 	Follow Follow
-	// Left is for how long that is so without another renewal.
-	Left func(term uint64) time.Duration
+	// Remaining is for how long that is so without another renewal.
+	Remaining func(term uint64) time.Duration
 	// Deposed is told of a later term that a worker has seen.
 	Deposed func(term uint64)
 }
@@ -44,22 +44,22 @@
 // Controller answers for the cluster while its node leads.
 type Controller struct {
 	Deps
-	direct *http.Client
-	groups groupReader
+	directClient *http.Client
+	groups       groupReader
 
 	mu         sync.Mutex
 	leaderTerm *leaderTerm
 	types      []wire.MachineType // the last price list, kept over terms
 }
 
-// DirectCalls is how many direct commands may be under way at a time: a whole
+// MaxDirectCalls is how many direct commands may be under way at a time: a whole
 // fleet at once would use up the sockets and the processor.
-func DirectCalls(maxSockets int) int { return max(8, maxSockets/16) }
+func MaxDirectCalls(maxSockets int) int { return max(8, maxSockets/16) }
 
 // New makes a controller that does not lead yet.
 func New(d Deps) *Controller {
 	return &Controller{Deps: d, groups: groupReader{state: d.State},
-		direct: DirectClient(d.Dial, DirectCalls(d.Settings.Facts.Resources.MaxSockets))}
+		directClient: DirectClient(d.Dial, MaxDirectCalls(d.Settings.Facts.Resources.MaxSockets))}
 }
 
 // The state service's limits are shared out by role: nearly all requests are the
@@ -67,13 +67,13 @@
 // limits, so that a storm of users at all nodes does not get the leader's own
 // requests refused. What is left is the election's.
 const (
-	leaderReads, otherReads   = 0.55, 0.18
-	leaderWrites, otherWrites = 0.75, 0.1
+	leaderReads, followerReads   = 0.55, 0.18
+	leaderWrites, followerWrites = 0.75, 0.1
 )
 
 // StateBudget is a node's share of the state service's limits.
 func StateBudget(set *config.Settings, leads bool) state.Budget {
-	reads, writes := otherReads, otherWrites
+	reads, writes := followerReads, followerWrites
 	if leads {
 		reads, writes = leaderReads, leaderWrites
 	}
@@ -96,7 +96,7 @@
 	c.mu.Unlock()
 }
 
-func (c *Controller) current() *leaderTerm {
+func (c *Controller) currentTerm() *leaderTerm {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.leaderTerm
@@ -104,7 +104,7 @@
 
 // Leading reports whether the node leads and is entitled to.
 func (c *Controller) Leading() bool {
-	r := c.current()
+	r := c.currentTerm()
 	return r != nil && c.Entitled(r.term)
 }
 
@@ -116,24 +116,24 @@
 	return &rpc.Reply{Status: status, Body: b}
 }
 
-// Later tells the client to come back.
-func Later(why string) *rpc.Reply {
+// Unavailable tells the client to come back.
+func Unavailable(why string) *rpc.Reply {
 	r := reply(http.StatusServiceUnavailable, wire.Error{Error: why})
 	r.RetryAfter = 1
 	return r
 }
 
-// settled marks a refusal as the leader's own word: the node that handed the
+// finalRefusal marks a refusal as the leader's own word: the node that handed the
 // request on must not try by itself, which would double the load that the
 // leader turns away.
-func settled(p *rpc.Reply) *rpc.Reply {
+func finalRefusal(p *rpc.Reply) *rpc.Reply {
 	p.Settled = true
 	return p
 }
 
 // Answer answers a request as leader; nil means that this node does not lead.
 func (c *Controller) Answer(ctx context.Context, q *rpc.Request) *rpc.Reply {
-	r := c.current()
+	r := c.currentTerm()
 	if r == nil || !c.Entitled(r.term) {
 		return nil
 	}
@@ -153,7 +153,7 @@
 // requestHandler decodes a request into the step that the actor takes for it and
 // the queue that the step waits in; refusal is set for a request that cannot be read.
 func requestHandler(r *leaderTerm, q *rpc.Request) (do actorStep, box chan func(), refusal *rpc.Reply) {
-	box = r.users
+	box = r.userInbox
 	switch q.Kind {
 	case rpc.KindSubmit:
 		id, spec, err := submission(q.Body)
@@ -185,7 +185,7 @@
 		if err := wire.Unmarshal(q.Body, m); err != nil || m.Host == "" || m.Session == 0 {
 			return nil, nil, reply(http.StatusBadRequest, wire.Error{Error: "malformed report"})
 		}
-		do, box = func(r *leaderTerm, back func(*rpc.Reply)) { r.report(m, q.Via, back) }, r.inbox
+		do, box = func(r *leaderTerm, back func(*rpc.Reply)) { r.heartbeat(m, q.Via, back) }, r.inbox
 	default:
 		return nil, nil, reply(http.StatusBadRequest, wire.Error{Error: "unknown request"})
 	}
@@ -217,7 +217,7 @@
 	case <-r.ctx.Done():
 		return nil
 	case <-ctx.Done():
-		return Later("busy")
+		return Unavailable("busy")
 	}
 	select {
 	case p := <-ch:
@@ -230,7 +230,7 @@
 	case <-r.ctx.Done():
 		return nil
 	case <-ctx.Done():
-		return Later("not settled yet")
+		return Unavailable("not settled yet")
 	}
 }
 
@@ -261,14 +261,14 @@
 	why, known := neverSchedulable(spec, types, team.now)
 	if why != "" && team.soon != nil {
 		if later, _ := neverSchedulable(spec, types, team.soon); later == "" {
-			return Later("the team's quota is about to change")
+			return Unavailable("the team's quota is about to change")
 		}
 	}
 	switch {
 	case !known:
-		return Later("machine types are not known yet")
+		return Unavailable("machine types are not known yet")
 	case why != "":
-		return reply(http.StatusUnprocessableEntity, wire.Error{Error: job.ErrNever.Error() + ": " + why})
+		return reply(http.StatusUnprocessableEntity, wire.Error{Error: job.ErrUnschedulable.Error() + ": " + why})
 	}
 	return nil
 }
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -19,7 +19,7 @@
 	"vetchstream/internal/wire"
 )
 
-func bench(t testing.TB, teams ...config.Team) *leaderTerm {
+func newTestTerm(t testing.TB, teams ...config.Team) *leaderTerm {
 	t.Helper()
 	set := &config.Settings{Member: "n0"}
 	set.Facts.Workers.LeaseS = 10
@@ -37,11 +37,11 @@
 
 func (r *leaderTerm) learn(types []wire.MachineType) {
 	r.nameIndex.learn(types)
-	r.jobTable.rebind()
+	r.jobTable.rebindNames()
 }
 
 func (r *leaderTerm) array(id string) *job.Job {
-	return r.jobTable.add(&job.Record{Spec: job.Spec{ID: id, ShapeName: "array", RankName: "idle", Tasks: 100, CPUs: 1}}, 1, time.Unix(1000, 0))
+	return r.jobTable.add(&job.Record{Spec: job.Spec{ID: id, ShapeName: "array", PriorityName: "idle", Tasks: 100, CPUs: 1}}, 1, time.Unix(1000, 0))
 }
 
 // TestBlame: who is at fault when tasks fail, the machine or the job.
@@ -66,7 +66,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			r := bench(t)
+			r := newTestTerm(t)
 			now := time.Unix(1000, 0)
 			jobs := map[string]*job.Job{}
 			for i, st := range tt.steps {
@@ -79,7 +79,7 @@
 				if st.done {
 					s.Cause = wire.CauseDone
 				}
-				r.taskTracker.ended(s, j, r.host(st.host), now)
+				r.taskTracker.taskEnded(s, j, r.host(st.host), now)
 			}
 			sick, held := "", ""
 			for _, h := range r.fleet.All() {
@@ -114,11 +114,11 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			r := bench(t)
+			r := newTestTerm(t)
 			j, now := r.array("run-1"), time.Unix(1000, 0)
 			end := func(task int, host string, ran time.Duration, adopted bool) {
 				s := &fleet.Slot{Key: fleet.Key{Job: j, Task: int32(task)}, Cause: wire.CauseDone, RunAt: now.Add(-ran), Adopted: adopted}
-				r.taskTracker.ended(s, j, r.host(host), now)
+				r.taskTracker.taskEnded(s, j, r.host(host), now)
 			}
 			for i := range 10 {
 				if tt.adopted {
@@ -154,10 +154,10 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			r := bench(t, config.Team{Name: "red"}, config.Team{Name: "blue"})
+			r := newTestTerm(t, config.Team{Name: "red"}, config.Team{Name: "blue"})
 			r.learn([]wire.MachineType{{Name: "small", CPUs: 8, MemGB: 16, Zones: []string{"a"}}})
 			for id, team := range map[string]string{"run-1": "red", "run-2": "blue", "run-3": "red"} {
-				r.jobTable.add(&job.Record{Spec: job.Spec{ID: id, Team: team, ShapeName: "array", RankName: "idle", Tasks: 1, CPUs: 1}}, 1, time.Unix(1000, 0))
+				r.jobTable.add(&job.Record{Spec: job.Spec{ID: id, Team: team, ShapeName: "array", PriorityName: "idle", Tasks: 1, CPUs: 1}}, 1, time.Unix(1000, 0))
 			}
 			h := r.host("h1")
 			r.nameIndex.describe(h, "small", "a", false)
@@ -170,7 +170,7 @@
 			}
 			r.takeover.inherited = []*fleet.Host{h}
 			teams := make([]place.Team, 2)
-			got := r.takeover.blocked(teams)
+			got := r.takeover.blockedJobs(teams)
 			names := ""
 			for _, id := range []string{"run-1", "run-2", "run-3"} {
 				if got[r.jobTable.get(id)] {
@@ -200,7 +200,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			r := bench(t)
+			r := newTestTerm(t)
 			r.array("run-1")
 			for i := range tt.fleet {
 				h := r.host(fmt.Sprintf("h%d", i))
@@ -211,7 +211,7 @@
 					}
 				}
 			}
-			r.takeover.silent()
+			r.takeover.releaseSilent()
 			if got := len(r.machinePool.returns) == tt.silent; got != tt.want {
 				t.Errorf("%d given up, want all: %v", len(r.machinePool.returns), tt.want)
 			}
@@ -236,7 +236,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			r := bench(t)
+			r := newTestTerm(t)
 			r.learn([]wire.MachineType{{Name: "small", CPUs: 8, MemGB: 16, Zones: []string{"a"}}})
 			for _, n := range []string{"h1", "h2", "h3"} {
 				h := r.host(n)
@@ -247,8 +247,8 @@
 			for _, n := range tt.list {
 				list = append(list, wire.CloudHost{Name: n})
 			}
-			r.takeover.listed(list)
-			r.takeover.settle(r.since.Add(tt.after))
+			r.takeover.compareListing(list)
+			r.takeover.reconcile(r.termStart.Add(tt.after))
 			got := ""
 			for _, h := range r.machinePool.returns {
 				got += h.Name
@@ -278,8 +278,8 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			r := bench(t)
-			r.report(&wire.Report{Host: "h2", Type: "small", Zone: "a", Session: 1, Seq: 4, Tasks: []wire.TaskReport{{Task: "run-1/0", Attempt: 1, Phase: wire.Running}}},
+			r := newTestTerm(t)
+			r.heartbeat(&wire.Report{Host: "h2", Type: "small", Zone: "a", Session: 1, Seq: 4, Tasks: []wire.TaskReport{{Task: "run-1/0", Attempt: 1, Phase: wire.Running}}},
 				"", func(*rpc.Reply) {})
 			for _, names := range tt.lists {
 				var list []wire.CloudHost
@@ -315,12 +315,12 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			r := bench(t)
-			r.takeover.phases.load = r.since.Add(tt.load)
+			r := newTestTerm(t)
+			r.takeover.phases.loaded = r.termStart.Add(tt.load)
 			if tt.meet > 0 {
-				r.takeover.phases.meet = r.since.Add(tt.meet)
+				r.takeover.phases.contacted = r.termStart.Add(tt.meet)
 			}
-			if got := r.takeover.begun().Add(r.takeover.silentTime()).Sub(r.since); got != tt.want {
+			if got := r.takeover.contactStart().Add(r.takeover.silentTimeout()).Sub(r.termStart); got != tt.want {
 				t.Errorf("silent after %v, want %v", got, tt.want)
 			}
 		})
@@ -390,7 +390,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			r := bench(t, config.Team{Name: "red", CPUsMax: 10, GPUsMax: 6})
+			r := newTestTerm(t, config.Team{Name: "red", CPUsMax: 10, GPUsMax: 6})
 			if !tt.bare {
 				r.learn(types)
 			}
@@ -410,16 +410,16 @@
 func TestChosen(t *testing.T) {
 	for _, slots := range []int{0, 2} {
 		t.Run(fmt.Sprintf("%d slots", slots), func(t *testing.T) {
-			r := bench(t)
+			r := newTestTerm(t)
 			r.learn([]wire.MachineType{{Name: "small", CPUs: 4, MemGB: 16, Zones: []string{"a", "b"}}})
 			r.nameIndex.zone("a")
 			need := place.Amount{CPUs: 4}
-			gang := r.jobTable.add(&job.Record{Spec: job.Spec{ID: "run-1", ShapeName: "ensemble", RankName: "idle", Tasks: 2, CPUs: 4, OneZone: true}}, 1, r.since)
+			gang := r.jobTable.add(&job.Record{Spec: job.Spec{ID: "run-1", ShapeName: "ensemble", PriorityName: "idle", Tasks: 2, CPUs: 4, OneZone: true}}, 1, r.termStart)
 			r.machinePool.want([]autoscale.Want{{Demand: &place.Demand{ID: r.jobTable.index(gang), Shape: job.Gang, Need: need, Zone: -1, OneZone: true, InZone: make([]int, 2)}, Count: 2, Chosen: -7}})
 			for range slots {
 				r.reservationHolds.wants = append(r.reservationHolds.wants, autoscale.Want{Demand: &place.Demand{Shape: job.Gang, Need: need, Zone: 0, InZone: make([]int, 2)}, Count: 1})
 			}
-			r.machinePool.rent(r.since)
+			r.machinePool.rent(r.termStart)
 			if got := r.machinePool.wants[0].Chosen; got < 0 {
 				t.Errorf("chosen zone %d", got)
 			}
@@ -457,18 +457,18 @@
 		{"a gang of one that is apart", func(s *job.Spec) { s.ShapeName, s.Spread, s.Zone, s.Tasks = "ensemble", true, "a", 1 }, 0},
 		{"an array that is apart, in one zone: a half at a time", func(s *job.Spec) { s.Spread, s.Zone = true, "a" }, 0},
 	}
-	r := bench(t, config.Team{Name: "red", GPUsMax: 5}, config.Team{Name: "blue", CPUsMax: 2})
+	r := newTestTerm(t, config.Team{Name: "red", GPUsMax: 5}, config.Team{Name: "blue", CPUsMax: 2})
 	for _, tt := range tests {
-		s := job.Spec{ID: "run-1", Team: "red", ShapeName: "array", RankName: "idle", Tasks: 2, CPUs: 1, MemGB: 1}
+		s := job.Spec{ID: "run-1", Team: "red", ShapeName: "array", PriorityName: "idle", Tasks: 2, CPUs: 1, MemGB: 1}
 		tt.edit(&s)
 		got := 0
-		if p := r.c.admissionRefusal(&s, types, r.teamQuotas.find(s.Team)); p != nil {
+		if p := r.controller.admissionRefusal(&s, types, r.teamQuotas.find(s.Team)); p != nil {
 			got = p.Status
 		}
 		if got != tt.want {
 			t.Errorf("%s: %d, want %d", tt.name, got, tt.want)
 		}
-		if p := r.c.admissionRefusal(&s, nil, r.teamQuotas.find(s.Team)); s.Team != "green" && (p == nil || p.Status != 503) {
+		if p := r.controller.admissionRefusal(&s, nil, r.teamQuotas.find(s.Team)); s.Team != "green" && (p == nil || p.Status != 503) {
 			t.Errorf("%s, types not known: %v, want 503", tt.name, p)
 		}
 	}
--- a/internal/control/gangs_test.go
+++ b/internal/control/gangs_test.go
@@ -24,17 +24,17 @@
 		{"another has no place", []string{wire.Pulling}, true},
 	}
 	for _, tt := range tests {
-		r := bench(t)
+		r := newTestTerm(t)
 		now := time.Unix(1000, 0)
-		j := r.jobTable.add(&job.Record{Spec: job.Spec{ID: "run-1", ShapeName: "ensemble", RankName: "standard", Tasks: 3, CPUs: 1}}, 1, now)
+		j := r.jobTable.add(&job.Record{Spec: job.Spec{ID: "run-1", ShapeName: "ensemble", PriorityName: "standard", Tasks: 3, CPUs: 1}}, 1, now)
 		j.GangAttempt = 5
 		for i, phase := range tt.phases {
 			s := r.fleet.Assign(r.host("h1"), fleet.Key{Job: j, Task: int32(i + 1), Attempt: 5}, now)
 			s.Phase, s.Sent = phase, true
 		}
-		r.taskTracker.ended(&fleet.Slot{Key: fleet.Key{Job: j, Attempt: 5}, Phase: wire.Exited, Cause: wire.CauseIncomplete}, j, r.host("h2"), now)
-		if j.GangBroken != tt.broken || (!tt.broken && j.GangAttempt != 5) {
-			t.Errorf("%s: begins anew %v, want %v", tt.name, j.GangBroken, tt.broken)
+		r.taskTracker.taskEnded(&fleet.Slot{Key: fleet.Key{Job: j, Attempt: 5}, Phase: wire.Exited, Cause: wire.CauseIncomplete}, j, r.host("h2"), now)
+		if j.GangStopping != tt.broken || (!tt.broken && j.GangAttempt != 5) {
+			t.Errorf("%s: begins anew %v, want %v", tt.name, j.GangStopping, tt.broken)
 		}
 	}
 }
@@ -55,14 +55,14 @@
 		{"of an earlier leader, for long", patience, true, true},
 	}
 	for _, tt := range tests {
-		r := bench(t, config.Team{Name: "red"})
+		r := newTestTerm(t, config.Team{Name: "red"})
 		r.learn([]wire.MachineType{{Name: "x", CPUs: 8, BootS: 1000, Zones: []string{"a"}}})
-		now := r.since.Add(tt.deaf)
+		now := r.termStart.Add(tt.deaf)
 		h := r.host("h1")
 		r.nameIndex.describe(h, "x", "a", false)
 		h.Booting, h.Durable, h.Fenced, h.IdleFrom = false, true, !tt.old, now
 		if h.Inherited = tt.old; !tt.old {
-			r.fleet.Deafen(h, r.since)
+			r.fleet.Deafen(h, r.termStart)
 		}
 		r.machinePool.giveBack(now)
 		if h.Releasing != tt.returned {
--- a/internal/control/job_table.go
+++ b/internal/control/job_table.go
@@ -18,32 +18,32 @@
 	taskTracker     *taskTracker
 	admissionGroups *admissionGroups
 
-	jobs   map[string]*job.Job
-	ids    map[*job.Job]int
-	byID   map[int]*job.Job
-	nextID int
-	// strangers are jobs that a report named and no record was loaded for: what
+	jobs        map[string]*job.Job
+	indexes     map[*job.Job]int
+	jobsByIndex map[int]*job.Job
+	lastIndex   int
+	// unidentified are jobs that a report named and no record was loaded for: what
 	// they take of a machine is not known until their record is read.
-	strangers map[*job.Job]bool
+	unidentified map[*job.Job]bool
 }
 
 func newJobTable(co *core) *jobTable {
-	bk := &jobTable{core: co, strangers: map[*job.Job]bool{}}
+	bk := &jobTable{core: co, unidentified: map[*job.Job]bool{}}
 	bk.reset()
 	return bk
 }
 
 // reset forgets the jobs of a load that failed half-way.
 func (bk *jobTable) reset() {
-	bk.jobs, bk.ids, bk.byID = map[string]*job.Job{}, map[*job.Job]int{}, map[int]*job.Job{}
+	bk.jobs, bk.indexes, bk.jobsByIndex = map[string]*job.Job{}, map[*job.Job]int{}, map[int]*job.Job{}
 }
 
 // get returns the job of that id, a stranger too; nil: there is none.
 func (bk *jobTable) get(id string) *job.Job { return bk.jobs[id] }
 
-// sound returns the job of that id if its record is known.
-func (bk *jobTable) sound(id string) *job.Job {
-	if j := bk.jobs[id]; j != nil && !bk.strangers[j] {
+// identified returns the job of that id if its record is known.
+func (bk *jobTable) identified(id string) *job.Job {
+	if j := bk.jobs[id]; j != nil && !bk.unidentified[j] {
 		return j
 	}
 	return nil
@@ -53,21 +53,21 @@
 func (bk *jobTable) all() map[string]*job.Job { return bk.jobs }
 
 // index is a job's dense index, from 1; 0: it is not in the job table.
-func (bk *jobTable) index(j *job.Job) int { return bk.ids[j] }
+func (bk *jobTable) index(j *job.Job) int { return bk.indexes[j] }
 
-// at is the job of an index.
-func (bk *jobTable) at(index int) *job.Job { return bk.byID[index] }
+// byIndex is the job of an index.
+func (bk *jobTable) byIndex(index int) *job.Job { return bk.jobsByIndex[index] }
 
-// stranger reports whether a job's record is not known yet.
-func (bk *jobTable) stranger(j *job.Job) bool { return bk.strangers[j] }
+// isUnidentified reports whether a job's record is not known yet.
+func (bk *jobTable) isUnidentified(j *job.Job) bool { return bk.unidentified[j] }
 
-// strange are the jobs whose records are not known yet.
-func (bk *jobTable) strange() map[*job.Job]bool { return bk.strangers }
+// unidentifiedJobs are the jobs whose records are not known yet.
+func (bk *jobTable) unidentifiedJobs() map[*job.Job]bool { return bk.unidentified }
 
-// rebind maps names anew, after a price list.
-func (bk *jobTable) rebind() {
+// rebindNames maps names anew, after a price list.
+func (bk *jobTable) rebindNames() {
 	for _, j := range bk.jobs {
-		bk.bind(j)
+		bk.bindNames(j)
 	}
 	for _, h := range bk.fleet.All() {
 		if bk.nameIndex.typeOf(h) != nil {
@@ -80,17 +80,17 @@
 	j := job.New(rec, submitted)
 	j.Version = version
 	bk.jobs[j.ID] = j
-	bk.nextID++
-	bk.ids[j], bk.byID[bk.nextID] = bk.nextID, j
-	bk.bind(j)
+	bk.lastIndex++
+	bk.indexes[j], bk.jobsByIndex[bk.lastIndex] = bk.lastIndex, j
+	bk.bindNames(j)
 	bk.registry.adopt(j)
-	bk.changed()
+	bk.requestPlan()
 	bk.log.Info("job is taken in", "job", j.ID, "class", j.Class, "team", j.Team, "tasks", j.Tasks, "cpus", j.CPUs, "estimate", j.EstimateS)
 	return j
 }
 
-// bind maps a job's names to indices.
-func (bk *jobTable) bind(j *job.Job) {
+// bindNames maps a job's names to indices.
+func (bk *jobTable) bindNames(j *job.Job) {
 	if t := bk.nameIndex.team(j.Team); t >= 0 {
 		j.TeamIdx = t
 	}
@@ -98,14 +98,14 @@
 	if j.Zone != "" {
 		j.ZoneIdx = bk.nameIndex.zone(j.Zone)
 	}
-	j.TypeOK = nil
+	j.TypeAllowed = nil
 	if j.Types != nil {
-		j.TypeOK = bk.nameIndex.allowed(j.Types)
+		j.TypeAllowed = bk.nameIndex.allowed(j.Types)
 	}
 }
 
-// find returns the job of a task that a report names.
-func (bk *jobTable) find(id string) *job.Job {
+// findOrAdd returns the job of a task that a report names.
+func (bk *jobTable) findOrAdd(id string) *job.Job {
 	if j := bk.jobs[id]; j != nil {
 		return j
 	}
@@ -114,16 +114,16 @@
 	if rec := bk.admissionGroups.find(id); rec != nil {
 		return bk.add(rec, 0, time.Now())
 	}
-	rec := &job.Record{Spec: job.Spec{ID: id, Tasks: job.MaxTasks, ShapeName: "array", RankName: "idle"}, Phase: wire.JobAborted}
+	rec := &job.Record{Spec: job.Spec{ID: id, Tasks: job.MaxTasks, ShapeName: "array", PriorityName: "idle"}, Phase: wire.JobAborted}
 	j := bk.add(rec, 0, time.Now())
-	bk.strangers[j] = true
+	bk.unidentified[j] = true
 	go bk.identify(j, id)
 	return j
 }
 
 func (bk *jobTable) identify(j *job.Job, id string) {
 	for bk.ctx.Err() == nil {
-		rec, version, err := lookup(bk.ctx, bk.c.State, id)
+		rec, version, err := lookup(bk.ctx, bk.controller.State, id)
 		if errors.Is(err, errUnreadable) {
 			// What its tasks take of a team's limit will not be known: nothing is placed
 			// until they are gone.
@@ -131,22 +131,22 @@
 			return
 		}
 		if err != nil {
-			bk.pause(300 * time.Millisecond)
+			bk.sleep(300 * time.Millisecond)
 			continue
 		}
-		bk.post(func() {
-			delete(bk.strangers, j)
+		bk.enqueue(func() {
+			delete(bk.unidentified, j)
 			if rec == nil {
 				bk.log.Error("a machine runs a task of a job without a record", "job", id)
 				return
 			}
-			j.Become(rec, time.Now())
+			j.ReplaceRecord(rec, time.Now())
 			j.Version = version
-			bk.bind(j)
+			bk.bindNames(j)
 			for _, h := range bk.fleet.All() {
 				h.Recount()
 			}
-			bk.changed()
+			bk.requestPlan()
 		})
 		return
 	}
@@ -155,12 +155,12 @@
 // latestStart is when a job has to start to meet its aims, in seconds from the
 // start of the term.
 func (bk *jobTable) latestStart(j *job.Job) float64 {
-	at := j.Submitted.Sub(bk.since).Seconds()
+	at := j.Submitted.Sub(bk.termStart).Seconds()
 	best := math.Inf(1)
 	if j.DeadlineS != nil {
-		best = min(best, at+*j.DeadlineS-estimate(j))
+		best = min(best, at+*j.DeadlineS-runTimeEstimate(j))
 	}
-	for _, o := range bk.c.Settings.Facts.Objectives {
+	for _, o := range bk.controller.Settings.Facts.Objectives {
 		if o.Class != j.Class || o.WithinS <= 0 {
 			continue
 		}
@@ -169,8 +169,8 @@
 			best = min(best, at+o.WithinS)
 		case "finished":
 			// An aim that the job's own run time rules out gives no reason to hurry.
-			if o.WithinS > estimate(j) {
-				best = min(best, at+o.WithinS-estimate(j))
+			if o.WithinS > runTimeEstimate(j) {
+				best = min(best, at+o.WithinS-runTimeEstimate(j))
 			}
 		}
 	}
@@ -180,36 +180,36 @@
 	return best
 }
 
-func (bk *jobTable) running(j *job.Job) (n int) {
+func (bk *jobTable) runningTasks(j *job.Job) (n int) {
 	for s := range bk.fleet.On(j) {
 		if s.Phase == wire.Running || s.Phase == wire.Saving {
 			n++
 		}
 	}
-	if j.Handle {
+	if j.IsVersionGroup {
 		for _, v := range j.Versions {
-			n += bk.running(v)
+			n += bk.runningTasks(v)
 		}
 	}
 	return n
 }
 
-// sweep drops jobs that are over once nothing of them is on any machine.
-func (bk *jobTable) sweep() {
+// removeFinished drops jobs that are over once nothing of them is on any machine.
+func (bk *jobTable) removeFinished() {
 	for id, j := range bk.jobs {
-		if (j.Phase != "" || bk.strangers[j]) && len(bk.fleet.On(j)) == 0 {
+		if (j.Phase != "" || bk.unidentified[j]) && len(bk.fleet.On(j)) == 0 {
 			bk.registry.orphan(id)
 			bk.planner.forget(j)
 			delete(bk.jobs, id)
-			delete(bk.byID, bk.ids[j])
-			delete(bk.ids, j)
-			delete(bk.strangers, j)
+			delete(bk.jobsByIndex, bk.indexes[j])
+			delete(bk.indexes, j)
+			delete(bk.unidentified, j)
 		}
 	}
 }
 
-// estimate is the expected run time of a task.
-func estimate(j *job.Job) float64 {
+// runTimeEstimate is the expected run time of a task.
+func runTimeEstimate(j *job.Job) float64 {
 	if j.EstimateS <= 0 {
 		return 60
 	}
--- a/internal/control/leader_term.go
+++ b/internal/control/leader_term.go
@@ -22,39 +22,39 @@
 // actor's inbox, and the ledger of what may be on each machine (package fleet,
 // which guards its own state).
 type core struct {
-	c     *Controller
-	ctx   context.Context
-	log   *slog.Logger
-	debug bool
-	term  uint64
-	fence state.Cond
-	since time.Time
-	alive time.Time // when the leader before was last heard of
-	inbox chan func()
-	// users is the inbox for what users ask and wait for. It comes first: hundreds
+	controller     *Controller
+	ctx            context.Context
+	log            *slog.Logger
+	debug          bool
+	term           uint64
+	fence          state.Cond
+	termStart      time.Time
+	lastLeaderSeen time.Time // when the leader before was last heard of
+	inbox          chan func()
+	// userInbox is the inbox for what users ask and wait for. It comes first: hundreds
 	// of reports can be queued where the processor is short.
-	users chan func()
-	fleet *fleet.Fleet
-	dirty bool // something has changed that a plan may use
+	userInbox     chan func()
+	fleet         *fleet.Fleet
+	planRequested bool // something has changed that a plan may use
 }
 
-// post hands a result to the actor.
-func (co *core) post(f func()) {
+// enqueue hands a result to the actor.
+func (co *core) enqueue(f func()) {
 	select {
 	case co.inbox <- f:
 	case <-co.ctx.Done():
 	}
 }
 
-// ahead hands the actor a result that users wait for.
-func (co *core) ahead(f func()) {
+// enqueueForUser hands the actor a result that users wait for.
+func (co *core) enqueueForUser(f func()) {
 	select {
-	case co.users <- f:
+	case co.userInbox <- f:
 	case <-co.ctx.Done():
 	}
 }
 
-func (co *core) pause(d time.Duration) {
+func (co *core) sleep(d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -63,36 +63,36 @@
 	}
 }
 
-// settle runs a transaction under the term until its outcome is clear. Only an entitled
+// commitUntilSettled runs a transaction under the term until its outcome is clear. Only an entitled
 // leader writes the key, so a version of it that has moved on is the work of an unclear try
 // of this very transaction. The error is state.ErrRejected, or that the term has ended.
-func (co *core) settle(key string, was uint64, conds []state.Cond, writes []state.Write) (version uint64, err error) {
+func (co *core) commitUntilSettled(key string, was uint64, conds []state.Cond, writes []state.Write) (version uint64, err error) {
 	txn := state.Txn{If: append([]state.Cond{co.fence}, conds...), Writes: writes}
 	for co.ctx.Err() == nil {
-		version, err = co.c.State.Commit(co.ctx, txn)
+		version, err = co.controller.State.Commit(co.ctx, txn)
 		if errors.Is(err, state.ErrConflict) {
-			if e, gerr := co.c.State.Get(co.ctx, key); gerr == nil && e.Version != was {
+			if e, gerr := co.controller.State.Get(co.ctx, key); gerr == nil && e.Version != was {
 				version, err = e.Version, nil
 			}
 		}
 		if err == nil || errors.Is(err, state.ErrRejected) {
 			return version, err
 		}
-		co.pause(settlePause)
+		co.sleep(commitRetryPause)
 	}
 	return 0, co.ctx.Err()
 }
 
-// settlePause spaces the tries of a transaction whose outcome is not clear.
-const settlePause = 200 * time.Millisecond
+// commitRetryPause spaces the tries of a transaction whose outcome is not clear.
+const commitRetryPause = 200 * time.Millisecond
 
-// reportTime is the workers' interval of reports.
-func (co *core) reportTime() time.Duration {
-	return config.Seconds(co.c.Settings.Facts.Workers.ReportS)
+// heartbeatInterval is the workers' interval of reports.
+func (co *core) heartbeatInterval() time.Duration {
+	return config.Seconds(co.controller.Settings.Facts.Workers.ReportS)
 }
 
-// changed asks for a plan.
-func (co *core) changed() { co.dirty = true }
+// requestPlan asks for a plan.
+func (co *core) requestPlan() { co.planRequested = true }
 
 // leaderTerm is the actor: it composes the parts, each of which owns the state of one
 // duty. All of it is touched by the actor's goroutine alone; I/O runs in
@@ -121,22 +121,22 @@
 	teamQuotas        *teamQuotas
 	homeQuotas        *homeQuotas
 
-	scanAt time.Time
+	lastScan time.Time
 }
 
 func newLeaderTerm(ctx context.Context, c *Controller, l election.Term) *leaderTerm {
 	f := &c.Settings.Facts
-	co := &core{c: c, ctx: ctx, log: c.Log.With("term", l.Term), debug: c.Log.Enabled(ctx, slog.LevelDebug),
-		term: l.Term, since: l.Since, alive: l.Alive, fence: state.Cond{Key: election.KeyTerm, Version: l.TermVersion},
-		inbox: make(chan func(), 256), users: make(chan func(), 256), fleet: newFleet(l.Term, c.Settings)}
+	co := &core{controller: c, ctx: ctx, log: c.Log.With("term", l.Term), debug: c.Log.Enabled(ctx, slog.LevelDebug),
+		term: l.Term, termStart: l.Since, lastLeaderSeen: l.Alive, fence: state.Cond{Key: election.KeyTerm, Version: l.TermVersion},
+		inbox: make(chan func(), 256), userInbox: make(chan func(), 256), fleet: newFleet(l.Term, c.Settings)}
 	budget := StateBudget(c.Settings, true)
 	share := func(of float64) *rate.Limiter {
 		return rate.NewLimiter(rate.Limit(of*budget.WriteRPS), max(2, int(of*budget.WriteRPS)))
 	}
-	ends := share(endingShare)
-	r := &leaderTerm{core: co, nameIndex: newNameIndex(f.Zones, f.Teams), jobTable: newJobTable(co), admission: newAdmission(co, share(admitShare), f.State.TxnOps, f.State.ValueKB, f.Resources.MaxSockets),
+	ends := share(completionShare)
+	r := &leaderTerm{core: co, nameIndex: newNameIndex(f.Zones, f.Teams), jobTable: newJobTable(co), admission: newAdmission(co, share(admissionShare), f.State.TxnOps, f.State.ValueKB, f.Resources.MaxSockets),
 		completions: newCompletions(co, ends), admissionGroups: newAdmissionGroups(co, ends), rollouts: newRollouts(co), calendarStore: newCalendarStore(co), shards: newShards(co), reservationHolds: newReservationHolds(co), maintenanceDrains: newMaintenanceDrains(co), results: newResults(co), registry: newRegistry(co, f.State.ValueKB),
-		machinePool: newMachinePool(co), takeover: &takeover{core: co}, commands: &commands{core: co, most: DirectCalls(f.Resources.MaxSockets)},
+		machinePool: newMachinePool(co), takeover: &takeover{core: co}, commands: &commands{core: co, maxCalls: MaxDirectCalls(f.Resources.MaxSockets)},
 		teamQuotas: newTeamQuotas(co, l.Restored), homeQuotas: newHomeQuotas(co),
 		planner: newPlanner(co), taskTracker: &taskTracker{core: co}, recordWriter: &recordWriter{core: co, batch: f.State.TxnOps}}
 	r.wire()
@@ -189,15 +189,15 @@
 	if !r.takeover.load() {
 		return
 	}
-	tick := time.NewTicker(turnEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
-	soon := time.NewTimer(turnEvery)
+	soon := time.NewTimer(tickInterval)
 	defer soon.Stop()
 	for {
 		select {
 		case <-r.ctx.Done():
 			return
-		case f := <-r.users:
+		case f := <-r.userInbox:
 			f()
 		case f := <-r.inbox:
 			f()
@@ -206,7 +206,7 @@
 		}
 		// Take what else has come, so that a burst costs one plan.
 		for range 64 {
-			r.serve()
+			r.serveUsers()
 			select {
 			case f := <-r.inbox:
 				f()
@@ -215,20 +215,20 @@
 			}
 			break
 		}
-		r.turn(time.Now())
+		r.step(time.Now())
 		if r.fleet.Waits() {
-			soon.Reset(urgentEvery)
+			soon.Reset(urgentScanInterval)
 		}
 	}
 }
 
-// turnEvery is how often the actor looks up without a message.
-const turnEvery = 100 * time.Millisecond
+// tickInterval is how often the actor looks up without a message.
+const tickInterval = 100 * time.Millisecond
 
-// serve takes what users ask, and stores what they have submitted.
-func (r *leaderTerm) serve() {
-	for n := len(r.users); n > 0; n-- {
-		f := <-r.users
+// serveUsers takes what users ask, and stores what they have submitted.
+func (r *leaderTerm) serveUsers() {
+	for n := len(r.userInbox); n > 0; n-- {
+		f := <-r.userInbox
 		f()
 	}
 	r.admission.flush(time.Now())
@@ -237,13 +237,13 @@
 // maxOrders bounds one answer, well below the limit for bodies.
 const maxOrders = 400
 
-// report takes in a worker's check-in and answers it; via is the member that has
+// heartbeat takes in a worker's check-in and answers it; via is the member that has
 // handed it on.
-func (r *leaderTerm) report(m *wire.Report, via string, back func(*rpc.Reply)) {
+func (r *leaderTerm) heartbeat(m *wire.Report, via string, back func(*rpc.Reply)) {
 	now := time.Now()
 	if r.machinePool.gone(m.Host) {
 		// A late message of a machine that is gone must not bring it back.
-		back(Later("machine was returned"))
+		back(Unavailable("machine was returned"))
 		return
 	}
 	if h := r.fleet.Hosts[m.Host]; h != nil && h.Stale(m.Session, m.Seq) {
@@ -251,10 +251,10 @@
 		// arrive nowhere, and a holder would lose the machine as if its worker had strayed.
 		// It is refused: a worker that has begun anew and counts from the start would take
 		// an answer, and keep a lease that the ledger does not know of.
-		back(Later("a newer report was answered"))
+		back(Unavailable("a newer report was answered"))
 		return
 	}
-	if !r.shards.route(m, func() { r.report(m, via, back) }, back) {
+	if !r.shards.route(m, func() { r.heartbeat(m, via, back) }, back) {
 		return
 	}
 	h := r.fleet.Hosts[m.Host]
@@ -263,39 +263,39 @@
 	}
 	fresh, ok := r.taskTracker.observe(h, m, true, now)
 	if !ok {
-		back(Later("a later term is known"))
+		back(Unavailable("a later term is known"))
 		return
 	}
 	if !r.machinePool.renewable(h, now) {
-		back(Later("a launch of a cancelled job may be on its way to the machine"))
+		back(Unavailable("a launch of a cancelled job may be on its way to the machine"))
 		return
 	}
 	r.planner.place(now)
 	orders, sent, ev := r.fleet.Compose(h, m.Seq, fresh, now, maxOrders)
-	r.takeover.launched(len(sent), now)
-	r.taskTracker.handle(ev, now)
+	r.takeover.recordLaunches(len(sent), now)
+	r.taskTracker.applyEvents(ev, now)
 	p := reply(http.StatusOK, wire.Answer{Token: r.term, Orders: orders})
 	p.Work = h.Busy()
 	back(p)
 	r.shards.served(h, via, now)
 }
 
-// scanEvery spaces the looks at every machine and every job: in a large fleet one
+// scanInterval spaces the looks at every machine and every job: in a large fleet one
 // after each message would take most of the processor.
-const scanEvery = 100 * time.Millisecond
+const scanInterval = 100 * time.Millisecond
 
-// turn is what the actor does after each batch of messages.
-func (r *leaderTerm) turn(now time.Time) {
-	scan := now.Sub(r.scanAt) >= scanEvery
+// step is what the actor does after each batch of messages.
+func (r *leaderTerm) step(now time.Time) {
+	scan := now.Sub(r.lastScan) >= scanInterval
 	if scan {
-		r.scanAt = now
+		r.lastScan = now
 		ev, lost := r.fleet.Expire(now)
 		if lost > 0 {
 			r.log.Info("leases of machines have run out", "machines", lost, "tasks", len(ev))
 		}
-		r.taskTracker.handle(ev, now)
+		r.taskTracker.applyEvents(ev, now)
 	}
-	if !r.c.Entitled(r.term) {
+	if !r.controller.Entitled(r.term) {
 		r.admission.refuse()
 		return
 	}
@@ -303,12 +303,12 @@
 	r.admissionGroups.step(now)
 	r.results.flush(now)
 	r.results.tidy()
-	r.completions.settleFinals()
+	r.completions.moveFinalRecords()
 	r.machinePool.cloud(now)
 	r.planner.place(now)
 	r.registry.register(now)
 	r.shards.answer(now)
-	r.commands.urgent(now)
+	r.commands.sendUrgent(now)
 	r.shards.step(now, scan)
 	r.homeQuotas.step(now)
 	if !scan {
@@ -317,9 +317,9 @@
 	r.rollouts.step(now)
 	r.calendarStore.step(now)
 	r.planner.expire(now)
-	r.c.Meter.Set(metrics.Machines, len(r.fleet.Hosts))
-	r.c.Meter.Set(metrics.Jobs, len(r.jobTable.all()))
-	r.commands.fence(now)
-	r.jobTable.sweep()
+	r.controller.Meter.Set(metrics.Machines, len(r.fleet.Hosts))
+	r.controller.Meter.Set(metrics.Jobs, len(r.jobTable.all()))
+	r.commands.fenceWorkers(now)
+	r.jobTable.removeFinished()
 	r.registry.sweepNotes()
 }
--- a/internal/control/machine_pool.go
+++ b/internal/control/machine_pool.go
@@ -94,8 +94,8 @@
 	if !mc.typing && now.After(mc.typesAt) {
 		mc.typing = true
 		go func() {
-			types, err := mc.c.Cloud.Types(mc.ctx)
-			mc.post(func() {
+			types, err := mc.controller.Cloud.Types(mc.ctx)
+			mc.enqueue(func() {
 				mc.typing = false
 				if err != nil {
 					mc.typesAt = time.Now().Add(2 * time.Second)
@@ -106,12 +106,12 @@
 			})
 		}()
 	}
-	lag := config.Seconds(mc.c.Settings.Facts.Cloud.ListLagS)
+	lag := config.Seconds(mc.controller.Settings.Facts.Cloud.ListLagS)
 	if !mc.listing && now.After(mc.listAt) {
 		mc.listing = true
 		go func() {
-			list, err := mc.c.Cloud.List(mc.ctx)
-			mc.post(func() {
+			list, err := mc.controller.Cloud.List(mc.ctx)
+			mc.enqueue(func() {
 				mc.listing = false
 				mc.listAt = time.Now().Add(max(3*time.Second, lag/2))
 				if err != nil {
@@ -134,11 +134,11 @@
 func (mc *machinePool) newTypes(types []wire.MachineType) {
 	first := len(mc.nameIndex.list()) == 0
 	mc.nameIndex.learn(types)
-	mc.jobTable.rebind()
-	mc.c.mu.Lock()
-	mc.c.types = mc.nameIndex.list()
-	mc.c.mu.Unlock()
-	mc.changed()
+	mc.jobTable.rebindNames()
+	mc.controller.mu.Lock()
+	mc.controller.types = mc.nameIndex.list()
+	mc.controller.mu.Unlock()
+	mc.requestPlan()
 	if first {
 		// Kept for a leader that finds the cloud out of order.
 		if w, err := state.Put(typesKey, typesRecord{Types: types}); err == nil {
@@ -151,7 +151,7 @@
 // up, and one that it has may be gone.
 func (mc *machinePool) listed(list []wire.CloudHost) {
 	now := time.Now()
-	mc.takeover.listed(list)
+	mc.takeover.compareListing(list)
 	mc.strays(list)
 	for i := range list {
 		c := &list[i]
@@ -198,12 +198,12 @@
 		if h.Inherited {
 			// Its reports keep it from being lost, but it has not taken in this term: it
 			// would hold back its jobs for as long as it goes on reporting.
-			if now.Sub(mc.takeover.begun()) > patience {
+			if now.Sub(mc.takeover.contactStart()) > patience {
 				mc.release(h, "it reports and takes in nothing that is sent to it")
 			}
 			continue
 		}
-		t := mc.c.Tuning.Hosts
+		t := mc.controller.Tuning.Hosts
 		switch {
 		case h.Deaf() && now.Sub(h.DeafAt) > patience:
 			mc.release(h, "it reports and takes in nothing that is sent to it")
@@ -244,8 +244,8 @@
 	}
 	if !h.Withheld {
 		mc.log.Info("a launch of a cancelled job may be on its way to a machine, its session has to end", "host", h.Name, "tasks", h.Jobs-h.Unsettled)
-		mc.c.Meter.Add(metrics.Withheld, "", 1)
-		mc.taskTracker.handle(mc.fleet.Withhold(h), now)
+		mc.controller.Meter.Add(metrics.Withheld, "", 1)
+		mc.taskTracker.applyEvents(mc.fleet.Withhold(h), now)
 	}
 	return false
 }
@@ -273,7 +273,7 @@
 // sendReturns hands machines back, many in one request: the cloud takes a few
 // requests a second, and rentals need them too.
 func (mc *machinePool) sendReturns(now time.Time) {
-	if mc.returning || len(mc.returns) == 0 || now.Before(mc.returnAt) || !mc.c.Entitled(mc.term) {
+	if mc.returning || len(mc.returns) == 0 || now.Before(mc.returnAt) || !mc.controller.Entitled(mc.term) {
 		return
 	}
 	hs := slices.Clone(mc.returns[:min(len(mc.returns), mostReturned)])
@@ -283,8 +283,8 @@
 	}
 	mc.returning = true
 	go func() {
-		err := mc.c.Cloud.Release(mc.ctx, names)
-		mc.post(func() {
+		err := mc.controller.Cloud.Release(mc.ctx, names)
+		mc.enqueue(func() {
 			mc.returning, mc.returnAt = false, time.Now().Add(time.Second)
 			if err != nil {
 				mc.log.Info("returning failed, trying again", "machines", len(names), "error", err)
@@ -300,7 +300,7 @@
 
 // returned forgets a machine that is gone with all on it.
 func (mc *machinePool) returned(h *fleet.Host) {
-	mc.taskTracker.handle(mc.fleet.Remove(h), time.Now())
+	mc.taskTracker.applyEvents(mc.fleet.Remove(h), time.Now())
 	mc.removed[h.Name] = true
 	mc.planner.gone(h)
 	mc.reservationHolds.forget(h)
@@ -318,7 +318,7 @@
 		return
 	}
 	shop := autoscale.Shop{Types: mc.nameIndex.list(), ZoneOf: mc.nameIndex.zonesByName(), Backoff: mc.backoff,
-		MinFill: mc.c.Tuning.Hosts.MinFill, Patience: mc.c.Tuning.Hosts.PatienceS, Now: now,
+		MinFill: mc.controller.Tuning.Hosts.MinFill, Patience: mc.controller.Tuning.Hosts.PatienceS, Now: now,
 		Closed: func(o autoscale.Offer) bool {
 			return mc.maintenanceDrains.closed(mc.nameIndex.list()[o.Type].Name, mc.nameIndex.zoneNames()[o.Zone], now)
 		}}
@@ -372,7 +372,7 @@
 			continue
 		}
 		n++
-		j := mc.jobTable.at(d.ID)
+		j := mc.jobTable.byIndex(d.ID)
 		w.Room = make([]int, len(mc.nameIndex.zoneNames()))
 		for _, h := range mc.fleet.All() {
 			t := mc.nameIndex.typeOf(h)
@@ -420,14 +420,14 @@
 		err := errors.New("not entitled")
 		// The same name again is safe: it rents nothing twice.
 		for try := 0; try < 4 && mc.ctx.Err() == nil; try++ {
-			if mc.c.Entitled(mc.term) {
-				if names, err = mc.c.Cloud.Rent(mc.ctx, req); err == nil || errors.Is(err, autoscale.ErrNoCapacity) {
+			if mc.controller.Entitled(mc.term) {
+				if names, err = mc.controller.Cloud.Rent(mc.ctx, req); err == nil || errors.Is(err, autoscale.ErrNoCapacity) {
 					break
 				}
 			}
-			mc.pause(time.Second)
+			mc.sleep(time.Second)
 		}
-		mc.post(func() {
+		mc.enqueue(func() {
 			mc.renting[o] -= n
 			if err != nil {
 				mc.log.Info("rental refused", "request", req.Request, "error", err)
@@ -471,7 +471,7 @@
 		if !s.RunAt.IsZero() {
 			ran = now.Sub(s.RunAt).Seconds()
 		}
-		if s.Phase != wire.Running || estimate(s.Job)-ran > left {
+		if s.Phase != wire.Running || runTimeEstimate(s.Job)-ran > left {
 			mc.taskTracker.stopSlot(s, 0)
 		}
 	}
--- a/internal/control/machine_quarantine.go
+++ b/internal/control/machine_quarantine.go
@@ -34,7 +34,7 @@
 			jobs++
 		}
 	}
-	if h.Draining || h.Errors < wk.c.Tuning.Hosts.SickErrors || (!sound && jobs < 2) {
+	if h.Draining || h.Errors < wk.controller.Tuning.Hosts.SickErrors || (!sound && jobs < 2) {
 		return
 	}
 	wk.log.Info("machine fails what it starts, returning it", "host", h.Name, "errors", h.Errors, "jobs", len(h.ErrorJobs))
@@ -69,7 +69,7 @@
 			h.Draining = true
 		}
 	}
-	j.Ran(h.Name, ran)
+	j.RecordRunTime(h.Name, ran)
 }
 
 // holdBack makes a job that keeps failing wait, longer each time.
--- a/internal/control/planner.go
+++ b/internal/control/planner.go
@@ -78,25 +78,25 @@
 
 // place makes and carries out a plan, if anything has changed.
 func (pl *planner) place(now time.Time) {
-	if now.Sub(pl.passAt) < max(placeEvery, placeShare*pl.passTook) || (!pl.dirty && now.Sub(pl.passAt) < time.Second) {
+	if now.Sub(pl.passAt) < max(placeEvery, placeShare*pl.passTook) || (!pl.planRequested && now.Sub(pl.passAt) < time.Second) {
 		return
 	}
-	if !pl.takeover.settle(now) {
+	if !pl.takeover.reconcile(now) {
 		return
 	}
-	if len(pl.jobTable.strange()) > 0 {
+	if len(pl.jobTable.unidentifiedJobs()) > 0 {
 		// What a stranger takes is not counted for any team yet.
-		for j := range pl.jobTable.strange() {
+		for j := range pl.jobTable.unidentifiedJobs() {
 			if len(j.Live) > 0 {
 				return
 			}
 		}
 	}
-	pl.passAt, pl.dirty = now, false
+	pl.passAt, pl.planRequested = now, false
 	pl.reservationHolds.gather(now) // a machine that has just come up for a slot must not be filled
 	defer func() {
 		pl.passTook = time.Since(now)
-		pl.c.Meter.Took(metrics.PlanTime, "", pl.passTook)
+		pl.controller.Meter.Took(metrics.PlanTime, "", pl.passTook)
 	}()
 	in, ms, slots := pl.input(now)
 	if len(in.Demands) == 0 {
@@ -106,7 +106,7 @@
 	plan := place.Make(in)
 	attempts := map[*job.Job]uint64{}
 	for _, a := range plan.Assign {
-		j := pl.jobTable.at(in.Demands[a.Demand].ID)
+		j := pl.jobTable.byIndex(in.Demands[a.Demand].ID)
 		h := ms[a.Machine]
 		n := attempts[j]
 		switch {
@@ -125,14 +125,14 @@
 		pl.fleet.Assign(h, fleet.Key{Job: j, Task: a.Task, Attempt: n}, now)
 		pl.registry.note(j, h)
 		j.LastHost = h.Idx
-		pl.c.Meter.Took(metrics.StartWait, j.Class, now.Sub(j.WaitFrom))
+		pl.controller.Meter.Took(metrics.StartWait, j.Class, now.Sub(j.WaitFrom))
 		j.WaitFrom = now
 		if k, ok := pl.keeps[h]; ok && k.job == j {
 			delete(pl.keeps, h)
 		}
 	}
 	for _, p := range plan.Preempt {
-		j, h := pl.jobTable.at(in.Demands[p.Demand].ID), ms[p.Machine]
+		j, h := pl.jobTable.byIndex(in.Demands[p.Demand].ID), ms[p.Machine]
 		pl.log.Info("making room", "job", j.ID, "host", h.Name, "stops", len(p.Victims))
 		pl.keeps[h] = keep{job: j, until: now.Add(15 * time.Second)}
 		for _, v := range p.Victims {
@@ -146,11 +146,11 @@
 		if plan.Short[i] == 0 {
 			continue
 		}
-		j := pl.jobTable.at(d.ID)
+		j := pl.jobTable.byIndex(d.ID)
 		if pl.reservationHolds.covers(j) {
 			continue
 		}
-		wants = append(wants, autoscale.Want{Demand: d, Count: plan.Short[i], TaskS: estimate(j), Image: j.ImageGB,
+		wants = append(wants, autoscale.Want{Demand: d, Count: plan.Short[i], TaskS: runTimeEstimate(j), Image: j.ImageGB,
 			Waited: d.Waited, Urgent: j.Shape == job.Gang})
 	}
 	sort.SliceStable(wants, func(a, b int) bool { return wants[a].Demand.LatestStart < wants[b].Demand.LatestStart })
@@ -161,7 +161,7 @@
 			if i == 5 {
 				break
 			}
-			j := pl.jobTable.at(w.Demand.ID)
+			j := pl.jobTable.byIndex(w.Demand.ID)
 			pl.log.Info("no machine has room", "job", j.ID, "class", j.Class, "tasks", w.Count, "waited", w.Waited)
 		}
 	}
@@ -237,7 +237,7 @@
 // left is the time in which a task is expected to end by itself, in seconds. One
 // that runs longer than expected may go on for a while.
 func left(s *fleet.Slot, now time.Time) float64 {
-	run := estimate(s.Job)
+	run := runTimeEstimate(s.Job)
 	if s.RunAt.IsZero() {
 		return run
 	}
@@ -250,7 +250,7 @@
 	looked := map[*job.Job]bool{}
 	for i := range in.Demands {
 		if in.Demands[i].Preempts {
-			looked[pl.jobTable.at(in.Demands[i].ID)] = true
+			looked[pl.jobTable.byIndex(in.Demands[i].ID)] = true
 		}
 	}
 	for h, k := range pl.keeps {
@@ -259,7 +259,7 @@
 		}
 	}
 	for _, c := range chosen {
-		pl.keeps[ms[c.Machine]] = keep{job: pl.jobTable.at(in.Demands[c.Demand].ID), until: now.Add(4 * preemptEvery), reserved: true}
+		pl.keeps[ms[c.Machine]] = keep{job: pl.jobTable.byIndex(in.Demands[c.Demand].ID), until: now.Add(4 * preemptEvery), reserved: true}
 	}
 }
 
@@ -276,7 +276,7 @@
 		return restartS * s.Job.CPUs * float64(s.Job.Tasks)
 	case s.RunAt.IsZero():
 		return 0
-	case s.Job.Checkpoint > 0:
+	case s.Job.CheckpointS > 0:
 		return min(restartS, now.Sub(s.RunAt).Seconds()) * s.Job.CPUs
 	}
 	return now.Sub(s.RunAt).Seconds() * s.Job.CPUs
--- a/internal/control/planner_input.go
+++ b/internal/control/planner_input.go
@@ -36,7 +36,7 @@
 // input describes the fleet and the waiting work to the planner.
 func (pl *planner) input(now time.Time) (in place.Input, ms []*fleet.Host, slots []*fleet.Slot) {
 	p := &planInput{planner: pl, now: now, late: map[*job.Job]bool{}, slowest: pl.slowestFetch()}
-	w := pl.c.Tuning.Weights
+	w := pl.controller.Tuning.Weights
 	p.in.Weights = place.Weights{Queue: w.Queue, Jobs: w.Jobs, CPU: w.CPU, Image: w.Image, Sticky: w.Sticky,
 		SameZone: w.SameZone, Unreliable: w.Unreliable, Empty: w.Empty, Price: w.Price}
 	p.addTeams()
@@ -87,12 +87,12 @@
 
 // addDemands adds the jobs that wait for machines.
 func (p *planInput) addDemands() {
-	blocked := p.takeover.blocked(p.in.Teams)
+	blocked := p.takeover.blockedJobs(p.in.Teams)
 	for _, j := range p.jobTable.all() {
-		if j.Phase != "" || j.Closing != "" || p.jobTable.stranger(j) || p.now.Before(j.NotBefore) || j.TeamIdx < 0 || blocked[j] || p.calendarStore.waits(j, p.now) {
+		if j.Phase != "" || j.Closing != "" || p.jobTable.isUnidentified(j) || p.now.Before(j.NotBefore) || j.TeamIdx < 0 || blocked[j] || p.calendarStore.waits(j, p.now) {
 			continue
 		}
-		if j.Waiting() <= 0 || (j.Shape == job.Gang && (j.GangBroken || j.GangRan)) {
+		if j.UnplacedCount() <= 0 || (j.Shape == job.Gang && (j.GangStopping || j.GangStarted)) {
 			continue
 		}
 		if d, waits := p.demand(j); waits {
@@ -104,10 +104,10 @@
 
 // demand is what a job waits for; false: nothing of it may be placed now.
 func (p *planInput) demand(j *job.Job) (d place.Demand, waits bool) {
-	d = place.Demand{ID: p.jobTable.index(j), Shape: j.Shape, Rank: j.Rank, Team: j.TeamIdx,
-		Need: place.Amount{CPUs: j.CPUs, GPUs: j.GPUs, MemGB: j.MemGB}, TypeOK: j.TypeOK, Zone: j.ZoneIdx,
+	d = place.Demand{ID: p.jobTable.index(j), Shape: j.Shape, Rank: j.Priority, Team: j.TeamIdx,
+		Need: place.Amount{CPUs: j.CPUs, GPUs: j.GPUs, MemGB: j.MemGB}, TypeOK: j.TypeAllowed, Zone: j.ZoneIdx,
 		OneZone: j.OneZone, Spread: j.Spread, Spot: j.Spot, Image: j.ImageIdx, ImageGB: j.ImageGB, LastMachine: j.LastHost,
-		Total: j.Tasks, Waiting: j.Waiting(), InZone: p.inZone(j), LatestStart: p.jobTable.latestStart(j)}
+		Total: j.Tasks, Waiting: j.UnplacedCount(), InZone: p.inZone(j), LatestStart: p.jobTable.latestStart(j)}
 	waited := p.now.Sub(j.WaitFrom)
 	d.Waited = waited.Seconds()
 	d.Overdue = p.now.Sub(j.Submitted) > overdueAfter && j.DoneCount == 0 && len(j.Live) == 0
@@ -116,10 +116,10 @@
 		return d, false
 	}
 	if p.calendarStore.on() {
-		d.EndsIn, d.Movable = p.reservationHolds.needs(j, p.now), j.Shape == job.Service || j.Checkpoint > 0
-		d.HeldOnly = j.Booking != "" && p.reservationHolds.enough(j, len(d.Pending))
+		d.EndsIn, d.Movable = p.reservationHolds.needs(j, p.now), j.Shape == job.Service || j.CheckpointS > 0
+		d.HeldOnly = j.Reservation != "" && p.reservationHolds.enough(j, len(d.Pending))
 	}
-	left := d.LatestStart - p.now.Sub(p.since).Seconds()
+	left := d.LatestStart - p.now.Sub(p.termStart).Seconds()
 	late := left < lateS
 	d.Hurry = j.Shape != job.Array && left > 0 && left < j.ImageGB/p.slowest
 	d.Patient = j.Shape == job.Array && left > patience
@@ -143,8 +143,8 @@
 	if j.Shape == job.Gang {
 		limit = j.Tasks
 	}
-	for t := range j.Needs {
-		if j.Quota != nil {
+	for t := range j.Unplaced {
+		if j.Replicas != nil {
 			// The replicas of a roll-out's batch belong into its zone: one zone a plan.
 			if len(d.Pending) == 0 {
 				d.Zone = j.ZoneOf(t)
@@ -221,7 +221,7 @@
 			n := float64(s.Job.Tasks)
 			whole = place.Amount{CPUs: n * need.CPUs, GPUs: n * need.GPUs, MemGB: n * need.MemGB}
 		}
-		m.Victims = append(m.Victims, place.Victim{ID: len(p.slots), Rank: s.Job.Rank, Team: s.Job.TeamIdx,
+		m.Victims = append(m.Victims, place.Victim{ID: len(p.slots), Rank: s.Job.Priority, Team: s.Job.TeamIdx,
 			Need: need, Whole: whole, Loss: loss, Left: left(s, p.now), Late: p.isLate(s.Job)})
 		p.slots = append(p.slots, s)
 	}
@@ -231,7 +231,7 @@
 func (p *planInput) isLate(j *job.Job) bool {
 	late, known := p.late[j]
 	if !known {
-		late = p.jobTable.latestStart(j)-p.now.Sub(p.since).Seconds() < lateS
+		late = p.jobTable.latestStart(j)-p.now.Sub(p.termStart).Seconds() < lateS
 		p.late[j] = late
 	}
 	return late
--- a/internal/control/quotas.go
+++ b/internal/control/quotas.go
@@ -49,14 +49,14 @@
 }
 
 // on reports whether regions are named in the operators' settings.
-func (tm *teamQuotas) on() bool { return tm.c.Tuning.Regions.Name != "" }
+func (tm *teamQuotas) on() bool { return tm.controller.Tuning.Regions.Name != "" }
 
 // list reads the stored entries; none while no regions are named.
 func (tm *teamQuotas) list() ([]state.Entry, error) {
 	if !tm.on() {
 		return nil, nil
 	}
-	e, err := tm.c.State.Get(tm.ctx, unconfirmedKey)
+	e, err := tm.controller.State.Get(tm.ctx, unconfirmedKey)
 	switch {
 	case err == nil:
 		tm.marker = e.Version
@@ -67,7 +67,7 @@
 			return nil, err
 		}
 	}
-	entries, _, err := tm.c.State.List(tm.ctx, regionPrefix)
+	entries, _, err := tm.controller.State.List(tm.ctx, regionPrefix)
 	return entries, err
 }
 
@@ -77,7 +77,7 @@
 	if err != nil {
 		return 0, err
 	}
-	return tm.c.State.Commit(tm.ctx, state.Txn{If: []state.Cond{tm.fence, {Key: unconfirmedKey}}, Writes: []state.Write{put}})
+	return tm.controller.State.Commit(tm.ctx, state.Txn{If: []state.Cond{tm.fence, {Key: unconfirmedKey}}, Writes: []state.Write{put}})
 }
 
 // load takes in the entries of earlier leaders, before any job is bound to its team. Where
@@ -100,7 +100,7 @@
 		tm.versions[e.Team] = s.Version
 		tm.nameIndex.addTeam(e.Team)
 	}
-	tm.replica = dynconfig.NewReplica(tm.c.Tuning.Regions.Name, tm.term, tm.c.fileShares(), entries, tm.marker != 0)
+	tm.replica = dynconfig.NewReplica(tm.controller.Tuning.Regions.Name, tm.term, tm.controller.fileShares(), entries, tm.marker != 0)
 }
 
 // fileShares are the teams of the platform's file.
@@ -140,7 +140,7 @@
 // all are the teams, by index.
 func (tm *teamQuotas) all() []config.Team {
 	if tm.replica == nil {
-		return tm.c.Settings.Facts.Teams
+		return tm.controller.Settings.Facts.Teams
 	}
 	uses := tm.uses
 	if tm.replica.Unconfirmed() {
@@ -160,7 +160,7 @@
 // find is a team that takes jobs.
 func (tm *teamQuotas) find(name string) quota {
 	if tm.replica == nil {
-		return quota{now: tm.c.fileTeam(name)}
+		return quota{now: tm.controller.fileTeam(name)}
 	}
 	share, known := tm.replica.Share(name, tm.uses)
 	if !known && !tm.replica.Unconfirmed() {
@@ -205,7 +205,7 @@
 		t.CPUs, t.GPUs = t.CPUs+n*j.CPUs, t.GPUs+n*j.GPUs
 		busy[j.TeamIdx] = busy[j.TeamIdx] || n > 0 || j.Phase == ""
 	}
-	tm.takeover.blocked(all)
+	tm.takeover.blockedJobs(all)
 	return func(team string) (dynconfig.Amount, bool) {
 		i := tm.nameIndex.team(team)
 		if i < 0 {
@@ -218,7 +218,7 @@
 // known reports whether it is known what the teams use: not before the machines of earlier
 // leaders are met, nor while a machine runs a task of a job whose record is not read.
 func (tm *teamQuotas) known() bool {
-	return tm.takeover.around() && len(tm.jobTable.strange()) == 0
+	return tm.takeover.mayPlace() && len(tm.jobTable.unidentifiedJobs()) == 0
 }
 
 const (
@@ -240,12 +240,12 @@
 	for tm.ctx.Err() == nil {
 		q := await(tm.core, tm.request)
 		if q == nil {
-			tm.pause(followSoon)
+			tm.sleep(followSoon)
 			continue
 		}
 		p, err := tm.ask(q)
 		if err != nil || p.Refused != "" {
-			tm.pause(wait/2 + rand.N(wait))
+			tm.sleep(wait/2 + rand.N(wait))
 			wait = min(2*wait, followPauseMost)
 			continue
 		}
@@ -259,7 +259,7 @@
 // await runs f in the actor and returns its result; the zero value: the term has ended.
 func await[T any](co *core, f func() T) (out T) {
 	done := make(chan T, 1)
-	co.ahead(func() { done <- f() })
+	co.enqueueForUser(func() { done <- f() })
 	select {
 	case out = <-done:
 	case <-co.ctx.Done():
@@ -288,14 +288,14 @@
 	ctx, cancel := context.WithTimeout(tm.ctx, followTime)
 	defer cancel()
 	if tm.homeQuotas.on() {
-		return tm.c.FollowHome(ctx, q), nil
+		return tm.controller.FollowHome(ctx, q), nil
 	}
-	return tm.c.Follow(ctx, q)
+	return tm.controller.Follow(ctx, q)
 }
 
 // keep stores entries, and lets them count once they are stored.
 func (tm *teamQuotas) keep(entries []dynconfig.Entry) {
-	most := max(1, tm.c.Settings.Facts.State.TxnOps)
+	most := max(1, tm.controller.Settings.Facts.State.TxnOps)
 	for len(entries) > 0 && tm.ctx.Err() == nil {
 		part := entries[:min(most, len(entries))]
 		entries = entries[len(part):]
@@ -330,7 +330,7 @@
 		conds = append(conds, state.Cond{Key: regionPrefix + e.Team, Version: versions[i]})
 		writes = append(writes, put)
 	}
-	version, err := tm.settle(conds[0].Key, conds[0].Version, conds, writes)
+	version, err := tm.commitUntilSettled(conds[0].Key, conds[0].Version, conds, writes)
 	if err != nil {
 		tm.log.Error("grants cannot be stored", "teams", len(entries), "error", err)
 		return 0, false
@@ -348,10 +348,10 @@
 	}
 	tm.replica.Stored(entries)
 	if added {
-		tm.jobTable.rebind()
+		tm.jobTable.rebindNames()
 	}
-	tm.c.Meter.Set(metrics.Revision, int(tm.replica.Revision()))
-	tm.changed()
+	tm.controller.Meter.Set(metrics.Revision, int(tm.replica.Revision()))
+	tm.requestPlan()
 }
 
 // confirm strikes the marker off once the home region has confirmed the limits.
@@ -363,7 +363,7 @@
 	tm.marker = 0
 	go func() {
 		conds := []state.Cond{{Key: unconfirmedKey, Version: version}}
-		if _, err := tm.settle(unconfirmedKey, version, conds, []state.Write{{Delete: unconfirmedKey}}); err != nil {
+		if _, err := tm.commitUntilSettled(unconfirmedKey, version, conds, []state.Write{{Delete: unconfirmedKey}}); err != nil {
 			tm.log.Error("the word that limits are confirmed cannot be stored", "error", err)
 		}
 	}()
--- a/internal/control/quotas_home.go
+++ b/internal/control/quotas_home.go
@@ -67,7 +67,7 @@
 
 // on reports whether this is the home region.
 func (ht *homeQuotas) on() bool {
-	r := &ht.c.Tuning.Regions
+	r := &ht.controller.Tuning.Regions
 	return r.Name != "" && r.Name == r.Home
 }
 
@@ -76,13 +76,13 @@
 	if !ht.on() {
 		return head, nil, nil, nil
 	}
-	if head, err = ht.c.State.Get(ht.ctx, headKey); err != nil && !errors.Is(err, state.ErrNotFound) {
+	if head, err = ht.controller.State.Get(ht.ctx, headKey); err != nil && !errors.Is(err, state.ErrNotFound) {
 		return head, nil, nil, err
 	}
-	if records, _, err = ht.c.State.List(ht.ctx, homePrefix); err != nil {
+	if records, _, err = ht.controller.State.List(ht.ctx, homePrefix); err != nil {
 		return head, nil, nil, err
 	}
-	history, _, err = ht.c.State.List(ht.ctx, historyPrefix)
+	history, _, err = ht.controller.State.List(ht.ctx, historyPrefix)
 	return head, records, history, err
 }
 
@@ -111,7 +111,7 @@
 		}
 		records = append(records, r)
 	}
-	ht.home, ht.head = dynconfig.NewHome(ht.term, ht.c.Tuning.Regions.All, head, records), stored.Version
+	ht.home, ht.head = dynconfig.NewHome(ht.term, ht.controller.Tuning.Regions.All, head, records), stored.Version
 	ht.remember(history)
 }
 
@@ -158,7 +158,7 @@
 }
 
 // mostRecords is how many records a transaction takes beside the head and the history.
-func (ht *homeQuotas) mostRecords() int { return max(1, ht.c.Settings.Facts.State.TxnOps-2) }
+func (ht *homeQuotas) mostRecords() int { return max(1, ht.controller.Settings.Facts.State.TxnOps-2) }
 
 // remember takes in the changes that earlier leaders have kept. One that cannot be read is
 // as if it had not been kept.
@@ -179,7 +179,7 @@
 func (ht *homeQuotas) historyWrite(p *dynconfig.Past) (*dynconfig.Past, state.Write, error) {
 	key := fmt.Sprintf("%s%03d", historyPrefix, p.Slot())
 	put, err := state.Put(key, p)
-	if err != nil || float64(len(put.Value)) < ht.c.Settings.Facts.State.ValueKB*1024*historyShare {
+	if err != nil || float64(len(put.Value)) < ht.controller.Settings.Facts.State.ValueKB*1024*historyShare {
 		return p, put, err
 	}
 	p = p.Without()
@@ -194,7 +194,7 @@
 // change lets a change wait for its turn.
 func (ht *homeQuotas) change(c *dynconfig.Change, dry bool, back func(*rpc.Reply)) {
 	if len(ht.changes) >= mostChangesWaiting {
-		back(settled(Later("many changes of the configuration are being stored")))
+		back(finalRefusal(Unavailable("many changes of the configuration are being stored")))
 		return
 	}
 	ht.changes = append(ht.changes, &pendingChange{c, dry, back})
@@ -243,11 +243,11 @@
 	}
 	ht.store(u, []state.Write{kept}, func() {
 		for _, p := range taken {
-			p.back(settled(Later("the change could not be stored")))
+			p.back(finalRefusal(Unavailable("the change could not be stored")))
 		}
 	}, func() {
 		ht.home.Keep(past)
-		ht.c.Meter.Add(metrics.ConfigChanges, "taken", len(taken))
+		ht.controller.Meter.Add(metrics.ConfigChanges, "taken", len(taken))
 		ht.log.Info("the configuration has changed", "revision", u.Head.Revision, "changes", len(taken), "teams", len(u.Records))
 		for _, p := range taken {
 			p.back(reply(http.StatusOK, changeAnswer{u.Head.Revision, false}))
@@ -284,12 +284,12 @@
 }
 
 func (ht *homeQuotas) refuse(p *pendingChange, refusal *dynconfig.Refusal) {
-	ht.c.Meter.Add(metrics.ConfigChanges, "refused", 1)
+	ht.controller.Meter.Add(metrics.ConfigChanges, "refused", 1)
 	answer := reply(refusal.Status, wire.Error{Error: refusal.Error()})
 	if refusal.Status == http.StatusServiceUnavailable {
 		answer.RetryAfter = 1
 	}
-	p.back(settled(answer))
+	p.back(finalRefusal(answer))
 }
 
 // store stores an update, in as many transactions as it takes, with further writes in the
@@ -308,7 +308,7 @@
 			}
 			version, err = ht.storePart(u.Head, part, last, version)
 		}
-		ht.ahead(func() {
+		ht.enqueueForUser(func() {
 			ht.storing, ht.head = false, version
 			if err != nil {
 				ht.log.Error("the configuration cannot be stored", "error", err)
@@ -336,7 +336,7 @@
 		}
 		writes = append(writes, put)
 	}
-	version, err = ht.settle(headKey, was, []state.Cond{{Key: headKey, Version: was}}, writes)
+	version, err = ht.commitUntilSettled(headKey, was, []state.Cond{{Key: headKey, Version: was}}, writes)
 	if err != nil {
 		return was, err
 	}
@@ -386,13 +386,13 @@
 // otherwise.
 func (c *Controller) FollowHome(ctx context.Context, q *dynconfig.Request) *dynconfig.Reply {
 	refused := &dynconfig.Reply{Refused: "not the leader of the home region"}
-	r := c.current()
+	r := c.currentTerm()
 	if r == nil || !c.Entitled(r.term) || !r.takeover.loaded() || !r.homeQuotas.on() {
 		return refused
 	}
 	answer := make(chan *dynconfig.Reply, 1)
 	select {
-	case r.users <- func() { r.homeQuotas.hear(q, func(p *dynconfig.Reply) { answer <- p }) }:
+	case r.userInbox <- func() { r.homeQuotas.hear(q, func(p *dynconfig.Reply) { answer <- p }) }:
 	case <-r.ctx.Done():
 		return refused
 	case <-ctx.Done():
--- a/internal/control/records_registry.go
+++ b/internal/control/records_registry.go
@@ -51,14 +51,14 @@
 	job      *job.Job // nil: not known to this term, or over
 	// sure is what the record says whatever became of the last write; want is
 	// what it has to say.
-	sure, want job.Set
+	sure, want job.MachineSet
 	page       *page
 }
 
-func (n *note) setSure(s job.Set) {
+func (n *note) setSure(s job.MachineSet) {
 	n.sure = s
 	if n.job != nil {
-		n.job.Noted = s
+		n.job.NotedMachines = s
 	}
 }
 
@@ -162,7 +162,7 @@
 // adopt ties a job to the note that an earlier leader has made of it.
 func (g *registry) adopt(j *job.Job) {
 	if n := g.notes[j.ID]; n != nil {
-		n.job, j.Noted = j, n.sure
+		n.job, j.NotedMachines = j, n.sure
 	}
 }
 
@@ -219,7 +219,7 @@
 // it is free when its page has been stored.
 func (g *registry) leave(h *fleet.Host) bool {
 	for _, n := range g.notes {
-		n.want.Drop(h.Idx)
+		n.want.Remove(h.Idx)
 	}
 	e, in := g.entries[h]
 	if !in {
@@ -242,7 +242,7 @@
 		g.notes[j.ID] = n
 	}
 	n.want.Add(h.Idx)
-	if !j.Noted.Has(h.Idx) {
+	if !j.NotedMachines.Has(h.Idx) {
 		n.page.urgent = true
 	}
 }
@@ -284,7 +284,7 @@
 	hosts []*fleet.Host
 	gone  []int
 	notes []*note
-	sets  []job.Set
+	sets  []job.MachineSet
 }
 
 // take chooses the pages of the next transaction and encodes them. From here on
@@ -374,7 +374,7 @@
 		g.prune(n)
 		set := slices.Clone(n.want)
 		s.sets = append(s.sets, set)
-		rec.Notes = append(rec.Notes, noteRecord{Job: n.id, Team: n.team, Hosts: set.Text()})
+		rec.Notes = append(rec.Notes, noteRecord{Job: n.id, Team: n.team, Hosts: set.Encode()})
 	}
 	w, err = state.Put(p.key, rec)
 	return s, w, err
@@ -384,7 +384,7 @@
 // what both the old and the new record name may be launched.
 func markTaken(p *page, s sent, now time.Time) {
 	for i, n := range s.notes {
-		n.setSure(n.sure.And(s.sets[i]))
+		n.setSure(n.sure.Intersect(s.sets[i]))
 	}
 	p.urgent, p.stale, p.gone = false, false, nil
 	p.taken++
@@ -396,7 +396,7 @@
 // is over. An array comes back to the machines that it has used, so its note
 // only grows, which spares most writes.
 func (g *registry) prune(n *note) {
-	if n.job == nil || n.job.Shape != job.Gang || !g.takeover.settled() {
+	if n.job == nil || n.job.Shape != job.Gang || !g.takeover.reconciled() {
 		return
 	}
 	clear(n.want)
@@ -411,11 +411,11 @@
 		return
 	}
 	// What is left of the budget after users, who come first.
-	most := min(g.recordWriter.size(), g.c.State.Spare()-2)
+	most := min(g.recordWriter.size(), g.controller.State.Spare()-2)
 	if most < 1 {
 		return
 	}
-	out, txn := g.take(now, most, g.c.State.Idle(g.recordWriter.size()))
+	out, txn := g.take(now, most, g.controller.State.Idle(g.recordWriter.size()))
 	if len(out) == 0 {
 		return
 	}
@@ -423,20 +423,20 @@
 	// take the place of a newer one.
 	g.storing, g.nextAt = true, now.Add(noteEvery)
 	go func() {
-		version, err := g.c.State.Commit(g.ctx, txn)
+		version, err := g.controller.State.Commit(g.ctx, txn)
 		found := map[*page]uint64{}
 		if err != nil {
-			g.pause(100 * time.Millisecond)
+			g.sleep(100 * time.Millisecond)
 		}
 		if errors.Is(err, state.ErrConflict) {
 			for _, s := range out {
-				e, gerr := g.c.State.Get(g.ctx, s.page.key)
+				e, gerr := g.controller.State.Get(g.ctx, s.page.key)
 				if gerr == nil || errors.Is(gerr, state.ErrNotFound) {
 					found[s.page] = e.Version
 				}
 			}
 		}
-		g.post(func() { g.stored(out, version, found, err) })
+		g.enqueue(func() { g.stored(out, version, found, err) })
 	}()
 }
 
@@ -467,7 +467,7 @@
 			n.setSure(s.sets[i])
 		}
 	}
-	g.changed()
+	g.requestPlan()
 }
 
 // pageError is a stored page of the registry that cannot be taken in: a leader
@@ -539,7 +539,7 @@
 		if byIdx[hr.Idx] != nil || hr.Idx < 0 {
 			return &pageError{key: key, err: &indexReusedError{idx: hr.Idx}}
 		}
-		h := g.fleet.AddAt(hr.Name, hr.Idx, g.since)
+		h := g.fleet.AddAt(hr.Name, hr.Idx, g.termStart)
 		byIdx[hr.Idx] = h
 		h.Addr, h.Durable, h.Inherited, h.Booting = hr.Addr, true, true, false
 		g.nameIndex.describe(h, hr.Type, hr.Zone, hr.Spot)
@@ -553,7 +553,7 @@
 // have run on it.
 func (g *registry) loadNotes(key string, p *page, rec *pageRecord, byIdx map[int]*fleet.Host) error {
 	for _, nr := range rec.Notes {
-		set, err := job.ParseSet(nr.Hosts)
+		set, err := job.ParseMachineSet(nr.Hosts)
 		if err != nil {
 			return &pageError{key: key, err: err}
 		}
@@ -570,7 +570,7 @@
 
 // loadNote adds a stored note, or merges it into the one of the same job that
 // another page holds.
-func (g *registry) loadNote(p *page, nr noteRecord, set job.Set) {
+func (g *registry) loadNote(p *page, nr noteRecord, set job.MachineSet) {
 	if n := g.notes[nr.Job]; n != nil {
 		// A move between pages was under way. What both name together holds,
 		// and nothing is launched before one of them has it all.
@@ -598,7 +598,7 @@
 // sweepNotes drops the notes of jobs that are over, once every machine that they
 // name is settled.
 func (g *registry) sweepNotes() {
-	if !g.takeover.settled() {
+	if !g.takeover.reconciled() {
 		return
 	}
 	for id, n := range g.notes {
--- a/internal/control/records_registry_test.go
+++ b/internal/control/records_registry_test.go
@@ -42,7 +42,7 @@
 			t.Fatal(err)
 		}
 		for _, n := range rec.Notes {
-			set, err := job.ParseSet(n.Hosts)
+			set, err := job.ParseMachineSet(n.Hosts)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -64,10 +64,10 @@
 }
 
 func newRegistryBed(t *testing.T) *registryBed {
-	b := &registryBed{leaderTerm: bench(t), t: t, fakeState: &fakeState{kv: map[string]state.Entry{}}, now: time.Unix(1000, 0)}
+	b := &registryBed{leaderTerm: newTestTerm(t), t: t, fakeState: &fakeState{kv: map[string]state.Entry{}}, now: time.Unix(1000, 0)}
 	b.learn([]wire.MachineType{{Name: "small", CPUs: 8, MemGB: 16, Zones: []string{"a"}}})
 	b.registry.limit = newRegistry(b.core, 16).limit
-	b.takeover.ready = true
+	b.takeover.allReconciled = true
 	return b
 }
 
@@ -130,8 +130,8 @@
 	b.t.Helper()
 	for id, j := range b.jobTable.all() {
 		named := b.fakeState.names(b.t, id)
-		for i := range 64 * len(j.Noted) {
-			if j.Noted.Has(i) && !named[i] {
+		for i := range 64 * len(j.NotedMachines) {
+			if j.NotedMachines.Has(i) && !named[i] {
 				b.t.Errorf("job %s may be launched on machine %d, which no record names", id, i)
 			}
 		}
@@ -140,7 +140,7 @@
 
 // newGangJob adds a gang of two tasks to the job table of b.
 func newGangJob(b *registryBed, id string) *job.Job {
-	return b.jobTable.add(&job.Record{Spec: job.Spec{ID: id, ShapeName: "ensemble", RankName: "idle", Tasks: 2, CPUs: 1}}, 1, b.now)
+	return b.jobTable.add(&job.Record{Spec: job.Spec{ID: id, ShapeName: "ensemble", PriorityName: "idle", Tasks: 2, CPUs: 1}}, 1, b.now)
 }
 
 // registryCase is a case of TestRegistry: do runs against a fresh registryBed.
@@ -160,7 +160,7 @@
 			b.t.Errorf("%d writes, want 2: a page of machines and one of jobs", n)
 		}
 		for i := range 60 {
-			if !j.Noted.Has(i) {
+			if !j.NotedMachines.Has(i) {
 				b.t.Errorf("machine %d is not noted", i)
 			}
 		}
@@ -169,7 +169,7 @@
 		j := b.array("run-1")
 		b.assign(j, 0, b.up("h0"))
 		late := b.store(lost)
-		if j.Noted.Has(0) || b.host("h0").Durable {
+		if j.NotedMachines.Has(0) || b.host("h0").Durable {
 			b.t.Error("launched on the word of an unclear write")
 		}
 		b.assign(j, 1, b.up("h1"))
@@ -188,7 +188,7 @@
 		}
 		b.store(b.fakeState.apply) // conflicts
 		b.store(b.fakeState.apply)
-		if !j.Noted.Has(0) {
+		if !j.NotedMachines.Has(0) {
 			b.t.Error("not noted after the conflict")
 		}
 	}},
@@ -201,11 +201,11 @@
 		}
 		b.assign(j, 1, b.up("h1"))
 		b.store(lost)
-		if j.Noted.Has(0) || j.Noted.Has(1) {
+		if j.NotedMachines.Has(0) || j.NotedMachines.Has(1) {
 			b.t.Error("what only one of the two records names may be launched")
 		}
 		b.store(b.fakeState.apply)
-		if j.Noted.Has(0) || !j.Noted.Has(1) {
+		if j.NotedMachines.Has(0) || !j.NotedMachines.Has(1) {
 			b.t.Error("the new place is not the noted one")
 		}
 	}},
@@ -265,7 +265,7 @@
 			b.store(b.fakeState.apply)
 		}
 		for id, w := range map[string]int{"run-1": 60, "run-2": 30, "run-3": 70, "run-4": 15} {
-			if !b.jobTable.get(id).Noted.Has(64*w - 1) {
+			if !b.jobTable.get(id).NotedMachines.Has(64*w - 1) {
 				b.t.Errorf("%s is never noted", id)
 			}
 		}
@@ -280,7 +280,7 @@
 			b.store(b.fakeState.apply)
 			b.grow("run-3", 29-w) // and is in demand before each store
 		}
-		if !b.jobTable.jobs["run-1"].Noted.Has(64*60 - 1) {
+		if !b.jobTable.jobs["run-1"].NotedMachines.Has(64*60 - 1) {
 			b.t.Error("never noted")
 		}
 	}},
@@ -331,12 +331,12 @@
 		b.assign(j, 0, b.up("h0"))
 		b.store(b.fakeState.apply)
 		delete(b.jobTable.jobs, "run-1")
-		b.takeover.ready = false
+		b.takeover.allReconciled = false
 		b.registry.sweepNotes()
 		if b.registry.notes["run-1"] == nil {
 			b.t.Fatal("dropped before")
 		}
-		b.takeover.ready = true
+		b.takeover.allReconciled = true
 		b.registry.sweepNotes()
 		b.now = b.now.Add(time.Minute)
 		b.store(b.fakeState.apply)
--- a/internal/control/records_results.go
+++ b/internal/control/records_results.go
@@ -54,7 +54,7 @@
 // tidy drops results of jobs that are over. It comes after the final record and
 // apart from it, so that ending a job takes a small transaction.
 func (rs *results) tidy() {
-	if rs.dropping || len(rs.orphans) == 0 || !rs.c.State.Idle(rs.recordWriter.size()) {
+	if rs.dropping || len(rs.orphans) == 0 || !rs.controller.State.Idle(rs.recordWriter.size()) {
 		return
 	}
 	keys := rs.orphans[:min(len(rs.orphans), rs.recordWriter.size())]
@@ -87,7 +87,7 @@
 
 // flush stores results, so that the workers may forget them.
 func (rs *results) flush(now time.Time) {
-	if rs.flushing || now.Before(rs.flushAt) || rs.c.State.Spare() < rs.recordWriter.size() {
+	if rs.flushing || now.Before(rs.flushAt) || rs.controller.State.Spare() < rs.recordWriter.size() {
 		return
 	}
 	t := rs.gather()
@@ -100,7 +100,7 @@
 	rs.flushing, rs.flushAt = true, now.Add(time.Second)
 	go func() {
 		found, err := rs.commit(t)
-		rs.post(func() { rs.flushed(t, found, err) })
+		rs.enqueue(func() { rs.flushed(t, found, err) })
 	}()
 }
 
@@ -134,10 +134,10 @@
 // commit runs the transaction once, and returns the versions of the chunks as far as they
 // are known.
 func (rs *results) commit(t *resultsTxn) (found map[chunk]uint64, err error) {
-	version, err := rs.c.State.Commit(rs.ctx, t.txn)
+	version, err := rs.controller.State.Commit(rs.ctx, t.txn)
 	found = map[chunk]uint64{}
 	if err != nil {
-		rs.pause(settlePause)
+		rs.sleep(commitRetryPause)
 	}
 	for _, p := range t.chunks {
 		if err == nil {
@@ -147,7 +147,7 @@
 		if !errors.Is(err, state.ErrConflict) {
 			continue
 		}
-		if e, gerr := rs.c.State.Get(rs.ctx, p.j.ChunkKey(p.c)); gerr == nil || errors.Is(gerr, state.ErrNotFound) {
+		if e, gerr := rs.controller.State.Get(rs.ctx, p.j.ChunkKey(p.c)); gerr == nil || errors.Is(gerr, state.ErrNotFound) {
 			found[p] = e.Version
 		}
 	}
--- a/internal/control/records_writer.go
+++ b/internal/control/records_writer.go
@@ -34,10 +34,10 @@
 // writes may be repeated safely: only this term can make them.
 func (wr *recordWriter) write(writes []state.Write, then func(error)) {
 	go func() {
-		_, err := wr.c.State.Commit(wr.ctx, state.Txn{If: []state.Cond{wr.fence}, Writes: writes})
+		_, err := wr.controller.State.Commit(wr.ctx, state.Txn{If: []state.Cond{wr.fence}, Writes: writes})
 		if err != nil {
-			wr.pause(200 * time.Millisecond)
+			wr.sleep(200 * time.Millisecond)
 		}
-		wr.post(func() { then(err) })
+		wr.enqueue(func() { then(err) })
 	}()
 }
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -60,7 +60,7 @@
 }
 
 func newRollouts(co *core) *rollouts {
-	ro := &rollouts{core: co, checker: checker{free: co.c.Tuning.Rollouts.Checks}}
+	ro := &rollouts{core: co, checker: checker{free: co.controller.Tuning.Rollouts.Checks}}
 	ro.reset()
 	return ro
 }
@@ -70,14 +70,14 @@
 }
 
 // on reports whether roll-outs are switched on.
-func (ro *rollouts) on() bool { return ro.c.Tuning.Rollouts.Enabled }
+func (ro *rollouts) on() bool { return ro.controller.Tuning.Rollouts.Enabled }
 
 // list reads the records; none while roll-outs are switched off.
 func (ro *rollouts) list() ([]state.Entry, error) {
 	if !ro.on() {
 		return nil, nil
 	}
-	entries, _, err := ro.c.State.List(ro.ctx, rolloutPrefix)
+	entries, _, err := ro.controller.State.List(ro.ctx, rolloutPrefix)
 	return entries, err
 }
 
@@ -115,15 +115,15 @@
 func (ro *rollouts) tie(s *service) {
 	var jobs []*job.Job
 	for _, id := range []string{s.rec.Handle, s.rec.Current, s.rec.Next} {
-		if j := ro.jobTable.sound(id); j != nil && !slices.Contains(jobs, j) {
+		if j := ro.jobTable.identified(id); j != nil && !slices.Contains(jobs, j) {
 			jobs = append(jobs, j)
 		}
 	}
 	for _, j := range jobs {
-		j.Handle = j.ID == s.rec.Handle
+		j.IsVersionGroup = j.ID == s.rec.Handle
 		j.Versions = slices.DeleteFunc(slices.Clone(jobs), func(o *job.Job) bool { return o == j })
-		if j.Quota == nil {
-			j.Quota = &job.Quota{Allowed: make([]bool, j.Tasks)}
+		if j.Replicas == nil {
+			j.Replicas = &job.ReplicaPlan{Allowed: make([]bool, j.Tasks)}
 		}
 	}
 }
@@ -147,7 +147,7 @@
 	for _, s := range ro.services {
 		ro.endCancelled(s)
 	}
-	if !ro.takeover.settled() {
+	if !ro.takeover.reconciled() {
 		return // what runs where is not known yet: nothing new starts, nothing is stopped
 	}
 	down := ro.down(now)
@@ -158,7 +158,7 @@
 
 // advance stores a service's next step, or carries out the one that is stored.
 func (ro *rollouts) advance(s *service, down map[string]bool, now time.Time) {
-	if s.writing || (s.rests && len(s.asked) == 0 && !gone(ro.jobTable.sound(s.rec.Handle))) {
+	if s.writing || (s.rests && len(s.asked) == 0 && !gone(ro.jobTable.identified(s.rec.Handle))) {
 		return
 	}
 	ro.tie(s)
@@ -175,7 +175,7 @@
 		changed, told = changed || did, append(told, tell)
 	}
 	s.asked = nil
-	if next.State != rollout.Failed && ro.jobTable.sound(next.Next) == nil && !next.State.Over() {
+	if next.State != rollout.Failed && ro.jobTable.identified(next.Next) == nil && !next.State.Over() {
 		changed = rollout.Undo(next, now) || changed // its job was cancelled
 	}
 	changed = rollout.Step(next, view, s.gate) || changed
@@ -202,28 +202,28 @@
 	was := s.version
 	go func() {
 		for ro.ctx.Err() == nil {
-			version, err := ro.c.State.Commit(ro.ctx, txn)
+			version, err := ro.controller.State.Commit(ro.ctx, txn)
 			if errors.Is(err, state.ErrConflict) {
 				// Only an entitled leader writes it: a version that has moved on is the work
 				// of an unclear try of this very transaction.
-				if e, gerr := ro.c.State.Get(ro.ctx, key); gerr == nil && e.Version != was {
+				if e, gerr := ro.controller.State.Get(ro.ctx, key); gerr == nil && e.Version != was {
 					version, err = e.Version, nil
 				}
 			}
 			if err == nil {
-				ro.ahead(func() {
+				ro.enqueueForUser(func() {
 					if rec.State != s.rec.State || rec.At != s.rec.At {
 						ro.log.Info("roll-out", "service", rec.Service, "state", rec.State, "batch", rec.At+1, "of", len(rec.Batches), "version", rec.Next, "reason", rec.Reason)
 					}
 					s.rec, s.version, s.writing = rec, version, false
-					ro.changed()
+					ro.requestPlan()
 					for _, tell := range told {
 						tell()
 					}
 				})
 				return
 			}
-			ro.pause(200 * time.Millisecond)
+			ro.sleep(200 * time.Millisecond)
 		}
 	}()
 }
@@ -251,15 +251,15 @@
 
 // quiet is how long a machine may be silent before its copies count as lost.
 func (ro *rollouts) quiet() time.Duration {
-	w := ro.c.Settings.Facts.Workers
+	w := ro.controller.Settings.Facts.Workers
 	return config.Seconds(max(2.5*w.ReportS, w.LeaseS/2))
 }
 
 // view is what is seen of a service.
 func (ro *rollouts) view(s *service, down map[string]bool, now time.Time) *rollout.View {
-	old, next := ro.jobTable.sound(s.rec.Current), ro.jobTable.sound(s.rec.Next)
+	old, next := ro.jobTable.identified(s.rec.Current), ro.jobTable.identified(s.rec.Next)
 	v := &rollout.View{Now: now, Down: down, Old: ro.copies(old, now), New: ro.copies(next, now)}
-	v.Cancelled = gone(ro.jobTable.sound(s.rec.Handle)) || gone(old)
+	v.Cancelled = gone(ro.jobTable.identified(s.rec.Handle)) || gone(old)
 	v.Blind = s.rec.Spec.Check != nil && ro.blind(old, next)
 	if n := len(v.Old); len(v.New) < n {
 		v.New = append(v.New, make([]rollout.Copy, n-len(v.New))...)
@@ -311,14 +311,14 @@
 // apply lets the planner and the workers follow the stored record.
 func (ro *rollouts) apply(s *service, v *rollout.View) {
 	w := rollout.Wanted(s.rec, v)
-	old, next := ro.jobTable.sound(s.rec.Current), ro.jobTable.sound(s.rec.Next)
+	old, next := ro.jobTable.identified(s.rec.Current), ro.jobTable.identified(s.rec.Next)
 	if old != nil {
 		ro.quota(old, func(i int) (bool, string) { return i < len(w.Old) && w.Old[i], "" })
 	}
 	if next != nil {
 		ro.quota(next, func(i int) (bool, string) { return i < len(w.New) && w.New[i].Wanted, w.New[i].Zone })
 	}
-	if h := ro.jobTable.sound(s.rec.Handle); h != nil && h != old && h != next {
+	if h := ro.jobTable.identified(s.rec.Handle); h != nil && h != old && h != next {
 		ro.quota(h, func(int) (bool, string) { return false, "" })
 	}
 	if !s.rec.State.Over() {
@@ -341,7 +341,7 @@
 // waits neither for the roll-out's record, which an outage holds up, nor for the machines of
 // earlier leaders: their tasks have as long to go as those of any cancelled job.
 func (ro *rollouts) endCancelled(s *service) {
-	handle := ro.jobTable.sound(s.rec.Handle)
+	handle := ro.jobTable.identified(s.rec.Handle)
 	if !gone(handle) {
 		return
 	}
@@ -350,7 +350,7 @@
 		since = handle.CancelledAt
 	}
 	for _, id := range []string{s.rec.Current, s.rec.Next} {
-		if j := ro.jobTable.sound(id); !gone(j) {
+		if j := ro.jobTable.identified(id); !gone(j) {
 			ro.retire(j, s.rec.Handle)
 			j.CancelledAt = since
 		}
@@ -367,7 +367,7 @@
 
 // quota sets which replicas of a version may run and where, and stops the others.
 func (ro *rollouts) quota(j *job.Job, want func(int) (bool, string)) {
-	q := &job.Quota{Allowed: make([]bool, j.Tasks), Zone: make([]int, j.Tasks)}
+	q := &job.ReplicaPlan{Allowed: make([]bool, j.Tasks), Zone: make([]int, j.Tasks)}
 	for i := range j.Tasks {
 		ok, zone := want(i)
 		q.Allowed[i], q.Zone[i] = ok, -1
@@ -375,10 +375,10 @@
 			q.Zone[i] = ro.nameIndex.zone(zone)
 		}
 	}
-	if j.Quota == nil || !slices.Equal(j.Quota.Allowed, q.Allowed) {
-		ro.changed()
+	if j.Replicas == nil || !slices.Equal(j.Replicas.Allowed, q.Allowed) {
+		ro.requestPlan()
 	}
-	j.Quota = q
+	j.Replicas = q
 	for s := range ro.fleet.On(j) {
 		if s.On() && !s.Stopping && !q.Allowed[s.Task] {
 			ro.taskTracker.stopSlot(s, saveGrace(j))
@@ -434,7 +434,7 @@
 // status is what an operator is shown.
 func (ro *rollouts) status(s *service) rollout.Status {
 	now := time.Now()
-	return rollout.Tell(s.rec, &rollout.View{Now: now, Old: ro.copies(ro.jobTable.sound(s.rec.Current), now), New: ro.copies(ro.jobTable.sound(s.rec.Next), now)})
+	return rollout.Tell(s.rec, &rollout.View{Now: now, Old: ro.copies(ro.jobTable.identified(s.rec.Current), now), New: ro.copies(ro.jobTable.identified(s.rec.Next), now)})
 }
 
 // start stores a new roll-out together with the job of its next version.
@@ -449,7 +449,7 @@
 	if answered {
 		return
 	}
-	was := ro.jobTable.sound(current)
+	was := ro.jobTable.identified(current)
 	if p := ro.currentRefusal(s, current, was); p != nil {
 		back(p)
 		return
@@ -470,7 +470,7 @@
 func (ro *rollouts) startingPoint(s *service, spec *rollout.Spec, back func(*rpc.Reply)) (handle, current string, version uint64, answered bool) {
 	refuse := func(status int, why string) { back(reply(status, wire.Error{Error: why})) }
 	if s == nil {
-		if len(ro.services) >= ro.c.Tuning.Rollouts.Most {
+		if len(ro.services) >= ro.controller.Tuning.Rollouts.Most {
 			refuse(http.StatusTooManyRequests, "too many services have roll-outs")
 			return "", "", 0, true
 		}
@@ -482,7 +482,7 @@
 	}
 	switch {
 	case s.writing:
-		back(Later("the service's record is being stored"))
+		back(Unavailable("the service's record is being stored"))
 		return "", "", 0, true
 	case s.rec.Next == spec.To.ID && !s.rec.State.Over():
 		back(reply(http.StatusOK, ro.status(s))) // the same request once more
@@ -493,7 +493,7 @@
 	case !s.rec.State.Over():
 		// What has been rolled out is taken back first; the new one is asked for again.
 		s.asked = append(s.asked, func(rec *rollout.Record) (bool, func()) {
-			return rollout.Undo(rec, time.Now()), func() { back(Later("the roll-out before is rolled back first")) }
+			return rollout.Undo(rec, time.Now()), func() { back(Unavailable("the roll-out before is rolled back first")) }
 		})
 		return "", "", 0, true
 	}
@@ -513,8 +513,8 @@
 		return refusal(http.StatusUnprocessableEntity, "from: the job is not a service")
 	case ro.byJob[current] != nil && ro.byJob[current] != s:
 		return refusal(http.StatusConflict, "from: the job belongs to the service "+ro.byJob[current].rec.Service)
-	case !ro.takeover.settled():
-		return Later("machines are being met after a change of leader")
+	case !ro.takeover.reconciled():
+		return Unavailable("machines are being met after a change of leader")
 	}
 	return nil
 }
@@ -522,10 +522,10 @@
 // nextRefusal refuses a next version that admission would refuse, or whose job
 // exists already.
 func (ro *rollouts) nextRefusal(next *job.Spec) *rpc.Reply {
-	if p := ro.c.admissionRefusal(next, ro.nameIndex.list(), ro.teamQuotas.find(next.Team)); p != nil {
+	if p := ro.controller.admissionRefusal(next, ro.nameIndex.list(), ro.teamQuotas.find(next.Team)); p != nil {
 		return p
 	}
-	if ro.completions.known(next.ID) != nil || ro.admissionGroups.has(next.ID) {
+	if ro.completions.answerFromMemory(next.ID) != nil || ro.admissionGroups.has(next.ID) {
 		return reply(http.StatusConflict, wire.Error{Error: "to.uid: the job exists already"})
 	}
 	return nil
@@ -557,7 +557,7 @@
 		s.writing = true
 	}
 	done := func(v uint64, p *rpc.Reply) {
-		ro.ahead(func() {
+		ro.enqueueForUser(func() {
 			if s := ro.services[rec.Service]; s != nil {
 				s.writing = false
 			}
@@ -565,7 +565,7 @@
 				back(p)
 				return
 			}
-			if ro.jobTable.sound(id) == nil {
+			if ro.jobTable.identified(id) == nil {
 				ro.jobTable.add(next, v, time.Now())
 			}
 			s := &service{rec: rec, version: v}
@@ -576,13 +576,13 @@
 	}
 	go func() {
 		for unclear := false; ro.ctx.Err() == nil; {
-			v, err := ro.c.State.Commit(ro.ctx, txn)
+			v, err := ro.controller.State.Commit(ro.ctx, txn)
 			switch {
 			case err == nil:
 				done(v, nil)
 				return
 			case errors.Is(err, state.ErrConflict):
-				e, gerr := ro.c.State.Get(ro.ctx, key)
+				e, gerr := ro.controller.State.Get(ro.ctx, key)
 				var stored rollout.Record
 				switch {
 				case gerr == nil && wire.Unmarshal(e.Value, &stored) == nil && stored.Next == rec.Next && stored.Started == rec.Started:
@@ -593,13 +593,13 @@
 					return
 				}
 			case errors.Is(err, state.ErrRefused) && !unclear:
-				done(0, Later("state service refuses writes"))
+				done(0, Unavailable("state service refuses writes"))
 				return
 			default:
 				unclear = true
-				back(Later("roll-out is not settled yet"))
+				back(Unavailable("roll-out is not settled yet"))
 			}
-			ro.pause(200 * time.Millisecond)
+			ro.sleep(200 * time.Millisecond)
 		}
 	}()
 }
--- a/internal/control/rollout_checks.go
+++ b/internal/control/rollout_checks.go
@@ -73,7 +73,7 @@
 		ctx, cancel := context.WithTimeout(ro.ctx, checkTime)
 		defer cancel()
 		if req, err := http.NewRequestWithContext(ctx, http.MethodGet, at, nil); err == nil {
-			if res, err := ro.c.direct.Do(req); err == nil {
+			if res, err := ro.controller.directClient.Do(req); err == nil {
 				_, _ = io.Copy(io.Discard, io.LimitReader(res.Body, 4096))
 				_ = res.Body.Close()
 				switch {
@@ -86,7 +86,7 @@
 				}
 			}
 		}
-		ro.post(func() {
+		ro.enqueue(func() {
 			ro.checker.free++
 			if sl.Host.Slots[sl.Key] != sl {
 				delete(ro.checker.last, sl)
--- a/internal/control/rollout_test.go
+++ b/internal/control/rollout_test.go
@@ -15,21 +15,21 @@
 // old copy running.
 func rolling(tb testing.TB, services, replicas int) (*leaderTerm, time.Time) {
 	tb.Helper()
-	r := bench(tb)
-	r.c.Tuning.Rollouts.Enabled = true
+	r := newTestTerm(tb)
+	r.controller.Tuning.Rollouts.Enabled = true
 	r.learn([]wire.MachineType{{Name: "small", CPUs: 64, MemGB: 1000, Zones: []string{"a", "b"}}})
-	now := r.since.Add(time.Second)
-	r.takeover.ready = true
+	now := r.termStart.Add(time.Second)
+	r.takeover.allReconciled = true
 	var hosts []*fleet.Host
 	for i := range max(2, services*replicas/20) {
 		h := r.host(fmt.Sprintf("h%d", i))
 		r.nameIndex.describe(h, "small", []string{"a", "b"}[i%2], false)
-		r.fleet.Observe(h, &wire.Report{Host: h.Name, Addr: "10.0.0.1:1", Session: 1, Seq: 1, Token: r.term}, true, now, r.jobTable.find)
+		r.fleet.Observe(h, &wire.Report{Host: h.Name, Addr: "10.0.0.1:1", Session: 1, Seq: 1, Token: r.term}, true, now, r.jobTable.findOrAdd)
 		h.Durable = true
 		hosts = append(hosts, h)
 	}
 	for i := range services {
-		spec := job.Spec{ID: fmt.Sprintf("run-%d", i), ShapeName: "daemon", RankName: "idle", Tasks: replicas, CPUs: 1}
+		spec := job.Spec{ID: fmt.Sprintf("run-%d", i), ShapeName: "daemon", PriorityName: "idle", Tasks: replicas, CPUs: 1}
 		old := r.jobTable.add(&job.Record{Spec: spec}, 1, now)
 		zones := make([]string, replicas)
 		for t := range replicas {
@@ -68,12 +68,12 @@
 		t.Run(tt.name, func(t *testing.T) {
 			r, now := rolling(t, 1, 10)
 			tt.stored(r.rollouts.services["s0"].rec)
-			r.takeover.ready = tt.settled
+			r.takeover.allReconciled = tt.settled
 			r.rollouts.step(now)
 			count := func(id string) (n int) {
 				j := r.jobTable.get(id)
 				for i := range int32(j.Tasks) {
-					if j.May(i) {
+					if j.MayRun(i) {
 						n++
 					}
 				}
--- a/internal/control/shards.go
+++ b/internal/control/shards.go
@@ -100,19 +100,19 @@
 
 // Room is how many machines a controller can deal with: a connection each, beside
 // those that it needs itself, and a sixth for users.
-func Room(maxSockets int) int { return max(0, (maxSockets-2*DirectCalls(maxSockets)-40)*5/6) }
+func Room(maxSockets int) int { return max(0, (maxSockets-2*MaxDirectCalls(maxSockets)-40)*5/6) }
 
 // begin starts with what the registry names; the leader deals with all of it.
 func (sh *shards) begin(now time.Time) {
-	t, f := sh.c.Tuning.Shares, &sh.c.Settings.Facts
-	if !t.Enabled || len(sh.c.Settings.Siblings) == 0 {
+	t, f := sh.controller.Tuning.Shares, &sh.controller.Settings.Facts
+	if !t.Enabled || len(sh.controller.Settings.Siblings) == 0 {
 		return
 	}
 	perS := t.PerS
 	if perS == 0 {
 		perS = shard.PerSecond(f.Resources.CoreShare)
 	}
-	sh.allot = shard.NewAssigner(sh.term, sh.c.Settings.Member, sh.c.Settings.Site, shard.Settings{
+	sh.allot = shard.NewAssigner(sh.term, sh.controller.Settings.Member, sh.controller.Settings.Site, shard.Settings{
 		Grant: time.Duration(t.GrantMs) * time.Millisecond, Join: config.Seconds(t.JoinS), Rest: config.Seconds(t.RestS),
 		RestMost: config.Seconds(t.RestMostS), Least: t.Least, PerS: perS, Own: t.Own, Room: Room(f.Resources.MaxSockets)}, now)
 	for _, h := range sh.fleet.All() {
@@ -140,7 +140,7 @@
 		if len(sh.waiting[m.Host]) < 2 {
 			sh.waiting[m.Host] = append(sh.waiting[m.Host], again)
 		} else {
-			back(Later("the machine is changing its controller"))
+			back(Unavailable("the machine is changing its controller"))
 		}
 		return false
 	}
@@ -246,8 +246,8 @@
 	// one above was told before and its telling was not acknowledged.
 	deaf := h.Deaf()
 	ev := sh.fleet.Renew(h, e.Session, e.Seq, now.Add(-time.Duration(max(0, e.AgeMs))*time.Millisecond))
-	sh.taskTracker.hearing(h, deaf)
-	sh.taskTracker.handle(ev, now)
+	sh.taskTracker.logReachability(h, deaf)
+	sh.taskTracker.applyEvents(ev, now)
 	if clears := h.Clears(maxOrders); clears != nil {
 		b.settled = append(b.settled, shard.ExitClearance{Host: e.Host, Clears: clears})
 	}
@@ -265,8 +265,8 @@
 				continue
 			}
 			orders, sent, ev := sh.fleet.Compose(a.host, a.seq, a.fresh, now, maxOrders)
-			sh.takeover.launched(len(sent), now)
-			sh.taskTracker.handle(ev, now)
+			sh.takeover.recordLaunches(len(sent), now)
+			sh.taskTracker.applyEvents(ev, now)
 			b.answers = append(b.answers, shard.Answer{Host: a.host.Name, Session: a.session, Seq: a.seq, Orders: orders})
 		}
 		b.asked = nil
@@ -289,7 +289,7 @@
 		}
 		m.machines++
 		m.longest = max(m.longest, now.Sub(f.Since))
-		sh.c.Meter.Add(metrics.ShareMoves, f.Why, 1)
+		sh.controller.Meter.Add(metrics.ShareMoves, f.Why, 1)
 		sh.again(f.Name)
 	}
 }
@@ -356,13 +356,13 @@
 	}
 	clear(sh.told)
 	for member, n := range held {
-		sh.c.Meter.SetFor(metrics.ShareHeld, member, n)
+		sh.controller.Meter.SetFor(metrics.ShareHeld, member, n)
 	}
 }
 
 // Sync answers a holder's request as leader.
 func (c *Controller) Sync(ctx context.Context, q *shard.Request) *shard.Reply {
-	r := c.current()
+	r := c.currentTerm()
 	if r == nil || !c.Entitled(r.term) || !r.takeover.loaded() {
 		return &shard.Reply{}
 	}
@@ -384,7 +384,7 @@
 	case p := <-ch:
 		// The grant ends no later than what entitles this node, and the holder counts it
 		// from before it asked.
-		left := c.Left(r.term).Milliseconds()
+		left := c.Remaining(r.term).Milliseconds()
 		if left <= 0 {
 			return &shard.Reply{}
 		}
--- a/internal/control/shards_reclaim.go
+++ b/internal/control/shards_reclaim.go
@@ -12,7 +12,7 @@
 // only be renewed by answers that carry halts.
 func (sh *shards) keep(h *fleet.Host, now time.Time) {
 	limit, bounded := sh.fleet.RenewalLimit(h)
-	if !bounded || limit.Sub(now) > sh.allot.HandoverTime()+2*urgentEvery {
+	if !bounded || limit.Sub(now) > sh.allot.HandoverTime()+2*urgentScanInterval {
 		return
 	}
 	sh.kept[h] = struct{}{}
@@ -23,7 +23,7 @@
 // lets go of those that need not be any more. It comes before each reply to a holder, since
 // a reply prolongs its grant.
 func (sh *shards) keepDue(now time.Time) {
-	if now.Sub(sh.keptAt) < urgentEvery {
+	if now.Sub(sh.keptAt) < urgentScanInterval {
 		return
 	}
 	sh.keptAt = now
--- a/internal/control/shards_test.go
+++ b/internal/control/shards_test.go
@@ -48,9 +48,9 @@
 // TestEntry: what a holder tells once more, because its request was not answered, may
 // come with a later report that it has answered meanwhile. That one renewed the lease.
 func TestEntry(t *testing.T) {
-	r := bench(t)
-	r.c.Settings.Siblings, r.c.Tuning.Shares.Enabled = []config.Sibling{{Member: "n1"}}, true
-	now := r.since
+	r := newTestTerm(t)
+	r.controller.Settings.Siblings, r.controller.Tuning.Shares.Enabled = []config.Sibling{{Member: "n1"}}, true
+	now := r.termStart
 	r.shards.begin(now)
 	h := r.host("h1")
 	m := &wire.Report{Host: "h1", Type: "x", Zone: "a", Session: 1, Seq: 10, Token: 7}
--- a/internal/control/takeover.go
+++ b/internal/control/takeover.go
@@ -11,9 +11,9 @@
 	"vetchstream/internal/wire"
 )
 
-// settleTime is how long a takeover waits for all machines before it places
+// reconcileTimeout is how long a takeover waits for all machines before it places
 // around the silent ones.
-const settleTime = 700 * time.Millisecond
+const reconcileTimeout = 700 * time.Millisecond
 
 // takeover loads what earlier leaders have left, and knows which of their
 // machines may still run what it has not seen.
@@ -35,118 +35,118 @@
 	teamQuotas        *teamQuotas
 	homeQuotas        *homeQuotas
 
-	ready     bool // every machine of earlier leaders is settled
-	inherited []*fleet.Host
-	missing   map[string]bool // machines of earlier leaders that the cloud's list lacks
-	placeable bool            // work may be placed around the machines that have not been heard of
-	metSilent bool            // the silent machines of a takeover have been dealt with
-	read      atomic.Bool
-	phases    phases
+	allReconciled    bool // every machine of earlier leaders is settled
+	inherited        []*fleet.Host
+	unlisted         map[string]bool // machines of earlier leaders that the cloud's list lacks
+	placementAllowed bool            // work may be placed around the machines that have not been heard of
+	silentHandled    bool            // the silent machines of a takeover have been dealt with
+	recordsLoaded    atomic.Bool
+	phases           takeoverPhases
 }
 
-// phases are when a takeover came how far; zero: not yet. They are told in one
+// takeoverPhases are when a takeover came how far; zero: not yet. They are told in one
 // line, once the takeover is over.
-type phases struct {
-	load, meet, settle, launch time.Time
-	machines, jobs, tasks      int
-	told                       bool
+type takeoverPhases struct {
+	loaded, contacted, reconciled, firstLaunch time.Time
+	machines, jobs, tasks                      int
+	logged                                     bool
 }
 
-// metShare is the part of the machines, in percent, that must have answered for
+// contactedPercent is the part of the machines, in percent, that must have answered for
 // the fleet to count as met: a few are always gone.
-const metShare = 95
+const contactedPercent = 95
 
-// tellAfter is how long the line waits for a first launch: there may be no work.
-const tellAfter = 30 * time.Second
+// firstLaunchTimeout is how long the line waits for a first launch: there may be no work.
+const firstLaunchTimeout = 30 * time.Second
 
-// tell logs how long the takeover took, by phase: without a leader, reading the
+// logPhases logs how long the takeover took, by phase: without a leader, reading the
 // records, meeting the workers, the first launch, the last machine.
-func (tk *takeover) tell(now time.Time) {
+func (tk *takeover) logPhases(now time.Time) {
 	p := &tk.phases
-	if p.told || p.settle.IsZero() || (p.launch.IsZero() && now.Sub(tk.since) < tellAfter) {
+	if p.logged || p.reconciled.IsZero() || (p.firstLaunch.IsZero() && now.Sub(tk.termStart) < firstLaunchTimeout) {
 		return
 	}
-	p.told = true
+	p.logged = true
 	ms := func(at time.Time) int64 {
 		if at.IsZero() {
 			return -1
 		}
-		return at.Sub(tk.since).Milliseconds()
+		return at.Sub(tk.termStart).Milliseconds()
 	}
 	lease := int64(-1)
-	if !tk.alive.IsZero() {
-		lease = tk.since.Sub(tk.alive).Milliseconds()
+	if !tk.lastLeaderSeen.IsZero() {
+		lease = tk.termStart.Sub(tk.lastLeaderSeen).Milliseconds()
 	}
-	for phase, at := range map[string]time.Time{"loaded": p.load, "met": p.meet, "launch": p.launch, "settled": p.settle} {
+	for phase, at := range map[string]time.Time{"loaded": p.loaded, "met": p.contacted, "launch": p.firstLaunch, "settled": p.reconciled} {
 		if !at.IsZero() {
-			tk.c.Meter.Took(metrics.TakeoverTime, phase, at.Sub(tk.since))
+			tk.controller.Meter.Took(metrics.TakeoverTime, phase, at.Sub(tk.termStart))
 		}
 	}
-	tk.log.Info("takeover", "lease_ms", lease, "loaded_ms", ms(p.load), "met_ms", ms(p.meet), "launch_ms", ms(p.launch),
-		"settled_ms", ms(p.settle), "machines", p.machines, "jobs", p.jobs, "tasks", p.tasks)
+	tk.log.Info("takeover", "lease_ms", lease, "loaded_ms", ms(p.loaded), "met_ms", ms(p.contacted), "launch_ms", ms(p.firstLaunch),
+		"settled_ms", ms(p.reconciled), "machines", p.machines, "jobs", p.jobs, "tasks", p.tasks)
 }
 
-// launched notes that launches have left.
-func (tk *takeover) launched(n int, now time.Time) {
-	tk.c.Meter.Add(metrics.Launches, "", n)
-	if n > 0 && tk.phases.launch.IsZero() {
-		tk.phases.launch = now
+// recordLaunches notes that launches have left.
+func (tk *takeover) recordLaunches(n int, now time.Time) {
+	tk.controller.Meter.Add(metrics.Launches, "", n)
+	if n > 0 && tk.phases.firstLaunch.IsZero() {
+		tk.phases.firstLaunch = now
 	}
 }
 
 // loaded reports whether the records of earlier leaders are read; any goroutine
 // may ask.
-func (tk *takeover) loaded() bool { return tk.read.Load() }
+func (tk *takeover) loaded() bool { return tk.recordsLoaded.Load() }
 
-// settled reports whether every machine of earlier leaders is settled: nothing
+// reconciled reports whether every machine of earlier leaders is settled: nothing
 // is on them but what this term has seen.
-func (tk *takeover) settled() bool { return tk.ready }
+func (tk *takeover) reconciled() bool { return tk.allReconciled }
 
-// around reports whether work may be placed around the machines that have not been heard
+// mayPlace reports whether work may be placed around the machines that have not been heard
 // of: what they may run is known.
-func (tk *takeover) around() bool { return tk.placeable }
+func (tk *takeover) mayPlace() bool { return tk.placementAllowed }
 
-// settle looks at the machines of earlier leaders and reports whether work may
+// reconcile looks at the machines of earlier leaders and reports whether work may
 // be placed around those that have not been heard of.
-func (tk *takeover) settle(now time.Time) bool {
-	tk.tell(now)
-	if tk.ready {
+func (tk *takeover) reconcile(now time.Time) bool {
+	tk.logPhases(now)
+	if tk.allReconciled {
 		return true
 	}
 	tk.inherited = tk.fleet.Settle()
-	if p := &tk.phases; p.meet.IsZero() && 100*len(tk.inherited) <= (100-metShare)*p.machines {
-		p.meet = now
+	if p := &tk.phases; p.contacted.IsZero() && 100*len(tk.inherited) <= (100-contactedPercent)*p.machines {
+		p.contacted = now
 	}
 	for _, h := range tk.inherited {
 		// What it may take of a team's limit is not known; and give the others
 		// the time of a round trip before the plan is made without them.
-		if !h.Known || now.Sub(tk.begun()) < settleTime {
+		if !h.Known || now.Sub(tk.contactStart()) < reconcileTimeout {
 			return false
 		}
 	}
-	if now.Sub(tk.begun()) > meetTime {
+	if now.Sub(tk.contactStart()) > answerTimeout {
 		for _, h := range tk.inherited {
-			if tk.missing[h.Name] && !h.Releasing {
+			if tk.unlisted[h.Name] && !h.Releasing {
 				tk.machinePool.release(h, "an earlier leader has returned it")
 			}
 		}
 	}
-	if len(tk.inherited) > 0 && !tk.metSilent && now.Sub(tk.begun()) > tk.silentTime() {
-		tk.metSilent = true
-		tk.silent()
+	if len(tk.inherited) > 0 && !tk.silentHandled && now.Sub(tk.contactStart()) > tk.silentTimeout() {
+		tk.silentHandled = true
+		tk.releaseSilent()
 	}
-	tk.placeable = true
+	tk.placementAllowed = true
 	if len(tk.inherited) == 0 {
-		tk.ready, tk.phases.settle = true, now
-		tk.log.Info("every machine is settled", "after", now.Sub(tk.since).Round(time.Millisecond))
+		tk.allReconciled, tk.phases.reconciled = true, now
+		tk.log.Info("every machine is settled", "after", now.Sub(tk.termStart).Round(time.Millisecond))
 	}
 	return true
 }
 
-// blocked are the jobs that a machine of an earlier leader may still run, and
+// blockedJobs are the jobs that a machine of an earlier leader may still run, and
 // that must wait until it is settled. What such a machine may run counts in full
 // against the limit of every team that may have work there.
-func (tk *takeover) blocked(teams []place.Team) map[*job.Job]bool {
+func (tk *takeover) blockedJobs(teams []place.Team) map[*job.Job]bool {
 	out := map[*job.Job]bool{}
 	for _, h := range tk.inherited {
 		used := map[int]bool{}
@@ -171,47 +171,47 @@
 	return out
 }
 
-// silentMost is after what time without a word a machine of an earlier leader is
+// maxSilentTimeout is after what time without a word a machine of an earlier leader is
 // held to be silent, at the latest; silentLeast at the soonest. In between it is
 // after twice the time in which nearly all others have answered: that grows with
 // the fleet, and where the controller is slow.
 const (
-	silentLeast = 1200 * time.Millisecond
-	silentMost  = 3 * time.Second
+	minSilentTimeout = 1200 * time.Millisecond
+	maxSilentTimeout = 3 * time.Second
 )
 
-// begun is when the workers could first be called: an outage of the state service
+// contactStart is when the workers could first be called: an outage of the state service
 // can hold up the loading for longer than every wait for them.
-func (tk *takeover) begun() time.Time {
-	if tk.phases.load.IsZero() {
-		return tk.since
+func (tk *takeover) contactStart() time.Time {
+	if tk.phases.loaded.IsZero() {
+		return tk.termStart
 	}
-	return tk.phases.load
+	return tk.phases.loaded
 }
 
-// silentTime is after what time a machine is held to be silent.
-func (tk *takeover) silentTime() time.Duration {
-	if tk.phases.meet.IsZero() {
-		return silentMost
+// silentTimeout is after what time a machine is held to be silent.
+func (tk *takeover) silentTimeout() time.Duration {
+	if tk.phases.contacted.IsZero() {
+		return maxSilentTimeout
 	}
-	return min(max(silentLeast, 2*tk.phases.meet.Sub(tk.begun())), silentMost)
+	return min(max(minSilentTimeout, 2*tk.phases.contacted.Sub(tk.contactStart())), maxSilentTimeout)
 }
 
-// fewSilent is the part of the fleet that a takeover gives up for being silent. A
+// silentReleaseDivisor is the part of the fleet that a takeover gives up for being silent. A
 // cut or a hang takes more at a time, and its machines come back with their work.
-const fewSilent = 40
+const silentReleaseDivisor = 40
 
-// meetTime is what a machine that is there takes to answer after a takeover.
-const meetTime = time.Second
+// answerTimeout is what a machine that is there takes to answer after a takeover.
+const answerTimeout = time.Second
 
-// listed compares the machines of earlier leaders with the cloud's list. One that
+// compareListing compares the machines of earlier leaders with the cloud's list. One that
 // it lacks, although it has later ones, was gone when the list was made: names are
 // listed in the order in which machines were made, and a machine stays listed
 // until it is gone. An earlier leader has returned it and could not strike it off
 // the registry any more. It is returned once more, which settles it; if the list
 // were wrong, work would be lost and no rule broken.
-func (tk *takeover) listed(list []wire.CloudHost) {
-	if tk.ready || len(list) == 0 {
+func (tk *takeover) compareListing(list []wire.CloudHost) {
+	if tk.allReconciled || len(list) == 0 {
 		return
 	}
 	there := make(map[string]bool, len(list))
@@ -219,19 +219,19 @@
 		there[list[i].Name] = true
 	}
 	last := list[len(list)-1].Name
-	tk.missing = map[string]bool{}
+	tk.unlisted = map[string]bool{}
 	for _, h := range tk.fleet.All() {
 		if h.Inherited && !there[h.Name] && h.Name < last {
-			tk.missing[h.Name] = true
+			tk.unlisted[h.Name] = true
 		}
 	}
 }
 
-// silent deals with the machines that a takeover still waits for. In a large
+// releaseSilent deals with the machines that a takeover still waits for. In a large
 // fleet some spot machines are always gone without a word, and the jobs noted for
 // them, which are the large ones, would wait for a full lease after each change of
 // leader. A few are given back: once the cloud has answered, nothing is on them.
-func (tk *takeover) silent() {
+func (tk *takeover) releaseSilent() {
 	jobs := map[string]bool{}
 	for _, h := range tk.inherited {
 		for _, past := range h.InheritedJobs {
@@ -241,7 +241,7 @@
 		}
 	}
 	tk.log.Info("machines are silent, their jobs wait", "machines", len(tk.inherited), "of", len(tk.fleet.Hosts), "jobs", len(jobs))
-	if len(jobs) == 0 || len(tk.inherited) > max(1, len(tk.fleet.Hosts)/fewSilent) {
+	if len(jobs) == 0 || len(tk.inherited) > max(1, len(tk.fleet.Hosts)/silentReleaseDivisor) {
 		return
 	}
 	for _, h := range tk.inherited {
--- a/internal/control/takeover_load.go
+++ b/internal/control/takeover_load.go
@@ -14,12 +14,12 @@
 	for tk.ctx.Err() == nil {
 		if err := tk.tryLoad(); err != nil {
 			tk.log.Info("loading failed, trying again", "error", err)
-			tk.pause(200 * time.Millisecond)
+			tk.sleep(200 * time.Millisecond)
 			continue
 		}
 		tk.shards.begin(time.Now())
-		tk.read.Store(true)
-		tk.phases.load, tk.phases.machines, tk.phases.jobs = time.Now(), len(tk.fleet.Hosts), len(tk.jobTable.all())
+		tk.recordsLoaded.Store(true)
+		tk.phases.loaded, tk.phases.machines, tk.phases.jobs = time.Now(), len(tk.fleet.Hosts), len(tk.jobTable.all())
 		for _, j := range tk.jobTable.all() {
 			tk.phases.tasks += j.Tasks - j.DoneCount
 		}
@@ -29,8 +29,8 @@
 	return false
 }
 
-// stored is what earlier leaders have left in the state service.
-type stored struct {
+// storedRecords is what earlier leaders have left in the state service.
+type storedRecords struct {
 	hosts, notes, groups, jobs, results []state.Entry
 	rollouts, bookings, windows         []state.Entry
 	teams, homeTeams, homeHistory       []state.Entry
@@ -40,21 +40,21 @@
 }
 
 // readStored reads all of it.
-func (tk *takeover) readStored() (st *stored, err error) {
-	st = &stored{}
+func (tk *takeover) readStored() (st *storedRecords, err error) {
+	st = &storedRecords{}
 	for _, l := range []struct {
 		prefix string
 		into   *[]state.Entry
 	}{{hostPrefix, &st.hosts}, {notePrefix, &st.notes}, {job.GroupPrefix, &st.groups}, {job.ActivePrefix, &st.jobs}, {job.DonePrefix, &st.results}} {
 		var epoch uint64
-		if *l.into, epoch, err = tk.c.State.List(tk.ctx, l.prefix); err != nil {
+		if *l.into, epoch, err = tk.controller.State.List(tk.ctx, l.prefix); err != nil {
 			return nil, err
 		}
 		if l.prefix == job.ActivePrefix {
 			st.epoch = epoch
 		}
 	}
-	if st.types, err = tk.c.knownTypes(tk.ctx); err != nil {
+	if st.types, err = tk.controller.knownTypes(tk.ctx); err != nil {
 		return nil, err
 	}
 	if st.rollouts, err = tk.rollouts.list(); err != nil {
@@ -72,7 +72,7 @@
 
 // reset forgets what a try that failed half-way has taken in.
 func (tk *takeover) reset() {
-	tk.fleet = newFleet(tk.term, tk.c.Settings)
+	tk.fleet = newFleet(tk.term, tk.controller.Settings)
 	tk.registry.reset()
 	tk.jobTable.reset()
 	tk.results.reset()
@@ -100,7 +100,7 @@
 	}
 	tk.admissionGroups.load(st.groups, func(rec *job.Record) {
 		if rec.Phase != "" {
-			tk.completions.remember(rec)
+			tk.completions.cacheFinalStatus(rec)
 			return
 		}
 		tk.jobTable.add(rec, 0, submitted(rec))
@@ -114,7 +114,7 @@
 	}
 	tk.calendarStore.load(st.bookings, st.windows)
 	for _, j := range tk.jobTable.all() {
-		if j.Over() {
+		if j.Complete() {
 			tk.completions.finish(j, wire.JobDone)
 		}
 	}
@@ -140,7 +140,7 @@
 			continue
 		}
 		if rec.Phase != "" {
-			tk.completions.inherit(&rec, e.Version)
+			tk.completions.addUnmoved(&rec, e.Version)
 			continue
 		}
 		if tk.jobTable.get(rec.Spec.ID) == nil {
--- a/internal/control/tasks_heartbeats.go
+++ b/internal/control/tasks_heartbeats.go
@@ -29,18 +29,18 @@
 		wk.nameIndex.describe(h, m.Type, m.Zone, m.Spot)
 	}
 	booting, deaf := h.Booting, h.Deaf()
-	res := wk.fleet.Observe(h, m, isHeartbeat, now, wk.jobTable.find)
+	res := wk.fleet.Observe(h, m, isHeartbeat, now, wk.jobTable.findOrAdd)
 	if res.Deposed {
 		wk.log.Info("a worker has seen a later term", "host", h.Name, "seen", m.Token)
-		wk.c.Deposed(m.Token)
+		wk.controller.Deposed(m.Token)
 		return false, false
 	}
-	wk.hearing(h, deaf)
+	wk.logReachability(h, deaf)
 	if res.Fresh && booting && !h.Booting {
 		wk.log.Info("machine is up", "host", h.Name, "after", now.Sub(h.Born).Round(time.Second))
 		h.IdleFrom = now
 		wk.reservationHolds.booted(h, now.Sub(h.Born))
-		wk.changed()
+		wk.requestPlan()
 	}
 	for _, s := range h.Slots {
 		// Also of a job that is not known here. All that was active is loaded, so it is
@@ -48,13 +48,13 @@
 		// an outage that takes long, and its lease must not be renewed meanwhile for a task
 		// whose user may have been told that it is cancelled.
 		if s.On() && s.Job.Phase+s.Job.Closing != "" && !s.Stopping {
-			wk.handle(wk.fleet.Stop(s, 0), now)
+			wk.applyEvents(wk.fleet.Stop(s, 0), now)
 		}
 		if s.Job.Shape == job.Gang && s.On() {
-			wk.gangSeen(s)
+			wk.observeGang(s)
 		}
 	}
-	wk.handle(res.Events, now)
+	wk.applyEvents(res.Events, now)
 	if h.Fenced && !h.Durable && h.Known && h.Addr != "" && !h.Lost && !h.Releasing {
 		wk.registry.enter(h, wk.nameIndex.list()[h.Type].Name, wk.nameIndex.zoneNames()[h.Zone])
 	}
@@ -64,46 +64,46 @@
 	return res.Fresh, true
 }
 
-// hearing tells of a machine that has turned deaf, or hears again.
-func (wk *taskTracker) hearing(h *fleet.Host, was bool) {
+// logReachability tells of a machine that has turned deaf, or hears again.
+func (wk *taskTracker) logReachability(h *fleet.Host, was bool) {
 	switch {
 	case h.Deaf() && !was:
 		wk.log.Info("machine reports and takes in nothing that is sent to it, no more work for now", "host", h.Name)
 	case was && !h.Deaf():
 		wk.log.Info("machine hears again", "host", h.Name)
-		wk.changed()
+		wk.requestPlan()
 	}
 }
 
-// gangSeen ties a gang to the attempt that a report shows: the number survives
+// observeGang ties a gang to the attempt that a report shows: the number survives
 // a change of leader this way.
-func (wk *taskTracker) gangSeen(s *fleet.Slot) {
+func (wk *taskTracker) observeGang(s *fleet.Slot) {
 	j := s.Job
 	switch {
 	case j.GangAttempt == 0:
 		j.GangAttempt = s.Attempt
 	case j.GangAttempt != s.Attempt:
-		wk.breakGang(j)
+		wk.stopGangAttempt(j)
 	}
 	if s.Phase == wire.Running || s.Phase == wire.Saving {
-		j.GangRan = true
+		j.GangStarted = true
 	}
 }
 
-func (wk *taskTracker) breakGang(j *job.Job) {
-	if !j.GangBroken {
-		j.GangBroken = true
-		wk.stopAll(j)
+func (wk *taskTracker) stopGangAttempt(j *job.Job) {
+	if !j.GangStopping {
+		j.GangStopping = true
+		wk.killJob(j)
 	}
 }
 
-// stopAll stops every placement of a job without grace.
-func (wk *taskTracker) stopAll(j *job.Job) { wk.stopJob(j, 0) }
+// killJob stops every placement of a job without grace.
+func (wk *taskTracker) killJob(j *job.Job) { wk.stopJob(j, 0) }
 
 func (wk *taskTracker) stopJob(j *job.Job, grace float64) {
 	now := time.Now()
 	for s := range wk.fleet.On(j) {
-		wk.handle(wk.fleet.Stop(s, grace), now)
+		wk.applyEvents(wk.fleet.Stop(s, grace), now)
 	}
 }
 
@@ -111,27 +111,27 @@
 // a save needs all its members.
 func (wk *taskTracker) stopSlot(s *fleet.Slot, grace float64) {
 	if s.Job.Shape == job.Gang {
-		s.Job.GangBroken = true
+		s.Job.GangStopping = true
 		wk.stopJob(s.Job, grace)
 		return
 	}
-	wk.handle(wk.fleet.Stop(s, grace), time.Now())
+	wk.applyEvents(wk.fleet.Stop(s, grace), time.Now())
 }
 
 // saveGrace is the time that a placement gets to save.
 func saveGrace(j *job.Job) float64 {
-	if j.Checkpoint <= 0 {
+	if j.CheckpointS <= 0 {
 		return 0
 	}
 	return j.SaveS + 1
 }
 
-// handle deals with what became of placements.
-func (wk *taskTracker) handle(ev []fleet.Event, now time.Time) {
+// applyEvents deals with what became of placements.
+func (wk *taskTracker) applyEvents(ev []fleet.Event, now time.Time) {
 	for _, e := range ev {
 		s, j, h := e.Slot, e.Slot.Job, e.Slot.Host
-		wk.changed()
-		if wk.jobTable.stranger(j) {
+		wk.requestPlan()
+		if wk.jobTable.isUnidentified(j) {
 			s.Settled = e.Kind == fleet.Ended
 			continue
 		}
@@ -149,25 +149,25 @@
 				wk.log.Debug("task runs", "task", job.TaskName(j.ID, s.Task), "host", h.Name, "after", now.Sub(s.At))
 			}
 			if j.Shape == job.Gang {
-				j.GangRan = true
+				j.GangStarted = true
 			}
 		case fleet.Ended:
-			wk.ended(s, j, h, now)
+			wk.taskEnded(s, j, h, now)
 		case fleet.Sickened:
 			wk.rollouts.failed(j, s.Task, h.Name)
 		case fleet.Gone, fleet.Never:
-			if j.Shape == job.Gang && j.GangRan {
-				wk.breakGang(j)
+			if j.Shape == job.Gang && j.GangStarted {
+				wk.stopGangAttempt(j)
 			}
 		}
 		if j.Shape == job.Gang && len(j.Live) == 0 {
 			// Every member has certainly left: the next attempt may be made.
-			j.GangAttempt, j.GangBroken, j.GangRan = 0, false, false
+			j.GangAttempt, j.GangStopping, j.GangStarted = 0, false, false
 		}
 	}
 }
 
-func (wk *taskTracker) ended(s *fleet.Slot, j *job.Job, h *fleet.Host, now time.Time) {
+func (wk *taskTracker) taskEnded(s *fleet.Slot, j *job.Job, h *fleet.Host, now time.Time) {
 	if wk.debug {
 		wk.log.Debug("task ended", "task", job.TaskName(j.ID, s.Task), "host", h.Name, "cause", s.Cause)
 	}
@@ -203,7 +203,7 @@
 				j.SetDone(int32(t))
 			}
 		}
-		if j.Over() && j.Closing == "" {
+		if j.Complete() && j.Closing == "" {
 			wk.completions.finish(j, wire.JobDone)
 		}
 		return
@@ -213,18 +213,18 @@
 	case wire.CauseNoSuch:
 		wk.holdBack(j, now)
 	}
-	if j.Shape == job.Gang && s.Cause != wire.CauseFull && !(s.Cause == wire.CauseIncomplete && wk.fetching(j)) {
-		wk.breakGang(j)
+	if j.Shape == job.Gang && s.Cause != wire.CauseFull && !(s.Cause == wire.CauseIncomplete && wk.waitsForImages(j)) {
+		wk.stopGangAttempt(j)
 	}
 }
 
-// fetching reports whether a gang of which one member has just left waits for nothing
+// waitsForImages reports whether a gang of which one member has just left waits for nothing
 // but images. That member comes back with the same attempt: if all were stopped, the
 // fetches would be given up, and a gang one of whose images takes longer than members
 // wait would go round like that for ever. With another member without a place the gang
 // gives way, so that two halves of gangs do not hold each other's room.
-func (wk *taskTracker) fetching(j *job.Job) bool {
-	if j.GangBroken || j.GangRan || len(j.Live) != j.Tasks-1 {
+func (wk *taskTracker) waitsForImages(j *job.Job) bool {
+	if j.GangStopping || j.GangStarted || len(j.Live) != j.Tasks-1 {
 		return false
 	}
 	for s := range wk.fleet.On(j) {
--- a/internal/emulate/worker.go
+++ b/internal/emulate/worker.go
@@ -105,7 +105,7 @@
 				continue
 			}
 			k.change = true
-			if t.phase == wire.Running && t.spec.Checkpoint > 0 && o.Grace != nil && *o.Grace >= t.spec.SaveS {
+			if t.phase == wire.Running && t.spec.CheckpointS > 0 && o.Grace != nil && *o.Grace >= t.spec.SaveS {
 				t.phase, t.saves = wire.Saving, time.Now().Add(time.Duration(t.spec.SaveS*float64(time.Second)))
 				continue
 			}
--- a/internal/fleet/compose.go
+++ b/internal/fleet/compose.go
@@ -31,7 +31,7 @@
 				ev = append(ev, f.remove(h, s, Never)...)
 				continue
 			}
-			if !launches || !h.Fenced || !h.Durable || h.Lost || !s.Job.Noted.Has(h.Idx) {
+			if !launches || !h.Fenced || !h.Durable || h.Lost || !s.Job.NotedMachines.Has(h.Idx) {
 				continue
 			}
 			s.Sent, s.Direct, s.viaSeq, s.At = true, seq == 0, seq, now
@@ -94,7 +94,7 @@
 // Urgent reports whether something waits that is worth a direct command.
 func (h *Host) Urgent(now time.Time) bool {
 	for _, s := range h.Slots {
-		if !s.Sent && h.Usable() && s.Job.Noted.Has(h.Idx) {
+		if !s.Sent && h.Usable() && s.Job.NotedMachines.Has(h.Idx) {
 			return true
 		}
 		if h.holder != nil && s.doubtful(now) {
--- a/internal/fleet/explore_test.go
+++ b/internal/fleet/explore_test.go
@@ -77,7 +77,7 @@
 
 func newWorld(out guard) *world {
 	w := &world{out: out, now: time.Unix(1000, 0), holder: shard.NewHolder("n1", "", 1),
-		j: job.New(&job.Record{Spec: job.Spec{ID: "run-1", ShapeName: "array", RankName: "standard", Tasks: 1, CPUs: 1}}, time.Unix(1000, 0))}
+		j: job.New(&job.Record{Spec: job.Spec{ID: "run-1", ShapeName: "array", PriorityName: "standard", Tasks: 1, CPUs: 1}}, time.Unix(1000, 0))}
 	w.w = worker{session: 1, leased: w.now}
 	w.lead(1)
 	return w
@@ -91,11 +91,11 @@
 	w.a = shard.NewAssigner(term, "n0", "", shard.Settings{Grant: grantTime, Rest: tick, RestMost: tick, PerS: 1000, Own: 0.01, Room: 1}, w.now)
 	w.a.Known("host-1", "")
 	w.by, w.kept = &Holder{Name: "n1"}, false
-	w.j.Noted.Add(w.h.Idx)
+	w.j.NotedMachines.Add(w.h.Idx)
 	w.over = !w.cancelled.IsZero()
 	if w.over {
 		rec := &job.Record{Spec: w.j.Spec, Phase: wire.JobAborted}
-		w.j.Become(rec, w.now)
+		w.j.ReplaceRecord(rec, w.now)
 		if w.out == unknownIsPast {
 			w.j.CancelledAt = w.now
 		}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -25,10 +25,10 @@
 func newBed(t *testing.T) *bed {
 	now := time.Unix(1000, 0)
 	b := &bed{t: t, now: now, f: New(term, 10*time.Second, 25*time.Second),
-		j: job.New(&job.Record{Spec: job.Spec{ID: "run-1", ShapeName: "array", RankName: "standard", Tasks: 4, CPUs: 1}}, now)}
+		j: job.New(&job.Record{Spec: job.Spec{ID: "run-1", ShapeName: "array", PriorityName: "standard", Tasks: 4, CPUs: 1}}, now)}
 	b.h = b.f.Add("host-1", now)
 	b.h.Known, b.h.Durable, b.h.Type, b.h.Zone = true, true, 0, 0
-	b.j.Noted.Add(b.h.Idx)
+	b.j.NotedMachines.Add(b.h.Idx)
 	return b
 }
 
@@ -99,11 +99,11 @@
 		}},
 		{"6: nothing is launched before the job is noted for the machine", func(b *bed) {
 			b.msg(true, 1, 1, term, nil)
-			b.j.Noted.Drop(b.h.Idx)
+			b.j.NotedMachines.Remove(b.h.Idx)
 			b.assign(1)
 			b.orders(b.compose(1, true), "")
 			b.orders(b.compose(0, true), "")
-			b.j.Noted.Add(b.h.Idx)
+			b.j.NotedMachines.Add(b.h.Idx)
 			b.orders(b.compose(0, true), "launch 1;")
 		}},
 		{"6: a machine of an earlier leader is open until it is fenced or lost", func(b *bed) {
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -50,15 +50,15 @@
 // Job is a job that the leader looks after. Only the leader's actor touches it.
 type Job struct {
 	Spec
-	Shape     Shape
-	Rank      Rank
-	TeamIdx   int
-	ZoneIdx   int // -1: any
-	TypeOK    []bool
-	ImageIdx  int
-	Version   uint64 // of the active record
-	At        int64  // of the record
-	Submitted time.Time
+	Shape       Shape
+	Priority    Priority
+	TeamIdx     int
+	ZoneIdx     int // -1: any
+	TypeAllowed []bool
+	ImageIdx    int
+	Version     uint64 // of the active record
+	At          int64  // of the record
+	Submitted   time.Time
 	// Phase is empty until the final record is committed.
 	Phase string
 	// Closing is the final phase whose commit has been sent: nothing is launched
@@ -68,35 +68,35 @@
 	// may have been told from then on. Zero where an earlier leader sent it.
 	CancelledAt time.Time
 
-	done      []uint64
-	DoneCount int
-	dirty     map[int]bool
-	saved     map[int]uint64 // versions of the chunks that may exist as keys
+	done          []uint64
+	DoneCount     int
+	dirtyChunks   map[int]bool
+	chunkVersions map[int]uint64 // versions of the chunks that may exist as keys
 
-	// Quota is which replicas of a service may run while it is rolled out; nil: all.
-	Quota *Quota
+	// Replicas is which replicas of a service may run while it is rolled out; nil: all.
+	Replicas *ReplicaPlan
 	// Versions are the other versions of the service, and Handle tells that this job
 	// is its user's name for all of them.
-	Versions []*Job
-	Handle   bool
+	Versions       []*Job
+	IsVersionGroup bool
 
 	// Live counts, for each task, the placements that may be on a machine.
 	Live map[int32]int
-	// undone counts the tasks of Live that have not completed.
-	undone int
-	// Noted are the machines for which the registry certainly names the job. It is
+	// liveUndone counts the tasks of Live that have not completed.
+	liveUndone int
+	// NotedMachines are the machines for which the registry certainly names the job. It is
 	// launched on these alone, so that a successor knows what a silent machine may
 	// run.
-	Noted Set
-	// scan is the lowest task that may still need a placement.
-	scan int32
+	NotedMachines MachineSet
+	// lowestUndone is the lowest task that may still need a placement.
+	lowestUndone int32
 
 	// GangAttempt is the attempt that members are placed with; 0: none.
 	GangAttempt uint64
-	// GangBroken: a member of the running attempt is gone; the rest must leave
+	// GangStopping: a member of the running attempt is gone; the rest must leave
 	// before there is another.
-	GangBroken bool
-	GangRan    bool
+	GangStopping bool
+	GangStarted  bool
 
 	// NotBefore holds back a job that keeps failing.
 	NotBefore time.Time
@@ -112,7 +112,7 @@
 	// by machine: a faulty machine shows as far slower than the others.
 	RunSum   float64
 	RunCount int
-	RunsOn   map[string]Runs
+	RunsOn   map[string]RunTimes
 
 	// LastHost is the machine of the job's previous task.
 	LastHost int
@@ -122,22 +122,22 @@
 // New makes the runtime form of a record.
 func New(r *Record, submitted time.Time) *Job {
 	return &Job{
-		Spec: r.Spec, Shape: shapes[r.Spec.ShapeName], Rank: ranks[r.Spec.RankName],
+		Spec: r.Spec, Shape: shapeNames[r.Spec.ShapeName], Priority: priorityNames[r.Spec.PriorityName],
 		TeamIdx: -1, ZoneIdx: -1, ImageIdx: -1, LastHost: -1,
 		At: r.At, Phase: r.Phase, Submitted: submitted, WaitFrom: submitted,
-		done: make([]uint64, (r.Spec.Tasks+63)/64), dirty: map[int]bool{}, saved: map[int]uint64{},
-		Live: map[int32]int{}, ErrorHosts: map[string]bool{}, RunsOn: map[string]Runs{},
+		done: make([]uint64, (r.Spec.Tasks+63)/64), dirtyChunks: map[int]bool{}, chunkVersions: map[int]uint64{},
+		Live: map[int32]int{}, ErrorHosts: map[string]bool{}, RunsOn: map[string]RunTimes{},
 	}
 }
 
-// Runs sums up run times.
-type Runs struct {
+// RunTimes sums up run times.
+type RunTimes struct {
 	Sum   float64
 	Count int
 }
 
-// Ran notes the run time of a completed task.
-func (j *Job) Ran(host string, secs float64) {
+// RecordRunTime notes the run time of a completed task.
+func (j *Job) RecordRunTime(host string, secs float64) {
 	j.RunSum += secs
 	j.RunCount++
 	x := j.RunsOn[host]
@@ -159,42 +159,42 @@
 	j.done[task/64] |= 1 << (task % 64)
 	j.DoneCount++
 	if j.Live[task] > 0 {
-		j.undone--
+		j.liveUndone--
 	}
-	j.dirty[int(task)/chunkTasks] = true
+	j.dirtyChunks[int(task)/chunkTasks] = true
 	return true
 }
 
-// Over reports whether the job's work is complete.
-func (j *Job) Over() bool {
+// Complete reports whether the job's work is complete.
+func (j *Job) Complete() bool {
 	return j.Shape != Service && j.DoneCount == j.Tasks
 }
 
-// Quota is which replicas of a service may run, and in which zone each (-1: any).
-type Quota struct {
+// ReplicaPlan is which replicas of a service may run, and in which zone each (-1: any).
+type ReplicaPlan struct {
 	Allowed []bool
 	Zone    []int
 }
 
-// May reports whether a task may run.
-func (j *Job) May(task int32) bool {
-	return j.Quota == nil || (int(task) < len(j.Quota.Allowed) && j.Quota.Allowed[task])
+// MayRun reports whether a task may run.
+func (j *Job) MayRun(task int32) bool {
+	return j.Replicas == nil || (int(task) < len(j.Replicas.Allowed) && j.Replicas.Allowed[task])
 }
 
 // ZoneOf is the only zone that a task may run in, or -1.
 func (j *Job) ZoneOf(task int32) int {
-	if j.Quota != nil && int(task) < len(j.Quota.Zone) && j.Quota.Zone[task] >= 0 {
-		return j.Quota.Zone[task]
+	if j.Replicas != nil && int(task) < len(j.Replicas.Zone) && j.Replicas.Zone[task] >= 0 {
+		return j.Replicas.Zone[task]
 	}
 	return j.ZoneIdx
 }
 
-// Waiting is the number of tasks that need a placement.
-func (j *Job) Waiting() int {
-	if j.Quota != nil {
+// UnplacedCount is the number of tasks that need a placement.
+func (j *Job) UnplacedCount() int {
+	if j.Replicas != nil {
 		n := 0
 		for t := range int32(j.Tasks) {
-			if j.May(t) && j.Live[t] == 0 {
+			if j.MayRun(t) && j.Live[t] == 0 {
 				n++
 			}
 		}
@@ -203,22 +203,22 @@
 	if j.Shape == Service {
 		return j.Tasks - len(j.Live)
 	}
-	return j.Tasks - j.DoneCount - j.undone
+	return j.Tasks - j.DoneCount - j.liveUndone
 }
 
-// Needs calls yield for each task that needs a placement, until it says stop.
-func (j *Job) Needs(yield func(task int32) bool) {
+// Unplaced calls yield for each task that needs a placement, until it says stop.
+func (j *Job) Unplaced(yield func(task int32) bool) {
 	if j.Shape != Service {
-		for int(j.scan) < j.Tasks && j.IsDone(j.scan) {
-			j.scan++
+		for int(j.lowestUndone) < j.Tasks && j.IsDone(j.lowestUndone) {
+			j.lowestUndone++
 		}
 	}
-	for t := j.scan; int(t) < j.Tasks; t++ {
+	for t := j.lowestUndone; int(t) < j.Tasks; t++ {
 		if t%64 == 0 && j.Shape != Service && j.done[t/64] == math.MaxUint64 {
 			t += 63 // a large job that is nearly over must not cost a look at each task
 			continue
 		}
-		if j.Live[t] > 0 || !j.May(t) || (j.Shape != Service && j.IsDone(t)) {
+		if j.Live[t] > 0 || !j.MayRun(t) || (j.Shape != Service && j.IsDone(t)) {
 			continue
 		}
 		if !yield(t) {
@@ -238,19 +238,19 @@
 	}
 	if (was > 0) != (n > 0) && !j.IsDone(task) {
 		if n > 0 {
-			j.undone++
+			j.liveUndone++
 		} else {
-			j.undone--
+			j.liveUndone--
 		}
 	}
 }
 
-// Become replaces what is known of a job by its record; what may be on machines
+// ReplaceRecord replaces what is known of a job by its record; what may be on machines
 // stays.
-func (j *Job) Become(r *Record, submitted time.Time) {
-	live, noted, quota, versions, handle := j.Live, j.Noted, j.Quota, j.Versions, j.Handle
+func (j *Job) ReplaceRecord(r *Record, submitted time.Time) {
+	live, noted, quota, versions, handle := j.Live, j.NotedMachines, j.Replicas, j.Versions, j.IsVersionGroup
 	*j = *New(r, submitted)
-	j.Live, j.Noted, j.Quota, j.Versions, j.Handle = live, noted, quota, versions, handle
+	j.Live, j.NotedMachines, j.Replicas, j.Versions, j.IsVersionGroup = live, noted, quota, versions, handle
 	j.recount()
 }
 
@@ -260,13 +260,13 @@
 }
 
 func (j *Job) recount() {
-	j.DoneCount, j.undone = 0, 0
+	j.DoneCount, j.liveUndone = 0, 0
 	for _, w := range j.done {
 		j.DoneCount += bits.OnesCount64(w)
 	}
 	for t := range j.Live {
 		if int(t) < j.Tasks && !j.IsDone(t) {
-			j.undone++
+			j.liveUndone++
 		}
 	}
 }
@@ -274,7 +274,7 @@
 // Dirty returns the chunks that have not been stored as they stand.
 func (j *Job) Dirty() []int {
 	var out []int
-	for c := range j.dirty {
+	for c := range j.dirtyChunks {
 		out = append(out, c)
 	}
 	return out
@@ -294,24 +294,24 @@
 			b = append(b, byte(w>>(8*i)))
 		}
 	}
-	delete(j.dirty, c)
+	delete(j.dirtyChunks, c)
 	return Chunk{Bits: base64.StdEncoding.EncodeToString(b)}
 }
 
 // MarkDirty notes that a chunk has to be stored.
-func (j *Job) MarkDirty(c int) { j.dirty[c] = true }
+func (j *Job) MarkDirty(c int) { j.dirtyChunks[c] = true }
 
 // MarkSaved notes that a chunk may exist as a key, and its version; 0: it did not when
 // it was last read.
-func (j *Job) MarkSaved(c int, version uint64) { j.saved[c] = version }
+func (j *Job) MarkSaved(c int, version uint64) { j.chunkVersions[c] = version }
 
 // ChunkVersion is the version of a chunk's key as far as it is known; 0: none.
-func (j *Job) ChunkVersion(c int) uint64 { return j.saved[c] }
+func (j *Job) ChunkVersion(c int) uint64 { return j.chunkVersions[c] }
 
 // SavedChunks returns the chunks that may exist as keys.
 func (j *Job) SavedChunks() []int {
 	var out []int
-	for c := range j.saved {
+	for c := range j.chunkVersions {
 		out = append(out, c)
 	}
 	return out
@@ -333,7 +333,7 @@
 		j.done[len(j.done)-1] &= 1<<r - 1
 	}
 	j.recount()
-	j.saved[c] = version
+	j.chunkVersions[c] = version
 	return nil
 }
 
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -93,7 +93,7 @@
 
 // TestDoneSet stores the results of the largest job in chunks and loads them.
 func TestDoneSet(t *testing.T) {
-	spec := Spec{ID: "run-1", ShapeName: "array", RankName: "idle", Tasks: MaxTasks}
+	spec := Spec{ID: "run-1", ShapeName: "array", PriorityName: "idle", Tasks: MaxTasks}
 	j := New(&Record{Spec: spec}, time.Time{})
 	for i := int32(0); i < MaxTasks; i += 7 {
 		j.SetDone(i)
@@ -119,7 +119,7 @@
 	}
 	k.AddLive(201, 1)
 	var got []int32
-	k.Needs(func(task int32) bool {
+	k.Unplaced(func(task int32) bool {
 		got = append(got, task)
 		return len(got) < 4
 	})
@@ -129,7 +129,7 @@
 	for i := range int32(MaxTasks) {
 		k.SetDone(i)
 	}
-	if !k.Over() {
+	if !k.Complete() {
 		t.Error("not over with every task done")
 	}
 }
--- a/internal/job/set.go
+++ b/internal/job/set.go
@@ -6,38 +6,38 @@
 	"fmt"
 )
 
-// Set is a set of dense indices of machines.
-type Set []uint64
+// MachineSet is a set of dense indices of machines.
+type MachineSet []uint64
 
 // Has reports whether i is in the set.
-func (s Set) Has(i int) bool { return i>>6 < len(s) && s[i>>6]&(1<<(i&63)) != 0 }
+func (s MachineSet) Has(i int) bool { return i>>6 < len(s) && s[i>>6]&(1<<(i&63)) != 0 }
 
 // Add puts i into the set.
-func (s *Set) Add(i int) {
+func (s *MachineSet) Add(i int) {
 	for i>>6 >= len(*s) {
 		*s = append(*s, 0)
 	}
 	(*s)[i>>6] |= 1 << (i & 63)
 }
 
-// Drop takes i out of the set.
-func (s Set) Drop(i int) {
+// Remove takes i out of the set.
+func (s MachineSet) Remove(i int) {
 	if i>>6 < len(s) {
 		s[i>>6] &^= 1 << (i & 63)
 	}
 }
 
-// And is what both sets have.
-func (s Set) And(t Set) Set {
-	out := make(Set, min(len(s), len(t)))
+// Intersect is what both sets have.
+func (s MachineSet) Intersect(t MachineSet) MachineSet {
+	out := make(MachineSet, min(len(s), len(t)))
 	for i := range out {
 		out[i] = s[i] & t[i]
 	}
 	return out
 }
 
-// Text is the set's short form for records.
-func (s Set) Text() string {
+// Encode is the set's short form for records.
+func (s MachineSet) Encode() string {
 	for len(s) > 0 && s[len(s)-1] == 0 {
 		s = s[:len(s)-1]
 	}
@@ -48,13 +48,13 @@
 	return base64.StdEncoding.EncodeToString(b)
 }
 
-// ParseSet reads the short form.
-func ParseSet(text string) (Set, error) {
+// ParseMachineSet reads the short form.
+func ParseMachineSet(text string) (MachineSet, error) {
 	b, err := base64.StdEncoding.DecodeString(text)
 	if err != nil || len(b)%8 != 0 {
 		return nil, fmt.Errorf("set of machines %q: malformed", text)
 	}
-	s := make(Set, 0, len(b)/8)
+	s := make(MachineSet, 0, len(b)/8)
 	for ; len(b) > 0; b = b[8:] {
 		s = append(s, binary.LittleEndian.Uint64(b))
 	}
--- a/internal/job/set_test.go
+++ b/internal/job/set_test.go
@@ -17,14 +17,14 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			var s Set
+			var s MachineSet
 			for _, i := range tt.members {
 				s.Add(i)
 			}
 			if tt.drop >= 0 {
-				s.Drop(tt.drop)
+				s.Remove(tt.drop)
 			}
-			got, err := ParseSet(s.Text())
+			got, err := ParseMachineSet(s.Encode())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -33,14 +33,14 @@
 				want[i] = i != tt.drop
 			}
 			for i := range 2100 {
-				if got.Has(i) != want[i] || s.And(got).Has(i) != want[i] {
+				if got.Has(i) != want[i] || s.Intersect(got).Has(i) != want[i] {
 					t.Errorf("%d: %v, want %v", i, got.Has(i), want[i])
 				}
 			}
 		})
 	}
 	for _, bad := range []string{"x", "AAAA", "AAAAAAAAAAA"} {
-		if _, err := ParseSet(bad); err == nil {
+		if _, err := ParseMachineSet(bad); err == nil {
 			t.Errorf("%q is taken for a set", bad)
 		}
 	}
--- a/internal/job/spec.go
+++ b/internal/job/spec.go
@@ -27,57 +27,57 @@
 	Service
 )
 
-// Rank is a job's priority; higher goes first.
-type Rank uint8
+// Priority is a job's priority; higher goes first.
+type Priority uint8
 
 // The ranks of the protocol.
 const (
-	Idle Rank = iota
+	Idle Priority = iota
 	Standard
 	Urgent
 	Production
 )
 
 var (
-	shapes = map[string]Shape{"array": Array, "ensemble": Gang, "daemon": Service}
-	ranks  = map[string]Rank{"idle": Idle, "standard": Standard, "urgent": Urgent, "production": Production}
+	shapeNames    = map[string]Shape{"array": Array, "ensemble": Gang, "daemon": Service}
+	priorityNames = map[string]Priority{"idle": Idle, "standard": Standard, "urgent": Urgent, "production": Production}
 )
 
 // Spec is a job as its user submitted it, in the form in which it is kept in
 // the state service.
 type Spec struct {
-	ID         string   `codec:"uid"`
-	Class      string   `codec:"breed"`
-	Team       string   `codec:"owner"`
-	ShapeName  string   `codec:"shape"`
-	RankName   string   `codec:"rank"`
-	Tasks      int      `codec:"pieces"`
-	CPUs       float64  `codec:"cpus"`
-	GPUs       float64  `codec:"accelerators"`
-	MemGB      float64  `codec:"mem_gb"`
-	Image      string   `codec:"reel"`
-	ImageGB    float64  `codec:"image_gb"`
-	Types      []string `codec:"builds"`
-	Zone       string   `codec:"yard"`
-	OneZone    bool     `codec:"same_place"`
-	Spread     bool     `codec:"apart"`
-	Spot       bool     `codec:"loaners"`
-	EstimateS  float64  `codec:"guess_s"`
-	Checkpoint float64  `codec:"mark_s"`
-	SaveS      float64  `codec:"stash_s"`
-	DeadlineS  *float64 `codec:"due_s"`
-	// Booking is the reservation that the job claims, an addition to the protocol.
-	Booking string `codec:"booking,omitempty"`
+	ID           string   `codec:"uid"`
+	Class        string   `codec:"breed"`
+	Team         string   `codec:"owner"`
+	ShapeName    string   `codec:"shape"`
+	PriorityName string   `codec:"rank"`
+	Tasks        int      `codec:"pieces"`
+	CPUs         float64  `codec:"cpus"`
+	GPUs         float64  `codec:"accelerators"`
+	MemGB        float64  `codec:"mem_gb"`
+	Image        string   `codec:"reel"`
+	ImageGB      float64  `codec:"image_gb"`
+	Types        []string `codec:"builds"`
+	Zone         string   `codec:"yard"`
+	OneZone      bool     `codec:"same_place"`
+	Spread       bool     `codec:"apart"`
+	Spot         bool     `codec:"loaners"`
+	EstimateS    float64  `codec:"guess_s"`
+	CheckpointS  float64  `codec:"mark_s"`
+	SaveS        float64  `codec:"stash_s"`
+	DeadlineS    *float64 `codec:"due_s"`
+	// Reservation is the reservation that the job claims, an addition to the protocol.
+	Reservation string `codec:"booking,omitempty"`
 }
 
-// maxBooking is the longest name of a reservation, in bytes.
-const maxBooking = 63
+// maxReservationName is the longest name of a reservation, in bytes.
+const maxReservationName = 63
 
 // ErrMalformed marks a submission that is answered 400.
 var ErrMalformed = errors.New("malformed")
 
-// ErrNever marks a submission that is answered 422.
-var ErrNever = errors.New("can never run")
+// ErrUnschedulable marks a submission that is answered 422.
+var ErrUnschedulable = errors.New("can never run")
 
 // ValidID reports whether id has the form of a job id.
 func ValidID(id string) bool {
@@ -93,13 +93,13 @@
 	return true
 }
 
-// mostTeamName is the longest name of a team that can be a part of a key, in bytes.
-const mostTeamName = 100
+// maxTeamName is the longest name of a team that can be a part of a key, in bytes.
+const maxTeamName = 100
 
 // ValidTeam reports whether a team of that name can be in the state service: its keys have
 // no spaces.
 func ValidTeam(name string) bool {
-	return name != "" && len(name) <= mostTeamName && !strings.ContainsFunc(name, func(r rune) bool { return r <= ' ' || r > '~' })
+	return name != "" && len(name) <= maxTeamName && !strings.ContainsFunc(name, func(r rune) bool { return r <= ' ' || r > '~' })
 }
 
 // TaskName is the name of one of a job's tasks.
@@ -120,19 +120,19 @@
 	return id, int32(v), true
 }
 
-type fields struct {
-	m   map[string]any
-	err error
+type fieldReader struct {
+	values map[string]any
+	err    error
 }
 
-func (f *fields) fail(key, why string) {
+func (f *fieldReader) fail(key, why string) {
 	if f.err == nil {
 		f.err = fmt.Errorf("%w: %s %s", ErrMalformed, key, why)
 	}
 }
 
-func (f *fields) text(key string, optional bool) string {
-	v, ok := f.m[key]
+func (f *fieldReader) text(key string, optional bool) string {
+	v, ok := f.values[key]
 	if !ok || v == nil {
 		if !optional {
 			f.fail(key, "is missing")
@@ -165,8 +165,8 @@
 // sums over all tasks to stay exact.
 const maxAmount = 1e9
 
-func (f *fields) amount(key string, above bool) float64 {
-	v, ok := f.m[key]
+func (f *fieldReader) amount(key string, above bool) float64 {
+	v, ok := f.values[key]
 	if !ok || v == nil {
 		f.fail(key, "is missing")
 		return 0
@@ -179,8 +179,8 @@
 	return n
 }
 
-func (f *fields) flag(key string) bool {
-	v, ok := f.m[key]
+func (f *fieldReader) flag(key string) bool {
+	v, ok := f.values[key]
 	if !ok || v == nil {
 		f.fail(key, "is missing")
 		return false
@@ -212,26 +212,26 @@
 	if err := wire.Unmarshal(body, &m); err != nil || m == nil {
 		return nil, fmt.Errorf("%w: body is not a CBOR map", ErrMalformed)
 	}
-	f := &fields{m: m}
+	f := &fieldReader{values: m}
 	s := &Spec{
 		ID: f.text("uid", false), Class: f.text("breed", false), Team: f.text("owner", false),
-		ShapeName: f.text("shape", false), RankName: f.text("rank", false),
+		ShapeName: f.text("shape", false), PriorityName: f.text("rank", false),
 		CPUs: f.amount("cpus", false), GPUs: f.amount("accelerators", false), MemGB: f.amount("mem_gb", false),
 		Image: f.text("reel", false), ImageGB: f.amount("image_gb", false),
 		Zone: f.text("yard", true), OneZone: f.flag("same_place"), Spread: f.flag("apart"), Spot: f.flag("loaners"),
-		EstimateS: f.amount("guess_s", false), Checkpoint: f.amount("mark_s", false), SaveS: f.amount("stash_s", false),
+		EstimateS: f.amount("guess_s", false), CheckpointS: f.amount("mark_s", false), SaveS: f.amount("stash_s", false),
 	}
 	// An addition to the protocol: whatever else others mean by the field is no mistake.
-	if b, ok := m["booking"].(string); ok && len(b) <= maxBooking {
-		s.Booking = b
+	if b, ok := m["booking"].(string); ok && len(b) <= maxReservationName {
+		s.Reservation = b
 	}
 	if s.ID != "" && !ValidID(s.ID) {
 		f.fail("uid", "is not a job id")
 	}
-	if _, ok := shapes[s.ShapeName]; !ok {
+	if _, ok := shapeNames[s.ShapeName]; !ok {
 		f.fail("shape", "is unknown")
 	}
-	if _, ok := ranks[s.RankName]; !ok {
+	if _, ok := priorityNames[s.PriorityName]; !ok {
 		f.fail("rank", "is unknown")
 	}
 	n := f.amount("pieces", true)
--- a/internal/node/accel_test.go
+++ b/internal/node/accel_test.go
@@ -40,7 +40,7 @@
 				s.Boot("half", "b", true, 0)
 			}
 			hand := func(shape, rank, team string, tasks int, gpus, secs, at float64, edit func(*job.Spec)) {
-				sp := &job.Spec{Team: team, ShapeName: shape, RankName: rank, Tasks: tasks, CPUs: 6 * gpus, GPUs: gpus, MemGB: 40 * gpus, EstimateS: secs}
+				sp := &job.Spec{Team: team, ShapeName: shape, PriorityName: rank, Tasks: tasks, CPUs: 6 * gpus, GPUs: gpus, MemGB: 40 * gpus, EstimateS: secs}
 				if edit != nil {
 					edit(sp)
 				}
@@ -50,7 +50,7 @@
 				}
 				add(sp, time.Duration(at*float64(time.Second)), abort)
 			}
-			whole := func(j *job.Spec) { j.OneZone, j.Checkpoint, j.SaveS = true, 4, 1 }
+			whole := func(j *job.Spec) { j.OneZone, j.CheckpointS, j.SaveS = true, 4, 1 }
 			for i := range 4 {
 				at := float64(1 + 11*i)
 				hand("daemon", "production", "blue", 2+2*(i%2), 1, 0, at, func(j *job.Spec) { j.Spread = true })
--- a/internal/node/bounded_listener.go
+++ b/internal/node/bounded_listener.go
@@ -19,7 +19,7 @@
 // may be under way while as many connections are kept for the next.
 func inbound(set *config.Settings) int {
 	n := set.Facts.Resources.MaxSockets
-	return max(8, n-2*control.DirectCalls(n)-outgoing)
+	return max(8, n-2*control.MaxDirectCalls(n)-outgoing)
 }
 
 // boundedListener limits the connections that are open at a time. At the limit a new one
--- a/internal/node/calendar_test.go
+++ b/internal/node/calendar_test.go
@@ -91,8 +91,8 @@
 func (b *slotBed) job(secs float64, spec job.Spec) string {
 	b.jobs++
 	spec.ID = fmt.Sprintf("run-%06d", b.jobs)
-	if spec.RankName == "" {
-		spec.RankName = "standard"
+	if spec.PriorityName == "" {
+		spec.PriorityName = "standard"
 	}
 	spec.CPUs, spec.MemGB = max(spec.CPUs, 1), 1
 	declared, real := spec, spec
@@ -127,7 +127,7 @@
 // after two fifths of their estimate to over twice of it.
 func (b *slotBed) fill(tasks int) {
 	for i, secs := range []float64{8, 14, 22, 30} {
-		b.job(secs, job.Spec{Team: "blue", ShapeName: "array", Tasks: tasks, CPUs: 2, EstimateS: []float64{20, 14, 11, 20}[i], RankName: "urgent"})
+		b.job(secs, job.Spec{Team: "blue", ShapeName: "array", Tasks: tasks, CPUs: 2, EstimateS: []float64{20, 14, 11, 20}[i], PriorityName: "urgent"})
 	}
 }
 
@@ -149,7 +149,7 @@
 // through what must not disturb it.
 func TestSlots(t *testing.T) {
 	claim := func(b *slotBed) string {
-		return b.job(25, job.Spec{Team: "blue", ShapeName: "ensemble", Tasks: 6, CPUs: 4, EstimateS: 25, Booking: "evening"})
+		return b.job(25, job.Spec{Team: "blue", ShapeName: "ensemble", Tasks: 6, CPUs: 4, EstimateS: 25, Reservation: "evening"})
 	}
 	tolerance := calendar.Tolerance(2, 100)
 	tests := []struct {
@@ -330,9 +330,9 @@
 				defer closeAll()
 				// Estimates are wrong by half or more, and the classes' errors are learned.
 				b.job(20, job.Spec{Team: "blue", ShapeName: "array", Tasks: 600, EstimateS: 12, Spot: true})
-				b.job(200, job.Spec{Team: "blue", ShapeName: "array", Tasks: 6, EstimateS: 200, Checkpoint: 5, SaveS: 3, CPUs: 2})
-				b.job(150, job.Spec{Team: "blue", ShapeName: "ensemble", Tasks: 4, EstimateS: 150, Checkpoint: 5, SaveS: 3, CPUs: 2, RankName: "urgent"})
-				svc := b.job(0, job.Spec{Team: "blue", ShapeName: "daemon", Tasks: 4, RankName: "production"})
+				b.job(200, job.Spec{Team: "blue", ShapeName: "array", Tasks: 6, EstimateS: 200, CheckpointS: 5, SaveS: 3, CPUs: 2})
+				b.job(150, job.Spec{Team: "blue", ShapeName: "ensemble", Tasks: 4, EstimateS: 150, CheckpointS: 5, SaveS: 3, CPUs: 2, PriorityName: "urgent"})
+				svc := b.job(0, job.Spec{Team: "blue", ShapeName: "daemon", Tasks: 4, PriorityName: "production"})
 				time.Sleep(30 * time.Second)
 				if got := b.post("/api/maintenance", map[string]any{"name": "night", "yard": "a", "drain_s": 60.0,
 					"start": b.start.UTC().Format(time.RFC3339), "end": b.start.Add(100 * time.Second).UTC().Format(time.RFC3339)}); got != 201 {
@@ -406,7 +406,7 @@
 				if got := b.reserve(map[string]any{"parts": 4}); got != 201 {
 					t.Fatalf("the reservation got %d", got)
 				}
-				id := b.job(25, job.Spec{Team: "blue", ShapeName: "ensemble", Tasks: 4, CPUs: 4, EstimateS: 25, Booking: "evening"})
+				id := b.job(25, job.Spec{Team: "blue", ShapeName: "ensemble", Tasks: 4, CPUs: 4, EstimateS: 25, Reservation: "evening"})
 				b.at(-30 * time.Second)
 				if all, _ := b.Machines(); all != 0 {
 					t.Errorf("%d machines are rented half a minute before", all)
--- a/internal/node/cancel_test.go
+++ b/internal/node/cancel_test.go
@@ -27,7 +27,7 @@
 		begun := time.Now()
 		s.net.Hold(func(from, to string) bool { return hit[from] && isWorker(to) })
 		for i := range jobs {
-			spec := &job.Spec{ID: fmt.Sprintf("run-7%05d", i), Team: "blue", Class: "held", ShapeName: "array", RankName: "urgent", Tasks: tasks,
+			spec := &job.Spec{ID: fmt.Sprintf("run-7%05d", i), Team: "blue", Class: "held", ShapeName: "array", PriorityName: "urgent", Tasks: tasks,
 				CPUs: 0.5, MemGB: 0.5, EstimateS: 120, Spot: true}
 			s.Go(func() { s.live(spec, 0, cancelAfter) })
 			time.Sleep(every)
@@ -103,7 +103,7 @@
 	}
 	const bound = "a hundred machines hang, called off, few commands at a time"
 	playOn(t, calledOff(plain(3, scale, few)), also{bound: func(s *sim) {
-		if most := control.DirectCalls(sockets); s.MostStuck() < most {
+		if most := control.MaxDirectCalls(sockets); s.MostStuck() < most {
 			s.t.Errorf("%d commands waited for machines that hang, of %d at a time for each controller", s.MostStuck(), most)
 		}
 	}}, []day{
--- a/internal/node/home_region.go
+++ b/internal/node/home_region.go
@@ -95,7 +95,7 @@
 		return true
 	})
 	if err != nil {
-		return control.Later(err.Error())
+		return control.Unavailable(err.Error())
 	}
 	return out
 }
--- a/internal/node/meetings_test.go
+++ b/internal/node/meetings_test.go
@@ -37,7 +37,7 @@
 	st.begin = func(s *sim, add func(*job.Spec, time.Duration, time.Duration)) {
 		begin(s, add)
 		for i := range 16 {
-			add(&job.Spec{Team: "blue", Class: "cancelled", ShapeName: "array", RankName: "urgent", Tasks: 2 * st.scale, CPUs: 1, MemGB: 1, EstimateS: 90, Spot: true},
+			add(&job.Spec{Team: "blue", Class: "cancelled", ShapeName: "array", PriorityName: "urgent", Tasks: 2 * st.scale, CPUs: 1, MemGB: 1, EstimateS: 90, Spot: true},
 				2*time.Second, from+time.Duration(i)*every-2*time.Second)
 		}
 	}
@@ -236,7 +236,7 @@
 			return res.StatusCode, st.Phase
 		}
 		whole := func(id string) (m map[string]any) {
-			if err := wire.Unmarshal(submission(&job.Spec{ID: id, Team: "blue", ShapeName: "array", RankName: "idle", Tasks: 1, CPUs: 1, MemGB: 1}), &m); err != nil {
+			if err := wire.Unmarshal(submission(&job.Spec{ID: id, Team: "blue", ShapeName: "array", PriorityName: "idle", Tasks: 1, CPUs: 1, MemGB: 1}), &m); err != nil {
 				panic(err)
 			}
 			return m
@@ -340,7 +340,7 @@
 		st.begin = func(s *sim, add func(*job.Spec, time.Duration, time.Duration)) {
 			begin(s, add)
 			for i := range 12 {
-				sp := &job.Spec{Team: "blue", Class: "few", ShapeName: "array", RankName: "standard", Tasks: 2 + i%2, CPUs: 1, MemGB: 1, EstimateS: float64(4 + 3*i), Spot: true}
+				sp := &job.Spec{Team: "blue", Class: "few", ShapeName: "array", PriorityName: "standard", Tasks: 2 + i%2, CPUs: 1, MemGB: 1, EstimateS: float64(4 + 3*i), Spot: true}
 				add(sp, time.Duration(4+2*i)*sec, 0)
 			}
 		}
@@ -391,7 +391,7 @@
 		begin(s, add)
 		for i := range 10 {
 			team := []string{"blue", "red"}[i%2]
-			add(&job.Spec{Team: team, Class: "long", ShapeName: "array", RankName: "urgent", Tasks: 2 * st.scale, CPUs: 1, MemGB: 1, EstimateS: 45, Spot: true}, time.Duration(3+i)*time.Second, 0)
+			add(&job.Spec{Team: team, Class: "long", ShapeName: "array", PriorityName: "urgent", Tasks: 2 * st.scale, CPUs: 1, MemGB: 1, EstimateS: 45, Spot: true}, time.Duration(3+i)*time.Second, 0)
 		}
 	}
 	return st
@@ -507,7 +507,7 @@
 func stream(d time.Duration) func(*sim) {
 	return func(s *sim) {
 		for i := range int(4 * d / time.Second) {
-			spec := &job.Spec{ID: fmt.Sprintf("run-8%05d", i), Team: []string{"blue", "red"}[i%2], Class: "stream", ShapeName: "array", RankName: "standard", Tasks: 1, CPUs: 0.5, MemGB: 0.5, EstimateS: 3, Spot: true}
+			spec := &job.Spec{ID: fmt.Sprintf("run-8%05d", i), Team: []string{"blue", "red"}[i%2], Class: "stream", ShapeName: "array", PriorityName: "standard", Tasks: 1, CPUs: 0.5, MemGB: 0.5, EstimateS: 3, Spot: true}
 			abort := time.Duration(0)
 			if i%4 == 3 {
 				abort = time.Duration(1+i%7) * 700 * time.Millisecond
@@ -620,7 +620,7 @@
 	st.begin = func(s *sim, add func(*job.Spec, time.Duration, time.Duration)) {
 		begin(s, add)
 		for i := range 8 {
-			sp := &job.Spec{Team: "blue", Class: "bound", ShapeName: "array", RankName: "standard", Tasks: 6, CPUs: 1, MemGB: 1, EstimateS: 12, Spot: true, OneZone: i%2 == 0}
+			sp := &job.Spec{Team: "blue", Class: "bound", ShapeName: "array", PriorityName: "standard", Tasks: 6, CPUs: 1, MemGB: 1, EstimateS: 12, Spot: true, OneZone: i%2 == 0}
 			if !sp.OneZone {
 				sp.Zone = []string{"a", "b"}[i/2%2]
 			}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -64,9 +64,9 @@
 	n := &Node{set: set, log: log}
 	n.ctl = control.New(control.Deps{Settings: set, Tuning: tun, State: st,
 		Cloud: autoscale.NewCloud(set.Outside.Cloud, nw.Dial, set.Facts.Cloud.RPS), Dial: nw.Dial, Log: log, Meter: m,
-		Entitled: func(term uint64) bool { return n.elector.Entitled(term) },
-		Left:     func(term uint64) time.Duration { return n.elector.Left(term) },
-		Deposed:  func(term uint64) { n.elector.ObserveLeader("", term) },
+		Entitled:  func(term uint64) bool { return n.elector.Entitled(term) },
+		Remaining: func(term uint64) time.Duration { return n.elector.Left(term) },
+		Deposed:   func(term uint64) { n.elector.ObserveLeader("", term) },
 		Follow: func(ctx context.Context, q *dynconfig.Request) (*dynconfig.Reply, error) {
 			return n.home.follow(ctx, q)
 		}})
@@ -185,7 +185,7 @@
 	if p := n.ctl.Answer(ctx, q); p != nil {
 		return p
 	}
-	return control.Later("not the leader")
+	return control.Unavailable("not the leader")
 }
 
 // storedTime is for how long a node counts as one that the state service answers:
@@ -260,7 +260,7 @@
 // of the lease of a leader that is not to be reached. The next one takes a moment
 // more, but a user who comes a little early loses nothing by it.
 func (n *Node) vacant() *rpc.Reply {
-	p := control.Later("no leader is to be reached")
+	p := control.Unavailable("no leader is to be reached")
 	p.RetryAfter = max(p.RetryAfter, int(n.elector.LeaderLeaseLeft()/time.Second))
 	return p
 }
@@ -306,7 +306,7 @@
 	h.Via = n.set.Member
 	p, err := n.mesh.Forward(ctx, n.Leader(), &h)
 	if err != nil {
-		return control.Later("the leader is not to be reached")
+		return control.Unavailable("the leader is not to be reached")
 	}
 	return p
 }
--- a/internal/node/regions_test.go
+++ b/internal/node/regions_test.go
@@ -173,7 +173,7 @@
 	for i, s := range b.sims {
 		for n := 0; time.Duration(n)*4*time.Second < d; n++ {
 			b.ids++
-			sp := &job.Spec{ID: fmt.Sprintf("run-%d%04d", i+1, b.ids), Class: "c", Team: "green", ShapeName: "array", RankName: "standard", Tasks: 6, CPUs: 1, MemGB: 0.5, EstimateS: 5, Spot: true}
+			sp := &job.Spec{ID: fmt.Sprintf("run-%d%04d", i+1, b.ids), Class: "c", Team: "green", ShapeName: "array", PriorityName: "standard", Tasks: 6, CPUs: 1, MemGB: 0.5, EstimateS: 5, Spot: true}
 			at := time.Duration(n) * 4 * time.Second
 			s.Go(func() { s.live(sp, at, 0) })
 		}
@@ -443,7 +443,7 @@
 		}
 		time.Sleep(5 * time.Second)
 		hc := b.sims[1].client(5 * time.Second)
-		taken := &job.Spec{ID: "run-73", Team: "red", ShapeName: "array", RankName: "standard", Tasks: 1, CPUs: 1, MemGB: 1, EstimateS: 1, Spot: true}
+		taken := &job.Spec{ID: "run-73", Team: "red", ShapeName: "array", PriorityName: "standard", Tasks: 1, CPUs: 1, MemGB: 1, EstimateS: 1, Spot: true}
 		for _, of := range []string{"blue", "red"} {
 			sp := *taken
 			sp.Team = of
@@ -500,7 +500,7 @@
 		})
 		accepted, refused := 0, 0
 		for i := range 150 {
-			sp := &job.Spec{ID: fmt.Sprintf("run-8%04d", i), Class: "c", Team: "green", ShapeName: "array", RankName: "standard", Tasks: 1, CPUs: 1, MemGB: 0.5, EstimateS: 0.2, Spot: true}
+			sp := &job.Spec{ID: fmt.Sprintf("run-8%04d", i), Class: "c", Team: "green", ShapeName: "array", PriorityName: "standard", Tasks: 1, CPUs: 1, MemGB: 0.5, EstimateS: 0.2, Spot: true}
 			res, err := hc.Post("http://"+s.server(i)+"/api/jobs", wire.ContentType, bytes.NewReader(submission(sp)))
 			if err == nil {
 				_ = res.Body.Close()
--- a/internal/node/rollout_test.go
+++ b/internal/node/rollout_test.go
@@ -42,7 +42,7 @@
 	if limit > 0 {
 		team = "red" // which has a limit of 14 CPUs
 	}
-	b := &rollBed{sim: s, t: t, spec: &job.Spec{ID: "run-1", Team: team, ShapeName: "daemon", RankName: "standard", Tasks: 6, CPUs: max(1, limit), MemGB: 1, Image: "old"},
+	b := &rollBed{sim: s, t: t, spec: &job.Spec{ID: "run-1", Team: team, ShapeName: "daemon", PriorityName: "standard", Tasks: 6, CPUs: max(1, limit), MemGB: 1, Image: "old"},
 		sv: &served{name: "svc"},
 		hc: &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DialContext: s.net.Dialer("user"), DisableKeepAlives: true}}}
 	s.Describe(b.spec)
--- a/internal/node/shard_holder.go
+++ b/internal/node/shard_holder.go
@@ -51,7 +51,7 @@
 
 func newShareHolder(n *Node, dial state.DialFunc) *shareHolder {
 	sockets := n.set.Facts.Resources.MaxSockets
-	calls := control.DirectCalls(sockets)
+	calls := control.MaxDirectCalls(sockets)
 	// Each controller keeps connections for commands, so each keeps fewer than a leader
 	// that sends all of them.
 	return &shareHolder{n: n, calls: calls, room: control.Room(sockets), asks: map[string]ask{},
@@ -132,7 +132,7 @@
 // send sends a command of the leader's to a worker. The leader bounds how many are
 // under way.
 func (a *shareHolder) send(ctx context.Context, term uint64, c shard.Call) {
-	status, answer, reached, err := control.Direct(ctx, a.hc, c.Addr, c.Body, func() bool { return a.valid(term) })
+	status, answer, reached, err := control.SendDirect(ctx, a.hc, c.Addr, c.Body, func() bool { return a.valid(term) })
 	if err != nil {
 		a.n.log.Debug("direct command failed", "addr", c.Addr, "status", status, "error", err)
 	}
@@ -189,7 +189,7 @@
 		if m.Token > term {
 			a.n.elector.ObserveLeader("", m.Token)
 		}
-		return control.Later("the leader has not renewed this node's grant")
+		return control.Unavailable("the leader has not renewed this node's grant")
 	}
 	if verdict >= shard.ReportChanged {
 		patience := askTime
@@ -201,16 +201,16 @@
 		case ok:
 			orders = told
 		case verdict == shard.LeaderRequired:
-			return control.Later("the leader has not been told of all tasks of the machine")
+			return control.Unavailable("the leader has not been told of all tasks of the machine")
 		}
 	}
 	b, err := wire.Marshal(wire.Answer{Token: term, Orders: orders})
 	if err != nil {
-		return control.Later("the answer does not encode")
+		return control.Unavailable("the answer does not encode")
 	}
 	// As late as possible: the lock may have been waited for longer than the grant.
 	if !a.valid(term) {
-		return control.Later("the leader has not renewed this node's grant")
+		return control.Unavailable("the leader has not renewed this node's grant")
 	}
 	return &rpc.Reply{Status: http.StatusOK, Body: b, Work: len(m.Tasks) > 0}
 }
