--- a/internal/node/sim_test.go
+++ b/internal/node/sim_test.go
@@ -305,14 +305,14 @@
 }
 
 func submission(spec *job.Spec) []byte {
-	m := map[string]any{"uid": spec.ID, "breed": "c", "owner": spec.Team, "shape": spec.ShapeName, "rank": spec.RankName, "pieces": spec.Tasks,
+	m := map[string]any{"uid": spec.ID, "breed": "c", "owner": spec.Team, "shape": spec.ShapeName, "rank": spec.PriorityName, "pieces": spec.Tasks,
 		"cpus": spec.CPUs, "accelerators": spec.GPUs, "mem_gb": spec.MemGB, "reel": "i", "image_gb": 0.5, "same_place": spec.OneZone, "apart": spec.Spread,
-		"loaners": spec.Spot, "guess_s": spec.EstimateS, "mark_s": spec.Checkpoint, "stash_s": spec.SaveS}
+		"loaners": spec.Spot, "guess_s": spec.EstimateS, "mark_s": spec.CheckpointS, "stash_s": spec.SaveS}
 	if spec.Zone != "" {
 		m["yard"] = spec.Zone
 	}
-	if spec.Booking != "" {
-		m["booking"] = spec.Booking
+	if spec.Reservation != "" {
+		m["booking"] = spec.Reservation
 	}
 	body, err := wire.Marshal(m)
 	if err != nil {
@@ -533,7 +533,7 @@
 func swarm(n int) func(*sim) {
 	return func(s *sim) {
 		for i := range n {
-			spec := &job.Spec{ID: fmt.Sprintf("run-9%05d", i), Team: "blue", ShapeName: "array", RankName: "idle", Tasks: 1, CPUs: 0.25, MemGB: 0.5, EstimateS: 4, Spot: true}
+			spec := &job.Spec{ID: fmt.Sprintf("run-9%05d", i), Team: "blue", ShapeName: "array", PriorityName: "idle", Tasks: 1, CPUs: 0.25, MemGB: 0.5, EstimateS: 4, Spot: true}
 			abort := time.Duration(0)
 			if i%2 == 0 {
 				abort = time.Duration(i%7) * time.Second
@@ -745,7 +745,7 @@
 			s.Boot("small", "c", true, 0)
 		}
 		hand := func(shape, team string, tasks int, cpus, secs float64, at, abort time.Duration, edit func(*job.Spec)) {
-			sp := &job.Spec{Team: team, ShapeName: shape, RankName: "standard", Tasks: tasks, CPUs: cpus, MemGB: 1, EstimateS: secs, Spot: true}
+			sp := &job.Spec{Team: team, ShapeName: shape, PriorityName: "standard", Tasks: tasks, CPUs: cpus, MemGB: 1, EstimateS: secs, Spot: true}
 			if edit != nil {
 				edit(sp)
 			}
@@ -755,8 +755,8 @@
 		for i := range 5 {
 			at := time.Duration(1+9*i) * sec
 			hand("array", "red", 12*scale, 1, 5, at, 0, nil)
-			hand("array", "blue", 10*scale, 2, 8, at+sec, 0, func(j *job.Spec) { j.Checkpoint, j.SaveS, j.Spot = 2, 1, false })
-			hand("ensemble", "blue", min(3*scale, 24), 2, 10, at+2*sec, 0, func(j *job.Spec) { j.OneZone, j.RankName = true, "urgent" })
+			hand("array", "blue", 10*scale, 2, 8, at+sec, 0, func(j *job.Spec) { j.CheckpointS, j.SaveS, j.Spot = 2, 1, false })
+			hand("ensemble", "blue", min(3*scale, 24), 2, 10, at+2*sec, 0, func(j *job.Spec) { j.OneZone, j.PriorityName = true, "urgent" })
 			hand("array", "red", 8*scale, 2, 30, at+3*sec, 9*sec, nil)
 		}
 		hand("daemon", "blue", 3, 1, 0, 2*sec, 60*sec, nil)
--- a/internal/node/storm_test.go
+++ b/internal/node/storm_test.go
@@ -72,7 +72,7 @@
 	for i := range st.services {
 		n := 3 + r.IntN(st.replicas-2)
 		sv := &served{name: fmt.Sprintf("svc-%d", i), image: fmt.Sprintf("img-%d-next", i), bad: i == 0 || r.IntN(3) == 0, batch: max(1, n/2)}
-		sv.spec = &job.Spec{ID: fmt.Sprintf("run-%d", 1000+i), Team: "blue", ShapeName: "daemon", RankName: "standard", Tasks: n, CPUs: 1, MemGB: 1, Image: fmt.Sprintf("img-%d", i)}
+		sv.spec = &job.Spec{ID: fmt.Sprintf("run-%d", 1000+i), Team: "blue", ShapeName: "daemon", PriorityName: "standard", Tasks: n, CPUs: 1, MemGB: 1, Image: fmt.Sprintf("img-%d", i)}
 		if sv.bad {
 			sv.kind = r.IntN(len(builds))
 			if st.open {
--- a/internal/node/week_test.go
+++ b/internal/node/week_test.go
@@ -117,12 +117,12 @@
 			}
 			sl := &slotJob{id: fmt.Sprintf("run-%d", 100_000+100*d+i), start: day.Add(x.at), n: x.n, late: -1}
 			slots = append(slots, sl)
-			spec := job.Spec{ID: sl.id, Team: x.team, ShapeName: "ensemble", RankName: "standard", Tasks: x.n, CPUs: 4, MemGB: 1, EstimateS: 40, OneZone: x.one}
+			spec := job.Spec{ID: sl.id, Team: x.team, ShapeName: "ensemble", PriorityName: "standard", Tasks: x.n, CPUs: 4, MemGB: 1, EstimateS: 40, OneZone: x.one}
 			at := sl.start
 			if wk.calendar {
-				spec.Booking = fmt.Sprintf("slot-%d-%d", d, i)
+				spec.Reservation = fmt.Sprintf("slot-%d-%d", d, i)
 				at = at.Add(-30 * time.Second)
-				if got := b.post("/api/reservations", map[string]any{"name": spec.Booking, "team": x.team, "parts": x.n, "cpus": 4.0, "mem_gb": 1.0, "same_place": x.one,
+				if got := b.post("/api/reservations", map[string]any{"name": spec.Reservation, "team": x.team, "parts": x.n, "cpus": 4.0, "mem_gb": 1.0, "same_place": x.one,
 					"start": when(sl.start), "end": when(sl.start.Add(70 * time.Second)), "grace_s": 20.0}); got != 201 {
 					t.Errorf("a reservation got %d", got)
 				}
@@ -150,7 +150,7 @@
 		}
 		id := fmt.Sprintf("run-%d", 1000+i)
 		submitted[id] = at
-		hand(at, job.Spec{ID: id, Team: "bulk", ShapeName: "array", RankName: "standard", Tasks: 55 + r.IntN(30), CPUs: 2, MemGB: 1, EstimateS: float64(6 + r.IntN(20))})
+		hand(at, job.Spec{ID: id, Team: "bulk", ShapeName: "array", PriorityName: "standard", Tasks: 55 + r.IntN(30), CPUs: 2, MemGB: 1, EstimateS: float64(6 + r.IntN(20))})
 	}
 	type trouble struct{ from, to time.Time }
 	var troubles []trouble
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -49,7 +49,7 @@
 // Victim is a placement that could be stopped to make room.
 type Victim struct {
 	ID   int
-	Rank job.Rank
+	Rank job.Priority
 	Team int
 	Need Amount
 	// Whole is what leaves with it: all of its gang, or itself alone.
@@ -116,7 +116,7 @@
 type Demand struct {
 	ID          int // above 0
 	Shape       job.Shape
-	Rank        job.Rank
+	Rank        job.Priority
 	Team        int
 	Need        Amount
 	TypeOK      []bool // nil: any
@@ -307,7 +307,7 @@
 	// stopped.
 	sorted []bool
 	// lowest is the lowest rank that could be stopped.
-	lowest job.Rank
+	lowest job.Priority
 	stops  bool // there is anything that could be stopped
 	// last is the queue of the demand before, for one that is alike.
 	last *queue
--- a/internal/scale/users.go
+++ b/internal/scale/users.go
@@ -139,7 +139,7 @@
 // draw makes a job.
 func (u *users) draw(c class, r *rand.Rand) *job.Spec {
 	return &job.Spec{ID: fmt.Sprintf("run-%d", u.next.Add(1)), Class: c.name, Team: u.teams[r.IntN(len(u.teams))],
-		ShapeName: c.shape, RankName: c.rank, Tasks: c.tasks(r), CPUs: taskCPUs, MemGB: taskMemGB,
+		ShapeName: c.shape, PriorityName: c.rank, Tasks: c.tasks(r), CPUs: taskCPUs, MemGB: taskMemGB,
 		Image: fmt.Sprintf("img-%02d", r.IntN(20)), ImageGB: 0.5, EstimateS: u.run.Seconds() * (0.5 + r.Float64())}
 }
 
