--- a/internal/control/calendar_holds.go
+++ b/internal/control/calendar_holds.go
@@ -91,7 +91,7 @@
 // job are alike: to count them all would make a class look surer than it is, and the
 // next job's tasks would overrun the start of a slot.
 func (hd *reservationHolds) ran(j *job.Job, secs float64) {
-	if !hd.calendarStore.on() || j.RunCount != 1 {
+	if !hd.calendarStore.on() || j.RunTimeCount != 1 {
 		return
 	}
 	p := hd.paces[j.Class]
--- a/internal/control/commands.go
+++ b/internal/control/commands.go
@@ -1,38 +1,47 @@
 package control
 
 import (
-	"bytes"
-	"context"
-	"errors"
-	"io"
-	"net/http"
-	"net/http/httptrace"
-	"sync/atomic"
 	"time"
 
 	"vetchstream/internal/fleet"
-	"vetchstream/internal/state"
 	"vetchstream/internal/wire"
 )
 
-// commands sends direct commands, a bounded number at a time.
+// commands sends direct commands to workers, a bounded number at a time.
 type commands struct {
 	*core
 	taskTracker *taskTracker
 	takeover    *takeover
 	shards      *shards
 
-	callsInFlight  int // under way
+	callsInFlight  int
 	maxCalls       int
-	nextUrgentScan time.Time // of the next look at what cannot wait
+	nextUrgentScan time.Time
 }
 
-// urgentScanInterval spaces the looks at the machines that wait for a command: in a large
-// fleet they are hundreds, and one after each message took a fifth of the leader's
-// time.
-const urgentScanInterval = 20 * time.Millisecond
+// newCommands makes the sender of a term.
+func newCommands(co *core, maxSockets int) *commands {
+	return &commands{core: co, maxCalls: MaxDirectCalls(maxSockets)}
+}
+
+const (
+	// urgentScanInterval spaces the scans of the machines that wait for a command:
+	// in a large fleet they are hundreds, and a scan after each message took a fifth
+	// of the leader's time.
+	urgentScanInterval = 20 * time.Millisecond
+
+	// maxCallBackoff is the longest pause between the calls of a machine that does
+	// not answer.
+	maxCallBackoff = 4 * time.Second
+
+	// maxBackoffDoublings keeps the doubled backoff from overflowing.
+	maxBackoffDoublings = 8
 
-// sendUrgent sends what cannot wait for the next reports.
+	// wrongHostPause is the pause after another machine has answered at an address.
+	wrongHostPause = 10 * time.Second
+)
+
+// sendUrgent sends the commands that cannot wait for the next heartbeats.
 func (cm *commands) sendUrgent(now time.Time) {
 	if now.Before(cm.nextUrgentScan) {
 		return
@@ -45,8 +54,8 @@
 	}
 }
 
-// fenceWorkers calls the workers that have not shown this term yet, and those that do not
-// seem to hear: an answer brings them back into use.
+// fenceWorkers calls the workers that have not shown this term's token yet, and
+// those that seem unreachable: an answer brings them back into use.
 func (cm *commands) fenceWorkers(now time.Time) {
 	for _, h := range cm.fleet.All() {
 		if (!h.Fenced || h.Deaf() || h.Unheard) && cm.mayCall(h, now) {
@@ -55,7 +64,7 @@
 	}
 }
 
-// mayCall reports whether a direct command may be sent now.
+// mayCall reports whether a direct command may be sent to a machine now.
 func (cm *commands) mayCall(h *fleet.Host, now time.Time) bool {
 	if h.Calling || h.Lost || h.Addr == "" || !h.Durable || now.Before(h.NextCall) {
 		return false
@@ -64,13 +73,13 @@
 	return may && (relayed || cm.callsInFlight < cm.maxCalls)
 }
 
-// send sends a direct command: it fences a worker after a takeover, and brings
-// launches and halts without waiting for the next report.
+// send sends a machine's commands directly: this fences a worker after a takeover,
+// and brings launches and halts without waiting for the next heartbeat.
 func (cm *commands) send(h *fleet.Host, now time.Time) {
 	session := max(1, h.Session)
-	orders, sent, ev := cm.fleet.Compose(h, 0, h.Usable(), now, maxOrders)
+	orders, sent, events := cm.fleet.Compose(h, 0, h.Usable(), now, maxOrders)
 	cm.takeover.recordLaunches(len(sent), now)
-	cm.taskTracker.applyEvents(ev, now)
+	cm.taskTracker.applyEvents(events, now)
 	body, err := wire.Marshal(wire.Direct{Token: cm.term, Session: session, Orders: orders})
 	if err != nil {
 		cm.log.Error("orders do not encode", "error", err)
@@ -84,90 +93,58 @@
 	cm.callsInFlight++
 	addr := h.Addr
 	go func() {
-		status, b, reached, err := SendDirect(cm.ctx, cm.controller.directClient, addr, body, func() bool { return cm.controller.Entitled(cm.term) })
+		result, err := SendDirect(cm.ctx, cm.controller.directClient, addr, body, func() bool { return cm.controller.Entitled(cm.term) })
 		cm.enqueue(func() {
 			cm.callsInFlight--
-			cm.finishCall(h, status, b, reached, err, sent)
+			cm.finishCall(h, result, err, sent)
 		})
 	}()
 }
 
-// DirectClient returns the HTTP client for direct commands; it holds at most idle connections open between them.
-func DirectClient(dial state.DialFunc, idle int) *http.Client {
-	return &http.Client{Transport: &http.Transport{DialContext: dial, MaxConnsPerHost: 2, MaxIdleConnsPerHost: 1, MaxIdleConns: idle,
-		IdleConnTimeout: 30 * time.Second, DisableCompression: true}}
-}
-
-// errNotEntitled: the sender may not act for the leader any more.
-var errNotEntitled = errors.New("not entitled")
-
-// directTimeout bounds a direct command.
-const directTimeout = 2500 * time.Millisecond
-
-// SendDirect sends a direct command and returns the worker's answer; reached tells
-// whether anything can have been sent. Whether the sender may is asked as late as
-// possible.
-func SendDirect(ctx context.Context, hc *http.Client, addr string, body []byte, may func() bool) (status int, answer []byte, reached bool, err error) {
-	ctx, cancel := context.WithTimeout(ctx, directTimeout)
-	defer cancel()
-	var got atomic.Bool
-	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { got.Store(true) }})
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/do", bytes.NewReader(body))
-	if err != nil {
-		return 0, nil, false, err
-	}
-	req.GetBody = nil
-	req.Header.Set("Content-Type", wire.ContentType)
-	if !may() {
-		return 0, nil, false, errNotEntitled
-	}
-	res, err := hc.Do(req)
-	if err != nil {
-		return 0, nil, got.Load(), err
-	}
-	defer res.Body.Close()
-	b, err := io.ReadAll(io.LimitReader(res.Body, 4*wire.MaxBody))
-	if err != nil {
-		return 0, nil, true, err
-	}
-	return res.StatusCode, b, true, nil
-}
-
-const maxCallBackoff = 4 * time.Second
-
-// finishCall takes in what became of a direct command, whoever sent it.
-func (cm *commands) finishCall(h *fleet.Host, status int, answer []byte, reached bool, err error, sent []*fleet.Slot) {
+// finishCall takes in the outcome of a direct command, whoever sent it. sent are
+// the placements that it launched.
+func (cm *commands) finishCall(h *fleet.Host, result DirectResult, err error, sent []*fleet.Slot) {
 	now := time.Now()
 	h.Calling = false
 	if cm.fleet.Hosts[h.Name] != h {
 		return
 	}
-	var rep *wire.Report
-	if len(answer) > 0 {
-		rep = &wire.Report{}
-		if err := wire.Unmarshal(answer, rep); err != nil || rep.Session == 0 {
-			rep = nil
-		}
-	}
-	if !reached || (status != http.StatusOK && rep != nil) || status == http.StatusBadRequest {
-		// Nothing was executed, and nothing will be.
+	report := decodeReport(result.Body)
+	if result.notExecuted(report) {
 		cm.taskTracker.applyEvents(cm.fleet.Unsent(sent), now)
 	}
-	if rep == nil {
-		cm.log.Debug("direct command failed", "host", h.Name, "status", status, "error", err)
-		// Silent machines must not hold the few calls at a time that there are.
-		h.NextCall = now.Add(min(maxCallBackoff, time.Second<<min(h.Failures, 8)))
-		h.Failures++
-		// A machine that hangs, or that nothing reaches, has much room and would be
-		// chosen again and again.
-		h.Unheard = true
-		cm.taskTracker.applyEvents(cm.fleet.Withdraw(h), now)
+	if report == nil {
+		cm.log.Debug("direct command failed", "host", h.Name, "status", result.Status, "error", err)
+		cm.callFailed(h, now)
 		return
 	}
 	h.Failures = 0
-	if rep.Host != "" && rep.Host != h.Name {
-		h.NextCall = now.Add(10 * time.Second)
+	if report.Host != "" && report.Host != h.Name {
+		h.NextCall = now.Add(wrongHostPause)
 		return
 	}
-	cm.taskTracker.observe(h, rep, false, now)
+	cm.taskTracker.observe(h, report, false, now)
+}
+
+// decodeReport reads the report in a worker's answer; nil: there is none.
+func decodeReport(body []byte) *wire.Report {
+	if len(body) == 0 {
+		return nil
+	}
+	report := &wire.Report{}
+	if err := wire.Unmarshal(body, report); err != nil || report.Session == 0 {
+		return nil
+	}
+	return report
+}
+
+// callFailed backs off from a machine that did not answer.
+func (cm *commands) callFailed(h *fleet.Host, now time.Time) {
+	// Silent machines must not take up the few calls that may be in flight.
+	h.NextCall = now.Add(min(maxCallBackoff, time.Second<<min(h.Failures, maxBackoffDoublings)))
+	h.Failures++
+	// A machine that hangs, or that nothing reaches, has much capacity and would be
+	// chosen again and again.
+	h.Unheard = true
+	cm.taskTracker.applyEvents(cm.fleet.Withdraw(h), now)
 }
--- /dev/null
+++ b/internal/control/commands_direct.go
@@ -0,0 +1,91 @@
+package control
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"io"
+	"net/http"
+	"net/http/httptrace"
+	"sync/atomic"
+	"time"
+
+	"vetchstream/internal/state"
+	"vetchstream/internal/wire"
+)
+
+const (
+	// directTimeout bounds a direct command.
+	directTimeout = 2500 * time.Millisecond
+
+	// directIdleTimeout is how long an unused connection to a worker stays open.
+	directIdleTimeout = 30 * time.Second
+
+	// maxDirectAnswer bounds the body of a worker's answer, in bytes.
+	maxDirectAnswer = 4 * wire.MaxBody
+)
+
+// errNotEntitled: the sender may not act for the leader any more.
+var errNotEntitled = errors.New("not entitled")
+
+// MaxDirectCalls is how many direct commands may be in flight at a time: a whole
+// fleet at once would use up the sockets and the processor.
+func MaxDirectCalls(maxSockets int) int { return max(8, maxSockets/16) }
+
+// DirectClient returns the HTTP client for direct commands; it holds at most idle
+// connections open between them.
+func DirectClient(dial state.DialFunc, idle int) *http.Client {
+	return &http.Client{Transport: &http.Transport{
+		DialContext:         dial,
+		MaxConnsPerHost:     2,
+		MaxIdleConnsPerHost: 1,
+		MaxIdleConns:        idle,
+		IdleConnTimeout:     directIdleTimeout,
+		DisableCompression:  true,
+	}}
+}
+
+// DirectResult is the outcome of a direct command.
+type DirectResult struct {
+	Status int    // HTTP status; 0: no complete answer
+	Body   []byte // the worker's report
+	// Reached tells whether anything can have been sent to the worker.
+	Reached bool
+}
+
+// notExecuted reports whether the worker has certainly not executed the command,
+// and never will.
+func (d DirectResult) notExecuted(report *wire.Report) bool {
+	refused := d.Status != http.StatusOK && report != nil
+	return !d.Reached || refused || d.Status == http.StatusBadRequest
+}
+
+// SendDirect sends a direct command and returns the worker's answer. It asks
+// entitled as late as possible whether the sender may act for the leader.
+func SendDirect(ctx context.Context, hc *http.Client, addr string, body []byte, entitled func() bool) (DirectResult, error) {
+	ctx, cancel := context.WithTimeout(ctx, directTimeout)
+	defer cancel()
+	var connected atomic.Bool
+	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
+		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
+	})
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/do", bytes.NewReader(body))
+	if err != nil {
+		return DirectResult{}, err
+	}
+	req.GetBody = nil // the client must not send the command twice
+	req.Header.Set("Content-Type", wire.ContentType)
+	if !entitled() {
+		return DirectResult{}, errNotEntitled
+	}
+	res, err := hc.Do(req)
+	if err != nil {
+		return DirectResult{Reached: connected.Load()}, err
+	}
+	defer res.Body.Close()
+	answer, err := io.ReadAll(io.LimitReader(res.Body, maxDirectAnswer))
+	if err != nil {
+		return DirectResult{Reached: true}, err
+	}
+	return DirectResult{Status: res.StatusCode, Body: answer, Reached: true}, nil
+}
--- a/internal/control/completions.go
+++ b/internal/control/completions.go
@@ -151,6 +151,15 @@
 	}()
 }
 
+// recordStatus is the status of the job of a record.
+func recordStatus(rec *job.Record) wire.Status {
+	s := wire.Status{ID: rec.Spec.ID, Phase: rec.Phase, Done: rec.Done}
+	if s.Phase == "" {
+		s.Phase = wire.JobPending
+	}
+	return s
+}
+
 // recordReply answers with what a job's record says.
 func recordReply(rec *job.Record) *rpc.Reply { return reply(http.StatusOK, recordStatus(rec)) }
 
--- /dev/null
+++ b/internal/control/control_feasibility.go
@@ -0,0 +1,129 @@
+package control
+
+import (
+	"context"
+	"errors"
+	"net/http"
+	"slices"
+
+	"vetchstream/internal/config"
+	"vetchstream/internal/job"
+	"vetchstream/internal/place"
+	"vetchstream/internal/rpc"
+	"vetchstream/internal/state"
+	"vetchstream/internal/wire"
+)
+
+// admissionRefusal refuses a job that can never run, or that cannot be judged yet;
+// nil: it may be admitted.
+func (c *Controller) admissionRefusal(spec *job.Spec, types []wire.MachineType, team quota) *rpc.Reply {
+	reason, known := neverSchedulable(spec, types, team.now)
+	if reason != "" && team.soon != nil {
+		if later, _ := neverSchedulable(spec, types, team.soon); later == "" {
+			return Unavailable("the team's quota is about to change")
+		}
+	}
+	if !known {
+		return Unavailable("machine types are not known yet")
+	}
+	if reason != "" {
+		return reply(http.StatusUnprocessableEntity, wire.Error{Error: job.ErrUnschedulable.Error() + ": " + reason})
+	}
+	return nil
+}
+
+// typesRecord is the stored price list.
+type typesRecord struct {
+	Types []wire.MachineType `codec:"types"`
+}
+
+// knownTypes is the last price list that this node, or a leader, has read; nil:
+// there is none yet.
+func (c *Controller) knownTypes(ctx context.Context) ([]wire.MachineType, error) {
+	if types := c.cachedTypes(); types != nil {
+		return types, nil
+	}
+	e, err := c.State.Get(ctx, typesKey)
+	if errors.Is(err, state.ErrNotFound) {
+		return nil, nil
+	}
+	if err != nil {
+		return nil, err
+	}
+	var rec typesRecord
+	if err := wire.Unmarshal(e.Value, &rec); err != nil {
+		return nil, err
+	}
+	c.cacheTypes(rec.Types)
+	return rec.Types, nil
+}
+
+func (c *Controller) cachedTypes() []wire.MachineType {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.types
+}
+
+func (c *Controller) cacheTypes(types []wire.MachineType) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.types = types
+}
+
+// quotaTolerance absorbs rounding where amounts are compared with a limit.
+const quotaTolerance = 1e-6
+
+// neverSchedulable gives the reason why a job can never run, empty if it can;
+// known is false where that cannot be decided yet.
+func neverSchedulable(s *job.Spec, types []wire.MachineType, team *config.Team) (reason string, known bool) {
+	if team == nil {
+		return "unknown team", true
+	}
+	if len(types) == 0 {
+		return "", false
+	}
+	zones := feasibleZones(s, types)
+	if len(zones) == 0 {
+		return "a task fits no allowed machine type", true
+	}
+	// A gang runs whole, and at most half of it may be in one zone.
+	if s.ParsedShape() == job.Gang && s.Tasks > 1 && s.Spread && (s.OneZone || len(zones) == 1) {
+		return "its tasks have to be apart and fit in one zone only", true
+	}
+	if exceedsQuota(s, team) {
+		return "more than the team's limit", true
+	}
+	return "", true
+}
+
+// feasibleZones are the zones in which a task of a job fits a machine type that the
+// job allows.
+func feasibleZones(s *job.Spec, types []wire.MachineType) map[string]bool {
+	need := place.Amount{CPUs: s.CPUs, GPUs: s.GPUs, MemGB: s.MemGB}
+	zones := map[string]bool{}
+	for i := range types {
+		mt := &types[i]
+		capacity := place.Amount{CPUs: mt.CPUs, GPUs: mt.GPUs, MemGB: mt.MemGB}
+		if !capacity.Fits(need) || (s.Types != nil && !slices.Contains(s.Types, mt.Name)) {
+			continue
+		}
+		for _, z := range mt.Zones {
+			if s.Zone == "" || z == s.Zone {
+				zones[z] = true
+			}
+		}
+	}
+	return zones
+}
+
+// exceedsQuota reports whether a job can never run within a team's limit. An array
+// can run one task at a time, all other jobs run whole.
+func exceedsQuota(s *job.Spec, team *config.Team) bool {
+	concurrent := 1.0
+	if s.ParsedShape() != job.Array {
+		concurrent = float64(s.Tasks)
+	}
+	tooManyCPUs := team.CPUsMax > 0 && s.CPUs*concurrent > team.CPUsMax+quotaTolerance
+	tooManyGPUs := team.GPUsMax > 0 && s.GPUs*concurrent > team.GPUsMax+quotaTolerance
+	return tooManyCPUs || tooManyGPUs
+}
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -33,15 +33,15 @@
 	return newLeaderTerm(ctx, c, election.Term{Term: 7, Since: time.Unix(1000, 0)})
 }
 
-func (r *leaderTerm) host(name string) *fleet.Host { return r.fleet.Add(name, time.Unix(1000, 0)) }
+func (lt *leaderTerm) host(name string) *fleet.Host { return lt.fleet.Add(name, time.Unix(1000, 0)) }
 
-func (r *leaderTerm) learn(types []wire.MachineType) {
-	r.nameIndex.learn(types)
-	r.jobTable.rebindNames()
+func (lt *leaderTerm) learn(types []wire.MachineType) {
+	lt.nameIndex.learn(types)
+	lt.jobTable.rebindNames()
 }
 
-func (r *leaderTerm) array(id string) *job.Job {
-	return r.jobTable.add(&job.Record{Spec: job.Spec{ID: id, ShapeName: "array", PriorityName: "idle", Tasks: 100, CPUs: 1}}, 1, time.Unix(1000, 0))
+func (lt *leaderTerm) array(id string) *job.Job {
+	return lt.jobTable.add(&job.Record{Spec: job.Spec{ID: id, ShapeName: "array", PriorityName: "idle", Tasks: 100, CPUs: 1}}, 1, time.Unix(1000, 0))
 }
 
 // TestBlame: who is at fault when tasks fail, the machine or the job.
@@ -66,23 +66,23 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			r := newTestTerm(t)
+			lt := newTestTerm(t)
 			now := time.Unix(1000, 0)
 			jobs := map[string]*job.Job{}
 			for i, st := range tt.steps {
 				j := jobs[st.job]
 				if j == nil {
-					j = r.array(st.job)
+					j = lt.array(st.job)
 					jobs[st.job] = j
 				}
 				s := &fleet.Slot{Key: fleet.Key{Job: j, Task: int32(i)}, Cause: wire.CauseError}
 				if st.done {
 					s.Cause = wire.CauseDone
 				}
-				r.taskTracker.taskEnded(s, j, r.host(st.host), now)
+				lt.taskTracker.taskEnded(s, j, lt.host(st.host), now)
 			}
 			sick, held := "", ""
-			for _, h := range r.fleet.All() {
+			for _, h := range lt.fleet.All() {
 				if h.Draining {
 					sick += h.Name
 				}
@@ -114,11 +114,11 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			r := newTestTerm(t)
-			j, now := r.array("run-1"), time.Unix(1000, 0)
+			lt := newTestTerm(t)
+			j, now := lt.array("run-1"), time.Unix(1000, 0)
 			end := func(task int, host string, ran time.Duration, adopted bool) {
 				s := &fleet.Slot{Key: fleet.Key{Job: j, Task: int32(task)}, Cause: wire.CauseDone, RunAt: now.Add(-ran), Adopted: adopted}
-				r.taskTracker.taskEnded(s, j, r.host(host), now)
+				lt.taskTracker.taskEnded(s, j, lt.host(host), now)
 			}
 			for i := range 10 {
 				if tt.adopted {
@@ -130,7 +130,7 @@
 			for i := range 10 {
 				end(20+i, "h2", tt.ran, false)
 			}
-			if got := r.host("h2").Draining; got != tt.want {
+			if got := lt.host("h2").Draining; got != tt.want {
 				t.Errorf("given up: %v, want %v", got, tt.want)
 			}
 		})
@@ -154,26 +154,26 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			r := newTestTerm(t, config.Team{Name: "red"}, config.Team{Name: "blue"})
-			r.learn([]wire.MachineType{{Name: "small", CPUs: 8, MemGB: 16, Zones: []string{"a"}}})
+			lt := newTestTerm(t, config.Team{Name: "red"}, config.Team{Name: "blue"})
+			lt.learn([]wire.MachineType{{Name: "small", CPUs: 8, MemGB: 16, Zones: []string{"a"}}})
 			for id, team := range map[string]string{"run-1": "red", "run-2": "blue", "run-3": "red"} {
-				r.jobTable.add(&job.Record{Spec: job.Spec{ID: id, Team: team, ShapeName: "array", PriorityName: "idle", Tasks: 1, CPUs: 1}}, 1, time.Unix(1000, 0))
+				lt.jobTable.add(&job.Record{Spec: job.Spec{ID: id, Team: team, ShapeName: "array", PriorityName: "idle", Tasks: 1, CPUs: 1}}, 1, time.Unix(1000, 0))
 			}
-			h := r.host("h1")
-			r.nameIndex.describe(h, "small", "a", false)
+			h := lt.host("h1")
+			lt.nameIndex.describe(h, "small", "a", false)
 			for _, id := range tt.old {
 				team := -1
-				if r.jobTable.get(id) != nil {
-					team = r.jobTable.get(id).TeamIdx
+				if lt.jobTable.get(id) != nil {
+					team = lt.jobTable.get(id).TeamIdx
 				}
 				h.InheritedJobs = append(h.InheritedJobs, fleet.InheritedJob{ID: id, Team: team})
 			}
-			r.takeover.inherited = []*fleet.Host{h}
+			lt.takeover.inherited = []*fleet.Host{h}
 			teams := make([]place.Team, 2)
-			got := r.takeover.blockedJobs(teams)
+			got := lt.takeover.blockedJobs(teams)
 			names := ""
 			for _, id := range []string{"run-1", "run-2", "run-3"} {
-				if got[r.jobTable.get(id)] {
+				if got[lt.jobTable.get(id)] {
 					names += id
 				}
 			}
@@ -200,20 +200,20 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			r := newTestTerm(t)
-			r.array("run-1")
+			lt := newTestTerm(t)
+			lt.array("run-1")
 			for i := range tt.fleet {
-				h := r.host(fmt.Sprintf("h%d", i))
+				h := lt.host(fmt.Sprintf("h%d", i))
 				if i < tt.silent {
-					r.takeover.inherited = append(r.takeover.inherited, h)
+					lt.takeover.inherited = append(lt.takeover.inherited, h)
 					if tt.jobs {
 						h.InheritedJobs = []fleet.InheritedJob{{ID: "run-1", Team: -1}}
 					}
 				}
 			}
-			r.takeover.releaseSilent()
-			if got := len(r.machinePool.returns) == tt.silent; got != tt.want {
-				t.Errorf("%d given up, want all: %v", len(r.machinePool.returns), tt.want)
+			lt.takeover.releaseSilent()
+			if got := len(lt.machinePool.returns) == tt.silent; got != tt.want {
+				t.Errorf("%d given up, want all: %v", len(lt.machinePool.returns), tt.want)
 			}
 		})
 	}
@@ -236,21 +236,21 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			r := newTestTerm(t)
-			r.learn([]wire.MachineType{{Name: "small", CPUs: 8, MemGB: 16, Zones: []string{"a"}}})
+			lt := newTestTerm(t)
+			lt.learn([]wire.MachineType{{Name: "small", CPUs: 8, MemGB: 16, Zones: []string{"a"}}})
 			for _, n := range []string{"h1", "h2", "h3"} {
-				h := r.host(n)
-				r.nameIndex.describe(h, "small", "a", false)
+				h := lt.host(n)
+				lt.nameIndex.describe(h, "small", "a", false)
 				h.Inherited = true
 			}
 			var list []wire.CloudHost
 			for _, n := range tt.list {
 				list = append(list, wire.CloudHost{Name: n})
 			}
-			r.takeover.compareListing(list)
-			r.takeover.reconcile(r.termStart.Add(tt.after))
+			lt.takeover.compareListing(list)
+			lt.takeover.reconcile(lt.termStart.Add(tt.after))
 			got := ""
-			for _, h := range r.machinePool.returns {
+			for _, h := range lt.machinePool.returns {
 				got += h.Name
 			}
 			if got != tt.want {
@@ -278,18 +278,18 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			r := newTestTerm(t)
-			r.heartbeat(&wire.Report{Host: "h2", Type: "small", Zone: "a", Session: 1, Seq: 4, Tasks: []wire.TaskReport{{Task: "run-1/0", Attempt: 1, Phase: wire.Running}}},
+			lt := newTestTerm(t)
+			lt.heartbeat(&wire.Report{Host: "h2", Type: "small", Zone: "a", Session: 1, Seq: 4, Tasks: []wire.TaskReport{{Task: "run-1/0", Attempt: 1, Phase: wire.Running}}},
 				"", func(*rpc.Reply) {})
 			for _, names := range tt.lists {
 				var list []wire.CloudHost
 				for _, n := range names {
 					list = append(list, wire.CloudHost{Name: n})
 				}
-				r.machinePool.listed(list)
+				lt.machinePool.listed(list)
 			}
 			got := ""
-			for _, h := range r.machinePool.returns {
+			for _, h := range lt.machinePool.returns {
 				got += h.Name
 			}
 			if got != tt.want {
@@ -315,12 +315,12 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			r := newTestTerm(t)
-			r.takeover.phases.loaded = r.termStart.Add(tt.load)
+			lt := newTestTerm(t)
+			lt.takeover.phases.loaded = lt.termStart.Add(tt.load)
 			if tt.meet > 0 {
-				r.takeover.phases.contacted = r.termStart.Add(tt.meet)
+				lt.takeover.phases.contacted = lt.termStart.Add(tt.meet)
 			}
-			if got := r.takeover.contactStart().Add(r.takeover.silentTimeout()).Sub(r.termStart); got != tt.want {
+			if got := lt.takeover.contactStart().Add(lt.takeover.silentTimeout()).Sub(lt.termStart); got != tt.want {
 				t.Errorf("silent after %v, want %v", got, tt.want)
 			}
 		})
@@ -390,13 +390,13 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			r := newTestTerm(t, config.Team{Name: "red", CPUsMax: 10, GPUsMax: 6})
+			lt := newTestTerm(t, config.Team{Name: "red", CPUsMax: 10, GPUsMax: 6})
 			if !tt.bare {
-				r.learn(types)
+				lt.learn(types)
 			}
 			s := &job.Spec{ID: "run-1", Team: "red", ShapeName: "array", Tasks: 1, CPUs: 1, MemGB: 1}
 			tt.edit(s)
-			why, known := neverSchedulable(s, r.nameIndex.list(), r.teamQuotas.find(s.Team).now)
+			why, known := neverSchedulable(s, lt.nameIndex.list(), lt.teamQuotas.find(s.Team).now)
 			if (why != "") != tt.never || known != tt.known {
 				t.Errorf("%q, known %v", why, known)
 			}
@@ -410,17 +410,17 @@
 func TestChosen(t *testing.T) {
 	for _, slots := range []int{0, 2} {
 		t.Run(fmt.Sprintf("%d slots", slots), func(t *testing.T) {
-			r := newTestTerm(t)
-			r.learn([]wire.MachineType{{Name: "small", CPUs: 4, MemGB: 16, Zones: []string{"a", "b"}}})
-			r.nameIndex.zone("a")
+			lt := newTestTerm(t)
+			lt.learn([]wire.MachineType{{Name: "small", CPUs: 4, MemGB: 16, Zones: []string{"a", "b"}}})
+			lt.nameIndex.zone("a")
 			need := place.Amount{CPUs: 4}
-			gang := r.jobTable.add(&job.Record{Spec: job.Spec{ID: "run-1", ShapeName: "ensemble", PriorityName: "idle", Tasks: 2, CPUs: 4, OneZone: true}}, 1, r.termStart)
-			r.machinePool.want([]autoscale.Want{{Demand: &place.Demand{ID: r.jobTable.index(gang), Shape: job.Gang, Need: need, Zone: -1, OneZone: true, InZone: make([]int, 2)}, Count: 2, Chosen: -7}})
+			gang := lt.jobTable.add(&job.Record{Spec: job.Spec{ID: "run-1", ShapeName: "ensemble", PriorityName: "idle", Tasks: 2, CPUs: 4, OneZone: true}}, 1, lt.termStart)
+			lt.machinePool.want([]autoscale.Want{{Demand: &place.Demand{ID: lt.jobTable.index(gang), Shape: job.Gang, Need: need, Zone: -1, OneZone: true, InZone: make([]int, 2)}, Count: 2, Chosen: -7}})
 			for range slots {
-				r.reservationHolds.wants = append(r.reservationHolds.wants, autoscale.Want{Demand: &place.Demand{Shape: job.Gang, Need: need, Zone: 0, InZone: make([]int, 2)}, Count: 1})
+				lt.reservationHolds.wants = append(lt.reservationHolds.wants, autoscale.Want{Demand: &place.Demand{Shape: job.Gang, Need: need, Zone: 0, InZone: make([]int, 2)}, Count: 1})
 			}
-			r.machinePool.rent(r.termStart)
-			if got := r.machinePool.wants[0].Chosen; got < 0 {
+			lt.machinePool.rent(lt.termStart)
+			if got := lt.machinePool.wants[0].Chosen; got < 0 {
 				t.Errorf("chosen zone %d", got)
 			}
 		})
@@ -457,18 +457,18 @@
 		{"a gang of one that is apart", func(s *job.Spec) { s.ShapeName, s.Spread, s.Zone, s.Tasks = "ensemble", true, "a", 1 }, 0},
 		{"an array that is apart, in one zone: a half at a time", func(s *job.Spec) { s.Spread, s.Zone = true, "a" }, 0},
 	}
-	r := newTestTerm(t, config.Team{Name: "red", GPUsMax: 5}, config.Team{Name: "blue", CPUsMax: 2})
+	lt := newTestTerm(t, config.Team{Name: "red", GPUsMax: 5}, config.Team{Name: "blue", CPUsMax: 2})
 	for _, tt := range tests {
 		s := job.Spec{ID: "run-1", Team: "red", ShapeName: "array", PriorityName: "idle", Tasks: 2, CPUs: 1, MemGB: 1}
 		tt.edit(&s)
 		got := 0
-		if p := r.controller.admissionRefusal(&s, types, r.teamQuotas.find(s.Team)); p != nil {
+		if p := lt.controller.admissionRefusal(&s, types, lt.teamQuotas.find(s.Team)); p != nil {
 			got = p.Status
 		}
 		if got != tt.want {
 			t.Errorf("%s: %d, want %d", tt.name, got, tt.want)
 		}
-		if p := r.controller.admissionRefusal(&s, nil, r.teamQuotas.find(s.Team)); s.Team != "green" && (p == nil || p.Status != 503) {
+		if p := lt.controller.admissionRefusal(&s, nil, lt.teamQuotas.find(s.Team)); s.Team != "green" && (p == nil || p.Status != 503) {
 			t.Errorf("%s, types not known: %v, want 503", tt.name, p)
 		}
 	}
--- a/internal/control/gangs_test.go
+++ b/internal/control/gangs_test.go
@@ -24,15 +24,15 @@
 		{"another has no place", []string{wire.Pulling}, true},
 	}
 	for _, tt := range tests {
-		r := newTestTerm(t)
+		lt := newTestTerm(t)
 		now := time.Unix(1000, 0)
-		j := r.jobTable.add(&job.Record{Spec: job.Spec{ID: "run-1", ShapeName: "ensemble", PriorityName: "standard", Tasks: 3, CPUs: 1}}, 1, now)
+		j := lt.jobTable.add(&job.Record{Spec: job.Spec{ID: "run-1", ShapeName: "ensemble", PriorityName: "standard", Tasks: 3, CPUs: 1}}, 1, now)
 		j.GangAttempt = 5
 		for i, phase := range tt.phases {
-			s := r.fleet.Assign(r.host("h1"), fleet.Key{Job: j, Task: int32(i + 1), Attempt: 5}, now)
+			s := lt.fleet.Assign(lt.host("h1"), fleet.Key{Job: j, Task: int32(i + 1), Attempt: 5}, now)
 			s.Phase, s.Sent = phase, true
 		}
-		r.taskTracker.taskEnded(&fleet.Slot{Key: fleet.Key{Job: j, Attempt: 5}, Phase: wire.Exited, Cause: wire.CauseIncomplete}, j, r.host("h2"), now)
+		lt.taskTracker.taskEnded(&fleet.Slot{Key: fleet.Key{Job: j, Attempt: 5}, Phase: wire.Exited, Cause: wire.CauseIncomplete}, j, lt.host("h2"), now)
 		if j.GangStopping != tt.broken || (!tt.broken && j.GangAttempt != 5) {
 			t.Errorf("%s: begins anew %v, want %v", tt.name, j.GangStopping, tt.broken)
 		}
@@ -55,16 +55,16 @@
 		{"of an earlier leader, for long", patience, true, true},
 	}
 	for _, tt := range tests {
-		r := newTestTerm(t, config.Team{Name: "red"})
-		r.learn([]wire.MachineType{{Name: "x", CPUs: 8, BootS: 1000, Zones: []string{"a"}}})
-		now := r.termStart.Add(tt.deaf)
-		h := r.host("h1")
-		r.nameIndex.describe(h, "x", "a", false)
+		lt := newTestTerm(t, config.Team{Name: "red"})
+		lt.learn([]wire.MachineType{{Name: "x", CPUs: 8, BootS: 1000, Zones: []string{"a"}}})
+		now := lt.termStart.Add(tt.deaf)
+		h := lt.host("h1")
+		lt.nameIndex.describe(h, "x", "a", false)
 		h.Booting, h.Durable, h.Fenced, h.IdleFrom = false, true, !tt.old, now
 		if h.Inherited = tt.old; !tt.old {
-			r.fleet.Deafen(h, r.termStart)
+			lt.fleet.Deafen(h, lt.termStart)
 		}
-		r.machinePool.giveBack(now)
+		lt.machinePool.giveBack(now)
 		if h.Releasing != tt.returned {
 			t.Errorf("%s: returned %v, want %v", tt.name, h.Releasing, tt.returned)
 		}
--- a/internal/control/leader_term.go
+++ b/internal/control/leader_term.go
@@ -2,102 +2,17 @@
 
 import (
 	"context"
-	"errors"
-	"log/slog"
-	"net/http"
 	"time"
 
 	"golang.org/x/time/rate"
 
-	"vetchstream/internal/config"
 	"vetchstream/internal/election"
-	"vetchstream/internal/fleet"
-	"vetchstream/internal/metrics"
-	"vetchstream/internal/rpc"
-	"vetchstream/internal/state"
-	"vetchstream/internal/wire"
 )
 
-// core is what the parts of a term have in common: who leads, since when, the
-// actor's inbox, and the ledger of what may be on each machine (package fleet,
-// which guards its own state).
-type core struct {
-	controller     *Controller
-	ctx            context.Context
-	log            *slog.Logger
-	debug          bool
-	term           uint64
-	fence          state.Cond
-	termStart      time.Time
-	lastLeaderSeen time.Time // when the leader before was last heard of
-	inbox          chan func()
-	// userInbox is the inbox for what users ask and wait for. It comes first: hundreds
-	// of reports can be queued where the processor is short.
-	userInbox     chan func()
-	fleet         *fleet.Fleet
-	planRequested bool // something has changed that a plan may use
-}
-
-// enqueue hands a result to the actor.
-func (co *core) enqueue(f func()) {
-	select {
-	case co.inbox <- f:
-	case <-co.ctx.Done():
-	}
-}
-
-// enqueueForUser hands the actor a result that users wait for.
-func (co *core) enqueueForUser(f func()) {
-	select {
-	case co.userInbox <- f:
-	case <-co.ctx.Done():
-	}
-}
-
-func (co *core) sleep(d time.Duration) {
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-co.ctx.Done():
-	case <-t.C:
-	}
-}
-
-// commitUntilSettled runs a transaction under the term until its outcome is clear. Only an entitled
-// leader writes the key, so a version of it that has moved on is the work of an unclear try
-// of this very transaction. The error is state.ErrRejected, or that the term has ended.
-func (co *core) commitUntilSettled(key string, was uint64, conds []state.Cond, writes []state.Write) (version uint64, err error) {
-	txn := state.Txn{If: append([]state.Cond{co.fence}, conds...), Writes: writes}
-	for co.ctx.Err() == nil {
-		version, err = co.controller.State.Commit(co.ctx, txn)
-		if errors.Is(err, state.ErrConflict) {
-			if e, gerr := co.controller.State.Get(co.ctx, key); gerr == nil && e.Version != was {
-				version, err = e.Version, nil
-			}
-		}
-		if err == nil || errors.Is(err, state.ErrRejected) {
-			return version, err
-		}
-		co.sleep(commitRetryPause)
-	}
-	return 0, co.ctx.Err()
-}
-
-// commitRetryPause spaces the tries of a transaction whose outcome is not clear.
-const commitRetryPause = 200 * time.Millisecond
-
-// heartbeatInterval is the workers' interval of reports.
-func (co *core) heartbeatInterval() time.Duration {
-	return config.Seconds(co.controller.Settings.Facts.Workers.ReportS)
-}
-
-// requestPlan asks for a plan.
-func (co *core) requestPlan() { co.planRequested = true }
-
-// leaderTerm is the actor: it composes the parts, each of which owns the state of one
-// duty. All of it is touched by the actor's goroutine alone; I/O runs in
-// goroutines of its own, which post their results. A part reaches another
-// through its methods, never its fields (TestParts).
+// leaderTerm is the actor of one leader term. It composes the parts, each of which
+// owns the state of one duty. All of it is touched by the actor's goroutine alone;
+// I/O runs in goroutines of its own, which enqueue their results. A part calls
+// another through its methods and never touches its fields (TestParts).
 type leaderTerm struct {
 	*core
 	nameIndex         *nameIndex
@@ -121,205 +36,44 @@
 	teamQuotas        *teamQuotas
 	homeQuotas        *homeQuotas
 
-	lastScan time.Time
-}
-
-func newLeaderTerm(ctx context.Context, c *Controller, l election.Term) *leaderTerm {
-	f := &c.Settings.Facts
-	co := &core{controller: c, ctx: ctx, log: c.Log.With("term", l.Term), debug: c.Log.Enabled(ctx, slog.LevelDebug),
-		term: l.Term, termStart: l.Since, lastLeaderSeen: l.Alive, fence: state.Cond{Key: election.KeyTerm, Version: l.TermVersion},
-		inbox: make(chan func(), 256), userInbox: make(chan func(), 256), fleet: newFleet(l.Term, c.Settings)}
-	budget := StateBudget(c.Settings, true)
-	share := func(of float64) *rate.Limiter {
-		return rate.NewLimiter(rate.Limit(of*budget.WriteRPS), max(2, int(of*budget.WriteRPS)))
-	}
-	ends := share(completionShare)
-	r := &leaderTerm{core: co, nameIndex: newNameIndex(f.Zones, f.Teams), jobTable: newJobTable(co), admission: newAdmission(co, share(admissionShare), f.State.TxnOps, f.State.ValueKB, f.Resources.MaxSockets),
-		completions: newCompletions(co, ends), admissionGroups: newAdmissionGroups(co, ends), rollouts: newRollouts(co), calendarStore: newCalendarStore(co), shards: newShards(co), reservationHolds: newReservationHolds(co), maintenanceDrains: newMaintenanceDrains(co), results: newResults(co), registry: newRegistry(co, f.State.ValueKB),
-		machinePool: newMachinePool(co), takeover: &takeover{core: co}, commands: &commands{core: co, maxCalls: MaxDirectCalls(f.Resources.MaxSockets)},
-		teamQuotas: newTeamQuotas(co, l.Restored), homeQuotas: newHomeQuotas(co),
-		planner: newPlanner(co), taskTracker: &taskTracker{core: co}, recordWriter: &recordWriter{core: co, batch: f.State.TxnOps}}
-	r.wire()
-	r.calendarStore.reset()
-	return r
-}
-
-// newFleet makes the ledger of a term.
-func newFleet(term uint64, set *config.Settings) *fleet.Fleet {
-	w := &set.Facts.Workers
-	return fleet.New(term, config.Seconds(w.LeaseS), config.Seconds(w.CancelS))
-}
-
-// wire tells each part whom it may ask.
-func (r *leaderTerm) wire() {
-	r.jobTable.nameIndex, r.jobTable.registry, r.jobTable.planner, r.jobTable.taskTracker = r.nameIndex, r.registry, r.planner, r.taskTracker
-	r.admission.nameIndex, r.admission.jobTable, r.admission.completions, r.admission.recordWriter = r.nameIndex, r.jobTable, r.completions, r.recordWriter
-	r.completions.jobTable, r.completions.results, r.completions.taskTracker, r.completions.recordWriter, r.completions.admission = r.jobTable, r.results, r.taskTracker, r.recordWriter, r.admission
-	r.results.recordWriter = r.recordWriter
-	r.registry.nameIndex, r.registry.jobTable, r.registry.takeover, r.registry.recordWriter = r.nameIndex, r.jobTable, r.takeover, r.recordWriter
-	r.machinePool.nameIndex, r.machinePool.jobTable, r.machinePool.registry, r.machinePool.takeover = r.nameIndex, r.jobTable, r.registry, r.takeover
-	r.machinePool.planner, r.machinePool.taskTracker, r.machinePool.recordWriter = r.planner, r.taskTracker, r.recordWriter
-	r.takeover.nameIndex, r.takeover.jobTable, r.takeover.registry, r.takeover.machinePool = r.nameIndex, r.jobTable, r.registry, r.machinePool
-	r.takeover.admission, r.takeover.completions, r.takeover.results = r.admission, r.completions, r.results
-	r.commands.taskTracker, r.commands.takeover = r.taskTracker, r.takeover
-	r.planner.nameIndex, r.planner.jobTable, r.planner.registry, r.planner.machinePool = r.nameIndex, r.jobTable, r.registry, r.machinePool
-	r.planner.takeover, r.planner.taskTracker = r.takeover, r.taskTracker
-	r.taskTracker.nameIndex, r.taskTracker.jobTable, r.taskTracker.registry, r.taskTracker.machinePool = r.nameIndex, r.jobTable, r.registry, r.machinePool
-	r.taskTracker.completions, r.taskTracker.results = r.completions, r.results
-	r.recordWriter.registry = r.registry
-	r.shards.nameIndex, r.shards.machinePool, r.shards.takeover, r.shards.taskTracker, r.shards.commands = r.nameIndex, r.machinePool, r.takeover, r.taskTracker, r.commands
-	r.commands.shards, r.machinePool.shards, r.takeover.shards = r.shards, r.shards, r.shards
-	r.rollouts.nameIndex, r.rollouts.jobTable, r.rollouts.completions, r.rollouts.taskTracker, r.rollouts.takeover = r.nameIndex, r.jobTable, r.completions, r.taskTracker, r.takeover
-	r.rollouts.admissionGroups, r.taskTracker.rollouts, r.takeover.rollouts = r.admissionGroups, r.rollouts, r.rollouts
-	r.calendarStore.nameIndex, r.calendarStore.jobTable, r.calendarStore.takeover, r.calendarStore.reservationHolds, r.calendarStore.maintenanceDrains = r.nameIndex, r.jobTable, r.takeover, r.reservationHolds, r.maintenanceDrains
-	r.reservationHolds.nameIndex, r.reservationHolds.jobTable, r.reservationHolds.calendarStore, r.reservationHolds.maintenanceDrains, r.reservationHolds.machinePool = r.nameIndex, r.jobTable, r.calendarStore, r.maintenanceDrains, r.machinePool
-	r.reservationHolds.planner, r.reservationHolds.rollouts = r.planner, r.rollouts
-	r.maintenanceDrains.nameIndex, r.maintenanceDrains.jobTable, r.maintenanceDrains.calendarStore, r.maintenanceDrains.reservationHolds, r.maintenanceDrains.taskTracker = r.nameIndex, r.jobTable, r.calendarStore, r.reservationHolds, r.taskTracker
-	r.planner.calendarStore, r.planner.reservationHolds, r.planner.maintenanceDrains = r.calendarStore, r.reservationHolds, r.maintenanceDrains
-	r.machinePool.reservationHolds, r.machinePool.maintenanceDrains, r.taskTracker.reservationHolds = r.reservationHolds, r.maintenanceDrains, r.reservationHolds
-	r.takeover.calendarStore, r.takeover.reservationHolds, r.takeover.maintenanceDrains = r.calendarStore, r.reservationHolds, r.maintenanceDrains
-	r.teamQuotas.nameIndex, r.teamQuotas.jobTable, r.teamQuotas.takeover, r.teamQuotas.admission, r.teamQuotas.homeQuotas = r.nameIndex, r.jobTable, r.takeover, r.admission, r.homeQuotas
-	r.planner.teamQuotas, r.admission.teamQuotas, r.calendarStore.teamQuotas, r.rollouts.teamQuotas = r.teamQuotas, r.teamQuotas, r.teamQuotas, r.teamQuotas
-	r.takeover.teamQuotas, r.takeover.homeQuotas = r.teamQuotas, r.homeQuotas
-	r.admissionGroups.recordWriter, r.admissionGroups.results = r.recordWriter, r.results
-	r.admission.admissionGroups, r.admission.results, r.completions.admissionGroups, r.jobTable.admissionGroups, r.takeover.admissionGroups = r.admissionGroups, r.results, r.admissionGroups, r.admissionGroups, r.admissionGroups
-}
-
-func (r *leaderTerm) run() {
-	if !r.takeover.load() {
-		return
-	}
-	tick := time.NewTicker(tickInterval)
-	defer tick.Stop()
-	soon := time.NewTimer(tickInterval)
-	defer soon.Stop()
-	for {
-		select {
-		case <-r.ctx.Done():
-			return
-		case f := <-r.userInbox:
-			f()
-		case f := <-r.inbox:
-			f()
-		case <-tick.C:
-		case <-soon.C:
-		}
-		// Take what else has come, so that a burst costs one plan.
-		for range 64 {
-			r.serveUsers()
-			select {
-			case f := <-r.inbox:
-				f()
-				continue
-			default:
-			}
-			break
-		}
-		r.step(time.Now())
-		if r.fleet.Waits() {
-			soon.Reset(urgentScanInterval)
-		}
-	}
-}
-
-// tickInterval is how often the actor looks up without a message.
-const tickInterval = 100 * time.Millisecond
-
-// serveUsers takes what users ask, and stores what they have submitted.
-func (r *leaderTerm) serveUsers() {
-	for n := len(r.userInbox); n > 0; n-- {
-		f := <-r.userInbox
-		f()
-	}
-	r.admission.flush(time.Now())
+	lastScan time.Time // of every machine and every job
 }
 
-// maxOrders bounds one answer, well below the limit for bodies.
-const maxOrders = 400
-
-// heartbeat takes in a worker's check-in and answers it; via is the member that has
-// handed it on.
-func (r *leaderTerm) heartbeat(m *wire.Report, via string, back func(*rpc.Reply)) {
-	now := time.Now()
-	if r.machinePool.gone(m.Host) {
-		// A late message of a machine that is gone must not bring it back.
-		back(Unavailable("machine was returned"))
-		return
-	}
-	if h := r.fleet.Hosts[m.Host]; h != nil && h.Stale(m.Session, m.Seq) {
-		// A copy, or one that was held back. Orders in its answer would count as sent and
-		// arrive nowhere, and a holder would lose the machine as if its worker had strayed.
-		// It is refused: a worker that has begun anew and counts from the start would take
-		// an answer, and keep a lease that the ledger does not know of.
-		back(Unavailable("a newer report was answered"))
-		return
-	}
-	if !r.shards.route(m, func() { r.heartbeat(m, via, back) }, back) {
-		return
-	}
-	h := r.fleet.Hosts[m.Host]
-	if h == nil {
-		h = r.machinePool.adopt(m, now)
-	}
-	fresh, ok := r.taskTracker.observe(h, m, true, now)
-	if !ok {
-		back(Unavailable("a later term is known"))
-		return
-	}
-	if !r.machinePool.renewable(h, now) {
-		back(Unavailable("a launch of a cancelled job may be on its way to the machine"))
-		return
-	}
-	r.planner.place(now)
-	orders, sent, ev := r.fleet.Compose(h, m.Seq, fresh, now, maxOrders)
-	r.takeover.recordLaunches(len(sent), now)
-	r.taskTracker.applyEvents(ev, now)
-	p := reply(http.StatusOK, wire.Answer{Token: r.term, Orders: orders})
-	p.Work = h.Busy()
-	back(p)
-	r.shards.served(h, via, now)
+// newLeaderTerm makes the parts of a term and connects them; run starts it.
+func newLeaderTerm(ctx context.Context, c *Controller, term election.Term) *leaderTerm {
+	facts := &c.Settings.Facts
+	co := newCore(ctx, c, term)
+	completionLimit := newWriteLimiter(c, completionShare)
+	lt := &leaderTerm{
+		core:              co,
+		nameIndex:         newNameIndex(facts.Zones, facts.Teams),
+		jobTable:          newJobTable(co),
+		admission:         newAdmission(co, newWriteLimiter(c, admissionShare), facts.State.TxnOps, facts.State.ValueKB, facts.Resources.MaxSockets),
+		completions:       newCompletions(co, completionLimit),
+		results:           newResults(co),
+		registry:          newRegistry(co, facts.State.ValueKB),
+		machinePool:       newMachinePool(co),
+		takeover:          &takeover{core: co},
+		commands:          newCommands(co, facts.Resources.MaxSockets),
+		planner:           newPlanner(co),
+		taskTracker:       &taskTracker{core: co},
+		recordWriter:      &recordWriter{core: co, batch: facts.State.TxnOps},
+		admissionGroups:   newAdmissionGroups(co, completionLimit),
+		rollouts:          newRollouts(co),
+		calendarStore:     newCalendarStore(co),
+		reservationHolds:  newReservationHolds(co),
+		maintenanceDrains: newMaintenanceDrains(co),
+		shards:            newShards(co),
+		teamQuotas:        newTeamQuotas(co, term.Restored),
+		homeQuotas:        newHomeQuotas(co),
+	}
+	lt.connect()
+	lt.calendarStore.reset()
+	return lt
 }
 
-// scanInterval spaces the looks at every machine and every job: in a large fleet one
-// after each message would take most of the processor.
-const scanInterval = 100 * time.Millisecond
-
-// step is what the actor does after each batch of messages.
-func (r *leaderTerm) step(now time.Time) {
-	scan := now.Sub(r.lastScan) >= scanInterval
-	if scan {
-		r.lastScan = now
-		ev, lost := r.fleet.Expire(now)
-		if lost > 0 {
-			r.log.Info("leases of machines have run out", "machines", lost, "tasks", len(ev))
-		}
-		r.taskTracker.applyEvents(ev, now)
-	}
-	if !r.controller.Entitled(r.term) {
-		r.admission.refuse()
-		return
-	}
-	r.admission.flush(now)
-	r.admissionGroups.step(now)
-	r.results.flush(now)
-	r.results.tidy()
-	r.completions.moveFinalRecords()
-	r.machinePool.cloud(now)
-	r.planner.place(now)
-	r.registry.register(now)
-	r.shards.answer(now)
-	r.commands.sendUrgent(now)
-	r.shards.step(now, scan)
-	r.homeQuotas.step(now)
-	if !scan {
-		return
-	}
-	r.rollouts.step(now)
-	r.calendarStore.step(now)
-	r.planner.expire(now)
-	r.controller.Meter.Set(metrics.Machines, len(r.fleet.Hosts))
-	r.controller.Meter.Set(metrics.Jobs, len(r.jobTable.all()))
-	r.commands.fenceWorkers(now)
-	r.jobTable.removeFinished()
-	r.registry.sweepNotes()
+// newWriteLimiter limits writes to a share of the leader's budget.
+func newWriteLimiter(c *Controller, share float64) *rate.Limiter {
+	writesPerS := share * StateBudget(c.Settings, true).WriteRPS
+	return rate.NewLimiter(rate.Limit(writesPerS), max(2, int(writesPerS)))
 }
--- /dev/null
+++ b/internal/control/leader_term_core.go
@@ -0,0 +1,122 @@
+package control
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"time"
+
+	"vetchstream/internal/config"
+	"vetchstream/internal/election"
+	"vetchstream/internal/fleet"
+	"vetchstream/internal/state"
+)
+
+// inboxSize is the capacity of each of the actor's inboxes.
+const inboxSize = 256
+
+// core is what all parts of a leader term share: the term and its start, the
+// actor's inboxes, and the ledger of what may be on each machine (package fleet,
+// which guards its own state).
+type core struct {
+	controller *Controller
+	ctx        context.Context // ends with the term
+	log        *slog.Logger
+	debug      bool // whether debug lines are logged; building them costs time
+	term       uint64
+	// fence is the condition of every transaction of this leader: no later term
+	// has begun.
+	fence          state.Cond
+	termStart      time.Time
+	lastLeaderSeen time.Time // last sign of the previous leader; zero: unknown
+	// inbox queues heartbeats and the results of background work.
+	inbox chan func()
+	// userInbox queues requests that users wait for. It is served first: hundreds
+	// of heartbeats can be queued where the processor is short.
+	userInbox     chan func()
+	fleet         *fleet.Fleet
+	planRequested bool // something has changed that the planner may use
+}
+
+// newCore makes the shared part of a term.
+func newCore(ctx context.Context, c *Controller, term election.Term) *core {
+	return &core{
+		controller:     c,
+		ctx:            ctx,
+		log:            c.Log.With("term", term.Term),
+		debug:          c.Log.Enabled(ctx, slog.LevelDebug),
+		term:           term.Term,
+		fence:          state.Cond{Key: election.KeyTerm, Version: term.TermVersion},
+		termStart:      term.Since,
+		lastLeaderSeen: term.Alive,
+		inbox:          make(chan func(), inboxSize),
+		userInbox:      make(chan func(), inboxSize),
+		fleet:          newFleet(term.Term, c.Settings),
+	}
+}
+
+// newFleet makes the ledger of a term.
+func newFleet(term uint64, set *config.Settings) *fleet.Fleet {
+	w := &set.Facts.Workers
+	return fleet.New(term, config.Seconds(w.LeaseS), config.Seconds(w.CancelS))
+}
+
+// enqueue hands a function to the actor's goroutine; it is dropped when the term
+// ends.
+func (co *core) enqueue(f func()) {
+	select {
+	case co.inbox <- f:
+	case <-co.ctx.Done():
+	}
+}
+
+// enqueueForUser is enqueue for results that a user waits for.
+func (co *core) enqueueForUser(f func()) {
+	select {
+	case co.userInbox <- f:
+	case <-co.ctx.Done():
+	}
+}
+
+// sleep waits for d, or until the term ends.
+func (co *core) sleep(d time.Duration) {
+	t := time.NewTimer(d)
+	defer t.Stop()
+	select {
+	case <-co.ctx.Done():
+	case <-t.C:
+	}
+}
+
+// commitRetryPause spaces the retries of a transaction whose outcome is unclear.
+const commitRetryPause = 200 * time.Millisecond
+
+// commitUntilSettled commits a transaction under the term and retries until its
+// outcome is clear. It returns the new version of key; was is the version before.
+// Only an entitled leader writes the key, so a version of it that has changed is
+// the work of an unclear try of this very transaction. The error is
+// state.ErrRejected or the context's error at the end of the term.
+func (co *core) commitUntilSettled(key string, was uint64, conds []state.Cond, writes []state.Write) (version uint64, err error) {
+	txn := state.Txn{If: append([]state.Cond{co.fence}, conds...), Writes: writes}
+	for co.ctx.Err() == nil {
+		version, err = co.controller.State.Commit(co.ctx, txn)
+		if errors.Is(err, state.ErrConflict) {
+			if e, gerr := co.controller.State.Get(co.ctx, key); gerr == nil && e.Version != was {
+				version, err = e.Version, nil
+			}
+		}
+		if err == nil || errors.Is(err, state.ErrRejected) {
+			return version, err
+		}
+		co.sleep(commitRetryPause)
+	}
+	return 0, co.ctx.Err()
+}
+
+// heartbeatInterval is the interval of the workers' heartbeats.
+func (co *core) heartbeatInterval() time.Duration {
+	return config.Seconds(co.controller.Settings.Facts.Workers.ReportS)
+}
+
+// requestPlan asks the planner for a new plan.
+func (co *core) requestPlan() { co.planRequested = true }
--- a/internal/control/machine_quarantine.go
+++ b/internal/control/machine_quarantine.go
@@ -11,8 +11,8 @@
 // failed on several machines and worked on none is at fault itself; the others'
 // errors count against the machine.
 func (wk *taskTracker) blame(j *job.Job, h *fleet.Host, now time.Time) {
-	j.ErrorHosts[h.Name] = true
-	if !j.Worked && len(j.ErrorHosts) > 1 {
+	j.FailedMachines[h.Name] = true
+	if !j.HasSucceeded && len(j.FailedMachines) > 1 {
 		wk.holdBack(j, now)
 		return
 	}
@@ -27,10 +27,10 @@
 func (wk *taskTracker) judge(h *fleet.Host) {
 	sound, jobs := false, 0
 	for j := range h.ErrorJobs {
-		if j.Worked {
+		if j.HasSucceeded {
 			sound = true
 		}
-		if j.Worked || len(j.ErrorHosts) < 2 {
+		if j.HasSucceeded || len(j.FailedMachines) < 2 {
 			jobs++
 		}
 	}
@@ -57,8 +57,8 @@
 		return
 	}
 	ran := now.Sub(s.RunAt).Seconds()
-	if n := j.RunCount - j.RunsOn[h.Name].Count; n >= slowTasks {
-		mean := (j.RunSum - j.RunsOn[h.Name].Sum) / float64(n)
+	if n := j.RunTimeCount - j.RunTimesByMachine[h.Name].Count; n >= slowTasks {
+		mean := (j.RunTimeSumS - j.RunTimesByMachine[h.Name].SumS) / float64(n)
 		if mean > 1 && ran > slowFactor*mean {
 			h.Slow++
 		} else {
@@ -79,5 +79,5 @@
 	}
 	j.Backoff = min(30*time.Second, max(time.Second, 2*j.Backoff))
 	j.NotBefore = now.Add(j.Backoff)
-	wk.log.Info("job fails, holding it back", "job", j.ID, "for", j.Backoff, "hosts", len(j.ErrorHosts))
+	wk.log.Info("job fails, holding it back", "job", j.ID, "for", j.Backoff, "hosts", len(j.FailedMachines))
 }
--- a/internal/control/planner.go
+++ b/internal/control/planner.go
@@ -120,13 +120,13 @@
 			attempts[j] = n
 		}
 		if pl.debug {
-			pl.log.Debug("task is placed", "task", job.TaskName(j.ID, a.Task), "host", h.Name, "waited", now.Sub(j.WaitFrom))
+			pl.log.Debug("task is placed", "task", job.TaskName(j.ID, a.Task), "host", h.Name, "waited", now.Sub(j.WaitingSince))
 		}
 		pl.fleet.Assign(h, fleet.Key{Job: j, Task: a.Task, Attempt: n}, now)
 		pl.registry.note(j, h)
-		j.LastHost = h.Idx
-		pl.controller.Meter.Took(metrics.StartWait, j.Class, now.Sub(j.WaitFrom))
-		j.WaitFrom = now
+		j.LastMachine = h.Idx
+		pl.controller.Meter.Took(metrics.StartWait, j.Class, now.Sub(j.WaitingSince))
+		j.WaitingSince = now
 		if k, ok := pl.keeps[h]; ok && k.job == j {
 			delete(pl.keeps, h)
 		}
--- a/internal/control/planner_input.go
+++ b/internal/control/planner_input.go
@@ -106,9 +106,9 @@
 func (p *planInput) demand(j *job.Job) (d place.Demand, waits bool) {
 	d = place.Demand{ID: p.jobTable.index(j), Shape: j.Shape, Rank: j.Priority, Team: j.TeamIdx,
 		Need: place.Amount{CPUs: j.CPUs, GPUs: j.GPUs, MemGB: j.MemGB}, TypeOK: j.TypeAllowed, Zone: j.ZoneIdx,
-		OneZone: j.OneZone, Spread: j.Spread, Spot: j.Spot, Image: j.ImageIdx, ImageGB: j.ImageGB, LastMachine: j.LastHost,
+		OneZone: j.OneZone, Spread: j.Spread, Spot: j.Spot, Image: j.ImageIdx, ImageGB: j.ImageGB, LastMachine: j.LastMachine,
 		Total: j.Tasks, Waiting: j.UnplacedCount(), InZone: p.inZone(j), LatestStart: p.jobTable.latestStart(j)}
-	waited := p.now.Sub(j.WaitFrom)
+	waited := p.now.Sub(j.WaitingSince)
 	d.Waited = waited.Seconds()
 	d.Overdue = p.now.Sub(j.Submitted) > overdueAfter && j.DoneCount == 0 && len(j.Live) == 0
 	pending(j, &d)
@@ -137,7 +137,7 @@
 	if d.Overdue {
 		limit = 1 + j.Tasks/overduePart // to begin, not to pass the others with all it has
 	}
-	if !j.Worked && j.Backoff > 0 {
+	if !j.HasSucceeded && j.Backoff > 0 {
 		limit = 2 // a job that has only failed so far is tried with little
 	}
 	if j.Shape == job.Gang {
--- a/internal/control/records_results.go
+++ b/internal/control/records_results.go
@@ -111,7 +111,7 @@
 		if j.Closing != "" || j.Phase != "" {
 			continue
 		}
-		dirty := j.Dirty()
+		dirty := j.DirtyChunks()
 		if n := len(t.txn.Writes); len(dirty) == 0 || (n > 0 && n+len(dirty) > rs.recordWriter.size()) {
 			continue
 		}
@@ -121,7 +121,7 @@
 				continue
 			}
 			v := j.ChunkVersion(c)
-			j.MarkSaved(c, v) // it may exist from the moment the commit is sent
+			j.MarkChunkSaved(c, v) // it may exist from the moment the commit is sent
 			t.chunks, t.txn.Writes = append(t.chunks, chunk{j, c}), append(t.txn.Writes, w)
 			t.txn.If = append(t.txn.If, state.Cond{Key: w.Put, Version: v})
 		}
@@ -159,7 +159,7 @@
 	rs.flushing = false
 	rs.recordWriter.smaller(err)
 	for p, v := range found {
-		p.j.MarkSaved(p.c, v)
+		p.j.MarkChunkSaved(p.c, v)
 	}
 	if err == nil {
 		for _, ss := range t.settle {
@@ -170,7 +170,7 @@
 		return
 	}
 	for _, p := range t.chunks {
-		p.j.MarkDirty(p.c)
+		p.j.MarkChunkDirty(p.c)
 	}
 	for j, ss := range t.settle {
 		rs.unstored[j] = append(rs.unstored[j], ss...)
--- a/internal/control/shards_relay.go
+++ b/internal/control/shards_relay.go
@@ -62,7 +62,7 @@
 	}
 	delete(sh.relayed, d.ID)
 	sh.boxes[r.member].under--
-	sh.commands.finishCall(r.host, d.Status, d.Report, d.Reached, nil, r.sent)
+	sh.commands.finishCall(r.host, DirectResult{Status: d.Status, Body: d.Report, Reached: d.Reached}, nil, r.sent)
 }
 
 // expireRelays gives up the commands of which the holder has told nothing for too long.
@@ -75,7 +75,7 @@
 			waits := len(b.calls)
 			b.calls = slices.DeleteFunc(b.calls, func(c shard.Call) bool { return c.ID == id })
 			// One that has not left yet was certainly not sent.
-			sh.commands.finishCall(r.host, 0, nil, len(b.calls) == waits, errNoWord, r.sent)
+			sh.commands.finishCall(r.host, DirectResult{Reached: len(b.calls) == waits}, errNoWord, r.sent)
 		}
 	}
 }
--- a/internal/control/tasks_heartbeats.go
+++ b/internal/control/tasks_heartbeats.go
@@ -179,8 +179,8 @@
 	case wire.CauseDone:
 		h.Errors = 0
 		clear(h.ErrorJobs)
-		if !j.Worked {
-			j.Worked, j.Backoff, j.NotBefore = true, 0, time.Time{}
+		if !j.HasSucceeded {
+			j.HasSucceeded, j.Backoff, j.NotBefore = true, 0, time.Time{}
 			for _, o := range wk.fleet.All() {
 				if o.ErrorJobs[j] {
 					wk.judge(o)
@@ -196,11 +196,11 @@
 			s.Settled = true // a replica that ends is started again
 			return
 		}
-		j.SetDone(s.Task)
+		j.MarkDone(s.Task)
 		if j.Shape == job.Gang {
 			// The members complete together: one that is done shows it for all.
 			for t := range j.Tasks {
-				j.SetDone(int32(t))
+				j.MarkDone(int32(t))
 			}
 		}
 		if j.Complete() && j.Closing == "" {
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -103,47 +103,47 @@
 	// Notice is what its user is told beside the state; empty: nothing.
 	Notice  string
 	Backoff time.Duration
-	// ErrorHosts are the machines on which a task failed; Worked: a task of this
+	// FailedMachines are the machines on which a task failed; Worked: a task of this
 	// job has completed or run for a while, so the job itself is sound.
-	ErrorHosts map[string]bool
-	Worked     bool
+	FailedMachines map[string]bool
+	HasSucceeded   bool
 
-	// RunSum, RunCount and RunsOn tell how long completed tasks ran, in all and
+	// RunTimeSumS, RunCount and RunsOn tell how long completed tasks ran, in all and
 	// by machine: a faulty machine shows as far slower than the others.
-	RunSum   float64
-	RunCount int
-	RunsOn   map[string]RunTimes
+	RunTimeSumS       float64
+	RunTimeCount      int
+	RunTimesByMachine map[string]RunTimes
 
-	// LastHost is the machine of the job's previous task.
-	LastHost int
-	WaitFrom time.Time
+	// LastMachine is the machine of the job's previous task.
+	LastMachine  int
+	WaitingSince time.Time
 }
 
 // New makes the runtime form of a record.
 func New(r *Record, submitted time.Time) *Job {
 	return &Job{
-		Spec: r.Spec, Shape: shapeNames[r.Spec.ShapeName], Priority: priorityNames[r.Spec.PriorityName],
-		TeamIdx: -1, ZoneIdx: -1, ImageIdx: -1, LastHost: -1,
-		At: r.At, Phase: r.Phase, Submitted: submitted, WaitFrom: submitted,
+		Spec: r.Spec, Shape: r.Spec.ParsedShape(), Priority: r.Spec.ParsedPriority(),
+		TeamIdx: -1, ZoneIdx: -1, ImageIdx: -1, LastMachine: -1,
+		At: r.At, Phase: r.Phase, Submitted: submitted, WaitingSince: submitted,
 		done: make([]uint64, (r.Spec.Tasks+63)/64), dirtyChunks: map[int]bool{}, chunkVersions: map[int]uint64{},
-		Live: map[int32]int{}, ErrorHosts: map[string]bool{}, RunsOn: map[string]RunTimes{},
+		Live: map[int32]int{}, FailedMachines: map[string]bool{}, RunTimesByMachine: map[string]RunTimes{},
 	}
 }
 
 // RunTimes sums up run times.
 type RunTimes struct {
-	Sum   float64
+	SumS  float64
 	Count int
 }
 
 // RecordRunTime notes the run time of a completed task.
 func (j *Job) RecordRunTime(host string, secs float64) {
-	j.RunSum += secs
-	j.RunCount++
-	x := j.RunsOn[host]
-	x.Sum += secs
+	j.RunTimeSumS += secs
+	j.RunTimeCount++
+	x := j.RunTimesByMachine[host]
+	x.SumS += secs
 	x.Count++
-	j.RunsOn[host] = x
+	j.RunTimesByMachine[host] = x
 }
 
 // IsDone reports whether a task has completed.
@@ -151,8 +151,8 @@
 	return int(task) < j.Tasks && j.done[task/64]&(1<<(task%64)) != 0
 }
 
-// SetDone records a completed task and reports whether that is news.
-func (j *Job) SetDone(task int32) bool {
+// MarkDone records a completed task and reports whether that is news.
+func (j *Job) MarkDone(task int32) bool {
 	if j.IsDone(task) {
 		return false
 	}
@@ -271,8 +271,8 @@
 	}
 }
 
-// Dirty returns the chunks that have not been stored as they stand.
-func (j *Job) Dirty() []int {
+// DirtyChunks returns the chunks that have not been stored as they stand.
+func (j *Job) DirtyChunks() []int {
 	var out []int
 	for c := range j.dirtyChunks {
 		out = append(out, c)
@@ -298,12 +298,12 @@
 	return Chunk{Bits: base64.StdEncoding.EncodeToString(b)}
 }
 
-// MarkDirty notes that a chunk has to be stored.
-func (j *Job) MarkDirty(c int) { j.dirtyChunks[c] = true }
+// MarkChunkDirty notes that a chunk has to be stored.
+func (j *Job) MarkChunkDirty(c int) { j.dirtyChunks[c] = true }
 
-// MarkSaved notes that a chunk may exist as a key, and its version; 0: it did not when
+// MarkChunkSaved notes that a chunk may exist as a key, and its version; 0: it did not when
 // it was last read.
-func (j *Job) MarkSaved(c int, version uint64) { j.chunkVersions[c] = version }
+func (j *Job) MarkChunkSaved(c int, version uint64) { j.chunkVersions[c] = version }
 
 // ChunkVersion is the version of a chunk's key as far as it is known; 0: none.
 func (j *Job) ChunkVersion(c int) uint64 { return j.chunkVersions[c] }
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -96,13 +96,13 @@
 	spec := Spec{ID: "run-1", ShapeName: "array", PriorityName: "idle", Tasks: MaxTasks}
 	j := New(&Record{Spec: spec}, time.Time{})
 	for i := int32(0); i < MaxTasks; i += 7 {
-		j.SetDone(i)
+		j.MarkDone(i)
 	}
 	for i := int32(0); i < 200; i++ {
-		j.SetDone(i)
+		j.MarkDone(i)
 	}
 	k := New(&Record{Spec: spec}, time.Time{})
-	for _, c := range j.Dirty() {
+	for _, c := range j.DirtyChunks() {
 		ch := j.TakeChunk(c)
 		if b, err := wire.Marshal(ch); err != nil || len(b) > 16<<10 {
 			t.Fatalf("chunk %d: %d bytes, %v", c, len(b), err)
@@ -114,7 +114,7 @@
 	if k.DoneCount != j.DoneCount {
 		t.Fatalf("%d tasks done after loading, want %d", k.DoneCount, j.DoneCount)
 	}
-	if len(j.Dirty()) != 0 {
+	if len(j.DirtyChunks()) != 0 {
 		t.Error("chunks are dirty after they were taken")
 	}
 	k.AddLive(201, 1)
@@ -127,7 +127,7 @@
 		t.Errorf("needs %v, want %v", got, want)
 	}
 	for i := range int32(MaxTasks) {
-		k.SetDone(i)
+		k.MarkDone(i)
 	}
 	if !k.Complete() {
 		t.Error("not over with every task done")
--- a/internal/node/shard_holder.go
+++ b/internal/node/shard_holder.go
@@ -132,12 +132,12 @@
 // send sends a command of the leader's to a worker. The leader bounds how many are
 // under way.
 func (a *shareHolder) send(ctx context.Context, term uint64, c shard.Call) {
-	status, answer, reached, err := control.SendDirect(ctx, a.hc, c.Addr, c.Body, func() bool { return a.valid(term) })
+	result, err := control.SendDirect(ctx, a.hc, c.Addr, c.Body, func() bool { return a.valid(term) })
 	if err != nil {
-		a.n.log.Debug("direct command failed", "addr", c.Addr, "status", status, "error", err)
+		a.n.log.Debug("direct command failed", "addr", c.Addr, "status", result.Status, "error", err)
 	}
 	a.mu.Lock()
-	a.holder.Finish(shard.Done{ID: c.ID, Status: status, Reached: reached, Report: answer})
+	a.holder.Finish(shard.Done{ID: c.ID, Status: result.Status, Reached: result.Reached, Report: result.Body})
 	a.mu.Unlock()
 }
 
