--- a/internal/control/job_table.go
+++ b/internal/control/job_table.go
@@ -114,7 +114,7 @@
 	if rec := bk.admissionGroups.find(id); rec != nil {
 		return bk.add(rec, 0, time.Now())
 	}
-	rec := &job.Record{Spec: job.Spec{ID: id, Tasks: job.MaxTasks, ShapeName: "array", PriorityName: "idle"}, Phase: wire.JobAborted}
+	rec := job.UnknownRecord(id)
 	j := bk.add(rec, 0, time.Now())
 	bk.unidentified[j] = true
 	go bk.identify(j, id)
--- a/internal/control/takeover_load.go
+++ b/internal/control/takeover_load.go
@@ -3,57 +3,70 @@
 import (
 	"fmt"
 	"time"
+
 	"vetchstream/internal/job"
 	"vetchstream/internal/state"
 	"vetchstream/internal/wire"
 )
 
-// load reads the registry, the jobs and their results. Nothing is answered
-// before: an answer about a job must come from all of them.
+// loadRetryPause is the pause after a failed load.
+const loadRetryPause = 200 * time.Millisecond
+
+// load reads what earlier leaders have stored, and retries until that succeeds;
+// false: the term has ended. Nothing is answered before: an answer about a job must
+// come from all records.
 func (tk *takeover) load() bool {
 	for tk.ctx.Err() == nil {
 		if err := tk.tryLoad(); err != nil {
 			tk.log.Info("loading failed, trying again", "error", err)
-			tk.sleep(200 * time.Millisecond)
+			tk.sleep(loadRetryPause)
 			continue
 		}
 		tk.shards.begin(time.Now())
 		tk.recordsLoaded.Store(true)
-		tk.phases.loaded, tk.phases.machines, tk.phases.jobs = time.Now(), len(tk.fleet.Hosts), len(tk.jobTable.all())
-		for _, j := range tk.jobTable.all() {
-			tk.phases.tasks += j.Tasks - j.DoneCount
-		}
-		tk.log.Info("loaded", "jobs", len(tk.jobTable.all()), "hosts", len(tk.fleet.Hosts))
+		tk.recordLoaded()
 		return true
 	}
 	return false
 }
 
-// storedRecords is what earlier leaders have left in the state service.
+// recordLoaded notes and logs how much was loaded.
+func (tk *takeover) recordLoaded() {
+	jobs := tk.jobTable.all()
+	tk.phases.loaded = time.Now()
+	tk.phases.machines = len(tk.fleet.Hosts)
+	tk.phases.jobs = len(jobs)
+	for _, j := range jobs {
+		tk.phases.tasks += j.Tasks - j.DoneCount
+	}
+	tk.log.Info("loaded", "jobs", len(jobs), "hosts", len(tk.fleet.Hosts))
+}
+
+// storedRecords is what earlier leaders have left in the key-value store.
 type storedRecords struct {
-	hosts, notes, groups, jobs, results []state.Entry
-	rollouts, bookings, windows         []state.Entry
-	teams, homeTeams, homeHistory       []state.Entry
-	homeHead                            state.Entry
-	types                               []wire.MachineType
-	epoch                               uint64 // of the listing of jobs
+	types       []wire.MachineType
+	hosts       []state.Entry
+	notes       []state.Entry
+	groups      []state.Entry
+	jobs        []state.Entry
+	jobsEpoch   uint64 // of the listing of jobs
+	results     []state.Entry
+	rollouts    []state.Entry
+	bookings    []state.Entry
+	windows     []state.Entry
+	teams       []state.Entry
+	homeHead    state.Entry
+	homeTeams   []state.Entry
+	homeHistory []state.Entry
 }
 
-// readStored reads all of it.
-func (tk *takeover) readStored() (st *storedRecords, err error) {
-	st = &storedRecords{}
-	for _, l := range []struct {
-		prefix string
-		into   *[]state.Entry
-	}{{hostPrefix, &st.hosts}, {notePrefix, &st.notes}, {job.GroupPrefix, &st.groups}, {job.ActivePrefix, &st.jobs}, {job.DonePrefix, &st.results}} {
-		var epoch uint64
-		if *l.into, epoch, err = tk.controller.State.List(tk.ctx, l.prefix); err != nil {
-			return nil, err
-		}
-		if l.prefix == job.ActivePrefix {
-			st.epoch = epoch
-		}
+// readStored reads all stored records.
+func (tk *takeover) readStored() (*storedRecords, error) {
+	st := &storedRecords{}
+	if err := tk.listRecords(st); err != nil {
+		return nil, err
 	}
+	var err error
 	if st.types, err = tk.controller.knownTypes(tk.ctx); err != nil {
 		return nil, err
 	}
@@ -70,7 +83,32 @@
 	return st, err
 }
 
-// reset forgets what a try that failed half-way has taken in.
+// listRecords reads the records of machines and jobs.
+func (tk *takeover) listRecords(st *storedRecords) error {
+	listings := []struct {
+		prefix  string
+		entries *[]state.Entry
+	}{
+		{hostPrefix, &st.hosts},
+		{notePrefix, &st.notes},
+		{job.GroupPrefix, &st.groups},
+		{job.ActivePrefix, &st.jobs},
+		{job.DonePrefix, &st.results},
+	}
+	for _, l := range listings {
+		entries, epoch, err := tk.controller.State.List(tk.ctx, l.prefix)
+		if err != nil {
+			return err
+		}
+		*l.entries = entries
+		if l.prefix == job.ActivePrefix {
+			st.jobsEpoch = epoch
+		}
+	}
+	return nil
+}
+
+// reset discards what a load that failed half-way has taken in.
 func (tk *takeover) reset() {
 	tk.fleet = newFleet(tk.term, tk.controller.Settings)
 	tk.registry.reset()
@@ -82,6 +120,8 @@
 	tk.maintenanceDrains.reset()
 }
 
+// tryLoad reads all stored records and takes them in, in the order in which they
+// depend on each other.
 func (tk *takeover) tryLoad() error {
 	st, err := tk.readStored()
 	if err != nil {
@@ -95,17 +135,8 @@
 		return err
 	}
 	now := time.Now()
-	submitted := func(rec *job.Record) time.Time {
-		return now.Add(-time.Duration(max(0, now.UnixMilli()-rec.At)) * time.Millisecond)
-	}
-	tk.admissionGroups.load(st.groups, func(rec *job.Record) {
-		if rec.Phase != "" {
-			tk.completions.cacheFinalStatus(rec)
-			return
-		}
-		tk.jobTable.add(rec, 0, submitted(rec))
-	})
-	unreadable := tk.loadJobs(st.jobs, submitted)
+	tk.admissionGroups.load(st.groups, func(rec *job.Record) { tk.loadGroupedJob(rec, now) })
+	unreadable := tk.loadJobs(st.jobs, now)
 	if err := tk.loadResults(st.results, unreadable); err != nil {
 		return err
 	}
@@ -118,14 +149,30 @@
 			tk.completions.finish(j, wire.JobDone)
 		}
 	}
-	go tk.admission.follow(st.epoch)
+	go tk.admission.follow(st.jobsEpoch)
 	go tk.teamQuotas.follow()
 	return nil
 }
 
-// loadJobs takes in the records of single jobs, and returns the ids of those that cannot be
-// read.
-func (tk *takeover) loadJobs(entries []state.Entry, submitted func(*job.Record) time.Time) (unreadable map[string]bool) {
+// submittedAt is the time of a job's submission on this node's steady clock. A time
+// of day that lies ahead counts as now.
+func submittedAt(rec *job.Record, now time.Time) time.Time {
+	age := max(0, now.UnixMilli()-rec.At)
+	return now.Add(-time.Duration(age) * time.Millisecond)
+}
+
+// loadGroupedJob takes in a job of a group record.
+func (tk *takeover) loadGroupedJob(rec *job.Record, now time.Time) {
+	if rec.Phase != "" {
+		tk.completions.cacheFinalStatus(rec)
+		return
+	}
+	tk.jobTable.add(rec, 0, submittedAt(rec, now))
+}
+
+// loadJobs takes in the records of single jobs, and returns the ids of those that
+// cannot be read.
+func (tk *takeover) loadJobs(entries []state.Entry, now time.Time) (unreadable map[string]bool) {
 	unreadable = map[string]bool{}
 	for _, e := range entries {
 		var rec job.Record
@@ -144,25 +191,19 @@
 			continue
 		}
 		if tk.jobTable.get(rec.Spec.ID) == nil {
-			tk.jobTable.add(&rec, e.Version, submitted(&rec))
+			tk.jobTable.add(&rec, e.Version, submittedAt(&rec, now))
 		}
 	}
 	return unreadable
 }
 
-// loadResults takes in the results of jobs that are not over, in chunks.
+// loadResults takes in the stored chunks of completed tasks of active jobs. Chunks
+// of other jobs are deleted, unless their job may be in a record that cannot be read.
 func (tk *takeover) loadResults(entries []state.Entry, unreadable map[string]bool) error {
 	for _, e := range entries {
-		var id string
-		var c int
-		name := e.Key[len(job.DonePrefix):]
-		for i := range name {
-			if name[i] == '/' {
-				id = name[:i]
-				if _, err := fmt.Sscanf(name[i+1:], "%d", &c); err != nil {
-					return fmt.Errorf("key %s: %w", e.Key, err)
-				}
-			}
+		id, chunk, err := job.SplitChunkKey(e.Key)
+		if err != nil {
+			return err
 		}
 		j := tk.jobTable.get(id)
 		if unreadable[id] || (j == nil && tk.admissionGroups.doubtful()) {
@@ -176,7 +217,7 @@
 		if err := wire.Unmarshal(e.Value, &ch); err != nil {
 			return fmt.Errorf("key %s: %w", e.Key, err)
 		}
-		if err := j.LoadChunk(c, ch, e.Version); err != nil {
+		if err := j.LoadChunk(chunk, ch, e.Version); err != nil {
 			return err
 		}
 	}
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -1,133 +1,129 @@
 package job
 
 import (
-	"encoding/base64"
-	"fmt"
-	"math"
-	"math/bits"
 	"time"
 
 	"vetchstream/internal/wire"
 )
 
-// Keys of the durable records: a job is under active until it is over, then
-// under final. The move is one transaction, so a job is never under neither.
-//
-// Jobs that arrive together share a group record. A job's entry there stands for
-// its active record; when the job is over its entry says so, until it is moved to
-// its final key, in one transaction.
-const (
-	ActivePrefix = "j/"
-	FinalPrefix  = "f/"
-	DonePrefix   = "d/"
-	GroupPrefix  = "g/"
-)
-
-// Record is a job's durable record.
-type Record struct {
-	Spec Spec `codec:"spec"`
-	// Phase is empty for an active job, then done or aborted, for ever.
-	Phase string `codec:"phase,omitempty"`
-	Done  int    `codec:"done,omitempty"`
-	// At is the time of day of the submission, in milliseconds.
-	At int64 `codec:"at"`
-}
-
-// Group is the record of jobs that were accepted together.
-type Group struct {
-	Jobs []Record `codec:"jobs"`
-}
+// anyIndex stands for no particular team, zone, image or machine.
+const anyIndex = -1
 
-// chunkTasks is the number of tasks whose results share one key: its text is
-// well below the smallest value limit (16 KiB) that a state service has.
-const chunkTasks = 32768
-
-// Chunk is the durable set of completed tasks among chunkTasks of them.
-type Chunk struct {
-	Bits string `codec:"bits"`
-}
-
-// Job is a job that the leader looks after. Only the leader's actor touches it.
+// Job is an active job, or one whose tasks may still be on machines. Only the
+// leader's actor touches it.
 type Job struct {
 	Spec
-	Shape       Shape
-	Priority    Priority
-	TeamIdx     int
-	ZoneIdx     int // -1: any
+	Shape    Shape
+	Priority Priority
+
+	// Dense indices of the names in the spec; -1: any zone, or not known yet.
+	TeamIdx  int
+	ZoneIdx  int
+	ImageIdx int
+	// TypeAllowed tells for each machine type whether the job allows it; nil: all.
 	TypeAllowed []bool
-	ImageIdx    int
-	Version     uint64 // of the active record
-	At          int64  // of the record
-	Submitted   time.Time
+
+	Version   uint64 // of the active record
+	At        int64  // of the record
+	Submitted time.Time
 	// Phase is empty until the final record is committed.
 	Phase string
 	// Closing is the final phase whose commit has been sent: nothing is launched
 	// from that moment on, whatever becomes of the commit.
 	Closing string
 	// CancelledAt is when the commit of the job's cancellation was first sent: its user
-	// may have been told from then on. Zero where an earlier leader sent it.
+	// may have been notified from then on. Zero where an earlier leader sent it.
 	CancelledAt time.Time
 
-	done          []uint64
+	done          []uint64 // bit set of the completed tasks
 	DoneCount     int
 	dirtyChunks   map[int]bool
-	chunkVersions map[int]uint64 // versions of the chunks that may exist as keys
+	chunkVersions map[int]uint64 // of the chunks that may exist as keys
 
 	// Replicas is which replicas of a service may run while it is rolled out; nil: all.
 	Replicas *ReplicaPlan
-	// Versions are the other versions of the service, and Handle tells that this job
-	// is its user's name for all of them.
-	Versions       []*Job
+	// Versions are the other versions of the service.
+	Versions []*Job
+	// IsVersionGroup tells that this job's id is its user's name for all versions.
 	IsVersionGroup bool
 
 	// Live counts, for each task, the placements that may be on a machine.
 	Live map[int32]int
 	// liveUndone counts the tasks of Live that have not completed.
 	liveUndone int
-	// NotedMachines are the machines for which the registry certainly names the job. It is
-	// launched on these alone, so that a successor knows what a silent machine may
-	// run.
-	NotedMachines MachineSet
 	// lowestUndone is the lowest task that may still need a placement.
 	lowestUndone int32
+	// NotedMachines are the machines for which the registry certainly names the job. It
+	// is launched on these alone, so that the next leader knows what a silent machine
+	// may run.
+	NotedMachines MachineSet
 
 	// GangAttempt is the attempt that members are placed with; 0: none.
 	GangAttempt uint64
-	// GangStopping: a member of the running attempt is gone; the rest must leave
-	// before there is another.
+	// GangStopping tells that the running attempt has failed or is being stopped: all
+	// members must leave before there is another.
 	GangStopping bool
-	GangStarted  bool
+	// GangStarted tells that the members of the attempt have started to run.
+	GangStarted bool
 
-	// NotBefore holds back a job that keeps failing.
+	// NotBefore and Backoff hold back a job that keeps failing.
 	NotBefore time.Time
-	// Notice is what its user is told beside the state; empty: nothing.
-	Notice  string
-	Backoff time.Duration
-	// FailedMachines are the machines on which a task failed; Worked: a task of this
-	// job has completed or run for a while, so the job itself is sound.
+	Backoff   time.Duration
+	// Notice is a message to the user beside the state; empty: none.
+	Notice string
+	// FailedMachines are the machines on which a task failed.
 	FailedMachines map[string]bool
-	HasSucceeded   bool
+	// HasSucceeded tells that a task has completed or has run for a while, so that
+	// further failures are not the job's fault.
+	HasSucceeded bool
 
-	// RunTimeSumS, RunCount and RunsOn tell how long completed tasks ran, in all and
-	// by machine: a faulty machine shows as far slower than the others.
+	// Run times of completed tasks, in all and by machine: a faulty machine shows as
+	// far slower than the others.
 	RunTimeSumS       float64
 	RunTimeCount      int
 	RunTimesByMachine map[string]RunTimes
 
-	// LastMachine is the machine of the job's previous task.
-	LastMachine  int
+	// LastMachine is the machine of the job's previous placement.
+	LastMachine int
+	// WaitingSince is when the job began to wait for a placement.
 	WaitingSince time.Time
 }
 
 // New makes the runtime form of a record.
 func New(r *Record, submitted time.Time) *Job {
+	words := (r.Spec.Tasks + wordBits - 1) / wordBits
 	return &Job{
-		Spec: r.Spec, Shape: r.Spec.ParsedShape(), Priority: r.Spec.ParsedPriority(),
-		TeamIdx: -1, ZoneIdx: -1, ImageIdx: -1, LastMachine: -1,
-		At: r.At, Phase: r.Phase, Submitted: submitted, WaitingSince: submitted,
-		done: make([]uint64, (r.Spec.Tasks+63)/64), dirtyChunks: map[int]bool{}, chunkVersions: map[int]uint64{},
-		Live: map[int32]int{}, FailedMachines: map[string]bool{}, RunTimesByMachine: map[string]RunTimes{},
-	}
+		Spec:              r.Spec,
+		Shape:             r.Spec.ParsedShape(),
+		Priority:          r.Spec.ParsedPriority(),
+		TeamIdx:           anyIndex,
+		ZoneIdx:           anyIndex,
+		ImageIdx:          anyIndex,
+		LastMachine:       anyIndex,
+		At:                r.At,
+		Phase:             r.Phase,
+		Submitted:         submitted,
+		WaitingSince:      submitted,
+		done:              make([]uint64, words),
+		dirtyChunks:       map[int]bool{},
+		chunkVersions:     map[int]uint64{},
+		Live:              map[int32]int{},
+		FailedMachines:    map[string]bool{},
+		RunTimesByMachine: map[string]RunTimes{},
+	}
+}
+
+// ReplaceRecord replaces what is known of a job by its record; what may be on
+// machines stays.
+func (j *Job) ReplaceRecord(r *Record, submitted time.Time) {
+	old := *j
+	*j = *New(r, submitted)
+	j.Live = old.Live
+	j.NotedMachines = old.NotedMachines
+	j.Replicas = old.Replicas
+	j.Versions = old.Versions
+	j.IsVersionGroup = old.IsVersionGroup
+	j.recount()
 }
 
 // RunTimes sums up run times.
@@ -136,213 +132,40 @@
 	Count int
 }
 
-// RecordRunTime notes the run time of a completed task.
-func (j *Job) RecordRunTime(host string, secs float64) {
-	j.RunTimeSumS += secs
+// RecordRunTime notes the run time of a completed task, in seconds.
+func (j *Job) RecordRunTime(machine string, seconds float64) {
+	j.RunTimeSumS += seconds
 	j.RunTimeCount++
-	x := j.RunTimesByMachine[host]
-	x.SumS += secs
-	x.Count++
-	j.RunTimesByMachine[host] = x
-}
-
-// IsDone reports whether a task has completed.
-func (j *Job) IsDone(task int32) bool {
-	return int(task) < j.Tasks && j.done[task/64]&(1<<(task%64)) != 0
+	times := j.RunTimesByMachine[machine]
+	times.SumS += seconds
+	times.Count++
+	j.RunTimesByMachine[machine] = times
 }
 
-// MarkDone records a completed task and reports whether that is news.
-func (j *Job) MarkDone(task int32) bool {
-	if j.IsDone(task) {
-		return false
-	}
-	j.done[task/64] |= 1 << (task % 64)
-	j.DoneCount++
-	if j.Live[task] > 0 {
-		j.liveUndone--
-	}
-	j.dirtyChunks[int(task)/chunkTasks] = true
-	return true
-}
-
-// Complete reports whether the job's work is complete.
+// Complete reports whether all of the job's tasks are done. A service never is.
 func (j *Job) Complete() bool {
 	return j.Shape != Service && j.DoneCount == j.Tasks
 }
 
-// ReplicaPlan is which replicas of a service may run, and in which zone each (-1: any).
-type ReplicaPlan struct {
-	Allowed []bool
-	Zone    []int
-}
-
-// MayRun reports whether a task may run.
-func (j *Job) MayRun(task int32) bool {
-	return j.Replicas == nil || (int(task) < len(j.Replicas.Allowed) && j.Replicas.Allowed[task])
-}
-
-// ZoneOf is the only zone that a task may run in, or -1.
-func (j *Job) ZoneOf(task int32) int {
-	if j.Replicas != nil && int(task) < len(j.Replicas.Zone) && j.Replicas.Zone[task] >= 0 {
-		return j.Replicas.Zone[task]
-	}
-	return j.ZoneIdx
-}
-
-// UnplacedCount is the number of tasks that need a placement.
-func (j *Job) UnplacedCount() int {
-	if j.Replicas != nil {
-		n := 0
-		for t := range int32(j.Tasks) {
-			if j.MayRun(t) && j.Live[t] == 0 {
-				n++
-			}
-		}
-		return n
-	}
-	if j.Shape == Service {
-		return j.Tasks - len(j.Live)
-	}
-	return j.Tasks - j.DoneCount - j.liveUndone
-}
-
-// Unplaced calls yield for each task that needs a placement, until it says stop.
-func (j *Job) Unplaced(yield func(task int32) bool) {
-	if j.Shape != Service {
-		for int(j.lowestUndone) < j.Tasks && j.IsDone(j.lowestUndone) {
-			j.lowestUndone++
-		}
-	}
-	for t := j.lowestUndone; int(t) < j.Tasks; t++ {
-		if t%64 == 0 && j.Shape != Service && j.done[t/64] == math.MaxUint64 {
-			t += 63 // a large job that is nearly over must not cost a look at each task
-			continue
-		}
-		if j.Live[t] > 0 || !j.MayRun(t) || (j.Shape != Service && j.IsDone(t)) {
-			continue
-		}
-		if !yield(t) {
-			return
-		}
-	}
-}
-
-// AddLive changes the number of placements that may be on a machine.
-func (j *Job) AddLive(task int32, by int) {
-	was := j.Live[task]
-	n := was + by
-	if n > 0 {
-		j.Live[task] = n
-	} else {
-		delete(j.Live, task)
-	}
-	if (was > 0) != (n > 0) && !j.IsDone(task) {
-		if n > 0 {
-			j.liveUndone++
-		} else {
-			j.liveUndone--
-		}
-	}
-}
-
-// ReplaceRecord replaces what is known of a job by its record; what may be on machines
-// stays.
-func (j *Job) ReplaceRecord(r *Record, submitted time.Time) {
-	live, noted, quota, versions, handle := j.Live, j.NotedMachines, j.Replicas, j.Versions, j.IsVersionGroup
-	*j = *New(r, submitted)
-	j.Live, j.NotedMachines, j.Replicas, j.Versions, j.IsVersionGroup = live, noted, quota, versions, handle
-	j.recount()
-}
-
-// Cancelled reports whether the job's user may have been told that it is cancelled.
+// Cancelled reports whether the job's user may have been notified that it is
+// cancelled.
 func (j *Job) Cancelled() bool {
 	return j.Phase == wire.JobAborted || (j.Phase == "" && j.Closing == wire.JobAborted)
 }
 
-func (j *Job) recount() {
-	j.DoneCount, j.liveUndone = 0, 0
-	for _, w := range j.done {
-		j.DoneCount += bits.OnesCount64(w)
-	}
-	for t := range j.Live {
-		if int(t) < j.Tasks && !j.IsDone(t) {
-			j.liveUndone++
-		}
-	}
-}
-
-// DirtyChunks returns the chunks that have not been stored as they stand.
-func (j *Job) DirtyChunks() []int {
-	var out []int
-	for c := range j.dirtyChunks {
-		out = append(out, c)
-	}
-	return out
-}
-
-// ChunkKey is the key of one chunk.
-func (j *Job) ChunkKey(c int) string { return fmt.Sprintf("%s%s/%d", DonePrefix, j.ID, c) }
-
-// TakeChunk encodes a chunk and marks it as clean; a failed write has to mark it
-// again with MarkDirty.
-func (j *Job) TakeChunk(c int) Chunk {
-	lo := c * chunkTasks / 64
-	hi := min(len(j.done), lo+chunkTasks/64)
-	b := make([]byte, 0, (hi-lo)*8)
-	for _, w := range j.done[lo:hi] {
-		for i := range 8 {
-			b = append(b, byte(w>>(8*i)))
-		}
-	}
-	delete(j.dirtyChunks, c)
-	return Chunk{Bits: base64.StdEncoding.EncodeToString(b)}
-}
-
-// MarkChunkDirty notes that a chunk has to be stored.
-func (j *Job) MarkChunkDirty(c int) { j.dirtyChunks[c] = true }
-
-// MarkChunkSaved notes that a chunk may exist as a key, and its version; 0: it did not when
-// it was last read.
-func (j *Job) MarkChunkSaved(c int, version uint64) { j.chunkVersions[c] = version }
-
-// ChunkVersion is the version of a chunk's key as far as it is known; 0: none.
-func (j *Job) ChunkVersion(c int) uint64 { return j.chunkVersions[c] }
-
-// SavedChunks returns the chunks that may exist as keys.
-func (j *Job) SavedChunks() []int {
-	var out []int
-	for c := range j.chunkVersions {
-		out = append(out, c)
-	}
-	return out
-}
-
-// LoadChunk takes in a stored chunk.
-func (j *Job) LoadChunk(c int, ch Chunk, version uint64) error {
-	b, err := base64.StdEncoding.DecodeString(ch.Bits)
-	if err != nil {
-		return fmt.Errorf("job %s: chunk %d: %w", j.ID, c, err)
-	}
-	lo := c * chunkTasks / 64
-	for i, x := range b {
-		if lo+i/8 < len(j.done) {
-			j.done[lo+i/8] |= uint64(x) << (8 * (i % 8))
-		}
-	}
-	if r := j.Tasks % 64; r != 0 {
-		j.done[len(j.done)-1] &= 1<<r - 1
-	}
-	j.recount()
-	j.chunkVersions[c] = version
-	return nil
-}
-
-// Status is what the job's user is told.
+// Status is the state of the job that its user sees.
 func (j *Job) Status(running int) wire.Status {
-	s := wire.Status{ID: j.ID, Phase: wire.JobPending, Done: j.DoneCount, Running: running, Notice: j.Notice}
+	s := wire.Status{
+		ID:      j.ID,
+		Phase:   wire.JobPending,
+		Done:    j.DoneCount,
+		Running: running,
+		Notice:  j.Notice,
+	}
 	switch {
 	case j.Phase != "":
-		s.Phase, s.Running = j.Phase, 0
+		s.Phase = j.Phase
+		s.Running = 0
 	case running > 0:
 		s.Phase = wire.JobRunning
 	}
--- a/internal/job/machine_set.go
+++ b/internal/job/machine_set.go
@@ -6,28 +6,35 @@
 	"fmt"
 )
 
-// MachineSet is a set of dense indices of machines.
+// MachineSet is a set of dense indices of machines, as a bit set.
 type MachineSet []uint64
 
 // Has reports whether i is in the set.
-func (s MachineSet) Has(i int) bool { return i>>6 < len(s) && s[i>>6]&(1<<(i&63)) != 0 }
+func (s MachineSet) Has(i int) bool {
+	word := i >> wordShift
+	return word < len(s) && s[word]&machineBit(i) != 0
+}
 
 // Add puts i into the set.
 func (s *MachineSet) Add(i int) {
-	for i>>6 >= len(*s) {
+	word := i >> wordShift
+	for word >= len(*s) {
 		*s = append(*s, 0)
 	}
-	(*s)[i>>6] |= 1 << (i & 63)
+	(*s)[word] |= machineBit(i)
 }
 
 // Remove takes i out of the set.
 func (s MachineSet) Remove(i int) {
-	if i>>6 < len(s) {
-		s[i>>6] &^= 1 << (i & 63)
+	if word := i >> wordShift; word < len(s) {
+		s[word] &^= machineBit(i)
 	}
 }
 
-// Intersect is what both sets have.
+// machineBit is the bit of index i in its word.
+func machineBit(i int) uint64 { return 1 << (i & (wordBits - 1)) }
+
+// Intersect is the set of what both sets have.
 func (s MachineSet) Intersect(t MachineSet) MachineSet {
 	out := make(MachineSet, min(len(s), len(t)))
 	for i := range out {
@@ -36,26 +43,26 @@
 	return out
 }
 
-// Encode is the set's short form for records.
+// Encode is the set's short text for records.
 func (s MachineSet) Encode() string {
 	for len(s) > 0 && s[len(s)-1] == 0 {
 		s = s[:len(s)-1]
 	}
-	b := make([]byte, 0, 8*len(s))
-	for _, w := range s {
-		b = binary.LittleEndian.AppendUint64(b, w)
+	b := make([]byte, 0, wordBytes*len(s))
+	for _, word := range s {
+		b = binary.LittleEndian.AppendUint64(b, word)
 	}
 	return base64.StdEncoding.EncodeToString(b)
 }
 
-// ParseMachineSet reads the short form.
+// ParseMachineSet reads the text that Encode makes.
 func ParseMachineSet(text string) (MachineSet, error) {
 	b, err := base64.StdEncoding.DecodeString(text)
-	if err != nil || len(b)%8 != 0 {
+	if err != nil || len(b)%wordBytes != 0 {
 		return nil, fmt.Errorf("set of machines %q: malformed", text)
 	}
-	s := make(MachineSet, 0, len(b)/8)
-	for ; len(b) > 0; b = b[8:] {
+	s := make(MachineSet, 0, len(b)/wordBytes)
+	for ; len(b) > 0; b = b[wordBytes:] {
 		s = append(s, binary.LittleEndian.Uint64(b))
 	}
 	return s, nil
