--- /dev/null
+++ b/internal/control/completions_answers.go
@@ -0,0 +1,110 @@
+package control
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	"vetchstream/internal/job"
+	"vetchstream/internal/rpc"
+	"vetchstream/internal/wire"
+)
+
+// freshReadTimeout bounds a read of a job's record for an answer.
+const freshReadTimeout = 3 * time.Second
+
+// answerFromMemory answers from memory; nil if the job is not there, or is about to
+// be over. From the moment the commit of its end is sent another node may have read
+// that end and answered with it, while this one does not know of it yet: only a fresh
+// read can say.
+func (cp *completions) answerFromMemory(id string) *rpc.Reply {
+	if j := cp.jobTable.identified(id); j != nil {
+		if j.Closing != "" && j.Phase == "" {
+			return nil
+		}
+		return reply(http.StatusOK, j.Status(cp.jobTable.runningTasks(j)))
+	}
+	return cp.answerIfOver(id)
+}
+
+// answerIfOver answers for a job that is over; nil: it is not, or it is no longer
+// remembered.
+func (cp *completions) answerIfOver(id string) *rpc.Reply {
+	if status, ok := cp.finalStatuses.get(id); ok {
+		return reply(http.StatusOK, status)
+	}
+	if rec := cp.admissionGroups.find(id); rec != nil && rec.Phase != "" {
+		return recordReply(rec)
+	}
+	return nil
+}
+
+// answerFromStore answers from a fresh read; absent is the answer for a job that was
+// never accepted, active makes the answer for a job that is not over.
+func (cp *completions) answerFromStore(id string, absent *rpc.Reply, active func(*job.Record) *rpc.Reply, back func(*rpc.Reply)) {
+	go func() {
+		ctx, cancel := context.WithTimeout(cp.ctx, freshReadTimeout)
+		defer cancel()
+		rec, err := cp.controller.find(ctx, id)
+		switch {
+		case err != nil:
+			back(Unavailable("the job's record cannot be read now"))
+		case rec == nil:
+			back(absent)
+		case rec.Phase == "":
+			back(active(rec))
+		default:
+			cp.enqueueForUser(func() { cp.cacheFinalStatus(rec) })
+			back(recordReply(rec))
+		}
+	}()
+}
+
+// recordStatus is the status of the job of a record.
+func recordStatus(rec *job.Record) wire.Status {
+	s := wire.Status{ID: rec.Spec.ID, Phase: rec.Phase, Done: rec.Done}
+	if s.Phase == "" {
+		s.Phase = wire.JobPending
+	}
+	return s
+}
+
+// recordReply answers with the status of the job of a record.
+func recordReply(rec *job.Record) *rpc.Reply { return reply(http.StatusOK, recordStatus(rec)) }
+
+// abort cancels a job for its user and answers once that is stored.
+func (cp *completions) abort(id string, back func(*rpc.Reply)) {
+	absent := reply(http.StatusNotFound, wire.Error{Error: "no such job"})
+	if !job.ValidID(id) {
+		back(absent)
+		return
+	}
+	j := cp.jobTable.identified(id)
+	if j == nil {
+		cp.abortUnknown(id, absent, back)
+		return
+	}
+	if j.Phase != "" {
+		cp.admission.status(id, back)
+		return
+	}
+	cp.cancelWaiters[j] = append(cp.cancelWaiters[j], back)
+	if j.Closing == "" {
+		cp.finish(j, wire.JobAborted)
+	}
+}
+
+// abortUnknown answers for a job that is over and no longer remembered, that was
+// never accepted, or that another node admitted a moment ago: that one is taken in,
+// and the user's next try finds it.
+func (cp *completions) abortUnknown(id string, absent *rpc.Reply, back func(*rpc.Reply)) {
+	if p := cp.answerIfOver(id); p != nil {
+		back(p)
+		return
+	}
+	takeIn := func(*job.Record) *rpc.Reply {
+		cp.enqueueForUser(func() { cp.admission.admitted(id) })
+		return Unavailable("job is being taken in")
+	}
+	cp.answerFromStore(id, absent, takeIn, back)
+}
--- a/internal/control/completions_cache.go
+++ b/internal/control/completions_cache.go
@@ -2,28 +2,34 @@
 
 import "vetchstream/internal/wire"
 
-// finalStatusCache remembers the last jobs that are over, within a bound: a long day must
-// not fill the memory. What is forgotten is read from the state service.
+// finalStatusCache remembers the status of the jobs that were over last, within a
+// bound: a long day must not fill the memory. Older ones are read from the key-value
+// store.
 type finalStatusCache struct {
-	m    map[string]wire.Status
-	ring []string
-	next int
+	byID map[string]wire.Status
+	ring []string // the remembered ids, overwritten from the oldest on
+	next int      // index in ring
 }
 
-func newFinalStatusCache(n int) *finalStatusCache {
-	return &finalStatusCache{m: make(map[string]wire.Status), ring: make([]string, n)}
+func newFinalStatusCache(size int) *finalStatusCache {
+	return &finalStatusCache{
+		byID: make(map[string]wire.Status),
+		ring: make([]string, size),
+	}
 }
 
+// put remembers a status, in place of the oldest one if the cache is full.
 func (f *finalStatusCache) put(s wire.Status) {
-	if _, ok := f.m[s.ID]; !ok {
-		delete(f.m, f.ring[f.next])
+	if _, ok := f.byID[s.ID]; !ok {
+		delete(f.byID, f.ring[f.next])
 		f.ring[f.next] = s.ID
 		f.next = (f.next + 1) % len(f.ring)
 	}
-	f.m[s.ID] = s
+	f.byID[s.ID] = s
 }
 
-func (f *finalStatusCache) get(id string) (wire.Status, bool) {
-	s, ok := f.m[id]
+// get returns the status of a job; ok is false if it is not remembered.
+func (f *finalStatusCache) get(id string) (s wire.Status, ok bool) {
+	s, ok = f.byID[id]
 	return s, ok
 }
--- a/internal/control/job_table.go
+++ b/internal/control/job_table.go
@@ -2,14 +2,14 @@
 
 import (
 	"errors"
-	"math"
 	"time"
 
 	"vetchstream/internal/job"
 	"vetchstream/internal/wire"
 )
 
-// jobTable holds the jobs that the leader looks after, under a dense index each.
+// jobTable holds the leader's jobs: the active ones, and those whose tasks may still
+// be on machines. Each has a dense index.
 type jobTable struct {
 	*core
 	nameIndex       *nameIndex
@@ -28,190 +28,171 @@
 }
 
 func newJobTable(co *core) *jobTable {
-	bk := &jobTable{core: co, unidentified: map[*job.Job]bool{}}
-	bk.reset()
-	return bk
+	jt := &jobTable{core: co, unidentified: map[*job.Job]bool{}}
+	jt.reset()
+	return jt
 }
 
-// reset forgets the jobs of a load that failed half-way.
-func (bk *jobTable) reset() {
-	bk.jobs, bk.indexes, bk.jobsByIndex = map[string]*job.Job{}, map[*job.Job]int{}, map[int]*job.Job{}
+// reset discards the jobs of a load that failed half-way.
+func (jt *jobTable) reset() {
+	jt.jobs = map[string]*job.Job{}
+	jt.indexes = map[*job.Job]int{}
+	jt.jobsByIndex = map[int]*job.Job{}
 }
 
-// get returns the job of that id, a stranger too; nil: there is none.
-func (bk *jobTable) get(id string) *job.Job { return bk.jobs[id] }
+// get returns the job of that id, also an unidentified one; nil: there is none.
+func (jt *jobTable) get(id string) *job.Job { return jt.jobs[id] }
 
-// identified returns the job of that id if its record is known.
-func (bk *jobTable) identified(id string) *job.Job {
-	if j := bk.jobs[id]; j != nil && !bk.unidentified[j] {
+// identified returns the job of that id if its record is known; nil: it is not.
+func (jt *jobTable) identified(id string) *job.Job {
+	if j := jt.jobs[id]; j != nil && !jt.unidentified[j] {
 		return j
 	}
 	return nil
 }
 
 // all are the jobs by their ids.
-func (bk *jobTable) all() map[string]*job.Job { return bk.jobs }
+func (jt *jobTable) all() map[string]*job.Job { return jt.jobs }
 
-// index is a job's dense index, from 1; 0: it is not in the job table.
-func (bk *jobTable) index(j *job.Job) int { return bk.indexes[j] }
+// index is a job's dense index, from 1; 0: it is not in the table.
+func (jt *jobTable) index(j *job.Job) int { return jt.indexes[j] }
 
 // byIndex is the job of an index.
-func (bk *jobTable) byIndex(index int) *job.Job { return bk.jobsByIndex[index] }
+func (jt *jobTable) byIndex(index int) *job.Job { return jt.jobsByIndex[index] }
 
 // isUnidentified reports whether a job's record is not known yet.
-func (bk *jobTable) isUnidentified(j *job.Job) bool { return bk.unidentified[j] }
+func (jt *jobTable) isUnidentified(j *job.Job) bool { return jt.unidentified[j] }
 
 // unidentifiedJobs are the jobs whose records are not known yet.
-func (bk *jobTable) unidentifiedJobs() map[*job.Job]bool { return bk.unidentified }
+func (jt *jobTable) unidentifiedJobs() map[*job.Job]bool { return jt.unidentified }
 
-// rebindNames maps names anew, after a price list.
-func (bk *jobTable) rebindNames() {
-	for _, j := range bk.jobs {
-		bk.bindNames(j)
+// rebindNames maps the names of all jobs to indices anew, after a price list.
+func (jt *jobTable) rebindNames() {
+	for _, j := range jt.jobs {
+		jt.bindNames(j)
 	}
-	for _, h := range bk.fleet.All() {
-		if bk.nameIndex.typeOf(h) != nil {
+	for _, h := range jt.fleet.All() {
+		if jt.nameIndex.typeOf(h) != nil {
 			h.Known = true
 		}
 	}
 }
 
-func (bk *jobTable) add(rec *job.Record, version uint64, submitted time.Time) *job.Job {
-	j := job.New(rec, submitted)
-	j.Version = version
-	bk.jobs[j.ID] = j
-	bk.lastIndex++
-	bk.indexes[j], bk.jobsByIndex[bk.lastIndex] = bk.lastIndex, j
-	bk.bindNames(j)
-	bk.registry.adopt(j)
-	bk.requestPlan()
-	bk.log.Info("job is taken in", "job", j.ID, "class", j.Class, "team", j.Team, "tasks", j.Tasks, "cpus", j.CPUs, "estimate", j.EstimateS)
-	return j
-}
-
 // bindNames maps a job's names to indices.
-func (bk *jobTable) bindNames(j *job.Job) {
-	if t := bk.nameIndex.team(j.Team); t >= 0 {
+func (jt *jobTable) bindNames(j *job.Job) {
+	if t := jt.nameIndex.team(j.Team); t >= 0 {
 		j.TeamIdx = t
 	}
-	j.ImageIdx = bk.nameIndex.image(j.Image)
+	j.ImageIdx = jt.nameIndex.image(j.Image)
 	if j.Zone != "" {
-		j.ZoneIdx = bk.nameIndex.zone(j.Zone)
+		j.ZoneIdx = jt.nameIndex.zone(j.Zone)
 	}
 	j.TypeAllowed = nil
 	if j.Types != nil {
-		j.TypeAllowed = bk.nameIndex.allowed(j.Types)
+		j.TypeAllowed = jt.nameIndex.allowed(j.Types)
 	}
 }
 
-// findOrAdd returns the job of a task that a report names.
-func (bk *jobTable) findOrAdd(id string) *job.Job {
-	if j := bk.jobs[id]; j != nil {
+// add takes in the job of a record; version is that of the record's key, 0 if the
+// record is part of another.
+func (jt *jobTable) add(rec *job.Record, version uint64, submitted time.Time) *job.Job {
+	j := job.New(rec, submitted)
+	j.Version = version
+	jt.jobs[j.ID] = j
+	jt.lastIndex++
+	jt.indexes[j] = jt.lastIndex
+	jt.jobsByIndex[jt.lastIndex] = j
+	jt.bindNames(j)
+	jt.registry.adopt(j)
+	jt.requestPlan()
+	jt.log.Info("job is taken in", "job", j.ID, "class", j.Class, "team", j.Team, "tasks", j.Tasks, "cpus", j.CPUs, "estimate", j.EstimateS)
+	return j
+}
+
+// findOrAdd returns the job of a task that a report names. One that is not in the
+// table is over, or unknown: its record is read, because what its tasks take still
+// counts against its team. None of its tasks may go on.
+func (jt *jobTable) findOrAdd(id string) *job.Job {
+	if j := jt.jobs[id]; j != nil {
 		return j
 	}
-	// Over, or unknown: its record is read, because what its tasks take still
-	// counts against its team. Nothing of it may go on.
-	if rec := bk.admissionGroups.find(id); rec != nil {
-		return bk.add(rec, 0, time.Now())
+	if rec := jt.admissionGroups.find(id); rec != nil {
+		return jt.add(rec, 0, time.Now())
 	}
-	rec := job.UnknownRecord(id)
-	j := bk.add(rec, 0, time.Now())
-	bk.unidentified[j] = true
-	go bk.identify(j, id)
+	j := jt.add(job.UnknownRecord(id), 0, time.Now())
+	jt.unidentified[j] = true
+	go jt.identify(j, id)
 	return j
 }
 
-func (bk *jobTable) identify(j *job.Job, id string) {
-	for bk.ctx.Err() == nil {
-		rec, version, err := lookup(bk.ctx, bk.controller.State, id)
+// identifyRetryPause is the pause after a failed read of an unknown job's record.
+const identifyRetryPause = 300 * time.Millisecond
+
+// identify reads the record of an unknown job, and retries until that succeeds or
+// the term ends.
+func (jt *jobTable) identify(j *job.Job, id string) {
+	for jt.ctx.Err() == nil {
+		rec, version, err := lookup(jt.ctx, jt.controller.State, id)
 		if errors.Is(err, errUnreadable) {
 			// What its tasks take of a team's limit will not be known: nothing is placed
 			// until they are gone.
-			bk.log.Error("a machine runs a task of a job whose record cannot be read", "job", id, "error", err)
+			jt.log.Error("a machine runs a task of a job whose record cannot be read", "job", id, "error", err)
 			return
 		}
 		if err != nil {
-			bk.sleep(300 * time.Millisecond)
+			jt.sleep(identifyRetryPause)
 			continue
 		}
-		bk.enqueue(func() {
-			delete(bk.unidentified, j)
-			if rec == nil {
-				bk.log.Error("a machine runs a task of a job without a record", "job", id)
-				return
-			}
-			j.ReplaceRecord(rec, time.Now())
-			j.Version = version
-			bk.bindNames(j)
-			for _, h := range bk.fleet.All() {
-				h.Recount()
-			}
-			bk.requestPlan()
-		})
+		jt.enqueue(func() { jt.setRecord(j, id, rec, version) })
 		return
 	}
 }
 
-// latestStart is when a job has to start to meet its aims, in seconds from the
-// start of the term.
-func (bk *jobTable) latestStart(j *job.Job) float64 {
-	at := j.Submitted.Sub(bk.termStart).Seconds()
-	best := math.Inf(1)
-	if j.DeadlineS != nil {
-		best = min(best, at+*j.DeadlineS-runTimeEstimate(j))
-	}
-	for _, o := range bk.controller.Settings.Facts.Objectives {
-		if o.Class != j.Class || o.WithinS <= 0 {
-			continue
-		}
-		switch o.Kind {
-		case "wait":
-			best = min(best, at+o.WithinS)
-		case "finished":
-			// An aim that the job's own run time rules out gives no reason to hurry.
-			if o.WithinS > runTimeEstimate(j) {
-				best = min(best, at+o.WithinS-runTimeEstimate(j))
-			}
-		}
+// setRecord replaces the placeholder of an unknown job by its record; nil: there is
+// none.
+func (jt *jobTable) setRecord(j *job.Job, id string, rec *job.Record, version uint64) {
+	delete(jt.unidentified, j)
+	if rec == nil {
+		jt.log.Error("a machine runs a task of a job without a record", "job", id)
+		return
 	}
-	if math.IsInf(best, 1) {
-		return at + 60
+	j.ReplaceRecord(rec, time.Now())
+	j.Version = version
+	jt.bindNames(j)
+	for _, h := range jt.fleet.All() {
+		h.Recount()
 	}
-	return best
+	jt.requestPlan()
 }
 
-func (bk *jobTable) runningTasks(j *job.Job) (n int) {
-	for s := range bk.fleet.On(j) {
+// runningTasks counts the tasks of a job that run, those of all versions if it is a
+// service that is rolled out.
+func (jt *jobTable) runningTasks(j *job.Job) int {
+	n := 0
+	for s := range jt.fleet.On(j) {
 		if s.Phase == wire.Running || s.Phase == wire.Saving {
 			n++
 		}
 	}
 	if j.IsVersionGroup {
 		for _, v := range j.Versions {
-			n += bk.runningTasks(v)
+			n += jt.runningTasks(v)
 		}
 	}
 	return n
 }
 
-// removeFinished drops jobs that are over once nothing of them is on any machine.
-func (bk *jobTable) removeFinished() {
-	for id, j := range bk.jobs {
-		if (j.Phase != "" || bk.unidentified[j]) && len(bk.fleet.On(j)) == 0 {
-			bk.registry.orphan(id)
-			bk.planner.forget(j)
-			delete(bk.jobs, id)
-			delete(bk.jobsByIndex, bk.indexes[j])
-			delete(bk.indexes, j)
-			delete(bk.unidentified, j)
+// removeFinished removes the jobs that are over once none of their tasks is on any
+// machine.
+func (jt *jobTable) removeFinished() {
+	for id, j := range jt.jobs {
+		if (j.Phase != "" || jt.unidentified[j]) && len(jt.fleet.On(j)) == 0 {
+			jt.registry.orphan(id)
+			jt.planner.forget(j)
+			delete(jt.jobs, id)
+			delete(jt.jobsByIndex, jt.indexes[j])
+			delete(jt.indexes, j)
+			delete(jt.unidentified, j)
 		}
 	}
 }
-
-// runTimeEstimate is the expected run time of a task.
-func runTimeEstimate(j *job.Job) float64 {
-	if j.EstimateS <= 0 {
-		return 60
-	}
-	return j.EstimateS
-}
--- /dev/null
+++ b/internal/control/job_table_deadlines.go
@@ -0,0 +1,65 @@
+package control
+
+import (
+	"math"
+
+	"vetchstream/internal/config"
+	"vetchstream/internal/job"
+)
+
+// Kinds of objectives in the settings that say when a job has to start.
+const (
+	objectiveWait     = "wait"     // the time until tasks start
+	objectiveFinished = "finished" // the time until the job is done
+)
+
+const (
+	// defaultStartS is when a job without objectives has to start, in seconds from its
+	// submission.
+	defaultStartS = 60
+
+	// defaultRunTimeS is the run time of a task without an estimate, in seconds.
+	defaultRunTimeS = 60
+)
+
+// latestStart is when a job has to start to meet its objectives, in seconds from the
+// start of the term.
+func (jt *jobTable) latestStart(j *job.Job) float64 {
+	submitted := j.Submitted.Sub(jt.termStart).Seconds()
+	latest := math.Inf(1)
+	if j.DeadlineS != nil {
+		latest = submitted + *j.DeadlineS - runTimeEstimate(j)
+	}
+	for _, o := range jt.controller.Settings.Facts.Objectives {
+		if o.Class == j.Class && o.WithinS > 0 {
+			latest = min(latest, latestStartFor(&o, j, submitted))
+		}
+	}
+	if math.IsInf(latest, 1) {
+		return submitted + defaultStartS
+	}
+	return latest
+}
+
+// latestStartFor is when a job that was submitted at a time has to start to meet an
+// objective, in seconds; infinite if the objective does not say.
+func latestStartFor(o *config.Objective, j *job.Job, submitted float64) float64 {
+	switch o.Kind {
+	case objectiveWait:
+		return submitted + o.WithinS
+	case objectiveFinished:
+		// An objective that the job's own run time rules out gives no reason to hurry.
+		if run := runTimeEstimate(j); o.WithinS > run {
+			return submitted + o.WithinS - run
+		}
+	}
+	return math.Inf(1)
+}
+
+// runTimeEstimate is the expected run time of a task, in seconds.
+func runTimeEstimate(j *job.Job) float64 {
+	if j.EstimateS <= 0 {
+		return defaultRunTimeS
+	}
+	return j.EstimateS
+}
--- a/internal/control/leader_term_core.go
+++ b/internal/control/leader_term_core.go
@@ -39,19 +39,19 @@
 }
 
 // newCore makes the shared part of a term.
-func newCore(ctx context.Context, c *Controller, term election.Term) *core {
+func newCore(ctx context.Context, controller *Controller, term election.Term) *core {
 	return &core{
-		controller:     c,
+		controller:     controller,
 		ctx:            ctx,
-		log:            c.Log.With("term", term.Term),
-		debug:          c.Log.Enabled(ctx, slog.LevelDebug),
+		log:            controller.Log.With("term", term.Term),
+		debug:          controller.Log.Enabled(ctx, slog.LevelDebug),
 		term:           term.Term,
 		fence:          state.Cond{Key: election.KeyTerm, Version: term.TermVersion},
 		termStart:      term.Since,
 		lastLeaderSeen: term.Alive,
 		inbox:          make(chan func(), inboxSize),
 		userInbox:      make(chan func(), inboxSize),
-		fleet:          newFleet(term.Term, c.Settings),
+		fleet:          newFleet(term.Term, controller.Settings),
 	}
 }
 
@@ -63,27 +63,27 @@
 
 // enqueue hands a function to the actor's goroutine; it is dropped when the term
 // ends.
-func (co *core) enqueue(f func()) {
+func (c *core) enqueue(f func()) {
 	select {
-	case co.inbox <- f:
-	case <-co.ctx.Done():
+	case c.inbox <- f:
+	case <-c.ctx.Done():
 	}
 }
 
 // enqueueForUser is enqueue for results that a user waits for.
-func (co *core) enqueueForUser(f func()) {
+func (c *core) enqueueForUser(f func()) {
 	select {
-	case co.userInbox <- f:
-	case <-co.ctx.Done():
+	case c.userInbox <- f:
+	case <-c.ctx.Done():
 	}
 }
 
 // sleep waits for d, or until the term ends.
-func (co *core) sleep(d time.Duration) {
+func (c *core) sleep(d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
-	case <-co.ctx.Done():
+	case <-c.ctx.Done():
 	case <-t.C:
 	}
 }
@@ -96,27 +96,27 @@
 // Only an entitled leader writes the key, so a version of it that has changed is
 // the work of an unclear try of this very transaction. The error is
 // state.ErrRejected or the context's error at the end of the term.
-func (co *core) commitUntilSettled(key string, was uint64, conds []state.Cond, writes []state.Write) (version uint64, err error) {
-	txn := state.Txn{If: append([]state.Cond{co.fence}, conds...), Writes: writes}
-	for co.ctx.Err() == nil {
-		version, err = co.controller.State.Commit(co.ctx, txn)
+func (c *core) commitUntilSettled(key string, was uint64, conds []state.Cond, writes []state.Write) (version uint64, err error) {
+	txn := state.Txn{If: append([]state.Cond{c.fence}, conds...), Writes: writes}
+	for c.ctx.Err() == nil {
+		version, err = c.controller.State.Commit(c.ctx, txn)
 		if errors.Is(err, state.ErrConflict) {
-			if e, gerr := co.controller.State.Get(co.ctx, key); gerr == nil && e.Version != was {
+			if e, gerr := c.controller.State.Get(c.ctx, key); gerr == nil && e.Version != was {
 				version, err = e.Version, nil
 			}
 		}
 		if err == nil || errors.Is(err, state.ErrRejected) {
 			return version, err
 		}
-		co.sleep(commitRetryPause)
+		c.sleep(commitRetryPause)
 	}
-	return 0, co.ctx.Err()
+	return 0, c.ctx.Err()
 }
 
 // heartbeatInterval is the interval of the workers' heartbeats.
-func (co *core) heartbeatInterval() time.Duration {
-	return config.Seconds(co.controller.Settings.Facts.Workers.ReportS)
+func (c *core) heartbeatInterval() time.Duration {
+	return config.Seconds(c.controller.Settings.Facts.Workers.ReportS)
 }
 
 // requestPlan asks the planner for a new plan.
-func (co *core) requestPlan() { co.planRequested = true }
+func (c *core) requestPlan() { c.planRequested = true }
--- a/internal/control/machine_quarantine.go
+++ b/internal/control/machine_quarantine.go
@@ -10,21 +10,21 @@
 // blame decides whether an error is the machine's or the job's. A job that has
 // failed on several machines and worked on none is at fault itself; the others'
 // errors count against the machine.
-func (wk *taskTracker) blame(j *job.Job, h *fleet.Host, now time.Time) {
+func (tt *taskTracker) blame(j *job.Job, h *fleet.Host, now time.Time) {
 	j.FailedMachines[h.Name] = true
 	if !j.HasSucceeded && len(j.FailedMachines) > 1 {
-		wk.holdBack(j, now)
+		tt.holdBack(j, now)
 		return
 	}
 	h.Errors++
 	h.ErrorJobs[j] = true
-	wk.judge(h)
+	tt.judge(h)
 }
 
 // judge condemns a machine on which sound work keeps failing: several jobs, or
 // one that works elsewhere. One job alone may be at fault itself; until another
 // machine has shown that, this one is only avoided.
-func (wk *taskTracker) judge(h *fleet.Host) {
+func (tt *taskTracker) judge(h *fleet.Host) {
 	sound, jobs := false, 0
 	for j := range h.ErrorJobs {
 		if j.HasSucceeded {
@@ -34,10 +34,10 @@
 			jobs++
 		}
 	}
-	if h.Draining || h.Errors < wk.controller.Tuning.Hosts.SickErrors || (!sound && jobs < 2) {
+	if h.Draining || h.Errors < tt.controller.Tuning.Hosts.SickErrors || (!sound && jobs < 2) {
 		return
 	}
-	wk.log.Info("machine fails what it starts, returning it", "host", h.Name, "errors", h.Errors, "jobs", len(h.ErrorJobs))
+	tt.log.Info("machine fails what it starts, returning it", "host", h.Name, "errors", h.Errors, "jobs", len(h.ErrorJobs))
 	h.Draining = true
 }
 
@@ -50,7 +50,7 @@
 )
 
 // pace compares a completed task with its job's others on other machines.
-func (wk *taskTracker) pace(s *fleet.Slot, j *job.Job, h *fleet.Host, now time.Time) {
+func (tt *taskTracker) pace(s *fleet.Slot, j *job.Job, h *fleet.Host, now time.Time) {
 	// Of a task that an earlier leader launched only the end is known: its short
 	// remainder would make all others look slow.
 	if s.RunAt.IsZero() || s.Adopted {
@@ -65,7 +65,7 @@
 			h.Slow = 0
 		}
 		if h.Slow >= slowTasks && !h.Draining {
-			wk.log.Info("machine is far slower than others, returning it", "host", h.Name, "ran", ran, "elsewhere", mean)
+			tt.log.Info("machine is far slower than others, returning it", "host", h.Name, "ran", ran, "elsewhere", mean)
 			h.Draining = true
 		}
 	}
@@ -73,11 +73,11 @@
 }
 
 // holdBack makes a job that keeps failing wait, longer each time.
-func (wk *taskTracker) holdBack(j *job.Job, now time.Time) {
+func (tt *taskTracker) holdBack(j *job.Job, now time.Time) {
 	if now.Before(j.NotBefore) {
 		return
 	}
 	j.Backoff = min(30*time.Second, max(time.Second, 2*j.Backoff))
 	j.NotBefore = now.Add(j.Backoff)
-	wk.log.Info("job fails, holding it back", "job", j.ID, "for", j.Backoff, "hosts", len(j.FailedMachines))
+	tt.log.Info("job fails, holding it back", "job", j.ID, "for", j.Backoff, "hosts", len(j.FailedMachines))
 }
--- a/internal/control/shards.go
+++ b/internal/control/shards.go
@@ -246,7 +246,7 @@
 	// one above was told before and its telling was not acknowledged.
 	deaf := h.Deaf()
 	ev := sh.fleet.Renew(h, e.Session, e.Seq, now.Add(-time.Duration(max(0, e.AgeMs))*time.Millisecond))
-	sh.taskTracker.logReachability(h, deaf)
+	sh.taskTracker.reachabilityChanged(h, deaf)
 	sh.taskTracker.applyEvents(ev, now)
 	if clears := h.Clears(maxOrders); clears != nil {
 		b.settled = append(b.settled, shard.ExitClearance{Host: e.Host, Clears: clears})
--- a/internal/control/tasks_heartbeats.go
+++ b/internal/control/tasks_heartbeats.go
@@ -8,9 +8,9 @@
 	"vetchstream/internal/wire"
 )
 
-// taskTracker follows what becomes of placements: messages, ends, gangs, blame. What is
-// on the machines is in the ledger (core.fleet), and what is known of a job in
-// the job, so it has no state of its own.
+// taskTracker follows the tasks on the machines: heartbeats, exits and gangs. What is
+// on the machines is in the ledger (core.fleet), and what is known of a job in the
+// job, so it has no state of its own.
 type taskTracker struct {
 	*core
 	nameIndex        *nameIndex
@@ -23,153 +23,130 @@
 	reservationHolds *reservationHolds
 }
 
-// observe takes in a worker's message.
-func (wk *taskTracker) observe(h *fleet.Host, m *wire.Report, isHeartbeat bool, now time.Time) (fresh, ok bool) {
+// observe takes in a worker's report, a heartbeat or the answer to a direct command.
+// fresh tells whether it is newer than what was known; ok is false if the worker has
+// seen a later term.
+func (tt *taskTracker) observe(h *fleet.Host, m *wire.Report, isHeartbeat bool, now time.Time) (fresh, ok bool) {
 	if !h.Known || h.Type < 0 {
-		wk.nameIndex.describe(h, m.Type, m.Zone, m.Spot)
+		tt.nameIndex.describe(h, m.Type, m.Zone, m.Spot)
 	}
-	booting, deaf := h.Booting, h.Deaf()
-	res := wk.fleet.Observe(h, m, isHeartbeat, now, wk.jobTable.findOrAdd)
+	wasBooting := h.Booting
+	wasDeaf := h.Deaf()
+	res := tt.fleet.Observe(h, m, isHeartbeat, now, tt.jobTable.findOrAdd)
 	if res.Deposed {
-		wk.log.Info("a worker has seen a later term", "host", h.Name, "seen", m.Token)
-		wk.controller.Deposed(m.Token)
+		tt.log.Info("a worker has seen a later term", "host", h.Name, "seen", m.Token)
+		tt.controller.Deposed(m.Token)
 		return false, false
 	}
-	wk.logReachability(h, deaf)
-	if res.Fresh && booting && !h.Booting {
-		wk.log.Info("machine is up", "host", h.Name, "after", now.Sub(h.Born).Round(time.Second))
-		h.IdleFrom = now
-		wk.reservationHolds.booted(h, now.Sub(h.Born))
-		wk.requestPlan()
+	tt.reachabilityChanged(h, wasDeaf)
+	if res.Fresh && wasBooting && !h.Booting {
+		tt.machineUp(h, now)
 	}
-	for _, s := range h.Slots {
-		// Also of a job that is not known here. All that was active is loaded, so it is
-		// over, or its record cannot be read. Its record is read to know what it takes; in
-		// an outage that takes long, and its lease must not be renewed meanwhile for a task
-		// whose user may have been told that it is cancelled.
-		if s.On() && s.Job.Phase+s.Job.Closing != "" && !s.Stopping {
-			wk.applyEvents(wk.fleet.Stop(s, 0), now)
-		}
-		if s.Job.Shape == job.Gang && s.On() {
-			wk.observeGang(s)
-		}
-	}
-	wk.applyEvents(res.Events, now)
+	tt.observeSlots(h, now)
+	tt.applyEvents(res.Events, now)
 	if h.Fenced && !h.Durable && h.Known && h.Addr != "" && !h.Lost && !h.Releasing {
-		wk.registry.enter(h, wk.nameIndex.list()[h.Type].Name, wk.nameIndex.zoneNames()[h.Zone])
+		tt.registry.enter(h, tt.nameIndex.list()[h.Type].Name, tt.nameIndex.zoneNames()[h.Zone])
 	}
 	if res.Fresh && !h.RecallAt.IsZero() {
-		wk.machinePool.recall(h, now)
+		tt.machinePool.recall(h, now)
 	}
 	return res.Fresh, true
 }
 
-// logReachability tells of a machine that has turned deaf, or hears again.
-func (wk *taskTracker) logReachability(h *fleet.Host, was bool) {
+// reachabilityChanged handles a machine that has stopped, or begun again, to receive
+// what is sent to it.
+func (tt *taskTracker) reachabilityChanged(h *fleet.Host, wasDeaf bool) {
 	switch {
-	case h.Deaf() && !was:
-		wk.log.Info("machine reports and takes in nothing that is sent to it, no more work for now", "host", h.Name)
-	case was && !h.Deaf():
-		wk.log.Info("machine hears again", "host", h.Name)
-		wk.requestPlan()
+	case h.Deaf() && !wasDeaf:
+		tt.log.Info("machine reports and takes in nothing that is sent to it, no more work for now", "host", h.Name)
+	case wasDeaf && !h.Deaf():
+		tt.log.Info("machine hears again", "host", h.Name)
+		tt.requestPlan()
 	}
 }
 
-// observeGang ties a gang to the attempt that a report shows: the number survives
-// a change of leader this way.
-func (wk *taskTracker) observeGang(s *fleet.Slot) {
-	j := s.Job
-	switch {
-	case j.GangAttempt == 0:
-		j.GangAttempt = s.Attempt
-	case j.GangAttempt != s.Attempt:
-		wk.stopGangAttempt(j)
-	}
-	if s.Phase == wire.Running || s.Phase == wire.Saving {
-		j.GangStarted = true
-	}
+// machineUp handles the first heartbeat of a machine that was booting.
+func (tt *taskTracker) machineUp(h *fleet.Host, now time.Time) {
+	bootTime := now.Sub(h.Born)
+	tt.log.Info("machine is up", "host", h.Name, "after", bootTime.Round(time.Second))
+	h.IdleFrom = now
+	tt.reservationHolds.booted(h, bootTime)
+	tt.requestPlan()
 }
 
-func (wk *taskTracker) stopGangAttempt(j *job.Job) {
-	if !j.GangStopping {
-		j.GangStopping = true
-		wk.killJob(j)
+// observeSlots stops the tasks on a machine whose jobs are over, and follows the
+// attempts of its gangs.
+func (tt *taskTracker) observeSlots(h *fleet.Host, now time.Time) {
+	for _, s := range h.Slots {
+		// Also tasks of a job that is not known here. All that was active is loaded, so it
+		// is over, or its record cannot be read. Its record is read to know what it takes;
+		// in an outage that takes long, and its lease must not be renewed meanwhile for a
+		// task whose user may have been told that it is cancelled.
+		if s.On() && s.Job.Phase+s.Job.Closing != "" && !s.Stopping {
+			tt.applyEvents(tt.fleet.Stop(s, 0), now)
+		}
+		if s.Job.Shape == job.Gang && s.On() {
+			tt.observeGang(s)
+		}
 	}
 }
 
-// killJob stops every placement of a job without grace.
-func (wk *taskTracker) killJob(j *job.Job) { wk.stopJob(j, 0) }
-
-func (wk *taskTracker) stopJob(j *job.Job, grace float64) {
-	now := time.Now()
-	for s := range wk.fleet.On(j) {
-		wk.applyEvents(wk.fleet.Stop(s, grace), now)
+// applyEvents handles what has become of placements.
+func (tt *taskTracker) applyEvents(events []fleet.Event, now time.Time) {
+	for _, e := range events {
+		tt.requestPlan()
+		s := e.Slot
+		if tt.jobTable.isUnidentified(s.Job) {
+			s.Settled = e.Kind == fleet.Ended
+			continue
+		}
+		if !s.Host.Busy() {
+			s.Host.IdleFrom = now
+		}
+		tt.applyEvent(e, now)
+		if s.Job.Shape == job.Gang && len(s.Job.Live) == 0 {
+			resetGang(s.Job)
+		}
 	}
 }
 
-// stopSlot stops one placement in good order: a gang is stopped whole, because
-// a save needs all its members.
-func (wk *taskTracker) stopSlot(s *fleet.Slot, grace float64) {
-	if s.Job.Shape == job.Gang {
-		s.Job.GangStopping = true
-		wk.stopJob(s.Job, grace)
-		return
+// applyEvent handles one event of a job whose record is known.
+func (tt *taskTracker) applyEvent(e fleet.Event, now time.Time) {
+	s := e.Slot
+	switch e.Kind {
+	case fleet.Started:
+		tt.taskStarted(s, now)
+	case fleet.Ended:
+		tt.taskEnded(s, s.Job, s.Host, now)
+	case fleet.Sickened:
+		tt.rollouts.failed(s.Job, s.Task, s.Host.Name)
+	case fleet.Gone, fleet.Never:
+		if s.Job.Shape == job.Gang && s.Job.GangStarted {
+			tt.stopGangAttempt(s.Job)
+		}
 	}
-	wk.applyEvents(wk.fleet.Stop(s, grace), time.Now())
 }
 
-// saveGrace is the time that a placement gets to save.
-func saveGrace(j *job.Job) float64 {
-	if j.CheckpointS <= 0 {
-		return 0
+// taskStarted handles a task that runs: its machine has the image.
+func (tt *taskTracker) taskStarted(s *fleet.Slot, now time.Time) {
+	j := s.Job
+	cacheGB := 0.0
+	if t := tt.nameIndex.typeOf(s.Host); t != nil {
+		cacheGB = t.CacheGB
 	}
-	return j.SaveS + 1
-}
-
-// applyEvents deals with what became of placements.
-func (wk *taskTracker) applyEvents(ev []fleet.Event, now time.Time) {
-	for _, e := range ev {
-		s, j, h := e.Slot, e.Slot.Job, e.Slot.Host
-		wk.requestPlan()
-		if wk.jobTable.isUnidentified(j) {
-			s.Settled = e.Kind == fleet.Ended
-			continue
-		}
-		if !h.Busy() {
-			h.IdleFrom = now
-		}
-		switch e.Kind {
-		case fleet.Started:
-			cache := 0.0
-			if t := wk.nameIndex.typeOf(h); t != nil {
-				cache = t.CacheGB
-			}
-			h.Touch(j.ImageIdx, j.ImageGB, cache)
-			if wk.debug {
-				wk.log.Debug("task runs", "task", job.TaskName(j.ID, s.Task), "host", h.Name, "after", now.Sub(s.At))
-			}
-			if j.Shape == job.Gang {
-				j.GangStarted = true
-			}
-		case fleet.Ended:
-			wk.taskEnded(s, j, h, now)
-		case fleet.Sickened:
-			wk.rollouts.failed(j, s.Task, h.Name)
-		case fleet.Gone, fleet.Never:
-			if j.Shape == job.Gang && j.GangStarted {
-				wk.stopGangAttempt(j)
-			}
-		}
-		if j.Shape == job.Gang && len(j.Live) == 0 {
-			// Every member has certainly left: the next attempt may be made.
-			j.GangAttempt, j.GangStopping, j.GangStarted = 0, false, false
-		}
+	s.Host.Touch(j.ImageIdx, j.ImageGB, cacheGB)
+	if tt.debug {
+		tt.log.Debug("task runs", "task", job.TaskName(j.ID, s.Task), "host", s.Host.Name, "after", now.Sub(s.At))
+	}
+	if j.Shape == job.Gang {
+		j.GangStarted = true
 	}
 }
 
-func (wk *taskTracker) taskEnded(s *fleet.Slot, j *job.Job, h *fleet.Host, now time.Time) {
-	if wk.debug {
-		wk.log.Debug("task ended", "task", job.TaskName(j.ID, s.Task), "host", h.Name, "cause", s.Cause)
+// taskEnded handles a task that has exited, by its cause.
+func (tt *taskTracker) taskEnded(s *fleet.Slot, j *job.Job, h *fleet.Host, now time.Time) {
+	if tt.debug {
+		tt.log.Debug("task ended", "task", job.TaskName(j.ID, s.Task), "host", h.Name, "cause", s.Cause)
 	}
 	s.Settled = true
 	if j.Phase != "" {
@@ -177,60 +154,61 @@
 	}
 	switch s.Cause {
 	case wire.CauseDone:
-		h.Errors = 0
-		clear(h.ErrorJobs)
-		if !j.HasSucceeded {
-			j.HasSucceeded, j.Backoff, j.NotBefore = true, 0, time.Time{}
-			for _, o := range wk.fleet.All() {
-				if o.ErrorJobs[j] {
-					wk.judge(o)
-				}
-			}
-		}
-		wk.pace(s, j, h, now)
-		if !s.RunAt.IsZero() && !s.Adopted {
-			wk.reservationHolds.ran(j, now.Sub(s.RunAt).Seconds())
-		}
-		wk.results.add(s)
-		if j.Shape == job.Service {
-			s.Settled = true // a replica that ends is started again
-			return
-		}
-		j.MarkDone(s.Task)
-		if j.Shape == job.Gang {
-			// The members complete together: one that is done shows it for all.
-			for t := range j.Tasks {
-				j.MarkDone(int32(t))
-			}
-		}
-		if j.Complete() && j.Closing == "" {
-			wk.completions.finish(j, wire.JobDone)
-		}
+		tt.taskDone(s, j, h, now)
 		return
 	case wire.CauseError:
-		wk.blame(j, h, now)
-		wk.rollouts.failed(j, s.Task, h.Name)
+		tt.blame(j, h, now)
+		tt.rollouts.failed(j, s.Task, h.Name)
 	case wire.CauseNoSuch:
-		wk.holdBack(j, now)
+		tt.holdBack(j, now)
+	}
+	if j.Shape != job.Gang || s.Cause == wire.CauseFull {
+		return
+	}
+	if s.Cause == wire.CauseIncomplete && tt.waitsForImages(j) {
+		return
+	}
+	tt.stopGangAttempt(j)
+}
+
+// taskDone handles a task that has completed. Its exit is settled once its result is
+// stored.
+func (tt *taskTracker) taskDone(s *fleet.Slot, j *job.Job, h *fleet.Host, now time.Time) {
+	h.Errors = 0
+	clear(h.ErrorJobs)
+	if !j.HasSucceeded {
+		tt.firstSuccess(j)
+	}
+	tt.pace(s, j, h, now)
+	if !s.RunAt.IsZero() && !s.Adopted {
+		tt.reservationHolds.ran(j, now.Sub(s.RunAt).Seconds())
+	}
+	tt.results.add(s)
+	if j.Shape == job.Service {
+		s.Settled = true // a replica that ends is started again
+		return
+	}
+	j.MarkDone(s.Task)
+	if j.Shape == job.Gang {
+		// The members complete together: one that is done shows it for all.
+		for t := range j.Tasks {
+			j.MarkDone(int32(t))
+		}
 	}
-	if j.Shape == job.Gang && s.Cause != wire.CauseFull && !(s.Cause == wire.CauseIncomplete && wk.waitsForImages(j)) {
-		wk.stopGangAttempt(j)
+	if j.Complete() && j.Closing == "" {
+		tt.completions.finish(j, wire.JobDone)
 	}
 }
 
-// waitsForImages reports whether a gang of which one member has just left waits for nothing
-// but images. That member comes back with the same attempt: if all were stopped, the
-// fetches would be given up, and a gang one of whose images takes longer than members
-// wait would go round like that for ever. With another member without a place the gang
-// gives way, so that two halves of gangs do not hold each other's room.
-func (wk *taskTracker) waitsForImages(j *job.Job) bool {
-	if j.GangStopping || j.GangStarted || len(j.Live) != j.Tasks-1 {
-		return false
-	}
-	for s := range wk.fleet.On(j) {
-		if s.On() && !s.Stopping && (s.Phase == "" || s.Phase == wire.Pulling) {
-			return true
+// firstSuccess notes that a job's own work is not at fault: it is no longer held back,
+// and its errors count against the machines on which it failed.
+func (tt *taskTracker) firstSuccess(j *job.Job) {
+	j.HasSucceeded = true
+	j.Backoff = 0
+	j.NotBefore = time.Time{}
+	for _, h := range tt.fleet.All() {
+		if h.ErrorJobs[j] {
+			tt.judge(h)
 		}
 	}
-	return false
 }
