--- a/internal/control/commands.go
+++ b/internal/control/commands.go
@@ -34,7 +34,7 @@
 	// not answer.
 	maxCallBackoff = 4 * time.Second
 
-	// maxBackoffDoublings keeps the doubled backoff from overflowing.
+	// maxBackoffDoublings prevents an overflow of the doubled backoff.
 	maxBackoffDoublings = 8
 
 	// wrongHostPause is the pause after another machine has answered at an address.
--- a/internal/control/tasks_heartbeats.go
+++ b/internal/control/tasks_heartbeats.go
@@ -24,7 +24,7 @@
 }
 
 // observe takes in a worker's report, a heartbeat or the answer to a direct command.
-// fresh tells whether it is newer than what was known; ok is false if the worker has
+// fresh reports whether it is newer than what was known; ok is false if the worker has
 // seen a later term.
 func (tt *taskTracker) observe(h *fleet.Host, m *wire.Report, isHeartbeat bool, now time.Time) (fresh, ok bool) {
 	if !h.Known || h.Type < 0 {
@@ -81,7 +81,7 @@
 		// Also tasks of a job that is not known here. All that was active is loaded, so it
 		// is over, or its record cannot be read. Its record is read to know what it takes;
 		// in an outage that takes long, and its lease must not be renewed meanwhile for a
-		// task whose user may have been told that it is cancelled.
+		// task whose user may have been notified that it is cancelled.
 		if s.On() && s.Job.Phase+s.Job.Closing != "" && !s.Stopping {
 			tt.applyEvents(tt.fleet.Stop(s, 0), now)
 		}
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -66,7 +66,7 @@
 	// GangStarted tells that the members of the attempt have started to run.
 	GangStarted bool
 
-	// NotBefore and Backoff hold back a job that keeps failing.
+	// NotBefore and Backoff delay a job that fails again and again.
 	NotBefore time.Time
 	Backoff   time.Duration
 	// Notice is a message to the user beside the state; empty: none.
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -157,3 +157,23 @@
 		}
 	}
 }
+
+func TestSplitChunkKey(t *testing.T) {
+	tests := []struct {
+		key   string
+		id    string
+		chunk int
+		ok    bool
+	}{
+		{(&Job{Spec: Spec{ID: "run-7"}}).ChunkKey(3), "run-7", 3, true},
+		{DonePrefix + "run-7", "", 0, true},
+		{DonePrefix + "run-7/", "", 0, false},
+		{DonePrefix + "run-7/x", "", 0, false},
+	}
+	for _, tt := range tests {
+		id, chunk, err := SplitChunkKey(tt.key)
+		if id != tt.id || chunk != tt.chunk || (err == nil) != tt.ok {
+			t.Errorf("%q: %q %d %v", tt.key, id, chunk, err)
+		}
+	}
+}
--- a/internal/job/spec.go
+++ b/internal/job/spec.go
@@ -19,7 +19,7 @@
 	Array Shape = iota
 	// Gang runs all its tasks at the same time or none.
 	Gang
-	// Service keeps its replicas running until the job is cancelled.
+	// Service runs its replicas until the job is cancelled.
 	Service
 )
 
--- a/internal/job/spec_parse.go
+++ b/internal/job/spec_parse.go
@@ -60,7 +60,7 @@
 	return id
 }
 
-// fieldReader reads the fields of a submission and keeps the first error.
+// fieldReader reads the fields of a submission and records the first error.
 type fieldReader struct {
 	values map[string]any
 	err    error
