--- a/cmd/vetchstream/demo_rollout.go
+++ b/cmd/vetchstream/demo_rollout.go
@@ -33,7 +33,7 @@
 )
 
 func demoRollout(tuning *string) *cobra.Command {
-	em := emulation{options: emulate.Options{Nodes: 3, Machines: 24}}
+	em := emulation{options: emulate.Options{Nodes: 3, MaxMachines: 24}}
 	cmd := &cobra.Command{
 		Use: "rollout", Short: "Show a good and a bad roll-out on an emulated cluster, in under a minute", Args: noArgs,
 		Long: "rollout runs a cluster as demo does, rolls a service out to a good build and then to a bad one, which turns unhealthy\ntwo seconds after it starts, and reports from the emulated machines' own history which build ran where.\n\n" + gone,
@@ -50,8 +50,8 @@
 			if err != nil {
 				return err
 			}
-			c.World.Keep()
-			c.World.Behave(badImage, emulate.Image{BadAfter: 2 * time.Second})
+			c.World.RecordHistory()
+			c.World.SetImageBehavior(badImage, emulate.ImageBehavior{UnhealthyAfter: 2 * time.Second})
 			err = playRollouts(ctx, cmd, c, em.options.Listen)
 			return errors.Join(err, c.close())
 		},
@@ -133,8 +133,8 @@
 		}
 	}
 	fmt.Fprintf(w, "\nReport, from the emulated machines' history:\n  the good build ran as %d of %d replicas\n  the bad build ran as %d, in a batch of at most 2\n  broken rules: %d\n",
-		len(copies["captions-2"]), demoCopies, len(copies[badImage]), len(c.World.Broken()))
-	if len(copies["captions-2"]) != demoCopies || len(copies[badImage]) > 2 || len(c.World.Broken()) > 0 {
+		len(copies["captions-2"]), demoCopies, len(copies[badImage]), len(c.World.Violations()))
+	if len(copies["captions-2"]) != demoCopies || len(copies[badImage]) > 2 || len(c.World.Violations()) > 0 {
 		return errDemo
 	}
 	return nil
--- a/cmd/vetchstream/emulate.go
+++ b/cmd/vetchstream/emulate.go
@@ -35,7 +35,7 @@
 
 func (e *emulation) flags(cmd *cobra.Command, nodes int) {
 	cmd.Flags().IntVar(&e.options.Nodes, "nodes", nodes, "number of controllers, 1 to 9")
-	cmd.Flags().IntVar(&e.options.Machines, "machines", 24, "machines that the emulated cloud has, 1 to 1000")
+	cmd.Flags().IntVar(&e.options.MaxMachines, "machines", 24, "machines that the emulated cloud has, 1 to 1000")
 	cmd.Flags().StringVar(&e.options.Listen, "listen", "127.0.0.1:8080", "loopback address of the first controller; the others follow on the next ports")
 	cmd.Flags().StringVar(&e.troubles, "troubles", "", "what goes wrong when (JSON list, see docs/operations.md)")
 	cmd.Flags().DurationVar(&e.length, "for", 0, "end after that long; 0: on ctrl-C")
@@ -50,11 +50,11 @@
 	if err != nil {
 		return fmt.Errorf("troubles: %w", err)
 	}
-	ts, err := emulate.ParseTroubles(b)
+	ts, err := emulate.ParseFaults(b)
 	if err != nil {
 		return err
 	}
-	cl.Play(ctx, ts)
+	cl.InjectFaults(ctx, ts)
 	return nil
 }
 
@@ -215,7 +215,7 @@
 	go func() { defer close(ended); c.wg.Wait() }()
 	begun := time.Now()
 	for {
-		all, up := c.World.Machines()
+		all, up := c.World.MachineCounts()
 		fmt.Fprintf(w, "%4.0f s  clients: %s  machines: %d up, %d booting  tasks started: %d\n", time.Since(begun).Seconds(), server, up, all-up, c.World.Starts())
 		select {
 		case <-ctx.Done():
--- a/cmd/vetchstream/scale.go
+++ b/cmd/vetchstream/scale.go
@@ -34,7 +34,7 @@
 				if err != nil {
 					return flagError{fmt.Errorf("--troubles: %w", err)}
 				}
-				if o.Troubles, err = scale.ParseTroubles(b); err != nil {
+				if o.Faults, err = scale.ParseFaults(b); err != nil {
 					return flagError{err}
 				}
 			}
@@ -51,7 +51,7 @@
 	f.IntVar(&o.Controllers, "controllers", scale.PlannedControllers, "number of controllers in all regions together")
 	f.Float64Var(&o.StartsPerS, "starts", 0, "task starts a second that users ask for; 0: as planned, times the factor")
 	f.DurationVar(&o.Duration, "duration", time.Minute, "how long the load lasts")
-	f.Float64Var(&o.Changes, "changes", 60, "changes of teams' quotas a minute; the plan has 7 as a mean and 500 in a burst")
+	f.Float64Var(&o.ChangesPerMinute, "changes", 60, "changes of teams' quotas a minute; the plan has 7 as a mean and 500 in a burst")
 	f.Uint64Var(&o.Seed, "seed", 1, "draws the jobs and what troubles hit")
 	f.StringVar(&troubles, "troubles", "", "what goes wrong when (JSON list, see docs/CAPACITY.md)")
 	f.StringVar(&output, "output", "table", "how to print: table, for people, or json")
--- a/internal/dynconfig/explore_test.go
+++ b/internal/dynconfig/explore_test.go
@@ -174,7 +174,7 @@
 
 func (g *game) actions() []explorer.Action[*game] {
 	act := func(name string, each int, do func(g *game, s *site, i int) bool) explorer.Action[*game] {
-		return explorer.Action[*game]{Name: name, Each: each, Do: func(g *game, i int) bool { return do(g, &g.sites[i%2], i) }}
+		return explorer.Action[*game]{Name: name, Count: each, Do: func(g *game, i int) bool { return do(g, &g.sites[i%2], i) }}
 	}
 	return []explorer.Action[*game]{
 		act("change", len(wanted), func(g *game, _ *site, i int) bool {
@@ -336,31 +336,31 @@
 // Print implements explorer.World.
 func (g *game) Print() string {
 	p := &explorer.Printer{}
-	p.Say(g.stored, " ", g.wants, g.ends, g.puts, len(g.home.dirty), g.home.head)
+	p.Values(g.stored, " ", g.wants, g.ends, g.puts, len(g.home.dirty), g.home.head)
 	for _, n := range names {
 		for _, recs := range []map[string]*Record{g.home.teams, g.recs, g.older} {
 			if r := recs[theTeam]; r != nil {
-				p.Say(" ", r.Grants[n], r.Shares[n])
+				p.Values(" ", r.Grants[n], r.Shares[n])
 			}
 		}
 		f := g.home.followers[n]
 		if r := g.home.teams[theTeam]; r != nil {
-			p.Say(r.Removed)
+			p.Values(r.Removed)
 		}
-		p.Say(" ", f.stated, f.says[theTeam], f.after)
+		p.Values(" ", f.stated, f.says[theTeam], f.after)
 	}
 	for i := range g.sites {
 		s := &g.sites[i]
 		r := s.replica
-		p.Say("\n", s.used, s.mark, s.entries, s.before, s.storing, s.lateTxn, r.teams, r.after, r.home, r.stated, r.said, r.unconfirmed)
+		p.Values("\n", s.used, s.mark, s.entries, s.before, s.storing, s.lateTxn, r.teams, r.after, r.home, r.stated, r.said, r.unconfirmed)
 		for _, q := range []*Request{s.asked, s.late} {
 			if q != nil {
-				p.Say(" asks ", q.Home, q.After, q.Full, q.Statements, q.Term == s.term)
+				p.Values(" asks ", q.Home, q.After, q.Full, q.Statements, q.Term == s.term)
 			}
 		}
 		for _, a := range []*Reply{s.reply, s.lateBack} {
 			if a != nil {
-				p.Say(" gets ", a.Term, a.State, a.Grants)
+				p.Values(" gets ", a.Term, a.State, a.Grants)
 			}
 		}
 	}
@@ -430,8 +430,8 @@
 // guard taken out the explorer finds why it is there.
 func TestExplore(t *testing.T) {
 	const states, walks, steps, rounds = 300, 1500, 40, 3
-	play := func(out guard) *explorer.Game[*game] {
-		return &explorer.Game[*game]{New: func() *game { return newGame(out) }, Actions: (&game{}).actions(), Most: states, Every: 50, Settle: settles}
+	play := func(out guard) *explorer.Explorer[*game] {
+		return &explorer.Explorer[*game]{New: func() *game { return newGame(out) }, Actions: (&game{}).actions(), MaxStates: states, SettleInterval: 50, Settle: settles}
 	}
 	names := play(none)
 	step := func(name string, i int) []explorer.Step { return names.Steps(i+1, name)[i:] }
@@ -463,10 +463,10 @@
 			t.Parallel()
 			g := play(tt.out)
 			g.Start = tt.start
-			seen, broken := g.Play()
+			seen, broken := g.Explore()
 			for seed := uint64(0); broken == "" && seed < rounds; seed++ {
 				var n int
-				n, broken = g.Walk(rand.New(rand.NewPCG(seed, 0)), walks, steps)
+				n, broken = g.RandomWalk(rand.New(rand.NewPCG(seed, 0)), walks, steps)
 				seen += n
 			}
 			if (tt.out == none) != (broken == "") {
--- a/internal/election/promise_test.go
+++ b/internal/election/promise_test.go
@@ -91,22 +91,22 @@
 }
 
 var actions = []explorer.Action[*world]{
-	{Name: "tick", Each: 1, Do: func(w *world, _ int) bool {
+	{Name: "tick", Count: 1, Do: func(w *world, _ int) bool {
 		w.now = w.now.Add(tick)
 		if w.holder >= 0 && !w.down && !w.now.Before(w.expires) {
 			w.holder = -1
 		}
 		return true
 	}},
-	{Name: "outage", Each: 1, Do: func(w *world, _ int) bool {
+	{Name: "outage", Count: 1, Do: func(w *world, _ int) bool {
 		w.down = !w.down
 		if !w.down {
 			w.expires = w.now.Add(ttl)
 		}
 		return true
 	}},
-	{Name: "refuse", Each: 3, Do: func(w *world, i int) bool { w.m[i].refused = !w.m[i].refused; return true }},
-	{Name: "renew", Each: 2, Do: func(w *world, i int) bool {
+	{Name: "refuse", Count: 3, Do: func(w *world, i int) bool { w.m[i].refused = !w.m[i].refused; return true }},
+	{Name: "renew", Count: 2, Do: func(w *world, i int) bool {
 		m := &w.m[i]
 		if !m.leading || !w.served(i) {
 			return false
@@ -119,7 +119,7 @@
 		m.until, w.expires = w.now.Add(ttl-50*time.Millisecond), w.now.Add(ttl)
 		return true
 	}},
-	{Name: "campaign", Each: 3, Do: func(w *world, i int) bool {
+	{Name: "campaign", Count: 3, Do: func(w *world, i int) bool {
 		m := &w.m[i]
 		if m.leading || m.trying || !w.served(i) || w.holder >= 0 {
 			return false
@@ -132,7 +132,7 @@
 		return may
 	}},
 	// The election's commit comes later than the decision for it.
-	{Name: "elected", Each: 3, Do: func(w *world, i int) bool {
+	{Name: "elected", Count: 3, Do: func(w *world, i int) bool {
 		m := &w.m[i]
 		if !m.trying || !w.served(i) {
 			return false
@@ -149,7 +149,7 @@
 	}},
 	// The leader, member 0 in most plays, asks a sibling, which answers at once; the
 	// answer may come late. No sibling knows of a later term than the leader's.
-	{Name: "ask", Each: 2, Do: func(w *world, i int) bool {
+	{Name: "ask", Count: 2, Do: func(w *world, i int) bool {
 		m, s := &w.m[0], &w.m[1+i]
 		if !m.leading || w.served(0) {
 			return false
@@ -162,7 +162,7 @@
 		}
 		return true
 	}},
-	{Name: "answer", Each: 2, Do: func(w *world, i int) bool {
+	{Name: "answer", Count: 2, Do: func(w *world, i int) bool {
 		m := &w.m[0]
 		asked, ok := m.answers[1+i]
 		if !ok || !m.leading {
@@ -179,8 +179,8 @@
 		m.p.record(fmt.Sprint(1+i), asked, w.now, entitled)
 		return true
 	}},
-	{Name: "end", Each: 2, Do: func(w *world, i int) bool { w.start(i); return true }},
-	{Name: "hear", Each: 2, Do: func(w *world, i int) bool {
+	{Name: "end", Count: 2, Do: func(w *world, i int) bool { w.start(i); return true }},
+	{Name: "hear", Count: 2, Do: func(w *world, i int) bool {
 		// Member 1 hears of the two others.
 		j := 2 * i
 		w.m[1].p.observe(fmt.Sprint(j), w.m[j].leading)
@@ -206,15 +206,15 @@
 }
 
 func (w *world) Print() string {
-	p := &explorer.Printer{Now: w.now, Past: 2 * length}
-	p.Say(w.down, w.holder)
-	p.At(w.expires)
+	p := &explorer.Printer{Now: w.now, MaxAge: 2 * length}
+	p.Values(w.down, w.holder)
+	p.Times(w.expires)
 	for i := range w.m {
 		m := &w.m[i]
-		p.Say("|", m.leading, w.term-m.term, m.trying, m.refused, m.p.campaigning, len(m.p.notLeading))
-		p.At(m.until, m.p.givenUntil, m.p.started.Add(length+m.p.clockSlack()))
+		p.Values("|", m.leading, w.term-m.term, m.trying, m.refused, m.p.campaigning, len(m.p.notLeading))
+		p.Times(m.until, m.p.givenUntil, m.p.started.Add(length+m.p.clockSlack()))
 		for j := range 3 {
-			p.At(m.p.receivedUntil[fmt.Sprint(j)], m.answers[j])
+			p.Times(m.p.receivedUntil[fmt.Sprint(j)], m.answers[j])
 		}
 	}
 	return p.String()
@@ -238,7 +238,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			g := &explorer.Game[*world]{New: func() *world { return newWorld(tt.out) }, Actions: actions, Most: 2000}
+			g := &explorer.Explorer[*world]{New: func() *world { return newWorld(tt.out) }, Actions: actions, MaxStates: 2000}
 			one := func(name string) []explorer.Step { return g.Steps(2, name)[1:] } // for the second thing alone
 			leads := slices.Concat(g.Steps(1, "campaign", "elected"))
 			refused := slices.Concat(leads, g.Steps(3, "refuse"), g.Steps(1, "tick", "tick", "tick"))
@@ -250,7 +250,7 @@
 			late := slices.Concat(leads, g.Steps(3, "refuse"), g.Steps(1, "tick"), g.Steps(2, "ask"), g.Steps(1, "tick", "tick"), g.Steps(2, "answer"))
 			// A sibling has been in an election since before the leader won it.
 			trying := slices.Concat(one("campaign"), refused, g.Steps(2, "ask", "answer"))
-			states, broken := g.From(leads, refused, asked, slices.Concat(asked, g.Steps(2, "answer")), late,
+			states, broken := g.ExploreFrom(leads, refused, asked, slices.Concat(asked, g.Steps(2, "answer")), late,
 				slices.Concat(refused, one("ask"), one("answer")), trying, led, slices.Concat(led, one("end"), g.Steps(2, "ask")))
 			t.Logf("%d states: %s", states, broken)
 			if (broken != "") != (tt.out != none) {
--- a/internal/emulate/cluster.go
+++ b/internal/emulate/cluster.go
@@ -17,16 +17,16 @@
 type Options struct {
 	// Nodes is the number of controllers, which the caller starts.
 	Nodes int
-	// Machines is the most that the cloud has.
-	Machines int
+	// MaxMachines is the most that the cloud has.
+	MaxMachines int
 	// Listen is the address of the first controller for users and workers; the
 	// others follow on the next ports, and their peer ports 100 above.
 	Listen string
 	Log    *slog.Logger
 }
 
-// peerPorts is how far above its port for users a controller's peer port is.
-const peerPorts = 100
+// peerPortOffset is how far above its port for users a controller's peer port is.
+const peerPortOffset = 100
 
 // Cluster is an emulated state service and cloud on loopback, with the settings
 // for the controllers that are to live on them.
@@ -38,13 +38,13 @@
 	servers []*http.Server
 }
 
-// zones of an emulated cluster.
-var zones = []string{"east", "north", "south", "west"}
+// clusterZones of an emulated cluster.
+var clusterZones = []string{"east", "north", "south", "west"}
 
-// types of an emulated cluster: they boot fast, so that a newcomer need not wait.
-var types = []wire.MachineType{
-	{Name: "small", CPUs: 4, MemGB: 16, CacheGB: 20, FetchRate: 2, Price: 0.2, SpotPrice: 0.06, BootS: 2, Zones: zones},
-	{Name: "large", CPUs: 16, MemGB: 64, CacheGB: 20, FetchRate: 2, Price: 0.8, SpotPrice: 0.24, BootS: 3, Zones: zones},
+// clusterTypes of an emulated cluster: they boot fast, so that a newcomer need not wait.
+var clusterTypes = []wire.MachineType{
+	{Name: "small", CPUs: 4, MemGB: 16, CacheGB: 20, FetchRate: 2, Price: 0.2, SpotPrice: 0.06, BootS: 2, Zones: clusterZones},
+	{Name: "large", CPUs: 16, MemGB: 64, CacheGB: 20, FetchRate: 2, Price: 0.8, SpotPrice: 0.24, BootS: 3, Zones: clusterZones},
 }
 
 // Start begins an emulation on loopback.
@@ -52,8 +52,8 @@
 	if o.Nodes < 1 || o.Nodes > 9 {
 		return nil, fmt.Errorf("emulation: %d controllers, not from 1 to 9", o.Nodes)
 	}
-	if o.Machines < 1 || o.Machines > 1000 {
-		return nil, fmt.Errorf("emulation: %d machines, not from 1 to 1000", o.Machines)
+	if o.MaxMachines < 1 || o.MaxMachines > 1000 {
+		return nil, fmt.Errorf("emulation: %d machines, not from 1 to 1000", o.MaxMachines)
 	}
 	host, text, err := net.SplitHostPort(o.Listen)
 	if err != nil {
@@ -64,7 +64,7 @@
 		return nil, fmt.Errorf("emulation: %q is not an address of loopback", o.Listen)
 	}
 	port, err := strconv.Atoi(text)
-	if err != nil || port < 1 || port+peerPorts+o.Nodes > 65535 {
+	if err != nil || port < 1 || port+peerPortOffset+o.Nodes > 65535 {
 		return nil, fmt.Errorf("emulation: port %q is not usable", text)
 	}
 	at := func(port int) string { return net.JoinHostPort(host, strconv.Itoa(port)) }
@@ -74,11 +74,11 @@
 	for i := range o.Nodes {
 		controllers = append(controllers, Controller{Member: fmt.Sprintf("node-%d", i), Addr: at(port + i)})
 	}
-	facts := cl.facts(o)
+	facts := cl.platformFacts(o)
 	lease := config.Seconds(facts.Facts.Workers.LeaseS)
-	cl.World = New(Config{Network: nw, Store: cl.Store, Types: types, Most: o.Machines, Controllers: controllers,
-		Lease: lease, Cancel: config.Seconds(facts.Facts.Workers.CancelS), Report: config.Seconds(facts.Facts.Workers.ReportS),
-		GangWait: config.Seconds(facts.Facts.Workers.GangWaitS), Fetch: 300 * time.Millisecond, ListLag: time.Second, Log: o.Log})
+	cl.World = New(Config{Network: nw, Store: cl.Store, Types: clusterTypes, MaxMachines: o.MaxMachines, Controllers: controllers,
+		LeaseDuration: lease, CancelTimeout: config.Seconds(facts.Facts.Workers.CancelS), HeartbeatInterval: config.Seconds(facts.Facts.Workers.ReportS),
+		GangTimeout: config.Seconds(facts.Facts.Workers.GangWaitS), ImagePull: 300 * time.Millisecond, ListLag: time.Second, Log: o.Log})
 	serve := func(name string, h http.Handler) (string, error) {
 		ln, err := nw.Listen(name + ":0")
 		if err != nil {
@@ -103,10 +103,10 @@
 	}
 	for i := range o.Nodes {
 		set := *facts
-		set.Member, set.Site, set.Listen, set.PeerListen = controllers[i].Member, zones[i%len(zones)], at(port+i), at(port+peerPorts+i)
+		set.Member, set.Site, set.Listen, set.PeerListen = controllers[i].Member, clusterZones[i%len(clusterZones)], at(port+i), at(port+peerPortOffset+i)
 		for j := range o.Nodes {
 			if j != i {
-				set.Siblings = append(set.Siblings, config.Sibling{Member: controllers[j].Member, Site: zones[j%len(zones)], Address: at(port + peerPorts + j)})
+				set.Siblings = append(set.Siblings, config.Sibling{Member: controllers[j].Member, Site: clusterZones[j%len(clusterZones)], Address: at(port + peerPortOffset + j)})
 			}
 		}
 		cl.Settings = append(cl.Settings, &set)
@@ -114,11 +114,11 @@
 	return cl, nil
 }
 
-// facts are what the platform says about the emulated cluster.
-func (cl *Cluster) facts(o Options) *config.Settings {
+// platformFacts are what the platform says about the emulated cluster.
+func (cl *Cluster) platformFacts(o Options) *config.Settings {
 	s := &config.Settings{}
 	f := &s.Facts
-	f.Nodes, f.Zones, f.SkewMs = o.Nodes, zones, 50
+	f.Nodes, f.Zones, f.SkewMs = o.Nodes, clusterZones, 50
 	f.Teams = []config.Team{{Name: "red"}, {Name: "blue"}}
 	f.Workers = config.Workers{ReportS: 1, LeaseS: 8, GangWaitS: 20, GangPeerS: 3, CancelS: 16}
 	f.State.RPS, f.State.WriteRPS, f.State.ValueKB, f.State.TxnOps = 500, 200, 32, 12
--- a/internal/emulate/emulate_test.go
+++ b/internal/emulate/emulate_test.go
@@ -25,7 +25,7 @@
 		{`[{"kind":"state_slow"}]`, "troubles[0].delay_ms"},
 	}
 	for _, tt := range tests {
-		_, err := ParseTroubles([]byte(tt.text))
+		_, err := ParseFaults([]byte(tt.text))
 		if (err == nil) != (tt.want == "") || (err != nil && !strings.Contains(err.Error(), tt.want)) {
 			t.Errorf("%s: %v, want %q", tt.text, err, tt.want)
 		}
@@ -40,12 +40,12 @@
 		o    Options
 		want string
 	}{
-		{"three controllers", Options{Nodes: 3, Machines: 5, Listen: "127.0.0.1:20000"}, ""},
-		{"none", Options{Nodes: 0, Machines: 5, Listen: "127.0.0.1:20000"}, "controllers"},
-		{"no machines", Options{Nodes: 1, Machines: 0, Listen: "127.0.0.1:20000"}, "machines"},
-		{"not loopback", Options{Nodes: 1, Machines: 1, Listen: "10.0.0.1:20000"}, "loopback"},
-		{"no port", Options{Nodes: 1, Machines: 1, Listen: "127.0.0.1"}, "port"},
-		{"no room for the peer ports", Options{Nodes: 3, Machines: 1, Listen: "127.0.0.1:65500"}, "port"},
+		{"three controllers", Options{Nodes: 3, MaxMachines: 5, Listen: "127.0.0.1:20000"}, ""},
+		{"none", Options{Nodes: 0, MaxMachines: 5, Listen: "127.0.0.1:20000"}, "controllers"},
+		{"no machines", Options{Nodes: 1, MaxMachines: 0, Listen: "127.0.0.1:20000"}, "machines"},
+		{"not loopback", Options{Nodes: 1, MaxMachines: 1, Listen: "10.0.0.1:20000"}, "loopback"},
+		{"no port", Options{Nodes: 1, MaxMachines: 1, Listen: "127.0.0.1"}, "port"},
+		{"no room for the peer ports", Options{Nodes: 3, MaxMachines: 1, Listen: "127.0.0.1:65500"}, "port"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/emulate/history.go
+++ b/internal/emulate/history.go
@@ -17,20 +17,20 @@
 	Cause string
 }
 
-// Lost is the cause of an end that no worker has told.
-const Lost = "lost"
+// CauseLost is the cause of an end that no worker has told.
+const CauseLost = "lost"
 
-// Keep lets the world keep a history of starts and ends from now on: it grows
+// RecordHistory lets the world keep a history of starts and ends from now on: it grows
 // without a bound.
-func (w *World) Keep() {
+func (w *World) RecordHistory() {
 	w.mu.Lock()
-	w.keeps = true
+	w.recording = true
 	w.mu.Unlock()
 }
 
 // record adds to the history; the caller holds the lock.
 func (w *World) record(e Event) {
-	if w.keeps {
+	if w.recording {
 		w.history = append(w.history, e)
 	}
 }
@@ -42,8 +42,8 @@
 	return slices.Clone(w.history)
 }
 
-// Zone takes a zone's machines.
-func (w *World) Zone(zone string) (out []*Worker) {
+// WorkersInZone takes a zone's machines.
+func (w *World) WorkersInZone(zone string) (out []*Worker) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, k := range w.workers {
--- a/internal/emulate/index.go
+++ b/internal/emulate/index.go
@@ -3,31 +3,31 @@
 // tasksOn are tasks with the machines that they are on.
 type tasksOn map[*task]*Worker
 
-// index finds the tasks of all machines by their names, jobs and teams, so that a start
+// taskIndex finds the tasks of all machines by their names, jobs and teams, so that a start
 // is judged against what it concerns alone. Tasks of unknown jobs are not in it: nothing
 // is counted for them.
-type index struct {
+type taskIndex struct {
 	byName, byJob, byTeam map[string]tasksOn
 }
 
-func newIndex() index {
-	return index{byName: map[string]tasksOn{}, byJob: map[string]tasksOn{}, byTeam: map[string]tasksOn{}}
+func newTaskIndex() taskIndex {
+	return taskIndex{byName: map[string]tasksOn{}, byJob: map[string]tasksOn{}, byTeam: map[string]tasksOn{}}
 }
 
 // each calls f with the sets that a task belongs to, by their keys.
-func (x *index) each(t *task, f func(sets map[string]tasksOn, key string)) {
+func (x *taskIndex) each(t *task, f func(sets map[string]tasksOn, key string)) {
 	f(x.byName, t.name)
 	f(x.byJob, t.spec.ID)
 	f(x.byTeam, t.spec.Team)
 }
 
-// add puts a task on the machine.
-func (k *Worker) add(id string, t *task) {
+// addTask puts a task on the machine.
+func (k *Worker) addTask(id string, t *task) {
 	k.tasks[id] = t
 	if t.spec == nil {
 		return
 	}
-	k.w.index.each(t, func(sets map[string]tasksOn, key string) {
+	k.world.tasks.each(t, func(sets map[string]tasksOn, key string) {
 		if sets[key] == nil {
 			sets[key] = tasksOn{}
 		}
@@ -35,14 +35,14 @@
 	})
 }
 
-// delete takes a task off the machine.
-func (k *Worker) delete(id string) {
+// deleteTask takes a task off the machine.
+func (k *Worker) deleteTask(id string) {
 	t := k.tasks[id]
 	delete(k.tasks, id)
 	if t.spec == nil {
 		return
 	}
-	k.w.index.each(t, func(sets map[string]tasksOn, key string) {
+	k.world.tasks.each(t, func(sets map[string]tasksOn, key string) {
 		delete(sets[key], t)
 		if len(sets[key]) == 0 {
 			delete(sets, key)
--- a/internal/emulate/memory.go
+++ b/internal/emulate/memory.go
@@ -10,89 +10,89 @@
 	"vetchstream/internal/state"
 )
 
-// Memory is a network in memory with cuts, for days in simulated time. Packets that meet a cut are held and
+// MemoryNetwork is a network in memory with cuts, for days in simulated time. Packets that meet a cut are held and
 // delivered in order once it ends, even when the sender has closed meanwhile.
-type Memory struct {
-	mu        sync.Mutex
-	listeners map[string]*memListener
-	conns     map[*memConn]bool
-	cut       func(from, to string) bool
-	mute      func(from, to string) bool
-	hold      func(from, to string) bool
-	deny      func(from, to string) bool
-	delay     time.Duration // of every packet
+type MemoryNetwork struct {
+	mu                sync.Mutex
+	listeners         map[string]*memListener
+	connections       map[*memConn]bool
+	partitioned       func(from, to string) bool
+	partitionedOneWay func(from, to string) bool
+	heldRequests      func(from, to string) bool
+	denied            func(from, to string) bool
+	delay             time.Duration // of every packet
 }
 
-// NewMemory makes a network without cuts.
-func NewMemory() *Memory {
-	return &Memory{listeners: map[string]*memListener{}, conns: map[*memConn]bool{}, cut: func(string, string) bool { return false },
-		mute: func(string, string) bool { return false }, hold: func(string, string) bool { return false }, deny: func(string, string) bool { return false }, delay: memDelay}
+// NewMemoryNetwork makes a network without cuts.
+func NewMemoryNetwork() *MemoryNetwork {
+	return &MemoryNetwork{listeners: map[string]*memListener{}, connections: map[*memConn]bool{}, partitioned: func(string, string) bool { return false },
+		partitionedOneWay: func(string, string) bool { return false }, heldRequests: func(string, string) bool { return false }, denied: func(string, string) bool { return false }, delay: packetLatency}
 }
 
-// Slow makes every packet take that much longer.
-func (n *Memory) Slow(d time.Duration) {
+// AddDelay makes every packet take that much longer.
+func (n *MemoryNetwork) AddDelay(d time.Duration) {
 	n.mu.Lock()
-	n.delay = memDelay + d
+	n.delay = packetLatency + d
 	n.mu.Unlock()
 }
 
-func (n *Memory) takes() time.Duration {
+func (n *MemoryNetwork) packetDelay() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.delay
 }
 
-// Deny lets no connection be opened from one host to another for which f is true, and
+// DenyConnections lets no connection be opened from one host to another for which f is true, and
 // breaks those that are. The other may open one the other way round.
-func (n *Memory) Deny(f func(from, to string) bool) {
+func (n *MemoryNetwork) DenyConnections(f func(from, to string) bool) {
 	n.mu.Lock()
-	n.deny = f
+	n.denied = f
 	n.mu.Unlock()
-	n.reset(f)
+	n.resetOpenedBy(f)
 }
 
-// Hold holds what a host sends on connections that it has opened to another for which f is
+// HoldRequests holds what a host sends on connections that it has opened to another for which f is
 // true: its requests. Answers to them, and what goes over connections that the other has
 // opened, pass.
-func (n *Memory) Hold(f func(from, to string) bool) {
+func (n *MemoryNetwork) HoldRequests(f func(from, to string) bool) {
 	n.mu.Lock()
-	n.hold = f
+	n.heldRequests = f
 	n.mu.Unlock()
 }
 
-func (n *Memory) holds(from, to string) bool {
+func (n *MemoryNetwork) holdsRequests(from, to string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.hold(from, to)
+	return n.heldRequests(from, to)
 }
 
-func (n *Memory) isCut(from, to string) bool {
+func (n *MemoryNetwork) isPartitioned(from, to string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.cut(from, to) || n.cut(to, from) || n.mute(from, to)
+	return n.partitioned(from, to) || n.partitioned(to, from) || n.partitionedOneWay(from, to)
 }
 
-// Mute holds what passes from one host to another for which f is true, and not what
+// PartitionOneWay holds what passes from one host to another for which f is true, and not what
 // comes back.
-func (n *Memory) Mute(f func(from, to string) bool) {
+func (n *MemoryNetwork) PartitionOneWay(f func(from, to string) bool) {
 	n.mu.Lock()
-	n.mute = f
+	n.partitionedOneWay = f
 	n.mu.Unlock()
 }
 
-// Cut holds what passes between two hosts for which f is true, in either direction.
-func (n *Memory) Cut(f func(from, to string) bool) {
+// Partition holds what passes between two hosts for which f is true, in either direction.
+func (n *MemoryNetwork) Partition(f func(from, to string) bool) {
 	n.mu.Lock()
-	n.cut = f
+	n.partitioned = f
 	n.mu.Unlock()
 }
 
 type memListener struct {
-	n     *Memory
-	addr  string
-	ch    chan net.Conn
-	once  sync.Once
-	ended chan struct{}
+	network  *MemoryNetwork
+	addr     string
+	accepted chan net.Conn
+	once     sync.Once
+	closed   chan struct{}
 }
 
 type memAddr string
@@ -102,21 +102,21 @@
 
 func (l *memListener) Accept() (net.Conn, error) {
 	select {
-	case c := <-l.ch:
+	case c := <-l.accepted:
 		return c, nil
-	case <-l.ended:
+	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 }
 
 func (l *memListener) Close() error {
 	l.once.Do(func() {
-		close(l.ended)
-		l.n.mu.Lock()
-		if l.n.listeners[l.addr] == l {
-			delete(l.n.listeners, l.addr)
+		close(l.closed)
+		l.network.mu.Lock()
+		if l.network.listeners[l.addr] == l {
+			delete(l.network.listeners, l.addr)
 		}
-		l.n.mu.Unlock()
+		l.network.mu.Unlock()
 	})
 	return nil
 }
@@ -124,13 +124,13 @@
 func (l *memListener) Addr() net.Addr { return memAddr(l.addr) }
 
 // Listen implements Network.
-func (n *Memory) Listen(addr string) (net.Listener, error) {
+func (n *MemoryNetwork) Listen(addr string) (net.Listener, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.listeners[addr] != nil {
 		return nil, errors.New("address in use")
 	}
-	l := &memListener{n: n, addr: addr, ch: make(chan net.Conn, 64), ended: make(chan struct{})}
+	l := &memListener{network: n, addr: addr, accepted: make(chan net.Conn, 64), closed: make(chan struct{})}
 	n.listeners[addr] = l
 	return l, nil
 }
@@ -139,19 +139,19 @@
 type memConn struct {
 	net.Conn
 	from, to string
-	stop     func()
+	reset    func()
 }
 
 func (c *memConn) RemoteAddr() net.Addr { return memAddr(c.to) }
 func (c *memConn) LocalAddr() net.Addr  { return memAddr(c.from) }
 
-const memDelay = 2 * time.Millisecond
+const packetLatency = 2 * time.Millisecond
 
 // Dialer implements Network.
-func (n *Memory) Dialer(from string) state.DialFunc {
+func (n *MemoryNetwork) Dialer(from string) state.DialFunc {
 	return func(ctx context.Context, _, addr string) (net.Conn, error) {
 		to, _, _ := net.SplitHostPort(addr)
-		for n.isCut(from, to) {
+		for n.isPartitioned(from, to) {
 			select {
 			case <-ctx.Done():
 				return nil, ctx.Err()
@@ -160,7 +160,7 @@
 		}
 		n.mu.Lock()
 		l := n.listeners[addr]
-		if n.deny(from, to) {
+		if n.denied(from, to) {
 			l = nil
 		}
 		n.mu.Unlock()
@@ -179,19 +179,19 @@
 					_ = c.Close()
 				}
 				n.mu.Lock()
-				delete(n.conns, ca)
+				delete(n.connections, ca)
 				n.mu.Unlock()
 			})
 		}
-		ca.stop, cb.stop = reset, reset
+		ca.reset, cb.reset = reset, reset
 		n.mu.Lock()
-		n.conns[ca] = true
+		n.connections[ca] = true
 		n.mu.Unlock()
-		go n.pump(ap, bp, dead, func() bool { return n.isCut(from, to) || n.holds(from, to) })
-		go n.pump(bp, ap, dead, func() bool { return n.isCut(to, from) })
+		go n.forward(ap, bp, dead, func() bool { return n.isPartitioned(from, to) || n.holdsRequests(from, to) })
+		go n.forward(bp, ap, dead, func() bool { return n.isPartitioned(to, from) })
 		select {
-		case l.ch <- cb:
-		case <-l.ended:
+		case l.accepted <- cb:
+		case <-l.closed:
 			reset()
 			return nil, errors.New("connection refused")
 		}
@@ -200,13 +200,13 @@
 }
 
 type packet struct {
-	at time.Time
-	b  []byte
+	deliverAt time.Time
+	payload   []byte
 }
 
-// pump carries packets from one end of a connection to the other, and keeps them for as
+// forward carries packets from one end of a connection to the other, and keeps them for as
 // long as held says.
-func (n *Memory) pump(src, dst net.Conn, dead chan struct{}, held func() bool) {
+func (n *MemoryNetwork) forward(src, dst net.Conn, dead chan struct{}, held func() bool) {
 	q := make(chan packet, 4096)
 	go func() {
 		defer close(q)
@@ -215,7 +215,7 @@
 			k, err := src.Read(buf)
 			if k > 0 {
 				select {
-				case q <- packet{time.Now().Add(n.takes()), append([]byte(nil), buf[:k]...)}:
+				case q <- packet{time.Now().Add(n.packetDelay()), append([]byte(nil), buf[:k]...)}:
 				case <-dead:
 					return
 				}
@@ -226,7 +226,7 @@
 		}
 	}()
 	for p := range q {
-		time.Sleep(time.Until(p.at))
+		time.Sleep(time.Until(p.deliverAt))
 		for held() {
 			select {
 			case <-dead:
@@ -234,24 +234,24 @@
 			case <-time.After(50 * time.Millisecond):
 			}
 		}
-		if _, err := dst.Write(p.b); err != nil {
+		if _, err := dst.Write(p.payload); err != nil {
 			break
 		}
 	}
 	_ = dst.Close()
 }
 
-// Reset breaks every connection of a host, as when its process ends.
-func (n *Memory) Reset(match func(from, to string) bool) {
-	n.reset(func(f, t string) bool { return match(f, t) || match(t, f) })
+// ResetConnections breaks every connection of a host, as when its process ends.
+func (n *MemoryNetwork) ResetConnections(match func(from, to string) bool) {
+	n.resetOpenedBy(func(f, t string) bool { return match(f, t) || match(t, f) })
 }
 
-// reset breaks the connections that were opened from one host to another for which match
+// resetOpenedBy breaks the connections that were opened from one host to another for which match
 // is true.
-func (n *Memory) reset(match func(from, to string) bool) {
+func (n *MemoryNetwork) resetOpenedBy(match func(from, to string) bool) {
 	n.mu.Lock()
 	var hit []*memConn
-	for c := range n.conns {
+	for c := range n.connections {
 		f, _, _ := net.SplitHostPort(c.from)
 		t, _, _ := net.SplitHostPort(c.to)
 		if match(f, t) {
@@ -260,6 +260,6 @@
 	}
 	n.mu.Unlock()
 	for _, c := range hit {
-		c.stop()
+		c.reset()
 	}
 }
--- a/internal/emulate/store.go
+++ b/internal/emulate/store.go
@@ -17,21 +17,21 @@
 
 // Store is a stand-in for the state service, after its published protocol.
 type Store struct {
-	mu      sync.Mutex
-	epoch   uint64
-	kv      map[string]state.Entry
-	dropped map[string]uint64 // key -> revision of its last removal
-	leases  map[uint64]time.Time
-	ttl     map[uint64]time.Duration
-	next    uint64
-	refuse  func(from string) bool
-	ops     int // the most writes in a transaction
-	slow    time.Duration
-	late    func() time.Duration // what becomes of a transaction; 0: it is served
-	page    int                  // entries in a listing
-	changed chan struct{}
-	lost    int // answers to transactions that were carried out at once
-	load    StoreLoad
+	mu               sync.Mutex
+	revision         uint64
+	entries          map[string]state.Entry
+	deletedAt        map[string]uint64 // key -> revision of its last removal
+	leaseExpiry      map[uint64]time.Time
+	leaseTTL         map[uint64]time.Duration
+	lastLease        uint64
+	refuses          func(from string) bool
+	maxWrites        int // the most writes in a transaction
+	latency          time.Duration
+	transactionDelay func() time.Duration // what becomes of a transaction; 0: it is served
+	pageSize         int                  // entries in a listing
+	changed          chan struct{}
+	answersLost      int // answers to transactions that were carried out at once
+	load             StoreLoad
 }
 
 // StoreLoad is what a state service has been asked for so far.
@@ -49,67 +49,67 @@
 	return s.load
 }
 
-// unread answers nobody.
-type unread struct{ http.ResponseWriter }
+// discardResponse answers nobody.
+type discardResponse struct{ http.ResponseWriter }
 
-func (unread) WriteHeader(int)             {}
-func (unread) Write(b []byte) (int, error) { return len(b), nil }
+func (discardResponse) WriteHeader(int)             {}
+func (discardResponse) Write(b []byte) (int, error) { return len(b), nil }
 
-// Lost counts the transactions that were carried out at once and whose answers were lost.
-func (s *Store) Lost() int {
+// AnswersLost counts the transactions that were carried out at once and whose answers were lost.
+func (s *Store) AnswersLost() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.lost
+	return s.answersLost
 }
 
-// Page sets how many entries a listing may have.
-func (s *Store) Page(entries int) {
+// SetPageSize sets how many entries a listing may have.
+func (s *Store) SetPageSize(entries int) {
 	s.mu.Lock()
-	s.page = entries
+	s.pageSize = entries
 	s.mu.Unlock()
 }
 
 // NewStore makes an empty state service.
 func NewStore() *Store {
-	return &Store{kv: map[string]state.Entry{}, dropped: map[string]uint64{}, leases: map[uint64]time.Time{}, ttl: map[uint64]time.Duration{},
-		refuse: func(string) bool { return false }, ops: 12, page: 500, changed: make(chan struct{})}
+	return &Store{entries: map[string]state.Entry{}, deletedAt: map[string]uint64{}, leaseExpiry: map[uint64]time.Time{}, leaseTTL: map[uint64]time.Duration{},
+		refuses: func(string) bool { return false }, maxWrites: 12, pageSize: 500, changed: make(chan struct{})}
 }
 
-// Refuse turns away the hosts for which f is true with 503.
-func (s *Store) Refuse(f func(from string) bool) {
+// RefuseFrom turns away the hosts for which f is true with 503.
+func (s *Store) RefuseFrom(f func(from string) bool) {
 	s.mu.Lock()
-	s.refuse = f
+	s.refuses = f
 	s.mu.Unlock()
 }
 
-// Limit sets the most writes in a transaction.
-func (s *Store) Limit(ops int) {
+// SetMaxWrites sets the most writes in a transaction.
+func (s *Store) SetMaxWrites(ops int) {
 	s.mu.Lock()
-	s.ops = ops
+	s.maxWrites = ops
 	s.mu.Unlock()
 }
 
-// Late lets transactions go without an answer for as long as f says, each time that it
+// DelayTransactions lets transactions go without an answer for as long as f says, each time that it
 // is asked, and carries them out then; below 0: at once, and only the answer is lost.
 // nil: all are served.
-func (s *Store) Late(f func() time.Duration) {
+func (s *Store) DelayTransactions(f func() time.Duration) {
 	s.mu.Lock()
-	s.late = f
+	s.transactionDelay = f
 	s.mu.Unlock()
 }
 
-// Slow makes every answer but those of watches take that much longer.
-func (s *Store) Slow(d time.Duration) {
+// SetLatency makes every answer but those of watches take that much longer.
+func (s *Store) SetLatency(d time.Duration) {
 	s.mu.Lock()
-	s.slow = d
+	s.latency = d
 	s.mu.Unlock()
 }
 
-// Count is how many keys are below a prefix.
-func (s *Store) Count(prefix string) (n int) {
+// CountKeys is how many keys are below a prefix.
+func (s *Store) CountKeys(prefix string) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for k := range s.kv {
+	for k := range s.entries {
 		if strings.HasPrefix(k, prefix) {
 			n++
 		}
@@ -121,7 +121,7 @@
 func (s *Store) Entry(key string) (state.Entry, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e, ok := s.kv[key]
+	e, ok := s.entries[key]
 	return e, ok
 }
 
@@ -133,9 +133,9 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.epoch++
-	s.kv[key] = state.Entry{Key: key, Value: b, Version: s.epoch}
-	s.bump()
+	s.revision++
+	s.entries[key] = state.Entry{Key: key, Value: b, Version: s.revision}
+	s.notifyWatchers()
 	return nil
 }
 
@@ -143,7 +143,7 @@
 func (s *Store) Snapshot(prefix string) (entries []state.Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for k, e := range s.kv {
+	for k, e := range s.entries {
 		if strings.HasPrefix(k, prefix) {
 			entries = append(entries, e)
 		}
@@ -156,15 +156,15 @@
 func (s *Store) Restore(prefix string, entries []state.Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for k := range s.kv {
+	for k := range s.entries {
 		if strings.HasPrefix(k, prefix) {
-			delete(s.kv, k)
+			delete(s.entries, k)
 		}
 	}
 	for _, e := range entries {
-		s.kv[e.Key] = e
+		s.entries[e.Key] = e
 	}
-	s.bump()
+	s.notifyWatchers()
 }
 
 // Job finds the description of a job among the records that controllers keep:
@@ -174,11 +174,11 @@
 	defer s.mu.Unlock()
 	for _, prefix := range []string{job.ActivePrefix, job.FinalPrefix} {
 		var rec job.Record
-		if e, ok := s.kv[prefix+id]; ok && wire.Unmarshal(e.Value, &rec) == nil {
+		if e, ok := s.entries[prefix+id]; ok && wire.Unmarshal(e.Value, &rec) == nil {
 			return &rec.Spec
 		}
 	}
-	for k, e := range s.kv {
+	for k, e := range s.entries {
 		var g job.Group
 		if !strings.HasPrefix(k, job.GroupPrefix) || wire.Unmarshal(e.Value, &g) != nil {
 			continue
@@ -192,47 +192,47 @@
 	return nil
 }
 
-func (s *Store) bump() {
+func (s *Store) notifyWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// expire ends leases whose time is over; the caller holds the lock.
-func (s *Store) expire() {
+// expireLeases ends leases whose time is over; the caller holds the lock.
+func (s *Store) expireLeases() {
 	now := time.Now()
-	for id, until := range s.leases {
+	for id, until := range s.leaseExpiry {
 		if now.After(until) {
-			s.end(id)
+			s.endLease(id)
 		}
 	}
 }
 
-func (s *Store) end(id uint64) {
-	delete(s.leases, id)
-	for k, e := range s.kv {
+func (s *Store) endLease(id uint64) {
+	delete(s.leaseExpiry, id)
+	for k, e := range s.entries {
 		if e.Lease == id {
-			s.epoch++
-			delete(s.kv, k)
-			s.dropped[k] = s.epoch
+			s.revision++
+			delete(s.entries, k)
+			s.deletedAt[k] = s.revision
 		}
 	}
-	s.bump()
+	s.notifyWatchers()
 }
 
-// Outage refuses everybody for a while; afterwards leases have their full time.
-func (s *Store) Outage(on bool) {
+// SetOutage refuses everybody for a while; afterwards leases have their full time.
+func (s *Store) SetOutage(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if on {
-		s.refuse = func(string) bool { return true }
-		for id := range s.leases {
-			s.leases[id] = time.Now().Add(time.Hour)
+		s.refuses = func(string) bool { return true }
+		for id := range s.leaseExpiry {
+			s.leaseExpiry[id] = time.Now().Add(time.Hour)
 		}
 		return
 	}
-	s.refuse = func(string) bool { return false }
-	for id := range s.leases {
-		s.leases[id] = time.Now().Add(s.ttl[id])
+	s.refuses = func(string) bool { return false }
+	for id := range s.leaseExpiry {
+		s.leaseExpiry[id] = time.Now().Add(s.leaseTTL[id])
 	}
 }
 
@@ -243,14 +243,14 @@
 	defer s.mu.Unlock()
 	s.load.Requests++
 	path := q.URL.Path
-	if s.slow > 0 && path != "/changes" {
-		s.unlocked(s.slow)
+	if s.latency > 0 && path != "/changes" {
+		s.sleepUnlocked(s.latency)
 	}
-	if s.refuse(from) {
+	if s.refuses(from) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	s.expire()
+	s.expireLeases()
 	switch {
 	case path == "/kv":
 		s.serveList(w, q)
@@ -269,8 +269,8 @@
 	}
 }
 
-// unlocked waits without the lock; the caller holds it before and after.
-func (s *Store) unlocked(wait time.Duration) {
+// sleepUnlocked waits without the lock; the caller holds it before and after.
+func (s *Store) sleepUnlocked(wait time.Duration) {
 	s.mu.Unlock()
 	time.Sleep(wait)
 	s.mu.Lock()
@@ -280,20 +280,20 @@
 func (s *Store) serveList(w http.ResponseWriter, q *http.Request) {
 	under, after := q.URL.Query().Get("under"), q.URL.Query().Get("after")
 	out := []state.Entry{}
-	for _, k := range slices.Sorted(maps.Keys(s.kv)) {
+	for _, k := range slices.Sorted(maps.Keys(s.entries)) {
 		if strings.HasPrefix(k, under) && k > after {
-			out = append(out, s.kv[k])
+			out = append(out, s.entries[k])
 		}
 	}
-	page := min(len(out), s.page)
-	encode(w, http.StatusOK, map[string]any{"entries": out[:page], "more": page < len(out), "epoch": s.epoch})
+	page := min(len(out), s.pageSize)
+	encode(w, http.StatusOK, map[string]any{"entries": out[:page], "more": page < len(out), "epoch": s.revision})
 }
 
 // serveEntry answers a read of one key; the caller holds the lock.
 func (s *Store) serveEntry(w http.ResponseWriter, key string) {
-	e, ok := s.kv[key]
+	e, ok := s.entries[key]
 	if !ok {
-		encode(w, http.StatusNotFound, map[string]any{"epoch": s.epoch})
+		encode(w, http.StatusNotFound, map[string]any{"epoch": s.revision})
 		return
 	}
 	encode(w, http.StatusOK, e)
@@ -303,24 +303,24 @@
 // that; the caller holds the lock.
 func (s *Store) serveCommit(w http.ResponseWriter, q *http.Request) {
 	var t state.Txn
-	if !decode(q, &t) || len(t.Writes) > s.ops {
+	if !decode(q, &t) || len(t.Writes) > s.maxWrites {
 		encode(w, http.StatusBadRequest, wire.Error{Error: "malformed"})
 		return
 	}
 	s.load.Writes += len(t.Writes)
-	if s.late != nil {
-		switch d := s.late(); {
+	if s.transactionDelay != nil {
+		switch d := s.transactionDelay(); {
 		case d < 0:
-			w = unread{w}
-			s.lost++
+			w = discardResponse{w}
+			s.answersLost++
 			defer func() {
-				s.unlocked(-d)
+				s.sleepUnlocked(-d)
 				panic(http.ErrAbortHandler)
 			}()
 		case d > 0:
 			// Its sender gives up long before. What it says is carried out all the same.
-			s.unlocked(d)
-			s.expire()
+			s.sleepUnlocked(d)
+			s.expireLeases()
 		}
 	}
 	s.commit(w, &t)
@@ -330,31 +330,31 @@
 func (s *Store) commit(w http.ResponseWriter, t *state.Txn) {
 	var failed []string
 	for _, c := range t.If {
-		if s.kv[c.Key].Version != c.Version {
+		if s.entries[c.Key].Version != c.Version {
 			failed = append(failed, c.Key)
 		}
 	}
 	if failed != nil {
-		encode(w, http.StatusConflict, map[string]any{"failed": failed, "epoch": s.epoch})
+		encode(w, http.StatusConflict, map[string]any{"failed": failed, "epoch": s.revision})
 		return
 	}
 	for _, x := range t.Writes {
-		if _, ok := s.leases[x.Lease]; x.Lease != 0 && !ok {
+		if _, ok := s.leaseExpiry[x.Lease]; x.Lease != 0 && !ok {
 			encode(w, http.StatusBadRequest, map[string]any{"error": "no such lease"})
 			return
 		}
 	}
-	s.epoch++
+	s.revision++
 	for _, x := range t.Writes {
 		if x.Delete != "" {
-			delete(s.kv, x.Delete)
-			s.dropped[x.Delete] = s.epoch
+			delete(s.entries, x.Delete)
+			s.deletedAt[x.Delete] = s.revision
 			continue
 		}
-		s.kv[x.Put] = state.Entry{Key: x.Put, Value: append(wire.Raw(nil), x.Value...), Version: s.epoch, Lease: x.Lease}
+		s.entries[x.Put] = state.Entry{Key: x.Put, Value: append(wire.Raw(nil), x.Value...), Version: s.revision, Lease: x.Lease}
 	}
-	s.bump()
-	encode(w, http.StatusOK, map[string]any{"epoch": s.epoch})
+	s.notifyWatchers()
+	encode(w, http.StatusOK, map[string]any{"epoch": s.revision})
 }
 
 // serveGrant makes a lease; the caller holds the lock.
@@ -366,29 +366,29 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	s.next++
-	s.ttl[s.next] = time.Duration(in.TTL) * time.Millisecond
-	s.leases[s.next] = time.Now().Add(s.ttl[s.next])
-	encode(w, http.StatusOK, map[string]any{"tenure": s.next})
+	s.lastLease++
+	s.leaseTTL[s.lastLease] = time.Duration(in.TTL) * time.Millisecond
+	s.leaseExpiry[s.lastLease] = time.Now().Add(s.leaseTTL[s.lastLease])
+	encode(w, http.StatusOK, map[string]any{"tenure": s.lastLease})
 }
 
 // serveLease renews or ends a lease; the caller holds the lock.
 func (s *Store) serveLease(w http.ResponseWriter, q *http.Request) {
 	id, _ := strconv.ParseUint(strings.TrimSuffix(q.URL.Path[len("/leases/"):], "/extend"), 10, 64)
-	if _, ok := s.leases[id]; !ok {
+	if _, ok := s.leaseExpiry[id]; !ok {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
 	if q.Method == http.MethodDelete {
-		s.end(id)
+		s.endLease(id)
 	} else {
-		s.leases[id] = time.Now().Add(s.ttl[id])
+		s.leaseExpiry[id] = time.Now().Add(s.leaseTTL[id])
 	}
 	encode(w, http.StatusOK, map[string]any{})
 }
 
-// changesPoll is how often a watch looks for leases that have run out.
-const changesPoll = 100 * time.Millisecond
+// watchPollInterval is how often a watch looks for leases that have run out.
+const watchPollInterval = 100 * time.Millisecond
 
 // serveChanges answers a watch; the caller holds the lock.
 func (s *Store) serveChanges(w http.ResponseWriter, q *http.Request, from string) {
@@ -397,10 +397,10 @@
 	wait, _ := strconv.Atoi(v.Get("wait_ms"))
 	end := time.Now().Add(time.Duration(wait) * time.Millisecond)
 	for {
-		s.expire()
+		s.expireLeases()
 		events := s.events(v.Get("under"), after)
-		if (len(events) > 0 && !s.refuse(from)) || time.Now().After(end) {
-			encode(w, http.StatusOK, map[string]any{"epoch": s.epoch, "events": events})
+		if (len(events) > 0 && !s.refuses(from)) || time.Now().After(end) {
+			encode(w, http.StatusOK, map[string]any{"epoch": s.revision, "events": events})
 			return
 		}
 		if !s.awaitChange(q) {
@@ -412,12 +412,12 @@
 // events are the changes below a prefix after a revision; the caller holds the lock.
 func (s *Store) events(under string, after uint64) []map[string]any {
 	events := []map[string]any{}
-	for k, e := range s.kv {
+	for k, e := range s.entries {
 		if strings.HasPrefix(k, under) && e.Version > after {
 			events = append(events, map[string]any{"put": k, "data": e.Value, "stamp": e.Version})
 		}
 	}
-	for k, rev := range s.dropped {
+	for k, rev := range s.deletedAt {
 		if strings.HasPrefix(k, under) && rev > after {
 			events = append(events, map[string]any{"drop": k, "stamp": rev})
 		}
@@ -433,7 +433,7 @@
 	defer s.mu.Lock()
 	select {
 	case <-changed:
-	case <-time.After(changesPoll):
+	case <-time.After(watchPollInterval):
 	case <-q.Context().Done():
 		return false
 	}
--- a/internal/emulate/trouble.go
+++ b/internal/emulate/trouble.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Trouble is something that goes wrong on cue, and rights itself.
-type Trouble struct {
+// Fault is something that goes wrong on cue, and rights itself.
+type Fault struct {
 	// AtS is when it begins, in seconds from the start, and ForS how long it lasts.
 	AtS  float64 `json:"at_s"`
 	ForS float64 `json:"for_s"`
@@ -26,62 +26,62 @@
 	DelayMs int `json:"delay_ms"`
 }
 
-// kinds are the troubles, with what each needs.
-var kinds = map[string]struct {
+// faultKinds are the troubles, with what each needs.
+var faultKinds = map[string]struct {
 	machines, image, delay bool
-	do                     func(cl *Cluster, t Trouble, r *rand.Rand, wait func())
+	do                     func(cl *Cluster, t Fault, r *rand.Rand, wait func())
 }{
-	"state_outage": {do: func(cl *Cluster, _ Trouble, _ *rand.Rand, wait func()) {
-		cl.Store.Outage(true)
+	"state_outage": {do: func(cl *Cluster, _ Fault, _ *rand.Rand, wait func()) {
+		cl.Store.SetOutage(true)
 		wait()
-		cl.Store.Outage(false)
+		cl.Store.SetOutage(false)
 	}},
-	"state_slow": {delay: true, do: func(cl *Cluster, t Trouble, _ *rand.Rand, wait func()) {
-		cl.Store.Slow(time.Duration(t.DelayMs) * time.Millisecond)
+	"state_slow": {delay: true, do: func(cl *Cluster, t Fault, _ *rand.Rand, wait func()) {
+		cl.Store.SetLatency(time.Duration(t.DelayMs) * time.Millisecond)
 		wait()
-		cl.Store.Slow(0)
+		cl.Store.SetLatency(0)
 	}},
-	"machines_die": {machines: true, do: func(cl *Cluster, t Trouble, r *rand.Rand, _ func()) {
-		cl.World.Kill(cl.World.Any(r, t.Machines))
+	"machines_die": {machines: true, do: func(cl *Cluster, t Fault, r *rand.Rand, _ func()) {
+		cl.World.Kill(cl.World.RandomWorkers(r, t.Machines))
 	}},
-	"machines_hang": {machines: true, do: func(cl *Cluster, t Trouble, r *rand.Rand, wait func()) {
-		ks := cl.World.Any(r, t.Machines)
+	"machines_hang": {machines: true, do: func(cl *Cluster, t Fault, r *rand.Rand, wait func()) {
+		ks := cl.World.RandomWorkers(r, t.Machines)
 		cl.World.Hang(ks, true)
 		wait()
 		cl.World.Hang(ks, false)
 	}},
-	"machines_sick": {machines: true, do: func(cl *Cluster, t Trouble, r *rand.Rand, _ func()) {
-		cl.World.Sicken(cl.World.Any(r, t.Machines))
+	"machines_sick": {machines: true, do: func(cl *Cluster, t Fault, r *rand.Rand, _ func()) {
+		cl.World.MakeFaulty(cl.World.RandomWorkers(r, t.Machines))
 	}},
-	"image_unhealthy": {image: true, do: func(cl *Cluster, t Trouble, _ *rand.Rand, wait func()) {
-		cl.World.Behave(t.Image, Image{BadAfter: time.Duration(max(t.AfterS, 0.001) * float64(time.Second))})
+	"image_unhealthy": {image: true, do: func(cl *Cluster, t Fault, _ *rand.Rand, wait func()) {
+		cl.World.SetImageBehavior(t.Image, ImageBehavior{UnhealthyAfter: time.Duration(max(t.AfterS, 0.001) * float64(time.Second))})
 		wait()
-		cl.World.Behave(t.Image, Image{})
+		cl.World.SetImageBehavior(t.Image, ImageBehavior{})
 	}},
-	"image_crashes": {image: true, do: func(cl *Cluster, t Trouble, _ *rand.Rand, wait func()) {
-		cl.World.Behave(t.Image, Image{CrashAfter: time.Duration(max(t.AfterS, 0.001) * float64(time.Second))})
+	"image_crashes": {image: true, do: func(cl *Cluster, t Fault, _ *rand.Rand, wait func()) {
+		cl.World.SetImageBehavior(t.Image, ImageBehavior{CrashAfter: time.Duration(max(t.AfterS, 0.001) * float64(time.Second))})
 		wait()
-		cl.World.Behave(t.Image, Image{})
+		cl.World.SetImageBehavior(t.Image, ImageBehavior{})
 	}},
 }
 
-// maxTroubles bounds a list of troubles.
-const maxTroubles = 1000
+// maxFaults bounds a list of troubles.
+const maxFaults = 1000
 
-// ParseTroubles reads a list of troubles (JSON). An error names the trouble, from
+// ParseFaults reads a list of troubles (JSON). An error names the trouble, from
 // 0, and the field.
-func ParseTroubles(b []byte) ([]Trouble, error) {
+func ParseFaults(b []byte) ([]Fault, error) {
 	d := json.NewDecoder(bytes.NewReader(b))
 	d.DisallowUnknownFields()
-	var ts []Trouble
+	var ts []Fault
 	if err := d.Decode(&ts); err != nil {
 		return nil, fmt.Errorf("troubles: %w", err)
 	}
-	if len(ts) > maxTroubles {
-		return nil, fmt.Errorf("troubles: %d of them, more than %d", len(ts), maxTroubles)
+	if len(ts) > maxFaults {
+		return nil, fmt.Errorf("troubles: %d of them, more than %d", len(ts), maxFaults)
 	}
 	for i, t := range ts {
-		k, ok := kinds[t.Kind]
+		k, ok := faultKinds[t.Kind]
 		bad := func(field, why string) error { return fmt.Errorf("troubles[%d].%s: %s", i, field, why) }
 		switch {
 		case !ok:
@@ -101,8 +101,8 @@
 	return ts, nil
 }
 
-// Play lets the troubles happen, each at its time, until the context ends.
-func (cl *Cluster) Play(ctx context.Context, ts []Trouble) {
+// InjectFaults lets the troubles happen, each at its time, until the context ends.
+func (cl *Cluster) InjectFaults(ctx context.Context, ts []Fault) {
 	for i, t := range ts {
 		go func() {
 			wait := func(d time.Duration) bool {
@@ -116,7 +116,7 @@
 				}
 			}
 			if wait(time.Duration(t.AtS * float64(time.Second))) {
-				kinds[t.Kind].do(cl, t, rand.New(rand.NewPCG(uint64(i), 1)), func() { wait(time.Duration(t.ForS * float64(time.Second))) })
+				faultKinds[t.Kind].do(cl, t, rand.New(rand.NewPCG(uint64(i), 1)), func() { wait(time.Duration(t.ForS * float64(time.Second))) })
 			}
 		}()
 	}
--- a/internal/emulate/users_test.go
+++ b/internal/emulate/users_test.go
@@ -14,25 +14,25 @@
 	now := time.Now()
 	ago := func(d time.Duration) time.Time { return now.Add(-d) }
 	at := func(w *World, name, zone string, sp *job.Spec) {
-		k := &Worker{w: w, name: name, zone: zone, typ: "x", leased: now, tasks: map[string]*task{}}
+		k := &Worker{world: w, name: name, zone: zone, typ: "x", leaseStart: now, tasks: map[string]*task{}}
 		w.workers[name] = k
 		tk := &task{name: job.TaskName(sp.ID, int32(len(w.workers))), spec: sp, phase: wire.Running}
-		k.add(tk.name, tk)
-		w.started(k, tk)
+		k.addTask(tk.name, tk)
+		w.checkStart(k, tk)
 	}
 	accept := func(w *World, sp *job.Spec, asked time.Duration) {
 		w.specs[sp.ID] = sp
-		w.judge.users.asked[sp.ID], w.judge.users.accepted[sp.ID] = ago(asked), ago(asked)
+		w.checker.users.submittedAt[sp.ID], w.checker.users.acceptedAt[sp.ID] = ago(asked), ago(asked)
 	}
 	waits := func(w *World, sp *job.Spec) {
 		w.cfg.Types = []wire.MachineType{{Name: "x", CPUs: 5}}
-		w.workers["a"] = &Worker{w: w, name: "a", zone: "x", typ: "x", leased: now, tasks: map[string]*task{}}
-		w.specs[sp.ID], w.judge.told[sp.ID] = sp, "accepted"
-		w.Neglects()
-		if at, ok := w.judge.users.idle[sp.ID]; ok {
-			w.judge.users.idle[sp.ID] = at.Add(-100 * time.Second)
+		w.workers["a"] = &Worker{world: w, name: "a", zone: "x", typ: "x", leaseStart: now, tasks: map[string]*task{}}
+		w.specs[sp.ID], w.checker.reportedPhase[sp.ID] = sp, "accepted"
+		w.CheckStarvation()
+		if at, ok := w.checker.users.starvingSince[sp.ID]; ok {
+			w.checker.users.starvingSince[sp.ID] = at.Add(-100 * time.Second)
 		}
-		w.Neglects()
+		w.CheckStarvation()
 	}
 	tests := []struct {
 		name string
@@ -41,43 +41,43 @@
 	}{
 		{"forgotten: no answer for 80 s since the last trouble", func(w *World) {
 			accept(w, &job.Spec{ID: "run-1", Tasks: 1}, 200*time.Second)
-			w.judge.users.calm = ago(80 * time.Second)
-			w.Asked("run-1")
+			w.checker.users.faultsOver = ago(80 * time.Second)
+			w.PollUnanswered("run-1")
 		}, "forgotten"},
 		{"answered a minute ago", func(w *World) {
 			accept(w, &job.Spec{ID: "run-1", Tasks: 1}, 200*time.Second)
-			w.judge.users.calm, w.judge.users.answered["run-1"] = ago(80*time.Second), ago(time.Minute)
-			w.Asked("run-1")
+			w.checker.users.faultsOver, w.checker.users.answeredAt["run-1"] = ago(80*time.Second), ago(time.Minute)
+			w.PollUnanswered("run-1")
 		}, ""},
 		{"the troubles are not over", func(w *World) {
 			accept(w, &job.Spec{ID: "run-1", Tasks: 1}, 200*time.Second)
-			w.Asked("run-1")
+			w.PollUnanswered("run-1")
 		}, ""},
 		{"a repeated submission is refused", func(w *World) {
-			w.Repeated(&job.Spec{ID: "run-1"}, 422, "", wire.JobDone)
+			w.CheckResubmission(&job.Spec{ID: "run-1"}, 422, "", wire.JobDone)
 		}, "forgotten"},
 		{"a repeated submission begins anew", func(w *World) {
-			w.Repeated(&job.Spec{ID: "run-1"}, 201, "pending", wire.JobDone)
+			w.CheckResubmission(&job.Spec{ID: "run-1"}, 201, "pending", wire.JobDone)
 		}, "went_back"},
 		{"a repeated submission finds the end", func(w *World) {
-			w.Repeated(&job.Spec{ID: "run-1"}, 200, wire.JobDone, wire.JobDone)
+			w.CheckResubmission(&job.Spec{ID: "run-1"}, 200, wire.JobDone, wire.JobDone)
 		}, ""},
 		{"a repeated submission right after the acceptance", func(w *World) {
-			w.Repeated(&job.Spec{ID: "run-1"}, 201, "pending", "")
+			w.CheckResubmission(&job.Spec{ID: "run-1"}, 201, "pending", "")
 		}, ""},
 		{"it is not known", func(w *World) {
-			w.Repeated(&job.Spec{ID: "run-1"}, 422, "", "")
+			w.CheckResubmission(&job.Spec{ID: "run-1"}, 422, "", "")
 		}, "forgotten"},
 		{"a poll that is older than what another controller told", func(w *World) {
-			w.judge.told["run-1"] = wire.JobAborted
-			w.Polled(&job.Spec{ID: "run-1"}, 200, wire.JobRunning, w.Told("run-1"), true)
+			w.checker.reportedPhase["run-1"] = wire.JobAborted
+			w.CheckPoll(&job.Spec{ID: "run-1"}, 200, wire.JobRunning, w.FinalPhase("run-1"), true)
 		}, "went_back"},
 		{"a task starts after the time that its cancelled job has", func(w *World) {
-			w.cfg.Cancel, w.judge.aborted["run-1"] = 25*time.Second, ago(26*time.Second)
+			w.cfg.CancelTimeout, w.checker.cancelledAt["run-1"] = 25*time.Second, ago(26*time.Second)
 			at(w, "a", "x", &job.Spec{ID: "run-1", Tasks: 1})
 		}, "ran_cancelled"},
 		{"a task starts within it", func(w *World) {
-			w.cfg.Cancel, w.judge.aborted["run-1"] = 25*time.Second, ago(24*time.Second)
+			w.cfg.CancelTimeout, w.checker.cancelledAt["run-1"] = 25*time.Second, ago(24*time.Second)
 			at(w, "a", "x", &job.Spec{ID: "run-1", Tasks: 1})
 		}, ""},
 		{"a job waits beside room", func(w *World) { waits(w, &job.Spec{ID: "run-1", Team: "red", ShapeName: "array", Tasks: 3, CPUs: 2}) }, "idle: run-1"},
@@ -114,10 +114,10 @@
 		{"a task on two machines", func(w *World) {
 			sp := &job.Spec{ID: "run-1", Tasks: 2}
 			at(w, "a", "x", sp)
-			k := &Worker{w: w, name: "b", zone: "x", typ: "x", leased: now, tasks: map[string]*task{}}
+			k := &Worker{world: w, name: "b", zone: "x", typ: "x", leaseStart: now, tasks: map[string]*task{}}
 			again := &task{name: job.TaskName(sp.ID, 1), spec: sp, phase: wire.Running, attempt: 2}
-			k.add("again", again)
-			w.started(k, again)
+			k.addTask("again", again)
+			w.checkStart(k, again)
 		}, "ran_twice"},
 		{"a task on a machine that has lost it", func(w *World) {
 			sp := &job.Spec{ID: "run-1", Tasks: 1}
@@ -134,10 +134,10 @@
 		{"less than half of a class", func(w *World) {
 			for _, id := range []string{"run-1", "run-2", "run-3"} {
 				accept(w, &job.Spec{ID: id, Class: "c", Team: id, ShapeName: "array", Tasks: 1}, time.Minute)
-				w.judge.users.begun[id] = now
+				w.checker.users.startedAt[id] = now
 			}
-			w.judge.done["run-1"] = map[int32]bool{0: true}
-			w.EndDay(nil)
+			w.checker.completed["run-1"] = map[int32]bool{0: true}
+			w.CheckServiceLevels(nil)
 		}, "served: 1.0 of 3 jobs of class c"},
 		{"the largest began too late", func(w *World) {
 			for _, id := range []string{"run-1", "run-2", "run-3"} {
@@ -146,20 +146,20 @@
 					sp.CPUs = 4
 				}
 				accept(w, sp, 300*time.Second)
-				w.judge.users.begun[id], w.judge.done[id] = ago(100*time.Second), map[int32]bool{0: true}
+				w.checker.users.startedAt[id], w.checker.completed[id] = ago(100*time.Second), map[int32]bool{0: true}
 			}
-			w.judge.users.begun["run-3"] = ago(30 * time.Second)
-			w.EndDay(nil)
+			w.checker.users.startedAt["run-3"] = ago(30 * time.Second)
+			w.CheckServiceLevels(nil)
 		}, "largest: run-3"},
 		{"it could not run on the day's machines", func(w *World) {
 			accept(w, &job.Spec{ID: "run-1", Class: "c", ShapeName: "array", Tasks: 1}, 300*time.Second)
-			w.EndDay(func(*job.Spec) bool { return false })
+			w.CheckServiceLevels(func(*job.Spec) bool { return false })
 		}, ""},
 	}
 	for _, tt := range tests {
-		w := New(Config{Cancel: time.Minute, Lease: time.Hour})
+		w := New(Config{CancelTimeout: time.Minute, LeaseDuration: time.Hour})
 		tt.do(w)
-		if got := strings.Join(w.Broken(), "; "); (tt.want == "") != (got == "") || !strings.Contains(got, tt.want) {
+		if got := strings.Join(w.Violations(), "; "); (tt.want == "") != (got == "") || !strings.Contains(got, tt.want) {
 			t.Errorf("%s: %q, want %q", tt.name, got, tt.want)
 		}
 	}
--- a/internal/emulate/world.go
+++ b/internal/emulate/world.go
@@ -20,26 +20,26 @@
 	Store   *Store
 	// Types is the cloud's price list.
 	Types []wire.MachineType
-	// Most is how many machines the cloud has, and Zones how many of them in a zone; a
+	// MaxMachines is how many machines the cloud has, and Zones how many of them in a zone; a
 	// zone that is not named has no bound of its own.
-	Most  int
-	Zones map[string]int
+	MaxMachines  int
+	ZoneCapacity map[string]int
 	// Controllers are the nodes' addresses for workers, by their members' names.
 	Controllers []Controller
-	// Lease is how long a worker keeps its tasks without an answer, Cancel how long
+	// LeaseDuration is how long a worker keeps its tasks without an answer, Cancel how long
 	// a cancelled task may stay, and Report how often a worker reports.
-	Lease, Cancel, Report time.Duration
-	// GangWait is how long a gang's member waits for the others.
-	GangWait time.Duration
-	// Fetch is how long an image takes to come, and ListLag how long a new machine
+	LeaseDuration, CancelTimeout, HeartbeatInterval time.Duration
+	// GangTimeout is how long a gang's member waits for the others.
+	GangTimeout time.Duration
+	// ImagePull is how long an image takes to come, and ListLag how long a new machine
 	// is missing from the list.
-	Fetch, ListLag time.Duration
+	ImagePull, ListLag time.Duration
 	// Limits are the teams'; 0 or none: unlimited.
 	Limits map[string]Limit
-	// Started is told of the first start of each task, with how long its user has waited
+	// OnStarted is told of the first start of each task, with how long its user has waited
 	// since the submission, under the world's lock; nil: nobody is.
-	Started func(spec *job.Spec, waited time.Duration)
-	Log     *slog.Logger
+	OnStarted func(spec *job.Spec, waited time.Duration)
+	Log       *slog.Logger
 }
 
 // Limit is what a team may use at a time.
@@ -52,25 +52,25 @@
 type World struct {
 	cfg Config
 
-	mu      sync.Mutex
-	specs   map[string]*job.Spec
-	workers map[string]*Worker
-	index   index
-	hires   map[string][]string
-	images  map[string]Image
-	history []Event
-	keeps   bool // the history
-	mute    bool // health checks get no answer
-	cold    int  // rented machines that are yet to come up late, by late
-	late    time.Duration
-	count   int
-	short   map[string]int // machines that are left to a zone in a shortage
-	judge   judge
-	ends    func(*job.Spec) // told of jobs whose last task has completed
-	copying bool            // reports are kept for Copies
-	copies  []Copy
-	wg      sync.WaitGroup
-	end     chan struct{}
+	mu              sync.Mutex
+	specs           map[string]*job.Spec
+	workers         map[string]*Worker
+	tasks           taskIndex
+	provisioned     map[string][]string
+	images          map[string]ImageBehavior
+	history         []Event
+	recording       bool // the history
+	dropChecks      bool // health checks get no answer
+	delayedBoots    int  // rented machines that are yet to come up late, by late
+	bootDelay       time.Duration
+	machinesCreated int
+	zoneLimits      map[string]int // machines that are left to a zone in a shortage
+	checker         invariantChecker
+	onLastTaskDone  func(*job.Spec) // told of jobs whose last task has completed
+	capturing       bool            // reports are kept for Copies
+	captured        []CapturedHeartbeat
+	wg              sync.WaitGroup
+	done            chan struct{}
 }
 
 // New makes a world without machines.
@@ -78,29 +78,29 @@
 	if cfg.Log == nil {
 		cfg.Log = slog.New(slog.DiscardHandler)
 	}
-	return &World{cfg: cfg, specs: map[string]*job.Spec{}, workers: map[string]*Worker{}, index: newIndex(), hires: map[string][]string{}, images: map[string]Image{}, short: map[string]int{},
-		judge: newJudge(), end: make(chan struct{})}
+	return &World{cfg: cfg, specs: map[string]*job.Spec{}, workers: map[string]*Worker{}, tasks: newTaskIndex(), provisioned: map[string][]string{}, images: map[string]ImageBehavior{}, zoneLimits: map[string]int{},
+		checker: newInvariantChecker(), done: make(chan struct{})}
 }
 
 // Close ends all workers and waits for them.
 func (w *World) Close() {
-	close(w.end)
+	close(w.done)
 	w.wg.Wait()
 }
 
 // Ended is closed when the world ends.
-func (w *World) Ended() <-chan struct{} { return w.end }
+func (w *World) Ended() <-chan struct{} { return w.done }
 
 // Go runs f as a part of the world: Close waits for it.
 func (w *World) Go(f func()) { w.wg.Go(f) }
 
-// Describe uploads a job's description, as its user does. A job that was not
+// DescribeJob uploads a job's description, as its user does. A job that was not
 // described is looked up among the controllers' records.
-func (w *World) Describe(spec *job.Spec) {
+func (w *World) DescribeJob(spec *job.Spec) {
 	w.mu.Lock()
 	w.specs[spec.ID] = spec
-	if _, ok := w.judge.users.asked[spec.ID]; !ok {
-		w.judge.users.asked[spec.ID] = time.Now()
+	if _, ok := w.checker.users.submittedAt[spec.ID]; !ok {
+		w.checker.users.submittedAt[spec.ID] = time.Now()
 	}
 	w.mu.Unlock()
 }
@@ -117,62 +117,62 @@
 	return s
 }
 
-// Image is how the tasks of an image behave.
-type Image struct {
+// ImageBehavior is how the tasks of an image behave.
+type ImageBehavior struct {
 	// CrashAfter is when they fail; 0: never.
 	CrashAfter time.Duration
-	// BadAfter is when a replica's health turns bad; 0: never. With Flap it turns
+	// UnhealthyAfter is when a replica's health turns bad; 0: never. With Flap it turns
 	// good and bad again every so often from then on.
-	BadAfter, Flap time.Duration
-	// Mute: its workers say nothing of its health.
-	Mute bool
+	UnhealthyAfter, FlapPeriod time.Duration
+	// OmitHealth: its workers say nothing of its health.
+	OmitHealth bool
 }
 
 // health is what a worker says of a replica that has run for so long.
-func (b Image) health(ran time.Duration) string {
+func (b ImageBehavior) health(ran time.Duration) string {
 	switch {
-	case b.Mute:
+	case b.OmitHealth:
 		return ""
-	case b.BadAfter == 0 || ran < b.BadAfter:
+	case b.UnhealthyAfter == 0 || ran < b.UnhealthyAfter:
 		return wire.HealthGood
-	case b.Flap > 0 && int((ran-b.BadAfter)/b.Flap)%2 == 1:
+	case b.FlapPeriod > 0 && int((ran-b.UnhealthyAfter)/b.FlapPeriod)%2 == 1:
 		return wire.HealthGood
 	}
 	return wire.HealthBad
 }
 
-// Behave sets how an image's tasks behave from now on.
-func (w *World) Behave(image string, b Image) {
+// SetImageBehavior sets how an image's tasks behave from now on.
+func (w *World) SetImageBehavior(image string, b ImageBehavior) {
 	w.mu.Lock()
 	w.images[image] = b
 	w.mu.Unlock()
 }
 
-// Machines is how many machines there are, and how many of them are up.
-func (w *World) Machines() (all, up int) {
+// MachineCounts is how many machines there are, and how many of them are up.
+func (w *World) MachineCounts() (all, up int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, k := range w.workers {
 		all++
-		if time.Now().After(k.up) {
+		if time.Now().After(k.bootedAt) {
 			up++
 		}
 	}
 	return all, up
 }
 
-// Rented is how many machines the cloud has rented out so far.
-func (w *World) Rented() (n int) {
+// MachinesProvisioned is how many machines the cloud has rented out so far.
+func (w *World) MachinesProvisioned() (n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, names := range w.hires {
+	for _, names := range w.provisioned {
 		n += len(names)
 	}
 	return n
 }
 
-// Idle is how many machines are up without a task.
-func (w *World) Idle() (n int) {
+// IdleMachines is how many machines are up without a task.
+func (w *World) IdleMachines() (n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, k := range w.workers {
@@ -180,15 +180,15 @@
 		for _, t := range k.tasks {
 			busy = busy || t.phase != wire.Exited
 		}
-		if !busy && time.Now().After(k.up) {
+		if !busy && time.Now().After(k.bootedAt) {
 			n++
 		}
 	}
 	return n
 }
 
-// Running counts the running tasks of a job.
-func (w *World) Running(id string) (n int) {
+// RunningTasks counts the running tasks of a job.
+func (w *World) RunningTasks(id string) (n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, k := range w.workers {
@@ -203,32 +203,32 @@
 
 // Load is what the workers do at a time, and have done.
 type Load struct {
-	// Running counts the tasks that hold their machines.
-	Running int
-	// Reports counts the answered reports, Directs the direct commands that came.
-	Reports, Directs int
+	// RunningTasks counts the tasks that hold their machines.
+	RunningTasks int
+	// Heartbeats counts the answered reports, Directs the direct commands that came.
+	Heartbeats, DirectCommands int
 }
 
 // Load is what the workers do now.
 func (w *World) Load() Load {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	l := Load{Directs: w.judge.directs}
-	for _, n := range w.judge.answers {
-		l.Reports += n
+	l := Load{DirectCommands: w.checker.directCommands}
+	for _, n := range w.checker.heartbeatsAnswered {
+		l.Heartbeats += n
 	}
 	for _, k := range w.workers {
 		for _, t := range k.tasks {
-			if k.on(t) {
-				l.Running++
+			if k.occupies(t) {
+				l.RunningTasks++
 			}
 		}
 	}
 	return l
 }
 
-// Answered counts the workers that have had an answer to a report.
-func (w *World) Answered() (n int) {
+// AnsweredWorkers counts the workers that have had an answer to a report.
+func (w *World) AnsweredWorkers() (n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, k := range w.workers {
@@ -239,8 +239,8 @@
 	return n
 }
 
-// Any picks n workers.
-func (w *World) Any(r *rand.Rand, n int) (out []*Worker) {
+// RandomWorkers picks n workers.
+func (w *World) RandomWorkers(r *rand.Rand, n int) (out []*Worker) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	names := slices.Sorted(maps.Keys(w.workers))
@@ -266,22 +266,22 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, k := range ks {
-		k.hung = on
+		k.hanging = on
 	}
 }
 
-// RefuseChecks lets no health check get an answer, as if only the checker were cut
+// DropHealthChecks lets no health check get an answer, as if only the checker were cut
 // off.
-func (w *World) RefuseChecks(on bool) {
+func (w *World) DropHealthChecks(on bool) {
 	w.mu.Lock()
-	w.mute = on
+	w.dropChecks = on
 	w.mu.Unlock()
 }
 
-// Cold lets the next n rented machines come up late.
-func (w *World) Cold(n int, by time.Duration) {
+// DelayBoots lets the next n rented machines come up late.
+func (w *World) DelayBoots(n int, by time.Duration) {
 	w.mu.Lock()
-	w.cold, w.late = n, by
+	w.delayedBoots, w.bootDelay = n, by
 	w.mu.Unlock()
 }
 
@@ -292,44 +292,44 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, k := range ks {
-		k.lose(time.Now())
-		k.session, k.seq, k.token = 1, 0, 0
-		k.leased, k.change = time.Now(), true
+		k.dropTasks(time.Now())
+		k.session, k.sequence, k.token = 1, 0, 0
+		k.leaseStart, k.changed = time.Now(), true
 	}
 }
 
-// Copy is a report as its worker sent it.
-type Copy struct {
+// CapturedHeartbeat is a report as its worker sent it.
+type CapturedHeartbeat struct {
 	Host string // of the worker, on the network
 	Body []byte
 }
 
-// mostCopies bounds what is kept.
-const mostCopies = 2000
+// maxCapturedHeartbeats bounds what is kept.
+const maxCapturedHeartbeats = 2000
 
-// Copying lets the world keep copies of the reports that are sent from now on, or
+// CaptureHeartbeats lets the world keep copies of the reports that are sent from now on, or
 // stops it.
-func (w *World) Copying(on bool) {
+func (w *World) CaptureHeartbeats(on bool) {
 	w.mu.Lock()
-	w.copying = on
+	w.capturing = on
 	w.mu.Unlock()
 }
 
-// Copies takes the copies that were kept.
-func (w *World) Copies() []Copy {
+// CapturedHeartbeats takes the copies that were kept.
+func (w *World) CapturedHeartbeats() []CapturedHeartbeat {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	cs := w.copies
-	w.copies = nil
+	cs := w.captured
+	w.captured = nil
 	return cs
 }
 
-// Sicken lets machines fail every task.
-func (w *World) Sicken(ks []*Worker) {
+// MakeFaulty lets machines fail every task.
+func (w *World) MakeFaulty(ks []*Worker) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, k := range ks {
-		k.sick = true
+		k.faulty = true
 	}
 }
 
@@ -342,16 +342,16 @@
 
 // boot starts a worker; the caller holds the lock.
 func (w *World) boot(typ, zone string, spot bool, in time.Duration) string {
-	w.count++
-	k := &Worker{w: w, name: fmt.Sprintf("host-%06d", w.count), addr: fmt.Sprintf("w%d:9000", w.count), typ: typ, zone: zone, spot: spot,
-		born: time.Now(), up: time.Now().Add(in), session: 1, tasks: map[string]*task{}, node: w.count % len(w.cfg.Controllers)}
+	w.machinesCreated++
+	k := &Worker{world: w, name: fmt.Sprintf("host-%06d", w.machinesCreated), addr: fmt.Sprintf("w%d:9000", w.machinesCreated), typ: typ, zone: zone, spot: spot,
+		createdAt: time.Now(), bootedAt: time.Now().Add(in), session: 1, tasks: map[string]*task{}, controller: w.machinesCreated % len(w.cfg.Controllers)}
 	w.workers[k.name] = k
 	w.wg.Go(k.run)
 	return k.name
 }
 
-// kind is a machine type; nil: there is none of that name.
-func (w *World) kind(name string) *wire.MachineType {
+// machineType is a machine type; nil: there is none of that name.
+func (w *World) machineType(name string) *wire.MachineType {
 	for i := range w.cfg.Types {
 		if w.cfg.Types[i].Name == name {
 			return &w.cfg.Types[i]
@@ -381,47 +381,47 @@
 		encode(rw, 200, map[string]any{})
 	case "/hosts":
 		if q.Method == http.MethodGet {
-			encode(rw, 200, w.list(q.URL.Query().Get("after")))
+			encode(rw, 200, w.machineList(q.URL.Query().Get("after")))
 			return
 		}
 		var in wire.Hire
-		if !decode(q, &in) || w.kind(in.Type) == nil {
+		if !decode(q, &in) || w.machineType(in.Type) == nil {
 			encode(rw, 400, wire.Error{Error: "malformed"})
 			return
 		}
-		if old, ok := w.hires[in.Request]; ok {
+		if old, ok := w.provisioned[in.Request]; ok {
 			encode(rw, 200, wire.HostNames{Hosts: old})
 			return
 		}
-		n := min(in.Count, w.cfg.Most-len(w.workers), w.left(in.Zone))
+		n := min(in.Count, w.cfg.MaxMachines-len(w.workers), w.zoneCapacity(in.Zone))
 		if n <= 0 {
 			encode(rw, 503, wire.Error{Error: "no capacity"})
 			return
 		}
 		var names []string
 		for range n {
-			takes := time.Duration(w.kind(in.Type).BootS * float64(time.Second))
-			if w.cold > 0 {
-				w.cold--
-				takes += w.late
+			takes := time.Duration(w.machineType(in.Type).BootS * float64(time.Second))
+			if w.delayedBoots > 0 {
+				w.delayedBoots--
+				takes += w.bootDelay
 			}
 			names = append(names, w.boot(in.Type, in.Zone, in.Spot, takes))
 		}
-		w.hires[in.Request] = names
+		w.provisioned[in.Request] = names
 		encode(rw, 200, wire.HostNames{Hosts: names})
 	default:
 		encode(rw, 404, wire.Error{Error: "no such route"})
 	}
 }
 
-// left is how many more machines a zone has; the caller holds the lock.
-func (w *World) left(zone string) int {
-	most, bound := w.cfg.Zones[zone]
-	if n, ok := w.short[zone]; ok {
+// zoneCapacity is how many more machines a zone has; the caller holds the lock.
+func (w *World) zoneCapacity(zone string) int {
+	most, bound := w.cfg.ZoneCapacity[zone]
+	if n, ok := w.zoneLimits[zone]; ok {
 		most, bound = n, true
 	}
 	if !bound {
-		return w.cfg.Most
+		return w.cfg.MaxMachines
 	}
 	for _, k := range w.workers {
 		if k.zone == zone {
@@ -431,37 +431,37 @@
 	return most
 }
 
-// Shorten leaves a zone that many machines to rent; below 0: as many as before.
-func (w *World) Shorten(zone string, most int) {
+// LimitZone leaves a zone that many machines to rent; below 0: as many as before.
+func (w *World) LimitZone(zone string, most int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if most < 0 {
-		delete(w.short, zone)
+		delete(w.zoneLimits, zone)
 	} else {
-		w.short[zone] = most
+		w.zoneLimits[zone] = most
 	}
 }
 
-// SlowFetch makes images that machines do not have come that much later.
-func (w *World) SlowFetch(ks []*Worker, by time.Duration) {
+// SlowImagePulls makes images that machines do not have come that much later.
+func (w *World) SlowImagePulls(ks []*Worker, by time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, k := range ks {
-		k.late = by
+		k.pullDelay = by
 	}
 }
 
-// list is the machine list, which lags.
-func (w *World) list(after string) wire.CloudHosts {
+// machineList is the machine list, which lags.
+func (w *World) machineList(after string) wire.CloudHosts {
 	out := []wire.CloudHost{}
 	for _, n := range slices.Sorted(maps.Keys(w.workers)) {
 		k := w.workers[n]
 		phase := "running"
-		if time.Now().Before(k.up) {
+		if time.Now().Before(k.bootedAt) {
 			phase = "booting"
 		}
-		if n > after && time.Since(k.born) > w.cfg.ListLag {
-			out = append(out, wire.CloudHost{Name: n, Addr: k.addr, Type: k.typ, Zone: k.zone, Spot: k.spot, Phase: phase, AgeS: time.Since(k.born).Seconds()})
+		if n > after && time.Since(k.createdAt) > w.cfg.ListLag {
+			out = append(out, wire.CloudHost{Name: n, Addr: k.addr, Type: k.typ, Zone: k.zone, Spot: k.spot, Phase: phase, AgeS: time.Since(k.createdAt).Seconds()})
 		}
 	}
 	return wire.CloudHosts{Hosts: out}
--- a/internal/explorer/explorer.go
+++ b/internal/explorer/explorer.go
@@ -21,35 +21,35 @@
 
 // Action is a step that can be taken for each of some things.
 type Action[W World] struct {
-	Name string
-	Each int
+	Name  string
+	Count int
 	// Do reports whether the step could be taken.
 	Do func(w W, i int) bool
 }
 
 // Step is one action for one thing, by their indices.
-type Step struct{ Action, I int }
+type Step struct{ Action, Index int }
 
-// Game is a world with its steps.
-type Game[W World] struct {
+// Explorer is a world with its steps.
+type Explorer[W World] struct {
 	New     func() W
 	Actions []Action[W]
 	// Start are the steps before the first that is tried.
 	Start []Step
-	// Most is how many states are looked at.
-	Most int
-	// Every is how often, in states, a state is played on without faults by Settle; 0:
+	// MaxStates is how many states are looked at.
+	MaxStates int
+	// SettleInterval is how often, in states, a state is played on without faults by Settle; 0:
 	// never. Settle returns what does not come about.
-	Every  int
-	Settle func(w W) string
+	SettleInterval int
+	Settle         func(w W) string
 }
 
-// From plays from each of several starts, up to the first order that breaks something,
+// ExploreFrom plays from each of several starts, up to the first order that breaks something,
 // and returns how many states were seen in all.
-func (g *Game[W]) From(starts ...[]Step) (states int, broken string) {
+func (g *Explorer[W]) ExploreFrom(starts ...[]Step) (states int, broken string) {
 	for _, start := range starts {
 		g.Start = start
-		n, b := g.Play()
+		n, b := g.Explore()
 		states += n
 		if b != "" {
 			return states, b
@@ -58,21 +58,21 @@
 	return states, ""
 }
 
-// Play explores and returns how many states it has seen, and the first order that
+// Explore explores and returns how many states it has seen, and the first order that
 // breaks something with what it breaks; empty: none does.
-func (g *Game[W]) Play() (states int, broken string) {
+func (g *Explorer[W]) Explore() (states int, broken string) {
 	seen := map[string]bool{}
 	level := [][]Step{nil}
 	for len(level) > 0 {
 		var next [][]Step
 		for _, path := range level {
 			for a := range g.Actions {
-				for i := range g.Actions[a].Each {
+				for i := range g.Actions[a].Count {
 					w := g.replay(path)
 					could := g.Actions[a].Do(w, i)
 					now := append(slices.Clone(path), Step{a, i})
 					if why := w.Broken(); why != "" {
-						return len(seen), g.say(now) + ": " + why
+						return len(seen), g.describe(now) + ": " + why
 					}
 					p := w.Print()
 					if !could || seen[p] {
@@ -80,15 +80,15 @@
 					}
 					seen[p] = true
 					next = append(next, now)
-					if g.Every == 0 || len(seen)%g.Every != 0 {
+					if g.SettleInterval == 0 || len(seen)%g.SettleInterval != 0 {
 						continue
 					}
 					if why := g.Settle(w); why != "" {
-						return len(seen), g.say(now) + ", then without faults: " + why
+						return len(seen), g.describe(now) + ", then without faults: " + why
 					}
 				}
 			}
-			if len(seen) >= g.Most {
+			if len(seen) >= g.MaxStates {
 				return len(seen), ""
 			}
 		}
@@ -97,49 +97,49 @@
 	return len(seen), ""
 }
 
-// Walk plays orders that are drawn, each of so many steps that could be taken, and then on
+// RandomWalk plays orders that are drawn, each of so many steps that could be taken, and then on
 // without faults. It reaches deeper than Play, which looks at every order, and finds no
 // shortest one. It returns how many steps were taken, and the first order that breaks
 // something with what it breaks.
-func (g *Game[W]) Walk(r *rand.Rand, walks, steps int) (taken int, broken string) {
+func (g *Explorer[W]) RandomWalk(r *rand.Rand, walks, steps int) (taken int, broken string) {
 	for range walks {
 		w := g.replay(nil)
 		var path []Step
-		for tries := 0; len(path) < steps && tries < triesPerStep*steps; tries++ {
+		for tries := 0; len(path) < steps && tries < maxDrawsPerStep*steps; tries++ {
 			a := r.IntN(len(g.Actions))
-			i := r.IntN(g.Actions[a].Each)
+			i := r.IntN(g.Actions[a].Count)
 			if !g.Actions[a].Do(w, i) {
 				continue
 			}
 			path = append(path, Step{a, i})
 			taken++
 			if why := w.Broken(); why != "" {
-				return taken, g.say(path) + ": " + why
+				return taken, g.describe(path) + ": " + why
 			}
 		}
 		if g.Settle == nil {
 			continue
 		}
 		if why := g.Settle(w); why != "" {
-			return taken, g.say(path) + ", then without faults: " + why
+			return taken, g.describe(path) + ", then without faults: " + why
 		}
 	}
 	return taken, ""
 }
 
-// triesPerStep bounds the draws of steps that cannot be taken.
-const triesPerStep = 20
+// maxDrawsPerStep bounds the draws of steps that cannot be taken.
+const maxDrawsPerStep = 20
 
-func (g *Game[W]) replay(path []Step) W {
+func (g *Explorer[W]) replay(path []Step) W {
 	w := g.New()
 	for _, s := range slices.Concat(g.Start, path) {
-		g.Actions[s.Action].Do(w, s.I)
+		g.Actions[s.Action].Do(w, s.Index)
 	}
 	return w
 }
 
 // Do takes a step by its name.
-func (g *Game[W]) Do(w W, name string, i int) {
+func (g *Explorer[W]) Do(w W, name string, i int) {
 	for a := range g.Actions {
 		if g.Actions[a].Name == name {
 			g.Actions[a].Do(w, i)
@@ -150,7 +150,7 @@
 }
 
 // Steps are steps by their names, each for things 0 to n-1.
-func (g *Game[W]) Steps(n int, names ...string) (out []Step) {
+func (g *Explorer[W]) Steps(n int, names ...string) (out []Step) {
 	for _, name := range names {
 		for a := range g.Actions {
 			if g.Actions[a].Name != name {
@@ -169,24 +169,24 @@
 type Printer struct {
 	strings.Builder
 	Now time.Time
-	// Past is how long ago all that is longer ago counts as.
-	Past time.Duration
+	// MaxAge is how long ago all that is longer ago counts as.
+	MaxAge time.Duration
 }
 
-// At prints a time.
-func (p *Printer) At(times ...time.Time) {
+// Times prints a time.
+func (p *Printer) Times(times ...time.Time) {
 	for _, t := range times {
-		fmt.Fprintf(p, "%d ", max(-p.Past, t.Sub(p.Now))/time.Millisecond)
+		fmt.Fprintf(p, "%d ", max(-p.MaxAge, t.Sub(p.Now))/time.Millisecond)
 	}
 }
 
-// Say prints values.
-func (p *Printer) Say(values ...any) { fmt.Fprint(p, values...) }
+// Values prints values.
+func (p *Printer) Values(values ...any) { fmt.Fprint(p, values...) }
 
-func (g *Game[W]) say(path []Step) string {
+func (g *Explorer[W]) describe(path []Step) string {
 	var b []string
 	for _, s := range path {
-		b = append(b, fmt.Sprintf("%s%d", g.Actions[s.Action].Name, s.I))
+		b = append(b, fmt.Sprintf("%s%d", g.Actions[s.Action].Name, s.Index))
 	}
 	return strings.Join(b, " ")
 }
--- a/internal/fleet/explore_test.go
+++ b/internal/fleet/explore_test.go
@@ -323,20 +323,20 @@
 }
 
 var actions = []explorer.Action[*world]{
-	{Name: "tick", Each: 1, Do: func(w *world, _ int) bool { w.pass(tick); return true }},
-	{Name: "second", Each: 1, Do: func(w *world, _ int) bool { w.pass(time.Second); return true }},
-	{Name: "sync", Each: 1, Do: func(w *world, _ int) bool { w.sync(); return true }},
-	{Name: "report", Each: fates, Do: func(w *world, fate int) bool { return w.checkin(fate) }},
-	{Name: "tick, report", Each: fates, Do: func(w *world, fate int) bool { w.pass(tick); return w.checkin(fate) }},
-	{Name: "tick in touch, report", Each: fates, Do: func(w *world, fate int) bool {
+	{Name: "tick", Count: 1, Do: func(w *world, _ int) bool { w.pass(tick); return true }},
+	{Name: "second", Count: 1, Do: func(w *world, _ int) bool { w.pass(time.Second); return true }},
+	{Name: "sync", Count: 1, Do: func(w *world, _ int) bool { w.sync(); return true }},
+	{Name: "report", Count: fates, Do: func(w *world, fate int) bool { return w.checkin(fate) }},
+	{Name: "tick, report", Count: fates, Do: func(w *world, fate int) bool { w.pass(tick); return w.checkin(fate) }},
+	{Name: "tick in touch, report", Count: fates, Do: func(w *world, fate int) bool {
 		for d := time.Duration(0); d < tick; d += time.Second {
 			w.pass(time.Second)
 			w.sync()
 		}
 		return w.checkin(fate)
 	}},
-	{Name: "tick, halt, report", Each: fates, Do: func(w *world, fate int) bool { w.pass(tick); w.send(); return w.checkin(fate) }},
-	{Name: "launch", Each: 1, Do: func(w *world, _ int) bool {
+	{Name: "tick, halt, report", Count: fates, Do: func(w *world, fate int) bool { w.pass(tick); w.send(); return w.checkin(fate) }},
+	{Name: "launch", Count: 1, Do: func(w *world, _ int) bool {
 		if w.launched || w.j.Cancelled() || !w.h.Usable() {
 			return false
 		}
@@ -344,7 +344,7 @@
 		w.f.Assign(w.h, Key{w.j, 0, 1}, w.now)
 		return w.send()
 	}},
-	{Name: "cancel", Each: 1, Do: func(w *world, _ int) bool {
+	{Name: "cancel", Count: 1, Do: func(w *world, _ int) bool {
 		if !w.launched || !w.cancelled.IsZero() {
 			return false
 		}
@@ -357,9 +357,9 @@
 		}
 		return true
 	}},
-	{Name: "halt", Each: 1, Do: func(w *world, _ int) bool { return !w.cancelled.IsZero() && w.send() }},
-	{Name: "deliver", Each: 2, Do: func(w *world, answered int) bool { return w.deliver(answered == 1) }},
-	{Name: "succeed", Each: 1, Do: func(w *world, _ int) bool {
+	{Name: "halt", Count: 1, Do: func(w *world, _ int) bool { return !w.cancelled.IsZero() && w.send() }},
+	{Name: "deliver", Count: 2, Do: func(w *world, answered int) bool { return w.deliver(answered == 1) }},
+	{Name: "succeed", Count: 1, Do: func(w *world, _ int) bool {
 		if w.f.Term > 1 || w.now.Before(w.grantEnd) || !w.launched {
 			return false
 		}
@@ -374,17 +374,17 @@
 
 // Print implements explorer.World.
 func (w *world) Print() string {
-	p := &explorer.Printer{Now: w.now, Past: cancelTime + tick}
-	p.Say(w.f.Term, w.launched, w.over, w.kept, w.w.session, w.w.token, w.w.phase, len(w.held), w.holder.Term(), " ")
-	p.At(w.cancelled, w.w.leased, w.grantEnd, w.h.heard, w.h.directAt)
+	p := &explorer.Printer{Now: w.now, MaxAge: cancelTime + tick}
+	p.Values(w.f.Term, w.launched, w.over, w.kept, w.w.session, w.w.token, w.w.phase, len(w.held), w.holder.Term(), " ")
+	p.Times(w.cancelled, w.w.leased, w.grantEnd, w.h.heard, w.h.directAt)
 	by, asked := w.a.Holder("host-1")
-	p.Say(by, asked, w.h.Session, w.h.Fenced, w.h.Withheld, w.h.Lost, w.h.holder != nil, w.h.seq == w.w.seq, w.h.reported == w.w.seq, " ")
+	p.Values(by, asked, w.h.Session, w.h.Fenced, w.h.Withheld, w.h.Lost, w.h.holder != nil, w.h.seq == w.w.seq, w.h.reported == w.w.seq, " ")
 	for s := range w.f.On(w.j) {
-		p.Say(s.Phase, s.Seen, s.Direct, s.Stopping)
-		p.At(s.Halted, s.again, s.At)
+		p.Values(s.Phase, s.Seen, s.Direct, s.Stopping)
+		p.Times(s.Halted, s.again, s.At)
 	}
 	for _, d := range w.held {
-		p.Say(d.Token, d.Session, len(d.Orders), d.Orders[0].Op)
+		p.Values(d.Token, d.Session, len(d.Orders), d.Orders[0].Op)
 	}
 	return p.String()
 }
@@ -419,7 +419,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			g := &explorer.Game[*world]{New: func() *world { return newWorld(tt.out) }, Actions: actions}
+			g := &explorer.Explorer[*world]{New: func() *world { return newWorld(tt.out) }, Actions: actions}
 			steps, broken := 0, ""
 			for i, start := range tt.starts {
 				if broken != "" {
@@ -427,7 +427,7 @@
 				}
 				g.Start = g.Steps(1, start...)
 				var n int
-				n, broken = g.Walk(rand.New(rand.NewPCG(1, uint64(i))), *walks/len(tt.starts), stepsEach)
+				n, broken = g.RandomWalk(rand.New(rand.NewPCG(1, uint64(i))), *walks/len(tt.starts), stepsEach)
 				steps += n
 			}
 			t.Logf("%d steps: %s", steps, broken)
--- a/internal/node/accel_test.go
+++ b/internal/node/accel_test.go
@@ -29,7 +29,7 @@
 		},
 		edit: func(c *emulate.Config) {
 			n := float64(scale)
-			c.Types, c.Most, c.Zones = accelTypes, 14*scale, map[string]int{"a": 2 * scale}
+			c.Types, c.MaxMachines, c.ZoneCapacity = accelTypes, 14*scale, map[string]int{"a": 2 * scale}
 			c.Limits = map[string]emulate.Limit{"red": {GPUs: 14 * n}, "blue": {GPUs: 48 * n}}
 		},
 		begin: func(s *sim, add func(*job.Spec, time.Duration, time.Duration)) {
@@ -65,10 +65,10 @@
 // shorten takes the room of a zone away from the cloud, and its machines with it.
 func shorten(zone string, d time.Duration) func(*sim) {
 	return func(s *sim) {
-		s.Shorten(zone, 0)
-		s.Kill(s.Zone(zone))
+		s.LimitZone(zone, 0)
+		s.Kill(s.WorkersInZone(zone))
 		time.Sleep(d)
-		s.Shorten(zone, -1)
+		s.LimitZone(zone, -1)
 	}
 }
 
@@ -81,7 +81,7 @@
 		{"quiet", nil},
 		{"the small zone is short, over a takeover", []fault{{14 * sec, shorten("a", 30*sec)}, {18 * sec, crash(1)}}},
 		{"replicas lose their machines, then two controllers end together", []fault{{16 * sec, die(rng(51), 2)}, {30 * sec, crash(2)}}},
-		{"images that come for longer than a gang waits", []fault{{time.Second, func(s *sim) { s.SlowFetch(s.Any(rng(52), 2), 26*sec) }}}},
+		{"images that come for longer than a gang waits", []fault{{time.Second, func(s *sim) { s.SlowImagePulls(s.RandomWorkers(rng(52), 2), 26*sec) }}}},
 		{"all end while replicas are being replaced", []fault{{16 * sec, die(rng(53), 2)}, {17 * sec, crash(5)}}},
 	})
 }
--- a/internal/node/calendar_test.go
+++ b/internal/node/calendar_test.go
@@ -31,7 +31,7 @@
 
 func newSlotBed(t *testing.T, most int, tune func(*config.Calendar)) (*slotBed, func()) {
 	s, closeAll := newSim(t, 1, func(c *emulate.Config) {
-		c.Most, c.Limits = most, nil
+		c.MaxMachines, c.Limits = most, nil
 		c.Types = []wire.MachineType{{Name: "small", CPUs: 4, MemGB: 64, CacheGB: 10, FetchRate: 1, Price: 0.2, SpotPrice: 0.05, BootS: 10, Zones: []string{"a", "b", "c"}}}
 	}, func(_ *config.Settings, tun *config.Tuning) {
 		tun.Rollouts.Enabled = true
@@ -40,7 +40,7 @@
 			tune(&tun.Calendar)
 		}
 	})
-	s.Keep()
+	s.RecordHistory()
 	b := &slotBed{sim: s, t: t, start: time.Now().Add(slotIn),
 		hc: &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DialContext: s.net.Dialer("user"), DisableKeepAlives: true}}}
 	for i := range most {
@@ -97,11 +97,11 @@
 	spec.CPUs, spec.MemGB = max(spec.CPUs, 1), 1
 	declared, real := spec, spec
 	real.EstimateS = secs
-	b.Describe(&real)
+	b.DescribeJob(&real)
 	if !b.submit(b.hc, &declared) {
 		b.t.Fatal("not accepted")
 	}
-	b.Accepted(spec.ID)
+	b.JobAccepted(spec.ID)
 	b.Go(func() {
 		final := ""
 		for {
@@ -116,7 +116,7 @@
 			}
 			var st wire.Status
 			if body := readAll(res); res.StatusCode == 404 || (res.StatusCode == 200 && wire.Unmarshal(body, &st) == nil) {
-				final = b.Polled(&real, res.StatusCode, st.Phase, final, false)
+				final = b.CheckPoll(&real, res.StatusCode, st.Phase, final, false)
 			}
 		}
 	})
@@ -134,7 +134,7 @@
 // whole waits until so many tasks of a job run, and returns by how much that is late.
 func (b *slotBed) whole(id string, n int) time.Duration {
 	for range 2400 {
-		if b.Running(id) == n {
+		if b.RunningTasks(id) == n {
 			return time.Since(b.start)
 		}
 		time.Sleep(100 * time.Millisecond)
@@ -174,7 +174,7 @@
 		{"a zone is cut a second after", 18, nil, nil, func(b *slotBed) { b.at(time.Second); cutZone("a", 40*time.Second)(b.sim) }, 30 * time.Second, ""},
 		{"held machines are lost half a minute before", 12, nil, nil, func(b *slotBed) {
 			b.at(-30 * time.Second)
-			b.Kill(b.Zone("a"))
+			b.Kill(b.WorkersInZone("a"))
 		}, 15 * time.Second, ""},
 	}
 	for _, tt := range tests {
@@ -206,12 +206,12 @@
 				}
 				<-ended
 				for range 100 { // it ends, once, whatever comes
-					if b.Open()[id] == "" {
+					if b.UnfinishedJobs()[id] == "" {
 						break
 					}
 					time.Sleep(time.Second)
 				}
-				if tt.late >= 0 && b.Open()[id] != "" {
+				if tt.late >= 0 && b.UnfinishedJobs()[id] != "" {
 					t.Error("it is not over")
 				}
 				b.at(105 * time.Second)
@@ -226,7 +226,7 @@
 				if tt.late >= 0 && s.Held != 0 {
 					t.Errorf("%d machines are still held", s.Held)
 				}
-				if broken := b.Broken(); len(broken) > 0 {
+				if broken := b.Violations(); len(broken) > 0 {
 					t.Errorf("rules broken: %s", strings.Join(broken, "\n"))
 				}
 				closeAll()
@@ -271,7 +271,7 @@
 			}
 		}
 		b.job(15, job.Spec{Team: "blue", ShapeName: "array", Tasks: 2000, EstimateS: 15})
-		busy := func() (n int) { return b.Running("run-000001") }
+		busy := func() (n int) { return b.RunningTasks("run-000001") }
 		b.at(20 * time.Second)
 		if n := busy(); n > 8 {
 			t.Errorf("%d tasks run after the start, and two machines are not held", n)
@@ -315,7 +315,7 @@
 		}, false},
 		{"a worker that will not stop its tasks", nil, func(b *slotBed) string {
 			b.at(-62 * time.Second)
-			k := b.Zone("a")[0]
+			k := b.WorkersInZone("a")[0]
 			b.Hang([]*emulate.Worker{k}, true)
 			b.at(30 * time.Second)
 			b.Hang([]*emulate.Worker{k}, false)
@@ -347,24 +347,24 @@
 				}()
 				serving := 4
 				for b.at(-60 * time.Second); time.Now().Before(b.start.Add(-10 * time.Second)); time.Sleep(100 * time.Millisecond) {
-					serving = min(serving, b.Running(svc))
+					serving = min(serving, b.RunningTasks(svc))
 				}
 				if tt.do == nil && serving < 3 {
 					t.Errorf("only %d of 4 replicas run while the zone is drained", serving)
 				}
 				b.at(0)
-				b.Kill(b.Zone("a")) // the service begins
+				b.Kill(b.WorkersInZone("a")) // the service begins
 				b.at(60 * time.Second)
 				<-ended
-				if n := len(b.Zone("a")); !tt.cut && n > 0 {
+				if n := len(b.WorkersInZone("a")); !tt.cut && n > 0 {
 					t.Errorf("%d machines were rented in the zone meanwhile", n)
 				}
-				if n := b.Running(svc) + b.Running("run-999999"); n < 4 || n > 5 {
+				if n := b.RunningTasks(svc) + b.RunningTasks("run-999999"); n < 4 || n > 5 {
 					t.Errorf("%d of 4 replicas run", n)
 				}
 				var cut []string
 				for _, e := range b.History() {
-					if !e.Start && e.Zone == "a" && e.Host != stuck && e.At.After(b.start.Add(-70*time.Second)) && (e.Cause == emulate.Lost || (e.Cause == wire.CauseHalted && e.Task[:10] == "run-000001")) {
+					if !e.Start && e.Zone == "a" && e.Host != stuck && e.At.After(b.start.Add(-70*time.Second)) && (e.Cause == emulate.CauseLost || (e.Cause == wire.CauseHalted && e.Task[:10] == "run-000001")) {
 						cut = append(cut, e.Task+" "+e.Cause)
 					}
 				}
@@ -372,7 +372,7 @@
 					slices.Sort(cut)
 					t.Errorf("cut off: %v, want some: %v", cut, tt.cut)
 				}
-				if broken := b.Broken(); len(broken) > 0 {
+				if broken := b.Violations(); len(broken) > 0 {
 					t.Errorf("rules broken: %s", strings.Join(broken, "\n"))
 				}
 			})
@@ -400,28 +400,28 @@
 			synctest.Test(t, func(t *testing.T) {
 				b, closeAll := newSlotBed(t, 12, nil)
 				defer closeAll()
-				b.Kill(b.Any(rng(1), 12))
+				b.Kill(b.RandomWorkers(rng(1), 12))
 				time.Sleep(25 * time.Second) // their leases run out
-				b.Cold(2, tt.late)
+				b.DelayBoots(2, tt.late)
 				if got := b.reserve(map[string]any{"parts": 4}); got != 201 {
 					t.Fatalf("the reservation got %d", got)
 				}
 				id := b.job(25, job.Spec{Team: "blue", ShapeName: "ensemble", Tasks: 4, CPUs: 4, EstimateS: 25, Booking: "evening"})
 				b.at(-30 * time.Second)
-				if all, _ := b.Machines(); all != 0 {
+				if all, _ := b.MachineCounts(); all != 0 {
 					t.Errorf("%d machines are rented half a minute before", all)
 				}
 				if late := b.whole(id, 4); late > tt.most {
 					t.Errorf("it runs %s late, at most %s", late, tt.most)
 				}
 				time.Sleep(150 * time.Second)
-				if all, _ := b.Machines(); all != 0 {
+				if all, _ := b.MachineCounts(); all != 0 {
 					t.Errorf("%d machines are still there", all)
 				}
-				if n := b.Rented(); n > tt.hires {
+				if n := b.MachinesProvisioned(); n > tt.hires {
 					t.Errorf("%d machines were rented, at most %d", n, tt.hires)
 				}
-				if broken := b.Broken(); len(broken) > 0 {
+				if broken := b.Violations(); len(broken) > 0 {
 					t.Errorf("rules broken: %s", strings.Join(broken, "\n"))
 				}
 			})
--- a/internal/node/cancel_test.go
+++ b/internal/node/cancel_test.go
@@ -25,7 +25,7 @@
 			hit[c.Member] = of(s, c.Member)
 		}
 		begun := time.Now()
-		s.net.Hold(func(from, to string) bool { return hit[from] && isWorker(to) })
+		s.net.HoldRequests(func(from, to string) bool { return hit[from] && isWorker(to) })
 		for i := range jobs {
 			spec := &job.Spec{ID: fmt.Sprintf("run-7%05d", i), Team: "blue", Class: "held", ShapeName: "array", RankName: "urgent", Tasks: tasks,
 				CPUs: 0.5, MemGB: 0.5, EstimateS: 120, Spot: true}
@@ -34,7 +34,7 @@
 		}
 		time.Sleep(held - time.Since(begun))
 		s.cutLinks("held", func(from, to string) bool { return hit[from] && isWorker(to) })
-		s.net.Hold(func(string, string) bool { return false })
+		s.net.HoldRequests(func(string, string) bool { return false })
 		time.Sleep(cut)
 		s.cutLinks("held", nil)
 	}
@@ -62,9 +62,9 @@
 func unreachableWorkers(d time.Duration) func(*sim) {
 	return func(s *sim) {
 		leader := fmt.Sprintf("n%d", s.leader())
-		s.net.Deny(func(a, b string) bool { return isNode(a) && a != leader && isWorker(b) })
+		s.net.DenyConnections(func(a, b string) bool { return isNode(a) && a != leader && isWorker(b) })
 		time.Sleep(d)
-		s.net.Deny(func(string, string) bool { return false })
+		s.net.DenyConnections(func(string, string) bool { return false })
 	}
 }
 
@@ -103,8 +103,8 @@
 	}
 	const bound = "a hundred machines hang, called off, few commands at a time"
 	playOn(t, calledOff(plain(3, scale, few)), also{bound: func(s *sim) {
-		if most := control.DirectCalls(sockets); s.MostStuck() < most {
-			s.t.Errorf("%d commands waited for machines that hang, of %d at a time for each controller", s.MostStuck(), most)
+		if most := control.DirectCalls(sockets); s.MaxBlockedCommands() < most {
+			s.t.Errorf("%d commands waited for machines that hang, of %d at a time for each controller", s.MaxBlockedCommands(), most)
 		}
 	}}, []day{
 		{bound, together(fault{16 * sec, hang(rng(203), 5*scale, 9*sec)}, fault{16100 * time.Millisecond, cancelNow(204, 10, 0, 10*sec)}, fault{26 * sec, hang(rng(205), 5*scale, 9*sec)})},
--- a/internal/node/meetings_test.go
+++ b/internal/node/meetings_test.go
@@ -49,7 +49,7 @@
 func refuseThenOut(shift, out time.Duration) func(*sim) {
 	return func(s *sim) {
 		l := fmt.Sprintf("n%d", s.leader())
-		s.store.Refuse(func(from string) bool { return from == l })
+		s.store.RefuseFrom(func(from string) bool { return from == l })
 		time.Sleep(shift)
 		outage(out)(s)
 	}
@@ -111,7 +111,7 @@
 func unanswered(s *sim, seed uint64, share float64, d time.Duration, wait func(r *rand.Rand) time.Duration) {
 	var mu sync.Mutex
 	r := rng(seed)
-	s.store.Late(func() time.Duration {
+	s.store.DelayTransactions(func() time.Duration {
 		mu.Lock()
 		defer mu.Unlock()
 		if r.Float64() >= share {
@@ -120,7 +120,7 @@
 		return wait(r)
 	})
 	time.Sleep(d)
-	s.store.Late(nil)
+	s.store.DelayTransactions(nil)
 }
 
 // lateWrites lets a share of the transactions be carried out 2 to 12 s later.
@@ -137,7 +137,7 @@
 func atOnce(seed uint64, share float64, d time.Duration) func(*sim) {
 	return func(s *sim) {
 		unanswered(s, seed, share, d, func(*rand.Rand) time.Duration { return -3 * time.Second })
-		if s.store.Lost() == 0 {
+		if s.store.AnswersLost() == 0 {
 			s.unmet("no answer to a transaction was lost")
 		}
 	}
@@ -147,9 +147,9 @@
 // controllers as it begins.
 func forNext(collect time.Duration) func(*sim) {
 	return func(s *sim) {
-		s.Copying(true)
+		s.CaptureHeartbeats(true)
 		time.Sleep(collect)
-		s.Copying(false)
+		s.CaptureHeartbeats(false)
 		term := s.term()
 		for range 600 {
 			if s.term() > term {
@@ -167,14 +167,14 @@
 func mute(seed uint64, n int, d time.Duration) func(*sim) {
 	return func(s *sim) {
 		hit := map[string]bool{}
-		for _, k := range s.Any(rng(seed), n) {
+		for _, k := range s.RandomWorkers(rng(seed), n) {
 			hit[k.Host()] = true
 		}
-		lapsed := s.Lapsed()
-		s.net.Deny(func(a, b string) bool { return hit[a] && isNode(b) })
+		lapsed := s.TasksLost()
+		s.net.DenyConnections(func(a, b string) bool { return hit[a] && isNode(b) })
 		time.Sleep(d)
-		s.net.Deny(func(string, string) bool { return false })
-		if d > 11*time.Second && s.Lapsed() == lapsed {
+		s.net.DenyConnections(func(string, string) bool { return false })
+		if d > 11*time.Second && s.TasksLost() == lapsed {
 			s.unmet("no lease of a machine with tasks has run out")
 		}
 	}
@@ -186,12 +186,12 @@
 func cancelNow(seed uint64, n int, hangs, within time.Duration) func(*sim) {
 	return func(s *sim) {
 		r, begun := rng(seed), time.Now()
-		jobs := s.CallOff(r, n)
+		jobs := s.SelectForCancellation(r, n)
 		if len(jobs) == 0 {
 			s.unmet("no job runs that could be called off")
 			return
 		}
-		ks := s.With(jobs, 8)
+		ks := s.WorkersWithJobs(jobs, 8)
 		if hangs > 0 {
 			s.Hang(ks, true)
 		}
@@ -206,7 +206,7 @@
 			s.Hang(ks, false)
 		}
 		time.Sleep(within - time.Since(begun))
-		if s.Confirmed(begun, begun.Add(within)) == 0 {
+		if s.CancellationsConfirmed(begun, begun.Add(within)) == 0 {
 			s.unmet("none of %d cancellations was told within %v", len(jobs), within)
 		}
 	}
@@ -244,7 +244,7 @@
 		fields := slices.Sorted(maps.Keys(whole("run-1")))
 		for i := 0; time.Since(begun) < d; i++ {
 			time.Sleep(150 * time.Millisecond)
-			told := s.AllTold()
+			told := s.ReportedPhases()
 			if len(told) == 0 {
 				continue
 			}
@@ -256,28 +256,28 @@
 				if status, _ := post("/api/jobs", fresh); status == 400 {
 					clear["lacks a field"]++
 				} else if status != 0 {
-					s.Fail("refused: a submission without %s got %d", fields[i/3%len(fields)], status)
+					s.ReportViolation("refused: a submission without %s got %d", fields[i/3%len(fields)], status)
 				}
 			case i%3 == 1:
 				fresh["cpus"] = 17.0
 				if status, _ := post("/api/jobs", fresh); status == 422 {
 					clear["never"]++
 				} else if status != 0 {
-					s.Fail("refused: a job that fits no machine got %d", status)
+					s.ReportViolation("refused: a job that fits no machine got %d", status)
 				}
 			case before == wire.JobDone:
 				if status, phase := post("/api/jobs/"+id+"/abort", nil); status == 200 && phase == wire.JobDone {
 					clear["done"]++
 				} else if status != 0 {
-					s.Fail("went_back: the cancellation of %s, which is done, got %d %s", id, status, phase)
+					s.ReportViolation("went_back: the cancellation of %s, which is done, got %d %s", id, status, phase)
 				}
 			default:
-				final := s.Told(id)
+				final := s.FinalPhase(id)
 				m := whole(id)
 				m["cpus"] = 17.0
 				if status, phase := post("/api/jobs", m); status != 0 {
 					clear["repeated"]++
-					s.Repeated(&job.Spec{ID: id}, status, phase, final)
+					s.CheckResubmission(&job.Spec{ID: id}, status, phase, final)
 				}
 			}
 		}
@@ -306,7 +306,7 @@
 		s.Go(func() {
 			time.Sleep(time.Duration(i) * 1500 * time.Microsecond)
 			hc := s.client(4 * time.Second)
-			before, at := s.Told(spec.ID), "http://"+s.server(i)+"/api/jobs"
+			before, at := s.FinalPhase(spec.ID), "http://"+s.server(i)+"/api/jobs"
 			var res *http.Response
 			var err error
 			if i%2 == 0 {
@@ -324,9 +324,9 @@
 				return
 			}
 			if i%2 == 0 {
-				s.Polled(spec, res.StatusCode, st.Phase, before, cancelled)
+				s.CheckPoll(spec, res.StatusCode, st.Phase, before, cancelled)
 			} else {
-				s.Repeated(spec, res.StatusCode, st.Phase, before)
+				s.CheckResubmission(spec, res.StatusCode, st.Phase, before)
 			}
 		})
 	}
@@ -363,9 +363,9 @@
 		{"3: the leader ends while machines with long tasks hang or do not hear the next", together(fault{13 * sec, hang(rng(73), 3, 8*sec)}, fault{14 * sec, crash(1)}, fault{14500 * time.Millisecond, deafen(74, 3, everybody, 8*sec)})},
 		{"4: the leader alone with workers and users while jobs are cancelled", together(fault{12 * sec, alone(0, 18*sec)})},
 		{"6: the state service slow, then out", together(fault{11 * sec, func(s *sim) {
-			s.store.Slow(900 * time.Millisecond)
+			s.store.SetLatency(900 * time.Millisecond)
 			time.Sleep(9 * sec)
-			s.store.Slow(0)
+			s.store.SetLatency(0)
 			outage(28 * sec)(s)
 		}})},
 		{"8: late transactions, and the leader ends twice", together(fault{5 * sec, lateWrites(75, 0.25, 35*sec)}, fault{16 * sec, crash(1)}, fault{30 * sec, crash(1)})},
@@ -402,10 +402,10 @@
 	hc := s.client(5 * time.Second)
 	s.user(hc, "POST", "/api/jobs/"+spec.ID+"/abort", nil, func(status int, st wire.Status) bool {
 		if status == 404 {
-			s.Fail("forgotten: abort of %s got 404", spec.ID)
+			s.ReportViolation("forgotten: abort of %s got 404", spec.ID)
 		}
 		if status == 200 {
-			s.Aborted(spec.ID, st.Phase)
+			s.CancellationAnswered(spec.ID, st.Phase)
 			s.looksClosely(spec, true)
 		}
 		return status == 200
@@ -418,7 +418,7 @@
 	return func(s *sim) {
 		var mu sync.Mutex
 		r, met := rng(seed), 0
-		s.Ends(func(spec *job.Spec) {
+		s.OnLastTaskDone(func(spec *job.Spec) {
 			mu.Lock()
 			wait := time.Duration(r.IntN(60)) * time.Millisecond
 			met++
@@ -427,7 +427,7 @@
 			s.abortNow(spec)
 		})
 		time.Sleep(d)
-		s.Ends(nil)
+		s.OnLastTaskDone(nil)
 		mu.Lock()
 		defer mu.Unlock()
 		if met < 3 {
@@ -439,12 +439,12 @@
 // allAway ends all controllers for a while.
 func allAway(d time.Duration) func(*sim) {
 	return func(s *sim) {
-		lapsed := s.Lapsed()
+		lapsed := s.TasksLost()
 		for i := range s.nodes {
 			s.kill(i)
 		}
 		time.Sleep(d)
-		if d > 10*time.Second && s.Lapsed() == lapsed {
+		if d > 10*time.Second && s.TasksLost() == lapsed {
 			s.unmet("no lease of a machine with tasks has run out")
 		}
 		for i := range s.nodes {
@@ -474,7 +474,7 @@
 func cutZoneAnd(zone string, after int, d time.Duration) func(*sim) {
 	return func(s *sim) {
 		in := map[string]bool{fmt.Sprintf("n%d", (s.leader()+after)%len(s.nodes)): true}
-		for _, k := range s.Zone(zone) {
+		for _, k := range s.WorkersInZone(zone) {
 			in[k.Host()] = true
 		}
 		s.cutLinks("zone and controller", func(a, b string) bool { return in[a] && !in[b] })
@@ -486,9 +486,9 @@
 // slowLinks makes every packet late.
 func slowLinks(by, d time.Duration) func(*sim) {
 	return func(s *sim) {
-		s.net.Slow(by)
+		s.net.AddDelay(by)
 		time.Sleep(d)
-		s.net.Slow(0)
+		s.net.AddDelay(0)
 	}
 }
 
@@ -524,7 +524,7 @@
 		for _, team := range teams {
 			most := 0.0
 			for range 100 {
-				if most = max(most, s.Uses(team)); most >= 12*float64(s.scale) {
+				if most = max(most, s.TeamCPUs(team)); most >= 12*float64(s.scale) {
 					break
 				}
 				time.Sleep(100 * time.Millisecond)
@@ -638,7 +638,7 @@
 	}
 	playOn(t, st, nil, []day{
 		{"while transactions are late, the leader ends", together(fault{3 * sec, lateWrites(101, 0.3, 40*sec)}, fault{11 * sec, crash(1)}, fault{24 * sec, crash(1)})},
-		{"machines of a zone are lost", together(fault{12 * sec, func(s *sim) { s.Kill(s.Zone("a")) }}, fault{14 * sec, crash(1)}, fault{26 * sec, func(s *sim) { s.Kill(s.Zone("b")) }})},
+		{"machines of a zone are lost", together(fault{12 * sec, func(s *sim) { s.Kill(s.WorkersInZone("a")) }}, fault{14 * sec, crash(1)}, fault{26 * sec, func(s *sim) { s.Kill(s.WorkersInZone("b")) }})},
 		{"more work than room over slow links", together(fault{5 * sec, slowLinks(300*time.Millisecond, 50*sec)}, fault{6 * sec, stream(30 * sec)}, fault{20 * sec, crash(1)})},
 	})
 }
@@ -651,7 +651,7 @@
 	const name = "two minutes"
 	playOn(t, plain(3, 1, promising), also{name: func(s *sim) {
 		for _, prefix := range []string{job.ActivePrefix, job.GroupPrefix, job.DonePrefix} {
-			if n := s.store.Count(prefix); n > 0 {
+			if n := s.store.CountKeys(prefix); n > 0 {
 				s.t.Errorf("%d keys are left under %s", n, prefix)
 			}
 		}
@@ -682,7 +682,7 @@
 	processes := one(crash(1+r.IntN(3)), flicks(seed, 2+r.IntN(8)), allAway(some(1, 30)), freeze(1+r.IntN(3), some(4, 30)), crashOther(some(2, 12)),
 		func(s *sim) { crash(1)(s); flick(0, some(1, 3))(s) })
 	service := one(outage(some(4, 80)), refuseLeader(some(4, 60)), refuseThenOut(some(1, 16), some(20, 80)), lateWrites(seed, 0.3*r.Float64(), some(20, 80)),
-		atOnce(seed, 0.5*r.Float64(), some(20, 80)), func(s *sim) { s.store.Slow(some(1, 3)); time.Sleep(8 * sec); s.store.Slow(0) })
+		atOnce(seed, 0.5*r.Float64(), some(20, 80)), func(s *sim) { s.store.SetLatency(some(1, 3)); time.Sleep(8 * sec); s.store.SetLatency(0) })
 	others := []func(*sim){cancelNow(seed, 12, some(0, 18), 0), cancelNow(seed+1, 8, 0, 0), cancelAtEnd(seed, some(20, 80)), mute(seed, 1+r.IntN(4), some(10, 60)),
 		deafen(seed, 1+r.IntN(6), everybody, some(6, 50)), hang(rng(seed), 1+r.IntN(5), some(6, 40)), die(rng(seed), 1+r.IntN(3)), cutWorkers(rng(seed), 1+r.IntN(4), some(6, 50)),
 		cutZoneAnd([]string{"a", "b"}[r.IntN(2)], r.IntN(3), some(6, 50)), lateCopies(some(8, 30), some(1, 40)), alone(r.IntN(3), some(4, 50)), cutPeers(some(6, 60)),
--- a/internal/node/regions_test.go
+++ b/internal/node/regions_test.go
@@ -82,7 +82,7 @@
 		}
 		sum := 0.0
 		for _, s := range b.sims {
-			sum += s.Uses("green")
+			sum += s.TeamCPUs("green")
 		}
 		b.mu.Lock()
 		b.most = max(b.most, sum)
@@ -186,7 +186,7 @@
 	begun := time.Now()
 	open := func() (n int) {
 		for _, s := range b.sims {
-			n += len(s.Open())
+			n += len(s.UnfinishedJobs())
 		}
 		return n
 	}
@@ -196,11 +196,11 @@
 	if n := open(); n > 0 {
 		b.t.Errorf("%d jobs are not over", n)
 		for _, s := range b.sims {
-			b.t.Log(s.Open())
+			b.t.Log(s.UnfinishedJobs())
 		}
 	}
 	for i, s := range b.sims {
-		for _, broken := range s.Broken() {
+		for _, broken := range s.Violations() {
 			b.t.Errorf("region %d: %s", i, broken)
 		}
 	}
@@ -220,7 +220,7 @@
 func late(region int, d time.Duration) func(*regionBed) {
 	return func(b *regionBed) {
 		r := rng(uint64(region))
-		b.sims[region].store.Late(func() time.Duration {
+		b.sims[region].store.DelayTransactions(func() time.Duration {
 			switch r.IntN(6) {
 			case 0:
 				return time.Duration(2+r.IntN(8)) * time.Second
@@ -230,7 +230,7 @@
 			return 0
 		})
 		time.Sleep(d)
-		b.sims[region].store.Late(nil)
+		b.sims[region].store.DelayTransactions(nil)
 	}
 }
 
@@ -378,7 +378,7 @@
 		b.apart(1, false)
 		b.inForce(last, 19*time.Second)
 		b.ends(2 * time.Minute)
-		if n := b.sims[0].store.Count("t/"); n > 3+dynconfig.HistoryMost {
+		if n := b.sims[0].store.CountKeys("t/"); n > 3+dynconfig.HistoryMost {
 			t.Errorf("%d keys of the configuration are left", n)
 		}
 	})
@@ -509,8 +509,8 @@
 			case err != nil:
 			case res.StatusCode == http.StatusOK, res.StatusCode == http.StatusCreated:
 				accepted++
-				s.Describe(sp)
-				s.Accepted(sp.ID)
+				s.DescribeJob(sp)
+				s.JobAccepted(sp.ID)
 				s.Go(func() { s.live(sp, 0, 0) })
 			case res.StatusCode == http.StatusUnprocessableEntity:
 				refused++
@@ -546,11 +546,11 @@
 		}
 		usual := quiet()
 		revision := b.apply(0, greenParts(2, 10))
-		store.Limit(1) // the raise that follows takes two writes
+		store.SetMaxWrites(1) // the raise that follows takes two writes
 		if rejected := quiet(); rejected > usual+30 {
 			t.Errorf("%d requests in ten seconds, usually %d", rejected, usual)
 		}
-		store.Limit(12)
+		store.SetMaxWrites(12)
 		b.inForce(revision, 19*time.Second)
 	})
 }
--- a/internal/node/rollout_test.go
+++ b/internal/node/rollout_test.go
@@ -25,7 +25,7 @@
 
 func newRollBed(t *testing.T, limit float64) (*rollBed, func()) {
 	s, closeAll := newSim(t, 1, func(c *emulate.Config) {
-		c.Most, c.Limits = 30, map[string]emulate.Limit{}
+		c.MaxMachines, c.Limits = 30, map[string]emulate.Limit{}
 		c.Types = []wire.MachineType{{Name: "small", CPUs: 4, MemGB: 64, CacheGB: 10, FetchRate: 1, Price: 0.2, SpotPrice: 0.05, BootS: 4, Zones: []string{"a", "b", "c"}}}
 		if limit > 0 {
 			c.Limits["red"] = emulate.Limit{CPUs: 14}
@@ -34,7 +34,7 @@
 		promising(set, tun)
 		tun.Rollouts.Enabled = true
 	})
-	s.Keep()
+	s.RecordHistory()
 	for i := range 9 {
 		s.Boot("small", []string{"a", "b", "c"}[i%3], false, 0)
 	}
@@ -45,11 +45,11 @@
 	b := &rollBed{sim: s, t: t, spec: &job.Spec{ID: "run-1", Team: team, ShapeName: "daemon", RankName: "standard", Tasks: 6, CPUs: max(1, limit), MemGB: 1, Image: "old"},
 		sv: &served{name: "svc"},
 		hc: &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DialContext: s.net.Dialer("user"), DisableKeepAlives: true}}}
-	s.Describe(b.spec)
+	s.DescribeJob(b.spec)
 	if !s.submit(b.hc, b.spec) {
 		t.Fatal("not accepted")
 	}
-	b.until(60, func() bool { return s.Running("run-1") == 6 })
+	b.until(60, func() bool { return s.RunningTasks("run-1") == 6 })
 	time.Sleep(5 * time.Second)
 	return b, closeAll
 }
@@ -114,7 +114,7 @@
 		{"a good build", 0, func(b *rollBed) {
 			b.start(nil)
 			b.until(200, b.is(rollout.Done))
-			b.until(20, func() bool { return b.Running("run-2") == 6 && b.Running("run-1") == 0 })
+			b.until(20, func() bool { return b.RunningTasks("run-2") == 6 && b.RunningTasks("run-1") == 0 })
 		}},
 		{"the leader ends after each of three durable steps", 0, func(b *rollBed) {
 			b.start(nil)
@@ -124,14 +124,14 @@
 		{"the leader ends between a launch and its report", 0, func(b *rollBed) {
 			b.start(nil)
 			for n := 1; n <= 3; n++ {
-				b.until(100, func() bool { return b.Running("run-2") >= n })
+				b.until(100, func() bool { return b.RunningTasks("run-2") >= n })
 				crash(1)(b.sim)
 			}
 			b.until(400, b.is(rollout.Done))
 		}},
 		{"all controllers end, and an outage, in the middle of a batch", 0, func(b *rollBed) {
 			b.start(nil)
-			b.until(100, func() bool { return b.Running("run-2") >= 1 })
+			b.until(100, func() bool { return b.RunningTasks("run-2") >= 1 })
 			crash(3)(b.sim)
 			outage(12 * time.Second)(b.sim)
 			b.until(400, b.is(rollout.Done))
@@ -148,49 +148,49 @@
 		}},
 		{"one that supersedes it comes after the other is taken back", 0, func(b *rollBed) {
 			b.start(nil)
-			b.until(100, func() bool { return b.Running("run-2") >= 1 })
+			b.until(100, func() bool { return b.RunningTasks("run-2") >= 1 })
 			if got := b.start(map[string]any{"to": map[string]any{"uid": "run-3", "reel": "newer"}, "supersede": true}); got != 201 {
 				b.t.Errorf("it got %d", got)
 			}
 			b.until(300, b.is(rollout.Done))
-			b.until(20, func() bool { return b.Running("run-3") == 6 && b.Running("run-2") == 0 })
+			b.until(20, func() bool { return b.RunningTasks("run-3") == 6 && b.RunningTasks("run-2") == 0 })
 		}},
 		{"a bad build, and a good one after it", 0, func(b *rollBed) {
-			b.Behave("new", emulate.Image{BadAfter: 4 * time.Second})
+			b.SetImageBehavior("new", emulate.ImageBehavior{UnhealthyAfter: 4 * time.Second})
 			b.start(nil)
 			b.until(200, b.is(rollout.Undone))
-			b.until(60, func() bool { return b.Running("run-1") == 6 && b.Running("run-2") == 0 })
+			b.until(60, func() bool { return b.RunningTasks("run-1") == 6 && b.RunningTasks("run-2") == 0 })
 			b.start(map[string]any{"to": map[string]any{"uid": "run-3", "reel": "newer"}})
 			b.until(200, b.is(rollout.Done))
 		}},
 		{"the old image fails as well when it is taken back", 0, func(b *rollBed) {
 			b.start(nil)
-			b.until(100, func() bool { return b.Running("run-2") >= 3 })
-			b.Behave("new", emulate.Image{CrashAfter: time.Second})
-			b.Behave("old", emulate.Image{CrashAfter: 500 * time.Millisecond})
+			b.until(100, func() bool { return b.RunningTasks("run-2") >= 3 })
+			b.SetImageBehavior("new", emulate.ImageBehavior{CrashAfter: time.Second})
+			b.SetImageBehavior("old", emulate.ImageBehavior{CrashAfter: 500 * time.Millisecond})
 			b.until(400, b.is(rollout.Failed))
 		}},
 		{"its user cancels the service", 0, func(b *rollBed) {
 			b.start(nil)
-			b.until(100, func() bool { return b.Running("run-2") >= 3 })
+			b.until(100, func() bool { return b.RunningTasks("run-2") >= 3 })
 			b.user(b.hc, "POST", "/api/jobs/run-1/abort", nil, func(status int, st wire.Status) bool { return status == 200 && st.Phase == wire.JobAborted })
-			b.until(25, func() bool { return b.Running("run-1") == 0 && b.Running("run-2") == 0 })
+			b.until(25, func() bool { return b.RunningTasks("run-1") == 0 && b.RunningTasks("run-2") == 0 })
 			b.until(20, b.is(rollout.Failed))
 		}},
 		{"its user cancels the service, and the state service is out at once", 0, func(b *rollBed) {
 			b.start(nil)
-			b.until(100, func() bool { return b.Running("run-2") >= 3 })
+			b.until(100, func() bool { return b.RunningTasks("run-2") >= 3 })
 			b.user(b.hc, "POST", "/api/jobs/run-1/abort", nil, func(status int, st wire.Status) bool { return status == 200 && st.Phase == wire.JobAborted })
-			b.store.Outage(true)
-			b.until(25, func() bool { return b.Running("run-1") == 0 && b.Running("run-2") == 0 })
-			b.store.Outage(false)
+			b.store.SetOutage(true)
+			b.until(25, func() bool { return b.RunningTasks("run-1") == 0 && b.RunningTasks("run-2") == 0 })
+			b.store.SetOutage(false)
 			b.until(30, b.is(rollout.Failed))
 		}},
 		{"the team's limit leaves no room for one extra: it waits, then pauses", 2, func(b *rollBed) {
 			// Six replicas take 12 of 14 CPUs: the next version's are larger.
 			b.start(map[string]any{"to": map[string]any{"uid": "run-2", "reel": "new", "cpus": 2.3}})
 			b.until(200, b.is(rollout.Paused))
-			if n := b.Running("run-1"); n != 6 {
+			if n := b.RunningTasks("run-1"); n != 6 {
 				b.t.Errorf("%d old replicas run", n)
 			}
 		}},
@@ -199,21 +199,21 @@
 			b.until(400, b.is(rollout.Done))
 		}},
 		{"health by checks of workers that say nothing themselves", 0, func(b *rollBed) {
-			b.Behave("new", emulate.Image{Mute: true})
+			b.SetImageBehavior("new", emulate.ImageBehavior{OmitHealth: true})
 			b.start(map[string]any{"check": map[string]any{"path": "/healthy", "every_s": 1.0}})
 			b.until(200, b.is(rollout.Done))
 		}},
 		{"the leader's checks reach nobody: paused, then on", 0, func(b *rollBed) {
-			b.Behave("new", emulate.Image{Mute: true})
+			b.SetImageBehavior("new", emulate.ImageBehavior{OmitHealth: true})
 			b.start(map[string]any{"check": map[string]any{"path": "/healthy", "every_s": 1.0}, "deadline_s": 300.0})
-			b.until(100, func() bool { return b.Running("run-2") >= 1 })
+			b.until(100, func() bool { return b.RunningTasks("run-2") >= 1 })
 			time.Sleep(3 * time.Second)
-			b.RefuseChecks(true)
+			b.DropHealthChecks(true)
 			b.until(60, b.is(rollout.Paused))
 			if !strings.Contains(b.sv.reason, "checker") {
 				b.t.Errorf("paused because %s", b.sv.reason)
 			}
-			b.RefuseChecks(false)
+			b.DropHealthChecks(false)
 			b.until(300, b.is(rollout.Done))
 		}},
 	}
@@ -236,7 +236,7 @@
 							var st wire.Status
 							body := readAll(res)
 							if res.StatusCode == 404 || (res.StatusCode == 200 && wire.Unmarshal(body, &st) == nil) {
-								before = b.Polled(b.spec, res.StatusCode, st.Phase, before, strings.Contains(tt.name, "cancels"))
+								before = b.CheckPoll(b.spec, res.StatusCode, st.Phase, before, strings.Contains(tt.name, "cancels"))
 							}
 						}
 					}
@@ -244,7 +244,7 @@
 				tt.do(b)
 				close(stop)
 				<-ended
-				if broken := b.Broken(); len(broken) > 0 {
+				if broken := b.Violations(); len(broken) > 0 {
 					t.Errorf("rules broken: %s", strings.Join(broken, "\n"))
 				}
 				closeAll()
--- a/internal/node/shards_test.go
+++ b/internal/node/shards_test.go
@@ -42,9 +42,9 @@
 func muteOther(d time.Duration) func(*sim) {
 	return func(s *sim) {
 		other := fmt.Sprintf("n%d", (s.leader()+1)%len(s.nodes))
-		s.net.Mute(func(a, b string) bool { return a == other && isNode(b) })
+		s.net.PartitionOneWay(func(a, b string) bool { return a == other && isNode(b) })
 		time.Sleep(d)
-		s.net.Mute(func(string, string) bool { return false })
+		s.net.PartitionOneWay(func(string, string) bool { return false })
 	}
 }
 
@@ -53,11 +53,11 @@
 func spread(part int) func(*sim) {
 	return func(s *sim) {
 		all := 0
-		for _, n := range s.Answers() {
+		for _, n := range s.HeartbeatsByController() {
 			all += n
 		}
 		for _, c := range controllers {
-			if n := s.Answers()[c.Member]; n*part < all {
+			if n := s.HeartbeatsByController()[c.Member]; n*part < all {
 				s.t.Errorf("%s has answered %d reports of %d", c.Member, n, all)
 			}
 		}
@@ -66,7 +66,7 @@
 
 // keeps checks that no task was killed by the lease of its machine.
 func keeps(s *sim) {
-	if n := s.Lapsed(); n > 0 {
+	if n := s.TasksLost(); n > 0 {
 		s.t.Errorf("%d tasks were killed by their lease", n)
 	}
 }
@@ -74,7 +74,7 @@
 // answers checks that no worker went without an answer for longer than that.
 func answers(within time.Duration) func(*sim) {
 	return func(s *sim) {
-		n, half, most99, longest := s.Silences()
+		n, half, most99, longest := s.UnansweredQuantiles()
 		s.t.Logf("%d workers without an answer: half %v, 99 %% %v, longest %v", n, half, most99, longest)
 		if longest > within {
 			s.t.Errorf("a worker went without an answer for %v", longest)
--- a/internal/node/sim_test.go
+++ b/internal/node/sim_test.go
@@ -87,7 +87,7 @@
 type sim struct {
 	*emulate.World
 	t     *testing.T
-	net   *emulate.Memory
+	net   *emulate.MemoryNetwork
 	store *emulate.Store
 	nodes []context.CancelFunc
 	ended []chan struct{}
@@ -202,7 +202,7 @@
 func (s *sim) kill(i int) {
 	s.nodes[i]()
 	name := fmt.Sprintf("n%d", i)
-	s.net.Reset(func(f, _ string) bool { return f == name })
+	s.net.ResetConnections(func(f, _ string) bool { return f == name })
 	<-s.ended[i]
 }
 
@@ -239,7 +239,7 @@
 	for _, c := range s.cuts {
 		all = append(all, c)
 	}
-	s.net.Cut(func(a, b string) bool {
+	s.net.Partition(func(a, b string) bool {
 		for _, c := range all {
 			if c(a, b) {
 				return true
@@ -280,7 +280,7 @@
 				return true
 			}
 		}
-		s.Asked(id)
+		s.PollUnanswered(id)
 		time.Sleep(time.Second)
 	}
 	return false
@@ -290,7 +290,7 @@
 func (s *sim) submit(hc *http.Client, spec *job.Spec) bool {
 	return s.user(hc, "POST", "/api/jobs", submission(spec), func(status int, _ wire.Status) bool {
 		if status == 400 || status == 422 || status == 404 {
-			s.Fail("refused: %s got %d", spec.ID, status)
+			s.ReportViolation("refused: %s got %d", spec.ID, status)
 		}
 		return status == 200 || status == 201
 	})
@@ -299,7 +299,7 @@
 // again repeats the submission of a job that is over, as a user whose retry comes late.
 func (s *sim) again(hc *http.Client, spec *job.Spec, final string) {
 	s.user(hc, "POST", "/api/jobs", submission(spec), func(status int, st wire.Status) bool {
-		s.Repeated(spec, status, st.Phase, final)
+		s.CheckResubmission(spec, status, st.Phase, final)
 		return status < 429
 	})
 }
@@ -328,11 +328,11 @@
 	case <-time.After(at):
 	}
 	hc := s.client(5 * time.Second)
-	s.Describe(spec)
+	s.DescribeJob(spec)
 	if !s.submit(hc, spec) {
 		return
 	}
-	s.Accepted(spec.ID)
+	s.JobAccepted(spec.ID)
 	s.looksClosely(spec, abort > 0)
 	if abort > 0 {
 		time.Sleep(abort)
@@ -343,12 +343,12 @@
 		s.Go(func() { s.looks(spec, told) })
 		s.user(hc, "POST", "/api/jobs/"+spec.ID+"/abort", nil, func(status int, st wire.Status) bool {
 			if status == 404 {
-				s.Fail("forgotten: abort of %s got 404", spec.ID)
+				s.ReportViolation("forgotten: abort of %s got 404", spec.ID)
 			}
 			if status != 200 {
 				return false
 			}
-			s.Aborted(spec.ID, st.Phase)
+			s.CancellationAnswered(spec.ID, st.Phase)
 			s.looksClosely(spec, true)
 			return true
 		})
@@ -361,7 +361,7 @@
 		}
 		if !s.user(hc, "GET", "/api/jobs/"+spec.ID, nil, func(status int, st wire.Status) bool {
 			before := final
-			if final = s.Polled(spec, status, st.Phase, final, abort > 0); final != before {
+			if final = s.CheckPoll(spec, status, st.Phase, final, abort > 0); final != before {
 				s.looksClosely(spec, abort > 0)
 			}
 			if status != 200 {
@@ -399,7 +399,7 @@
 		_ = res.Body.Close()
 		var st wire.Status
 		if err == nil && res.StatusCode == http.StatusOK && wire.Unmarshal(b, &st) == nil {
-			before = s.Polled(spec, res.StatusCode, st.Phase, before, true)
+			before = s.CheckPoll(spec, res.StatusCode, st.Phase, before, true)
 		}
 	}
 }
@@ -437,18 +437,18 @@
 
 func outage(d time.Duration) func(*sim) {
 	return func(s *sim) {
-		s.store.Outage(true)
+		s.store.SetOutage(true)
 		time.Sleep(d)
-		s.store.Outage(false)
+		s.store.SetOutage(false)
 	}
 }
 
 func refuseLeader(d time.Duration) func(*sim) {
 	return func(s *sim) {
 		l := fmt.Sprintf("n%d", s.leader())
-		s.store.Refuse(func(from string) bool { return from == l })
+		s.store.RefuseFrom(func(from string) bool { return from == l })
 		time.Sleep(d)
-		s.store.Refuse(func(string) bool { return false })
+		s.store.RefuseFrom(func(string) bool { return false })
 	}
 }
 
@@ -485,7 +485,7 @@
 func cutWorkers(r *rand.Rand, n int, d time.Duration) func(*sim) {
 	return func(s *sim) {
 		hit := map[string]bool{}
-		for _, k := range s.Any(r, n) {
+		for _, k := range s.RandomWorkers(r, n) {
 			hit[k.Host()] = true
 		}
 		s.cutLinks("workers", func(a, b string) bool { return hit[a] })
@@ -498,7 +498,7 @@
 func cutZone(zone string, d time.Duration) func(*sim) {
 	return func(s *sim) {
 		hit := map[string]bool{}
-		for _, k := range s.Zone(zone) {
+		for _, k := range s.WorkersInZone(zone) {
 			hit[k.Host()] = true
 		}
 		s.cutLinks("zone", func(a, _ string) bool { return hit[a] })
@@ -509,7 +509,7 @@
 
 func hang(r *rand.Rand, n int, d time.Duration) func(*sim) {
 	return func(s *sim) {
-		ks := s.Any(r, n)
+		ks := s.RandomWorkers(r, n)
 		s.Hang(ks, true)
 		time.Sleep(d)
 		s.Hang(ks, false)
@@ -538,7 +538,7 @@
 			if i%2 == 0 {
 				abort = time.Duration(i%7) * time.Second
 			}
-			s.Describe(spec)
+			s.DescribeJob(spec)
 			s.Go(func() { s.live(spec, 0, abort+time.Millisecond*time.Duration(1-i%2)) })
 			hc := s.client(5 * time.Second)
 			for range 2 {
@@ -548,7 +548,7 @@
 				s.Go(func() {
 					s.user(hc, "POST", "/api/jobs/"+spec.ID+"/abort", nil, func(status int, st wire.Status) bool {
 						if status == 200 && st.Phase != wire.JobAborted && st.Phase != wire.JobDone {
-							s.Fail("went_back: an abort of %s got %s", spec.ID, st.Phase)
+							s.ReportViolation("went_back: an abort of %s got %s", spec.ID, st.Phase)
 						}
 						return status == 200 || status == 404 // not submitted yet
 					})
@@ -560,11 +560,11 @@
 
 // die takes machines away without a word.
 func die(r *rand.Rand, n int) func(*sim) {
-	return func(s *sim) { s.Kill(s.Any(r, n)) }
+	return func(s *sim) { s.Kill(s.RandomWorkers(r, n)) }
 }
 
 func sick(r *rand.Rand) func(*sim) {
-	return func(s *sim) { s.Sicken(s.Any(r, 1)) }
+	return func(s *sim) { s.MakeFaulty(s.RandomWorkers(r, 1)) }
 }
 
 // day is a day of several controllers against the stand-ins, in simulated time. The
@@ -613,9 +613,9 @@
 		{"leader cut from everything, held (2, 4, 7)", []fault{{15 * time.Second, cutLeader(func(string) bool { return true }, 20*time.Second)}}},
 		{"the leader stands still within its lease, then beyond (2, 4, 8)", []fault{{13 * time.Second, freeze(1, 2*time.Second)}, {18 * time.Second, freeze(1, 7*time.Second)}, {40 * time.Second, freeze(1, 16*time.Second)}}},
 		{"all controllers stand still, then the leader in an outage (2, 9, 17)", []fault{{14 * time.Second, freeze(3, 6*time.Second)}, {30 * time.Second, func(s *sim) {
-			s.store.Outage(true)
+			s.store.SetOutage(true)
 			freeze(1, 14*time.Second)(s)
-			s.store.Outage(false)
+			s.store.SetOutage(false)
 		}}}},
 	})
 }
@@ -628,7 +628,7 @@
 		{"workers hang inside and past their lease (8, 9)", []fault{{13 * time.Second, hang(rng(4), 3, 8*time.Second)}, {35 * time.Second, hang(rng(5), 3, 20*time.Second)}}},
 		{"workers cut while the leader changes (4, 6, 9, 15)", []fault{{14 * time.Second, cutWorkers(rng(6), 3, 20*time.Second)}, {16 * time.Second, crash(1)}}},
 		{"workers hang while all controllers crash (6, 8)", []fault{{14 * time.Second, hang(rng(7), 3, 9*time.Second)}, {15 * time.Second, crash(3)}}},
-		{"state service takes less at a time than the settings say", []fault{{5 * time.Second, func(s *sim) { s.store.Limit(2) }}}},
+		{"state service takes less at a time than the settings say", []fault{{5 * time.Second, func(s *sim) { s.store.SetMaxWrites(2) }}}},
 		{"controllers cut from each other (13, 14)", []fault{{8 * time.Second, cutPeers(30 * time.Second)}}},
 		{"a machine dies, then the leader (6, 12)", []fault{{15 * time.Second, die(rng(9), 1)}, {16 * time.Second, crash(1)}}},
 		{"the stored term falls behind the tokens of the workers (1, 5)", []fault{{12 * time.Second, lostMoments}}},
@@ -679,11 +679,11 @@
 // newSim starts three controllers on an emulation in memory, and returns what ends
 // them all.
 func newSim(t *testing.T, scale int, edit func(*emulate.Config), tune func(*config.Settings, *config.Tuning)) (*sim, func()) {
-	n, store := emulate.NewMemory(), emulate.NewStore()
-	store.Page(7) // small pages, so that paging is in use
-	cfg := emulate.Config{Network: n, Store: store, Types: simTypes, Most: 12 * scale, Controllers: controllers,
-		Lease: 10 * time.Second, Cancel: 25 * time.Second, Report: 2 * time.Second, GangWait: 20 * time.Second,
-		Fetch: time.Second, ListLag: 4 * time.Second, Limits: map[string]emulate.Limit{"red": {CPUs: 14 * float64(scale)}}}
+	n, store := emulate.NewMemoryNetwork(), emulate.NewStore()
+	store.SetPageSize(7) // small pages, so that paging is in use
+	cfg := emulate.Config{Network: n, Store: store, Types: simTypes, MaxMachines: 12 * scale, Controllers: controllers,
+		LeaseDuration: 10 * time.Second, CancelTimeout: 25 * time.Second, HeartbeatInterval: 2 * time.Second, GangTimeout: 20 * time.Second,
+		ImagePull: time.Second, ListLag: 4 * time.Second, Limits: map[string]emulate.Limit{"red": {CPUs: 14 * float64(scale)}}}
 	edit(&cfg)
 	w := emulate.New(cfg)
 	s := &sim{World: w, t: t, net: n, store: store, cuts: map[string]func(string, string) bool{}, scale: scale, tune: tune,
@@ -710,7 +710,7 @@
 		for _, srv := range servers {
 			_ = srv.Close()
 		}
-		n.Reset(func(string, string) bool { return true })
+		n.ResetConnections(func(string, string) bool { return true })
 		<-ended
 		time.Sleep(30 * time.Second)
 	}
@@ -731,7 +731,7 @@
 		}
 		_ = res.Body.Close()
 		if res.StatusCode == http.StatusOK {
-			s.Fail("invented: a job that nobody has submitted")
+			s.ReportViolation("invented: a job that nobody has submitted")
 		}
 	}
 }
@@ -804,27 +804,27 @@
 	}()
 	time.Sleep(100 * sec)
 	<-done
-	w.Calm()
+	w.FaultsOver()
 	for range 150 {
 		time.Sleep(2 * sec)
-		if len(s.Open()) == 0 {
+		if len(s.UnfinishedJobs()) == 0 {
 			break
 		}
-		w.Neglects()
+		w.CheckStarvation()
 	}
-	left := s.Open()
-	w.EndDay(nil)
+	left := s.UnfinishedJobs()
+	w.CheckServiceLevels(nil)
 	closeAll()
 	if also != nil {
 		also(s)
 	}
-	if broken := w.Broken(); len(broken) > 0 {
+	if broken := w.Violations(); len(broken) > 0 {
 		t.Errorf("rules broken: %s", strings.Join(broken, "\n"))
 	}
 	if len(left) > 0 {
 		t.Errorf("%d jobs are not over: %v", len(left), left)
 	}
-	t.Logf("%d tasks were started, %d of them after a user was told that their job is cancelled", w.Starts(), w.Vain())
+	t.Logf("%d tasks were started, %d of them after a user was told that their job is cancelled", w.Starts(), w.StartsAfterCancellation())
 	if w.Starts() < 100*st.scale {
 		t.Errorf("only %d tasks were started", w.Starts())
 	}
--- a/internal/node/storm_test.go
+++ b/internal/node/storm_test.go
@@ -42,11 +42,11 @@
 }
 
 // builds are the ways in which a build is bad.
-var builds = []emulate.Image{
+var builds = []emulate.ImageBehavior{
 	{CrashAfter: 200 * time.Millisecond},
-	{BadAfter: 30 * time.Second},
-	{BadAfter: 120 * time.Second},
-	{BadAfter: 5 * time.Second, Flap: 6 * time.Second},
+	{UnhealthyAfter: 30 * time.Second},
+	{UnhealthyAfter: 120 * time.Second},
+	{UnhealthyAfter: 5 * time.Second, FlapPeriod: 6 * time.Second},
 }
 
 // play plays a storm and returns the services with what became of them, and what
@@ -55,7 +55,7 @@
 	r := rand.New(rand.NewPCG(seed, 14))
 	zones := []string{"a", "b", "c", "d"}
 	s, closeAll := newSim(t, 1, func(c *emulate.Config) {
-		c.Most, c.Limits = 40+st.services*st.replicas/3, nil
+		c.MaxMachines, c.Limits = 40+st.services*st.replicas/3, nil
 		c.Types = []wire.MachineType{{Name: "small", CPUs: 8, MemGB: 64, CacheGB: 10, FetchRate: 1, Price: 0.2, SpotPrice: 0.05, BootS: 4, Zones: zones}}
 	}, func(set *config.Settings, tun *config.Tuning) {
 		tun.Rollouts.Enabled = true
@@ -64,7 +64,7 @@
 		}
 	})
 	w := s.World
-	w.Keep()
+	w.RecordHistory()
 	for i := range 8 + st.services*st.replicas/6 {
 		w.Boot("small", zones[i%len(zones)], false, 0)
 	}
@@ -78,10 +78,10 @@
 			if st.open {
 				sv.kind = 1 // one that crashes at once can stop a roll-out without any gate
 			}
-			w.Behave(sv.image, builds[sv.kind])
+			w.SetImageBehavior(sv.image, builds[sv.kind])
 		}
 		out = append(out, sv)
-		w.Describe(sv.spec)
+		w.DescribeJob(sv.spec)
 		if !s.submit(hc, sv.spec) {
 			t.Fatal("a service was not accepted")
 		}
@@ -127,7 +127,7 @@
 				case 2: // a zone is cut for longer than its leases
 					cutZone(zone, 14*time.Second)(s)
 				case 3:
-					w.Kill(w.Any(r, 1))
+					w.Kill(w.RandomWorkers(r, 1))
 				}
 			}
 		}()
@@ -149,7 +149,7 @@
 	time.Sleep(20 * time.Second)
 	close(calm)
 	<-over
-	broken = append(w.Broken(), judgeStorm(out, w.History())...)
+	broken = append(w.Violations(), judgeStorm(out, w.History())...)
 	closeAll()
 	return out, broken
 }
@@ -208,7 +208,7 @@
 					last = e.At
 				}
 			}
-			if e.Cause == emulate.Lost {
+			if e.Cause == emulate.CauseLost {
 				lost[replica] = e.At
 			}
 			// A replica that was stopped on purpose while no other copy of it ran is one
--- a/internal/node/users_test.go
+++ b/internal/node/users_test.go
@@ -16,12 +16,12 @@
 func deafen(seed uint64, n int, from func(controller string) bool, d time.Duration) func(*sim) {
 	return func(s *sim) {
 		hit := map[string]bool{}
-		for _, k := range s.Any(rng(seed), n) {
+		for _, k := range s.RandomWorkers(rng(seed), n) {
 			hit[k.Host()] = true
 		}
-		s.net.Mute(func(a, b string) bool { return isNode(a) && from(a) && hit[b] })
+		s.net.PartitionOneWay(func(a, b string) bool { return isNode(a) && from(a) && hit[b] })
 		time.Sleep(d)
-		s.net.Mute(func(string, string) bool { return false })
+		s.net.PartitionOneWay(func(string, string) bool { return false })
 	}
 }
 
@@ -39,10 +39,10 @@
 // controllers at once, so long after.
 func lateCopies(collect, after time.Duration) func(*sim) {
 	return func(s *sim) {
-		s.Copying(true)
+		s.CaptureHeartbeats(true)
 		time.Sleep(collect)
-		s.Copying(false)
-		copies := s.Copies()
+		s.CaptureHeartbeats(false)
+		copies := s.CapturedHeartbeats()
 		time.Sleep(after)
 		gate := make(chan struct{}, 100)
 		for i, c := range copies {
@@ -99,7 +99,7 @@
 }
 
 func reboot(seed uint64, n int) func(*sim) {
-	return func(s *sim) { s.Reboot(s.Any(rng(seed), n)) }
+	return func(s *sim) { s.Reboot(s.RandomWorkers(rng(seed), n)) }
 }
 
 // TestOneWay: machines that are heard and hear nothing.
--- a/internal/node/week_test.go
+++ b/internal/node/week_test.go
@@ -75,7 +75,7 @@
 	r := rand.New(rand.NewPCG(seed, 15))
 	zones := []string{"a", "b", "c"}
 	s, closeAll := newSim(t, 1, func(c *emulate.Config) {
-		c.Most, c.Limits = 18, nil
+		c.MaxMachines, c.Limits = 18, nil
 		c.Types = []wire.MachineType{{Name: "small", CPUs: 4, MemGB: 64, CacheGB: 10, FetchRate: 1, Price: 0.2, SpotPrice: 0.05, BootS: 10, Zones: zones}}
 	}, func(set *config.Settings, tun *config.Tuning) {
 		set.Facts.Teams = []config.Team{{Name: "bulk"}, {Name: "t1"}, {Name: "t2"}, {Name: "t3"}, {Name: "t4"}}
@@ -86,7 +86,7 @@
 		tun.Calendar.Hold, tun.Calendar.Backfill, tun.Calendar.Drain, tun.Calendar.HoldS = wk.hold, wk.backfill, wk.drain, 60
 	})
 	b := &slotBed{sim: s, t: t, hc: &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DialContext: s.net.Dialer("user"), DisableKeepAlives: true}}}
-	s.Keep()
+	s.RecordHistory()
 	for i := range 18 {
 		s.Boot("small", zones[i%3], false, 0)
 	}
@@ -101,11 +101,11 @@
 		if spec.Team == "bulk" { // estimates are wrong by up to half
 			declared.EstimateS = spec.EstimateS * (0.5 + 1.5*r.Float64())
 		}
-		s.Describe(&spec)
+		s.DescribeJob(&spec)
 		s.Go(func() {
 			time.Sleep(time.Until(at))
 			if s.submit(b.hc, &declared) {
-				s.Accepted(spec.ID)
+				s.JobAccepted(spec.ID)
 			}
 		})
 	}
@@ -139,7 +139,7 @@
 		}
 		s.Go(func() {
 			time.Sleep(time.Until(night))
-			s.Kill(s.Zone(zones[d%3]))
+			s.Kill(s.WorkersInZone(zones[d%3]))
 		})
 	}
 	submitted := map[string]time.Time{}
@@ -174,7 +174,7 @@
 			case 3:
 				cutZone(zones[r.IntN(3)], 14*time.Second)(s)
 			case 4:
-				s.Kill(s.Any(r, 2))
+				s.Kill(s.RandomWorkers(r, 2))
 			}
 			mu.Lock()
 			troubles = append(troubles, trouble{from, time.Now().Add(105 * time.Second)})
@@ -184,12 +184,12 @@
 	for time.Now().Before(over) {
 		time.Sleep(250 * time.Millisecond)
 		for _, sl := range slots {
-			if sl.late < 0 && time.Now().After(sl.start.Add(-40*time.Second)) && time.Since(sl.start) < dayTime && s.Running(sl.id) == sl.n {
+			if sl.late < 0 && time.Now().After(sl.start.Add(-40*time.Second)) && time.Since(sl.start) < dayTime && s.RunningTasks(sl.id) == sl.n {
 				sl.late = max(0, time.Since(sl.start))
 			}
 		}
-		_, up := s.Machines()
-		out.idle, out.up = out.idle+float64(s.Idle())/4/3600, out.up+float64(up)/4/3600
+		_, up := s.MachineCounts()
+		out.idle, out.up = out.idle+float64(s.IdleMachines())/4/3600, out.up+float64(up)/4/3600
 	}
 	<-ended
 	tolerance := calendar.Tolerance(2, 100)
@@ -212,7 +212,7 @@
 		}
 	}
 	out.judge(s.History(), submitted, windows)
-	out.broken = s.Broken()
+	out.broken = s.Violations()
 	closeAll()
 	return out
 }
@@ -237,7 +237,7 @@
 		default:
 			out.lost += e.At.Sub(began[key]).Hours()
 			for night, zone := range windows {
-				if e.Zone == zone && (e.Cause == emulate.Lost && e.At.Sub(night).Abs() < time.Second || e.Cause == wire.CauseHalted && bulk && e.At.After(night.Add(-6*time.Second)) && e.At.Before(night.Add(time.Second))) {
+				if e.Zone == zone && (e.Cause == emulate.CauseLost && e.At.Sub(night).Abs() < time.Second || e.Cause == wire.CauseHalted && bulk && e.At.After(night.Add(-6*time.Second)) && e.At.Before(night.Add(time.Second))) {
 					out.cut = append(out.cut, fmt.Sprintf("%s %s %s", e.Task, e.Cause, e.At.Sub(night)))
 				}
 			}
--- a/internal/scale/configuration.go
+++ b/internal/scale/configuration.go
@@ -21,12 +21,12 @@
 
 const (
 	configPath = "/api/config"
-	// statusEvery spaces the looks whether a change is in force.
-	statusEvery = 50 * time.Millisecond
-	// mostOperators bounds the changes that are watched at a time.
-	mostOperators = 200
-	// movedShare is the part of a region's part of a limit that a change moves, at most.
-	movedShare = 0.2
+	// statusInterval spaces the looks whether a change is in force.
+	statusInterval = 50 * time.Millisecond
+	// maxWatchedChanges bounds the changes that are watched at a time.
+	maxWatchedChanges = 200
+	// maxMovedShare is the part of a region's part of a limit that a change moves, at most.
+	maxMovedShare = 0.2
 )
 
 // configurationReport is how long changes took.
@@ -48,48 +48,48 @@
 type operators struct {
 	run     *run
 	regions []*region
-	parts   map[string][]float64 // of each region, as last asked for
+	limits  map[string][]float64 // of each region, as last asked for
 
 	refused, unsettled atomic.Int64
 
-	mu       sync.Mutex
-	stored   *hdrhistogram.Histogram
-	inForce  *hdrhistogram.Histogram
-	inUse    *hdrhistogram.Histogram
-	watchers sync.WaitGroup
-	status   dynconfig.Status
+	mu               sync.Mutex
+	stored           *hdrhistogram.Histogram
+	inForce          *hdrhistogram.Histogram
+	inForceAfterWait *hdrhistogram.Histogram
+	watchers         sync.WaitGroup
+	status           dynconfig.Status
 }
 
 func newOperators(r *run) *operators {
-	o := &operators{run: r, regions: r.regions, parts: map[string][]float64{},
-		stored: hdrhistogram.New(1, waitsMost, 3), inForce: hdrhistogram.New(1, waitsMost, 3), inUse: hdrhistogram.New(1, waitsMost, 3)}
+	o := &operators{run: r, regions: r.regions, limits: map[string][]float64{},
+		stored: hdrhistogram.New(1, maxWaitMs, 3), inForce: hdrhistogram.New(1, maxWaitMs, 3), inForceAfterWait: hdrhistogram.New(1, maxWaitMs, 3)}
 	for _, team := range r.regions[0].teamNames() {
 		for _, region := range r.regions {
-			o.parts[team] = append(o.parts[team], region.limit())
+			o.limits[team] = append(o.limits[team], region.teamLimit())
 		}
 	}
 	return o
 }
 
-// total is a team's limit in all regions.
-func (o *operators) total() (sum float64) {
+// totalLimit is a team's limit in all regions.
+func (o *operators) totalLimit() (sum float64) {
 	for _, region := range o.regions {
-		sum += region.limit()
+		sum += region.teamLimit()
 	}
 	return sum
 }
 
-// work makes changes at a rate until the context ends.
-func (o *operators) work(ctx context.Context, perMinute float64, r *rand.Rand) {
+// changeLimits makes changes at a rate until the context ends.
+func (o *operators) changeLimits(ctx context.Context, perMinute float64, r *rand.Rand) {
 	if perMinute <= 0 {
 		return
 	}
-	o.watchers.Go(func() { o.look(ctx) })
-	slots := make(chan struct{}, mostOperators)
+	o.watchers.Go(func() { o.pollStatus(ctx) })
+	slots := make(chan struct{}, maxWatchedChanges)
 	names := o.regions[0].teamNames()
 	for sleep(ctx, seconds(60/perMinute)) {
 		team := names[r.IntN(len(names))]
-		change := o.draw(team, r)
+		change := o.drawChange(team, r)
 		begun := time.Now()
 		revision, ok := o.apply(ctx, change)
 		if !ok {
@@ -100,22 +100,22 @@
 		slots <- struct{}{}
 		o.watchers.Go(func() {
 			defer func() { <-slots }()
-			o.await(ctx, team, revision)
+			o.awaitInForce(ctx, team, revision)
 		})
 	}
 }
 
-// draw moves a part of a team's limit from one region to another.
-func (o *operators) draw(team string, r *rand.Rand) *dynconfig.Change {
-	parts := o.parts[team]
+// drawChange moves a part of a team's limit from one region to another.
+func (o *operators) drawChange(team string, r *rand.Rand) *dynconfig.Change {
+	parts := o.limits[team]
 	from, to := r.IntN(len(parts)), r.IntN(len(parts))
-	moved := parts[from] * movedShare * r.Float64()
+	moved := parts[from] * maxMovedShare * r.Float64()
 	parts[from] -= moved
 	parts[to] += moved
-	total, c := o.total(), dynconfig.TeamChange{Name: team, Regions: map[string]dynconfig.Part{}}
+	total, c := o.totalLimit(), dynconfig.TeamChange{Name: team, Regions: map[string]dynconfig.Part{}}
 	c.Limit = &dynconfig.Quota{CPUs: &total}
 	for i, region := range o.regions {
-		limit, guarantee := parts[i], min(parts[i], region.limit()/(2*limitTimes))
+		limit, guarantee := parts[i], min(parts[i], region.teamLimit()/(2*limitFactor))
 		c.Regions[region.name] = dynconfig.Part{Limit: &dynconfig.Quota{CPUs: &limit}, Guarantee: &dynconfig.Quota{CPUs: &guarantee}}
 	}
 	return &dynconfig.Change{Teams: []dynconfig.TeamChange{c}}
@@ -130,21 +130,21 @@
 	var out struct {
 		Revision uint64 `codec:"revision"`
 	}
-	ok = o.ask(ctx, http.MethodPost, configPath, body, &out)
+	ok = o.request(ctx, http.MethodPost, configPath, body, &out)
 	return out.Revision, ok
 }
 
-// ask asks the home region's controllers in turn.
-func (o *operators) ask(ctx context.Context, method, path string, body []byte, out any) bool {
+// request asks the home region's controllers in turn.
+func (o *operators) request(ctx context.Context, method, path string, body []byte, out any) bool {
 	for _, server := range o.regions[0].addresses {
-		if o.askOne(ctx, method, "http://"+server+path, body, out) {
+		if o.requestFrom(ctx, method, "http://"+server+path, body, out) {
 			return true
 		}
 	}
 	return false
 }
 
-func (o *operators) askOne(ctx context.Context, method, url string, body []byte, out any) bool {
+func (o *operators) requestFrom(ctx context.Context, method, url string, body []byte, out any) bool {
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
 		return false
@@ -158,11 +158,11 @@
 	return err == nil && res.StatusCode == http.StatusOK && wire.Unmarshal(answer, out) == nil
 }
 
-// look keeps the status.
-func (o *operators) look(ctx context.Context) {
-	for sleep(ctx, statusEvery) {
+// pollStatus keeps the status.
+func (o *operators) pollStatus(ctx context.Context) {
+	for sleep(ctx, statusInterval) {
 		var s dynconfig.Status
-		if o.ask(ctx, http.MethodGet, configPath+"/status", nil, &s) {
+		if o.request(ctx, http.MethodGet, configPath+"/status", nil, &s) {
 			o.mu.Lock()
 			o.status = s
 			o.mu.Unlock()
@@ -170,19 +170,19 @@
 	}
 }
 
-// await waits until a team's change is in force everywhere.
-func (o *operators) await(ctx context.Context, team string, revision uint64) {
+// awaitInForce waits until a team's change is in force everywhere.
+func (o *operators) awaitInForce(ctx context.Context, team string, revision uint64) {
 	begun, rests := time.Now(), false
-	for sleep(ctx, statusEvery) {
+	for sleep(ctx, statusInterval) {
 		o.mu.Lock()
 		s := o.status
 		o.mu.Unlock()
-		behind, inUse := lacking(&s, team, revision)
+		behind, inUse := pendingChange(&s, team, revision)
 		rests = rests || inUse
 		switch {
 		case behind:
 		case rests:
-			o.record(o.inUse, time.Since(begun))
+			o.record(o.inForceAfterWait, time.Since(begun))
 			return
 		default:
 			o.record(o.inForce, time.Since(begun))
@@ -192,9 +192,9 @@
 	o.unsettled.Add(1)
 }
 
-// lacking reports whether a team's change is not in force somewhere, and whether that is
+// pendingChange reports whether a team's change is not in force somewhere, and whether that is
 // because a region has tasks that take more than its new part.
-func lacking(s *dynconfig.Status, team string, revision uint64) (behind, inUse bool) {
+func pendingChange(s *dynconfig.Status, team string, revision uint64) (behind, inUse bool) {
 	if s.Revision < revision {
 		return true, false
 	}
@@ -216,26 +216,26 @@
 func (o *operators) record(h *hdrhistogram.Histogram, took time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	_ = h.RecordValue(min(max(1, took.Milliseconds()), waitsMost)) // within its range
+	_ = h.RecordValue(min(max(1, took.Milliseconds()), maxWaitMs)) // within its range
 }
 
 func (o *operators) report() configurationReport {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return configurationReport{o.stored.TotalCount(), o.refused.Load(), o.unsettled.Load(), quantilesOf(o.stored), quantilesOf(o.inForce), quantilesOf(o.inUse)}
+	return configurationReport{o.stored.TotalCount(), o.refused.Load(), o.unsettled.Load(), quantilesOf(o.stored), quantilesOf(o.inForce), quantilesOf(o.inForceAfterWait)}
 }
 
-// judgeLimits looks whether the regions together use more of a team's limit than there is.
-func (o *operators) judgeLimits() {
+// checkLimits looks whether the regions together use more of a team's limit than there is.
+func (o *operators) checkLimits() {
 	used := map[string]float64{}
 	for _, region := range o.regions {
-		for team, cpus := range region.world.UsesAll() {
+		for team, cpus := range region.world.CPUsByTeam() {
 			used[team] += cpus
 		}
 	}
 	for team, cpus := range used {
-		if cpus > o.total()+1e-6 {
-			o.regions[0].world.Fail("quota: %s uses %g of %g CPUs in all regions", team, cpus, o.total())
+		if cpus > o.totalLimit()+1e-6 {
+			o.regions[0].world.ReportViolation("quota: %s uses %g of %g CPUs in all regions", team, cpus, o.totalLimit())
 		}
 	}
 }
@@ -248,7 +248,7 @@
 	if of == home {
 		return set, nil
 	}
-	for i, target := range home.peers {
+	for i, target := range home.peerAddresses {
 		ln, err := of.network.Loopback.Listen(fmt.Sprintf("%s/relay-%d:0", of.name, i))
 		if err != nil {
 			return set, err
--- a/internal/scale/network.go
+++ b/internal/scale/network.go
@@ -118,7 +118,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return newCounted(c, t), nil
+		return newCountedConn(c, t), nil
 	}
 }
 
@@ -133,23 +133,23 @@
 	if err != nil {
 		return nil, err
 	}
-	return newCounted(c, l.traffic), nil
+	return newCountedConn(c, l.traffic), nil
 }
 
-// counted is a connection whose payload is counted, and held while its host is cut off.
-type counted struct {
+// countedConn is a connection whose payload is counted, and held while its host is cut off.
+type countedConn struct {
 	net.Conn
 	traffic *traffic
 	closed  chan struct{}
 	once    sync.Once
 }
 
-func newCounted(c net.Conn, t *traffic) *counted {
-	return &counted{Conn: c, traffic: t, closed: make(chan struct{})}
+func newCountedConn(c net.Conn, t *traffic) *countedConn {
+	return &countedConn{Conn: c, traffic: t, closed: make(chan struct{})}
 }
 
 // Read implements net.Conn.
-func (c *counted) Read(b []byte) (int, error) {
+func (c *countedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 && !c.traffic.gate.pass(c.closed) {
 		return 0, net.ErrClosed
@@ -159,7 +159,7 @@
 }
 
 // Write implements net.Conn.
-func (c *counted) Write(b []byte) (int, error) {
+func (c *countedConn) Write(b []byte) (int, error) {
 	if !c.traffic.gate.pass(c.closed) {
 		return 0, net.ErrClosed
 	}
@@ -170,7 +170,7 @@
 }
 
 // Close implements net.Conn.
-func (c *counted) Close() error {
+func (c *countedConn) Close() error {
 	c.once.Do(func() { close(c.closed) })
 	return c.Conn.Close()
 }
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -46,10 +46,10 @@
 	Duration time.Duration
 	// Seed draws the jobs.
 	Seed uint64
-	// Troubles are what goes wrong when.
-	Troubles []Trouble
-	// Changes is how many changes of the configuration are made a minute; 0: none.
-	Changes float64
+	// Faults are what goes wrong when.
+	Faults []Fault
+	// ChangesPerMinute is how many changes of the configuration are made a minute; 0: none.
+	ChangesPerMinute float64
 	// Binary is the controllers' program.
 	Binary string
 	Log    *slog.Logger
@@ -68,10 +68,10 @@
 		return fmt.Errorf("--starts %v is not from 0 to %d", o.StartsPerS, maxFactor*PlannedStartsPerS)
 	case o.Duration < minDuration || o.Duration > maxDuration:
 		return fmt.Errorf("--duration %v is not from %v to %v", o.Duration, minDuration, maxDuration)
-	case !(o.Changes >= 0 && o.Changes <= 1000):
-		return fmt.Errorf("--changes %v is not from 0 to 1000", o.Changes)
+	case !(o.ChangesPerMinute >= 0 && o.ChangesPerMinute <= 1000):
+		return fmt.Errorf("--changes %v is not from 0 to 1000", o.ChangesPerMinute)
 	}
-	return checkTroubles(o.Troubles, o.regionNames())
+	return checkFaults(o.Faults, o.regionNames())
 }
 
 // regionPlan is the size of one region.
@@ -86,9 +86,9 @@
 // largestShare is the part of the fleet that is in the first region.
 const largestShare = 1.0 / 3
 
-// shares are the regions' parts of the fleet: a third in the first, the others ever
+// regionShares are the regions' parts of the fleet: a third in the first, the others ever
 // smaller.
-func shares(regions int) []float64 {
+func regionShares(regions int) []float64 {
 	if regions == 1 {
 		return []float64{1}
 	}
@@ -139,7 +139,7 @@
 
 // plan divides the fleet among the regions.
 func (o *Options) plan() []regionPlan {
-	parts, names := shares(o.Regions), o.regionNames()
+	parts, names := regionShares(o.Regions), o.regionNames()
 	plans := make([]regionPlan, o.Regions)
 	for i := range plans {
 		zones := PlannedZones / o.Regions
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -48,15 +48,15 @@
 	region  string
 	member  string
 	command []string
-	log     string // file of its standard error
-
-	mu       sync.Mutex
-	cmd      *exec.Cmd // nil: it does not run
-	ended    chan struct{}
-	expected bool // its end was asked for
-	stats    controllerStats
-	last     usage
-	lastAt   time.Time
+	logFile string // file of its standard error
+
+	mu          sync.Mutex
+	cmd         *exec.Cmd // nil: it does not run
+	ended       chan struct{}
+	endExpected bool // its end was asked for
+	stats       controllerStats
+	lastUsage   usage
+	lastSampled time.Time
 }
 
 // controllerStats is what a controller's process has taken.
@@ -70,7 +70,7 @@
 	// Ends counts the ends that nobody asked for.
 	Ends int `json:"ends"`
 
-	used, over time.Duration
+	cpuTime, sampledTime time.Duration
 }
 
 // launcher starts processes from one thread that lives as long as it does: the kernel
@@ -113,21 +113,21 @@
 
 // start starts the controller's process.
 func (c *controller) start(l *launcher) error {
-	cmd, err := l.start(c.command, c.log)
+	cmd, err := l.start(c.command, c.logFile)
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.member, err)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.cmd, c.ended, c.expected = cmd, make(chan struct{}), false
-	c.last, c.lastAt = usage{}, time.Now()
+	c.cmd, c.ended, c.endExpected = cmd, make(chan struct{}), false
+	c.lastUsage, c.lastSampled = usage{}, time.Now()
 	ended := c.ended
 	go func() {
 		_ = cmd.Wait() // how it ended is of no interest, only whether it was asked to
 		c.mu.Lock()
 		if c.cmd == cmd {
 			c.cmd = nil
-			if !c.expected {
+			if !c.endExpected {
 				c.stats.Ends++
 			}
 		}
@@ -141,7 +141,7 @@
 func (c *controller) kill() {
 	c.mu.Lock()
 	cmd, ended := c.cmd, c.ended
-	c.expected = true
+	c.endExpected = true
 	c.mu.Unlock()
 	if cmd == nil {
 		return
@@ -161,14 +161,14 @@
 	if err != nil {
 		return usage{} // it has just ended
 	}
-	used, over := u.cpu-c.last.cpu, now.Sub(c.lastAt)
-	c.stats.used += used
-	c.stats.over += over
-	c.stats.CPUMean = c.stats.used.Seconds() / max(c.stats.over.Seconds(), 1e-9)
+	used, over := u.cpu-c.lastUsage.cpu, now.Sub(c.lastSampled)
+	c.stats.cpuTime += used
+	c.stats.sampledTime += over
+	c.stats.CPUMean = c.stats.cpuTime.Seconds() / max(c.stats.sampledTime.Seconds(), 1e-9)
 	c.stats.CPUPeak = max(c.stats.CPUPeak, used.Seconds()/max(over.Seconds(), 1e-9))
 	c.stats.RSSPeakMB = max(c.stats.RSSPeakMB, u.rssMB)
 	c.stats.SocketsPeak = max(c.stats.SocketsPeak, u.sockets)
-	c.last, c.lastAt = u, now
+	c.lastUsage, c.lastSampled = u, now
 	return u
 }
 
@@ -189,7 +189,7 @@
 
 // lastLine is what the controller has logged last.
 func (c *controller) lastLine() string {
-	b, err := os.ReadFile(c.log)
+	b, err := os.ReadFile(c.logFile)
 	if err != nil {
 		return err.Error()
 	}
--- a/internal/scale/region.go
+++ b/internal/scale/region.go
@@ -31,52 +31,52 @@
 	stateRPS, stateWriteRPS, valueKB, txnOps       = 600, 250, 32, 12
 	cloudRPS, listLagS                             = 6, 8
 	controllerMB, controllerSockets                = 1024, 6000
-	fetchTime                                      = 300 * time.Millisecond
+	imagePullTime                                  = 300 * time.Millisecond
 	userPort, peerPort                             = "8080", "8081"
 	// urgentS is within what time, in seconds, urgentShare of the urgent tasks are to start.
 	urgentS, urgentShare = 5.6, 0.99
 	// promiseMs and yieldS are those of deploy/shares.json.
 	promiseMs, yieldS = 2000, 5
-	// keepIdle is for how many boot times idle machines are kept: the fleet stays as it is.
-	keepIdle = 100
-	// limitTimes is a team's limit in even parts of the region.
-	limitTimes = 8
+	// idleBoots is for how many boot times idle machines are kept: the fleet stays as it is.
+	idleBoots = 100
+	// limitFactor is a team's limit in even parts of the region.
+	limitFactor = 8
 )
 
 // region is a cell: a state service, a cloud with its workers, controllers and users.
 type region struct {
 	regionPlan
-	options     *Options
-	network     *network
-	store       *emulate.Store
-	world       *emulate.World
-	waits       *waits
-	users       *users
-	controllers []*controller
-	addresses   []string // of the controllers, for users and workers
-	peers       []string // of the controllers, for controllers
-	servers     []*http.Server
+	options       *Options
+	network       *network
+	store         *emulate.Store
+	world         *emulate.World
+	startWaits    *startWaits
+	users         *users
+	controllers   []*controller
+	addresses     []string // of the controllers, for users and workers
+	peerAddresses []string // of the controllers, for controllers
+	servers       []*http.Server
 }
 
 // newRegion starts what a region's controllers live with, and writes their settings below
 // dir.
-func newRegion(o *Options, p regionPlan, l *emulate.Loopback, waits *waits, dir string) (*region, error) {
-	r := &region{regionPlan: p, options: o, network: newNetwork(p.name, l), store: emulate.NewStore(), waits: waits}
+func newRegion(o *Options, p regionPlan, l *emulate.Loopback, waits *startWaits, dir string) (*region, error) {
+	r := &region{regionPlan: p, options: o, network: newNetwork(p.name, l), store: emulate.NewStore(), startWaits: waits}
 	typ := machineType
 	typ.Zones = p.zones
 	var workersSee []emulate.Controller
 	for i := range p.controllers {
-		at, err := r.reserve(l, fmt.Sprintf("controller-%d", i))
+		at, err := r.reserveAddress(l, fmt.Sprintf("controller-%d", i))
 		if err != nil {
 			return nil, err
 		}
 		r.addresses = append(r.addresses, net.JoinHostPort(at, userPort))
-		r.peers = append(r.peers, net.JoinHostPort(at, peerPort))
+		r.peerAddresses = append(r.peerAddresses, net.JoinHostPort(at, peerPort))
 		workersSee = append(workersSee, emulate.Controller{Member: r.member(i), Addr: r.addresses[i]})
 	}
-	r.world = emulate.New(emulate.Config{Network: r.network, Store: r.store, Types: []wire.MachineType{typ}, Most: p.workers, Controllers: workersSee,
-		Lease: leaseS * time.Second, Cancel: cancelS * time.Second, Report: reportS * time.Second, GangWait: gangWaitS * time.Second,
-		Fetch: fetchTime, ListLag: listLagS * time.Second, Limits: r.limits(), Started: waits.started, Log: o.Log})
+	r.world = emulate.New(emulate.Config{Network: r.network, Store: r.store, Types: []wire.MachineType{typ}, MaxMachines: p.workers, Controllers: workersSee,
+		LeaseDuration: leaseS * time.Second, CancelTimeout: cancelS * time.Second, HeartbeatInterval: reportS * time.Second, GangTimeout: gangWaitS * time.Second,
+		ImagePull: imagePullTime, ListLag: listLagS * time.Second, Limits: r.teamLimits(), OnStarted: waits.started, Log: o.Log})
 	set, err := r.settings(l)
 	if err != nil {
 		return nil, err
@@ -86,8 +86,8 @@
 
 func (r *region) member(i int) string { return fmt.Sprintf("%s-controller-%d", r.name, i) }
 
-// reserve gives a controller an address of its own.
-func (r *region) reserve(l *emulate.Loopback, host string) (ip string, err error) {
+// reserveAddress gives a controller an address of its own.
+func (r *region) reserveAddress(l *emulate.Loopback, host string) (ip string, err error) {
 	ln, err := l.Listen(r.name + "/" + host + ":0")
 	if err != nil {
 		return "", err
@@ -97,9 +97,9 @@
 	return ip, err
 }
 
-// limit is what a team may use in this region.
-func (r *region) limit() float64 {
-	return limitTimes * float64(r.workers) * machineType.CPUs / float64(r.options.teams())
+// teamLimit is what a team may use in this region.
+func (r *region) teamLimit() float64 {
+	return limitFactor * float64(r.workers) * machineType.CPUs / float64(r.options.teams())
 }
 
 func (r *region) teamNames() []string {
@@ -110,15 +110,15 @@
 	return names
 }
 
-// limits are the teams', as the judge of the region holds them against each start. While
+// teamLimits are the teams', as the judge of the region holds them against each start. While
 // they move from region to region only their sums are judged.
-func (r *region) limits() map[string]emulate.Limit {
-	if r.options.Changes > 0 {
+func (r *region) teamLimits() map[string]emulate.Limit {
+	if r.options.ChangesPerMinute > 0 {
 		return nil
 	}
 	out := map[string]emulate.Limit{}
 	for _, t := range r.teamNames() {
-		out[t] = emulate.Limit{CPUs: r.limit()}
+		out[t] = emulate.Limit{CPUs: r.teamLimit()}
 	}
 	return out
 }
@@ -151,7 +151,7 @@
 	f := &s.Facts
 	f.Nodes, f.Zones, f.SkewMs = r.regionPlan.controllers, r.zones, 50
 	for _, t := range r.teamNames() {
-		f.Teams = append(f.Teams, config.Team{Name: t, CPUs: r.limit() / (2 * limitTimes), CPUsMax: r.limit()})
+		f.Teams = append(f.Teams, config.Team{Name: t, CPUs: r.teamLimit() / (2 * limitFactor), CPUsMax: r.teamLimit()})
 	}
 	f.Objectives = []config.Objective{{Kind: "wait", Class: urgentClass, WithinS: urgentS, Share: urgentShare}}
 	f.Workers = config.Workers{ReportS: reportS, LeaseS: leaseS, GangWaitS: gangWaitS, GangPeerS: gangPeerS, CancelS: cancelS}
@@ -165,10 +165,10 @@
 func (r *region) writeSettings(facts *config.Settings, dir string) error {
 	for i := range r.addresses {
 		set := *facts
-		set.Member, set.Site, set.Listen, set.PeerListen = r.member(i), r.zones[i%len(r.zones)], r.addresses[i], r.peers[i]
+		set.Member, set.Site, set.Listen, set.PeerListen = r.member(i), r.zones[i%len(r.zones)], r.addresses[i], r.peerAddresses[i]
 		for j := range r.addresses {
 			if j != i {
-				set.Siblings = append(set.Siblings, config.Sibling{Member: r.member(j), Site: r.zones[j%len(r.zones)], Address: r.peers[j]})
+				set.Siblings = append(set.Siblings, config.Sibling{Member: r.member(j), Site: r.zones[j%len(r.zones)], Address: r.peerAddresses[j]})
 			}
 		}
 		b, err := toml.Marshal(&set)
@@ -179,7 +179,7 @@
 		if err := os.WriteFile(base+".toml", b, 0o600); err != nil {
 			return err
 		}
-		r.controllers = append(r.controllers, &controller{region: r.name, member: set.Member, log: base + ".log",
+		r.controllers = append(r.controllers, &controller{region: r.name, member: set.Member, logFile: base + ".log",
 			command: []string{r.options.Binary, "--tuning", base + ".json", "--config", base + ".toml"}})
 	}
 	return nil
@@ -201,7 +201,7 @@
 // writeTuning writes the operators' settings of each controller.
 func (r *region) writeTuning(regions config.Regions) error {
 	t := tuning{PromiseMs: promiseMs, YieldS: yieldS, Regions: regions}
-	t.Shares.Enabled, t.Hosts.IdleBoots = true, keepIdle
+	t.Shares.Enabled, t.Hosts.IdleBoots = true, idleBoots
 	b, err := json.Marshal(t)
 	if err != nil {
 		return err
@@ -214,16 +214,16 @@
 	return nil
 }
 
-// boot lets all workers come up within a while.
-func (r *region) boot(within time.Duration) {
+// bootWorkers lets all workers come up within a while.
+func (r *region) bootWorkers(within time.Duration) {
 	for i := range r.workers {
 		after := within * time.Duration(i) / time.Duration(r.workers)
 		r.world.Boot(machineType.Name, r.zones[i%len(r.zones)], false, after)
 	}
 }
 
-// load lets the users submit until the context ends.
-func (r *region) load(ctx context.Context, u *users, seed uint64) {
+// startLoad lets the users submit until the context ends.
+func (r *region) startLoad(ctx context.Context, u *users, seed uint64) {
 	r.users = u
 	for i, c := range r.options.classes() {
 		random := rand.New(rand.NewPCG(seed, uint64(i)))
@@ -247,8 +247,8 @@
 // holderKey is where the leader stands in the state service.
 const holderKey = "lead/holder"
 
-// ended reports whether a controller has ended by itself.
-func (r *region) ended() bool {
+// controllerEnded reports whether a controller has ended by itself.
+func (r *region) controllerEnded() bool {
 	return slices.ContainsFunc(r.controllers, func(c *controller) bool { return c.statistics().Ends > 0 })
 }
 
--- a/internal/scale/relay.go
+++ b/internal/scale/relay.go
@@ -9,33 +9,33 @@
 // relay hands connections on to a controller of another region, and can cut the two
 // regions from each other: what is under way is held, and new connections hang.
 type relay struct {
-	ln     net.Listener
-	target string
-	gate   *gate
-	end    chan struct{}
-	wg     sync.WaitGroup
+	listener net.Listener
+	target   string
+	gate     *gate
+	done     chan struct{}
+	wg       sync.WaitGroup
 }
 
 // newRelay listens at an address of the network for connections to target.
 func newRelay(ln net.Listener, target string) *relay {
-	r := &relay{ln: ln, target: target, gate: newGate(), end: make(chan struct{})}
+	r := &relay{listener: ln, target: target, gate: newGate(), done: make(chan struct{})}
 	r.wg.Go(r.accept)
 	return r
 }
 
 // addr is where the relay is reached.
-func (r *relay) addr() string { return r.ln.Addr().String() }
+func (r *relay) addr() string { return r.listener.Addr().String() }
 
 // close ends the relay and its connections.
 func (r *relay) close() {
-	close(r.end)
-	_ = r.ln.Close()
+	close(r.done)
+	_ = r.listener.Close()
 	r.wg.Wait()
 }
 
 func (r *relay) accept() {
 	for {
-		c, err := r.ln.Accept()
+		c, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
@@ -45,7 +45,7 @@
 
 func (r *relay) serve(from net.Conn) {
 	defer from.Close()
-	if !r.gate.pass(r.end) {
+	if !r.gate.pass(r.done) {
 		return
 	}
 	to, err := net.Dial("tcp4", r.target)
@@ -55,7 +55,7 @@
 	defer to.Close()
 	var wg sync.WaitGroup
 	pipe := func(dst, src net.Conn) {
-		_, _ = io.Copy(&held{dst, r}, src) // an end of either side ends both
+		_, _ = io.Copy(&gatedWriter{dst, r}, src) // an end of either side ends both
 		_ = dst.Close()
 		_ = src.Close()
 	}
@@ -65,22 +65,22 @@
 	go func() { wg.Wait(); close(done) }()
 	select {
 	case <-done:
-	case <-r.end:
+	case <-r.done:
 		_ = from.Close()
 		_ = to.Close()
 		<-done
 	}
 }
 
-// held writes once the relay's gate is open.
-type held struct {
-	dst net.Conn
-	r   *relay
+// gatedWriter writes once the relay's gate is open.
+type gatedWriter struct {
+	dst   net.Conn
+	relay *relay
 }
 
 // Write implements io.Writer.
-func (h *held) Write(b []byte) (int, error) {
-	if !h.r.gate.pass(h.r.end) {
+func (h *gatedWriter) Write(b []byte) (int, error) {
+	if !h.relay.gate.pass(h.relay.done) {
 		return 0, net.ErrClosed
 	}
 	return h.dst.Write(b)
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -27,9 +27,9 @@
 	// Stopped says what has ended the run before its time; empty: nothing.
 	Stopped string `json:"stopped,omitempty"`
 	// Asked is the rate of task starts that users asked for, StartsPerS what came of it.
-	AskedPerS  float64 `json:"asked_starts_per_s"`
-	Starts     int     `json:"starts"`
-	StartsPerS float64 `json:"starts_per_s"`
+	RequestedPerS float64 `json:"asked_starts_per_s"`
+	Starts        int     `json:"starts"`
+	StartsPerS    float64 `json:"starts_per_s"`
 	// RunningPeak is the largest number of tasks on their machines at a time.
 	RunningPeak int           `json:"running_peak"`
 	RunS        float64       `json:"task_run_s"`
@@ -41,11 +41,11 @@
 	UrgentMs      quantiles           `json:"urgent_start_ms"`
 	OtherMs       quantiles           `json:"other_start_ms"`
 	Regions       []regionReport      `json:"regions"`
-	// StandInsCPU is the processor that emulated workers, state services, clouds and users
+	// EmulationCPU is the processor that emulated workers, state services, clouds and users
 	// took together, in cores, and StandInsMB their memory.
-	StandInsCPU float64 `json:"stand_ins_cpu"`
-	StandInsMB  float64 `json:"stand_ins_mb"`
-	TotalMB     float64 `json:"total_mb"`
+	EmulationCPU float64 `json:"stand_ins_cpu"`
+	EmulationMB  float64 `json:"stand_ins_mb"`
+	TotalMB      float64 `json:"total_mb"`
 }
 
 // jobCounts is what became of the jobs.
@@ -87,15 +87,15 @@
 	controllerStats
 }
 
-// reading is the counters of a moment.
-type reading struct {
+// counterReading is the counters of a moment.
+type counterReading struct {
 	traffic []map[string]counters
 	starts  []int
 	loads   []emulate.Load
 	stores  []emulate.StoreLoad
 }
 
-func (r *run) reading() (out reading) {
+func (r *run) readCounters() (out counterReading) {
 	for _, region := range r.regions {
 		out.traffic = append(out.traffic, region.network.totals())
 		out.starts = append(out.starts, region.world.Starts())
@@ -106,15 +106,15 @@
 }
 
 // report compares two readings.
-func (r *run) report(before, after reading, took, ready, cpu time.Duration) *Report {
+func (r *run) report(before, after counterReading, took, ready, cpu time.Duration) *Report {
 	o := &r.options
 	p := &Report{Factor: o.Factor, Controllers: o.Controllers, Teams: o.teams(), DurationS: took.Seconds(), ReadyS: ready.Seconds(),
-		AskedPerS: o.starts(), RunS: o.runTime().Seconds(), RulesBroken: []string{}, Worker: perWorker(before.traffic, after.traffic, took),
-		StandInsCPU: cpu.Seconds() / took.Seconds()}
+		RequestedPerS: o.starts(), RunS: o.runTime().Seconds(), RulesBroken: []string{}, Worker: perWorker(before.traffic, after.traffic, took),
+		EmulationCPU: cpu.Seconds() / took.Seconds()}
 	for i, region := range r.regions {
 		p.Workers += region.workers
 		p.Starts += after.starts[i] - before.starts[i]
-		p.RulesBroken = append(p.RulesBroken, region.world.Broken()...)
+		p.RulesBroken = append(p.RulesBroken, region.world.Violations()...)
 		p.Jobs.Submitted += region.users.submitted.Load()
 		p.Jobs.Accepted += region.users.accepted.Load()
 		p.Jobs.Refused += region.users.refused.Load()
@@ -122,22 +122,22 @@
 		p.Regions = append(p.Regions, region.report(i, before, after, took.Seconds()))
 	}
 	p.StartsPerS = float64(p.Starts) / took.Seconds()
-	r.waits.mu.Lock()
-	p.UrgentMs, p.OtherMs = quantilesOf(r.waits.urgent), quantilesOf(r.waits.other)
-	r.waits.mu.Unlock()
+	r.startWaits.mu.Lock()
+	p.UrgentMs, p.OtherMs = quantilesOf(r.startWaits.urgent), quantilesOf(r.startWaits.other)
+	r.startWaits.mu.Unlock()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	p.RunningPeak, p.StandInsMB, p.TotalMB = r.running, r.standInsRSS, r.totalRSS
+	p.RunningPeak, p.EmulationMB, p.TotalMB = r.runningPeak, r.emulationMB, r.totalMB
 	return p
 }
 
-func (r *region) report(i int, before, after reading, s float64) regionReport {
+func (r *region) report(i int, before, after counterReading, s float64) regionReport {
 	per := func(was, now int) float64 { return float64(now-was) / s }
 	out := regionReport{Name: r.name, Zones: len(r.zones), Workers: r.workers, StartsPerS: per(before.starts[i], after.starts[i]),
-		ReportsPerS:   per(before.loads[i].Reports, after.loads[i].Reports),
-		DirectsPerS:   per(before.loads[i].Directs, after.loads[i].Directs),
+		ReportsPerS:   per(before.loads[i].Heartbeats, after.loads[i].Heartbeats),
+		DirectsPerS:   per(before.loads[i].DirectCommands, after.loads[i].DirectCommands),
 		StateRequests: per(before.stores[i].Requests, after.stores[i].Requests),
-		StateWrites:   per(before.stores[i].Writes, after.stores[i].Writes), StateKeys: r.store.Count("")}
+		StateWrites:   per(before.stores[i].Writes, after.stores[i].Writes), StateKeys: r.store.CountKeys("")}
 	for _, c := range r.controllers {
 		out.Controllers = append(out.Controllers, controllerReport{c.member, c.statistics()})
 	}
@@ -151,7 +151,7 @@
 	if p.Stopped != "" {
 		fmt.Fprintf(w, "stopped early: %s\n", p.Stopped)
 	}
-	fmt.Fprintf(w, "task starts: %d, %.0f a second of %.0f asked for; at most %d at a time, of %.0f s\n", p.Starts, p.StartsPerS, p.AskedPerS, p.RunningPeak, p.RunS)
+	fmt.Fprintf(w, "task starts: %d, %.0f a second of %.0f asked for; at most %d at a time, of %.0f s\n", p.Starts, p.StartsPerS, p.RequestedPerS, p.RunningPeak, p.RunS)
 	fmt.Fprintf(w, "jobs: %d submitted, %d accepted, %d refused, %d told done\n", p.Jobs.Submitted, p.Jobs.Accepted, p.Jobs.Refused, p.Jobs.Done)
 	fmt.Fprintf(w, "a worker sends %.0f and receives %.0f bytes a second (most: %.0f together), %.2f messages a second\n", p.Worker.Sent, p.Worker.Received, p.Worker.Most, p.Worker.Messages)
 	fmt.Fprintf(w, "start of urgent tasks, ms: %d of them, p50 %d, p99 %d, most %d; of others: %d, p50 %d, p99 %d, most %d\n",
@@ -159,7 +159,7 @@
 	c := &p.Configuration
 	fmt.Fprintf(w, "configuration: %d changes, %d refused, %d not in force at the end; in force everywhere, ms: p50 %d, p99 %d, most %d; %d waited for another region, most %d\n",
 		c.Changes, c.Refused, c.Unsettled, c.InForceMs.P50, c.InForceMs.P99, c.InForceMs.Most, c.InUseMs.Count, c.InUseMs.Most)
-	fmt.Fprintf(w, "stand-ins: %.2f cores, %.0f MB; all processes %.0f MB\n", p.StandInsCPU, p.StandInsMB, p.TotalMB)
+	fmt.Fprintf(w, "stand-ins: %.2f cores, %.0f MB; all processes %.0f MB\n", p.EmulationCPU, p.EmulationMB, p.TotalMB)
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(t, "REGION\tZONES\tWORKERS\tSTARTS/S\tREPORTS/S\tDIRECT/S\tSTATE REQ/S\tWRITES/S\tKEYS")
 	for _, g := range p.Regions {
@@ -186,8 +186,8 @@
 	return u.cpu
 }
 
-// memoryLimitMB is what a run may take of the machine's memory.
-func memoryLimitMB() (float64, error) {
+// ownMemoryLimitMB is what a run may take of the machine's memory.
+func ownMemoryLimitMB() (float64, error) {
 	fs, err := procfs.NewDefaultFS()
 	if err != nil {
 		return 0, err
@@ -199,5 +199,5 @@
 	if info.MemTotal == nil {
 		return 0, errors.New("meminfo: no MemTotal")
 	}
-	return mostMemory * float64(*info.MemTotal) / 1024, nil // it is in KB
+	return maxMemoryShare * float64(*info.MemTotal) / 1024, nil // it is in KB
 }
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -17,18 +17,18 @@
 )
 
 const (
-	// readyWithin is how long controllers and workers may take to find each other.
-	readyWithin = 90 * time.Second
-	readyEvery  = 200 * time.Millisecond
+	// readyTimeout is how long controllers and workers may take to find each other.
+	readyTimeout  = 90 * time.Second
+	readyInterval = 200 * time.Millisecond
 	// bootsPerS is how many workers come up a second.
 	bootsPerS = 400
 	// readyShare is the part of the workers that has to be answered before the load.
 	readyShare = 0.98
-	// sampleEvery spaces the looks at the processes.
-	sampleEvery = 2 * time.Second
-	// mostMemory is the part of the machine's memory that a run may take.
-	mostMemory = 0.5
-	probeTime  = time.Second
+	// sampleInterval spaces the looks at the processes.
+	sampleInterval = 2 * time.Second
+	// maxMemoryShare is the part of the machine's memory that a run may take.
+	maxMemoryShare = 0.5
+	probeTimeout   = time.Second
 )
 
 // errMemory ends a run that takes more of the machine's memory than it may.
@@ -36,19 +36,19 @@
 
 // run is a run under way.
 type run struct {
-	options  Options
-	launcher *launcher
-	regions  []*region
-	relays   map[link]*relay
-	waits    *waits
-	guard    net.Listener
-	client   *http.Client
-	memoryMB float64 // that a run may take
+	options       Options
+	launcher      *launcher
+	regions       []*region
+	relays        map[link]*relay
+	startWaits    *startWaits
+	guard         net.Listener
+	client        *http.Client
+	memoryLimitMB float64 // that a run may take
 
 	mu          sync.Mutex
-	running     int // tasks, the most at a time
-	standInsRSS float64
-	totalRSS    float64
+	runningPeak int // tasks, the most at a time
+	emulationMB float64
+	totalMB     float64
 }
 
 // link is the way from a region to a controller of another.
@@ -68,16 +68,16 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	r := &run{options: o, launcher: newLauncher(), relays: map[link]*relay{}, waits: newWaits(), client: &http.Client{Timeout: probeTime}}
+	r := &run{options: o, launcher: newLauncher(), relays: map[link]*relay{}, startWaits: newStartWaits(), client: &http.Client{Timeout: probeTimeout}}
 	defer r.close()
-	if r.memoryMB, err = memoryLimitMB(); err != nil {
+	if r.memoryLimitMB, err = ownMemoryLimitMB(); err != nil {
 		return nil, err
 	}
 	begun := time.Now()
 	if err := r.prepare(dir); err != nil {
 		return nil, err
 	}
-	if err := r.ready(ctx); err != nil {
+	if err := r.waitReady(ctx); err != nil {
 		return nil, err
 	}
 	return r.measure(ctx, time.Since(begun))
@@ -85,12 +85,12 @@
 
 // prepare makes the regions and starts their controllers.
 func (r *run) prepare(dir string) error {
-	loopback, err := r.claim()
+	loopback, err := r.claimAddressBlock()
 	if err != nil {
 		return err
 	}
 	for _, p := range r.options.plan() {
-		region, err := newRegion(&r.options, p, loopback, r.waits, dir)
+		region, err := newRegion(&r.options, p, loopback, r.startWaits, dir)
 		if region != nil {
 			r.regions = append(r.regions, region)
 		}
@@ -121,8 +121,8 @@
 	guardAddress          = "127.%d.255.254:1079"
 )
 
-// claim finds a block of loopback addresses that no other run on this machine uses.
-func (r *run) claim() (*emulate.Loopback, error) {
+// claimAddressBlock finds a block of loopback addresses that no other run on this machine uses.
+func (r *run) claimAddressBlock() (*emulate.Loopback, error) {
 	blocks := lastBlock - firstBlock + 1
 	for i := range blocks {
 		block := firstBlock + (os.Getpid()+i)%blocks
@@ -135,24 +135,24 @@
 	return nil, errors.New("no block of loopback addresses is free")
 }
 
-// ready waits for the controllers, then lets the workers come up and waits for them.
-func (r *run) ready(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readyWithin)
+// waitReady waits for the controllers, then lets the workers come up and waits for them.
+func (r *run) waitReady(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for _, region := range r.regions {
 		for !region.healthy(r.client) {
-			if region.ended() || !sleep(ctx, readyEvery) {
-				return fmt.Errorf("the controllers of %s were not ready within %v; the first says: %s", region.name, readyWithin, region.controllers[0].lastLine())
+			if region.controllerEnded() || !sleep(ctx, readyInterval) {
+				return fmt.Errorf("the controllers of %s were not ready within %v; the first says: %s", region.name, readyTimeout, region.controllers[0].lastLine())
 			}
 		}
 	}
 	for _, region := range r.regions {
-		region.boot(time.Second * time.Duration(region.workers) / bootsPerS)
+		region.bootWorkers(time.Second * time.Duration(region.workers) / bootsPerS)
 	}
 	for _, region := range r.regions {
-		for region.world.Answered() < int(readyShare*float64(region.workers)) {
-			if !sleep(ctx, readyEvery) {
-				return fmt.Errorf("%d of %d workers of %s were answered within %v", region.world.Answered(), region.workers, region.name, readyWithin)
+		for region.world.AnsweredWorkers() < int(readyShare*float64(region.workers)) {
+			if !sleep(ctx, readyInterval) {
+				return fmt.Errorf("%d of %d workers of %s were answered within %v", region.world.AnsweredWorkers(), region.workers, region.name, readyTimeout)
 			}
 		}
 	}
@@ -164,7 +164,7 @@
 	load, cancel := context.WithTimeout(ctx, r.options.Duration)
 	defer cancel()
 	begun := time.Now()
-	before := r.reading()
+	before := r.readCounters()
 	cpu := ownCPU()
 	for _, region := range r.regions {
 		for _, c := range region.controllers {
@@ -174,19 +174,19 @@
 	var next atomic.Int64
 	for i, region := range r.regions {
 		u := newUsers(region.world, region.addresses, region.teamNames(), r.options.runTime(), &next)
-		region.load(load, u, r.options.Seed+uint64(i)<<32)
+		region.startLoad(load, u, r.options.Seed+uint64(i)<<32)
 	}
 	var wg sync.WaitGroup
-	for i, t := range r.options.Troubles {
-		wg.Go(func() { r.play(load, t, rand.New(rand.NewPCG(r.options.Seed, uint64(i)))) })
+	for i, t := range r.options.Faults {
+		wg.Go(func() { r.injectFault(load, t, rand.New(rand.NewPCG(r.options.Seed, uint64(i)))) })
 	}
 	operators := newOperators(r)
 	random := rand.New(rand.NewPCG(r.options.Seed, uint64(len(r.regions))))
-	wg.Go(func() { operators.work(load, r.options.Changes, random) })
-	err := r.watch(load, operators.judgeLimits)
+	wg.Go(func() { operators.changeLimits(load, r.options.ChangesPerMinute, random) })
+	err := r.watch(load, operators.checkLimits)
 	cancel()
 	took := time.Since(begun)
-	report := r.report(before, r.reading(), took, tookReady, ownCPU()-cpu)
+	report := r.report(before, r.readCounters(), took, tookReady, ownCPU()-cpu)
 	if err != nil {
 		report.Stopped = err.Error()
 	}
@@ -201,9 +201,9 @@
 
 // watch samples the processes until the load ends, or the memory does.
 func (r *run) watch(ctx context.Context, judge func()) error {
-	for sleep(ctx, sampleEvery) {
+	for sleep(ctx, sampleInterval) {
 		judge()
-		if r.sample() > r.memoryMB {
+		if r.sample() > r.memoryLimitMB {
 			return errMemory
 		}
 	}
@@ -220,15 +220,15 @@
 	}
 	total, running := own.rssMB, 0
 	for _, region := range r.regions {
-		running += region.world.Load().Running
+		running += region.world.Load().RunningTasks
 		for _, c := range region.controllers {
 			total += c.sample(now).rssMB
 		}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.running = max(r.running, running)
-	r.standInsRSS, r.totalRSS = max(r.standInsRSS, own.rssMB), max(r.totalRSS, total)
+	r.runningPeak = max(r.runningPeak, running)
+	r.emulationMB, r.totalMB = max(r.emulationMB, own.rssMB), max(r.totalMB, total)
 	return total
 }
 
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -44,9 +44,9 @@
 		{`[{"kind":"zone_cut","region":"region-0","at_s":-1}]`, "troubles[0].at_s"},
 		{`[{"kinds":1}]`, "unknown field"},
 	} {
-		ts, err := ParseTroubles([]byte(tt.text))
+		ts, err := ParseFaults([]byte(tt.text))
 		if err == nil {
-			err = checkTroubles(ts, []string{"region-0"})
+			err = checkFaults(ts, []string{"region-0"})
 		}
 		if (err == nil) != (tt.want == "") || (err != nil && !strings.Contains(err.Error(), tt.want)) {
 			t.Errorf("%s: %v", tt.text, err)
--- a/internal/scale/trouble.go
+++ b/internal/scale/trouble.go
@@ -23,8 +23,8 @@
 	KindState = "state_out"
 )
 
-// Trouble is something that goes wrong on cue, and rights itself.
-type Trouble struct {
+// Fault is something that goes wrong on cue, and rights itself.
+type Fault struct {
 	Kind string `json:"kind"`
 	// AtS is when it begins, in seconds after the load has, and ForS how long it lasts.
 	AtS  float64 `json:"at_s"`
@@ -36,25 +36,25 @@
 }
 
 const (
-	mostTroubles   = 100
-	mostTroubleAtS = 3600
+	maxFaults   = 100
+	maxFaultAtS = 3600
 )
 
-// ParseTroubles reads a list of troubles (JSON).
-func ParseTroubles(b []byte) ([]Trouble, error) {
+// ParseFaults reads a list of troubles (JSON).
+func ParseFaults(b []byte) ([]Fault, error) {
 	d := json.NewDecoder(bytes.NewReader(b))
 	d.DisallowUnknownFields()
-	var ts []Trouble
+	var ts []Fault
 	if err := d.Decode(&ts); err != nil {
 		return nil, fmt.Errorf("troubles: %w", err)
 	}
 	return ts, nil
 }
 
-// checkTroubles returns an error that names the trouble, from 0, and the field.
-func checkTroubles(ts []Trouble, regions []string) error {
-	if len(ts) > mostTroubles {
-		return fmt.Errorf("troubles: %d of them, more than %d", len(ts), mostTroubles)
+// checkFaults returns an error that names the trouble, from 0, and the field.
+func checkFaults(ts []Fault, regions []string) error {
+	if len(ts) > maxFaults {
+		return fmt.Errorf("troubles: %d of them, more than %d", len(ts), maxFaults)
 	}
 	kinds := []string{KindController, KindRack, KindZone, KindRegions, KindState}
 	for i, t := range ts {
@@ -62,10 +62,10 @@
 		switch {
 		case !slices.Contains(kinds, t.Kind):
 			return bad("kind", fmt.Sprintf("%q is not a kind of trouble", t.Kind))
-		case t.AtS < 0 || t.AtS > mostTroubleAtS:
-			return bad("at_s", fmt.Sprintf("not from 0 to %d", mostTroubleAtS))
-		case t.ForS < 0 || t.ForS > mostTroubleAtS:
-			return bad("for_s", fmt.Sprintf("not from 0 to %d", mostTroubleAtS))
+		case t.AtS < 0 || t.AtS > maxFaultAtS:
+			return bad("at_s", fmt.Sprintf("not from 0 to %d", maxFaultAtS))
+		case t.ForS < 0 || t.ForS > maxFaultAtS:
+			return bad("for_s", fmt.Sprintf("not from 0 to %d", maxFaultAtS))
 		case !slices.Contains(regions, t.Region):
 			return bad("region", fmt.Sprintf("%q is not a region", t.Region))
 		case t.Other != "" && (!slices.Contains(regions, t.Other) || t.Other == t.Region):
@@ -77,8 +77,8 @@
 	return nil
 }
 
-// play lets a trouble happen at its time.
-func (r *run) play(ctx context.Context, t Trouble, random *rand.Rand) {
+// injectFault lets a trouble happen at its time.
+func (r *run) injectFault(ctx context.Context, t Fault, random *rand.Rand) {
 	if !sleep(ctx, seconds(t.AtS)) {
 		return
 	}
@@ -96,11 +96,11 @@
 			}
 		}
 	case KindRack:
-		ks := where.world.Zone(where.zones[random.IntN(len(where.zones))])
+		ks := where.world.WorkersInZone(where.zones[random.IntN(len(where.zones))])
 		where.world.Kill(ks[:min(len(ks), t.Machines)])
 	case KindZone:
 		var ips []string
-		for _, k := range where.world.Zone(where.zones[0]) {
+		for _, k := range where.world.WorkersInZone(where.zones[0]) {
 			ips = append(ips, k.Host())
 		}
 		where.network.cut(ips, true)
@@ -111,8 +111,8 @@
 		wait()
 		r.cutRegions(t.Region, t.Other, false)
 	case KindState:
-		where.store.Outage(true)
+		where.store.SetOutage(true)
 		wait()
-		where.store.Outage(false)
+		where.store.SetOutage(false)
 	}
 }
--- a/internal/scale/users.go
+++ b/internal/scale/users.go
@@ -24,9 +24,9 @@
 	name, shape, rank string
 	// share of the task starts that are of this class.
 	share float64
-	// tasks draws a job's size, of which mean is the mean.
-	tasks func(r *rand.Rand) int
-	mean  float64
+	// drawTasks draws a job's size, of which mean is the mean.
+	drawTasks func(r *rand.Rand) int
+	meanTasks float64
 }
 
 // urgentClass is the class of urgent jobs.
@@ -57,76 +57,76 @@
 }
 
 const (
-	pollEvery   = 5 * time.Second
-	pollTime    = 2 * time.Second
-	submitTime  = 5 * time.Second
-	submitTries = 12
-	retryAfter  = time.Second
-	// firstWithin is how soon the first job of a class comes.
-	firstWithin = time.Second
-	// mostJobs bounds the jobs that are followed at a time in a region.
-	mostJobs = 20_000
+	pollInterval     = 5 * time.Second
+	pollTimeout      = 2 * time.Second
+	submitTimeout    = 5 * time.Second
+	maxSubmissions   = 12
+	submitRetryDelay = time.Second
+	// maxFirstDelay is how soon the first job of a class comes.
+	maxFirstDelay = time.Second
+	// maxFollowedJobs bounds the jobs that are followed at a time in a region.
+	maxFollowedJobs = 20_000
 	// taskCPUs and taskMemGB are what a task takes of its machine.
 	taskCPUs, taskMemGB = 1, 1
-	// waitsMost is the longest wait that the histograms tell apart, in milliseconds.
-	waitsMost = int64(time.Hour / time.Millisecond)
+	// maxWaitMs is the longest wait that the histograms tell apart, in milliseconds.
+	maxWaitMs = int64(time.Hour / time.Millisecond)
 )
 
-// waits are how long tasks waited for their start, in milliseconds.
-type waits struct {
+// startWaits are how long tasks waited for their start, in milliseconds.
+type startWaits struct {
 	mu     sync.Mutex
 	urgent *hdrhistogram.Histogram
 	other  *hdrhistogram.Histogram
 }
 
-func newWaits() *waits {
-	return &waits{urgent: hdrhistogram.New(1, waitsMost, 3), other: hdrhistogram.New(1, waitsMost, 3)}
+func newStartWaits() *startWaits {
+	return &startWaits{urgent: hdrhistogram.New(1, maxWaitMs, 3), other: hdrhistogram.New(1, maxWaitMs, 3)}
 }
 
 // started notes the first start of a task.
-func (w *waits) started(spec *job.Spec, waited time.Duration) {
+func (w *startWaits) started(spec *job.Spec, waited time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	h := w.other
 	if spec.Class == urgentClass {
 		h = w.urgent
 	}
-	_ = h.RecordValue(min(max(1, waited.Milliseconds()), waitsMost)) // within its range
+	_ = h.RecordValue(min(max(1, waited.Milliseconds()), maxWaitMs)) // within its range
 }
 
 // users are those of one region.
 type users struct {
-	world   *emulate.World
-	servers []string // the controllers' addresses
-	teams   []string
-	run     time.Duration
-	next    *atomic.Int64 // of the jobs' ids, in all regions
-	client  *http.Client
+	world     *emulate.World
+	servers   []string // the controllers' addresses
+	teams     []string
+	runTime   time.Duration
+	lastJobID *atomic.Int64 // of the jobs' ids, in all regions
+	client    *http.Client
 
 	submitted, accepted, refused, done atomic.Int64
-	slots                              chan struct{}
+	followed                           chan struct{}
 	wg                                 sync.WaitGroup
 }
 
 func newUsers(w *emulate.World, servers, teams []string, run time.Duration, next *atomic.Int64) *users {
-	return &users{world: w, servers: servers, teams: teams, run: run, next: next, slots: make(chan struct{}, mostJobs),
+	return &users{world: w, servers: servers, teams: teams, runTime: run, lastJobID: next, followed: make(chan struct{}, maxFollowedJobs),
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, MaxConnsPerHost: 256}}}
 }
 
 // submit submits jobs of a class at a rate of task starts a second until the context ends.
 func (u *users) submit(ctx context.Context, c class, startsPerS float64, r *rand.Rand) {
-	perS := startsPerS * c.share / c.mean
+	perS := startsPerS * c.share / c.meanTasks
 	if perS <= 0 {
 		return
 	}
-	wait := time.Duration(r.Float64() * float64(min(firstWithin, seconds(1/perS))))
+	wait := time.Duration(r.Float64() * float64(min(maxFirstDelay, seconds(1/perS))))
 	for sleep(ctx, wait) {
-		spec := u.draw(c, r)
+		spec := u.drawJob(c, r)
 		server := u.servers[r.IntN(len(u.servers))]
 		select {
-		case u.slots <- struct{}{}:
+		case u.followed <- struct{}{}:
 			u.wg.Go(func() {
-				defer func() { <-u.slots }()
+				defer func() { <-u.followed }()
 				u.follow(ctx, spec, server)
 			})
 		default:
@@ -136,11 +136,11 @@
 	}
 }
 
-// draw makes a job.
-func (u *users) draw(c class, r *rand.Rand) *job.Spec {
-	return &job.Spec{ID: fmt.Sprintf("run-%d", u.next.Add(1)), Class: c.name, Team: u.teams[r.IntN(len(u.teams))],
-		ShapeName: c.shape, RankName: c.rank, Tasks: c.tasks(r), CPUs: taskCPUs, MemGB: taskMemGB,
-		Image: fmt.Sprintf("img-%02d", r.IntN(20)), ImageGB: 0.5, EstimateS: u.run.Seconds() * (0.5 + r.Float64())}
+// drawJob makes a job.
+func (u *users) drawJob(c class, r *rand.Rand) *job.Spec {
+	return &job.Spec{ID: fmt.Sprintf("run-%d", u.lastJobID.Add(1)), Class: c.name, Team: u.teams[r.IntN(len(u.teams))],
+		ShapeName: c.shape, RankName: c.rank, Tasks: c.drawTasks(r), CPUs: taskCPUs, MemGB: taskMemGB,
+		Image: fmt.Sprintf("img-%02d", r.IntN(20)), ImageGB: 0.5, EstimateS: u.runTime.Seconds() * (0.5 + r.Float64())}
 }
 
 // follow submits a job and asks about it until it is over or the context ends.
@@ -151,18 +151,18 @@
 		return
 	}
 	u.submitted.Add(1)
-	u.world.Describe(spec)
-	if !u.accept(ctx, spec.ID, server, body) {
+	u.world.DescribeJob(spec)
+	if !u.submitUntilAccepted(ctx, spec.ID, server, body) {
 		u.refused.Add(1)
 		return
 	}
 	u.accepted.Add(1)
-	u.world.Accepted(spec.ID)
+	u.world.JobAccepted(spec.ID)
 	told := ""
-	for told == "" && sleep(ctx, pollEvery) {
-		status, phase := u.ask(ctx, pollTime, http.MethodGet, server, "/api/jobs/"+spec.ID, nil)
+	for told == "" && sleep(ctx, pollInterval) {
+		status, phase := u.request(ctx, pollTimeout, http.MethodGet, server, "/api/jobs/"+spec.ID, nil)
 		if ctx.Err() == nil {
-			told = u.world.Polled(spec, status, phase, told, false)
+			told = u.world.CheckPoll(spec, status, phase, told, false)
 		}
 	}
 	if told == wire.JobDone {
@@ -170,26 +170,26 @@
 	}
 }
 
-// accept repeats a submission until it is accepted.
-func (u *users) accept(ctx context.Context, id, server string, body []byte) bool {
-	for range submitTries {
-		status, _ := u.ask(ctx, submitTime, http.MethodPost, server, "/api/jobs", body)
+// submitUntilAccepted repeats a submission until it is accepted.
+func (u *users) submitUntilAccepted(ctx context.Context, id, server string, body []byte) bool {
+	for range maxSubmissions {
+		status, _ := u.request(ctx, submitTimeout, http.MethodPost, server, "/api/jobs", body)
 		switch status {
 		case http.StatusOK, http.StatusCreated:
 			return true
 		case http.StatusBadRequest, http.StatusUnprocessableEntity:
-			u.world.Fail("refused: %s got %d", id, status)
+			u.world.ReportViolation("refused: %s got %d", id, status)
 			return false
 		}
-		if !sleep(ctx, retryAfter) {
+		if !sleep(ctx, submitRetryDelay) {
 			return false
 		}
 	}
 	return false
 }
 
-// ask makes a request; a status of 0 means that there was no answer.
-func (u *users) ask(ctx context.Context, limit time.Duration, method, server, path string, body []byte) (status int, phase string) {
+// request makes a request; a status of 0 means that there was no answer.
+func (u *users) request(ctx context.Context, limit time.Duration, method, server, path string, body []byte) (status int, phase string) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+server+path, bytes.NewReader(body))
--- a/internal/shard/explore_test.go
+++ b/internal/shard/explore_test.go
@@ -151,7 +151,7 @@
 			w.freed(w.lead.Step(w.now))
 		}
 		return true
-	}, Each: 1},
+	}, Count: 1},
 	{Name: "ask", Do: func(w *world, i int) bool {
 		s := &w.sides[i]
 		if s.req != nil || s.reply != nil {
@@ -162,7 +162,7 @@
 		}
 		s.sent, s.req = w.now, s.h.Request(2, 1, false, w.now)
 		return true
-	}, Each: 2},
+	}, Count: 2},
 	{Name: "arrive", Do: func(w *world, i int) bool {
 		s := &w.sides[i]
 		if s.req == nil {
@@ -170,7 +170,7 @@
 		}
 		s.reply, s.req = w.arrive(i, s.req), nil
 		return true
-	}, Each: 2},
+	}, Count: 2},
 	{Name: "grant", Do: func(w *world, i int) bool {
 		s := &w.sides[i]
 		if s.reply == nil {
@@ -183,7 +183,7 @@
 		s.h.Granted(s.reply, sent)
 		s.reply = nil
 		return true
-	}, Each: 2},
+	}, Count: 2},
 	{Name: "lose", Do: func(w *world, i int) bool {
 		s := &w.sides[i]
 		if s.req == nil && s.reply == nil {
@@ -195,7 +195,7 @@
 		s.req, s.reply = nil, nil
 		s.h.Missed()
 		return true
-	}, Each: 2},
+	}, Count: 2},
 	{Name: "late", Do: func(w *world, i int) bool {
 		s := &w.sides[i]
 		if s.late == nil {
@@ -204,8 +204,8 @@
 		w.arrive(i, s.late) // nobody waits for the reply
 		s.late = nil
 		return true
-	}, Each: 2},
-	{Name: "end", Do: func(w *world, i int) bool { w.start(i); return true }, Each: 1},
+	}, Count: 2},
+	{Name: "end", Do: func(w *world, i int) bool { w.start(i); return true }, Count: 1},
 	{Name: "report", Do: func(w *world, k int) bool {
 		if w.leads() {
 			if r, _ := w.lead.Report(w.names[k], "", w.now); r == Serve {
@@ -213,7 +213,7 @@
 			}
 		}
 		return true
-	}, Each: 2},
+	}, Count: 2},
 	{Name: "checkin", Do: func(w *world, k int) bool {
 		// The worker reports to whoever answers it.
 		for i := range w.sides {
@@ -225,22 +225,22 @@
 			}
 		}
 		return false
-	}, Each: 2},
-	{Name: "depose", Do: func(w *world, _ int) bool { was := w.deposed; w.deposed = true; return !was && w.lead.term == 1 }, Each: 1},
+	}, Count: 2},
+	{Name: "depose", Do: func(w *world, _ int) bool { was := w.deposed; w.deposed = true; return !was && w.lead.term == 1 }, Count: 1},
 	{Name: "succeed", Do: func(w *world, _ int) bool {
 		if !w.deposed || (w.leads() && w.out != afterLead) {
 			return false
 		}
 		w.begin(w.lead.term + 1)
 		return true
-	}, Each: 1},
+	}, Count: 1},
 	{Name: "renew", Do: func(w *world, _ int) bool {
 		if w.deposed || !w.leads() {
 			return false
 		}
 		w.renew()
 		return true
-	}, Each: 1},
+	}, Count: 1},
 }
 
 // Broken looks at what must hold in every state.
@@ -282,44 +282,44 @@
 
 // Print names the state: times are told from now, and those long past are alike.
 func (w *world) Print() string {
-	p := &explorer.Printer{Now: w.now, Past: 4 * tick}
+	p := &explorer.Printer{Now: w.now, MaxAge: 4 * tick}
 	a := w.lead
-	p.Say(a.term, w.deposed)
-	p.At(w.entitled)
+	p.Values(a.term, w.deposed)
+	p.Times(w.entitled)
 	for k, n := range w.names {
 		mc := a.machines[n]
 		h, _ := a.Holder(n)
-		p.Say(h, mc.phase, !mc.sentAt.IsZero())
+		p.Values(h, mc.phase, !mc.sentAt.IsZero())
 		if h != "" {
-			p.Say(int64(mc.tag) - int64(mc.m.acked))
+			p.Values(int64(mc.tag) - int64(mc.m.acked))
 		}
-		p.At(w.answered[k], w.known[k])
+		p.Times(w.answered[k], w.known[k])
 	}
 	for i := range w.sides {
 		s := &w.sides[i]
-		p.Say("|", s.req != nil, s.reply != nil, s.late != nil, s.h.Term(), len(s.h.have))
-		p.At(s.h.until)
+		p.Values("|", s.req != nil, s.reply != nil, s.late != nil, s.h.Term(), len(s.h.have))
+		p.Times(s.h.until)
 		if s.req != nil || s.reply != nil {
-			p.At(s.sent)
+			p.Times(s.sent)
 		}
 		if s.reply != nil {
-			p.Say(s.reply.ForMs, s.reply.Add, s.reply.Drop, s.reply.Fresh, s.reply.Term)
+			p.Values(s.reply.ForMs, s.reply.Add, s.reply.Drop, s.reply.Fresh, s.reply.Term)
 		}
 		for _, n := range w.names {
 			if k := s.h.machines[n]; k != nil {
-				p.Say(n, k.dropped, k.reports-k.told)
+				p.Values(n, k.dropped, k.reports-k.told)
 			}
 		}
 		if m := a.members[fmt.Sprintf("h%d", i)]; m != nil {
-			p.Say(m.joined, m.leaving, m.fresh, m.number-m.acked, m.life == s.life, int64(s.h.number)-int64(m.acked))
-			p.At(m.until, m.heard, m.ackedAt, m.told, m.notUntil)
+			p.Values(m.joined, m.leaving, m.fresh, m.number-m.acked, m.life == s.life, int64(s.h.number)-int64(m.acked))
+			p.Times(m.until, m.heard, m.ackedAt, m.told, m.notUntil)
 		}
 	}
 	return p.String()
 }
 
 // settle plays on without faults: every machine is to be served.
-func settle(g *explorer.Game[*world], w *world) string {
+func settle(g *explorer.Explorer[*world], w *world) string {
 	for range 14 {
 		g.Do(w, "tick", 0)
 		g.Do(w, "renew", 0)
@@ -378,21 +378,21 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			g := &explorer.Game[*world]{New: func() *world { return newWorld(tt.out) }, Actions: actions, Most: *most}
+			g := &explorer.Explorer[*world]{New: func() *world { return newWorld(tt.out) }, Actions: actions, MaxStates: *most}
 			holders := 2
 			if tt.out == none {
-				g.Every, g.Settle = 37, func(w *world) string { return settle(g, w) }
+				g.SettleInterval, g.Settle = 37, func(w *world) string { return settle(g, w) }
 			} else {
 				// One holder and one machine are enough, and go deeper.
 				holders = 1
 				g.Actions = slices.Clone(actions)
 				for a := range g.Actions {
-					g.Actions[a].Each = 1
+					g.Actions[a].Count = 1
 				}
 			}
 			// The holders have joined; one has a machine, then none has.
 			joined := g.Steps(holders, "ask", "arrive", "grant")
-			states, broken := g.From(slices.Concat(joined, g.Steps(1, "tick"), joined, g.Steps(1, "report"), joined, joined), joined)
+			states, broken := g.ExploreFrom(slices.Concat(joined, g.Steps(1, "tick"), joined, g.Steps(1, "report"), joined, joined), joined)
 			t.Logf("%d states: %s", states, broken)
 			if (broken != "") != (tt.out != none) {
 				t.Errorf("after %d states: %q", states, broken)
