--- a/internal/node/accel_test.go
+++ b/internal/node/accel_test.go
@@ -10,29 +10,29 @@
 	"vetchstream/internal/wire"
 )
 
-// accelTypes are machines with accelerators: one type in both zones, the other in the
+// acceleratorTypes are machines with accelerators: one type in both zones, the other in the
 // large one alone.
-var accelTypes = []wire.MachineType{
+var acceleratorTypes = []wire.MachineType{
 	{Name: "half", CPUs: 32, GPUs: 4, MemGB: 256, CacheGB: 30, FetchRate: 1, Price: 13, SpotPrice: 3, BootS: 4, Zones: []string{"b"}},
 	{Name: "whole", CPUs: 64, GPUs: 8, MemGB: 512, CacheGB: 30, FetchRate: 1, Price: 20, SpotPrice: 5, BootS: 4, Zones: []string{"a", "b"}},
 }
 
-// accelerated is a site whose teams are guaranteed and limited in accelerators alone,
+// acceleratorEnvironment is a site whose teams are guaranteed and limited in accelerators alone,
 // with a small zone and a large one. Replicas are kept apart, gangs take whole machines.
-func accelerated(scale int) site {
-	return site{nodes: 5, scale: scale,
-		tune: func(set *config.Settings, tun *config.Tuning) {
-			shared(set, tun)
+func acceleratorEnvironment(scale int) environment {
+	return environment{controllers: 5, scale: scale,
+		configure: func(set *config.Settings, tun *config.Tuning) {
+			withSharding(set, tun)
 			n := float64(scale)
 			set.Facts.Zones = []string{"a", "b"}
 			set.Facts.Teams = []config.Team{{Name: "red", GPUs: 12 * n, GPUsMax: 14 * n}, {Name: "blue", GPUs: 16 * n, GPUsMax: 48 * n}}
 		},
-		edit: func(c *emulate.Config) {
+		editCluster: func(c *emulate.Config) {
 			n := float64(scale)
-			c.Types, c.MaxMachines, c.ZoneCapacity = accelTypes, 14*scale, map[string]int{"a": 2 * scale}
+			c.Types, c.MaxMachines, c.ZoneCapacity = acceleratorTypes, 14*scale, map[string]int{"a": 2 * scale}
 			c.Limits = map[string]emulate.Limit{"red": {GPUs: 14 * n}, "blue": {GPUs: 48 * n}}
 		},
-		begin: func(s *sim, add func(*job.Spec, time.Duration, time.Duration)) {
+		submitWorkload: func(s *simulation, add func(*job.Spec, time.Duration, time.Duration)) {
 			for range scale {
 				s.Boot("whole", "a", false, 0)
 				s.Boot("whole", "b", false, 0)
@@ -62,9 +62,9 @@
 		}}
 }
 
-// shorten takes the room of a zone away from the cloud, and its machines with it.
-func shorten(zone string, d time.Duration) func(*sim) {
-	return func(s *sim) {
+// zoneShortage takes the room of a zone away from the cloud, and its machines with it.
+func zoneShortage(zone string, d time.Duration) func(*simulation) {
+	return func(s *simulation) {
 		s.LimitZone(zone, 0)
 		s.Kill(s.WorkersInZone(zone))
 		time.Sleep(d)
@@ -77,11 +77,11 @@
 // take whole machines.
 func TestAccelerated(t *testing.T) {
 	sec := time.Second
-	playOn(t, accelerated(1), nil, []day{
+	runScenarios(t, acceleratorEnvironment(1), nil, []scenario{
 		{"quiet", nil},
-		{"the small zone is short, over a takeover", []fault{{14 * sec, shorten("a", 30*sec)}, {18 * sec, crash(1)}}},
-		{"replicas lose their machines, then two controllers end together", []fault{{16 * sec, die(rng(51), 2)}, {30 * sec, crash(2)}}},
-		{"images that come for longer than a gang waits", []fault{{time.Second, func(s *sim) { s.SlowImagePulls(s.RandomWorkers(rng(52), 2), 26*sec) }}}},
-		{"all end while replicas are being replaced", []fault{{16 * sec, die(rng(53), 2)}, {17 * sec, crash(5)}}},
+		{"the small zone is short, over a takeover", []fault{{14 * sec, zoneShortage("a", 30*sec)}, {18 * sec, crashControllers(1)}}},
+		{"replicas lose their machines, then two controllers end together", []fault{{16 * sec, killMachines(newRand(51), 2)}, {30 * sec, crashControllers(2)}}},
+		{"images that come for longer than a gang waits", []fault{{time.Second, func(s *simulation) { s.SlowImagePulls(s.RandomWorkers(newRand(52), 2), 26*sec) }}}},
+		{"all end while replicas are being replaced", []fault{{16 * sec, killMachines(newRand(53), 2)}, {17 * sec, crashControllers(5)}}},
 	})
 }
--- a/internal/node/calendar_test.go
+++ b/internal/node/calendar_test.go
@@ -16,21 +16,21 @@
 	"vetchstream/internal/wire"
 )
 
-// slotBed is a full fleet of twelve machines in three zones, on three controllers,
+// calendarSimulation is a full fleet of twelve machines in three zones, on three controllers,
 // with a slot of six parts and a gang that claims it.
-type slotBed struct {
-	*sim
-	t     *testing.T
-	hc    *http.Client
-	start time.Time
-	jobs  int
+type calendarSimulation struct {
+	*simulation
+	t             *testing.T
+	client        *http.Client
+	start         time.Time
+	jobsSubmitted int
 }
 
-// slotIn is when the slot begins, from the begin of the day.
-const slotIn = 90 * time.Second
+// slotDelay is when the slot begins, from the begin of the day.
+const slotDelay = 90 * time.Second
 
-func newSlotBed(t *testing.T, most int, tune func(*config.Calendar)) (*slotBed, func()) {
-	s, closeAll := newSim(t, 1, func(c *emulate.Config) {
+func newCalendarSimulation(t *testing.T, most int, tune func(*config.Calendar)) (*calendarSimulation, func()) {
+	s, closeAll := newSimulation(t, 1, func(c *emulate.Config) {
 		c.MaxMachines, c.Limits = most, nil
 		c.Types = []wire.MachineType{{Name: "small", CPUs: 4, MemGB: 64, CacheGB: 10, FetchRate: 1, Price: 0.2, SpotPrice: 0.05, BootS: 10, Zones: []string{"a", "b", "c"}}}
 	}, func(_ *config.Settings, tun *config.Tuning) {
@@ -41,8 +41,8 @@
 		}
 	})
 	s.RecordHistory()
-	b := &slotBed{sim: s, t: t, start: time.Now().Add(slotIn),
-		hc: &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DialContext: s.net.Dialer("user"), DisableKeepAlives: true}}}
+	b := &calendarSimulation{simulation: s, t: t, start: time.Now().Add(slotDelay),
+		client: &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DialContext: s.net.Dialer("user"), DisableKeepAlives: true}}}
 	for i := range most {
 		s.Boot("small", []string{"a", "b", "c"}[i%3], false, 0)
 	}
@@ -50,25 +50,25 @@
 	return b, closeAll
 }
 
-// post makes an entry of the calendar, and returns the answer's status.
-func (b *slotBed) post(path string, doc map[string]any) int {
+// createEntry makes an entry of the calendar, and returns the answer's status.
+func (b *calendarSimulation) createEntry(path string, doc map[string]any) int {
 	body, err := wire.Marshal(doc)
 	if err != nil {
 		b.t.Fatal(err)
 	}
 	got := 0
-	b.user(b.hc, "POST", path, body, func(status int, _ wire.Status) bool {
+	b.request(b.client, "POST", path, body, func(status int, _ wire.Status) bool {
 		got = status
 		return status < 500
 	})
 	return got
 }
 
-// show reads an entry of the calendar.
-func (b *slotBed) show(path string, out any) {
-	b.user(b.hc, "GET", path, nil, func(status int, _ wire.Status) bool { return status == 200 })
+// readEntry reads an entry of the calendar.
+func (b *calendarSimulation) readEntry(path string, out any) {
+	b.request(b.client, "GET", path, nil, func(status int, _ wire.Status) bool { return status == 200 })
 	for i := range 90 {
-		if res, err := b.hc.Get("http://" + controllers[i%3].Addr + path); err == nil {
+		if res, err := b.client.Get("http://" + simControllers[i%3].Addr + path); err == nil {
 			if body := readAll(res); res.StatusCode == 200 && wire.Unmarshal(body, out) == nil {
 				return
 			}
@@ -77,20 +77,20 @@
 	}
 }
 
-func (b *slotBed) reserve(edit map[string]any) int {
+func (b *calendarSimulation) reserve(edit map[string]any) int {
 	doc := map[string]any{"name": "evening", "team": "blue", "parts": 6, "cpus": 4.0, "mem_gb": 4.0, "grace_s": 30.0,
 		"start": b.start.UTC().Format(time.RFC3339), "end": b.start.Add(100 * time.Second).UTC().Format(time.RFC3339)}
 	for k, v := range edit {
 		doc[k] = v
 	}
-	return b.post("/api/reservations", doc)
+	return b.createEntry("/api/reservations", doc)
 }
 
-// job hands in a job and lets its user poll it. It runs for secs, whatever its
+// submitJob hands in a job and lets its user poll it. It runs for secs, whatever its
 // estimate is.
-func (b *slotBed) job(secs float64, spec job.Spec) string {
-	b.jobs++
-	spec.ID = fmt.Sprintf("run-%06d", b.jobs)
+func (b *calendarSimulation) submitJob(secs float64, spec job.Spec) string {
+	b.jobsSubmitted++
+	spec.ID = fmt.Sprintf("run-%06d", b.jobsSubmitted)
 	if spec.RankName == "" {
 		spec.RankName = "standard"
 	}
@@ -98,7 +98,7 @@
 	declared, real := spec, spec
 	real.EstimateS = secs
 	b.DescribeJob(&real)
-	if !b.submit(b.hc, &declared) {
+	if !b.submit(b.client, &declared) {
 		b.t.Fatal("not accepted")
 	}
 	b.JobAccepted(spec.ID)
@@ -110,7 +110,7 @@
 				return
 			case <-time.After(3 * time.Second):
 			}
-			res, err := b.hc.Get("http://" + controllers[b.jobs%3].Addr + "/api/jobs/" + spec.ID)
+			res, err := b.client.Get("http://" + simControllers[b.jobsSubmitted%3].Addr + "/api/jobs/" + spec.ID)
 			if err != nil {
 				continue
 			}
@@ -123,16 +123,16 @@
 	return spec.ID
 }
 
-// fill keeps the fleet full of others' work that nobody may stop: tasks that end
+// fillFleet keeps the fleet full of others' work that nobody may stop: tasks that end
 // after two fifths of their estimate to over twice of it.
-func (b *slotBed) fill(tasks int) {
+func (b *calendarSimulation) fillFleet(tasks int) {
 	for i, secs := range []float64{8, 14, 22, 30} {
-		b.job(secs, job.Spec{Team: "blue", ShapeName: "array", Tasks: tasks, CPUs: 2, EstimateS: []float64{20, 14, 11, 20}[i], RankName: "urgent"})
+		b.submitJob(secs, job.Spec{Team: "blue", ShapeName: "array", Tasks: tasks, CPUs: 2, EstimateS: []float64{20, 14, 11, 20}[i], RankName: "urgent"})
 	}
 }
 
-// whole waits until so many tasks of a job run, and returns by how much that is late.
-func (b *slotBed) whole(id string, n int) time.Duration {
+// awaitRunning waits until so many tasks of a job run, and returns by how much that is late.
+func (b *calendarSimulation) awaitRunning(id string, n int) time.Duration {
 	for range 2400 {
 		if b.RunningTasks(id) == n {
 			return time.Since(b.start)
@@ -142,14 +142,14 @@
 	return time.Hour
 }
 
-// at sleeps until a moment relative to the slot's start.
-func (b *slotBed) at(d time.Duration) { time.Sleep(time.Until(b.start.Add(d))) }
+// sleepUntil sleeps until a moment relative to the slot's start.
+func (b *calendarSimulation) sleepUntil(d time.Duration) { time.Sleep(time.Until(b.start.Add(d))) }
 
 // TestSlots: a gang that claims a slot starts whole and on time on a full fleet,
 // through what must not disturb it.
 func TestSlots(t *testing.T) {
-	claim := func(b *slotBed) string {
-		return b.job(25, job.Spec{Team: "blue", ShapeName: "ensemble", Tasks: 6, CPUs: 4, EstimateS: 25, Booking: "evening"})
+	claim := func(b *calendarSimulation) string {
+		return b.submitJob(25, job.Spec{Team: "blue", ShapeName: "ensemble", Tasks: 6, CPUs: 4, EstimateS: 25, Booking: "evening"})
 	}
 	tolerance := calendar.Tolerance(2, 100)
 	tests := []struct {
@@ -157,23 +157,35 @@
 		most int
 		tune func(*config.Calendar)
 		edit map[string]any
-		do   func(b *slotBed) // from the moment all is set up
-		late time.Duration    // at most; 0: the tolerance
-		out  string           // what is stored of the occurrence
+		do   func(b *calendarSimulation) // from the moment all is set up
+		late time.Duration               // at most; 0: the tolerance
+		out  string                      // what is stored of the occurrence
 	}{
 		{"nothing goes wrong", 12, nil, nil, nil, 0, calendar.Kept},
 		{"holding is switched off", 12, func(c *config.Calendar) { c.Hold = false }, nil, nil, -1, calendar.Missed},
 		{"without backfill", 12, func(c *config.Calendar) { c.Backfill = false }, nil, nil, 0, calendar.Kept},
 		{"the cloud has less than anybody knew", 12, func(c *config.Calendar) { c.CountOn = nil }, nil, nil, 0, calendar.Kept},
 		{"in one place", 24, nil, map[string]any{"same_place": true}, nil, 0, calendar.Kept},
-		{"the leader ends at the very start", 12, nil, nil, func(b *slotBed) { b.at(-100 * time.Millisecond); crash(1)(b.sim) }, 20 * time.Second, ""},
-		{"all controllers end just before", 12, nil, nil, func(b *slotBed) { b.at(-6 * time.Second); crash(3)(b.sim) }, 20 * time.Second, ""},
-		{"the leader stands still over the start", 12, nil, nil, func(b *slotBed) { b.at(-3 * time.Second); freeze(1, 6*time.Second)(b.sim) }, 20 * time.Second, ""},
-		{"the state service is down over the start", 12, nil, nil, func(b *slotBed) { b.at(-5 * time.Second); outage(10 * time.Second)(b.sim) }, 25 * time.Second, ""},
-		{"a zone is cut half a minute before", 18, nil, nil, func(b *slotBed) { b.at(-30 * time.Second); cutZone("a", 60*time.Second)(b.sim) }, 30 * time.Second, ""},
-		{"a zone is cut a second after", 18, nil, nil, func(b *slotBed) { b.at(time.Second); cutZone("a", 40*time.Second)(b.sim) }, 30 * time.Second, ""},
-		{"held machines are lost half a minute before", 12, nil, nil, func(b *slotBed) {
-			b.at(-30 * time.Second)
+		{"the leader ends at the very start", 12, nil, nil, func(b *calendarSimulation) { b.sleepUntil(-100 * time.Millisecond); crashControllers(1)(b.simulation) }, 20 * time.Second, ""},
+		{"all controllers end just before", 12, nil, nil, func(b *calendarSimulation) { b.sleepUntil(-6 * time.Second); crashControllers(3)(b.simulation) }, 20 * time.Second, ""},
+		{"the leader stands still over the start", 12, nil, nil, func(b *calendarSimulation) {
+			b.sleepUntil(-3 * time.Second)
+			pauseControllers(1, 6*time.Second)(b.simulation)
+		}, 20 * time.Second, ""},
+		{"the state service is down over the start", 12, nil, nil, func(b *calendarSimulation) {
+			b.sleepUntil(-5 * time.Second)
+			storeOutage(10 * time.Second)(b.simulation)
+		}, 25 * time.Second, ""},
+		{"a zone is cut half a minute before", 18, nil, nil, func(b *calendarSimulation) {
+			b.sleepUntil(-30 * time.Second)
+			partitionZone("a", 60*time.Second)(b.simulation)
+		}, 30 * time.Second, ""},
+		{"a zone is cut a second after", 18, nil, nil, func(b *calendarSimulation) {
+			b.sleepUntil(time.Second)
+			partitionZone("a", 40*time.Second)(b.simulation)
+		}, 30 * time.Second, ""},
+		{"held machines are lost half a minute before", 12, nil, nil, func(b *calendarSimulation) {
+			b.sleepUntil(-30 * time.Second)
 			b.Kill(b.WorkersInZone("a"))
 		}, 15 * time.Second, ""},
 	}
@@ -181,11 +193,11 @@
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				b, closeAll := newSlotBed(t, tt.most, tt.tune)
+				b, closeAll := newCalendarSimulation(t, tt.most, tt.tune)
 				if got := b.reserve(tt.edit); got != 201 {
 					t.Fatalf("the reservation got %d", got)
 				}
-				b.fill(400)
+				b.fillFleet(400)
 				id := claim(b)
 				ended := make(chan struct{})
 				go func() {
@@ -194,7 +206,7 @@
 						tt.do(b)
 					}
 				}()
-				late := b.whole(id, 6)
+				late := b.awaitRunning(id, 6)
 				if late < 0 {
 					t.Errorf("it runs %s before its slot", -late)
 				}
@@ -214,9 +226,9 @@
 				if tt.late >= 0 && b.UnfinishedJobs()[id] != "" {
 					t.Error("it is not over")
 				}
-				b.at(105 * time.Second)
+				b.sleepUntil(105 * time.Second)
 				var s calendar.Status
-				b.show("/api/reservations/evening", &s)
+				b.readEntry("/api/reservations/evening", &s)
 				if tt.late >= 0 && s.Claimer != "" {
 					t.Errorf("%s claims it still", s.Claimer)
 				}
@@ -239,7 +251,7 @@
 // work again; requests of another team do not reach it.
 func TestUnclaimed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b, closeAll := newSlotBed(t, 6, nil)
+		b, closeAll := newCalendarSimulation(t, 6, nil)
 		defer closeAll()
 		// All six machines: not beside the guarantee of another team.
 		if got := b.reserve(nil); got != 409 {
@@ -266,26 +278,26 @@
 			for k, v := range x.doc {
 				doc[k] = v
 			}
-			if got := b.post(x.path, doc); got != x.want {
+			if got := b.createEntry(x.path, doc); got != x.want {
 				t.Errorf("%s got %d, want %d", x.what, got, x.want)
 			}
 		}
-		b.job(15, job.Spec{Team: "blue", ShapeName: "array", Tasks: 2000, EstimateS: 15})
+		b.submitJob(15, job.Spec{Team: "blue", ShapeName: "array", Tasks: 2000, EstimateS: 15})
 		busy := func() (n int) { return b.RunningTasks("run-000001") }
-		b.at(20 * time.Second)
+		b.sleepUntil(20 * time.Second)
 		if n := busy(); n > 8 {
 			t.Errorf("%d tasks run after the start, and two machines are not held", n)
 		}
 		most := 0
 		for d := 30; d < 60; d++ {
-			b.at(time.Duration(d) * time.Second)
+			b.sleepUntil(time.Duration(d) * time.Second)
 			most = max(most, busy())
 		}
 		if most < 20 {
 			t.Errorf("at most %d tasks run after the slot has lapsed", most)
 		}
 		var s calendar.Status
-		b.show("/api/reservations/evening", &s)
+		b.readEntry("/api/reservations/evening", &s)
 		if len(s.Past) != 1 || s.Past[0].What != calendar.Lapsed {
 			t.Errorf("stored: %+v", s.Past)
 		}
@@ -298,26 +310,34 @@
 	tests := []struct {
 		name string
 		tune func(*config.Calendar)
-		do   func(b *slotBed) (stuck string) // a machine that cannot be emptied
-		cut  bool                            // the judge must object
+		do   func(b *calendarSimulation) (stuck string) // a machine that cannot be emptied
+		cut  bool                                       // the judge must object
 	}{
 		{"nothing goes wrong", nil, nil, false},
 		{"draining is switched off", func(c *config.Calendar) { c.Drain = false }, nil, true},
-		{"the leader ends while it is drained", nil, func(b *slotBed) string { b.at(-40 * time.Second); crash(1)(b.sim); return "" }, false},
-		{"the state service is down over the start", nil, func(b *slotBed) string { b.at(-10 * time.Second); outage(15 * time.Second)(b.sim); return "" }, false},
-		{"a service's roll-out is under way", nil, func(b *slotBed) string {
-			b.at(-57 * time.Second)
-			if got := b.post("/api/rollouts", map[string]any{"service": "svc", "from": "run-000004", "to": map[string]any{"uid": "run-999999", "reel": "new"},
+		{"the leader ends while it is drained", nil, func(b *calendarSimulation) string {
+			b.sleepUntil(-40 * time.Second)
+			crashControllers(1)(b.simulation)
+			return ""
+		}, false},
+		{"the state service is down over the start", nil, func(b *calendarSimulation) string {
+			b.sleepUntil(-10 * time.Second)
+			storeOutage(15 * time.Second)(b.simulation)
+			return ""
+		}, false},
+		{"a service's roll-out is under way", nil, func(b *calendarSimulation) string {
+			b.sleepUntil(-57 * time.Second)
+			if got := b.createEntry("/api/rollouts", map[string]any{"service": "svc", "from": "run-000004", "to": map[string]any{"uid": "run-999999", "reel": "new"},
 				"batch": 1, "ready_s": 2.0, "soak_s": 12.0, "deadline_s": 60.0}); got != 201 {
 				b.t.Errorf("the roll-out got %d", got)
 			}
 			return ""
 		}, false},
-		{"a worker that will not stop its tasks", nil, func(b *slotBed) string {
-			b.at(-62 * time.Second)
+		{"a worker that will not stop its tasks", nil, func(b *calendarSimulation) string {
+			b.sleepUntil(-62 * time.Second)
 			k := b.WorkersInZone("a")[0]
 			b.Hang([]*emulate.Worker{k}, true)
-			b.at(30 * time.Second)
+			b.sleepUntil(30 * time.Second)
 			b.Hang([]*emulate.Worker{k}, false)
 			return k.Name()
 		}, false},
@@ -326,15 +346,15 @@
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				b, closeAll := newSlotBed(t, 15, tt.tune)
+				b, closeAll := newCalendarSimulation(t, 15, tt.tune)
 				defer closeAll()
 				// Estimates are wrong by half or more, and the classes' errors are learned.
-				b.job(20, job.Spec{Team: "blue", ShapeName: "array", Tasks: 600, EstimateS: 12, Spot: true})
-				b.job(200, job.Spec{Team: "blue", ShapeName: "array", Tasks: 6, EstimateS: 200, Checkpoint: 5, SaveS: 3, CPUs: 2})
-				b.job(150, job.Spec{Team: "blue", ShapeName: "ensemble", Tasks: 4, EstimateS: 150, Checkpoint: 5, SaveS: 3, CPUs: 2, RankName: "urgent"})
-				svc := b.job(0, job.Spec{Team: "blue", ShapeName: "daemon", Tasks: 4, RankName: "production"})
+				b.submitJob(20, job.Spec{Team: "blue", ShapeName: "array", Tasks: 600, EstimateS: 12, Spot: true})
+				b.submitJob(200, job.Spec{Team: "blue", ShapeName: "array", Tasks: 6, EstimateS: 200, Checkpoint: 5, SaveS: 3, CPUs: 2})
+				b.submitJob(150, job.Spec{Team: "blue", ShapeName: "ensemble", Tasks: 4, EstimateS: 150, Checkpoint: 5, SaveS: 3, CPUs: 2, RankName: "urgent"})
+				svc := b.submitJob(0, job.Spec{Team: "blue", ShapeName: "daemon", Tasks: 4, RankName: "production"})
 				time.Sleep(30 * time.Second)
-				if got := b.post("/api/maintenance", map[string]any{"name": "night", "yard": "a", "drain_s": 60.0,
+				if got := b.createEntry("/api/maintenance", map[string]any{"name": "night", "yard": "a", "drain_s": 60.0,
 					"start": b.start.UTC().Format(time.RFC3339), "end": b.start.Add(100 * time.Second).UTC().Format(time.RFC3339)}); got != 201 {
 					t.Fatalf("the window got %d", got)
 				}
@@ -346,15 +366,15 @@
 					}
 				}()
 				serving := 4
-				for b.at(-60 * time.Second); time.Now().Before(b.start.Add(-10 * time.Second)); time.Sleep(100 * time.Millisecond) {
+				for b.sleepUntil(-60 * time.Second); time.Now().Before(b.start.Add(-10 * time.Second)); time.Sleep(100 * time.Millisecond) {
 					serving = min(serving, b.RunningTasks(svc))
 				}
 				if tt.do == nil && serving < 3 {
 					t.Errorf("only %d of 4 replicas run while the zone is drained", serving)
 				}
-				b.at(0)
+				b.sleepUntil(0)
 				b.Kill(b.WorkersInZone("a")) // the service begins
-				b.at(60 * time.Second)
+				b.sleepUntil(60 * time.Second)
 				<-ended
 				if n := len(b.WorkersInZone("a")); !tt.cut && n > 0 {
 					t.Errorf("%d machines were rented in the zone meanwhile", n)
@@ -398,20 +418,20 @@
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				b, closeAll := newSlotBed(t, 12, nil)
+				b, closeAll := newCalendarSimulation(t, 12, nil)
 				defer closeAll()
-				b.Kill(b.RandomWorkers(rng(1), 12))
+				b.Kill(b.RandomWorkers(newRand(1), 12))
 				time.Sleep(25 * time.Second) // their leases run out
 				b.DelayBoots(2, tt.late)
 				if got := b.reserve(map[string]any{"parts": 4}); got != 201 {
 					t.Fatalf("the reservation got %d", got)
 				}
-				id := b.job(25, job.Spec{Team: "blue", ShapeName: "ensemble", Tasks: 4, CPUs: 4, EstimateS: 25, Booking: "evening"})
-				b.at(-30 * time.Second)
+				id := b.submitJob(25, job.Spec{Team: "blue", ShapeName: "ensemble", Tasks: 4, CPUs: 4, EstimateS: 25, Booking: "evening"})
+				b.sleepUntil(-30 * time.Second)
 				if all, _ := b.MachineCounts(); all != 0 {
 					t.Errorf("%d machines are rented half a minute before", all)
 				}
-				if late := b.whole(id, 4); late > tt.most {
+				if late := b.awaitRunning(id, 4); late > tt.most {
 					t.Errorf("it runs %s late, at most %s", late, tt.most)
 				}
 				time.Sleep(150 * time.Second)
--- a/internal/node/sim_test.go
+++ b/internal/node/sim_test.go
@@ -24,7 +24,7 @@
 	"vetchstream/internal/wire"
 )
 
-func settings(t *testing.T, i, nodes, scale int) *config.Settings {
+func simSettings(t *testing.T, i, nodes, scale int) *config.Settings {
 	t.Helper()
 	text := fmt.Sprintf("member = \"n%d\"\nsite = \"a\"\nlisten = \"n%d:80\"\npeer_listen = \"n%d:81\"\n", i, i, i)
 	for j := range nodes {
@@ -70,9 +70,9 @@
 	return s
 }
 
-var controllers = members(3)
+var simControllers = simMembers(3)
 
-func members(n int) (cs []emulate.Controller) {
+func simMembers(n int) (cs []emulate.Controller) {
 	for i := range n {
 		cs = append(cs, emulate.Controller{Member: fmt.Sprintf("n%d", i), Addr: fmt.Sprintf("n%d:80", i)})
 	}
@@ -84,130 +84,130 @@
 	{Name: "large", CPUs: 16, MemGB: 64, CacheGB: 10, FetchRate: 1, Price: 0.7, SpotPrice: 0.2, BootS: 4, Zones: []string{"a", "b"}},
 }
 
-type sim struct {
+type simulation struct {
 	*emulate.World
-	t     *testing.T
-	net   *emulate.MemoryNetwork
-	store *emulate.Store
-	nodes []context.CancelFunc
-	ended []chan struct{}
-	still []gate
-	scale int        // machines, tasks and limits are that many times as many
-	cutMu sync.Mutex // guards cuts
-	cuts  map[string]func(from, to string) bool
-	tune  func(*config.Settings, *config.Tuning)
-	asks  atomic.Int64
-	// abroad dials controllers of the home region; nil: there is one region.
-	abroad func(ctx context.Context, network, addr string) (net.Conn, error)
-	drawn  bool        // its troubles are drawn
-	close  atomic.Bool // users look at all controllers within milliseconds after an answer
-}
-
-// gate stops what a process sends and takes in while it stands still. A message
+	t           *testing.T
+	net         *emulate.MemoryNetwork
+	store       *emulate.Store
+	controllers []context.CancelFunc
+	exited      []chan struct{}
+	pauses      []pauseGate
+	scale       int        // machines, tasks and limits are that many times as many
+	partitionMu sync.Mutex // guards cuts
+	partitions  map[string]func(from, to string) bool
+	configure   func(*config.Settings, *config.Tuning)
+	requests    atomic.Int64
+	// dialHomeRegion dials controllers of the home region; nil: there is one region.
+	dialHomeRegion func(ctx context.Context, network, addr string) (net.Conn, error)
+	randomized     bool        // its troubles are drawn
+	probing        atomic.Bool // users look at all controllers within milliseconds after an answer
+}
+
+// pauseGate stops what a process sends and takes in while it stands still. A message
 // whose sender has passed every check waits in it, and leaves when the process
 // goes on.
-type gate struct {
-	mu   sync.Mutex
-	open chan struct{} // nil: open
+type pauseGate struct {
+	mu      sync.Mutex
+	resumed chan struct{} // nil: open
 }
 
-func (g *gate) shut(d time.Duration) {
+func (g *pauseGate) pause(d time.Duration) {
 	ch := make(chan struct{})
 	g.mu.Lock()
-	g.open = ch
+	g.resumed = ch
 	g.mu.Unlock()
 	time.Sleep(d)
 	g.mu.Lock()
-	g.open = nil
+	g.resumed = nil
 	g.mu.Unlock()
 	close(ch)
 }
 
-func (g *gate) wait() {
+func (g *pauseGate) wait() {
 	g.mu.Lock()
-	ch := g.open
+	ch := g.resumed
 	g.mu.Unlock()
 	if ch != nil {
 		<-ch
 	}
 }
 
-type gateConn struct {
+type pausableConn struct {
 	net.Conn
-	g *gate
+	gate *pauseGate
 }
 
-func (c gateConn) Write(b []byte) (int, error) {
-	c.g.wait()
+func (c pausableConn) Write(b []byte) (int, error) {
+	c.gate.wait()
 	return c.Conn.Write(b)
 }
 
-func (c gateConn) Read(b []byte) (int, error) {
+func (c pausableConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.g.wait()
+	c.gate.wait()
 	return n, err
 }
 
-type gateListener struct {
+type pausableListener struct {
 	net.Listener
-	g *gate
+	gate *pauseGate
 }
 
-func (l gateListener) Accept() (net.Conn, error) {
+func (l pausableListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	l.g.wait()
-	return gateConn{c, l.g}, nil
+	l.gate.wait()
+	return pausableConn{c, l.gate}, nil
 }
 
-func (s *sim) startNode(i int) {
+func (s *simulation) startController(i int) {
 	ctx, cancel := context.WithCancel(context.Background())
 	tun, err := config.LoadTuning("")
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	set := settings(s.t, i, len(s.nodes), s.scale)
-	if s.tune != nil {
-		s.tune(set, tun)
+	set := simSettings(s.t, i, len(s.controllers), s.scale)
+	if s.configure != nil {
+		s.configure(set, tun)
 	}
 	dial := s.net.Dialer(fmt.Sprintf("n%d", i))
-	g := &s.still[i]
+	g := &s.pauses[i]
 	nw := Net{Listen: func(addr string) (net.Listener, error) {
 		l, err := s.net.Listen(addr)
-		return gateListener{l, g}, err
+		return pausableListener{l, g}, err
 	}, Dial: func(c context.Context, network, addr string) (net.Conn, error) {
 		if ctx.Err() != nil {
 			return nil, ctx.Err() // a killed process sends nothing more
 		}
 		to := dial
-		if strings.HasPrefix(addr, homeHost) {
-			to = s.abroad
+		if strings.HasPrefix(addr, homeRegionPrefix) {
+			to = s.dialHomeRegion
 		}
 		conn, err := to(c, network, addr)
 		if err != nil {
 			return nil, err
 		}
-		return gateConn{conn, g}, nil
+		return pausableConn{conn, g}, nil
 	}}
 	ended := make(chan struct{})
-	s.nodes[i], s.ended[i] = cancel, ended
+	s.controllers[i], s.exited[i] = cancel, ended
 	go func() {
 		defer close(ended)
 		_ = Run(ctx, set, tun, nw, slog.New(slog.DiscardHandler))
 	}()
 }
 
-func (s *sim) kill(i int) {
-	s.nodes[i]()
+func (s *simulation) killController(i int) {
+	s.controllers[i]()
 	name := fmt.Sprintf("n%d", i)
 	s.net.ResetConnections(func(f, _ string) bool { return f == name })
-	<-s.ended[i]
+	<-s.exited[i]
 }
 
 // term is the term as it is stored.
-func (s *sim) term() uint64 {
+func (s *simulation) term() uint64 {
 	var rec struct {
 		Term uint64 `codec:"term"`
 	}
@@ -217,7 +217,7 @@
 	return rec.Term
 }
 
-func (s *sim) leader() int {
+func (s *simulation) leader() int {
 	var h struct {
 		Member string `codec:"member"`
 	}
@@ -227,16 +227,16 @@
 	return 0
 }
 
-func (s *sim) cutLinks(name string, f func(from, to string) bool) {
-	s.cutMu.Lock()
-	defer s.cutMu.Unlock()
+func (s *simulation) setPartition(name string, f func(from, to string) bool) {
+	s.partitionMu.Lock()
+	defer s.partitionMu.Unlock()
 	if f == nil {
-		delete(s.cuts, name)
+		delete(s.partitions, name)
 	} else {
-		s.cuts[name] = f
+		s.partitions[name] = f
 	}
-	all := make([]func(string, string) bool, 0, len(s.cuts))
-	for _, c := range s.cuts {
+	all := make([]func(string, string) bool, 0, len(s.partitions))
+	for _, c := range s.partitions {
 		all = append(all, c)
 	}
 	s.net.Partition(func(a, b string) bool {
@@ -249,25 +249,27 @@
 	})
 }
 
-// server is where the i-th try of a user goes.
-func (s *sim) server(i int) string { return fmt.Sprintf("n%d:80", i%len(s.nodes)) }
+// controllerAddress is where the i-th try of a user goes.
+func (s *simulation) controllerAddress(i int) string {
+	return fmt.Sprintf("n%d:80", i%len(s.controllers))
+}
 
-// client is a user's, with that much patience for an answer.
-func (s *sim) client(patience time.Duration) *http.Client {
+// userClient is a user's, with that much patience for an answer.
+func (s *simulation) userClient(patience time.Duration) *http.Client {
 	return &http.Client{Timeout: patience, Transport: &http.Transport{DialContext: s.net.Dialer("user"), DisableKeepAlives: true}}
 }
 
-// user repeats a request until it has a clear answer, and judges the answers.
-func (s *sim) user(hc *http.Client, method, path string, body []byte, want func(status int, st wire.Status) bool) bool {
+// request repeats a request until it has a clear answer, and judges the answers.
+func (s *simulation) request(hc *http.Client, method, path string, body []byte, want func(status int, st wire.Status) bool) bool {
 	id, _, _ := strings.Cut(strings.TrimPrefix(path, "/api/jobs/"), "/")
-	first := int(s.asks.Add(1)) // a balancer sends each to another controller
+	first := int(s.requests.Add(1)) // a balancer sends each to another controller
 	for try := range 90 {
 		select {
 		case <-s.Ended():
 			return false
 		default:
 		}
-		req, err := http.NewRequest(method, "http://"+s.server(first+try)+path, bytes.NewReader(body))
+		req, err := http.NewRequest(method, "http://"+s.controllerAddress(first+try)+path, bytes.NewReader(body))
 		if err != nil {
 			panic(err)
 		}
@@ -287,8 +289,8 @@
 }
 
 // submit hands in a job until it is accepted, and judges the answers.
-func (s *sim) submit(hc *http.Client, spec *job.Spec) bool {
-	return s.user(hc, "POST", "/api/jobs", submission(spec), func(status int, _ wire.Status) bool {
+func (s *simulation) submit(hc *http.Client, spec *job.Spec) bool {
+	return s.request(hc, "POST", "/api/jobs", submission(spec), func(status int, _ wire.Status) bool {
 		if status == 400 || status == 422 || status == 404 {
 			s.ReportViolation("refused: %s got %d", spec.ID, status)
 		}
@@ -296,9 +298,9 @@
 	})
 }
 
-// again repeats the submission of a job that is over, as a user whose retry comes late.
-func (s *sim) again(hc *http.Client, spec *job.Spec, final string) {
-	s.user(hc, "POST", "/api/jobs", submission(spec), func(status int, st wire.Status) bool {
+// resubmit repeats the submission of a job that is over, as a user whose retry comes late.
+func (s *simulation) resubmit(hc *http.Client, spec *job.Spec, final string) {
+	s.request(hc, "POST", "/api/jobs", submission(spec), func(status int, st wire.Status) bool {
 		s.CheckResubmission(spec, status, st.Phase, final)
 		return status < 429
 	})
@@ -321,27 +323,27 @@
 	return body
 }
 
-func (s *sim) live(spec *job.Spec, at, abort time.Duration) {
+func (s *simulation) runUser(spec *job.Spec, at, abort time.Duration) {
 	select {
 	case <-s.Ended():
 		return
 	case <-time.After(at):
 	}
-	hc := s.client(5 * time.Second)
+	hc := s.userClient(5 * time.Second)
 	s.DescribeJob(spec)
 	if !s.submit(hc, spec) {
 		return
 	}
 	s.JobAccepted(spec.ID)
-	s.looksClosely(spec, abort > 0)
+	s.probeControllers(spec, abort > 0)
 	if abort > 0 {
 		time.Sleep(abort)
 		// Somebody looks at other controllers meanwhile: what one of them reads counts as
 		// told, though the answer to the cancellation itself may be lost.
 		told := make(chan struct{})
 		defer close(told)
-		s.Go(func() { s.looks(spec, told) })
-		s.user(hc, "POST", "/api/jobs/"+spec.ID+"/abort", nil, func(status int, st wire.Status) bool {
+		s.Go(func() { s.pollDuringCancellation(spec, told) })
+		s.request(hc, "POST", "/api/jobs/"+spec.ID+"/abort", nil, func(status int, st wire.Status) bool {
 			if status == 404 {
 				s.ReportViolation("forgotten: abort of %s got 404", spec.ID)
 			}
@@ -349,20 +351,20 @@
 				return false
 			}
 			s.CancellationAnswered(spec.ID, st.Phase)
-			s.looksClosely(spec, true)
+			s.probeControllers(spec, true)
 			return true
 		})
 	}
 	final, repeated := "", false
 	for range 200 {
 		if final != "" && !repeated {
-			s.again(hc, spec, final)
+			s.resubmit(hc, spec, final)
 			repeated = true
 		}
-		if !s.user(hc, "GET", "/api/jobs/"+spec.ID, nil, func(status int, st wire.Status) bool {
+		if !s.request(hc, "GET", "/api/jobs/"+spec.ID, nil, func(status int, st wire.Status) bool {
 			before := final
 			if final = s.CheckPoll(spec, status, st.Phase, final, abort > 0); final != before {
-				s.looksClosely(spec, abort > 0)
+				s.probeControllers(spec, abort > 0)
 			}
 			if status != 200 {
 				return false
@@ -379,9 +381,9 @@
 	}
 }
 
-// looks polls a job that is being cancelled, until its user stops.
-func (s *sim) looks(spec *job.Spec, until <-chan struct{}) {
-	hc := s.client(2 * time.Second)
+// pollDuringCancellation polls a job that is being cancelled, until its user stops.
+func (s *simulation) pollDuringCancellation(spec *job.Spec, until <-chan struct{}) {
+	hc := s.userClient(2 * time.Second)
 	before := ""
 	for i := 1; before == ""; i++ {
 		select {
@@ -391,7 +393,7 @@
 			return
 		case <-time.After(700 * time.Millisecond):
 		}
-		res, err := hc.Get("http://" + s.server(i) + "/api/jobs/" + spec.ID)
+		res, err := hc.Get("http://" + s.controllerAddress(i) + "/api/jobs/" + spec.ID)
 		if err != nil {
 			continue
 		}
@@ -405,14 +407,14 @@
 }
 
 type fault struct {
-	at time.Duration
-	do func(s *sim)
+	at     time.Duration
+	inject func(s *simulation)
 }
 
-// termsAbove checks that the last term is above one that workers have seen, by no
+// checkTermAbove checks that the last term is above one that workers have seen, by no
 // more than that many.
-func termsAbove(seen, most uint64) func(*sim) {
-	return func(s *sim) {
+func checkTermAbove(seen, most uint64) func(*simulation) {
+	return func(s *simulation) {
 		if term := s.term(); term <= seen || term > seen+most {
 			s.t.Errorf("the last term is %d, and workers have seen %d", term, seen)
 		}
@@ -422,29 +424,29 @@
 func isWorker(h string) bool { return strings.HasPrefix(h, "w") }
 
 // The faults. Each undoes itself.
-func crash(n int) func(*sim) {
-	return func(s *sim) {
+func crashControllers(n int) func(*simulation) {
+	return func(s *simulation) {
 		first := s.leader()
 		for i := range n {
-			s.kill((first + i) % len(s.nodes))
+			s.killController((first + i) % len(s.controllers))
 		}
 		time.Sleep(5 * time.Second)
 		for i := range n {
-			s.startNode((first + i) % len(s.nodes))
+			s.startController((first + i) % len(s.controllers))
 		}
 	}
 }
 
-func outage(d time.Duration) func(*sim) {
-	return func(s *sim) {
+func storeOutage(d time.Duration) func(*simulation) {
+	return func(s *simulation) {
 		s.store.SetOutage(true)
 		time.Sleep(d)
 		s.store.SetOutage(false)
 	}
 }
 
-func refuseLeader(d time.Duration) func(*sim) {
-	return func(s *sim) {
+func refuseLeaderAtStore(d time.Duration) func(*simulation) {
+	return func(s *simulation) {
 		l := fmt.Sprintf("n%d", s.leader())
 		s.store.RefuseFrom(func(from string) bool { return from == l })
 		time.Sleep(d)
@@ -452,63 +454,63 @@
 	}
 }
 
-func cutLeader(from func(other string) bool, d time.Duration) func(*sim) {
-	return func(s *sim) {
+func partitionLeader(from func(other string) bool, d time.Duration) func(*simulation) {
+	return func(s *simulation) {
 		l := fmt.Sprintf("n%d", s.leader())
-		s.cutLinks("leader", func(a, b string) bool { return a == l && from(b) })
+		s.setPartition("leader", func(a, b string) bool { return a == l && from(b) })
 		time.Sleep(d)
-		s.cutLinks("leader", nil)
+		s.setPartition("leader", nil)
 	}
 }
 
-// cutPeers cuts the controllers off from each other.
-func cutPeers(d time.Duration) func(*sim) {
-	return func(s *sim) {
-		s.cutLinks("peers", func(a, b string) bool { return isNode(a) && isNode(b) })
+// partitionControllers cuts the controllers off from each other.
+func partitionControllers(d time.Duration) func(*simulation) {
+	return func(s *simulation) {
+		s.setPartition("peers", func(a, b string) bool { return isController(a) && isController(b) })
 		time.Sleep(d)
-		s.cutLinks("peers", nil)
+		s.setPartition("peers", nil)
 	}
 }
 
-// lostMoments lets a leader of a high term end, and the state service name a term of
+// rollBackTerm lets a leader of a high term end, and the state service name a term of
 // long ago.
-func lostMoments(s *sim) {
+func rollBackTerm(s *simulation) {
 	for _, term := range []uint64{40, 3} {
 		if err := s.store.Put(election.KeyTerm, map[string]any{"term": term}); err != nil {
 			panic(err)
 		}
-		crash(1)(s) // the next term is one above
+		crashControllers(1)(s) // the next term is one above
 		time.Sleep(8 * time.Second)
 	}
 }
 
-func cutWorkers(r *rand.Rand, n int, d time.Duration) func(*sim) {
-	return func(s *sim) {
+func partitionWorkers(r *rand.Rand, n int, d time.Duration) func(*simulation) {
+	return func(s *simulation) {
 		hit := map[string]bool{}
 		for _, k := range s.RandomWorkers(r, n) {
 			hit[k.Host()] = true
 		}
-		s.cutLinks("workers", func(a, b string) bool { return hit[a] })
+		s.setPartition("workers", func(a, b string) bool { return hit[a] })
 		time.Sleep(d)
-		s.cutLinks("workers", nil)
+		s.setPartition("workers", nil)
 	}
 }
 
-// cutZone cuts a zone's workers off from everything.
-func cutZone(zone string, d time.Duration) func(*sim) {
-	return func(s *sim) {
+// partitionZone cuts a zone's workers off from everything.
+func partitionZone(zone string, d time.Duration) func(*simulation) {
+	return func(s *simulation) {
 		hit := map[string]bool{}
 		for _, k := range s.WorkersInZone(zone) {
 			hit[k.Host()] = true
 		}
-		s.cutLinks("zone", func(a, _ string) bool { return hit[a] })
+		s.setPartition("zone", func(a, _ string) bool { return hit[a] })
 		time.Sleep(d)
-		s.cutLinks("zone", nil)
+		s.setPartition("zone", nil)
 	}
 }
 
-func hang(r *rand.Rand, n int, d time.Duration) func(*sim) {
-	return func(s *sim) {
+func hangWorkers(r *rand.Rand, n int, d time.Duration) func(*simulation) {
+	return func(s *simulation) {
 		ks := s.RandomWorkers(r, n)
 		s.Hang(ks, true)
 		time.Sleep(d)
@@ -516,22 +518,22 @@
 	}
 }
 
-// freeze lets the leader and n-1 others stand still while their clocks run.
-func freeze(n int, d time.Duration) func(*sim) {
-	return func(s *sim) {
+// pauseControllers lets the leader and n-1 others stand still while their clocks run.
+func pauseControllers(n int, d time.Duration) func(*simulation) {
+	return func(s *simulation) {
 		first := s.leader()
 		var wg sync.WaitGroup
 		for i := range n {
-			wg.Go(func() { s.still[(first+i)%len(s.nodes)].shut(d) })
+			wg.Go(func() { s.pauses[(first+i)%len(s.controllers)].pause(d) })
 		}
 		wg.Wait()
 	}
 }
 
-// swarm hands in n small jobs at once, each by three users, and cancels half of
+// submissionBurst hands in n small jobs at once, each by three users, and cancels half of
 // them before, while and after they are accepted.
-func swarm(n int) func(*sim) {
-	return func(s *sim) {
+func submissionBurst(n int) func(*simulation) {
+	return func(s *simulation) {
 		for i := range n {
 			spec := &job.Spec{ID: fmt.Sprintf("run-9%05d", i), Team: "blue", ShapeName: "array", RankName: "idle", Tasks: 1, CPUs: 0.25, MemGB: 0.5, EstimateS: 4, Spot: true}
 			abort := time.Duration(0)
@@ -539,14 +541,14 @@
 				abort = time.Duration(i%7) * time.Second
 			}
 			s.DescribeJob(spec)
-			s.Go(func() { s.live(spec, 0, abort+time.Millisecond*time.Duration(1-i%2)) })
-			hc := s.client(5 * time.Second)
+			s.Go(func() { s.runUser(spec, 0, abort+time.Millisecond*time.Duration(1-i%2)) })
+			hc := s.userClient(5 * time.Second)
 			for range 2 {
 				s.Go(func() { s.submit(hc, spec) })
 			}
 			if i%4 == 0 {
 				s.Go(func() {
-					s.user(hc, "POST", "/api/jobs/"+spec.ID+"/abort", nil, func(status int, st wire.Status) bool {
+					s.request(hc, "POST", "/api/jobs/"+spec.ID+"/abort", nil, func(status int, st wire.Status) bool {
 						if status == 200 && st.Phase != wire.JobAborted && st.Phase != wire.JobDone {
 							s.ReportViolation("went_back: an abort of %s got %s", spec.ID, st.Phase)
 						}
@@ -558,63 +560,63 @@
 	}
 }
 
-// die takes machines away without a word.
-func die(r *rand.Rand, n int) func(*sim) {
-	return func(s *sim) { s.Kill(s.RandomWorkers(r, n)) }
+// killMachines takes machines away without a word.
+func killMachines(r *rand.Rand, n int) func(*simulation) {
+	return func(s *simulation) { s.Kill(s.RandomWorkers(r, n)) }
 }
 
-func sick(r *rand.Rand) func(*sim) {
-	return func(s *sim) { s.MakeFaulty(s.RandomWorkers(r, 1)) }
+func faultyMachine(r *rand.Rand) func(*simulation) {
+	return func(s *simulation) { s.MakeFaulty(s.RandomWorkers(r, 1)) }
 }
 
-// day is a day of several controllers against the stand-ins, in simulated time. The
+// scenario is a day of several controllers against the stand-ins, in simulated time. The
 // judge is the world; the numbers are those of docs/safety.md that the day reaches.
-type day struct {
+type scenario struct {
 	name   string
 	faults []fault
 }
 
-// also is what else has to hold at the end of a day, by the day's name.
-type also map[string]func(*sim)
+// finalChecks is what else has to hold at the end of a day, by the day's name.
+type finalChecks map[string]func(*simulation)
 
-func playDays(t *testing.T, scale int, tune func(*config.Settings, *config.Tuning), al also, days []day) {
-	playOn(t, plain(3, scale, tune), al, days)
+func runDefault(t *testing.T, scale int, tune func(*config.Settings, *config.Tuning), al finalChecks, days []scenario) {
+	runScenarios(t, defaultEnvironment(3, scale, tune), al, days)
 }
 
-// site is where a day is played: how many controllers, which machines, what work.
-type site struct {
-	nodes, scale int
-	drawn        bool
-	tune         func(*config.Settings, *config.Tuning)
-	edit         func(*emulate.Config)
-	begin        func(s *sim, add func(sp *job.Spec, at, abort time.Duration))
+// environment is where a day is played: how many controllers, which machines, what work.
+type environment struct {
+	controllers, scale int
+	randomized         bool
+	configure          func(*config.Settings, *config.Tuning)
+	editCluster        func(*emulate.Config)
+	submitWorkload     func(s *simulation, add func(sp *job.Spec, at, abort time.Duration))
 }
 
-func playOn(t *testing.T, st site, al also, days []day) {
+func runScenarios(t *testing.T, st environment, al finalChecks, days []scenario) {
 	for _, d := range days {
 		t.Run(d.name, func(t *testing.T) {
 			t.Parallel() // each has a time of its own
-			synctest.Test(t, func(t *testing.T) { playDay(t, st, d.faults, al[d.name]) })
+			synctest.Test(t, func(t *testing.T) { runScenario(t, st, d.faults, al[d.name]) })
 		})
 	}
 }
 
-func rng(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 1)) }
+func newRand(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 1)) }
 
 // TestRules plays days on which leaders and the state service fail.
 func TestRules(t *testing.T) {
-	playDays(t, 1, nil, nil, []day{
+	runDefault(t, 1, nil, nil, []scenario{
 		{"quiet (10, 13, 16)", nil},
-		{"leader crashes, twice (1, 4, 5, 6, 11)", []fault{{14 * time.Second, crash(1)}, {32 * time.Second, crash(1)}}},
-		{"state service out, short and long (2, 17)", []fault{{12 * time.Second, outage(8 * time.Second)}, {45 * time.Second, outage(25 * time.Second)}}},
-		{"leader refused by the state service alone (2, 3, 17)", []fault{{15 * time.Second, refuseLeader(20 * time.Second)}}},
-		{"leader cut from the state service, held (2, 3)", []fault{{15 * time.Second, cutLeader(func(o string) bool { return o == "state" }, 20*time.Second)}}},
-		{"leader cut from the workers, held (7, 8, 9)", []fault{{15 * time.Second, cutLeader(isWorker, 25*time.Second)}}},
-		{"leader cut from everything, held (2, 4, 7)", []fault{{15 * time.Second, cutLeader(func(string) bool { return true }, 20*time.Second)}}},
-		{"the leader stands still within its lease, then beyond (2, 4, 8)", []fault{{13 * time.Second, freeze(1, 2*time.Second)}, {18 * time.Second, freeze(1, 7*time.Second)}, {40 * time.Second, freeze(1, 16*time.Second)}}},
-		{"all controllers stand still, then the leader in an outage (2, 9, 17)", []fault{{14 * time.Second, freeze(3, 6*time.Second)}, {30 * time.Second, func(s *sim) {
+		{"leader crashes, twice (1, 4, 5, 6, 11)", []fault{{14 * time.Second, crashControllers(1)}, {32 * time.Second, crashControllers(1)}}},
+		{"state service out, short and long (2, 17)", []fault{{12 * time.Second, storeOutage(8 * time.Second)}, {45 * time.Second, storeOutage(25 * time.Second)}}},
+		{"leader refused by the state service alone (2, 3, 17)", []fault{{15 * time.Second, refuseLeaderAtStore(20 * time.Second)}}},
+		{"leader cut from the state service, held (2, 3)", []fault{{15 * time.Second, partitionLeader(func(o string) bool { return o == "state" }, 20*time.Second)}}},
+		{"leader cut from the workers, held (7, 8, 9)", []fault{{15 * time.Second, partitionLeader(isWorker, 25*time.Second)}}},
+		{"leader cut from everything, held (2, 4, 7)", []fault{{15 * time.Second, partitionLeader(func(string) bool { return true }, 20*time.Second)}}},
+		{"the leader stands still within its lease, then beyond (2, 4, 8)", []fault{{13 * time.Second, pauseControllers(1, 2*time.Second)}, {18 * time.Second, pauseControllers(1, 7*time.Second)}, {40 * time.Second, pauseControllers(1, 16*time.Second)}}},
+		{"all controllers stand still, then the leader in an outage (2, 9, 17)", []fault{{14 * time.Second, pauseControllers(3, 6*time.Second)}, {30 * time.Second, func(s *simulation) {
 			s.store.SetOutage(true)
-			freeze(1, 14*time.Second)(s)
+			pauseControllers(1, 14*time.Second)(s)
 			s.store.SetOutage(false)
 		}}}},
 	})
@@ -622,72 +624,72 @@
 
 // TestRulesWorkers plays days on which workers and links fail.
 func TestRulesWorkers(t *testing.T) {
-	playDays(t, 1, nil, also{"the stored term falls behind the tokens of the workers (1, 5)": termsAbove(41, 3)}, []day{
-		{"all controllers crash (6, 11, 13)", []fault{{20 * time.Second, crash(3)}}},
-		{"workers cut past their lease, held (7, 8, 9)", []fault{{15 * time.Second, cutWorkers(rng(3), 3, 18*time.Second)}}},
-		{"workers hang inside and past their lease (8, 9)", []fault{{13 * time.Second, hang(rng(4), 3, 8*time.Second)}, {35 * time.Second, hang(rng(5), 3, 20*time.Second)}}},
-		{"workers cut while the leader changes (4, 6, 9, 15)", []fault{{14 * time.Second, cutWorkers(rng(6), 3, 20*time.Second)}, {16 * time.Second, crash(1)}}},
-		{"workers hang while all controllers crash (6, 8)", []fault{{14 * time.Second, hang(rng(7), 3, 9*time.Second)}, {15 * time.Second, crash(3)}}},
-		{"state service takes less at a time than the settings say", []fault{{5 * time.Second, func(s *sim) { s.store.SetMaxWrites(2) }}}},
-		{"controllers cut from each other (13, 14)", []fault{{8 * time.Second, cutPeers(30 * time.Second)}}},
-		{"a machine dies, then the leader (6, 12)", []fault{{15 * time.Second, die(rng(9), 1)}, {16 * time.Second, crash(1)}}},
-		{"the stored term falls behind the tokens of the workers (1, 5)", []fault{{12 * time.Second, lostMoments}}},
-		{"a machine that fails everything (12)", []fault{{12 * time.Second, sick(rng(8))}}},
+	runDefault(t, 1, nil, finalChecks{"the stored term falls behind the tokens of the workers (1, 5)": checkTermAbove(41, 3)}, []scenario{
+		{"all controllers crash (6, 11, 13)", []fault{{20 * time.Second, crashControllers(3)}}},
+		{"workers cut past their lease, held (7, 8, 9)", []fault{{15 * time.Second, partitionWorkers(newRand(3), 3, 18*time.Second)}}},
+		{"workers hang inside and past their lease (8, 9)", []fault{{13 * time.Second, hangWorkers(newRand(4), 3, 8*time.Second)}, {35 * time.Second, hangWorkers(newRand(5), 3, 20*time.Second)}}},
+		{"workers cut while the leader changes (4, 6, 9, 15)", []fault{{14 * time.Second, partitionWorkers(newRand(6), 3, 20*time.Second)}, {16 * time.Second, crashControllers(1)}}},
+		{"workers hang while all controllers crash (6, 8)", []fault{{14 * time.Second, hangWorkers(newRand(7), 3, 9*time.Second)}, {15 * time.Second, crashControllers(3)}}},
+		{"state service takes less at a time than the settings say", []fault{{5 * time.Second, func(s *simulation) { s.store.SetMaxWrites(2) }}}},
+		{"controllers cut from each other (13, 14)", []fault{{8 * time.Second, partitionControllers(30 * time.Second)}}},
+		{"a machine dies, then the leader (6, 12)", []fault{{15 * time.Second, killMachines(newRand(9), 1)}, {16 * time.Second, crashControllers(1)}}},
+		{"the stored term falls behind the tokens of the workers (1, 5)", []fault{{12 * time.Second, rollBackTerm}}},
+		{"a machine that fails everything (12)", []fault{{12 * time.Second, faultyMachine(newRand(8))}}},
 	})
 }
 
 // TestRulesStorms plays days on which much fails, or much is asked, at a time.
 func TestRulesStorms(t *testing.T) {
-	days := []day{
-		{"a swarm whose ids repeat, half of it cancelled, while the leader crashes (13, 14, 15, 16)", []fault{{10 * time.Second, swarm(240)}, {12 * time.Second, crash(1)}}},
+	days := []scenario{
+		{"a swarm whose ids repeat, half of it cancelled, while the leader crashes (13, 14, 15, 16)", []fault{{10 * time.Second, submissionBurst(240)}, {12 * time.Second, crashControllers(1)}}},
 	}
 	for seed := range uint64(4) {
-		r := rng(100 + seed)
+		r := newRand(100 + seed)
 		var fs []fault
-		pick := []func() func(*sim){
-			func() func(*sim) { return crash(1 + r.IntN(3)) },
-			func() func(*sim) { return cutWorkers(r, 2, time.Duration(5+r.IntN(15))*time.Second) },
-			func() func(*sim) { return hang(r, 2, time.Duration(5+r.IntN(10))*time.Second) },
-			func() func(*sim) { return cutLeader(isWorker, 12*time.Second) },
+		pick := []func() func(*simulation){
+			func() func(*simulation) { return crashControllers(1 + r.IntN(3)) },
+			func() func(*simulation) { return partitionWorkers(r, 2, time.Duration(5+r.IntN(15))*time.Second) },
+			func() func(*simulation) { return hangWorkers(r, 2, time.Duration(5+r.IntN(10))*time.Second) },
+			func() func(*simulation) { return partitionLeader(isWorker, 12*time.Second) },
 		}
 		for at := 10; at < 60; at += 8 + r.IntN(8) {
 			fs = append(fs, fault{time.Duration(at) * time.Second, pick[int(seed+uint64(len(fs)))%len(pick)]()})
 		}
-		days = append(days, day{fmt.Sprintf("storm %d", seed), fs})
+		days = append(days, scenario{fmt.Sprintf("storm %d", seed), fs})
 	}
-	playDays(t, 1, nil, nil, days)
+	runDefault(t, 1, nil, nil, days)
 }
 
 // TestRulesAtSize plays days of several hundred machines: takeovers that load and
 // fence a whole fleet, registry pages and returns of many machines at once.
 func TestRulesAtSize(t *testing.T) {
 	const scale = 20
-	playDays(t, scale, nil, nil, []day{
+	runDefault(t, scale, nil, nil, []scenario{
 		{"workers cut while the leader changes, then all crash (4, 6, 9, 15)", []fault{
-			{14 * time.Second, cutWorkers(rng(11), 2*scale, 18*time.Second)},
-			{16 * time.Second, crash(1)}, {45 * time.Second, crash(3)}}},
+			{14 * time.Second, partitionWorkers(newRand(11), 2*scale, 18*time.Second)},
+			{16 * time.Second, crashControllers(1)}, {45 * time.Second, crashControllers(3)}}},
 		{"some machines die, then the leader stands still (6, 9, 12)", []fault{
-			{14 * time.Second, die(rng(13), 4)},
-			{16 * time.Second, freeze(1, 12*time.Second)}}},
+			{14 * time.Second, killMachines(newRand(13), 4)},
+			{16 * time.Second, pauseControllers(1, 12*time.Second)}}},
 		{"state service out, then workers hang while the leader is cut off (2, 3, 8, 17)", []fault{
-			{12 * time.Second, outage(9 * time.Second)},
-			{30 * time.Second, hang(rng(12), 2*scale, 9*time.Second)},
-			{45 * time.Second, cutLeader(func(string) bool { return true }, 15*time.Second)}}},
+			{12 * time.Second, storeOutage(9 * time.Second)},
+			{30 * time.Second, hangWorkers(newRand(12), 2*scale, 9*time.Second)},
+			{45 * time.Second, partitionLeader(func(string) bool { return true }, 15*time.Second)}}},
 	})
 }
 
-// newSim starts three controllers on an emulation in memory, and returns what ends
+// newSimulation starts three controllers on an emulation in memory, and returns what ends
 // them all.
-func newSim(t *testing.T, scale int, edit func(*emulate.Config), tune func(*config.Settings, *config.Tuning)) (*sim, func()) {
+func newSimulation(t *testing.T, scale int, edit func(*emulate.Config), tune func(*config.Settings, *config.Tuning)) (*simulation, func()) {
 	n, store := emulate.NewMemoryNetwork(), emulate.NewStore()
 	store.SetPageSize(7) // small pages, so that paging is in use
-	cfg := emulate.Config{Network: n, Store: store, Types: simTypes, MaxMachines: 12 * scale, Controllers: controllers,
+	cfg := emulate.Config{Network: n, Store: store, Types: simTypes, MaxMachines: 12 * scale, Controllers: simControllers,
 		LeaseDuration: 10 * time.Second, CancelTimeout: 25 * time.Second, HeartbeatInterval: 2 * time.Second, GangTimeout: 20 * time.Second,
 		ImagePull: time.Second, ListLag: 4 * time.Second, Limits: map[string]emulate.Limit{"red": {CPUs: 14 * float64(scale)}}}
 	edit(&cfg)
 	w := emulate.New(cfg)
-	s := &sim{World: w, t: t, net: n, store: store, cuts: map[string]func(string, string) bool{}, scale: scale, tune: tune,
-		nodes: make([]context.CancelFunc, len(cfg.Controllers)), ended: make([]chan struct{}, len(cfg.Controllers)), still: make([]gate, len(cfg.Controllers))}
+	s := &simulation{World: w, t: t, net: n, store: store, partitions: map[string]func(string, string) bool{}, scale: scale, configure: tune,
+		controllers: make([]context.CancelFunc, len(cfg.Controllers)), exited: make([]chan struct{}, len(cfg.Controllers)), pauses: make([]pauseGate, len(cfg.Controllers))}
 	var servers []*http.Server
 	for addr, h := range map[string]http.Handler{"state:1": store, "cloud:1": w} {
 		l, err := n.Listen(addr)
@@ -698,14 +700,14 @@
 		servers = append(servers, srv)
 		go func() { _ = srv.Serve(l) }()
 	}
-	for i := range s.nodes {
-		s.startNode(i)
+	for i := range s.controllers {
+		s.startController(i)
 	}
 	return s, func() {
 		ended := make(chan struct{})
 		go func() { defer close(ended); w.Close() }()
-		for i := range s.nodes {
-			s.kill(i)
+		for i := range s.controllers {
+			s.killController(i)
 		}
 		for _, srv := range servers {
 			_ = srv.Close()
@@ -716,16 +718,16 @@
 	}
 }
 
-// nobody asks about jobs that nobody has submitted.
-func (s *sim) nobody() {
-	hc := s.client(2 * time.Second)
+// pollUnknownJobs asks about jobs that nobody has submitted.
+func (s *simulation) pollUnknownJobs() {
+	hc := s.userClient(2 * time.Second)
 	for i := 0; ; i++ {
 		select {
 		case <-s.Ended():
 			return
 		case <-time.After(7 * time.Second):
 		}
-		res, err := hc.Get(fmt.Sprintf("http://%s/api/jobs/run-77%05d", s.server(i), i))
+		res, err := hc.Get(fmt.Sprintf("http://%s/api/jobs/run-77%05d", s.controllerAddress(i), i))
 		if err != nil {
 			continue
 		}
@@ -736,9 +738,9 @@
 	}
 }
 
-// plain is a site of three types of jobs, with CPUs only.
-func plain(nodes, scale int, tune func(*config.Settings, *config.Tuning)) site {
-	return site{nodes: nodes, scale: scale, tune: tune, edit: func(*emulate.Config) {}, begin: func(s *sim, add func(*job.Spec, time.Duration, time.Duration)) {
+// defaultEnvironment is a site of three types of jobs, with CPUs only.
+func defaultEnvironment(nodes, scale int, tune func(*config.Settings, *config.Tuning)) environment {
+	return environment{controllers: nodes, scale: scale, configure: tune, editCluster: func(*emulate.Config) {}, submitWorkload: func(s *simulation, add func(*job.Spec, time.Duration, time.Duration)) {
 		for range scale {
 			s.Boot("large", "a", false, 0)
 			s.Boot("small", "b", false, 0)
@@ -763,22 +765,22 @@
 	}}
 }
 
-func playDay(t *testing.T, st site, faults []fault, also func(*sim)) {
-	s, closeAll := newSim(t, st.scale, func(c *emulate.Config) {
-		c.Controllers = members(st.nodes)
-		st.edit(c)
-	}, st.tune)
+func runScenario(t *testing.T, st environment, faults []fault, also func(*simulation)) {
+	s, closeAll := newSimulation(t, st.scale, func(c *emulate.Config) {
+		c.Controllers = simMembers(st.controllers)
+		st.editCluster(c)
+	}, st.configure)
 	w := s.World
-	s.drawn = st.drawn
-	w.Go(s.nobody)
+	s.randomized = st.randomized
+	w.Go(s.pollUnknownJobs)
 	id := 0
-	st.begin(s, func(sp *job.Spec, at, abort time.Duration) {
+	st.submitWorkload(s, func(sp *job.Spec, at, abort time.Duration) {
 		id++
 		sp.ID = fmt.Sprintf("run-%06d", id)
 		if sp.Class == "" {
 			sp.Class = sp.ShapeName + " of " + sp.Team
 		}
-		w.Go(func() { s.live(sp, at, abort) })
+		w.Go(func() { s.runUser(sp, at, abort) })
 	})
 	sec := time.Second
 	done := make(chan struct{})
@@ -791,7 +793,7 @@
 			e := make(chan struct{})
 			ends = append(ends, e)
 			// Faults that overlap must not fight over the same processes.
-			run := func() { defer close(e); f.do(s) }
+			run := func() { defer close(e); f.inject(s) }
 			if len(faults) > 2 {
 				run()
 			} else {
--- a/internal/node/storm_test.go
+++ b/internal/node/storm_test.go
@@ -20,47 +20,47 @@
 	"vetchstream/internal/wire"
 )
 
-// storm is a season of roll-outs: services, a third of whose builds are bad.
-type storm struct {
+// rolloutStorm is a season of roll-outs: services, a third of whose builds are bad.
+type rolloutStorm struct {
 	services int
 	replicas int // of a service, at most
 	faults   bool
-	open     bool // gates are switched off: the judge must object
+	gatesOff bool // gates are switched off: the judge must object
 }
 
-// served is one service of a storm.
-type served struct {
-	name   string
-	spec   *job.Spec
-	image  string // of the next version
-	bad    bool
-	batch  int
-	kind   int // of builds
-	state  string
-	reason string
-	undone time.Duration
+// stormService is one service of a storm.
+type stormService struct {
+	name            string
+	spec            *job.Spec
+	image           string // of the next version
+	badBuild        bool
+	batch           int
+	buildKind       int // of builds
+	state           string
+	reason          string
+	rolledBackAfter time.Duration
 }
 
-// builds are the ways in which a build is bad.
-var builds = []emulate.ImageBehavior{
+// badBuilds are the ways in which a build is bad.
+var badBuilds = []emulate.ImageBehavior{
 	{CrashAfter: 200 * time.Millisecond},
 	{UnhealthyAfter: 30 * time.Second},
 	{UnhealthyAfter: 120 * time.Second},
 	{UnhealthyAfter: 5 * time.Second, FlapPeriod: 6 * time.Second},
 }
 
-// play plays a storm and returns the services with what became of them, and what
+// run plays a storm and returns the services with what became of them, and what
 // the judge objects to.
-func (st storm) play(t *testing.T, seed uint64) (out []*served, broken []string) {
+func (st rolloutStorm) run(t *testing.T, seed uint64) (out []*stormService, broken []string) {
 	r := rand.New(rand.NewPCG(seed, 14))
 	zones := []string{"a", "b", "c", "d"}
-	s, closeAll := newSim(t, 1, func(c *emulate.Config) {
+	s, closeAll := newSimulation(t, 1, func(c *emulate.Config) {
 		c.MaxMachines, c.Limits = 40+st.services*st.replicas/3, nil
 		c.Types = []wire.MachineType{{Name: "small", CPUs: 8, MemGB: 64, CacheGB: 10, FetchRate: 1, Price: 0.2, SpotPrice: 0.05, BootS: 4, Zones: zones}}
 	}, func(set *config.Settings, tun *config.Tuning) {
 		tun.Rollouts.Enabled = true
 		if seed%2 == 1 {
-			shared(set, tun)
+			withSharding(set, tun)
 		}
 	})
 	w := s.World
@@ -71,14 +71,14 @@
 	hc := &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DialContext: s.net.Dialer("user"), DisableKeepAlives: true}}
 	for i := range st.services {
 		n := 3 + r.IntN(st.replicas-2)
-		sv := &served{name: fmt.Sprintf("svc-%d", i), image: fmt.Sprintf("img-%d-next", i), bad: i == 0 || r.IntN(3) == 0, batch: max(1, n/2)}
+		sv := &stormService{name: fmt.Sprintf("svc-%d", i), image: fmt.Sprintf("img-%d-next", i), badBuild: i == 0 || r.IntN(3) == 0, batch: max(1, n/2)}
 		sv.spec = &job.Spec{ID: fmt.Sprintf("run-%d", 1000+i), Team: "blue", ShapeName: "daemon", RankName: "standard", Tasks: n, CPUs: 1, MemGB: 1, Image: fmt.Sprintf("img-%d", i)}
-		if sv.bad {
-			sv.kind = r.IntN(len(builds))
-			if st.open {
-				sv.kind = 1 // one that crashes at once can stop a roll-out without any gate
+		if sv.badBuild {
+			sv.buildKind = r.IntN(len(badBuilds))
+			if st.gatesOff {
+				sv.buildKind = 1 // one that crashes at once can stop a roll-out without any gate
 			}
-			w.SetImageBehavior(sv.image, builds[sv.kind])
+			w.SetImageBehavior(sv.image, badBuilds[sv.buildKind])
 		}
 		out = append(out, sv)
 		w.DescribeJob(sv.spec)
@@ -90,14 +90,14 @@
 	for i, sv := range out {
 		doc := map[string]any{"service": sv.name, "from": sv.spec.ID, "to": map[string]any{"uid": fmt.Sprintf("run-%d", 5000+i), "reel": sv.image},
 			"batch": sv.batch, "most_extra": 1, "soak_s": 150.0, "deadline_s": 400.0}
-		if st.open {
+		if st.gatesOff {
 			doc["pass"], doc["fail"], doc["soak_s"], doc["ready_s"] = "true", "false", 0.0, 0.0
 		}
 		body, err := wire.Marshal(doc)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !s.user(hc, "POST", "/api/rollouts", body, func(status int, _ wire.Status) bool {
+		if !s.request(hc, "POST", "/api/rollouts", body, func(status int, _ wire.Status) bool {
 			if status == 400 || status == 422 {
 				t.Errorf("%s: roll-out refused with %d", sv.name, status)
 			}
@@ -121,11 +121,11 @@
 				}
 				switch zone := zones[r.IntN(len(zones))]; r.IntN(4) {
 				case 0:
-					crash(1 + r.IntN(3))(s)
+					crashControllers(1 + r.IntN(3))(s)
 				case 1:
-					outage(time.Duration(3+r.IntN(12)) * time.Second)(s)
+					storeOutage(time.Duration(3+r.IntN(12)) * time.Second)(s)
 				case 2: // a zone is cut for longer than its leases
-					cutZone(zone, 14*time.Second)(s)
+					partitionZone(zone, 14*time.Second)(s)
 				case 3:
 					w.Kill(w.RandomWorkers(r, 1))
 				}
@@ -139,7 +139,7 @@
 			if rollout.State(sv.state).Over() {
 				continue
 			}
-			s.status(hc, sv)
+			s.pollRollout(hc, sv)
 			left++
 		}
 		if left == 0 {
@@ -149,7 +149,7 @@
 	time.Sleep(20 * time.Second)
 	close(calm)
 	<-over
-	broken = append(w.Violations(), judgeStorm(out, w.History())...)
+	broken = append(w.Violations(), checkStorm(out, w.History())...)
 	closeAll()
 	return out, broken
 }
@@ -163,9 +163,9 @@
 	return b
 }
 
-// status reads what a service's roll-out says.
-func (s *sim) status(hc *http.Client, sv *served) {
-	res, err := hc.Get("http://" + controllers[0].Addr + "/api/rollouts/" + sv.name)
+// pollRollout reads what a service's roll-out says.
+func (s *simulation) pollRollout(hc *http.Client, sv *stormService) {
+	res, err := hc.Get("http://" + simControllers[0].Addr + "/api/rollouts/" + sv.name)
 	if err != nil {
 		return
 	}
@@ -176,12 +176,12 @@
 	}
 }
 
-// lostTime is for how long the leader may take a copy for running whose machine
+// staleRunningTime is for how long the leader may take a copy for running whose machine
 // has gone without a word: a lease.
-const lostTime = 11 * time.Second
+const staleRunningTime = 11 * time.Second
 
-// judgeStorm holds the machines' own history against what was promised.
-func judgeStorm(all []*served, history []emulate.Event) (broken []string) {
+// checkStorm holds the machines' own history against what was promised.
+func checkStorm(all []*stormService, history []emulate.Event) (broken []string) {
 	for _, sv := range all {
 		ran := map[string]string{} // replica of the next version -> zone of its first start
 		running, lost := map[string]int{}, map[string]time.Time{}
@@ -214,7 +214,7 @@
 			// A replica that was stopped on purpose while no other copy of it ran is one
 			// that the roll-out took away: there is one extra, so none may be
 			// missing; but for a copy whose machine has gone and nobody knows it yet.
-			if !e.Start && e.Cause == wire.CauseHalted && up && running[replica] == 0 && e.Image == sv.spec.Image && e.At.Sub(lost[replica]) > lostTime {
+			if !e.Start && e.Cause == wire.CauseHalted && up && running[replica] == 0 && e.Image == sv.spec.Image && e.At.Sub(lost[replica]) > staleRunningTime {
 				broken = append(broken, fmt.Sprintf("%s fell below its floor: %s was stopped at %v with no copy of it elsewhere", sv.name, e.Task, e.At))
 			}
 			up = up || len(running) == sv.spec.Tasks
@@ -223,14 +223,14 @@
 		for _, z := range ran {
 			zones[z] = true
 		}
-		if sv.bad && (len(ran) > sv.batch || len(zones) > 1) {
+		if sv.badBuild && (len(ran) > sv.batch || len(zones) > 1) {
 			broken = append(broken, fmt.Sprintf("%s: the bad build ran as %d replicas in %d zones, a batch is %d", sv.name, len(ran), len(zones), sv.batch))
 		}
-		if sv.bad && sv.state == string(rollout.Undone) {
-			sv.undone = last.Sub(first)
+		if sv.badBuild && sv.state == string(rollout.Undone) {
+			sv.rolledBackAfter = last.Sub(first)
 		}
-		if want := map[bool]string{true: string(rollout.Undone), false: string(rollout.Done)}[sv.bad]; sv.state != want {
-			broken = append(broken, fmt.Sprintf("%s (bad: %v) ended %q, want %q: %s", sv.name, sv.bad, sv.state, want, sv.reason))
+		if want := map[bool]string{true: string(rollout.Undone), false: string(rollout.Done)}[sv.badBuild]; sv.state != want {
+			broken = append(broken, fmt.Sprintf("%s (bad: %v) ended %q, want %q: %s", sv.name, sv.badBuild, sv.state, want, sv.reason))
 		}
 	}
 	return broken
@@ -250,30 +250,30 @@
 	services, replicas := number("STORM_SERVICES", 6), number("STORM_REPLICAS", 6)
 	type play struct {
 		name string
-		storm
+		rolloutStorm
 		seed    uint64
 		objects bool
 	}
-	plays := []play{{"gates switched off", storm{services: 6, replicas: 6, open: true}, 1, true}, {"no faults", storm{services: services, replicas: replicas}, 2, false}}
+	plays := []play{{"gates switched off", rolloutStorm{services: 6, replicas: 6, gatesOff: true}, 1, true}, {"no faults", rolloutStorm{services: services, replicas: replicas}, 2, false}}
 	for seed := range number("STORM_SEEDS", 2) {
-		plays = append(plays, play{fmt.Sprintf("storm %d", seed), storm{services: services, replicas: replicas, faults: true}, uint64(100 + seed), false})
+		plays = append(plays, play{fmt.Sprintf("storm %d", seed), rolloutStorm{services: services, replicas: replicas, faults: true}, uint64(100 + seed), false})
 	}
 	for _, p := range plays {
 		t.Run(p.name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				all, broken := p.play(t, p.seed)
+				all, broken := p.run(t, p.seed)
 				var undone []time.Duration
 				for _, sv := range all {
-					if sv.bad {
-						undone = append(undone, sv.undone.Round(time.Second))
+					if sv.badBuild {
+						undone = append(undone, sv.rolledBackAfter.Round(time.Second))
 					}
 				}
 				slices.Sort(undone)
 				t.Logf("bad builds ran for %v", undone)
 				for _, sv := range all {
-					if sv.undone > 0 {
-						t.Logf("UNDONE kind %d after %.0f", sv.kind, sv.undone.Seconds())
+					if sv.rolledBackAfter > 0 {
+						t.Logf("UNDONE kind %d after %.0f", sv.buildKind, sv.rolledBackAfter.Seconds())
 					}
 				}
 				if p.objects != (len(broken) > 0) {
--- a/internal/node/week_plot_test.go
+++ b/internal/node/week_plot_test.go
@@ -10,14 +10,14 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// played sums up the weeks of one variant.
-type played struct {
+// variantResult sums up the weeks of one variant.
+type variantResult struct {
 	name  string
-	weeks []ran
+	weeks []weekResult
 }
 
 // mean is the mean of a figure over the weeks.
-func (p *played) mean(of func(*ran) float64) float64 {
+func (p *variantResult) mean(of func(*weekResult) float64) float64 {
 	sum := 0.0
 	for i := range p.weeks {
 		sum += of(&p.weeks[i])
@@ -25,20 +25,20 @@
 	return sum / float64(max(1, len(p.weeks)))
 }
 
-// figures are what the variants are compared by.
-var figures = []struct {
+// weekMetrics are what the variants are compared by.
+var weekMetrics = []struct {
 	file, title, unit string
-	of                func(*ran) float64
+	of                func(*weekResult) float64
 }{
-	{"week-on-time", "Slots that start whole and on time", "share", func(r *ran) float64 { return float64(r.onTime) / float64(r.slots) }},
-	{"week-idle", "Machine hours without a task, a week", "hours", func(r *ran) float64 { return r.idle }},
-	{"week-lost", "Hours of tasks' work lost, a week", "hours", func(r *ran) float64 { return r.lost }},
-	{"week-delay", "Ordinary tasks, from submission to end", "seconds", func(r *ran) float64 { return r.delay }},
+	{"week-on-time", "Slots that start whole and on time", "share", func(r *weekResult) float64 { return float64(r.onTime) / float64(r.slots) }},
+	{"week-idle", "Machine hours without a task, a week", "hours", func(r *weekResult) float64 { return r.idleHours }},
+	{"week-lost", "Hours of tasks' work lost, a week", "hours", func(r *weekResult) float64 { return r.lostHours }},
+	{"week-delay", "Ordinary tasks, from submission to end", "seconds", func(r *weekResult) float64 { return r.meanDelayS }},
 }
 
 // plotWeeks draws a bar chart of each figure into a directory.
-func plotWeeks(t *testing.T, dir string, all []played) {
-	for _, f := range figures {
+func plotWeeks(t *testing.T, dir string, all []variantResult) {
+	for _, f := range weekMetrics {
 		p := plot.New()
 		p.Title.Text = f.title + " (simulated)"
 		var values plotter.Values
@@ -60,11 +60,11 @@
 	}
 	for i := range all {
 		line := fmt.Sprintf("%-36s %d weeks", all[i].name, len(all[i].weeks))
-		for _, f := range figures {
+		for _, f := range weekMetrics {
 			line += fmt.Sprintf("  %s %.3f", f.file, all[i].mean(f.of))
 		}
-		t.Log(line, "cut", all[i].mean(func(r *ran) float64 { return float64(len(r.cut)) }), "kept of sound",
-			all[i].mean(func(r *ran) float64 { return float64(r.kept) }), all[i].mean(func(r *ran) float64 { return float64(r.sound) }),
-			"done", all[i].mean(func(r *ran) float64 { return float64(r.done) }))
+		t.Log(line, "cut", all[i].mean(func(r *weekResult) float64 { return float64(len(r.cutOff)) }), "kept of sound",
+			all[i].mean(func(r *weekResult) float64 { return float64(r.undisturbedOnTime) }), all[i].mean(func(r *weekResult) float64 { return float64(r.undisturbed) }),
+			"done", all[i].mean(func(r *weekResult) float64 { return float64(r.tasksDone) }))
 	}
 }
--- a/internal/node/week_test.go
+++ b/internal/node/week_test.go
@@ -20,29 +20,29 @@
 	"vetchstream/internal/wire"
 )
 
-// week is a season of slots and windows on a fleet that ordinary work fills. Its
+// weekPlan is a season of slots and windows on a fleet that ordinary work fills. Its
 // days last eight minutes.
-type week struct {
-	days     int
-	calendar bool // else slots' gangs are submitted at their time, first come first served
-	hold     bool
-	backfill bool
-	drain    bool
-	cushion  float64 // CPUs that ordinary work is kept off
-	faults   bool
+type weekPlan struct {
+	days         int
+	calendar     bool // else slots' gangs are submitted at their time, first come first served
+	hold         bool
+	backfill     bool
+	drain        bool
+	reservedCPUs float64 // CPUs that ordinary work is kept off
+	faults       bool
 }
 
 const (
-	dayTime  = 480 * time.Second
-	weekFrom = 40 * time.Second
-	nightAt  = 400 * time.Second // of a day, when a zone is serviced
-	nightFor = 40 * time.Second
-	nightLed = 60 * time.Second // the draining before it
-	weekCPUs = 72
+	dayTime           = 480 * time.Second
+	weekStartDelay    = 40 * time.Second
+	maintenanceOffset = 400 * time.Second // of a day, when a zone is serviced
+	maintenanceLength = 40 * time.Second
+	maintenanceDrain  = 60 * time.Second // the draining before it
+	weekCPUs          = 72
 )
 
-// daily are the slots of four teams; the last one is weekly.
-var daily = []struct {
+// dailySlots are the slots of four teams; the last one is weekly.
+var dailySlots = []struct {
 	team string
 	at   time.Duration // of a day
 	n    int
@@ -50,51 +50,51 @@
 	day  int // -1: every day
 }{{"t1", 120 * time.Second, 4, false, -1}, {"t2", 150 * time.Second, 3, false, -1}, {"t3", 250 * time.Second, 3, true, -1}, {"t4", 320 * time.Second, 8, false, 3}}
 
-// ran is what became of a week.
-type ran struct {
-	slots, onTime int // all
-	sound, kept   int // those without a fault in the two minutes before, and those of them on time
-	late          []string
-	idle, up      float64 // machine hours without a task, and all
-	lost          float64 // hours of tasks' work
-	done          int     // ordinary tasks
-	delay         float64 // seconds from submission to end, of an ordinary task
-	cut           []string
-	broken        []string
+// weekResult is what became of a week.
+type weekResult struct {
+	slots, onTime                  int // all
+	undisturbed, undisturbedOnTime int // those without a fault in the two minutes before, and those of them on time
+	lateSlots                      []string
+	idleHours, upHours             float64 // machine hours without a task, and all
+	lostHours                      float64 // hours of tasks' work
+	tasksDone                      int     // ordinary tasks
+	meanDelayS                     float64 // seconds from submission to end, of an ordinary task
+	cutOff                         []string
+	violations                     []string
 }
 
-// slotJob is a slot with its gang.
-type slotJob struct {
+// gangSlot is a slot with its gang.
+type gangSlot struct {
 	id    string
 	start time.Time
 	n     int
 	late  time.Duration // -1: it never ran whole
 }
 
-func (wk week) play(t *testing.T, seed uint64) (out ran) {
+func (wk weekPlan) run(t *testing.T, seed uint64) (out weekResult) {
 	r := rand.New(rand.NewPCG(seed, 15))
 	zones := []string{"a", "b", "c"}
-	s, closeAll := newSim(t, 1, func(c *emulate.Config) {
+	s, closeAll := newSimulation(t, 1, func(c *emulate.Config) {
 		c.MaxMachines, c.Limits = 18, nil
 		c.Types = []wire.MachineType{{Name: "small", CPUs: 4, MemGB: 64, CacheGB: 10, FetchRate: 1, Price: 0.2, SpotPrice: 0.05, BootS: 10, Zones: zones}}
 	}, func(set *config.Settings, tun *config.Tuning) {
 		set.Facts.Teams = []config.Team{{Name: "bulk"}, {Name: "t1"}, {Name: "t2"}, {Name: "t3"}, {Name: "t4"}}
-		if wk.cushion > 0 {
-			set.Facts.Teams[0].CPUsMax = weekCPUs - wk.cushion
+		if wk.reservedCPUs > 0 {
+			set.Facts.Teams[0].CPUsMax = weekCPUs - wk.reservedCPUs
 		}
 		tun.Calendar.Enabled, tun.Calendar.CountOn = wk.calendar, map[string]int{"small": 6}
 		tun.Calendar.Hold, tun.Calendar.Backfill, tun.Calendar.Drain, tun.Calendar.HoldS = wk.hold, wk.backfill, wk.drain, 60
 	})
-	b := &slotBed{sim: s, t: t, hc: &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DialContext: s.net.Dialer("user"), DisableKeepAlives: true}}}
+	b := &calendarSimulation{simulation: s, t: t, client: &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DialContext: s.net.Dialer("user"), DisableKeepAlives: true}}}
 	s.RecordHistory()
 	for i := range 18 {
 		s.Boot("small", zones[i%3], false, 0)
 	}
 	time.Sleep(5 * time.Second)
-	begun := time.Now().Add(weekFrom)
+	begun := time.Now().Add(weekStartDelay)
 	over := begun.Add(time.Duration(wk.days) * dayTime)
 	when := func(at time.Time) string { return at.UTC().Format(time.RFC3339Nano) }
-	var slots []*slotJob
+	var slots []*gangSlot
 	windows := map[time.Time]string{}
 	hand := func(at time.Time, spec job.Spec) {
 		declared := spec
@@ -104,36 +104,36 @@
 		s.DescribeJob(&spec)
 		s.Go(func() {
 			time.Sleep(time.Until(at))
-			if s.submit(b.hc, &declared) {
+			if s.submit(b.client, &declared) {
 				s.JobAccepted(spec.ID)
 			}
 		})
 	}
 	for d := range wk.days {
 		day := begun.Add(time.Duration(d) * dayTime)
-		for i, x := range daily {
+		for i, x := range dailySlots {
 			if x.day >= 0 && x.day != d {
 				continue
 			}
-			sl := &slotJob{id: fmt.Sprintf("run-%d", 100_000+100*d+i), start: day.Add(x.at), n: x.n, late: -1}
+			sl := &gangSlot{id: fmt.Sprintf("run-%d", 100_000+100*d+i), start: day.Add(x.at), n: x.n, late: -1}
 			slots = append(slots, sl)
 			spec := job.Spec{ID: sl.id, Team: x.team, ShapeName: "ensemble", RankName: "standard", Tasks: x.n, CPUs: 4, MemGB: 1, EstimateS: 40, OneZone: x.one}
 			at := sl.start
 			if wk.calendar {
 				spec.Booking = fmt.Sprintf("slot-%d-%d", d, i)
 				at = at.Add(-30 * time.Second)
-				if got := b.post("/api/reservations", map[string]any{"name": spec.Booking, "team": x.team, "parts": x.n, "cpus": 4.0, "mem_gb": 1.0, "same_place": x.one,
+				if got := b.createEntry("/api/reservations", map[string]any{"name": spec.Booking, "team": x.team, "parts": x.n, "cpus": 4.0, "mem_gb": 1.0, "same_place": x.one,
 					"start": when(sl.start), "end": when(sl.start.Add(70 * time.Second)), "grace_s": 20.0}); got != 201 {
 					t.Errorf("a reservation got %d", got)
 				}
 			}
 			hand(at, spec)
 		}
-		night := day.Add(nightAt)
+		night := day.Add(maintenanceOffset)
 		windows[night] = zones[d%3]
 		if wk.calendar {
-			if got := b.post("/api/maintenance", map[string]any{"name": fmt.Sprintf("night-%d", d), "yard": zones[d%3], "drain_s": nightLed.Seconds(),
-				"start": when(night), "end": when(night.Add(nightFor))}); got != 201 {
+			if got := b.createEntry("/api/maintenance", map[string]any{"name": fmt.Sprintf("night-%d", d), "yard": zones[d%3], "drain_s": maintenanceDrain.Seconds(),
+				"start": when(night), "end": when(night.Add(maintenanceLength))}); got != 201 {
 				t.Errorf("a window got %d", got)
 			}
 		}
@@ -166,13 +166,13 @@
 			from := time.Now()
 			switch r.IntN(5) {
 			case 0:
-				crash(1)(s)
+				crashControllers(1)(s)
 			case 1:
-				crash(3)(s)
+				crashControllers(3)(s)
 			case 2:
-				outage(time.Duration(4+r.IntN(8)) * time.Second)(s)
+				storeOutage(time.Duration(4+r.IntN(8)) * time.Second)(s)
 			case 3:
-				cutZone(zones[r.IntN(3)], 14*time.Second)(s)
+				partitionZone(zones[r.IntN(3)], 14*time.Second)(s)
 			case 4:
 				s.Kill(s.RandomWorkers(r, 2))
 			}
@@ -189,7 +189,7 @@
 			}
 		}
 		_, up := s.MachineCounts()
-		out.idle, out.up = out.idle+float64(s.IdleMachines())/4/3600, out.up+float64(up)/4/3600
+		out.idleHours, out.upHours = out.idleHours+float64(s.IdleMachines())/4/3600, out.upHours+float64(up)/4/3600
 	}
 	<-ended
 	tolerance := calendar.Tolerance(2, 100)
@@ -204,21 +204,21 @@
 		}) {
 			continue
 		}
-		out.sound++
+		out.undisturbed++
 		if ok {
-			out.kept++
+			out.undisturbedOnTime++
 		} else {
-			out.late = append(out.late, fmt.Sprintf("%s at %s: %s", sl.id, sl.start.Sub(begun), sl.late.Round(100*time.Millisecond)))
+			out.lateSlots = append(out.lateSlots, fmt.Sprintf("%s at %s: %s", sl.id, sl.start.Sub(begun), sl.late.Round(100*time.Millisecond)))
 		}
 	}
-	out.judge(s.History(), submitted, windows)
-	out.broken = s.Violations()
+	out.evaluateHistory(s.History(), submitted, windows)
+	out.violations = s.Violations()
 	closeAll()
 	return out
 }
 
-// judge reads the machines' own history.
-func (out *ran) judge(history []emulate.Event, submitted map[string]time.Time, windows map[time.Time]string) {
+// evaluateHistory reads the machines' own history.
+func (out *weekResult) evaluateHistory(history []emulate.Event, submitted map[string]time.Time, windows map[time.Time]string) {
 	began := map[string]time.Time{}
 	for _, e := range history {
 		key := e.Task + " " + e.Host
@@ -231,53 +231,55 @@
 		switch e.Cause {
 		case wire.CauseDone:
 			if bulk {
-				out.delay = (out.delay*float64(out.done) + e.At.Sub(at).Seconds()) / float64(out.done+1)
-				out.done++
+				out.meanDelayS = (out.meanDelayS*float64(out.tasksDone) + e.At.Sub(at).Seconds()) / float64(out.tasksDone+1)
+				out.tasksDone++
 			}
 		default:
-			out.lost += e.At.Sub(began[key]).Hours()
+			out.lostHours += e.At.Sub(began[key]).Hours()
 			for night, zone := range windows {
 				if e.Zone == zone && (e.Cause == emulate.CauseLost && e.At.Sub(night).Abs() < time.Second || e.Cause == wire.CauseHalted && bulk && e.At.After(night.Add(-6*time.Second)) && e.At.Before(night.Add(time.Second))) {
-					out.cut = append(out.cut, fmt.Sprintf("%s %s %s", e.Task, e.Cause, e.At.Sub(night)))
+					out.cutOff = append(out.cutOff, fmt.Sprintf("%s %s %s", e.Task, e.Cause, e.At.Sub(night)))
 				}
 			}
 		}
 	}
 }
 
-// variant is a way to play a week.
-type variant struct {
+// weekVariant is a way to play a week.
+type weekVariant struct {
 	name string
-	edit func(*week)
+	edit func(*weekPlan)
 }
 
 // TestWeek: every slot without a fault in the two minutes before it starts whole and on time, and
 // maintenance cuts nothing off. WEEK_SEEDS plays weeks of seven days, so many of each
 // kind, and compares them; WEEK_PLOT is where to draw the comparison.
 func TestWeek(t *testing.T) {
-	calendars := []variant{{"calendar", func(*week) {}}, {"calendar, faults", func(w *week) { w.faults = true }}}
+	calendars := []weekVariant{{"calendar", func(*weekPlan) {}}, {"calendar, faults", func(w *weekPlan) { w.faults = true }}}
 	n, err := strconv.Atoi(os.Getenv("WEEK_SEEDS"))
 	if err != nil {
-		playWeeks(t, 2, 1, calendars[1:])
+		runWeeks(t, 2, 1, calendars[1:])
 		return
 	}
-	playWeeks(t, 7, uint64(n), append(calendars, []variant{
-		{"without backfill", func(w *week) { w.backfill = false }},
-		{"first come first served", func(w *week) { w.calendar, w.hold, w.drain = false, false, false }},
-		{"cushion", func(w *week) { w.calendar, w.hold, w.drain, w.cushion = false, false, false, 16 }},
-		{"first come first served, faults", func(w *week) { w.calendar, w.hold, w.drain, w.faults = false, false, false, true }},
-		{"cushion, faults", func(w *week) { w.calendar, w.hold, w.drain, w.cushion, w.faults = false, false, false, 16, true }},
+	runWeeks(t, 7, uint64(n), append(calendars, []weekVariant{
+		{"without backfill", func(w *weekPlan) { w.backfill = false }},
+		{"first come first served", func(w *weekPlan) { w.calendar, w.hold, w.drain = false, false, false }},
+		{"cushion", func(w *weekPlan) { w.calendar, w.hold, w.drain, w.reservedCPUs = false, false, false, 16 }},
+		{"first come first served, faults", func(w *weekPlan) { w.calendar, w.hold, w.drain, w.faults = false, false, false, true }},
+		{"cushion, faults", func(w *weekPlan) {
+			w.calendar, w.hold, w.drain, w.reservedCPUs, w.faults = false, false, false, 16, true
+		}},
 	}...))
 }
 
 // TestWeekJudge: the judge objects where machines are not held, or not drained.
 func TestWeekJudge(t *testing.T) {
-	playWeeks(t, 2, 1, []variant{{"not held", func(w *week) { w.hold = false }}, {"not drained", func(w *week) { w.drain = false }}})
+	runWeeks(t, 2, 1, []weekVariant{{"not held", func(w *weekPlan) { w.hold = false }}, {"not drained", func(w *weekPlan) { w.drain = false }}})
 }
 
-func playWeeks(t *testing.T, days int, seeds uint64, variants []variant) {
+func runWeeks(t *testing.T, days int, seeds uint64, variants []weekVariant) {
 	var mu sync.Mutex
-	all := make([]played, len(variants))
+	all := make([]variantResult, len(variants))
 	if dir := os.Getenv("WEEK_PLOT"); dir != "" {
 		t.Cleanup(func() { plotWeeks(t, dir, all) })
 	}
@@ -287,23 +289,23 @@
 			t.Run(fmt.Sprintf("%s %d", x.name, seed), func(t *testing.T) {
 				t.Parallel()
 				synctest.Test(t, func(t *testing.T) {
-					w := week{days: days, calendar: true, hold: true, backfill: true, drain: true}
+					w := weekPlan{days: days, calendar: true, hold: true, backfill: true, drain: true}
 					x.edit(&w)
-					out := w.play(t, seed)
+					out := w.run(t, seed)
 					mu.Lock()
 					all[i].weeks = append(all[i].weeks, out)
 					mu.Unlock()
-					if len(out.broken) > 0 {
-						t.Errorf("rules broken: %s", strings.Join(out.broken, "\n"))
+					if len(out.violations) > 0 {
+						t.Errorf("rules broken: %s", strings.Join(out.violations, "\n"))
 					}
 					if !w.calendar {
 						return
 					}
-					if held := out.kept == out.sound; held != w.hold {
-						t.Errorf("on time: %d of %d that no fault was near of; late: %v", out.kept, out.sound, out.late)
+					if held := out.undisturbedOnTime == out.undisturbed; held != w.hold {
+						t.Errorf("on time: %d of %d that no fault was near of; late: %v", out.undisturbedOnTime, out.undisturbed, out.lateSlots)
 					}
-					if whole := len(out.cut) == 0; whole != w.drain {
-						t.Errorf("cut off: %v", out.cut)
+					if whole := len(out.cutOff) == 0; whole != w.drain {
+						t.Errorf("cut off: %v", out.cutOff)
 					}
 				})
 			})
