--- a/cmd/vetchstream/configuration.go
+++ b/cmd/vetchstream/configuration.go
@@ -86,7 +86,7 @@
 // configHistory shows the changes that are kept.
 func (c *client) configHistory(cmd *cobra.Command) error {
 	var all struct {
-		Changes []dynconfig.PastSummary `codec:"changes" json:"changes"`
+		Changes []dynconfig.HistorySummary `codec:"changes" json:"changes"`
 	}
 	if err := c.call(cmd, http.MethodGet, configPath+"/history", nil, &all); err != nil {
 		return err
@@ -136,7 +136,7 @@
 			for _, region := range slices.Sorted(maps.Keys(team.Regions)) {
 				p := team.Regions[region]
 				fmt.Fprintf(t, "%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\n", name, team.Revision, quotaText(team.Limit), region,
-					quotaText(p.Limit), quotaText(p.Guarantee), quotaText(p.Told), quotaText(p.Held))
+					quotaText(p.Limit), quotaText(p.Guarantee), quotaText(p.Granted), quotaText(p.Held))
 			}
 		}
 		_ = t.Flush()
@@ -158,12 +158,12 @@
 			if r.SilentS >= 0 {
 				heard = fmt.Sprintf("%.1f s ago", r.SilentS)
 			}
-			fmt.Fprintf(t, "%s\t%d\t%.0f s\t%d\t%s\t%d\n", r.Region, r.Revision, r.InForceS, r.Behind, heard, r.Waiting)
+			fmt.Fprintf(t, "%s\t%d\t%.0f s\t%d\t%s\t%d\n", r.Region, r.Revision, r.InForceS, r.Behind, heard, r.PendingCount)
 		}
 		_ = t.Flush()
 		for _, r := range s.Regions {
-			for _, x := range r.Waits {
-				fmt.Fprintf(w, "%s of %s has %s, is to have %s, waits for %s\n", x.Team, r.Region, quotaText(x.Has), quotaText(x.Wants), strings.Join(x.For, ", "))
+			for _, x := range r.Pending {
+				fmt.Fprintf(w, "%s of %s has %s, is to have %s, waits for %s\n", x.Team, r.Region, quotaText(x.InForce), quotaText(x.Target), strings.Join(x.BlockedBy, ", "))
 			}
 		}
 	})
--- a/internal/control/commands.go
+++ b/internal/control/commands.go
@@ -60,7 +60,7 @@
 	if h.Calling || h.Lost || h.Addr == "" || !h.Durable || now.Before(h.NextCall) {
 		return false
 	}
-	relayed, may := cm.shards.takes(h)
+	relayed, may := cm.shards.relayable(h)
 	return may && (relayed || cm.calls < cm.most)
 }
 
@@ -77,7 +77,7 @@
 		return
 	}
 	h.Calling = true
-	if relayed, _ := cm.shards.takes(h); relayed {
+	if relayed, _ := cm.shards.relayable(h); relayed {
 		cm.shards.relay(h, body, sent, now)
 		return
 	}
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -34,7 +34,7 @@
 	// Entitled tells whether this node may act for the term right now.
 	Entitled func(term uint64) bool
 	// Follow asks the leader of the home region from another one.
-	Follow Follow
+	Follow FollowFunc
 	// Left is for how long that is so without another renewal.
 	Left func(term uint64) time.Duration
 	// Deposed is told of a later term that a worker has seen.
@@ -179,7 +179,7 @@
 		if bad != nil {
 			return nil, nil, bad
 		}
-		do = func(r *leaderTerm, back func(*rpc.Reply)) { r.homeQuotas.operate(op, back) }
+		do = func(r *leaderTerm, back func(*rpc.Reply)) { r.homeQuotas.handleOperation(op, back) }
 	case rpc.KindReport:
 		m := &wire.Report{}
 		if err := wire.Unmarshal(q.Body, m); err != nil || m.Host == "" || m.Session == 0 {
@@ -258,9 +258,9 @@
 // admissionRefusal is the refusal of a job that can never run, or cannot be judged yet;
 // nil: it may be taken in.
 func (c *Controller) admissionRefusal(spec *job.Spec, types []wire.MachineType, team quota) *rpc.Reply {
-	why, known := neverSchedulable(spec, types, team.now)
-	if why != "" && team.soon != nil {
-		if later, _ := neverSchedulable(spec, types, team.soon); later == "" {
+	why, known := neverSchedulable(spec, types, team.current)
+	if why != "" && team.target != nil {
+		if later, _ := neverSchedulable(spec, types, team.target); later == "" {
 			return Later("the team's quota is about to change")
 		}
 	}
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -396,7 +396,7 @@
 			}
 			s := &job.Spec{ID: "run-1", Team: "red", ShapeName: "array", Tasks: 1, CPUs: 1, MemGB: 1}
 			tt.edit(s)
-			why, known := neverSchedulable(s, r.nameIndex.list(), r.teamQuotas.find(s.Team).now)
+			why, known := neverSchedulable(s, r.nameIndex.list(), r.teamQuotas.find(s.Team).current)
 			if (why != "") != tt.never || known != tt.known {
 				t.Errorf("%q, known %v", why, known)
 			}
--- a/internal/control/leader_term.go
+++ b/internal/control/leader_term.go
@@ -254,7 +254,7 @@
 		back(Later("a newer report was answered"))
 		return
 	}
-	if !r.shards.route(m, func() { r.report(m, via, back) }, back) {
+	if !r.shards.routeHeartbeat(m, func() { r.report(m, via, back) }, back) {
 		return
 	}
 	h := r.fleet.Hosts[m.Host]
@@ -277,7 +277,7 @@
 	p := reply(http.StatusOK, wire.Answer{Token: r.term, Orders: orders})
 	p.Work = h.Busy()
 	back(p)
-	r.shards.served(h, via, now)
+	r.shards.recordAnswered(h, via, now)
 }
 
 // scanEvery spaces the looks at every machine and every job: in a large fleet one
@@ -307,7 +307,7 @@
 	r.machinePool.cloud(now)
 	r.planner.place(now)
 	r.registry.register(now)
-	r.shards.answer(now)
+	r.shards.answerHeartbeats(now)
 	r.commands.urgent(now)
 	r.shards.step(now, scan)
 	r.homeQuotas.step(now)
--- a/internal/control/machine_pool.go
+++ b/internal/control/machine_pool.go
@@ -304,7 +304,7 @@
 	mc.removed[h.Name] = true
 	mc.planner.gone(h)
 	mc.reservationHolds.forget(h)
-	mc.shards.gone(h)
+	mc.shards.remove(h)
 	delete(mc.noticed, h)
 	delete(mc.met, h)
 	if mc.registry.leave(h) {
--- a/internal/control/quotas.go
+++ b/internal/control/quotas.go
@@ -25,8 +25,8 @@
 	unconfirmedKey = "t/unconfirmed"
 )
 
-// Follow asks the leader of the home region.
-type Follow func(ctx context.Context, q *dynconfig.Request) (*dynconfig.Reply, error)
+// FollowFunc asks the leader of the home region.
+type FollowFunc func(ctx context.Context, q *dynconfig.Request) (*dynconfig.Reply, error)
 
 // teamQuotas knows the teams that there are now: those of the platform's file, and over them
 // what the home region has granted. It follows the home region.
@@ -48,12 +48,12 @@
 	return &teamQuotas{core: co, restored: restored}
 }
 
-// on reports whether regions are named in the operators' settings.
-func (tm *teamQuotas) on() bool { return tm.c.Tuning.Regions.Name != "" }
+// enabled reports whether regions are named in the operators' settings.
+func (tm *teamQuotas) enabled() bool { return tm.c.Tuning.Regions.Name != "" }
 
-// list reads the stored entries; none while no regions are named.
-func (tm *teamQuotas) list() ([]state.Entry, error) {
-	if !tm.on() {
+// readStored reads the stored entries; none while no regions are named.
+func (tm *teamQuotas) readStored() ([]state.Entry, error) {
+	if !tm.enabled() {
 		return nil, nil
 	}
 	e, err := tm.c.State.Get(tm.ctx, unconfirmedKey)
@@ -84,17 +84,17 @@
 // an entry cannot be read its limit is not known: the team starts nothing until the home
 // region has told it once more.
 func (tm *teamQuotas) load(stored []state.Entry) {
-	if !tm.on() {
+	if !tm.enabled() {
 		return
 	}
 	tm.versions = map[string]uint64{}
-	var entries []dynconfig.Entry
+	var entries []dynconfig.RegionGrant
 	for _, s := range stored {
 		name := s.Key[len(regionPrefix):]
-		var e dynconfig.Entry
+		var e dynconfig.RegionGrant
 		if err := wire.Unmarshal(s.Value, &e); err != nil || e.Team != name {
 			tm.log.Error("what is granted of a team cannot be read, it starts nothing until it is told again", "team", name, "error", err)
-			e = dynconfig.Entry{Team: name}
+			e = dynconfig.RegionGrant{Team: name}
 		}
 		entries = append(entries, e)
 		tm.versions[e.Team] = s.Version
@@ -160,18 +160,18 @@
 // find is a team that takes jobs.
 func (tm *teamQuotas) find(name string) quota {
 	if tm.replica == nil {
-		return quota{now: tm.c.fileTeam(name)}
+		return quota{current: tm.c.fileTeam(name)}
 	}
 	share, known := tm.replica.Share(name, tm.uses)
 	if !known && !tm.replica.Unconfirmed() {
 		return quota{}
 	}
-	return quotaOf(name, share, tm.replica.Wants(name))
+	return quotaOf(name, share, tm.replica.Target(name))
 }
 
 // quota is a team that takes jobs, as it is now and as it is to be; now is nil where there
 // is no such team, soon where no change is under way.
-type quota struct{ now, soon *config.Team }
+type quota struct{ current, target *config.Team }
 
 func quotaOf(name string, share dynconfig.Share, wants dynconfig.Amount) quota {
 	now, soon := teamOf(name, share), teamOf(name, dynconfig.Share{Limit: wants})
@@ -183,12 +183,12 @@
 	if tm.replica == nil {
 		return 0
 	}
-	return tm.replica.After()
+	return tm.replica.LastSeq()
 }
 
 // usage adds up what each team uses, with everything that may be on a machine, and which
 // teams have jobs that are not over.
-func (tm *teamQuotas) usage() dynconfig.Uses {
+func (tm *teamQuotas) usage() dynconfig.UsageFunc {
 	all := make([]place.Team, len(tm.nameIndex.teamNames()))
 	busy := make([]bool, len(all))
 	for _, j := range tm.jobTable.all() {
@@ -233,7 +233,7 @@
 
 // follow keeps asking the home region and stores what it grants, until the term ends.
 func (tm *teamQuotas) follow() {
-	if !tm.on() {
+	if !tm.enabled() {
 		return
 	}
 	wait := followPause
@@ -250,7 +250,7 @@
 			continue
 		}
 		wait = followPause
-		entries := await(tm.core, func() []dynconfig.Entry { return tm.replica.Answered(q, p) })
+		entries := await(tm.core, func() []dynconfig.RegionGrant { return tm.replica.HandleReply(q, p) })
 		tm.keep(entries)
 		tm.call(tm.confirm)
 	}
@@ -287,14 +287,14 @@
 func (tm *teamQuotas) ask(q *dynconfig.Request) (*dynconfig.Reply, error) {
 	ctx, cancel := context.WithTimeout(tm.ctx, followTime)
 	defer cancel()
-	if tm.homeQuotas.on() {
-		return tm.c.FollowHome(ctx, q), nil
+	if tm.homeQuotas.enabled() {
+		return tm.c.HandleFollow(ctx, q), nil
 	}
 	return tm.c.Follow(ctx, q)
 }
 
 // keep stores entries, and lets them count once they are stored.
-func (tm *teamQuotas) keep(entries []dynconfig.Entry) {
+func (tm *teamQuotas) keep(entries []dynconfig.RegionGrant) {
 	most := max(1, tm.c.Settings.Facts.State.TxnOps)
 	for len(entries) > 0 && tm.ctx.Err() == nil {
 		part := entries[:min(most, len(entries))]
@@ -308,7 +308,7 @@
 }
 
 // store stores entries in one transaction and waits for its outcome.
-func (tm *teamQuotas) store(entries []dynconfig.Entry) (version uint64, ok bool) {
+func (tm *teamQuotas) store(entries []dynconfig.RegionGrant) (version uint64, ok bool) {
 	versions := await(tm.core, func() []uint64 {
 		out := make([]uint64, len(entries))
 		for i, e := range entries {
@@ -339,14 +339,14 @@
 }
 
 // stored lets entries count.
-func (tm *teamQuotas) stored(entries []dynconfig.Entry, version uint64) {
+func (tm *teamQuotas) stored(entries []dynconfig.RegionGrant, version uint64) {
 	added := false
 	for _, e := range entries {
 		tm.versions[e.Team] = version
 		added = tm.nameIndex.addTeam(e.Team) || added
 		tm.log.Info("team has changed", "team", e.Team, "revision", e.Revision, "cpus_max", e.Limit.CPUs, "gpus_max", e.Limit.GPUs, "removed", e.Removed)
 	}
-	tm.replica.Stored(entries)
+	tm.replica.ApplyStored(entries)
 	if added {
 		tm.jobTable.rebind()
 	}
@@ -383,7 +383,7 @@
 // lead, with the condition under which that holds.
 func (c *Controller) storedTeam(ctx context.Context, name string) (quota, []state.Cond, error) {
 	if c.Tuning.Regions.Name == "" || !job.ValidTeam(name) {
-		return quota{now: c.fileTeam(name)}, nil, nil
+		return quota{current: c.fileTeam(name)}, nil, nil
 	}
 	e, err := c.State.Get(ctx, regionPrefix+name)
 	if errors.Is(err, state.ErrNotFound) {
@@ -393,14 +393,14 @@
 		return quota{}, nil, err
 	}
 	conds := []state.Cond{{Key: regionPrefix + name, Version: e.Version}}
-	var entry dynconfig.Entry
+	var entry dynconfig.RegionGrant
 	if err := wire.Unmarshal(e.Value, &entry); err != nil {
 		return quota{}, nil, err
 	}
 	if entry.Removed {
 		return quota{}, conds, nil
 	}
-	return quotaOf(name, dynconfig.Share{Limit: entry.Limit, Guarantee: entry.Guarantee}, entry.Wants), conds, nil
+	return quotaOf(name, dynconfig.Share{Limit: entry.Limit, Guarantee: entry.Guarantee}, entry.Target), conds, nil
 }
 
 // errUnconfirmed is returned for a team of which the region's state service may have lost
@@ -412,7 +412,7 @@
 func (c *Controller) unnamedTeam(ctx context.Context, name string) (quota, []state.Cond, error) {
 	conds := []state.Cond{{Key: regionPrefix + name}}
 	if t := c.fileTeam(name); t != nil {
-		return quota{now: t}, conds, nil
+		return quota{current: t}, conds, nil
 	}
 	_, err := c.State.Get(ctx, unconfirmedKey)
 	switch {
--- a/internal/control/quotas_home.go
+++ b/internal/control/quotas_home.go
@@ -65,15 +65,15 @@
 
 func newHomeQuotas(co *core) *homeQuotas { return &homeQuotas{core: co} }
 
-// on reports whether this is the home region.
-func (ht *homeQuotas) on() bool {
+// enabled reports whether this is the home region.
+func (ht *homeQuotas) enabled() bool {
 	r := &ht.c.Tuning.Regions
 	return r.Name != "" && r.Name == r.Home
 }
 
-// list reads the stored records.
-func (ht *homeQuotas) list() (head state.Entry, records, history []state.Entry, err error) {
-	if !ht.on() {
+// readStored reads the stored records.
+func (ht *homeQuotas) readStored() (head state.Entry, records, history []state.Entry, err error) {
+	if !ht.enabled() {
 		return head, nil, nil, nil
 	}
 	if head, err = ht.c.State.Get(ht.ctx, headKey); err != nil && !errors.Is(err, state.ErrNotFound) {
@@ -89,7 +89,7 @@
 // load takes in what earlier leaders have stored. What cannot be read is made anew from
 // what the regions say that they hold.
 func (ht *homeQuotas) load(stored state.Entry, entries, history []state.Entry) {
-	if !ht.on() {
+	if !ht.enabled() {
 		return
 	}
 	var head dynconfig.Head
@@ -99,9 +99,9 @@
 			head = dynconfig.Head{}
 		}
 	}
-	var records []*dynconfig.Record
+	var records []*dynconfig.TeamRecord
 	for _, e := range entries {
-		r := &dynconfig.Record{}
+		r := &dynconfig.TeamRecord{}
 		if err := wire.Unmarshal(e.Value, r); err != nil || homePrefix+r.Name != e.Key {
 			ht.log.Error("a team of the configuration cannot be read", "key", e.Key, "error", err)
 			continue
@@ -115,10 +115,10 @@
 	ht.remember(history)
 }
 
-// hear takes in a region's request.
-func (ht *homeQuotas) hear(q *dynconfig.Request, back func(*dynconfig.Reply)) {
+// handleRequest takes in a region's request.
+func (ht *homeQuotas) handleRequest(q *dynconfig.Request, back func(*dynconfig.Reply)) {
 	now := time.Now()
-	if p := ht.home.Hear(q, now); p != nil {
+	if p := ht.home.HandleRequest(q, now); p != nil {
 		back(p)
 		return
 	}
@@ -138,7 +138,7 @@
 	}
 	kept := ht.waiting[:0]
 	for _, w := range ht.waiting {
-		if now.Before(w.until) && !w.request.Full && !ht.home.Pending(w.request.Region, w.request.After) {
+		if now.Before(w.until) && !w.request.Full && !ht.home.HasGrants(w.request.Region, w.request.After) {
 			kept = append(kept, w)
 			continue
 		}
@@ -153,7 +153,7 @@
 		return
 	}
 	if u := ht.home.Step(ht.mostRecords()); !u.Empty() {
-		ht.store(u, nil, func() { ht.home.Retry(u) }, func() {})
+		ht.store(u, nil, func() { ht.home.Requeue(u) }, func() {})
 	}
 }
 
@@ -163,26 +163,26 @@
 // remember takes in the changes that earlier leaders have kept. One that cannot be read is
 // as if it had not been kept.
 func (ht *homeQuotas) remember(entries []state.Entry) {
-	var past []*dynconfig.Past
+	var past []*dynconfig.HistoryEntry
 	for _, e := range entries {
-		p := &dynconfig.Past{}
+		p := &dynconfig.HistoryEntry{}
 		if err := wire.Unmarshal(e.Value, p); err != nil {
 			ht.log.Error("a change that was kept cannot be read", "key", e.Key, "error", err)
 			continue
 		}
 		past = append(past, p)
 	}
-	ht.home.Remember(past)
+	ht.home.LoadHistory(past)
 }
 
 // historyWrite keeps a change, without what was there before if that does not fit a value.
-func (ht *homeQuotas) historyWrite(p *dynconfig.Past) (*dynconfig.Past, state.Write, error) {
+func (ht *homeQuotas) historyWrite(p *dynconfig.HistoryEntry) (*dynconfig.HistoryEntry, state.Write, error) {
 	key := fmt.Sprintf("%s%03d", historyPrefix, p.Slot())
 	put, err := state.Put(key, p)
 	if err != nil || float64(len(put.Value)) < ht.c.Settings.Facts.State.ValueKB*1024*historyShare {
 		return p, put, err
 	}
-	p = p.Without()
+	p = p.WithoutBefore()
 	put, err = state.Put(key, p)
 	return p, put, err
 }
@@ -234,7 +234,7 @@
 		}
 		return
 	}
-	past, kept, err := ht.historyWrite(ht.home.Past(u, time.Now()))
+	past, kept, err := ht.historyWrite(ht.home.NewHistoryEntry(u, time.Now()))
 	if err != nil {
 		for _, p := range taken {
 			p.back(reply(http.StatusInternalServerError, wire.Error{Error: err.Error()}))
@@ -246,7 +246,7 @@
 			p.back(settled(Later("the change could not be stored")))
 		}
 	}, func() {
-		ht.home.Keep(past)
+		ht.home.AddHistory(past)
 		ht.c.Meter.Add(metrics.ConfigChanges, "taken", len(taken))
 		ht.log.Info("the configuration has changed", "revision", u.Head.Revision, "changes", len(taken), "teams", len(u.Records))
 		for _, p := range taken {
@@ -324,7 +324,7 @@
 }
 
 // storePart stores some records with the head, and further writes.
-func (ht *homeQuotas) storePart(head dynconfig.Head, records []*dynconfig.Record, beside []state.Write, was uint64) (version uint64, err error) {
+func (ht *homeQuotas) storePart(head dynconfig.Head, records []*dynconfig.TeamRecord, beside []state.Write, was uint64) (version uint64, err error) {
 	put, err := state.Put(headKey, head)
 	if err != nil {
 		return was, err
@@ -343,9 +343,9 @@
 	return version, nil
 }
 
-// operate answers an operator's request.
-func (ht *homeQuotas) operate(op *rpc.Operation, back func(*rpc.Reply)) {
-	if !ht.on() {
+// handleOperation answers an operator's request.
+func (ht *homeQuotas) handleOperation(op *rpc.Operation, back func(*rpc.Reply)) {
+	if !ht.enabled() {
 		back(reply(http.StatusNotFound, wire.Error{Error: "no regions are named in the settings of this controller"}))
 		return
 	}
@@ -382,17 +382,17 @@
 	}
 }
 
-// FollowHome answers a region's leader as leader of the home region, and refuses it
+// HandleFollow answers a region's leader as leader of the home region, and refuses it
 // otherwise.
-func (c *Controller) FollowHome(ctx context.Context, q *dynconfig.Request) *dynconfig.Reply {
+func (c *Controller) HandleFollow(ctx context.Context, q *dynconfig.Request) *dynconfig.Reply {
 	refused := &dynconfig.Reply{Refused: "not the leader of the home region"}
 	r := c.current()
-	if r == nil || !c.Entitled(r.term) || !r.takeover.loaded() || !r.homeQuotas.on() {
+	if r == nil || !c.Entitled(r.term) || !r.takeover.loaded() || !r.homeQuotas.enabled() {
 		return refused
 	}
 	answer := make(chan *dynconfig.Reply, 1)
 	select {
-	case r.users <- func() { r.homeQuotas.hear(q, func(p *dynconfig.Reply) { answer <- p }) }:
+	case r.users <- func() { r.homeQuotas.handleRequest(q, func(p *dynconfig.Reply) { answer <- p }) }:
 	case <-r.ctx.Done():
 		return refused
 	case <-ctx.Done():
--- a/internal/control/shards.go
+++ b/internal/control/shards.go
@@ -98,9 +98,9 @@
 		waiting: map[string][]func(){}, told: map[moveKind]*moved{}, kept: map[*fleet.Host]struct{}{}}
 }
 
-// Room is how many machines a controller can deal with: a connection each, beside
+// ShardCapacity is how many machines a controller can deal with: a connection each, beside
 // those that it needs itself, and a sixth for users.
-func Room(maxSockets int) int { return max(0, (maxSockets-2*DirectCalls(maxSockets)-40)*5/6) }
+func ShardCapacity(maxSockets int) int { return max(0, (maxSockets-2*DirectCalls(maxSockets)-40)*5/6) }
 
 // begin starts with what the registry names; the leader deals with all of it.
 func (sh *shards) begin(now time.Time) {
@@ -114,7 +114,7 @@
 	}
 	sh.allot = shard.NewAssigner(sh.term, sh.c.Settings.Member, sh.c.Settings.Site, shard.Settings{
 		Grant: time.Duration(t.GrantMs) * time.Millisecond, Join: config.Seconds(t.JoinS), Rest: config.Seconds(t.RestS),
-		RestMost: config.Seconds(t.RestMostS), Least: t.Least, PerS: perS, Own: t.Own, Room: Room(f.Resources.MaxSockets)}, now)
+		RestMost: config.Seconds(t.RestMostS), Least: t.Least, PerS: perS, Own: t.Own, Room: ShardCapacity(f.Resources.MaxSockets)}, now)
 	for _, h := range sh.fleet.All() {
 		zone := ""
 		if h.Zone >= 0 {
@@ -124,9 +124,9 @@
 	}
 }
 
-// route says whether the leader answers a report that has come to it. If not, the
+// routeHeartbeat says whether the leader answers a report that has come to it. If not, the
 // worker is sent to the holder, or the report waits until there is none.
-func (sh *shards) route(m *wire.Report, again func(), back func(*rpc.Reply)) bool {
+func (sh *shards) routeHeartbeat(m *wire.Report, again func(), back func(*rpc.Reply)) bool {
 	if sh.allot == nil {
 		return true
 	}
@@ -147,10 +147,10 @@
 	return true
 }
 
-// served notes that the leader has answered a machine. One that is new is given away
+// recordAnswered notes that the leader has answered a machine. One that is new is given away
 // before it has seen the term and is in the registry, which a launch still waits for:
 // a fleet that boots within a minute would take all sockets of the leader first.
-func (sh *shards) served(h *fleet.Host, via string, now time.Time) {
+func (sh *shards) recordAnswered(h *fleet.Host, via string, now time.Time) {
 	if sh.allot == nil || h.Releasing {
 		return
 	}
@@ -171,8 +171,8 @@
 	}
 }
 
-// gone forgets a machine that was returned.
-func (sh *shards) gone(h *fleet.Host) {
+// remove forgets a machine that was returned.
+func (sh *shards) remove(h *fleet.Host) {
 	if sh.allot == nil {
 		return
 	}
@@ -253,9 +253,9 @@
 	}
 }
 
-// answer answers the reports that wait for it, as the leader answers those that
+// answerHeartbeats answers the reports that wait for it, as the leader answers those that
 // come to it. It comes before the direct commands: what goes by an answer needs none.
-func (sh *shards) answer(now time.Time) {
+func (sh *shards) answerHeartbeats(now time.Time) {
 	for member, b := range sh.boxes {
 		for _, a := range b.asked {
 			if by := a.host.Holder(); by == nil || by.Name != member || sh.fleet.Hosts[a.host.Name] != a.host || a.host.Session != a.session {
--- a/internal/control/shards_relay.go
+++ b/internal/control/shards_relay.go
@@ -30,9 +30,9 @@
 // are sent directly.
 const absentTime = 600 * time.Millisecond
 
-// takes reports whether a direct command to a machine goes through its holder, and
+// relayable reports whether a direct command to a machine goes through its holder, and
 // whether it may go now.
-func (sh *shards) takes(h *fleet.Host) (relayed, now bool) {
+func (sh *shards) relayable(h *fleet.Host) (relayed, now bool) {
 	if sh.allot == nil || h.Holder() == nil {
 		return false, true
 	}
--- a/internal/control/takeover_load.go
+++ b/internal/control/takeover_load.go
@@ -63,10 +63,10 @@
 	if st.bookings, st.windows, err = tk.calendarStore.list(); err != nil {
 		return nil, err
 	}
-	if st.teams, err = tk.teamQuotas.list(); err != nil {
+	if st.teams, err = tk.teamQuotas.readStored(); err != nil {
 		return nil, err
 	}
-	st.homeHead, st.homeTeams, st.homeHistory, err = tk.homeQuotas.list()
+	st.homeHead, st.homeTeams, st.homeHistory, err = tk.homeQuotas.readStored()
 	return st, err
 }
 
--- a/internal/dynconfig/change.go
+++ b/internal/dynconfig/change.go
@@ -28,11 +28,11 @@
 	Limit *Quota `codec:"limit,omitempty" json:"limit,omitempty"`
 	// Regions are the parts of the regions. A region that is not named gets nothing, or
 	// has no limit where the team has none.
-	Regions map[string]Part `codec:"regions,omitempty" json:"regions,omitempty"`
+	Regions map[string]RegionQuota `codec:"regions,omitempty" json:"regions,omitempty"`
 }
 
-// Part is a region's part of a team's limit, and what the team is guaranteed there.
-type Part struct {
+// RegionQuota is a region's part of a team's limit, and what the team is guaranteed there.
+type RegionQuota struct {
 	Limit     *Quota `codec:"limit,omitempty" json:"limit,omitempty"`
 	Guarantee *Quota `codec:"guarantee,omitempty" json:"guarantee,omitempty"`
 }
@@ -133,7 +133,7 @@
 }
 
 // added counts the records of teams that are new.
-func (h *Home) added(records []*Record) (n int) {
+func (h *Home) added(records []*TeamRecord) (n int) {
 	for _, r := range records {
 		if h.teams[r.Name] == nil {
 			n++
@@ -143,15 +143,15 @@
 }
 
 // base is the record that a change goes on from.
-func (h *Home) base(name string) *Record {
+func (h *Home) base(name string) *TeamRecord {
 	if r := h.teams[name]; r != nil {
 		return r.clone()
 	}
-	return &Record{Name: name, Grants: map[string]Grant{}}
+	return &TeamRecord{Name: name, Grants: map[string]Grant{}}
 }
 
 // changed checks a team and returns its record.
-func (h *Home) changed(c *TeamChange, field string) (*Record, *Refusal) {
+func (h *Home) changed(c *TeamChange, field string) (*TeamRecord, *Refusal) {
 	r := h.base(c.Name)
 	r.Removed, r.Adopted = false, false
 	r.Limit, r.Shares = c.Limit.amount(Unlimited), map[string]Share{}
@@ -176,7 +176,7 @@
 }
 
 // removed checks the removal of a team and returns its record.
-func (h *Home) removed(name, field string) (*Record, *Refusal) {
+func (h *Home) removed(name, field string) (*TeamRecord, *Refusal) {
 	known := h.teams[name] != nil
 	for _, region := range h.regions {
 		f := h.followers[region]
@@ -203,8 +203,8 @@
 
 // asStated is a team of which there is no record, as the regions say that they have it, by
 // their platforms' files or by grants; nil: none does.
-func (h *Home) asStated(name string) *Record {
-	r := &Record{Name: name, Shares: map[string]Share{}, Grants: map[string]Grant{}}
+func (h *Home) asStated(name string) *TeamRecord {
+	r := &TeamRecord{Name: name, Shares: map[string]Share{}, Grants: map[string]Grant{}}
 	for _, region := range h.regions {
 		if s, ok := h.followers[region].says[name]; ok {
 			r.Limit, r.Shares[region] = r.Limit.plus(s.Limit), Share{s.Limit, s.Guarantee}
--- a/internal/dynconfig/change_test.go
+++ b/internal/dynconfig/change_test.go
@@ -11,7 +11,7 @@
 		for j := range g.sites {
 			s := &g.sites[j]
 			q := s.replica.Request(s.uses(g))
-			entries := s.replica.Answered(q, g.answer(q))
+			entries := s.replica.HandleReply(q, g.answer(q))
 			s.put(entries)
 			s.counts(entries)
 		}
@@ -24,10 +24,10 @@
 // TestRounding: parts that add up to the limit but for their rounding come into force.
 func TestRounding(t *testing.T) {
 	g := newGame(none)
-	part := func(v float64) Part { return Part{Limit: &Quota{CPUs: &v}} }
+	part := func(v float64) RegionQuota { return RegionQuota{Limit: &Quota{CPUs: &v}} }
 	limit := 0.3
 	for i, parts := range [][2]float64{{0.1, 0.2}, {0.2, 0.1}, {0.3, 0}, {0.15, 0.15}} {
-		u, refusal := g.home.Propose(&Change{Teams: []TeamChange{{Name: theTeam, Limit: &Quota{CPUs: &limit}, Regions: map[string]Part{"a": part(parts[0]), "b": part(parts[1])}}}})
+		u, refusal := g.home.Propose(&Change{Teams: []TeamChange{{Name: theTeam, Limit: &Quota{CPUs: &limit}, Regions: map[string]RegionQuota{"a": part(parts[0]), "b": part(parts[1])}}}})
 		if refusal != nil {
 			t.Fatal(refusal)
 		}
@@ -82,9 +82,9 @@
 		if refusal != nil {
 			t.Fatal(refusal)
 		}
-		p := g.home.Past(u, time.Time{})
+		p := g.home.NewHistoryEntry(u, time.Time{})
 		g.keep(u)
-		g.home.Keep(p)
+		g.home.AddHistory(p)
 	}
 	other := parts(1, 1)
 	other.Teams[0].Name = "blue"
--- a/internal/dynconfig/explore_test.go
+++ b/internal/dynconfig/explore_test.go
@@ -35,17 +35,17 @@
 type site struct {
 	replica  *Replica
 	term     uint64
-	entries  map[string]Entry // stored
-	before   map[string]Entry // stored before that
-	mark     bool             // stored: the limits have to be confirmed
+	entries  map[string]RegionGrant // stored
+	before   map[string]RegionGrant // stored before that
+	mark     bool                   // stored: the limits have to be confirmed
 	used     float64
 	asked    *Request
 	reply    *Reply
 	late     *Request // given up, and on its way all the same
 	lateBack *Reply
-	storing  []Entry
-	lateTxn  []Entry // of an earlier leader
-	reached  uint64  // highest sequence that has counted since the store was last put back
+	storing  []RegionGrant
+	lateTxn  []RegionGrant // of an earlier leader
+	reached  uint64        // highest sequence that has counted since the store was last put back
 	back     string
 }
 
@@ -54,8 +54,8 @@
 	home   *Home
 	term   uint64
 	stored Head
-	recs   map[string]*Record
-	older  map[string]*Record
+	recs   map[string]*TeamRecord
+	older  map[string]*TeamRecord
 	oldest Head
 	sites  [2]site
 	puts   int // stores that were put back
@@ -66,10 +66,10 @@
 var names = []string{"a", "b"}
 
 func newGame(out guard) *game {
-	g := &game{out: out, recs: map[string]*Record{}, older: map[string]*Record{}}
+	g := &game{out: out, recs: map[string]*TeamRecord{}, older: map[string]*TeamRecord{}}
 	g.beginHome()
 	for i := range g.sites {
-		g.sites[i].entries, g.sites[i].before = map[string]Entry{}, map[string]Entry{}
+		g.sites[i].entries, g.sites[i].before = map[string]RegionGrant{}, map[string]RegionGrant{}
 		g.begin(i, false)
 	}
 	return g
@@ -77,7 +77,7 @@
 
 func (g *game) beginHome() {
 	g.term++
-	var records []*Record
+	var records []*TeamRecord
 	for _, r := range g.recs {
 		records = append(records, r.clone())
 	}
@@ -92,7 +92,7 @@
 func (g *game) begin(i int, restored bool) {
 	s := &g.sites[i]
 	s.term++
-	var entries []Entry
+	var entries []RegionGrant
 	for _, e := range s.entries {
 		entries = append(entries, e)
 	}
@@ -103,11 +103,11 @@
 	s.asked, s.reply, s.storing = nil, nil, nil
 }
 
-func (s *site) uses(g *game) Uses {
+func (s *site) uses(g *game) UsageFunc {
 	return func(string) (Amount, bool) { return Amount{CPUs: s.used}, s.used > 0 }
 }
 
-func (g *game) says(s *site) Uses {
+func (g *game) says(s *site) UsageFunc {
 	if g.out == usesCount {
 		return func(string) (Amount, bool) { return Amount{}, false }
 	}
@@ -116,7 +116,7 @@
 
 // keep stores an update of the home, and lets it count.
 func (g *game) keep(u Update) {
-	g.older, g.oldest = map[string]*Record{}, g.stored
+	g.older, g.oldest = map[string]*TeamRecord{}, g.stored
 	for n, r := range g.recs {
 		g.older[n] = r
 	}
@@ -130,7 +130,7 @@
 			for region, gr := range r.Grants {
 				gr.Held = gr.Limit
 				r.Grants[region] = gr
-				g.home.followers[region].says[r.Name] = Statement{Team: r.Name, Seq: gr.Seq, Limit: gr.Limit, Held: gr.Limit}
+				g.home.followers[region].says[r.Name] = TeamReport{Team: r.Name, Seq: gr.Seq, Limit: gr.Limit, Held: gr.Limit}
 				g.home.dirty[r.Name] = true
 			}
 		}
@@ -139,7 +139,7 @@
 
 // answer is the home's reply to a request.
 func (g *game) answer(q *Request) *Reply {
-	if p := g.home.Hear(q, time.Time{}); p != nil {
+	if p := g.home.HandleRequest(q, time.Time{}); p != nil {
 		return p
 	}
 	return g.home.Reply(q)
@@ -147,14 +147,14 @@
 
 func parts(a, b float64) *Change {
 	q := func(v float64) *Quota { zero := 0.0; return &Quota{CPUs: &v, GPUs: &zero} }
-	return &Change{Teams: []TeamChange{{Name: theTeam, Limit: q(total), Regions: map[string]Part{"a": {Limit: q(a)}, "b": {Limit: q(b)}}}}}
+	return &Change{Teams: []TeamChange{{Name: theTeam, Limit: q(total), Regions: map[string]RegionQuota{"a": {Limit: q(a)}, "b": {Limit: q(b)}}}}}
 }
 
 var wanted = []*Change{parts(3, 0), parts(0, 3), parts(1, 2)}
 
 // put stores entries at a region.
-func (s *site) put(entries []Entry) {
-	s.before = map[string]Entry{}
+func (s *site) put(entries []RegionGrant) {
+	s.before = map[string]RegionGrant{}
 	for n, e := range s.entries {
 		s.before[n] = e
 	}
@@ -163,8 +163,8 @@
 	}
 }
 
-func (s *site) counts(entries []Entry) {
-	s.replica.Stored(entries)
+func (s *site) counts(entries []RegionGrant) {
+	s.replica.ApplyStored(entries)
 	now := s.replica.teams[theTeam].Seq
 	if now < s.reached {
 		s.back = fmt.Sprintf("grant %d counts after %d", now, s.reached)
@@ -221,7 +221,7 @@
 			if s.reply == nil {
 				return false
 			}
-			if out := s.replica.Answered(s.asked, s.reply); len(out) > 0 {
+			if out := s.replica.HandleReply(s.asked, s.reply); len(out) > 0 {
 				s.storing = out
 				if g.out == storedThen {
 					s.counts(out)
@@ -338,7 +338,7 @@
 	p := &explorer.Printer{}
 	p.Say(g.stored, " ", g.wants, g.ends, g.puts, len(g.home.dirty), g.home.head)
 	for _, n := range names {
-		for _, recs := range []map[string]*Record{g.home.teams, g.recs, g.older} {
+		for _, recs := range []map[string]*TeamRecord{g.home.teams, g.recs, g.older} {
 			if r := recs[theTeam]; r != nil {
 				p.Say(" ", r.Grants[n], r.Shares[n])
 			}
@@ -355,12 +355,12 @@
 		p.Say("\n", s.used, s.mark, s.entries, s.before, s.storing, s.lateTxn, r.teams, r.after, r.home, r.stated, r.said, r.unconfirmed)
 		for _, q := range []*Request{s.asked, s.late} {
 			if q != nil {
-				p.Say(" asks ", q.Home, q.After, q.Full, q.Statements, q.Term == s.term)
+				p.Say(" asks ", q.HomeTerm, q.After, q.Full, q.Reports, q.Term == s.term)
 			}
 		}
 		for _, a := range []*Reply{s.reply, s.lateBack} {
 			if a != nil {
-				p.Say(" gets ", a.Term, a.State, a.Grants)
+				p.Say(" gets ", a.Term, a.Resync, a.Grants)
 			}
 		}
 	}
@@ -403,7 +403,7 @@
 			}
 			if s.storing == nil {
 				q := s.replica.Request(s.uses(g))
-				s.storing = s.replica.Answered(q, g.answer(q))
+				s.storing = s.replica.HandleReply(q, g.answer(q))
 			}
 			s.put(s.storing)
 			s.counts(s.storing)
--- a/internal/dynconfig/history.go
+++ b/internal/dynconfig/history.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// HistoryMost is how many changes are kept.
-const HistoryMost = 64
+// MaxHistory is how many changes are kept.
+const MaxHistory = 64
 
-// Past is a change that was made, with what was there before, so that it can be taken back.
-type Past struct {
+// HistoryEntry is a change that was made, with what was there before, so that it can be taken back.
+type HistoryEntry struct {
 	Revision uint64 `codec:"revision"`
 	// At is the home leader's time of day, in milliseconds since 1970.
 	At int64 `codec:"at"`
@@ -26,22 +26,22 @@
 }
 
 // Slot is where a change is kept: the one that is HistoryMost older goes.
-func (p *Past) Slot() int { return int(p.Revision % HistoryMost) }
+func (p *HistoryEntry) Slot() int { return int(p.Revision % MaxHistory) }
 
-// Without is the change without what was there before, to be kept where that is too large.
-func (p *Past) Without() *Past {
-	return &Past{Revision: p.Revision, At: p.At, Teams: p.Teams, Omitted: true}
+// WithoutBefore is the change without what was there before, to be kept where that is too large.
+func (p *HistoryEntry) WithoutBefore() *HistoryEntry {
+	return &HistoryEntry{Revision: p.Revision, At: p.At, Teams: p.Teams, Omitted: true}
 }
 
-// Remember takes in what earlier leaders have kept.
-func (h *Home) Remember(past []*Past) {
+// LoadHistory takes in what earlier leaders have kept.
+func (h *Home) LoadHistory(past []*HistoryEntry) {
 	h.past = slices.Clone(past)
-	slices.SortFunc(h.past, func(a, b *Past) int { return cmp.Compare(a.Revision, b.Revision) })
+	slices.SortFunc(h.past, func(a, b *HistoryEntry) int { return cmp.Compare(a.Revision, b.Revision) })
 }
 
-// Past describes an update that was proposed for a change, before it is applied.
-func (h *Home) Past(u Update, now time.Time) *Past {
-	p := &Past{Revision: u.Head.Revision, At: now.UnixMilli()}
+// NewHistoryEntry describes an update that was proposed for a change, before it is applied.
+func (h *Home) NewHistoryEntry(u Update, now time.Time) *HistoryEntry {
+	p := &HistoryEntry{Revision: u.Head.Revision, At: now.UnixMilli()}
 	for _, r := range u.Records {
 		p.Teams = append(p.Teams, r.Name)
 		was := h.teams[r.Name]
@@ -57,16 +57,16 @@
 	return p
 }
 
-// Keep adds a change that is stored.
-func (h *Home) Keep(p *Past) {
+// AddHistory adds a change that is stored.
+func (h *Home) AddHistory(p *HistoryEntry) {
 	h.past = append(h.past, p)
-	if len(h.past) > HistoryMost {
-		h.past = h.past[len(h.past)-HistoryMost:]
+	if len(h.past) > MaxHistory {
+		h.past = h.past[len(h.past)-MaxHistory:]
 	}
 }
 
-// PastSummary is a change for those who look at the history.
-type PastSummary struct {
+// HistorySummary is a change for those who look at the history.
+type HistorySummary struct {
 	Revision uint64 `codec:"revision" json:"revision"`
 	At       int64  `codec:"at" json:"at_ms"`
 	// Teams are those that were changed or removed, at most twenty, of Count.
@@ -80,20 +80,20 @@
 const mostNamed = 20
 
 // History are the changes that are kept, the last one first.
-func (h *Home) History() (out []PastSummary) {
+func (h *Home) History() (out []HistorySummary) {
 	for _, p := range slices.Backward(h.past) {
-		out = append(out, PastSummary{p.Revision, p.At, p.Teams[:min(len(p.Teams), mostNamed)], len(p.Teams), p.Omitted})
+		out = append(out, HistorySummary{p.Revision, p.At, p.Teams[:min(len(p.Teams), mostNamed)], len(p.Teams), p.Omitted})
 	}
 	return out
 }
 
 // asChange is the team as an operator would ask for it.
-func (r *Record) asChange() TeamChange {
+func (r *TeamRecord) asChange() TeamChange {
 	limit := r.Limit.quota()
-	c := TeamChange{Name: r.Name, Limit: &limit, Regions: map[string]Part{}}
+	c := TeamChange{Name: r.Name, Limit: &limit, Regions: map[string]RegionQuota{}}
 	for region, s := range r.Shares {
 		part, guarantee := s.Limit.quota(), s.Guarantee.quota()
-		c.Regions[region] = Part{Limit: &part, Guarantee: &guarantee}
+		c.Regions[region] = RegionQuota{Limit: &part, Guarantee: &guarantee}
 	}
 	return c
 }
--- a/internal/dynconfig/home.go
+++ b/internal/dynconfig/home.go
@@ -21,7 +21,7 @@
 // Update is what has to be stored at the home region in one transaction before it counts.
 type Update struct {
 	Head    Head
-	Records []*Record
+	Records []*TeamRecord
 }
 
 // Empty reports whether there is nothing to store.
@@ -31,7 +31,7 @@
 type follower struct {
 	// stated: the region has told this leader all that it holds.
 	stated bool
-	says   map[string]Statement
+	says   map[string]TeamReport
 	after  uint64
 	// newest is the highest sequence of the region's grants.
 	newest uint64
@@ -52,21 +52,21 @@
 	term      uint64
 	regions   []string
 	head      Head
-	teams     map[string]*Record
+	teams     map[string]*TeamRecord
 	followers map[string]*follower
 	dirty     map[string]bool // teams that the next step looks at
-	past      []*Past         // changes that are kept, by revision
+	past      []*HistoryEntry // changes that are kept, by revision
 }
 
 // NewHome goes on from what earlier leaders have stored.
-func NewHome(term uint64, regions []string, head Head, records []*Record) *Home {
-	h := &Home{term: term, regions: slices.Clone(regions), head: head, teams: map[string]*Record{}, followers: map[string]*follower{}, dirty: map[string]bool{}}
+func NewHome(term uint64, regions []string, head Head, records []*TeamRecord) *Home {
+	h := &Home{term: term, regions: slices.Clone(regions), head: head, teams: map[string]*TeamRecord{}, followers: map[string]*follower{}, dirty: map[string]bool{}}
 	for _, r := range records {
 		h.teams[r.Name] = r
 		h.dirty[r.Name] = true
 	}
 	for _, region := range regions {
-		h.followers[region] = &follower{says: map[string]Statement{}, lacks: map[string]uint64{}}
+		h.followers[region] = &follower{says: map[string]TeamReport{}, lacks: map[string]uint64{}}
 	}
 	for name := range h.teams {
 		h.compare(name)
@@ -77,9 +77,9 @@
 // Head is the stored position.
 func (h *Home) Head() Head { return h.head }
 
-// Hear takes in a request. It returns the reply where there is nothing to wait for; nil:
+// HandleRequest takes in a request. It returns the reply where there is nothing to wait for; nil:
 // Reply answers it, now or as soon as Pending says that there is something to tell.
-func (h *Home) Hear(q *Request, now time.Time) *Reply {
+func (h *Home) HandleRequest(q *Request, now time.Time) *Reply {
 	f := h.followers[q.Region]
 	if f == nil {
 		return &Reply{Refused: "region " + q.Region + " is not known at the home region"}
@@ -88,9 +88,9 @@
 		return &Reply{Refused: "a later request of the region was answered"}
 	}
 	f.term, f.number, f.heard = q.Term, q.Number, now
-	if !q.Full && (!f.stated || q.Home != h.term) {
+	if !q.Full && (!f.stated || q.HomeTerm != h.term) {
 		f.stated = false
-		return &Reply{Term: h.term, State: true}
+		return &Reply{Term: h.term, Resync: true}
 	}
 	if q.Full {
 		f.stated = true
@@ -104,7 +104,7 @@
 	// count as newer than what the region has.
 	h.head.Seq = max(h.head.Seq, q.After)
 	h.head.Revision = max(h.head.Revision, q.Revision)
-	for _, s := range q.Statements {
+	for _, s := range q.Reports {
 		f.says[s.Team] = s
 		h.dirty[s.Team] = true
 		h.compare(s.Team)
@@ -125,21 +125,21 @@
 }
 
 // grants are those after a sequence, in its order.
-func (h *Home) grants(region string, after uint64) (out []Entry, more bool) {
+func (h *Home) grants(region string, after uint64) (out []RegionGrant, more bool) {
 	for _, r := range h.teams {
 		if g, ok := r.Grants[region]; ok && g.Seq > after {
-			out = append(out, Entry{Team: r.Name, Seq: g.Seq, Revision: r.Revision, Limit: g.Limit, Guarantee: g.Guarantee, Wants: g.Wants, Removed: g.Removed})
+			out = append(out, RegionGrant{Team: r.Name, Seq: g.Seq, Revision: r.Revision, Limit: g.Limit, Guarantee: g.Guarantee, Target: g.Target, Removed: g.Removed})
 		}
 	}
-	slices.SortFunc(out, func(a, b Entry) int { return cmp.Compare(a.Seq, b.Seq) })
+	slices.SortFunc(out, func(a, b RegionGrant) int { return cmp.Compare(a.Seq, b.Seq) })
 	if len(out) > grantsPerReply {
 		return out[:grantsPerReply], true
 	}
 	return out, false
 }
 
-// Pending reports whether a region has grants to take.
-func (h *Home) Pending(region string, after uint64) bool {
+// HasGrants reports whether a region has grants to take.
+func (h *Home) HasGrants(region string, after uint64) bool {
 	f := h.followers[region]
 	return f != nil && f.newest > after
 }
@@ -189,8 +189,8 @@
 	}
 }
 
-// Retry looks again at what an update that could not be stored was about.
-func (h *Home) Retry(u Update) {
+// Requeue looks again at what an update that could not be stored was about.
+func (h *Home) Requeue(u Update) {
 	for _, r := range u.Records {
 		h.dirty[r.Name] = true
 	}
@@ -198,7 +198,7 @@
 
 // adopt makes the record of a team that a region has a grant for and the store has lost:
 // it goes on with what the regions have. nil: no region has one.
-func (h *Home) adopt(name string) *Record {
+func (h *Home) adopt(name string) *TeamRecord {
 	granted := func(f *follower) bool { return f.says[name].Seq > 0 }
 	if !h.allStated() || !slices.ContainsFunc(slices.Collect(maps.Values(h.followers)), granted) {
 		return nil
@@ -210,7 +210,7 @@
 
 // settle compares what the regions are told with what they are to have and what they
 // hold, and returns the record that has to be stored; nil: nothing has changed.
-func (h *Home) settle(was *Record, head *Head) *Record {
+func (h *Home) settle(was *TeamRecord, head *Head) *TeamRecord {
 	r := was.clone()
 	changed := false
 	for _, region := range h.regions {
@@ -243,7 +243,7 @@
 
 // share is what a region is to have now. Of a team that was removed it has what it had
 // until it takes no jobs of it any more and the last one is over.
-func (h *Home) share(r *Record, region string) Share {
+func (h *Home) share(r *TeamRecord, region string) Share {
 	g, f := r.Grants[region], h.followers[region]
 	s := f.says[r.Name]
 	closed := s.Seq == g.Seq || g.Limit == Amount{} // once closed it stays so, unless a late job shows up
@@ -256,7 +256,7 @@
 // reported is what a region is told, with what is held for it after its last statement. A
 // sequence of 0 means that it has to be told anew; told reports whether the record has to
 // be stored for that.
-func (h *Home) reported(r *Record, region string) (g Grant, told bool) {
+func (h *Home) reported(r *TeamRecord, region string) (g Grant, told bool) {
 	g, known := r.Grants[region]
 	f := h.followers[region]
 	s, says := f.says[r.Name]
@@ -292,7 +292,7 @@
 }
 
 // raise lets a region have more of its share as far as no other holds it.
-func (h *Home) raise(r *Record, region string, head *Head) bool {
+func (h *Home) raise(r *TeamRecord, region string, head *Head) bool {
 	g, share := r.Grants[region], h.share(r, region)
 	free := r.Limit.less(r.held(region))
 	limit := g.Limit.higher(share.Limit.lower(free))
--- a/internal/dynconfig/record.go
+++ b/internal/dynconfig/record.go
@@ -13,8 +13,8 @@
 	Seq      uint64 `codec:"seq"`
 }
 
-// Record is a team as the home region keeps it.
-type Record struct {
+// TeamRecord is a team as the home region keeps it.
+type TeamRecord struct {
 	Name string `codec:"name"`
 	// Limit is that of all regions together, Shares what each is to have of it; a region
 	// that is not named is to have nothing of a team with a limit.
@@ -36,8 +36,8 @@
 	Seq       uint64 `codec:"seq"`
 	Limit     Amount `codec:"limit"`
 	Guarantee Amount `codec:"guarantee"`
-	// Wants is the limit that the region is to have once it is free.
-	Wants   Amount `codec:"wants"`
+	// Target is the limit that the region is to have once it is free.
+	Target  Amount `codec:"wants"`
 	Removed bool   `codec:"removed,omitempty"`
 	// Held is the most that the region may use, by an earlier grant or by what has not
 	// ended yet, until it says otherwise. The sum of all regions never rises above the
@@ -46,7 +46,7 @@
 }
 
 // share is what a region is to have.
-func (r *Record) share(region string) Share {
+func (r *TeamRecord) share(region string) Share {
 	s, ok := r.Shares[region]
 	if !ok && r.Limit == NoLimit() {
 		return Share{Limit: NoLimit()}
@@ -55,7 +55,7 @@
 }
 
 // wants is the limit that a region is to have, as far as it is known.
-func (r *Record) wants(share Share) Amount {
+func (r *TeamRecord) wants(share Share) Amount {
 	if r.Adopted {
 		return NoLimit()
 	}
@@ -63,7 +63,7 @@
 }
 
 // held adds up what is held for all regions but one.
-func (r *Record) held(but string) (sum Amount) {
+func (r *TeamRecord) held(but string) (sum Amount) {
 	for region, g := range r.Grants {
 		if region != but {
 			sum = sum.plus(g.Held)
@@ -73,7 +73,7 @@
 }
 
 // clone is a copy that can be changed.
-func (r *Record) clone() *Record {
+func (r *TeamRecord) clone() *TeamRecord {
 	c := *r
 	c.Grants = make(map[string]Grant, len(r.Grants))
 	for region, g := range r.Grants {
@@ -82,20 +82,20 @@
 	return &c
 }
 
-// Entry is a team as a region keeps it: the last grant that it has stored.
-type Entry struct {
+// RegionGrant is a team as a region keeps it: the last grant that it has stored.
+type RegionGrant struct {
 	Team      string `codec:"team"`
 	Seq       uint64 `codec:"seq"`
 	Revision  uint64 `codec:"revision"`
 	Limit     Amount `codec:"limit"`
 	Guarantee Amount `codec:"guarantee"`
-	// Wants is the limit that the region is to have once it is free.
-	Wants   Amount `codec:"wants"`
+	// Target is the limit that the region is to have once it is free.
+	Target  Amount `codec:"wants"`
 	Removed bool   `codec:"removed,omitempty"`
 }
 
-// Statement is what a region says of a team.
-type Statement struct {
+// TeamReport is what a region says of a team.
+type TeamReport struct {
 	Team string `codec:"team"`
 	// Seq is that of the grant by which the region decides; 0: it decides by its
 	// platform's file.
@@ -116,15 +116,15 @@
 	// home region heeds none that is older than the last.
 	Term   uint64 `codec:"term"`
 	Number uint64 `codec:"number"`
-	// Home is the home's term that the region has stated everything to.
-	Home uint64 `codec:"home"`
+	// HomeTerm is the home's term that the region has stated everything to.
+	HomeTerm uint64 `codec:"home"`
 	// After is the highest sequence of grants that the region has stored.
 	After uint64 `codec:"after"`
 	// Revision is the highest of which the region has stored anything.
 	Revision uint64 `codec:"revision"`
 	// Full: the statements are of all teams that the region knows.
-	Full       bool        `codec:"full,omitempty"`
-	Statements []Statement `codec:"statements,omitempty"`
+	Full    bool         `codec:"full,omitempty"`
+	Reports []TeamReport `codec:"statements,omitempty"`
 }
 
 // Reply is the home leader's answer.
@@ -133,9 +133,9 @@
 	Refused string `codec:"refused,omitempty"`
 	// Term is the home leader's.
 	Term uint64 `codec:"term"`
-	// State: the region has to state everything to this leader first.
-	State  bool    `codec:"state,omitempty"`
-	Grants []Entry `codec:"grants,omitempty"`
+	// Resync: the region has to state everything to this leader first.
+	Resync bool          `codec:"state,omitempty"`
+	Grants []RegionGrant `codec:"grants,omitempty"`
 	// More: there are further grants.
 	More bool `codec:"more,omitempty"`
 }
--- a/internal/dynconfig/replica.go
+++ b/internal/dynconfig/replica.go
@@ -12,12 +12,12 @@
 	number uint64 // of the last request
 	// file are the teams of the platform's file, which hold where nothing was granted.
 	file  map[string]Share
-	teams map[string]Entry
+	teams map[string]RegionGrant
 	after uint64
 	home  uint64 // the highest term of a home leader that has answered
 	// stated is the home's term that everything was stated to, said what it was told.
 	stated uint64
-	said   map[string]Statement
+	said   map[string]TeamReport
 	// unconfirmed: the region's own store has lost its last moments, and may name a limit
 	// that was lowered since.
 	unconfirmed bool
@@ -26,8 +26,8 @@
 // NewReplica goes on from what earlier leaders of the region have stored. Restored says
 // that the store is known to have lost its last moments: then no team starts anything
 // under a limit until the home region has spoken.
-func NewReplica(region string, term uint64, file map[string]Share, entries []Entry, restored bool) *Replica {
-	r := &Replica{region: region, term: term, file: file, teams: map[string]Entry{}, said: map[string]Statement{}, unconfirmed: restored}
+func NewReplica(region string, term uint64, file map[string]Share, entries []RegionGrant, restored bool) *Replica {
+	r := &Replica{region: region, term: term, file: file, teams: map[string]RegionGrant{}, said: map[string]TeamReport{}, unconfirmed: restored}
 	for _, e := range entries {
 		r.teams[e.Team] = e
 		r.after = max(r.after, e.Seq)
@@ -35,14 +35,14 @@
 	return r
 }
 
-// Uses tells what teams use in the region at this moment, everything that may be on a
+// UsageFunc tells what teams use in the region at this moment, everything that may be on a
 // machine included, and whether they have jobs that are not over.
-type Uses func(team string) (used Amount, busy bool)
+type UsageFunc func(team string) (used Amount, busy bool)
 
 // Request is what to ask the home region next: what it has not answered is said again.
-func (r *Replica) Request(uses Uses) *Request {
+func (r *Replica) Request(uses UsageFunc) *Request {
 	r.number++
-	q := &Request{Region: r.region, Term: r.term, Number: r.number, Home: r.stated, After: r.after, Revision: r.Revision(), Full: r.stated != r.home || r.home == 0}
+	q := &Request{Region: r.region, Term: r.term, Number: r.number, HomeTerm: r.stated, After: r.after, Revision: r.Revision(), Full: r.stated != r.home || r.home == 0}
 	names := maps.Clone(r.file)
 	for name := range r.teams {
 		names[name] = Share{}
@@ -50,19 +50,19 @@
 	for _, name := range slices.Sorted(maps.Keys(names)) {
 		s := r.statement(name, uses)
 		if q.Full || s != r.said[name] {
-			q.Statements = append(q.Statements, s)
+			q.Reports = append(q.Reports, s)
 		}
 	}
 	if q.Full {
-		q.Home = r.home
+		q.HomeTerm = r.home
 	}
 	return q
 }
 
 // statement is what the region says of a team now.
-func (r *Replica) statement(name string, uses Uses) Statement {
+func (r *Replica) statement(name string, uses UsageFunc) TeamReport {
 	used, busy := uses(name)
-	share, s := r.file[name], Statement{Team: name, Busy: busy}
+	share, s := r.file[name], TeamReport{Team: name, Busy: busy}
 	if e, ok := r.teams[name]; ok {
 		s.Seq, share = e.Seq, Share{e.Limit, e.Guarantee}
 	}
@@ -74,24 +74,24 @@
 // before anything starts under them. The next leader must know it as well.
 func (r *Replica) Unconfirmed() bool { return r.unconfirmed }
 
-// Answered takes in the reply to a request and returns the entries that have to be stored
+// HandleReply takes in the reply to a request and returns the entries that have to be stored
 // now, before they count. A reply of an earlier home leader says nothing.
-func (r *Replica) Answered(q *Request, p *Reply) []Entry {
+func (r *Replica) HandleReply(q *Request, p *Reply) []RegionGrant {
 	if p.Refused != "" || p.Term < r.home {
 		return nil
 	}
 	r.home = p.Term
-	if p.State {
+	if p.Resync {
 		r.stated = 0
 		return nil
 	}
 	if q.Full {
 		r.stated = p.Term
 	}
-	for _, s := range q.Statements {
+	for _, s := range q.Reports {
 		r.said[s.Team] = s
 	}
-	var out []Entry
+	var out []RegionGrant
 	for _, e := range p.Grants {
 		if e.Seq > r.after && e.Seq > r.teams[e.Team].Seq {
 			out = append(out, e)
@@ -103,8 +103,8 @@
 	return out
 }
 
-// Stored lets entries count that are stored.
-func (r *Replica) Stored(entries []Entry) {
+// ApplyStored lets entries count that are stored.
+func (r *Replica) ApplyStored(entries []RegionGrant) {
 	for _, e := range entries {
 		if e.Seq > r.teams[e.Team].Seq {
 			r.teams[e.Team] = e
@@ -115,7 +115,7 @@
 
 // Share is what a team has in the region now; known: there is such a team. A team that
 // was removed has nothing and takes no jobs.
-func (r *Replica) Share(team string, uses Uses) (s Share, known bool) {
+func (r *Replica) Share(team string, uses UsageFunc) (s Share, known bool) {
 	s, known = r.file[team]
 	if e, ok := r.teams[team]; ok {
 		s, known = Share{e.Limit, e.Guarantee}, !e.Removed
@@ -128,21 +128,21 @@
 	return s, known
 }
 
-// Wants is the limit that a team is to have in the region, which may be more than it has
+// Target is the limit that a team is to have in the region, which may be more than it has
 // now; what is not confirmed, or could not be read (sequence 0), may become any.
-func (r *Replica) Wants(team string) Amount {
+func (r *Replica) Target(team string) Amount {
 	e, ok := r.teams[team]
 	switch {
 	case r.unconfirmed, ok && e.Seq == 0:
 		return NoLimit()
 	case ok:
-		return e.Wants
+		return e.Target
 	}
 	return r.file[team].Limit
 }
 
-// After is the highest sequence that counts here.
-func (r *Replica) After() uint64 { return r.after }
+// LastSeq is the highest sequence that counts here.
+func (r *Replica) LastSeq() uint64 { return r.after }
 
 // Revision is the highest revision of which anything counts here.
 func (r *Replica) Revision() (revision uint64) {
--- a/internal/dynconfig/status.go
+++ b/internal/dynconfig/status.go
@@ -29,35 +29,35 @@
 	// this leader.
 	SilentS float64 `codec:"silent_s" json:"silent_s"`
 	// Waits are teams whose share is not in force, at most twenty, of Waiting.
-	Waiting int    `codec:"waiting" json:"waiting"`
-	Waits   []Wait `codec:"waits,omitempty" json:"waits,omitempty"`
+	PendingCount int            `codec:"waiting" json:"waiting"`
+	Pending      []PendingShare `codec:"waits,omitempty" json:"waits,omitempty"`
 }
 
-// Wait is a team whose share is not in force in a region.
-type Wait struct {
+// PendingShare is a team whose share is not in force in a region.
+type PendingShare struct {
 	Team string `codec:"team" json:"team"`
-	// Has and Wants are the limits that are in force and that are to be.
-	Has   Quota `codec:"has" json:"has"`
-	Wants Quota `codec:"wants" json:"wants"`
-	// For are the regions that have not given back what this one is to have, or this one
+	// InForce and Wants are the limits that are in force and that are to be.
+	InForce Quota `codec:"has" json:"has"`
+	Target  Quota `codec:"wants" json:"wants"`
+	// BlockedBy are the regions that have not given back what this one is to have, or this one
 	// where it has not taken its grant yet.
-	For []string `codec:"for" json:"for"`
+	BlockedBy []string `codec:"for" json:"for"`
 }
 
 // TeamStatus is a team as configured, with what each region is told.
 type TeamStatus struct {
-	Name     string                `codec:"name" json:"name"`
-	Revision uint64                `codec:"revision" json:"revision"`
-	Removed  bool                  `codec:"removed,omitempty" json:"removed,omitempty"`
-	Limit    Quota                 `codec:"limit" json:"limit"`
-	Regions  map[string]PartStatus `codec:"regions" json:"regions"`
+	Name     string                       `codec:"name" json:"name"`
+	Revision uint64                       `codec:"revision" json:"revision"`
+	Removed  bool                         `codec:"removed,omitempty" json:"removed,omitempty"`
+	Limit    Quota                        `codec:"limit" json:"limit"`
+	Regions  map[string]RegionQuotaStatus `codec:"regions" json:"regions"`
 }
 
-// PartStatus is a region's part of a team: as configured, as told, and what is held for it.
-type PartStatus struct {
+// RegionQuotaStatus is a region's part of a team: as configured, as told, and what is held for it.
+type RegionQuotaStatus struct {
 	Limit     Quota `codec:"limit" json:"limit"`
 	Guarantee Quota `codec:"guarantee" json:"guarantee"`
-	Told      Quota `codec:"told" json:"told"`
+	Granted   Quota `codec:"told" json:"told"`
 	Held      Quota `codec:"held" json:"held"`
 }
 
@@ -73,7 +73,7 @@
 }
 
 // inForce reports whether a team's share is in force in a region as the region says.
-func (h *Home) inForce(r *Record, region string) bool {
+func (h *Home) inForce(r *TeamRecord, region string) bool {
 	g, f := r.Grants[region], h.followers[region]
 	share := h.share(r, region)
 	return f.stated && g.Seq > 0 && f.says[r.Name].Seq == g.Seq && g.Limit.near(share.Limit) && g.Guarantee.near(share.Guarantee.lower(share.Limit)) && g.Removed == r.Removed
@@ -125,13 +125,13 @@
 		f := h.followers[region]
 		at, waiting := h.revision(region)
 		h.note(region, now)
-		s := RegionStatus{Region: region, Revision: at, InForceS: now.Sub(f.since).Seconds(), Behind: h.head.Revision - at, SilentS: -1, Waiting: len(waiting)}
+		s := RegionStatus{Region: region, Revision: at, InForceS: now.Sub(f.since).Seconds(), Behind: h.head.Revision - at, SilentS: -1, PendingCount: len(waiting)}
 		if !f.heard.IsZero() {
 			s.SilentS = now.Sub(f.heard).Seconds()
 		}
 		slices.Sort(waiting)
 		for _, name := range waiting[:min(len(waiting), mostWaits)] {
-			s.Waits = append(s.Waits, h.wait(h.teams[name], region))
+			s.Pending = append(s.Pending, h.wait(h.teams[name], region))
 		}
 		out.Regions = append(out.Regions, s)
 	}
@@ -139,18 +139,18 @@
 }
 
 // wait says for whom a region's share waits.
-func (h *Home) wait(r *Record, region string) Wait {
+func (h *Home) wait(r *TeamRecord, region string) PendingShare {
 	g, share := r.Grants[region], h.share(r, region)
-	w := Wait{Team: r.Name, Has: h.followers[region].says[r.Name].Limit.quota(), Wants: share.Limit.quota(), For: []string{}}
+	w := PendingShare{Team: r.Name, InForce: h.followers[region].says[r.Name].Limit.quota(), Target: share.Limit.quota(), BlockedBy: []string{}}
 	if g.Limit.near(share.Limit) {
-		w.For = append(w.For, region) // it has only to take what it was told
+		w.BlockedBy = append(w.BlockedBy, region) // it has only to take what it was told
 		return w
 	}
 	for _, other := range h.regions {
 		held := r.Grants[other].Held
 		silent := !h.followers[other].stated
 		if silent || (other != region && !held.within(h.share(r, other).Limit)) {
-			w.For = append(w.For, other)
+			w.BlockedBy = append(w.BlockedBy, other)
 		}
 	}
 	return w
@@ -166,10 +166,10 @@
 			return out, true
 		}
 		r := h.teams[name]
-		t := TeamStatus{Name: name, Revision: r.Revision, Removed: r.Removed, Limit: r.Limit.quota(), Regions: map[string]PartStatus{}}
+		t := TeamStatus{Name: name, Revision: r.Revision, Removed: r.Removed, Limit: r.Limit.quota(), Regions: map[string]RegionQuotaStatus{}}
 		for _, region := range h.regions {
 			share, g := r.share(region), r.Grants[region]
-			t.Regions[region] = PartStatus{share.Limit.quota(), share.Guarantee.quota(), g.Limit.quota(), g.Held.quota()}
+			t.Regions[region] = RegionQuotaStatus{share.Limit.quota(), share.Guarantee.quota(), g.Limit.quota(), g.Held.quota()}
 		}
 		out = append(out, t)
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -45,7 +45,7 @@
 	home        *homeRegion // nil: no regions are named, or this is the home region
 	route       route
 	lag         lag
-	shareHolder *shareHolder // nil: the machines are not shared
+	shardHolder *shardHolder // nil: the machines are not shared
 	yield       yield
 
 	mu      sync.Mutex
@@ -93,7 +93,7 @@
 		defer n.home.close()
 	}
 	if tun.Shares.Enabled && len(set.Siblings) > 0 {
-		n.shareHolder = newShareHolder(n, nw.Dial)
+		n.shardHolder = newShardHolder(n, nw.Dial)
 	}
 
 	pl, err := nw.Listen(set.PeerListen)
@@ -132,8 +132,8 @@
 		n.yield.patience = config.Seconds(tun.YieldS)
 		wg.Go(func() { n.watchLead(ctx) })
 	}
-	if n.shareHolder != nil {
-		wg.Go(func() { n.shareHolder.run(ctx) })
+	if n.shardHolder != nil {
+		wg.Go(func() { n.shardHolder.run(ctx) })
 	}
 	wg.Go(func() {
 		mesh.Pings(ctx, func(h rpc.Hello) {
@@ -285,7 +285,7 @@
 
 // Follow implements rpc.Handler: only a leader of the home region answers.
 func (n *Node) Follow(ctx context.Context, q *dynconfig.Request) *dynconfig.Reply {
-	return n.ctl.FollowHome(ctx, q)
+	return n.ctl.HandleFollow(ctx, q)
 }
 
 // Sync implements rpc.Handler: only a leader gives shares.
@@ -294,10 +294,10 @@
 // Report implements api.Backend: a worker is answered by the leader, or by the
 // holder of its machine.
 func (n *Node) Report(ctx context.Context, q *rpc.Request) *rpc.Reply {
-	if p := n.ctl.Answer(ctx, q); p != nil || n.shareHolder == nil {
+	if p := n.ctl.Answer(ctx, q); p != nil || n.shardHolder == nil {
 		return p
 	}
-	return n.shareHolder.report(ctx, q.Body)
+	return n.shardHolder.report(ctx, q.Body)
 }
 
 // Forward implements api.Backend.
--- a/internal/node/regions_test.go
+++ b/internal/node/regions_test.go
@@ -372,13 +372,13 @@
 		}
 		var s dynconfig.Status
 		b.ask(0, http.MethodGet, "/api/config/status", nil, &s)
-		if r := s.Regions[1]; r.SilentS < 3500 || r.Behind < 390 || len(r.Waits) != 1 || !slices.Equal(r.Waits[0].For, []string{"region-1"}) {
+		if r := s.Regions[1]; r.SilentS < 3500 || r.Behind < 390 || len(r.Pending) != 1 || !slices.Equal(r.Pending[0].BlockedBy, []string{"region-1"}) {
 			t.Errorf("status of the region that is cut off: %+v", r)
 		}
 		b.apart(1, false)
 		b.inForce(last, 19*time.Second)
 		b.ends(2 * time.Minute)
-		if n := b.sims[0].store.Count("t/"); n > 3+dynconfig.HistoryMost {
+		if n := b.sims[0].store.Count("t/"); n > 3+dynconfig.MaxHistory {
 			t.Errorf("%d keys of the configuration are left", n)
 		}
 	})
@@ -436,7 +436,7 @@
 			}
 		}
 		var history struct {
-			Changes []dynconfig.PastSummary `codec:"changes"`
+			Changes []dynconfig.HistorySummary `codec:"changes"`
 		}
 		if b.ask(1, http.MethodGet, "/api/config/history", nil, &history); len(history.Changes) != 5 {
 			t.Errorf("%d changes are kept: %+v", len(history.Changes), history)
--- a/internal/node/shard_holder.go
+++ b/internal/node/shard_holder.go
@@ -13,10 +13,10 @@
 	"vetchstream/internal/wire"
 )
 
-// shareHolder deals with the machines that the leader has given to this node: it answers
+// shardHolder deals with the machines that the leader has given to this node: it answers
 // their reports while the grant holds, tells the leader what they say, and sends
 // the leader's commands to them.
-type shareHolder struct {
+type shardHolder struct {
 	n     *Node
 	hc    *http.Client
 	calls int // direct commands that may be under way
@@ -49,12 +49,12 @@
 	requiredTime = 2 * time.Second
 )
 
-func newShareHolder(n *Node, dial state.DialFunc) *shareHolder {
+func newShardHolder(n *Node, dial state.DialFunc) *shardHolder {
 	sockets := n.set.Facts.Resources.MaxSockets
 	calls := control.DirectCalls(sockets)
 	// Each controller keeps connections for commands, so each keeps fewer than a leader
 	// that sends all of them.
-	return &shareHolder{n: n, calls: calls, room: control.Room(sockets), asks: map[string]ask{},
+	return &shardHolder{n: n, calls: calls, room: control.ShardCapacity(sockets), asks: map[string]ask{},
 		hc: control.DirectClient(dial, max(8, calls/4)),
 		// A later process has a later time of day, within its skew; the leader lets in one
 		// that has not once the grants of the process before have ended.
@@ -62,7 +62,7 @@
 }
 
 // run asks the leader for this node's grant until the context ends.
-func (a *shareHolder) run(ctx context.Context) {
+func (a *shardHolder) run(ctx context.Context) {
 	defer a.hc.CloseIdleConnections()
 	for ctx.Err() == nil {
 		begun := time.Now()
@@ -88,7 +88,7 @@
 }
 
 // sync makes one request and reports whether it was answered.
-func (a *shareHolder) sync(ctx context.Context) bool {
+func (a *shardHolder) sync(ctx context.Context) bool {
 	v := a.n.elector.View()
 	a.mu.Lock()
 	if v.Leader == a.n.set.Member {
@@ -131,7 +131,7 @@
 
 // send sends a command of the leader's to a worker. The leader bounds how many are
 // under way.
-func (a *shareHolder) send(ctx context.Context, term uint64, c shard.Call) {
+func (a *shardHolder) send(ctx context.Context, term uint64, c shard.Call) {
 	status, answer, reached, err := control.Direct(ctx, a.hc, c.Addr, c.Body, func() bool { return a.valid(term) })
 	if err != nil {
 		a.n.log.Debug("direct command failed", "addr", c.Addr, "status", status, "error", err)
@@ -142,7 +142,7 @@
 }
 
 // await waits for the leader's answer to a report of a machine.
-func (a *shareHolder) await(ctx context.Context, machine string, q ask, patience time.Duration) (orders []wire.Order, ok bool) {
+func (a *shardHolder) await(ctx context.Context, machine string, q ask, patience time.Duration) (orders []wire.Order, ok bool) {
 	t := time.NewTimer(patience)
 	defer t.Stop()
 	select {
@@ -162,14 +162,14 @@
 }
 
 // valid reports whether this node may act for the leader of the term right now.
-func (a *shareHolder) valid(term uint64) bool {
+func (a *shardHolder) valid(term uint64) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.holder.Valid(term, time.Now())
 }
 
 // report answers the report of a machine in the share; nil: it is in none of ours.
-func (a *shareHolder) report(ctx context.Context, body []byte) *rpc.Reply {
+func (a *shardHolder) report(ctx context.Context, body []byte) *rpc.Reply {
 	m := &wire.Report{}
 	if err := wire.Unmarshal(body, m); err != nil || m.Host == "" || m.Session == 0 {
 		return nil // the leader refuses it
--- a/internal/scale/configuration.go
+++ b/internal/scale/configuration.go
@@ -112,11 +112,11 @@
 	moved := parts[from] * movedShare * r.Float64()
 	parts[from] -= moved
 	parts[to] += moved
-	total, c := o.total(), dynconfig.TeamChange{Name: team, Regions: map[string]dynconfig.Part{}}
+	total, c := o.total(), dynconfig.TeamChange{Name: team, Regions: map[string]dynconfig.RegionQuota{}}
 	c.Limit = &dynconfig.Quota{CPUs: &total}
 	for i, region := range o.regions {
 		limit, guarantee := parts[i], min(parts[i], region.limit()/(2*limitTimes))
-		c.Regions[region.name] = dynconfig.Part{Limit: &dynconfig.Quota{CPUs: &limit}, Guarantee: &dynconfig.Quota{CPUs: &guarantee}}
+		c.Regions[region.name] = dynconfig.RegionQuota{Limit: &dynconfig.Quota{CPUs: &limit}, Guarantee: &dynconfig.Quota{CPUs: &guarantee}}
 	}
 	return &dynconfig.Change{Teams: []dynconfig.TeamChange{c}}
 }
@@ -202,13 +202,13 @@
 		if r.Revision >= revision {
 			continue
 		}
-		i := slices.IndexFunc(r.Waits, func(w dynconfig.Wait) bool { return w.Team == team })
+		i := slices.IndexFunc(r.Pending, func(w dynconfig.PendingShare) bool { return w.Team == team })
 		if i < 0 {
-			behind = behind || r.Waiting > len(r.Waits) // the list is cut off
+			behind = behind || r.PendingCount > len(r.Pending) // the list is cut off
 			continue
 		}
 		behind = true
-		inUse = inUse || slices.ContainsFunc(r.Waits[i].For, func(other string) bool { return other != r.Region })
+		inUse = inUse || slices.ContainsFunc(r.Pending[i].BlockedBy, func(other string) bool { return other != r.Region })
 	}
 	return behind, inUse
 }
