--- a/internal/control/calendar_store.go
+++ b/internal/control/calendar_store.go
@@ -105,7 +105,7 @@
 		}
 		return -1
 	}
-	return calendar.Facts{Types: types, Zones: zones, Teams: cs.teamQuotas.all(), Counted: counted, Limits: cs.limits()}
+	return calendar.Facts{Types: types, Zones: zones, Teams: cs.teamQuotas.teams(), Counted: counted, Limits: cs.limits()}
 }
 
 // list reads the records; none while the calendar is switched off.
--- a/internal/control/planner_input.go
+++ b/internal/control/planner_input.go
@@ -61,7 +61,7 @@
 
 // addTeams adds the teams with what their work takes.
 func (p *planInput) addTeams() {
-	for _, t := range p.teamQuotas.all() {
+	for _, t := range p.teamQuotas.teams() {
 		p.in.Teams = append(p.in.Teams, place.Team{
 			Guarantee: place.Amount{CPUs: t.CPUs, GPUs: t.GPUs},
 			Limit:     place.Amount{CPUs: t.CPUsMax, GPUs: t.GPUsMax}})
--- a/internal/control/quotas.go
+++ b/internal/control/quotas.go
@@ -18,8 +18,8 @@
 
 // Keys of the configuration that was changed while the regions serve.
 const (
-	// regionPrefix is followed by a team's name: what the region has been granted of it.
-	regionPrefix = "t/r/"
+	// regionGrantPrefix is followed by a team's name: what the region has been granted of it.
+	regionGrantPrefix = "t/r/"
 	// unconfirmedKey is there while the region's limits have to be confirmed, because its
 	// state service had lost its last moments.
 	unconfirmedKey = "t/unconfirmed"
@@ -38,10 +38,10 @@
 	admission  *admission
 	homeQuotas *homeQuotas
 
-	replica  *dynconfig.Replica // nil: no regions are named
-	restored bool               // the state service had lost its last moments when this term began
-	versions map[string]uint64  // of the stored entries, by team
-	marker   uint64             // version of unconfirmedKey; 0: it is not there
+	replica            *dynconfig.Replica // nil: no regions are named
+	restored           bool               // the state service had lost its last moments when this term began
+	entryVersions      map[string]uint64  // of the stored entries, by team
+	unconfirmedVersion uint64             // version of unconfirmedKey; 0: it is not there
 }
 
 func newTeamQuotas(co *core, restored bool) *teamQuotas {
@@ -59,20 +59,20 @@
 	e, err := tm.c.State.Get(tm.ctx, unconfirmedKey)
 	switch {
 	case err == nil:
-		tm.marker = e.Version
+		tm.unconfirmedVersion = e.Version
 	case !errors.Is(err, state.ErrNotFound):
 		return nil, err
 	case tm.restored:
-		if tm.marker, err = tm.mark(); err != nil {
+		if tm.unconfirmedVersion, err = tm.storeUnconfirmed(); err != nil {
 			return nil, err
 		}
 	}
-	entries, _, err := tm.c.State.List(tm.ctx, regionPrefix)
+	entries, _, err := tm.c.State.List(tm.ctx, regionGrantPrefix)
 	return entries, err
 }
 
-// mark stores that the limits have to be confirmed, for the leaders to come.
-func (tm *teamQuotas) mark() (version uint64, err error) {
+// storeUnconfirmed stores that the limits have to be confirmed, for the leaders to come.
+func (tm *teamQuotas) storeUnconfirmed() (version uint64, err error) {
 	put, err := state.Put(unconfirmedKey, struct{}{})
 	if err != nil {
 		return 0, err
@@ -87,82 +87,82 @@
 	if !tm.enabled() {
 		return
 	}
-	tm.versions = map[string]uint64{}
+	tm.entryVersions = map[string]uint64{}
 	var entries []dynconfig.RegionGrant
 	for _, s := range stored {
-		name := s.Key[len(regionPrefix):]
+		name := s.Key[len(regionGrantPrefix):]
 		var e dynconfig.RegionGrant
 		if err := wire.Unmarshal(s.Value, &e); err != nil || e.Team != name {
 			tm.log.Error("what is granted of a team cannot be read, it starts nothing until it is told again", "team", name, "error", err)
 			e = dynconfig.RegionGrant{Team: name}
 		}
 		entries = append(entries, e)
-		tm.versions[e.Team] = s.Version
+		tm.entryVersions[e.Team] = s.Version
 		tm.nameIndex.addTeam(e.Team)
 	}
-	tm.replica = dynconfig.NewReplica(tm.c.Tuning.Regions.Name, tm.term, tm.c.fileShares(), entries, tm.marker != 0)
+	tm.replica = dynconfig.NewReplica(tm.c.Tuning.Regions.Name, tm.term, tm.c.fileShares(), entries, tm.unconfirmedVersion != 0)
 }
 
 // fileShares are the teams of the platform's file.
 func (c *Controller) fileShares() map[string]dynconfig.Share {
 	out := map[string]dynconfig.Share{}
 	for _, t := range c.Settings.Facts.Teams {
-		out[t.Name] = dynconfig.Share{Limit: dynconfig.Amount{CPUs: boundOf(t.CPUsMax), GPUs: boundOf(t.GPUsMax)},
+		out[t.Name] = dynconfig.Share{Limit: dynconfig.Amount{CPUs: limitAmount(t.CPUsMax), GPUs: limitAmount(t.GPUsMax)},
 			Guarantee: dynconfig.Amount{CPUs: t.CPUs, GPUs: t.GPUs}}
 	}
 	return out
 }
 
-// boundOf is a limit of the platform's file, in which 0 means that there is none.
-func boundOf(limit float64) float64 {
+// limitAmount is a limit of the platform's file, in which 0 means that there is none.
+func limitAmount(limit float64) float64 {
 	if limit == 0 {
 		return dynconfig.Unlimited
 	}
 	return limit
 }
 
-// nothing is a limit under which no task fits, where 0 would mean that there is none.
-const nothing = 1e-9
+// zeroLimit is a limit under which no task fits, where 0 would mean that there is none.
+const zeroLimit = 1e-9
 
-// limitOf is a limit as the platform's file has it.
-func limitOf(bound float64) float64 {
+// fileLimit is a limit as the platform's file has it.
+func fileLimit(bound float64) float64 {
 	if math.IsInf(bound, 1) {
 		return 0
 	}
-	return max(bound, nothing)
+	return max(bound, zeroLimit)
 }
 
-// teamOf is a share as a team of the platform's file.
-func teamOf(name string, s dynconfig.Share) config.Team {
-	return config.Team{Name: name, CPUs: s.Guarantee.CPUs, GPUs: s.Guarantee.GPUs, CPUsMax: limitOf(s.Limit.CPUs), GPUsMax: limitOf(s.Limit.GPUs)}
+// configTeam is a share as a team of the platform's file.
+func configTeam(name string, s dynconfig.Share) config.Team {
+	return config.Team{Name: name, CPUs: s.Guarantee.CPUs, GPUs: s.Guarantee.GPUs, CPUsMax: fileLimit(s.Limit.CPUs), GPUsMax: fileLimit(s.Limit.GPUs)}
 }
 
-// all are the teams, by index.
-func (tm *teamQuotas) all() []config.Team {
+// teams are the teams, by index.
+func (tm *teamQuotas) teams() []config.Team {
 	if tm.replica == nil {
 		return tm.c.Settings.Facts.Teams
 	}
-	uses := tm.uses
+	uses := tm.noUsage
 	if tm.replica.Unconfirmed() {
 		uses = tm.usage()
 	}
 	out := make([]config.Team, 0, len(tm.nameIndex.teamNames()))
 	for _, name := range tm.nameIndex.teamNames() {
 		share, _ := tm.replica.Share(name, uses)
-		out = append(out, teamOf(name, share))
+		out = append(out, configTeam(name, share))
 	}
 	return out
 }
 
-// uses is asked where limits are confirmed and what is in use does not matter.
-func (tm *teamQuotas) uses(string) (dynconfig.Amount, bool) { return dynconfig.Amount{}, false }
+// noUsage is asked where limits are confirmed and what is in use does not matter.
+func (tm *teamQuotas) noUsage(string) (dynconfig.Amount, bool) { return dynconfig.Amount{}, false }
 
 // find is a team that takes jobs.
 func (tm *teamQuotas) find(name string) quota {
 	if tm.replica == nil {
 		return quota{current: tm.c.fileTeam(name)}
 	}
-	share, known := tm.replica.Share(name, tm.uses)
+	share, known := tm.replica.Share(name, tm.noUsage)
 	if !known && !tm.replica.Unconfirmed() {
 		return quota{}
 	}
@@ -174,7 +174,7 @@
 type quota struct{ current, target *config.Team }
 
 func quotaOf(name string, share dynconfig.Share, wants dynconfig.Amount) quota {
-	now, soon := teamOf(name, share), teamOf(name, dynconfig.Share{Limit: wants})
+	now, soon := configTeam(name, share), configTeam(name, dynconfig.Share{Limit: wants})
 	return quota{&now, &soon}
 }
 
@@ -215,20 +215,20 @@
 	}
 }
 
-// known reports whether it is known what the teams use: not before the machines of earlier
+// usageKnown reports whether it is known what the teams use: not before the machines of earlier
 // leaders are met, nor while a machine runs a task of a job whose record is not read.
-func (tm *teamQuotas) known() bool {
+func (tm *teamQuotas) usageKnown() bool {
 	return tm.takeover.around() && len(tm.jobTable.strange()) == 0
 }
 
 const (
-	// followTime bounds a request to the home region, which holds it for a while.
-	followTime = 4 * time.Second
-	// followPause and followPauseMost are the first and the longest wait after a request
+	// followTimeout bounds a request to the home region, which holds it for a while.
+	followTimeout = 4 * time.Second
+	// minFollowRetry and followPauseMost are the first and the longest wait after a request
 	// that failed.
-	followPause, followPauseMost = 200 * time.Millisecond, 3 * time.Second
-	// followSoon is the wait while what the teams use is not known.
-	followSoon = 200 * time.Millisecond
+	minFollowRetry, maxFollowRetry = 200 * time.Millisecond, 3 * time.Second
+	// usagePollInterval is the wait while what the teams use is not known.
+	usagePollInterval = 200 * time.Millisecond
 )
 
 // follow keeps asking the home region and stores what it grants, until the term ends.
@@ -236,28 +236,28 @@
 	if !tm.enabled() {
 		return
 	}
-	wait := followPause
+	wait := minFollowRetry
 	for tm.ctx.Err() == nil {
-		q := await(tm.core, tm.request)
+		q := callActor(tm.core, tm.nextRequest)
 		if q == nil {
-			tm.pause(followSoon)
+			tm.pause(usagePollInterval)
 			continue
 		}
-		p, err := tm.ask(q)
+		p, err := tm.sendRequest(q)
 		if err != nil || p.Refused != "" {
 			tm.pause(wait/2 + rand.N(wait))
-			wait = min(2*wait, followPauseMost)
+			wait = min(2*wait, maxFollowRetry)
 			continue
 		}
-		wait = followPause
-		entries := await(tm.core, func() []dynconfig.RegionGrant { return tm.replica.HandleReply(q, p) })
-		tm.keep(entries)
-		tm.call(tm.confirm)
+		wait = minFollowRetry
+		entries := callActor(tm.core, func() []dynconfig.RegionGrant { return tm.replica.HandleReply(q, p) })
+		tm.storeGrants(entries)
+		tm.runInActor(tm.clearUnconfirmed)
 	}
 }
 
-// await runs f in the actor and returns its result; the zero value: the term has ended.
-func await[T any](co *core, f func() T) (out T) {
+// callActor runs f in the actor and returns its result; the zero value: the term has ended.
+func callActor[T any](co *core, f func() T) (out T) {
 	done := make(chan T, 1)
 	co.ahead(func() { done <- f() })
 	select {
@@ -267,25 +267,25 @@
 	return out
 }
 
-// call runs f in the actor and waits for it, or for the end of the term.
-func (co *core) call(f func()) {
-	await(co, func() struct{} {
+// runInActor runs f in the actor and waits for it, or for the end of the term.
+func (co *core) runInActor(f func()) {
+	callActor(co, func() struct{} {
 		f()
 		return struct{}{}
 	})
 }
 
-// request is what to ask next; nil: not yet.
-func (tm *teamQuotas) request() *dynconfig.Request {
-	if !tm.known() {
+// nextRequest is what to ask next; nil: not yet.
+func (tm *teamQuotas) nextRequest() *dynconfig.Request {
+	if !tm.usageKnown() {
 		return nil
 	}
 	return tm.replica.Request(tm.usage())
 }
 
-// ask asks the home region's leader, which may be this one.
-func (tm *teamQuotas) ask(q *dynconfig.Request) (*dynconfig.Reply, error) {
-	ctx, cancel := context.WithTimeout(tm.ctx, followTime)
+// sendRequest asks the home region's leader, which may be this one.
+func (tm *teamQuotas) sendRequest(q *dynconfig.Request) (*dynconfig.Reply, error) {
+	ctx, cancel := context.WithTimeout(tm.ctx, followTimeout)
 	defer cancel()
 	if tm.homeQuotas.enabled() {
 		return tm.c.HandleFollow(ctx, q), nil
@@ -293,26 +293,26 @@
 	return tm.c.Follow(ctx, q)
 }
 
-// keep stores entries, and lets them count once they are stored.
-func (tm *teamQuotas) keep(entries []dynconfig.RegionGrant) {
+// storeGrants stores entries, and lets them count once they are stored.
+func (tm *teamQuotas) storeGrants(entries []dynconfig.RegionGrant) {
 	most := max(1, tm.c.Settings.Facts.State.TxnOps)
 	for len(entries) > 0 && tm.ctx.Err() == nil {
 		part := entries[:min(most, len(entries))]
 		entries = entries[len(part):]
-		version, ok := tm.store(part)
+		version, ok := tm.storeBatch(part)
 		if !ok {
 			return
 		}
-		tm.call(func() { tm.stored(part, version) })
+		tm.runInActor(func() { tm.applyStored(part, version) })
 	}
 }
 
-// store stores entries in one transaction and waits for its outcome.
-func (tm *teamQuotas) store(entries []dynconfig.RegionGrant) (version uint64, ok bool) {
-	versions := await(tm.core, func() []uint64 {
+// storeBatch stores entries in one transaction and waits for its outcome.
+func (tm *teamQuotas) storeBatch(entries []dynconfig.RegionGrant) (version uint64, ok bool) {
+	versions := callActor(tm.core, func() []uint64 {
 		out := make([]uint64, len(entries))
 		for i, e := range entries {
-			out[i] = tm.versions[e.Team]
+			out[i] = tm.entryVersions[e.Team]
 		}
 		return out
 	})
@@ -322,12 +322,12 @@
 	var conds []state.Cond
 	var writes []state.Write
 	for i, e := range entries {
-		put, err := state.Put(regionPrefix+e.Team, e)
+		put, err := state.Put(regionGrantPrefix+e.Team, e)
 		if err != nil {
 			tm.log.Error("grant does not encode", "team", e.Team, "error", err)
 			return 0, false
 		}
-		conds = append(conds, state.Cond{Key: regionPrefix + e.Team, Version: versions[i]})
+		conds = append(conds, state.Cond{Key: regionGrantPrefix + e.Team, Version: versions[i]})
 		writes = append(writes, put)
 	}
 	version, err := tm.settle(conds[0].Key, conds[0].Version, conds, writes)
@@ -338,11 +338,11 @@
 	return version, true
 }
 
-// stored lets entries count.
-func (tm *teamQuotas) stored(entries []dynconfig.RegionGrant, version uint64) {
+// applyStored lets entries count.
+func (tm *teamQuotas) applyStored(entries []dynconfig.RegionGrant, version uint64) {
 	added := false
 	for _, e := range entries {
-		tm.versions[e.Team] = version
+		tm.entryVersions[e.Team] = version
 		added = tm.nameIndex.addTeam(e.Team) || added
 		tm.log.Info("team has changed", "team", e.Team, "revision", e.Revision, "cpus_max", e.Limit.CPUs, "gpus_max", e.Limit.GPUs, "removed", e.Removed)
 	}
@@ -354,13 +354,13 @@
 	tm.changed()
 }
 
-// confirm strikes the marker off once the home region has confirmed the limits.
-func (tm *teamQuotas) confirm() {
-	if tm.marker == 0 || tm.replica.Unconfirmed() {
+// clearUnconfirmed strikes the marker off once the home region has confirmed the limits.
+func (tm *teamQuotas) clearUnconfirmed() {
+	if tm.unconfirmedVersion == 0 || tm.replica.Unconfirmed() {
 		return
 	}
-	version := tm.marker
-	tm.marker = 0
+	version := tm.unconfirmedVersion
+	tm.unconfirmedVersion = 0
 	go func() {
 		conds := []state.Cond{{Key: unconfirmedKey, Version: version}}
 		if _, err := tm.settle(unconfirmedKey, version, conds, []state.Write{{Delete: unconfirmedKey}}); err != nil {
@@ -385,14 +385,14 @@
 	if c.Tuning.Regions.Name == "" || !job.ValidTeam(name) {
 		return quota{current: c.fileTeam(name)}, nil, nil
 	}
-	e, err := c.State.Get(ctx, regionPrefix+name)
+	e, err := c.State.Get(ctx, regionGrantPrefix+name)
 	if errors.Is(err, state.ErrNotFound) {
-		return c.unnamedTeam(ctx, name)
+		return c.ungrantedTeam(ctx, name)
 	}
 	if err != nil {
 		return quota{}, nil, err
 	}
-	conds := []state.Cond{{Key: regionPrefix + name, Version: e.Version}}
+	conds := []state.Cond{{Key: regionGrantPrefix + name, Version: e.Version}}
 	var entry dynconfig.RegionGrant
 	if err := wire.Unmarshal(e.Value, &entry); err != nil {
 		return quota{}, nil, err
@@ -407,10 +407,10 @@
 // what was granted.
 var errUnconfirmed = errors.New("the region's quotas are not confirmed yet")
 
-// unnamedTeam is a team of which nothing is granted here. That it is none at all is sure
+// ungrantedTeam is a team of which nothing is granted here. That it is none at all is sure
 // only where the region's quotas are confirmed.
-func (c *Controller) unnamedTeam(ctx context.Context, name string) (quota, []state.Cond, error) {
-	conds := []state.Cond{{Key: regionPrefix + name}}
+func (c *Controller) ungrantedTeam(ctx context.Context, name string) (quota, []state.Cond, error) {
+	conds := []state.Cond{{Key: regionGrantPrefix + name}}
 	if t := c.fileTeam(name); t != nil {
 		return quota{current: t}, conds, nil
 	}
--- a/internal/control/quotas_home.go
+++ b/internal/control/quotas_home.go
@@ -17,8 +17,8 @@
 
 // Keys of the configuration at the home region.
 const (
-	homePrefix = "t/h/"
-	headKey    = "t/head"
+	teamRecordPrefix = "t/h/"
+	headKey          = "t/head"
 	// historyPrefix is followed by the slot of a change that is kept.
 	historyPrefix = "t/c/"
 )
@@ -28,37 +28,37 @@
 type homeQuotas struct {
 	*core
 
-	home    *dynconfig.Home
-	head    uint64 // version of headKey
-	storing bool
-	retryAt time.Time // when an update that could not be stored is tried again
-	changes []*pendingChange
-	waiting []*waitingRegion
+	home           *dynconfig.Home
+	headVersion    uint64 // version of headKey
+	storing        bool
+	retryAt        time.Time // when an update that could not be stored is tried again
+	pendingChanges []*pendingChange
+	heldRequests   []*heldRequest
 }
 
 // pendingChange is a change that waits to be stored.
 type pendingChange struct {
-	change *dynconfig.Change
-	dry    bool
-	back   func(*rpc.Reply)
+	change  *dynconfig.Change
+	dryRun  bool
+	respond func(*rpc.Reply)
 }
 
-// waitingRegion is a request that is held until there is something to tell.
-type waitingRegion struct {
-	request *dynconfig.Request
-	until   time.Time
-	back    func(*dynconfig.Reply)
+// heldRequest is a request that is held until there is something to tell.
+type heldRequest struct {
+	request  *dynconfig.Request
+	deadline time.Time
+	respond  func(*dynconfig.Reply)
 }
 
 const (
-	// mostChangesWaiting and mostRegionsWaiting bound what waits.
-	mostChangesWaiting = 256
-	mostRegionsWaiting = 64
-	// holdRequest is for how long a region's request is held: it says meanwhile nothing of
+	// maxPendingChanges and mostRegionsWaiting bound what waits.
+	maxPendingChanges = 256
+	maxHeldRequests   = 64
+	// requestHoldTime is for how long a region's request is held: it says meanwhile nothing of
 	// what it gives back.
-	holdRequest = 500 * time.Millisecond
-	// retryStore is the wait after an update that the state service rejects.
-	retryStore = time.Second
+	requestHoldTime = 500 * time.Millisecond
+	// storeRetryDelay is the wait after an update that the state service rejects.
+	storeRetryDelay = time.Second
 	// teamsPerPage bounds a page of teams.
 	teamsPerPage = 50
 )
@@ -79,7 +79,7 @@
 	if head, err = ht.c.State.Get(ht.ctx, headKey); err != nil && !errors.Is(err, state.ErrNotFound) {
 		return head, nil, nil, err
 	}
-	if records, _, err = ht.c.State.List(ht.ctx, homePrefix); err != nil {
+	if records, _, err = ht.c.State.List(ht.ctx, teamRecordPrefix); err != nil {
 		return head, nil, nil, err
 	}
 	history, _, err = ht.c.State.List(ht.ctx, historyPrefix)
@@ -102,7 +102,7 @@
 	var records []*dynconfig.TeamRecord
 	for _, e := range entries {
 		r := &dynconfig.TeamRecord{}
-		if err := wire.Unmarshal(e.Value, r); err != nil || homePrefix+r.Name != e.Key {
+		if err := wire.Unmarshal(e.Value, r); err != nil || teamRecordPrefix+r.Name != e.Key {
 			ht.log.Error("a team of the configuration cannot be read", "key", e.Key, "error", err)
 			continue
 		}
@@ -111,8 +111,8 @@
 		}
 		records = append(records, r)
 	}
-	ht.home, ht.head = dynconfig.NewHome(ht.term, ht.c.Tuning.Regions.All, head, records), stored.Version
-	ht.remember(history)
+	ht.home, ht.headVersion = dynconfig.NewHome(ht.term, ht.c.Tuning.Regions.All, head, records), stored.Version
+	ht.loadHistory(history)
 }
 
 // handleRequest takes in a region's request.
@@ -122,11 +122,11 @@
 		back(p)
 		return
 	}
-	if len(ht.waiting) >= mostRegionsWaiting {
+	if len(ht.heldRequests) >= maxHeldRequests {
 		back(ht.home.Reply(q))
 		return
 	}
-	ht.waiting = append(ht.waiting, &waitingRegion{q, now.Add(holdRequest), back})
+	ht.heldRequests = append(ht.heldRequests, &heldRequest{q, now.Add(requestHoldTime), back})
 	ht.step(now)
 }
 
@@ -136,33 +136,33 @@
 	if ht.home == nil {
 		return
 	}
-	kept := ht.waiting[:0]
-	for _, w := range ht.waiting {
-		if now.Before(w.until) && !w.request.Full && !ht.home.HasGrants(w.request.Region, w.request.After) {
+	kept := ht.heldRequests[:0]
+	for _, w := range ht.heldRequests {
+		if now.Before(w.deadline) && !w.request.Full && !ht.home.HasGrants(w.request.Region, w.request.After) {
 			kept = append(kept, w)
 			continue
 		}
-		w.back(ht.home.Reply(w.request))
+		w.respond(ht.home.Reply(w.request))
 	}
-	ht.waiting = kept
+	ht.heldRequests = kept
 	if ht.storing || now.Before(ht.retryAt) {
 		return
 	}
-	if len(ht.changes) > 0 {
-		ht.take()
+	if len(ht.pendingChanges) > 0 {
+		ht.storeChanges()
 		return
 	}
-	if u := ht.home.Step(ht.mostRecords()); !u.Empty() {
-		ht.store(u, nil, func() { ht.home.Requeue(u) }, func() {})
+	if u := ht.home.Step(ht.maxBatchRecords()); !u.Empty() {
+		ht.storeUpdate(u, nil, func() { ht.home.Requeue(u) }, func() {})
 	}
 }
 
-// mostRecords is how many records a transaction takes beside the head and the history.
-func (ht *homeQuotas) mostRecords() int { return max(1, ht.c.Settings.Facts.State.TxnOps-2) }
+// maxBatchRecords is how many records a transaction takes beside the head and the history.
+func (ht *homeQuotas) maxBatchRecords() int { return max(1, ht.c.Settings.Facts.State.TxnOps-2) }
 
-// remember takes in the changes that earlier leaders have kept. One that cannot be read is
+// loadHistory takes in the changes that earlier leaders have kept. One that cannot be read is
 // as if it had not been kept.
-func (ht *homeQuotas) remember(entries []state.Entry) {
+func (ht *homeQuotas) loadHistory(entries []state.Entry) {
 	var past []*dynconfig.HistoryEntry
 	for _, e := range entries {
 		p := &dynconfig.HistoryEntry{}
@@ -175,11 +175,11 @@
 	ht.home.LoadHistory(past)
 }
 
-// historyWrite keeps a change, without what was there before if that does not fit a value.
-func (ht *homeQuotas) historyWrite(p *dynconfig.HistoryEntry) (*dynconfig.HistoryEntry, state.Write, error) {
+// encodeHistory keeps a change, without what was there before if that does not fit a value.
+func (ht *homeQuotas) encodeHistory(p *dynconfig.HistoryEntry) (*dynconfig.HistoryEntry, state.Write, error) {
 	key := fmt.Sprintf("%s%03d", historyPrefix, p.Slot())
 	put, err := state.Put(key, p)
-	if err != nil || float64(len(put.Value)) < ht.c.Settings.Facts.State.ValueKB*1024*historyShare {
+	if err != nil || float64(len(put.Value)) < ht.c.Settings.Facts.State.ValueKB*1024*maxHistoryValueFraction {
 		return p, put, err
 	}
 	p = p.WithoutBefore()
@@ -187,38 +187,38 @@
 	return p, put, err
 }
 
-// historyShare is the part of the largest value that a change that is kept may have: the
+// maxHistoryValueFraction is the part of the largest value that a change that is kept may have: the
 // form of the service's own count is larger than ours.
-const historyShare = 0.5
+const maxHistoryValueFraction = 0.5
 
-// change lets a change wait for its turn.
-func (ht *homeQuotas) change(c *dynconfig.Change, dry bool, back func(*rpc.Reply)) {
-	if len(ht.changes) >= mostChangesWaiting {
+// enqueueChange lets a change wait for its turn.
+func (ht *homeQuotas) enqueueChange(c *dynconfig.Change, dry bool, back func(*rpc.Reply)) {
+	if len(ht.pendingChanges) >= maxPendingChanges {
 		back(settled(Later("many changes of the configuration are being stored")))
 		return
 	}
-	ht.changes = append(ht.changes, &pendingChange{c, dry, back})
+	ht.pendingChanges = append(ht.pendingChanges, &pendingChange{c, dry, back})
 	ht.step(time.Now())
 }
 
-// take stores the changes that wait, under one revision as far as they are of different
+// storeChanges stores the changes that wait, under one revision as far as they are of different
 // teams.
-func (ht *homeQuotas) take() {
+func (ht *homeQuotas) storeChanges() {
 	joined, taken := &dynconfig.Change{}, []*pendingChange{}
 	named := map[string]bool{}
-	for len(ht.changes) > 0 {
-		p := ht.changes[0]
-		if overlaps(p.change, named) || len(joined.Teams)+len(joined.Remove)+len(p.change.Teams)+len(p.change.Remove) > ht.mostRecords() && len(taken) > 0 {
+	for len(ht.pendingChanges) > 0 {
+		p := ht.pendingChanges[0]
+		if addTeamNames(p.change, named) || len(joined.Teams)+len(joined.Remove)+len(p.change.Teams)+len(p.change.Remove) > ht.maxBatchRecords() && len(taken) > 0 {
 			break
 		}
-		ht.changes = ht.changes[1:]
+		ht.pendingChanges = ht.pendingChanges[1:]
 		u, refusal := ht.home.Propose(p.change)
 		if refusal != nil {
 			ht.refuse(p, refusal)
 			continue
 		}
-		if p.dry {
-			p.back(reply(http.StatusOK, changeAnswer{u.Head.Revision, true}))
+		if p.dryRun {
+			p.respond(reply(http.StatusOK, changeAnswer{u.Head.Revision, true}))
 			continue
 		}
 		joined.Teams, joined.Remove = append(joined.Teams, p.change.Teams...), append(joined.Remove, p.change.Remove...)
@@ -234,29 +234,29 @@
 		}
 		return
 	}
-	past, kept, err := ht.historyWrite(ht.home.NewHistoryEntry(u, time.Now()))
+	past, kept, err := ht.encodeHistory(ht.home.NewHistoryEntry(u, time.Now()))
 	if err != nil {
 		for _, p := range taken {
-			p.back(reply(http.StatusInternalServerError, wire.Error{Error: err.Error()}))
+			p.respond(reply(http.StatusInternalServerError, wire.Error{Error: err.Error()}))
 		}
 		return
 	}
-	ht.store(u, []state.Write{kept}, func() {
+	ht.storeUpdate(u, []state.Write{kept}, func() {
 		for _, p := range taken {
-			p.back(settled(Later("the change could not be stored")))
+			p.respond(settled(Later("the change could not be stored")))
 		}
 	}, func() {
 		ht.home.AddHistory(past)
 		ht.c.Meter.Add(metrics.ConfigChanges, "taken", len(taken))
 		ht.log.Info("the configuration has changed", "revision", u.Head.Revision, "changes", len(taken), "teams", len(u.Records))
 		for _, p := range taken {
-			p.back(reply(http.StatusOK, changeAnswer{u.Head.Revision, false}))
+			p.respond(reply(http.StatusOK, changeAnswer{u.Head.Revision, false}))
 		}
 	})
 }
 
-// overlaps reports whether a change names a team that is named already, and notes its own.
-func overlaps(c *dynconfig.Change, named map[string]bool) bool {
+// addTeamNames reports whether a change names a team that is named already, and notes its own.
+func addTeamNames(c *dynconfig.Change, named map[string]bool) bool {
 	for i := range c.Teams {
 		if named[c.Teams[i].Name] {
 			return true
@@ -289,14 +289,14 @@
 	if refusal.Status == http.StatusServiceUnavailable {
 		answer.RetryAfter = 1
 	}
-	p.back(settled(answer))
+	p.respond(settled(answer))
 }
 
-// store stores an update, in as many transactions as it takes, with further writes in the
+// storeUpdate stores an update, in as many transactions as it takes, with further writes in the
 // last one, and lets it count.
-func (ht *homeQuotas) store(u dynconfig.Update, beside []state.Write, failed, done func()) {
+func (ht *homeQuotas) storeUpdate(u dynconfig.Update, beside []state.Write, failed, done func()) {
 	ht.storing = true
-	head, most := ht.head, ht.mostRecords()
+	head, most := ht.headVersion, ht.maxBatchRecords()
 	go func() {
 		version, err := head, error(nil)
 		for rest := u.Records; len(rest) > 0 && err == nil; {
@@ -306,13 +306,13 @@
 			if len(rest) == 0 {
 				last = beside
 			}
-			version, err = ht.storePart(u.Head, part, last, version)
+			version, err = ht.storeBatch(u.Head, part, last, version)
 		}
 		ht.ahead(func() {
-			ht.storing, ht.head = false, version
+			ht.storing, ht.headVersion = false, version
 			if err != nil {
 				ht.log.Error("the configuration cannot be stored", "error", err)
-				ht.retryAt = time.Now().Add(retryStore)
+				ht.retryAt = time.Now().Add(storeRetryDelay)
 				failed()
 			} else {
 				ht.home.Apply(u)
@@ -323,15 +323,15 @@
 	}()
 }
 
-// storePart stores some records with the head, and further writes.
-func (ht *homeQuotas) storePart(head dynconfig.Head, records []*dynconfig.TeamRecord, beside []state.Write, was uint64) (version uint64, err error) {
+// storeBatch stores some records with the head, and further writes.
+func (ht *homeQuotas) storeBatch(head dynconfig.Head, records []*dynconfig.TeamRecord, beside []state.Write, was uint64) (version uint64, err error) {
 	put, err := state.Put(headKey, head)
 	if err != nil {
 		return was, err
 	}
 	writes := append([]state.Write{put}, beside...)
 	for _, r := range records {
-		if put, err = state.Put(homePrefix+r.Name, r); err != nil {
+		if put, err = state.Put(teamRecordPrefix+r.Name, r); err != nil {
 			return was, err
 		}
 		writes = append(writes, put)
@@ -356,7 +356,7 @@
 			back(reply(http.StatusBadRequest, wire.Error{Error: err.Error()}))
 			return
 		}
-		ht.change(c, op.Dry, back)
+		ht.enqueueChange(c, op.Dry, back)
 	case rpc.VerbUndo:
 		to, err := strconv.ParseUint(op.Service, 10, 64)
 		if err != nil {
@@ -369,7 +369,7 @@
 			return
 		}
 		c.Base = ht.home.Head().Revision // nothing may come in between
-		ht.change(c, op.Dry, back)
+		ht.enqueueChange(c, op.Dry, back)
 	case rpc.VerbHistory:
 		back(reply(http.StatusOK, map[string]any{"changes": ht.home.History()}))
 	case rpc.VerbStatus:
--- a/internal/control/shards_reclaim.go
+++ b/internal/control/shards_reclaim.go
@@ -8,33 +8,33 @@
 
 // Machines that no holder may answer, because a task of a cancelled job may be on them.
 
-// keep takes a machine back from its holder, or keeps it here, in time before its lease may
+// reserve takes a machine back from its holder, or keeps it here, in time before its lease may
 // only be renewed by answers that carry halts.
-func (sh *shards) keep(h *fleet.Host, now time.Time) {
+func (sh *shards) reserve(h *fleet.Host, now time.Time) {
 	limit, bounded := sh.fleet.RenewalLimit(h)
-	if !bounded || limit.Sub(now) > sh.allot.HandoverTime()+2*urgentEvery {
+	if !bounded || limit.Sub(now) > sh.assigner.HandoverTime()+2*urgentEvery {
 		return
 	}
-	sh.kept[h] = struct{}{}
-	sh.allot.Keep(h.Name, "a cancelled task may be on it", now)
+	sh.reserved[h] = struct{}{}
+	sh.assigner.Keep(h.Name, "a cancelled task may be on it", now)
 }
 
-// keepDue looks for machines that have to be kept, among those that wait for a command, and
+// updateReserved looks for machines that have to be kept, among those that wait for a command, and
 // lets go of those that need not be any more. It comes before each reply to a holder, since
 // a reply prolongs its grant.
-func (sh *shards) keepDue(now time.Time) {
-	if now.Sub(sh.keptAt) < urgentEvery {
+func (sh *shards) updateReserved(now time.Time) {
+	if now.Sub(sh.reserveCheckedAt) < urgentEvery {
 		return
 	}
-	sh.keptAt = now
+	sh.reserveCheckedAt = now
 	for _, h := range sh.fleet.Awake() {
-		sh.keep(h, now)
+		sh.reserve(h, now)
 	}
-	for h := range sh.kept {
+	for h := range sh.reserved {
 		if _, bounded := sh.fleet.RenewalLimit(h); bounded && sh.fleet.Hosts[h.Name] == h {
 			continue
 		}
-		delete(sh.kept, h)
-		sh.allot.Release(h.Name)
+		delete(sh.reserved, h)
+		sh.assigner.Release(h.Name)
 	}
 }
--- a/internal/control/shards_test.go
+++ b/internal/control/shards_test.go
@@ -26,13 +26,13 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			orders := make([]wire.Order, 20)
-			b := &box{calls: slices.Repeat([]shard.Call{{Addr: "10.0.0.1:9000", Body: make([]byte, tt.body)}}, tt.calls),
-				answers: slices.Repeat([]shard.Answer{{Host: "host-000001", Orders: orders}}, tt.answers),
-				settled: slices.Repeat([]shard.ExitClearance{{Host: "host-000001", Clears: orders}}, tt.clears)}
+			b := &mailbox{calls: slices.Repeat([]shard.Call{{Addr: "10.0.0.1:9000", Body: make([]byte, tt.body)}}, tt.calls),
+				answers:    slices.Repeat([]shard.Answer{{Host: "host-000001", Orders: orders}}, tt.answers),
+				clearances: slices.Repeat([]shard.ExitClearance{{Host: "host-000001", Clears: orders}}, tt.clears)}
 			calls, answers, clears := 0, 0, 0
 			for range 100 {
 				r := &shard.Reply{Term: 1}
-				b.fill(r)
+				b.fillReply(r)
 				calls, answers, clears = calls+len(r.Calls), answers+len(r.Answers), clears+len(r.Clearances)
 				if enc, err := wire.Marshal(r); err != nil || len(enc) > 4*wire.MaxBody {
 					t.Fatalf("a reply of %d bytes: %v", len(enc), err)
@@ -58,9 +58,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.shards.entry(&box{}, &shard.Entry{Host: "h1", Session: 1, Seq: 10, Report: full}, now)
+	r.shards.handleEntry(&mailbox{}, &shard.Entry{Host: "h1", Session: 1, Seq: 10, Report: full}, now)
 	now = now.Add(8 * time.Second)
-	r.shards.entry(&box{}, &shard.Entry{Host: "h1", Session: 1, Seq: 11, Report: full}, now)
+	r.shards.handleEntry(&mailbox{}, &shard.Entry{Host: "h1", Session: 1, Seq: 11, Report: full}, now)
 	now = now.Add(5 * time.Second)
 	if r.fleet.Expire(now); h.Lost {
 		t.Error("lost 5 s after a report that the holder answered")
--- a/internal/dynconfig/amount.go
+++ b/internal/dynconfig/amount.go
@@ -10,8 +10,8 @@
 // Unlimited is an amount without a bound.
 var Unlimited = math.Inf(1)
 
-// slack is by how much sums of amounts may differ for the rounding of their parts.
-const slack = 1e-6
+// tolerance is by how much sums of amounts may differ for the rounding of their parts.
+const tolerance = 1e-6
 
 // Amount is what a team may use, or is guaranteed, of each resource.
 type Amount struct {
@@ -25,10 +25,12 @@
 // plus adds b.
 func (a Amount) plus(b Amount) Amount { return Amount{a.CPUs + b.CPUs, a.GPUs + b.GPUs} }
 
-// less subtracts b; what has no bound keeps none, and nothing falls below 0.
-func (a Amount) less(b Amount) Amount { return Amount{rest(a.CPUs, b.CPUs), rest(a.GPUs, b.GPUs)} }
+// minus subtracts b; what has no bound keeps none, and nothing falls below 0.
+func (a Amount) minus(b Amount) Amount {
+	return Amount{subtract(a.CPUs, b.CPUs), subtract(a.GPUs, b.GPUs)}
+}
 
-func rest(a, b float64) float64 {
+func subtract(a, b float64) float64 {
 	switch {
 	case math.IsInf(a, 1):
 		return a
@@ -38,12 +40,14 @@
 	return max(0, a-b)
 }
 
-// lower is the smaller of the two, resource by resource; higher the larger.
-func (a Amount) lower(b Amount) Amount  { return Amount{min(a.CPUs, b.CPUs), min(a.GPUs, b.GPUs)} }
-func (a Amount) higher(b Amount) Amount { return Amount{max(a.CPUs, b.CPUs), max(a.GPUs, b.GPUs)} }
+// elementMin is the smaller of the two, resource by resource; higher the larger.
+func (a Amount) elementMin(b Amount) Amount { return Amount{min(a.CPUs, b.CPUs), min(a.GPUs, b.GPUs)} }
+func (a Amount) elementMax(b Amount) Amount { return Amount{max(a.CPUs, b.CPUs), max(a.GPUs, b.GPUs)} }
 
-// near reports whether the two differ for the rounding of sums alone.
-func (a Amount) near(b Amount) bool { return a.within(b) && b.within(a) }
+// approxEqual reports whether the two differ for the rounding of sums alone.
+func (a Amount) approxEqual(b Amount) bool { return a.within(b) && b.within(a) }
 
 // within reports whether no resource exceeds b's.
-func (a Amount) within(b Amount) bool { return a.CPUs <= b.CPUs+slack && a.GPUs <= b.GPUs+slack }
+func (a Amount) within(b Amount) bool {
+	return a.CPUs <= b.CPUs+tolerance && a.GPUs <= b.GPUs+tolerance
+}
--- a/internal/dynconfig/change.go
+++ b/internal/dynconfig/change.go
@@ -102,7 +102,7 @@
 			return u, refuse(http.StatusBadRequest, field+".name", "%q is named twice", c.Teams[i].Name)
 		}
 		named[c.Teams[i].Name] = true
-		r, err := h.changed(&c.Teams[i], field)
+		r, err := h.changedRecord(&c.Teams[i], field)
 		if err != nil {
 			return u, err
 		}
@@ -114,26 +114,26 @@
 			return u, refuse(http.StatusBadRequest, field, "%q is named twice", name)
 		}
 		named[name] = true
-		r, err := h.removed(name, field)
+		r, err := h.removedRecord(name, field)
 		if err != nil {
 			return u, err
 		}
 		u.Records = append(u.Records, r)
 	}
-	if added := h.added(u.Records); len(h.teams)+added > MaxTeams {
+	if added := h.countNew(u.Records); len(h.teams)+added > MaxTeams {
 		return u, refuse(http.StatusUnprocessableEntity, "teams", "there would be more than %d teams", MaxTeams)
 	}
 	for i, r := range u.Records {
 		r.Revision = u.Head.Revision
-		if next := h.settle(r, &u.Head); next != nil {
+		if next := h.reconcile(r, &u.Head); next != nil {
 			u.Records[i] = next
 		}
 	}
 	return u, nil
 }
 
-// added counts the records of teams that are new.
-func (h *Home) added(records []*TeamRecord) (n int) {
+// countNew counts the records of teams that are new.
+func (h *Home) countNew(records []*TeamRecord) (n int) {
 	for _, r := range records {
 		if h.teams[r.Name] == nil {
 			n++
@@ -142,17 +142,17 @@
 	return n
 }
 
-// base is the record that a change goes on from.
-func (h *Home) base(name string) *TeamRecord {
+// baseRecord is the record that a change goes on from.
+func (h *Home) baseRecord(name string) *TeamRecord {
 	if r := h.teams[name]; r != nil {
 		return r.clone()
 	}
 	return &TeamRecord{Name: name, Grants: map[string]Grant{}}
 }
 
-// changed checks a team and returns its record.
-func (h *Home) changed(c *TeamChange, field string) (*TeamRecord, *Refusal) {
-	r := h.base(c.Name)
+// changedRecord checks a team and returns its record.
+func (h *Home) changedRecord(c *TeamChange, field string) (*TeamRecord, *Refusal) {
+	r := h.baseRecord(c.Name)
 	r.Removed, r.Adopted = false, false
 	r.Limit, r.Shares = c.Limit.amount(Unlimited), map[string]Share{}
 	sum := Amount{}
@@ -175,15 +175,15 @@
 	return r, nil
 }
 
-// removed checks the removal of a team and returns its record.
-func (h *Home) removed(name, field string) (*TeamRecord, *Refusal) {
+// removedRecord checks the removal of a team and returns its record.
+func (h *Home) removedRecord(name, field string) (*TeamRecord, *Refusal) {
 	known := h.teams[name] != nil
 	for _, region := range h.regions {
 		f := h.followers[region]
-		if !f.stated {
+		if !f.reported {
 			return nil, refuse(http.StatusServiceUnavailable, field, "region %s has not said yet whether %q has jobs there", region, name)
 		}
-		s, says := f.says[name]
+		s, says := f.reports[name]
 		known = known || says
 		if s.Busy {
 			return nil, refuse(http.StatusUnprocessableEntity, field, "%q has jobs in region %s that are not over", name, region)
@@ -192,21 +192,21 @@
 	if !known {
 		return nil, refuse(http.StatusUnprocessableEntity, field, "%q is no team", name)
 	}
-	r := h.base(name)
+	r := h.baseRecord(name)
 	if h.teams[name] == nil {
 		// What its jobs may use stays as it is until they are over.
-		r = h.asStated(name)
+		r = h.recordFromReports(name)
 	}
 	r.Removed = true
 	return r, nil
 }
 
-// asStated is a team of which there is no record, as the regions say that they have it, by
+// recordFromReports is a team of which there is no record, as the regions say that they have it, by
 // their platforms' files or by grants; nil: none does.
-func (h *Home) asStated(name string) *TeamRecord {
+func (h *Home) recordFromReports(name string) *TeamRecord {
 	r := &TeamRecord{Name: name, Shares: map[string]Share{}, Grants: map[string]Grant{}}
 	for _, region := range h.regions {
-		if s, ok := h.followers[region].says[name]; ok {
+		if s, ok := h.followers[region].reports[name]; ok {
 			r.Limit, r.Shares[region] = r.Limit.plus(s.Limit), Share{s.Limit, s.Guarantee}
 		}
 	}
--- a/internal/dynconfig/change_test.go
+++ b/internal/dynconfig/change_test.go
@@ -111,7 +111,7 @@
 			t.Errorf("to %d: region a has %v of red, blue is there: %v", tt.to, got, blue != nil && !blue.Removed)
 		}
 	}
-	g.home.past = g.home.past[len(g.home.past)-1:]
+	g.home.history = g.home.history[len(g.home.history)-1:]
 	if _, refusal := g.home.Rollback(1); refusal == nil {
 		t.Error("went back further than the history")
 	}
--- a/internal/dynconfig/explore_test.go
+++ b/internal/dynconfig/explore_test.go
@@ -84,7 +84,7 @@
 	g.home = NewHome(g.term, names, g.stored, records)
 	if g.out == statedFirst {
 		for _, f := range g.home.followers {
-			f.stated = true
+			f.reported = true
 		}
 	}
 }
@@ -130,7 +130,7 @@
 			for region, gr := range r.Grants {
 				gr.Held = gr.Limit
 				r.Grants[region] = gr
-				g.home.followers[region].says[r.Name] = TeamReport{Team: r.Name, Seq: gr.Seq, Limit: gr.Limit, Held: gr.Limit}
+				g.home.followers[region].reports[r.Name] = TeamReport{Team: r.Name, Seq: gr.Seq, Limit: gr.Limit, Held: gr.Limit}
 				g.home.dirty[r.Name] = true
 			}
 		}
@@ -255,7 +255,7 @@
 			if s.lateBack == nil || g.out != oneRequest || s.storing != nil {
 				return false
 			}
-			s.replica.home, s.replica.after = 0, 0
+			s.replica.homeTerm, s.replica.lastSeq = 0, 0
 			for _, e := range s.lateBack.Grants {
 				s.storing = append(s.storing, e)
 				delete(s.replica.teams, e.Team)
@@ -291,7 +291,7 @@
 		}),
 		act("start", 2, func(g *game, s *site, _ int) bool {
 			share, known := s.replica.Share(theTeam, s.uses(g))
-			if !known || s.used+1 > share.Limit.CPUs+slack {
+			if !known || s.used+1 > share.Limit.CPUs+tolerance {
 				return false
 			}
 			s.used++
@@ -347,12 +347,12 @@
 		if r := g.home.teams[theTeam]; r != nil {
 			p.Say(r.Removed)
 		}
-		p.Say(" ", f.stated, f.says[theTeam], f.after)
+		p.Say(" ", f.reported, f.reports[theTeam], f.storedSeq)
 	}
 	for i := range g.sites {
 		s := &g.sites[i]
 		r := s.replica
-		p.Say("\n", s.used, s.mark, s.entries, s.before, s.storing, s.lateTxn, r.teams, r.after, r.home, r.stated, r.said, r.unconfirmed)
+		p.Say("\n", s.used, s.mark, s.entries, s.before, s.storing, s.lateTxn, r.teams, r.lastSeq, r.homeTerm, r.reportedTerm, r.acknowledged, r.unconfirmed)
 		for _, q := range []*Request{s.asked, s.late} {
 			if q != nil {
 				p.Say(" asks ", q.HomeTerm, q.After, q.Full, q.Reports, q.Term == s.term)
@@ -378,7 +378,7 @@
 			return s.back
 		}
 	}
-	if sum > total+slack {
+	if sum > total+tolerance {
 		return fmt.Sprintf("the regions may use %g of %d", sum, total)
 	}
 	return ""
@@ -418,7 +418,7 @@
 	}
 	want := g.home.teams[theTeam]
 	for i, n := range names {
-		if share, _ := g.sites[i].replica.Share(theTeam, g.sites[i].uses(g)); want != nil && share.Limit != g.home.share(want, n).Limit || want != nil && want.Removed && share.Limit != (Amount{}) {
+		if share, _ := g.sites[i].replica.Share(theTeam, g.sites[i].uses(g)); want != nil && share.Limit != g.home.currentShare(want, n).Limit || want != nil && want.Removed && share.Limit != (Amount{}) {
 			return fmt.Sprintf("region %s has %v, not %v", n, share.Limit, want.Shares[n].Limit)
 		}
 	}
--- a/internal/dynconfig/history.go
+++ b/internal/dynconfig/history.go
@@ -35,8 +35,8 @@
 
 // LoadHistory takes in what earlier leaders have kept.
 func (h *Home) LoadHistory(past []*HistoryEntry) {
-	h.past = slices.Clone(past)
-	slices.SortFunc(h.past, func(a, b *HistoryEntry) int { return cmp.Compare(a.Revision, b.Revision) })
+	h.history = slices.Clone(past)
+	slices.SortFunc(h.history, func(a, b *HistoryEntry) int { return cmp.Compare(a.Revision, b.Revision) })
 }
 
 // NewHistoryEntry describes an update that was proposed for a change, before it is applied.
@@ -46,7 +46,7 @@
 		p.Teams = append(p.Teams, r.Name)
 		was := h.teams[r.Name]
 		if was == nil {
-			was = h.asStated(r.Name)
+			was = h.recordFromReports(r.Name)
 		}
 		if was == nil || was.Removed {
 			p.Added = append(p.Added, r.Name)
@@ -59,9 +59,9 @@
 
 // AddHistory adds a change that is stored.
 func (h *Home) AddHistory(p *HistoryEntry) {
-	h.past = append(h.past, p)
-	if len(h.past) > MaxHistory {
-		h.past = h.past[len(h.past)-MaxHistory:]
+	h.history = append(h.history, p)
+	if len(h.history) > MaxHistory {
+		h.history = h.history[len(h.history)-MaxHistory:]
 	}
 }
 
@@ -76,13 +76,13 @@
 	Omitted bool `codec:"omitted,omitempty" json:"omitted,omitempty"`
 }
 
-// mostNamed bounds the teams that are named of a change.
-const mostNamed = 20
+// maxTeamsListed bounds the teams that are named of a change.
+const maxTeamsListed = 20
 
 // History are the changes that are kept, the last one first.
 func (h *Home) History() (out []HistorySummary) {
-	for _, p := range slices.Backward(h.past) {
-		out = append(out, HistorySummary{p.Revision, p.At, p.Teams[:min(len(p.Teams), mostNamed)], len(p.Teams), p.Omitted})
+	for _, p := range slices.Backward(h.history) {
+		out = append(out, HistorySummary{p.Revision, p.At, p.Teams[:min(len(p.Teams), maxTeamsListed)], len(p.Teams), p.Omitted})
 	}
 	return out
 }
@@ -105,8 +105,8 @@
 	}
 	before, added := map[string]TeamChange{}, map[string]bool{}
 	next := h.head.Revision
-	for i := len(h.past) - 1; i >= 0 && h.past[i].Revision > to; i-- {
-		p := h.past[i]
+	for i := len(h.history) - 1; i >= 0 && h.history[i].Revision > to; i-- {
+		p := h.history[i]
 		if p.Omitted {
 			return nil, refuse(http.StatusUnprocessableEntity, "revision", "what was there before revision %d was too large to be kept", p.Revision)
 		}
--- a/internal/dynconfig/home.go
+++ b/internal/dynconfig/home.go
@@ -13,9 +13,9 @@
 	MaxTeams = 1000
 	// grantsPerReply bounds a reply.
 	grantsPerReply = 64
-	// raiseLeast is the part of a share by which it is raised at the least before all of it
+	// minRaiseFraction is the part of a share by which it is raised at the least before all of it
 	// is free: each raise is a write at both regions.
-	raiseLeast = 0.1
+	minRaiseFraction = 0.1
 )
 
 // Update is what has to be stored at the home region in one transaction before it counts.
@@ -29,22 +29,22 @@
 
 // follower is what the home's leader knows of a region.
 type follower struct {
-	// stated: the region has told this leader all that it holds.
-	stated bool
-	says   map[string]TeamReport
-	after  uint64
-	// newest is the highest sequence of the region's grants.
-	newest uint64
+	// reported: the region has told this leader all that it holds.
+	reported  bool
+	reports   map[string]TeamReport
+	storedSeq uint64
+	// newestSeq is the highest sequence of the region's grants.
+	newestSeq uint64
 	// term and number are those of the region's last request.
 	term, number uint64
-	// heard is when the region last asked.
-	heard time.Time
-	// lacks are the teams whose shares are not in force there, with the first revision that
+	// lastRequest is when the region last asked.
+	lastRequest time.Time
+	// pending are the teams whose shares are not in force there, with the first revision that
 	// is not.
-	lacks map[string]uint64
+	pending map[string]uint64
 	// since is when it came to the revision that it is at.
-	at    uint64
-	since time.Time
+	revision      uint64
+	revisionSince time.Time
 }
 
 // Home is the configuration at the leader of the home region, for one term.
@@ -55,7 +55,7 @@
 	teams     map[string]*TeamRecord
 	followers map[string]*follower
 	dirty     map[string]bool // teams that the next step looks at
-	past      []*HistoryEntry // changes that are kept, by revision
+	history   []*HistoryEntry // changes that are kept, by revision
 }
 
 // NewHome goes on from what earlier leaders have stored.
@@ -66,10 +66,10 @@
 		h.dirty[r.Name] = true
 	}
 	for _, region := range regions {
-		h.followers[region] = &follower{says: map[string]TeamReport{}, lacks: map[string]uint64{}}
+		h.followers[region] = &follower{reports: map[string]TeamReport{}, pending: map[string]uint64{}}
 	}
 	for name := range h.teams {
-		h.compare(name)
+		h.updatePending(name)
 	}
 	return h
 }
@@ -87,29 +87,29 @@
 	if q.Term < f.term || (q.Term == f.term && q.Number <= f.number) {
 		return &Reply{Refused: "a later request of the region was answered"}
 	}
-	f.term, f.number, f.heard = q.Term, q.Number, now
-	if !q.Full && (!f.stated || q.HomeTerm != h.term) {
-		f.stated = false
+	f.term, f.number, f.lastRequest = q.Term, q.Number, now
+	if !q.Full && (!f.reported || q.HomeTerm != h.term) {
+		f.reported = false
 		return &Reply{Term: h.term, Resync: true}
 	}
 	if q.Full {
-		f.stated = true
-		clear(f.says)
+		f.reported = true
+		clear(f.reports)
 		for name := range h.teams {
 			h.dirty[name] = true
 		}
 	}
-	f.after = q.After
+	f.storedSeq = q.After
 	// Where the home's store has lost its last moments, what it decides from now on has to
 	// count as newer than what the region has.
 	h.head.Seq = max(h.head.Seq, q.After)
 	h.head.Revision = max(h.head.Revision, q.Revision)
 	for _, s := range q.Reports {
-		f.says[s.Team] = s
+		f.reports[s.Team] = s
 		h.dirty[s.Team] = true
-		h.compare(s.Team)
+		h.updatePending(s.Team)
 	}
-	h.note(q.Region, now)
+	h.trackRevision(q.Region, now)
 	return nil
 }
 
@@ -120,12 +120,12 @@
 		return &Reply{Refused: "a later request of the region was heard"}
 	}
 	p := &Reply{Term: h.term}
-	p.Grants, p.More = h.grants(q.Region, q.After)
+	p.Grants, p.More = h.grantsAfter(q.Region, q.After)
 	return p
 }
 
-// grants are those after a sequence, in its order.
-func (h *Home) grants(region string, after uint64) (out []RegionGrant, more bool) {
+// grantsAfter are those after a sequence, in its order.
+func (h *Home) grantsAfter(region string, after uint64) (out []RegionGrant, more bool) {
 	for _, r := range h.teams {
 		if g, ok := r.Grants[region]; ok && g.Seq > after {
 			out = append(out, RegionGrant{Team: r.Name, Seq: g.Seq, Revision: r.Revision, Limit: g.Limit, Guarantee: g.Guarantee, Target: g.Target, Removed: g.Removed})
@@ -141,14 +141,14 @@
 // HasGrants reports whether a region has grants to take.
 func (h *Home) HasGrants(region string, after uint64) bool {
 	f := h.followers[region]
-	return f != nil && f.newest > after
+	return f != nil && f.newestSeq > after
 }
 
-// allStated reports whether every region has told this leader what it holds. Until then
+// allReported reports whether every region has told this leader what it holds. Until then
 // no share is raised: the store may have lost the raise of another one.
-func (h *Home) allStated() bool {
+func (h *Home) allReported() bool {
 	for _, f := range h.followers {
-		if !f.stated {
+		if !f.reported {
 			return false
 		}
 	}
@@ -172,7 +172,7 @@
 			u.Head.Revision++
 			r.Revision = u.Head.Revision
 		}
-		if next := h.settle(r, &u.Head); next != nil {
+		if next := h.reconcile(r, &u.Head); next != nil {
 			u.Records = append(u.Records, next)
 		}
 	}
@@ -184,7 +184,7 @@
 	h.head = Head{max(h.head.Revision, u.Head.Revision), max(h.head.Seq, u.Head.Seq)}
 	for _, r := range u.Records {
 		h.teams[r.Name] = r
-		h.compare(r.Name)
+		h.updatePending(r.Name)
 		h.dirty[r.Name] = true // a raise may follow from a lowering that needs no word
 	}
 }
@@ -199,29 +199,29 @@
 // adopt makes the record of a team that a region has a grant for and the store has lost:
 // it goes on with what the regions have. nil: no region has one.
 func (h *Home) adopt(name string) *TeamRecord {
-	granted := func(f *follower) bool { return f.says[name].Seq > 0 }
-	if !h.allStated() || !slices.ContainsFunc(slices.Collect(maps.Values(h.followers)), granted) {
+	granted := func(f *follower) bool { return f.reports[name].Seq > 0 }
+	if !h.allReported() || !slices.ContainsFunc(slices.Collect(maps.Values(h.followers)), granted) {
 		return nil
 	}
-	r := h.asStated(name)
+	r := h.recordFromReports(name)
 	r.Adopted = true
 	return r
 }
 
-// settle compares what the regions are told with what they are to have and what they
+// reconcile compares what the regions are told with what they are to have and what they
 // hold, and returns the record that has to be stored; nil: nothing has changed.
-func (h *Home) settle(was *TeamRecord, head *Head) *TeamRecord {
+func (h *Home) reconcile(was *TeamRecord, head *Head) *TeamRecord {
 	r := was.clone()
 	changed := false
 	for _, region := range h.regions {
-		g, moved := h.reported(r, region)
-		if g.Seq == 0 && !h.followers[region].stated {
+		g, moved := h.reconcileReport(r, region)
+		if g.Seq == 0 && !h.followers[region].reported {
 			r.Grants[region] = g // it is told nothing before it has spoken
 			continue
 		}
-		share := h.share(r, region)
-		limit := g.Limit.lower(share.Limit)
-		next := Grant{g.Seq, limit, share.Guarantee.lower(limit), r.wants(share), r.Removed, g.Held}
+		share := h.currentShare(r, region)
+		limit := g.Limit.elementMin(share.Limit)
+		next := Grant{g.Seq, limit, share.Guarantee.elementMin(limit), r.target(share), r.Removed, g.Held}
 		if next != g || g.Seq == 0 {
 			moved = true
 			head.Seq++
@@ -230,7 +230,7 @@
 		r.Grants[region] = next
 		changed = changed || moved
 	}
-	if h.allStated() {
+	if h.allReported() {
 		for _, region := range h.regions {
 			changed = h.raise(r, region, head) || changed
 		}
@@ -241,50 +241,50 @@
 	return r
 }
 
-// share is what a region is to have now. Of a team that was removed it has what it had
+// currentShare is what a region is to have now. Of a team that was removed it has what it had
 // until it takes no jobs of it any more and the last one is over.
-func (h *Home) share(r *TeamRecord, region string) Share {
+func (h *Home) currentShare(r *TeamRecord, region string) Share {
 	g, f := r.Grants[region], h.followers[region]
-	s := f.says[r.Name]
+	s := f.reports[r.Name]
 	closed := s.Seq == g.Seq || g.Limit == Amount{} // once closed it stays so, unless a late job shows up
-	if r.Removed && g.Removed && f.stated && !s.Busy && closed {
+	if r.Removed && g.Removed && f.reported && !s.Busy && closed {
 		return Share{}
 	}
-	return r.share(region)
+	return r.configuredShare(region)
 }
 
-// reported is what a region is told, with what is held for it after its last statement. A
+// reconcileReport is what a region is told, with what is held for it after its last statement. A
 // sequence of 0 means that it has to be told anew; told reports whether the record has to
 // be stored for that.
-func (h *Home) reported(r *TeamRecord, region string) (g Grant, told bool) {
+func (h *Home) reconcileReport(r *TeamRecord, region string) (g Grant, told bool) {
 	g, known := r.Grants[region]
 	f := h.followers[region]
-	s, says := f.says[r.Name]
+	s, says := f.reports[r.Name]
 	switch {
-	case !f.stated:
+	case !f.reported:
 		if !known {
 			// Nothing is known of what it holds: nothing can be raised before it speaks.
 			return Grant{Held: NoLimit()}, false
 		}
 		return g, false
 	case !known, g.Held == NoLimit() && g.Seq == 0:
-		return Grant{Limit: s.Limit, Held: s.Held.higher(s.Limit)}, true
+		return Grant{Limit: s.Limit, Held: s.Held.elementMax(s.Limit)}, true
 	case !says:
 		return g, false
-	case s.Seq > g.Seq, s.Seq == g.Seq && s.Limit != g.Limit, s.Seq < g.Seq && g.Seq <= f.after:
+	case s.Seq > g.Seq, s.Seq == g.Seq && s.Limit != g.Limit, s.Seq < g.Seq && g.Seq <= f.storedSeq:
 		// The store has lost what the region was told since.
-		g.Held = g.Held.higher(s.Held).higher(s.Limit)
+		g.Held = g.Held.elementMax(s.Held).elementMax(s.Limit)
 		g.Seq = 0
 		return g, true
 	case s.Seq < g.Seq:
 		// It has yet to take the grant. It may hold more than is known where its own store
 		// was put back.
-		held := g.Held.higher(s.Held).higher(s.Limit)
+		held := g.Held.elementMax(s.Held).elementMax(s.Limit)
 		changed := held != g.Held
 		g.Held = held
 		return g, changed
 	}
-	held := g.Limit.higher(s.Held)
+	held := g.Limit.elementMax(s.Held)
 	// What is given back is stored with the raise that rests on it, or once it is all.
 	done := held != g.Held && held == g.Limit
 	g.Held = held
@@ -293,22 +293,22 @@
 
 // raise lets a region have more of its share as far as no other holds it.
 func (h *Home) raise(r *TeamRecord, region string, head *Head) bool {
-	g, share := r.Grants[region], h.share(r, region)
-	free := r.Limit.less(r.held(region))
-	limit := g.Limit.higher(share.Limit.lower(free))
-	if limit.near(g.Limit) {
+	g, share := r.Grants[region], h.currentShare(r, region)
+	free := r.Limit.minus(r.heldByOthers(region))
+	limit := g.Limit.elementMax(share.Limit.elementMin(free))
+	if limit.approxEqual(g.Limit) {
 		return false
 	}
-	if !limit.near(share.Limit) && !worth(g.Limit, limit, share.Limit) {
+	if !limit.approxEqual(share.Limit) && !worthRaising(g.Limit, limit, share.Limit) {
 		return false
 	}
 	head.Seq++
-	r.Grants[region] = Grant{head.Seq, limit, share.Guarantee.lower(limit), r.wants(share), r.Removed, g.Held.higher(limit)}
+	r.Grants[region] = Grant{head.Seq, limit, share.Guarantee.elementMin(limit), r.target(share), r.Removed, g.Held.elementMax(limit)}
 	return true
 }
 
-// worth reports whether a raise is a large enough part of a share.
-func worth(from, to, share Amount) bool {
-	part := func(from, to, share float64) bool { return to > from && to-from >= raiseLeast*share }
+// worthRaising reports whether a raise is a large enough part of a share.
+func worthRaising(from, to, share Amount) bool {
+	part := func(from, to, share float64) bool { return to > from && to-from >= minRaiseFraction*share }
 	return part(from.CPUs, to.CPUs, share.CPUs) || part(from.GPUs, to.GPUs, share.GPUs)
 }
--- a/internal/dynconfig/record.go
+++ b/internal/dynconfig/record.go
@@ -45,8 +45,8 @@
 	Held Amount `codec:"held"`
 }
 
-// share is what a region is to have.
-func (r *TeamRecord) share(region string) Share {
+// configuredShare is what a region is to have.
+func (r *TeamRecord) configuredShare(region string) Share {
 	s, ok := r.Shares[region]
 	if !ok && r.Limit == NoLimit() {
 		return Share{Limit: NoLimit()}
@@ -54,16 +54,16 @@
 	return s
 }
 
-// wants is the limit that a region is to have, as far as it is known.
-func (r *TeamRecord) wants(share Share) Amount {
+// target is the limit that a region is to have, as far as it is known.
+func (r *TeamRecord) target(share Share) Amount {
 	if r.Adopted {
 		return NoLimit()
 	}
 	return share.Limit
 }
 
-// held adds up what is held for all regions but one.
-func (r *TeamRecord) held(but string) (sum Amount) {
+// heldByOthers adds up what is held for all regions but one.
+func (r *TeamRecord) heldByOthers(but string) (sum Amount) {
 	for region, g := range r.Grants {
 		if region != but {
 			sum = sum.plus(g.Held)
--- a/internal/dynconfig/replica.go
+++ b/internal/dynconfig/replica.go
@@ -7,17 +7,17 @@
 
 // Replica is the configuration at the leader of a region, for one term.
 type Replica struct {
-	region string
-	term   uint64
-	number uint64 // of the last request
-	// file are the teams of the platform's file, which hold where nothing was granted.
-	file  map[string]Share
-	teams map[string]RegionGrant
-	after uint64
-	home  uint64 // the highest term of a home leader that has answered
-	// stated is the home's term that everything was stated to, said what it was told.
-	stated uint64
-	said   map[string]TeamReport
+	region        string
+	term          uint64
+	requestNumber uint64 // of the last request
+	// fileShares are the teams of the platform's file, which hold where nothing was granted.
+	fileShares map[string]Share
+	teams      map[string]RegionGrant
+	lastSeq    uint64
+	homeTerm   uint64 // the highest term of a home leader that has answered
+	// reportedTerm is the home's term that everything was stated to, said what it was told.
+	reportedTerm uint64
+	acknowledged map[string]TeamReport
 	// unconfirmed: the region's own store has lost its last moments, and may name a limit
 	// that was lowered since.
 	unconfirmed bool
@@ -27,10 +27,10 @@
 // that the store is known to have lost its last moments: then no team starts anything
 // under a limit until the home region has spoken.
 func NewReplica(region string, term uint64, file map[string]Share, entries []RegionGrant, restored bool) *Replica {
-	r := &Replica{region: region, term: term, file: file, teams: map[string]RegionGrant{}, said: map[string]TeamReport{}, unconfirmed: restored}
+	r := &Replica{region: region, term: term, fileShares: file, teams: map[string]RegionGrant{}, acknowledged: map[string]TeamReport{}, unconfirmed: restored}
 	for _, e := range entries {
 		r.teams[e.Team] = e
-		r.after = max(r.after, e.Seq)
+		r.lastSeq = max(r.lastSeq, e.Seq)
 	}
 	return r
 }
@@ -41,32 +41,32 @@
 
 // Request is what to ask the home region next: what it has not answered is said again.
 func (r *Replica) Request(uses UsageFunc) *Request {
-	r.number++
-	q := &Request{Region: r.region, Term: r.term, Number: r.number, HomeTerm: r.stated, After: r.after, Revision: r.Revision(), Full: r.stated != r.home || r.home == 0}
-	names := maps.Clone(r.file)
+	r.requestNumber++
+	q := &Request{Region: r.region, Term: r.term, Number: r.requestNumber, HomeTerm: r.reportedTerm, After: r.lastSeq, Revision: r.Revision(), Full: r.reportedTerm != r.homeTerm || r.homeTerm == 0}
+	names := maps.Clone(r.fileShares)
 	for name := range r.teams {
 		names[name] = Share{}
 	}
 	for _, name := range slices.Sorted(maps.Keys(names)) {
-		s := r.statement(name, uses)
-		if q.Full || s != r.said[name] {
+		s := r.teamReport(name, uses)
+		if q.Full || s != r.acknowledged[name] {
 			q.Reports = append(q.Reports, s)
 		}
 	}
 	if q.Full {
-		q.HomeTerm = r.home
+		q.HomeTerm = r.homeTerm
 	}
 	return q
 }
 
-// statement is what the region says of a team now.
-func (r *Replica) statement(name string, uses UsageFunc) TeamReport {
+// teamReport is what the region says of a team now.
+func (r *Replica) teamReport(name string, uses UsageFunc) TeamReport {
 	used, busy := uses(name)
-	share, s := r.file[name], TeamReport{Team: name, Busy: busy}
+	share, s := r.fileShares[name], TeamReport{Team: name, Busy: busy}
 	if e, ok := r.teams[name]; ok {
 		s.Seq, share = e.Seq, Share{e.Limit, e.Guarantee}
 	}
-	s.Limit, s.Guarantee, s.Held = share.Limit, share.Guarantee, share.Limit.higher(used)
+	s.Limit, s.Guarantee, s.Held = share.Limit, share.Guarantee, share.Limit.elementMax(used)
 	return s
 }
 
@@ -77,23 +77,23 @@
 // HandleReply takes in the reply to a request and returns the entries that have to be stored
 // now, before they count. A reply of an earlier home leader says nothing.
 func (r *Replica) HandleReply(q *Request, p *Reply) []RegionGrant {
-	if p.Refused != "" || p.Term < r.home {
+	if p.Refused != "" || p.Term < r.homeTerm {
 		return nil
 	}
-	r.home = p.Term
+	r.homeTerm = p.Term
 	if p.Resync {
-		r.stated = 0
+		r.reportedTerm = 0
 		return nil
 	}
 	if q.Full {
-		r.stated = p.Term
+		r.reportedTerm = p.Term
 	}
 	for _, s := range q.Reports {
-		r.said[s.Team] = s
+		r.acknowledged[s.Team] = s
 	}
 	var out []RegionGrant
 	for _, e := range p.Grants {
-		if e.Seq > r.after && e.Seq > r.teams[e.Team].Seq {
+		if e.Seq > r.lastSeq && e.Seq > r.teams[e.Team].Seq {
 			out = append(out, e)
 		}
 	}
@@ -109,21 +109,21 @@
 		if e.Seq > r.teams[e.Team].Seq {
 			r.teams[e.Team] = e
 		}
-		r.after = max(r.after, e.Seq)
+		r.lastSeq = max(r.lastSeq, e.Seq)
 	}
 }
 
 // Share is what a team has in the region now; known: there is such a team. A team that
 // was removed has nothing and takes no jobs.
 func (r *Replica) Share(team string, uses UsageFunc) (s Share, known bool) {
-	s, known = r.file[team]
+	s, known = r.fileShares[team]
 	if e, ok := r.teams[team]; ok {
 		s, known = Share{e.Limit, e.Guarantee}, !e.Removed
 	}
 	if r.unconfirmed && s.Limit != NoLimit() {
 		used, _ := uses(team)
-		s.Limit = s.Limit.lower(used)
-		s.Guarantee = s.Guarantee.lower(s.Limit)
+		s.Limit = s.Limit.elementMin(used)
+		s.Guarantee = s.Guarantee.elementMin(s.Limit)
 	}
 	return s, known
 }
@@ -138,11 +138,11 @@
 	case ok:
 		return e.Target
 	}
-	return r.file[team].Limit
+	return r.fileShares[team].Limit
 }
 
 // LastSeq is the highest sequence that counts here.
-func (r *Replica) LastSeq() uint64 { return r.after }
+func (r *Replica) LastSeq() uint64 { return r.lastSeq }
 
 // Revision is the highest revision of which anything counts here.
 func (r *Replica) Revision() (revision uint64) {
--- a/internal/dynconfig/status.go
+++ b/internal/dynconfig/status.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// mostWaits bounds the teams that a status lists for each region.
-const mostWaits = 20
+// maxPendingListed bounds the teams that a status lists for each region.
+const maxPendingListed = 20
 
 // Status is how far the configuration is in force.
 type Status struct {
@@ -75,46 +75,46 @@
 // inForce reports whether a team's share is in force in a region as the region says.
 func (h *Home) inForce(r *TeamRecord, region string) bool {
 	g, f := r.Grants[region], h.followers[region]
-	share := h.share(r, region)
-	return f.stated && g.Seq > 0 && f.says[r.Name].Seq == g.Seq && g.Limit.near(share.Limit) && g.Guarantee.near(share.Guarantee.lower(share.Limit)) && g.Removed == r.Removed
+	share := h.currentShare(r, region)
+	return f.reported && g.Seq > 0 && f.reports[r.Name].Seq == g.Seq && g.Limit.approxEqual(share.Limit) && g.Guarantee.approxEqual(share.Guarantee.elementMin(share.Limit)) && g.Removed == r.Removed
 }
 
-// compare notes what the regions are told of a team, and where its share is not in force.
-func (h *Home) compare(name string) {
+// updatePending notes what the regions are told of a team, and where its share is not in force.
+func (h *Home) updatePending(name string) {
 	r := h.teams[name]
 	if r == nil {
 		return
 	}
 	for region, f := range h.followers {
-		f.newest = max(f.newest, r.Grants[region].Seq)
+		f.newestSeq = max(f.newestSeq, r.Grants[region].Seq)
 		if h.inForce(r, region) {
-			delete(f.lacks, name)
-		} else if _, lacks := f.lacks[name]; !lacks {
-			f.lacks[name] = r.Revision
+			delete(f.pending, name)
+		} else if _, lacks := f.pending[name]; !lacks {
+			f.pending[name] = r.Revision
 		}
 	}
 }
 
-// revision is the last revision of which everything is in force in a region, and the
+// revisionInForce is the last revision of which everything is in force in a region, and the
 // teams of which it is not.
-func (h *Home) revision(region string) (revision uint64, waiting []string) {
+func (h *Home) revisionInForce(region string) (revision uint64, waiting []string) {
 	f := h.followers[region]
-	if !f.stated {
-		return 0, slices.Collect(maps.Keys(f.lacks))
+	if !f.reported {
+		return 0, slices.Collect(maps.Keys(f.pending))
 	}
 	revision = h.head.Revision
-	for name, first := range f.lacks {
+	for name, first := range f.pending {
 		waiting = append(waiting, name)
 		revision = min(revision, first-1)
 	}
 	return revision, waiting
 }
 
-// note keeps since when a region is at its revision.
-func (h *Home) note(region string, now time.Time) {
+// trackRevision keeps since when a region is at its revision.
+func (h *Home) trackRevision(region string, now time.Time) {
 	f := h.followers[region]
-	if at, _ := h.revision(region); at != f.at || f.since.IsZero() {
-		f.at, f.since = at, now
+	if at, _ := h.revisionInForce(region); at != f.revision || f.revisionSince.IsZero() {
+		f.revision, f.revisionSince = at, now
 	}
 }
 
@@ -123,33 +123,33 @@
 	out := Status{Revision: h.head.Revision}
 	for _, region := range h.regions {
 		f := h.followers[region]
-		at, waiting := h.revision(region)
-		h.note(region, now)
-		s := RegionStatus{Region: region, Revision: at, InForceS: now.Sub(f.since).Seconds(), Behind: h.head.Revision - at, SilentS: -1, PendingCount: len(waiting)}
-		if !f.heard.IsZero() {
-			s.SilentS = now.Sub(f.heard).Seconds()
+		at, waiting := h.revisionInForce(region)
+		h.trackRevision(region, now)
+		s := RegionStatus{Region: region, Revision: at, InForceS: now.Sub(f.revisionSince).Seconds(), Behind: h.head.Revision - at, SilentS: -1, PendingCount: len(waiting)}
+		if !f.lastRequest.IsZero() {
+			s.SilentS = now.Sub(f.lastRequest).Seconds()
 		}
 		slices.Sort(waiting)
-		for _, name := range waiting[:min(len(waiting), mostWaits)] {
-			s.Pending = append(s.Pending, h.wait(h.teams[name], region))
+		for _, name := range waiting[:min(len(waiting), maxPendingListed)] {
+			s.Pending = append(s.Pending, h.pendingShare(h.teams[name], region))
 		}
 		out.Regions = append(out.Regions, s)
 	}
 	return out
 }
 
-// wait says for whom a region's share waits.
-func (h *Home) wait(r *TeamRecord, region string) PendingShare {
-	g, share := r.Grants[region], h.share(r, region)
-	w := PendingShare{Team: r.Name, InForce: h.followers[region].says[r.Name].Limit.quota(), Target: share.Limit.quota(), BlockedBy: []string{}}
-	if g.Limit.near(share.Limit) {
+// pendingShare says for whom a region's share waits.
+func (h *Home) pendingShare(r *TeamRecord, region string) PendingShare {
+	g, share := r.Grants[region], h.currentShare(r, region)
+	w := PendingShare{Team: r.Name, InForce: h.followers[region].reports[r.Name].Limit.quota(), Target: share.Limit.quota(), BlockedBy: []string{}}
+	if g.Limit.approxEqual(share.Limit) {
 		w.BlockedBy = append(w.BlockedBy, region) // it has only to take what it was told
 		return w
 	}
 	for _, other := range h.regions {
 		held := r.Grants[other].Held
-		silent := !h.followers[other].stated
-		if silent || (other != region && !held.within(h.share(r, other).Limit)) {
+		silent := !h.followers[other].reported
+		if silent || (other != region && !held.within(h.currentShare(r, other).Limit)) {
 			w.BlockedBy = append(w.BlockedBy, other)
 		}
 	}
@@ -168,7 +168,7 @@
 		r := h.teams[name]
 		t := TeamStatus{Name: name, Revision: r.Revision, Removed: r.Removed, Limit: r.Limit.quota(), Regions: map[string]RegionQuotaStatus{}}
 		for _, region := range h.regions {
-			share, g := r.share(region), r.Grants[region]
+			share, g := r.configuredShare(region), r.Grants[region]
 			t.Regions[region] = RegionQuotaStatus{share.Limit.quota(), share.Guarantee.quota(), g.Limit.quota(), g.Held.quota()}
 		}
 		out = append(out, t)
--- a/internal/node/home_region.go
+++ b/internal/node/home_region.go
@@ -21,16 +21,16 @@
 	mesh    *rpc.Mesh
 	members []string
 
-	mu   sync.Mutex
-	last int // that answered last
+	mu         sync.Mutex
+	lastLeader int // that answered last
 }
 
-// homeTryTime bounds one try, so that a controller that is not reached leaves time for the
+// homeAttemptTimeout bounds one try, so that a controller that is not reached leaves time for the
 // next; a request to follow is held for a while by the one that leads.
-const homeTryTime = 1500 * time.Millisecond
+const homeAttemptTimeout = 1500 * time.Millisecond
 
-// errNoHome is returned where no controller of the home region answers as leader.
-var errNoHome = errors.New("the home region is not to be reached")
+// errHomeUnreachable is returned where no controller of the home region answers as leader.
+var errHomeUnreachable = errors.New("the home region is not to be reached")
 
 func dialHome(addresses []string, dial state.DialFunc) (*homeRegion, error) {
 	h := &homeRegion{}
@@ -47,33 +47,33 @@
 
 func (h *homeRegion) close() { h.mesh.Close() }
 
-// each calls try for the controllers, from the one that answered last on, until one
+// tryControllers calls try for the controllers, from the one that answered last on, until one
 // answers as leader.
-func (h *homeRegion) each(ctx context.Context, try func(ctx context.Context, member string) bool) error {
+func (h *homeRegion) tryControllers(ctx context.Context, try func(ctx context.Context, member string) bool) error {
 	h.mu.Lock()
-	first := h.last
+	first := h.lastLeader
 	h.mu.Unlock()
 	for i := range h.members {
 		if ctx.Err() != nil {
 			break
 		}
 		at := (first + i) % len(h.members)
-		tctx, cancel := context.WithTimeout(ctx, homeTryTime)
+		tctx, cancel := context.WithTimeout(ctx, homeAttemptTimeout)
 		ok := try(tctx, h.members[at])
 		cancel()
 		if ok {
 			h.mu.Lock()
-			h.last = at
+			h.lastLeader = at
 			h.mu.Unlock()
 			return nil
 		}
 	}
-	return errNoHome
+	return errHomeUnreachable
 }
 
 // follow asks for what is granted to this region.
 func (h *homeRegion) follow(ctx context.Context, q *dynconfig.Request) (out *dynconfig.Reply, err error) {
-	err = h.each(ctx, func(ctx context.Context, member string) bool {
+	err = h.tryControllers(ctx, func(ctx context.Context, member string) bool {
 		p, ferr := h.mesh.Follow(ctx, member, q)
 		if ferr != nil || p.Refused != "" {
 			return false
@@ -86,7 +86,7 @@
 
 // forward hands an operator's request on.
 func (h *homeRegion) forward(ctx context.Context, q *rpc.Request) (out *rpc.Reply) {
-	err := h.each(ctx, func(ctx context.Context, member string) bool {
+	err := h.tryControllers(ctx, func(ctx context.Context, member string) bool {
 		p, ferr := h.mesh.Forward(ctx, member, q)
 		if ferr != nil || (p.Status == http.StatusServiceUnavailable && !p.Settled) {
 			return false
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -297,7 +297,7 @@
 	if p := n.ctl.Answer(ctx, q); p != nil || n.shardHolder == nil {
 		return p
 	}
-	return n.shardHolder.report(ctx, q.Body)
+	return n.shardHolder.handleHeartbeat(ctx, q.Body)
 }
 
 // Forward implements api.Backend.
--- a/internal/node/shard_holder.go
+++ b/internal/node/shard_holder.go
@@ -17,36 +17,36 @@
 // their reports while the grant holds, tells the leader what they say, and sends
 // the leader's commands to them.
 type shardHolder struct {
-	n     *Node
-	hc    *http.Client
-	calls int // direct commands that may be under way
-	room  int // machines that it can deal with
+	node     *Node
+	client   *http.Client
+	maxCalls int // direct commands that may be under way
+	capacity int // machines that it can deal with
 
-	mu     sync.Mutex
-	holder *shard.Holder
-	asks   map[string]ask // by machine
+	mu             sync.Mutex
+	holder         *shard.Holder
+	pendingReports map[string]pendingReport // by machine
 }
 
-// ask is a report that waits for the leader's answer.
-type ask struct {
+// pendingReport is a report that waits for the leader's answer.
+type pendingReport struct {
 	session, seq uint64
 	orders       chan []wire.Order
 }
 
 const (
-	// syncTime bounds a request; the leader answers at once, or as soon as it is not
+	// syncTimeout bounds a request; the leader answers at once, or as soon as it is not
 	// behind.
-	syncTime = 1500 * time.Millisecond
-	// syncGap is the least time between two requests, and syncIdle the wait of one that
+	syncTimeout = 1500 * time.Millisecond
+	// minSyncInterval is the least time between two requests, and syncIdle the wait of one that
 	// was refused or lost.
-	syncGap  = 25 * time.Millisecond
-	syncIdle = 150 * time.Millisecond
-	// askTime is how long a worker waits for the leader's answer before it gets this
+	minSyncInterval = 25 * time.Millisecond
+	syncRetryDelay  = 150 * time.Millisecond
+	// answerPatience is how long a worker waits for the leader's answer before it gets this
 	// node's own, which renews its lease.
-	askTime = 250 * time.Millisecond
-	// requiredTime is how long it waits where this node may not answer by itself. The
+	answerPatience = 250 * time.Millisecond
+	// requiredAnswerPatience is how long it waits where this node may not answer by itself. The
 	// worker gives the answer up after 4 s.
-	requiredTime = 2 * time.Second
+	requiredAnswerPatience = 2 * time.Second
 )
 
 func newShardHolder(n *Node, dial state.DialFunc) *shardHolder {
@@ -54,8 +54,8 @@
 	calls := control.DirectCalls(sockets)
 	// Each controller keeps connections for commands, so each keeps fewer than a leader
 	// that sends all of them.
-	return &shardHolder{n: n, calls: calls, room: control.ShardCapacity(sockets), asks: map[string]ask{},
-		hc: control.DirectClient(dial, max(8, calls/4)),
+	return &shardHolder{node: n, maxCalls: calls, capacity: control.ShardCapacity(sockets), pendingReports: map[string]pendingReport{},
+		client: control.DirectClient(dial, max(8, calls/4)),
 		// A later process has a later time of day, within its skew; the leader lets in one
 		// that has not once the grants of the process before have ended.
 		holder: shard.NewHolder(n.set.Member, n.set.Site, uint64(time.Now().UnixNano()))}
@@ -63,19 +63,19 @@
 
 // run asks the leader for this node's grant until the context ends.
 func (a *shardHolder) run(ctx context.Context) {
-	defer a.hc.CloseIdleConnections()
+	defer a.client.CloseIdleConnections()
 	for ctx.Err() == nil {
 		begun := time.Now()
-		if !a.sync(ctx) {
-			wait(ctx, syncIdle)
+		if !a.syncWithLeader(ctx) {
+			sleep(ctx, syncRetryDelay)
 			continue
 		}
-		wait(ctx, syncGap-time.Since(begun))
+		sleep(ctx, minSyncInterval-time.Since(begun))
 	}
 }
 
-// wait waits for a time, or until the context ends.
-func wait(ctx context.Context, d time.Duration) {
+// sleep waits for a time, or until the context ends.
+func sleep(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
 	}
@@ -87,14 +87,14 @@
 	}
 }
 
-// sync makes one request and reports whether it was answered.
-func (a *shardHolder) sync(ctx context.Context) bool {
-	v := a.n.elector.View()
+// syncWithLeader makes one request and reports whether it was answered.
+func (a *shardHolder) syncWithLeader(ctx context.Context) bool {
+	v := a.node.elector.View()
 	a.mu.Lock()
-	if v.Leader == a.n.set.Member {
+	if v.Leader == a.node.set.Member {
 		a.holder.Lead()
 	}
-	if v.Leader == "" || v.Leader == a.n.set.Member {
+	if v.Leader == "" || v.Leader == a.node.set.Member {
 		a.mu.Unlock()
 		return false
 	}
@@ -102,47 +102,47 @@
 		a.holder.EndTerm()
 	}
 	sent := time.Now()
-	q := a.holder.Request(a.room, a.calls, a.n.lag.Behind(), sent)
+	q := a.holder.Request(a.capacity, a.maxCalls, a.node.lag.Behind(), sent)
 	a.mu.Unlock()
-	sctx, cancel := context.WithTimeout(ctx, syncTime)
+	sctx, cancel := context.WithTimeout(ctx, syncTimeout)
 	defer cancel()
-	p, err := a.n.mesh.Sync(sctx, v.Leader, q)
+	p, err := a.node.mesh.Sync(sctx, v.Leader, q)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if err != nil || p.Term == 0 {
 		if err != nil {
-			a.n.log.Debug("asking the leader for this node's grant failed", "leader", v.Leader, "error", err)
+			a.node.log.Debug("asking the leader for this node's grant failed", "leader", v.Leader, "error", err)
 		}
 		a.holder.Missed()
 		return false
 	}
 	for _, c := range a.holder.Granted(p, sent) {
-		go a.send(ctx, p.Term, c)
+		go a.sendCommand(ctx, p.Term, c)
 	}
 	for i := range p.Answers {
 		an := &p.Answers[i]
-		if q, ok := a.asks[an.Host]; ok && q.session == an.Session && q.seq == an.Seq {
-			delete(a.asks, an.Host)
+		if q, ok := a.pendingReports[an.Host]; ok && q.session == an.Session && q.seq == an.Seq {
+			delete(a.pendingReports, an.Host)
 			q.orders <- an.Orders // it has room for one
 		}
 	}
 	return true
 }
 
-// send sends a command of the leader's to a worker. The leader bounds how many are
+// sendCommand sends a command of the leader's to a worker. The leader bounds how many are
 // under way.
-func (a *shardHolder) send(ctx context.Context, term uint64, c shard.Call) {
-	status, answer, reached, err := control.Direct(ctx, a.hc, c.Addr, c.Body, func() bool { return a.valid(term) })
+func (a *shardHolder) sendCommand(ctx context.Context, term uint64, c shard.Call) {
+	status, answer, reached, err := control.Direct(ctx, a.client, c.Addr, c.Body, func() bool { return a.grantValid(term) })
 	if err != nil {
-		a.n.log.Debug("direct command failed", "addr", c.Addr, "status", status, "error", err)
+		a.node.log.Debug("direct command failed", "addr", c.Addr, "status", status, "error", err)
 	}
 	a.mu.Lock()
 	a.holder.Finish(shard.Done{ID: c.ID, Status: status, Reached: reached, Report: answer})
 	a.mu.Unlock()
 }
 
-// await waits for the leader's answer to a report of a machine.
-func (a *shardHolder) await(ctx context.Context, machine string, q ask, patience time.Duration) (orders []wire.Order, ok bool) {
+// awaitAnswer waits for the leader's answer to a report of a machine.
+func (a *shardHolder) awaitAnswer(ctx context.Context, machine string, q pendingReport, patience time.Duration) (orders []wire.Order, ok bool) {
 	t := time.NewTimer(patience)
 	defer t.Stop()
 	select {
@@ -155,21 +155,21 @@
 	defer a.mu.Unlock()
 	// What the leader says from now on is too late: its launches count as not
 	// executed once the worker's next report lacks them.
-	if now, waits := a.asks[machine]; waits && now.orders == q.orders {
-		delete(a.asks, machine)
+	if now, waits := a.pendingReports[machine]; waits && now.orders == q.orders {
+		delete(a.pendingReports, machine)
 	}
 	return orders, ok
 }
 
-// valid reports whether this node may act for the leader of the term right now.
-func (a *shardHolder) valid(term uint64) bool {
+// grantValid reports whether this node may act for the leader of the term right now.
+func (a *shardHolder) grantValid(term uint64) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.holder.Valid(term, time.Now())
 }
 
-// report answers the report of a machine in the share; nil: it is in none of ours.
-func (a *shardHolder) report(ctx context.Context, body []byte) *rpc.Reply {
+// handleHeartbeat answers the report of a machine in the share; nil: it is in none of ours.
+func (a *shardHolder) handleHeartbeat(ctx context.Context, body []byte) *rpc.Reply {
 	m := &wire.Report{}
 	if err := wire.Unmarshal(body, m); err != nil || m.Host == "" || m.Session == 0 {
 		return nil // the leader refuses it
@@ -177,9 +177,9 @@
 	a.mu.Lock()
 	orders, verdict := a.holder.Report(m, body, time.Now())
 	term := a.holder.Term()
-	q := ask{m.Session, m.Seq, make(chan []wire.Order, 1)}
+	q := pendingReport{m.Session, m.Seq, make(chan []wire.Order, 1)}
 	if verdict >= shard.ReportChanged {
-		a.asks[m.Host] = q // an older one of the machine is not waited for any more
+		a.pendingReports[m.Host] = q // an older one of the machine is not waited for any more
 	}
 	a.mu.Unlock()
 	switch verdict {
@@ -187,16 +187,16 @@
 		return nil
 	case shard.GrantExpired:
 		if m.Token > term {
-			a.n.elector.ObserveLeader("", m.Token)
+			a.node.elector.ObserveLeader("", m.Token)
 		}
 		return control.Later("the leader has not renewed this node's grant")
 	}
 	if verdict >= shard.ReportChanged {
-		patience := askTime
+		patience := answerPatience
 		if verdict == shard.LeaderRequired {
-			patience = requiredTime
+			patience = requiredAnswerPatience
 		}
-		told, ok := a.await(ctx, m.Host, q, patience)
+		told, ok := a.awaitAnswer(ctx, m.Host, q, patience)
 		switch {
 		case ok:
 			orders = told
@@ -209,7 +209,7 @@
 		return control.Later("the answer does not encode")
 	}
 	// As late as possible: the lock may have been waited for longer than the grant.
-	if !a.valid(term) {
+	if !a.grantValid(term) {
 		return control.Later("the leader has not renewed this node's grant")
 	}
 	return &rpc.Reply{Status: http.StatusOK, Body: b, Work: len(m.Tasks) > 0}
