--- a/internal/dynconfig/change.go
+++ b/internal/dynconfig/change.go
@@ -11,23 +11,24 @@
 	"vetchstream/internal/schema"
 )
 
-// Change is what an operator wants to be changed. Each team that is named is replaced as
+// Change is what an operator asks to be changed. Each team that is named is replaced as
 // a whole; the others stay as they are.
 type Change struct {
-	// Base is the revision that the change was made for; 0: whichever there is.
+	// Base is the revision that the change was made for: it is refused if another is the
+	// last one. 0: any.
 	Base  uint64       `codec:"base_revision,omitempty" json:"base_revision,omitempty"`
 	Teams []TeamChange `codec:"teams,omitempty" json:"teams,omitempty"`
-	// Remove names teams that are to take no jobs any more.
+	// Remove names teams of which no more jobs are to be accepted.
 	Remove []string `codec:"remove,omitempty" json:"remove,omitempty"`
 }
 
-// TeamChange is a team as it is to be.
+// TeamChange is the new configuration of a team.
 type TeamChange struct {
 	Name string `codec:"name" json:"name"`
-	// Limit is that of all regions together; a resource that is left out has none.
+	// Limit holds over all regions together; a resource that is left out has none.
 	Limit *Quota `codec:"limit,omitempty" json:"limit,omitempty"`
-	// Regions are the parts of the regions. A region that is not named gets nothing, or
-	// has no limit where the team has none.
+	// Regions are the regions' parts of the limit. A region that is not named gets nothing,
+	// or has no limit where the team has none.
 	Regions map[string]RegionQuota `codec:"regions,omitempty" json:"regions,omitempty"`
 }
 
@@ -37,36 +38,24 @@
 	Guarantee *Quota `codec:"guarantee,omitempty" json:"guarantee,omitempty"`
 }
 
-// Quota is an amount in which a resource can be left out.
-type Quota struct {
-	CPUs *float64 `codec:"cpus,omitempty" json:"cpus,omitempty"`
-	GPUs *float64 `codec:"gpus,omitempty" json:"gpus,omitempty"`
-}
-
-// amount is the quota with what is left out as none says.
-func (q *Quota) amount(none float64) Amount {
-	a := Amount{none, none}
-	if q != nil && q.CPUs != nil {
-		a.CPUs = *q.CPUs
-	}
-	if q != nil && q.GPUs != nil {
-		a.GPUs = *q.GPUs
-	}
-	return a
-}
-
-// Refusal is why a change is not taken, with the status of the answer.
+// Refusal is the error for a change that is not accepted.
 type Refusal struct {
+	// Status is the HTTP status of the answer.
 	Status int
-	Field  string
-	Why    string
+	// Field is the path of the field at fault, Why what is wrong with it.
+	Field string
+	Why   string
 }
 
 // Error implements error.
 func (e *Refusal) Error() string { return e.Field + ": " + e.Why }
 
 func refuse(status int, field, format string, a ...any) *Refusal {
-	return &Refusal{status, field, fmt.Sprintf(format, a...)}
+	return &Refusal{
+		Status: status,
+		Field:  field,
+		Why:    fmt.Sprintf(format, a...),
+	}
 }
 
 //go:embed change.json
@@ -83,9 +72,9 @@
 	return c, nil
 }
 
-// Propose returns the update for a change. It counts once it is stored and applied; a
-// transaction may hold a part of its records at a time, since the teams do not depend on
-// each other.
+// Propose returns the update for a change, or why it is refused. The update takes effect
+// once it is stored and applied. Its records may be stored in several transactions, since
+// the teams do not depend on each other.
 func (h *Home) Propose(c *Change) (Update, *Refusal) {
 	u := Update{Head: h.head}
 	if c.Base != 0 && c.Base != h.head.Revision {
@@ -94,42 +83,54 @@
 	if len(c.Teams)+len(c.Remove) == 0 {
 		return u, refuse(http.StatusBadRequest, "teams", "nothing is changed")
 	}
+	records, refusal := h.proposedRecords(c)
+	if refusal != nil {
+		return u, refusal
+	}
+	if added := h.countNew(records); len(h.teams)+added > MaxTeams {
+		return u, refuse(http.StatusUnprocessableEntity, "teams", "there would be more than %d teams", MaxTeams)
+	}
 	u.Head.Revision++
+	for _, r := range records {
+		r.Revision = u.Head.Revision
+		if next := h.reconcile(r, &u.Head); next != nil {
+			r = next
+		}
+		u.Records = append(u.Records, r)
+	}
+	return u, nil
+}
+
+// proposedRecords checks the teams of a change and returns their records, in its order.
+func (h *Home) proposedRecords(c *Change) ([]*TeamRecord, *Refusal) {
+	var records []*TeamRecord
 	named := map[string]bool{}
 	for i := range c.Teams {
+		team := &c.Teams[i]
 		field := fmt.Sprintf("teams[%d]", i)
-		if named[c.Teams[i].Name] {
-			return u, refuse(http.StatusBadRequest, field+".name", "%q is named twice", c.Teams[i].Name)
+		if named[team.Name] {
+			return nil, refuse(http.StatusBadRequest, field+".name", "%q is named twice", team.Name)
 		}
-		named[c.Teams[i].Name] = true
-		r, err := h.changedRecord(&c.Teams[i], field)
-		if err != nil {
-			return u, err
+		named[team.Name] = true
+		r, refusal := h.changedRecord(team, field)
+		if refusal != nil {
+			return nil, refusal
 		}
-		u.Records = append(u.Records, r)
+		records = append(records, r)
 	}
 	for i, name := range c.Remove {
 		field := fmt.Sprintf("remove[%d]", i)
 		if named[name] {
-			return u, refuse(http.StatusBadRequest, field, "%q is named twice", name)
+			return nil, refuse(http.StatusBadRequest, field, "%q is named twice", name)
 		}
 		named[name] = true
-		r, err := h.removedRecord(name, field)
-		if err != nil {
-			return u, err
-		}
-		u.Records = append(u.Records, r)
-	}
-	if added := h.countNew(u.Records); len(h.teams)+added > MaxTeams {
-		return u, refuse(http.StatusUnprocessableEntity, "teams", "there would be more than %d teams", MaxTeams)
-	}
-	for i, r := range u.Records {
-		r.Revision = u.Head.Revision
-		if next := h.reconcile(r, &u.Head); next != nil {
-			u.Records[i] = next
+		r, refusal := h.removedRecord(name, field)
+		if refusal != nil {
+			return nil, refusal
 		}
+		records = append(records, r)
 	}
-	return u, nil
+	return records, nil
 }
 
 // countNew counts the records of teams that are new.
@@ -142,7 +143,7 @@
 	return n
 }
 
-// baseRecord is the record that a change goes on from.
+// baseRecord is a copy of the team's record to change, or an empty one.
 func (h *Home) baseRecord(name string) *TeamRecord {
 	if r := h.teams[name]; r != nil {
 		return r.clone()
@@ -150,24 +151,30 @@
 	return &TeamRecord{Name: name, Grants: map[string]Grant{}}
 }
 
-// changedRecord checks a team and returns its record.
+// changedRecord checks a team's new configuration and returns its record; field is the
+// path of the team in the change.
 func (h *Home) changedRecord(c *TeamChange, field string) (*TeamRecord, *Refusal) {
 	r := h.baseRecord(c.Name)
-	r.Removed, r.Adopted = false, false
-	r.Limit, r.Shares = c.Limit.amount(Unlimited), map[string]Share{}
+	r.Removed = false
+	r.Adopted = false
+	r.Limit = c.Limit.amount(Unlimited)
+	r.Shares = map[string]Share{}
 	sum := Amount{}
 	for _, region := range slices.Sorted(maps.Keys(c.Regions)) {
-		at := field + ".regions." + region
+		path := field + ".regions." + region
 		if !slices.Contains(h.regions, region) {
-			return nil, refuse(http.StatusUnprocessableEntity, at, "is no region; there are %s", strings.Join(h.regions, ", "))
+			return nil, refuse(http.StatusUnprocessableEntity, path, "is no region; there are %s", strings.Join(h.regions, ", "))
+		}
+		quota := c.Regions[region]
+		share := Share{
+			Limit:     quota.Limit.amount(Unlimited),
+			Guarantee: quota.Guarantee.amount(0),
 		}
-		part := c.Regions[region]
-		s := Share{Limit: part.Limit.amount(Unlimited), Guarantee: part.Guarantee.amount(0)}
-		if !s.Guarantee.within(s.Limit) {
-			return nil, refuse(http.StatusUnprocessableEntity, at+".guarantee", "is above the region's part of the limit")
+		if !share.Guarantee.within(share.Limit) {
+			return nil, refuse(http.StatusUnprocessableEntity, path+".guarantee", "is above the region's part of the limit")
 		}
-		sum = sum.plus(s.Limit)
-		r.Shares[region] = s
+		sum = sum.plus(share.Limit)
+		r.Shares[region] = share
 	}
 	if !sum.within(r.Limit) {
 		return nil, refuse(http.StatusUnprocessableEntity, field+".regions", "the parts of the limit add up to %s, more than %s", sum, r.Limit)
@@ -175,7 +182,8 @@
 	return r, nil
 }
 
-// removedRecord checks the removal of a team and returns its record.
+// removedRecord checks the removal of a team and returns its record; field is the path of
+// the name in the change.
 func (h *Home) removedRecord(name, field string) (*TeamRecord, *Refusal) {
 	known := h.teams[name] != nil
 	for _, region := range h.regions {
@@ -183,9 +191,9 @@
 		if !f.reported {
 			return nil, refuse(http.StatusServiceUnavailable, field, "region %s has not said yet whether %q has jobs there", region, name)
 		}
-		s, says := f.reports[name]
-		known = known || says
-		if s.Busy {
+		report, ok := f.reports[name]
+		known = known || ok
+		if report.Busy {
 			return nil, refuse(http.StatusUnprocessableEntity, field, "%q has jobs in region %s that are not over", name, region)
 		}
 	}
@@ -194,27 +202,9 @@
 	}
 	r := h.baseRecord(name)
 	if h.teams[name] == nil {
-		// What its jobs may use stays as it is until they are over.
+		// Its shares stay as they are until the last of its jobs is over.
 		r = h.recordFromReports(name)
 	}
 	r.Removed = true
 	return r, nil
 }
-
-// recordFromReports is a team of which there is no record, as the regions say that they have it, by
-// their platforms' files or by grants; nil: none does.
-func (h *Home) recordFromReports(name string) *TeamRecord {
-	r := &TeamRecord{Name: name, Shares: map[string]Share{}, Grants: map[string]Grant{}}
-	for _, region := range h.regions {
-		if s, ok := h.followers[region].reports[name]; ok {
-			r.Limit, r.Shares[region] = r.Limit.plus(s.Limit), Share{s.Limit, s.Guarantee}
-		}
-	}
-	if len(r.Shares) == 0 {
-		return nil
-	}
-	return r
-}
-
-// String is the amount for people.
-func (a Amount) String() string { return fmt.Sprintf("%g CPUs and %g GPUs", a.CPUs, a.GPUs) }
--- a/internal/dynconfig/history.go
+++ b/internal/dynconfig/history.go
@@ -8,120 +8,136 @@
 	"time"
 )
 
-// MaxHistory is how many changes are kept.
+// MaxHistory is how many changes are retained.
 const MaxHistory = 64
 
-// HistoryEntry is a change that was made, with what was there before, so that it can be taken back.
+// HistoryEntry is a change that was made, with the configuration before it, so that it can
+// be rolled back.
 type HistoryEntry struct {
 	Revision uint64 `codec:"revision"`
 	// At is the home leader's time of day, in milliseconds since 1970.
 	At int64 `codec:"at"`
 	// Teams are those that were changed or removed.
 	Teams []string `codec:"teams"`
-	// Before are the teams as they were; Added those that were not there, or removed.
+	// Before are the teams as they were; Added those that did not exist, or were removed.
 	Before []TeamChange `codec:"before,omitempty"`
 	Added  []string     `codec:"added,omitempty"`
-	// Omitted: what was there before is too large to be kept.
+	// Omitted: Before and Added are too large to be stored.
 	Omitted bool `codec:"omitted,omitempty"`
 }
 
-// Slot is where a change is kept: the one that is HistoryMost older goes.
-func (p *HistoryEntry) Slot() int { return int(p.Revision % MaxHistory) }
+// Slot is where the entry is stored: it replaces the one that is MaxHistory revisions older.
+func (e *HistoryEntry) Slot() int { return int(e.Revision % MaxHistory) }
 
-// WithoutBefore is the change without what was there before, to be kept where that is too large.
-func (p *HistoryEntry) WithoutBefore() *HistoryEntry {
-	return &HistoryEntry{Revision: p.Revision, At: p.At, Teams: p.Teams, Omitted: true}
+// WithoutBefore is the entry without the earlier configuration, for where that is too large
+// to be stored.
+func (e *HistoryEntry) WithoutBefore() *HistoryEntry {
+	return &HistoryEntry{
+		Revision: e.Revision,
+		At:       e.At,
+		Teams:    e.Teams,
+		Omitted:  true,
+	}
 }
 
-// LoadHistory takes in what earlier leaders have kept.
-func (h *Home) LoadHistory(past []*HistoryEntry) {
-	h.history = slices.Clone(past)
+// LoadHistory takes in the entries that earlier leaders have stored, in any order.
+func (h *Home) LoadHistory(entries []*HistoryEntry) {
+	h.history = slices.Clone(entries)
 	slices.SortFunc(h.history, func(a, b *HistoryEntry) int { return cmp.Compare(a.Revision, b.Revision) })
 }
 
-// NewHistoryEntry describes an update that was proposed for a change, before it is applied.
+// NewHistoryEntry describes the update that Propose made for a change, before it is applied.
 func (h *Home) NewHistoryEntry(u Update, now time.Time) *HistoryEntry {
-	p := &HistoryEntry{Revision: u.Head.Revision, At: now.UnixMilli()}
+	e := &HistoryEntry{Revision: u.Head.Revision, At: now.UnixMilli()}
 	for _, r := range u.Records {
-		p.Teams = append(p.Teams, r.Name)
-		was := h.teams[r.Name]
-		if was == nil {
-			was = h.recordFromReports(r.Name)
+		e.Teams = append(e.Teams, r.Name)
+		before := h.teams[r.Name]
+		if before == nil {
+			before = h.recordFromReports(r.Name)
 		}
-		if was == nil || was.Removed {
-			p.Added = append(p.Added, r.Name)
+		if before == nil || before.Removed {
+			e.Added = append(e.Added, r.Name)
 		} else {
-			p.Before = append(p.Before, was.asChange())
+			e.Before = append(e.Before, before.asChange())
 		}
 	}
-	return p
+	return e
 }
 
-// AddHistory adds a change that is stored.
-func (h *Home) AddHistory(p *HistoryEntry) {
-	h.history = append(h.history, p)
+// AddHistory adds the entry of a change that is stored.
+func (h *Home) AddHistory(e *HistoryEntry) {
+	h.history = append(h.history, e)
 	if len(h.history) > MaxHistory {
 		h.history = h.history[len(h.history)-MaxHistory:]
 	}
 }
 
-// HistorySummary is a change for those who look at the history.
+// HistorySummary is a retained change as the API shows it.
 type HistorySummary struct {
 	Revision uint64 `codec:"revision" json:"revision"`
-	At       int64  `codec:"at" json:"at_ms"`
-	// Teams are those that were changed or removed, at most twenty, of Count.
+	// At is the home leader's time of day, in milliseconds since 1970.
+	At int64 `codec:"at" json:"at_ms"`
+	// Teams are those that were changed or removed, at most maxTeamsListed, of Count.
 	Teams []string `codec:"teams" json:"teams"`
 	Count int      `codec:"count" json:"count"`
-	// Omitted: it cannot be taken back, because what was there before is not kept.
+	// Omitted: it cannot be rolled back, because the configuration before it is not stored.
 	Omitted bool `codec:"omitted,omitempty" json:"omitted,omitempty"`
 }
 
-// maxTeamsListed bounds the teams that are named of a change.
+// maxTeamsListed bounds the teams in a HistorySummary.
 const maxTeamsListed = 20
 
-// History are the changes that are kept, the last one first.
+// History lists the retained changes, the last one first.
 func (h *Home) History() (out []HistorySummary) {
-	for _, p := range slices.Backward(h.history) {
-		out = append(out, HistorySummary{p.Revision, p.At, p.Teams[:min(len(p.Teams), maxTeamsListed)], len(p.Teams), p.Omitted})
+	for _, e := range slices.Backward(h.history) {
+		out = append(out, HistorySummary{
+			Revision: e.Revision,
+			At:       e.At,
+			Teams:    e.Teams[:min(len(e.Teams), maxTeamsListed)],
+			Count:    len(e.Teams),
+			Omitted:  e.Omitted,
+		})
 	}
 	return out
 }
 
-// asChange is the team as an operator would ask for it.
+// asChange is the change that would configure the team as it is.
 func (r *TeamRecord) asChange() TeamChange {
 	limit := r.Limit.quota()
 	c := TeamChange{Name: r.Name, Limit: &limit, Regions: map[string]RegionQuota{}}
-	for region, s := range r.Shares {
-		part, guarantee := s.Limit.quota(), s.Guarantee.quota()
-		c.Regions[region] = RegionQuota{Limit: &part, Guarantee: &guarantee}
+	for region, share := range r.Shares {
+		regionLimit := share.Limit.quota()
+		guarantee := share.Guarantee.quota()
+		c.Regions[region] = RegionQuota{Limit: &regionLimit, Guarantee: &guarantee}
 	}
 	return c
 }
 
-// Rollback is the change that takes back all that came after a revision.
+// Rollback is the change that undoes all that came after a revision.
 func (h *Home) Rollback(to uint64) (*Change, *Refusal) {
 	if to >= h.head.Revision {
 		return nil, refuse(http.StatusUnprocessableEntity, "revision", "%d is not before the last one, %d", to, h.head.Revision)
 	}
-	before, added := map[string]TeamChange{}, map[string]bool{}
-	next := h.head.Revision
+	before := map[string]TeamChange{} // teams to configure as they were
+	added := map[string]bool{}        // teams to remove
+	reached := h.head.Revision        // the revision that the entries looked at lead back to
 	for i := len(h.history) - 1; i >= 0 && h.history[i].Revision > to; i-- {
-		p := h.history[i]
-		if p.Omitted {
-			return nil, refuse(http.StatusUnprocessableEntity, "revision", "what was there before revision %d was too large to be kept", p.Revision)
+		e := h.history[i]
+		if e.Omitted {
+			return nil, refuse(http.StatusUnprocessableEntity, "revision", "what was there before revision %d was too large to be kept", e.Revision)
 		}
-		for _, name := range p.Added {
+		for _, name := range e.Added {
 			delete(before, name)
 			added[name] = true
 		}
-		for _, c := range p.Before {
+		for _, c := range e.Before {
 			delete(added, c.Name)
 			before[c.Name] = c
 		}
-		next = p.Revision - 1
+		reached = e.Revision - 1
 	}
-	if next > to {
-		return nil, refuse(http.StatusUnprocessableEntity, "revision", "the history goes back to revision %d", next)
+	if reached > to {
+		return nil, refuse(http.StatusUnprocessableEntity, "revision", "the history goes back to revision %d", reached)
 	}
 	c := &Change{Remove: slices.Sorted(maps.Keys(added))}
 	for _, name := range slices.Sorted(maps.Keys(before)) {
--- /dev/null
+++ b/internal/dynconfig/home_follow.go
@@ -0,0 +1,112 @@
+package dynconfig
+
+import (
+	"cmp"
+	"slices"
+	"time"
+)
+
+// maxGrantsPerReply bounds the grants in one reply.
+const maxGrantsPerReply = 64
+
+// follower is what the home region's leader knows of a region.
+type follower struct {
+	// reported: the region has reported all its teams to this leader.
+	reported bool
+	// reports are the region's last reports, by team.
+	reports map[string]TeamReport
+	// storedSeq is the highest sequence number of grants that the region has stored, and
+	// newestSeq that of the grants made for it.
+	storedSeq uint64
+	newestSeq uint64
+	// term and number are those of the region's last request, which came at lastRequest.
+	term        uint64
+	number      uint64
+	lastRequest time.Time
+	// pending are the teams whose shares are not in force in the region, with the first
+	// revision that is not.
+	pending map[string]uint64
+	// revision is the last one that is wholly in force there, since revisionSince.
+	revision      uint64
+	revisionSince time.Time
+}
+
+// HandleRequest takes in a region's request. It returns the reply if the request is
+// refused or has to be repeated in full. A nil reply means that Reply answers it, now or
+// as soon as HasGrants reports that there is something to send.
+func (h *Home) HandleRequest(q *Request, now time.Time) *Reply {
+	f := h.followers[q.Region]
+	if f == nil {
+		return &Reply{Refused: "region " + q.Region + " is not known at the home region"}
+	}
+	if q.Term < f.term || (q.Term == f.term && q.Number <= f.number) {
+		return &Reply{Refused: "a later request of the region was answered"}
+	}
+	f.term = q.Term
+	f.number = q.Number
+	f.lastRequest = now
+	if !q.Full && (!f.reported || q.HomeTerm != h.term) {
+		f.reported = false
+		return &Reply{Term: h.term, Resync: true}
+	}
+	if q.Full {
+		f.reported = true
+		clear(f.reports)
+		for name := range h.teams {
+			h.dirty[name] = true
+		}
+	}
+	f.storedSeq = q.After
+	// If the home region's store has lost its last writes, what is decided from now on
+	// has to count as newer than what the region has.
+	h.head.Seq = max(h.head.Seq, q.After)
+	h.head.Revision = max(h.head.Revision, q.Revision)
+	for _, report := range q.Reports {
+		f.reports[report.Team] = report
+		h.dirty[report.Team] = true
+		h.updatePending(report.Team)
+	}
+	h.trackRevision(q.Region, now)
+	return nil
+}
+
+// Reply answers a request that HandleRequest took in. It sends only what is stored.
+func (h *Home) Reply(q *Request) *Reply {
+	f := h.followers[q.Region]
+	if f.term != q.Term || f.number != q.Number {
+		return &Reply{Refused: "a later request of the region was heard"}
+	}
+	grants, more := h.grantsAfter(q.Region, q.After)
+	return &Reply{Term: h.term, Grants: grants, More: more}
+}
+
+// grantsAfter lists a region's grants after a sequence number, in order, as many as one
+// reply takes; more: there are others.
+func (h *Home) grantsAfter(region string, after uint64) (out []RegionGrant, more bool) {
+	for _, r := range h.teams {
+		g, ok := r.Grants[region]
+		if !ok || g.Seq <= after {
+			continue
+		}
+		out = append(out, RegionGrant{
+			Team:      r.Name,
+			Seq:       g.Seq,
+			Revision:  r.Revision,
+			Limit:     g.Limit,
+			Guarantee: g.Guarantee,
+			Target:    g.Target,
+			Removed:   g.Removed,
+		})
+	}
+	slices.SortFunc(out, func(a, b RegionGrant) int { return cmp.Compare(a.Seq, b.Seq) })
+	if len(out) > maxGrantsPerReply {
+		return out[:maxGrantsPerReply], true
+	}
+	return out, false
+}
+
+// HasGrants reports whether there are grants for a region after a sequence number.
+func (h *Home) HasGrants(region string, after uint64) bool {
+	f := h.followers[region]
+	return f != nil && f.newestSeq > after
+}
