--- a/internal/dynconfig/explore_test.go
+++ b/internal/dynconfig/explore_test.go
@@ -11,354 +11,442 @@
 )
 
 // The explorer plays the orders in which a home region and two others that share the limit
-// of a team store, send, lose, repeat, end, and have their stores put back.
+// of a team store records, exchange requests that may be lost, late or repeated, end terms,
+// and have their stores restored to an earlier state.
 
-// guard is one that can be taken out of a world, to see that the explorer notices.
+// guard is a safety rule that can be disabled in a world, to check that the explorer finds
+// why it is needed.
 type guard uint8
 
 const (
-	none         guard = iota
-	acknowledged       // what a region gives back is held for it until it says so
-	usesCount          // a region holds what its tasks use
-	statedFirst        // a new home leader raises nothing before all have stated
-	newestOnly         // a request that is not the region's newest is refused
-	oneRequest         // a reply to a request that was given up is not taken
-	storedThen         // a region decides, and says so, once a grant is stored
-	fenced             // a transaction of an earlier leader of the region fails
-	confirmed          // a region whose store was put back waits for the home's word
-	marked             // so does the leader after the next
+	none            guard = iota
+	acknowledged          // a released amount is held for the region until it reports the release
+	usageHeld             // a region holds what its tasks use
+	reportsFirst          // a new home leader raises nothing before all regions have reported
+	newestRequest         // a request that is not the region's newest is refused
+	currentReply          // a reply to an abandoned request is ignored
+	storedBeforeUse       // a grant takes effect, and is reported, once it is stored
+	fencing               // a transaction of an earlier leader of the region fails
+	confirmation          // a region whose store was restored waits for the home region's confirmation
+	storedMark            // so does the leader after the next
 )
 
-const theTeam, total = "red", 3
-
-// site is a region with its leader and what its store holds.
-type site struct {
-	replica  *Replica
-	term     uint64
-	entries  map[string]RegionGrant // stored
-	before   map[string]RegionGrant // stored before that
-	mark     bool                   // stored: the limits have to be confirmed
-	used     float64
-	asked    *Request
-	reply    *Reply
-	late     *Request // given up, and on its way all the same
-	lateBack *Reply
-	storing  []RegionGrant
-	lateTxn  []RegionGrant // of an earlier leader
-	reached  uint64        // highest sequence that has counted since the store was last put back
-	back     string
+const (
+	theTeam = "red"
+	total   = 3 // the team's limit, in CPUs
+	// maxChanges, maxEnds and maxRestores bound the faults and changes in a walk.
+	maxChanges  = 3
+	maxEnds     = 2
+	maxRestores = 1
+	// stepTeams is how many teams a step of the home region reconciles.
+	stepTeams = 10
+)
+
+// regionSim is a region with its leader and what its store holds.
+type regionSim struct {
+	replica           *Replica
+	term              uint64
+	entries           map[string]RegionGrant // stored
+	previousEntries   map[string]RegionGrant // stored before the last transaction
+	markedUnconfirmed bool                   // stored: the limits have to be confirmed
+	used              float64
+	request           *Request
+	reply             *Reply
+	lateRequest       *Request // abandoned, and delivered all the same
+	lateReply         *Reply
+	storing           []RegionGrant
+	lateTxn           []RegionGrant // of an earlier leader
+	highestSeq        uint64        // of the grants in effect since the store was last restored
+	regression        string        // describes a grant that took effect after a later one
 }
 
-type game struct {
-	out    guard
-	home   *Home
-	term   uint64
-	stored Head
-	recs   map[string]*TeamRecord
-	older  map[string]*TeamRecord
-	oldest Head
-	sites  [2]site
-	puts   int // stores that were put back
-	wants  int // changes that were made
-	ends   int
+// world is the home region with its store, and the other regions.
+type world struct {
+	disabled        guard
+	home            *Home
+	term            uint64
+	storedHead      Head
+	records         map[string]*TeamRecord
+	previousRecords map[string]*TeamRecord // stored before the last transaction
+	previousHead    Head
+	regions         [2]regionSim
+	restores        int // stores that were restored
+	changesMade     int
+	leaderEnds      int
 }
 
-var names = []string{"a", "b"}
+var regionNames = []string{"a", "b"}
 
-func newGame(out guard) *game {
-	g := &game{out: out, recs: map[string]*TeamRecord{}, older: map[string]*TeamRecord{}}
-	g.beginHome()
-	for i := range g.sites {
-		g.sites[i].entries, g.sites[i].before = map[string]RegionGrant{}, map[string]RegionGrant{}
-		g.begin(i, false)
+func newWorld(disabled guard) *world {
+	w := &world{
+		disabled:        disabled,
+		records:         map[string]*TeamRecord{},
+		previousRecords: map[string]*TeamRecord{},
 	}
-	return g
+	w.startHomeTerm()
+	for i := range w.regions {
+		w.regions[i].entries = map[string]RegionGrant{}
+		w.regions[i].previousEntries = map[string]RegionGrant{}
+		w.startTerm(i, false)
+	}
+	return w
 }
 
-func (g *game) beginHome() {
-	g.term++
+func (w *world) startHomeTerm() {
+	w.term++
 	var records []*TeamRecord
-	for _, r := range g.recs {
+	for _, r := range w.records {
 		records = append(records, r.clone())
 	}
-	g.home = NewHome(g.term, names, g.stored, records)
-	if g.out == statedFirst {
-		for _, f := range g.home.followers {
+	w.home = NewHome(w.term, regionNames, w.storedHead, records)
+	if w.disabled == reportsFirst {
+		for _, f := range w.home.followers {
 			f.reported = true
 		}
 	}
 }
 
-func (g *game) begin(i int, restored bool) {
-	s := &g.sites[i]
+func (w *world) startTerm(i int, restored bool) {
+	s := &w.regions[i]
 	s.term++
 	var entries []RegionGrant
 	for _, e := range s.entries {
 		entries = append(entries, e)
 	}
-	if restored && g.out != confirmed && g.out != marked {
-		s.mark = true
+	if restored && w.disabled != confirmation && w.disabled != storedMark {
+		s.markedUnconfirmed = true
 	}
-	s.replica = NewReplica(names[i], s.term, map[string]Share{}, entries, (restored && g.out != confirmed) || s.mark)
-	s.asked, s.reply, s.storing = nil, nil, nil
+	unconfirmed := (restored && w.disabled != confirmation) || s.markedUnconfirmed
+	s.replica = NewReplica(regionNames[i], s.term, map[string]Share{}, entries, unconfirmed)
+	s.request = nil
+	s.reply = nil
+	s.storing = nil
 }
 
-func (s *site) uses(g *game) UsageFunc {
+func (s *regionSim) usage(w *world) UsageFunc {
 	return func(string) (Amount, bool) { return Amount{CPUs: s.used}, s.used > 0 }
 }
 
-func (g *game) says(s *site) UsageFunc {
-	if g.out == usesCount {
+func (w *world) reportedUsage(s *regionSim) UsageFunc {
+	if w.disabled == usageHeld {
 		return func(string) (Amount, bool) { return Amount{}, false }
 	}
-	return s.uses(g)
+	return s.usage(w)
 }
 
-// keep stores an update of the home, and lets it count.
-func (g *game) keep(u Update) {
-	g.older, g.oldest = map[string]*TeamRecord{}, g.stored
-	for n, r := range g.recs {
-		g.older[n] = r
+// storeHome stores an update of the home region and applies it.
+func (w *world) storeHome(u Update) {
+	w.previousRecords = map[string]*TeamRecord{}
+	w.previousHead = w.storedHead
+	for n, r := range w.records {
+		w.previousRecords[n] = r
+	}
+	w.storedHead = Head{
+		Revision: max(w.storedHead.Revision, u.Head.Revision),
+		Seq:      max(w.storedHead.Seq, u.Head.Seq),
 	}
-	g.stored = Head{max(g.stored.Revision, u.Head.Revision), max(g.stored.Seq, u.Head.Seq)}
 	for _, r := range u.Records {
-		g.recs[r.Name] = r.clone()
-	}
-	g.home.Apply(u)
-	if g.out == acknowledged {
-		for _, r := range g.home.teams {
-			for region, gr := range r.Grants {
-				gr.Held = gr.Limit
-				r.Grants[region] = gr
-				g.home.followers[region].reports[r.Name] = TeamReport{Team: r.Name, Seq: gr.Seq, Limit: gr.Limit, Held: gr.Limit}
-				g.home.dirty[r.Name] = true
-			}
+		w.records[r.Name] = r.clone()
+	}
+	w.home.Apply(u)
+	if w.disabled == acknowledged {
+		w.assumeReleased()
+	}
+}
+
+// assumeReleased makes the home region act as if every region had reported its grants.
+func (w *world) assumeReleased() {
+	for _, r := range w.home.teams {
+		for region, g := range r.Grants {
+			g.Held = g.Limit
+			r.Grants[region] = g
+			w.home.followers[region].reports[r.Name] = TeamReport{Team: r.Name, Seq: g.Seq, Limit: g.Limit, Held: g.Limit}
+			w.home.dirty[r.Name] = true
 		}
 	}
 }
 
-// answer is the home's reply to a request.
-func (g *game) answer(q *Request) *Reply {
-	if p := g.home.HandleRequest(q, time.Time{}); p != nil {
+// homeReply is the home's reply to a request.
+func (w *world) homeReply(q *Request) *Reply {
+	if p := w.home.HandleRequest(q, time.Time{}); p != nil {
 		return p
 	}
-	return g.home.Reply(q)
+	return w.home.Reply(q)
 }
 
-func parts(a, b float64) *Change {
-	q := func(v float64) *Quota { zero := 0.0; return &Quota{CPUs: &v, GPUs: &zero} }
-	return &Change{Teams: []TeamChange{{Name: theTeam, Limit: q(total), Regions: map[string]RegionQuota{"a": {Limit: q(a)}, "b": {Limit: q(b)}}}}}
+// split is the change that divides the team's limit between the two regions.
+func split(a, b float64) *Change {
+	quota := func(cpus float64) *Quota {
+		gpus := 0.0
+		return &Quota{CPUs: &cpus, GPUs: &gpus}
+	}
+	return &Change{Teams: []TeamChange{{
+		Name:    theTeam,
+		Limit:   quota(total),
+		Regions: map[string]RegionQuota{"a": {Limit: quota(a)}, "b": {Limit: quota(b)}},
+	}}}
 }
 
-var wanted = []*Change{parts(3, 0), parts(0, 3), parts(1, 2)}
+var testChanges = []*Change{split(3, 0), split(0, 3), split(1, 2)}
 
-// put stores entries at a region.
-func (s *site) put(entries []RegionGrant) {
-	s.before = map[string]RegionGrant{}
+// store stores entries at a region.
+func (s *regionSim) store(entries []RegionGrant) {
+	s.previousEntries = map[string]RegionGrant{}
 	for n, e := range s.entries {
-		s.before[n] = e
+		s.previousEntries[n] = e
 	}
 	for _, e := range entries {
 		s.entries[e.Team] = e
 	}
 }
 
-func (s *site) counts(entries []RegionGrant) {
+// applyStored puts stored entries into effect.
+func (s *regionSim) applyStored(entries []RegionGrant) {
 	s.replica.ApplyStored(entries)
-	now := s.replica.teams[theTeam].Seq
-	if now < s.reached {
-		s.back = fmt.Sprintf("grant %d counts after %d", now, s.reached)
+	seq := s.replica.teams[theTeam].Seq
+	if seq < s.highestSeq {
+		s.regression = fmt.Sprintf("grant %d counts after %d", seq, s.highestSeq)
 	}
-	s.reached = max(s.reached, now)
+	s.highestSeq = max(s.highestSeq, seq)
 }
 
-func (g *game) actions() []explorer.Action[*game] {
-	act := func(name string, each int, do func(g *game, s *site, i int) bool) explorer.Action[*game] {
-		return explorer.Action[*game]{Name: name, Each: each, Do: func(g *game, i int) bool { return do(g, &g.sites[i%2], i) }}
+// regionAction is an action whose index chooses the region, modulo two.
+func regionAction(name string, each int, do func(w *world, s *regionSim, i int) bool) explorer.Action[*world] {
+	return explorer.Action[*world]{
+		Name: name,
+		Each: each,
+		Do:   func(w *world, i int) bool { return do(w, &w.regions[i%len(w.regions)], i) },
 	}
-	return []explorer.Action[*game]{
-		act("change", len(wanted), func(g *game, _ *site, i int) bool {
-			u, err := g.home.Propose(wanted[i])
-			if err != nil || g.wants >= 3 {
+}
+
+// worldActions are all actions. Their order decides what a seed plays.
+func worldActions() []explorer.Action[*world] {
+	return slices.Concat(homeActions(), requestActions(), lateActions(), leaderActions(), taskActions(), failureActions())
+}
+
+// homeActions change and reconcile the configuration at the home region.
+func homeActions() []explorer.Action[*world] {
+	return []explorer.Action[*world]{
+		regionAction("change team", len(testChanges), func(w *world, _ *regionSim, i int) bool {
+			u, err := w.home.Propose(testChanges[i])
+			if err != nil || w.changesMade >= maxChanges {
 				return false
 			}
-			g.wants++
-			g.keep(u)
+			w.changesMade++
+			w.storeHome(u)
 			return true
 		}),
-		act("remove", 1, func(g *game, _ *site, _ int) bool {
-			u, err := g.home.Propose(&Change{Remove: []string{theTeam}})
-			if err != nil || g.wants >= 3 {
+		regionAction("remove team", 1, func(w *world, _ *regionSim, _ int) bool {
+			u, err := w.home.Propose(&Change{Remove: []string{theTeam}})
+			if err != nil || w.changesMade >= maxChanges {
 				return false
 			}
-			g.wants++
-			g.keep(u)
+			w.changesMade++
+			w.storeHome(u)
 			return true
 		}),
-		act("step", 1, func(g *game, _ *site, _ int) bool {
-			u := g.home.Step(10)
+		regionAction("reconcile", 1, func(w *world, _ *regionSim, _ int) bool {
+			u := w.home.Step(stepTeams)
 			if u.Empty() {
 				return false
 			}
-			g.keep(u)
+			w.storeHome(u)
 			return true
 		}),
-		act("ask", 2, func(g *game, s *site, _ int) bool {
-			if s.asked != nil || (s.storing != nil && g.out != storedThen) {
+	}
+}
+
+// requestActions carry requests and replies.
+func requestActions() []explorer.Action[*world] {
+	return []explorer.Action[*world]{
+		regionAction("send request", 2, func(w *world, s *regionSim, _ int) bool {
+			if s.request != nil || (s.storing != nil && w.disabled != storedBeforeUse) {
 				return false
 			}
-			s.asked = s.replica.Request(g.says(s))
+			s.request = s.replica.Request(w.reportedUsage(s))
 			return true
 		}),
-		act("hear", 2, func(g *game, s *site, _ int) bool {
-			if s.asked == nil || s.reply != nil {
+		regionAction("receive request", 2, func(w *world, s *regionSim, _ int) bool {
+			if s.request == nil || s.reply != nil {
 				return false
 			}
-			s.reply = g.answer(s.asked)
+			s.reply = w.homeReply(s.request)
 			return true
 		}),
-		act("take", 2, func(g *game, s *site, _ int) bool {
+		regionAction("receive reply", 2, func(w *world, s *regionSim, _ int) bool {
 			if s.reply == nil {
 				return false
 			}
-			if out := s.replica.HandleReply(s.asked, s.reply); len(out) > 0 {
+			if out := s.replica.HandleReply(s.request, s.reply); len(out) > 0 {
 				s.storing = out
-				if g.out == storedThen {
-					s.counts(out)
+				if w.disabled == storedBeforeUse {
+					s.applyStored(out)
 				}
 			} else if !s.replica.Unconfirmed() {
-				s.mark = false
+				s.markedUnconfirmed = false
 			}
-			s.asked, s.reply = nil, nil
+			s.request = nil
+			s.reply = nil
 			return true
 		}),
-		act("give up", 2, func(_ *game, s *site, _ int) bool {
-			if s.asked == nil {
+	}
+}
+
+// lateActions carry requests that were abandoned, and the replies to them.
+func lateActions() []explorer.Action[*world] {
+	return []explorer.Action[*world]{
+		regionAction("abandon request", 2, func(_ *world, s *regionSim, _ int) bool {
+			if s.request == nil {
 				return false
 			}
-			s.late, s.lateBack = s.asked, s.reply
-			s.asked, s.reply = nil, nil
+			s.lateRequest = s.request
+			s.lateReply = s.reply
+			s.request = nil
+			s.reply = nil
 			return true
 		}),
-		act("hear late", 2, func(g *game, s *site, _ int) bool {
-			if s.late == nil {
+		regionAction("receive late request", 2, func(w *world, s *regionSim, _ int) bool {
+			if s.lateRequest == nil {
 				return false
 			}
-			if f := g.home.followers[s.late.Region]; g.out == newestOnly {
-				f.term, f.number = 0, 0
+			if f := w.home.followers[s.lateRequest.Region]; w.disabled == newestRequest {
+				f.term = 0
+				f.number = 0
 			}
-			g.answer(s.late)
-			s.late = nil
+			w.homeReply(s.lateRequest)
+			s.lateRequest = nil
 			return true
 		}),
-		act("take late", 2, func(g *game, s *site, _ int) bool {
-			if s.lateBack == nil || g.out != oneRequest || s.storing != nil {
+		regionAction("receive late reply", 2, func(w *world, s *regionSim, _ int) bool {
+			if s.lateReply == nil || w.disabled != currentReply || s.storing != nil {
 				return false
 			}
-			s.replica.homeTerm, s.replica.lastSeq = 0, 0
-			for _, e := range s.lateBack.Grants {
+			s.replica.homeTerm = 0
+			s.replica.lastSeq = 0
+			for _, e := range s.lateReply.Grants {
 				s.storing = append(s.storing, e)
 				delete(s.replica.teams, e.Team)
 			}
-			s.lateBack = nil
+			s.lateReply = nil
 			return len(s.storing) > 0
 		}),
-		act("store", 2, func(g *game, s *site, _ int) bool {
+	}
+}
+
+// leaderActions store grants and end the terms of the regions' leaders.
+func leaderActions() []explorer.Action[*world] {
+	return []explorer.Action[*world]{
+		regionAction("store grants", 2, func(w *world, s *regionSim, _ int) bool {
 			if s.storing == nil {
 				return false
 			}
-			s.put(s.storing)
-			s.counts(s.storing)
+			s.store(s.storing)
+			s.applyStored(s.storing)
 			s.storing = nil
 			return true
 		}),
-		act("end", 2, func(g *game, s *site, i int) bool {
-			if g.ends >= 2 {
+		regionAction("end term", 2, func(w *world, s *regionSim, i int) bool {
+			if w.leaderEnds >= maxEnds {
 				return false
 			}
-			g.ends++
-			s.lateTxn, s.late = s.storing, s.asked
-			g.begin(i, false)
+			w.leaderEnds++
+			s.lateTxn = s.storing
+			s.lateRequest = s.request
+			w.startTerm(i, false)
 			return true
 		}),
-		act("store late", 2, func(g *game, s *site, _ int) bool {
-			if g.out != fenced || s.lateTxn == nil {
+		regionAction("store late grants", 2, func(w *world, s *regionSim, _ int) bool {
+			if w.disabled != fencing || s.lateTxn == nil {
 				return false
 			}
-			s.put(s.lateTxn)
+			s.store(s.lateTxn)
 			s.lateTxn = nil
 			return true
 		}),
-		act("start", 2, func(g *game, s *site, _ int) bool {
-			share, known := s.replica.Share(theTeam, s.uses(g))
+	}
+}
+
+// taskActions start and finish tasks, a CPU each.
+func taskActions() []explorer.Action[*world] {
+	return []explorer.Action[*world]{
+		regionAction("start task", 2, func(w *world, s *regionSim, _ int) bool {
+			share, known := s.replica.Share(theTeam, s.usage(w))
 			if !known || s.used+1 > share.Limit.CPUs+tolerance {
 				return false
 			}
 			s.used++
 			return true
 		}),
-		act("finish", 2, func(_ *game, s *site, _ int) bool {
+		regionAction("finish task", 2, func(_ *world, s *regionSim, _ int) bool {
 			if s.used == 0 {
 				return false
 			}
 			s.used--
 			return true
 		}),
-		act("home ends", 1, func(g *game, _ *site, _ int) bool {
-			if g.ends >= 2 {
+	}
+}
+
+// failureActions end the home leader's term and restore stores to an earlier state.
+func failureActions() []explorer.Action[*world] {
+	return []explorer.Action[*world]{
+		regionAction("end home term", 1, func(w *world, _ *regionSim, _ int) bool {
+			if w.leaderEnds >= maxEnds {
 				return false
 			}
-			g.ends++
-			g.beginHome()
+			w.leaderEnds++
+			w.startHomeTerm()
 			return true
 		}),
-		act("home put back", 1, func(g *game, _ *site, _ int) bool {
-			if g.puts > 0 {
+		regionAction("restore home store", 1, func(w *world, _ *regionSim, _ int) bool {
+			if w.restores >= maxRestores {
 				return false
 			}
-			g.puts++
-			g.recs, g.stored = g.older, g.oldest
-			g.beginHome()
+			w.restores++
+			w.records = w.previousRecords
+			w.storedHead = w.previousHead
+			w.startHomeTerm()
 			return true
 		}),
-		act("put back", 2, func(g *game, s *site, i int) bool {
-			if g.puts > 0 {
+		regionAction("restore store", 2, func(w *world, s *regionSim, i int) bool {
+			if w.restores >= maxRestores {
 				return false
 			}
-			g.puts++
-			s.entries, s.reached = s.before, 0
-			g.begin(i, true)
+			w.restores++
+			s.entries = s.previousEntries
+			s.highestSeq = 0
+			w.startTerm(i, true)
 			return true
 		}),
 	}
 }
 
 // Print implements explorer.World.
-func (g *game) Print() string {
+func (w *world) Print() string {
 	p := &explorer.Printer{}
-	p.Say(g.stored, " ", g.wants, g.ends, g.puts, len(g.home.dirty), g.home.head)
-	for _, n := range names {
-		for _, recs := range []map[string]*TeamRecord{g.home.teams, g.recs, g.older} {
+	p.Say(w.storedHead, " ", w.changesMade, w.leaderEnds, w.restores, len(w.home.dirty), w.home.head)
+	for _, n := range regionNames {
+		for _, recs := range []map[string]*TeamRecord{w.home.teams, w.records, w.previousRecords} {
 			if r := recs[theTeam]; r != nil {
 				p.Say(" ", r.Grants[n], r.Shares[n])
 			}
 		}
-		f := g.home.followers[n]
-		if r := g.home.teams[theTeam]; r != nil {
+		f := w.home.followers[n]
+		if r := w.home.teams[theTeam]; r != nil {
 			p.Say(r.Removed)
 		}
 		p.Say(" ", f.reported, f.reports[theTeam], f.storedSeq)
 	}
-	for i := range g.sites {
-		s := &g.sites[i]
+	for i := range w.regions {
+		s := &w.regions[i]
 		r := s.replica
-		p.Say("\n", s.used, s.mark, s.entries, s.before, s.storing, s.lateTxn, r.teams, r.lastSeq, r.homeTerm, r.reportedTerm, r.acknowledged, r.unconfirmed)
-		for _, q := range []*Request{s.asked, s.late} {
+		p.Say("\n", s.used, s.markedUnconfirmed, s.entries, s.previousEntries, s.storing, s.lateTxn, r.teams, r.lastSeq, r.homeTerm, r.reportedTerm, r.acknowledged, r.unconfirmed)
+		for _, q := range []*Request{s.request, s.lateRequest} {
 			if q != nil {
 				p.Say(" asks ", q.HomeTerm, q.After, q.Full, q.Reports, q.Term == s.term)
 			}
 		}
-		for _, a := range []*Reply{s.reply, s.lateBack} {
+		for _, a := range []*Reply{s.reply, s.lateReply} {
 			if a != nil {
 				p.Say(" gets ", a.Term, a.Resync, a.Grants)
 			}
@@ -368,14 +456,14 @@
 }
 
 // Broken implements explorer.World.
-func (g *game) Broken() string {
+func (w *world) Broken() string {
 	sum := 0.0
-	for i := range g.sites {
-		s := &g.sites[i]
-		share, _ := s.replica.Share(theTeam, s.uses(g))
+	for i := range w.regions {
+		s := &w.regions[i]
+		share, _ := s.replica.Share(theTeam, s.usage(w))
 		sum += max(s.used, share.Limit.CPUs)
-		if s.back != "" {
-			return s.back
+		if s.regression != "" {
+			return s.regression
 		}
 	}
 	if sum > total+tolerance {
@@ -384,41 +472,52 @@
 	return ""
 }
 
-// settles plays on without faults until nothing happens any more, and says which share has
-// not come into force.
-func settles(g *game) string {
-	if g.wants == 0 {
+// convergenceRounds is how many fault-free rounds are enough for all shares to come into
+// force.
+const convergenceRounds = 40
+
+// convergenceFault plays on without faults until nothing happens any more, and describes a
+// share that has not come into force; empty: all have.
+func convergenceFault(w *world) string {
+	if w.changesMade == 0 {
 		return ""
 	}
-	for range 40 {
-		for i := range g.sites {
-			s := &g.sites[i]
-			if r := g.home.teams[theTeam]; r != nil && r.Removed {
+	for range convergenceRounds {
+		for i := range w.regions {
+			s := &w.regions[i]
+			if r := w.home.teams[theTeam]; r != nil && r.Removed {
 				s.used = 0
 			} else if r != nil {
-				s.used = min(s.used, r.Shares[names[i]].Limit.CPUs) // its tasks end
+				s.used = min(s.used, r.Shares[regionNames[i]].Limit.CPUs) // its tasks end
 			}
-			if s.asked != nil {
-				s.asked, s.reply = nil, nil
+			if s.request != nil {
+				s.request = nil
+				s.reply = nil
 			}
 			if s.storing == nil {
-				q := s.replica.Request(s.uses(g))
-				s.storing = s.replica.HandleReply(q, g.answer(q))
+				q := s.replica.Request(s.usage(w))
+				s.storing = s.replica.HandleReply(q, w.homeReply(q))
 			}
-			s.put(s.storing)
-			s.counts(s.storing)
+			s.store(s.storing)
+			s.applyStored(s.storing)
 			s.storing = nil
 		}
-		if u := g.home.Step(10); !u.Empty() {
-			g.keep(u)
+		if u := w.home.Step(stepTeams); !u.Empty() {
+			w.storeHome(u)
 		}
 	}
-	if u := g.home.Step(10); !u.Empty() {
+	if u := w.home.Step(stepTeams); !u.Empty() {
 		return "the home goes on storing"
 	}
-	want := g.home.teams[theTeam]
-	for i, n := range names {
-		if share, _ := g.sites[i].replica.Share(theTeam, g.sites[i].uses(g)); want != nil && share.Limit != g.home.currentShare(want, n).Limit || want != nil && want.Removed && share.Limit != (Amount{}) {
+	want := w.home.teams[theTeam]
+	if want == nil {
+		return ""
+	}
+	for i, n := range regionNames {
+		s := &w.regions[i]
+		share, _ := s.replica.Share(theTeam, s.usage(w))
+		removed := want.Removed && share.Limit != Amount{}
+		if share.Limit != w.home.currentShare(want, n).Limit || removed {
 			return fmt.Sprintf("region %s has %v, not %v", n, share.Limit, want.Shares[n].Limit)
 		}
 	}
@@ -426,42 +525,48 @@
 }
 
 // TestExplore: the regions together never may use more than the limit, no grant counts
-// after a later one, and every share comes into force once the troubles are over. With a
-// guard taken out the explorer finds why it is there.
+// after a later one, and every share comes into force once the faults are over. With a
+// guard disabled the explorer finds why it is there.
 func TestExplore(t *testing.T) {
 	const states, walks, steps, rounds = 300, 1500, 40, 3
-	play := func(out guard) *explorer.Game[*game] {
-		return &explorer.Game[*game]{New: func() *game { return newGame(out) }, Actions: (&game{}).actions(), Most: states, Every: 50, Settle: settles}
+	play := func(disabled guard) *explorer.Game[*world] {
+		return &explorer.Game[*world]{
+			New:     func() *world { return newWorld(disabled) },
+			Actions: worldActions(),
+			Most:    states,
+			Every:   50,
+			Settle:  convergenceFault,
+		}
 	}
 	names := play(none)
 	step := func(name string, i int) []explorer.Step { return names.Steps(i+1, name)[i:] }
-	round := append(names.Steps(2, "ask", "hear", "take", "store"), names.Steps(1, "step")...)
-	settled := slices.Concat(step("change", 0), round, round, round) // region a has all of the limit
-	moved := slices.Concat(settled, step("change", 1), round, round, round)
-	underWay := slices.Concat(step("change", 0), round, names.Steps(1, "ask", "hear", "take", "end"), step("change", 1), round, round, round)
+	round := append(names.Steps(2, "send request", "receive request", "receive reply", "store grants"), names.Steps(1, "reconcile")...)
+	settled := slices.Concat(step("change team", 0), round, round, round) // region a has all of the limit
+	moved := slices.Concat(settled, step("change team", 1), round, round, round)
+	underWay := slices.Concat(step("change team", 0), round, names.Steps(1, "send request", "receive request", "receive reply", "end term"), step("change team", 1), round, round, round)
 	tests := []struct {
-		name  string
-		out   guard
-		start []explorer.Step
+		name     string
+		disabled guard
+		start    []explorer.Step
 	}{
 		{"as it is", none, nil},
 		{"as it is, a has all", none, settled},
 		{"as it is, all has moved to b", none, moved},
 		{"as it is, a's leader ended while it stored", none, underWay},
-		{"given back without an acknowledgement", acknowledged, slices.Concat(settled, step("change", 1), step("step", 0))},
-		{"what is in use does not count", usesCount, slices.Concat(settled, step("start", 0), step("change", 1), round, round)},
-		{"raised before all regions have stated", statedFirst, settled},
-		{"an older request is heard", newestOnly, settled},
-		{"the reply to a request that was given up is taken", oneRequest, settled},
-		{"a grant counts before it is stored", storedThen, slices.Concat(settled, step("change", 1), names.Steps(1, "ask", "hear", "take", "ask", "hear", "step"))},
-		{"a late transaction of an earlier leader", fenced, underWay},
-		{"a store that was put back is trusted", confirmed, moved},
-		{"a store that was put back is trusted by the leader after the next", marked, slices.Concat(moved, step("put back", 0))},
+		{"released without an acknowledgement", acknowledged, slices.Concat(settled, step("change team", 1), step("reconcile", 0))},
+		{"what is in use is not held", usageHeld, slices.Concat(settled, step("start task", 0), step("change team", 1), round, round)},
+		{"raised before all regions have reported", reportsFirst, settled},
+		{"an older request is accepted", newestRequest, settled},
+		{"the reply to an abandoned request is accepted", currentReply, settled},
+		{"a grant takes effect before it is stored", storedBeforeUse, slices.Concat(settled, step("change team", 1), names.Steps(1, "send request", "receive request", "receive reply", "send request", "receive request", "reconcile"))},
+		{"a late transaction of an earlier leader", fencing, underWay},
+		{"a restored store is trusted", confirmation, moved},
+		{"a restored store is trusted by the leader after the next", storedMark, slices.Concat(moved, step("restore store", 0))},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			g := play(tt.out)
+			g := play(tt.disabled)
 			g.Start = tt.start
 			seen, broken := g.Play()
 			for seed := uint64(0); broken == "" && seed < rounds; seed++ {
@@ -469,7 +574,7 @@
 				n, broken = g.Walk(rand.New(rand.NewPCG(seed, 0)), walks, steps)
 				seen += n
 			}
-			if (tt.out == none) != (broken == "") {
+			if (tt.disabled == none) != (broken == "") {
 				t.Errorf("%d states and steps, %q", seen, broken)
 			} else {
 				t.Logf("%d states and steps, %q", seen, broken)
