--- a/internal/dynconfig/home_reconcile.go
+++ b/internal/dynconfig/home_reconcile.go
@@ -105,7 +105,7 @@
 }
 
 // currentShare is the share that a region is to have now. Of a removed team the region
-// keeps its share until it accepts no more jobs of it and the last one is over.
+// retains its share until it accepts no more jobs of it and the last one is over.
 func (h *Home) currentShare(r *TeamRecord, region string) Share {
 	g := r.Grants[region]
 	f := h.followers[region]
--- a/internal/node/home_region.go
+++ b/internal/node/home_region.go
@@ -15,30 +15,32 @@
 	"vetchstream/internal/state"
 )
 
-// homeRegion reaches the leader of the home region from another region. Which of its
-// controllers leads is found by asking them in turn.
+// homeRegion is the client of another region's controllers: it calls the leader of the home
+// region, which it finds by trying the controllers in turn.
 type homeRegion struct {
 	mesh    *rpc.Mesh
 	members []string
 
 	mu         sync.Mutex
-	lastLeader int // that answered last
+	lastLeader int // index of the member that answered last
 }
 
-// homeAttemptTimeout bounds one try, so that a controller that is not reached leaves time for the
-// next; a request to follow is held for a while by the one that leads.
+// homeAttemptTimeout bounds one attempt, so that a controller that cannot be reached leaves
+// time for the next. It is longer than the leader holds a request to follow.
 const homeAttemptTimeout = 1500 * time.Millisecond
 
-// errHomeUnreachable is returned where no controller of the home region answers as leader.
+// errHomeUnreachable is returned if no controller of the home region answers as leader.
 var errHomeUnreachable = errors.New("the home region is not to be reached")
 
+// dialHome makes the client for the controllers at these addresses. Connections are made
+// when they are first used.
 func dialHome(addresses []string, dial state.DialFunc) (*homeRegion, error) {
 	h := &homeRegion{}
 	var siblings []config.Sibling
-	for i, a := range addresses {
+	for i, address := range addresses {
 		name := fmt.Sprintf("home-%d", i)
 		h.members = append(h.members, name)
-		siblings = append(siblings, config.Sibling{Member: name, Address: a})
+		siblings = append(siblings, config.Sibling{Member: name, Address: address})
 	}
 	var err error
 	h.mesh, err = rpc.Dial(siblings, dial)
@@ -47,35 +49,43 @@
 
 func (h *homeRegion) close() { h.mesh.Close() }
 
-// tryControllers calls try for the controllers, from the one that answered last on, until one
-// answers as leader.
-func (h *homeRegion) tryControllers(ctx context.Context, try func(ctx context.Context, member string) bool) error {
-	h.mu.Lock()
-	first := h.lastLeader
-	h.mu.Unlock()
+// tryControllers calls attempt for the controllers, from the one that answered last on,
+// until it reports that one has answered as leader. The error is errHomeUnreachable.
+func (h *homeRegion) tryControllers(ctx context.Context, attempt func(ctx context.Context, member string) bool) error {
+	first := h.leaderIndex()
 	for i := range h.members {
 		if ctx.Err() != nil {
 			break
 		}
-		at := (first + i) % len(h.members)
-		tctx, cancel := context.WithTimeout(ctx, homeAttemptTimeout)
-		ok := try(tctx, h.members[at])
+		index := (first + i) % len(h.members)
+		attemptCtx, cancel := context.WithTimeout(ctx, homeAttemptTimeout)
+		ok := attempt(attemptCtx, h.members[index])
 		cancel()
 		if ok {
-			h.mu.Lock()
-			h.lastLeader = at
-			h.mu.Unlock()
+			h.setLeaderIndex(index)
 			return nil
 		}
 	}
 	return errHomeUnreachable
 }
 
-// follow asks for what is granted to this region.
+func (h *homeRegion) leaderIndex() int {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.lastLeader
+}
+
+func (h *homeRegion) setLeaderIndex(index int) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.lastLeader = index
+}
+
+// follow sends a request to follow the configuration.
 func (h *homeRegion) follow(ctx context.Context, q *dynconfig.Request) (out *dynconfig.Reply, err error) {
 	err = h.tryControllers(ctx, func(ctx context.Context, member string) bool {
-		p, ferr := h.mesh.Follow(ctx, member, q)
-		if ferr != nil || p.Refused != "" {
+		p, callErr := h.mesh.Follow(ctx, member, q)
+		if callErr != nil || p.Refused != "" {
 			return false
 		}
 		out = p
@@ -84,11 +94,12 @@
 	return out, err
 }
 
-// forward hands an operator's request on.
+// forward forwards an operator's request. If no leader is reached the reply tells the
+// operator to try again.
 func (h *homeRegion) forward(ctx context.Context, q *rpc.Request) (out *rpc.Reply) {
 	err := h.tryControllers(ctx, func(ctx context.Context, member string) bool {
-		p, ferr := h.mesh.Forward(ctx, member, q)
-		if ferr != nil || (p.Status == http.StatusServiceUnavailable && !p.Settled) {
+		p, callErr := h.mesh.Forward(ctx, member, q)
+		if callErr != nil || (p.Status == http.StatusServiceUnavailable && !p.Settled) {
 			return false
 		}
 		out = p
--- a/internal/node/shard_holder.go
+++ b/internal/node/shard_holder.go
@@ -13,60 +13,69 @@
 	"vetchstream/internal/wire"
 )
 
-// shardHolder deals with the machines that the leader has given to this node: it answers
-// their reports while the grant holds, tells the leader what they say, and sends
-// the leader's commands to them.
+// shardHolder holds the shard of machines that the leader has given to this node: it answers
+// their heartbeats while the grant is valid, passes what they report to the leader, and sends
+// the leader's direct commands to them.
 type shardHolder struct {
 	node     *Node
 	client   *http.Client
-	maxCalls int // direct commands that may be under way
-	capacity int // machines that it can deal with
+	maxCalls int // direct commands that may be in flight
+	capacity int // machines that this node can serve
 
-	mu             sync.Mutex
-	holder         *shard.Holder
-	pendingReports map[string]pendingReport // by machine
+	mu      sync.Mutex
+	holder  *shard.Holder
+	pending map[string]pendingHeartbeat // by machine
 }
 
-// pendingReport is a report that waits for the leader's answer.
-type pendingReport struct {
-	session, seq uint64
-	orders       chan []wire.Order
+// pendingHeartbeat is a heartbeat that waits for the leader's answer.
+type pendingHeartbeat struct {
+	session uint64
+	seq     uint64
+	orders  chan []wire.Order // has room for one answer
 }
 
 const (
-	// syncTimeout bounds a request; the leader answers at once, or as soon as it is not
-	// behind.
+	// syncTimeout bounds a request. The leader answers at once, or as soon as it has caught
+	// up with its queue.
 	syncTimeout = 1500 * time.Millisecond
-	// minSyncInterval is the least time between two requests, and syncIdle the wait of one that
-	// was refused or lost.
+	// minSyncInterval is the least time between two requests, and syncRetryDelay the wait
+	// after one that was refused or lost.
 	minSyncInterval = 25 * time.Millisecond
 	syncRetryDelay  = 150 * time.Millisecond
 	// answerPatience is how long a worker waits for the leader's answer before it gets this
 	// node's own, which renews its lease.
 	answerPatience = 250 * time.Millisecond
-	// requiredAnswerPatience is how long it waits where this node may not answer by itself. The
-	// worker gives the answer up after 4 s.
+	// requiredAnswerPatience is how long it waits where this node may not answer by itself.
+	// The worker's own timeout is 4 s.
 	requiredAnswerPatience = 2 * time.Second
+	// minIdleConns is the least number of idle connections to workers.
+	minIdleConns = 8
 )
 
 func newShardHolder(n *Node, dial state.DialFunc) *shardHolder {
 	sockets := n.set.Facts.Resources.MaxSockets
-	calls := control.DirectCalls(sockets)
-	// Each controller keeps connections for commands, so each keeps fewer than a leader
-	// that sends all of them.
-	return &shardHolder{node: n, maxCalls: calls, capacity: control.ShardCapacity(sockets), pendingReports: map[string]pendingReport{},
-		client: control.DirectClient(dial, max(8, calls/4)),
-		// A later process has a later time of day, within its skew; the leader lets in one
-		// that has not once the grants of the process before have ended.
-		holder: shard.NewHolder(n.set.Member, n.set.Site, uint64(time.Now().UnixNano()))}
+	maxCalls := control.DirectCalls(sockets)
+	// A later process has a later time of day, within the clock's skew. The leader accepts
+	// one that has not once the grants of the earlier process have ended.
+	incarnation := uint64(time.Now().UnixNano())
+	return &shardHolder{
+		node: n,
+		// Each controller keeps connections for commands, so each keeps fewer than a leader
+		// that sends all of them.
+		client:   control.DirectClient(dial, max(minIdleConns, maxCalls/4)),
+		maxCalls: maxCalls,
+		capacity: control.ShardCapacity(sockets),
+		holder:   shard.NewHolder(n.set.Member, n.set.Site, incarnation),
+		pending:  map[string]pendingHeartbeat{},
+	}
 }
 
 // run asks the leader for this node's grant until the context ends.
-func (a *shardHolder) run(ctx context.Context) {
-	defer a.client.CloseIdleConnections()
+func (sh *shardHolder) run(ctx context.Context) {
+	defer sh.client.CloseIdleConnections()
 	for ctx.Err() == nil {
 		begun := time.Now()
-		if !a.syncWithLeader(ctx) {
+		if !sh.syncWithLeader(ctx) {
 			sleep(ctx, syncRetryDelay)
 			continue
 		}
@@ -87,129 +96,183 @@
 	}
 }
 
-// syncWithLeader makes one request and reports whether it was answered.
-func (a *shardHolder) syncWithLeader(ctx context.Context) bool {
-	v := a.node.elector.View()
-	a.mu.Lock()
-	if v.Leader == a.node.set.Member {
-		a.holder.Lead()
-	}
-	if v.Leader == "" || v.Leader == a.node.set.Member {
-		a.mu.Unlock()
+// syncWithLeader sends one request and reports whether the leader has answered it.
+func (sh *shardHolder) syncWithLeader(ctx context.Context) bool {
+	leader, q, sent := sh.nextRequest()
+	if q == nil {
 		return false
 	}
-	if v.Term > a.holder.Term() {
-		a.holder.EndTerm()
-	}
-	sent := time.Now()
-	q := a.holder.Request(a.capacity, a.maxCalls, a.node.lag.Behind(), sent)
-	a.mu.Unlock()
-	sctx, cancel := context.WithTimeout(ctx, syncTimeout)
+	syncCtx, cancel := context.WithTimeout(ctx, syncTimeout)
 	defer cancel()
-	p, err := a.node.mesh.Sync(sctx, v.Leader, q)
-	a.mu.Lock()
-	defer a.mu.Unlock()
+	p, err := sh.node.mesh.Sync(syncCtx, leader, q)
+	if err != nil {
+		sh.node.log.Debug("asking the leader for this node's grant failed", "leader", leader, "error", err)
+	}
 	if err != nil || p.Term == 0 {
-		if err != nil {
-			a.node.log.Debug("asking the leader for this node's grant failed", "leader", v.Leader, "error", err)
-		}
-		a.holder.Missed()
+		sh.requestFailed()
 		return false
 	}
-	for _, c := range a.holder.Granted(p, sent) {
-		go a.sendCommand(ctx, p.Term, c)
+	sh.handleReply(ctx, p, sent)
+	return true
+}
+
+// nextRequest is the next request and the leader to send it to; nil: there is no leader, or
+// this node leads.
+func (sh *shardHolder) nextRequest() (leader string, q *shard.Request, sent time.Time) {
+	view := sh.node.elector.View()
+	sh.mu.Lock()
+	defer sh.mu.Unlock()
+	if view.Leader == sh.node.set.Member {
+		sh.holder.Lead()
+	}
+	if view.Leader == "" || view.Leader == sh.node.set.Member {
+		return "", nil, time.Time{}
+	}
+	if view.Term > sh.holder.Term() {
+		sh.holder.EndTerm()
+	}
+	sent = time.Now()
+	q = sh.holder.Request(sh.capacity, sh.maxCalls, sh.node.lag.Behind(), sent)
+	return view.Leader, q, sent
+}
+
+func (sh *shardHolder) requestFailed() {
+	sh.mu.Lock()
+	defer sh.mu.Unlock()
+	sh.holder.Missed()
+}
+
+// handleReply takes in the leader's reply to the request that was sent at that time: it
+// starts the direct commands and hands answers to the heartbeats that wait for them.
+func (sh *shardHolder) handleReply(ctx context.Context, p *shard.Reply, sent time.Time) {
+	sh.mu.Lock()
+	defer sh.mu.Unlock()
+	for _, call := range sh.holder.Granted(p, sent) {
+		go sh.sendCommand(ctx, p.Term, call)
 	}
 	for i := range p.Answers {
-		an := &p.Answers[i]
-		if q, ok := a.pendingReports[an.Host]; ok && q.session == an.Session && q.seq == an.Seq {
-			delete(a.pendingReports, an.Host)
-			q.orders <- an.Orders // it has room for one
+		answer := &p.Answers[i]
+		hb, ok := sh.pending[answer.Host]
+		if ok && hb.session == answer.Session && hb.seq == answer.Seq {
+			delete(sh.pending, answer.Host)
+			hb.orders <- answer.Orders
 		}
 	}
-	return true
 }
 
-// sendCommand sends a command of the leader's to a worker. The leader bounds how many are
-// under way.
-func (a *shardHolder) sendCommand(ctx context.Context, term uint64, c shard.Call) {
-	status, answer, reached, err := control.Direct(ctx, a.client, c.Addr, c.Body, func() bool { return a.grantValid(term) })
+// sendCommand sends a direct command of the leader of the term to a worker. The leader
+// bounds how many are in flight.
+func (sh *shardHolder) sendCommand(ctx context.Context, term uint64, call shard.Call) {
+	valid := func() bool { return sh.grantValid(term) }
+	status, answer, reached, err := control.Direct(ctx, sh.client, call.Addr, call.Body, valid)
 	if err != nil {
-		a.node.log.Debug("direct command failed", "addr", c.Addr, "status", status, "error", err)
+		sh.node.log.Debug("direct command failed", "addr", call.Addr, "status", status, "error", err)
 	}
-	a.mu.Lock()
-	a.holder.Finish(shard.Done{ID: c.ID, Status: status, Reached: reached, Report: answer})
-	a.mu.Unlock()
+	sh.mu.Lock()
+	defer sh.mu.Unlock()
+	sh.holder.Finish(shard.Done{
+		ID:      call.ID,
+		Status:  status,
+		Reached: reached,
+		Report:  answer,
+	})
 }
 
-// awaitAnswer waits for the leader's answer to a report of a machine.
-func (a *shardHolder) awaitAnswer(ctx context.Context, machine string, q pendingReport, patience time.Duration) (orders []wire.Order, ok bool) {
+// awaitAnswer waits for the leader's answer to a machine's heartbeat, no longer than
+// patience.
+func (sh *shardHolder) awaitAnswer(ctx context.Context, machine string, hb pendingHeartbeat, patience time.Duration) (orders []wire.Order, ok bool) {
 	t := time.NewTimer(patience)
 	defer t.Stop()
 	select {
-	case orders = <-q.orders:
+	case orders = <-hb.orders:
 		ok = true
 	case <-t.C:
 	case <-ctx.Done():
 	}
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	// What the leader says from now on is too late: its launches count as not
-	// executed once the worker's next report lacks them.
-	if now, waits := a.pendingReports[machine]; waits && now.orders == q.orders {
-		delete(a.pendingReports, machine)
+	sh.mu.Lock()
+	defer sh.mu.Unlock()
+	// A later answer of the leader is too late: its launches count as not executed once the
+	// worker's next heartbeat lacks them.
+	if current, waits := sh.pending[machine]; waits && current.orders == hb.orders {
+		delete(sh.pending, machine)
 	}
 	return orders, ok
 }
 
 // grantValid reports whether this node may act for the leader of the term right now.
-func (a *shardHolder) grantValid(term uint64) bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.holder.Valid(term, time.Now())
+func (sh *shardHolder) grantValid(term uint64) bool {
+	sh.mu.Lock()
+	defer sh.mu.Unlock()
+	return sh.holder.Valid(term, time.Now())
 }
 
-// handleHeartbeat answers the report of a machine in the share; nil: it is in none of ours.
-func (a *shardHolder) handleHeartbeat(ctx context.Context, body []byte) *rpc.Reply {
+// receivedHeartbeat is what the holder decided about a heartbeat.
+type receivedHeartbeat struct {
+	outcome shard.Outcome
+	term    uint64           // of the grant
+	orders  []wire.Order     // of this node's own answer
+	pending pendingHeartbeat // set if the leader is asked
+}
+
+// receive takes in a heartbeat, and lets it wait for the leader's answer if it reports
+// something new.
+func (sh *shardHolder) receive(m *wire.Report, body []byte) receivedHeartbeat {
+	sh.mu.Lock()
+	defer sh.mu.Unlock()
+	orders, outcome := sh.holder.Report(m, body, time.Now())
+	r := receivedHeartbeat{
+		outcome: outcome,
+		term:    sh.holder.Term(),
+		orders:  orders,
+	}
+	if outcome >= shard.ReportChanged {
+		r.pending = pendingHeartbeat{
+			session: m.Session,
+			seq:     m.Seq,
+			orders:  make(chan []wire.Order, 1),
+		}
+		sh.pending[m.Host] = r.pending // replaces an older one of the machine
+	}
+	return r
+}
+
+// handleHeartbeat answers the heartbeat of a machine in this node's shard; nil: the machine
+// is not in it, or the heartbeat cannot be read, and the leader answers.
+func (sh *shardHolder) handleHeartbeat(ctx context.Context, body []byte) *rpc.Reply {
 	m := &wire.Report{}
 	if err := wire.Unmarshal(body, m); err != nil || m.Host == "" || m.Session == 0 {
-		return nil // the leader refuses it
-	}
-	a.mu.Lock()
-	orders, verdict := a.holder.Report(m, body, time.Now())
-	term := a.holder.Term()
-	q := pendingReport{m.Session, m.Seq, make(chan []wire.Order, 1)}
-	if verdict >= shard.ReportChanged {
-		a.pendingReports[m.Host] = q // an older one of the machine is not waited for any more
+		return nil
 	}
-	a.mu.Unlock()
-	switch verdict {
+	r := sh.receive(m, body)
+	switch r.outcome {
 	case shard.NotHeld:
 		return nil
 	case shard.GrantExpired:
-		if m.Token > term {
-			a.node.elector.ObserveLeader("", m.Token)
+		if m.Token > r.term {
+			sh.node.elector.ObserveLeader("", m.Token)
 		}
 		return control.Later("the leader has not renewed this node's grant")
 	}
-	if verdict >= shard.ReportChanged {
+	orders := r.orders
+	if r.outcome >= shard.ReportChanged {
 		patience := answerPatience
-		if verdict == shard.LeaderRequired {
+		if r.outcome == shard.LeaderRequired {
 			patience = requiredAnswerPatience
 		}
-		told, ok := a.awaitAnswer(ctx, m.Host, q, patience)
+		leaderOrders, ok := sh.awaitAnswer(ctx, m.Host, r.pending, patience)
 		switch {
 		case ok:
-			orders = told
-		case verdict == shard.LeaderRequired:
+			orders = leaderOrders
+		case r.outcome == shard.LeaderRequired:
 			return control.Later("the leader has not been told of all tasks of the machine")
 		}
 	}
-	b, err := wire.Marshal(wire.Answer{Token: term, Orders: orders})
+	b, err := wire.Marshal(wire.Answer{Token: r.term, Orders: orders})
 	if err != nil {
 		return control.Later("the answer does not encode")
 	}
-	// As late as possible: the lock may have been waited for longer than the grant.
-	if !a.grantValid(term) {
+	// Checked as late as possible: the grant may have ended while the lock was waited for.
+	if !sh.grantValid(r.term) {
 		return control.Later("the leader has not renewed this node's grant")
 	}
 	return &rpc.Reply{Status: http.StatusOK, Body: b, Work: len(m.Tasks) > 0}
