--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -33,7 +33,7 @@
 	// Deposed is called with a later term that a worker has seen.
 	Deposed func(term uint64)
 	// Follow asks the leader of the home region from another region.
-	Follow Follow
+	Follow FollowFunc
 }
 
 // Controller answers for the cluster while its node leads.
--- a/internal/control/control_requests.go
+++ b/internal/control/control_requests.go
@@ -89,7 +89,7 @@
 	if err := wire.Unmarshal(q.Body, op); err != nil {
 		return nil, reply(http.StatusBadRequest, wire.Error{Error: "malformed request"})
 	}
-	operate := lt.homeQuotas.operate
+	operate := lt.homeQuotas.handleOperation
 	switch q.Kind {
 	case rpc.KindRollout:
 		operate = lt.rollouts.operate
