--- a/cmd/vetchstream/configuration.go
+++ b/cmd/vetchstream/configuration.go
@@ -114,7 +114,7 @@
 // configHistory prints the changes that are retained, the last one first.
 func (c *client) configHistory(cmd *cobra.Command) error {
 	var history struct {
-		Changes []dynconfig.PastSummary `codec:"changes" json:"changes"`
+		Changes []dynconfig.HistorySummary `codec:"changes" json:"changes"`
 	}
 	if err := c.call(cmd, http.MethodGet, configRoute+"/history", nil, &history); err != nil {
 		return err
@@ -184,7 +184,7 @@
 	for _, region := range slices.Sorted(maps.Keys(team.Regions)) {
 		part := team.Regions[region]
 		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\n", name, team.Revision, formatQuota(team.Limit), region,
-			formatQuota(part.Limit), formatQuota(part.Guarantee), formatQuota(part.Told), formatQuota(part.Held))
+			formatQuota(part.Limit), formatQuota(part.Guarantee), formatQuota(part.Granted), formatQuota(part.Held))
 	}
 }
 
@@ -203,13 +203,13 @@
 			if r.SilentS >= 0 {
 				lastContact = fmt.Sprintf("%.1f s ago", r.SilentS)
 			}
-			fmt.Fprintf(t, "%s\t%d\t%.0f s\t%d\t%s\t%d\n", r.Region, r.Revision, r.InForceS, r.Behind, lastContact, r.Waiting)
+			fmt.Fprintf(t, "%s\t%d\t%.0f s\t%d\t%s\t%d\n", r.Region, r.Revision, r.InForceS, r.Behind, lastContact, r.PendingCount)
 		}
 		_ = t.Flush()
 		for _, r := range s.Regions {
-			for _, wait := range r.Waits {
+			for _, wait := range r.Pending {
 				fmt.Fprintf(w, "%s of %s has %s, is to have %s, waits for %s\n", wait.Team, r.Region,
-					formatQuota(wait.Has), formatQuota(wait.Wants), strings.Join(wait.For, ", "))
+					formatQuota(wait.InForce), formatQuota(wait.Target), strings.Join(wait.BlockedBy, ", "))
 			}
 		}
 	})
--- a/cmd/vetchstream/demo.go
+++ b/cmd/vetchstream/demo.go
@@ -121,7 +121,7 @@
 	}()
 	begun := time.Now()
 	for {
-		all, up := c.World.Machines()
+		all, up := c.World.MachineCounts()
 		fmt.Fprintf(w, "%4.0f s  clients: %s  machines: %d up, %d booting  tasks started: %d\n",
 			time.Since(begun).Seconds(), server, up, all-up, c.World.Starts())
 		select {
--- a/cmd/vetchstream/emulate.go
+++ b/cmd/vetchstream/emulate.go
@@ -32,7 +32,7 @@
 	const defaultMachines = 24
 	flags := cmd.Flags()
 	flags.IntVar(&e.options.Nodes, "nodes", nodes, "number of controllers, 1 to 9")
-	flags.IntVar(&e.options.Machines, "machines", defaultMachines, "machines that the emulated cloud has, 1 to 1000")
+	flags.IntVar(&e.options.MaxMachines, "machines", defaultMachines, "machines that the emulated cloud has, 1 to 1000")
 	flags.StringVar(&e.options.Listen, "listen", "127.0.0.1:8080", "loopback address of the first controller; the others follow on the next ports")
 	flags.StringVar(&e.troubles, "troubles", "", "what goes wrong when (JSON list, see docs/operations.md)")
 	flags.DurationVar(&e.duration, "for", 0, "end after that long; 0: on ctrl-C")
@@ -47,11 +47,11 @@
 	if err != nil {
 		return fmt.Errorf("troubles: %w", err)
 	}
-	troubles, err := emulate.ParseTroubles(b)
+	troubles, err := emulate.ParseFaults(b)
 	if err != nil {
 		return err
 	}
-	cluster.Play(ctx, troubles)
+	cluster.InjectFaults(ctx, troubles)
 	return nil
 }
 
--- a/cmd/vetchstream/scale.go
+++ b/cmd/vetchstream/scale.go
@@ -50,7 +50,7 @@
 	flags.IntVar(&s.options.Controllers, "controllers", scale.PlannedControllers, "number of controllers in all regions together")
 	flags.Float64Var(&s.options.StartsPerS, "starts", 0, "task starts a second that users ask for; 0: as planned, times the factor")
 	flags.DurationVar(&s.options.Duration, "duration", time.Minute, "how long the load lasts")
-	flags.Float64Var(&s.options.Changes, "changes", 60, "changes of teams' quotas a minute; the plan has 7 as a mean and 500 in a burst")
+	flags.Float64Var(&s.options.ChangesPerMinute, "changes", 60, "changes of teams' quotas a minute; the plan has 7 as a mean and 500 in a burst")
 	flags.Uint64Var(&s.options.Seed, "seed", 1, "draws the jobs and what troubles hit")
 	flags.StringVar(&s.troubles, "troubles", "", "what goes wrong when (JSON list, see docs/CAPACITY.md)")
 	flags.StringVar(&s.output, "output", outputTable, outputUsage)
@@ -66,7 +66,7 @@
 		if err != nil {
 			return fmt.Errorf("--troubles: %w", err)
 		}
-		if s.options.Troubles, err = scale.ParseTroubles(b); err != nil {
+		if s.options.Faults, err = scale.ParseFaults(b); err != nil {
 			return err
 		}
 	}
--- a/internal/node/bounded_listener.go
+++ b/internal/node/bounded_listener.go
@@ -24,7 +24,7 @@
 // twice, because as many idle connections are kept for the next ones.
 func inboundLimit(settings *config.Settings) int {
 	sockets := settings.Facts.Resources.MaxSockets
-	return max(minInbound, sockets-2*control.DirectCalls(sockets)-outgoingSockets)
+	return max(minInbound, sockets-2*control.MaxDirectCalls(sockets)-outgoingSockets)
 }
 
 // boundedListener limits the number of connections that are open at a time. At the
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -67,7 +67,7 @@
 	controller  *control.Controller
 	mesh        *rpc.Mesh    // connections to the siblings
 	home        *homeRegion  // nil: no regions are named, or this is the home region
-	shareHolder *shareHolder // nil: the leader deals with all machines
+	shardHolder *shardHolder // nil: the leader deals with all machines
 	route       admissionRoute
 	delay       delayMonitor
 	transfer    transferPolicy
@@ -129,7 +129,7 @@
 		}
 	}
 	if tuning.Sharding.Enabled && len(settings.Siblings) > 0 {
-		n.shareHolder = newShareHolder(n, network.Dial)
+		n.shardHolder = newShardHolder(n, network.Dial)
 	}
 	n.transfer.overloadTime = config.Seconds(tuning.TransferAfterS)
 	return n, nil
@@ -139,16 +139,16 @@
 // elector and the home region, which are built after it, through the node.
 func (n *Node) newController(network Network) *control.Controller {
 	return control.New(control.Deps{
-		Settings: n.settings,
-		Tuning:   n.tuning,
-		State:    state.New(n.settings.External.State, network.Dial, control.StateBudget(n.settings, false)),
-		Cloud:    autoscale.NewCloud(n.settings.External.Cloud, network.Dial, n.settings.Facts.Cloud.RPS),
-		Dial:     network.Dial,
-		Log:      n.log,
-		Meter:    n.meter,
-		Entitled: func(term uint64) bool { return n.elector.Entitled(term) },
-		Left:     func(term uint64) time.Duration { return n.elector.Left(term) },
-		Deposed:  func(term uint64) { n.elector.ObserveLeader("", term) },
+		Settings:  n.settings,
+		Tuning:    n.tuning,
+		State:     state.New(n.settings.External.State, network.Dial, control.StateBudget(n.settings, false)),
+		Cloud:     autoscale.NewCloud(n.settings.External.Cloud, network.Dial, n.settings.Facts.Cloud.RPS),
+		Dial:      network.Dial,
+		Log:       n.log,
+		Meter:     n.meter,
+		Entitled:  func(term uint64) bool { return n.elector.Entitled(term) },
+		Remaining: func(term uint64) time.Duration { return n.elector.Left(term) },
+		Deposed:   func(term uint64) { n.elector.ObserveLeader("", term) },
 		Follow: func(ctx context.Context, request *dynconfig.Request) (*dynconfig.Reply, error) {
 			return n.home.follow(ctx, request)
 		},
@@ -243,8 +243,8 @@
 	if n.tuning.TransferAfterS > 0 {
 		tasks.Go(func() { n.watchTransfer(ctx) })
 	}
-	if n.shareHolder != nil {
-		tasks.Go(func() { n.shareHolder.run(ctx) })
+	if n.shardHolder != nil {
+		tasks.Go(func() { n.shardHolder.run(ctx) })
 	}
 	tasks.Go(func() { n.mesh.PingSiblings(ctx, n.observeSibling) })
 }
--- a/internal/node/node_requests.go
+++ b/internal/node/node_requests.go
@@ -102,7 +102,7 @@
 // cannot be reached has expired. The next leader takes a moment more, but a user who
 // comes a little early loses nothing by it.
 func (n *Node) noLeaderReply() *rpc.Reply {
-	reply := control.Later("no leader is to be reached")
+	reply := control.Unavailable("no leader is to be reached")
 	reply.RetryAfter = max(reply.RetryAfter, int(n.elector.LeaderLeaseLeft()/time.Second))
 	return reply
 }
@@ -110,10 +110,10 @@
 // Heartbeat implements api.Backend: a worker is answered by the leader, or by the
 // controller that its machine is assigned to. It returns nil if this node is neither.
 func (n *Node) Heartbeat(ctx context.Context, q *rpc.Request) *rpc.Reply {
-	if reply := n.controller.Answer(ctx, q); reply != nil || n.shareHolder == nil {
+	if reply := n.controller.Answer(ctx, q); reply != nil || n.shardHolder == nil {
 		return reply
 	}
-	return n.shareHolder.report(ctx, q.Body)
+	return n.shardHolder.handleHeartbeat(ctx, q.Body)
 }
 
 // ForwardHeartbeat implements api.Backend. If the leader does not answer, the reply is
@@ -123,7 +123,7 @@
 	forwarded.ForwardedBy = n.settings.Member
 	reply, err := n.mesh.Forward(ctx, n.Leader(), &forwarded)
 	if err != nil {
-		return control.Later("the leader is not to be reached")
+		return control.Unavailable("the leader is not to be reached")
 	}
 	return reply
 }
@@ -144,7 +144,7 @@
 	if reply := n.controller.Answer(ctx, q); reply != nil {
 		return reply
 	}
-	return control.Later("not the leader")
+	return control.Unavailable("not the leader")
 }
 
 // Promise implements rpc.Handler.
@@ -154,7 +154,7 @@
 
 // FollowConfig implements rpc.Handler: only a leader of the home region answers.
 func (n *Node) FollowConfig(ctx context.Context, q *dynconfig.Request) *dynconfig.Reply {
-	return n.controller.FollowHome(ctx, q)
+	return n.controller.HandleFollow(ctx, q)
 }
 
 // SyncShard implements rpc.Handler: only a leader assigns machines.
