--- a/cmd/vetchstream/scale_test.go
+++ b/cmd/vetchstream/scale_test.go
@@ -12,8 +12,8 @@
 	"vetchstream/internal/scale"
 )
 
-// childVariable makes the tests' program run as the command, for the controllers that a
-// scale run starts.
+// childVariable is an environment variable that makes the test binary run as the command,
+// for the controllers that a scale run starts.
 const childVariable = "VETCHSTREAM_TEST_CHILD"
 
 func TestMain(m *testing.M) {
@@ -23,48 +23,58 @@
 	os.Exit(m.Run())
 }
 
-// TestScale: a small run of five regions and eleven controllers ends by itself, tells what
-// it has measured, and leaves nothing behind. It takes its twenty seconds for real.
+// scaleTroubles cut a region off and kill a controller.
+const scaleTroubles = `[{"kind":"regions_cut","at_s":5,"for_s":3,"region":"region-1"},
+	{"kind":"controller_killed","at_s":9,"for_s":2,"region":"region-0"}]`
+
+// TestScale: a small run of five regions and eleven controllers ends by itself, reports
+// what it has measured, and leaves no files. It takes twenty seconds of real time.
 func TestScale(t *testing.T) {
 	t.Setenv(childVariable, "1")
 	t.Setenv("LOG_LEVEL", "error")
 	dir := t.TempDir()
 	t.Setenv("TMPDIR", dir)
 	troubles := filepath.Join(dir, "troubles.json")
-	if err := os.WriteFile(troubles, []byte(`[{"kind":"regions_cut","at_s":5,"for_s":3,"region":"region-1"},{"kind":"controller_killed","at_s":9,"for_s":2,"region":"region-0"}]`), 0o600); err != nil {
+	if err := os.WriteFile(troubles, []byte(scaleTroubles), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	var out bytes.Buffer
+	var out, errs bytes.Buffer
 	root := rootCommand(time.Sleep)
 	root.SetOut(&out)
 	root.SetArgs([]string{"scale", "--factor", "0.02", "--duration", "20s", "--output", "json", "--troubles", troubles})
-	var errs strings.Builder
-	if code := run(root, &errs); code != 0 {
+	if code := run(root, &errs); code != exitOK {
 		t.Fatalf("exit %d: %s", code, errs.String())
 	}
-	var p scale.Report
-	if err := json.Unmarshal(out.Bytes(), &p); err != nil {
+	var report scale.Report
+	if err := json.Unmarshal(out.Bytes(), &report); err != nil {
 		t.Fatal(err)
 	}
-	if p.Workers < 88 || p.Workers > 96 || len(p.Regions) != 5 || p.Controllers != 11 {
-		t.Errorf("%d workers, %d regions, %d controllers", p.Workers, len(p.Regions), p.Controllers)
+	checkScaleReport(t, &report)
+	if left, _ := filepath.Glob(filepath.Join(dir, "vetchstream-scale-*")); len(left) > 0 {
+		t.Errorf("left behind: %v", left)
 	}
-	if p.Starts == 0 || p.Worker.Sent <= 0 || p.Configuration.Changes == 0 {
-		t.Errorf("%d starts, %v bytes a second, %d changes", p.Starts, p.Worker.Sent, p.Configuration.Changes)
+}
+
+// checkScaleReport checks the size of a run, that it measured something, that no rule was
+// broken, and that no controller has ended by itself.
+func checkScaleReport(t *testing.T, report *scale.Report) {
+	t.Helper()
+	if report.Workers < 88 || report.Workers > 96 || len(report.Regions) != 5 || report.Controllers != 11 {
+		t.Errorf("%d workers, %d regions, %d controllers", report.Workers, len(report.Regions), report.Controllers)
 	}
-	if len(p.RulesBroken) > 0 {
-		t.Error(p.RulesBroken)
+	if report.Starts == 0 || report.Worker.Sent <= 0 || report.Configuration.Changes == 0 {
+		t.Errorf("%d starts, %v bytes a second, %d changes", report.Starts, report.Worker.Sent, report.Configuration.Changes)
 	}
-	for _, g := range p.Regions {
-		for _, c := range g.Controllers {
-			if c.Ends > 0 {
-				t.Errorf("%s ended by itself", c.Member)
+	if len(report.RulesBroken) > 0 {
+		t.Error(report.RulesBroken)
+	}
+	for _, region := range report.Regions {
+		for _, controller := range region.Controllers {
+			if controller.Ends > 0 {
+				t.Errorf("%s ended by itself", controller.Member)
 			}
 		}
 	}
-	if left, _ := filepath.Glob(filepath.Join(dir, "vetchstream-scale-*")); len(left) > 0 {
-		t.Errorf("left behind: %v", left)
-	}
 }
 
 // TestScaleFlags: a flag that cannot be used is named in one line.
@@ -89,7 +99,7 @@
 		root.SetArgs(append([]string{"scale"}, tt.args...))
 		var errs strings.Builder
 		code := run(root, &errs)
-		if code != 2 || strings.Count(errs.String(), "\n") != 1 || !strings.Contains(errs.String(), tt.want) {
+		if code != exitUsage || strings.Count(errs.String(), "\n") != 1 || !strings.Contains(errs.String(), tt.want) {
 			t.Errorf("%v: exit %d, %q", tt.args, code, errs.String())
 		}
 	}
--- a/internal/rpc/fixtures_test.go
+++ b/internal/rpc/fixtures_test.go
@@ -24,25 +24,25 @@
 
 func TestWireFixtures(t *testing.T) { fixture.Check(t, wireFixtures) }
 
-// answering is a Handler that records the request it was given and answers with
+// recordingHandler is a Handler that records the request it was given and answers with
 // filled values.
-type answering struct{ got any }
+type recordingHandler struct{ request any }
 
-func (a *answering) NodeStatus() NodeStatus { return *fixture.Filled[NodeStatus]() }
-func (a *answering) HandleForwarded(_ context.Context, r *Request) *Reply {
-	a.got = r
+func (h *recordingHandler) NodeStatus() NodeStatus { return *fixture.Filled[NodeStatus]() }
+func (h *recordingHandler) HandleForwarded(_ context.Context, r *Request) *Reply {
+	h.request = r
 	return fixture.Filled[Reply]()
 }
-func (a *answering) SyncShard(_ context.Context, r *shard.Request) *shard.Reply {
-	a.got = r
+func (h *recordingHandler) SyncShard(_ context.Context, r *shard.Request) *shard.Reply {
+	h.request = r
 	return fixture.Filled[shard.Reply]()
 }
-func (a *answering) FollowConfig(_ context.Context, r *dynconfig.Request) *dynconfig.Reply {
-	a.got = r
+func (h *recordingHandler) FollowConfig(_ context.Context, r *dynconfig.Request) *dynconfig.Reply {
+	h.request = r
 	return fixture.Filled[dynconfig.Reply]()
 }
-func (a *answering) Promise(_ context.Context, r *PromiseRequest) *Promise {
-	a.got = r
+func (h *recordingHandler) Promise(_ context.Context, r *PromiseRequest) *Promise {
+	h.request = r
 	return fixture.Filled[Promise]()
 }
 
@@ -80,15 +80,15 @@
 					t.Fatal(err)
 				}
 			}
-			h := &answering{}
+			h := &recordingHandler{}
 			wireCodec := codec{}
 			dec := func(v any) error { return wireCodec.Unmarshal(body, v) }
 			res, err := m.Handler(h, context.Background(), dec, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if !reflect.DeepEqual(h.got, row.want) {
-				t.Fatalf("handler got %#v, want %#v", h.got, row.want)
+			if !reflect.DeepEqual(h.request, row.want) {
+				t.Fatalf("handler got %#v, want %#v", h.request, row.want)
 			}
 			b, err := wireCodec.Marshal(res)
 			if err != nil {
--- a/internal/wire/worker.go
+++ b/internal/wire/worker.go
@@ -8,7 +8,7 @@
 	TaskFetching      TaskPhase = "pulling" // the machine fetches the task's image
 	TaskWaiting       TaskPhase = "waiting" // a gang's task, until all tasks of the gang are ready
 	TaskRunning       TaskPhase = "running"
-	TaskCheckpointing TaskPhase = "saving" // told to stop, writes a checkpoint
+	TaskCheckpointing TaskPhase = "saving" // stopped by a command, writes a checkpoint
 	TaskExited        TaskPhase = "exited" // over; TaskStatus.Cause says why
 )
 
