--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -95,7 +95,8 @@
 	server := n.newServer(users)
 	var tasks sync.WaitGroup
 	n.startLoops(ctx, &tasks, l.metrics)
-	n.startServers(ctx, &tasks, stop, l.peer, server, users)
+	tasks.Go(func() { n.servePeers(ctx, l.peer, stop) })
+	tasks.Go(func() { serveHTTP(server, users, stop) })
 	for _, warning := range settings.Warnings() {
 		n.log.Warn("settings: " + warning)
 	}
@@ -249,19 +250,18 @@
 	tasks.Go(func() { n.mesh.PingSiblings(ctx, n.observeSibling) })
 }
 
-// startServers starts to answer siblings, users and workers. A server that fails calls
-// stop with its error.
-func (n *Node) startServers(ctx context.Context, tasks *sync.WaitGroup, stop context.CancelCauseFunc, peers net.Listener, server *http.Server, users net.Listener) {
-	tasks.Go(func() {
-		if err := rpc.Serve(ctx, peers, n); err != nil {
-			stop(err)
-		}
-	})
-	tasks.Go(func() {
-		if err := server.Serve(users); err != nil && !errors.Is(err, http.ErrServerClosed) {
-			stop(fmt.Errorf("listen: %w", err))
-		}
-	})
+// servePeers answers siblings, and the leaders of other regions, until the context ends.
+func (n *Node) servePeers(ctx context.Context, l net.Listener, stop context.CancelCauseFunc) {
+	if err := rpc.Serve(ctx, l, n); err != nil {
+		stop(err)
+	}
+}
+
+// serveHTTP answers users and workers until the server is closed.
+func serveHTTP(server *http.Server, l net.Listener, stop context.CancelCauseFunc) {
+	if err := server.Serve(l); err != nil && !errors.Is(err, http.ErrServerClosed) {
+		stop(fmt.Errorf("listen: %w", err))
+	}
 }
 
 // observeSibling takes in a sibling's answer to a ping.
