--- a/internal/control/admission.go
+++ b/internal/control/admission.go
@@ -39,16 +39,16 @@
 
 // pendingSubmission is a submission that is not durable yet, and who waits for it.
 type pendingSubmission struct {
-	rec   *job.Record
-	backs []func(*rpc.Reply)
+	rec       *job.Record
+	callbacks []func(*rpc.Reply)
 }
 
-// tell answers those who wait. Whoever comes later is answered later.
-func (in *pendingSubmission) tell(p *rpc.Reply) {
-	for _, back := range in.backs {
+// answer answers those who wait. Whoever comes later is answered later.
+func (in *pendingSubmission) answer(p *rpc.Reply) {
+	for _, back := range in.callbacks {
 		back(p)
 	}
-	in.backs = nil
+	in.callbacks = nil
 }
 
 // newAdmission sizes the queue by what can be stored while its users wait, and by
@@ -59,10 +59,10 @@
 		most: max(8, min(int(backlog), sockets/2))}
 }
 
-// follow takes in jobs that other nodes have admitted while they could not reach
+// watchActiveJobs takes in jobs that other nodes have admitted while they could not reach
 // the leader.
-func (ad *admission) follow(epoch uint64) {
-	take := func(key string) { ad.ahead(func() { ad.admitted(key[len(job.ActivePrefix):]) }) }
+func (ad *admission) watchActiveJobs(epoch uint64) {
+	take := func(key string) { ad.ahead(func() { ad.takeIn(key[len(job.ActivePrefix):]) }) }
 	listed := time.Now()
 	for ad.ctx.Err() == nil {
 		events, next, err := ad.c.State.Watch(ad.ctx, job.ActivePrefix, epoch, 10*time.Second)
@@ -95,8 +95,8 @@
 // event was lost would be known to its users and to nobody else.
 const auditEvery = time.Minute
 
-// arriving reports whether a submission of the team is not durable yet.
-func (ad *admission) arriving(team string) bool {
+// hasPending reports whether a submission of the team is not durable yet.
+func (ad *admission) hasPending(team string) bool {
 	for _, in := range ad.pending {
 		if in.rec.Spec.Team == team {
 			return true
@@ -105,19 +105,19 @@
 	return false
 }
 
-// has reports whether a job is known here, over, being stored or being read.
-func (ad *admission) has(id string) bool {
+// knows reports whether a job is known here, over, being stored or being read.
+func (ad *admission) knows(id string) bool {
 	return ad.completions.over(id) || ad.pending[id] != nil || ad.jobTable.get(id) != nil
 }
 
-// admitted takes in a job whose record this term may not have made itself.
-func (ad *admission) admitted(id string) {
+// takeIn takes in a job whose record this term may not have made itself.
+func (ad *admission) takeIn(id string) {
 	if ad.admissionGroups.has(id) {
 		// Admitted by another node as well: one record is enough.
-		ad.results.drop(job.ActivePrefix + id)
+		ad.results.deleteLater(job.ActivePrefix + id)
 		return
 	}
-	if ad.has(id) {
+	if ad.knows(id) {
 		return
 	}
 	// The event may be old: a job that is over by now is under its final key.
@@ -133,7 +133,7 @@
 			}
 			if now != nil && now.Phase == "" {
 				ad.ahead(func() {
-					if !ad.has(id) {
+					if !ad.knows(id) {
 						ad.jobTable.add(now, v, time.Now())
 					}
 				})
@@ -201,11 +201,11 @@
 			return
 		}
 		if in := ad.pending[id]; in != nil {
-			if len(in.backs) >= mostBacks {
+			if len(in.callbacks) >= mostBacks {
 				back(settled(Later("submission is being stored")))
 				return
 			}
-			in.backs = append(in.backs, back)
+			in.callbacks = append(in.callbacks, back)
 			return
 		}
 	}
@@ -227,7 +227,7 @@
 		ad.completions.readBack(id, p, recorded, back)
 		return
 	}
-	if ad.admissionGroups.doubtful() {
+	if ad.admissionGroups.hasUnreadable() {
 		ad.completions.readBack(id, Later("a record cannot be read"), recorded, back)
 		return
 	}
@@ -237,7 +237,7 @@
 		back(busy(ad.retryPacer.retryAfter(now)))
 		return
 	}
-	in := &pendingSubmission{rec: &job.Record{Spec: *spec, At: now.UnixMilli()}, backs: []func(*rpc.Reply){back}}
+	in := &pendingSubmission{rec: &job.Record{Spec: *spec, At: now.UnixMilli()}, callbacks: []func(*rpc.Reply){back}}
 	ad.pending[id] = in
 	ad.queue = append(ad.queue, in)
 }
@@ -258,13 +258,13 @@
 
 // together is how many jobs one transaction may take in: each has two conditions,
 // and a transaction may have four times as many conditions as writes.
-func (ad *admission) together() int { return max(1, (4*ad.recordWriter.size()-2)/2) }
+func (ad *admission) together() int { return max(1, (4*ad.recordWriter.maxWrites()-2)/2) }
 
-// flush stores what has arrived, as much together as fits. Beyond their share
+// storeQueued stores what has arrived, as much together as fits. Beyond their share
 // submissions get what nobody else needs of the budget.
-func (ad *admission) flush(now time.Time) {
+func (ad *admission) storeQueued(now time.Time) {
 	for len(ad.queue) > 0 && ad.flying < mostFlying {
-		if !ad.c.State.Idle(ad.recordWriter.size()) && !ad.limit.AllowN(now, 1) {
+		if !ad.c.State.Idle(ad.recordWriter.maxWrites()) && !ad.limit.AllowN(now, 1) {
 			return
 		}
 		n, bytes := 0, 0
@@ -297,8 +297,8 @@
 // with its end in it.
 func recordSize(encoded []byte) int { return len(encoded)*5/4 + 40 }
 
-// refuse turns away what waits, when this node may not act.
-func (ad *admission) refuse() {
+// refuseQueued turns away what waits, when this node may not act.
+func (ad *admission) refuseQueued() {
 	for _, in := range ad.queue {
 		ad.done(in, Later("leadership is not certain"))
 	}
@@ -308,7 +308,7 @@
 // done answers all who wait for a submission, for good.
 func (ad *admission) done(in *pendingSubmission, p *rpc.Reply) {
 	delete(ad.pending, in.rec.Spec.ID)
-	in.tell(p)
+	in.answer(p)
 }
 
 // storeRetryPause is the wait before admission tries the state service again:
@@ -333,7 +333,7 @@
 			return
 		}
 		txn.If = append(txn.If, ad.fence)
-		version, err := ad.c.State.CommitOnce(ad.ctx, txn)
+		version, err := ad.c.State.CommitHedged(ad.ctx, txn)
 		var conflict *state.ConflictError
 		switch {
 		case err == nil:
@@ -355,7 +355,7 @@
 		case errors.Is(err, state.ErrRejected) && !unclear:
 			// Too large, it may be: once more in smaller groups, but not alone.
 			ad.ahead(func() {
-				ad.recordWriter.smaller(err)
+				ad.recordWriter.shrinkIfRejected(err)
 				for _, x := range in {
 					if len(in) == 1 {
 						ad.done(x, Later("state service rejects the submission"))
@@ -369,7 +369,7 @@
 			unclear = true
 			ad.ahead(func() {
 				for _, x := range in {
-					x.tell(Later("submission is not settled yet"))
+					x.answer(Later("submission is not settled yet"))
 				}
 			})
 			ad.pause(storeRetryPause)
@@ -490,11 +490,11 @@
 			g.Jobs = append(g.Jobs, *x.rec)
 		}
 		put, err = state.Put(key, g)
-		txn.If = append(txn.If, state.Cond{Key: key})
+		txn.If = append(txn.If, state.Condition{Key: key})
 	}
 	for _, x := range in {
 		id := x.rec.Spec.ID
-		txn.If = append(txn.If, state.Cond{Key: job.ActivePrefix + id}, state.Cond{Key: job.FinalPrefix + id})
+		txn.If = append(txn.If, state.Condition{Key: job.ActivePrefix + id}, state.Condition{Key: job.FinalPrefix + id})
 	}
 	txn.Writes = []state.Write{put}
 	return txn, err
--- a/internal/control/admission_group_reader.go
+++ b/internal/control/admission_group_reader.go
@@ -138,11 +138,11 @@
 	return jobs, err
 }
 
-// Admit takes in a submission on a node that neither leads nor reaches the
+// AdmitWithoutLeader takes in a submission on a node that neither leads nor reaches the
 // leader, through the state service alone. The job's record is all that an
 // acceptance needs; the leader learns of it from a watch, the next one when it
 // loads. It is written without the term: nothing of it is decided here.
-func (c *Controller) Admit(ctx context.Context, body []byte) *rpc.Reply {
+func (c *Controller) AdmitWithoutLeader(ctx context.Context, body []byte) *rpc.Reply {
 	id, spec, invalid := submission(body)
 	refusal, unchanged, err := c.admissionCheck(ctx, spec, invalid)
 	if err != nil {
@@ -151,7 +151,7 @@
 	if refusal != nil {
 		return c.refuseUnlessRecorded(ctx, id, refusal)
 	}
-	return c.admitWithoutLeader(ctx, id, spec, unchanged)
+	return c.commitWithoutLeader(ctx, id, spec, unchanged)
 }
 
 // noLeader tells the client to come back when no leader is to be reached.
@@ -159,7 +159,7 @@
 
 // admissionCheck is the refusal of a submission, or nil, with the conditions on
 // the state service that the decision rests on; err: they could not be read.
-func (c *Controller) admissionCheck(ctx context.Context, spec *job.Spec, invalid error) (refusal *rpc.Reply, unchanged []state.Cond, err error) {
+func (c *Controller) admissionCheck(ctx context.Context, spec *job.Spec, invalid error) (refusal *rpc.Reply, unchanged []state.Condition, err error) {
 	if invalid != nil {
 		return reply(http.StatusBadRequest, wire.Error{Error: invalid.Error()}), nil, nil
 	}
@@ -189,9 +189,9 @@
 	return refusal
 }
 
-// admitWithoutLeader commits the record of a job that passed the checks, on the
+// commitWithoutLeader commits the record of a job that passed the checks, on the
 // condition that what the checks read is unchanged.
-func (c *Controller) admitWithoutLeader(ctx context.Context, id string, spec *job.Spec, unchanged []state.Cond) *rpc.Reply {
+func (c *Controller) commitWithoutLeader(ctx context.Context, id string, spec *job.Spec, unchanged []state.Condition) *rpc.Reply {
 	// The commit itself tells whether the job has a record of its own.
 	switch rec, err := c.groups.find(ctx, id); {
 	case err != nil:
@@ -207,10 +207,10 @@
 	txn.If = append(txn.If, unchanged...)
 	// What does not fit the budget now is refused at once: waiting would hold up
 	// every later request of this node.
-	if c.State.Spare() < 1 {
+	if c.State.SpareWrites() < 1 {
 		return noLeader()
 	}
-	_, err = c.State.CommitOnce(ctx, txn)
+	_, err = c.State.CommitHedged(ctx, txn)
 	switch {
 	case errors.Is(err, state.ErrConflict):
 		if rec, err := c.find(ctx, id); err == nil && rec != nil {
@@ -226,9 +226,9 @@
 	return reply(http.StatusCreated, recordStatus(rec))
 }
 
-// Direct answers a status request from the state service, for a node that
+// StatusWithoutLeader answers a status request from the state service, for a node that
 // neither leads nor reaches the leader.
-func (c *Controller) Direct(ctx context.Context, id string) *rpc.Reply {
+func (c *Controller) StatusWithoutLeader(ctx context.Context, id string) *rpc.Reply {
 	rec, err := c.find(ctx, id)
 	switch {
 	case err != nil:
--- a/internal/control/admission_groups.go
+++ b/internal/control/admission_groups.go
@@ -61,8 +61,8 @@
 	gs.byJob, gs.open, gs.doubt = map[string]*group{}, map[*group]bool{}, false
 }
 
-// doubtful reports whether a job that is not known may be in a record that cannot be read.
-func (gs *admissionGroups) doubtful() bool { return gs.doubt }
+// hasUnreadable reports whether a job that is not known may be in a record that cannot be read.
+func (gs *admissionGroups) hasUnreadable() bool { return gs.doubt }
 
 // name makes a key that no other term can make.
 func (gs *admissionGroups) name() string {
@@ -94,17 +94,17 @@
 	return &g.jobs[i]
 }
 
-// end stores the end of a job of a group; then is called once it is durable. A
+// recordEnd stores the end of a job of a group; then is called once it is durable. A
 // user waits for the end of a cancelled job; the others take turns, and what
 // comes meanwhile goes with them.
-func (gs *admissionGroups) end(rec *job.Record, then func()) {
+func (gs *admissionGroups) recordEnd(rec *job.Record, then func()) {
 	g := gs.byJob[rec.Spec.ID]
 	g.ends = append(g.ends, ending{rec, then})
 	gs.open[g] = true
 }
 
-// step stores ends and moves what is over, for each group that has any.
-func (gs *admissionGroups) step(now time.Time) {
+// storeAndCompact stores ends and moves what is over, for each group that has any.
+func (gs *admissionGroups) storeAndCompact(now time.Time) {
 	for g := range gs.open {
 		switch {
 		case g.writing:
@@ -112,7 +112,7 @@
 			gs.store(g)
 		case len(g.ends) > 0:
 			gs.await(g)
-		case !gs.moving && gs.c.State.Idle(gs.recordWriter.size()) && !now.Before(g.restAt):
+		case !gs.moving && gs.c.State.Idle(gs.recordWriter.maxWrites()) && !now.Before(g.restAt):
 			gs.move(g)
 		}
 	}
@@ -165,12 +165,12 @@
 // move takes entries that are over out of a group, each to its own final key, in
 // one transaction: a crash at any step leaves an entry in one of the two places.
 func (gs *admissionGroups) move(g *group) {
-	var conds []state.Cond
+	var conds []state.Condition
 	var writes []state.Write
 	var left []job.Record
 	for i := range g.jobs {
 		rec := &g.jobs[i]
-		if rec.Phase == "" || len(writes)+2 > gs.recordWriter.size() {
+		if rec.Phase == "" || len(writes)+2 > gs.recordWriter.maxWrites() {
 			left = append(left, *rec)
 			continue
 		}
@@ -182,7 +182,7 @@
 		}
 		// Another node that reached no leader may have admitted the job once more, by
 		// itself. That record has to go first, or it would be a new job afterwards.
-		conds = append(conds, state.Cond{Key: job.ActivePrefix + rec.Spec.ID})
+		conds = append(conds, state.Condition{Key: job.ActivePrefix + rec.Spec.ID})
 		writes = append(writes, put)
 	}
 	if len(writes) == 0 {
@@ -215,11 +215,11 @@
 // transaction of a group is under way at a time, and only an entitled leader
 // writes groups: a version that has moved on is the work of an unclear try of
 // this very transaction.
-func (gs *admissionGroups) commit(g *group, conds []state.Cond, writes []state.Write, then func()) {
+func (gs *admissionGroups) commit(g *group, conds []state.Condition, writes []state.Write, then func()) {
 	g.writing = true
 	was := g.version
 	gone := writes[len(writes)-1].Delete != ""
-	txn := state.Txn{If: append([]state.Cond{gs.fence, {Key: g.key, Version: was}}, conds...), Writes: writes}
+	txn := state.Txn{If: append([]state.Condition{gs.fence, {Key: g.key, Version: was}}, conds...), Writes: writes}
 	done := func(version uint64) {
 		gs.ahead(func() {
 			g.writing, g.version = false, version
@@ -256,7 +256,7 @@
 					gs.ahead(func() {
 						for _, c := range conds {
 							if slices.Contains(conflict.Failed, c.Key) {
-								gs.results.drop(c.Key)
+								gs.results.deleteLater(c.Key)
 							}
 						}
 						again()
@@ -264,7 +264,7 @@
 					return
 				}
 			case errors.Is(err, state.ErrRejected):
-				gs.ahead(func() { gs.recordWriter.smaller(err) })
+				gs.ahead(func() { gs.recordWriter.shrinkIfRejected(err) })
 				if len(conds) > 0 && !unclear {
 					gs.ahead(again)
 					return
--- a/internal/control/admission_groups_test.go
+++ b/internal/control/admission_groups_test.go
@@ -300,7 +300,7 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		c.Lead(ctx, election.Term{Term: term, TermVersion: version, Since: time.Now()})
+		c.Lead(ctx, election.Term{Number: term, TermVersion: version, Since: time.Now()})
 	}()
 	st.stop = sync.OnceFunc(func() { cancel(); <-ended })
 	t.Cleanup(st.stop)
@@ -432,7 +432,7 @@
 		s.will("j", unheard)
 		go st.ask(rpc.KindSubmit, "", body("run-1", nil))
 		time.Sleep(50 * time.Millisecond)
-		if p := st.Direct(context.Background(), "run-1"); p.Status != 200 {
+		if p := st.StatusWithoutLeader(context.Background(), "run-1"); p.Status != 200 {
 			t.Errorf("another node says %d", p.Status)
 		}
 		if p := st.ask(rpc.KindStatus, "run-1", nil); p.Status != 200 && p.Status != 503 {
@@ -446,10 +446,10 @@
 	{"admitted by another node, its answer lost, and asked again at the leader", func(t *testing.T, s *stateService) {
 		st := sit(t, s, 1)
 		s.will("j", unheard)
-		if p := st.Admit(context.Background(), body("run-1", nil)); p.Status != 503 {
+		if p := st.AdmitWithoutLeader(context.Background(), body("run-1", nil)); p.Status != 503 {
 			t.Errorf("not settled: %d", p.Status)
 		}
-		for i, ask := range []func() int{func() int { return st.Admit(context.Background(), body("run-1", nil)).Status }, func() int { return st.submit(body("run-1", nil))[0] }} {
+		for i, ask := range []func() int{func() int { return st.AdmitWithoutLeader(context.Background(), body("run-1", nil)).Status }, func() int { return st.submit(body("run-1", nil))[0] }} {
 			if status := ask(); status != 200 {
 				t.Errorf("try %d: %d", i, status)
 			}
@@ -461,7 +461,7 @@
 	{"jobs that another node has admitted do not keep out the others", func(t *testing.T, s *stateService) {
 		st := sit(t, s, 1)
 		for _, b := range swarm(15, 3) {
-			if p := st.Admit(context.Background(), b); p.Status != 201 {
+			if p := st.AdmitWithoutLeader(context.Background(), b); p.Status != 201 {
 				t.Fatalf("admitted: %d", p.Status)
 			}
 		}
@@ -475,7 +475,7 @@
 		var wg sync.WaitGroup
 		wg.Go(func() { st.submit(swarm(0, 40)...) })
 		for _, b := range swarm(0, 20) {
-			wg.Go(func() { st.Admit(context.Background(), b) })
+			wg.Go(func() { st.AdmitWithoutLeader(context.Background(), b) })
 		}
 		wg.Wait()
 		time.Sleep(3 * time.Second)
@@ -523,7 +523,7 @@
 			go st.ask(rpc.KindAbort, id, nil)
 			time.Sleep(100 * time.Millisecond)
 			var told wire.Status
-			if p := st.Direct(context.Background(), id); wire.Unmarshal(p.Body, &told) != nil || told.Phase != wire.JobAborted {
+			if p := st.StatusWithoutLeader(context.Background(), id); wire.Unmarshal(p.Body, &told) != nil || told.Phase != wire.JobAborted {
 				continue // its commit waits for others
 			}
 			if got := st.phase(id); got != wire.JobAborted {
@@ -553,7 +553,7 @@
 				if i == 60 {
 					want = 404
 				}
-				if p := st.Direct(context.Background(), fmt.Sprintf("run-%d", i)); p.Status != want {
+				if p := st.StatusWithoutLeader(context.Background(), fmt.Sprintf("run-%d", i)); p.Status != want {
 					t.Errorf("run-%d: %d, want %d", i, p.Status, want)
 				}
 			})
@@ -712,11 +712,11 @@
 			if p := st.ask(tt.kind, tt.id, body(tt.id, nil)); p.Status != tt.want {
 				t.Errorf("%s %s: %d, want %d", tt.kind, tt.id, p.Status, tt.want)
 			}
-			if p := st.Direct(context.Background(), tt.id); tt.kind == rpc.KindStatus && p.Status != tt.want {
+			if p := st.StatusWithoutLeader(context.Background(), tt.id); tt.kind == rpc.KindStatus && p.Status != tt.want {
 				t.Errorf("%s at another controller: %d, want %d", tt.id, p.Status, tt.want)
 			}
 		}
-		if p := st.Admit(context.Background(), body("run-4", nil)); p.Status != 503 {
+		if p := st.AdmitWithoutLeader(context.Background(), body("run-4", nil)); p.Status != 503 {
 			t.Errorf("admitted by another controller: %d", p.Status)
 		}
 		time.Sleep(2 * auditEvery)
@@ -841,7 +841,7 @@
 					if phase != "" {
 						r.completions.remember(&job.Record{Spec: rec.Spec, Phase: phase})
 					}
-					in := &pendingSubmission{rec: rec, backs: []func(*rpc.Reply){func(p *rpc.Reply) { got <- p }}}
+					in := &pendingSubmission{rec: rec, callbacks: []func(*rpc.Reply){func(p *rpc.Reply) { got <- p }}}
 					r.admission.pending["run-5"] = in
 					go r.admission.resolve(in)
 				})
--- a/internal/control/calendar_drains.go
+++ b/internal/control/calendar_drains.go
@@ -152,7 +152,7 @@
 	dr.look(now)
 	at := dr.calendarStore.clock(now)
 	for s := range dr.late {
-		if !s.On() || s.Stopping || dr.next[s.Host] == nil {
+		if !s.Active() || s.Stopping || dr.next[s.Host] == nil {
 			delete(dr.late, s)
 			s.Job.Notice = ""
 		}
@@ -183,7 +183,7 @@
 func (dr *maintenanceDrains) empty(h *fleet.Host, p *calendar.Plan, at, now time.Time) {
 	left := time.UnixMilli(p.Span().From).Add(-dr.handBack()).Sub(at).Seconds()
 	for _, s := range h.Slots {
-		if !s.On() || s.Stopping {
+		if !s.Active() || s.Stopping {
 			continue
 		}
 		if !s.Sent {
@@ -214,7 +214,7 @@
 // serving counts the replicas that run and are to go on. Those that are told to stop
 // still run until their worker says so: counted, they let all of a machine go at once.
 func (dr *maintenanceDrains) serving(j *job.Job) (n int) {
-	for s := range dr.fleet.On(j) {
+	for s := range dr.fleet.SlotsOf(j) {
 		if s.Phase == wire.Running && !s.Stopping {
 			n++
 		}
--- a/internal/control/calendar_holds.go
+++ b/internal/control/calendar_holds.go
@@ -328,8 +328,8 @@
 // on others, and a machine that came up after that is not needed any more.
 func (hd *reservationHolds) settleOn(s *slot) {
 	on := map[*fleet.Host]bool{}
-	for x := range hd.fleet.On(s.claimer) {
-		if x.On() && (hd.held[x.Host] == nil || hd.held[x.Host] == s) {
+	for x := range hd.fleet.SlotsOf(s.claimer) {
+		if x.Active() && (hd.held[x.Host] == nil || hd.held[x.Host] == s) {
 			on[x.Host] = true
 		}
 	}
@@ -380,7 +380,7 @@
 			}
 			free := 0.0
 			for _, p := range h.Slots {
-				if p.On() && p.Job != s.claimer {
+				if p.Active() && p.Job != s.claimer {
 					free = max(free, hd.leftOf(p, now))
 				}
 			}
@@ -388,7 +388,9 @@
 				all = append(all, candidate{h, free})
 			}
 		}
-		slices.SortFunc(all, func(a, b candidate) int { return cmp.Or(cmp.Compare(a.free, b.free), cmp.Compare(a.h.Idx, b.h.Idx)) })
+		slices.SortFunc(all, func(a, b candidate) int {
+			return cmp.Or(cmp.Compare(a.free, b.free), cmp.Compare(a.h.Index, b.h.Index))
+		})
 		for _, c := range all[:min(max(0, n), len(all))] {
 			s.hosts[c.h], hd.held[c.h] = true, s
 			n--
@@ -447,7 +449,7 @@
 			continue
 		}
 		zone := hd.nameIndex.zoneNames()[h.Zone]
-		if h.Lost || h.Silent(now) > quiet {
+		if h.Lost || h.SilentFor(now) > quiet {
 			out[zone] = true
 		} else {
 			heard[zone] = true
--- a/internal/control/calendar_requests.go
+++ b/internal/control/calendar_requests.go
@@ -134,7 +134,7 @@
 		refuse(http.StatusRequestEntityTooLarge, "the reservation is too large to be stored")
 		return
 	}
-	cs.store([]state.Cond{{Key: key}}, []state.Write{put}, func(v uint64, err error) {
+	cs.store([]state.Condition{{Key: key}}, []state.Write{put}, func(v uint64, err error) {
 		if err != nil {
 			refuse(http.StatusRequestEntityTooLarge, err.Error())
 		} else {
@@ -195,7 +195,7 @@
 // windowTxn is the transaction that stores a maintenance window together with
 // the reservations that it moves.
 type windowTxn struct {
-	conds   []state.Cond
+	conds   []state.Condition
 	writes  []state.Write
 	touched []*calendar.Entry           // reservations moved or lost
 	next    map[string]*calendar.Record // their records once moved, by name
@@ -211,7 +211,7 @@
 	}
 	// All of it in one transaction: a leader that ends in between must not leave a
 	// window over reservations that were never moved.
-	change = &windowTxn{conds: []state.Cond{{Key: key}}, writes: []state.Write{put}, touched: slices.Concat(a.Moved, a.Lost)}
+	change = &windowTxn{conds: []state.Condition{{Key: key}}, writes: []state.Write{put}, touched: slices.Concat(a.Moved, a.Lost)}
 	if most := cs.c.Settings.Facts.State.TxnOps - 2; len(change.touched) > most {
 		why := fmt.Sprintf("%d reservations would have to move, and at most %d can at once; plan smaller windows", len(change.touched), most)
 		return nil, reply(http.StatusConflict, wire.Error{Error: why})
@@ -227,7 +227,7 @@
 		if err != nil {
 			return nil, reply(http.StatusInternalServerError, wire.Error{Error: err.Error()})
 		}
-		change.conds, change.writes = append(change.conds, state.Cond{Key: p.Put, Version: b.version}), append(change.writes, p)
+		change.conds, change.writes = append(change.conds, state.Condition{Key: p.Put, Version: b.version}), append(change.writes, p)
 	}
 	return change, nil
 }
--- a/internal/control/calendar_store.go
+++ b/internal/control/calendar_store.go
@@ -356,7 +356,7 @@
 		return
 	}
 	b.writing = true
-	cs.commit(key, b.version, []state.Cond{{Key: key, Version: b.version}}, []state.Write{put}, func(v uint64, err error) {
+	cs.commit(key, b.version, []state.Condition{{Key: key, Version: b.version}}, []state.Write{put}, func(v uint64, err error) {
 		b.writing = false
 		if err != nil {
 			cs.log.Error("outcome of a slot cannot be stored", "reservation", b.rec.Spec.Name, "error", err)
@@ -371,7 +371,7 @@
 }
 
 // commit runs a fenced transaction until its outcome is clear, and hands it to the actor.
-func (cs *calendarStore) commit(key string, was uint64, conds []state.Cond, writes []state.Write, then func(version uint64, err error)) {
+func (cs *calendarStore) commit(key string, was uint64, conds []state.Condition, writes []state.Write, then func(version uint64, err error)) {
 	go func() {
 		v, err := cs.settle(key, was, conds, writes)
 		if cs.ctx.Err() == nil {
@@ -381,14 +381,14 @@
 }
 
 // store stores a change of the calendar, one at a time.
-func (cs *calendarStore) store(conds []state.Cond, writes []state.Write, then func(version uint64, err error)) {
+func (cs *calendarStore) store(conds []state.Condition, writes []state.Write, then func(version uint64, err error)) {
 	put, err := state.Put(changesKey, struct{}{})
 	if err != nil {
 		then(0, err)
 		return
 	}
 	cs.writing = true
-	conds, writes = append(conds, state.Cond{Key: changesKey, Version: cs.version}), append(writes, put)
+	conds, writes = append(conds, state.Condition{Key: changesKey, Version: cs.version}), append(writes, put)
 	cs.commit(changesKey, cs.version, conds, writes, func(v uint64, err error) {
 		if err == nil {
 			cs.version = v
@@ -428,7 +428,7 @@
 
 // remove deletes a record.
 func (cs *calendarStore) remove(key string, version uint64, then func()) {
-	cs.store([]state.Cond{{Key: key, Version: version}}, []state.Write{{Delete: key}}, func(_ uint64, err error) {
+	cs.store([]state.Condition{{Key: key, Version: version}}, []state.Write{{Delete: key}}, func(_ uint64, err error) {
 		if err == nil {
 			then()
 		}
--- a/internal/control/commands.go
+++ b/internal/control/commands.go
@@ -38,8 +38,8 @@
 		return
 	}
 	cm.next = now.Add(urgentEvery)
-	for _, h := range cm.fleet.Awake() {
-		if cm.reachable(h, now) && h.Urgent(now) {
+	for _, h := range cm.fleet.AwaitingCommand() {
+		if cm.reachable(h, now) && h.NeedsDirectCommand(now) {
 			cm.call(h, now)
 		}
 	}
@@ -49,7 +49,7 @@
 // seem to hear: an answer brings them back into use.
 func (cm *commands) fence(now time.Time) {
 	for _, h := range cm.fleet.All() {
-		if (!h.Fenced || h.Deaf() || h.Unheard) && cm.reachable(h, now) {
+		if (!h.Fenced || h.InboundCut() || h.CallUnanswered) && cm.reachable(h, now) {
 			cm.call(h, now)
 		}
 	}
@@ -57,7 +57,7 @@
 
 // reachable reports whether a direct command may be sent now.
 func (cm *commands) reachable(h *fleet.Host, now time.Time) bool {
-	if h.Calling || h.Lost || h.Addr == "" || !h.Durable || now.Before(h.NextCall) {
+	if h.CallInFlight || h.Lost || h.Addr == "" || !h.Durable || now.Before(h.NextCallAt) {
 		return false
 	}
 	relayed, may := cm.shards.takes(h)
@@ -68,7 +68,7 @@
 // launches and halts without waiting for the next report.
 func (cm *commands) call(h *fleet.Host, now time.Time) {
 	session := max(1, h.Session)
-	orders, sent, ev := cm.fleet.Compose(h, 0, h.Usable(), now, maxOrders)
+	orders, sent, ev := cm.fleet.ComposeOrders(h, 0, h.Usable(), now, maxOrders)
 	cm.takeover.launched(len(sent), now)
 	cm.taskTracker.handle(ev, now)
 	body, err := wire.Marshal(wire.Direct{Token: cm.term, Session: session, Orders: orders})
@@ -76,7 +76,7 @@
 		cm.log.Error("orders do not encode", "error", err)
 		return
 	}
-	h.Calling = true
+	h.CallInFlight = true
 	if relayed, _ := cm.shards.takes(h); relayed {
 		cm.shards.relay(h, body, sent, now)
 		return
@@ -138,7 +138,7 @@
 // ended takes in what became of a direct command, whoever sent it.
 func (cm *commands) ended(h *fleet.Host, status int, answer []byte, reached bool, err error, sent []*fleet.Slot) {
 	now := time.Now()
-	h.Calling = false
+	h.CallInFlight = false
 	if cm.fleet.Hosts[h.Name] != h {
 		return
 	}
@@ -151,22 +151,22 @@
 	}
 	if !reached || (status != http.StatusOK && rep != nil) || status == http.StatusBadRequest {
 		// Nothing was executed, and nothing will be.
-		cm.taskTracker.handle(cm.fleet.Unsent(sent), now)
+		cm.taskTracker.handle(cm.fleet.RemoveNotDelivered(sent), now)
 	}
 	if rep == nil {
 		cm.log.Debug("direct command failed", "host", h.Name, "status", status, "error", err)
 		// Silent machines must not hold the few calls at a time that there are.
-		h.NextCall = now.Add(min(maxCallPause, time.Second<<min(h.Failures, 8)))
+		h.NextCallAt = now.Add(min(maxCallPause, time.Second<<min(h.Failures, 8)))
 		h.Failures++
 		// A machine that hangs, or that nothing reaches, has much room and would be
 		// chosen again and again.
-		h.Unheard = true
-		cm.taskTracker.handle(cm.fleet.Withdraw(h), now)
+		h.CallUnanswered = true
+		cm.taskTracker.handle(cm.fleet.RemoveUnsent(h), now)
 		return
 	}
 	h.Failures = 0
 	if rep.Host != "" && rep.Host != h.Name {
-		h.NextCall = now.Add(10 * time.Second)
+		h.NextCallAt = now.Add(10 * time.Second)
 		return
 	}
 	cm.taskTracker.observe(h, rep, false, now)
--- a/internal/control/completions.go
+++ b/internal/control/completions.go
@@ -73,11 +73,11 @@
 // is nothing better to do with the budget: the list of active jobs is what a
 // successor has to read.
 func (en *completions) settleFinals() {
-	if en.moving || len(en.moves) == 0 || !en.c.State.Idle(en.recordWriter.size()) {
+	if en.moving || len(en.moves) == 0 || !en.c.State.Idle(en.recordWriter.maxWrites()) {
 		return
 	}
-	n := min(len(en.moves), max(1, en.recordWriter.size()/2))
-	txn := state.Txn{If: []state.Cond{en.fence}}
+	n := min(len(en.moves), max(1, en.recordWriter.maxWrites()/2))
+	txn := state.Txn{If: []state.Condition{en.fence}}
 	for _, m := range en.moves[:n] {
 		id := m.rec.Spec.ID
 		put, err := state.Put(job.FinalPrefix+id, m.rec)
@@ -85,7 +85,7 @@
 			en.log.Error("record does not encode", "job", id, "error", err)
 			continue
 		}
-		txn.If = append(txn.If, state.Cond{Key: job.ActivePrefix + id, Version: m.version})
+		txn.If = append(txn.If, state.Condition{Key: job.ActivePrefix + id, Version: m.version})
 		txn.Writes = append(txn.Writes, state.Write{Delete: job.ActivePrefix + id}, put)
 	}
 	en.moving = true
@@ -96,7 +96,7 @@
 		}
 		en.ahead(func() {
 			en.moving = false
-			en.recordWriter.smaller(err)
+			en.recordWriter.shrinkIfRejected(err)
 			// On a conflict an unclear commit of before was applied; what is left of the
 			// batch is found by the next leader.
 			if err == nil || errors.Is(err, state.ErrConflict) {
@@ -184,7 +184,7 @@
 		return
 	}
 	en.readBack(id, absent, func(*job.Record) *rpc.Reply {
-		en.ahead(func() { en.admission.admitted(id) })
+		en.ahead(func() { en.admission.takeIn(id) })
 		return Later("job is being taken in")
 	}, back)
 }
@@ -201,12 +201,12 @@
 	rec := &job.Record{Spec: j.Spec, Phase: phase, Done: j.DoneCount}
 	rec.At = j.At
 	if en.admissionGroups.has(j.ID) {
-		en.admissionGroups.end(rec, func() { en.finished(j, rec) })
+		en.admissionGroups.recordEnd(rec, func() { en.finished(j, rec) })
 		return
 	}
 	// The final record moves to its own key at once, or later where many jobs end
 	// together: the phase alone takes half the writes.
-	inPlace := !en.c.State.Idle(en.recordWriter.size())
+	inPlace := !en.c.State.Idle(en.recordWriter.maxWrites())
 	key, writes := job.FinalPrefix+j.ID, []state.Write{{Delete: job.ActivePrefix + j.ID}}
 	if inPlace {
 		key, writes = job.ActivePrefix+j.ID, nil
@@ -217,7 +217,7 @@
 		return
 	}
 	writes = append(writes, put)
-	txn := state.Txn{If: []state.Cond{en.fence, {Key: job.ActivePrefix + j.ID, Version: j.Version}}, Writes: writes}
+	txn := state.Txn{If: []state.Condition{en.fence, {Key: job.ActivePrefix + j.ID, Version: j.Version}}, Writes: writes}
 	id := j.ID
 	go func() {
 		for en.ctx.Err() == nil {
@@ -259,7 +259,7 @@
 		back(reply(http.StatusOK, s))
 	}
 	delete(en.waiters, j)
-	en.results.over(j)
+	en.results.discard(j)
 	en.log.Info("job is over", "job", j.ID, "phase", j.Phase, "class", j.Class, "after", time.Since(j.Submitted).Round(time.Second))
 	en.changed()
 }
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -30,7 +30,7 @@
 		Entitled: func(uint64) bool { return false }, Deposed: func(uint64) {}})
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel() // nothing that is started in the background may run on
-	return newLeaderTerm(ctx, c, election.Term{Term: 7, Since: time.Unix(1000, 0)})
+	return newLeaderTerm(ctx, c, election.Term{Number: 7, Since: time.Unix(1000, 0)})
 }
 
 func (r *leaderTerm) host(name string) *fleet.Host { return r.fleet.Add(name, time.Unix(1000, 0)) }
--- a/internal/control/gangs_test.go
+++ b/internal/control/gangs_test.go
@@ -62,7 +62,7 @@
 		r.nameIndex.describe(h, "x", "a", false)
 		h.Booting, h.Durable, h.Fenced, h.IdleFrom = false, true, !tt.old, now
 		if h.Inherited = tt.old; !tt.old {
-			r.fleet.Deafen(h, r.since)
+			r.fleet.MarkInboundCut(h, r.since)
 		}
 		r.machinePool.giveBack(now)
 		if h.Releasing != tt.returned {
--- a/internal/control/job_table.go
+++ b/internal/control/job_table.go
@@ -83,7 +83,7 @@
 	bk.nextID++
 	bk.ids[j], bk.byID[bk.nextID] = bk.nextID, j
 	bk.bind(j)
-	bk.registry.adopt(j)
+	bk.registry.attachJob(j)
 	bk.changed()
 	bk.log.Info("job is taken in", "job", j.ID, "class", j.Class, "team", j.Team, "tasks", j.Tasks, "cpus", j.CPUs, "estimate", j.EstimateS)
 	return j
@@ -181,7 +181,7 @@
 }
 
 func (bk *jobTable) running(j *job.Job) (n int) {
-	for s := range bk.fleet.On(j) {
+	for s := range bk.fleet.SlotsOf(j) {
 		if s.Phase == wire.Running || s.Phase == wire.Saving {
 			n++
 		}
@@ -197,8 +197,8 @@
 // sweep drops jobs that are over once nothing of them is on any machine.
 func (bk *jobTable) sweep() {
 	for id, j := range bk.jobs {
-		if (j.Phase != "" || bk.strangers[j]) && len(bk.fleet.On(j)) == 0 {
-			bk.registry.orphan(id)
+		if (j.Phase != "" || bk.strangers[j]) && len(bk.fleet.SlotsOf(j)) == 0 {
+			bk.registry.detachJob(id)
 			bk.planner.forget(j)
 			delete(bk.jobs, id)
 			delete(bk.byID, bk.ids[j])
--- a/internal/control/leader_term.go
+++ b/internal/control/leader_term.go
@@ -27,7 +27,7 @@
 	log   *slog.Logger
 	debug bool
 	term  uint64
-	fence state.Cond
+	fence state.Condition
 	since time.Time
 	alive time.Time // when the leader before was last heard of
 	inbox chan func()
@@ -66,8 +66,8 @@
 // settle runs a transaction under the term until its outcome is clear. Only an entitled
 // leader writes the key, so a version of it that has moved on is the work of an unclear try
 // of this very transaction. The error is state.ErrRejected, or that the term has ended.
-func (co *core) settle(key string, was uint64, conds []state.Cond, writes []state.Write) (version uint64, err error) {
-	txn := state.Txn{If: append([]state.Cond{co.fence}, conds...), Writes: writes}
+func (co *core) settle(key string, was uint64, conds []state.Condition, writes []state.Write) (version uint64, err error) {
+	txn := state.Txn{If: append([]state.Condition{co.fence}, conds...), Writes: writes}
 	for co.ctx.Err() == nil {
 		version, err = co.c.State.Commit(co.ctx, txn)
 		if errors.Is(err, state.ErrConflict) {
@@ -126,9 +126,9 @@
 
 func newLeaderTerm(ctx context.Context, c *Controller, l election.Term) *leaderTerm {
 	f := &c.Settings.Facts
-	co := &core{c: c, ctx: ctx, log: c.Log.With("term", l.Term), debug: c.Log.Enabled(ctx, slog.LevelDebug),
-		term: l.Term, since: l.Since, alive: l.Alive, fence: state.Cond{Key: election.KeyTerm, Version: l.TermVersion},
-		inbox: make(chan func(), 256), users: make(chan func(), 256), fleet: newFleet(l.Term, c.Settings)}
+	co := &core{c: c, ctx: ctx, log: c.Log.With("term", l.Number), debug: c.Log.Enabled(ctx, slog.LevelDebug),
+		term: l.Number, since: l.Since, alive: l.LeaderHeardAt, fence: state.Condition{Key: election.KeyTerm, Version: l.TermVersion},
+		inbox: make(chan func(), 256), users: make(chan func(), 256), fleet: newFleet(l.Number, c.Settings)}
 	budget := StateBudget(c.Settings, true)
 	share := func(of float64) *rate.Limiter {
 		return rate.NewLimiter(rate.Limit(of*budget.WriteRPS), max(2, int(of*budget.WriteRPS)))
@@ -216,7 +216,7 @@
 			break
 		}
 		r.turn(time.Now())
-		if r.fleet.Waits() {
+		if r.fleet.AnyAwaitingCommand() {
 			soon.Reset(urgentEvery)
 		}
 	}
@@ -231,7 +231,7 @@
 		f := <-r.users
 		f()
 	}
-	r.admission.flush(time.Now())
+	r.admission.storeQueued(time.Now())
 }
 
 // maxOrders bounds one answer, well below the limit for bodies.
@@ -271,7 +271,7 @@
 		return
 	}
 	r.planner.place(now)
-	orders, sent, ev := r.fleet.Compose(h, m.Seq, fresh, now, maxOrders)
+	orders, sent, ev := r.fleet.ComposeOrders(h, m.Seq, fresh, now, maxOrders)
 	r.takeover.launched(len(sent), now)
 	r.taskTracker.handle(ev, now)
 	p := reply(http.StatusOK, wire.Answer{Token: r.term, Orders: orders})
@@ -296,17 +296,17 @@
 		r.taskTracker.handle(ev, now)
 	}
 	if !r.c.Entitled(r.term) {
-		r.admission.refuse()
+		r.admission.refuseQueued()
 		return
 	}
-	r.admission.flush(now)
-	r.admissionGroups.step(now)
-	r.results.flush(now)
-	r.results.tidy()
+	r.admission.storeQueued(now)
+	r.admissionGroups.storeAndCompact(now)
+	r.results.storeCompleted(now)
+	r.results.deleteOrphans()
 	r.completions.settleFinals()
 	r.machinePool.cloud(now)
 	r.planner.place(now)
-	r.registry.register(now)
+	r.registry.storePages(now)
 	r.shards.answer(now)
 	r.commands.urgent(now)
 	r.shards.step(now, scan)
@@ -321,5 +321,5 @@
 	r.c.Meter.Set(metrics.Jobs, len(r.jobTable.all()))
 	r.commands.fence(now)
 	r.jobTable.sweep()
-	r.registry.sweepNotes()
+	r.registry.removeFinishedNotes()
 }
--- a/internal/control/machine_pool.go
+++ b/internal/control/machine_pool.go
@@ -161,7 +161,7 @@
 		h := mc.fleet.Hosts[c.Name]
 		if h == nil {
 			h = mc.fleet.Add(c.Name, now)
-			h.Born = now.Add(-config.Seconds(c.AgeS))
+			h.AddedAt = now.Add(-config.Seconds(c.AgeS))
 			mc.log.Info("machine found in the list", "host", c.Name, "phase", c.Phase)
 		}
 		if !h.Known {
@@ -205,14 +205,14 @@
 		}
 		t := mc.c.Tuning.Hosts
 		switch {
-		case h.Deaf() && now.Sub(h.DeafAt) > patience:
+		case h.InboundCut() && now.Sub(h.InboundCutAt) > patience:
 			mc.release(h, "it reports and takes in nothing that is sent to it")
-		case h.Mute() && now.Sub(h.MuteAt) > patience:
+		case h.OutboundCut() && now.Sub(h.OutboundCutAt) > patience:
 			// Its tasks die with each of its leases, and as long as it answers direct
 			// commands it is never lost.
 			mc.release(h, "it lives and reaches no controller")
 		case h.Booting:
-			if now.Sub(h.Born) > time.Duration(t.GiveUpBoots*float64(mc.boot(h)))+10*time.Second {
+			if now.Sub(h.AddedAt) > time.Duration(t.GiveUpBoots*float64(mc.boot(h)))+10*time.Second {
 				mc.release(h, "it does not come up")
 			}
 		case h.Lost:
@@ -239,13 +239,13 @@
 // worker's session has to end: what runs there is lost.
 func (mc *machinePool) renewable(h *fleet.Host, now time.Time) bool {
 	if mc.fleet.Renewable(h, now, maxOrders) {
-		h.Withheld = false
+		h.RenewalStopped = false
 		return true
 	}
-	if !h.Withheld {
-		mc.log.Info("a launch of a cancelled job may be on its way to a machine, its session has to end", "host", h.Name, "tasks", h.Jobs-h.Unsettled)
+	if !h.RenewalStopped {
+		mc.log.Info("a launch of a cancelled job may be on its way to a machine, its session has to end", "host", h.Name, "tasks", h.Jobs-h.CancelledInFlight)
 		mc.c.Meter.Add(metrics.Withheld, "", 1)
-		mc.taskTracker.handle(mc.fleet.Withhold(h), now)
+		mc.taskTracker.handle(mc.fleet.StopRenewal(h), now)
 	}
 	return false
 }
@@ -307,8 +307,8 @@
 	mc.shards.gone(h)
 	delete(mc.noticed, h)
 	delete(mc.met, h)
-	if mc.registry.leave(h) {
-		mc.fleet.Free(h.Idx)
+	if mc.registry.removeHost(h) {
+		mc.fleet.FreeIndex(h.Index)
 	}
 }
 
@@ -331,7 +331,7 @@
 		if h.Zone >= 0 {
 			shop.InZone[h.Zone]++
 		}
-		if !h.Releasing && h.Known && (h.Booting && now.Sub(h.Born) < 2*mc.boot(h) || !h.Booting && !h.Lost && !h.Durable) {
+		if !h.Releasing && h.Known && (h.Booting && now.Sub(h.AddedAt) < 2*mc.boot(h) || !h.Booting && !h.Lost && !h.Durable) {
 			coming(autoscale.Offer{Type: h.Type, Zone: h.Zone, Spot: h.Spot})
 		}
 	}
@@ -460,7 +460,7 @@
 		mc.noticed[h] = h.RecallAt
 	}
 	for _, s := range h.Slots {
-		if !s.On() || s.Stopping {
+		if !s.Active() || s.Stopping {
 			continue
 		}
 		if g := saveGrace(s.Job); g > 0 && left > s.Job.SaveS {
--- a/internal/control/planner.go
+++ b/internal/control/planner.go
@@ -123,8 +123,8 @@
 			pl.log.Debug("task is placed", "task", job.TaskName(j.ID, a.Task), "host", h.Name, "waited", now.Sub(j.WaitFrom))
 		}
 		pl.fleet.Assign(h, fleet.Key{Job: j, Task: a.Task, Attempt: n}, now)
-		pl.registry.note(j, h)
-		j.LastHost = h.Idx
+		pl.registry.recordPlacement(j, h)
+		j.LastHost = h.Index
 		pl.c.Meter.Took(metrics.StartWait, j.Class, now.Sub(j.WaitFrom))
 		j.WaitFrom = now
 		if k, ok := pl.keeps[h]; ok && k.job == j {
@@ -204,8 +204,8 @@
 		return z // nothing depends on it
 	}
 	for _, v := range append([]*job.Job{j}, j.Versions...) {
-		for s := range pl.fleet.On(v) {
-			if s.On() && s.Host.Zone >= 0 {
+		for s := range pl.fleet.SlotsOf(v) {
+			if s.Active() && s.Host.Zone >= 0 {
 				z[s.Host.Zone]++
 			}
 		}
@@ -221,7 +221,7 @@
 	}
 	var out map[place.Task]bool
 	for _, s := range h.Slots {
-		if s.On() || (s.Job.IsDone(s.Task) && s.Job.Shape != job.Service) {
+		if s.Active() || (s.Job.IsDone(s.Task) && s.Job.Shape != job.Service) {
 			continue
 		}
 		if id := pl.jobTable.index(s.Job); id != 0 {
--- a/internal/control/planner_input.go
+++ b/internal/control/planner_input.go
@@ -71,8 +71,8 @@
 			continue
 		}
 		n, leaving := 0.0, 0.0
-		for s := range p.fleet.On(j) {
-			if s.On() {
+		for s := range p.fleet.SlotsOf(j) {
+			if s.Active() {
 				n++
 				if s.Stopping {
 					leaving++
@@ -170,7 +170,7 @@
 	for _, h := range p.fleet.All() {
 		// One that answers direct commands and whose reports do not come any more has less
 		// than half of its lease left: what it gets now would end with it.
-		if !h.Usable() || h.Silent(p.now) > p.fleet.Lease/2 || h.Type >= len(p.nameIndex.list()) {
+		if !h.Usable() || h.SilentFor(p.now) > p.fleet.Lease/2 || h.Type >= len(p.nameIndex.list()) {
 			continue
 		}
 		m := p.machine(h, smallest, cheapest)
@@ -185,17 +185,17 @@
 // machine is a machine with its free room and what it has cached.
 func (p *planInput) machine(h *fleet.Host, smallest, cheapest float64) place.Machine {
 	t := &p.nameIndex.list()[h.Type]
-	m := place.Machine{ID: h.Idx, Type: h.Type, Zone: h.Zone, Spot: h.Spot,
+	m := place.Machine{ID: h.Index, Type: h.Type, Zone: h.Zone, Spot: h.Spot,
 		Total: place.Amount{CPUs: t.CPUs, GPUs: t.GPUs, MemGB: t.MemGB},
 		Free:  place.Amount{CPUs: t.CPUs - h.CPUs, GPUs: t.GPUs - h.GPUs, MemGB: t.MemGB - h.MemGB},
 		Queue: h.Queue, Jobs: h.Jobs, Unreliable: h.Errors > 0, Exits: p.exits(h),
 		FetchRate: t.FetchRate, Scale: smallest / t.CPUs, Price: cpuPrice(t, h.Spot) / cheapest}
 	for _, im := range h.Images {
-		m.Images = append(m.Images, im.Idx)
+		m.Images = append(m.Images, im.Index)
 	}
 	if h.Queue > 0 {
 		for _, s := range h.Slots {
-			if s.On() && (s.Phase == "" || s.Phase == wire.Pulling) && !slices.Contains(m.Images, s.Job.ImageIdx) {
+			if s.Active() && (s.Phase == "" || s.Phase == wire.Pulling) && !slices.Contains(m.Images, s.Job.ImageIdx) {
 				m.Images = append(m.Images, s.Job.ImageIdx) // one fetch serves all that wait for it
 			}
 		}
@@ -212,7 +212,7 @@
 // addVictims adds the work on a machine that other work may stop.
 func (p *planInput) addVictims(m *place.Machine, h *fleet.Host) {
 	for _, s := range h.Slots {
-		if !s.On() || s.Stopping || !s.Sent || s.Job.Closing != "" || s.Job.Phase != "" {
+		if !s.Active() || s.Stopping || !s.Sent || s.Job.Closing != "" || s.Job.Phase != "" {
 			continue
 		}
 		need := place.Amount{CPUs: s.Job.CPUs, GPUs: s.Job.GPUs, MemGB: s.Job.MemGB}
--- a/internal/control/quotas.go
+++ b/internal/control/quotas.go
@@ -77,7 +77,7 @@
 	if err != nil {
 		return 0, err
 	}
-	return tm.c.State.Commit(tm.ctx, state.Txn{If: []state.Cond{tm.fence, {Key: unconfirmedKey}}, Writes: []state.Write{put}})
+	return tm.c.State.Commit(tm.ctx, state.Txn{If: []state.Condition{tm.fence, {Key: unconfirmedKey}}, Writes: []state.Write{put}})
 }
 
 // load takes in the entries of earlier leaders, before any job is bound to its team. Where
@@ -196,8 +196,8 @@
 			continue
 		}
 		n := 0.0
-		for s := range tm.fleet.On(j) {
-			if s.On() {
+		for s := range tm.fleet.SlotsOf(j) {
+			if s.Active() {
 				n++
 			}
 		}
@@ -211,7 +211,7 @@
 		if i < 0 {
 			return dynconfig.Amount{}, false
 		}
-		return dynconfig.Amount{CPUs: all[i].Used.CPUs, GPUs: all[i].Used.GPUs}, busy[i] || tm.admission.arriving(team)
+		return dynconfig.Amount{CPUs: all[i].Used.CPUs, GPUs: all[i].Used.GPUs}, busy[i] || tm.admission.hasPending(team)
 	}
 }
 
@@ -319,7 +319,7 @@
 	if versions == nil {
 		return 0, false
 	}
-	var conds []state.Cond
+	var conds []state.Condition
 	var writes []state.Write
 	for i, e := range entries {
 		put, err := state.Put(regionPrefix+e.Team, e)
@@ -327,7 +327,7 @@
 			tm.log.Error("grant does not encode", "team", e.Team, "error", err)
 			return 0, false
 		}
-		conds = append(conds, state.Cond{Key: regionPrefix + e.Team, Version: versions[i]})
+		conds = append(conds, state.Condition{Key: regionPrefix + e.Team, Version: versions[i]})
 		writes = append(writes, put)
 	}
 	version, err := tm.settle(conds[0].Key, conds[0].Version, conds, writes)
@@ -362,7 +362,7 @@
 	version := tm.marker
 	tm.marker = 0
 	go func() {
-		conds := []state.Cond{{Key: unconfirmedKey, Version: version}}
+		conds := []state.Condition{{Key: unconfirmedKey, Version: version}}
 		if _, err := tm.settle(unconfirmedKey, version, conds, []state.Write{{Delete: unconfirmedKey}}); err != nil {
 			tm.log.Error("the word that limits are confirmed cannot be stored", "error", err)
 		}
@@ -381,7 +381,7 @@
 
 // storedTeam is a team as the region's leader has last stored it, for a node that does not
 // lead, with the condition under which that holds.
-func (c *Controller) storedTeam(ctx context.Context, name string) (quota, []state.Cond, error) {
+func (c *Controller) storedTeam(ctx context.Context, name string) (quota, []state.Condition, error) {
 	if c.Tuning.Regions.Name == "" || !job.ValidTeam(name) {
 		return quota{now: c.fileTeam(name)}, nil, nil
 	}
@@ -392,7 +392,7 @@
 	if err != nil {
 		return quota{}, nil, err
 	}
-	conds := []state.Cond{{Key: regionPrefix + name, Version: e.Version}}
+	conds := []state.Condition{{Key: regionPrefix + name, Version: e.Version}}
 	var entry dynconfig.Entry
 	if err := wire.Unmarshal(e.Value, &entry); err != nil {
 		return quota{}, nil, err
@@ -409,8 +409,8 @@
 
 // unnamedTeam is a team of which nothing is granted here. That it is none at all is sure
 // only where the region's quotas are confirmed.
-func (c *Controller) unnamedTeam(ctx context.Context, name string) (quota, []state.Cond, error) {
-	conds := []state.Cond{{Key: regionPrefix + name}}
+func (c *Controller) unnamedTeam(ctx context.Context, name string) (quota, []state.Condition, error) {
+	conds := []state.Condition{{Key: regionPrefix + name}}
 	if t := c.fileTeam(name); t != nil {
 		return quota{now: t}, conds, nil
 	}
--- a/internal/control/quotas_home.go
+++ b/internal/control/quotas_home.go
@@ -336,7 +336,7 @@
 		}
 		writes = append(writes, put)
 	}
-	version, err = ht.settle(headKey, was, []state.Cond{{Key: headKey, Version: was}}, writes)
+	version, err = ht.settle(headKey, was, []state.Condition{{Key: headKey, Version: was}}, writes)
 	if err != nil {
 		return was, err
 	}
--- a/internal/control/records_registry.go
+++ b/internal/control/records_registry.go
@@ -153,21 +153,21 @@
 // leastPage is how small pages may become, in bytes.
 const leastPage = 512
 
-// loose reports whether pages may still become smaller.
-func (g *registry) loose() bool { return g.limit > leastPage }
+// canShrinkPages reports whether pages may still become smaller.
+func (g *registry) canShrinkPages() bool { return g.limit > leastPage }
 
-// tighten halves the pages: the state service takes less than its settings say.
-func (g *registry) tighten() { g.limit = max(leastPage, g.limit/2) }
+// shrinkPages halves the pages: the state service takes less than its settings say.
+func (g *registry) shrinkPages() { g.limit = max(leastPage, g.limit/2) }
 
-// adopt ties a job to the note that an earlier leader has made of it.
-func (g *registry) adopt(j *job.Job) {
+// attachJob ties a job to the note that an earlier leader has made of it.
+func (g *registry) attachJob(j *job.Job) {
 	if n := g.notes[j.ID]; n != nil {
 		n.job, j.Noted = j, n.sure
 	}
 }
 
-// orphan unties a job that is over and gone from its note.
-func (g *registry) orphan(id string) {
+// detachJob unties a job that is over and gone from its note.
+func (g *registry) detachJob(id string) {
 	if n := g.notes[id]; n != nil {
 		n.job = nil
 	}
@@ -204,22 +204,22 @@
 	return p
 }
 
-// enter puts a machine into the registry.
-func (g *registry) enter(h *fleet.Host, typ, zone string) {
+// addHost puts a machine into the registry.
+func (g *registry) addHost(h *fleet.Host, typ, zone string) {
 	if _, in := g.entries[h]; in {
 		return
 	}
 	p := g.room(hostPrefix, hostSize(h), false)
 	p.hosts = append(p.hosts, h)
 	p.urgent = true
-	g.entries[h] = entry{hostRecord{Idx: h.Idx, Name: h.Name, Addr: h.Addr, Type: typ, Zone: zone, Spot: h.Spot}, p}
+	g.entries[h] = entry{hostRecord{Idx: h.Index, Name: h.Name, Addr: h.Addr, Type: typ, Zone: zone, Spot: h.Spot}, p}
 }
 
-// leave takes a machine out and reports whether its index is free at once; else
+// removeHost takes a machine out and reports whether its index is free at once; else
 // it is free when its page has been stored.
-func (g *registry) leave(h *fleet.Host) bool {
+func (g *registry) removeHost(h *fleet.Host) bool {
 	for _, n := range g.notes {
-		n.want.Drop(h.Idx)
+		n.want.Drop(h.Index)
 	}
 	e, in := g.entries[h]
 	if !in {
@@ -228,21 +228,21 @@
 	p := e.page
 	delete(g.entries, h)
 	p.hosts = slices.DeleteFunc(p.hosts, func(x *fleet.Host) bool { return x == h })
-	p.gone, p.stale = append(p.gone, h.Idx), true
+	p.gone, p.stale = append(p.gone, h.Index), true
 	return false
 }
 
-// note asks for a job to be named for a machine.
-func (g *registry) note(j *job.Job, h *fleet.Host) {
+// recordPlacement asks for a job to be named for a machine.
+func (g *registry) recordPlacement(j *job.Job, h *fleet.Host) {
 	n := g.notes[j.ID]
 	if n == nil {
 		n = &note{id: j.ID, team: j.Team, job: j}
-		n.page = g.room(notePrefix, noteSize(n)+11*(h.Idx/64+2), false)
+		n.page = g.room(notePrefix, noteSize(n)+11*(h.Index/64+2), false)
 		n.page.notes = append(n.page.notes, n)
 		g.notes[j.ID] = n
 	}
-	n.want.Add(h.Idx)
-	if !j.Noted.Has(h.Idx) {
+	n.want.Add(h.Index)
+	if !j.Noted.Has(h.Index) {
 		n.page.urgent = true
 	}
 }
@@ -295,7 +295,7 @@
 	g.splitUrgent()
 	bytes := 0
 	together := map[*page]bool{} // in this transaction
-	txn.If = []state.Cond{g.fence}
+	txn.If = []state.Condition{g.fence}
 	whole := true
 	for _, p := range g.takeOrder(stale, idle) {
 		// What goes in one transaction is stored together, or not at all and waits again.
@@ -318,7 +318,7 @@
 		bytes += size
 		out = append(out, s)
 		txn.Writes = append(txn.Writes, w)
-		txn.If = append(txn.If, state.Cond{Key: p.key, Version: p.version})
+		txn.If = append(txn.If, state.Condition{Key: p.key, Version: p.version})
 	}
 	switch {
 	case stale && idle && whole:
@@ -400,22 +400,22 @@
 		return
 	}
 	clear(n.want)
-	for s := range g.fleet.On(n.job) {
-		n.want.Add(s.Host.Idx)
+	for s := range g.fleet.SlotsOf(n.job) {
+		n.want.Add(s.Host.Index)
 	}
 }
 
-// register stores what launches wait for.
-func (g *registry) register(now time.Time) {
+// storePages stores what launches wait for.
+func (g *registry) storePages(now time.Time) {
 	if g.storing || now.Before(g.nextAt) {
 		return
 	}
 	// What is left of the budget after users, who come first.
-	most := min(g.recordWriter.size(), g.c.State.Spare()-2)
+	most := min(g.recordWriter.maxWrites(), g.c.State.SpareWrites()-2)
 	if most < 1 {
 		return
 	}
-	out, txn := g.take(now, most, g.c.State.Idle(g.recordWriter.size()))
+	out, txn := g.take(now, most, g.c.State.Idle(g.recordWriter.maxWrites()))
 	if len(out) == 0 {
 		return
 	}
@@ -450,7 +450,7 @@
 			s.page.urgent = true
 			s.page.gone = append(s.page.gone, s.gone...)
 		}
-		g.recordWriter.smaller(err)
+		g.recordWriter.shrinkIfRejected(err)
 		return
 	}
 	for _, s := range out {
@@ -461,7 +461,7 @@
 			}
 		}
 		for _, idx := range s.gone {
-			g.fleet.Free(idx)
+			g.fleet.FreeIndex(idx)
 		}
 		for i, n := range s.notes {
 			n.setSure(s.sets[i])
@@ -595,9 +595,9 @@
 	drops.waitFor(retains)
 }
 
-// sweepNotes drops the notes of jobs that are over, once every machine that they
+// removeFinishedNotes drops the notes of jobs that are over, once every machine that they
 // name is settled.
-func (g *registry) sweepNotes() {
+func (g *registry) removeFinishedNotes() {
 	if !g.takeover.settled() {
 		return
 	}
--- a/internal/control/records_registry_test.go
+++ b/internal/control/records_registry_test.go
@@ -75,13 +75,13 @@
 	h := b.host(name)
 	b.nameIndex.describe(h, "small", "a", false)
 	h.Addr = "10.0.0.1:1"
-	b.registry.enter(h, "small", "a")
+	b.registry.addHost(h, "small", "a")
 	return h
 }
 
 func (b *registryBed) assign(j *job.Job, task int32, h *fleet.Host) {
 	b.fleet.Assign(h, fleet.Key{Job: j, Task: task, Attempt: uint64(task) + 1}, b.now)
-	b.registry.note(j, h)
+	b.registry.recordPlacement(j, h)
 }
 
 // store takes one transaction and lets fate decide what becomes of it.
@@ -111,7 +111,7 @@
 	if h == nil {
 		h = b.fleet.AddAt(name, 64*words-1, b.now)
 	}
-	b.registry.note(b.jobTable.get(id), h)
+	b.registry.recordPlacement(b.jobTable.get(id), h)
 }
 
 // noted puts a job's note on a page.
@@ -196,7 +196,7 @@
 		j := newGangJob(b, "run-1")
 		b.assign(j, 0, b.up("h0"))
 		b.store(b.fakeState.apply)
-		for s := range b.fleet.On(j) {
+		for s := range b.fleet.SlotsOf(j) {
 			b.fleet.Stop(s, 0)
 		}
 		b.assign(j, 1, b.up("h1"))
@@ -293,7 +293,7 @@
 			b.store(b.fakeState.apply)
 		}
 		first, last := b.registry.pages[0], b.registry.pages[len(b.registry.pages)-1]
-		b.registry.leave(last.hosts[0])
+		b.registry.removeHost(last.hosts[0])
 		for i := range 6 {
 			for _, p := range b.registry.pages[:len(b.registry.pages)-1] {
 				p.stale = true // as in a fleet whose machines come and go
@@ -315,15 +315,15 @@
 		h := b.up("h0")
 		b.store(b.fakeState.apply)
 		b.fleet.Remove(h)
-		if b.registry.leave(h) {
+		if b.registry.removeHost(h) {
 			b.t.Fatal("free while the record names it")
 		}
-		if b.up("h1").Idx == h.Idx {
+		if b.up("h1").Index == h.Index {
 			b.t.Error("used again at once")
 		}
 		b.store(b.fakeState.apply)
-		if got := b.up("h2").Idx; got != h.Idx {
-			b.t.Errorf("index %d, want %d", got, h.Idx)
+		if got := b.up("h2").Index; got != h.Index {
+			b.t.Errorf("index %d, want %d", got, h.Index)
 		}
 	}},
 	{"the note of a job that is over goes when the takeover is settled", func(b *registryBed) {
@@ -332,12 +332,12 @@
 		b.store(b.fakeState.apply)
 		delete(b.jobTable.jobs, "run-1")
 		b.takeover.ready = false
-		b.registry.sweepNotes()
+		b.registry.removeFinishedNotes()
 		if b.registry.notes["run-1"] == nil {
 			b.t.Fatal("dropped before")
 		}
 		b.takeover.ready = true
-		b.registry.sweepNotes()
+		b.registry.removeFinishedNotes()
 		b.now = b.now.Add(time.Minute)
 		b.store(b.fakeState.apply)
 		if len(b.fakeState.names(b.t, "run-1")) != 0 {
--- a/internal/control/records_results.go
+++ b/internal/control/records_results.go
@@ -29,35 +29,35 @@
 // reset forgets what a load that failed half-way has found.
 func (rs *results) reset() { rs.orphans = nil }
 
-// add notes a placement whose task is done; its exit is settled once that is
+// addCompleted notes a placement whose task is done; its exit is settled once that is
 // durable.
-func (rs *results) add(s *fleet.Slot) {
+func (rs *results) addCompleted(s *fleet.Slot) {
 	s.Settled = false
 	rs.unstored[s.Job] = append(rs.unstored[s.Job], s)
 }
 
-// over settles what is left of a job that is durably over: its results are of no
+// discard settles what is left of a job that is durably over: its results are of no
 // use any more.
-func (rs *results) over(j *job.Job) {
+func (rs *results) discard(j *job.Job) {
 	for _, s := range rs.unstored[j] {
 		s.Settled = true
 	}
 	delete(rs.unstored, j)
 	for _, c := range j.SavedChunks() {
-		rs.drop(j.ChunkKey(c))
+		rs.deleteLater(j.ChunkKey(c))
 	}
 }
 
-// drop deletes a key when there is nothing better to do.
-func (rs *results) drop(key string) { rs.orphans = append(rs.orphans, key) }
+// deleteLater deletes a key when there is nothing better to do.
+func (rs *results) deleteLater(key string) { rs.orphans = append(rs.orphans, key) }
 
-// tidy drops results of jobs that are over. It comes after the final record and
+// deleteOrphans drops results of jobs that are over. It comes after the final record and
 // apart from it, so that ending a job takes a small transaction.
-func (rs *results) tidy() {
-	if rs.dropping || len(rs.orphans) == 0 || !rs.c.State.Idle(rs.recordWriter.size()) {
+func (rs *results) deleteOrphans() {
+	if rs.dropping || len(rs.orphans) == 0 || !rs.c.State.Idle(rs.recordWriter.maxWrites()) {
 		return
 	}
-	keys := rs.orphans[:min(len(rs.orphans), rs.recordWriter.size())]
+	keys := rs.orphans[:min(len(rs.orphans), rs.recordWriter.maxWrites())]
 	var writes []state.Write
 	for _, k := range keys {
 		writes = append(writes, state.Write{Delete: k})
@@ -65,7 +65,7 @@
 	rs.dropping = true
 	rs.recordWriter.write(writes, func(err error) {
 		rs.dropping = false
-		rs.recordWriter.smaller(err)
+		rs.recordWriter.shrinkIfRejected(err)
 		if err == nil {
 			rs.orphans = rs.orphans[len(keys):]
 		}
@@ -85,9 +85,9 @@
 	settle map[*job.Job][]*fleet.Slot
 }
 
-// flush stores results, so that the workers may forget them.
-func (rs *results) flush(now time.Time) {
-	if rs.flushing || now.Before(rs.flushAt) || rs.c.State.Spare() < rs.recordWriter.size() {
+// storeCompleted stores results, so that the workers may forget them.
+func (rs *results) storeCompleted(now time.Time) {
+	if rs.flushing || now.Before(rs.flushAt) || rs.c.State.SpareWrites() < rs.recordWriter.maxWrites() {
 		return
 	}
 	t := rs.gather()
@@ -106,13 +106,13 @@
 
 // gather takes what fits into a transaction.
 func (rs *results) gather() *resultsTxn {
-	t := &resultsTxn{txn: state.Txn{If: []state.Cond{rs.fence}}, settle: map[*job.Job][]*fleet.Slot{}}
+	t := &resultsTxn{txn: state.Txn{If: []state.Condition{rs.fence}}, settle: map[*job.Job][]*fleet.Slot{}}
 	for j := range rs.unstored {
 		if j.Closing != "" || j.Phase != "" {
 			continue
 		}
 		dirty := j.Dirty()
-		if n := len(t.txn.Writes); len(dirty) == 0 || (n > 0 && n+len(dirty) > rs.recordWriter.size()) {
+		if n := len(t.txn.Writes); len(dirty) == 0 || (n > 0 && n+len(dirty) > rs.recordWriter.maxWrites()) {
 			continue
 		}
 		for _, c := range dirty {
@@ -123,7 +123,7 @@
 			v := j.ChunkVersion(c)
 			j.MarkSaved(c, v) // it may exist from the moment the commit is sent
 			t.chunks, t.txn.Writes = append(t.chunks, chunk{j, c}), append(t.txn.Writes, w)
-			t.txn.If = append(t.txn.If, state.Cond{Key: w.Put, Version: v})
+			t.txn.If = append(t.txn.If, state.Condition{Key: w.Put, Version: v})
 		}
 		t.settle[j] = rs.unstored[j]
 		delete(rs.unstored, j)
@@ -157,7 +157,7 @@
 // flushed takes in what has become of the transaction.
 func (rs *results) flushed(t *resultsTxn, found map[chunk]uint64, err error) {
 	rs.flushing = false
-	rs.recordWriter.smaller(err)
+	rs.recordWriter.shrinkIfRejected(err)
 	for p, v := range found {
 		p.j.MarkSaved(p.c, v)
 	}
--- a/internal/control/records_writer.go
+++ b/internal/control/records_writer.go
@@ -16,16 +16,16 @@
 	batch int // writes in one transaction
 }
 
-// size is the most writes that a transaction may have.
-func (wr *recordWriter) size() int { return wr.batch }
+// maxWrites is the most writes that a transaction may have.
+func (wr *recordWriter) maxWrites() int { return wr.batch }
 
-// smaller halves the batches when the state service rejects one: its limits may
+// shrinkIfRejected halves the batches when the state service rejects one: its limits may
 // have become tighter than the settings say, and the same transaction again
 // would stop all placing.
-func (wr *recordWriter) smaller(err error) {
-	if errors.Is(err, state.ErrRejected) && (wr.batch > 1 || wr.registry.loose()) {
+func (wr *recordWriter) shrinkIfRejected(err error) {
+	if errors.Is(err, state.ErrRejected) && (wr.batch > 1 || wr.registry.canShrinkPages()) {
 		wr.batch = max(1, wr.batch/2)
-		wr.registry.tighten()
+		wr.registry.shrinkPages()
 		wr.log.Error("state service rejects a transaction, making them smaller", "writes", wr.batch, "error", err)
 	}
 }
@@ -34,7 +34,7 @@
 // writes may be repeated safely: only this term can make them.
 func (wr *recordWriter) write(writes []state.Write, then func(error)) {
 	go func() {
-		_, err := wr.c.State.Commit(wr.ctx, state.Txn{If: []state.Cond{wr.fence}, Writes: writes})
+		_, err := wr.c.State.Commit(wr.ctx, state.Txn{If: []state.Condition{wr.fence}, Writes: writes})
 		if err != nil {
 			wr.pause(200 * time.Millisecond)
 		}
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -198,7 +198,7 @@
 		return
 	}
 	s.writing = true
-	txn := state.Txn{If: []state.Cond{ro.fence, {Key: key, Version: s.version}}, Writes: []state.Write{put}}
+	txn := state.Txn{If: []state.Condition{ro.fence, {Key: key, Version: s.version}}, Writes: []state.Write{put}}
 	was := s.version
 	go func() {
 		for ro.ctx.Err() == nil {
@@ -238,7 +238,7 @@
 			continue
 		}
 		there[h.Zone] = true
-		able[h.Zone] = able[h.Zone] || (h.Usable() && h.Silent(now) < quiet)
+		able[h.Zone] = able[h.Zone] || (h.Usable() && h.SilentFor(now) < quiet)
 	}
 	out := map[string]bool{}
 	for i, z := range zones {
@@ -275,21 +275,21 @@
 		return nil
 	}
 	out := make([]rollout.Copy, j.Tasks)
-	for s := range ro.fleet.On(j) {
-		if !s.On() {
+	for s := range ro.fleet.SlotsOf(j) {
+		if !s.Active() {
 			continue
 		}
 		c := &out[s.Task]
 		c.Live = true
 		h := s.Host
-		c.Lost = c.Lost || h.Lost || h.Draining || h.Releasing || !h.RecallAt.IsZero() || h.Silent(now) > ro.quiet()
+		c.Lost = c.Lost || h.Lost || h.Draining || h.Releasing || !h.RecallAt.IsZero() || h.SilentFor(now) > ro.quiet()
 		if s.Phase == wire.Running && !s.Stopping {
 			c.Running, c.Health = true, health(s)
 			if !s.RunAt.IsZero() {
 				c.SinceS = now.Sub(s.RunAt).Seconds()
 			}
-			if !s.BadAt.IsZero() {
-				c.BadS = now.Sub(s.BadAt).Seconds()
+			if !s.UnhealthySince.IsZero() {
+				c.BadS = now.Sub(s.UnhealthySince).Seconds()
 			}
 		}
 	}
@@ -300,9 +300,9 @@
 // neither does and one says so.
 func health(s *fleet.Slot) rollout.Health {
 	switch {
-	case s.Health == wire.HealthBad || s.Checked == wire.HealthBad:
+	case s.Health == wire.HealthBad || s.ProbeHealth == wire.HealthBad:
 		return rollout.Unhealthy
-	case s.Health == wire.HealthGood || s.Checked == wire.HealthGood:
+	case s.Health == wire.HealthGood || s.ProbeHealth == wire.HealthGood:
 		return rollout.Healthy
 	}
 	return rollout.Unknown
@@ -325,14 +325,14 @@
 		ro.check(s, old, next, v.Now)
 		return
 	}
-	s.rests = v.Cancelled || next == nil || len(ro.fleet.On(next)) == 0
+	s.rests = v.Cancelled || next == nil || len(ro.fleet.SlotsOf(next)) == 0
 	if v.Cancelled {
 		for _, j := range []*job.Job{old, next} {
 			ro.retire(j, s.rec.Handle)
 		}
 		return
 	}
-	if next != nil && len(ro.fleet.On(next)) == 0 {
+	if next != nil && len(ro.fleet.SlotsOf(next)) == 0 {
 		ro.retire(next, s.rec.Handle)
 	}
 }
@@ -379,8 +379,8 @@
 		ro.changed()
 	}
 	j.Quota = q
-	for s := range ro.fleet.On(j) {
-		if s.On() && !s.Stopping && !q.Allowed[s.Task] {
+	for s := range ro.fleet.SlotsOf(j) {
+		if s.Active() && !s.Stopping && !q.Allowed[s.Task] {
 			ro.taskTracker.stopSlot(s, saveGrace(j))
 		}
 	}
@@ -534,8 +534,8 @@
 // zonesOf is where each replica runs.
 func (ro *rollouts) zonesOf(j *job.Job) []string {
 	out := make([]string, j.Tasks)
-	for s := range ro.fleet.On(j) {
-		if s.On() && s.Host.Zone >= 0 {
+	for s := range ro.fleet.SlotsOf(j) {
+		if s.Active() && s.Host.Zone >= 0 {
 			out[s.Task] = ro.nameIndex.zoneNames()[s.Host.Zone]
 		}
 	}
@@ -551,7 +551,7 @@
 		back(reply(http.StatusBadRequest, wire.Error{Error: err.Error()}))
 		return
 	}
-	txn := state.Txn{Writes: []state.Write{put, job1}, If: []state.Cond{ro.fence, {Key: key, Version: version},
+	txn := state.Txn{Writes: []state.Write{put, job1}, If: []state.Condition{ro.fence, {Key: key, Version: version},
 		{Key: job.ActivePrefix + id}, {Key: job.FinalPrefix + id}}}
 	if s := ro.services[rec.Service]; s != nil {
 		s.writing = true
--- a/internal/control/rollout_checks.go
+++ b/internal/control/rollout_checks.go
@@ -45,11 +45,11 @@
 		if j == nil {
 			return
 		}
-		for sl := range ro.fleet.On(j) {
+		for sl := range ro.fleet.SlotsOf(j) {
 			if most == 0 || ro.checker.free == 0 {
 				return
 			}
-			if !sl.On() || sl.Phase != wire.Running || sl.Host.Addr == "" {
+			if !sl.Active() || sl.Phase != wire.Running || sl.Host.Addr == "" {
 				continue
 			}
 			most--
@@ -92,11 +92,11 @@
 				delete(ro.checker.last, sl)
 				return
 			}
-			if sl.Checked == wire.HealthGood && said == wire.HealthBad {
+			if sl.ProbeHealth == wire.HealthGood && said == wire.HealthBad {
 				ro.failed(sl.Job, sl.Task, sl.Host.Name)
 			}
-			sl.Checked = said
-			sl.Judge(time.Now())
+			sl.ProbeHealth = said
+			sl.UpdateHealth(time.Now())
 		})
 	}()
 }
@@ -110,11 +110,11 @@
 		if j == nil {
 			continue
 		}
-		for sl := range ro.fleet.On(j) {
+		for sl := range ro.fleet.SlotsOf(j) {
 			switch {
-			case sl.Checked == noAnswer:
+			case sl.ProbeHealth == noAnswer:
 				asked++
-			case sl.Checked != "":
+			case sl.ProbeHealth != "":
 				asked++
 				answered++
 			}
--- a/internal/control/shards.go
+++ b/internal/control/shards.go
@@ -110,17 +110,17 @@
 	}
 	perS := t.PerS
 	if perS == 0 {
-		perS = shard.PerSecond(f.Resources.CoreShare)
+		perS = shard.MovesPerSecond(f.Resources.CoreShare)
 	}
 	sh.allot = shard.NewAssigner(sh.term, sh.c.Settings.Member, sh.c.Settings.Site, shard.Settings{
-		Grant: time.Duration(t.GrantMs) * time.Millisecond, Join: config.Seconds(t.JoinS), Rest: config.Seconds(t.RestS),
-		RestMost: config.Seconds(t.RestMostS), Least: t.Least, PerS: perS, Own: t.Own, Room: Room(f.Resources.MaxSockets)}, now)
+		GrantDuration: time.Duration(t.GrantMs) * time.Millisecond, JoinDelay: config.Seconds(t.JoinS), RejoinDelay: config.Seconds(t.RestS),
+		MaxRejoinDelay: config.Seconds(t.RestMostS), MinMachines: t.Least, MovesPerSecond: perS, LeaderWeight: t.Own, LeaderCapacity: Room(f.Resources.MaxSockets)}, now)
 	for _, h := range sh.fleet.All() {
 		zone := ""
 		if h.Zone >= 0 {
 			zone = sh.nameIndex.zoneNames()[h.Zone]
 		}
-		sh.allot.Known(h.Name, zone)
+		sh.allot.AddMachine(h.Name, zone)
 	}
 }
 
@@ -130,7 +130,7 @@
 	if sh.allot == nil {
 		return true
 	}
-	r, member := sh.allot.Report(m.Host, m.Zone, time.Now())
+	r, member := sh.allot.RouteReport(m.Host, m.Zone, time.Now())
 	switch r {
 	case shard.Send:
 		back(reply(http.StatusMisdirectedRequest, wire.Redirect{ReportTo: member}))
@@ -155,7 +155,7 @@
 		return
 	}
 	sh.keep(h, now)
-	sh.allot.Served(h.Name, via, now)
+	sh.allot.ReportServed(h.Name, via, now)
 	sh.bind(h)
 }
 
@@ -167,7 +167,7 @@
 			by = &fleet.Holder{Name: member}
 			sh.holders[member] = by
 		}
-		sh.fleet.Hold(h, by)
+		sh.fleet.SetHolder(h, by)
 	}
 }
 
@@ -176,8 +176,8 @@
 	if sh.allot == nil {
 		return
 	}
-	h.Unhold(time.Time{})
-	sh.allot.Gone(h.Name, time.Now())
+	h.ClearHolder(time.Time{})
+	sh.allot.RemoveMachine(h.Name, time.Now())
 }
 
 // sync takes in a holder's request. It is answered once there is something to say,
@@ -188,7 +188,7 @@
 		back(&shard.Reply{})
 		return
 	}
-	freed, ok := sh.allot.Sync(r, now)
+	freed, ok := sh.allot.HandleRequest(r, now)
 	if !ok {
 		sh.free(freed, now)
 		back(&shard.Reply{})
@@ -204,17 +204,17 @@
 	}
 	b.back, b.since, b.most = back, now, r.Calls
 	if by := sh.holders[r.Member]; by != nil {
-		by.Told = sh.allot.Told(r.Member)
+		by.KnownUntil = sh.allot.KnownUntil(r.Member)
 	}
 	if r.Term == sh.term {
-		for i := range r.Entries {
-			sh.entry(b, &r.Entries[i], now)
+		for i := range r.Reports {
+			sh.entry(b, &r.Reports[i], now)
 		}
-		for i := range r.Done {
-			sh.done(&r.Done[i])
+		for i := range r.CallResults {
+			sh.done(&r.CallResults[i])
 		}
 	} else {
-		for _, name := range r.Have {
+		for _, name := range r.PreviousHosts {
 			if h := sh.fleet.Hosts[name]; h != nil {
 				sh.bind(h)
 			}
@@ -225,12 +225,12 @@
 }
 
 // entry takes in what a machine has reported to its holder.
-func (sh *shards) entry(b *box, e *shard.Entry, now time.Time) {
+func (sh *shards) entry(b *box, e *shard.HostReport, now time.Time) {
 	h := sh.fleet.Hosts[e.Host]
 	if h == nil || sh.machinePool.gone(e.Host) {
 		return
 	}
-	sh.allot.Heard(e.Host)
+	sh.allot.ConfirmContact(e.Host)
 	if len(e.Report) > 0 {
 		m := &wire.Report{}
 		if err := wire.Unmarshal(e.Report, m); err != nil || m.Host != e.Host {
@@ -244,11 +244,11 @@
 	}
 	// The holder may have answered a later report that said the same, also when the
 	// one above was told before and its telling was not acknowledged.
-	deaf := h.Deaf()
+	deaf := h.InboundCut()
 	ev := sh.fleet.Renew(h, e.Session, e.Seq, now.Add(-time.Duration(max(0, e.AgeMs))*time.Millisecond))
 	sh.taskTracker.hearing(h, deaf)
 	sh.taskTracker.handle(ev, now)
-	if clears := h.Clears(maxOrders); clears != nil {
+	if clears := h.ClearOrders(maxOrders); clears != nil {
 		b.settled = append(b.settled, shard.ExitClearance{Host: e.Host, Clears: clears})
 	}
 }
@@ -264,7 +264,7 @@
 			if !sh.machinePool.renewable(a.host, now) {
 				continue
 			}
-			orders, sent, ev := sh.fleet.Compose(a.host, a.seq, a.fresh, now, maxOrders)
+			orders, sent, ev := sh.fleet.ComposeOrders(a.host, a.seq, a.fresh, now, maxOrders)
 			sh.takeover.launched(len(sent), now)
 			sh.taskTracker.handle(ev, now)
 			b.answers = append(b.answers, shard.Answer{Host: a.host.Name, Session: a.session, Seq: a.seq, Orders: orders})
@@ -280,7 +280,7 @@
 		if h == nil {
 			continue // it was returned meanwhile
 		}
-		h.Unhold(f.Until)
+		h.ClearHolder(f.Until)
 		k := moveKind{f.From, f.Why}
 		m := sh.told[k]
 		if m == nil {
@@ -332,7 +332,7 @@
 		if b.back == nil {
 			continue
 		}
-		if len(b.calls) == 0 && len(b.answers) == 0 && len(b.settled) == 0 && !sh.allot.Due(member) && now.Sub(b.since) < holdTime {
+		if len(b.calls) == 0 && len(b.answers) == 0 && len(b.settled) == 0 && !sh.allot.ReplyDue(member) && now.Sub(b.since) < holdTime {
 			continue
 		}
 		r := sh.allot.Reply(member, now)
@@ -349,7 +349,7 @@
 		return
 	}
 	sh.toldAt = now
-	held := sh.allot.Held()
+	held := sh.allot.HeldCounts()
 	for k, m := range sh.told {
 		sh.log.Info("machines changed their controller", "machines", m.machines, "from", k.from, "why", k.why,
 			"took", m.longest.Round(time.Millisecond), "held", held)
--- a/internal/control/shards_reclaim.go
+++ b/internal/control/shards_reclaim.go
@@ -16,7 +16,7 @@
 		return
 	}
 	sh.kept[h] = struct{}{}
-	sh.allot.Keep(h.Name, "a cancelled task may be on it", now)
+	sh.allot.Retain(h.Name, "a cancelled task may be on it", now)
 }
 
 // keepDue looks for machines that have to be kept, among those that wait for a command, and
@@ -27,7 +27,7 @@
 		return
 	}
 	sh.keptAt = now
-	for _, h := range sh.fleet.Awake() {
+	for _, h := range sh.fleet.AwaitingCommand() {
 		sh.keep(h, now)
 	}
 	for h := range sh.kept {
--- a/internal/control/shards_relay.go
+++ b/internal/control/shards_relay.go
@@ -55,7 +55,7 @@
 }
 
 // done takes in what became of a command.
-func (sh *shards) done(d *shard.Done) {
+func (sh *shards) done(d *shard.CallResult) {
 	r := sh.relayed[d.ID]
 	if r == nil {
 		return // given up, or told twice
--- a/internal/control/shards_test.go
+++ b/internal/control/shards_test.go
@@ -58,9 +58,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.shards.entry(&box{}, &shard.Entry{Host: "h1", Session: 1, Seq: 10, Report: full}, now)
+	r.shards.entry(&box{}, &shard.HostReport{Host: "h1", Session: 1, Seq: 10, Report: full}, now)
 	now = now.Add(8 * time.Second)
-	r.shards.entry(&box{}, &shard.Entry{Host: "h1", Session: 1, Seq: 11, Report: full}, now)
+	r.shards.entry(&box{}, &shard.HostReport{Host: "h1", Session: 1, Seq: 11, Report: full}, now)
 	now = now.Add(5 * time.Second)
 	if r.fleet.Expire(now); h.Lost {
 		t.Error("lost 5 s after a report that the holder answered")
--- a/internal/control/takeover.go
+++ b/internal/control/takeover.go
@@ -113,7 +113,7 @@
 	if tk.ready {
 		return true
 	}
-	tk.inherited = tk.fleet.Settle()
+	tk.inherited = tk.fleet.SettleInherited()
 	if p := &tk.phases; p.meet.IsZero() && 100*len(tk.inherited) <= (100-metShare)*p.machines {
 		p.meet = now
 	}
--- a/internal/control/takeover_load.go
+++ b/internal/control/takeover_load.go
@@ -118,7 +118,7 @@
 			tk.completions.finish(j, wire.JobDone)
 		}
 	}
-	go tk.admission.follow(st.epoch)
+	go tk.admission.watchActiveJobs(st.epoch)
 	go tk.teamQuotas.follow()
 	return nil
 }
@@ -136,7 +136,7 @@
 		}
 		if tk.admissionGroups.has(rec.Spec.ID) {
 			// Another node has admitted the job once more: one record is enough.
-			tk.results.drop(e.Key)
+			tk.results.deleteLater(e.Key)
 			continue
 		}
 		if rec.Phase != "" {
@@ -165,11 +165,11 @@
 			}
 		}
 		j := tk.jobTable.get(id)
-		if unreadable[id] || (j == nil && tk.admissionGroups.doubtful()) {
+		if unreadable[id] || (j == nil && tk.admissionGroups.hasUnreadable()) {
 			continue
 		}
 		if j == nil {
-			tk.results.drop(e.Key)
+			tk.results.deleteLater(e.Key)
 			continue
 		}
 		var ch job.Chunk
--- a/internal/control/tasks_heartbeats.go
+++ b/internal/control/tasks_heartbeats.go
@@ -28,7 +28,7 @@
 	if !h.Known || h.Type < 0 {
 		wk.nameIndex.describe(h, m.Type, m.Zone, m.Spot)
 	}
-	booting, deaf := h.Booting, h.Deaf()
+	booting, deaf := h.Booting, h.InboundCut()
 	res := wk.fleet.Observe(h, m, isHeartbeat, now, wk.jobTable.find)
 	if res.Deposed {
 		wk.log.Info("a worker has seen a later term", "host", h.Name, "seen", m.Token)
@@ -37,9 +37,9 @@
 	}
 	wk.hearing(h, deaf)
 	if res.Fresh && booting && !h.Booting {
-		wk.log.Info("machine is up", "host", h.Name, "after", now.Sub(h.Born).Round(time.Second))
+		wk.log.Info("machine is up", "host", h.Name, "after", now.Sub(h.AddedAt).Round(time.Second))
 		h.IdleFrom = now
-		wk.reservationHolds.booted(h, now.Sub(h.Born))
+		wk.reservationHolds.booted(h, now.Sub(h.AddedAt))
 		wk.changed()
 	}
 	for _, s := range h.Slots {
@@ -47,16 +47,16 @@
 		// over, or its record cannot be read. Its record is read to know what it takes; in
 		// an outage that takes long, and its lease must not be renewed meanwhile for a task
 		// whose user may have been told that it is cancelled.
-		if s.On() && s.Job.Phase+s.Job.Closing != "" && !s.Stopping {
+		if s.Active() && s.Job.Phase+s.Job.Closing != "" && !s.Stopping {
 			wk.handle(wk.fleet.Stop(s, 0), now)
 		}
-		if s.Job.Shape == job.Gang && s.On() {
+		if s.Job.Shape == job.Gang && s.Active() {
 			wk.gangSeen(s)
 		}
 	}
 	wk.handle(res.Events, now)
 	if h.Fenced && !h.Durable && h.Known && h.Addr != "" && !h.Lost && !h.Releasing {
-		wk.registry.enter(h, wk.nameIndex.list()[h.Type].Name, wk.nameIndex.zoneNames()[h.Zone])
+		wk.registry.addHost(h, wk.nameIndex.list()[h.Type].Name, wk.nameIndex.zoneNames()[h.Zone])
 	}
 	if res.Fresh && !h.RecallAt.IsZero() {
 		wk.machinePool.recall(h, now)
@@ -67,9 +67,9 @@
 // hearing tells of a machine that has turned deaf, or hears again.
 func (wk *taskTracker) hearing(h *fleet.Host, was bool) {
 	switch {
-	case h.Deaf() && !was:
+	case h.InboundCut() && !was:
 		wk.log.Info("machine reports and takes in nothing that is sent to it, no more work for now", "host", h.Name)
-	case was && !h.Deaf():
+	case was && !h.InboundCut():
 		wk.log.Info("machine hears again", "host", h.Name)
 		wk.changed()
 	}
@@ -102,7 +102,7 @@
 
 func (wk *taskTracker) stopJob(j *job.Job, grace float64) {
 	now := time.Now()
-	for s := range wk.fleet.On(j) {
+	for s := range wk.fleet.SlotsOf(j) {
 		wk.handle(wk.fleet.Stop(s, grace), now)
 	}
 }
@@ -144,7 +144,7 @@
 			if t := wk.nameIndex.typeOf(h); t != nil {
 				cache = t.CacheGB
 			}
-			h.Touch(j.ImageIdx, j.ImageGB, cache)
+			h.UseImage(j.ImageIdx, j.ImageGB, cache)
 			if wk.debug {
 				wk.log.Debug("task runs", "task", job.TaskName(j.ID, s.Task), "host", h.Name, "after", now.Sub(s.At))
 			}
@@ -153,9 +153,9 @@
 			}
 		case fleet.Ended:
 			wk.ended(s, j, h, now)
-		case fleet.Sickened:
+		case fleet.TurnedUnhealthy:
 			wk.rollouts.failed(j, s.Task, h.Name)
-		case fleet.Gone, fleet.Never:
+		case fleet.Gone, fleet.NeverStarted:
 			if j.Shape == job.Gang && j.GangRan {
 				wk.breakGang(j)
 			}
@@ -191,7 +191,7 @@
 		if !s.RunAt.IsZero() && !s.Adopted {
 			wk.reservationHolds.ran(j, now.Sub(s.RunAt).Seconds())
 		}
-		wk.results.add(s)
+		wk.results.addCompleted(s)
 		if j.Shape == job.Service {
 			s.Settled = true // a replica that ends is started again
 			return
@@ -227,8 +227,8 @@
 	if j.GangBroken || j.GangRan || len(j.Live) != j.Tasks-1 {
 		return false
 	}
-	for s := range wk.fleet.On(j) {
-		if s.On() && !s.Stopping && (s.Phase == "" || s.Phase == wire.Pulling) {
+	for s := range wk.fleet.SlotsOf(j) {
+		if s.Active() && !s.Stopping && (s.Phase == "" || s.Phase == wire.Pulling) {
 			return true
 		}
 	}
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -41,13 +41,13 @@
 // Term describes one term of leadership that this member has won; it is passed
 // to the lead function.
 type Term struct {
-	Term uint64 // the term number, the fencing token of the leader's writes
+	Number uint64 // the term number, the fencing token of the leader's writes
 	// TermVersion is the version of the term key that this term wrote.
 	TermVersion uint64
 	// Since is a moment at or after the end of every earlier leader's entitlement.
 	Since time.Time
-	// Alive is when the previous leader last sent a heartbeat; zero: never.
-	Alive time.Time
+	// LeaderHeardAt is when the previous leader last sent a heartbeat; zero: never.
+	LeaderHeardAt time.Time
 	// Restored reports that the stored term was behind what workers or siblings had
 	// seen: the state service has lost its latest writes.
 	Restored bool
@@ -57,8 +57,8 @@
 type View struct {
 	Leader string // member name of the leader; empty: unknown or none
 	Term   uint64 // highest term known
-	// Seen is when the state service last answered this node.
-	Seen time.Time
+	// StoreSeenAt is when the state service last answered this node.
+	StoreSeenAt time.Time
 }
 
 // Elector takes part in the election on behalf of one member. Its methods are
@@ -108,12 +108,12 @@
 // It is asked as late as possible, at each sending, because a decision can wait
 // behind a busy processor for longer than the lease lasts.
 func (e *Elector) Entitled(term uint64) bool {
-	return e.Left(term) > 0
+	return e.EntitlementLeft(term) > 0
 }
 
-// Left is how long the member may still act as leader of the term without another
+// EntitlementLeft is how long the member may still act as leader of the term without another
 // lease renewal or promise; 0: it may not.
-func (e *Elector) Left(term uint64) time.Duration {
+func (e *Elector) EntitlementLeft(term uint64) time.Duration {
 	now := time.Now()
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -258,8 +258,8 @@
 	}
 }
 
-// LeaderHeartbeat notes that the leader has given a sign of life.
-func (e *Elector) LeaderHeartbeat() {
+// ObserveHeartbeat notes that the leader has given a sign of life.
+func (e *Elector) ObserveHeartbeat() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.leaderHeardAt = time.Now()
@@ -318,7 +318,7 @@
 func (e *Elector) markSeen() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.view.Seen = time.Now()
+	e.view.StoreSeenAt = time.Now()
 }
 
 // readLeadership reads the leader and term keys in one listing, so that they
@@ -343,7 +343,7 @@
 		}
 	}
 	e.mu.Lock()
-	e.view.Seen = time.Now()
+	e.view.StoreSeenAt = time.Now()
 	if term >= e.view.Term {
 		e.view.Term = term
 		e.view.Leader = h.Member
@@ -360,7 +360,7 @@
 // lease of its own, and leads until the term ends if it wins.
 func (e *Elector) campaign(ctx context.Context, term, termVersion uint64) {
 	begun := time.Now()
-	lease, err := e.state.Grant(ctx, e.ttl)
+	lease, err := e.state.GrantLease(ctx, e.ttl)
 	if err != nil {
 		return
 	}
@@ -372,13 +372,13 @@
 	version, err := e.commitLeadership(ctx, writes, term, termVersion, lease)
 	if err != nil {
 		// Without its lease a transaction that is applied late fails.
-		_ = e.state.Revoke(ctx, lease)
+		_ = e.state.RevokeLease(ctx, lease)
 		return
 	}
 	e.mu.Lock()
 	alive := e.leaderHeardAt
 	e.mu.Unlock()
-	e.holdTerm(ctx, Term{Term: term, TermVersion: version, Since: time.Now(), Alive: alive, Restored: restored}, lease, begun)
+	e.holdTerm(ctx, Term{Number: term, TermVersion: version, Since: time.Now(), LeaderHeardAt: alive, Restored: restored}, lease, begun)
 }
 
 // nextTerm is the term to campaign for after the stored one. restored reports
@@ -416,7 +416,7 @@
 // the commit went through.
 func (e *Elector) commitLeadership(ctx context.Context, writes []state.Write, term, termVersion, lease uint64) (uint64, error) {
 	version, err := e.state.Commit(ctx, state.Txn{
-		If:     []state.Cond{{Key: keyLeader}, {Key: KeyTerm, Version: termVersion}},
+		If:     []state.Condition{{Key: keyLeader}, {Key: KeyTerm, Version: termVersion}},
 		Writes: writes,
 	})
 	if errors.Is(err, state.ErrUnknown) {
@@ -436,33 +436,33 @@
 	rctx, cancel := context.WithCancel(ctx)
 	deposed := make(chan struct{})
 	e.mu.Lock()
-	e.leadingTerm, e.leaseUntil = r.Term, begun.Add(e.ttl-e.clockMargin())
-	e.view = View{Leader: e.member, Term: r.Term, Seen: time.Now()}
+	e.leadingTerm, e.leaseUntil = r.Number, begun.Add(e.ttl-e.clockMargin())
+	e.view = View{Leader: e.member, Term: r.Number, StoreSeenAt: time.Now()}
 	e.deposed = deposed
 	e.mu.Unlock()
-	e.log.Info("took the lead", "term", r.Term)
+	e.log.Info("took the lead", "term", r.Number)
 	finished := make(chan struct{})
 	go func() {
 		defer close(finished)
 		e.lead(rctx, r)
 	}()
-	e.renew(rctx, r.Term, lease, deposed)
+	e.renew(rctx, r.Number, lease, deposed)
 	e.mu.Lock()
 	resigned := e.resigns
 	e.leadingTerm, e.leaseUntil, e.deposed, e.resigns = 0, time.Time{}, nil, false
 	if resigned {
 		e.notBefore = time.Now().Add(resignTime)
 	}
-	if e.view.Term == r.Term {
+	if e.view.Term == r.Number {
 		e.view.Leader = ""
 	}
 	e.mu.Unlock()
 	cancel()
 	<-finished
 	if resigned {
-		_ = e.state.Revoke(ctx, lease) // if it fails, the lease runs out
+		_ = e.state.RevokeLease(ctx, lease) // if it fails, the lease runs out
 	}
-	e.log.Info("left the lead", "term", r.Term)
+	e.log.Info("left the lead", "term", r.Number)
 }
 
 // resigning reports whether the lead is being given away, and what is left of the
@@ -508,12 +508,12 @@
 // asks the siblings for promises.
 func (e *Elector) extendLease(ctx context.Context, term, lease uint64) (wait time.Duration, ended bool) {
 	begun := time.Now()
-	err := e.state.Extend(ctx, lease)
+	err := e.state.RenewLease(ctx, lease)
 	switch {
 	case err == nil:
 		e.mu.Lock()
 		e.leaseUntil = begun.Add(e.ttl - e.clockMargin())
-		e.view.Seen = time.Now()
+		e.view.StoreSeenAt = time.Now()
 		e.mu.Unlock()
 		return e.ttl / 4, false
 	case errors.Is(err, state.ErrNotFound):
--- a/internal/fleet/compose.go
+++ b/internal/fleet/compose.go
@@ -8,11 +8,11 @@
 
 func grace(g float64) *float64 { return &g }
 
-// Compose makes the orders for a machine and marks the launches as sent. seq is
+// ComposeOrders makes the orders for a machine and marks the launches as sent. seq is
 // the report that is answered; 0: a direct command, which carries no clear.
 // Launches are left out for a stale report and while a direct command is under
 // way, whose order against this answer is not known.
-func (f *Fleet) Compose(h *Host, seq uint64, launches bool, now time.Time, limit int) (orders []wire.Order, sent []*Slot, ev []Event) {
+func (f *Fleet) ComposeOrders(h *Host, seq uint64, launches bool, now time.Time, limit int) (orders []wire.Order, sent []*Slot, ev []Event) {
 	orders = []wire.Order{}
 	if seq != 0 {
 		orders = h.haltCancelled(orders, now, limit)
@@ -28,10 +28,10 @@
 		case !s.Sent:
 			if s.Job.Closing != "" || s.Job.Phase != "" {
 				// The abort's commit may have been sent after the placement.
-				ev = append(ev, f.remove(h, s, Never)...)
+				ev = append(ev, f.remove(h, s, NeverStarted)...)
 				continue
 			}
-			if !launches || !h.Fenced || !h.Durable || h.Lost || !s.Job.Noted.Has(h.Idx) {
+			if !launches || !h.Fenced || !h.Durable || h.Lost || !s.Job.Noted.Has(h.Index) {
 				continue
 			}
 			s.Sent, s.Direct, s.viaSeq, s.At = true, seq == 0, seq, now
@@ -50,7 +50,7 @@
 			}
 		case s.haltDue(now):
 			orders = append(orders, s.halt(now))
-		case seq != 0 && !s.On() && s.Settled && s.again.IsZero():
+		case seq != 0 && !s.Active() && s.Settled && s.again.IsZero():
 			orders = append(orders, wire.Order{Op: wire.Clear, Task: name(), Attempt: s.Attempt})
 		}
 	}
@@ -60,7 +60,7 @@
 
 // halt makes the order that stops the placement, and notes that it is sent.
 func (s *Slot) halt(now time.Time) wire.Order {
-	s.Halted = now
+	s.HaltSentAt = now
 	return wire.Order{Op: wire.Halt, Task: job.TaskName(s.Job.ID, s.Task), Attempt: s.Attempt, Grace: grace(s.Grace)}
 }
 
@@ -77,24 +77,24 @@
 	return orders
 }
 
-// Clears are the exits that the worker may forget, for the next answer of the
+// ClearOrders are the exits that the worker may forget, for the next answer of the
 // holder.
-func (h *Host) Clears(limit int) (orders []wire.Order) {
+func (h *Host) ClearOrders(limit int) (orders []wire.Order) {
 	if h.Exits == 0 {
 		return nil
 	}
 	for _, s := range h.Slots {
-		if !s.On() && s.Settled && s.again.IsZero() && len(orders) < limit {
+		if !s.Active() && s.Settled && s.again.IsZero() && len(orders) < limit {
 			orders = append(orders, wire.Order{Op: wire.Clear, Task: job.TaskName(s.Job.ID, s.Task), Attempt: s.Attempt})
 		}
 	}
 	return orders
 }
 
-// Urgent reports whether something waits that is worth a direct command.
-func (h *Host) Urgent(now time.Time) bool {
+// NeedsDirectCommand reports whether something waits that is worth a direct command.
+func (h *Host) NeedsDirectCommand(now time.Time) bool {
 	for _, s := range h.Slots {
-		if !s.Sent && h.Usable() && s.Job.Noted.Has(h.Idx) {
+		if !s.Sent && h.Usable() && s.Job.Noted.Has(h.Index) {
 			return true
 		}
 		if h.holder != nil && s.doubtful(now) {
@@ -107,12 +107,12 @@
 	return false
 }
 
-// Unsent settles launches of a direct command that was certainly not executed.
-func (f *Fleet) Unsent(slots []*Slot) []Event {
+// RemoveNotDelivered settles launches of a direct command that was certainly not executed.
+func (f *Fleet) RemoveNotDelivered(slots []*Slot) []Event {
 	var ev []Event
 	for _, s := range slots {
 		if s.Host.Slots[s.Key] == s && s.Direct && !s.Seen && s.again.IsZero() {
-			ev = append(ev, f.remove(s.Host, s, Never)...)
+			ev = append(ev, f.remove(s.Host, s, NeverStarted)...)
 			s.Host.Recount()
 		}
 	}
--- a/internal/fleet/deaf_test.go
+++ b/internal/fleet/deaf_test.go
@@ -81,7 +81,7 @@
 			b.msg(true, 1, 1, term, nil)
 			b.assign(1)
 			b.compose(0, true)
-			b.f.Deafen(b.h, b.now)
+			b.f.MarkInboundCut(b.h, b.now)
 			b.live(1, "a direct launch without an answer")
 			b.now = b.now.Add(9 * time.Second)
 			b.msg(true, 1, 2, term, nil)
@@ -93,7 +93,7 @@
 		}},
 		{"18: a machine that hangs gets nothing until it is heard", func(b *bed) {
 			b.msg(true, 1, 1, term, nil)
-			b.h.Unheard = true
+			b.h.CallUnanswered = true
 			usable(b, false, "after a direct command without an answer")
 			b.msg(true, 1, 2, term, nil)
 			usable(b, true, "after a report")
@@ -172,7 +172,7 @@
 			b.msg(false, 2, 3, term, nil)
 			b.msg(false, 3, 4, term, nil)
 			usable(b, false, "another lease later")
-			if b.now = b.now.Add(time.Second); !b.h.MuteAt.Equal(b.now.Add(-time.Second)) {
+			if b.now = b.now.Add(time.Second); !b.h.OutboundCutAt.Equal(b.now.Add(-time.Second)) {
 				b.t.Error("counted from its second session")
 			}
 			b.msg(true, 3, 5, term, nil)
--- a/internal/fleet/explore_test.go
+++ b/internal/fleet/explore_test.go
@@ -88,10 +88,10 @@
 	w.f = New(term, leaseTime, cancelTime)
 	w.h = w.f.Add("host-1", w.now)
 	w.h.Known, w.h.Durable, w.h.Type, w.h.Zone = true, true, 0, 0
-	w.a = shard.NewAssigner(term, "n0", "", shard.Settings{Grant: grantTime, Rest: tick, RestMost: tick, PerS: 1000, Own: 0.01, Room: 1}, w.now)
-	w.a.Known("host-1", "")
+	w.a = shard.NewAssigner(term, "n0", "", shard.Settings{GrantDuration: grantTime, RejoinDelay: tick, MaxRejoinDelay: tick, MovesPerSecond: 1000, LeaderWeight: 0.01, LeaderCapacity: 1}, w.now)
+	w.a.AddMachine("host-1", "")
 	w.by, w.kept = &Holder{Name: "n1"}, false
-	w.j.Noted.Add(w.h.Idx)
+	w.j.Noted.Add(w.h.Index)
 	w.over = !w.cancelled.IsZero()
 	if w.over {
 		rec := &job.Record{Spec: w.j.Spec, Phase: wire.JobAborted}
@@ -100,8 +100,8 @@
 			w.j.CancelledAt = w.now
 		}
 	}
-	for s := range w.f.On(w.j) {
-		delete(w.f.On(w.j), s)
+	for s := range w.f.SlotsOf(w.j) {
+		delete(w.f.SlotsOf(w.j), s)
 	}
 }
 
@@ -110,8 +110,8 @@
 // observe takes in a message as the leader does.
 func (w *world) observe(m *wire.Report, isReport bool) (fresh bool) {
 	fresh = w.f.Observe(w.h, m, isReport, w.now, w.find).Fresh
-	for s := range w.f.On(w.j) {
-		if s.On() && w.j.Cancelled() && !s.Stopping {
+	for s := range w.f.SlotsOf(w.j) {
+		if s.Active() && w.j.Cancelled() && !s.Stopping {
 			w.f.Stop(s, 0)
 		}
 	}
@@ -129,7 +129,7 @@
 	case w.out == givesBack:
 	case bounded && limit.Sub(w.now) <= early:
 		w.kept = true
-		w.a.Keep("host-1", "", w.now)
+		w.a.Retain("host-1", "", w.now)
 	case !bounded && w.kept:
 		w.kept = false
 		w.a.Release("host-1")
@@ -142,10 +142,10 @@
 		return nil
 	}
 	var lately bool
-	for s := range w.f.On(w.j) {
-		lately = lately || s.Halted.Equal(w.now)
+	for s := range w.f.SlotsOf(w.j) {
+		lately = lately || s.HaltSentAt.Equal(w.now)
 	}
-	orders, _, _ := w.f.Compose(w.h, m.Seq, fresh, w.now, 100)
+	orders, _, _ := w.f.ComposeOrders(w.h, m.Seq, fresh, w.now, 100)
 	if w.out == alwaysHalts && lately {
 		orders = nil
 	}
@@ -221,20 +221,20 @@
 		}
 		return true
 	}
-	if r, _ := w.a.Report("host-1", "", w.now); r != shard.Serve || fate == slow {
+	if r, _ := w.a.RouteReport("host-1", "", w.now); r != shard.Serve || fate == slow {
 		return false
 	}
 	fresh := w.observe(m, true)
 	take(w.answer(m, fresh))
 	w.keep()
-	w.a.Served("host-1", "", w.now)
+	w.a.ReportServed("host-1", "", w.now)
 	w.bind()
 	return true
 }
 
 func (w *world) bind() {
 	if by, _ := w.a.Holder("host-1"); by != "" && w.h.Holder() == nil {
-		w.f.Hold(w.h, w.by)
+		w.f.SetHolder(w.h, w.by)
 	}
 }
 
@@ -244,27 +244,27 @@
 		w.holder.EndTerm()
 	}
 	r := w.holder.Request(10, 1, false, w.now)
-	freed, ok := w.a.Sync(r, w.now)
+	freed, ok := w.a.HandleRequest(r, w.now)
 	if !ok {
-		w.holder.Missed()
+		w.holder.RequestFailed()
 		return
 	}
-	w.by.Told = w.a.Told("n1")
+	w.by.KnownUntil = w.a.KnownUntil("n1")
 	if r.Term == w.f.Term {
-		for i := range r.Entries {
-			w.entry(&r.Entries[i])
+		for i := range r.Reports {
+			w.entry(&r.Reports[i])
 		}
 	}
 	w.free(freed)
 	w.keep()
 	p := w.a.Reply("n1", w.now)
-	w.holder.Granted(p, w.now)
+	w.holder.HandleReply(p, w.now)
 	w.grantEnd = w.now.Add(time.Duration(p.ForMs) * time.Millisecond)
 	w.bind()
 }
 
-func (w *world) entry(e *shard.Entry) {
-	w.a.Heard(e.Host)
+func (w *world) entry(e *shard.HostReport) {
+	w.a.ConfirmContact(e.Host)
 	if len(e.Report) > 0 {
 		m := &wire.Report{}
 		if err := wire.Unmarshal(e.Report, m); err != nil {
@@ -277,13 +277,13 @@
 
 func (w *world) free(freed []shard.Revocation) {
 	for _, f := range freed {
-		w.h.Unhold(f.Until)
+		w.h.ClearHolder(f.Until)
 	}
 }
 
 // send puts the machine's next direct command on its way.
 func (w *world) send() bool {
-	orders, _, _ := w.f.Compose(w.h, 0, w.h.Usable(), w.now, 100)
+	orders, _, _ := w.f.ComposeOrders(w.h, 0, w.h.Usable(), w.now, 100)
 	if len(orders) > 0 && len(w.held) < mostHeld {
 		w.held = append(w.held, wire.Direct{Token: w.f.Term, Session: max(1, w.h.Session), Orders: orders})
 	}
@@ -352,7 +352,7 @@
 		if w.out == fromSending {
 			w.j.CancelledAt = w.now.Add(tick)
 		}
-		for s := range w.f.On(w.j) {
+		for s := range w.f.SlotsOf(w.j) {
 			w.f.Stop(s, 0)
 		}
 		return true
@@ -378,10 +378,10 @@
 	p.Say(w.f.Term, w.launched, w.over, w.kept, w.w.session, w.w.token, w.w.phase, len(w.held), w.holder.Term(), " ")
 	p.At(w.cancelled, w.w.leased, w.grantEnd, w.h.heard, w.h.directAt)
 	by, asked := w.a.Holder("host-1")
-	p.Say(by, asked, w.h.Session, w.h.Fenced, w.h.Withheld, w.h.Lost, w.h.holder != nil, w.h.seq == w.w.seq, w.h.reported == w.w.seq, " ")
-	for s := range w.f.On(w.j) {
+	p.Say(by, asked, w.h.Session, w.h.Fenced, w.h.RenewalStopped, w.h.Lost, w.h.holder != nil, w.h.seq == w.w.seq, w.h.reported == w.w.seq, " ")
+	for s := range w.f.SlotsOf(w.j) {
 		p.Say(s.Phase, s.Seen, s.Direct, s.Stopping)
-		p.At(s.Halted, s.again, s.At)
+		p.At(s.HaltSentAt, s.again, s.At)
 	}
 	for _, d := range w.held {
 		p.Say(d.Token, d.Session, len(d.Orders), d.Orders[0].Op)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -69,19 +69,19 @@
 }
 
 func (f *Fleet) insert(name string, idx int, since time.Time) *Host {
-	h := &Host{Idx: idx, Name: name, Type: -1, Zone: -1, Born: since, Booting: true, heard: since, IdleFrom: since,
+	h := &Host{Index: idx, Name: name, Type: -1, Zone: -1, AddedAt: since, Booting: true, heard: since, IdleFrom: since,
 		Slots: map[Key]*Slot{}, ErrorJobs: map[*job.Job]bool{}}
 	f.Hosts[name] = h
 	f.order = append(f.order, h)
 	return h
 }
 
-// Free gives the index of a machine that is gone back. The registry must not
+// FreeIndex gives the index of a machine that is gone back. The registry must not
 // name the machine any more: two machines of one index would be one to it.
-func (f *Fleet) Free(idx int) { f.spare = append(f.spare, idx) }
+func (f *Fleet) FreeIndex(idx int) { f.spare = append(f.spare, idx) }
 
-// On returns the slots of a job, exits that are still reported included.
-func (f *Fleet) On(j *job.Job) map[*Slot]struct{} { return f.jobs[j] }
+// SlotsOf returns the slots of a job, exits that are still reported included.
+func (f *Fleet) SlotsOf(j *job.Job) map[*Slot]struct{} { return f.jobs[j] }
 
 func (f *Fleet) link(h *Host, s *Slot) {
 	h.Slots[s.Key] = s
@@ -102,10 +102,10 @@
 	}
 }
 
-// Awake returns the machines that have a launch or a halt to come. It is kept as
+// AwaitingCommand returns the machines that have a launch or a halt to come. It is kept as
 // a list because a look at every slot of a large fleet after each message would
 // take most of the processor.
-func (f *Fleet) Awake() []*Host {
+func (f *Fleet) AwaitingCommand() []*Host {
 	f.awake = slices.DeleteFunc(f.awake, func(h *Host) bool {
 		for _, s := range h.Slots {
 			if s.awaitsCommand() {
@@ -120,11 +120,11 @@
 
 // awaitsCommand reports whether a launch or a halt of the slot is to come.
 func (s *Slot) awaitsCommand() bool {
-	return !s.Sent || (s.Stopping && s.On()) || (s.Host.holder != nil && s.inFlight())
+	return !s.Sent || (s.Stopping && s.Active()) || (s.Host.holder != nil && s.inFlight())
 }
 
-// Waits reports whether any machine is on that list.
-func (f *Fleet) Waits() bool { return len(f.awake) > 0 }
+// AnyAwaitingCommand reports whether any machine is on that list.
+func (f *Fleet) AnyAwaitingCommand() bool { return len(f.awake) > 0 }
 
 // Remove forgets a machine whose release was answered: everything on it is gone.
 func (f *Fleet) Remove(h *Host) []Event {
@@ -156,7 +156,7 @@
 			delete(f.jobs, s.Job)
 		}
 	}
-	if !s.On() {
+	if !s.Active() {
 		return nil
 	}
 	s.Job.AddLive(s.Task, -1)
@@ -177,16 +177,16 @@
 // Stop marks a placement to be stopped. A placement that was never sent goes at
 // once; a second call can only shorten the grace.
 func (f *Fleet) Stop(s *Slot, grace float64) []Event {
-	if !s.On() {
+	if !s.Active() {
 		return nil
 	}
 	if !s.Sent {
-		ev := f.remove(s.Host, s, Never)
+		ev := f.remove(s.Host, s, NeverStarted)
 		s.Host.Recount()
 		return ev
 	}
 	if !s.Stopping || grace < s.Grace {
-		s.Stopping, s.Grace, s.Halted = true, grace, time.Time{}
+		s.Stopping, s.Grace, s.HaltSentAt = true, grace, time.Time{}
 		f.wake(s.Host)
 	}
 	s.Host.Recount()
@@ -200,7 +200,7 @@
 		if h.Lost || h.asOf(now).Sub(h.heard) < f.Lease || now.Sub(h.directAt) < f.Lease {
 			continue
 		}
-		h.Lost, h.LostAt, h.Fenced, h.Withheld = true, now, false, false
+		h.Lost, h.LostAt, h.Fenced, h.RenewalStopped = true, now, false, false
 		ev = append(ev, f.drop(h)...)
 		if !h.Booting && !h.Releasing {
 			lost++
@@ -209,9 +209,9 @@
 	return ev, lost
 }
 
-// Settle notes which machines have been met, or have lost their lease, since the
+// SettleInherited notes which machines have been met, or have lost their lease, since the
 // takeover, and returns those that may still run what an earlier leader launched.
-func (f *Fleet) Settle() (open []*Host) {
+func (f *Fleet) SettleInherited() (open []*Host) {
 	for _, h := range f.order {
 		if h.Inherited && (h.Fenced || h.Lost) {
 			h.Inherited, h.InheritedJobs = false, nil
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -28,7 +28,7 @@
 		j: job.New(&job.Record{Spec: job.Spec{ID: "run-1", ShapeName: "array", RankName: "standard", Tasks: 4, CPUs: 1}}, now)}
 	b.h = b.f.Add("host-1", now)
 	b.h.Known, b.h.Durable, b.h.Type, b.h.Zone = true, true, 0, 0
-	b.j.Noted.Add(b.h.Idx)
+	b.j.Noted.Add(b.h.Index)
 	return b
 }
 
@@ -48,7 +48,7 @@
 func (b *bed) assign(attempt uint64) { b.f.Assign(b.h, Key{b.j, 0, attempt}, b.now) }
 
 func (b *bed) compose(seq uint64, launches bool) []wire.Order {
-	o, sent, _ := b.f.Compose(b.h, seq, launches, b.now, 100)
+	o, sent, _ := b.f.ComposeOrders(b.h, seq, launches, b.now, 100)
 	b.sent = sent
 	return o
 }
@@ -99,21 +99,21 @@
 		}},
 		{"6: nothing is launched before the job is noted for the machine", func(b *bed) {
 			b.msg(true, 1, 1, term, nil)
-			b.j.Noted.Drop(b.h.Idx)
+			b.j.Noted.Drop(b.h.Index)
 			b.assign(1)
 			b.orders(b.compose(1, true), "")
 			b.orders(b.compose(0, true), "")
-			b.j.Noted.Add(b.h.Idx)
+			b.j.Noted.Add(b.h.Index)
 			b.orders(b.compose(0, true), "launch 1;")
 		}},
 		{"6: a machine of an earlier leader is open until it is fenced or lost", func(b *bed) {
 			b.h.Inherited = true
 			b.msg(true, 1, 1, term-1, run)
-			if len(b.f.Settle()) != 1 {
+			if len(b.f.SettleInherited()) != 1 {
 				b.t.Error("settled before it has seen the term")
 			}
 			b.msg(true, 1, 2, term, run)
-			if len(b.f.Settle()) != 0 {
+			if len(b.f.SettleInherited()) != 0 {
 				b.t.Error("open although it is fenced")
 			}
 		}},
@@ -140,7 +140,7 @@
 	return []ledgerCase{
 		{"15: a halt without grace is repeated also while the task saves, one with grace is not", func(b *bed) {
 			b.msg(true, 1, 1, term, run)
-			for s := range b.f.On(b.j) {
+			for s := range b.f.SlotsOf(b.j) {
 				b.f.Stop(s, 5)
 				b.orders(b.compose(1, true), "halt 1;")
 				b.msg(true, 1, 2, term, map[uint64]string{1: wire.Saving})
@@ -176,7 +176,7 @@
 			b.live(1, "the second copy may be lost too")
 			b.msg(true, 1, 5, term, map[uint64]string{1: wire.Exited})
 			b.live(0, "once its exit is seen")
-			for s := range b.f.On(b.j) {
+			for s := range b.f.SlotsOf(b.j) {
 				s.Settled = true
 			}
 			b.orders(b.compose(5, true), "")
@@ -191,15 +191,15 @@
 	run := map[uint64]string{1: wire.Running}
 	return []ledgerCase{
 		{"4, 9: a held machine is judged as of what its holder has told, and at its end as of the grant", func(b *bed) {
-			by := &Holder{Name: "n1", Told: b.now}
+			by := &Holder{Name: "n1", KnownUntil: b.now}
 			b.msg(true, 1, 1, term, run)
-			b.f.Hold(b.h, by)
+			b.f.SetHolder(b.h, by)
 			b.now = b.now.Add(15 * time.Second)
 			b.f.Expire(b.now)
 			b.live(1, "its holder may have renewed the lease since")
-			by.Told = b.now.Add(-10 * time.Second)
+			by.KnownUntil = b.now.Add(-10 * time.Second)
 			b.f.Renew(b.h, 1, 2, b.now.Add(-4*time.Second))
-			b.h.Unhold(b.now.Add(-time.Second))
+			b.h.ClearHolder(b.now.Add(-time.Second))
 			b.now = b.now.Add(9 * time.Second)
 			b.f.Expire(b.now)
 			b.live(1, "within a lease of the grant's end")
@@ -209,7 +209,7 @@
 		}},
 		{"8: a launch in an answer of the holder's is settled by a report that says nothing new", func(b *bed) {
 			b.msg(true, 1, 1, term, nil)
-			b.f.Hold(b.h, &Holder{Name: "n1"})
+			b.f.SetHolder(b.h, &Holder{Name: "n1"})
 			b.assign(1)
 			b.compose(1, true)
 			b.f.Renew(b.h, 1, 1, b.now)
@@ -221,7 +221,7 @@
 			b.msg(true, 1, 1, term, nil)
 			b.assign(1)
 			b.compose(0, true)
-			for s := range b.f.On(b.j) {
+			for s := range b.f.SlotsOf(b.j) {
 				b.f.Stop(s, 0)
 			}
 			b.now = b.now.Add(doubtTime)
@@ -251,7 +251,7 @@
 			b.msg(true, 1, 1, term, nil)
 			b.assign(1)
 			b.compose(0, true)
-			b.f.Unsent(b.sent)
+			b.f.RemoveNotDelivered(b.sent)
 			b.live(0, "after a refused connection")
 		}},
 		{"9: the lease ends what is on a silent machine, and not a moment earlier", func(b *bed) {
--- a/internal/fleet/holder.go
+++ b/internal/fleet/holder.go
@@ -9,17 +9,17 @@
 type Holder struct {
 	// Name is the holder's member name.
 	Name string
-	// Told is up to when all that it has answered is known. A machine that it deals
+	// KnownUntil is up to when all that it has answered is known. A machine that it deals
 	// with can only be judged as of then: a later answer may have renewed its lease.
-	Told time.Time
+	KnownUntil time.Time
 }
 
 // Holder is who answers the machine's reports; nil: the leader.
 func (h *Host) Holder() *Holder { return h.holder }
 
-// Hold notes that a holder may answer the machine's reports from now on. What the leader
+// SetHolder notes that a holder may answer the machine's reports from now on. What the leader
 // would have sent once more in an answer of its own has to go by a command.
-func (f *Fleet) Hold(h *Host, by *Holder) {
+func (f *Fleet) SetHolder(h *Host, by *Holder) {
 	h.holder = by
 	for _, s := range h.Slots {
 		if s.awaitsCommand() {
@@ -29,9 +29,9 @@
 	}
 }
 
-// Unhold notes that the holder does not any more; it may have until the moment
+// ClearHolder notes that the holder does not any more; it may have until the moment
 // given.
-func (h *Host) Unhold(until time.Time) {
+func (h *Host) ClearHolder(until time.Time) {
 	if h.holder == nil {
 		return
 	}
@@ -43,8 +43,8 @@
 
 // asOf is the time up to which all answers to the machine's reports are known.
 func (h *Host) asOf(now time.Time) time.Time {
-	if h.holder != nil && h.holder.Told.Before(now) {
-		return h.holder.Told
+	if h.holder != nil && h.holder.KnownUntil.Before(now) {
+		return h.holder.KnownUntil
 	}
 	return now
 }
@@ -70,35 +70,35 @@
 	if seq <= h.seq {
 		return nil
 	}
-	h.seq, h.Unheard, h.MuteAt = seq, false, time.Time{}
+	h.seq, h.CallUnanswered, h.OutboundCutAt = seq, false, time.Time{}
 	for _, s := range h.Slots {
 		if s.Sent && !s.Seen && !s.Direct && seq > s.viaSeq {
-			ev = append(ev, f.remove(h, s, Never)...)
+			ev = append(ev, f.remove(h, s, NeverStarted)...)
 		}
 	}
 	if ev != nil {
-		ev = append(ev, f.Deafen(h, at)...)
+		ev = append(ev, f.MarkInboundCut(h, at)...)
 		h.Recount()
 	}
 	return ev
 }
 
-// Deafen notes that the worker has not taken in what was sent to it. It gets no
+// MarkInboundCut notes that the worker has not taken in what was sent to it. It gets no
 // launches, and what waits to be sent goes elsewhere, until a message shows that it
 // hears again. What has been sent stays possible: it may have arrived after the
 // worker's last word.
-func (f *Fleet) Deafen(h *Host, now time.Time) []Event {
-	if h.DeafAt.IsZero() {
-		h.DeafAt = now
+func (f *Fleet) MarkInboundCut(h *Host, now time.Time) []Event {
+	if h.InboundCutAt.IsZero() {
+		h.InboundCutAt = now
 	}
-	return f.Withdraw(h)
+	return f.RemoveUnsent(h)
 }
 
-// Withdraw takes back what waits to be sent to a machine.
-func (f *Fleet) Withdraw(h *Host) (ev []Event) {
+// RemoveUnsent takes back what waits to be sent to a machine.
+func (f *Fleet) RemoveUnsent(h *Host) (ev []Event) {
 	for _, s := range h.Slots {
 		if !s.Sent {
-			ev = append(ev, f.remove(h, s, Never)...)
+			ev = append(ev, f.remove(h, s, NeverStarted)...)
 		}
 	}
 	h.Recount()
--- a/internal/fleet/host.go
+++ b/internal/fleet/host.go
@@ -8,8 +8,8 @@
 
 // Host is a machine.
 type Host struct {
-	// Idx is dense: it is used again once the machine and its record are gone.
-	Idx int
+	// Index is dense: it is used again once the machine and its record are gone.
+	Index int
 	// Name is the machine's name, Addr the address of its worker for direct commands.
 	Name string
 	Addr string
@@ -25,9 +25,9 @@
 	// InheritedJobs are the jobs that the registry named when this term began; they hold
 	// until the machine is settled.
 	InheritedJobs []InheritedJob
-	// Born is the time that was passed to Add or AddAt when the machine entered the
+	// AddedAt is the time that was passed to Add or AddAt when the machine entered the
 	// ledger.
-	Born    time.Time
+	AddedAt time.Time
 	Booting bool // never heard of
 
 	// Session is the worker's newest session (agent incarnation) that was heard of.
@@ -35,17 +35,17 @@
 	seq     uint64
 	// reported is the newest report of the session; seq may be that of a direct answer.
 	reported uint64
-	// DeafAt is since when the worker has shown that it takes in nothing that is sent
+	// InboundCutAt is since when the worker has shown that it takes in nothing that is sent
 	// to it; zero: it has not. Its reports may come all the while.
-	DeafAt time.Time
-	// Unheard: a direct command had no answer, and nothing was heard since.
-	Unheard bool
-	// MuteAt is since when the worker is known to live and to reach no controller: its
+	InboundCutAt time.Time
+	// CallUnanswered: a direct command had no answer, and nothing was heard since.
+	CallUnanswered bool
+	// OutboundCutAt is since when the worker is known to live and to reach no controller: its
 	// answer to a direct command tells of a new session, and no report has come since.
 	// Whatever is launched there dies with its lease. Zero: it is not.
-	MuteAt time.Time
-	// Withheld: the worker's reports go unanswered until its session has ended (renewal.go).
-	Withheld bool
+	OutboundCutAt time.Time
+	// RenewalStopped: the worker's reports go unanswered until its session has ended (renewal.go).
+	RenewalStopped bool
 	// Fenced: the worker has sent a message with our own term.
 	Fenced bool
 	// heard is the last moment from which an answer of ours, of a holder of ours or of
@@ -66,14 +66,14 @@
 
 	// Slots are the placements that may be on the machine.
 	Slots map[Key]*Slot
-	// Calling: a direct command is under way.
-	Calling bool
-	// NextCall holds back direct commands after failures, Failures in a row.
-	NextCall  time.Time
-	Failures  int
-	Releasing bool
-	Draining  bool // no more launches, ever
-	IdleFrom  time.Time
+	// CallInFlight: a direct command is under way.
+	CallInFlight bool
+	// NextCallAt holds back direct commands after failures, Failures in a row.
+	NextCallAt time.Time
+	Failures   int
+	Releasing  bool
+	Draining   bool // no more launches, ever
+	IdleFrom   time.Time
 
 	// Errors counts unexplained failures in a row; ErrorJobs their jobs.
 	Errors    int
@@ -88,18 +88,18 @@
 	Queue, Jobs       int
 	// Exits counts the exits that the worker still reports.
 	Exits int
-	// Unsettled counts the launches of cancelled jobs that may still be on their way.
-	Unsettled int
+	// CancelledInFlight counts the launches of cancelled jobs that may still be on their way.
+	CancelledInFlight int
 
 	messages uint64
 	awake    bool
 }
 
-// Mute reports whether the worker is known to live and to reach no controller.
-func (h *Host) Mute() bool { return !h.MuteAt.IsZero() }
+// OutboundCut reports whether the worker is known to live and to reach no controller.
+func (h *Host) OutboundCut() bool { return !h.OutboundCutAt.IsZero() }
 
-// Deaf reports whether the worker is known not to take in what is sent to it.
-func (h *Host) Deaf() bool { return !h.DeafAt.IsZero() }
+// InboundCut reports whether the worker is known not to take in what is sent to it.
+func (h *Host) InboundCut() bool { return !h.InboundCutAt.IsZero() }
 
 // InheritedJob is a job that an earlier leader may have launched on a machine. The team
 // is kept for a job that is over, and is -1 where it is not known.
@@ -110,25 +110,25 @@
 
 // Image is a cached image.
 type Image struct {
-	// Idx is the image's index, GB its size in gigabytes.
-	Idx int
-	GB  float64
+	// Index is the image's index, GB its size in gigabytes.
+	Index int
+	GB    float64
 }
 
-// Has reports whether the image is thought to be cached.
-func (h *Host) Has(image int) bool {
+// HasImage reports whether the image is thought to be cached.
+func (h *Host) HasImage(image int) bool {
 	for _, i := range h.Images {
-		if i.Idx == image {
+		if i.Index == image {
 			return true
 		}
 	}
 	return false
 }
 
-// Touch notes the use of an image; cacheGB bounds the cache.
-func (h *Host) Touch(image int, gb, cacheGB float64) {
+// UseImage notes the use of an image; cacheGB bounds the cache.
+func (h *Host) UseImage(image int, gb, cacheGB float64) {
 	for i, im := range h.Images {
-		if im.Idx == image {
+		if im.Index == image {
 			h.Images = append(append(h.Images[:i:i], h.Images[i+1:]...), im)
 			return
 		}
@@ -146,9 +146,9 @@
 
 // Recount sums up what the placements take.
 func (h *Host) Recount() {
-	h.CPUs, h.GPUs, h.MemGB, h.Queue, h.Jobs, h.Exits, h.Unsettled = 0, 0, 0, 0, 0, 0, 0
+	h.CPUs, h.GPUs, h.MemGB, h.Queue, h.Jobs, h.Exits, h.CancelledInFlight = 0, 0, 0, 0, 0, 0, 0
 	for _, s := range h.Slots {
-		if !s.On() {
+		if !s.Active() {
 			h.Exits++
 			continue
 		}
@@ -160,13 +160,13 @@
 			h.Queue++
 		}
 		if s.expiring() && s.inFlight() {
-			h.Unsettled++
+			h.CancelledInFlight++
 		}
 	}
 }
 
-// Silent is how long no report has come from the machine.
-func (h *Host) Silent(now time.Time) time.Duration { return now.Sub(h.heard) }
+// SilentFor is how long no report has come from the machine.
+func (h *Host) SilentFor(now time.Time) time.Duration { return now.Sub(h.heard) }
 
 // Busy reports whether anything may be on the machine.
 func (h *Host) Busy() bool { return h.Jobs > 0 }
@@ -175,5 +175,5 @@
 // still be on its way the session may have to end, and with it whatever runs by then.
 func (h *Host) Usable() bool {
 	return h.Known && h.Durable && h.Fenced && !h.Lost && !h.Releasing && !h.Draining && h.RecallAt.IsZero() &&
-		!h.Deaf() && !h.Unheard && !h.Mute() && !h.Withheld && h.Unsettled == 0
+		!h.InboundCut() && !h.CallUnanswered && !h.OutboundCut() && !h.RenewalStopped && h.CancelledInFlight == 0
 }
--- a/internal/fleet/observe.go
+++ b/internal/fleet/observe.go
@@ -51,7 +51,7 @@
 	}
 	o := &observation{f: f, h: h, m: m, isReport: isReport, now: now, hears: !isReport}
 	if isReport {
-		h.MuteAt = time.Time{}
+		h.OutboundCutAt = time.Time{}
 	}
 	if m.Session > h.Session {
 		o.beginSession()
@@ -63,9 +63,9 @@
 	o.settle()
 	switch {
 	case o.hears:
-		h.DeafAt = time.Time{}
+		h.InboundCutAt = time.Time{}
 	case o.deaf:
-		o.events = append(o.events, f.Deafen(h, now)...)
+		o.events = append(o.events, f.MarkInboundCut(h, now)...)
 	}
 	h.Recount()
 	return Result{Fresh: true, Events: o.events}
@@ -90,15 +90,15 @@
 func (o *observation) beginSession() {
 	h := o.h
 	if h.Session != 0 {
-		if !o.isReport && !h.Mute() {
-			h.MuteAt = o.now
+		if !o.isReport && !h.OutboundCut() {
+			h.OutboundCutAt = o.now
 		}
 		// Its lease has run out although its reports were answered.
-		o.deaf = o.isReport && !h.Lost && !h.Withheld
+		o.deaf = o.isReport && !h.Lost && !h.RenewalStopped
 		o.events = append(o.events, o.f.drop(h)...)
 		h.Images = nil
 	}
-	h.Session, h.Fenced, h.Withheld, h.reported = o.m.Session, false, false, 0
+	h.Session, h.Fenced, h.RenewalStopped, h.reported = o.m.Session, false, false, 0
 	if o.isReport {
 		h.reported = o.m.Seq
 	}
@@ -113,7 +113,7 @@
 // describe takes in what the message says of the machine itself.
 func (o *observation) describe() {
 	h, m := o.h, o.m
-	h.seq, h.Booting, h.Unheard = m.Seq, false, false
+	h.seq, h.Booting, h.CallUnanswered = m.Seq, false, false
 	if m.Token == o.f.Term {
 		h.Fenced = true
 	}
@@ -155,10 +155,10 @@
 	}
 	s.Phase, s.Cause, s.Saved = t.Phase, t.Cause, t.Saved
 	if s.Health == wire.HealthGood && t.Health == wire.HealthBad {
-		o.events = append(o.events, Event{Sickened, s})
+		o.events = append(o.events, Event{TurnedUnhealthy, s})
 	}
 	s.Health = t.Health
-	s.Judge(o.now)
+	s.UpdateHealth(o.now)
 	switch {
 	case t.Phase == wire.Exited:
 		j.AddLive(task, -1)
@@ -182,7 +182,7 @@
 			// One report is in flight at a time and late answers are dropped, so the
 			// next report settles the launch. The answer to a direct command does
 			// not: it can overtake the answer that carries the launch.
-			o.events = append(o.events, o.f.remove(o.h, s, Never)...)
+			o.events = append(o.events, o.f.remove(o.h, s, NeverStarted)...)
 			o.deaf = true
 		}
 	}
@@ -195,7 +195,7 @@
 // is saving is left to it, unless it has no time to save: its job is cancelled, and a
 // lost halt would let it save for as long as it likes.
 func (s *Slot) haltDue(now time.Time) bool {
-	return s.Stopping && s.On() && (s.Halted.IsZero() || now.Sub(s.Halted) >= haltEvery && (s.Phase != wire.Saving || s.Grace == 0))
+	return s.Stopping && s.Active() && (s.HaltSentAt.IsZero() || now.Sub(s.HaltSentAt) >= haltEvery && (s.Phase != wire.Saving || s.Grace == 0))
 }
 
 // doubtTime is how old a direct launch must be, that nothing has settled, before
@@ -206,6 +206,6 @@
 // it, and its call is over. Without a second copy it would hold its room, and its
 // task, for as long as the worker goes on reporting.
 func (s *Slot) doubtful(now time.Time) bool {
-	return s.Sent && s.Direct && !s.Seen && s.On() && !s.Host.Calling && now.Sub(s.At) >= doubtTime &&
+	return s.Sent && s.Direct && !s.Seen && s.Active() && !s.Host.CallInFlight && now.Sub(s.At) >= doubtTime &&
 		now.Sub(s.again) >= doubtTime && s.Job.Closing+s.Job.Phase == ""
 }
--- a/internal/fleet/renewal.go
+++ b/internal/fleet/renewal.go
@@ -16,7 +16,7 @@
 
 // expiring reports whether the slot may be, or come to be, a task of a cancelled job on
 // the machine.
-func (s *Slot) expiring() bool { return s.Sent && s.On() && s.Job.Cancelled() }
+func (s *Slot) expiring() bool { return s.Sent && s.Active() && s.Job.Cancelled() }
 
 // inFlight reports whether the launch of the slot may still be on its way.
 func (s *Slot) inFlight() bool { return s.Direct && !s.Seen }
@@ -56,9 +56,9 @@
 	return halts <= orders
 }
 
-// Withhold notes that the machine's reports go unanswered until its session has ended, and
+// StopRenewal notes that the machine's reports go unanswered until its session has ended, and
 // takes back what waits to be sent there.
-func (f *Fleet) Withhold(h *Host) []Event {
-	h.Withheld = true
-	return f.Withdraw(h)
+func (f *Fleet) StopRenewal(h *Host) []Event {
+	h.RenewalStopped = true
+	return f.RemoveUnsent(h)
 }
--- a/internal/fleet/renewal_test.go
+++ b/internal/fleet/renewal_test.go
@@ -10,7 +10,7 @@
 // cancel notes that the job's cancellation is sent.
 func (b *bed) cancel() {
 	b.j.Closing, b.j.CancelledAt = wire.JobAborted, b.now
-	for s := range b.f.On(b.j) {
+	for s := range b.f.SlotsOf(b.j) {
 		b.f.Stop(s, 0)
 	}
 }
@@ -74,7 +74,7 @@
 		}},
 		{"a launch that the answer to a direct command settles", func(b *bed) {
 			inFlight(b)
-			b.f.Unsent(b.sent)
+			b.f.RemoveNotDelivered(b.sent)
 			b.now = b.now.Add(limit)
 			b.renewable(true, "after the refusal")
 		}},
@@ -120,9 +120,9 @@
 			if b.h.Usable() {
 				b.t.Error("usable after it")
 			}
-			b.f.Withhold(b.h)
+			b.f.StopRenewal(b.h)
 			b.msg(true, 2, 1, term, nil)
-			if !b.h.Usable() || b.h.Deaf() {
+			if !b.h.Usable() || b.h.InboundCut() {
 				b.t.Error("not usable in the next session")
 			}
 		}},
@@ -130,11 +130,11 @@
 			b.msg(true, 1, 1, term, nil)
 			b.assign(1)
 			b.compose(0, true)
-			if len(b.f.Awake()) != 0 {
+			if len(b.f.AwaitingCommand()) != 0 {
 				b.t.Error("the leader sends it in an answer")
 			}
-			b.f.Hold(b.h, &Holder{Name: "n1"})
-			if len(b.f.Awake()) != 1 {
+			b.f.SetHolder(b.h, &Holder{Name: "n1"})
+			if len(b.f.AwaitingCommand()) != 1 {
 				b.t.Error("nobody sends it")
 			}
 		}},
--- a/internal/fleet/slot.go
+++ b/internal/fleet/slot.go
@@ -23,9 +23,9 @@
 	Saved bool
 	// Health is the worker's word on a running replica, Checked what the last check
 	// of it said (the same words; empty: nothing).
-	Health, Checked string
-	// BadAt is since when either has said that it is bad; zero: neither does.
-	BadAt time.Time
+	Health, ProbeHealth string
+	// UnhealthySince is since when either has said that it is bad; zero: neither does.
+	UnhealthySince time.Time
 	// Sent: the launch has left, or may have. Before that the slot only holds
 	// its room.
 	Sent bool
@@ -45,9 +45,9 @@
 	Adopted bool
 	// Stopping: the placement has to go; Grace is the time to save, Halted when
 	// the last halt was sent.
-	Stopping bool
-	Grace    float64
-	Halted   time.Time
+	Stopping   bool
+	Grace      float64
+	HaltSentAt time.Time
 	// Settled: the exit has been dealt with, durably where it matters, so the
 	// worker may forget it.
 	Settled bool
@@ -55,18 +55,18 @@
 	shown uint64
 }
 
-// Judge notes since when the slot has been bad, after a word on its health.
-func (s *Slot) Judge(now time.Time) {
-	switch bad := s.Health == wire.HealthBad || s.Checked == wire.HealthBad; {
+// UpdateHealth notes since when the slot has been bad, after a word on its health.
+func (s *Slot) UpdateHealth(now time.Time) {
+	switch bad := s.Health == wire.HealthBad || s.ProbeHealth == wire.HealthBad; {
 	case !bad:
-		s.BadAt = time.Time{}
-	case s.BadAt.IsZero():
-		s.BadAt = now
+		s.UnhealthySince = time.Time{}
+	case s.UnhealthySince.IsZero():
+		s.UnhealthySince = now
 	}
 }
 
-// On reports whether the task may take room on its machine.
-func (s *Slot) On() bool { return s.Phase != wire.Exited }
+// Active reports whether the task may take room on its machine.
+func (s *Slot) Active() bool { return s.Phase != wire.Exited }
 
 // EventKind says what became of a slot.
 type EventKind uint8
@@ -78,10 +78,10 @@
 	Ended
 	// Gone means that the slot has certainly left without a word about its result.
 	Gone
-	// Never means that the launch was certainly not executed.
-	Never
-	// Sickened means that the worker says that a replica that was good is bad.
-	Sickened
+	// NeverStarted means that the launch was certainly not executed.
+	NeverStarted
+	// TurnedUnhealthy means that the worker says that a replica that was good is bad.
+	TurnedUnhealthy
 )
 
 // Event tells the leader about a slot.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -65,13 +65,13 @@
 	n.ctl = control.New(control.Deps{Settings: set, Tuning: tun, State: st,
 		Cloud: autoscale.NewCloud(set.Outside.Cloud, nw.Dial, set.Facts.Cloud.RPS), Dial: nw.Dial, Log: log, Meter: m,
 		Entitled: func(term uint64) bool { return n.elector.Entitled(term) },
-		Left:     func(term uint64) time.Duration { return n.elector.Left(term) },
+		Left:     func(term uint64) time.Duration { return n.elector.EntitlementLeft(term) },
 		Deposed:  func(term uint64) { n.elector.ObserveLeader("", term) },
 		Follow: func(ctx context.Context, q *dynconfig.Request) (*dynconfig.Reply, error) {
 			return n.home.follow(ctx, q)
 		}})
 	n.elector = election.New(set.Member, time.Duration(tun.LeaderLeaseMs)*time.Millisecond,
-		state.Unbounded(set.Outside.State, nw.Dial), log, n.ctl.Lead)
+		state.NewUnbounded(set.Outside.State, nw.Dial), log, n.ctl.Lead)
 	siblings := make([]string, len(set.Siblings))
 	for i := range set.Siblings {
 		siblings[i] = set.Siblings[i].Member
@@ -143,7 +143,7 @@
 				n.yield.heard(h, time.Now())
 			}
 			if h.Member == h.Leader {
-				n.elector.LeaderHeartbeat()
+				n.elector.ObserveHeartbeat()
 			}
 		})
 	})
@@ -177,7 +177,7 @@
 	serves := time.Since(n.served) < servesTime
 	n.mu.Unlock()
 	return rpc.Hello{Member: n.set.Member, Leader: v.Leader, Term: v.Term, Serves: serves, Behind: n.lag.Behind(),
-		WorkUs: n.lag.Work().Microseconds(), Stored: time.Since(v.Seen) < storedTime}
+		WorkUs: n.lag.Work().Microseconds(), Stored: time.Since(v.StoreSeenAt) < storedTime}
 }
 
 // Local implements rpc.Handler: only a leader answers for others.
@@ -240,7 +240,7 @@
 	if ctx.Err() == nil {
 		switch q.Kind {
 		case rpc.KindStatus:
-			return n.ctl.Direct(ctx, q.ID)
+			return n.ctl.StatusWithoutLeader(ctx, q.ID)
 		case rpc.KindSubmit:
 			return n.admit(ctx, q)
 		}
@@ -251,7 +251,7 @@
 // admit takes in a submission without the leader.
 func (n *Node) admit(ctx context.Context, q *rpc.Request) *rpc.Reply {
 	begun := time.Now()
-	p := n.ctl.Admit(ctx, q.Body)
+	p := n.ctl.AdmitWithoutLeader(ctx, q.Body)
 	n.route.tookOwn(time.Since(begun))
 	return p
 }
@@ -334,7 +334,7 @@
 		return false
 	}
 	v := n.elector.View()
-	able := n.ctl.Leading() || time.Since(v.Seen) < 8*time.Second || (v.Leader != "" && n.mesh.Reached(v.Leader))
+	able := n.ctl.Leading() || time.Since(v.StoreSeenAt) < 8*time.Second || (v.Leader != "" && n.mesh.Reached(v.Leader))
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if able {
--- a/internal/node/shard_holder.go
+++ b/internal/node/shard_holder.go
@@ -92,7 +92,7 @@
 	v := a.n.elector.View()
 	a.mu.Lock()
 	if v.Leader == a.n.set.Member {
-		a.holder.Lead()
+		a.holder.BecomeLeader()
 	}
 	if v.Leader == "" || v.Leader == a.n.set.Member {
 		a.mu.Unlock()
@@ -113,10 +113,10 @@
 		if err != nil {
 			a.n.log.Debug("asking the leader for this node's grant failed", "leader", v.Leader, "error", err)
 		}
-		a.holder.Missed()
+		a.holder.RequestFailed()
 		return false
 	}
-	for _, c := range a.holder.Granted(p, sent) {
+	for _, c := range a.holder.HandleReply(p, sent) {
 		go a.send(ctx, p.Term, c)
 	}
 	for i := range p.Answers {
@@ -137,7 +137,7 @@
 		a.n.log.Debug("direct command failed", "addr", c.Addr, "status", status, "error", err)
 	}
 	a.mu.Lock()
-	a.holder.Finish(shard.Done{ID: c.ID, Status: status, Reached: reached, Report: answer})
+	a.holder.RecordCallResult(shard.CallResult{ID: c.ID, Status: status, Reached: reached, Report: answer})
 	a.mu.Unlock()
 }
 
@@ -165,7 +165,7 @@
 func (a *shareHolder) valid(term uint64) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.holder.Valid(term, time.Now())
+	return a.holder.GrantValid(term, time.Now())
 }
 
 // report answers the report of a machine in the share; nil: it is in none of ours.
--- a/internal/shard/assigner.go
+++ b/internal/shard/assigner.go
@@ -84,8 +84,8 @@
 // Moves counts the changes of holder, to and from the leader.
 func (a *Assigner) Moves() int { return a.moves }
 
-// Held returns how many machines each member has, with the leader's own.
-func (a *Assigner) Held() map[string]int {
+// HeldCounts returns how many machines each member has, with the leader's own.
+func (a *Assigner) HeldCounts() map[string]int {
 	out := map[string]int{a.name: len(a.machines)}
 	for _, m := range a.members {
 		if n := len(m.machines); n > 0 {
@@ -106,8 +106,8 @@
 	return k.m.name, k.phase == given
 }
 
-// Told is up to when all that the member has answered is known.
-func (a *Assigner) Told(member string) time.Time {
+// KnownUntil is up to when all that the member has answered is known.
+func (a *Assigner) KnownUntil(member string) time.Time {
 	if m := a.members[member]; m != nil {
 		return m.told
 	}
@@ -119,7 +119,7 @@
 	if a.stale {
 		a.stale = false
 		a.epoch++
-		a.seats = []*seat{{name: a.name, zone: a.zone, weight: a.set.Own, room: a.set.Room}}
+		a.seats = []*seat{{name: a.name, zone: a.zone, weight: a.set.LeaderWeight, room: a.set.LeaderCapacity}}
 		for _, name := range slices.Sorted(maps.Keys(a.members)) {
 			if m := a.members[name]; m.joined && m.leaving == "" {
 				a.seats = append(a.seats, &seat{m: m, name: name, zone: m.zone, weight: 1})
@@ -129,7 +129,7 @@
 	n := len(a.machines)
 	for _, s := range a.seats {
 		if s.m == nil {
-			s.load, s.room = n, a.set.Room
+			s.load, s.room = n, a.set.LeaderCapacity
 			if now.Sub(a.directAt) > cutTime && now.Sub(a.viaAt) < cutTime {
 				s.room = 0
 			}
@@ -181,7 +181,7 @@
 
 // turn takes one from the moves that may be made now.
 func (a *Assigner) turn(now time.Time) bool {
-	a.turns = min(max(1, a.set.PerS/2), a.turns+now.Sub(a.turnsAt).Seconds()*a.set.PerS)
+	a.turns = min(max(1, a.set.MovesPerSecond/2), a.turns+now.Sub(a.turnsAt).Seconds()*a.set.MovesPerSecond)
 	a.turnsAt = now
 	if a.turns < 1 {
 		return false
@@ -210,8 +210,8 @@
 // of there. One that comes back sooner does not reach it.
 const strayTime = 20 * time.Second
 
-// Report says who answers a report that has come to the leader.
-func (a *Assigner) Report(name, zone string, now time.Time) (Route, string) {
+// RouteReport says who answers a report that has come to the leader.
+func (a *Assigner) RouteReport(name, zone string, now time.Time) (Route, string) {
 	k := a.machines[name]
 	if k == nil {
 		k = &machine{name: name, zone: zone, fresh: true}
@@ -245,13 +245,13 @@
 // come to the leader.
 const pinTime = time.Minute
 
-// Served notes that the leader has answered a machine's report: this is when it may
+// ReportServed notes that the leader has answered a machine's report: this is when it may
 // be given away, so that the holder has it before the next report. Via is the
 // member that handed the report on; empty: it came from the worker. A leader that is
 // cut from its workers gives their machines to those that are not.
-func (a *Assigner) Served(name, via string, now time.Time) {
+func (a *Assigner) ReportServed(name, via string, now time.Time) {
 	k := a.machines[name]
-	if k == nil || k.phase != own || k.kept || len(a.machines) < a.set.Least {
+	if k == nil || k.phase != own || k.kept || len(a.machines) < a.set.MinMachines {
 		return
 	}
 	if via != "" {
@@ -274,17 +274,19 @@
 	m.pending[k] = struct{}{}
 	if len(m.machines) == 1 && now.After(m.until) {
 		// It has no grant yet: it must not count as silent before its next request.
-		m.until = now.Add(a.set.Grant)
+		m.until = now.Add(a.set.GrantDuration)
 	}
 	a.moves++
 }
 
 // HandoverTime is how long a machine that is taken back may still be answered by its
 // holder: the rest of a grant that was given before.
-func (a *Assigner) HandoverTime() time.Duration { return a.set.Grant + drift(a.set.Grant) }
+func (a *Assigner) HandoverTime() time.Duration {
+	return a.set.GrantDuration + drift(a.set.GrantDuration)
+}
 
-// Keep lets the leader deal with a machine until Release; a holder gives it back.
-func (a *Assigner) Keep(name, why string, now time.Time) {
+// Retain lets the leader deal with a machine until Release; a holder gives it back.
+func (a *Assigner) Retain(name, why string, now time.Time) {
 	if k := a.machines[name]; k != nil && !k.kept {
 		k.kept = true
 		a.take(k, why, now)
@@ -334,22 +336,22 @@
 	return f
 }
 
-// Known notes a machine that has not reported yet.
-func (a *Assigner) Known(name, zone string) {
+// AddMachine notes a machine that has not reported yet.
+func (a *Assigner) AddMachine(name, zone string) {
 	if a.machines[name] == nil {
 		a.machines[name] = &machine{name: name, zone: zone}
 	}
 }
 
-// Heard notes that the holder has heard a machine.
-func (a *Assigner) Heard(name string) {
+// ConfirmContact notes that the holder has heard a machine.
+func (a *Assigner) ConfirmContact(name string) {
 	if k := a.machines[name]; k != nil {
 		k.sentAt = time.Time{}
 	}
 }
 
-// Gone forgets a machine that was returned.
-func (a *Assigner) Gone(name string, now time.Time) {
+// RemoveMachine forgets a machine that was returned.
+func (a *Assigner) RemoveMachine(name string, now time.Time) {
 	k := a.machines[name]
 	if k == nil {
 		return
@@ -385,7 +387,7 @@
 	}
 	a.lookAt = now
 	a.divide(now)
-	few := len(a.machines) < a.set.Least-a.set.Least/5
+	few := len(a.machines) < a.set.MinMachines-a.set.MinMachines/5
 	for _, name := range slices.Sorted(maps.Keys(a.members)) {
 		m := a.members[name]
 		for k := range m.machines {
@@ -426,7 +428,7 @@
 func (a *Assigner) lapse(now time.Time) (freed []Revocation) {
 	for _, name := range slices.Sorted(maps.Keys(a.members)) {
 		m := a.members[name]
-		quiet := now.Sub(m.heard) > a.set.Grant
+		quiet := now.Sub(m.heard) > a.set.GrantDuration
 		switch {
 		case now.Before(a.patient):
 		case len(m.machines) > 0 && now.After(m.until):
@@ -448,8 +450,8 @@
 	return freed
 }
 
-// PerSecond is how many workers a controller with that share of a core turns in a
+// MovesPerSecond is how many workers a controller with that share of a core turns in a
 // second: a connection and its first report take some two milliseconds, and a
 // quarter of the processor is left to it. Slower, a fleet that boots within a
 // minute would gather at the leader first.
-func PerSecond(coreShare float64) float64 { return max(5, math.Round(coreShare*0.25/0.002)) }
+func MovesPerSecond(coreShare float64) float64 { return max(5, math.Round(coreShare*0.25/0.002)) }
--- a/internal/shard/explore_test.go
+++ b/internal/shard/explore_test.go
@@ -70,9 +70,9 @@
 }
 
 func (w *world) begin(term uint64) {
-	w.lead = NewAssigner(term, "lead", "", Settings{Grant: grantTime, Rest: tick, RestMost: 2 * tick, PerS: 1000, Own: 0.01, Room: 2}, w.now)
+	w.lead = NewAssigner(term, "lead", "", Settings{GrantDuration: grantTime, RejoinDelay: tick, MaxRejoinDelay: 2 * tick, MovesPerSecond: 1000, LeaderWeight: 0.01, LeaderCapacity: 2}, w.now)
 	for _, n := range w.names {
-		w.lead.Known(n, "")
+		w.lead.AddMachine(n, "")
 	}
 	w.known = [2]time.Time{w.now, w.now} // a new leader counts from its own begin
 	w.deposed = false
@@ -121,11 +121,11 @@
 		c.Number, c.Term = m.number, w.lead.term
 	}
 	if w.out == toldBeforeGone {
-		c.Entries = nil
+		c.Reports = nil
 	}
-	fs, ok := w.lead.Sync(&c, w.now)
+	fs, ok := w.lead.HandleRequest(&c, w.now)
 	if ok && c.Term == w.lead.term {
-		for _, e := range c.Entries {
+		for _, e := range c.Reports {
 			k := slices.Index(w.names[:], e.Host)
 			if at := w.now.Add(-time.Duration(e.AgeMs) * time.Millisecond); at.After(w.known[k]) {
 				w.known[k] = at
@@ -180,7 +180,7 @@
 		if w.out == fromRequest {
 			sent = w.now
 		}
-		s.h.Granted(s.reply, sent)
+		s.h.HandleReply(s.reply, sent)
 		s.reply = nil
 		return true
 	}, Each: 2},
@@ -193,7 +193,7 @@
 			s.late = s.req
 		}
 		s.req, s.reply = nil, nil
-		s.h.Missed()
+		s.h.RequestFailed()
 		return true
 	}, Each: 2},
 	{Name: "late", Do: func(w *world, i int) bool {
@@ -208,8 +208,8 @@
 	{Name: "end", Do: func(w *world, i int) bool { w.start(i); return true }, Each: 1},
 	{Name: "report", Do: func(w *world, k int) bool {
 		if w.leads() {
-			if r, _ := w.lead.Report(w.names[k], "", w.now); r == Serve {
-				w.lead.Served(w.names[k], "", w.now)
+			if r, _ := w.lead.RouteReport(w.names[k], "", w.now); r == Serve {
+				w.lead.ReportServed(w.names[k], "", w.now)
 			}
 		}
 		return true
@@ -259,7 +259,7 @@
 		}
 		for i := range w.sides {
 			h := w.sides[i].h
-			if e := h.machines[name]; e == nil || e.dropped || !h.Valid(h.Term(), w.now) {
+			if e := h.machines[name]; e == nil || e.dropped || !h.GrantValid(h.Term(), w.now) {
 				continue
 			}
 			n++
@@ -270,8 +270,8 @@
 		if n > 1 {
 			w.broken = name + " has two valid holders"
 		}
-		if h, _ := w.lead.Holder(name); h != "" && w.leads() && w.answered[k].Before(w.lead.Told(h)) && w.answered[k].Sub(w.known[k]) > time.Millisecond && w.answered[k].After(w.begun()) {
-			w.broken = fmt.Sprintf("%s was answered at %v, told up to %v, known %v", name, w.rel(w.answered[k]), w.rel(w.lead.Told(h)), w.rel(w.known[k]))
+		if h, _ := w.lead.Holder(name); h != "" && w.leads() && w.answered[k].Before(w.lead.KnownUntil(h)) && w.answered[k].Sub(w.known[k]) > time.Millisecond && w.answered[k].After(w.begun()) {
+			w.broken = fmt.Sprintf("%s was answered at %v, told up to %v, known %v", name, w.rel(w.answered[k]), w.rel(w.lead.KnownUntil(h)), w.rel(w.known[k]))
 		}
 	}
 	return w.broken
@@ -303,7 +303,7 @@
 			p.At(s.sent)
 		}
 		if s.reply != nil {
-			p.Say(s.reply.ForMs, s.reply.Add, s.reply.Drop, s.reply.Fresh, s.reply.Term)
+			p.Say(s.reply.ForMs, s.reply.Add, s.reply.Drop, s.reply.Reset, s.reply.Term)
 		}
 		for _, n := range w.names {
 			if k := s.h.machines[n]; k != nil {
@@ -346,7 +346,7 @@
 			continue
 		}
 		s := &w.sides[h[1]-'0']
-		if k := s.h.machines[name]; k == nil || k.dropped || !s.h.Valid(w.lead.term, w.now) {
+		if k := s.h.machines[name]; k == nil || k.dropped || !s.h.GrantValid(w.lead.term, w.now) {
 			return name + " is not served again"
 		}
 	}
--- a/internal/shard/holder.go
+++ b/internal/shard/holder.go
@@ -68,7 +68,7 @@
 	until        time.Time
 	machines     map[string]*held
 	have         []string
-	done         []Done
+	done         []CallResult
 	flight       map[string]uint64 // reports of the request under way, by machine
 	sentDone     int
 }
@@ -79,8 +79,8 @@
 	return &Holder{member: member, zone: zone, life: life, machines: map[string]*held{}}
 }
 
-// Valid reports whether the grant of the term holds. It is asked at each sending.
-func (h *Holder) Valid(term uint64, now time.Time) bool {
+// GrantValid reports whether the grant of the term holds. It is asked at each sending.
+func (h *Holder) GrantValid(term uint64, now time.Time) bool {
 	return term != 0 && term == h.term && now.Before(h.until)
 }
 
@@ -192,8 +192,8 @@
 // Request makes the next request. Until Granted or Missed no other is made.
 func (h *Holder) Request(room, calls int, behind bool, now time.Time) *Request {
 	h.seq++
-	r := &Request{Member: h.member, Zone: h.zone, Life: h.life, Seq: h.seq, Term: h.term, Number: h.number,
-		Room: room, Calls: calls, Behind: behind, Have: h.have}
+	r := &Request{Member: h.member, Zone: h.zone, Incarnation: h.life, Seq: h.seq, Term: h.term, Number: h.number,
+		Capacity: room, Calls: calls, Overloaded: behind, PreviousHosts: h.have}
 	h.flight, h.sentDone = map[string]uint64{}, 0
 	size := 0
 	for i := range h.done {
@@ -201,7 +201,7 @@
 			break
 		}
 		size += 64 + len(h.done[i].Report)
-		r.Done = append(r.Done, h.done[i])
+		r.CallResults = append(r.CallResults, h.done[i])
 		h.sentDone++
 	}
 	for name, k := range h.machines {
@@ -212,28 +212,28 @@
 			r.More = true
 			break
 		}
-		e := Entry{Host: name, Session: k.session, Seq: k.seq, AgeMs: now.Sub(k.at).Milliseconds()}
+		e := HostReport{Host: name, Session: k.session, Seq: k.seq, AgeMs: now.Sub(k.at).Milliseconds()}
 		if k.fullAt > k.told {
 			e.Report = k.full
 		}
 		size += 64 + len(e.Report)
 		h.flight[name] = k.reports
-		r.Entries = append(r.Entries, e)
+		r.Reports = append(r.Reports, e)
 	}
 	return r
 }
 
-// Missed notes that a request had no answer: the next one says all again.
-func (h *Holder) Missed() { h.flight, h.sentDone = nil, 0 }
+// RequestFailed notes that a request had no answer: the next one says all again.
+func (h *Holder) RequestFailed() { h.flight, h.sentDone = nil, 0 }
 
-// Granted takes in the reply to the request that was sent at the time given, and
+// HandleReply takes in the reply to the request that was sent at the time given, and
 // returns the commands to be sent.
-func (h *Holder) Granted(r *Reply, sent time.Time) []Call {
+func (h *Holder) HandleReply(r *Reply, sent time.Time) []Call {
 	if r.Term == 0 || r.Term < h.term {
-		h.Missed()
+		h.RequestFailed()
 		return nil
 	}
-	if r.Term > h.term || r.Fresh {
+	if r.Term > h.term || r.Reset {
 		h.forget()
 	} else {
 		for name, n := range h.flight {
@@ -243,7 +243,7 @@
 		}
 		h.done = slices.Delete(h.done, 0, h.sentDone)
 	}
-	h.Missed()
+	h.RequestFailed()
 	h.term, h.number, h.have = r.Term, r.Number, nil
 	if r.ForMs > 0 {
 		d := time.Duration(r.ForMs) * time.Millisecond
@@ -296,8 +296,8 @@
 	h.done, h.until = nil, time.Time{}
 }
 
-// Lead forgets the share: the member leads itself.
-func (h *Holder) Lead() {
+// BecomeLeader forgets the share: the member leads itself.
+func (h *Holder) BecomeLeader() {
 	h.forget()
 	h.have = nil
 }
@@ -314,5 +314,5 @@
 	slices.Sort(h.have)
 }
 
-// Finish notes what became of a command.
-func (h *Holder) Finish(d Done) { h.done = append(h.done, d) }
+// RecordCallResult notes what became of a command.
+func (h *Holder) RecordCallResult(d CallResult) { h.done = append(h.done, d) }
--- a/internal/shard/members.go
+++ b/internal/shard/members.go
@@ -44,10 +44,10 @@
 // restMore lengthens the time for which a member that has left gets no machines. A
 // member that comes and goes every few seconds moves its share a few times only.
 func (a *Assigner) restMore(m *member, now time.Time) {
-	if now.Sub(m.joinedAt) > a.set.RestMost {
+	if now.Sub(m.joinedAt) > a.set.MaxRejoinDelay {
 		m.rest = 0
 	}
-	m.rest = min(max(a.set.Rest, 2*m.rest), a.set.RestMost)
+	m.rest = min(max(a.set.RejoinDelay, 2*m.rest), a.set.MaxRejoinDelay)
 	m.notUntil = now.Add(m.rest)
 }
 
@@ -78,32 +78,32 @@
 	return out
 }
 
-// Sync takes in a request. It is refused, and its reports with it, if it is not the
+// HandleRequest takes in a request. It is refused, and its reports with it, if it is not the
 // member's newest.
-func (a *Assigner) Sync(r *Request, now time.Time) (freed []Revocation, ok bool) {
+func (a *Assigner) HandleRequest(r *Request, now time.Time) (freed []Revocation, ok bool) {
 	m := a.members[r.Member]
 	if m == nil {
-		m = &member{name: r.Member, zone: r.Zone, life: r.Life, since: now, ackedAt: now, at: map[uint64]time.Time{},
+		m = &member{name: r.Member, zone: r.Zone, life: r.Incarnation, since: now, ackedAt: now, at: map[uint64]time.Time{},
 			machines: map[*machine]struct{}{}, pending: map[*machine]struct{}{}, fresh: true}
 		a.members[r.Member] = m
 	}
-	if r.Life != m.life {
+	if r.Incarnation != m.life {
 		// A request of a life that is over may come late. A clock that was set back is
 		// let in once every grant of the other life has ended.
-		if r.Life < m.life && now.Before(m.until) {
+		if r.Incarnation < m.life && now.Before(m.until) {
 			return nil, false
 		}
 		// The process before has ended, so it answers nothing after this.
 		freed = a.silent(m, now, "the holder was started anew", now)
-		m.life, m.seq, m.ackedAt = r.Life, 0, now
+		m.life, m.seq, m.ackedAt = r.Incarnation, 0, now
 		clear(m.at)
 	}
 	if r.Seq <= m.seq {
 		return freed, false
 	}
-	m.seq, m.room, m.heard = r.Seq, r.Room, now
+	m.seq, m.room, m.heard = r.Seq, r.Capacity, now
 	switch {
-	case !r.Behind:
+	case !r.Overloaded:
 		m.behind = time.Time{}
 	case m.behind.IsZero():
 		m.behind = now
@@ -115,9 +115,9 @@
 		}
 		freed = append(freed, more...)
 	}
-	a.member(m, len(r.Have) > 0, now)
+	a.member(m, len(r.PreviousHosts) > 0, now)
 	if m.joined && r.Term != a.term {
-		a.adopt(m, r.Have, now)
+		a.adopt(m, r.PreviousHosts, now)
 	}
 	return freed, true
 }
@@ -161,7 +161,7 @@
 	if m.joined || m.leaving != "" || !m.behind.IsZero() || now.Before(m.notUntil) || m.room <= 0 {
 		return
 	}
-	if had || now.Sub(m.since) >= a.set.Join {
+	if had || now.Sub(m.since) >= a.set.JoinDelay {
 		m.joined, m.joinedAt, a.stale, m.strays = true, now, true, nil
 	}
 }
@@ -170,7 +170,7 @@
 // have all ended, as far as the machines have not come here meanwhile: their
 // workers need not turn to another controller.
 func (a *Assigner) adopt(m *member, have []string, now time.Time) {
-	if len(a.machines) < a.set.Least {
+	if len(a.machines) < a.set.MinMachines {
 		return
 	}
 	for _, name := range have {
@@ -180,8 +180,8 @@
 	}
 }
 
-// Due reports whether a reply has something to say besides the grant.
-func (a *Assigner) Due(member string) bool {
+// ReplyDue reports whether a reply has something to say besides the grant.
+func (a *Assigner) ReplyDue(member string) bool {
 	m := a.members[member]
 	if m == nil {
 		return false
@@ -200,7 +200,7 @@
 	m := a.members[member]
 	m.number++
 	m.at[m.number] = now
-	r := &Reply{Term: a.term, Number: m.number, Fresh: m.fresh}
+	r := &Reply{Term: a.term, Number: m.number, Reset: m.fresh}
 	if m.fresh && m.freshAt == 0 {
 		m.freshAt = m.number
 	}
@@ -219,10 +219,10 @@
 	switch {
 	case len(m.machines) == 0:
 		m.ackedAt = now
-	case now.Sub(m.ackedAt) <= a.set.Grant:
-		r.ForMs = a.set.Grant.Milliseconds()
+	case now.Sub(m.ackedAt) <= a.set.GrantDuration:
+		r.ForMs = a.set.GrantDuration.Milliseconds()
 		// The holder counts from before it asked, so it ends sooner than this.
-		m.until = now.Add(a.set.Grant + drift(a.set.Grant))
+		m.until = now.Add(a.set.GrantDuration + drift(a.set.GrantDuration))
 	default:
 		// Its requests come, and what is sent to it is lost: it has no valid grant, and
 		// its machines must not wait for one.
--- a/internal/shard/message.go
+++ b/internal/shard/message.go
@@ -12,30 +12,30 @@
 	// Member is the holder's member name, Zone its zone.
 	Member string `codec:"member"`
 	Zone   string `codec:"zone"`
-	// Life is the incarnation of the member's process: a later one is higher.
-	Life uint64 `codec:"life"`
+	// Incarnation is the incarnation of the member's process: a later one is higher.
+	Incarnation uint64 `codec:"life"`
 	// Seq numbers the requests of one Life from 1 up; the leader takes only a higher one.
 	Seq uint64 `codec:"seq"`
 	// Term and Number are those of the last reply taken in; 0: none.
 	Term   uint64 `codec:"term"`
 	Number uint64 `codec:"number"`
-	// Room is how many machines the member can deal with, Calls how many direct
+	// Capacity is how many machines the member can deal with, Calls how many direct
 	// commands it can have under way.
-	Room  int `codec:"room"`
-	Calls int `codec:"calls"`
-	// Behind: the process is short of processor.
-	Behind bool `codec:"behind,omitempty"`
-	// Have are the machines that the member dealt with in an earlier term: their
+	Capacity int `codec:"room"`
+	Calls    int `codec:"calls"`
+	// Overloaded: the process is short of processor.
+	Overloaded bool `codec:"behind,omitempty"`
+	// PreviousHosts are the machines that the member dealt with in an earlier term: their
 	// workers are connected to it.
-	Have    []string `codec:"have,omitempty"`
-	Entries []Entry  `codec:"entries,omitempty"`
-	Done    []Done   `codec:"done,omitempty"`
+	PreviousHosts []string     `codec:"have,omitempty"`
+	Reports       []HostReport `codec:"entries,omitempty"`
+	CallResults   []CallResult `codec:"done,omitempty"`
 	// More: entries were left out for the size of the request.
 	More bool `codec:"more,omitempty"`
 }
 
-// Entry is what a machine has reported since the last request that was answered.
-type Entry struct {
+// HostReport is what a machine has reported since the last request that was answered.
+type HostReport struct {
 	// Host names the machine; Session and Seq are those of its last report.
 	Host    string `codec:"host"`
 	Session uint64 `codec:"shift"`
@@ -55,8 +55,8 @@
 	Body []byte `codec:"body"`
 }
 
-// Done is what became of a call.
-type Done struct {
+// CallResult is what became of a call.
+type CallResult struct {
 	// ID is that of the Call, Status the HTTP status of its answer.
 	ID     uint64 `codec:"id"`
 	Status int    `codec:"status"`
@@ -92,8 +92,8 @@
 	// ForMs is how long the grant holds, in milliseconds, counted from before the
 	// request was sent; 0: the member may not answer any machine.
 	ForMs int64 `codec:"for_ms"`
-	// Fresh: the member is to forget what it held before.
-	Fresh bool `codec:"fresh,omitempty"`
+	// Reset: the member is to forget what it held before.
+	Reset bool `codec:"fresh,omitempty"`
 	// Add and Drop name the machines that the shard gains and loses, Calls the
 	// direct commands to send, Answers the leader's answers to reports, and
 	// Clearances the exits that workers may forget.
--- a/internal/shard/shard.go
+++ b/internal/shard/shard.go
@@ -19,21 +19,21 @@
 
 // Settings are the bounds of sharing. Each has a default in package config.
 type Settings struct {
-	// Grant is how long a grant holds at the most, from before the request.
-	Grant time.Duration
-	// Join is how long a member must have asked without a gap before it gets machines.
-	Join time.Duration
-	// Rest is how long a member that has left gets none; it doubles with each time
+	// GrantDuration is how long a grant holds at the most, from before the request.
+	GrantDuration time.Duration
+	// JoinDelay is how long a member must have asked without a gap before it gets machines.
+	JoinDelay time.Duration
+	// RejoinDelay is how long a member that has left gets none; it doubles with each time
 	// that it leaves, up to RestMost, and starts anew once it has stayed for RestMost.
-	Rest, RestMost time.Duration
-	// Least is the number of machines below which the leader holds all.
-	Least int
-	// PerS is how many machines are moved a second.
-	PerS float64
-	// Own is the leader's weight beside the members' 1: it has other things to do.
-	Own float64
-	// Room is how many machines the leader itself can deal with.
-	Room int
+	RejoinDelay, MaxRejoinDelay time.Duration
+	// MinMachines is the number of machines below which the leader holds all.
+	MinMachines int
+	// MovesPerSecond is how many machines are moved a second.
+	MovesPerSecond float64
+	// LeaderWeight is the leader's weight beside the members' 1: it has other things to do.
+	LeaderWeight float64
+	// LeaderCapacity is how many machines the leader itself can deal with.
+	LeaderCapacity int
 }
 
 // slack is how far above its part of the machines a controller may be: bounded
--- a/internal/shard/shard_test.go
+++ b/internal/shard/shard_test.go
@@ -27,13 +27,13 @@
 
 func newBed(t *testing.T, size int, edit func(*Settings)) *bed {
 	b := &bed{t: t, now: time.Unix(1000, 0), h: map[string]*Holder{}, down: map[string]bool{}, size: size}
-	set := Settings{Grant: 2 * time.Second, Join: time.Second, Rest: 5 * time.Second, RestMost: 40 * time.Second, Least: 10, PerS: 100, Own: 1, Room: 10000}
+	set := Settings{GrantDuration: 2 * time.Second, JoinDelay: time.Second, RejoinDelay: 5 * time.Second, MaxRejoinDelay: 40 * time.Second, MinMachines: 10, MovesPerSecond: 100, LeaderWeight: 1, LeaderCapacity: 10000}
 	if edit != nil {
 		edit(&set)
 	}
 	b.a = NewAssigner(7, "n0", "a", set, b.now)
 	for i := range size {
-		b.a.Known(fmt.Sprintf("host-%d", i), zones[i%3])
+		b.a.AddMachine(fmt.Sprintf("host-%d", i), zones[i%3])
 	}
 	return b
 }
@@ -54,10 +54,10 @@
 		if h == nil || b.down[name] {
 			continue
 		}
-		if _, ok := b.a.Sync(h.Request(500, 10, false, b.now), b.now); ok {
-			h.Granted(b.a.Reply(name, b.now), b.now)
+		if _, ok := b.a.HandleRequest(h.Request(500, 10, false, b.now), b.now); ok {
+			h.HandleReply(b.a.Reply(name, b.now), b.now)
 		} else {
-			h.Missed()
+			h.RequestFailed()
 		}
 	}
 	for i := n % 10; i < b.size; i += 10 {
@@ -67,12 +67,12 @@
 		for member, h := range b.h {
 			if _, v := h.Report(m, []byte{1}, b.now); v >= Answered && !b.down[member] {
 				served = true
-				b.a.Heard(name)
+				b.a.ConfirmContact(name)
 			}
 		}
 		if !served {
-			if r, _ := b.a.Report(name, zones[i%3], b.now); r == Serve {
-				b.a.Served(name, b.via, b.now)
+			if r, _ := b.a.RouteReport(name, zones[i%3], b.now); r == Serve {
+				b.a.ReportServed(name, b.via, b.now)
 			}
 		}
 	}
@@ -87,7 +87,7 @@
 // held checks how many machines each controller has, give or take a fifth.
 func (b *bed) held(want map[string]int) {
 	b.t.Helper()
-	got := b.a.Held()
+	got := b.a.HeldCounts()
 	for _, n := range []string{"n0", "n1", "n2"} {
 		if d := got[n] - want[n]; d*5 > want[n] || -d*5 > want[n] {
 			b.t.Errorf("%s has %d machines, want about %d", n, got[n], want[n])
@@ -121,7 +121,7 @@
 	third := map[string]int{"n0": 200, "n1": 200, "n2": 200}
 	return []shareCase{
 		{"three alike", nil, func(b *bed) { b.held(third) }},
-		{"a small fleet is not shared", func(s *Settings) { s.Least = 601 }, func(b *bed) { b.held(map[string]int{"n0": 600}) }},
+		{"a small fleet is not shared", func(s *Settings) { s.MinMachines = 601 }, func(b *bed) { b.held(map[string]int{"n0": 600}) }},
 		{"a silent holder's machines go to the others, and nothing else moves", nil, func(b *bed) {
 			before := b.a.Moves()
 			b.down["n2"] = true
@@ -136,7 +136,7 @@
 			b.play(10 * time.Second)
 			b.start("n2", "c")
 			b.play(500 * time.Millisecond)
-			if n := b.a.Held()["n2"]; n != 0 {
+			if n := b.a.HeldCounts()["n2"]; n != 0 {
 				b.t.Errorf("%d machines before it has been there for long enough", n)
 			}
 			b.play(30 * time.Second)
@@ -178,7 +178,7 @@
 			}
 			b.a = NewAssigner(8, "n0", "a", b.a.set, b.now)
 			for i := range b.size {
-				b.a.Known(fmt.Sprintf("host-%d", i), zones[i%3])
+				b.a.AddMachine(fmt.Sprintf("host-%d", i), zones[i%3])
 			}
 			before := b.a.Moves()
 			b.play(10 * time.Second)
@@ -204,15 +204,15 @@
 // shareTurnoverCases: the pace of moves, and workers that do not reach their holder.
 func shareTurnoverCases() []shareCase {
 	return []shareCase{
-		{"2,000 machines whose only holder ends turn at the pace of the workers and the settings", func(s *Settings) { s.PerS = 40 }, func(b *bed) {
+		{"2,000 machines whose only holder ends turn at the pace of the workers and the settings", func(s *Settings) { s.MovesPerSecond = 40 }, func(b *bed) {
 			b.down["n1"] = true
 			b.play(30 * time.Second) // the other has joined late, and has all but the leader's
 			b.down["n2"] = true
 			b.play(3 * time.Second)
-			n := b.a.Held()["n0"]
+			n := b.a.HeldCounts()["n0"]
 			b.start("n1", "b")
 			b.play(4 * time.Second)
-			if got := n - b.a.Held()["n0"]; n != b.size || got > 40*4 {
+			if got := n - b.a.HeldCounts()["n0"]; n != b.size || got > 40*4 {
 				b.t.Errorf("the leader has %d of %d, and %d of them turned in 3 s", n, b.size, got)
 			}
 		}},
@@ -221,12 +221,12 @@
 			for n := range 40 {
 				b.round(n)
 				if h := b.h["n2"]; h != nil {
-					if _, ok := b.a.Sync(h.Request(500, 10, false, b.now), b.now); ok {
-						h.Granted(b.a.Reply("n2", b.now), b.now)
+					if _, ok := b.a.HandleRequest(h.Request(500, 10, false, b.now), b.now); ok {
+						h.HandleReply(b.a.Reply("n2", b.now), b.now)
 					}
 				}
 			}
-			if n := b.a.Held()["n2"]; n > 20 {
+			if n := b.a.HeldCounts()["n2"]; n > 20 {
 				b.t.Errorf("%d machines are still with a holder that is not reached", n)
 			}
 		}},
@@ -245,7 +245,7 @@
 			kept = fmt.Sprintf("host-%d", i)
 		}
 	}
-	b.a.Keep(kept, "a test", b.now)
+	b.a.Retain(kept, "a test", b.now)
 	b.play(b.a.HandoverTime())
 	holder := func(when, want string) {
 		t.Helper()
@@ -259,8 +259,8 @@
 	offer := func(member string) {
 		b.start(member, "b")
 		r := b.h[member].Request(500, 10, false, b.now)
-		r.Have = []string{kept}
-		b.a.Sync(r, b.now)
+		r.PreviousHosts = []string{kept}
+		b.a.HandleRequest(r, b.now)
 	}
 	offer("n2")
 	holder("offered by a member that had it", "")
--- a/internal/state/idle_test.go
+++ b/internal/state/budget_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestIdle: what can wait has its turn whatever the size of the budget, and not
-// while others use it.
+// TestIdle: background work may run whatever the size of the budget, but not
+// while the budget is in use.
 func TestIdle(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -18,8 +18,8 @@
 	}
 	for _, tt := range tests {
 		c := New("state:1", nil, Budget{RPS: 100, WriteRPS: tt.rps})
-		c.writes.AllowN(c.changed.AddDate(3000, 0, 0), tt.taken)
-		if got := c.writes.TokensAt(c.changed.AddDate(3000, 0, 0)) >= c.idleAt(12); got != tt.want {
+		c.writes.AllowN(c.budgetChangedAt.AddDate(3000, 0, 0), tt.taken)
+		if got := c.writes.TokensAt(c.budgetChangedAt.AddDate(3000, 0, 0)) >= c.idleAt(12); got != tt.want {
 			t.Errorf("%s: idle %v, want %v", tt.name, got, tt.want)
 		}
 	}
--- a/internal/state/state_test.go
+++ b/internal/state/client_test.go
@@ -61,7 +61,7 @@
 // slow them down.
 func TestUnbounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := Unbounded("state:1", nil)
+		c := NewUnbounded("state:1", nil)
 		c.http.Transport = answers(func(*http.Request) int { return 429 })
 		begun := time.Now()
 		for range 500 {
--- a/internal/state/fixtures_test.go
+++ b/internal/state/fixtures_test.go
@@ -10,7 +10,7 @@
 // store.
 var fixtures = []fixture.Row{
 	{File: "entry.cbor", Value: fixture.Filled[Entry]()},
-	{File: "condition.cbor", Value: fixture.Filled[Cond]()},
+	{File: "condition.cbor", Value: fixture.Filled[Condition]()},
 	{File: "write.cbor", Value: fixture.Filled[Write]()},
 	{File: "transaction.cbor", Value: fixture.Filled[Txn]()},
 	{File: "list-page.cbor", Value: fixture.Filled[listPage]()},
--- a/internal/state/hedge.go
+++ b/internal/state/hedge.go
@@ -9,10 +9,10 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Most requests to the state service take a few milliseconds, and now and then
-// one takes a hundred times as long. A request that is that late is sent once
-// more beside the first, and the first answer counts (the hedged requests of Dean
-// and Barroso, "The Tail at Scale"): a user would wait for it, and a launch.
+// Most requests to the state service take a few milliseconds, but the slowest take
+// a hundred times as long. A second copy of such a request is sent beside the
+// first, and the first response counts (hedged requests; Dean and Barroso, "The
+// Tail at Scale"). Users and launches wait for these requests.
 const (
 	// hedgeDelayFactor is how many typical latencies a request waits before a
 	// hedged copy is sent.
@@ -23,70 +23,76 @@
 	// typicalPercentile is the percentile of latencies taken as typical. A higher
 	// one would count the slow tail as typical.
 	typicalPercentile = 85
-	// recomputeEvery is after how many answers the typical latency is computed anew.
+	// recomputeEvery is the number of responses after which the typical latency is
+	// computed anew.
 	recomputeEvery = 64
+	// latencyDigits is the number of significant digits of the latency histogram.
+	latencyDigits = 2
 )
 
-// latencyTracker records how long successful answers take and derives the delay
+// latencyTracker records the latency of successful requests and derives the delay
 // after which a request is hedged.
 type latencyTracker struct {
 	mu    sync.Mutex
 	hist  *hdrhistogram.Histogram // of milliseconds
-	count int
-	wait  time.Duration // current hedge delay
+	count int                     // requests recorded
+	delay time.Duration           // current hedge delay
 }
 
 func newLatencyTracker() *latencyTracker {
-	return &latencyTracker{hist: hdrhistogram.New(1, callTimeout.Milliseconds(), 2), wait: maxHedgeDelay}
+	return &latencyTracker{
+		hist:  hdrhistogram.New(1, callTimeout.Milliseconds(), latencyDigits),
+		delay: maxHedgeDelay,
+	}
 }
 
-// observe notes an answer.
-func (p *latencyTracker) observe(d time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	_ = p.hist.RecordValue(min(max(1, d.Milliseconds()), callTimeout.Milliseconds()))
-	if p.count++; p.count%recomputeEvery != 0 {
+// observe records the latency of a successful request.
+func (l *latencyTracker) observe(d time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	_ = l.hist.RecordValue(min(max(1, d.Milliseconds()), callTimeout.Milliseconds()))
+	if l.count++; l.count%recomputeEvery != 0 {
 		return
 	}
-	usual := time.Duration(p.hist.ValueAtQuantile(typicalPercentile)) * time.Millisecond
-	p.wait = min(max(hedgeDelayFactor*usual, minHedgeDelay), maxHedgeDelay)
-	p.hist.Reset()
+	typical := time.Duration(l.hist.ValueAtQuantile(typicalPercentile)) * time.Millisecond
+	l.delay = min(max(hedgeDelayFactor*typical, minHedgeDelay), maxHedgeDelay)
+	l.hist.Reset()
 }
 
-// hedgeDelay is when a request that has not been answered is late.
-func (p *latencyTracker) hedgeDelay() time.Duration {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.wait
+// hedgeDelay is how long to wait for a response before a request is hedged.
+func (l *latencyTracker) hedgeDelay() time.Duration {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.delay
 }
 
-// attemptResult is what one attempt of a hedged request has come to.
+// attemptResult is the result of one attempt of a hedged request.
 type attemptResult[T any] struct {
-	v   T
-	err error
+	value T
+	err   error
 }
 
-// hedged runs attempt, and a second one beside it if the first has not answered
-// within the hedge delay and mayHedge allows it (the budget has room). The first
-// clear result counts: a success, or an error other than ErrUnknown and
-// ErrRefused. If none is clear, ErrUnknown wins over ErrRefused: the request may
-// have been executed.
-func hedged[T any](ctx context.Context, p *latencyTracker, mayHedge func() bool, attempt func(context.Context) (T, error)) (T, error) {
+// hedged runs attempt, and a second one beside it if the first has no result
+// within the hedge delay and mayHedge allows it (the budget has room). It returns
+// the first definite result: a success, or an error other than ErrUnknown and
+// ErrRefused. If there is none, ErrUnknown takes precedence over ErrRefused: the
+// request may have been executed.
+func hedged[T any](ctx context.Context, latency *latencyTracker, mayHedge func() bool, attempt func(context.Context) (T, error)) (T, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	results := make(chan attemptResult[T], 2)
 	runAttempt := func() {
-		begun := time.Now()
-		v, err := attempt(ctx)
+		start := time.Now()
+		value, err := attempt(ctx)
 		if err == nil {
-			p.observe(time.Since(begun))
+			latency.observe(time.Since(start))
 		}
-		results <- attemptResult[T]{v, err}
+		results <- attemptResult[T]{value, err}
 	}
 	go runAttempt()
-	hedgeTimer := time.NewTimer(p.hedgeDelay())
+	hedgeTimer := time.NewTimer(latency.hedgeDelay())
 	defer hedgeTimer.Stop()
-	var fallback attemptResult[T] // not clear: returned if nothing better comes
+	var fallback attemptResult[T] // not definite: returned if nothing better comes
 	for inFlight := 1; inFlight > 0; {
 		select {
 		case <-hedgeTimer.C:
@@ -96,14 +102,14 @@
 			}
 		case r := <-results:
 			inFlight--
-			unclear := errors.Is(r.err, ErrUnknown)
-			if !unclear && !errors.Is(r.err, ErrRefused) {
-				return r.v, r.err
+			unknown := errors.Is(r.err, ErrUnknown)
+			if !unknown && !errors.Is(r.err, ErrRefused) {
+				return r.value, r.err
 			}
-			if unclear || fallback.err == nil {
+			if unknown || fallback.err == nil {
 				fallback = r
 			}
 		}
 	}
-	return fallback.v, fallback.err
+	return fallback.value, fallback.err
 }
--- a/internal/state/hedge_test.go
+++ b/internal/state/hedge_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// TestHedged: a late request is sent again, and what it came to is told only when
-// it is certain.
+// TestHedged: a late request is sent again, and the result that counts is a
+// definite one if there is any.
 func TestHedged(t *testing.T) {
 	type step struct {
 		after time.Duration
@@ -59,8 +59,8 @@
 	}
 }
 
-// TestLatencyTracker: what is late follows from how long answers usually take, within
-// bounds, and a few slow ones do not change it.
+// TestLatencyTracker: the hedge delay follows the typical latency, within bounds,
+// and a few slow requests do not change it.
 func TestLatencyTracker(t *testing.T) {
 	tests := []struct {
 		name  string
