--- a/internal/election/promise.go
+++ b/internal/election/promise.go
@@ -7,40 +7,44 @@
 )
 
 // promiseState holds the promises not to campaign that this member has given a
-// leader, and those that the leader has received from its siblings; it works
-// like a pre-vote. In an outage of the state service nobody can take the lead,
-// and the leader cannot tell an outage from a refusal of itself alone. If every
-// sibling has promised for a while not to campaign, the leader goes on for that
-// while.
+// leader, and those that it has received from its siblings while it leads. In an
+// outage of the state service nobody can be elected, but the leader cannot tell an
+// outage from a failure that affects it alone. Once every sibling has promised not
+// to campaign for some time, the leader may lead for that time.
 //
 // It does no I/O and takes the time as an argument; the elector's mutex guards it.
 type promiseState struct {
 	length   time.Duration // of one promise; 0: promises are off
 	siblings []string
-	// started is when the process began: the process before it may have promised
-	// until one length after that.
-	started time.Time
+	// startedAt is when the process began: an earlier process of this member may have
+	// given a promise that lasts until one length after that.
+	startedAt time.Time
 	// notLeading are the siblings that have said since started that they do not lead.
 	notLeading map[string]bool
 	// givenUntil is when this member's own promise ends.
 	givenUntil time.Time
 	// receivedUntil is when each sibling's promise ends, by member.
 	receivedUntil map[string]time.Time
-	// campaigning: this member takes part in an election, or leads.
+	// campaigning: this member campaigns or leads.
 	campaigning bool
 }
 
 func newPromiseState(length time.Duration, siblings []string, now time.Time) *promiseState {
-	return &promiseState{length: length, siblings: siblings, started: now,
-		notLeading: map[string]bool{}, receivedUntil: map[string]time.Time{}}
+	return &promiseState{
+		length:        length,
+		siblings:      siblings,
+		startedAt:     now,
+		notLeading:    map[string]bool{},
+		receivedUntil: map[string]time.Time{},
+	}
 }
 
-// clockSlack is what the clocks of two members may differ by over a promise, plus
-// how late timers may fire.
+// clockSlack is how much the clocks of two members may diverge during a promise,
+// plus how late timers may fire.
 func (p *promiseState) clockSlack() time.Duration { return p.length/500 + 50*time.Millisecond }
 
-// startCampaign reports whether this member may take part in an election now, and
-// if so notes that it does. endCampaign ends it.
+// startCampaign reports whether this member may campaign now, and if so notes that
+// it does until endCampaign.
 func (p *promiseState) startCampaign(now time.Time) bool {
 	if p.length == 0 {
 		return true
@@ -48,53 +52,56 @@
 	if now.Before(p.givenUntil) {
 		return false
 	}
-	// A process that has just begun does not know what the one before has promised. It
-	// need not wait once no sibling leads: there is nobody who counts upon it.
-	if now.Before(p.started.Add(p.length+p.clockSlack())) && len(p.notLeading) < len(p.siblings) {
+	// A new process does not know what the one before it has promised. It need not
+	// wait once every sibling has said that it does not lead: no leader can depend on
+	// such a promise.
+	if now.Before(p.startedAt.Add(p.length+p.clockSlack())) && len(p.notLeading) < len(p.siblings) {
 		return false
 	}
 	p.campaigning = true
 	return true
 }
 
-// endCampaign ends the election, or the term.
+// endCampaign notes that the campaign, or the term that it won, is over.
 func (p *promiseState) endCampaign() {
 	p.campaigning = false
 	clear(p.receivedUntil)
 }
 
-// promise answers a leader. Only a member that the state service refuses as well
-// promises: otherwise it is better that it leads.
-func (p *promiseState) promise(refused bool, now time.Time) bool {
-	if p.length == 0 || p.campaigning || !refused {
+// give makes a promise to a leader and reports whether it did. A member for which
+// the state service works does not promise: it can lead in that leader's place.
+func (p *promiseState) give(storeFails bool, now time.Time) bool {
+	if p.length == 0 || p.campaigning || !storeFails {
 		return false
 	}
-	if t := now.Add(p.length + p.clockSlack()); t.After(p.givenUntil) {
-		p.givenUntil = t
+	if until := now.Add(p.length + p.clockSlack()); until.After(p.givenUntil) {
+		p.givenUntil = until
 	}
 	return true
 }
 
-// record notes a sibling's promise, which was requested at the time asked. It only
-// prolongs an entitlement that has not lapsed: after a lapse another member may
-// have led, and ended, and told users what this leader does not know. A sibling
-// that was restarted since knows nothing of that and would promise.
-func (p *promiseState) record(member string, asked, now, entitled time.Time) {
-	if now.Before(entitled) {
-		p.receivedUntil[member] = asked.Add(p.length)
+// recordReceived records a sibling's promise that was requested at the time
+// requested. It only prolongs an entitlement that has not lapsed, which is
+// entitledUntil in the future: after a lapse another member may have led, told
+// users what this leader does not know, and stopped. A sibling that was restarted
+// since then does not know of that leader and would promise.
+func (p *promiseState) recordReceived(member string, requested, now, entitledUntil time.Time) {
+	if now.Before(entitledUntil) {
+		p.receivedUntil[member] = requested.Add(p.length)
 	}
 }
 
-// until is when the first of the received promises ends; zero: one is missing.
-func (p *promiseState) until() time.Time {
+// allPromisedUntil is when the first of the received promises ends; zero: some
+// sibling has not promised.
+func (p *promiseState) allPromisedUntil() time.Time {
 	if p.length == 0 || len(p.siblings) == 0 || len(p.receivedUntil) < len(p.siblings) {
 		return time.Time{}
 	}
 	return slices.MinFunc(slices.Collect(maps.Values(p.receivedUntil)), time.Time.Compare)
 }
 
-// observe notes whether a sibling has said since this process began that it leads.
-func (p *promiseState) observe(member string, leads bool) {
+// observeSibling records whether a sibling says that it leads.
+func (p *promiseState) observeSibling(member string, leads bool) {
 	if leads {
 		delete(p.notLeading, member)
 	} else if slices.Contains(p.siblings, member) {
--- a/internal/election/promise_test.go
+++ b/internal/election/promise_test.go
@@ -10,17 +10,18 @@
 	"vetchstream/internal/explorer"
 )
 
-// guard is one that can be taken out of a world, to see that the explorer notices.
+// guard is a rule of the promises that a world can disable, to check that the
+// explorer finds the fault that the rule prevents.
 type guard uint8
 
 const (
-	none         guard = iota
-	promiseHolds       // a member that has promised does not campaign
-	waits              // a fresh process waits for what the one before may have promised
-	fromAsking         // a promise counts from when it was asked for, not from its answer
-	all                // every sibling has to have promised
-	notMeantime        // a member that campaigns does not promise
-	unbroken           // a promise does not bring a lapsed entitlement back
+	noGuard                  guard = iota
+	promiserDoesNotCampaign        // a member that has promised does not campaign
+	restartWaits                   // a new process waits for as long as an earlier promise may last
+	countedFromRequest             // a promise counts from its request, not from its response
+	allSiblingsPromise             // every sibling has to have promised
+	campaignerDoesNotPromise       // a member that campaigns does not promise
+	lapseIsFinal                   // a promise does not restore a lapsed entitlement
 )
 
 const (
@@ -29,56 +30,64 @@
 	length = 1200 * time.Millisecond
 )
 
-// member is a process of a controller, with its wire to the two others.
+// member is the process of a controller, with the promises on their way to it.
 type member struct {
-	p       *promiseState
-	leading bool
-	term    int // of its last term
-	until   time.Time
-	trying  bool // an election that has begun and is not settled
-	refused bool // by the state service alone
-	// answers are promises on their way, by who gave them: when they were asked for.
-	answers map[int]time.Time
+	promises     *promiseState
+	leading      bool
+	term         int // of its last term
+	leaseUntil   time.Time
+	campaigning  bool // a campaign that is not decided yet
+	storeRefuses bool // the state service refuses this member alone
+	// promisesInFlight holds when each promise on its way was requested, by the
+	// sibling that gave it.
+	promisesInFlight map[int]time.Time
 }
 
-// world is a state service with three members. A lease does not run out in an
-// outage, and has its full time afterwards.
+// world is a state service with three members. A lease does not expire in an
+// outage of the service, and has its full ttl afterwards.
 type world struct {
-	out     guard
-	now     time.Time
-	down    bool
-	holder  int // -1: none
-	expires time.Time
-	term    int // the last one
-	m       [3]member
+	disabled     guard // noGuard: none
+	now          time.Time
+	storeDown    bool
+	leader       int // -1: none
+	leaseExpires time.Time
+	lastTerm     int
+	members      [3]member
 }
 
-func newWorld(out guard) *world {
-	w := &world{out: out, now: time.Unix(1000, 0), holder: -1}
-	for i := range w.m {
+func newWorld(disabled guard) *world {
+	w := &world{disabled: disabled, now: time.Unix(1000, 0), leader: -1}
+	for i := range w.members {
 		w.start(i)
 	}
 	w.now = w.now.Add(2 * length)
 	return w
 }
 
+// start starts the process of a member, or starts it anew.
 func (w *world) start(i int) {
 	siblings := slices.Delete([]string{"0", "1", "2"}, i, i+1)
-	w.m[i] = member{p: newPromiseState(length, siblings, w.now), refused: w.m[i].refused, answers: map[int]time.Time{}}
+	w.members[i] = member{
+		promises:         newPromiseState(length, siblings, w.now),
+		storeRefuses:     w.members[i].storeRefuses,
+		promisesInFlight: map[int]time.Time{},
+	}
 }
 
-func (w *world) served(i int) bool { return !w.down && !w.m[i].refused }
+// served reports whether the state service answers a member.
+func (w *world) served(i int) bool { return !w.storeDown && !w.members[i].storeRefuses }
 
+// entitled reports whether a member may act as leader.
 func (w *world) entitled(i int) bool {
-	return w.m[i].leading && w.now.Before(w.entitledUntil(i))
+	return w.members[i].leading && w.now.Before(w.entitledUntil(i))
 }
 
 func (w *world) entitledUntil(i int) time.Time {
-	m := &w.m[i]
-	until := m.until
-	t := m.p.until()
-	if w.out == all {
-		for _, got := range m.p.receivedUntil {
+	m := &w.members[i]
+	until := m.leaseUntil
+	t := m.promises.allPromisedUntil()
+	if w.disabled == allSiblingsPromise {
+		for _, got := range m.promises.receivedUntil {
 			if got.After(t) {
 				t = got
 			}
@@ -93,110 +102,110 @@
 var actions = []explorer.Action[*world]{
 	{Name: "tick", Each: 1, Do: func(w *world, _ int) bool {
 		w.now = w.now.Add(tick)
-		if w.holder >= 0 && !w.down && !w.now.Before(w.expires) {
-			w.holder = -1
+		if w.leader >= 0 && !w.storeDown && !w.now.Before(w.leaseExpires) {
+			w.leader = -1
 		}
 		return true
 	}},
 	{Name: "outage", Each: 1, Do: func(w *world, _ int) bool {
-		w.down = !w.down
-		if !w.down {
-			w.expires = w.now.Add(ttl)
+		w.storeDown = !w.storeDown
+		if !w.storeDown {
+			w.leaseExpires = w.now.Add(ttl)
 		}
 		return true
 	}},
-	{Name: "refuse", Each: 3, Do: func(w *world, i int) bool { w.m[i].refused = !w.m[i].refused; return true }},
+	{Name: "refuse", Each: 3, Do: func(w *world, i int) bool { w.members[i].storeRefuses = !w.members[i].storeRefuses; return true }},
 	{Name: "renew", Each: 2, Do: func(w *world, i int) bool {
-		m := &w.m[i]
+		m := &w.members[i]
 		if !m.leading || !w.served(i) {
 			return false
 		}
-		if w.holder != i {
+		if w.leader != i {
 			m.leading = false
-			m.p.endCampaign()
+			m.promises.endCampaign()
 			return true
 		}
-		m.until, w.expires = w.now.Add(ttl-50*time.Millisecond), w.now.Add(ttl)
+		m.leaseUntil, w.leaseExpires = w.now.Add(ttl-50*time.Millisecond), w.now.Add(ttl)
 		return true
 	}},
 	{Name: "campaign", Each: 3, Do: func(w *world, i int) bool {
-		m := &w.m[i]
-		if m.leading || m.trying || !w.served(i) || w.holder >= 0 {
+		m := &w.members[i]
+		if m.leading || m.campaigning || !w.served(i) || w.leader >= 0 {
 			return false
 		}
-		may := m.p.startCampaign(w.now)
-		if w.out == promiseHolds || w.out == waits && w.now.Before(m.p.started.Add(2*length)) {
-			m.p.campaigning, may = true, true
+		may := m.promises.startCampaign(w.now)
+		if w.disabled == promiserDoesNotCampaign || w.disabled == restartWaits && w.now.Before(m.promises.startedAt.Add(2*length)) {
+			m.promises.campaigning, may = true, true
 		}
-		m.trying = may
+		m.campaigning = may
 		return may
 	}},
 	// The election's commit comes later than the decision for it.
 	{Name: "elected", Each: 3, Do: func(w *world, i int) bool {
-		m := &w.m[i]
-		if !m.trying || !w.served(i) {
+		m := &w.members[i]
+		if !m.campaigning || !w.served(i) {
 			return false
 		}
-		m.trying = false
-		if w.holder >= 0 {
-			m.p.endCampaign()
+		m.campaigning = false
+		if w.leader >= 0 {
+			m.promises.endCampaign()
 			return true
 		}
-		w.holder, w.expires = i, w.now.Add(ttl)
-		w.term++
-		m.leading, m.term, m.until = true, w.term, w.now.Add(ttl-50*time.Millisecond)
+		w.leader, w.leaseExpires = i, w.now.Add(ttl)
+		w.lastTerm++
+		m.leading, m.term, m.leaseUntil = true, w.lastTerm, w.now.Add(ttl-50*time.Millisecond)
 		return true
 	}},
 	// The leader, member 0 in most plays, asks a sibling, which answers at once; the
 	// answer may come late. No sibling knows of a later term than the leader's.
 	{Name: "ask", Each: 2, Do: func(w *world, i int) bool {
-		m, s := &w.m[0], &w.m[1+i]
+		m, s := &w.members[0], &w.members[1+i]
 		if !m.leading || w.served(0) {
 			return false
 		}
-		if w.out == notMeantime {
-			s.p.campaigning = false
+		if w.disabled == campaignerDoesNotPromise {
+			s.promises.campaigning = false
 		}
-		if !s.leading && s.p.promise(!w.served(1+i), w.now) {
-			m.answers[1+i] = w.now
+		if !s.leading && s.promises.give(!w.served(1+i), w.now) {
+			m.promisesInFlight[1+i] = w.now
 		}
 		return true
 	}},
 	{Name: "answer", Each: 2, Do: func(w *world, i int) bool {
-		m := &w.m[0]
-		asked, ok := m.answers[1+i]
+		m := &w.members[0]
+		asked, ok := m.promisesInFlight[1+i]
 		if !ok || !m.leading {
 			return false
 		}
-		delete(m.answers, 1+i)
-		if w.out == fromAsking {
+		delete(m.promisesInFlight, 1+i)
+		if w.disabled == countedFromRequest {
 			asked = w.now
 		}
 		entitled := w.entitledUntil(0)
-		if w.out == unbroken {
+		if w.disabled == lapseIsFinal {
 			entitled = w.now.Add(ttl)
 		}
-		m.p.record(fmt.Sprint(1+i), asked, w.now, entitled)
+		m.promises.recordReceived(fmt.Sprint(1+i), asked, w.now, entitled)
 		return true
 	}},
 	{Name: "end", Each: 2, Do: func(w *world, i int) bool { w.start(i); return true }},
 	{Name: "hear", Each: 2, Do: func(w *world, i int) bool {
 		// Member 1 hears of the two others.
 		j := 2 * i
-		w.m[1].p.observe(fmt.Sprint(j), w.m[j].leading)
+		w.members[1].promises.observeSibling(fmt.Sprint(j), w.members[j].leading)
 		return true
 	}},
 }
 
 func (w *world) Broken() string {
 	var leads []string
-	for i := range w.m {
+	for i := range w.members {
 		if !w.entitled(i) {
 			continue
 		}
 		leads = append(leads, fmt.Sprint(i))
-		if w.m[i].term < w.term {
-			return fmt.Sprintf("%d is entitled by term %d after %d", i, w.m[i].term, w.term)
+		if w.members[i].term < w.lastTerm {
+			return fmt.Sprintf("%d is entitled by term %d after %d", i, w.members[i].term, w.lastTerm)
 		}
 	}
 	if len(leads) > 1 {
@@ -207,14 +216,14 @@
 
 func (w *world) Print() string {
 	p := &explorer.Printer{Now: w.now, Past: 2 * length}
-	p.Say(w.down, w.holder)
-	p.At(w.expires)
-	for i := range w.m {
-		m := &w.m[i]
-		p.Say("|", m.leading, w.term-m.term, m.trying, m.refused, m.p.campaigning, len(m.p.notLeading))
-		p.At(m.until, m.p.givenUntil, m.p.started.Add(length+m.p.clockSlack()))
+	p.Say(w.storeDown, w.leader)
+	p.At(w.leaseExpires)
+	for i := range w.members {
+		m := &w.members[i]
+		p.Say("|", m.leading, w.lastTerm-m.term, m.campaigning, m.storeRefuses, m.promises.campaigning, len(m.promises.notLeading))
+		p.At(m.leaseUntil, m.promises.givenUntil, m.promises.startedAt.Add(length+m.promises.clockSlack()))
 		for j := range 3 {
-			p.At(m.p.receivedUntil[fmt.Sprint(j)], m.answers[j])
+			p.At(m.promises.receivedUntil[fmt.Sprint(j)], m.promisesInFlight[j])
 		}
 	}
 	return p.String()
@@ -228,13 +237,13 @@
 		name string
 		out  guard
 	}{
-		{"as it is", none},
-		{"a member that has promised campaigns", promiseHolds},
-		{"a fresh process does not wait", waits},
-		{"a promise counted from its answer", fromAsking},
-		{"not every sibling has promised", all},
-		{"a promise during an election", notMeantime},
-		{"a promise after a lapse", unbroken},
+		{"as it is", noGuard},
+		{"a member that has promised campaigns", promiserDoesNotCampaign},
+		{"a fresh process does not wait", restartWaits},
+		{"a promise counted from its answer", countedFromRequest},
+		{"not every sibling has promised", allSiblingsPromise},
+		{"a promise during an election", campaignerDoesNotPromise},
+		{"a promise after a lapse", lapseIsFinal},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -253,7 +262,7 @@
 			states, broken := g.From(leads, refused, asked, slices.Concat(asked, g.Steps(2, "answer")), late,
 				slices.Concat(refused, one("ask"), one("answer")), trying, led, slices.Concat(led, one("end"), g.Steps(2, "ask")))
 			t.Logf("%d states: %s", states, broken)
-			if (broken != "") != (tt.out != none) {
+			if (broken != "") != (tt.out != noGuard) {
 				t.Errorf("after %d states: %q", states, broken)
 			}
 		})
@@ -269,31 +278,35 @@
 		do   func(p *promiseState) bool
 		want bool
 	}{
-		{"not refused: it had better lead itself", func(p *promiseState) bool { return p.promise(false, late) }, false},
-		{"refused as well", func(p *promiseState) bool { return p.promise(true, late) }, true},
-		{"while it campaigns", func(p *promiseState) bool { p.startCampaign(late); return p.promise(true, late) }, false},
+		{"not refused: it had better lead itself", func(p *promiseState) bool { return p.give(false, late) }, false},
+		{"refused as well", func(p *promiseState) bool { return p.give(true, late) }, true},
+		{"while it campaigns", func(p *promiseState) bool { p.startCampaign(late); return p.give(true, late) }, false},
 		{"it campaigns again after its promise", func(p *promiseState) bool {
-			p.promise(true, late)
+			p.give(true, late)
 			return !p.startCampaign(late.Add(length)) && p.startCampaign(late.Add(length+p.clockSlack()))
 		}, true},
 		{"a fresh process waits", func(p *promiseState) bool { return p.startCampaign(now.Add(length)) }, false},
-		{"unless no sibling leads", func(p *promiseState) bool { p.observe("a", false); p.observe("b", false); return p.startCampaign(now) }, true},
+		{"unless no sibling leads", func(p *promiseState) bool {
+			p.observeSibling("a", false)
+			p.observeSibling("b", false)
+			return p.startCampaign(now)
+		}, true},
 		{"one does", func(p *promiseState) bool {
-			p.observe("a", false)
-			p.observe("b", false)
-			p.observe("b", true)
+			p.observeSibling("a", false)
+			p.observeSibling("b", false)
+			p.observeSibling("b", true)
 			return p.startCampaign(now)
 		}, false},
 		{"the leader counts from the first promise that ends", func(p *promiseState) bool {
-			p.record("a", late, late, late.Add(time.Second))
-			missing := p.until().IsZero()
-			p.record("b", late.Add(time.Second), late, late.Add(time.Second))
-			return missing && p.until().Equal(late.Add(length))
+			p.recordReceived("a", late, late, late.Add(time.Second))
+			missing := p.allPromisedUntil().IsZero()
+			p.recordReceived("b", late.Add(time.Second), late, late.Add(time.Second))
+			return missing && p.allPromisedUntil().Equal(late.Add(length))
 		}, true},
 		{"the last of them comes after the entitlement has lapsed", func(p *promiseState) bool {
-			p.record("a", late, late, late.Add(time.Second))
-			p.record("b", late, late.Add(time.Second), late.Add(time.Second))
-			return !p.until().IsZero()
+			p.recordReceived("a", late, late, late.Add(time.Second))
+			p.recordReceived("b", late, late.Add(time.Second), late.Add(time.Second))
+			return !p.allPromisedUntil().IsZero()
 		}, false},
 	}
 	for _, tt := range tests {
