--- a/internal/control/admission.go
+++ b/internal/control/admission.go
@@ -28,13 +28,13 @@
 	admissionGroups *admissionGroups
 	teamQuotas      *teamQuotas
 
-	limit      *rate.Limiter // of the writes of acceptances
-	pending    map[string]*pendingSubmission
-	queue      []*pendingSubmission // those of them whose commit is not under way
-	flying     int                  // commits under way
-	most       int                  // submissions in the queue
-	valueMax   int                  // bytes that a group record may have
-	retryPacer retryPacer
+	limit           *rate.Limiter // of the writes of acceptances
+	pending         map[string]*pendingSubmission
+	queue           []*pendingSubmission // those of them whose commit is not under way
+	commitsInFlight int                  // commits under way
+	maxQueued       int                  // submissions in the queue
+	maxGroupBytes   int                  // bytes that a group record may have
+	retryPacer      retryPacer
 }
 
 // pendingSubmission is a submission that is not durable yet, and who waits for it.
@@ -54,9 +54,9 @@
 // newAdmission sizes the queue by what can be stored while its users wait, and by
 // the sockets, which their waiting takes.
 func newAdmission(co *core, limit *rate.Limiter, txnOps int, valueKB float64, sockets int) *admission {
-	backlog := queueTime.Seconds() * float64(limit.Limit()) * float64(2*txnOps)
-	return &admission{core: co, limit: limit, pending: map[string]*pendingSubmission{}, valueMax: int(valueKB * 1024 * pageShare),
-		most: max(8, min(int(backlog), sockets/2))}
+	backlog := maxQueueTime.Seconds() * float64(limit.Limit()) * float64(2*txnOps)
+	return &admission{core: co, limit: limit, pending: map[string]*pendingSubmission{}, maxGroupBytes: int(valueKB * 1024 * valueFillFraction),
+		maxQueued: max(8, min(int(backlog), sockets/2))}
 }
 
 // watchActiveJobs takes in jobs that other nodes have admitted while they could not reach
@@ -67,7 +67,7 @@
 	for ad.ctx.Err() == nil {
 		events, next, err := ad.c.State.Watch(ad.ctx, job.ActivePrefix, epoch, 10*time.Second)
 		switch {
-		case errors.Is(err, state.ErrGone) || time.Since(listed) > auditEvery:
+		case errors.Is(err, state.ErrGone) || time.Since(listed) > auditInterval:
 			entries, at, err := ad.c.State.List(ad.ctx, job.ActivePrefix)
 			if err != nil {
 				ad.pause(300 * time.Millisecond)
@@ -91,9 +91,9 @@
 	}
 }
 
-// auditEvery is how often the records of active jobs are read once more: a job whose
+// auditInterval is how often the records of active jobs are read once more: a job whose
 // event was lost would be known to its users and to nobody else.
-const auditEvery = time.Minute
+const auditInterval = time.Minute
 
 // hasPending reports whether a submission of the team is not durable yet.
 func (ad *admission) hasPending(team string) bool {
@@ -123,7 +123,7 @@
 	// The event may be old: a job that is over by now is under its final key.
 	go func() {
 		for ad.ctx.Err() == nil {
-			now, v, err := lookup(ad.ctx, ad.c.State, id)
+			now, v, err := readJobRecord(ad.ctx, ad.c.State, id)
 			if errors.Is(err, errUnreadable) {
 				return // the next audit looks again
 			}
@@ -163,27 +163,27 @@
 // retryPacer tells those who are turned away when to come back, each at a time of
 // its own, so that they do not come back together.
 type retryPacer struct {
-	perS float64   // submissions that can be stored in a second
-	next time.Time // when the last one that was turned away is expected
+	perSecond float64   // submissions that can be stored in a second
+	nextAt    time.Time // when the last one that was turned away is expected
 }
 
 // retryAfter is how long the next one that is turned away should wait before it comes back.
 func (t *retryPacer) retryAfter(now time.Time) time.Duration {
-	t.next = t.next.Add(time.Duration(float64(time.Second) / t.perS))
-	if soon := now.Add(time.Second); t.next.Before(soon) {
-		t.next = soon
+	t.nextAt = t.nextAt.Add(time.Duration(float64(time.Second) / t.perSecond))
+	if soon := now.Add(time.Second); t.nextAt.Before(soon) {
+		t.nextAt = soon
 	}
-	if late := now.Add(longestRetry); t.next.After(late) {
-		t.next = late
+	if late := now.Add(maxRetryAfter); t.nextAt.After(late) {
+		t.nextAt = late
 	}
-	return t.next.Sub(now)
+	return t.nextAt.Sub(now)
 }
 
-// longestRetry is the longest wait that users heed (protocol).
-const longestRetry = 30 * time.Second
+// maxRetryAfter is the longest wait that users heed (protocol).
+const maxRetryAfter = 30 * time.Second
 
-// busy turns a user away until the wait is over.
-func busy(wait time.Duration) *rpc.Reply {
+// tooManySubmissions turns a user away until the wait is over.
+func tooManySubmissions(wait time.Duration) *rpc.Reply {
 	p := settled(Later("too many submissions at once"))
 	p.RetryAfter = int(math.Ceil(wait.Seconds()))
 	return p
@@ -201,7 +201,7 @@
 			return
 		}
 		if in := ad.pending[id]; in != nil {
-			if len(in.callbacks) >= mostBacks {
+			if len(in.callbacks) >= maxCallbacks {
 				back(settled(Later("submission is being stored")))
 				return
 			}
@@ -232,9 +232,9 @@
 		return
 	}
 	now := time.Now()
-	if len(ad.queue) >= ad.most {
-		ad.retryPacer.perS = ad.rate()
-		back(busy(ad.retryPacer.retryAfter(now)))
+	if len(ad.queue) >= ad.maxQueued {
+		ad.retryPacer.perSecond = ad.submissionRate()
+		back(tooManySubmissions(ad.retryPacer.retryAfter(now)))
 		return
 	}
 	in := &pendingSubmission{rec: &job.Record{Spec: *spec, At: now.UnixMilli()}, callbacks: []func(*rpc.Reply){back}}
@@ -243,38 +243,40 @@
 }
 
 const (
-	// queueTime is the backlog that may wait to be stored: who would wait for longer
+	// maxQueueTime is the backlog that may wait to be stored: who would wait for longer
 	// is better off elsewhere, or later.
-	queueTime = time.Second
-	// mostFlying bounds the transactions under way. Now and then one takes a few
+	maxQueueTime = time.Second
+	// maxCommitsInFlight bounds the transactions under way. Now and then one takes a few
 	// hundred milliseconds, and those that come after it must not wait for it.
-	mostFlying = 8
-	// mostBacks bounds the users that wait for one submission.
-	mostBacks = 8
+	maxCommitsInFlight = 8
+	// maxCallbacks bounds the users that wait for one submission.
+	maxCallbacks = 8
 )
 
-// rate is how many submissions can be stored in a second.
-func (ad *admission) rate() float64 { return float64(ad.limit.Limit()) * float64(ad.together()) }
+// submissionRate is how many submissions can be stored in a second.
+func (ad *admission) submissionRate() float64 {
+	return float64(ad.limit.Limit()) * float64(ad.jobsPerTxn())
+}
 
-// together is how many jobs one transaction may take in: each has two conditions,
+// jobsPerTxn is how many jobs one transaction may take in: each has two conditions,
 // and a transaction may have four times as many conditions as writes.
-func (ad *admission) together() int { return max(1, (4*ad.recordWriter.maxWrites()-2)/2) }
+func (ad *admission) jobsPerTxn() int { return max(1, (4*ad.recordWriter.maxWrites()-2)/2) }
 
 // storeQueued stores what has arrived, as much together as fits. Beyond their share
 // submissions get what nobody else needs of the budget.
 func (ad *admission) storeQueued(now time.Time) {
-	for len(ad.queue) > 0 && ad.flying < mostFlying {
+	for len(ad.queue) > 0 && ad.commitsInFlight < maxCommitsInFlight {
 		if !ad.c.State.Idle(ad.recordWriter.maxWrites()) && !ad.limit.AllowN(now, 1) {
 			return
 		}
 		n, bytes := 0, 0
-		for n < len(ad.queue) && n < ad.together() {
+		for n < len(ad.queue) && n < ad.jobsPerTxn() {
 			b, err := wire.Marshal(ad.queue[n].rec)
 			if err != nil {
 				ad.log.Error("record does not encode", "job", ad.queue[n].rec.Spec.ID, "error", err)
 			}
 			bytes += recordSize(b)
-			if n > 0 && bytes > ad.valueMax {
+			if n > 0 && bytes > ad.maxGroupBytes {
 				break
 			}
 			n++
@@ -283,12 +285,12 @@
 		ad.queue = slices.Delete(ad.queue, 0, n)
 		key := ""
 		if n > 1 {
-			key = ad.admissionGroups.name()
+			key = ad.admissionGroups.nextKey()
 		}
-		ad.flying++
+		ad.commitsInFlight++
 		go func() {
-			ad.create(key, in)
-			ad.ahead(func() { ad.flying-- })
+			ad.storeBatch(key, in)
+			ad.ahead(func() { ad.commitsInFlight-- })
 		}()
 	}
 }
@@ -300,13 +302,13 @@
 // refuseQueued turns away what waits, when this node may not act.
 func (ad *admission) refuseQueued() {
 	for _, in := range ad.queue {
-		ad.done(in, Later("leadership is not certain"))
+		ad.finish(in, Later("leadership is not certain"))
 	}
 	ad.queue = nil
 }
 
-// done answers all who wait for a submission, for good.
-func (ad *admission) done(in *pendingSubmission, p *rpc.Reply) {
+// finish answers all who wait for a submission, for good.
+func (ad *admission) finish(in *pendingSubmission, p *rpc.Reply) {
 	delete(ad.pending, in.rec.Spec.ID)
 	in.answer(p)
 }
@@ -315,14 +317,14 @@
 // after an unclear commit, a conflict that did not name its keys, or a failed read.
 const storeRetryPause = 200 * time.Millisecond
 
-// create makes submissions durable before their users are told: one under its own
+// storeBatch makes submissions durable before their users are told: one under its own
 // key, several in a group record. An unclear commit is tried again: either it was
 // applied, and the conditions show it, or the second one takes its place.
-func (ad *admission) create(key string, in []*pendingSubmission) {
+func (ad *admission) storeBatch(key string, in []*pendingSubmission) {
 	all := func(p *rpc.Reply) {
 		ad.ahead(func() {
 			for _, x := range in {
-				ad.done(x, p)
+				ad.finish(x, p)
 			}
 		})
 	}
@@ -337,13 +339,13 @@
 		var conflict *state.ConflictError
 		switch {
 		case err == nil:
-			ad.accepted(key, version, in)
+			ad.recordAccepted(key, version, in)
 			return
 		case errors.As(err, &conflict) && key == "":
-			ad.resolve(in[0])
+			ad.answerExisting(in[0])
 			return
 		case errors.As(err, &conflict):
-			rest, unclearNow, over := ad.afterConflict(key, in, conflict, all)
+			rest, unclearNow, over := ad.handleConflict(key, in, conflict, all)
 			if over {
 				return
 			}
@@ -358,7 +360,7 @@
 				ad.recordWriter.shrinkIfRejected(err)
 				for _, x := range in {
 					if len(in) == 1 {
-						ad.done(x, Later("state service rejects the submission"))
+						ad.finish(x, Later("state service rejects the submission"))
 					} else {
 						ad.queue = append(ad.queue, x)
 					}
@@ -377,8 +379,8 @@
 	}
 }
 
-// accepted takes in what has been stored.
-func (ad *admission) accepted(key string, version uint64, in []*pendingSubmission) {
+// recordAccepted takes in what has been stored.
+func (ad *admission) recordAccepted(key string, version uint64, in []*pendingSubmission) {
 	kind := "own"
 	if key != "" {
 		kind = "group"
@@ -397,16 +399,16 @@
 			if ad.jobTable.sound(x.rec.Spec.ID) == nil {
 				ad.jobTable.add(x.rec, version, time.Now())
 			}
-			ad.done(x, reply(http.StatusCreated, recordStatus(x.rec)))
+			ad.finish(x, reply(http.StatusCreated, recordStatus(x.rec)))
 		}
 	})
 }
 
-// resolve answers for a submission whose job exists already.
-func (ad *admission) resolve(in *pendingSubmission) {
+// answerExisting answers for a submission whose job exists already.
+func (ad *admission) answerExisting(in *pendingSubmission) {
 	id := in.rec.Spec.ID
 	for ad.ctx.Err() == nil {
-		found, version, err := lookup(ad.ctx, ad.c.State, id)
+		found, version, err := readJobRecord(ad.ctx, ad.c.State, id)
 		if err != nil {
 			ad.pause(storeRetryPause)
 			continue
@@ -415,33 +417,33 @@
 			switch {
 			case found == nil:
 				// The term has moved on.
-				ad.done(in, Later("leadership has changed"))
+				ad.finish(in, Later("leadership has changed"))
 				return
 			case found.Phase != "":
 				ad.completions.remember(found)
 			case ad.completions.over(id):
 				// It has ended since the read: taken in once more it would run again, and its
 				// user would be told that it waits.
-				ad.done(in, ad.completions.past(id))
+				ad.finish(in, ad.completions.past(id))
 				return
 			case ad.jobTable.sound(id) == nil:
 				ad.jobTable.add(found, version, time.Now())
 			}
-			ad.done(in, recorded(found))
+			ad.finish(in, recorded(found))
 		})
 		return
 	}
 }
 
-// afterConflict handles a commit whose conditions failed: the unclear try before
+// handleConflict handles a commit whose conditions failed: the unclear try before
 // may have been applied, the leadership may have changed, or some of the jobs are
 // known already. It returns the submissions to try again, and whether the state
 // of the last try is unclear; over means that nothing is left to try.
-func (ad *admission) afterConflict(key string, in []*pendingSubmission, conflict *state.ConflictError, all func(*rpc.Reply)) (rest []*pendingSubmission, unclear, over bool) {
+func (ad *admission) handleConflict(key string, in []*pendingSubmission, conflict *state.ConflictError, all func(*rpc.Reply)) (rest []*pendingSubmission, unclear, over bool) {
 	e, gerr := ad.c.State.Get(ad.ctx, key)
 	switch {
 	case gerr == nil: // the unclear one was applied
-		ad.accepted(key, e.Version, in)
+		ad.recordAccepted(key, e.Version, in)
 		return nil, false, true
 	case !errors.Is(gerr, state.ErrNotFound):
 		ad.pause(storeRetryPause)
@@ -452,9 +454,9 @@
 	}
 	// Jobs that are known already must not keep the others out. (An unclear try
 	// with all of them fails from now on: a job's record moves, but never goes.)
-	known, rest := split(in, conflict.Failed)
+	known, rest := splitByKey(in, conflict.Failed)
 	for _, x := range known {
-		ad.resolve(x)
+		ad.answerExisting(x)
 	}
 	if len(rest) == 0 {
 		return nil, false, true
@@ -465,8 +467,8 @@
 	return rest, false, false
 }
 
-// split parts the submissions of which a key is named from the others.
-func split(in []*pendingSubmission, keys []string) (named, rest []*pendingSubmission) {
+// splitByKey parts the submissions of which a key is named from the others.
+func splitByKey(in []*pendingSubmission, keys []string) (named, rest []*pendingSubmission) {
 	for _, x := range in {
 		id := x.rec.Spec.ID
 		if slices.Contains(keys, job.ActivePrefix+id) || slices.Contains(keys, job.FinalPrefix+id) {
--- a/internal/control/admission_group_reader.go
+++ b/internal/control/admission_group_reader.go
@@ -15,9 +15,9 @@
 	"vetchstream/internal/wire"
 )
 
-// lookup reads a job's own record afresh; it is nil if the job was never accepted
+// readJobRecord reads a job's own record afresh; it is nil if the job was never accepted
 // alone. A leader knows the records of groups, which it alone writes.
-func lookup(ctx context.Context, st *state.Client, id string) (*job.Record, uint64, error) {
+func readJobRecord(ctx context.Context, st *state.Client, id string) (*job.Record, uint64, error) {
 	// Active first: a job that moves between the two reads is found by the second.
 	for _, prefix := range []string{job.ActivePrefix, job.FinalPrefix} {
 		e, err := st.Get(ctx, prefix+id)
@@ -40,14 +40,14 @@
 // own job only; nothing is told of that job, since its end may stand there.
 var errUnreadable = errors.New("record cannot be read")
 
-// find reads a job's record afresh for a node that does not lead. Groups come
+// findRecord reads a job's record afresh for a node that does not lead. Groups come
 // first: an entry moves from its group to the job's own key, never back.
-func (c *Controller) find(ctx context.Context, id string) (*job.Record, error) {
+func (c *Controller) findRecord(ctx context.Context, id string) (*job.Record, error) {
 	rec, doubt := c.groups.find(ctx, id)
 	if rec != nil || (doubt != nil && !errors.Is(doubt, errUnreadable)) {
 		return rec, doubt
 	}
-	rec, _, err := lookup(ctx, c.State, id)
+	rec, _, err := readJobRecord(ctx, c.State, id)
 	if rec == nil && err == nil {
 		return nil, doubt // it may be in the group that cannot be read
 	}
@@ -61,20 +61,20 @@
 type groupReader struct {
 	state *state.Client
 
-	mu   sync.Mutex
-	busy bool
-	next *groupList // nil: nobody waits for another listing
+	mu      sync.Mutex
+	listing bool
+	next    *groupListing // nil: nobody waits for another listing
 }
 
-// groupList is one listing, for all who have asked before it began.
-type groupList struct {
+// groupListing is one listing, for all who have asked before it began.
+type groupListing struct {
 	done chan struct{}
 	jobs map[string]*job.Record
 	err  error
 }
 
-// listTime bounds a listing: its users have left by then.
-const listTime = 3 * time.Second
+// listTimeout bounds a listing: its users have left by then.
+const listTimeout = 3 * time.Second
 
 // find returns a job's entry; nil: no group has it, and with errUnreadable: none that
 // can be read.
@@ -82,12 +82,12 @@
 	s.mu.Lock()
 	l := s.next
 	if l == nil {
-		l = &groupList{done: make(chan struct{})}
+		l = &groupListing{done: make(chan struct{})}
 		s.next = l
 	}
-	if !s.busy {
-		s.busy = true
-		go s.serve()
+	if !s.listing {
+		s.listing = true
+		go s.serveListings()
 	}
 	s.mu.Unlock()
 	select {
@@ -101,24 +101,24 @@
 	}
 }
 
-// serve makes listings for as long as somebody waits for one.
-func (s *groupReader) serve() {
+// serveListings makes listings for as long as somebody waits for one.
+func (s *groupReader) serveListings() {
 	for {
 		s.mu.Lock()
 		l := s.next
 		s.next = nil
-		s.busy = l != nil
+		s.listing = l != nil
 		s.mu.Unlock()
 		if l == nil {
 			return
 		}
-		l.jobs, l.err = s.read()
+		l.jobs, l.err = s.list()
 		close(l.done)
 	}
 }
 
-func (s *groupReader) read() (map[string]*job.Record, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), listTime)
+func (s *groupReader) list() (map[string]*job.Record, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), listTimeout)
 	defer cancel()
 	entries, _, err := s.state.List(ctx, job.GroupPrefix)
 	if err != nil {
@@ -146,7 +146,7 @@
 	id, spec, invalid := submission(body)
 	refusal, unchanged, err := c.admissionCheck(ctx, spec, invalid)
 	if err != nil {
-		return noLeader()
+		return noLeaderReply()
 	}
 	if refusal != nil {
 		return c.refuseUnlessRecorded(ctx, id, refusal)
@@ -154,8 +154,8 @@
 	return c.commitWithoutLeader(ctx, id, spec, unchanged)
 }
 
-// noLeader tells the client to come back when no leader is to be reached.
-func noLeader() *rpc.Reply { return Later("no leader is to be reached") }
+// noLeaderReply tells the client to come back when no leader is to be reached.
+func noLeaderReply() *rpc.Reply { return Later("no leader is to be reached") }
 
 // admissionCheck is the refusal of a submission, or nil, with the conditions on
 // the state service that the decision rests on; err: they could not be read.
@@ -180,9 +180,9 @@
 	if id == "" || refusal.Status == http.StatusServiceUnavailable {
 		return refusal
 	}
-	switch rec, err := c.find(ctx, id); {
+	switch rec, err := c.findRecord(ctx, id); {
 	case err != nil:
-		return noLeader()
+		return noLeaderReply()
 	case rec != nil:
 		return recorded(rec)
 	}
@@ -195,31 +195,31 @@
 	// The commit itself tells whether the job has a record of its own.
 	switch rec, err := c.groups.find(ctx, id); {
 	case err != nil:
-		return noLeader()
+		return noLeaderReply()
 	case rec != nil:
 		return recorded(rec)
 	}
 	rec := &job.Record{Spec: *spec, At: time.Now().UnixMilli()}
 	txn, err := admissionTxn("", []*pendingSubmission{{rec: rec}})
 	if err != nil {
-		return noLeader()
+		return noLeaderReply()
 	}
 	txn.If = append(txn.If, unchanged...)
 	// What does not fit the budget now is refused at once: waiting would hold up
 	// every later request of this node.
 	if c.State.SpareWrites() < 1 {
-		return noLeader()
+		return noLeaderReply()
 	}
 	_, err = c.State.CommitHedged(ctx, txn)
 	switch {
 	case errors.Is(err, state.ErrConflict):
-		if rec, err := c.find(ctx, id); err == nil && rec != nil {
+		if rec, err := c.findRecord(ctx, id); err == nil && rec != nil {
 			return recorded(rec)
 		}
-		return noLeader()
+		return noLeaderReply()
 	case err != nil:
 		// Unclear, it may be: for the user's next try to settle.
-		return noLeader()
+		return noLeaderReply()
 	}
 	c.Meter.Add(metrics.Accepted, "without the leader", 1)
 	c.Log.Info("admitted a job without the leader", "job", id)
@@ -229,7 +229,7 @@
 // StatusWithoutLeader answers a status request from the state service, for a node that
 // neither leads nor reaches the leader.
 func (c *Controller) StatusWithoutLeader(ctx context.Context, id string) *rpc.Reply {
-	rec, err := c.find(ctx, id)
+	rec, err := c.findRecord(ctx, id)
 	switch {
 	case err != nil:
 		return Later("no leader and no state service")
--- a/internal/control/admission_groups.go
+++ b/internal/control/admission_groups.go
@@ -22,32 +22,32 @@
 	recordWriter *recordWriter
 	results      *results
 
-	limit *rate.Limiter // of endings, shared with those of jobs alone
-	next  uint64        // number of the next group of this term
-	byJob map[string]*group
-	// open are the groups that have something to store or to move.
-	open   map[*group]bool
+	limit      *rate.Limiter // of endings, shared with those of jobs alone
+	lastNumber uint64        // number of the next group of this term
+	groupByJob map[string]*admissionGroup
+	// active are the groups that have something to store or to move.
+	active map[*admissionGroup]bool
 	moving bool // one group's entries are moved at a time
-	// doubt: a record cannot be read. A job that is found nowhere else may be in it, and
+	// unreadable: a record cannot be read. A job that is found nowhere else may be in it, and
 	// its end with it: nothing is told of such a job, and none is taken in as new.
-	doubt bool
+	unreadable bool
 }
 
-// group is one record.
-type group struct {
-	key     string
-	version uint64
-	jobs    []job.Record // as stored
-	ends    []ending     // to be stored
-	writing bool         // a transaction is under way
-	waiting bool         // its turn among the endings is awaited
-	restAt  time.Time    // no moves before
+// admissionGroup is one record.
+type admissionGroup struct {
+	key          string
+	version      uint64
+	jobs         []job.Record // as stored
+	endings      []ending     // to be stored
+	writing      bool         // a transaction is under way
+	awaitingTurn bool         // its turn among the endings is awaited
+	noMoveBefore time.Time    // no moves before
 }
 
 // ending is the end of a job that is not durable yet.
 type ending struct {
-	rec  *job.Record
-	then func()
+	rec      *job.Record
+	onStored func()
 }
 
 func newAdmissionGroups(co *core, limit *rate.Limiter) *admissionGroups {
@@ -58,35 +58,35 @@
 
 // reset forgets what a load that failed half-way has found.
 func (gs *admissionGroups) reset() {
-	gs.byJob, gs.open, gs.doubt = map[string]*group{}, map[*group]bool{}, false
+	gs.groupByJob, gs.active, gs.unreadable = map[string]*admissionGroup{}, map[*admissionGroup]bool{}, false
 }
 
 // hasUnreadable reports whether a job that is not known may be in a record that cannot be read.
-func (gs *admissionGroups) hasUnreadable() bool { return gs.doubt }
+func (gs *admissionGroups) hasUnreadable() bool { return gs.unreadable }
 
-// name makes a key that no other term can make.
-func (gs *admissionGroups) name() string {
-	gs.next++
-	return fmt.Sprintf("%s%d-%d", job.GroupPrefix, gs.term, gs.next)
+// nextKey makes a key that no other term can make.
+func (gs *admissionGroups) nextKey() string {
+	gs.lastNumber++
+	return fmt.Sprintf("%s%d-%d", job.GroupPrefix, gs.term, gs.lastNumber)
 }
 
 // add takes in a record that has been stored.
 func (gs *admissionGroups) add(key string, version uint64, recs []job.Record) {
-	g := &group{key: key, version: version, jobs: recs}
+	g := &admissionGroup{key: key, version: version, jobs: recs}
 	for i := range recs {
-		gs.byJob[recs[i].Spec.ID] = g
+		gs.groupByJob[recs[i].Spec.ID] = g
 		if recs[i].Phase != "" {
-			gs.open[g] = true
+			gs.active[g] = true
 		}
 	}
 }
 
 // has reports whether a group record has the job.
-func (gs *admissionGroups) has(id string) bool { return gs.byJob[id] != nil }
+func (gs *admissionGroups) has(id string) bool { return gs.groupByJob[id] != nil }
 
 // find returns a job's entry as it is stored; nil: no group has it.
 func (gs *admissionGroups) find(id string) *job.Record {
-	g := gs.byJob[id]
+	g := gs.groupByJob[id]
 	if g == nil {
 		return nil
 	}
@@ -98,49 +98,49 @@
 // user waits for the end of a cancelled job; the others take turns, and what
 // comes meanwhile goes with them.
 func (gs *admissionGroups) recordEnd(rec *job.Record, then func()) {
-	g := gs.byJob[rec.Spec.ID]
-	g.ends = append(g.ends, ending{rec, then})
-	gs.open[g] = true
+	g := gs.groupByJob[rec.Spec.ID]
+	g.endings = append(g.endings, ending{rec, then})
+	gs.active[g] = true
 }
 
 // storeAndCompact stores ends and moves what is over, for each group that has any.
 func (gs *admissionGroups) storeAndCompact(now time.Time) {
-	for g := range gs.open {
+	for g := range gs.active {
 		switch {
 		case g.writing:
-		case slices.ContainsFunc(g.ends, func(e ending) bool { return e.rec.Phase != wire.JobDone }):
-			gs.store(g)
-		case len(g.ends) > 0:
-			gs.await(g)
-		case !gs.moving && gs.c.State.Idle(gs.recordWriter.maxWrites()) && !now.Before(g.restAt):
-			gs.move(g)
+		case slices.ContainsFunc(g.endings, func(e ending) bool { return e.rec.Phase != wire.JobDone }):
+			gs.storeEndings(g)
+		case len(g.endings) > 0:
+			gs.storeInTurn(g)
+		case !gs.moving && gs.c.State.Idle(gs.recordWriter.maxWrites()) && !now.Before(g.noMoveBefore):
+			gs.moveFinished(g)
 		}
 	}
 }
 
-// await stores a group's ends when its turn has come.
-func (gs *admissionGroups) await(g *group) {
-	if g.waiting {
+// storeInTurn stores a group's ends when its turn has come.
+func (gs *admissionGroups) storeInTurn(g *admissionGroup) {
+	if g.awaitingTurn {
 		return
 	}
-	g.waiting = true
+	g.awaitingTurn = true
 	go func() {
 		if gs.limit.Wait(gs.ctx) != nil {
 			return
 		}
 		gs.ahead(func() {
-			g.waiting = false
-			if !g.writing && len(g.ends) > 0 {
-				gs.store(g)
+			g.awaitingTurn = false
+			if !g.writing && len(g.endings) > 0 {
+				gs.storeEndings(g)
 			}
 		})
 	}()
 }
 
-// store writes the record with the ends that have come.
-func (gs *admissionGroups) store(g *group) {
-	ends := g.ends
-	g.ends = nil
+// storeEndings writes the record with the ends that have come.
+func (gs *admissionGroups) storeEndings(g *admissionGroup) {
+	ends := g.endings
+	g.endings = nil
 	jobs := slices.Clone(g.jobs)
 	for _, e := range ends {
 		i := slices.IndexFunc(jobs, func(r job.Record) bool { return r.Spec.ID == e.rec.Spec.ID })
@@ -151,20 +151,20 @@
 		gs.log.Error("group does not encode", "key", g.key, "error", err)
 		return
 	}
-	gs.commit(g, nil, []state.Write{put}, func() {
+	gs.commitGroup(g, nil, []state.Write{put}, func() {
 		g.jobs = jobs
 		for _, e := range ends {
-			e.then()
+			e.onStored()
 		}
 	})
 }
 
-// moveRest spaces the moves of one group after a conflict.
-const moveRest = time.Second
+// moveRetryDelay spaces the moves of one group after a conflict.
+const moveRetryDelay = time.Second
 
-// move takes entries that are over out of a group, each to its own final key, in
+// moveFinished takes entries that are over out of a group, each to its own final key, in
 // one transaction: a crash at any step leaves an entry in one of the two places.
-func (gs *admissionGroups) move(g *group) {
+func (gs *admissionGroups) moveFinished(g *admissionGroup) {
 	var conds []state.Condition
 	var writes []state.Write
 	var left []job.Record
@@ -186,7 +186,7 @@
 		writes = append(writes, put)
 	}
 	if len(writes) == 0 {
-		delete(gs.open, g)
+		delete(gs.active, g)
 		return
 	}
 	if len(left) == 0 {
@@ -200,22 +200,22 @@
 		writes = append(writes, put)
 	}
 	gs.moving = true
-	gs.commit(g, conds, writes, func() {
+	gs.commitGroup(g, conds, writes, func() {
 		for i := range g.jobs {
-			delete(gs.byJob, g.jobs[i].Spec.ID)
+			delete(gs.groupByJob, g.jobs[i].Spec.ID)
 		}
 		for i := range left {
-			gs.byJob[left[i].Spec.ID] = g
+			gs.groupByJob[left[i].Spec.ID] = g
 		}
 		g.jobs = left
 	})
 }
 
-// commit writes a group's record on its version, until it is settled. Only one
+// commitGroup writes a group's record on its version, until it is settled. Only one
 // transaction of a group is under way at a time, and only an entitled leader
 // writes groups: a version that has moved on is the work of an unclear try of
 // this very transaction.
-func (gs *admissionGroups) commit(g *group, conds []state.Condition, writes []state.Write, then func()) {
+func (gs *admissionGroups) commitGroup(g *admissionGroup, conds []state.Condition, writes []state.Write, then func()) {
 	g.writing = true
 	was := g.version
 	gone := writes[len(writes)-1].Delete != ""
@@ -226,13 +226,13 @@
 			gs.moving = gs.moving && len(conds) == 0
 			then()
 			if len(g.jobs) == 0 {
-				delete(gs.open, g)
+				delete(gs.active, g)
 			}
 		})
 	}
 	// A move that cannot be made as it is is made anew, later.
 	again := func() {
-		g.writing, gs.moving, g.restAt = false, false, time.Now().Add(moveRest)
+		g.writing, gs.moving, g.noMoveBefore = false, false, time.Now().Add(moveRetryDelay)
 	}
 	go func() {
 		for unclear := false; gs.ctx.Err() == nil; {
@@ -284,7 +284,7 @@
 		var rec job.Group
 		if err := wire.Unmarshal(e.Value, &rec); err != nil {
 			gs.log.Error("a group's record cannot be read, it is kept, its jobs wait and no new ones are taken in", "key", e.Key, "error", err)
-			gs.doubt = true
+			gs.unreadable = true
 			continue
 		}
 		gs.add(e.Key, e.Version, rec.Jobs)
--- a/internal/control/calendar_requests.go
+++ b/internal/control/calendar_requests.go
@@ -147,7 +147,7 @@
 
 // tooLarge reports whether a record exceeds what the state service takes.
 func (cs *calendarStore) tooLarge(w state.Write) bool {
-	return float64(recordSize(w.Value)) > cs.c.Settings.Facts.State.ValueKB*1024*pageShare
+	return float64(recordSize(w.Value)) > cs.c.Settings.Facts.State.ValueKB*1024*valueFillFraction
 }
 
 // plan takes in a maintenance window, and moves the reservations on its machines.
--- a/internal/control/completions.go
+++ b/internal/control/completions.go
@@ -136,7 +136,7 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(en.ctx, 3*time.Second)
 		defer cancel()
-		rec, err := en.c.find(ctx, id)
+		rec, err := en.c.findRecord(ctx, id)
 		switch {
 		case err != nil:
 			back(Later("the job's record cannot be read now"))
@@ -231,7 +231,7 @@
 				en.ahead(func() { en.moves = append(en.moves, move{rec, version}) })
 			case err == nil:
 			case errors.Is(err, state.ErrConflict):
-				found, _, err := lookup(en.ctx, en.c.State, id)
+				found, _, err := readJobRecord(en.ctx, en.c.State, id)
 				if err != nil || found == nil || found.Phase == "" {
 					// Deposed, or not to be told now: the term ends or the loop goes on.
 					en.pause(200 * time.Millisecond)
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -330,19 +330,19 @@
 // TestRetryPacer: submissions beyond what can be stored are told to come back, each
 // at a time of its own, and never later than users heed.
 func TestRetryPacer(t *testing.T) {
-	ts := retryPacer{perS: 10}
+	ts := retryPacer{perSecond: 10}
 	now := time.Unix(1000, 0)
 	last := time.Duration(0)
 	at := map[int]int{} // second -> submissions that are told to come then
 	for range 600 {
 		d := ts.retryAfter(now)
-		if d < time.Second || d < last || d > longestRetry {
+		if d < time.Second || d < last || d > maxRetryAfter {
 			t.Fatalf("told to come back after %v, the one before after %v", d, last)
 		}
 		last = d
 		at[int(d/time.Second)]++
 	}
-	if last != longestRetry {
+	if last != maxRetryAfter {
 		t.Errorf("the last is told to come after %v", last)
 	}
 	for s := 2; s < 29; s++ {
--- a/internal/control/gangs_test.go
+++ b/internal/control/gangs_test.go
@@ -39,9 +39,9 @@
 	}
 }
 
-// TestDeafReturned: machines that report and take in nothing are left in time, and
+// TestPartitionedMachinesReturned: machines that report and take in nothing are left in time, and
 // returned after their lease and a while.
-func TestDeafReturned(t *testing.T) {
+func TestPartitionedMachinesReturned(t *testing.T) {
 	patience := 11*time.Second + lostGrace
 	tests := []struct {
 		name     string
--- a/internal/control/job_table.go
+++ b/internal/control/job_table.go
@@ -123,7 +123,7 @@
 
 func (bk *jobTable) identify(j *job.Job, id string) {
 	for bk.ctx.Err() == nil {
-		rec, version, err := lookup(bk.ctx, bk.c.State, id)
+		rec, version, err := readJobRecord(bk.ctx, bk.c.State, id)
 		if errors.Is(err, errUnreadable) {
 			// What its tasks take of a team's limit will not be known: nothing is placed
 			// until they are gone.
--- a/internal/control/leader_term.go
+++ b/internal/control/leader_term.go
@@ -138,7 +138,7 @@
 		completions: newCompletions(co, ends), admissionGroups: newAdmissionGroups(co, ends), rollouts: newRollouts(co), calendarStore: newCalendarStore(co), shards: newShards(co), reservationHolds: newReservationHolds(co), maintenanceDrains: newMaintenanceDrains(co), results: newResults(co), registry: newRegistry(co, f.State.ValueKB),
 		machinePool: newMachinePool(co), takeover: &takeover{core: co}, commands: &commands{core: co, most: DirectCalls(f.Resources.MaxSockets)},
 		teamQuotas: newTeamQuotas(co, l.Restored), homeQuotas: newHomeQuotas(co),
-		planner: newPlanner(co), taskTracker: &taskTracker{core: co}, recordWriter: &recordWriter{core: co, batch: f.State.TxnOps}}
+		planner: newPlanner(co), taskTracker: &taskTracker{core: co}, recordWriter: &recordWriter{core: co, maxBatch: f.State.TxnOps}}
 	r.wire()
 	r.calendarStore.reset()
 	return r
@@ -302,7 +302,7 @@
 	r.admission.storeQueued(now)
 	r.admissionGroups.storeAndCompact(now)
 	r.results.storeCompleted(now)
-	r.results.deleteOrphans()
+	r.results.deleteObsolete()
 	r.completions.settleFinals()
 	r.machinePool.cloud(now)
 	r.planner.place(now)
@@ -321,5 +321,5 @@
 	r.c.Meter.Set(metrics.Jobs, len(r.jobTable.all()))
 	r.commands.fence(now)
 	r.jobTable.sweep()
-	r.registry.removeFinishedNotes()
+	r.registry.removeFinishedJobs()
 }
--- a/internal/control/planner.go
+++ b/internal/control/planner.go
@@ -216,7 +216,7 @@
 // exits are the tasks whose exits the worker still reports and that may be
 // placed again.
 func (pl *planner) exits(h *fleet.Host) map[place.Task]bool {
-	if h.Exits == 0 {
+	if h.ReportedExits == 0 {
 		return nil
 	}
 	var out map[place.Task]bool
--- a/internal/control/records_results.go
+++ b/internal/control/records_results.go
@@ -9,104 +9,118 @@
 	"vetchstream/internal/state"
 )
 
-// results holds what has completed until it is durable, and drops it when its job
-// is over.
+// resultsInterval is the least time between transactions of results.
+const resultsInterval = time.Second
+
+// results stores the results of completed tasks, and deletes them when their job is
+// over.
 type results struct {
 	*core
 	recordWriter *recordWriter
 
-	unstored map[*job.Job][]*fleet.Slot // done, and not durable yet
-	orphans  []string                   // keys that are of no use any more
-	dropping bool
-	flushAt  time.Time
-	flushing bool
+	unstored map[*job.Job][]*fleet.Slot // completed, and not durable yet
+	// storing: a transaction of results is under way.
+	storing     bool
+	nextStoreAt time.Time
+	// obsoleteKeys are stored keys that are of no use any more.
+	obsoleteKeys []string
+	// deleting: a transaction that deletes obsolete keys is under way.
+	deleting bool
 }
 
 func newResults(co *core) *results {
 	return &results{core: co, unstored: map[*job.Job][]*fleet.Slot{}}
 }
 
-// reset forgets what a load that failed half-way has found.
-func (rs *results) reset() { rs.orphans = nil }
+// reset forgets the obsolete keys that a load which failed half-way has found.
+func (rs *results) reset() { rs.obsoleteKeys = nil }
 
-// addCompleted notes a placement whose task is done; its exit is settled once that is
-// durable.
+// addCompleted records a placement whose task is done; its exit is settled once the
+// result is durable.
 func (rs *results) addCompleted(s *fleet.Slot) {
 	s.Settled = false
 	rs.unstored[s.Job] = append(rs.unstored[s.Job], s)
 }
 
-// discard settles what is left of a job that is durably over: its results are of no
-// use any more.
+// discard settles the exits of a job that is durably over, and has its results
+// deleted.
 func (rs *results) discard(j *job.Job) {
 	for _, s := range rs.unstored[j] {
 		s.Settled = true
 	}
 	delete(rs.unstored, j)
-	for _, c := range j.SavedChunks() {
-		rs.deleteLater(j.ChunkKey(c))
+	for _, index := range j.SavedChunks() {
+		rs.deleteLater(j.ChunkKey(index))
 	}
 }
 
-// deleteLater deletes a key when there is nothing better to do.
-func (rs *results) deleteLater(key string) { rs.orphans = append(rs.orphans, key) }
+// deleteLater has a key deleted when the budget is idle.
+func (rs *results) deleteLater(key string) { rs.obsoleteKeys = append(rs.obsoleteKeys, key) }
 
-// deleteOrphans drops results of jobs that are over. It comes after the final record and
-// apart from it, so that ending a job takes a small transaction.
-func (rs *results) deleteOrphans() {
-	if rs.dropping || len(rs.orphans) == 0 || !rs.c.State.Idle(rs.recordWriter.maxWrites()) {
+// deleteObsolete deletes obsolete keys while the budget is idle. The results of a job
+// are not deleted with the write of its final record, to keep that transaction small.
+func (rs *results) deleteObsolete() {
+	if rs.deleting || len(rs.obsoleteKeys) == 0 || !rs.c.State.Idle(rs.recordWriter.maxWrites()) {
 		return
 	}
-	keys := rs.orphans[:min(len(rs.orphans), rs.recordWriter.maxWrites())]
+	keys := rs.obsoleteKeys[:min(len(rs.obsoleteKeys), rs.recordWriter.maxWrites())]
 	var writes []state.Write
-	for _, k := range keys {
-		writes = append(writes, state.Write{Delete: k})
+	for _, key := range keys {
+		writes = append(writes, state.Write{Delete: key})
 	}
-	rs.dropping = true
+	rs.deleting = true
 	rs.recordWriter.write(writes, func(err error) {
-		rs.dropping = false
+		rs.deleting = false
 		rs.recordWriter.shrinkIfRejected(err)
 		if err == nil {
-			rs.orphans = rs.orphans[len(keys):]
+			rs.obsoleteKeys = rs.obsoleteKeys[len(keys):]
 		}
 	})
 }
 
-// chunk is a part of a job's results.
-type chunk struct {
-	j *job.Job
-	c int
+// chunkID names one chunk of a job's results.
+type chunkID struct {
+	job   *job.Job
+	index int
 }
 
-// resultsTxn is a transaction of results, with what it settles.
+// key is where the chunk is stored.
+func (id chunkID) key() string { return id.job.ChunkKey(id.index) }
+
+// resultsTxn is a transaction of results, with the placements whose exits it
+// settles.
 type resultsTxn struct {
 	txn    state.Txn
-	chunks []chunk
-	settle map[*job.Job][]*fleet.Slot
+	chunks []chunkID
+	slots  map[*job.Job][]*fleet.Slot
 }
 
-// storeCompleted stores results, so that the workers may forget them.
+// storeCompleted stores results, so that the workers may forget the exits. The
+// transaction is conditional on each chunk's version: if one that had no response
+// were executed after a newer one, results would be lost and their tasks would run
+// again under the next leader.
 func (rs *results) storeCompleted(now time.Time) {
-	if rs.flushing || now.Before(rs.flushAt) || rs.c.State.SpareWrites() < rs.recordWriter.maxWrites() {
+	if rs.storing || now.Before(rs.nextStoreAt) || rs.c.State.SpareWrites() < rs.recordWriter.maxWrites() {
 		return
 	}
-	t := rs.gather()
+	t := rs.nextTransaction()
 	if len(t.chunks) == 0 {
 		return
 	}
-	// On each chunk's version: a try without an answer that is carried out after a newer
-	// one would take results back, and their tasks would run again after a change of
-	// leader.
-	rs.flushing, rs.flushAt = true, now.Add(time.Second)
+	rs.storing = true
+	rs.nextStoreAt = now.Add(resultsInterval)
 	go func() {
 		found, err := rs.commit(t)
-		rs.post(func() { rs.flushed(t, found, err) })
+		rs.post(func() { rs.handleStored(t, found, err) })
 	}()
 }
 
-// gather takes what fits into a transaction.
-func (rs *results) gather() *resultsTxn {
-	t := &resultsTxn{txn: state.Txn{If: []state.Condition{rs.fence}}, settle: map[*job.Job][]*fleet.Slot{}}
+// nextTransaction makes a transaction of as many jobs' results as fit into one.
+func (rs *results) nextTransaction() *resultsTxn {
+	t := &resultsTxn{
+		txn:   state.Txn{If: []state.Condition{rs.fence}},
+		slots: map[*job.Job][]*fleet.Slot{},
+	}
 	for j := range rs.unstored {
 		if j.Closing != "" || j.Phase != "" {
 			continue
@@ -115,64 +129,69 @@
 		if n := len(t.txn.Writes); len(dirty) == 0 || (n > 0 && n+len(dirty) > rs.recordWriter.maxWrites()) {
 			continue
 		}
-		for _, c := range dirty {
-			w, err := state.Put(j.ChunkKey(c), j.TakeChunk(c))
-			if err != nil {
-				continue
-			}
-			v := j.ChunkVersion(c)
-			j.MarkSaved(c, v) // it may exist from the moment the commit is sent
-			t.chunks, t.txn.Writes = append(t.chunks, chunk{j, c}), append(t.txn.Writes, w)
-			t.txn.If = append(t.txn.If, state.Condition{Key: w.Put, Version: v})
+		for _, index := range dirty {
+			t.addChunk(chunkID{job: j, index: index})
 		}
-		t.settle[j] = rs.unstored[j]
+		t.slots[j] = rs.unstored[j]
 		delete(rs.unstored, j)
 	}
 	return t
 }
 
-// commit runs the transaction once, and returns the versions of the chunks as far as they
-// are known.
-func (rs *results) commit(t *resultsTxn) (found map[chunk]uint64, err error) {
+// addChunk adds the write of a chunk. One that does not encode is left out.
+func (t *resultsTxn) addChunk(id chunkID) {
+	write, err := state.Put(id.key(), id.job.TakeChunk(id.index))
+	if err != nil {
+		return
+	}
+	version := id.job.ChunkVersion(id.index)
+	id.job.MarkSaved(id.index, version) // it may be stored from the moment the commit is sent
+	t.chunks = append(t.chunks, id)
+	t.txn.Writes = append(t.txn.Writes, write)
+	t.txn.If = append(t.txn.If, state.Condition{Key: write.Put, Version: version})
+}
+
+// commit runs the transaction once, and returns the versions that the chunks then
+// have, as far as they are known.
+func (rs *results) commit(t *resultsTxn) (found map[chunkID]uint64, err error) {
 	version, err := rs.c.State.Commit(rs.ctx, t.txn)
-	found = map[chunk]uint64{}
 	if err != nil {
 		rs.pause(settlePause)
 	}
-	for _, p := range t.chunks {
-		if err == nil {
-			found[p] = version
-			continue
-		}
-		if !errors.Is(err, state.ErrConflict) {
-			continue
-		}
-		if e, gerr := rs.c.State.Get(rs.ctx, p.j.ChunkKey(p.c)); gerr == nil || errors.Is(gerr, state.ErrNotFound) {
-			found[p] = e.Version
+	found = map[chunkID]uint64{}
+	for _, id := range t.chunks {
+		switch {
+		case err == nil:
+			found[id] = version
+		case errors.Is(err, state.ErrConflict):
+			if current, known := rs.recordWriter.readVersion(id.key()); known {
+				found[id] = current
+			}
 		}
 	}
 	return found, err
 }
 
-// flushed takes in what has become of the transaction.
-func (rs *results) flushed(t *resultsTxn, found map[chunk]uint64, err error) {
-	rs.flushing = false
+// handleStored applies the outcome of a transaction: exits whose results are stored
+// are settled, results that are not are stored again.
+func (rs *results) handleStored(t *resultsTxn, found map[chunkID]uint64, err error) {
+	rs.storing = false
 	rs.recordWriter.shrinkIfRejected(err)
-	for p, v := range found {
-		p.j.MarkSaved(p.c, v)
+	for id, version := range found {
+		id.job.MarkSaved(id.index, version)
 	}
 	if err == nil {
-		for _, ss := range t.settle {
-			for _, s := range ss {
+		for _, slots := range t.slots {
+			for _, s := range slots {
 				s.Settled = true
 			}
 		}
 		return
 	}
-	for _, p := range t.chunks {
-		p.j.MarkDirty(p.c)
+	for _, id := range t.chunks {
+		id.job.MarkDirty(id.index)
 	}
-	for j, ss := range t.settle {
-		rs.unstored[j] = append(rs.unstored[j], ss...)
+	for j, slots := range t.slots {
+		rs.unstored[j] = append(rs.unstored[j], slots...)
 	}
 }
--- a/internal/control/records_writer.go
+++ b/internal/control/records_writer.go
@@ -2,42 +2,48 @@
 
 import (
 	"errors"
-	"time"
 
 	"vetchstream/internal/state"
 )
 
-// recordWriter runs the leader's transactions and knows how large the state service
-// lets them be.
+// recordWriter runs the leader's transactions, and adapts their size to what the
+// state service accepts.
 type recordWriter struct {
 	*core
 	registry *registry
 
-	batch int // writes in one transaction
+	maxBatch int // most writes in one transaction
 }
 
 // maxWrites is the most writes that a transaction may have.
-func (wr *recordWriter) maxWrites() int { return wr.batch }
+func (wr *recordWriter) maxWrites() int { return wr.maxBatch }
 
-// shrinkIfRejected halves the batches when the state service rejects one: its limits may
-// have become tighter than the settings say, and the same transaction again
-// would stop all placing.
+// shrinkIfRejected halves the size of transactions if the state service has rejected
+// one: its limits may be tighter than the settings say, and sending the same
+// transaction again would stop all placement.
 func (wr *recordWriter) shrinkIfRejected(err error) {
-	if errors.Is(err, state.ErrRejected) && (wr.batch > 1 || wr.registry.canShrinkPages()) {
-		wr.batch = max(1, wr.batch/2)
+	if errors.Is(err, state.ErrRejected) && (wr.maxBatch > 1 || wr.registry.canShrinkPages()) {
+		wr.maxBatch = max(1, wr.maxBatch/2)
 		wr.registry.shrinkPages()
-		wr.log.Error("state service rejects a transaction, making them smaller", "writes", wr.batch, "error", err)
+		wr.log.Error("state service rejects a transaction, making them smaller", "writes", wr.maxBatch, "error", err)
 	}
 }
 
-// write runs a fenced transaction and hands its outcome to the actor. The
-// writes may be repeated safely: only this term can make them.
+// write runs a fenced transaction once and calls then with its outcome on the actor.
+// The writes may be repeated safely: only this term can make them.
 func (wr *recordWriter) write(writes []state.Write, then func(error)) {
 	go func() {
 		_, err := wr.c.State.Commit(wr.ctx, state.Txn{If: []state.Condition{wr.fence}, Writes: writes})
 		if err != nil {
-			wr.pause(200 * time.Millisecond)
+			wr.pause(settlePause)
 		}
 		wr.post(func() { then(err) })
 	}()
 }
+
+// readVersion reads the version of a key, 0 if it is absent; known is false if the
+// state service does not answer.
+func (wr *recordWriter) readVersion(key string) (version uint64, known bool) {
+	entry, err := wr.c.State.Get(wr.ctx, key)
+	return entry.Version, err == nil || errors.Is(err, state.ErrNotFound)
+}
--- a/internal/control/takeover_load.go
+++ b/internal/control/takeover_load.go
@@ -45,7 +45,7 @@
 	for _, l := range []struct {
 		prefix string
 		into   *[]state.Entry
-	}{{hostPrefix, &st.hosts}, {notePrefix, &st.notes}, {job.GroupPrefix, &st.groups}, {job.ActivePrefix, &st.jobs}, {job.DonePrefix, &st.results}} {
+	}{{hostPrefix, &st.hosts}, {jobHostsPrefix, &st.notes}, {job.GroupPrefix, &st.groups}, {job.ActivePrefix, &st.jobs}, {job.DonePrefix, &st.results}} {
 		var epoch uint64
 		if *l.into, epoch, err = tk.c.State.List(tk.ctx, l.prefix); err != nil {
 			return nil, err
--- a/internal/control/tasks_heartbeats.go
+++ b/internal/control/tasks_heartbeats.go
@@ -146,7 +146,7 @@
 			}
 			h.UseImage(j.ImageIdx, j.ImageGB, cache)
 			if wk.debug {
-				wk.log.Debug("task runs", "task", job.TaskName(j.ID, s.Task), "host", h.Name, "after", now.Sub(s.At))
+				wk.log.Debug("task runs", "task", job.TaskName(j.ID, s.Task), "host", h.Name, "after", now.Sub(s.PlacedAt))
 			}
 			if j.Shape == job.Gang {
 				j.GangRan = true
--- a/internal/fleet/compose.go
+++ b/internal/fleet/compose.go
@@ -23,34 +23,34 @@
 		}
 		name := func() string { return job.TaskName(s.Job.ID, s.Task) }
 		switch {
-		case seq != 0 && s.Seen && s.expiring():
+		case seq != 0 && s.Seen && s.cancelPending():
 			// Halted above.
 		case !s.Sent:
 			if s.Job.Closing != "" || s.Job.Phase != "" {
 				// The abort's commit may have been sent after the placement.
-				ev = append(ev, f.remove(h, s, NeverStarted)...)
+				ev = append(ev, f.removeSlot(h, s, NeverStarted)...)
 				continue
 			}
-			if !launches || !h.Fenced || !h.Durable || h.Lost || !s.Job.Noted.Has(h.Index) {
+			if !launches || !h.Fenced || !h.Durable || h.Lost || !s.Job.RecordedHosts.Has(h.Index) {
 				continue
 			}
-			s.Sent, s.Direct, s.viaSeq, s.At = true, seq == 0, seq, now
+			s.Sent, s.Direct, s.answeredSeq, s.PlacedAt = true, seq == 0, seq, now
 			if seq == 0 {
-				h.directAt = now
+				h.directLaunchAt = now
 			}
 			sent = append(sent, s)
 			orders = append(orders, wire.Order{Op: wire.Launch, Task: name(), Attempt: s.Attempt})
-		case (seq != 0 || h.holder != nil) && launches && h.Fenced && s.doubtful(now):
+		case (seq != 0 || h.holder != nil) && launches && h.Fenced && s.resendDue(now):
 			// The worker has it once, whichever copy comes first, as long as its exit is
 			// not cleared. One that has to go is launched to be stopped: an exit settles it.
-			s.again = now
+			s.resentAt = now
 			orders = append(orders, wire.Order{Op: wire.Launch, Task: name(), Attempt: s.Attempt})
 			if s.Stopping {
 				orders = append(orders, s.halt(now))
 			}
 		case s.haltDue(now):
 			orders = append(orders, s.halt(now))
-		case seq != 0 && !s.Active() && s.Settled && s.again.IsZero():
+		case seq != 0 && !s.Active() && s.Settled && s.resentAt.IsZero():
 			orders = append(orders, wire.Order{Op: wire.Clear, Task: name(), Attempt: s.Attempt})
 		}
 	}
@@ -69,7 +69,7 @@
 // a time ago they were sent before (renewal.go).
 func (h *Host) haltCancelled(orders []wire.Order, now time.Time, limit int) []wire.Order {
 	for _, s := range h.Slots {
-		if s.Seen && s.expiring() && len(orders) < limit {
+		if s.Seen && s.cancelPending() && len(orders) < limit {
 			s.Grace = 0
 			orders = append(orders, s.halt(now))
 		}
@@ -80,11 +80,11 @@
 // ClearOrders are the exits that the worker may forget, for the next answer of the
 // holder.
 func (h *Host) ClearOrders(limit int) (orders []wire.Order) {
-	if h.Exits == 0 {
+	if h.ReportedExits == 0 {
 		return nil
 	}
 	for _, s := range h.Slots {
-		if !s.Active() && s.Settled && s.again.IsZero() && len(orders) < limit {
+		if !s.Active() && s.Settled && s.resentAt.IsZero() && len(orders) < limit {
 			orders = append(orders, wire.Order{Op: wire.Clear, Task: job.TaskName(s.Job.ID, s.Task), Attempt: s.Attempt})
 		}
 	}
@@ -94,10 +94,10 @@
 // NeedsDirectCommand reports whether something waits that is worth a direct command.
 func (h *Host) NeedsDirectCommand(now time.Time) bool {
 	for _, s := range h.Slots {
-		if !s.Sent && h.Usable() && s.Job.Noted.Has(h.Index) {
+		if !s.Sent && h.Usable() && s.Job.RecordedHosts.Has(h.Index) {
 			return true
 		}
-		if h.holder != nil && s.doubtful(now) {
+		if h.holder != nil && s.resendDue(now) {
 			return true // its reports are answered without us
 		}
 		if s.haltDue(now) {
@@ -111,8 +111,8 @@
 func (f *Fleet) RemoveNotDelivered(slots []*Slot) []Event {
 	var ev []Event
 	for _, s := range slots {
-		if s.Host.Slots[s.Key] == s && s.Direct && !s.Seen && s.again.IsZero() {
-			ev = append(ev, f.remove(s.Host, s, NeverStarted)...)
+		if s.Host.Slots[s.Key] == s && s.Direct && !s.Seen && s.resentAt.IsZero() {
+			ev = append(ev, f.removeSlot(s.Host, s, NeverStarted)...)
 			s.Host.Recount()
 		}
 	}
--- a/internal/fleet/explore_test.go
+++ b/internal/fleet/explore_test.go
@@ -91,7 +91,7 @@
 	w.a = shard.NewAssigner(term, "n0", "", shard.Settings{GrantDuration: grantTime, RejoinDelay: tick, MaxRejoinDelay: tick, MovesPerSecond: 1000, LeaderWeight: 0.01, LeaderCapacity: 1}, w.now)
 	w.a.AddMachine("host-1", "")
 	w.by, w.kept = &Holder{Name: "n1"}, false
-	w.j.Noted.Add(w.h.Index)
+	w.j.RecordedHosts.Add(w.h.Index)
 	w.over = !w.cancelled.IsZero()
 	if w.over {
 		rec := &job.Record{Spec: w.j.Spec, Phase: wire.JobAborted}
@@ -376,12 +376,12 @@
 func (w *world) Print() string {
 	p := &explorer.Printer{Now: w.now, Past: cancelTime + tick}
 	p.Say(w.f.Term, w.launched, w.over, w.kept, w.w.session, w.w.token, w.w.phase, len(w.held), w.holder.Term(), " ")
-	p.At(w.cancelled, w.w.leased, w.grantEnd, w.h.heard, w.h.directAt)
+	p.At(w.cancelled, w.w.leased, w.grantEnd, w.h.renewedAt, w.h.directLaunchAt)
 	by, asked := w.a.Holder("host-1")
-	p.Say(by, asked, w.h.Session, w.h.Fenced, w.h.RenewalStopped, w.h.Lost, w.h.holder != nil, w.h.seq == w.w.seq, w.h.reported == w.w.seq, " ")
+	p.Say(by, asked, w.h.Session, w.h.Fenced, w.h.RenewalStopped, w.h.Lost, w.h.holder != nil, w.h.seq == w.w.seq, w.h.reportSeq == w.w.seq, " ")
 	for s := range w.f.SlotsOf(w.j) {
 		p.Say(s.Phase, s.Seen, s.Direct, s.Stopping)
-		p.At(s.HaltSentAt, s.again, s.At)
+		p.At(s.HaltSentAt, s.resentAt, s.PlacedAt)
 	}
 	for _, d := range w.held {
 		p.Say(d.Token, d.Session, len(d.Orders), d.Orders[0].Op)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -23,19 +23,19 @@
 	// machine.
 	CancelTime time.Duration
 	// Hosts are the machines by name.
-	Hosts map[string]*Host
-	order []*Host
-	next  int
-	spare []int // indices below next that are free
-	jobs  map[*job.Job]map[*Slot]struct{}
-	awake []*Host
+	Hosts           map[string]*Host
+	order           []*Host
+	nextIndex       int
+	freeIndexes     []int // indices below next that are free
+	slotsByJob      map[*job.Job]map[*Slot]struct{}
+	awaitingCommand []*Host
 }
 
 // New makes an empty fleet for a term. The lease is lengthened by the drift of
 // the worker's clock and a margin for the granularity of its timers.
 func New(term uint64, lease, cancelTime time.Duration) *Fleet {
 	return &Fleet{Term: term, Lease: lease + lease/1000 + 500*time.Millisecond, CancelTime: cancelTime, Hosts: map[string]*Host{},
-		jobs: map[*job.Job]map[*Slot]struct{}{}}
+		slotsByJob: map[*job.Job]map[*Slot]struct{}{}}
 }
 
 // All returns the machines in the order in which they were met.
@@ -48,11 +48,11 @@
 	if h := f.Hosts[name]; h != nil {
 		return h
 	}
-	idx := f.next
-	if n := len(f.spare); n > 0 {
-		idx, f.spare = f.spare[n-1], f.spare[:n-1]
+	idx := f.nextIndex
+	if n := len(f.freeIndexes); n > 0 {
+		idx, f.freeIndexes = f.freeIndexes[n-1], f.freeIndexes[:n-1]
 	} else {
-		f.next++
+		f.nextIndex++
 	}
 	return f.insert(name, idx, since)
 }
@@ -60,16 +60,16 @@
 // AddAt is Add for a machine whose index the registry names. All of these come
 // before the first Add, and no index twice.
 func (f *Fleet) AddAt(name string, idx int, since time.Time) *Host {
-	for ; f.next < idx; f.next++ {
-		f.spare = append(f.spare, f.next)
+	for ; f.nextIndex < idx; f.nextIndex++ {
+		f.freeIndexes = append(f.freeIndexes, f.nextIndex)
 	}
-	f.next = max(f.next, idx+1)
-	f.spare = slices.DeleteFunc(f.spare, func(i int) bool { return i == idx })
+	f.nextIndex = max(f.nextIndex, idx+1)
+	f.freeIndexes = slices.DeleteFunc(f.freeIndexes, func(i int) bool { return i == idx })
 	return f.insert(name, idx, since)
 }
 
 func (f *Fleet) insert(name string, idx int, since time.Time) *Host {
-	h := &Host{Index: idx, Name: name, Type: -1, Zone: -1, AddedAt: since, Booting: true, heard: since, IdleFrom: since,
+	h := &Host{Index: idx, Name: name, Type: -1, Zone: -1, AddedAt: since, Booting: true, renewedAt: since, IdleFrom: since,
 		Slots: map[Key]*Slot{}, ErrorJobs: map[*job.Job]bool{}}
 	f.Hosts[name] = h
 	f.order = append(f.order, h)
@@ -78,27 +78,27 @@
 
 // FreeIndex gives the index of a machine that is gone back. The registry must not
 // name the machine any more: two machines of one index would be one to it.
-func (f *Fleet) FreeIndex(idx int) { f.spare = append(f.spare, idx) }
+func (f *Fleet) FreeIndex(idx int) { f.freeIndexes = append(f.freeIndexes, idx) }
 
 // SlotsOf returns the slots of a job, exits that are still reported included.
-func (f *Fleet) SlotsOf(j *job.Job) map[*Slot]struct{} { return f.jobs[j] }
+func (f *Fleet) SlotsOf(j *job.Job) map[*Slot]struct{} { return f.slotsByJob[j] }
 
-func (f *Fleet) link(h *Host, s *Slot) {
+func (f *Fleet) addSlot(h *Host, s *Slot) {
 	h.Slots[s.Key] = s
-	of := f.jobs[s.Job]
+	of := f.slotsByJob[s.Job]
 	if of == nil {
 		of = map[*Slot]struct{}{}
-		f.jobs[s.Job] = of
+		f.slotsByJob[s.Job] = of
 	}
 	of[s] = struct{}{}
 	s.Job.AddLive(s.Task, 1)
 }
 
-// wake puts a machine on the list of those that wait for a command.
-func (f *Fleet) wake(h *Host) {
-	if !h.awake {
-		h.awake = true
-		f.awake = append(f.awake, h)
+// markAwaitingCommand puts a machine on the list of those that wait for a command.
+func (f *Fleet) markAwaitingCommand(h *Host) {
+	if !h.awaitingCommand {
+		h.awaitingCommand = true
+		f.awaitingCommand = append(f.awaitingCommand, h)
 	}
 }
 
@@ -106,16 +106,16 @@
 // a list because a look at every slot of a large fleet after each message would
 // take most of the processor.
 func (f *Fleet) AwaitingCommand() []*Host {
-	f.awake = slices.DeleteFunc(f.awake, func(h *Host) bool {
+	f.awaitingCommand = slices.DeleteFunc(f.awaitingCommand, func(h *Host) bool {
 		for _, s := range h.Slots {
 			if s.awaitsCommand() {
 				return false
 			}
 		}
-		h.awake = false
+		h.awaitingCommand = false
 		return true
 	})
-	return f.awake
+	return f.awaitingCommand
 }
 
 // awaitsCommand reports whether a launch or a halt of the slot is to come.
@@ -124,11 +124,11 @@
 }
 
 // AnyAwaitingCommand reports whether any machine is on that list.
-func (f *Fleet) AnyAwaitingCommand() bool { return len(f.awake) > 0 }
+func (f *Fleet) AnyAwaitingCommand() bool { return len(f.awaitingCommand) > 0 }
 
 // Remove forgets a machine whose release was answered: everything on it is gone.
 func (f *Fleet) Remove(h *Host) []Event {
-	ev := f.drop(h)
+	ev := f.removeSlots(h)
 	delete(f.Hosts, h.Name)
 	for i, o := range f.order {
 		if o == h {
@@ -139,21 +139,21 @@
 	return ev
 }
 
-func (f *Fleet) drop(h *Host) []Event {
+func (f *Fleet) removeSlots(h *Host) []Event {
 	var ev []Event
 	for _, s := range h.Slots {
-		ev = append(ev, f.remove(h, s, Gone)...)
+		ev = append(ev, f.removeSlot(h, s, Gone)...)
 	}
 	h.Recount()
 	return ev
 }
 
-func (f *Fleet) remove(h *Host, s *Slot, kind EventKind) []Event {
+func (f *Fleet) removeSlot(h *Host, s *Slot, kind EventKind) []Event {
 	delete(h.Slots, s.Key)
-	if of := f.jobs[s.Job]; of != nil {
+	if of := f.slotsByJob[s.Job]; of != nil {
 		delete(of, s)
 		if len(of) == 0 {
-			delete(f.jobs, s.Job)
+			delete(f.slotsByJob, s.Job)
 		}
 	}
 	if !s.Active() {
@@ -167,10 +167,10 @@
 // Assign puts a placement into the ledger; its launch is sent by the next answer
 // or direct command.
 func (f *Fleet) Assign(h *Host, k Key, now time.Time) *Slot {
-	s := &Slot{Key: k, Host: h, At: now}
-	f.link(h, s)
+	s := &Slot{Key: k, Host: h, PlacedAt: now}
+	f.addSlot(h, s)
 	h.Recount()
-	f.wake(h)
+	f.markAwaitingCommand(h)
 	return s
 }
 
@@ -181,13 +181,13 @@
 		return nil
 	}
 	if !s.Sent {
-		ev := f.remove(s.Host, s, NeverStarted)
+		ev := f.removeSlot(s.Host, s, NeverStarted)
 		s.Host.Recount()
 		return ev
 	}
 	if !s.Stopping || grace < s.Grace {
 		s.Stopping, s.Grace, s.HaltSentAt = true, grace, time.Time{}
-		f.wake(s.Host)
+		f.markAwaitingCommand(s.Host)
 	}
 	s.Host.Recount()
 	return nil
@@ -197,11 +197,11 @@
 // these machines.
 func (f *Fleet) Expire(now time.Time) (ev []Event, lost int) {
 	for _, h := range f.order {
-		if h.Lost || h.asOf(now).Sub(h.heard) < f.Lease || now.Sub(h.directAt) < f.Lease {
+		if h.Lost || h.knownUntil(now).Sub(h.renewedAt) < f.Lease || now.Sub(h.directLaunchAt) < f.Lease {
 			continue
 		}
 		h.Lost, h.LostAt, h.Fenced, h.RenewalStopped = true, now, false, false
-		ev = append(ev, f.drop(h)...)
+		ev = append(ev, f.removeSlots(h)...)
 		if !h.Booting && !h.Releasing {
 			lost++
 		}
--- a/internal/fleet/holder.go
+++ b/internal/fleet/holder.go
@@ -23,7 +23,7 @@
 	h.holder = by
 	for _, s := range h.Slots {
 		if s.awaitsCommand() {
-			f.wake(h)
+			f.markAwaitingCommand(h)
 			return
 		}
 	}
@@ -36,13 +36,13 @@
 		return
 	}
 	h.holder = nil
-	if !h.Lost && until.After(h.heard) {
-		h.heard = until
+	if !h.Lost && until.After(h.renewedAt) {
+		h.renewedAt = until
 	}
 }
 
-// asOf is the time up to which all answers to the machine's reports are known.
-func (h *Host) asOf(now time.Time) time.Time {
+// knownUntil is the time up to which all answers to the machine's reports are known.
+func (h *Host) knownUntil(now time.Time) time.Time {
 	if h.holder != nil && h.holder.KnownUntil.Before(now) {
 		return h.holder.KnownUntil
 	}
@@ -53,7 +53,7 @@
 // one that was held back. The worker does not wait for its answer any more, so that
 // renews nothing, and what is sent in it arrives nowhere.
 func (h *Host) Stale(session, seq uint64) bool {
-	return session < h.Session || (session == h.Session && seq <= h.reported)
+	return session < h.Session || (session == h.Session && seq <= h.reportSeq)
 }
 
 // Renew takes in that the holder has answered a report which said the same as the
@@ -63,17 +63,17 @@
 	if session != h.Session || h.Lost || h.Stale(session, seq) {
 		return nil
 	}
-	h.reported = seq
-	if at.After(h.heard) {
-		h.heard = at
+	h.reportSeq = seq
+	if at.After(h.renewedAt) {
+		h.renewedAt = at
 	}
 	if seq <= h.seq {
 		return nil
 	}
 	h.seq, h.CallUnanswered, h.OutboundCutAt = seq, false, time.Time{}
 	for _, s := range h.Slots {
-		if s.Sent && !s.Seen && !s.Direct && seq > s.viaSeq {
-			ev = append(ev, f.remove(h, s, NeverStarted)...)
+		if s.Sent && !s.Seen && !s.Direct && seq > s.answeredSeq {
+			ev = append(ev, f.removeSlot(h, s, NeverStarted)...)
 		}
 	}
 	if ev != nil {
@@ -98,7 +98,7 @@
 func (f *Fleet) RemoveUnsent(h *Host) (ev []Event) {
 	for _, s := range h.Slots {
 		if !s.Sent {
-			ev = append(ev, f.remove(h, s, NeverStarted)...)
+			ev = append(ev, f.removeSlot(h, s, NeverStarted)...)
 		}
 	}
 	h.Recount()
--- a/internal/fleet/host.go
+++ b/internal/fleet/host.go
@@ -33,8 +33,8 @@
 	// Session is the worker's newest session (agent incarnation) that was heard of.
 	Session uint64
 	seq     uint64
-	// reported is the newest report of the session; seq may be that of a direct answer.
-	reported uint64
+	// reportSeq is the newest report of the session; seq may be that of a direct answer.
+	reportSeq uint64
 	// InboundCutAt is since when the worker has shown that it takes in nothing that is sent
 	// to it; zero: it has not. Its reports may come all the while.
 	InboundCutAt time.Time
@@ -48,12 +48,12 @@
 	RenewalStopped bool
 	// Fenced: the worker has sent a message with our own term.
 	Fenced bool
-	// heard is the last moment from which an answer of ours, of a holder of ours or of
+	// renewedAt is the last moment from which an answer of ours, of a holder of ours or of
 	// an earlier leader, may have renewed the worker's lease.
-	heard time.Time
-	// directAt is when a launch was last sent directly. A worker that has begun anew, and
+	renewedAt time.Time
+	// directLaunchAt is when a launch was last sent directly. A worker that has begun anew, and
 	// whose messages count as old, may have it for a lease from then.
-	directAt time.Time
+	directLaunchAt time.Time
 	// holder is the controller that answers the machine's reports; nil: the leader.
 	holder *Holder
 	// Lost: the lease has run out without a message; nothing is on the machine.
@@ -86,13 +86,13 @@
 	// What the placements take, kept by recount.
 	CPUs, GPUs, MemGB float64
 	Queue, Jobs       int
-	// Exits counts the exits that the worker still reports.
-	Exits int
+	// ReportedExits counts the exits that the worker still reports.
+	ReportedExits int
 	// CancelledInFlight counts the launches of cancelled jobs that may still be on their way.
 	CancelledInFlight int
 
-	messages uint64
-	awake    bool
+	messages        uint64
+	awaitingCommand bool
 }
 
 // OutboundCut reports whether the worker is known to live and to reach no controller.
@@ -146,10 +146,10 @@
 
 // Recount sums up what the placements take.
 func (h *Host) Recount() {
-	h.CPUs, h.GPUs, h.MemGB, h.Queue, h.Jobs, h.Exits, h.CancelledInFlight = 0, 0, 0, 0, 0, 0, 0
+	h.CPUs, h.GPUs, h.MemGB, h.Queue, h.Jobs, h.ReportedExits, h.CancelledInFlight = 0, 0, 0, 0, 0, 0, 0
 	for _, s := range h.Slots {
 		if !s.Active() {
-			h.Exits++
+			h.ReportedExits++
 			continue
 		}
 		h.CPUs += s.Job.CPUs
@@ -159,14 +159,14 @@
 		if s.Phase != wire.Running && s.Phase != wire.Saving {
 			h.Queue++
 		}
-		if s.expiring() && s.inFlight() {
+		if s.cancelPending() && s.inFlight() {
 			h.CancelledInFlight++
 		}
 	}
 }
 
 // SilentFor is how long no report has come from the machine.
-func (h *Host) SilentFor(now time.Time) time.Duration { return now.Sub(h.heard) }
+func (h *Host) SilentFor(now time.Time) time.Duration { return now.Sub(h.renewedAt) }
 
 // Busy reports whether anything may be on the machine.
 func (h *Host) Busy() bool { return h.Jobs > 0 }
--- a/internal/fleet/observe.go
+++ b/internal/fleet/observe.go
@@ -18,15 +18,15 @@
 
 // observation is a message that is being taken in, with what it has shown so far.
 type observation struct {
-	f        *Fleet
-	h        *Host
-	m        *wire.Report
+	fleet    *Fleet
+	host     *Host
+	message  *wire.Report
 	isReport bool
 	now      time.Time
 	events   []Event
-	// deaf: the message shows that something sent before was not taken in; hears: that
+	// missedLaunch: the message shows that something sent before was not taken in; hears: that
 	// something was.
-	deaf, hears bool
+	missedLaunch, receives bool
 }
 
 // Observe takes in a message. isReport is true for check-ins, whose answers
@@ -39,7 +39,7 @@
 		return Result{}
 	}
 	if isReport {
-		h.renewed(m, now)
+		h.markRenewed(m, now)
 	}
 	if m.Session < h.Session || (m.Session == h.Session && m.Seq <= h.seq) {
 		return Result{}
@@ -49,72 +49,72 @@
 	if h.Lost && m.Session == h.Session {
 		return Result{}
 	}
-	o := &observation{f: f, h: h, m: m, isReport: isReport, now: now, hears: !isReport}
+	o := &observation{fleet: f, host: h, message: m, isReport: isReport, now: now, receives: !isReport}
 	if isReport {
 		h.OutboundCutAt = time.Time{}
 	}
 	if m.Session > h.Session {
 		o.beginSession()
 	}
-	o.describe()
+	o.observeHost()
 	for i := range m.Tasks {
-		o.task(&m.Tasks[i], find)
+		o.observeTask(&m.Tasks[i], find)
 	}
-	o.settle()
+	o.settleUnreported()
 	switch {
-	case o.hears:
+	case o.receives:
 		h.InboundCutAt = time.Time{}
-	case o.deaf:
+	case o.missedLaunch:
 		o.events = append(o.events, f.MarkInboundCut(h, now)...)
 	}
 	h.Recount()
 	return Result{Fresh: true, Events: o.events}
 }
 
-// renewed notes that the worker may be waiting for the answer to a report, which renews its
+// markRenewed notes that the worker may be waiting for the answer to a report, which renews its
 // lease. A report that is older than a direct answer may be that one too.
-func (h *Host) renewed(m *wire.Report, now time.Time) {
+func (h *Host) markRenewed(m *wire.Report, now time.Time) {
 	if h.Lost && m.Session <= h.Session {
 		return
 	}
-	if now.After(h.heard) {
-		h.heard = now
+	if now.After(h.renewedAt) {
+		h.renewedAt = now
 	}
 	if m.Session == h.Session {
-		h.reported = m.Seq
+		h.reportSeq = m.Seq
 	}
 }
 
 // beginSession takes in that the worker's session is a later one: nothing of the one before
 // is on the machine.
 func (o *observation) beginSession() {
-	h := o.h
+	h := o.host
 	if h.Session != 0 {
 		if !o.isReport && !h.OutboundCut() {
 			h.OutboundCutAt = o.now
 		}
 		// Its lease has run out although its reports were answered.
-		o.deaf = o.isReport && !h.Lost && !h.RenewalStopped
-		o.events = append(o.events, o.f.drop(h)...)
+		o.missedLaunch = o.isReport && !h.Lost && !h.RenewalStopped
+		o.events = append(o.events, o.fleet.removeSlots(h)...)
 		h.Images = nil
 	}
-	h.Session, h.Fenced, h.RenewalStopped, h.reported = o.m.Session, false, false, 0
+	h.Session, h.Fenced, h.RenewalStopped, h.reportSeq = o.message.Session, false, false, 0
 	if o.isReport {
-		h.reported = o.m.Seq
+		h.reportSeq = o.message.Seq
 	}
 	h.Lost = false
 	// A new session has its full lease from its own begin, which may be as late
 	// as this message, whether or not a report was ever answered in it. Counting
 	// from the last report alone would call tasks gone that a direct command has
 	// just started.
-	h.heard = o.now
+	h.renewedAt = o.now
 }
 
-// describe takes in what the message says of the machine itself.
-func (o *observation) describe() {
-	h, m := o.h, o.m
+// observeHost takes in what the message says of the machine itself.
+func (o *observation) observeHost() {
+	h, m := o.host, o.message
 	h.seq, h.Booting, h.CallUnanswered = m.Seq, false, false
-	if m.Token == o.f.Term {
+	if m.Token == o.fleet.Term {
 		h.Fenced = true
 	}
 	if m.Addr != "" {
@@ -127,8 +127,8 @@
 	h.messages++
 }
 
-// task takes in what the message says of one task.
-func (o *observation) task(t *wire.TaskReport, find func(id string) *job.Job) {
+// observeTask takes in what the message says of one task.
+func (o *observation) observeTask(t *wire.TaskReport, find func(id string) *job.Job) {
 	id, task, ok := job.SplitTask(t.Task)
 	if !ok {
 		return
@@ -137,17 +137,17 @@
 	if int(task) >= j.Tasks {
 		return // the job has no such task
 	}
-	h, k := o.h, Key{j, task, t.Attempt}
+	h, k := o.host, Key{j, task, t.Attempt}
 	s := h.Slots[k]
 	if s == nil {
-		s = &Slot{Key: k, Host: h, Adopted: true, At: o.now}
+		s = &Slot{Key: k, Host: h, Adopted: true, PlacedAt: o.now}
 		if t.Phase == wire.Exited {
 			s.Phase = wire.Pulling
 		}
-		o.f.link(h, s)
+		o.fleet.addSlot(h, s)
 	}
-	s.shown = h.messages
-	o.hears = o.hears || (s.Sent && !s.Seen)
+	s.lastShownMessage = h.messages
+	o.receives = o.receives || (s.Sent && !s.Seen)
 	s.Sent, s.Seen, s.Direct = true, true, false
 	was := s.Phase
 	if was == wire.Exited {
@@ -169,43 +169,43 @@
 	}
 }
 
-// settle settles the placements that the message does not show.
-func (o *observation) settle() {
-	for _, s := range o.h.Slots {
+// settleUnreported settles the placements that the message does not show.
+func (o *observation) settleUnreported() {
+	for _, s := range o.host.Slots {
 		switch {
-		case s.shown == o.h.messages || !s.Sent:
+		case s.lastShownMessage == o.host.messages || !s.Sent:
 		case s.Seen:
-			o.events = append(o.events, o.f.remove(o.h, s, Gone)...)
+			o.events = append(o.events, o.fleet.removeSlot(o.host, s, Gone)...)
 		case s.Direct:
 			// Settled by its own answer, a new session or the lease, not by this.
-		case o.isReport && o.m.Seq > s.viaSeq:
+		case o.isReport && o.message.Seq > s.answeredSeq:
 			// One report is in flight at a time and late answers are dropped, so the
 			// next report settles the launch. The answer to a direct command does
 			// not: it can overtake the answer that carries the launch.
-			o.events = append(o.events, o.f.remove(o.h, s, NeverStarted)...)
-			o.deaf = true
+			o.events = append(o.events, o.fleet.removeSlot(o.host, s, NeverStarted)...)
+			o.missedLaunch = true
 		}
 	}
 }
 
-// haltEvery is how often a halt is repeated while its task is still there.
-const haltEvery = 1500 * time.Millisecond
+// haltInterval is how often a halt is repeated while its task is still there.
+const haltInterval = 1500 * time.Millisecond
 
 // haltDue reports whether a halt is to be sent, again or for the first time. One that
 // is saving is left to it, unless it has no time to save: its job is cancelled, and a
 // lost halt would let it save for as long as it likes.
 func (s *Slot) haltDue(now time.Time) bool {
-	return s.Stopping && s.Active() && (s.HaltSentAt.IsZero() || now.Sub(s.HaltSentAt) >= haltEvery && (s.Phase != wire.Saving || s.Grace == 0))
+	return s.Stopping && s.Active() && (s.HaltSentAt.IsZero() || now.Sub(s.HaltSentAt) >= haltInterval && (s.Phase != wire.Saving || s.Grace == 0))
 }
 
-// doubtTime is how old a direct launch must be, that nothing has settled, before
+// resendAfter is how old a direct launch must be, that nothing has settled, before
 // it is sent once more. A direct command ends sooner.
-const doubtTime = 4 * time.Second
+const resendAfter = 4 * time.Second
 
-// doubtful reports whether a direct launch was perhaps lost: no report has shown
+// resendDue reports whether a direct launch was perhaps lost: no report has shown
 // it, and its call is over. Without a second copy it would hold its room, and its
 // task, for as long as the worker goes on reporting.
-func (s *Slot) doubtful(now time.Time) bool {
-	return s.Sent && s.Direct && !s.Seen && s.Active() && !s.Host.CallInFlight && now.Sub(s.At) >= doubtTime &&
-		now.Sub(s.again) >= doubtTime && s.Job.Closing+s.Job.Phase == ""
+func (s *Slot) resendDue(now time.Time) bool {
+	return s.Sent && s.Direct && !s.Seen && s.Active() && !s.Host.CallInFlight && now.Sub(s.PlacedAt) >= resendAfter &&
+		now.Sub(s.resentAt) >= resendAfter && s.Job.Closing+s.Job.Phase == ""
 }
--- a/internal/fleet/renewal.go
+++ b/internal/fleet/renewal.go
@@ -14,9 +14,9 @@
 // such a machine's reports until the limit and not after it, and a holder, which answers
 // without halts, gives the machine back before the limit.
 
-// expiring reports whether the slot may be, or come to be, a task of a cancelled job on
+// cancelPending reports whether the slot may be, or come to be, a task of a cancelled job on
 // the machine.
-func (s *Slot) expiring() bool { return s.Sent && s.Active() && s.Job.Cancelled() }
+func (s *Slot) cancelPending() bool { return s.Sent && s.Active() && s.Job.Cancelled() }
 
 // inFlight reports whether the launch of the slot may still be on its way.
 func (s *Slot) inFlight() bool { return s.Direct && !s.Seen }
@@ -29,7 +29,7 @@
 // machine's reports; bounded is false while it may at any time.
 func (f *Fleet) RenewalLimit(h *Host) (limit time.Time, bounded bool) {
 	for _, s := range h.Slots {
-		if !s.expiring() {
+		if !s.cancelPending() {
 			continue
 		}
 		if at := f.renewalLimit(s); !bounded || at.Before(limit) {
@@ -46,7 +46,7 @@
 	halts := 0
 	for _, s := range h.Slots {
 		switch {
-		case !s.expiring() || now.Before(f.renewalLimit(s)):
+		case !s.cancelPending() || now.Before(f.renewalLimit(s)):
 		case !s.Seen:
 			return false
 		default:
--- a/internal/fleet/renewal_test.go
+++ b/internal/fleet/renewal_test.go
@@ -8,16 +8,16 @@
 )
 
 // cancel notes that the job's cancellation is sent.
-func (b *bed) cancel() {
-	b.j.Closing, b.j.CancelledAt = wire.JobAborted, b.now
-	for s := range b.f.SlotsOf(b.j) {
-		b.f.Stop(s, 0)
+func (b *ledgerFixture) cancel() {
+	b.job.Closing, b.job.CancelledAt = wire.JobAborted, b.now
+	for s := range b.fleet.SlotsOf(b.job) {
+		b.fleet.Stop(s, 0)
 	}
 }
 
-func (b *bed) renewable(want bool, when string) {
+func (b *ledgerFixture) renewable(want bool, when string) {
 	b.t.Helper()
-	if got := b.f.Renewable(b.h, b.now, 100); got != want {
+	if got := b.fleet.Renewable(b.host, b.now, 100); got != want {
 		b.t.Errorf("%s: the lease may be renewed: %v, want %v", when, got, want)
 	}
 }
@@ -25,11 +25,11 @@
 // renewal is a case of the tests below.
 type renewal struct {
 	name string
-	do   func(b *bed)
+	do   func(b *ledgerFixture)
 }
 
 // inFlight lets a job be cancelled whose launch is on its way.
-func inFlight(b *bed) {
+func inFlight(b *ledgerFixture) {
 	b.msg(true, 1, 1, term, nil)
 	b.assign(1)
 	b.orders(b.compose(0, true), "launch 1;")
@@ -46,7 +46,7 @@
 // renewed beyond what the job's user was told.
 func TestRenewal(t *testing.T) {
 	tests := []renewal{
-		{"a launch on its way: until the limit, not from it on", func(b *bed) {
+		{"a launch on its way: until the limit, not from it on", func(b *ledgerFixture) {
 			inFlight(b)
 			b.now = b.now.Add(limit - time.Millisecond)
 			b.msg(true, 1, 2, term, nil)
@@ -58,88 +58,88 @@
 			b.renewable(true, "once the session has ended")
 			b.live(0, "once the session has ended")
 		}},
-		{"a launch that arrives late is halted, and what halts it renews", func(b *bed) {
+		{"a launch that arrives late is halted, and what halts it renews", func(b *ledgerFixture) {
 			inFlight(b)
 			b.now = b.now.Add(limit + time.Second)
 			b.msg(true, 1, 2, term, running)
 			b.renewable(true, "shown by the report")
 			b.orders(b.compose(2, true), "halt 1;")
-			if _, bounded := b.f.RenewalLimit(b.h); !bounded {
+			if _, bounded := b.fleet.RenewalLimit(b.host); !bounded {
 				b.t.Error("who answers without halts may renew")
 			}
 			b.msg(true, 1, 3, term, map[uint64]string{1: wire.Exited})
-			if _, bounded := b.f.RenewalLimit(b.h); bounded {
+			if _, bounded := b.fleet.RenewalLimit(b.host); bounded {
 				b.t.Error("bounded after the exit")
 			}
 		}},
-		{"a launch that the answer to a direct command settles", func(b *bed) {
+		{"a launch that the answer to a direct command settles", func(b *ledgerFixture) {
 			inFlight(b)
-			b.f.RemoveNotDelivered(b.sent)
+			b.fleet.RemoveNotDelivered(b.sent)
 			b.now = b.now.Add(limit)
 			b.renewable(true, "after the refusal")
 		}},
-		{"cancelled by an earlier leader: nobody knows when", func(b *bed) {
-			b.j.Phase = wire.JobAborted
+		{"cancelled by an earlier leader: nobody knows when", func(b *ledgerFixture) {
+			b.job.Phase = wire.JobAborted
 			b.msg(true, 1, 1, term-1, running)
 			b.renewable(true, "by an answer with halts")
-			if at, bounded := b.f.RenewalLimit(b.h); !bounded || at.After(b.now) {
+			if at, bounded := b.fleet.RenewalLimit(b.host); !bounded || at.After(b.now) {
 				b.t.Error("a holder may renew")
 			}
 		}},
 	}
 	for _, tt := range tests {
-		t.Run(tt.name, func(t *testing.T) { tt.do(newBed(t)) })
+		t.Run(tt.name, func(t *testing.T) { tt.do(newLedgerFixture(t)) })
 	}
 }
 
 // TestRenewalBeside: what else the bound concerns, and what it does not.
 func TestRenewalBeside(t *testing.T) {
 	tests := []renewal{
-		{"more to halt than an answer holds", func(b *bed) {
+		{"more to halt than an answer holds", func(b *ledgerFixture) {
 			b.msg(true, 1, 1, term, map[uint64]string{1: wire.Running, 2: wire.Running})
 			b.cancel()
 			b.now = b.now.Add(limit)
-			if b.f.Renewable(b.h, b.now, 1) || !b.f.Renewable(b.h, b.now, 2) {
+			if b.fleet.Renewable(b.host, b.now, 1) || !b.fleet.Renewable(b.host, b.now, 2) {
 				b.t.Error("an answer that cannot halt everything renews")
 			}
 		}},
-		{"a job that is done, or goes on, bounds nothing", func(b *bed) {
+		{"a job that is done, or goes on, bounds nothing", func(b *ledgerFixture) {
 			inFlight(b)
-			b.j.Phase = wire.JobDone
+			b.job.Phase = wire.JobDone
 			b.now = b.now.Add(time.Minute)
 			b.renewable(true, "its end came first")
 		}},
-		{"no work for a machine whose session may have to end", func(b *bed) {
+		{"no work for a machine whose session may have to end", func(b *ledgerFixture) {
 			b.msg(true, 1, 1, term, nil)
 			b.assign(1)
 			b.compose(0, true)
-			if !b.h.Usable() {
+			if !b.host.Usable() {
 				b.t.Error("not usable before the cancellation")
 			}
 			b.cancel()
-			if b.h.Usable() {
+			if b.host.Usable() {
 				b.t.Error("usable after it")
 			}
-			b.f.StopRenewal(b.h)
+			b.fleet.StopRenewal(b.host)
 			b.msg(true, 2, 1, term, nil)
-			if !b.h.Usable() || b.h.InboundCut() {
+			if !b.host.Usable() || b.host.InboundCut() {
 				b.t.Error("not usable in the next session")
 			}
 		}},
-		{"8: a launch on its way is sent once more when its machine goes to a holder", func(b *bed) {
+		{"8: a launch on its way is sent once more when its machine goes to a holder", func(b *ledgerFixture) {
 			b.msg(true, 1, 1, term, nil)
 			b.assign(1)
 			b.compose(0, true)
-			if len(b.f.AwaitingCommand()) != 0 {
+			if len(b.fleet.AwaitingCommand()) != 0 {
 				b.t.Error("the leader sends it in an answer")
 			}
-			b.f.SetHolder(b.h, &Holder{Name: "n1"})
-			if len(b.f.AwaitingCommand()) != 1 {
+			b.fleet.SetHolder(b.host, &Holder{Name: "n1"})
+			if len(b.fleet.AwaitingCommand()) != 1 {
 				b.t.Error("nobody sends it")
 			}
 		}},
 	}
 	for _, tt := range tests {
-		t.Run(tt.name, func(t *testing.T) { tt.do(newBed(t)) })
+		t.Run(tt.name, func(t *testing.T) { tt.do(newLedgerFixture(t)) })
 	}
 }
--- a/internal/fleet/slot.go
+++ b/internal/fleet/slot.go
@@ -34,13 +34,13 @@
 	// Direct: launched by a direct command; such a launch is not settled by a
 	// report that lacks it, because it can arrive minutes later.
 	Direct bool
-	// viaSeq is the report whose answer carried the launch.
-	viaSeq uint64
-	// again is when a direct launch without a clear answer was last sent once more.
+	// answeredSeq is the report whose answer carried the launch.
+	answeredSeq uint64
+	// resentAt is when a direct launch without a clear answer was last sent once more.
 	// A copy of such a launch may still arrive: the exit is not cleared while it can.
-	again time.Time
-	At    time.Time
-	RunAt time.Time
+	resentAt time.Time
+	PlacedAt time.Time
+	RunAt    time.Time
 	// Adopted: met in a report, so its begin is not known.
 	Adopted bool
 	// Stopping: the placement has to go; Grace is the time to save, Halted when
@@ -51,8 +51,8 @@
 	// Settled: the exit has been dealt with, durably where it matters, so the
 	// worker may forget it.
 	Settled bool
-	// shown is the last message of the worker that has the slot, by Host.messages.
-	shown uint64
+	// lastShownMessage is the last message of the worker that has the slot, by Host.messages.
+	lastShownMessage uint64
 }
 
 // UpdateHealth notes since when the slot has been bad, after a word on its health.
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -84,10 +84,10 @@
 	Live map[int32]int
 	// undone counts the tasks of Live that have not completed.
 	undone int
-	// Noted are the machines for which the registry certainly names the job. It is
+	// RecordedHosts are the machines for which the registry certainly names the job. It is
 	// launched on these alone, so that a successor knows what a silent machine may
 	// run.
-	Noted Set
+	RecordedHosts Set
 	// scan is the lowest task that may still need a placement.
 	scan int32
 
@@ -248,9 +248,9 @@
 // Become replaces what is known of a job by its record; what may be on machines
 // stays.
 func (j *Job) Become(r *Record, submitted time.Time) {
-	live, noted, quota, versions, handle := j.Live, j.Noted, j.Quota, j.Versions, j.Handle
+	live, noted, quota, versions, handle := j.Live, j.RecordedHosts, j.Quota, j.Versions, j.Handle
 	*j = *New(r, submitted)
-	j.Live, j.Noted, j.Quota, j.Versions, j.Handle = live, noted, quota, versions, handle
+	j.Live, j.RecordedHosts, j.Quota, j.Versions, j.Handle = live, noted, quota, versions, handle
 	j.recount()
 }
 
