--- a/internal/control/admission.go
+++ b/internal/control/admission.go
@@ -1,23 +1,28 @@
 package control
 
 import (
-	"errors"
-	"math"
 	"net/http"
-	"slices"
 	"time"
 
 	"golang.org/x/time/rate"
 
 	"vetchstream/internal/job"
-	"vetchstream/internal/metrics"
 	"vetchstream/internal/rpc"
-	"vetchstream/internal/state"
 	"vetchstream/internal/wire"
 )
 
-// admission takes in submissions: what users hand in, and what other nodes have
-// admitted while they could not reach the leader.
+const (
+	// maxQueueTime is the backlog of submissions that may wait to be stored. A user
+	// who would wait longer is told to retry later.
+	maxQueueTime = time.Second
+	// minQueued is the least length of the queue.
+	minQueued = 8
+	// maxCallbacks bounds the requests that wait for one submission.
+	maxCallbacks = 8
+)
+
+// admission handles submissions: it checks and stores those of users, and adopts the
+// jobs that other nodes have admitted while they could not reach the leader.
 type admission struct {
 	*core
 	nameIndex       *nameIndex
@@ -28,121 +33,65 @@
 	admissionGroups *admissionGroups
 	teamQuotas      *teamQuotas
 
-	limit           *rate.Limiter // of the writes of acceptances
-	pending         map[string]*pendingSubmission
-	queue           []*pendingSubmission // those of them whose commit is not under way
-	commitsInFlight int                  // commits under way
-	maxQueued       int                  // submissions in the queue
-	maxGroupBytes   int                  // bytes that a group record may have
+	limit           *rate.Limiter                 // of admission's transactions
+	pending         map[string]*pendingSubmission // by job ID
+	queue           []*pendingSubmission          // those of pending that no commit has yet
+	commitsInFlight int
+	maxQueued       int // submissions in the queue
+	maxGroupBytes   int // estimated bytes of a group record
 	retryPacer      retryPacer
 }
 
-// pendingSubmission is a submission that is not durable yet, and who waits for it.
+// pendingSubmission is a submission that is not durable yet, with the requests that
+// wait for it.
 type pendingSubmission struct {
 	rec       *job.Record
 	callbacks []func(*rpc.Reply)
 }
 
-// answer answers those who wait. Whoever comes later is answered later.
-func (in *pendingSubmission) answer(p *rpc.Reply) {
-	for _, back := range in.callbacks {
+// id is the ID of the job.
+func (ps *pendingSubmission) id() string { return ps.rec.Spec.ID }
+
+// answer replies to the requests that wait so far.
+func (ps *pendingSubmission) answer(p *rpc.Reply) {
+	for _, back := range ps.callbacks {
 		back(p)
 	}
-	in.callbacks = nil
+	ps.callbacks = nil
 }
 
-// newAdmission sizes the queue by what can be stored while its users wait, and by
-// the sockets, which their waiting takes.
+// newAdmission makes the admission of a term. limit is the rate of its transactions,
+// txnOps the writes in one, valueKB the limit for a value in KiB and sockets the
+// node's limit of connections. The queue holds what can be stored within
+// maxQueueTime, on at most half of the connections.
 func newAdmission(co *core, limit *rate.Limiter, txnOps int, valueKB float64, sockets int) *admission {
 	backlog := maxQueueTime.Seconds() * float64(limit.Limit()) * float64(2*txnOps)
-	return &admission{core: co, limit: limit, pending: map[string]*pendingSubmission{}, maxGroupBytes: int(valueKB * 1024 * valueFillFraction),
-		maxQueued: max(8, min(int(backlog), sockets/2))}
-}
-
-// watchActiveJobs takes in jobs that other nodes have admitted while they could not reach
-// the leader.
-func (ad *admission) watchActiveJobs(epoch uint64) {
-	take := func(key string) { ad.ahead(func() { ad.takeIn(key[len(job.ActivePrefix):]) }) }
-	listed := time.Now()
-	for ad.ctx.Err() == nil {
-		events, next, err := ad.c.State.Watch(ad.ctx, job.ActivePrefix, epoch, 10*time.Second)
-		switch {
-		case errors.Is(err, state.ErrGone) || time.Since(listed) > auditInterval:
-			entries, at, err := ad.c.State.List(ad.ctx, job.ActivePrefix)
-			if err != nil {
-				ad.pause(300 * time.Millisecond)
-				continue
-			}
-			listed = time.Now()
-			for _, e := range entries {
-				take(e.Key)
-			}
-			epoch = at
-		case err != nil:
-			ad.pause(300 * time.Millisecond)
-		default:
-			for _, e := range events {
-				if e.Put != "" {
-					take(e.Put)
-				}
-			}
-			epoch = max(epoch, next)
-		}
+	return &admission{
+		core:          co,
+		limit:         limit,
+		pending:       map[string]*pendingSubmission{},
+		maxQueued:     max(minQueued, min(int(backlog), sockets/2)),
+		maxGroupBytes: int(valueKB * 1024 * valueFillFraction),
 	}
 }
 
-// auditInterval is how often the records of active jobs are read once more: a job whose
-// event was lost would be known to its users and to nobody else.
-const auditInterval = time.Minute
-
 // hasPending reports whether a submission of the team is not durable yet.
 func (ad *admission) hasPending(team string) bool {
-	for _, in := range ad.pending {
-		if in.rec.Spec.Team == team {
+	for _, ps := range ad.pending {
+		if ps.rec.Spec.Team == team {
 			return true
 		}
 	}
 	return false
 }
 
-// knows reports whether a job is known here, over, being stored or being read.
+// knows reports whether the leader has the job: over, being stored, or in the job
+// table.
 func (ad *admission) knows(id string) bool {
 	return ad.completions.over(id) || ad.pending[id] != nil || ad.jobTable.get(id) != nil
 }
 
-// takeIn takes in a job whose record this term may not have made itself.
-func (ad *admission) takeIn(id string) {
-	if ad.admissionGroups.has(id) {
-		// Admitted by another node as well: one record is enough.
-		ad.results.deleteLater(job.ActivePrefix + id)
-		return
-	}
-	if ad.knows(id) {
-		return
-	}
-	// The event may be old: a job that is over by now is under its final key.
-	go func() {
-		for ad.ctx.Err() == nil {
-			now, v, err := readJobRecord(ad.ctx, ad.c.State, id)
-			if errors.Is(err, errUnreadable) {
-				return // the next audit looks again
-			}
-			if err != nil {
-				ad.pause(300 * time.Millisecond)
-				continue
-			}
-			if now != nil && now.Phase == "" {
-				ad.ahead(func() {
-					if !ad.knows(id) {
-						ad.jobTable.add(now, v, time.Now())
-					}
-				})
-			}
-			return
-		}
-	}()
-}
-
+// status answers a status request.
 func (ad *admission) status(id string, back func(*rpc.Reply)) {
 	absent := reply(http.StatusNotFound, wire.Error{Error: "no such job"})
 	if !job.ValidID(id) {
@@ -160,344 +109,92 @@
 	ad.completions.readBack(id, absent, recorded, back)
 }
 
-// retryPacer tells those who are turned away when to come back, each at a time of
-// its own, so that they do not come back together.
-type retryPacer struct {
-	perSecond float64   // submissions that can be stored in a second
-	nextAt    time.Time // when the last one that was turned away is expected
-}
-
-// retryAfter is how long the next one that is turned away should wait before it comes back.
-func (t *retryPacer) retryAfter(now time.Time) time.Duration {
-	t.nextAt = t.nextAt.Add(time.Duration(float64(time.Second) / t.perSecond))
-	if soon := now.Add(time.Second); t.nextAt.Before(soon) {
-		t.nextAt = soon
-	}
-	if late := now.Add(maxRetryAfter); t.nextAt.After(late) {
-		t.nextAt = late
-	}
-	return t.nextAt.Sub(now)
-}
-
-// maxRetryAfter is the longest wait that users heed (protocol).
-const maxRetryAfter = 30 * time.Second
-
-// tooManySubmissions turns a user away until the wait is over.
-func tooManySubmissions(wait time.Duration) *rpc.Reply {
-	p := settled(Later("too many submissions at once"))
-	p.RetryAfter = int(math.Ceil(wait.Seconds()))
-	return p
-}
-
-// submit answers a submission. A known id wins over every check.
+// submit answers a submission. id may be set even if the submission is invalid; a
+// job that exists is answered with its status before any check.
 func (ad *admission) submit(id string, spec *job.Spec, invalid error, back func(*rpc.Reply)) {
-	if id != "" {
-		if p := ad.completions.known(id); p != nil {
-			back(p)
-			return
-		}
-		if ad.jobTable.sound(id) != nil {
-			ad.completions.readBack(id, settled(Later("job is ending")), recorded, back)
-			return
-		}
-		if in := ad.pending[id]; in != nil {
-			if len(in.callbacks) >= maxCallbacks {
-				back(settled(Later("submission is being stored")))
-				return
-			}
-			in.callbacks = append(in.callbacks, back)
-			return
-		}
+	if id != "" && ad.answerKnown(id, back) {
+		return
 	}
 	if invalid != nil {
-		bad := reply(http.StatusBadRequest, wire.Error{Error: invalid.Error()})
-		if id == "" {
-			back(bad)
-			return
-		}
-		ad.completions.readBack(id, bad, recorded, back)
+		ad.rejectInvalid(id, invalid, back)
 		return
 	}
-	switch p := ad.c.admissionRefusal(spec, ad.nameIndex.list(), ad.teamQuotas.find(spec.Team)); {
-	case p == nil:
-	case p.Status == http.StatusServiceUnavailable:
-		back(p)
-		return
-	default:
-		ad.completions.readBack(id, p, recorded, back)
+	if refusal := ad.c.admissionRefusal(spec, ad.nameIndex.list(), ad.teamQuotas.find(spec.Team)); refusal != nil {
+		if refusal.Status == http.StatusServiceUnavailable {
+			back(refusal)
+			return
+		}
+		ad.completions.readBack(id, refusal, recorded, back)
 		return
 	}
 	if ad.admissionGroups.hasUnreadable() {
 		ad.completions.readBack(id, Later("a record cannot be read"), recorded, back)
 		return
 	}
-	now := time.Now()
-	if len(ad.queue) >= ad.maxQueued {
-		ad.retryPacer.perSecond = ad.submissionRate()
-		back(tooManySubmissions(ad.retryPacer.retryAfter(now)))
-		return
-	}
-	in := &pendingSubmission{rec: &job.Record{Spec: *spec, At: now.UnixMilli()}, callbacks: []func(*rpc.Reply){back}}
-	ad.pending[id] = in
-	ad.queue = append(ad.queue, in)
-}
-
-const (
-	// maxQueueTime is the backlog that may wait to be stored: who would wait for longer
-	// is better off elsewhere, or later.
-	maxQueueTime = time.Second
-	// maxCommitsInFlight bounds the transactions under way. Now and then one takes a few
-	// hundred milliseconds, and those that come after it must not wait for it.
-	maxCommitsInFlight = 8
-	// maxCallbacks bounds the users that wait for one submission.
-	maxCallbacks = 8
-)
-
-// submissionRate is how many submissions can be stored in a second.
-func (ad *admission) submissionRate() float64 {
-	return float64(ad.limit.Limit()) * float64(ad.jobsPerTxn())
-}
-
-// jobsPerTxn is how many jobs one transaction may take in: each has two conditions,
-// and a transaction may have four times as many conditions as writes.
-func (ad *admission) jobsPerTxn() int { return max(1, (4*ad.recordWriter.maxWrites()-2)/2) }
-
-// storeQueued stores what has arrived, as much together as fits. Beyond their share
-// submissions get what nobody else needs of the budget.
-func (ad *admission) storeQueued(now time.Time) {
-	for len(ad.queue) > 0 && ad.commitsInFlight < maxCommitsInFlight {
-		if !ad.c.State.Idle(ad.recordWriter.maxWrites()) && !ad.limit.AllowN(now, 1) {
-			return
-		}
-		n, bytes := 0, 0
-		for n < len(ad.queue) && n < ad.jobsPerTxn() {
-			b, err := wire.Marshal(ad.queue[n].rec)
-			if err != nil {
-				ad.log.Error("record does not encode", "job", ad.queue[n].rec.Spec.ID, "error", err)
-			}
-			bytes += recordSize(b)
-			if n > 0 && bytes > ad.maxGroupBytes {
-				break
-			}
-			n++
-		}
-		in := slices.Clone(ad.queue[:n])
-		ad.queue = slices.Delete(ad.queue, 0, n)
-		key := ""
-		if n > 1 {
-			key = ad.admissionGroups.nextKey()
-		}
-		ad.commitsInFlight++
-		go func() {
-			ad.storeBatch(key, in)
-			ad.ahead(func() { ad.commitsInFlight-- })
-		}()
-	}
+	ad.enqueue(id, spec, back)
 }
 
-// recordSize estimates what a record takes in the form in which limits count, and
-// with its end in it.
-func recordSize(encoded []byte) int { return len(encoded)*5/4 + 40 }
-
-// refuseQueued turns away what waits, when this node may not act.
-func (ad *admission) refuseQueued() {
-	for _, in := range ad.queue {
-		ad.finish(in, Later("leadership is not certain"))
+// answerKnown answers a submission whose job the leader has already, and reports
+// whether it did.
+func (ad *admission) answerKnown(id string, back func(*rpc.Reply)) bool {
+	if p := ad.completions.known(id); p != nil {
+		back(p)
+		return true
 	}
-	ad.queue = nil
-}
-
-// finish answers all who wait for a submission, for good.
-func (ad *admission) finish(in *pendingSubmission, p *rpc.Reply) {
-	delete(ad.pending, in.rec.Spec.ID)
-	in.answer(p)
-}
-
-// storeRetryPause is the wait before admission tries the state service again:
-// after an unclear commit, a conflict that did not name its keys, or a failed read.
-const storeRetryPause = 200 * time.Millisecond
-
-// storeBatch makes submissions durable before their users are told: one under its own
-// key, several in a group record. An unclear commit is tried again: either it was
-// applied, and the conditions show it, or the second one takes its place.
-func (ad *admission) storeBatch(key string, in []*pendingSubmission) {
-	all := func(p *rpc.Reply) {
-		ad.ahead(func() {
-			for _, x := range in {
-				ad.finish(x, p)
-			}
-		})
+	if ad.jobTable.sound(id) != nil {
+		ad.completions.readBack(id, settled(Later("job is ending")), recorded, back)
+		return true
 	}
-	for unclear := false; ad.ctx.Err() == nil; {
-		txn, err := admissionTxn(key, in)
-		if err != nil {
-			all(reply(http.StatusBadRequest, wire.Error{Error: err.Error()}))
-			return
-		}
-		txn.If = append(txn.If, ad.fence)
-		version, err := ad.c.State.CommitHedged(ad.ctx, txn)
-		var conflict *state.ConflictError
-		switch {
-		case err == nil:
-			ad.recordAccepted(key, version, in)
-			return
-		case errors.As(err, &conflict) && key == "":
-			ad.answerExisting(in[0])
-			return
-		case errors.As(err, &conflict):
-			rest, unclearNow, over := ad.handleConflict(key, in, conflict, all)
-			if over {
-				return
-			}
-			in, unclear = rest, unclear || unclearNow
-		case errors.Is(err, state.ErrRefused) && !unclear:
-			// Certainly not stored: the users are told at once to come back.
-			all(Later("state service refuses writes"))
-			return
-		case errors.Is(err, state.ErrRejected) && !unclear:
-			// Too large, it may be: once more in smaller groups, but not alone.
-			ad.ahead(func() {
-				ad.recordWriter.shrinkIfRejected(err)
-				for _, x := range in {
-					if len(in) == 1 {
-						ad.finish(x, Later("state service rejects the submission"))
-					} else {
-						ad.queue = append(ad.queue, x)
-					}
-				}
-			})
-			return
-		default:
-			unclear = true
-			ad.ahead(func() {
-				for _, x := range in {
-					x.answer(Later("submission is not settled yet"))
-				}
-			})
-			ad.pause(storeRetryPause)
-		}
+	ps := ad.pending[id]
+	if ps == nil {
+		return false
 	}
-}
-
-// recordAccepted takes in what has been stored.
-func (ad *admission) recordAccepted(key string, version uint64, in []*pendingSubmission) {
-	kind := "own"
-	if key != "" {
-		kind = "group"
+	if len(ps.callbacks) >= maxCallbacks {
+		back(settled(Later("submission is being stored")))
+		return true
 	}
-	ad.c.Meter.Add(metrics.Accepted, kind, len(in))
-	ad.ahead(func() {
-		if key != "" {
-			recs := make([]job.Record, len(in))
-			for i, x := range in {
-				recs[i] = *x.rec
-			}
-			ad.admissionGroups.add(key, version, recs)
-			version = 0
-		}
-		for _, x := range in {
-			if ad.jobTable.sound(x.rec.Spec.ID) == nil {
-				ad.jobTable.add(x.rec, version, time.Now())
-			}
-			ad.finish(x, reply(http.StatusCreated, recordStatus(x.rec)))
-		}
-	})
+	ps.callbacks = append(ps.callbacks, back)
+	return true
 }
 
-// answerExisting answers for a submission whose job exists already.
-func (ad *admission) answerExisting(in *pendingSubmission) {
-	id := in.rec.Spec.ID
-	for ad.ctx.Err() == nil {
-		found, version, err := readJobRecord(ad.ctx, ad.c.State, id)
-		if err != nil {
-			ad.pause(storeRetryPause)
-			continue
-		}
-		ad.ahead(func() {
-			switch {
-			case found == nil:
-				// The term has moved on.
-				ad.finish(in, Later("leadership has changed"))
-				return
-			case found.Phase != "":
-				ad.completions.remember(found)
-			case ad.completions.over(id):
-				// It has ended since the read: taken in once more it would run again, and its
-				// user would be told that it waits.
-				ad.finish(in, ad.completions.past(id))
-				return
-			case ad.jobTable.sound(id) == nil:
-				ad.jobTable.add(found, version, time.Now())
-			}
-			ad.finish(in, recorded(found))
-		})
+// rejectInvalid answers a malformed submission. If it names a job that exists, that
+// job's status is the answer.
+func (ad *admission) rejectInvalid(id string, invalid error, back func(*rpc.Reply)) {
+	bad := reply(http.StatusBadRequest, wire.Error{Error: invalid.Error()})
+	if id == "" {
+		back(bad)
 		return
 	}
+	ad.completions.readBack(id, bad, recorded, back)
 }
 
-// handleConflict handles a commit whose conditions failed: the unclear try before
-// may have been applied, the leadership may have changed, or some of the jobs are
-// known already. It returns the submissions to try again, and whether the state
-// of the last try is unclear; over means that nothing is left to try.
-func (ad *admission) handleConflict(key string, in []*pendingSubmission, conflict *state.ConflictError, all func(*rpc.Reply)) (rest []*pendingSubmission, unclear, over bool) {
-	e, gerr := ad.c.State.Get(ad.ctx, key)
-	switch {
-	case gerr == nil: // the unclear one was applied
-		ad.recordAccepted(key, e.Version, in)
-		return nil, false, true
-	case !errors.Is(gerr, state.ErrNotFound):
-		ad.pause(storeRetryPause)
-		return in, true, false
-	case slices.Contains(conflict.Failed, ad.fence.Key):
-		all(Later("leadership has changed"))
-		return nil, false, true
-	}
-	// Jobs that are known already must not keep the others out. (An unclear try
-	// with all of them fails from now on: a job's record moves, but never goes.)
-	known, rest := splitByKey(in, conflict.Failed)
-	for _, x := range known {
-		ad.answerExisting(x)
-	}
-	if len(rest) == 0 {
-		return nil, false, true
+// enqueue adds a submission that has passed the checks to the queue, or tells its
+// user when to retry if the queue is full.
+func (ad *admission) enqueue(id string, spec *job.Spec, back func(*rpc.Reply)) {
+	now := time.Now()
+	if len(ad.queue) >= ad.maxQueued {
+		ad.retryPacer.perSecond = ad.submissionRate()
+		back(tooManySubmissions(ad.retryPacer.retryAfter(now)))
+		return
 	}
-	if len(known) == 0 {
-		ad.pause(storeRetryPause) // the service did not say which
+	ps := &pendingSubmission{
+		rec:       &job.Record{Spec: *spec, At: now.UnixMilli()},
+		callbacks: []func(*rpc.Reply){back},
 	}
-	return rest, false, false
+	ad.pending[id] = ps
+	ad.queue = append(ad.queue, ps)
 }
 
-// splitByKey parts the submissions of which a key is named from the others.
-func splitByKey(in []*pendingSubmission, keys []string) (named, rest []*pendingSubmission) {
-	for _, x := range in {
-		id := x.rec.Spec.ID
-		if slices.Contains(keys, job.ActivePrefix+id) || slices.Contains(keys, job.FinalPrefix+id) {
-			named = append(named, x)
-		} else {
-			rest = append(rest, x)
-		}
+// refuseQueued answers the queued submissions when this node may not act as leader.
+func (ad *admission) refuseQueued() {
+	for _, ps := range ad.queue {
+		ad.finish(ps, Later("leadership is not certain"))
 	}
-	return named, rest
+	ad.queue = nil
 }
 
-// admissionTxn is the transaction that makes jobs durable, each once: one under
-// its own key, or a group's under the group's.
-func admissionTxn(key string, in []*pendingSubmission) (txn state.Txn, err error) {
-	var put state.Write
-	if key == "" {
-		put, err = state.Put(job.ActivePrefix+in[0].rec.Spec.ID, in[0].rec)
-	} else {
-		var g job.Group
-		for _, x := range in {
-			g.Jobs = append(g.Jobs, *x.rec)
-		}
-		put, err = state.Put(key, g)
-		txn.If = append(txn.If, state.Condition{Key: key})
-	}
-	for _, x := range in {
-		id := x.rec.Spec.ID
-		txn.If = append(txn.If, state.Condition{Key: job.ActivePrefix + id}, state.Condition{Key: job.FinalPrefix + id})
-	}
-	txn.Writes = []state.Write{put}
-	return txn, err
+// finish answers all requests that wait for a submission, and ends it.
+func (ad *admission) finish(ps *pendingSubmission, p *rpc.Reply) {
+	delete(ad.pending, ps.id())
+	ps.answer(p)
 }
--- a/internal/control/admission_group_reader.go
+++ b/internal/control/admission_group_reader.go
@@ -4,23 +4,26 @@
 	"context"
 	"errors"
 	"fmt"
-	"net/http"
 	"sync"
 	"time"
 
 	"vetchstream/internal/job"
-	"vetchstream/internal/metrics"
-	"vetchstream/internal/rpc"
 	"vetchstream/internal/state"
 	"vetchstream/internal/wire"
 )
 
-// readJobRecord reads a job's own record afresh; it is nil if the job was never accepted
-// alone. A leader knows the records of groups, which it alone writes.
+// errUnreadable is the error of a stored record that does not decode. The record is
+// left as it is and affects its own job only. Nothing is said about that job: the
+// record may say that it is over.
+var errUnreadable = errors.New("record cannot be read")
+
+// readJobRecord reads a job's own record, active or final, from the state service,
+// with its version; it is nil if the job was never accepted, or only in a group.
 func readJobRecord(ctx context.Context, st *state.Client, id string) (*job.Record, uint64, error) {
-	// Active first: a job that moves between the two reads is found by the second.
+	// Active first: a job whose record moves between the two reads is found by the
+	// second.
 	for _, prefix := range []string{job.ActivePrefix, job.FinalPrefix} {
-		e, err := st.Get(ctx, prefix+id)
+		entry, err := st.Get(ctx, prefix+id)
 		if errors.Is(err, state.ErrNotFound) {
 			continue
 		}
@@ -28,213 +31,125 @@
 			return nil, 0, err
 		}
 		rec := &job.Record{}
-		if err := wire.Unmarshal(e.Value, rec); err != nil {
-			return nil, 0, fmt.Errorf("%w: %s: %w", errUnreadable, e.Key, err)
+		if err := wire.Unmarshal(entry.Value, rec); err != nil {
+			return nil, 0, fmt.Errorf("%w: %s: %w", errUnreadable, entry.Key, err)
 		}
-		return rec, e.Version, nil
+		return rec, entry.Version, nil
 	}
 	return nil, 0, nil
 }
 
-// errUnreadable is a record that does not decode. It is kept as it is and holds back its
-// own job only; nothing is told of that job, since its end may stand there.
-var errUnreadable = errors.New("record cannot be read")
-
-// findRecord reads a job's record afresh for a node that does not lead. Groups come
-// first: an entry moves from its group to the job's own key, never back.
+// findRecord reads a job's record from the state service for a node that does not
+// lead; it is nil if there is none. Groups are read first: an entry moves from its
+// group to the job's own key, never back.
 func (c *Controller) findRecord(ctx context.Context, id string) (*job.Record, error) {
-	rec, doubt := c.groups.find(ctx, id)
-	if rec != nil || (doubt != nil && !errors.Is(doubt, errUnreadable)) {
-		return rec, doubt
+	rec, groupErr := c.groups.find(ctx, id)
+	if rec != nil || (groupErr != nil && !errors.Is(groupErr, errUnreadable)) {
+		return rec, groupErr
 	}
 	rec, _, err := readJobRecord(ctx, c.State, id)
 	if rec == nil && err == nil {
-		return nil, doubt // it may be in the group that cannot be read
+		return nil, groupErr // the job may be in the group that cannot be read
 	}
 	return rec, err
 }
 
-// groupReader reads the records of groups for a node that does not lead. Which
-// group a job is in does not follow from its id, so one listing serves all who
-// wait: those who come while it is under way share the next one, because what
-// has begun before they asked may be older than what another node has told.
+// groupReader reads the records of groups for a node that does not lead. A job's ID
+// does not tell which group has it, so one listing of all groups serves everyone who
+// waits. A caller that comes while a listing is under way waits for the next one:
+// what the current one reads may be older than what another node has told the user
+// before this request.
 type groupReader struct {
 	state *state.Client
 
 	mu      sync.Mutex
-	listing bool
+	listing bool          // a listing is under way
 	next    *groupListing // nil: nobody waits for another listing
 }
 
-// groupListing is one listing, for all who have asked before it began.
+// groupListing is one listing of all groups, for the callers that came before it
+// began. The results are valid once done is closed.
 type groupListing struct {
 	done chan struct{}
-	jobs map[string]*job.Record
-	err  error
+	jobs map[string]*job.Record // by job ID
+	err  error                  // errUnreadable: the other groups are in jobs
 }
 
-// listTimeout bounds a listing: its users have left by then.
+// listTimeout bounds a listing; its callers have given up by then.
 const listTimeout = 3 * time.Second
 
-// find returns a job's entry; nil: no group has it, and with errUnreadable: none that
-// can be read.
-func (s *groupReader) find(ctx context.Context, id string) (*job.Record, error) {
-	s.mu.Lock()
-	l := s.next
-	if l == nil {
-		l = &groupListing{done: make(chan struct{})}
-		s.next = l
-	}
-	if !s.listing {
-		s.listing = true
-		go s.serveListings()
-	}
-	s.mu.Unlock()
+// find returns a job's entry, or nil if no group has it. With errUnreadable, no group
+// that can be read has it.
+func (gr *groupReader) find(ctx context.Context, id string) (*job.Record, error) {
+	listing := gr.joinNext()
 	select {
-	case <-l.done:
-		if rec := l.jobs[id]; rec != nil {
+	case <-listing.done:
+		if rec := listing.jobs[id]; rec != nil {
 			return rec, nil
 		}
-		return nil, l.err
+		return nil, listing.err
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-// serveListings makes listings for as long as somebody waits for one.
-func (s *groupReader) serveListings() {
+// joinNext returns the next listing, and starts it unless one is under way.
+func (gr *groupReader) joinNext() *groupListing {
+	gr.mu.Lock()
+	defer gr.mu.Unlock()
+	if gr.next == nil {
+		gr.next = &groupListing{done: make(chan struct{})}
+	}
+	listing := gr.next
+	if !gr.listing {
+		gr.listing = true
+		go gr.serveListings()
+	}
+	return listing
+}
+
+// serveListings makes listings, one after the other, for as long as somebody waits
+// for one.
+func (gr *groupReader) serveListings() {
 	for {
-		s.mu.Lock()
-		l := s.next
-		s.next = nil
-		s.listing = l != nil
-		s.mu.Unlock()
-		if l == nil {
+		listing := gr.takeNext()
+		if listing == nil {
 			return
 		}
-		l.jobs, l.err = s.list()
-		close(l.done)
+		listing.jobs, listing.err = gr.list()
+		close(listing.done)
 	}
 }
 
-func (s *groupReader) list() (map[string]*job.Record, error) {
+// takeNext returns the listing to be made now, or nil if nobody waits for one.
+func (gr *groupReader) takeNext() *groupListing {
+	gr.mu.Lock()
+	defer gr.mu.Unlock()
+	listing := gr.next
+	gr.next = nil
+	gr.listing = listing != nil
+	return listing
+}
+
+// list reads all groups, and returns their entries by job ID. With errUnreadable,
+// the entries are those of the groups that can be read.
+func (gr *groupReader) list() (map[string]*job.Record, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), listTimeout)
 	defer cancel()
-	entries, _, err := s.state.List(ctx, job.GroupPrefix)
+	entries, _, err := gr.state.List(ctx, job.GroupPrefix)
 	if err != nil {
 		return nil, err
 	}
 	jobs := map[string]*job.Record{}
-	for _, e := range entries {
-		var g job.Group
-		if derr := wire.Unmarshal(e.Value, &g); derr != nil {
-			err = fmt.Errorf("%w: %s: %w", errUnreadable, e.Key, derr)
+	for _, entry := range entries {
+		var group job.Group
+		if decodeErr := wire.Unmarshal(entry.Value, &group); decodeErr != nil {
+			err = fmt.Errorf("%w: %s: %w", errUnreadable, entry.Key, decodeErr)
 			continue
 		}
-		for i := range g.Jobs {
-			jobs[g.Jobs[i].Spec.ID] = &g.Jobs[i]
+		for i := range group.Jobs {
+			jobs[group.Jobs[i].Spec.ID] = &group.Jobs[i]
 		}
 	}
 	return jobs, err
 }
-
-// AdmitWithoutLeader takes in a submission on a node that neither leads nor reaches the
-// leader, through the state service alone. The job's record is all that an
-// acceptance needs; the leader learns of it from a watch, the next one when it
-// loads. It is written without the term: nothing of it is decided here.
-func (c *Controller) AdmitWithoutLeader(ctx context.Context, body []byte) *rpc.Reply {
-	id, spec, invalid := submission(body)
-	refusal, unchanged, err := c.admissionCheck(ctx, spec, invalid)
-	if err != nil {
-		return noLeaderReply()
-	}
-	if refusal != nil {
-		return c.refuseUnlessRecorded(ctx, id, refusal)
-	}
-	return c.commitWithoutLeader(ctx, id, spec, unchanged)
-}
-
-// noLeaderReply tells the client to come back when no leader is to be reached.
-func noLeaderReply() *rpc.Reply { return Later("no leader is to be reached") }
-
-// admissionCheck is the refusal of a submission, or nil, with the conditions on
-// the state service that the decision rests on; err: they could not be read.
-func (c *Controller) admissionCheck(ctx context.Context, spec *job.Spec, invalid error) (refusal *rpc.Reply, unchanged []state.Condition, err error) {
-	if invalid != nil {
-		return reply(http.StatusBadRequest, wire.Error{Error: invalid.Error()}), nil, nil
-	}
-	types, err := c.knownTypes(ctx)
-	if err != nil {
-		return nil, nil, err
-	}
-	team, conds, err := c.storedTeam(ctx, spec.Team)
-	if err != nil {
-		return nil, nil, err
-	}
-	return c.admissionRefusal(spec, types, team), conds, nil
-}
-
-// refuseUnlessRecorded answers a refused submission: a job whose id is known
-// already is answered with its record, since a known id wins over every check.
-func (c *Controller) refuseUnlessRecorded(ctx context.Context, id string, refusal *rpc.Reply) *rpc.Reply {
-	if id == "" || refusal.Status == http.StatusServiceUnavailable {
-		return refusal
-	}
-	switch rec, err := c.findRecord(ctx, id); {
-	case err != nil:
-		return noLeaderReply()
-	case rec != nil:
-		return recorded(rec)
-	}
-	return refusal
-}
-
-// commitWithoutLeader commits the record of a job that passed the checks, on the
-// condition that what the checks read is unchanged.
-func (c *Controller) commitWithoutLeader(ctx context.Context, id string, spec *job.Spec, unchanged []state.Condition) *rpc.Reply {
-	// The commit itself tells whether the job has a record of its own.
-	switch rec, err := c.groups.find(ctx, id); {
-	case err != nil:
-		return noLeaderReply()
-	case rec != nil:
-		return recorded(rec)
-	}
-	rec := &job.Record{Spec: *spec, At: time.Now().UnixMilli()}
-	txn, err := admissionTxn("", []*pendingSubmission{{rec: rec}})
-	if err != nil {
-		return noLeaderReply()
-	}
-	txn.If = append(txn.If, unchanged...)
-	// What does not fit the budget now is refused at once: waiting would hold up
-	// every later request of this node.
-	if c.State.SpareWrites() < 1 {
-		return noLeaderReply()
-	}
-	_, err = c.State.CommitHedged(ctx, txn)
-	switch {
-	case errors.Is(err, state.ErrConflict):
-		if rec, err := c.findRecord(ctx, id); err == nil && rec != nil {
-			return recorded(rec)
-		}
-		return noLeaderReply()
-	case err != nil:
-		// Unclear, it may be: for the user's next try to settle.
-		return noLeaderReply()
-	}
-	c.Meter.Add(metrics.Accepted, "without the leader", 1)
-	c.Log.Info("admitted a job without the leader", "job", id)
-	return reply(http.StatusCreated, recordStatus(rec))
-}
-
-// StatusWithoutLeader answers a status request from the state service, for a node that
-// neither leads nor reaches the leader.
-func (c *Controller) StatusWithoutLeader(ctx context.Context, id string) *rpc.Reply {
-	rec, err := c.findRecord(ctx, id)
-	switch {
-	case err != nil:
-		return Later("no leader and no state service")
-	case rec == nil:
-		return reply(http.StatusNotFound, wire.Error{Error: "no such job"})
-	}
-	return reply(http.StatusOK, recordStatus(rec))
-}
--- a/internal/control/admission_groups.go
+++ b/internal/control/admission_groups.go
@@ -1,7 +1,6 @@
 package control
 
 import (
-	"errors"
 	"fmt"
 	"slices"
 	"time"
@@ -13,64 +12,93 @@
 	"vetchstream/internal/wire"
 )
 
-// admissionGroups are the records of jobs that were accepted together. A swarm of small
-// jobs comes faster than one record each can be written: the state service counts
-// writes, not bytes. Their ends go into the same record, and what is over moves
-// to its own final key when there is nothing better to do with the budget.
+// admissionGroups holds the records of jobs that were accepted together. Bursts of
+// small jobs arrive faster than a record each can be written: the state service
+// limits writes, not bytes. The ends of the jobs are stored in the group's record,
+// and finished entries move to their own final keys while the budget is idle.
 type admissionGroups struct {
 	*core
 	recordWriter *recordWriter
 	results      *results
 
-	limit      *rate.Limiter // of endings, shared with those of jobs alone
-	lastNumber uint64        // number of the next group of this term
+	limit      *rate.Limiter // of the storing of job ends, shared with jobs of their own records
+	lastNumber uint64        // of the last group of this term
 	groupByJob map[string]*admissionGroup
-	// active are the groups that have something to store or to move.
+	// active are the groups that have ends to store or finished entries to move.
 	active map[*admissionGroup]bool
-	moving bool // one group's entries are moved at a time
-	// unreadable: a record cannot be read. A job that is found nowhere else may be in it, and
-	// its end with it: nothing is told of such a job, and none is taken in as new.
+	// moving: entries of some group are being moved. One group's are at a time.
+	moving bool
+	// unreadable: a group's record cannot be read. A job that is found nowhere else may
+	// be in it, and may be over: nothing is said about such a job, and none is accepted
+	// as new.
 	unreadable bool
 }
 
-// admissionGroup is one record.
+// admissionGroup is the record of a group of jobs.
 type admissionGroup struct {
 	key          string
 	version      uint64
 	jobs         []job.Record // as stored
-	endings      []ending     // to be stored
+	endings      []ending     // not stored yet
 	writing      bool         // a transaction is under way
-	awaitingTurn bool         // its turn among the endings is awaited
-	noMoveBefore time.Time    // no moves before
+	awaitingTurn bool         // the endings wait for the rate limit
+	noMoveBefore time.Time
+}
+
+// index is the position of a job in the group.
+func (g *admissionGroup) index(id string) int {
+	return slices.IndexFunc(g.jobs, func(r job.Record) bool { return r.Spec.ID == id })
 }
 
 // ending is the end of a job that is not durable yet.
 type ending struct {
 	rec      *job.Record
-	onStored func()
+	onStored func() // called on the actor once the end is durable
 }
 
+// newAdmissionGroups makes a term's groups; limit is the rate of the transactions
+// that store job ends.
 func newAdmissionGroups(co *core, limit *rate.Limiter) *admissionGroups {
 	gs := &admissionGroups{core: co, limit: limit}
 	gs.reset()
 	return gs
 }
 
-// reset forgets what a load that failed half-way has found.
+// reset forgets the groups of a load that failed half-way.
 func (gs *admissionGroups) reset() {
-	gs.groupByJob, gs.active, gs.unreadable = map[string]*admissionGroup{}, map[*admissionGroup]bool{}, false
+	gs.groupByJob = map[string]*admissionGroup{}
+	gs.active = map[*admissionGroup]bool{}
+	gs.unreadable = false
+}
+
+// load adds the group records of earlier leaders, and calls add for each entry. A
+// record that cannot be read is left as it is and does not delay the others.
+func (gs *admissionGroups) load(entries []state.Entry, add func(*job.Record)) {
+	for _, e := range entries {
+		var rec job.Group
+		if err := wire.Unmarshal(e.Value, &rec); err != nil {
+			gs.log.Error("a group's record cannot be read, it is kept, its jobs wait and no new ones are taken in", "key", e.Key, "error", err)
+			gs.unreadable = true
+			continue
+		}
+		gs.add(e.Key, e.Version, rec.Jobs)
+		for i := range rec.Jobs {
+			add(&rec.Jobs[i])
+		}
+	}
 }
 
-// hasUnreadable reports whether a job that is not known may be in a record that cannot be read.
+// hasUnreadable reports whether a job that is not known may be in a record that
+// cannot be read.
 func (gs *admissionGroups) hasUnreadable() bool { return gs.unreadable }
 
-// nextKey makes a key that no other term can make.
+// nextKey makes the key of a new group; no other term makes the same.
 func (gs *admissionGroups) nextKey() string {
 	gs.lastNumber++
 	return fmt.Sprintf("%s%d-%d", job.GroupPrefix, gs.term, gs.lastNumber)
 }
 
-// add takes in a record that has been stored.
+// add adds a group whose record is stored at the version.
 func (gs *admissionGroups) add(key string, version uint64, recs []job.Record) {
 	g := &admissionGroup{key: key, version: version, jobs: recs}
 	for i := range recs {
@@ -81,34 +109,34 @@
 	}
 }
 
-// has reports whether a group record has the job.
+// has reports whether a group has the job.
 func (gs *admissionGroups) has(id string) bool { return gs.groupByJob[id] != nil }
 
-// find returns a job's entry as it is stored; nil: no group has it.
+// find returns a job's entry as it is stored, or nil if no group has the job.
 func (gs *admissionGroups) find(id string) *job.Record {
 	g := gs.groupByJob[id]
 	if g == nil {
 		return nil
 	}
-	i := slices.IndexFunc(g.jobs, func(r job.Record) bool { return r.Spec.ID == id })
-	return &g.jobs[i]
+	return &g.jobs[g.index(id)]
 }
 
-// recordEnd stores the end of a job of a group; then is called once it is durable. A
-// user waits for the end of a cancelled job; the others take turns, and what
-// comes meanwhile goes with them.
-func (gs *admissionGroups) recordEnd(rec *job.Record, then func()) {
+// recordEnd has the end of a job in a group stored; onStored is called once it is
+// durable. A user waits for the end of a cancelled job, so that is stored at once.
+// Other ends wait for the rate limit, and are stored together.
+func (gs *admissionGroups) recordEnd(rec *job.Record, onStored func()) {
 	g := gs.groupByJob[rec.Spec.ID]
-	g.endings = append(g.endings, ending{rec, then})
+	g.endings = append(g.endings, ending{rec: rec, onStored: onStored})
 	gs.active[g] = true
 }
 
-// storeAndCompact stores ends and moves what is over, for each group that has any.
+// storeAndCompact stores ends and moves finished entries, for each group that has
+// any.
 func (gs *admissionGroups) storeAndCompact(now time.Time) {
 	for g := range gs.active {
 		switch {
 		case g.writing:
-		case slices.ContainsFunc(g.endings, func(e ending) bool { return e.rec.Phase != wire.JobDone }):
+		case g.hasCancelled():
 			gs.storeEndings(g)
 		case len(g.endings) > 0:
 			gs.storeInTurn(g)
@@ -118,7 +146,13 @@
 	}
 }
 
-// storeInTurn stores a group's ends when its turn has come.
+// hasCancelled reports whether the end of a job that is not simply done is to be
+// stored.
+func (g *admissionGroup) hasCancelled() bool {
+	return slices.ContainsFunc(g.endings, func(e ending) bool { return e.rec.Phase != wire.JobDone })
+}
+
+// storeInTurn stores a group's ends when the rate limit allows it.
 func (gs *admissionGroups) storeInTurn(g *admissionGroup) {
 	if g.awaitingTurn {
 		return
@@ -126,7 +160,7 @@
 	g.awaitingTurn = true
 	go func() {
 		if gs.limit.Wait(gs.ctx) != nil {
-			return
+			return // the term has ended
 		}
 		gs.ahead(func() {
 			g.awaitingTurn = false
@@ -137,14 +171,13 @@
 	}()
 }
 
-// storeEndings writes the record with the ends that have come.
+// storeEndings writes the record of a group with the ends that have come.
 func (gs *admissionGroups) storeEndings(g *admissionGroup) {
-	ends := g.endings
+	endings := g.endings
 	g.endings = nil
 	jobs := slices.Clone(g.jobs)
-	for _, e := range ends {
-		i := slices.IndexFunc(jobs, func(r job.Record) bool { return r.Spec.ID == e.rec.Spec.ID })
-		jobs[i] = *e.rec
+	for _, e := range endings {
+		jobs[g.index(e.rec.Spec.ID)] = *e.rec
 	}
 	put, err := state.Put(g.key, job.Group{Jobs: jobs})
 	if err != nil {
@@ -153,46 +186,25 @@
 	}
 	gs.commitGroup(g, nil, []state.Write{put}, func() {
 		g.jobs = jobs
-		for _, e := range ends {
+		for _, e := range endings {
 			e.onStored()
 		}
 	})
 }
 
-// moveRetryDelay spaces the moves of one group after a conflict.
-const moveRetryDelay = time.Second
-
-// moveFinished takes entries that are over out of a group, each to its own final key, in
-// one transaction: a crash at any step leaves an entry in one of the two places.
+// moveFinished moves finished entries of a group to their own final keys, in one
+// transaction: after a crash at any step each entry is in one of the two places.
 func (gs *admissionGroups) moveFinished(g *admissionGroup) {
-	var conds []state.Condition
-	var writes []state.Write
-	var left []job.Record
-	for i := range g.jobs {
-		rec := &g.jobs[i]
-		if rec.Phase == "" || len(writes)+2 > gs.recordWriter.maxWrites() {
-			left = append(left, *rec)
-			continue
-		}
-		put, err := state.Put(job.FinalPrefix+rec.Spec.ID, rec)
-		if err != nil {
-			gs.log.Error("record does not encode", "job", rec.Spec.ID, "error", err)
-			left = append(left, *rec)
-			continue
-		}
-		// Another node that reached no leader may have admitted the job once more, by
-		// itself. That record has to go first, or it would be a new job afterwards.
-		conds = append(conds, state.Condition{Key: job.ActivePrefix + rec.Spec.ID})
-		writes = append(writes, put)
-	}
+	conds, writes, remaining := gs.finalWrites(g)
 	if len(writes) == 0 {
 		delete(gs.active, g)
 		return
 	}
-	if len(left) == 0 {
+	// The write of the group's own record comes last (commitGroup).
+	if len(remaining) == 0 {
 		writes = append(writes, state.Write{Delete: g.key})
 	} else {
-		put, err := state.Put(g.key, job.Group{Jobs: left})
+		put, err := state.Put(g.key, job.Group{Jobs: remaining})
 		if err != nil {
 			gs.log.Error("group does not encode", "key", g.key, "error", err)
 			return
@@ -204,92 +216,33 @@
 		for i := range g.jobs {
 			delete(gs.groupByJob, g.jobs[i].Spec.ID)
 		}
-		for i := range left {
-			gs.groupByJob[left[i].Spec.ID] = g
+		for i := range remaining {
+			gs.groupByJob[remaining[i].Spec.ID] = g
 		}
-		g.jobs = left
+		g.jobs = remaining
 	})
 }
 
-// commitGroup writes a group's record on its version, until it is settled. Only one
-// transaction of a group is under way at a time, and only an entitled leader
-// writes groups: a version that has moved on is the work of an unclear try of
-// this very transaction.
-func (gs *admissionGroups) commitGroup(g *admissionGroup, conds []state.Condition, writes []state.Write, then func()) {
-	g.writing = true
-	was := g.version
-	gone := writes[len(writes)-1].Delete != ""
-	txn := state.Txn{If: append([]state.Condition{gs.fence, {Key: g.key, Version: was}}, conds...), Writes: writes}
-	done := func(version uint64) {
-		gs.ahead(func() {
-			g.writing, g.version = false, version
-			gs.moving = gs.moving && len(conds) == 0
-			then()
-			if len(g.jobs) == 0 {
-				delete(gs.active, g)
-			}
-		})
-	}
-	// A move that cannot be made as it is is made anew, later.
-	again := func() {
-		g.writing, gs.moving, g.noMoveBefore = false, false, time.Now().Add(moveRetryDelay)
-	}
-	go func() {
-		for unclear := false; gs.ctx.Err() == nil; {
-			version, err := gs.c.State.Commit(gs.ctx, txn)
-			var conflict *state.ConflictError
-			switch {
-			case err == nil:
-				done(version)
-				return
-			case errors.As(err, &conflict):
-				e, gerr := gs.c.State.Get(gs.ctx, g.key)
-				switch {
-				case gerr == nil && e.Version != was:
-					done(e.Version)
-					return
-				case errors.Is(gerr, state.ErrNotFound) && gone && unclear:
-					done(0)
-					return
-				case gerr == nil && len(conds) > 0:
-					// A job that was admitted twice: the other record goes first.
-					gs.ahead(func() {
-						for _, c := range conds {
-							if slices.Contains(conflict.Failed, c.Key) {
-								gs.results.deleteLater(c.Key)
-							}
-						}
-						again()
-					})
-					return
-				}
-			case errors.Is(err, state.ErrRejected):
-				gs.ahead(func() { gs.recordWriter.shrinkIfRejected(err) })
-				if len(conds) > 0 && !unclear {
-					gs.ahead(again)
-					return
-				}
-			case !errors.Is(err, state.ErrRefused):
-				unclear = true
-			}
-			gs.pause(200 * time.Millisecond)
-		}
-	}()
-}
-
-// load takes in the group records of earlier leaders, and calls take for each
-// entry. One that cannot be read is kept as it is, and does not hold up the others.
-func (gs *admissionGroups) load(entries []state.Entry, take func(*job.Record)) {
-	for _, e := range entries {
-		var rec job.Group
-		if err := wire.Unmarshal(e.Value, &rec); err != nil {
-			gs.log.Error("a group's record cannot be read, it is kept, its jobs wait and no new ones are taken in", "key", e.Key, "error", err)
-			gs.unreadable = true
+// finalWrites are the writes of the final records of a group's finished entries, as
+// many as fit into one transaction, with their conditions, and the entries that
+// remain in the group.
+func (gs *admissionGroups) finalWrites(g *admissionGroup) (conds []state.Condition, writes []state.Write, remaining []job.Record) {
+	for i := range g.jobs {
+		rec := &g.jobs[i]
+		if rec.Phase == "" || len(writes)+2 > gs.recordWriter.maxWrites() {
+			remaining = append(remaining, *rec)
 			continue
 		}
-		gs.add(e.Key, e.Version, rec.Jobs)
-		for i := range rec.Jobs {
-			take(&rec.Jobs[i])
+		put, err := state.Put(job.FinalPrefix+rec.Spec.ID, rec)
+		if err != nil {
+			gs.log.Error("record does not encode", "job", rec.Spec.ID, "error", err)
+			remaining = append(remaining, *rec)
+			continue
 		}
+		// Another node that reached no leader may have admitted the same job, with an active
+		// record. That record has to be deleted first, or the job would start again.
+		conds = append(conds, state.Condition{Key: job.ActivePrefix + rec.Spec.ID})
+		writes = append(writes, put)
 	}
+	return conds, writes, remaining
 }
--- /dev/null
+++ b/internal/control/admission_watch.go
@@ -0,0 +1,94 @@
+package control
+
+import (
+	"errors"
+	"time"
+
+	"vetchstream/internal/job"
+	"vetchstream/internal/state"
+)
+
+const (
+	// auditInterval is the time between full listings of the active jobs. A job whose
+	// watch event was lost would otherwise be known to its user alone.
+	auditInterval = time.Minute
+	// watchTimeout bounds one watch of the active jobs.
+	watchTimeout = 10 * time.Second
+	// readRetryPause is the wait after a failed read or watch.
+	readRetryPause = 300 * time.Millisecond
+)
+
+// watchActiveJobs adopts jobs that other nodes admit while they cannot reach the
+// leader. It watches their records from the revision on, and lists them all every
+// auditInterval, until the term ends.
+func (ad *admission) watchActiveJobs(revision uint64) {
+	listedAt := time.Now()
+	for ad.ctx.Err() == nil {
+		events, next, err := ad.c.State.Watch(ad.ctx, job.ActivePrefix, revision, watchTimeout)
+		switch {
+		case errors.Is(err, state.ErrGone) || time.Since(listedAt) > auditInterval:
+			entries, listed, err := ad.c.State.List(ad.ctx, job.ActivePrefix)
+			if err != nil {
+				ad.pause(readRetryPause)
+				continue
+			}
+			listedAt = time.Now()
+			for _, e := range entries {
+				ad.postAdopt(e.Key)
+			}
+			revision = listed
+		case err != nil:
+			ad.pause(readRetryPause)
+		default:
+			for _, e := range events {
+				if e.Put != "" {
+					ad.postAdopt(e.Put)
+				}
+			}
+			revision = max(revision, next)
+		}
+	}
+}
+
+// postAdopt has the actor adopt the job whose record has the key.
+func (ad *admission) postAdopt(key string) {
+	ad.ahead(func() { ad.adopt(key[len(job.ActivePrefix):]) })
+}
+
+// adopt takes over a job that has a record of its own, unless this term made that
+// record or knows the job.
+func (ad *admission) adopt(id string) {
+	if ad.admissionGroups.has(id) {
+		// Admitted by another node as well: the entry in the group is enough.
+		ad.results.deleteLater(job.ActivePrefix + id)
+		return
+	}
+	if ad.knows(id) {
+		return
+	}
+	go ad.readAndAdopt(id)
+}
+
+// readAndAdopt reads a job's record and adds the job if it is active. The event that
+// named it may be old: a job that is over by now is under its final key.
+func (ad *admission) readAndAdopt(id string) {
+	for ad.ctx.Err() == nil {
+		rec, version, err := readJobRecord(ad.ctx, ad.c.State, id)
+		if errors.Is(err, errUnreadable) {
+			return // the next listing tries again
+		}
+		if err != nil {
+			ad.pause(readRetryPause)
+			continue
+		}
+		if rec == nil || rec.Phase != "" {
+			return
+		}
+		ad.ahead(func() {
+			if !ad.knows(id) {
+				ad.jobTable.add(rec, version, time.Now())
+			}
+		})
+		return
+	}
+}
--- a/internal/control/completions.go
+++ b/internal/control/completions.go
@@ -184,7 +184,7 @@
 		return
 	}
 	en.readBack(id, absent, func(*job.Record) *rpc.Reply {
-		en.ahead(func() { en.admission.takeIn(id) })
+		en.ahead(func() { en.admission.adopt(id) })
 		return Later("job is being taken in")
 	}, back)
 }
