--- /dev/null
+++ b/internal/control/admission_records_test.go
@@ -0,0 +1,199 @@
+package control
+
+import (
+	"context"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"vetchstream/internal/job"
+	"vetchstream/internal/rpc"
+	"vetchstream/internal/wire"
+)
+
+// TestMissedWatchEvent: a job that another node has admitted, and whose watch event
+// is lost, is adopted all the same.
+func TestMissedWatchEvent(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		s := newFakeStateService(t)
+		s.watchesSilent = true
+		st := startLeader(t, s, 7)
+		s.put(job.ActivePrefix+"run-5", &job.Record{Spec: job.Spec{ID: "run-5", Team: "red", ShapeName: "array", RankName: "idle", Tasks: 1, CPUs: 1}})
+		adopted := func() bool {
+			has := make(chan bool, 1)
+			r := st.current()
+			r.ahead(func() { has <- r.jobTable.get("run-5") != nil })
+			return <-has
+		}
+		time.Sleep(auditInterval / 2)
+		if adopted() {
+			t.Error("the event was not lost")
+		}
+		time.Sleep(auditInterval)
+		if !adopted() {
+			t.Error("nobody looks after the job")
+		}
+	})
+}
+
+// TestUnreadable: a record that does not decode affects its own job only.
+func TestUnreadable(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		s := newFakeStateService(t)
+		s.put(job.ActivePrefix+"run-4", "no record")
+		s.put(job.DonePrefix+"run-4/0", job.Chunk{})
+		s.put(job.ActivePrefix+"run-5", &job.Record{Spec: job.Spec{ID: "run-5", Team: "red", ShapeName: "array", RankName: "idle", Tasks: 1, CPUs: 1}})
+		st := startLeader(t, s, 7)
+		if p := st.request(rpc.KindStatus, "run-5", nil); p.Status != 200 {
+			t.Errorf("another job's status: %d", p.Status)
+		}
+		if p := st.request(rpc.KindStatus, "run-4", nil); p.Status != 503 {
+			t.Errorf("its own: %d, want 503", p.Status)
+		}
+		if p := st.request(rpc.KindSubmit, "run-6", submissionBody("run-6", nil)); p.Status/100 != 2 {
+			t.Errorf("a new job: %d", p.Status)
+		}
+		time.Sleep(2 * auditInterval)
+		if s.absent(job.ActivePrefix+"run-4") || s.absent(job.DonePrefix+"run-4/0") {
+			t.Error("the record, or a result, is gone")
+		}
+		// A task of it is stopped, and so is one that another machine shows later.
+		for _, host := range []string{"host-1", "host-2"} {
+			if !st.stops(host, "run-4/0") {
+				t.Errorf("its task on %s goes on", host)
+			}
+		}
+	})
+}
+
+// TestUnreadableGroup: a group's record that does not decode delays neither loading
+// nor the jobs that are known. A job that may be in it is neither denied nor accepted
+// as new.
+func TestUnreadableGroup(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		s := newFakeStateService(t)
+		s.put(job.GroupPrefix+"6-1", "no record")
+		s.put(job.DonePrefix+"run-4/0", job.Chunk{})
+		s.put(job.GroupPrefix+"6-2", job.Group{Jobs: []job.Record{{Spec: job.Spec{ID: "run-6", Team: "red", ShapeName: "array", RankName: "idle", Tasks: 1, CPUs: 1}}}})
+		s.put(job.ActivePrefix+"run-5", &job.Record{Spec: job.Spec{ID: "run-5", Team: "red", ShapeName: "array", RankName: "idle", Tasks: 1, CPUs: 1}})
+		s.put(job.FinalPrefix+"run-7", &job.Record{Spec: job.Spec{ID: "run-7", Team: "red", ShapeName: "array", RankName: "idle", Tasks: 1, CPUs: 1}, Phase: wire.JobDone})
+		st := startLeader(t, s, 7)
+		for _, tt := range []struct {
+			kind, id string
+			want     int
+		}{
+			{rpc.KindStatus, "run-5", 200}, {rpc.KindStatus, "run-6", 200}, {rpc.KindStatus, "run-7", 200}, {rpc.KindStatus, "run-4", 503},
+			{rpc.KindSubmit, "run-5", 200}, {rpc.KindSubmit, "run-6", 200}, {rpc.KindSubmit, "run-7", 200}, {rpc.KindSubmit, "run-4", 503},
+			{rpc.KindAbort, "run-4", 503}, {rpc.KindAbort, "run-6", 200},
+		} {
+			if p := st.request(tt.kind, tt.id, submissionBody(tt.id, nil)); p.Status != tt.want {
+				t.Errorf("%s %s: %d, want %d", tt.kind, tt.id, p.Status, tt.want)
+			}
+			if p := st.StatusWithoutLeader(context.Background(), tt.id); tt.kind == rpc.KindStatus && p.Status != tt.want {
+				t.Errorf("%s at another controller: %d, want %d", tt.id, p.Status, tt.want)
+			}
+		}
+		if p := st.AdmitWithoutLeader(context.Background(), submissionBody("run-4", nil)); p.Status != 503 {
+			t.Errorf("admitted by another controller: %d", p.Status)
+		}
+		time.Sleep(2 * auditInterval)
+		if s.absent(job.GroupPrefix+"6-1") || s.absent(job.DonePrefix+"run-4/0") {
+			t.Error("the record, or a result, is gone")
+		}
+		if !st.stops("host-1", "run-4/0") {
+			t.Error("a task that may be of it goes on")
+		}
+	})
+}
+
+// TestUnknownTaskStopped: while the state service is unavailable, a machine reports a
+// task of a job that this leader does not know: the job is over, and was not loaded or
+// is already forgotten. The task is stopped all the same: its user may have been told
+// that the job is cancelled, and each answer renews the machine's lease.
+func TestUnknownTaskStopped(t *testing.T) {
+	tests := []struct {
+		name  string
+		phase string // of its record; empty: there is none
+	}{
+		{"cancelled through the leader before", wire.JobAborted},
+		{"done", wire.JobDone},
+		{"never heard of", ""},
+	}
+	for _, tt := range tests {
+		t.Run(tt.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				s := newFakeStateService(t)
+				if tt.phase != "" {
+					s.put(job.FinalPrefix+"run-4", &job.Record{Spec: job.Spec{ID: "run-4", Team: "red", ShapeName: "array", RankName: "idle", Tasks: 1, CPUs: 1}, Phase: tt.phase})
+				}
+				st := startLeader(t, s, 7)
+				s.mu.Lock()
+				s.unavailable = true
+				s.mu.Unlock()
+				if !st.stops("host-1", "run-4/0") {
+					t.Error("the task goes on, and its machine's lease is renewed")
+				}
+			})
+		})
+	}
+}
+
+// TestResolve: the record that answers a submission, of a job that another node has
+// admitted, was read before the job ended. The job is not adopted again, and its user
+// is told its end.
+func TestResolve(t *testing.T) {
+	for _, phase := range []string{"", wire.JobDone, wire.JobAborted} {
+		t.Run("ended: "+phase, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				s := newFakeStateService(t)
+				s.watchesSilent = true
+				st := startLeader(t, s, 7)
+				rec := &job.Record{Spec: job.Spec{ID: "run-5", Team: "red", ShapeName: "array", RankName: "idle", Tasks: 1, CPUs: 1}}
+				s.put(job.ActivePrefix+"run-5", rec)
+				r, got := st.current(), make(chan *rpc.Reply, 1)
+				r.ahead(func() {
+					if phase != "" {
+						r.completions.remember(&job.Record{Spec: rec.Spec, Phase: phase})
+					}
+					in := &pendingSubmission{rec: rec, callbacks: []func(*rpc.Reply){func(p *rpc.Reply) { got <- p }}}
+					r.admission.pending["run-5"] = in
+					go r.admission.answerExisting(in)
+				})
+				var told wire.Status
+				if p := <-got; p.Status != 200 || wire.Unmarshal(p.Body, &told) != nil || (phase != "" && told.Phase != phase) {
+					t.Errorf("answer %d %s", p.Status, told.Phase)
+				}
+				adopted := make(chan bool, 1)
+				r.ahead(func() { adopted <- r.jobTable.get("run-5") != nil })
+				if has := <-adopted; has != (phase == "") {
+					t.Errorf("looked after: %v", has)
+				}
+			})
+		})
+	}
+}
+
+// TestLapsed: an answer that has waited for a busy actor until the entitlement has
+// lapsed is not given: another member may lead by then, and have told the user
+// something newer.
+func TestLapsed(t *testing.T) {
+	for _, kind := range []string{rpc.KindStatus, rpc.KindSubmit, rpc.KindAbort} {
+		t.Run(kind, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				st := startLeader(t, newFakeStateService(t), 7)
+				if out := st.submit(submissionBody("run-5", nil)); out[0] != 201 {
+					t.Fatalf("submission: %d", out[0])
+				}
+				busy, got := make(chan struct{}), make(chan *rpc.Reply, 1)
+				st.current().ahead(func() { <-busy })
+				go func() { got <- st.request(kind, "run-5", submissionBody("run-5", nil)) }()
+				time.Sleep(time.Second)
+				st.entitlementLapsed.Store(true)
+				close(busy)
+				if p := <-got; p.Status != 503 {
+					t.Errorf("answered %d after the lapse", p.Status)
+				}
+			})
+		})
+	}
+}
