--- a/internal/fleet/compose.go
+++ b/internal/fleet/compose.go
@@ -2,103 +2,185 @@
 
 import (
 	"time"
+
 	"vetchstream/internal/job"
 	"vetchstream/internal/wire"
 )
 
-func grace(g float64) *float64 { return &g }
+// orderComposer collects the orders of one message to a machine.
+type orderComposer struct {
+	fleet    *Fleet
+	host     *Host
+	seq      uint64 // the report that is answered; 0: a direct command
+	launches bool   // launches may be included
+	now      time.Time
+	orders   []wire.Order
+	sent     []*Slot // launched by the message
+	events   []Event
+}
 
-// ComposeOrders makes the orders for a machine and marks the launches as sent. seq is
-// the report that is answered; 0: a direct command, which carries no clear.
-// Launches are left out for a stale report and while a direct command is under
-// way, whose order against this answer is not known.
+// ComposeOrders makes at most limit orders for a machine and marks the launches as
+// sent. seq is the report that is answered; 0 stands for a direct command, which
+// carries no clear. launches is false for a stale report, and while a direct command
+// is in flight that may arrive before or after this message.
 func (f *Fleet) ComposeOrders(h *Host, seq uint64, launches bool, now time.Time, limit int) (orders []wire.Order, sent []*Slot, ev []Event) {
-	orders = []wire.Order{}
-	if seq != 0 {
-		orders = h.haltCancelled(orders, now, limit)
+	c := orderComposer{
+		fleet:    f,
+		host:     h,
+		seq:      seq,
+		launches: launches,
+		now:      now,
+		orders:   []wire.Order{},
+	}
+	if c.isAnswer() {
+		c.haltCancelled(limit)
 	}
 	for _, s := range h.Slots {
-		if len(orders) >= limit {
+		if len(c.orders) >= limit {
 			break
 		}
-		name := func() string { return job.TaskName(s.Job.ID, s.Task) }
-		switch {
-		case seq != 0 && s.Seen && s.cancelPending():
-			// Halted above.
-		case !s.Sent:
-			if s.Job.Closing != "" || s.Job.Phase != "" {
-				// The abort's commit may have been sent after the placement.
-				ev = append(ev, f.removeSlot(h, s, NeverStarted)...)
-				continue
-			}
-			if !launches || !h.Fenced || !h.Durable || h.Lost || !s.Job.RecordedHosts.Has(h.Index) {
-				continue
-			}
-			s.Sent, s.Direct, s.answeredSeq, s.PlacedAt = true, seq == 0, seq, now
-			if seq == 0 {
-				h.directLaunchAt = now
-			}
-			sent = append(sent, s)
-			orders = append(orders, wire.Order{Op: wire.Launch, Task: name(), Attempt: s.Attempt})
-		case (seq != 0 || h.holder != nil) && launches && h.Fenced && s.resendDue(now):
-			// The worker has it once, whichever copy comes first, as long as its exit is
-			// not cleared. One that has to go is launched to be stopped: an exit settles it.
-			s.resentAt = now
-			orders = append(orders, wire.Order{Op: wire.Launch, Task: name(), Attempt: s.Attempt})
-			if s.Stopping {
-				orders = append(orders, s.halt(now))
-			}
-		case s.haltDue(now):
-			orders = append(orders, s.halt(now))
-		case seq != 0 && !s.Active() && s.Settled && s.resentAt.IsZero():
-			orders = append(orders, wire.Order{Op: wire.Clear, Task: name(), Attempt: s.Attempt})
-		}
+		c.addOrders(s)
 	}
 	h.Recount()
-	return orders, sent, ev
+	return c.orders, c.sent, c.events
 }
 
-// halt makes the order that stops the placement, and notes that it is sent.
+// isAnswer reports whether the message answers a report. Otherwise it is a direct
+// command.
+func (c *orderComposer) isAnswer() bool { return c.seq != 0 }
+
+// haltCancelled halts, without time to save, the tasks of cancelled jobs that the
+// worker has reported. An answer to a report renews the lease, so each one carries
+// these halts first, however recently they were sent (renewal.go).
+func (c *orderComposer) haltCancelled(limit int) {
+	for _, s := range c.host.Slots {
+		if s.Seen && s.cancelPending() && len(c.orders) < limit {
+			s.Grace = 0
+			c.orders = append(c.orders, s.halt(c.now))
+		}
+	}
+}
+
+// addOrders adds the orders for one slot.
+func (c *orderComposer) addOrders(s *Slot) {
+	switch {
+	case c.isAnswer() && s.Seen && s.cancelPending():
+		// haltCancelled has added the halt.
+	case !s.Sent:
+		c.launch(s)
+	case (c.isAnswer() || c.host.holder != nil) && c.launches && c.host.Fenced && s.resendDue(c.now):
+		c.resend(s)
+	case s.haltDue(c.now):
+		c.orders = append(c.orders, s.halt(c.now))
+	case c.isAnswer() && s.clearable():
+		c.orders = append(c.orders, s.order(wire.Clear))
+	}
+}
+
+// launch adds the launch of a slot that was not sent, if the machine may get it.
+func (c *orderComposer) launch(s *Slot) {
+	h := c.host
+	if s.Job.Closing != "" || s.Job.Phase != "" {
+		// The job may have been cancelled after the placement.
+		c.events = append(c.events, c.fleet.removeSlot(h, s, NeverStarted)...)
+		return
+	}
+	if !c.launches || !h.Fenced || !h.Durable || h.Lost || !s.Job.RecordedHosts.Has(h.Index) {
+		return
+	}
+	s.Sent = true
+	s.Direct = !c.isAnswer()
+	s.answeredSeq = c.seq
+	s.PlacedAt = c.now
+	if s.Direct {
+		h.directLaunchAt = c.now
+	}
+	c.sent = append(c.sent, s)
+	c.orders = append(c.orders, s.order(wire.Launch))
+}
+
+// resend adds a second copy of a direct launch. The worker starts the task once,
+// whichever copy comes first, as long as its exit is not cleared. A task that is to be
+// stopped is launched and halted: its exit settles the slot.
+func (c *orderComposer) resend(s *Slot) {
+	s.resentAt = c.now
+	c.orders = append(c.orders, s.order(wire.Launch))
+	if s.Stopping {
+		c.orders = append(c.orders, s.halt(c.now))
+	}
+}
+
+// order makes an order about the slot's task.
+func (s *Slot) order(op string) wire.Order {
+	return wire.Order{Op: op, Task: job.TaskName(s.Job.ID, s.Task), Attempt: s.Attempt}
+}
+
+// halt makes the order that stops the slot's task, and notes that it is sent.
 func (s *Slot) halt(now time.Time) wire.Order {
 	s.HaltSentAt = now
-	return wire.Order{Op: wire.Halt, Task: job.TaskName(s.Job.ID, s.Task), Attempt: s.Attempt, Grace: grace(s.Grace)}
+	grace := s.Grace
+	halt := s.order(wire.Halt)
+	halt.Grace = &grace
+	return halt
 }
 
-// haltCancelled halts, without time to save, all that the worker has shown of cancelled
-// jobs. An answer to a report renews the lease, so each carries these first, however short
-// a time ago they were sent before (renewal.go).
-func (h *Host) haltCancelled(orders []wire.Order, now time.Time, limit int) []wire.Order {
-	for _, s := range h.Slots {
-		if s.Seen && s.cancelPending() && len(orders) < limit {
-			s.Grace = 0
-			orders = append(orders, s.halt(now))
-		}
+const (
+	// haltInterval is how often a halt is repeated while its task is still there.
+	haltInterval = 1500 * time.Millisecond
+	// resendAfter is the age from which an unsettled direct launch is sent again. A
+	// direct command ends sooner.
+	resendAfter = 4 * time.Second
+)
+
+// haltDue reports whether a halt is to be sent, for the first time or again. It is not
+// repeated while the task saves its progress, unless the task has no time for that:
+// then its job is cancelled, and after a lost halt it would save for as long as it
+// likes.
+func (s *Slot) haltDue(now time.Time) bool {
+	if !s.Stopping || !s.Active() {
+		return false
 	}
-	return orders
+	if s.HaltSentAt.IsZero() {
+		return true
+	}
+	return now.Sub(s.HaltSentAt) >= haltInterval && (s.Phase != wire.Saving || s.Grace == 0)
+}
+
+// resendDue reports whether a direct launch may have been lost: its call is over, and
+// no report shows the task. Without a second copy, the slot would occupy its resources
+// and its task for as long as the worker's reports go on.
+func (s *Slot) resendDue(now time.Time) bool {
+	unsettled := s.Sent && s.Direct && !s.Seen && s.Active() && !s.Host.CallInFlight
+	return unsettled && now.Sub(s.PlacedAt) >= resendAfter && now.Sub(s.resentAt) >= resendAfter &&
+		s.Job.Closing == "" && s.Job.Phase == ""
 }
 
-// ClearOrders are the exits that the worker may forget, for the next answer of the
-// holder.
+// clearable reports whether the worker may forget the exit of the slot.
+func (s *Slot) clearable() bool { return !s.Active() && s.Settled && s.resentAt.IsZero() }
+
+// ClearOrders are at most limit orders to forget exits, for the next answer of the
+// machine's holder.
 func (h *Host) ClearOrders(limit int) (orders []wire.Order) {
 	if h.ReportedExits == 0 {
 		return nil
 	}
 	for _, s := range h.Slots {
-		if !s.Active() && s.Settled && s.resentAt.IsZero() && len(orders) < limit {
-			orders = append(orders, wire.Order{Op: wire.Clear, Task: job.TaskName(s.Job.ID, s.Task), Attempt: s.Attempt})
+		if s.clearable() && len(orders) < limit {
+			orders = append(orders, s.order(wire.Clear))
 		}
 	}
 	return orders
 }
 
-// NeedsDirectCommand reports whether something waits that is worth a direct command.
+// NeedsDirectCommand reports whether something is to be sent that is worth a direct
+// command.
 func (h *Host) NeedsDirectCommand(now time.Time) bool {
 	for _, s := range h.Slots {
 		if !s.Sent && h.Usable() && s.Job.RecordedHosts.Has(h.Index) {
 			return true
 		}
 		if h.holder != nil && s.resendDue(now) {
-			return true // its reports are answered without us
+			return true // the holder's answers carry no launches
 		}
 		if s.haltDue(now) {
 			return true
@@ -107,7 +189,8 @@
 	return false
 }
 
-// RemoveNotDelivered settles launches of a direct command that was certainly not executed.
+// RemoveNotDelivered removes the launches of a direct command that was certainly not
+// executed.
 func (f *Fleet) RemoveNotDelivered(slots []*Slot) []Event {
 	var ev []Event
 	for _, s := range slots {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet records the workers' sessions, the order of their messages, and
-// the one ledger of what may be on each machine. It does no I/O and has no
+// Package fleet keeps the ledger of which task placements may be on each machine,
+// with the workers' sessions, leases and message order. It does no I/O and has no
 // goroutine: the leader's actor owns it and passes the time in.
 package fleet
 
@@ -19,31 +19,42 @@
 	// Lease is how long an answered report holds a worker's placements, with the
 	// margin for clock drift and timer granularity that New adds.
 	Lease time.Duration
-	// CancelTime is how long after its user was told a task of a cancelled job may be on a
-	// machine.
+	// CancelTime is how long a task of a cancelled job may still be on a machine after its
+	// user was told.
 	CancelTime time.Duration
 	// Hosts are the machines by name.
 	Hosts           map[string]*Host
-	order           []*Host
+	order           []*Host // in the order in which they were added
 	nextIndex       int
-	freeIndexes     []int // indices below next that are free
+	freeIndexes     []int // those below nextIndex that no machine has
 	slotsByJob      map[*job.Job]map[*Slot]struct{}
-	awaitingCommand []*Host
+	awaitingCommand []*Host // see AwaitingCommand
 }
 
-// New makes an empty fleet for a term. The lease is lengthened by the drift of
-// the worker's clock and a margin for the granularity of its timers.
+const (
+	// clockDrift is how slow a worker's clock may be: one part in that many.
+	clockDrift = 1000
+	// timerMargin is for the granularity of a worker's timers.
+	timerMargin = 500 * time.Millisecond
+)
+
+// New makes an empty fleet for a term. The lease is extended by the drift of the
+// worker's clock and the granularity of its timers.
 func New(term uint64, lease, cancelTime time.Duration) *Fleet {
-	return &Fleet{Term: term, Lease: lease + lease/1000 + 500*time.Millisecond, CancelTime: cancelTime, Hosts: map[string]*Host{},
-		slotsByJob: map[*job.Job]map[*Slot]struct{}{}}
+	return &Fleet{
+		Term:       term,
+		Lease:      lease + lease/clockDrift + timerMargin,
+		CancelTime: cancelTime,
+		Hosts:      map[string]*Host{},
+		slotsByJob: map[*job.Job]map[*Slot]struct{}{},
+	}
 }
 
-// All returns the machines in the order in which they were met.
+// All returns the machines in the order in which they were added.
 func (f *Fleet) All() []*Host { return f.order }
 
-// Add returns the machine of that name, making it if need be. A machine that is
-// already registered may have been renewed by an earlier leader as late as
-// since, the start of this term.
+// Add returns the machine of that name, and adds it if there is none. An earlier leader
+// may have renewed its lease as late as since, the start of this term.
 func (f *Fleet) Add(name string, since time.Time) *Host {
 	if h := f.Hosts[name]; h != nil {
 		return h
@@ -57,8 +68,8 @@
 	return f.insert(name, idx, since)
 }
 
-// AddAt is Add for a machine whose index the registry names. All of these come
-// before the first Add, and no index twice.
+// AddAt is Add for a machine whose index is known from the registry. All calls come
+// before the first Add, and no index comes twice.
 func (f *Fleet) AddAt(name string, idx int, since time.Time) *Host {
 	for ; f.nextIndex < idx; f.nextIndex++ {
 		f.freeIndexes = append(f.freeIndexes, f.nextIndex)
@@ -68,33 +79,45 @@
 	return f.insert(name, idx, since)
 }
 
+// insert adds a machine under an index that is free.
 func (f *Fleet) insert(name string, idx int, since time.Time) *Host {
-	h := &Host{Index: idx, Name: name, Type: -1, Zone: -1, AddedAt: since, Booting: true, renewedAt: since, IdleFrom: since,
-		Slots: map[Key]*Slot{}, ErrorJobs: map[*job.Job]bool{}}
+	h := &Host{
+		Index:     idx,
+		Name:      name,
+		Type:      -1,
+		Zone:      -1,
+		AddedAt:   since,
+		Booting:   true,
+		renewedAt: since,
+		IdleFrom:  since,
+		Slots:     map[Key]*Slot{},
+		ErrorJobs: map[*job.Job]bool{},
+	}
 	f.Hosts[name] = h
 	f.order = append(f.order, h)
 	return h
 }
 
-// FreeIndex gives the index of a machine that is gone back. The registry must not
-// name the machine any more: two machines of one index would be one to it.
+// FreeIndex returns the index of a machine that is gone, to be used again. The stored
+// registry must no longer name the machine: it tells machines apart by their index.
 func (f *Fleet) FreeIndex(idx int) { f.freeIndexes = append(f.freeIndexes, idx) }
 
-// SlotsOf returns the slots of a job, exits that are still reported included.
+// SlotsOf returns the slots of a job, including exits that are still reported.
 func (f *Fleet) SlotsOf(j *job.Job) map[*Slot]struct{} { return f.slotsByJob[j] }
 
+// addSlot adds a slot to its machine and its job.
 func (f *Fleet) addSlot(h *Host, s *Slot) {
 	h.Slots[s.Key] = s
-	of := f.slotsByJob[s.Job]
-	if of == nil {
-		of = map[*Slot]struct{}{}
-		f.slotsByJob[s.Job] = of
+	slots := f.slotsByJob[s.Job]
+	if slots == nil {
+		slots = map[*Slot]struct{}{}
+		f.slotsByJob[s.Job] = slots
 	}
-	of[s] = struct{}{}
+	slots[s] = struct{}{}
 	s.Job.AddLive(s.Task, 1)
 }
 
-// markAwaitingCommand puts a machine on the list of those that wait for a command.
+// markAwaitingCommand adds a machine to the list that AwaitingCommand returns.
 func (f *Fleet) markAwaitingCommand(h *Host) {
 	if !h.awaitingCommand {
 		h.awaitingCommand = true
@@ -102,9 +125,9 @@
 	}
 }
 
-// AwaitingCommand returns the machines that have a launch or a halt to come. It is kept as
-// a list because a look at every slot of a large fleet after each message would
-// take most of the processor.
+// AwaitingCommand returns the machines to which a launch or a halt is to be sent. The
+// fleet has a list of them, because a search of all slots of a large fleet after each
+// message would take most of the processor time.
 func (f *Fleet) AwaitingCommand() []*Host {
 	f.awaitingCommand = slices.DeleteFunc(f.awaitingCommand, func(h *Host) bool {
 		for _, s := range h.Slots {
@@ -118,15 +141,15 @@
 	return f.awaitingCommand
 }
 
-// awaitsCommand reports whether a launch or a halt of the slot is to come.
+// awaitsCommand reports whether a launch or a halt of the slot is to be sent.
 func (s *Slot) awaitsCommand() bool {
 	return !s.Sent || (s.Stopping && s.Active()) || (s.Host.holder != nil && s.inFlight())
 }
 
-// AnyAwaitingCommand reports whether any machine is on that list.
+// AnyAwaitingCommand reports whether AwaitingCommand may return any machine.
 func (f *Fleet) AnyAwaitingCommand() bool { return len(f.awaitingCommand) > 0 }
 
-// Remove forgets a machine whose release was answered: everything on it is gone.
+// Remove removes a machine that was returned to the cloud: everything on it is gone.
 func (f *Fleet) Remove(h *Host) []Event {
 	ev := f.removeSlots(h)
 	delete(f.Hosts, h.Name)
@@ -139,6 +162,7 @@
 	return ev
 }
 
+// removeSlots removes all slots of a machine on which nothing is left.
 func (f *Fleet) removeSlots(h *Host) []Event {
 	var ev []Event
 	for _, s := range h.Slots {
@@ -148,11 +172,13 @@
 	return ev
 }
 
+// removeSlot removes a slot; kind says what has become of its task. There is an event
+// unless the exit was reported before.
 func (f *Fleet) removeSlot(h *Host, s *Slot, kind EventKind) []Event {
 	delete(h.Slots, s.Key)
-	if of := f.slotsByJob[s.Job]; of != nil {
-		delete(of, s)
-		if len(of) == 0 {
+	if slots := f.slotsByJob[s.Job]; slots != nil {
+		delete(slots, s)
+		if len(slots) == 0 {
 			delete(f.slotsByJob, s.Job)
 		}
 	}
@@ -161,11 +187,11 @@
 	}
 	s.Job.AddLive(s.Task, -1)
 	s.Phase = wire.Exited
-	return []Event{{kind, s}}
+	return []Event{{Kind: kind, Slot: s}}
 }
 
-// Assign puts a placement into the ledger; its launch is sent by the next answer
-// or direct command.
+// Assign adds a placement to the ledger; the next answer or direct command carries its
+// launch.
 func (f *Fleet) Assign(h *Host, k Key, now time.Time) *Slot {
 	s := &Slot{Key: k, Host: h, PlacedAt: now}
 	f.addSlot(h, s)
@@ -174,8 +200,8 @@
 	return s
 }
 
-// Stop marks a placement to be stopped. A placement that was never sent goes at
-// once; a second call can only shorten the grace.
+// Stop has a placement stopped, with grace seconds to save its progress. A placement
+// that was not sent is removed at once. A second call can only shorten the grace.
 func (f *Fleet) Stop(s *Slot, grace float64) []Event {
 	if !s.Active() {
 		return nil
@@ -186,21 +212,26 @@
 		return ev
 	}
 	if !s.Stopping || grace < s.Grace {
-		s.Stopping, s.Grace, s.HaltSentAt = true, grace, time.Time{}
+		s.Stopping = true
+		s.Grace = grace
+		s.HaltSentAt = time.Time{}
 		f.markAwaitingCommand(s.Host)
 	}
 	s.Host.Recount()
 	return nil
 }
 
-// Expire settles what is on machines whose lease has certainly ended, and counts
-// these machines.
+// Expire removes what is on machines whose lease has certainly expired. lost counts
+// these machines, except those that are booting or being returned.
 func (f *Fleet) Expire(now time.Time) (ev []Event, lost int) {
 	for _, h := range f.order {
 		if h.Lost || h.knownUntil(now).Sub(h.renewedAt) < f.Lease || now.Sub(h.directLaunchAt) < f.Lease {
 			continue
 		}
-		h.Lost, h.LostAt, h.Fenced, h.RenewalStopped = true, now, false, false
+		h.Lost = true
+		h.LostAt = now
+		h.Fenced = false
+		h.RenewalStopped = false
 		ev = append(ev, f.removeSlots(h)...)
 		if !h.Booting && !h.Releasing {
 			lost++
@@ -209,16 +240,18 @@
 	return ev, lost
 }
 
-// SettleInherited notes which machines have been met, or have lost their lease, since the
-// takeover, and returns those that may still run what an earlier leader launched.
-func (f *Fleet) SettleInherited() (open []*Host) {
+// SettleInherited settles the inherited machines whose worker has sent a message with
+// this term, or whose lease has expired, and returns those that may still run tasks
+// which an earlier leader launched.
+func (f *Fleet) SettleInherited() (unsettled []*Host) {
 	for _, h := range f.order {
 		if h.Inherited && (h.Fenced || h.Lost) {
-			h.Inherited, h.InheritedJobs = false, nil
+			h.Inherited = false
+			h.InheritedJobs = nil
 		}
 		if h.Inherited {
-			open = append(open, h)
+			unsettled = append(unsettled, h)
 		}
 	}
-	return open
+	return unsettled
 }
--- a/internal/fleet/host.go
+++ b/internal/fleet/host.go
@@ -2,13 +2,15 @@
 
 import (
 	"time"
+
 	"vetchstream/internal/job"
 	"vetchstream/internal/wire"
 )
 
 // Host is a machine.
 type Host struct {
-	// Index is dense: it is used again once the machine and its record are gone.
+	// Index identifies the machine in sets. Indexes are dense: one is used again once its
+	// machine and the record of it are gone.
 	Index int
 	// Name is the machine's name, Addr the address of its worker for direct commands.
 	Name string
@@ -22,90 +24,91 @@
 	Durable bool // in the registry
 	// Inherited: registered by an earlier leader and not settled since.
 	Inherited bool
-	// InheritedJobs are the jobs that the registry named when this term began; they hold
-	// until the machine is settled.
+	// InheritedJobs are the jobs that the registry named for the machine when this term
+	// began, until the machine is settled.
 	InheritedJobs []InheritedJob
 	// AddedAt is the time that was passed to Add or AddAt when the machine entered the
 	// ledger.
 	AddedAt time.Time
-	Booting bool // never heard of
+	Booting bool // no message has come yet
 
-	// Session is the worker's newest session (agent incarnation) that was heard of.
+	// Session is the newest session of the worker, a number that rises with each start.
 	Session uint64
-	seq     uint64
-	// reportSeq is the newest report of the session; seq may be that of a direct answer.
+	// seq is the number of the newest message of the session, reportSeq that of the
+	// newest report.
+	seq       uint64
 	reportSeq uint64
-	// InboundCutAt is since when the worker has shown that it takes in nothing that is sent
-	// to it; zero: it has not. Its reports may come all the while.
+	// InboundCutAt is since when the worker is known not to receive what is sent to it;
+	// zero: it is not. Its reports may still come (partition.go).
 	InboundCutAt time.Time
-	// CallUnanswered: a direct command had no answer, and nothing was heard since.
+	// CallUnanswered: a direct command had no answer, and no message has come since.
 	CallUnanswered bool
-	// OutboundCutAt is since when the worker is known to live and to reach no controller: its
-	// answer to a direct command tells of a new session, and no report has come since.
-	// Whatever is launched there dies with its lease. Zero: it is not.
+	// OutboundCutAt is since when the worker is known to be alive and to reach no
+	// controller: its answer to a direct command has shown a new session, and no report
+	// has come since. A task that is launched there ends with its lease. Zero: it is not.
 	OutboundCutAt time.Time
-	// RenewalStopped: the worker's reports go unanswered until its session has ended (renewal.go).
+	// RenewalStopped: the worker's reports go unanswered until its session has ended
+	// (renewal.go).
 	RenewalStopped bool
-	// Fenced: the worker has sent a message with our own term.
+	// Fenced: the worker has sent a message with this leader's term.
 	Fenced bool
-	// renewedAt is the last moment from which an answer of ours, of a holder of ours or of
-	// an earlier leader, may have renewed the worker's lease.
+	// renewedAt is the latest time at which an answer of this leader, of one of its
+	// holders or of an earlier leader may have renewed the worker's lease.
 	renewedAt time.Time
-	// directLaunchAt is when a launch was last sent directly. A worker that has begun anew, and
-	// whose messages count as old, may have it for a lease from then.
+	// directLaunchAt is when a launch was last sent by direct command. A worker that was
+	// restarted, and whose messages count as stale, may run the task for a lease from
+	// then.
 	directLaunchAt time.Time
 	// holder is the controller that answers the machine's reports; nil: the leader.
 	holder *Holder
-	// Lost: the lease has run out without a message; nothing is on the machine.
+	// Lost: the lease has expired without a message; nothing is on the machine.
 	Lost bool
 	// LostAt is when the machine was found Lost.
 	LostAt time.Time
-	// RecallAt is when the machine is taken back, as a notice in the worker's report
-	// said; zero: no notice.
+	// RecallAt is when the cloud reclaims the machine, according to the notice in the
+	// worker's last message; zero: no notice.
 	RecallAt time.Time
 
 	// Slots are the placements that may be on the machine.
 	Slots map[Key]*Slot
 	// CallInFlight: a direct command is under way.
 	CallInFlight bool
-	// NextCallAt holds back direct commands after failures, Failures in a row.
+	// NextCallAt is when the next direct command may be sent, after a number of
+	// consecutive Failures.
 	NextCallAt time.Time
 	Failures   int
-	Releasing  bool
-	Draining   bool // no more launches, ever
-	IdleFrom   time.Time
+	Releasing  bool      // being returned to the cloud
+	Draining   bool      // no more launches, ever
+	IdleFrom   time.Time // when the machine became idle
 
-	// Errors counts unexplained failures in a row; ErrorJobs their jobs.
+	// Errors counts consecutive unexplained failures of tasks; ErrorJobs are their jobs.
 	Errors    int
 	ErrorJobs map[*job.Job]bool
-	// Slow counts tasks in a row that ran far longer than elsewhere.
+	// Slow counts consecutive tasks that ran far longer than elsewhere.
 	Slow int
-	// Images is the cache as far as it can be told, most recent last.
+	// Images is the estimated content of the image cache, most recently used last.
 	Images []Image
 
-	// What the placements take, kept by recount.
+	// The sums over the placements, updated by Recount.
+
+	// CPUs, GPUs and MemGB are the resources that the placements take.
 	CPUs, GPUs, MemGB float64
-	Queue, Jobs       int
+	// Jobs counts the active placements, Queue those of them that do not run yet.
+	Queue, Jobs int
 	// ReportedExits counts the exits that the worker still reports.
 	ReportedExits int
-	// CancelledInFlight counts the launches of cancelled jobs that may still be on their way.
+	// CancelledInFlight counts the launches of cancelled jobs that may not have arrived
+	// yet.
 	CancelledInFlight int
 
-	messages        uint64
-	awaitingCommand bool
+	messages        uint64 // counts the fresh messages of the worker
+	awaitingCommand bool   // in Fleet.awaitingCommand
 }
 
-// OutboundCut reports whether the worker is known to live and to reach no controller.
-func (h *Host) OutboundCut() bool { return !h.OutboundCutAt.IsZero() }
-
-// InboundCut reports whether the worker is known not to take in what is sent to it.
-func (h *Host) InboundCut() bool { return !h.InboundCutAt.IsZero() }
-
-// InheritedJob is a job that an earlier leader may have launched on a machine. The team
-// is kept for a job that is over, and is -1 where it is not known.
+// InheritedJob is a job that an earlier leader may have launched on a machine.
 type InheritedJob struct {
 	ID   string
-	Team int
+	Team int // index of the team; -1: not known
 }
 
 // Image is a cached image.
@@ -125,7 +128,7 @@
 	return false
 }
 
-// UseImage notes the use of an image; cacheGB bounds the cache.
+// UseImage notes the use of an image of gb gigabytes; cacheGB bounds the cache.
 func (h *Host) UseImage(image int, gb, cacheGB float64) {
 	for i, im := range h.Images {
 		if im.Index == image {
@@ -133,7 +136,7 @@
 			return
 		}
 	}
-	h.Images = append(h.Images, Image{image, gb})
+	h.Images = append(h.Images, Image{Index: image, GB: gb})
 	sum := 0.0
 	for _, im := range h.Images {
 		sum += im.GB
@@ -144,9 +147,15 @@
 	}
 }
 
-// Recount sums up what the placements take.
+// Recount recomputes the sums over the placements.
 func (h *Host) Recount() {
-	h.CPUs, h.GPUs, h.MemGB, h.Queue, h.Jobs, h.ReportedExits, h.CancelledInFlight = 0, 0, 0, 0, 0, 0, 0
+	h.CPUs = 0
+	h.GPUs = 0
+	h.MemGB = 0
+	h.Queue = 0
+	h.Jobs = 0
+	h.ReportedExits = 0
+	h.CancelledInFlight = 0
 	for _, s := range h.Slots {
 		if !s.Active() {
 			h.ReportedExits++
@@ -171,8 +180,9 @@
 // Busy reports whether anything may be on the machine.
 func (h *Host) Busy() bool { return h.Jobs > 0 }
 
-// Usable reports whether the machine may get launches. Where one of a cancelled job may
-// still be on its way the session may have to end, and with it whatever runs by then.
+// Usable reports whether the machine may get launches. It may not while a launch of a
+// cancelled job may not have arrived yet: the worker's session may have to end for that,
+// and with it every task that runs there.
 func (h *Host) Usable() bool {
 	return h.Known && h.Durable && h.Fenced && !h.Lost && !h.Releasing && !h.Draining && h.RecallAt.IsZero() &&
 		!h.InboundCut() && !h.CallUnanswered && !h.OutboundCut() && !h.RenewalStopped && h.CancelledInFlight == 0
--- a/internal/fleet/observe.go
+++ b/internal/fleet/observe.go
@@ -2,21 +2,22 @@
 
 import (
 	"time"
+
 	"vetchstream/internal/job"
 	"vetchstream/internal/wire"
 )
 
-// Result says what Observe made of a message.
+// Result is the result of Observe.
 type Result struct {
-	// Events are the changes of slots that the message brought.
+	// Events are the changes of slots that the message has caused.
 	Events []Event
-	// Fresh: the message is newer than all others of the worker.
+	// Fresh: the message is newer than all earlier ones of the worker.
 	Fresh bool
-	// Deposed: the worker has seen a later term than ours.
+	// Deposed: the worker has seen a later term than this leader's.
 	Deposed bool
 }
 
-// observation is a message that is being taken in, with what it has shown so far.
+// observation is a message that is being processed, with what it has shown so far.
 type observation struct {
 	fleet    *Fleet
 	host     *Host
@@ -24,13 +25,16 @@
 	isReport bool
 	now      time.Time
 	events   []Event
-	// missedLaunch: the message shows that something sent before was not taken in; hears: that
-	// something was.
-	missedLaunch, receives bool
+	// missedLaunch: the message shows that the worker has not received something that
+	// was sent to it before.
+	missedLaunch bool
+	// receives: the message shows that the worker has received something.
+	receives bool
 }
 
-// Observe takes in a message. isReport is true for check-ins, whose answers
-// renew the lease, and false for the answers to direct commands.
+// Observe updates the ledger with a message of a machine's worker. isReport is true for
+// reports, whose answers renew the lease, and false for the answers to direct
+// commands. find returns the job of an ID.
 func (f *Fleet) Observe(h *Host, m *wire.Report, isReport bool, now time.Time, find func(id string) *job.Job) Result {
 	if m.Token > f.Term {
 		return Result{Deposed: true}
@@ -44,12 +48,19 @@
 	if m.Session < h.Session || (m.Session == h.Session && m.Seq <= h.seq) {
 		return Result{}
 	}
-	// A held-back message of a session whose lease has certainly ended would
-	// bring its dead tasks back.
+	// A delayed message of a session whose lease has certainly expired would bring back
+	// its tasks, which are gone.
 	if h.Lost && m.Session == h.Session {
 		return Result{}
 	}
-	o := &observation{fleet: f, host: h, message: m, isReport: isReport, now: now, receives: !isReport}
+	o := &observation{
+		fleet:    f,
+		host:     h,
+		message:  m,
+		isReport: isReport,
+		now:      now,
+		receives: !isReport,
+	}
 	if isReport {
 		h.OutboundCutAt = time.Time{}
 	}
@@ -71,8 +82,9 @@
 	return Result{Fresh: true, Events: o.events}
 }
 
-// markRenewed notes that the worker may be waiting for the answer to a report, which renews its
-// lease. A report that is older than a direct answer may be that one too.
+// markRenewed notes that the worker may be waiting for the answer to the report m, which
+// renews its lease. That holds also for a report that is older than the answer to a
+// direct command.
 func (h *Host) markRenewed(m *wire.Report, now time.Time) {
 	if h.Lost && m.Session <= h.Session {
 		return
@@ -85,35 +97,44 @@
 	}
 }
 
-// beginSession takes in that the worker's session is a later one: nothing of the one before
-// is on the machine.
+// beginSession notes that the worker has begun a later session: nothing of the one
+// before is on the machine.
 func (o *observation) beginSession() {
 	h := o.host
 	if h.Session != 0 {
 		if !o.isReport && !h.OutboundCut() {
 			h.OutboundCutAt = o.now
 		}
-		// Its lease has run out although its reports were answered.
+		// The lease has expired although the worker's reports were answered.
 		o.missedLaunch = o.isReport && !h.Lost && !h.RenewalStopped
 		o.events = append(o.events, o.fleet.removeSlots(h)...)
 		h.Images = nil
 	}
-	h.Session, h.Fenced, h.RenewalStopped, h.reportSeq = o.message.Session, false, false, 0
+	h.Session = o.message.Session
+	h.Fenced = false
+	h.RenewalStopped = false
+	h.Lost = false
+	h.reportSeq = 0
 	if o.isReport {
 		h.reportSeq = o.message.Seq
 	}
-	h.Lost = false
-	// A new session has its full lease from its own begin, which may be as late
-	// as this message, whether or not a report was ever answered in it. Counting
-	// from the last report alone would call tasks gone that a direct command has
-	// just started.
+	// A new session has its full lease from its own begin, which may be as late as this
+	// message, whether or not a report was answered in it. Counted from the last report,
+	// the lease would seem expired while a task runs that a direct command has just
+	// started.
 	h.renewedAt = o.now
 }
 
-// observeHost takes in what the message says of the machine itself.
+// minNotice is the least notice in seconds that is counted for a machine that is to be
+// reclaimed.
+const minNotice = 0.001
+
+// observeHost updates the machine itself.
 func (o *observation) observeHost() {
 	h, m := o.host, o.message
-	h.seq, h.Booting, h.CallUnanswered = m.Seq, false, false
+	h.seq = m.Seq
+	h.Booting = false
+	h.CallUnanswered = false
 	if m.Token == o.fleet.Term {
 		h.Fenced = true
 	}
@@ -122,12 +143,12 @@
 	}
 	h.RecallAt = time.Time{}
 	if m.Notice != nil {
-		h.RecallAt = o.now.Add(time.Duration(max(0.001, *m.Notice) * float64(time.Second)))
+		h.RecallAt = o.now.Add(time.Duration(max(minNotice, *m.Notice) * float64(time.Second)))
 	}
 	h.messages++
 }
 
-// observeTask takes in what the message says of one task.
+// observeTask updates the slot of a task that the message shows.
 func (o *observation) observeTask(t *wire.TaskReport, find func(id string) *job.Job) {
 	id, task, ok := job.SplitTask(t.Task)
 	if !ok {
@@ -137,38 +158,48 @@
 	if int(task) >= j.Tasks {
 		return // the job has no such task
 	}
-	h, k := o.host, Key{j, task, t.Attempt}
-	s := h.Slots[k]
-	if s == nil {
-		s = &Slot{Key: k, Host: h, Adopted: true, PlacedAt: o.now}
-		if t.Phase == wire.Exited {
-			s.Phase = wire.Pulling
-		}
-		o.fleet.addSlot(h, s)
-	}
-	s.lastShownMessage = h.messages
+	s := o.slot(Key{Job: j, Task: task, Attempt: t.Attempt}, t.Phase)
+	s.lastShownMessage = o.host.messages
 	o.receives = o.receives || (s.Sent && !s.Seen)
-	s.Sent, s.Seen, s.Direct = true, true, false
-	was := s.Phase
-	if was == wire.Exited {
+	s.Sent = true
+	s.Seen = true
+	s.Direct = false
+	previous := s.Phase
+	if previous == wire.Exited {
 		return
 	}
-	s.Phase, s.Cause, s.Saved = t.Phase, t.Cause, t.Saved
+	s.Phase = t.Phase
+	s.Cause = t.Cause
+	s.Saved = t.Saved
 	if s.Health == wire.HealthGood && t.Health == wire.HealthBad {
-		o.events = append(o.events, Event{TurnedUnhealthy, s})
+		o.events = append(o.events, Event{Kind: TurnedUnhealthy, Slot: s})
 	}
 	s.Health = t.Health
 	s.UpdateHealth(o.now)
 	switch {
 	case t.Phase == wire.Exited:
 		j.AddLive(task, -1)
-		o.events = append(o.events, Event{Ended, s})
-	case t.Phase == wire.Running && was != wire.Running:
+		o.events = append(o.events, Event{Kind: Ended, Slot: s})
+	case t.Phase == wire.Running && previous != wire.Running:
 		s.RunAt = o.now
-		o.events = append(o.events, Event{Started, s})
+		o.events = append(o.events, Event{Kind: Started, Slot: s})
 	}
 }
 
+// slot returns the slot of a placement, and adds one if the ledger has none: an earlier
+// leader has made the placement.
+func (o *observation) slot(k Key, phase string) *Slot {
+	if s := o.host.Slots[k]; s != nil {
+		return s
+	}
+	s := &Slot{Key: k, Host: o.host, Adopted: true, PlacedAt: o.now}
+	if phase == wire.Exited {
+		s.Phase = wire.Pulling // so that the exit counts as a change
+	}
+	o.fleet.addSlot(o.host, s)
+	return s
+}
+
 // settleUnreported settles the placements that the message does not show.
 func (o *observation) settleUnreported() {
 	for _, s := range o.host.Slots {
@@ -177,35 +208,14 @@
 		case s.Seen:
 			o.events = append(o.events, o.fleet.removeSlot(o.host, s, Gone)...)
 		case s.Direct:
-			// Settled by its own answer, a new session or the lease, not by this.
+			// The answer to the command, a new session or the end of the lease settles it; a
+			// report does not.
 		case o.isReport && o.message.Seq > s.answeredSeq:
-			// One report is in flight at a time and late answers are dropped, so the
-			// next report settles the launch. The answer to a direct command does
-			// not: it can overtake the answer that carries the launch.
+			// The worker has one report in flight at a time and drops late answers, so its
+			// next report settles the launch. The answer to a direct command does not: it
+			// can overtake the answer that carries the launch.
 			o.events = append(o.events, o.fleet.removeSlot(o.host, s, NeverStarted)...)
 			o.missedLaunch = true
 		}
 	}
 }
-
-// haltInterval is how often a halt is repeated while its task is still there.
-const haltInterval = 1500 * time.Millisecond
-
-// haltDue reports whether a halt is to be sent, again or for the first time. One that
-// is saving is left to it, unless it has no time to save: its job is cancelled, and a
-// lost halt would let it save for as long as it likes.
-func (s *Slot) haltDue(now time.Time) bool {
-	return s.Stopping && s.Active() && (s.HaltSentAt.IsZero() || now.Sub(s.HaltSentAt) >= haltInterval && (s.Phase != wire.Saving || s.Grace == 0))
-}
-
-// resendAfter is how old a direct launch must be, that nothing has settled, before
-// it is sent once more. A direct command ends sooner.
-const resendAfter = 4 * time.Second
-
-// resendDue reports whether a direct launch was perhaps lost: no report has shown
-// it, and its call is over. Without a second copy it would hold its room, and its
-// task, for as long as the worker goes on reporting.
-func (s *Slot) resendDue(now time.Time) bool {
-	return s.Sent && s.Direct && !s.Seen && s.Active() && !s.Host.CallInFlight && now.Sub(s.PlacedAt) >= resendAfter &&
-		now.Sub(s.resentAt) >= resendAfter && s.Job.Closing+s.Job.Phase == ""
-}
--- a/internal/fleet/renewal.go
+++ b/internal/fleet/renewal.go
@@ -2,31 +2,33 @@
 
 import "time"
 
-// The invariant of this file: a worker's lease is not renewed beyond the moment from
-// which it could outlast the time that a cancelled task has to be gone, as long as a
-// placement of a cancelled job may be on the machine, or may still be started there, and
-// the renewal does not itself end it.
+// The invariant of this file: a cancelled task must be gone within Fleet.CancelTime. While
+// a placement of a cancelled job may be on a machine, or may still start there, the
+// worker's lease is not renewed beyond that deadline, unless the renewal itself halts the
+// task.
 //
-// A halt ends what the worker has. It does not end a launch by direct command that is
-// still on its way: while session and token stay as they are the worker carries that out,
-// minutes later too, and only the end of its session certainly refuses it. A worker whose
-// reports go unanswered ends its session by itself, within a lease. So the leader answers
-// such a machine's reports until the limit and not after it, and a holder, which answers
-// without halts, gives the machine back before the limit.
+// A halt stops a task that the worker has. It does not stop a launch by direct command
+// that is still on its way: as long as its session and fencing token stay the same, the
+// worker executes such a launch even minutes later. Only the end of the session makes
+// certain that it is refused. A worker whose reports go unanswered ends its session by
+// itself within a lease. So the leader answers the reports of such a machine until the
+// renewal limit and not after it, and a holder, whose answers carry no halts, returns the
+// machine before the limit.
 
-// cancelPending reports whether the slot may be, or come to be, a task of a cancelled job on
+// cancelPending reports whether a task of a cancelled job may be, or may still start, on
 // the machine.
 func (s *Slot) cancelPending() bool { return s.Sent && s.Active() && s.Job.Cancelled() }
 
-// inFlight reports whether the launch of the slot may still be on its way.
+// inFlight reports whether the launch of the slot may not have arrived yet.
 func (s *Slot) inFlight() bool { return s.Direct && !s.Seen }
 
-// renewalLimit is the last moment at which a lease that the slot can go on under may be
-// renewed. The fleet's lease has the drift of the clocks and the granularity of timers in it.
+// renewalLimit is the latest time at which the lease of a machine with the slot may be
+// renewed: the lease then expires by the deadline. The fleet's lease includes the drift
+// of the clocks and the granularity of timers.
 func (f *Fleet) renewalLimit(s *Slot) time.Time { return s.Job.CancelledAt.Add(f.CancelTime - f.Lease) }
 
-// RenewalLimit is the last moment at which a controller that sends no halts may answer the
-// machine's reports; bounded is false while it may at any time.
+// RenewalLimit is the latest time at which a controller that sends no halts may answer the
+// machine's reports; bounded is false if there is none.
 func (f *Fleet) RenewalLimit(h *Host) (limit time.Time, bounded bool) {
 	for _, s := range h.Slots {
 		if !s.cancelPending() {
@@ -39,9 +41,9 @@
 	return limit, bounded
 }
 
-// Renewable reports whether the leader may answer a report of the machine. The answer halts
-// all that the worker has shown of cancelled jobs, up to the limit of orders, and can do
-// nothing about what is still on its way.
+// Renewable reports whether the leader may answer a report of the machine with the given
+// limit of orders. The answer halts the tasks of cancelled jobs that the worker has
+// reported, but not launches that have not arrived yet.
 func (f *Fleet) Renewable(h *Host, now time.Time, orders int) bool {
 	halts := 0
 	for _, s := range h.Slots {
@@ -56,8 +58,8 @@
 	return halts <= orders
 }
 
-// StopRenewal notes that the machine's reports go unanswered until its session has ended, and
-// takes back what waits to be sent there.
+// StopRenewal notes that the machine's reports go unanswered until its session has ended,
+// and removes the launches that were not sent to it.
 func (f *Fleet) StopRenewal(h *Host) []Event {
 	h.RenewalStopped = true
 	return f.RemoveUnsent(h)
--- a/internal/fleet/renewal_test.go
+++ b/internal/fleet/renewal_test.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// renewal is a case of the tests below.
-type renewal struct {
+// renewalCase is a case of the tests below.
+type renewalCase struct {
 	name string
 	do   func(b *ledgerFixture)
 }
@@ -45,7 +45,7 @@
 // TestRenewal: the lease of a machine that a cancelled job may be on, or may come to, is not
 // renewed beyond what the job's user was told.
 func TestRenewal(t *testing.T) {
-	tests := []renewal{
+	tests := []renewalCase{
 		{"a launch on its way: until the limit, not from it on", func(b *ledgerFixture) {
 			inFlight(b)
 			b.now = b.now.Add(limit - time.Millisecond)
@@ -94,7 +94,7 @@
 
 // TestRenewalBeside: what else the bound concerns, and what it does not.
 func TestRenewalBeside(t *testing.T) {
-	tests := []renewal{
+	tests := []renewalCase{
 		{"more to halt than an answer holds", func(b *ledgerFixture) {
 			b.msg(true, 1, 1, term, map[uint64]string{1: wire.Running, 2: wire.Running})
 			b.cancel()
--- a/internal/fleet/slot.go
+++ b/internal/fleet/slot.go
@@ -2,11 +2,12 @@
 
 import (
 	"time"
+
 	"vetchstream/internal/job"
 	"vetchstream/internal/wire"
 )
 
-// Key names one placement.
+// Key identifies one placement: an attempt at a task.
 type Key struct {
 	Job     *job.Job
 	Task    int32
@@ -17,45 +18,50 @@
 type Slot struct {
 	Key
 	Host *Host
-	// Phase is the worker's word, or empty before the first one.
+	// Phase is the phase that the worker has last reported (wire.Running and others),
+	// empty before the first report; Cause is the cause of an exit, and Saved whether the
+	// task has saved its progress.
 	Phase string
 	Cause string
 	Saved bool
-	// Health is the worker's word on a running replica, Checked what the last check
-	// of it said (the same words; empty: nothing).
+	// Health is the health of a running replica as the worker reports it, ProbeHealth the
+	// result of the controllers' last check of it, in the same words; empty: none.
 	Health, ProbeHealth string
-	// UnhealthySince is since when either has said that it is bad; zero: neither does.
+	// UnhealthySince is since when either of them is bad; zero: neither is.
 	UnhealthySince time.Time
-	// Sent: the launch has left, or may have. Before that the slot only holds
-	// its room.
+	// Sent: the launch was sent, or may have been. Before that the slot only reserves its
+	// resources.
 	Sent bool
-	// Seen: a message of this session has shown the slot.
+	// Seen: a message of this session has shown the task.
 	Seen bool
-	// Direct: launched by a direct command; such a launch is not settled by a
-	// report that lacks it, because it can arrive minutes later.
+	// Direct: the launch was sent by a direct command. A report that does not show the
+	// task does not settle such a launch, which can arrive minutes later.
 	Direct bool
-	// answeredSeq is the report whose answer carried the launch.
+	// answeredSeq is the number of the report whose answer carried the launch.
 	answeredSeq uint64
-	// resentAt is when a direct launch without a clear answer was last sent once more.
-	// A copy of such a launch may still arrive: the exit is not cleared while it can.
+	// resentAt is when a direct launch whose outcome is unknown was last sent again. A
+	// copy may still arrive after the exit, so the exit is not cleared.
 	resentAt time.Time
+	// PlacedAt is when the placement was made or, once Sent, when its launch was sent.
 	PlacedAt time.Time
-	RunAt    time.Time
-	// Adopted: met in a report, so its begin is not known.
+	// RunAt is when a message first showed the task running.
+	RunAt time.Time
+	// Adopted: the placement was found in a message, so its start time is not known.
 	Adopted bool
-	// Stopping: the placement has to go; Grace is the time to save, Halted when
-	// the last halt was sent.
+	// Stopping: the task is to be stopped. Grace is the time in seconds that it has to
+	// save its progress, HaltSentAt when the last halt was sent.
 	Stopping   bool
 	Grace      float64
 	HaltSentAt time.Time
-	// Settled: the exit has been dealt with, durably where it matters, so the
-	// worker may forget it.
+	// Settled: the exit has been handled, durably where it matters, so the worker may
+	// forget it.
 	Settled bool
-	// lastShownMessage is the last message of the worker that has the slot, by Host.messages.
+	// lastShownMessage is the value of Host.messages at the last message that showed the
+	// task.
 	lastShownMessage uint64
 }
 
-// UpdateHealth notes since when the slot has been bad, after a word on its health.
+// UpdateHealth updates UnhealthySince after a change of Health or ProbeHealth.
 func (s *Slot) UpdateHealth(now time.Time) {
 	switch bad := s.Health == wire.HealthBad || s.ProbeHealth == wire.HealthBad; {
 	case !bad:
@@ -65,28 +71,28 @@
 	}
 }
 
-// Active reports whether the task may take room on its machine.
+// Active reports whether the task may use resources of its machine.
 func (s *Slot) Active() bool { return s.Phase != wire.Exited }
 
-// EventKind says what became of a slot.
+// EventKind is the kind of a change of a slot.
 type EventKind uint8
 
 const (
 	// Started means that the slot was first seen running.
 	Started EventKind = iota
-	// Ended means that the worker reports the exit; the slot stays until it is cleared.
+	// Ended means that the worker reports the exit; the slot remains until it is cleared.
 	Ended
-	// Gone means that the slot has certainly left without a word about its result.
+	// Gone means that the task is certainly gone, with no report of its result.
 	Gone
 	// NeverStarted means that the launch was certainly not executed.
 	NeverStarted
-	// TurnedUnhealthy means that the worker says that a replica that was good is bad.
+	// TurnedUnhealthy means that the worker reports a replica as bad that was good.
 	TurnedUnhealthy
 )
 
-// Event tells the leader about a slot.
+// Event is a change of a slot that the leader has to handle.
 type Event struct {
-	// Kind is what happened to Slot.
+	// Kind is what has happened to Slot.
 	Kind EventKind
 	Slot *Slot
 }
