--- a/internal/control/late_transactions_test.go
+++ b/internal/control/late_transactions_test.go
@@ -18,7 +18,7 @@
 // one. What the newer one says is retained, also by the next leader.
 func TestLateResults(t *testing.T) {
 	tests := []struct {
-		name  string
+		name     string
 		outcomes []commitOutcome // of the writes of results
 	}{
 		{"the first", []commitOutcome{appliedAfterNewer}},
--- a/internal/control/shards.go
+++ b/internal/control/shards.go
@@ -281,7 +281,7 @@
 			continue // it was returned meanwhile
 		}
 		h.ClearHolder(f.Until)
-		k := moveKind{f.From, f.Why}
+		k := moveKind{f.From, f.Reason}
 		m := sh.told[k]
 		if m == nil {
 			m = &moved{}
@@ -289,7 +289,7 @@
 		}
 		m.machines++
 		m.longest = max(m.longest, now.Sub(f.Since))
-		sh.c.Meter.Add(metrics.ShareMoves, f.Why, 1)
+		sh.c.Meter.Add(metrics.ShareMoves, f.Reason, 1)
 		sh.again(f.Name)
 	}
 }
--- a/internal/control/shards_reclaim.go
+++ b/internal/control/shards_reclaim.go
@@ -12,7 +12,7 @@
 // only be renewed by answers that carry halts.
 func (sh *shards) keep(h *fleet.Host, now time.Time) {
 	limit, bounded := sh.fleet.RenewalLimit(h)
-	if !bounded || limit.Sub(now) > sh.allot.HandoverTime()+2*urgentEvery {
+	if !bounded || limit.Sub(now) > sh.allot.RevocationTime()+2*urgentEvery {
 		return
 	}
 	sh.kept[h] = struct{}{}
--- a/internal/fleet/explore_test.go
+++ b/internal/fleet/explore_test.go
@@ -122,7 +122,7 @@
 // keep takes the machine back from its holder when it is time.
 func (w *world) keep() {
 	limit, bounded := w.fleet.RenewalLimit(w.host)
-	early := w.assigner.HandoverTime()
+	early := w.assigner.RevocationTime()
 	if w.disabled == returnAllowsForGrant {
 		early = 0
 	}
--- a/internal/shard/explore_test.go
+++ b/internal/shard/explore_test.go
@@ -118,7 +118,7 @@
 	}
 	c := *r
 	if m := w.lead.members[c.Member]; w.out == tookIn && m != nil {
-		c.Number, c.Term = m.number, w.lead.term
+		c.Number, c.Term = m.lastReply, w.lead.term
 	}
 	if w.out == toldBeforeGone {
 		c.Reports = nil
@@ -247,8 +247,8 @@
 func (w *world) Broken() string {
 	if w.out == untilOver {
 		for _, m := range w.lead.members {
-			if len(m.machines) > 0 && w.now.Sub(m.heard) >= tick {
-				w.freed(w.lead.silent(m, w.now, "", w.now))
+			if len(m.machines) > 0 && w.now.Sub(m.heardAt) >= tick {
+				w.freed(w.lead.revokeAll(m, w.now, "", w.now))
 			}
 		}
 	}
@@ -289,16 +289,16 @@
 	for k, n := range w.names {
 		mc := a.machines[n]
 		h, _ := a.Holder(n)
-		p.Say(h, mc.phase, !mc.sentAt.IsZero())
+		p.Say(h, mc.phase, !mc.redirectedAt.IsZero())
 		if h != "" {
-			p.Say(int64(mc.tag) - int64(mc.m.acked))
+			p.Say(int64(mc.announcedIn) - int64(mc.holder.ackedReply))
 		}
 		p.At(w.answered[k], w.known[k])
 	}
 	for i := range w.sides {
 		s := &w.sides[i]
-		p.Say("|", s.req != nil, s.reply != nil, s.late != nil, s.h.Term(), len(s.h.have))
-		p.At(s.h.until)
+		p.Say("|", s.req != nil, s.reply != nil, s.late != nil, s.h.Term(), len(s.h.previousHosts))
+		p.At(s.h.grantUntil)
 		if s.req != nil || s.reply != nil {
 			p.At(s.sent)
 		}
@@ -307,12 +307,12 @@
 		}
 		for _, n := range w.names {
 			if k := s.h.machines[n]; k != nil {
-				p.Say(n, k.dropped, k.reports-k.told)
+				p.Say(n, k.dropped, k.lastReport-k.acknowledgedReport)
 			}
 		}
 		if m := a.members[fmt.Sprintf("h%d", i)]; m != nil {
-			p.Say(m.joined, m.leaving, m.fresh, m.number-m.acked, m.life == s.life, int64(s.h.number)-int64(m.acked))
-			p.At(m.until, m.heard, m.ackedAt, m.told, m.notUntil)
+			p.Say(m.joined, m.leavingReason, m.needsReset, m.lastReply-m.ackedReply, m.incarnation == s.life, int64(s.h.lastReply)-int64(m.ackedReply))
+			p.At(m.grantUntil, m.heardAt, m.ackedAt, m.knownUntil, m.noJoinBefore)
 		}
 	}
 	return p.String()
--- a/internal/shard/holder.go
+++ b/internal/shard/holder.go
@@ -39,49 +39,49 @@
 	attempt uint64
 }
 
-// held is a machine of the share.
-type held struct {
+// heldMachine is a machine of the share.
+type heldMachine struct {
 	// dropped: taken away; kept until what it reported before has been told.
-	dropped      bool
-	session, seq uint64
-	digest       uint64
-	known        bool // the digest is that of a report
-	exits        []placement
-	settled      []placement
+	dropped       bool
+	session, seq  uint64
+	digest        uint64
+	known         bool // the digest is that of a report
+	reportedExits []placement
+	settledExits  []placement
 	// tasks are those that the last report in full shows and that have not exited,
 	// acknowledged those of the last one that the leader has been told of.
-	tasks        []placement
-	acknowledged []placement
-	// reports counts what has come, told those that the leader has. full is the last
+	tasks             []placement
+	acknowledgedTasks []placement
+	// lastReport counts what has come, told those that the leader has. full is the last
 	// report that differs from the one before, while fullAt is above told.
-	reports, told uint64
-	full          []byte
-	fullAt        uint64
-	at            time.Time // of the last report
+	lastReport, acknowledgedReport uint64
+	fullReport                     []byte
+	fullReportAt                   uint64
+	reportedAt                     time.Time // of the last report
 }
 
 // Holder deals with a share under the grant of the leader. Its owner guards it.
 type Holder struct {
-	member, zone string
-	life, seq    uint64
-	term, number uint64
-	until        time.Time
-	machines     map[string]*held
-	have         []string
-	done         []CallResult
-	flight       map[string]uint64 // reports of the request under way, by machine
-	sentDone     int
+	member, zone        string
+	incarnation, seq    uint64
+	term, lastReply     uint64
+	grantUntil          time.Time
+	machines            map[string]*heldMachine
+	previousHosts       []string
+	callResults         []CallResult
+	reportsInFlight     map[string]uint64 // reports of the request under way, by machine
+	callResultsInFlight int
 }
 
 // NewHolder makes a holder without a grant. Life must be higher than that of the
 // member's process before.
 func NewHolder(member, zone string, life uint64) *Holder {
-	return &Holder{member: member, zone: zone, life: life, machines: map[string]*held{}}
+	return &Holder{member: member, zone: zone, incarnation: life, machines: map[string]*heldMachine{}}
 }
 
 // GrantValid reports whether the grant of the term holds. It is asked at each sending.
 func (h *Holder) GrantValid(term uint64, now time.Time) bool {
-	return term != 0 && term == h.term && now.Before(h.until)
+	return term != 0 && term == h.term && now.Before(h.grantUntil)
 }
 
 // Term is the term of the last grant; 0: none.
@@ -125,106 +125,106 @@
 	if k == nil || k.dropped {
 		return nil, NotHeld
 	}
-	if !now.Before(h.until) || m.Token > h.term {
+	if !now.Before(h.grantUntil) || m.Token > h.term {
 		return nil, GrantExpired
 	}
 	if m.Session < k.session || (m.Session == k.session && m.Seq <= k.seq) {
 		// Held back on its way. An answer would renew nothing that a newer one has not.
 		return nil, GrantExpired
 	}
-	k.session, k.seq, k.at = m.Session, m.Seq, now
-	k.reports++
+	k.session, k.seq, k.reportedAt = m.Session, m.Seq, now
+	k.lastReport++
 	outcome := Answered
 	d := digest(m)
 	if !k.known || d != k.digest || m.Notice != nil {
 		outcome = ReportChanged
-		k.list(m)
+		k.recordTasks(m)
 	}
-	if k.untold() {
+	if k.hasUnacknowledgedTask() {
 		outcome = LeaderRequired
 	}
 	if outcome != Answered {
 		k.digest, k.known = d, true
-		k.full, k.fullAt = slices.Clone(body), k.reports
+		k.fullReport, k.fullReportAt = slices.Clone(body), k.lastReport
 	}
 	orders := []wire.Order{}
-	k.settled = slices.DeleteFunc(k.settled, func(e placement) bool { return !slices.Contains(k.exits, e) })
-	for _, e := range k.settled {
+	k.settledExits = slices.DeleteFunc(k.settledExits, func(e placement) bool { return !slices.Contains(k.reportedExits, e) })
+	for _, e := range k.settledExits {
 		orders = append(orders, wire.Order{Op: wire.Clear, Task: e.task, Attempt: e.attempt})
 	}
 	return orders, outcome
 }
 
-// list notes what a report shows.
-func (k *held) list(m *wire.Report) {
-	k.exits, k.tasks = k.exits[:0], k.tasks[:0]
+// recordTasks notes what a report shows.
+func (k *heldMachine) recordTasks(m *wire.Report) {
+	k.reportedExits, k.tasks = k.reportedExits[:0], k.tasks[:0]
 	for i := range m.Tasks {
 		t := &m.Tasks[i]
 		if t.Phase == wire.Exited {
-			k.exits = append(k.exits, placement{t.Task, t.Attempt})
+			k.reportedExits = append(k.reportedExits, placement{t.Task, t.Attempt})
 		} else {
 			k.tasks = append(k.tasks, placement{t.Task, t.Attempt})
 		}
 	}
 }
 
-// untold reports whether the last report shows a task of which the leader has not been told.
-func (k *held) untold() bool {
-	return slices.ContainsFunc(k.tasks, func(t placement) bool { return !slices.Contains(k.acknowledged, t) })
+// hasUnacknowledgedTask reports whether the last report shows a task of which the leader has not been told.
+func (k *heldMachine) hasUnacknowledgedTask() bool {
+	return slices.ContainsFunc(k.tasks, func(t placement) bool { return !slices.Contains(k.acknowledgedTasks, t) })
 }
 
 // acknowledge notes that the leader has been told of the reports up to that number.
-func (k *held) acknowledge(report uint64) {
-	k.told = max(k.told, report)
-	if k.told >= k.fullAt {
-		k.acknowledged = append(k.acknowledged[:0], k.tasks...)
+func (k *heldMachine) acknowledge(report uint64) {
+	k.acknowledgedReport = max(k.acknowledgedReport, report)
+	if k.acknowledgedReport >= k.fullReportAt {
+		k.acknowledgedTasks = append(k.acknowledgedTasks[:0], k.tasks...)
 	}
 }
 
-// requestBytes bounds the reports in a request, and doneBytes those in the ends of
+// maxReportBytes bounds the reports in a request, and doneBytes those in the ends of
 // commands: one more may come on top. The leader refuses larger messages, and a
 // request that it refuses would be made again for ever.
 const (
-	requestBytes = 128 << 10
-	doneBytes    = 64 << 10
+	maxReportBytes     = 128 << 10
+	maxCallResultBytes = 64 << 10
 )
 
 // Request makes the next request. Until Granted or Missed no other is made.
 func (h *Holder) Request(room, calls int, behind bool, now time.Time) *Request {
 	h.seq++
-	r := &Request{Member: h.member, Zone: h.zone, Incarnation: h.life, Seq: h.seq, Term: h.term, Number: h.number,
-		Capacity: room, Calls: calls, Overloaded: behind, PreviousHosts: h.have}
-	h.flight, h.sentDone = map[string]uint64{}, 0
+	r := &Request{Member: h.member, Zone: h.zone, Incarnation: h.incarnation, Seq: h.seq, Term: h.term, Number: h.lastReply,
+		Capacity: room, Calls: calls, Overloaded: behind, PreviousHosts: h.previousHosts}
+	h.reportsInFlight, h.callResultsInFlight = map[string]uint64{}, 0
 	size := 0
-	for i := range h.done {
-		if size > doneBytes {
+	for i := range h.callResults {
+		if size > maxCallResultBytes {
 			break
 		}
-		size += 64 + len(h.done[i].Report)
-		r.CallResults = append(r.CallResults, h.done[i])
-		h.sentDone++
+		size += 64 + len(h.callResults[i].Report)
+		r.CallResults = append(r.CallResults, h.callResults[i])
+		h.callResultsInFlight++
 	}
 	for name, k := range h.machines {
-		if k.reports == k.told {
+		if k.lastReport == k.acknowledgedReport {
 			continue
 		}
-		if size > requestBytes {
+		if size > maxReportBytes {
 			r.More = true
 			break
 		}
-		e := HostReport{Host: name, Session: k.session, Seq: k.seq, AgeMs: now.Sub(k.at).Milliseconds()}
-		if k.fullAt > k.told {
-			e.Report = k.full
+		e := HostReport{Host: name, Session: k.session, Seq: k.seq, AgeMs: now.Sub(k.reportedAt).Milliseconds()}
+		if k.fullReportAt > k.acknowledgedReport {
+			e.Report = k.fullReport
 		}
 		size += 64 + len(e.Report)
-		h.flight[name] = k.reports
+		h.reportsInFlight[name] = k.lastReport
 		r.Reports = append(r.Reports, e)
 	}
 	return r
 }
 
 // RequestFailed notes that a request had no answer: the next one says all again.
-func (h *Holder) RequestFailed() { h.flight, h.sentDone = nil, 0 }
+func (h *Holder) RequestFailed() { h.reportsInFlight, h.callResultsInFlight = nil, 0 }
 
 // HandleReply takes in the reply to the request that was sent at the time given, and
 // returns the commands to be sent.
@@ -234,38 +234,38 @@
 		return nil
 	}
 	if r.Term > h.term || r.Reset {
-		h.forget()
+		h.reset()
 	} else {
-		for name, n := range h.flight {
+		for name, n := range h.reportsInFlight {
 			if k := h.machines[name]; k != nil {
 				k.acknowledge(n)
 			}
 		}
-		h.done = slices.Delete(h.done, 0, h.sentDone)
+		h.callResults = slices.Delete(h.callResults, 0, h.callResultsInFlight)
 	}
 	h.RequestFailed()
-	h.term, h.number, h.have = r.Term, r.Number, nil
+	h.term, h.lastReply, h.previousHosts = r.Term, r.Number, nil
 	if r.ForMs > 0 {
 		d := time.Duration(r.ForMs) * time.Millisecond
-		h.until = sent.Add(d - drift(d))
+		h.grantUntil = sent.Add(d - drift(d))
 	} else {
-		h.until = time.Time{}
+		h.grantUntil = time.Time{}
 	}
 	for _, name := range r.Drop {
 		if k := h.machines[name]; k != nil {
-			k.dropped, k.settled = true, nil
+			k.dropped, k.settledExits = true, nil
 		}
 	}
 	for _, name := range r.Add {
 		if k := h.machines[name]; k == nil {
-			h.machines[name] = &held{}
+			h.machines[name] = &heldMachine{}
 		} else if k.dropped {
 			// The leader has answered it meanwhile: its next report is told in full.
 			k.dropped, k.known = false, false
 		}
 	}
 	for name, k := range h.machines {
-		if k.dropped && k.told == k.reports {
+		if k.dropped && k.acknowledgedReport == k.lastReport {
 			delete(h.machines, name)
 		}
 	}
@@ -284,35 +284,35 @@
 		return
 	}
 	for _, o := range s.Clears {
-		if e := (placement{o.Task, o.Attempt}); slices.Contains(k.exits, e) && !slices.Contains(k.settled, e) {
-			k.settled = append(k.settled, e)
+		if e := (placement{o.Task, o.Attempt}); slices.Contains(k.reportedExits, e) && !slices.Contains(k.settledExits, e) {
+			k.settledExits = append(k.settledExits, e)
 		}
 	}
 }
 
-// forget forgets what was held in an earlier term, or by the leader's word.
-func (h *Holder) forget() {
+// reset forgets what was held in an earlier term, or by the leader's word.
+func (h *Holder) reset() {
 	clear(h.machines)
-	h.done, h.until = nil, time.Time{}
+	h.callResults, h.grantUntil = nil, time.Time{}
 }
 
 // BecomeLeader forgets the share: the member leads itself.
 func (h *Holder) BecomeLeader() {
-	h.forget()
-	h.have = nil
+	h.reset()
+	h.previousHosts = nil
 }
 
 // EndTerm ends the grant of an earlier term. The leader of the new one is told what
 // there was.
 func (h *Holder) EndTerm() {
-	h.until, h.have = time.Time{}, nil
+	h.grantUntil, h.previousHosts = time.Time{}, nil
 	for name, k := range h.machines {
 		if !k.dropped && k.known {
-			h.have = append(h.have, name)
+			h.previousHosts = append(h.previousHosts, name)
 		}
 	}
-	slices.Sort(h.have)
+	slices.Sort(h.previousHosts)
 }
 
 // RecordCallResult notes what became of a command.
-func (h *Holder) RecordCallResult(d CallResult) { h.done = append(h.done, d) }
+func (h *Holder) RecordCallResult(d CallResult) { h.callResults = append(h.callResults, d) }
--- a/internal/shard/holder_test.go
+++ b/internal/shard/holder_test.go
@@ -76,7 +76,7 @@
 				for _, d := range q.CallResults {
 					size += len(d.Report)
 				}
-				say("%d up to %v", len(q.CallResults), size <= doneBytes+3<<10)
+				say("%d up to %v", len(q.CallResults), size <= maxCallResultBytes+3<<10)
 				h.HandleReply(&Reply{Term: 7, Number: n, ForMs: 2000}, now)
 			}
 		}, "21 up to true; 21 up to true; 21 up to true; 21 up to true; 16 up to true"},
--- a/internal/shard/members.go
+++ b/internal/shard/members.go
@@ -11,70 +11,70 @@
 
 // member is a controller that may hold a share.
 type member struct {
-	name, zone string
-	life, seq  uint64
-	// number is that of the last reply, acked that of the last one taken in. at are the
+	name, zone       string
+	incarnation, seq uint64
+	// lastReply is that of the last reply, acked that of the last one taken in. at are the
 	// times of the replies from acked on.
-	number, acked uint64
-	at            map[uint64]time.Time
-	ackedAt       time.Time
-	// until is when the last grant has ended for certain, in the leader's time.
-	until time.Time
-	// told is up to when all that the member has answered is known.
-	told     time.Time
-	since    time.Time // asks without a gap since
-	heard    time.Time
-	joined   bool
-	joinedAt time.Time
-	leaving  string // why it is to give everything back; empty: it is not
-	notUntil time.Time
-	rest     time.Duration
-	room     int
-	behind   time.Time // since when it has been short of processor; zero: it is not
-	strays   []time.Time
-	machines map[*machine]struct{}
-	pending  map[*machine]struct{} // of these, those in phase giving or taking
-	fresh    bool                  // it has to forget what it held
-	// freshAt is the first reply that says so. An acknowledgement of an earlier one,
+	lastReply, ackedReply uint64
+	replyTimes            map[uint64]time.Time
+	ackedAt               time.Time
+	// grantUntil is when the last grant has ended for certain, in the leader's time.
+	grantUntil time.Time
+	// knownUntil is up to when all that the member has answered is known.
+	knownUntil      time.Time
+	contactSince    time.Time // asks without a gap since
+	heardAt         time.Time
+	joined          bool
+	joinedAt        time.Time
+	leavingReason   string // why it is to give everything back; empty: it is not
+	noJoinBefore    time.Time
+	rejoinDelay     time.Duration
+	capacity        int
+	overloadedSince time.Time // since when it has been short of processor; zero: it is not
+	unreachedAt     []time.Time
+	machines        map[*machine]struct{}
+	pending         map[*machine]struct{} // of these, those in phase giving or taking
+	needsReset      bool                  // it has to forget what it held
+	// resetInReply is the first reply that says so. An acknowledgement of an earlier one,
 	// which may have added machines, does not settle it: the holder would go on with
 	// machines that are another's.
-	freshAt uint64
+	resetInReply uint64
 }
 
-// restMore lengthens the time for which a member that has left gets no machines. A
+// extendRejoinDelay lengthens the time for which a member that has left gets no machines. A
 // member that comes and goes every few seconds moves its share a few times only.
-func (a *Assigner) restMore(m *member, now time.Time) {
-	if now.Sub(m.joinedAt) > a.set.MaxRejoinDelay {
-		m.rest = 0
+func (a *Assigner) extendRejoinDelay(m *member, now time.Time) {
+	if now.Sub(m.joinedAt) > a.settings.MaxRejoinDelay {
+		m.rejoinDelay = 0
 	}
-	m.rest = min(max(a.set.RejoinDelay, 2*m.rest), a.set.MaxRejoinDelay)
-	m.notUntil = now.Add(m.rest)
+	m.rejoinDelay = min(max(a.settings.RejoinDelay, 2*m.rejoinDelay), a.settings.MaxRejoinDelay)
+	m.noJoinBefore = now.Add(m.rejoinDelay)
 }
 
-// leave lets a member give back what it has, at the ordinary pace.
-func (a *Assigner) leave(m *member, why string, now time.Time) {
-	if m.leaving != "" || !m.joined {
+// startLeaving lets a member give back what it has, at the ordinary pace.
+func (a *Assigner) startLeaving(m *member, why string, now time.Time) {
+	if m.leavingReason != "" || !m.joined {
 		return
 	}
-	m.leaving, a.stale = why, true
-	a.restMore(m, now)
+	m.leavingReason, a.candidatesStale = why, true
+	a.extendRejoinDelay(m, now)
 }
 
-// silent settles all machines of a member whose grants have ended.
-func (a *Assigner) silent(m *member, until time.Time, why string, now time.Time) []Revocation {
+// revokeAll settles all machines of a member whose grants have ended.
+func (a *Assigner) revokeAll(m *member, until time.Time, why string, now time.Time) []Revocation {
 	var out []Revocation
 	for k := range m.machines {
-		if k.phase != taking {
-			k.since, k.why = now, why
+		if k.phase != revoking {
+			k.since, k.reason = now, why
 		}
-		out = append(out, a.ends(k, until))
+		out = append(out, a.endHolding(k, until))
 	}
 	slices.SortFunc(out, func(x, y Revocation) int { return cmp.Compare(x.Name, y.Name) })
 	if m.joined {
-		m.joined, a.stale = false, true
-		a.restMore(m, now)
+		m.joined, a.candidatesStale = false, true
+		a.extendRejoinDelay(m, now)
 	}
-	m.leaving, m.fresh, m.freshAt, m.since = "", true, 0, now
+	m.leavingReason, m.needsReset, m.resetInReply, m.contactSince = "", true, 0, now
 	return out
 }
 
@@ -83,41 +83,41 @@
 func (a *Assigner) HandleRequest(r *Request, now time.Time) (freed []Revocation, ok bool) {
 	m := a.members[r.Member]
 	if m == nil {
-		m = &member{name: r.Member, zone: r.Zone, life: r.Incarnation, since: now, ackedAt: now, at: map[uint64]time.Time{},
-			machines: map[*machine]struct{}{}, pending: map[*machine]struct{}{}, fresh: true}
+		m = &member{name: r.Member, zone: r.Zone, incarnation: r.Incarnation, contactSince: now, ackedAt: now, replyTimes: map[uint64]time.Time{},
+			machines: map[*machine]struct{}{}, pending: map[*machine]struct{}{}, needsReset: true}
 		a.members[r.Member] = m
 	}
-	if r.Incarnation != m.life {
+	if r.Incarnation != m.incarnation {
 		// A request of a life that is over may come late. A clock that was set back is
 		// let in once every grant of the other life has ended.
-		if r.Incarnation < m.life && now.Before(m.until) {
+		if r.Incarnation < m.incarnation && now.Before(m.grantUntil) {
 			return nil, false
 		}
 		// The process before has ended, so it answers nothing after this.
-		freed = a.silent(m, now, "the holder was started anew", now)
-		m.life, m.seq, m.ackedAt = r.Incarnation, 0, now
-		clear(m.at)
+		freed = a.revokeAll(m, now, "the holder was started anew", now)
+		m.incarnation, m.seq, m.ackedAt = r.Incarnation, 0, now
+		clear(m.replyTimes)
 	}
 	if r.Seq <= m.seq {
 		return freed, false
 	}
-	m.seq, m.room, m.heard = r.Seq, r.Capacity, now
+	m.seq, m.capacity, m.heardAt = r.Seq, r.Capacity, now
 	switch {
 	case !r.Overloaded:
-		m.behind = time.Time{}
-	case m.behind.IsZero():
-		m.behind = now
+		m.overloadedSince = time.Time{}
+	case m.overloadedSince.IsZero():
+		m.overloadedSince = now
 	}
-	if r.Term == a.term && r.Number > m.acked {
+	if r.Term == a.term && r.Number > m.ackedReply {
 		more, known := a.acknowledge(m, r, now)
 		if !known {
 			return freed, false // no reply of ours
 		}
 		freed = append(freed, more...)
 	}
-	a.member(m, len(r.PreviousHosts) > 0, now)
+	a.admitMember(m, len(r.PreviousHosts) > 0, now)
 	if m.joined && r.Term != a.term {
-		a.adopt(m, r.PreviousHosts, now)
+		a.restoreHosts(m, r.PreviousHosts, now)
 	}
 	return freed, true
 }
@@ -125,57 +125,57 @@
 // acknowledge takes in which of the leader's replies a member has taken in last, and with it
 // the changes that the reply carried.
 func (a *Assigner) acknowledge(m *member, r *Request, now time.Time) (freed []Revocation, known bool) {
-	at, known := m.at[r.Number]
+	at, known := m.replyTimes[r.Number]
 	if !known {
 		return nil, false
 	}
-	m.acked, m.ackedAt = r.Number, now
+	m.ackedReply, m.ackedAt = r.Number, now
 	if !r.More {
-		m.told = at
+		m.knownUntil = at
 	}
-	for n := range m.at {
+	for n := range m.replyTimes {
 		if n < r.Number {
-			delete(m.at, n)
+			delete(m.replyTimes, n)
 		}
 	}
-	if m.freshAt != 0 && m.acked >= m.freshAt {
-		m.fresh, m.freshAt = false, 0
+	if m.resetInReply != 0 && m.ackedReply >= m.resetInReply {
+		m.needsReset, m.resetInReply = false, 0
 	}
 	for k := range m.pending {
 		switch {
-		case k.tag == 0 || k.tag > m.acked:
-		case k.phase == giving:
-			k.phase = given
+		case k.announcedIn == 0 || k.announcedIn > m.ackedReply:
+		case k.phase == assigning:
+			k.phase = assigned
 			delete(m.pending, k)
-		case k.phase == taking:
+		case k.phase == revoking:
 			// This request holds all that it answered before it let go.
-			freed = append(freed, a.ends(k, at))
+			freed = append(freed, a.endHolding(k, at))
 		}
 	}
 	return freed, true
 }
 
-// member lets a member join that has asked without a gap for long enough; one that
+// admitMember lets a member join that has asked without a gap for long enough; one that
 // dealt with machines until the lead changed, at once.
-func (a *Assigner) member(m *member, had bool, now time.Time) {
-	if m.joined || m.leaving != "" || !m.behind.IsZero() || now.Before(m.notUntil) || m.room <= 0 {
+func (a *Assigner) admitMember(m *member, had bool, now time.Time) {
+	if m.joined || m.leavingReason != "" || !m.overloadedSince.IsZero() || now.Before(m.noJoinBefore) || m.capacity <= 0 {
 		return
 	}
-	if had || now.Sub(m.since) >= a.set.JoinDelay {
-		m.joined, m.joinedAt, a.stale, m.strays = true, now, true, nil
+	if had || now.Sub(m.contactSince) >= a.settings.JoinDelay {
+		m.joined, m.joinedAt, a.candidatesStale, m.unreachedAt = true, now, true, nil
 	}
 }
 
-// adopt leaves a member what it dealt with under the leader before, whose grants
+// restoreHosts leaves a member what it dealt with under the leader before, whose grants
 // have all ended, as far as the machines have not come here meanwhile: their
 // workers need not turn to another controller.
-func (a *Assigner) adopt(m *member, have []string, now time.Time) {
-	if len(a.machines) < a.set.MinMachines {
+func (a *Assigner) restoreHosts(m *member, have []string, now time.Time) {
+	if len(a.machines) < a.settings.MinMachines {
 		return
 	}
 	for _, name := range have {
-		if k := a.machines[name]; k != nil && k.phase == own && !k.kept && len(m.machines) < m.room {
-			a.give(k, m, "it had it before", now)
+		if k := a.machines[name]; k != nil && k.phase == heldByLeader && !k.retained && len(m.machines) < m.capacity {
+			a.assign(k, m, "it had it before", now)
 		}
 	}
 }
@@ -187,7 +187,7 @@
 		return false
 	}
 	for k := range m.pending {
-		if k.tag == 0 {
+		if k.announcedIn == 0 {
 			return true
 		}
 	}
@@ -198,17 +198,17 @@
 // to what is left of the leader's own entitlement.
 func (a *Assigner) Reply(member string, now time.Time) *Reply {
 	m := a.members[member]
-	m.number++
-	m.at[m.number] = now
-	r := &Reply{Term: a.term, Number: m.number, Reset: m.fresh}
-	if m.fresh && m.freshAt == 0 {
-		m.freshAt = m.number
+	m.lastReply++
+	m.replyTimes[m.lastReply] = now
+	r := &Reply{Term: a.term, Number: m.lastReply, Reset: m.needsReset}
+	if m.needsReset && m.resetInReply == 0 {
+		m.resetInReply = m.lastReply
 	}
 	for k := range m.pending {
-		if k.tag == 0 {
-			k.tag = m.number
+		if k.announcedIn == 0 {
+			k.announcedIn = m.lastReply
 		}
-		if k.phase == giving {
+		if k.phase == assigning {
 			r.Add = append(r.Add, k.name)
 		} else {
 			r.Drop = append(r.Drop, k.name)
@@ -219,10 +219,10 @@
 	switch {
 	case len(m.machines) == 0:
 		m.ackedAt = now
-	case now.Sub(m.ackedAt) <= a.set.GrantDuration:
-		r.ForMs = a.set.GrantDuration.Milliseconds()
+	case now.Sub(m.ackedAt) <= a.settings.GrantDuration:
+		r.ForMs = a.settings.GrantDuration.Milliseconds()
 		// The holder counts from before it asked, so it ends sooner than this.
-		m.until = now.Add(a.set.GrantDuration + drift(a.set.GrantDuration))
+		m.grantUntil = now.Add(a.settings.GrantDuration + drift(a.settings.GrantDuration))
 	default:
 		// Its requests come, and what is sent to it is lost: it has no valid grant, and
 		// its machines must not wait for one.
--- a/internal/shard/shard.go
+++ b/internal/shard/shard.go
@@ -36,9 +36,9 @@
 	LeaderCapacity int
 }
 
-// slack is how far above its part of the machines a controller may be: bounded
+// loadSlack is how far above its part of the machines a controller may be: bounded
 // loads, which keep the moves few when machines come and go.
-const slack = 1.1
+const loadSlack = 1.1
 
 // zoneWeight is how much more a controller in the machine's own zone weighs.
 const zoneWeight = 1.5
@@ -52,32 +52,32 @@
 	return -weight / math.Log(u)
 }
 
-// seat is a controller as the division sees it.
-type seat struct {
-	m      *member // nil: the leader itself
-	name   string
-	zone   string
-	weight float64
-	room   int
-	load   int
-	bound  int
+// candidate is a controller as the division sees it.
+type candidate struct {
+	member   *member // nil: the leader itself
+	name     string
+	zone     string
+	weight   float64
+	capacity int
+	load     int
+	bound    int
 }
 
-// bounds sets how many machines each seat may have.
-func bounds(seats []*seat, total int) {
+// setBounds sets how many machines each seat may have.
+func setBounds(seats []*candidate, total int) {
 	sum := 0.0
 	for _, s := range seats {
 		sum += s.weight
 	}
 	for _, s := range seats {
-		s.bound = min(s.room, int(math.Ceil(slack*float64(total)*s.weight/sum)))
+		s.bound = min(s.capacity, int(math.Ceil(loadSlack*float64(total)*s.weight/sum)))
 	}
 }
 
 // rank orders the seats for a machine, the highest score first.
-func rank(name, zone string, seats []*seat) []*seat {
+func rank(name, zone string, seats []*candidate) []*candidate {
 	type scored struct {
-		s *seat
+		s *candidate
 		v float64
 	}
 	list := make([]scored, len(seats))
@@ -94,7 +94,7 @@
 		}
 		return 1
 	})
-	out := make([]*seat, len(list))
+	out := make([]*candidate, len(list))
 	for i := range list {
 		out[i] = list[i].s
 	}
--- a/internal/shard/shard_test.go
+++ b/internal/shard/shard_test.go
@@ -174,9 +174,9 @@
 		{"a new leader hears of two holders: each retains what it names first, and no machine has two", nil, func(b *bed) {
 			for _, h := range b.h {
 				h.EndTerm()
-				h.have = append(h.have, "host-1", "host-2") // both say so
+				h.previousHosts = append(h.previousHosts, "host-1", "host-2") // both say so
 			}
-			b.a = NewAssigner(8, "n0", "a", b.a.set, b.now)
+			b.a = NewAssigner(8, "n0", "a", b.a.settings, b.now)
 			for i := range b.size {
 				b.a.AddMachine(fmt.Sprintf("host-%d", i), zones[i%3])
 			}
@@ -246,7 +246,7 @@
 		}
 	}
 	b.a.Retain(kept, "a test", b.now)
-	b.play(b.a.HandoverTime())
+	b.play(b.a.RevocationTime())
 	holder := func(when, want string) {
 		t.Helper()
 		if by, _ := b.a.Holder(kept); by != want {
