--- a/internal/shard/explore_test.go
+++ b/internal/shard/explore_test.go
@@ -11,21 +11,22 @@
 	"vetchstream/internal/wire"
 )
 
-// The game plays every order of a few steps of two leaders, two holders and two
+// The explorer tries every order of a few steps of two leaders, two holders and two
 // machines, with messages that are late or lost, and processes that end.
 
-// guard is one that can be taken out of a world, to see that the explorer notices.
+// guard is a rule that a world can disable, to check that the explorer finds the fault
+// that the rule prevents.
 type guard uint8
 
 const (
-	none           guard = iota
-	fromRequest          // a grant is counted from before the request, not from its answer
-	withinLead           // a grant ends no later than the leader's entitlement
-	newestOnly           // a request that is not the newest is refused
-	tookIn               // a change counts once the holder has taken it in, not once it was sent
-	untilOver            // a silent holder retains its machines until its grant has ended
-	afterLead            // a leader begins once the one before is not entitled any more
-	toldBeforeGone       // a holder tells what it answered before it let go
+	noGuard                    guard = iota
+	grantFromRequest                 // a grant is counted from before the request, not from its answer
+	grantWithinEntitlement           // a grant ends no later than the leader's entitlement
+	newestRequestOnly                // a request that is not the newest is refused
+	confirmedByHolder                // a change counts once the holder has confirmed it, not once it was sent
+	silentHolderUntilGrantEnds       // a silent holder retains its machines until its grant has ended
+	leaderAfterEntitlement           // a leader begins once the one before is no longer entitled
+	reportsBeforeRevocation          // a holder reports what it answered before it stopped
 )
 
 const (
@@ -34,77 +35,78 @@
 	leadTime  = 2200 * time.Millisecond
 )
 
-// side is a holder with its wire to the leader: one message is under way at a time,
-// and one that was given up may come late.
-type side struct {
-	h     *Holder
-	life  uint64
-	sent  time.Time
-	req   *Request // under way
-	reply *Reply   // under way
-	late  *Request
+// holderProcess is a holder with its connection to the leader: one message is in flight
+// at a time, and one that was given up may come late.
+type holderProcess struct {
+	holder          *Holder
+	incarnation     uint64
+	sent            time.Time
+	requestInFlight *Request
+	replyInFlight   *Reply
+	lateRequest     *Request
 }
 
+// world is two leaders, one after the other, with two holders and two machines.
 type world struct {
-	out      guard
-	now      time.Time
-	lead     *Assigner
-	entitled time.Time // when the leader's entitlement ends
-	deposed  bool
-	ends     map[uint64]time.Time // of the entitlement, by term
-	sides    [2]side
-	names    [2]string
-	seq      [2]uint64
-	answered [2]time.Time // the last answer of a holder
-	known    [2]time.Time // what the leader knows of it, or assumes
-	broken   string
+	disabled        guard
+	now             time.Time
+	leader          *Assigner
+	entitledUntil   time.Time // when the leader's entitlement ends
+	deposed         bool
+	entitlementEnds map[uint64]time.Time // of the entitlement, by term
+	holders         [2]holderProcess
+	names           [2]string
+	seq             [2]uint64
+	answered        [2]time.Time // the last answer of a holder
+	knownAt         [2]time.Time // the last answer that the leader knows of, or assumes
+	broken          string
 }
 
-func newWorld(out guard) *world {
-	w := &world{out: out, now: time.Unix(1000, 0), names: [2]string{"m1", "m2"}, ends: map[uint64]time.Time{}}
+func newWorld(disabled guard) *world {
+	w := &world{disabled: disabled, now: time.Unix(1000, 0), names: [2]string{"m1", "m2"}, entitlementEnds: map[uint64]time.Time{}}
 	w.begin(1)
-	for i := range w.sides {
+	for i := range w.holders {
 		w.start(i)
 	}
 	return w
 }
 
 func (w *world) begin(term uint64) {
-	w.lead = NewAssigner(term, "lead", "", Settings{GrantDuration: grantTime, RejoinDelay: tick, MaxRejoinDelay: 2 * tick, MovesPerSecond: 1000, LeaderWeight: 0.01, LeaderCapacity: 2}, w.now)
+	w.leader = NewAssigner(term, "lead", "", Settings{GrantDuration: grantTime, RejoinDelay: tick, MaxRejoinDelay: 2 * tick, MovesPerSecond: 1000, LeaderWeight: 0.01, LeaderCapacity: 2}, w.now)
 	for _, n := range w.names {
-		w.lead.AddMachine(n, "")
+		w.leader.AddMachine(n, "")
 	}
-	w.known = [2]time.Time{w.now, w.now} // a new leader counts from its own begin
+	w.knownAt = [2]time.Time{w.now, w.now} // a new leader counts from its own begin
 	w.deposed = false
 	w.renew()
 }
 
 func (w *world) renew() {
-	w.entitled = w.now.Add(leadTime)
-	w.ends[w.lead.term] = w.entitled
+	w.entitledUntil = w.now.Add(leadTime)
+	w.entitlementEnds[w.leader.term] = w.entitledUntil
 }
 
-func (w *world) leads() bool { return w.now.Before(w.entitled) }
+func (w *world) leads() bool { return w.now.Before(w.entitledUntil) }
 
 func (w *world) start(i int) {
-	s := &w.sides[i]
-	s.life++
-	if s.req != nil {
-		s.late = s.req
+	s := &w.holders[i]
+	s.incarnation++
+	if s.requestInFlight != nil {
+		s.lateRequest = s.requestInFlight
 	}
-	s.req, s.reply = nil, nil
-	s.h = NewHolder(fmt.Sprintf("h%d", i), "", s.life)
+	s.requestInFlight, s.replyInFlight = nil, nil
+	s.holder = NewHolder(fmt.Sprintf("h%d", i), "", s.incarnation)
 }
 
 // freed takes in what the leader holds to be without a holder.
 func (w *world) freed(fs []Revocation) {
 	for _, f := range fs {
 		k := slices.Index(w.names[:], f.Name)
-		if f.Until.After(w.known[k]) {
-			w.known[k] = f.Until
+		if f.Until.After(w.knownAt[k]) {
+			w.knownAt[k] = f.Until
 		}
-		if w.answered[k].After(w.known[k]) {
-			w.broken = fmt.Sprintf("%s was answered at %v, and the leader counts from %v", f.Name, w.rel(w.answered[k]), w.rel(w.known[k]))
+		if w.answered[k].After(w.knownAt[k]) {
+			w.broken = fmt.Sprintf("%s was answered at %v, and the leader counts from %v", f.Name, w.rel(w.answered[k]), w.rel(w.knownAt[k]))
 		}
 	}
 }
@@ -117,18 +119,18 @@
 		return &Reply{}
 	}
 	c := *r
-	if m := w.lead.members[c.Member]; w.out == tookIn && m != nil {
-		c.Number, c.Term = m.lastReply, w.lead.term
+	if m := w.leader.members[c.Member]; w.disabled == confirmedByHolder && m != nil {
+		c.Number, c.Term = m.lastReply, w.leader.term
 	}
-	if w.out == toldBeforeGone {
+	if w.disabled == reportsBeforeRevocation {
 		c.Reports = nil
 	}
-	fs, ok := w.lead.HandleRequest(&c, w.now)
-	if ok && c.Term == w.lead.term {
+	fs, ok := w.leader.HandleRequest(&c, w.now)
+	if ok && c.Term == w.leader.term {
 		for _, e := range c.Reports {
 			k := slices.Index(w.names[:], e.Host)
-			if at := w.now.Add(-time.Duration(e.AgeMs) * time.Millisecond); at.After(w.known[k]) {
-				w.known[k] = at
+			if at := w.now.Add(-time.Duration(e.AgeMs) * time.Millisecond); at.After(w.knownAt[k]) {
+				w.knownAt[k] = at
 			}
 		}
 	}
@@ -136,9 +138,9 @@
 	if !ok {
 		return &Reply{}
 	}
-	p := w.lead.Reply(c.Member, w.now)
-	if w.out != withinLead {
-		p.ForMs = min(p.ForMs, w.entitled.Sub(w.now).Milliseconds())
+	p := w.leader.Reply(c.Member, w.now)
+	if w.disabled != grantWithinEntitlement {
+		p.ForMs = min(p.ForMs, w.entitledUntil.Sub(w.now).Milliseconds())
 	}
 	return p
 }
@@ -148,90 +150,90 @@
 	{Name: "tick", Do: func(w *world, _ int) bool {
 		w.now = w.now.Add(tick)
 		if w.leads() {
-			w.freed(w.lead.Step(w.now))
+			w.freed(w.leader.Step(w.now))
 		}
 		return true
 	}, Each: 1},
 	{Name: "ask", Do: func(w *world, i int) bool {
-		s := &w.sides[i]
-		if s.req != nil || s.reply != nil {
+		s := &w.holders[i]
+		if s.requestInFlight != nil || s.replyInFlight != nil {
 			return false
 		}
-		if w.lead.term > s.h.Term() {
-			s.h.EndTerm()
+		if w.leader.term > s.holder.Term() {
+			s.holder.EndTerm()
 		}
-		s.sent, s.req = w.now, s.h.Request(2, 1, false, w.now)
+		s.sent, s.requestInFlight = w.now, s.holder.Request(2, 1, false, w.now)
 		return true
 	}, Each: 2},
 	{Name: "arrive", Do: func(w *world, i int) bool {
-		s := &w.sides[i]
-		if s.req == nil {
+		s := &w.holders[i]
+		if s.requestInFlight == nil {
 			return false
 		}
-		s.reply, s.req = w.arrive(i, s.req), nil
+		s.replyInFlight, s.requestInFlight = w.arrive(i, s.requestInFlight), nil
 		return true
 	}, Each: 2},
 	{Name: "grant", Do: func(w *world, i int) bool {
-		s := &w.sides[i]
-		if s.reply == nil {
+		s := &w.holders[i]
+		if s.replyInFlight == nil {
 			return false
 		}
 		sent := s.sent
-		if w.out == fromRequest {
+		if w.disabled == grantFromRequest {
 			sent = w.now
 		}
-		s.h.HandleReply(s.reply, sent)
-		s.reply = nil
+		s.holder.HandleReply(s.replyInFlight, sent)
+		s.replyInFlight = nil
 		return true
 	}, Each: 2},
 	{Name: "lose", Do: func(w *world, i int) bool {
-		s := &w.sides[i]
-		if s.req == nil && s.reply == nil {
+		s := &w.holders[i]
+		if s.requestInFlight == nil && s.replyInFlight == nil {
 			return false
 		}
-		if s.req != nil {
-			s.late = s.req
+		if s.requestInFlight != nil {
+			s.lateRequest = s.requestInFlight
 		}
-		s.req, s.reply = nil, nil
-		s.h.RequestFailed()
+		s.requestInFlight, s.replyInFlight = nil, nil
+		s.holder.RequestFailed()
 		return true
 	}, Each: 2},
 	{Name: "late", Do: func(w *world, i int) bool {
-		s := &w.sides[i]
-		if s.late == nil {
+		s := &w.holders[i]
+		if s.lateRequest == nil {
 			return false
 		}
-		w.arrive(i, s.late) // nobody waits for the reply
-		s.late = nil
+		w.arrive(i, s.lateRequest) // nobody waits for the reply
+		s.lateRequest = nil
 		return true
 	}, Each: 2},
 	{Name: "end", Do: func(w *world, i int) bool { w.start(i); return true }, Each: 1},
 	{Name: "report", Do: func(w *world, k int) bool {
 		if w.leads() {
-			if r, _ := w.lead.RouteReport(w.names[k], "", w.now); r == Serve {
-				w.lead.ReportServed(w.names[k], "", w.now)
+			if r, _ := w.leader.RouteReport(w.names[k], "", w.now); r == Serve {
+				w.leader.ReportServed(w.names[k], "", w.now)
 			}
 		}
 		return true
 	}, Each: 2},
 	{Name: "checkin", Do: func(w *world, k int) bool {
 		// The worker reports to whoever answers it.
-		for i := range w.sides {
+		for i := range w.holders {
 			w.seq[k]++
 			m := &wire.Report{Host: w.names[k], Session: 1, Seq: w.seq[k]}
-			if _, v := w.sides[i].h.Report(m, []byte{1}, w.now); v >= Answered {
+			if _, v := w.holders[i].holder.Report(m, []byte{1}, w.now); v >= Answered {
 				w.answered[k] = w.now
 				return true
 			}
 		}
 		return false
 	}, Each: 2},
-	{Name: "depose", Do: func(w *world, _ int) bool { was := w.deposed; w.deposed = true; return !was && w.lead.term == 1 }, Each: 1},
+	{Name: "depose", Do: func(w *world, _ int) bool { was := w.deposed; w.deposed = true; return !was && w.leader.term == 1 }, Each: 1},
 	{Name: "succeed", Do: func(w *world, _ int) bool {
-		if !w.deposed || (w.leads() && w.out != afterLead) {
+		if !w.deposed || (w.leads() && w.disabled != leaderAfterEntitlement) {
 			return false
 		}
-		w.begin(w.lead.term + 1)
+		w.begin(w.leader.term + 1)
 		return true
 	}, Each: 1},
 	{Name: "renew", Do: func(w *world, _ int) bool {
@@ -245,47 +247,47 @@
 
 // Broken looks at what must hold in every state.
 func (w *world) Broken() string {
-	if w.out == untilOver {
-		for _, m := range w.lead.members {
+	if w.disabled == silentHolderUntilGrantEnds {
+		for _, m := range w.leader.members {
 			if len(m.machines) > 0 && w.now.Sub(m.heardAt) >= tick {
-				w.freed(w.lead.revokeAll(m, w.now, "", w.now))
+				w.freed(w.leader.revokeAll(m, w.now, "", w.now))
 			}
 		}
 	}
 	for k, name := range w.names {
 		n := 0
-		if h, _ := w.lead.Holder(name); h == "" && w.leads() {
+		if h, _ := w.leader.Holder(name); h == "" && w.leads() {
 			n++
 		}
-		for i := range w.sides {
-			h := w.sides[i].h
+		for i := range w.holders {
+			h := w.holders[i].holder
 			if e := h.machines[name]; e == nil || e.dropped || !h.GrantValid(h.Term(), w.now) {
 				continue
 			}
 			n++
-			if !w.now.Before(w.ends[h.Term()]) {
+			if !w.now.Before(w.entitlementEnds[h.Term()]) {
 				w.broken = fmt.Sprintf("h%d answers %s outside the entitlement of term %d", i, name, h.Term())
 			}
 		}
 		if n > 1 {
 			w.broken = name + " has two valid holders"
 		}
-		if h, _ := w.lead.Holder(name); h != "" && w.leads() && w.answered[k].Before(w.lead.KnownUntil(h)) && w.answered[k].Sub(w.known[k]) > time.Millisecond && w.answered[k].After(w.begun()) {
-			w.broken = fmt.Sprintf("%s was answered at %v, told up to %v, known %v", name, w.rel(w.answered[k]), w.rel(w.lead.KnownUntil(h)), w.rel(w.known[k]))
+		if h, _ := w.leader.Holder(name); h != "" && w.leads() && w.answered[k].Before(w.leader.KnownUntil(h)) && w.answered[k].Sub(w.knownAt[k]) > time.Millisecond && w.answered[k].After(w.begun()) {
+			w.broken = fmt.Sprintf("%s was answered at %v, told up to %v, known %v", name, w.rel(w.answered[k]), w.rel(w.leader.KnownUntil(h)), w.rel(w.knownAt[k]))
 		}
 	}
 	return w.broken
 }
 
 // begun is the begin of the present term.
-func (w *world) begun() time.Time { return w.ends[w.lead.term-1] }
+func (w *world) begun() time.Time { return w.entitlementEnds[w.leader.term-1] }
 
 // Print names the state: times are told from now, and those long past are alike.
 func (w *world) Print() string {
 	p := &explorer.Printer{Now: w.now, Past: 4 * tick}
-	a := w.lead
+	a := w.leader
 	p.Say(a.term, w.deposed)
-	p.At(w.entitled)
+	p.At(w.entitledUntil)
 	for k, n := range w.names {
 		mc := a.machines[n]
 		h, _ := a.Holder(n)
@@ -293,25 +295,25 @@
 		if h != "" {
 			p.Say(int64(mc.announcedIn) - int64(mc.holder.ackedReply))
 		}
-		p.At(w.answered[k], w.known[k])
+		p.At(w.answered[k], w.knownAt[k])
 	}
-	for i := range w.sides {
-		s := &w.sides[i]
-		p.Say("|", s.req != nil, s.reply != nil, s.late != nil, s.h.Term(), len(s.h.previousHosts))
-		p.At(s.h.grantUntil)
-		if s.req != nil || s.reply != nil {
+	for i := range w.holders {
+		s := &w.holders[i]
+		p.Say("|", s.requestInFlight != nil, s.replyInFlight != nil, s.lateRequest != nil, s.holder.Term(), len(s.holder.previousHosts))
+		p.At(s.holder.grantUntil)
+		if s.requestInFlight != nil || s.replyInFlight != nil {
 			p.At(s.sent)
 		}
-		if s.reply != nil {
-			p.Say(s.reply.ForMs, s.reply.Add, s.reply.Drop, s.reply.Reset, s.reply.Term)
+		if s.replyInFlight != nil {
+			p.Say(s.replyInFlight.ForMs, s.replyInFlight.Add, s.replyInFlight.Drop, s.replyInFlight.Reset, s.replyInFlight.Term)
 		}
 		for _, n := range w.names {
-			if k := s.h.machines[n]; k != nil {
+			if k := s.holder.machines[n]; k != nil {
 				p.Say(n, k.dropped, k.lastReport-k.acknowledgedReport)
 			}
 		}
 		if m := a.members[fmt.Sprintf("h%d", i)]; m != nil {
-			p.Say(m.joined, m.leavingReason, m.needsReset, m.lastReply-m.ackedReply, m.incarnation == s.life, int64(s.h.lastReply)-int64(m.ackedReply))
+			p.Say(m.joined, m.leavingReason, m.needsReset, m.lastReply-m.ackedReply, m.incarnation == s.incarnation, int64(s.holder.lastReply)-int64(m.ackedReply))
 			p.At(m.grantUntil, m.heardAt, m.ackedAt, m.knownUntil, m.noJoinBefore)
 		}
 	}
@@ -331,7 +333,7 @@
 			for _, name := range []string{"grant", "arrive", "grant", "ask", "arrive", "grant"} {
 				g.Do(w, name, i)
 			}
-			if h, _ := w.lead.Holder(w.names[i]); h == "" {
+			if h, _ := w.leader.Holder(w.names[i]); h == "" {
 				g.Do(w, "report", i) // the worker has nowhere else to go
 			}
 			g.Do(w, "checkin", i)
@@ -341,12 +343,12 @@
 		}
 	}
 	for _, name := range w.names {
-		h, _ := w.lead.Holder(name)
+		h, _ := w.leader.Holder(name)
 		if h == "" {
 			continue
 		}
-		s := &w.sides[h[1]-'0']
-		if k := s.h.machines[name]; k == nil || k.dropped || !s.h.GrantValid(w.lead.term, w.now) {
+		s := &w.holders[h[1]-'0']
+		if k := s.holder.machines[name]; k == nil || k.dropped || !s.holder.GrantValid(w.leader.term, w.now) {
 			return name + " is not served again"
 		}
 	}
@@ -368,19 +370,19 @@
 		name string
 		out  guard
 	}{
-		{"as it is", none},
-		{"a grant counted from its answer", fromRequest},
-		{"a grant beyond the entitlement", withinLead},
-		{"a change that was sent but not taken in", tookIn},
-		{"a silent holder's machines taken at once", untilOver},
-		{"a leader that begins too early", afterLead},
-		{"a holder that does not tell what it answered", toldBeforeGone},
+		{"as it is", noGuard},
+		{"a grant counted from its answer", grantFromRequest},
+		{"a grant beyond the entitlement", grantWithinEntitlement},
+		{"a change that was sent but not taken in", confirmedByHolder},
+		{"a silent holder's machines taken at once", silentHolderUntilGrantEnds},
+		{"a leader that begins too early", leaderAfterEntitlement},
+		{"a holder that does not tell what it answered", reportsBeforeRevocation},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			g := &explorer.Game[*world]{New: func() *world { return newWorld(tt.out) }, Actions: actions, Most: *most}
 			holders := 2
-			if tt.out == none {
+			if tt.out == noGuard {
 				g.Every, g.Settle = 37, func(w *world) string { return settle(g, w) }
 			} else {
 				// One holder and one machine are enough, and go deeper.
@@ -394,7 +396,7 @@
 			joined := g.Steps(holders, "ask", "arrive", "grant")
 			states, broken := g.From(slices.Concat(joined, g.Steps(1, "tick"), joined, g.Steps(1, "report"), joined, joined), joined)
 			t.Logf("%d states: %s", states, broken)
-			if (broken != "") != (tt.out != none) {
+			if (broken != "") != (tt.out != noGuard) {
 				t.Errorf("after %d states: %q", states, broken)
 			}
 		})
--- /dev/null
+++ b/internal/shard/handover.go
@@ -0,0 +1,93 @@
+package shard
+
+import "time"
+
+// handoverPhase says who deals with a machine while it changes its holder.
+type handoverPhase uint8
+
+const (
+	// heldByLeader: the leader deals with it.
+	heldByLeader handoverPhase = iota
+	// assigning: the member may deal with it, and has not confirmed that yet.
+	assigning
+	// assigned: the member has confirmed that it deals with it.
+	assigned
+	// revoking: the member may still deal with it, and is told to stop.
+	revoking
+)
+
+// Revocation is a machine that its holder no longer deals with.
+type Revocation struct {
+	// Name is the machine's name, From the member that held it, Reason why it no longer
+	// does.
+	Name, From, Reason string
+	// Until is the last moment at which the holder may have answered a report.
+	Until time.Time
+	// Since is when the revocation began.
+	Since time.Time
+}
+
+// RevocationTime is how long the holder may still answer a machine that is revoked: the
+// rest of an earlier grant.
+func (a *Assigner) RevocationTime() time.Duration {
+	return a.settings.GrantDuration + drift(a.settings.GrantDuration)
+}
+
+// Retain has the leader deal with a machine until Release; a holder returns it.
+func (a *Assigner) Retain(name, reason string, now time.Time) {
+	if k := a.machines[name]; k != nil && !k.retained {
+		k.retained = true
+		a.revoke(k, reason, now)
+	}
+}
+
+// Release lets a retained machine be assigned to a holder again.
+func (a *Assigner) Release(name string) {
+	if k := a.machines[name]; k != nil {
+		k.retained = false
+	}
+}
+
+// assign begins to hand a machine over to a member.
+func (a *Assigner) assign(k *machine, m *member, reason string, now time.Time) {
+	k.holder = m
+	k.phase = assigning
+	k.announcedIn = 0
+	k.since = now
+	k.reason = reason
+	k.redirectedAt = time.Time{}
+	k.neverAssigned = false
+	m.machines[k] = struct{}{}
+	m.pending[k] = struct{}{}
+	if len(m.machines) == 1 && now.After(m.grantUntil) {
+		// The member has no grant yet: it must not count as silent before its next request.
+		m.grantUntil = now.Add(a.settings.GrantDuration)
+	}
+	a.moves++
+}
+
+// revoke begins to take a machine back from its holder.
+func (a *Assigner) revoke(k *machine, reason string, now time.Time) {
+	if k.phase == heldByLeader || k.phase == revoking {
+		return
+	}
+	k.phase = revoking
+	k.announcedIn = 0
+	k.since = now
+	k.reason = reason
+	k.holder.pending[k] = struct{}{}
+}
+
+// endHolding returns a machine to the leader; its holder may have answered it until the
+// given time.
+func (a *Assigner) endHolding(k *machine, until time.Time) Revocation {
+	revocation := Revocation{Name: k.name, From: k.holder.name, Reason: k.reason, Until: until, Since: k.since}
+	delete(k.holder.machines, k)
+	delete(k.holder.pending, k)
+	k.holder = nil
+	k.phase = heldByLeader
+	k.announcedIn = 0
+	k.redirectedAt = time.Time{}
+	a.moves++
+	return revocation
+}
--- a/internal/shard/members.go
+++ b/internal/shard/members.go
@@ -2,47 +2,76 @@
 
 import (
 	"cmp"
+	"maps"
 	"slices"
 	"time"
 )
 
-// The members of an Assigner: which controllers hold a share, what they have acknowledged,
-// and the requests and replies that tell.
+// The members of an Assigner: which controllers hold a share, what they have
+// acknowledged, and the handling of their requests.
 
-// member is a controller that may hold a share.
+// member is a controller that may hold a share of the machines.
 type member struct {
-	name, zone       string
-	incarnation, seq uint64
-	// lastReply is that of the last reply, acked that of the last one taken in. at are the
-	// times of the replies from acked on.
-	lastReply, ackedReply uint64
-	replyTimes            map[uint64]time.Time
-	ackedAt               time.Time
-	// grantUntil is when the last grant has ended for certain, in the leader's time.
+	name string
+	zone string
+	// incarnation is that of the member's process, seq the number of its last request.
+	incarnation uint64
+	seq         uint64
+	heardAt     time.Time // when the last request came
+	// contactSince is since when its requests come without a gap.
+	contactSince time.Time
+
+	// lastReply is the number of the last reply to the member, ackedReply that of the
+	// last one that it has acknowledged, at ackedAt. replyTimes are when the replies from
+	// ackedReply on were made.
+	lastReply  uint64
+	ackedReply uint64
+	replyTimes map[uint64]time.Time
+	ackedAt    time.Time
+	// grantUntil is when the last grant has certainly ended, by the leader's clock.
 	grantUntil time.Time
-	// knownUntil is up to when all that the member has answered is known.
-	knownUntil      time.Time
-	contactSince    time.Time // asks without a gap since
-	heardAt         time.Time
-	joined          bool
-	joinedAt        time.Time
-	leavingReason   string // why it is to give everything back; empty: it is not
-	noJoinBefore    time.Time
-	rejoinDelay     time.Duration
-	capacity        int
-	overloadedSince time.Time // since when it has been short of processor; zero: it is not
-	unreachedAt     []time.Time
+	// knownUntil is the time up to which all answers of the member are known.
+	knownUntil time.Time
+
+	// joined: the member may hold machines.
+	joined   bool
+	joinedAt time.Time
+	// leavingReason is why the member has to return its machines; empty: it has not.
+	leavingReason string
+	// noJoinBefore and rejoinDelay space the joins of a member that leaves repeatedly.
+	noJoinBefore time.Time
+	rejoinDelay  time.Duration
+
+	capacity        int         // machines that it can deal with
+	overloadedSince time.Time   // zero: it is not overloaded
+	unreachedAt     []time.Time // when workers were found not to reach it
 	machines        map[*machine]struct{}
-	pending         map[*machine]struct{} // of these, those in phase giving or taking
-	needsReset      bool                  // it has to forget what it held
-	// resetInReply is the first reply that says so. An acknowledgement of an earlier one,
-	// which may have added machines, does not settle it: the holder would go on with
-	// machines that are another's.
+	pending         map[*machine]struct{} // those of machines in phase assigning or revoking
+	// needsReset: the member has to forget what it held. resetInReply is the number of
+	// the first reply that says so. The acknowledgement of an earlier reply, which may
+	// have added machines, does not count: the member would retain machines that are
+	// another's.
+	needsReset   bool
 	resetInReply uint64
 }
 
-// extendRejoinDelay lengthens the time for which a member that has left gets no machines. A
-// member that comes and goes every few seconds moves its share a few times only.
+// newMember makes a member that has just made its first request.
+func newMember(r *Request, now time.Time) *member {
+	return &member{
+		name:         r.Member,
+		zone:         r.Zone,
+		incarnation:  r.Incarnation,
+		contactSince: now,
+		ackedAt:      now,
+		replyTimes:   map[uint64]time.Time{},
+		machines:     map[*machine]struct{}{},
+		pending:      map[*machine]struct{}{},
+		needsReset:   true,
+	}
+}
+
+// extendRejoinDelay extends the time for which a member that has left gets no machines,
+// so that one which joins and leaves all the time moves its machines seldom.
 func (a *Assigner) extendRejoinDelay(m *member, now time.Time) {
 	if now.Sub(m.joinedAt) > a.settings.MaxRejoinDelay {
 		m.rejoinDelay = 0
@@ -51,57 +80,68 @@
 	m.noJoinBefore = now.Add(m.rejoinDelay)
 }
 
-// startLeaving lets a member give back what it has, at the ordinary pace.
-func (a *Assigner) startLeaving(m *member, why string, now time.Time) {
+// startLeaving has a member return its machines, at the ordinary rate of moves.
+func (a *Assigner) startLeaving(m *member, reason string, now time.Time) {
 	if m.leavingReason != "" || !m.joined {
 		return
 	}
-	m.leavingReason, a.candidatesStale = why, true
+	m.leavingReason = reason
+	a.candidatesStale = true
 	a.extendRejoinDelay(m, now)
 }
 
-// revokeAll settles all machines of a member whose grants have ended.
-func (a *Assigner) revokeAll(m *member, until time.Time, why string, now time.Time) []Revocation {
-	var out []Revocation
+// revokeAll returns all machines of a member to the leader. The member's grants have
+// ended: it may have answered reports until the given time.
+func (a *Assigner) revokeAll(m *member, until time.Time, reason string, now time.Time) []Revocation {
+	var freed []Revocation
 	for k := range m.machines {
 		if k.phase != revoking {
-			k.since, k.reason = now, why
+			k.since = now
+			k.reason = reason
 		}
-		out = append(out, a.endHolding(k, until))
+		freed = append(freed, a.endHolding(k, until))
 	}
-	slices.SortFunc(out, func(x, y Revocation) int { return cmp.Compare(x.Name, y.Name) })
+	slices.SortFunc(freed, func(x, y Revocation) int { return cmp.Compare(x.Name, y.Name) })
 	if m.joined {
-		m.joined, a.candidatesStale = false, true
+		m.joined = false
+		a.candidatesStale = true
 		a.extendRejoinDelay(m, now)
 	}
-	m.leavingReason, m.needsReset, m.resetInReply, m.contactSince = "", true, 0, now
-	return out
+	m.leavingReason = ""
+	m.needsReset = true
+	m.resetInReply = 0
+	m.contactSince = now
+	return freed
 }
 
-// HandleRequest takes in a request. It is refused, and its reports with it, if it is not the
-// member's newest.
+// HandleRequest handles a request of a member, and returns the machines that have no
+// holder any more. ok is false, and its reports have to be ignored, if the request is
+// not the member's newest.
 func (a *Assigner) HandleRequest(r *Request, now time.Time) (freed []Revocation, ok bool) {
 	m := a.members[r.Member]
 	if m == nil {
-		m = &member{name: r.Member, zone: r.Zone, incarnation: r.Incarnation, contactSince: now, ackedAt: now, replyTimes: map[uint64]time.Time{},
-			machines: map[*machine]struct{}{}, pending: map[*machine]struct{}{}, needsReset: true}
+		m = newMember(r, now)
 		a.members[r.Member] = m
 	}
 	if r.Incarnation != m.incarnation {
-		// A request of a life that is over may come late. A clock that was set back is
-		// let in once every grant of the other life has ended.
+		// A request of an earlier process may come late. If it is the clock that was set
+		// back, the new process is accepted once every grant of the other has ended.
 		if r.Incarnation < m.incarnation && now.Before(m.grantUntil) {
 			return nil, false
 		}
-		// The process before has ended, so it answers nothing after this.
+		// The earlier process has ended, so it answers nothing from now on.
 		freed = a.revokeAll(m, now, "the holder was started anew", now)
-		m.incarnation, m.seq, m.ackedAt = r.Incarnation, 0, now
+		m.incarnation = r.Incarnation
+		m.seq = 0
+		m.ackedAt = now
 		clear(m.replyTimes)
 	}
 	if r.Seq <= m.seq {
 		return freed, false
 	}
-	m.seq, m.capacity, m.heardAt = r.Seq, r.Capacity, now
+	m.seq = r.Seq
+	m.capacity = r.Capacity
+	m.heardAt = now
 	switch {
 	case !r.Overloaded:
 		m.overloadedSince = time.Time{}
@@ -111,7 +151,7 @@
 	if r.Term == a.term && r.Number > m.ackedReply {
 		more, known := a.acknowledge(m, r, now)
 		if !known {
-			return freed, false // no reply of ours
+			return freed, false // this leader has made no such reply
 		}
 		freed = append(freed, more...)
 	}
@@ -122,14 +162,15 @@
 	return freed, true
 }
 
-// acknowledge takes in which of the leader's replies a member has taken in last, and with it
-// the changes that the reply carried.
+// acknowledge notes which of the leader's replies a member has handled last, and with it
+// the changes that the reply carried. known is false if there is no such reply.
 func (a *Assigner) acknowledge(m *member, r *Request, now time.Time) (freed []Revocation, known bool) {
 	at, known := m.replyTimes[r.Number]
 	if !known {
 		return nil, false
 	}
-	m.ackedReply, m.ackedAt = r.Number, now
+	m.ackedReply = r.Number
+	m.ackedAt = now
 	if !r.More {
 		m.knownUntil = at
 	}
@@ -139,7 +180,8 @@
 		}
 	}
 	if m.resetInReply != 0 && m.ackedReply >= m.resetInReply {
-		m.needsReset, m.resetInReply = false, 0
+		m.needsReset = false
+		m.resetInReply = 0
 	}
 	for k := range m.pending {
 		switch {
@@ -148,39 +190,42 @@
 			k.phase = assigned
 			delete(m.pending, k)
 		case k.phase == revoking:
-			// This request holds all that it answered before it let go.
+			// This request has all that the member answered before it stopped.
 			freed = append(freed, a.endHolding(k, at))
 		}
 	}
 	return freed, true
 }
 
-// admitMember lets a member join that has asked without a gap for long enough; one that
-// dealt with machines until the lead changed, at once.
-func (a *Assigner) admitMember(m *member, had bool, now time.Time) {
+// admitMember lets a member join whose requests have come without a gap for long enough.
+// One that held machines under an earlier leader joins at once.
+func (a *Assigner) admitMember(m *member, heldMachines bool, now time.Time) {
 	if m.joined || m.leavingReason != "" || !m.overloadedSince.IsZero() || now.Before(m.noJoinBefore) || m.capacity <= 0 {
 		return
 	}
-	if had || now.Sub(m.contactSince) >= a.settings.JoinDelay {
-		m.joined, m.joinedAt, a.candidatesStale, m.unreachedAt = true, now, true, nil
+	if heldMachines || now.Sub(m.contactSince) >= a.settings.JoinDelay {
+		m.joined = true
+		m.joinedAt = now
+		m.unreachedAt = nil
+		a.candidatesStale = true
 	}
 }
 
-// restoreHosts leaves a member what it dealt with under the leader before, whose grants
-// have all ended, as far as the machines have not come here meanwhile: their
-// workers need not turn to another controller.
-func (a *Assigner) restoreHosts(m *member, have []string, now time.Time) {
+// restoreHosts assigns to a member the machines that it held under an earlier leader,
+// whose grants have all ended, unless they have another holder by now: their workers
+// need not connect to another controller.
+func (a *Assigner) restoreHosts(m *member, names []string, now time.Time) {
 	if len(a.machines) < a.settings.MinMachines {
 		return
 	}
-	for _, name := range have {
+	for _, name := range names {
 		if k := a.machines[name]; k != nil && k.phase == heldByLeader && !k.retained && len(m.machines) < m.capacity {
 			a.assign(k, m, "it had it before", now)
 		}
 	}
 }
 
-// ReplyDue reports whether a reply has something to say besides the grant.
+// ReplyDue reports whether a reply to the member would carry more than the grant.
 func (a *Assigner) ReplyDue(member string) bool {
 	m := a.members[member]
 	if m == nil {
@@ -194,8 +239,8 @@
 	return false
 }
 
-// Reply makes the answer to the member's newest request. The caller shortens ForMs
-// to what is left of the leader's own entitlement.
+// Reply makes the reply to the member's newest request. The caller limits ForMs to what
+// is left of the leader's own entitlement.
 func (a *Assigner) Reply(member string, now time.Time) *Reply {
 	m := a.members[member]
 	m.lastReply++
@@ -221,11 +266,41 @@
 		m.ackedAt = now
 	case now.Sub(m.ackedAt) <= a.settings.GrantDuration:
 		r.ForMs = a.settings.GrantDuration.Milliseconds()
-		// The holder counts from before it asked, so it ends sooner than this.
+		// The holder counts from before its request, so its grant ends sooner than this.
 		m.grantUntil = now.Add(a.settings.GrantDuration + drift(a.settings.GrantDuration))
 	default:
-		// Its requests come, and what is sent to it is lost: it has no valid grant, and
-		// its machines must not wait for one.
+		// Its requests come, but the replies are lost: it has no valid grant, and its
+		// machines must not wait for the end of a new one.
 	}
 	return r
 }
+
+// expireMembers returns the machines of members that have fallen silent to the leader,
+// and lets members leave that have been overloaded for too long.
+func (a *Assigner) expireMembers(now time.Time) (freed []Revocation) {
+	for _, name := range slices.Sorted(maps.Keys(a.members)) {
+		m := a.members[name]
+		silent := now.Sub(m.heardAt) > a.settings.GrantDuration
+		switch {
+		case now.Before(a.noExpiryBefore):
+		case len(m.machines) > 0 && now.After(m.grantUntil):
+			freed = append(freed, a.revokeAll(m, m.grantUntil, "the holder is silent", now)...)
+		case m.joined && len(m.machines) == 0 && silent:
+			a.revokeAll(m, now, "", now)
+		}
+		if !m.joined && now.Sub(m.heardAt) > joinContactGap {
+			m.contactSince = now
+		}
+		if m.joined && !m.overloadedSince.IsZero() && now.Sub(m.overloadedSince) > overloadGrace {
+			a.startLeaving(m, "it is short of processor", now)
+		}
+		if m.leavingReason != "" && len(m.machines) == 0 {
+			// The delay begins now: the return of the machines has taken a while.
+			m.joined = false
+			m.leavingReason = ""
+			m.noJoinBefore = now.Add(m.rejoinDelay)
+			a.candidatesStale = true
+		}
+	}
+	return freed
+}
--- a/internal/shard/message.go
+++ b/internal/shard/message.go
@@ -5,36 +5,39 @@
 // The messages between a shard holder and the leader, sent over gRPC. Their codec
 // tags are the names on the wire that PROTOCOL gives: Go names may change, tags never.
 
-// Request is what a holder tells the leader and asks of it. A holder has one
-// request under way at a time, so all that it did before the last reply it took
-// in is in the requests up to this one.
+// Request is a request of a holder to the leader. A holder has one request in flight at
+// a time, so the requests up to this one have all that it did before the last reply
+// that it has handled.
 type Request struct {
 	// Member is the holder's member name, Zone its zone.
 	Member string `codec:"member"`
 	Zone   string `codec:"zone"`
 	// Incarnation is the incarnation of the member's process: a later one is higher.
 	Incarnation uint64 `codec:"life"`
-	// Seq numbers the requests of one Life from 1 up; the leader takes only a higher one.
+	// Seq numbers the requests of one incarnation from 1; the leader refuses a request
+	// that is not higher than the last.
 	Seq uint64 `codec:"seq"`
-	// Term and Number are those of the last reply taken in; 0: none.
+	// Term and Number are those of the last reply that the member has handled; 0: none.
 	Term   uint64 `codec:"term"`
 	Number uint64 `codec:"number"`
 	// Capacity is how many machines the member can deal with, Calls how many direct
-	// commands it can have under way.
+	// commands it can have in flight.
 	Capacity int `codec:"room"`
 	Calls    int `codec:"calls"`
-	// Overloaded: the process is short of processor.
+	// Overloaded: the process gets too little processor time.
 	Overloaded bool `codec:"behind,omitempty"`
-	// PreviousHosts are the machines that the member dealt with in an earlier term: their
+	// PreviousHosts are the machines that the member held in an earlier term: their
 	// workers are connected to it.
-	PreviousHosts []string     `codec:"have,omitempty"`
-	Reports       []HostReport `codec:"entries,omitempty"`
-	CallResults   []CallResult `codec:"done,omitempty"`
-	// More: entries were left out for the size of the request.
+	PreviousHosts []string `codec:"have,omitempty"`
+	// Reports are the reports, and CallResults the results of direct commands, that the
+	// leader has not acknowledged yet.
+	Reports     []HostReport `codec:"entries,omitempty"`
+	CallResults []CallResult `codec:"done,omitempty"`
+	// More: reports were left out because of the size of the request.
 	More bool `codec:"more,omitempty"`
 }
 
-// HostReport is what a machine has reported since the last request that was answered.
+// HostReport is what a machine has reported since the last request that had a reply.
 type HostReport struct {
 	// Host names the machine; Session and Seq are those of its last report.
 	Host    string `codec:"host"`
@@ -42,32 +45,33 @@
 	Seq     uint64 `codec:"tick"`
 	// AgeMs is how long before the request the report came, in milliseconds.
 	AgeMs int64 `codec:"age_ms"`
-	// Report is the encoded report; empty: as the last one, but for its number.
+	// Report is the encoded report; empty: it differs from the last one in its number
+	// alone.
 	Report []byte `codec:"report,omitempty"`
 }
 
 // Call is a direct command that the holder is to send.
 type Call struct {
-	// ID names the call in its Done; Addr is the worker's address, Body the encoded
+	// ID names the call in its CallResult; Addr is the worker's address, Body the encoded
 	// command.
 	ID   uint64 `codec:"id"`
 	Addr string `codec:"addr"`
 	Body []byte `codec:"body"`
 }
 
-// CallResult is what became of a call.
+// CallResult is the result of a Call.
 type CallResult struct {
 	// ID is that of the Call, Status the HTTP status of its answer.
 	ID     uint64 `codec:"id"`
 	Status int    `codec:"status"`
-	// Reached: something may have been sent.
+	// Reached: the command may have reached the worker.
 	Reached bool `codec:"reached,omitempty"`
 	// Report is the worker's encoded answer; empty: none.
 	Report []byte `codec:"report,omitempty"`
 }
 
-// Answer is the leader's answer to a report that said something new. The holder
-// gives it if the worker still waits for it.
+// Answer is the leader's answer to a report that has changed. The holder sends it if
+// the worker still waits for it.
 type Answer struct {
 	// Host, Session and Seq name the report that is answered, Orders the answer.
 	Host    string       `codec:"host"`
--- /dev/null
+++ b/internal/shard/routing.go
@@ -0,0 +1,120 @@
+package shard
+
+import (
+	"slices"
+	"time"
+)
+
+// Route says how a report that has come to the leader is handled.
+type Route uint8
+
+const (
+	// Serve means that the leader answers it.
+	Serve Route = iota
+	// Send means that the worker is redirected to the holder that is named.
+	Send
+	// Wait means that the holder is changing; the report is routed again once it is known.
+	Wait
+)
+
+const (
+	// maxContactGap is how long a holder may make no request before workers are no
+	// longer redirected to it. It makes many a second.
+	maxContactGap = 500 * time.Millisecond
+	// redirectTimeout is the time within which a redirected worker has to reach its
+	// holder. One that comes back to the leader sooner does not reach it.
+	redirectTimeout = 20 * time.Second
+	// leaderCutAfter is how long no report may come to the leader itself, while others
+	// are forwarded to it, before it counts as cut off from the workers and gets no
+	// machines.
+	leaderCutAfter = 5 * time.Second
+	// pinDuration is how long a machine stays with the member through which its worker
+	// has reached the leader.
+	pinDuration = time.Minute
+)
+
+// A member leaves if within redirectTimeout at least minUnreached of its workers, and
+// one in unreachedFraction of them, do not reach it.
+const (
+	unreachedFraction = 10
+	minUnreached      = 3
+)
+
+// RouteReport decides who answers a report that has come to the leader; for Send it
+// names the holder.
+func (a *Assigner) RouteReport(name, zone string, now time.Time) (route Route, holder string) {
+	k := a.machines[name]
+	if k == nil {
+		k = &machine{name: name, zone: zone, neverAssigned: true}
+		a.machines[name] = k
+	}
+	if k.zone != zone && zone != "" {
+		k.zone = zone
+		k.rankedEpoch = 0
+	}
+	switch k.phase {
+	case assigned:
+		return a.routeToHolder(k, now)
+	case assigning, revoking:
+		return Wait, ""
+	}
+	return Serve, ""
+}
+
+// routeToHolder decides on a report of a machine that a member holds.
+func (a *Assigner) routeToHolder(k *machine, now time.Time) (Route, string) {
+	if now.Sub(k.holder.heardAt) > maxContactGap {
+		return Wait, "" // the holder may have ended: its machines are free when its grant ends
+	}
+	if !k.redirectedAt.IsZero() && now.Sub(k.redirectedAt) < redirectTimeout {
+		a.recordUnreached(k, now)
+		return Wait, ""
+	}
+	k.redirectedAt = now
+	return Send, k.holder.name
+}
+
+// recordUnreached revokes a machine whose worker does not reach its holder. A holder
+// that many workers do not reach leaves.
+func (a *Assigner) recordUnreached(k *machine, now time.Time) {
+	m := k.holder
+	a.revoke(k, "its worker does not reach the holder", now)
+	m.unreachedAt = slices.DeleteFunc(m.unreachedAt, func(t time.Time) bool { return now.Sub(t) > redirectTimeout })
+	m.unreachedAt = append(m.unreachedAt, now)
+	if m.leavingReason == "" && len(m.unreachedAt) >= max(minUnreached, len(m.machines)/unreachedFraction) {
+		a.startLeaving(m, "its workers do not reach it", now)
+	}
+}
+
+// ConfirmContact notes that the holder has had contact with a machine.
+func (a *Assigner) ConfirmContact(name string) {
+	if k := a.machines[name]; k != nil {
+		k.redirectedAt = time.Time{}
+	}
+}
+
+// ReportServed notes that the leader has answered a machine's report. This is when the
+// machine may be assigned to a member: it then holds the machine before the next
+// report. via is the member that has forwarded the report, empty if it came from the
+// worker. A leader that is cut off from its workers assigns their machines to members
+// that are not.
+func (a *Assigner) ReportServed(name, via string, now time.Time) {
+	k := a.machines[name]
+	if k == nil || k.phase != heldByLeader || k.retained || len(a.machines) < a.settings.MinMachines {
+		return
+	}
+	if via != "" {
+		k.pinned = via
+		k.pinnedUntil = now.Add(pinDuration)
+		a.forwardedReportAt = now
+	} else {
+		a.directReportAt = now
+	}
+	a.updateCandidates(now)
+	if len(a.candidates) == 1 {
+		return
+	}
+	if to := a.target(k, now); to.member != nil && (k.neverAssigned || a.takeMove(now)) {
+		a.assign(k, to.member, "its share", now)
+	}
+}
--- a/internal/shard/shard.go
+++ b/internal/shard/shard.go
@@ -1,12 +1,12 @@
 // Package shard divides the machines among the controllers. A share is the set of
 // machines that one controller, its holder, deals with: connections, reports,
-// leases, direct commands. The leader decides everything and owns the ledger; it
-// gives shares out by grants that end no later than its own lease, and the
+// leases and direct commands. The leader makes all decisions and owns the ledger. It
+// assigns the shares under grants that end no later than its own lease, and the
 // holders act only under those grants (docs/shares.md).
 //
-// Assigner is the leader's side, Holder the other. Both are pure: they are stepped
-// with messages and times, do no I/O and have no goroutine. Package control owns
-// the one, package node the other.
+// Assigner is the leader's side, Holder the holder's. Both are pure: they are stepped
+// with messages and times, do no I/O and have no goroutine. Package control owns the
+// Assigner, package node the Holder.
 package shard
 
 import (
@@ -17,86 +17,93 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Settings are the bounds of sharing. Each has a default in package config.
+// Settings are the parameters of the assignment. Each has a default in package config.
 type Settings struct {
-	// GrantDuration is how long a grant holds at the most, from before the request.
+	// GrantDuration is how long a grant is valid at most, from before its request.
 	GrantDuration time.Duration
-	// JoinDelay is how long a member must have asked without a gap before it gets machines.
+	// JoinDelay is how long a member must have made requests without a gap before it gets
+	// machines.
 	JoinDelay time.Duration
-	// RejoinDelay is how long a member that has left gets none; it doubles with each time
-	// that it leaves, up to RestMost, and starts anew once it has stayed for RestMost.
-	RejoinDelay, MaxRejoinDelay time.Duration
+	// RejoinDelay is how long a member that has left gets no machines. It doubles each time
+	// that the member leaves, up to MaxRejoinDelay, and starts anew once the member has
+	// stayed for MaxRejoinDelay.
+	RejoinDelay    time.Duration
+	MaxRejoinDelay time.Duration
 	// MinMachines is the number of machines below which the leader holds all.
 	MinMachines int
-	// MovesPerSecond is how many machines are moved a second.
+	// MovesPerSecond bounds the rate at which machines change their holder.
 	MovesPerSecond float64
-	// LeaderWeight is the leader's weight beside the members' 1: it has other things to do.
+	// LeaderWeight is the leader's weight relative to 1 for each other member: the leader
+	// has other work.
 	LeaderWeight float64
 	// LeaderCapacity is how many machines the leader itself can deal with.
 	LeaderCapacity int
 }
 
-// loadSlack is how far above its part of the machines a controller may be: bounded
-// loads, which keep the moves few when machines come and go.
-const loadSlack = 1.1
-
-// zoneWeight is how much more a controller in the machine's own zone weighs.
-const zoneWeight = 1.5
+const (
+	// loadSlack is the factor by which a controller may exceed its weighted part of the
+	// machines (consistent hashing with bounded loads). It makes moves rare when machines
+	// come and go.
+	loadSlack = 1.1
+	// zoneWeight is the factor by which the weight of a controller in the machine's own
+	// zone is increased.
+	zoneWeight = 1.5
+)
 
-// score is the weight of a controller for a machine by rendezvous hashing: the
-// highest takes it. A controller that leaves moves its own machines only, one that
-// joins takes only what it scores highest for.
+// score is the score of a controller for a machine by weighted rendezvous hashing: the
+// highest gets the machine. When a controller leaves, only its own machines move; when
+// one joins, only those that it scores highest for.
 func score(machine, member string, weight float64) float64 {
 	h := xxhash.Sum64String(machine + "\x00" + member)
-	u := (float64(h>>11) + 0.5) / (1 << 53)
-	return -weight / math.Log(u)
+	uniform := (float64(h>>11) + 0.5) / (1 << 53) // in (0, 1)
+	return -weight / math.Log(uniform)
 }
 
-// candidate is a controller as the division sees it.
+// candidate is a controller to which machines can be assigned.
 type candidate struct {
 	member   *member // nil: the leader itself
 	name     string
 	zone     string
 	weight   float64
-	capacity int
-	load     int
-	bound    int
+	capacity int // machines that it can deal with
+	load     int // machines that it has
+	bound    int // machines that it may have
 }
 
-// setBounds sets how many machines each seat may have.
-func setBounds(seats []*candidate, total int) {
+// setBounds sets how many of total machines each candidate may have.
+func setBounds(candidates []*candidate, total int) {
 	sum := 0.0
-	for _, s := range seats {
-		sum += s.weight
+	for _, c := range candidates {
+		sum += c.weight
 	}
-	for _, s := range seats {
-		s.bound = min(s.capacity, int(math.Ceil(loadSlack*float64(total)*s.weight/sum)))
+	for _, c := range candidates {
+		c.bound = min(c.capacity, int(math.Ceil(loadSlack*float64(total)*c.weight/sum)))
 	}
 }
 
-// rank orders the seats for a machine, the highest score first.
-func rank(name, zone string, seats []*candidate) []*candidate {
+// rank orders the candidates for a machine, the highest score first.
+func rank(name, zone string, candidates []*candidate) []*candidate {
 	type scored struct {
-		s *candidate
-		v float64
+		candidate *candidate
+		score     float64
 	}
-	list := make([]scored, len(seats))
-	for i, s := range seats {
-		w := s.weight
-		if s.zone == zone {
-			w *= zoneWeight
+	list := make([]scored, len(candidates))
+	for i, c := range candidates {
+		weight := c.weight
+		if c.zone == zone {
+			weight *= zoneWeight
 		}
-		list[i] = scored{s, score(name, s.name, w)}
+		list[i] = scored{candidate: c, score: score(name, c.name, weight)}
 	}
 	slices.SortFunc(list, func(a, b scored) int {
-		if a.v > b.v {
+		if a.score > b.score {
 			return -1
 		}
 		return 1
 	})
-	out := make([]*candidate, len(list))
+	ranked := make([]*candidate, len(list))
 	for i := range list {
-		out[i] = list[i].s
+		ranked[i] = list[i].candidate
 	}
-	return out
+	return ranked
 }
