--- a/internal/control/admission.go
+++ b/internal/control/admission.go
@@ -88,7 +88,7 @@
 // knows reports whether the leader has the job: over, being stored, or in the job
 // table.
 func (ad *admission) knows(id string) bool {
-	return ad.completions.over(id) || ad.pending[id] != nil || ad.jobTable.get(id) != nil
+	return ad.completions.isOver(id) || ad.pending[id] != nil || ad.jobTable.get(id) != nil
 }
 
 // status answers a status request.
@@ -98,15 +98,15 @@
 		back(absent)
 		return
 	}
-	if p := ad.completions.known(id); p != nil {
+	if p := ad.completions.answerFromMemory(id); p != nil {
 		back(p)
 		return
 	}
 	if ad.pending[id] != nil {
-		back(Later("submission is being stored"))
+		back(Unavailable("submission is being stored"))
 		return
 	}
-	ad.completions.readBack(id, absent, recorded, back)
+	ad.completions.answerFromStore(id, absent, recordReply, back)
 }
 
 // submit answers a submission. id may be set even if the submission is invalid; a
@@ -119,16 +119,16 @@
 		ad.rejectInvalid(id, invalid, back)
 		return
 	}
-	if refusal := ad.c.admissionRefusal(spec, ad.nameIndex.list(), ad.teamQuotas.find(spec.Team)); refusal != nil {
+	if refusal := ad.controller.admissionRefusal(spec, ad.nameIndex.list(), ad.teamQuotas.find(spec.Team)); refusal != nil {
 		if refusal.Status == http.StatusServiceUnavailable {
 			back(refusal)
 			return
 		}
-		ad.completions.readBack(id, refusal, recorded, back)
+		ad.completions.answerFromStore(id, refusal, recordReply, back)
 		return
 	}
 	if ad.admissionGroups.hasUnreadable() {
-		ad.completions.readBack(id, Later("a record cannot be read"), recorded, back)
+		ad.completions.answerFromStore(id, Unavailable("a record cannot be read"), recordReply, back)
 		return
 	}
 	ad.enqueue(id, spec, back)
@@ -137,12 +137,12 @@
 // answerKnown answers a submission whose job the leader has already, and reports
 // whether it did.
 func (ad *admission) answerKnown(id string, back func(*rpc.Reply)) bool {
-	if p := ad.completions.known(id); p != nil {
+	if p := ad.completions.answerFromMemory(id); p != nil {
 		back(p)
 		return true
 	}
-	if ad.jobTable.sound(id) != nil {
-		ad.completions.readBack(id, settled(Later("job is ending")), recorded, back)
+	if ad.jobTable.identified(id) != nil {
+		ad.completions.answerFromStore(id, finalRefusal(Unavailable("job is ending")), recordReply, back)
 		return true
 	}
 	ps := ad.pending[id]
@@ -150,7 +150,7 @@
 		return false
 	}
 	if len(ps.callbacks) >= maxCallbacks {
-		back(settled(Later("submission is being stored")))
+		back(finalRefusal(Unavailable("submission is being stored")))
 		return true
 	}
 	ps.callbacks = append(ps.callbacks, back)
@@ -165,7 +165,7 @@
 		back(bad)
 		return
 	}
-	ad.completions.readBack(id, bad, recorded, back)
+	ad.completions.answerFromStore(id, bad, recordReply, back)
 }
 
 // enqueue adds a submission that has passed the checks to the queue, or tells its
@@ -188,7 +188,7 @@
 // refuseQueued answers the queued submissions when this node may not act as leader.
 func (ad *admission) refuseQueued() {
 	for _, ps := range ad.queue {
-		ad.finish(ps, Later("leadership is not certain"))
+		ad.finish(ps, Unavailable("leadership is not certain"))
 	}
 	ad.queue = nil
 }
--- a/internal/control/admission_group_commit.go
+++ b/internal/control/admission_group_commit.go
@@ -55,7 +55,7 @@
 	gs := gc.gs
 	unclear := false // an earlier try may have been applied
 	for gs.ctx.Err() == nil {
-		version, err := gs.c.State.Commit(gs.ctx, gc.txn)
+		version, err := gs.controller.State.Commit(gs.ctx, gc.txn)
 		var conflict *state.ConflictError
 		switch {
 		case err == nil:
@@ -66,15 +66,15 @@
 				return
 			}
 		case errors.Is(err, state.ErrRejected):
-			gs.ahead(func() { gs.recordWriter.shrinkIfRejected(err) })
+			gs.enqueueForUser(func() { gs.recordWriter.shrinkIfRejected(err) })
 			if gc.isMove() && !unclear {
-				gs.ahead(gc.postponeMove)
+				gs.enqueueForUser(gc.postponeMove)
 				return
 			}
 		case !errors.Is(err, state.ErrRefused):
 			unclear = true
 		}
-		gs.pause(settlePause)
+		gs.sleep(commitRetryPause)
 	}
 }
 
@@ -82,7 +82,7 @@
 // transaction needs no other try. unclear: an earlier try may have been applied.
 func (gc *groupCommit) resolveConflict(conflict *state.ConflictError, unclear bool) (resolved bool) {
 	gs := gc.gs
-	stored, err := gs.c.State.Get(gs.ctx, gc.group.key)
+	stored, err := gs.controller.State.Get(gs.ctx, gc.group.key)
 	switch {
 	case err == nil && stored.Version != gc.version:
 		gc.finish(stored.Version)
@@ -92,7 +92,7 @@
 		return true
 	case err == nil && gc.isMove():
 		// A job was admitted twice: its active record is deleted before the move.
-		gs.ahead(func() {
+		gs.enqueueForUser(func() {
 			for _, c := range gc.moveConds {
 				if slices.Contains(conflict.Failed, c.Key) {
 					gs.results.deleteLater(c.Key)
@@ -108,7 +108,7 @@
 // finish has the actor apply a transaction that was stored at the version.
 func (gc *groupCommit) finish(version uint64) {
 	gs, g := gc.gs, gc.group
-	gs.ahead(func() {
+	gs.enqueueForUser(func() {
 		g.writing = false
 		g.version = version
 		if gc.isMove() {
--- a/internal/control/admission_groups.go
+++ b/internal/control/admission_groups.go
@@ -140,7 +140,7 @@
 			gs.storeEndings(g)
 		case len(g.endings) > 0:
 			gs.storeInTurn(g)
-		case !gs.moving && gs.c.State.Idle(gs.recordWriter.maxWrites()) && !now.Before(g.noMoveBefore):
+		case !gs.moving && gs.controller.State.Idle(gs.recordWriter.maxWrites()) && !now.Before(g.noMoveBefore):
 			gs.moveFinished(g)
 		}
 	}
@@ -162,7 +162,7 @@
 		if gs.limit.Wait(gs.ctx) != nil {
 			return // the term has ended
 		}
-		gs.ahead(func() {
+		gs.enqueueForUser(func() {
 			g.awaitingTurn = false
 			if !g.writing && len(g.endings) > 0 {
 				gs.storeEndings(g)
--- a/internal/control/admission_records_test.go
+++ b/internal/control/admission_records_test.go
@@ -18,11 +18,11 @@
 		s := newFakeStateService(t)
 		s.watchesSilent = true
 		st := startLeader(t, s, 7)
-		s.put(job.ActivePrefix+"run-5", &job.Record{Spec: job.Spec{ID: "run-5", Team: "red", ShapeName: "array", RankName: "idle", Tasks: 1, CPUs: 1}})
+		s.put(job.ActivePrefix+"run-5", &job.Record{Spec: job.Spec{ID: "run-5", Team: "red", ShapeName: "array", PriorityName: "idle", Tasks: 1, CPUs: 1}})
 		adopted := func() bool {
 			has := make(chan bool, 1)
-			r := st.current()
-			r.ahead(func() { has <- r.jobTable.get("run-5") != nil })
+			r := st.currentTerm()
+			r.enqueueForUser(func() { has <- r.jobTable.get("run-5") != nil })
 			return <-has
 		}
 		time.Sleep(auditInterval / 2)
@@ -42,7 +42,7 @@
 		s := newFakeStateService(t)
 		s.put(job.ActivePrefix+"run-4", "no record")
 		s.put(job.DonePrefix+"run-4/0", job.Chunk{})
-		s.put(job.ActivePrefix+"run-5", &job.Record{Spec: job.Spec{ID: "run-5", Team: "red", ShapeName: "array", RankName: "idle", Tasks: 1, CPUs: 1}})
+		s.put(job.ActivePrefix+"run-5", &job.Record{Spec: job.Spec{ID: "run-5", Team: "red", ShapeName: "array", PriorityName: "idle", Tasks: 1, CPUs: 1}})
 		st := startLeader(t, s, 7)
 		if p := st.request(rpc.KindStatus, "run-5", nil); p.Status != 200 {
 			t.Errorf("another job's status: %d", p.Status)
@@ -74,9 +74,9 @@
 		s := newFakeStateService(t)
 		s.put(job.GroupPrefix+"6-1", "no record")
 		s.put(job.DonePrefix+"run-4/0", job.Chunk{})
-		s.put(job.GroupPrefix+"6-2", job.Group{Jobs: []job.Record{{Spec: job.Spec{ID: "run-6", Team: "red", ShapeName: "array", RankName: "idle", Tasks: 1, CPUs: 1}}}})
-		s.put(job.ActivePrefix+"run-5", &job.Record{Spec: job.Spec{ID: "run-5", Team: "red", ShapeName: "array", RankName: "idle", Tasks: 1, CPUs: 1}})
-		s.put(job.FinalPrefix+"run-7", &job.Record{Spec: job.Spec{ID: "run-7", Team: "red", ShapeName: "array", RankName: "idle", Tasks: 1, CPUs: 1}, Phase: wire.JobDone})
+		s.put(job.GroupPrefix+"6-2", job.Group{Jobs: []job.Record{{Spec: job.Spec{ID: "run-6", Team: "red", ShapeName: "array", PriorityName: "idle", Tasks: 1, CPUs: 1}}}})
+		s.put(job.ActivePrefix+"run-5", &job.Record{Spec: job.Spec{ID: "run-5", Team: "red", ShapeName: "array", PriorityName: "idle", Tasks: 1, CPUs: 1}})
+		s.put(job.FinalPrefix+"run-7", &job.Record{Spec: job.Spec{ID: "run-7", Team: "red", ShapeName: "array", PriorityName: "idle", Tasks: 1, CPUs: 1}, Phase: wire.JobDone})
 		st := startLeader(t, s, 7)
 		for _, tt := range []struct {
 			kind, id string
@@ -124,7 +124,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				s := newFakeStateService(t)
 				if tt.phase != "" {
-					s.put(job.FinalPrefix+"run-4", &job.Record{Spec: job.Spec{ID: "run-4", Team: "red", ShapeName: "array", RankName: "idle", Tasks: 1, CPUs: 1}, Phase: tt.phase})
+					s.put(job.FinalPrefix+"run-4", &job.Record{Spec: job.Spec{ID: "run-4", Team: "red", ShapeName: "array", PriorityName: "idle", Tasks: 1, CPUs: 1}, Phase: tt.phase})
 				}
 				st := startLeader(t, s, 7)
 				s.mu.Lock()
@@ -148,12 +148,12 @@
 				s := newFakeStateService(t)
 				s.watchesSilent = true
 				st := startLeader(t, s, 7)
-				rec := &job.Record{Spec: job.Spec{ID: "run-5", Team: "red", ShapeName: "array", RankName: "idle", Tasks: 1, CPUs: 1}}
+				rec := &job.Record{Spec: job.Spec{ID: "run-5", Team: "red", ShapeName: "array", PriorityName: "idle", Tasks: 1, CPUs: 1}}
 				s.put(job.ActivePrefix+"run-5", rec)
-				r, got := st.current(), make(chan *rpc.Reply, 1)
-				r.ahead(func() {
+				r, got := st.currentTerm(), make(chan *rpc.Reply, 1)
+				r.enqueueForUser(func() {
 					if phase != "" {
-						r.completions.remember(&job.Record{Spec: rec.Spec, Phase: phase})
+						r.completions.cacheFinalStatus(&job.Record{Spec: rec.Spec, Phase: phase})
 					}
 					in := &pendingSubmission{rec: rec, callbacks: []func(*rpc.Reply){func(p *rpc.Reply) { got <- p }}}
 					r.admission.pending["run-5"] = in
@@ -164,7 +164,7 @@
 					t.Errorf("answer %d %s", p.Status, told.Phase)
 				}
 				adopted := make(chan bool, 1)
-				r.ahead(func() { adopted <- r.jobTable.get("run-5") != nil })
+				r.enqueueForUser(func() { adopted <- r.jobTable.get("run-5") != nil })
 				if has := <-adopted; has != (phase == "") {
 					t.Errorf("looked after: %v", has)
 				}
@@ -185,7 +185,7 @@
 					t.Fatalf("submission: %d", out[0])
 				}
 				busy, got := make(chan struct{}), make(chan *rpc.Reply, 1)
-				st.current().ahead(func() { <-busy })
+				st.currentTerm().enqueueForUser(func() { <-busy })
 				go func() { got <- st.request(kind, "run-5", submissionBody("run-5", nil)) }()
 				time.Sleep(time.Second)
 				st.entitlementLapsed.Store(true)
--- a/internal/control/admission_store.go
+++ b/internal/control/admission_store.go
@@ -46,7 +46,7 @@
 // idle.
 func (ad *admission) storeQueued(now time.Time) {
 	for len(ad.queue) > 0 && ad.commitsInFlight < maxCommitsInFlight {
-		if !ad.c.State.Idle(ad.recordWriter.maxWrites()) && !ad.limit.AllowN(now, 1) {
+		if !ad.controller.State.Idle(ad.recordWriter.maxWrites()) && !ad.limit.AllowN(now, 1) {
 			return
 		}
 		n := ad.nextBatchSize()
@@ -59,7 +59,7 @@
 		ad.commitsInFlight++
 		go func() {
 			ad.storeBatch(groupKey, batch)
-			ad.ahead(func() { ad.commitsInFlight-- })
+			ad.enqueueForUser(func() { ad.commitsInFlight-- })
 		}()
 	}
 }
@@ -100,7 +100,7 @@
 			return
 		}
 		txn.If = append(txn.If, ad.fence)
-		version, err := ad.c.State.CommitHedged(ad.ctx, txn)
+		version, err := ad.controller.State.CommitHedged(ad.ctx, txn)
 		var conflict *state.ConflictError
 		switch {
 		case err == nil:
@@ -118,7 +118,7 @@
 			unclear = unclear || stillUnclear
 		case errors.Is(err, state.ErrRefused) && !unclear:
 			// Certainly not stored: the users are told at once to retry.
-			ad.finishAll(batch, Later("state service refuses writes"))
+			ad.finishAll(batch, Unavailable("state service refuses writes"))
 			return
 		case errors.Is(err, state.ErrRejected) && !unclear:
 			ad.requeueRejected(batch, err)
@@ -126,14 +126,14 @@
 		default:
 			unclear = true
 			ad.answerUnclear(batch)
-			ad.pause(storeRetryPause)
+			ad.sleep(storeRetryPause)
 		}
 	}
 }
 
 // finishAll has the actor give all submissions of a batch the same answer.
 func (ad *admission) finishAll(batch []*pendingSubmission, p *rpc.Reply) {
-	ad.ahead(func() {
+	ad.enqueueForUser(func() {
 		for _, ps := range batch {
 			ad.finish(ps, p)
 		}
@@ -143,9 +143,9 @@
 // answerUnclear has the actor tell the users who wait for a batch to ask again later.
 // The submissions stay pending.
 func (ad *admission) answerUnclear(batch []*pendingSubmission) {
-	ad.ahead(func() {
+	ad.enqueueForUser(func() {
 		for _, ps := range batch {
-			ps.answer(Later("submission is not settled yet"))
+			ps.answer(Unavailable("submission is not settled yet"))
 		}
 	})
 }
@@ -153,10 +153,10 @@
 // requeueRejected has the actor make transactions smaller and queue a batch again
 // that the state service has rejected as too large. A single submission is refused.
 func (ad *admission) requeueRejected(batch []*pendingSubmission, err error) {
-	ad.ahead(func() {
+	ad.enqueueForUser(func() {
 		ad.recordWriter.shrinkIfRejected(err)
 		if len(batch) == 1 {
-			ad.finish(batch[0], Later("state service rejects the submission"))
+			ad.finish(batch[0], Unavailable("state service rejects the submission"))
 			return
 		}
 		ad.queue = append(ad.queue, batch...)
@@ -170,8 +170,8 @@
 	if groupKey != "" {
 		kind = "group"
 	}
-	ad.c.Meter.Add(metrics.Accepted, kind, len(batch))
-	ad.ahead(func() {
+	ad.controller.Meter.Add(metrics.Accepted, kind, len(batch))
+	ad.enqueueForUser(func() {
 		if groupKey != "" {
 			recs := make([]job.Record, len(batch))
 			for i, ps := range batch {
@@ -181,7 +181,7 @@
 			version = 0 // the jobs have no records of their own
 		}
 		for _, ps := range batch {
-			if ad.jobTable.sound(ps.id()) == nil {
+			if ad.jobTable.identified(ps.id()) == nil {
 				ad.jobTable.add(ps.rec, version, time.Now())
 			}
 			ad.finish(ps, reply(http.StatusCreated, recordStatus(ps.rec)))
@@ -193,12 +193,12 @@
 // the job's record.
 func (ad *admission) answerExisting(ps *pendingSubmission) {
 	for ad.ctx.Err() == nil {
-		found, version, err := readJobRecord(ad.ctx, ad.c.State, ps.id())
+		found, version, err := readJobRecord(ad.ctx, ad.controller.State, ps.id())
 		if err != nil {
-			ad.pause(storeRetryPause)
+			ad.sleep(storeRetryPause)
 			continue
 		}
-		ad.ahead(func() { ad.finishExisting(ps, found, version) })
+		ad.enqueueForUser(func() { ad.finishExisting(ps, found, version) })
 		return
 	}
 }
@@ -210,19 +210,19 @@
 	switch {
 	case found == nil:
 		// The conflict was with the fence: a later term has begun.
-		ad.finish(ps, Later("leadership has changed"))
+		ad.finish(ps, Unavailable("leadership has changed"))
 		return
 	case found.Phase != "":
-		ad.completions.remember(found)
-	case ad.completions.over(id):
+		ad.completions.cacheFinalStatus(found)
+	case ad.completions.isOver(id):
 		// The job has ended since the read. Adopted from that record it would run again,
 		// and its user would be told that it is pending.
-		ad.finish(ps, ad.completions.past(id))
+		ad.finish(ps, ad.completions.answerIfOver(id))
 		return
-	case ad.jobTable.sound(id) == nil:
+	case ad.jobTable.identified(id) == nil:
 		ad.jobTable.add(found, version, time.Now())
 	}
-	ad.finish(ps, recorded(found))
+	ad.finish(ps, recordReply(found))
 }
 
 // handleConflict handles a commit of a group whose conditions failed: the unclear
@@ -230,16 +230,16 @@
 // the jobs exist already. It returns the submissions to try again, none if all are
 // answered; unclear reports that the last commit may still have been applied.
 func (ad *admission) handleConflict(groupKey string, batch []*pendingSubmission, conflict *state.ConflictError) (rest []*pendingSubmission, unclear bool) {
-	stored, err := ad.c.State.Get(ad.ctx, groupKey)
+	stored, err := ad.controller.State.Get(ad.ctx, groupKey)
 	switch {
 	case err == nil: // the unclear commit was applied
 		ad.recordAccepted(groupKey, stored.Version, batch)
 		return nil, false
 	case !errors.Is(err, state.ErrNotFound):
-		ad.pause(storeRetryPause)
+		ad.sleep(storeRetryPause)
 		return batch, true
 	case slices.Contains(conflict.Failed, ad.fence.Key):
-		ad.finishAll(batch, Later("leadership has changed"))
+		ad.finishAll(batch, Unavailable("leadership has changed"))
 		return nil, false
 	}
 	// Jobs that exist already must not keep out the others. An unclear commit of the
@@ -249,7 +249,7 @@
 		ad.answerExisting(ps)
 	}
 	if len(existing) == 0 {
-		ad.pause(storeRetryPause) // the service did not name the keys
+		ad.sleep(storeRetryPause) // the service did not name the keys
 	}
 	return rest, false
 }
--- a/internal/control/admission_watch.go
+++ b/internal/control/admission_watch.go
@@ -24,12 +24,12 @@
 func (ad *admission) watchActiveJobs(revision uint64) {
 	listedAt := time.Now()
 	for ad.ctx.Err() == nil {
-		events, next, err := ad.c.State.Watch(ad.ctx, job.ActivePrefix, revision, watchTimeout)
+		events, next, err := ad.controller.State.Watch(ad.ctx, job.ActivePrefix, revision, watchTimeout)
 		switch {
 		case errors.Is(err, state.ErrGone) || time.Since(listedAt) > auditInterval:
-			entries, listed, err := ad.c.State.List(ad.ctx, job.ActivePrefix)
+			entries, listed, err := ad.controller.State.List(ad.ctx, job.ActivePrefix)
 			if err != nil {
-				ad.pause(readRetryPause)
+				ad.sleep(readRetryPause)
 				continue
 			}
 			listedAt = time.Now()
@@ -38,7 +38,7 @@
 			}
 			revision = listed
 		case err != nil:
-			ad.pause(readRetryPause)
+			ad.sleep(readRetryPause)
 		default:
 			for _, e := range events {
 				if e.Put != "" {
@@ -52,7 +52,7 @@
 
 // postAdopt has the actor adopt the job whose record has the key.
 func (ad *admission) postAdopt(key string) {
-	ad.ahead(func() { ad.adopt(key[len(job.ActivePrefix):]) })
+	ad.enqueueForUser(func() { ad.adopt(key[len(job.ActivePrefix):]) })
 }
 
 // adopt takes over a job that has a record of its own, unless this term made that
@@ -73,18 +73,18 @@
 // named it may be old: a job that is over by now is under its final key.
 func (ad *admission) readAndAdopt(id string) {
 	for ad.ctx.Err() == nil {
-		rec, version, err := readJobRecord(ad.ctx, ad.c.State, id)
+		rec, version, err := readJobRecord(ad.ctx, ad.controller.State, id)
 		if errors.Is(err, errUnreadable) {
 			return // the next listing tries again
 		}
 		if err != nil {
-			ad.pause(readRetryPause)
+			ad.sleep(readRetryPause)
 			continue
 		}
 		if rec == nil || rec.Phase != "" {
 			return
 		}
-		ad.ahead(func() {
+		ad.enqueueForUser(func() {
 			if !ad.knows(id) {
 				ad.jobTable.add(rec, version, time.Now())
 			}
--- a/internal/control/admission_without_leader.go
+++ b/internal/control/admission_without_leader.go
@@ -36,7 +36,7 @@
 	rec, err := c.findRecord(ctx, id)
 	switch {
 	case err != nil:
-		return Later("no leader and no state service")
+		return Unavailable("no leader and no state service")
 	case rec == nil:
 		return reply(http.StatusNotFound, wire.Error{Error: "no such job"})
 	}
@@ -44,7 +44,7 @@
 }
 
 // noLeaderReply tells the client to retry because no leader can be reached.
-func noLeaderReply() *rpc.Reply { return Later("no leader is to be reached") }
+func noLeaderReply() *rpc.Reply { return Unavailable("no leader is to be reached") }
 
 // admissionCheck returns the refusal of a submission, or nil with the conditions on
 // the state service under which it may be admitted. The error means that what the
@@ -75,7 +75,7 @@
 	case err != nil:
 		return noLeaderReply()
 	case rec != nil:
-		return recorded(rec)
+		return recordReply(rec)
 	}
 	return refusal
 }
@@ -90,7 +90,7 @@
 	case err != nil:
 		return noLeaderReply()
 	case inGroup != nil:
-		return recorded(inGroup)
+		return recordReply(inGroup)
 	}
 	rec := &job.Record{Spec: *spec, At: time.Now().UnixMilli()}
 	txn, err := admissionTxn("", []*pendingSubmission{{rec: rec}})
@@ -109,7 +109,7 @@
 		if err != nil || existing == nil {
 			return noLeaderReply()
 		}
-		return recorded(existing)
+		return recordReply(existing)
 	}
 	if err != nil {
 		// The commit may have been applied: the user's next try will tell.
--- a/internal/control/late_transactions_test.go
+++ b/internal/control/late_transactions_test.go
@@ -30,7 +30,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := newFakeStateService(t)
-				s.put(job.ActivePrefix+"run-4", &job.Record{Spec: job.Spec{ID: "run-4", Team: "red", ShapeName: "array", RankName: "idle", Tasks: 5, CPUs: 1}})
+				s.put(job.ActivePrefix+"run-4", &job.Record{Spec: job.Spec{ID: "run-4", Team: "red", ShapeName: "array", PriorityName: "idle", Tasks: 5, CPUs: 1}})
 				st := startLeader(t, s, 7)
 				s.setOutcomes(job.DonePrefix[:1], tt.outcomes...)
 				for i := range 4 {
@@ -113,7 +113,7 @@
 // given outcomes, and checks what this leader and the next one say of it.
 func checkLateRecord(t *testing.T, rec lateRecordCase, outcomes []commitOutcome) {
 	s := newFakeStateService(t)
-	s.put(job.ActivePrefix+"run-1", &job.Record{Spec: job.Spec{ID: "run-1", Team: "red", ShapeName: "daemon", RankName: "idle", Tasks: 1, CPUs: 1, Image: "o"}})
+	s.put(job.ActivePrefix+"run-1", &job.Record{Spec: job.Spec{ID: "run-1", Team: "red", ShapeName: "daemon", PriorityName: "idle", Tasks: 1, CPUs: 1, Image: "o"}})
 	on := func(tun *config.Tuning) { tun.Rollouts.Enabled, tun.Calendar.Enabled = true, true }
 	st := startLeaderWith(t, s, 7, on)
 	s.setOutcomes(rec.prefix, outcomes...)
--- a/internal/control/leader_fixture_test.go
+++ b/internal/control/leader_fixture_test.go
@@ -108,7 +108,7 @@
 	defer cancel()
 	p := st.Answer(ctx, &rpc.Request{Kind: kind, ID: id, Body: b})
 	if p == nil {
-		p = Later("nobody leads")
+		p = Unavailable("nobody leads")
 	}
 	return p
 }
@@ -158,8 +158,8 @@
 // reportTasks has a machine report tasks, and returns the leader's slots of the
 // machine a second later.
 func (st *testLeader) reportTasks(host string, seq uint64, tasks ...wire.TaskReport) (slots []fleet.Slot) {
-	r := st.current()
-	r.ahead(func() {
+	r := st.currentTerm()
+	r.enqueueForUser(func() {
 		h := r.fleet.Add(host, time.Now())
 		h.Known = true
 		h.Type = 0
@@ -168,7 +168,7 @@
 	})
 	time.Sleep(time.Second)
 	done := make(chan struct{})
-	r.ahead(func() {
+	r.enqueueForUser(func() {
 		defer close(done)
 		for _, slot := range r.fleet.Hosts[host].Slots {
 			slots = append(slots, *slot)
--- a/internal/control/records_load.go
+++ b/internal/control/records_load.go
@@ -82,7 +82,7 @@
 		if known != nil || hr.Idx < 0 {
 			return &pageError{key: p.key, err: &indexReusedError{index: hr.Idx}}
 		}
-		h := g.fleet.AddAt(hr.Name, hr.Idx, g.since)
+		h := g.fleet.AddAt(hr.Name, hr.Idx, g.termStart)
 		byIndex[hr.Idx] = h
 		h.Addr = hr.Addr
 		h.Durable = true
@@ -99,7 +99,7 @@
 // have inherited.
 func (g *registry) loadJobHosts(p *registryPage, rec *pageRecord, byIndex map[int]*fleet.Host) error {
 	for _, jr := range rec.Jobs {
-		set, err := job.ParseSet(jr.Hosts)
+		set, err := job.ParseMachineSet(jr.Hosts)
 		if err != nil {
 			return &pageError{key: p.key, err: err}
 		}
@@ -116,7 +116,7 @@
 
 // mergeJobHosts adds the stored entry of a job, or merges it into the one that
 // another page has.
-func (g *registry) mergeJobHosts(p *registryPage, jr jobHostsRecord, set job.Set) {
+func (g *registry) mergeJobHosts(p *registryPage, jr jobHostsRecord, set job.MachineSet) {
 	known := g.hostsByJob[jr.Job]
 	if known == nil {
 		added := &jobHosts{id: jr.Job, team: jr.Team, confirmed: set, desired: slices.Clone(set), page: p}
--- a/internal/control/records_pages.go
+++ b/internal/control/records_pages.go
@@ -37,7 +37,7 @@
 type jobHostsRecord struct {
 	Job   string `codec:"job"`
 	Team  string `codec:"team"`
-	Hosts string `codec:"hosts"` // a job.Set as text
+	Hosts string `codec:"hosts"` // a job.MachineSet as text
 }
 
 // pageRecord is a stored page, either of machines or of jobs.
@@ -60,16 +60,16 @@
 	page *registryPage
 	// confirmed are the machines that the stored record names whatever became of the
 	// last write; desired are those that it has to name.
-	confirmed job.Set
-	desired   job.Set
+	confirmed job.MachineSet
+	desired   job.MachineSet
 }
 
 // setConfirmed sets the machines that the stored record certainly names: these are
 // the ones on which the job may be launched.
-func (jh *jobHosts) setConfirmed(s job.Set) {
+func (jh *jobHosts) setConfirmed(s job.MachineSet) {
 	jh.confirmed = s
 	if jh.job != nil {
-		jh.job.RecordedHosts = s
+		jh.job.NotedMachines = s
 	}
 }
 
--- a/internal/control/records_registry.go
+++ b/internal/control/records_registry.go
@@ -55,7 +55,7 @@
 func (g *registry) attachJob(j *job.Job) {
 	if jh := g.hostsByJob[j.ID]; jh != nil {
 		jh.job = j
-		j.RecordedHosts = jh.confirmed
+		j.NotedMachines = jh.confirmed
 	}
 }
 
@@ -82,7 +82,7 @@
 // otherwise the index is free when the machine's page has been stored.
 func (g *registry) removeHost(h *fleet.Host) bool {
 	for _, jh := range g.hostsByJob {
-		jh.desired.Drop(h.Index)
+		jh.desired.Remove(h.Index)
 	}
 	entry, registered := g.hostEntries[h]
 	if !registered {
@@ -97,7 +97,7 @@
 }
 
 // recordPlacement has the registry name a machine for a job; the job may be launched
-// there once j.RecordedHosts has the machine.
+// there once j.NotedMachines has the machine.
 func (g *registry) recordPlacement(j *job.Job, h *fleet.Host) {
 	jh := g.hostsByJob[j.ID]
 	if jh == nil {
@@ -108,7 +108,7 @@
 		g.hostsByJob[j.ID] = jh
 	}
 	jh.desired.Add(h.Index)
-	if !j.RecordedHosts.Has(h.Index) {
+	if !j.NotedMachines.Has(h.Index) {
 		jh.page.urgent = true
 	}
 }
@@ -118,7 +118,7 @@
 // is over must not delay it. An array comes back to the machines that it has used,
 // so its entry only grows, which saves most writes.
 func (g *registry) pruneGangHosts(jh *jobHosts) {
-	if jh.job == nil || jh.job.Shape != job.Gang || !g.takeover.settled() {
+	if jh.job == nil || jh.job.Shape != job.Gang || !g.takeover.reconciled() {
 		return
 	}
 	clear(jh.desired)
@@ -130,7 +130,7 @@
 // removeFinishedJobs removes the entries of jobs that are over, once every machine
 // that they name is settled.
 func (g *registry) removeFinishedJobs() {
-	if !g.takeover.settled() {
+	if !g.takeover.reconciled() {
 		return
 	}
 	for id, jh := range g.hostsByJob {
--- a/internal/control/records_registry_test.go
+++ b/internal/control/records_registry_test.go
@@ -42,7 +42,7 @@
 			t.Fatal(err)
 		}
 		for _, n := range rec.Jobs {
-			set, err := job.ParseSet(n.Hosts)
+			set, err := job.ParseMachineSet(n.Hosts)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -66,14 +66,14 @@
 
 func newRegistryFixture(t *testing.T) *registryFixture {
 	b := &registryFixture{
-		leaderTerm: bench(t),
+		leaderTerm: newTestTerm(t),
 		t:          t,
 		store:      &fakeStore{kv: map[string]state.Entry{}},
 		now:        time.Unix(1000, 0),
 	}
 	b.learn([]wire.MachineType{{Name: "small", CPUs: 8, MemGB: 16, Zones: []string{"a"}}})
 	b.registry.maxPageBytes = newRegistry(b.core, 16).maxPageBytes
-	b.takeover.ready = true
+	b.takeover.allReconciled = true
 	return b
 }
 
@@ -142,8 +142,8 @@
 	b.t.Helper()
 	for id, j := range b.jobTable.all() {
 		named := b.store.names(b.t, id)
-		for i := range 64 * len(j.RecordedHosts) {
-			if j.RecordedHosts.Has(i) && !named[i] {
+		for i := range 64 * len(j.NotedMachines) {
+			if j.NotedMachines.Has(i) && !named[i] {
 				b.t.Errorf("job %s may be launched on machine %d, which no record names", id, i)
 			}
 		}
@@ -152,7 +152,7 @@
 
 // newGangJob adds a gang of two tasks to the job table of b.
 func newGangJob(b *registryFixture, id string) *job.Job {
-	return b.jobTable.add(&job.Record{Spec: job.Spec{ID: id, ShapeName: "ensemble", RankName: "idle", Tasks: 2, CPUs: 1}}, 1, b.now)
+	return b.jobTable.add(&job.Record{Spec: job.Spec{ID: id, ShapeName: "ensemble", PriorityName: "idle", Tasks: 2, CPUs: 1}}, 1, b.now)
 }
 
 // registryCase is a case of TestRegistry: do runs against a fresh registryBed.
@@ -172,7 +172,7 @@
 			b.t.Errorf("%d writes, want 2: a page of machines and one of jobs", n)
 		}
 		for i := range 60 {
-			if !j.RecordedHosts.Has(i) {
+			if !j.NotedMachines.Has(i) {
 				b.t.Errorf("machine %d is not noted", i)
 			}
 		}
@@ -181,7 +181,7 @@
 		j := b.array("run-1")
 		b.assign(j, 0, b.addHost("h0"))
 		late := b.storeOnce(lostResponse)
-		if j.RecordedHosts.Has(0) || b.host("h0").Durable {
+		if j.NotedMachines.Has(0) || b.host("h0").Durable {
 			b.t.Error("launched on the word of an unclear write")
 		}
 		b.assign(j, 1, b.addHost("h1"))
@@ -200,7 +200,7 @@
 		}
 		b.storeOnce(b.store.apply) // conflicts
 		b.storeOnce(b.store.apply)
-		if !j.RecordedHosts.Has(0) {
+		if !j.NotedMachines.Has(0) {
 			b.t.Error("not noted after the conflict")
 		}
 	}},
@@ -213,11 +213,11 @@
 		}
 		b.assign(j, 1, b.addHost("h1"))
 		b.storeOnce(lostResponse)
-		if j.RecordedHosts.Has(0) || j.RecordedHosts.Has(1) {
+		if j.NotedMachines.Has(0) || j.NotedMachines.Has(1) {
 			b.t.Error("what only one of the two records names may be launched")
 		}
 		b.storeOnce(b.store.apply)
-		if j.RecordedHosts.Has(0) || !j.RecordedHosts.Has(1) {
+		if j.NotedMachines.Has(0) || !j.NotedMachines.Has(1) {
 			b.t.Error("the new place is not the noted one")
 		}
 	}},
@@ -277,7 +277,7 @@
 			b.storeOnce(b.store.apply)
 		}
 		for id, w := range map[string]int{"run-1": 60, "run-2": 30, "run-3": 70, "run-4": 15} {
-			if !b.jobTable.get(id).RecordedHosts.Has(64*w - 1) {
+			if !b.jobTable.get(id).NotedMachines.Has(64*w - 1) {
 				b.t.Errorf("%s is never noted", id)
 			}
 		}
@@ -292,7 +292,7 @@
 			b.storeOnce(b.store.apply)
 			b.recordHost("run-3", 29-w) // and is in demand before each store
 		}
-		if !b.jobTable.jobs["run-1"].RecordedHosts.Has(64*60 - 1) {
+		if !b.jobTable.jobs["run-1"].NotedMachines.Has(64*60 - 1) {
 			b.t.Error("never noted")
 		}
 	}},
@@ -343,12 +343,12 @@
 		b.assign(j, 0, b.addHost("h0"))
 		b.storeOnce(b.store.apply)
 		delete(b.jobTable.jobs, "run-1")
-		b.takeover.ready = false
+		b.takeover.allReconciled = false
 		b.registry.removeFinishedJobs()
 		if b.registry.hostsByJob["run-1"] == nil {
 			b.t.Fatal("dropped before")
 		}
-		b.takeover.ready = true
+		b.takeover.allReconciled = true
 		b.registry.removeFinishedJobs()
 		b.now = b.now.Add(time.Minute)
 		b.storeOnce(b.store.apply)
--- a/internal/control/records_results.go
+++ b/internal/control/records_results.go
@@ -60,7 +60,7 @@
 // deleteObsolete deletes obsolete keys while the budget is idle. The results of a job
 // are not deleted with the write of its final record, to keep that transaction small.
 func (rs *results) deleteObsolete() {
-	if rs.deleting || len(rs.obsoleteKeys) == 0 || !rs.c.State.Idle(rs.recordWriter.maxWrites()) {
+	if rs.deleting || len(rs.obsoleteKeys) == 0 || !rs.controller.State.Idle(rs.recordWriter.maxWrites()) {
 		return
 	}
 	keys := rs.obsoleteKeys[:min(len(rs.obsoleteKeys), rs.recordWriter.maxWrites())]
@@ -100,7 +100,7 @@
 // were executed after a newer one, results would be lost and their tasks would run
 // again under the next leader.
 func (rs *results) storeCompleted(now time.Time) {
-	if rs.storing || now.Before(rs.nextStoreAt) || rs.c.State.SpareWrites() < rs.recordWriter.maxWrites() {
+	if rs.storing || now.Before(rs.nextStoreAt) || rs.controller.State.SpareWrites() < rs.recordWriter.maxWrites() {
 		return
 	}
 	t := rs.nextTransaction()
@@ -111,7 +111,7 @@
 	rs.nextStoreAt = now.Add(resultsInterval)
 	go func() {
 		found, err := rs.commit(t)
-		rs.post(func() { rs.handleStored(t, found, err) })
+		rs.enqueue(func() { rs.handleStored(t, found, err) })
 	}()
 }
 
@@ -125,7 +125,7 @@
 		if j.Closing != "" || j.Phase != "" {
 			continue
 		}
-		dirty := j.Dirty()
+		dirty := j.DirtyChunks()
 		if n := len(t.txn.Writes); len(dirty) == 0 || (n > 0 && n+len(dirty) > rs.recordWriter.maxWrites()) {
 			continue
 		}
@@ -145,7 +145,7 @@
 		return
 	}
 	version := id.job.ChunkVersion(id.index)
-	id.job.MarkSaved(id.index, version) // it may be stored from the moment the commit is sent
+	id.job.MarkChunkSaved(id.index, version) // it may be stored from the moment the commit is sent
 	t.chunks = append(t.chunks, id)
 	t.txn.Writes = append(t.txn.Writes, write)
 	t.txn.If = append(t.txn.If, state.Condition{Key: write.Put, Version: version})
@@ -154,9 +154,9 @@
 // commit runs the transaction once, and returns the versions that the chunks then
 // have, as far as they are known.
 func (rs *results) commit(t *resultsTxn) (found map[chunkID]uint64, err error) {
-	version, err := rs.c.State.Commit(rs.ctx, t.txn)
+	version, err := rs.controller.State.Commit(rs.ctx, t.txn)
 	if err != nil {
-		rs.pause(settlePause)
+		rs.sleep(commitRetryPause)
 	}
 	found = map[chunkID]uint64{}
 	for _, id := range t.chunks {
@@ -178,7 +178,7 @@
 	rs.storing = false
 	rs.recordWriter.shrinkIfRejected(err)
 	for id, version := range found {
-		id.job.MarkSaved(id.index, version)
+		id.job.MarkChunkSaved(id.index, version)
 	}
 	if err == nil {
 		for _, slots := range t.slots {
@@ -189,7 +189,7 @@
 		return
 	}
 	for _, id := range t.chunks {
-		id.job.MarkDirty(id.index)
+		id.job.MarkChunkDirty(id.index)
 	}
 	for j, slots := range t.slots {
 		rs.unstored[j] = append(rs.unstored[j], slots...)
--- a/internal/control/records_store.go
+++ b/internal/control/records_store.go
@@ -34,7 +34,7 @@
 	hosts          []*fleet.Host
 	removedIndexes []int // no longer named by the page once it is stored
 	jobs           []*jobHosts
-	sets           []job.Set // the machines of each of jobs
+	sets           []job.MachineSet // the machines of each of jobs
 }
 
 // storePages stores the pages that launches wait for, and stale ones if the budget
@@ -43,11 +43,11 @@
 	if g.commitInFlight || now.Before(g.nextStoreAt) {
 		return
 	}
-	maxPages := min(g.recordWriter.maxWrites(), g.c.State.SpareWrites()-reservedWrites)
+	maxPages := min(g.recordWriter.maxWrites(), g.controller.State.SpareWrites()-reservedWrites)
 	if maxPages < 1 {
 		return
 	}
-	stores, txn := g.nextTransaction(now, maxPages, g.c.State.Idle(g.recordWriter.maxWrites()))
+	stores, txn := g.nextTransaction(now, maxPages, g.controller.State.Idle(g.recordWriter.maxWrites()))
 	if len(stores) == 0 {
 		return
 	}
@@ -55,7 +55,7 @@
 	g.nextStoreAt = now.Add(storeInterval)
 	go func() {
 		version, found, err := g.commitPages(stores, txn)
-		g.post(func() { g.handleStored(stores, version, found, err) })
+		g.enqueue(func() { g.handleStored(stores, version, found, err) })
 	}()
 }
 
@@ -151,7 +151,7 @@
 		g.pruneGangHosts(jh)
 		set := slices.Clone(jh.desired)
 		store.sets = append(store.sets, set)
-		record.Jobs = append(record.Jobs, jobHostsRecord{Job: jh.id, Team: jh.team, Hosts: set.Text()})
+		record.Jobs = append(record.Jobs, jobHostsRecord{Job: jh.id, Team: jh.team, Hosts: set.Encode()})
 	}
 	write, err := state.Put(p.key, record)
 	return store, write, err
@@ -161,7 +161,7 @@
 // only the machines that the old and the new record both name are confirmed.
 func (ps *pageStore) begin(now time.Time) {
 	for i, jh := range ps.jobs {
-		jh.setConfirmed(jh.confirmed.And(ps.sets[i]))
+		jh.setConfirmed(jh.confirmed.Intersect(ps.sets[i]))
 	}
 	p := ps.page
 	p.urgent = false
@@ -174,9 +174,9 @@
 // commitPages runs the transaction. After a conflict it also returns the versions
 // that the pages have now, as far as they can be read.
 func (g *registry) commitPages(stores []pageStore, txn state.Txn) (version uint64, found map[*registryPage]uint64, err error) {
-	version, err = g.c.State.Commit(g.ctx, txn)
+	version, err = g.controller.State.Commit(g.ctx, txn)
 	if err != nil {
-		g.pause(storeFailurePause)
+		g.sleep(storeFailurePause)
 	}
 	if !errors.Is(err, state.ErrConflict) {
 		return version, nil, err
@@ -208,7 +208,7 @@
 	for i := range stores {
 		g.confirm(&stores[i], version)
 	}
-	g.changed()
+	g.requestPlan()
 }
 
 // confirm notes that a page was stored at the version: its machines are durable, and
--- a/internal/control/records_writer.go
+++ b/internal/control/records_writer.go
@@ -33,17 +33,17 @@
 // The writes may be repeated safely: only this term can make them.
 func (wr *recordWriter) write(writes []state.Write, then func(error)) {
 	go func() {
-		_, err := wr.c.State.Commit(wr.ctx, state.Txn{If: []state.Condition{wr.fence}, Writes: writes})
+		_, err := wr.controller.State.Commit(wr.ctx, state.Txn{If: []state.Condition{wr.fence}, Writes: writes})
 		if err != nil {
-			wr.pause(settlePause)
+			wr.sleep(commitRetryPause)
 		}
-		wr.post(func() { then(err) })
+		wr.enqueue(func() { then(err) })
 	}()
 }
 
 // readVersion reads the version of a key, 0 if it is absent; known is false if the
 // state service does not answer.
 func (wr *recordWriter) readVersion(key string) (version uint64, known bool) {
-	entry, err := wr.c.State.Get(wr.ctx, key)
+	entry, err := wr.controller.State.Get(wr.ctx, key)
 	return entry.Version, err == nil || errors.Is(err, state.ErrNotFound)
 }
--- a/internal/election/promise_test.go
+++ b/internal/election/promise_test.go
@@ -100,22 +100,22 @@
 }
 
 var actions = []explorer.Action[*world]{
-	{Name: "tick", Each: 1, Do: func(w *world, _ int) bool {
+	{Name: "tick", Count: 1, Do: func(w *world, _ int) bool {
 		w.now = w.now.Add(tick)
 		if w.leader >= 0 && !w.storeDown && !w.now.Before(w.leaseExpires) {
 			w.leader = -1
 		}
 		return true
 	}},
-	{Name: "outage", Each: 1, Do: func(w *world, _ int) bool {
+	{Name: "outage", Count: 1, Do: func(w *world, _ int) bool {
 		w.storeDown = !w.storeDown
 		if !w.storeDown {
 			w.leaseExpires = w.now.Add(ttl)
 		}
 		return true
 	}},
-	{Name: "refuse", Each: 3, Do: func(w *world, i int) bool { w.members[i].storeRefuses = !w.members[i].storeRefuses; return true }},
-	{Name: "renew", Each: 2, Do: func(w *world, i int) bool {
+	{Name: "refuse", Count: 3, Do: func(w *world, i int) bool { w.members[i].storeRefuses = !w.members[i].storeRefuses; return true }},
+	{Name: "renew", Count: 2, Do: func(w *world, i int) bool {
 		m := &w.members[i]
 		if !m.leading || !w.served(i) {
 			return false
@@ -128,7 +128,7 @@
 		m.leaseUntil, w.leaseExpires = w.now.Add(ttl-50*time.Millisecond), w.now.Add(ttl)
 		return true
 	}},
-	{Name: "campaign", Each: 3, Do: func(w *world, i int) bool {
+	{Name: "campaign", Count: 3, Do: func(w *world, i int) bool {
 		m := &w.members[i]
 		if m.leading || m.campaigning || !w.served(i) || w.leader >= 0 {
 			return false
@@ -141,7 +141,7 @@
 		return may
 	}},
 	// The election's commit comes later than the decision for it.
-	{Name: "elected", Each: 3, Do: func(w *world, i int) bool {
+	{Name: "elected", Count: 3, Do: func(w *world, i int) bool {
 		m := &w.members[i]
 		if !m.campaigning || !w.served(i) {
 			return false
@@ -158,7 +158,7 @@
 	}},
 	// The leader, member 0 in most plays, asks a sibling, which answers at once; the
 	// answer may come late. No sibling knows of a later term than the leader's.
-	{Name: "ask", Each: 2, Do: func(w *world, i int) bool {
+	{Name: "ask", Count: 2, Do: func(w *world, i int) bool {
 		m, s := &w.members[0], &w.members[1+i]
 		if !m.leading || w.served(0) {
 			return false
@@ -171,7 +171,7 @@
 		}
 		return true
 	}},
-	{Name: "answer", Each: 2, Do: func(w *world, i int) bool {
+	{Name: "answer", Count: 2, Do: func(w *world, i int) bool {
 		m := &w.members[0]
 		asked, ok := m.promisesInFlight[1+i]
 		if !ok || !m.leading {
@@ -188,8 +188,8 @@
 		m.promises.recordReceived(fmt.Sprint(1+i), asked, w.now, entitled)
 		return true
 	}},
-	{Name: "end", Each: 2, Do: func(w *world, i int) bool { w.start(i); return true }},
-	{Name: "hear", Each: 2, Do: func(w *world, i int) bool {
+	{Name: "end", Count: 2, Do: func(w *world, i int) bool { w.start(i); return true }},
+	{Name: "hear", Count: 2, Do: func(w *world, i int) bool {
 		// Member 1 hears of the two others.
 		j := 2 * i
 		w.members[1].promises.observeSibling(fmt.Sprint(j), w.members[j].leading)
@@ -215,15 +215,15 @@
 }
 
 func (w *world) Print() string {
-	p := &explorer.Printer{Now: w.now, Past: 2 * length}
-	p.Say(w.storeDown, w.leader)
-	p.At(w.leaseExpires)
+	p := &explorer.Printer{Now: w.now, MaxAge: 2 * length}
+	p.Values(w.storeDown, w.leader)
+	p.Times(w.leaseExpires)
 	for i := range w.members {
 		m := &w.members[i]
-		p.Say("|", m.leading, w.lastTerm-m.term, m.campaigning, m.storeRefuses, m.promises.campaigning, len(m.promises.notLeading))
-		p.At(m.leaseUntil, m.promises.givenUntil, m.promises.startedAt.Add(length+m.promises.clockSlack()))
+		p.Values("|", m.leading, w.lastTerm-m.term, m.campaigning, m.storeRefuses, m.promises.campaigning, len(m.promises.notLeading))
+		p.Times(m.leaseUntil, m.promises.givenUntil, m.promises.startedAt.Add(length+m.promises.clockSlack()))
 		for j := range 3 {
-			p.At(m.promises.receivedUntil[fmt.Sprint(j)], m.promisesInFlight[j])
+			p.Times(m.promises.receivedUntil[fmt.Sprint(j)], m.promisesInFlight[j])
 		}
 	}
 	return p.String()
@@ -247,7 +247,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			g := &explorer.Game[*world]{New: func() *world { return newWorld(tt.out) }, Actions: actions, Most: 2000}
+			g := &explorer.Explorer[*world]{New: func() *world { return newWorld(tt.out) }, Actions: actions, MaxStates: 2000}
 			one := func(name string) []explorer.Step { return g.Steps(2, name)[1:] } // for the second thing alone
 			leads := slices.Concat(g.Steps(1, "campaign", "elected"))
 			refused := slices.Concat(leads, g.Steps(3, "refuse"), g.Steps(1, "tick", "tick", "tick"))
@@ -259,7 +259,7 @@
 			late := slices.Concat(leads, g.Steps(3, "refuse"), g.Steps(1, "tick"), g.Steps(2, "ask"), g.Steps(1, "tick", "tick"), g.Steps(2, "answer"))
 			// A sibling has been in an election since before the leader won it.
 			trying := slices.Concat(one("campaign"), refused, g.Steps(2, "ask", "answer"))
-			states, broken := g.From(leads, refused, asked, slices.Concat(asked, g.Steps(2, "answer")), late,
+			states, broken := g.ExploreFrom(leads, refused, asked, slices.Concat(asked, g.Steps(2, "answer")), late,
 				slices.Concat(refused, one("ask"), one("answer")), trying, led, slices.Concat(led, one("end"), g.Steps(2, "ask")))
 			t.Logf("%d states: %s", states, broken)
 			if (broken != "") != (tt.out != noGuard) {
--- a/internal/fleet/compose.go
+++ b/internal/fleet/compose.go
@@ -85,7 +85,7 @@
 		c.events = append(c.events, c.fleet.removeSlot(h, s, NeverStarted)...)
 		return
 	}
-	if !c.launches || !h.Fenced || !h.Durable || h.Lost || !s.Job.RecordedHosts.Has(h.Index) {
+	if !c.launches || !h.Fenced || !h.Durable || h.Lost || !s.Job.NotedMachines.Has(h.Index) {
 		return
 	}
 	s.Sent = true
@@ -176,7 +176,7 @@
 // command.
 func (h *Host) NeedsDirectCommand(now time.Time) bool {
 	for _, s := range h.Slots {
-		if !s.Sent && h.Usable() && s.Job.RecordedHosts.Has(h.Index) {
+		if !s.Sent && h.Usable() && s.Job.NotedMachines.Has(h.Index) {
 			return true
 		}
 		if h.holder != nil && s.resendDue(now) {
--- a/internal/fleet/explore_test.go
+++ b/internal/fleet/explore_test.go
@@ -78,7 +78,7 @@
 
 func newWorld(out guard) *world {
 	w := &world{disabled: out, now: time.Unix(1000, 0), holder: shard.NewHolder("n1", "", 1),
-		job: job.New(&job.Record{Spec: job.Spec{ID: "run-1", ShapeName: "array", RankName: "standard", Tasks: 1, CPUs: 1}}, time.Unix(1000, 0))}
+		job: job.New(&job.Record{Spec: job.Spec{ID: "run-1", ShapeName: "array", PriorityName: "standard", Tasks: 1, CPUs: 1}}, time.Unix(1000, 0))}
 	w.worker = worker{session: 1, leaseFrom: w.now}
 	w.lead(1)
 	return w
@@ -92,11 +92,11 @@
 	w.assigner = shard.NewAssigner(term, "n0", "", shard.Settings{GrantDuration: grantTime, RejoinDelay: tick, MaxRejoinDelay: tick, MovesPerSecond: 1000, LeaderWeight: 0.01, LeaderCapacity: 1}, w.now)
 	w.assigner.AddMachine("host-1", "")
 	w.fleetHolder, w.retained = &Holder{Name: "n1"}, false
-	w.job.RecordedHosts.Add(w.host.Index)
+	w.job.NotedMachines.Add(w.host.Index)
 	w.loadedAsOver = !w.cancelled.IsZero()
 	if w.loadedAsOver {
 		rec := &job.Record{Spec: w.job.Spec, Phase: wire.JobAborted}
-		w.job.Become(rec, w.now)
+		w.job.ReplaceRecord(rec, w.now)
 		if w.disabled == unknownCancelIsPast {
 			w.job.CancelledAt = w.now
 		}
@@ -324,20 +324,20 @@
 }
 
 var actions = []explorer.Action[*world]{
-	{Name: "tick", Each: 1, Do: func(w *world, _ int) bool { w.pass(tick); return true }},
-	{Name: "second", Each: 1, Do: func(w *world, _ int) bool { w.pass(time.Second); return true }},
-	{Name: "sync", Each: 1, Do: func(w *world, _ int) bool { w.sync(); return true }},
-	{Name: "report", Each: reportOutcomes, Do: func(w *world, fate int) bool { return w.checkin(fate) }},
-	{Name: "tick, report", Each: reportOutcomes, Do: func(w *world, fate int) bool { w.pass(tick); return w.checkin(fate) }},
-	{Name: "tick in touch, report", Each: reportOutcomes, Do: func(w *world, fate int) bool {
+	{Name: "tick", Count: 1, Do: func(w *world, _ int) bool { w.pass(tick); return true }},
+	{Name: "second", Count: 1, Do: func(w *world, _ int) bool { w.pass(time.Second); return true }},
+	{Name: "sync", Count: 1, Do: func(w *world, _ int) bool { w.sync(); return true }},
+	{Name: "report", Count: reportOutcomes, Do: func(w *world, fate int) bool { return w.checkin(fate) }},
+	{Name: "tick, report", Count: reportOutcomes, Do: func(w *world, fate int) bool { w.pass(tick); return w.checkin(fate) }},
+	{Name: "tick in touch, report", Count: reportOutcomes, Do: func(w *world, fate int) bool {
 		for d := time.Duration(0); d < tick; d += time.Second {
 			w.pass(time.Second)
 			w.sync()
 		}
 		return w.checkin(fate)
 	}},
-	{Name: "tick, halt, report", Each: reportOutcomes, Do: func(w *world, fate int) bool { w.pass(tick); w.send(); return w.checkin(fate) }},
-	{Name: "launch", Each: 1, Do: func(w *world, _ int) bool {
+	{Name: "tick, halt, report", Count: reportOutcomes, Do: func(w *world, fate int) bool { w.pass(tick); w.send(); return w.checkin(fate) }},
+	{Name: "launch", Count: 1, Do: func(w *world, _ int) bool {
 		if w.launched || w.job.Cancelled() || !w.host.Usable() {
 			return false
 		}
@@ -345,7 +345,7 @@
 		w.fleet.Assign(w.host, Key{w.job, 0, 1}, w.now)
 		return w.send()
 	}},
-	{Name: "cancel", Each: 1, Do: func(w *world, _ int) bool {
+	{Name: "cancel", Count: 1, Do: func(w *world, _ int) bool {
 		if !w.launched || !w.cancelled.IsZero() {
 			return false
 		}
@@ -358,9 +358,9 @@
 		}
 		return true
 	}},
-	{Name: "halt", Each: 1, Do: func(w *world, _ int) bool { return !w.cancelled.IsZero() && w.send() }},
-	{Name: "deliver", Each: 2, Do: func(w *world, answered int) bool { return w.deliver(answered == 1) }},
-	{Name: "succeed", Each: 1, Do: func(w *world, _ int) bool {
+	{Name: "halt", Count: 1, Do: func(w *world, _ int) bool { return !w.cancelled.IsZero() && w.send() }},
+	{Name: "deliver", Count: 2, Do: func(w *world, answered int) bool { return w.deliver(answered == 1) }},
+	{Name: "succeed", Count: 1, Do: func(w *world, _ int) bool {
 		if w.fleet.Term > 1 || w.now.Before(w.grantEnd) || !w.launched {
 			return false
 		}
@@ -375,17 +375,17 @@
 
 // Print implements explorer.World.
 func (w *world) Print() string {
-	p := &explorer.Printer{Now: w.now, Past: cancelTime + tick}
-	p.Say(w.fleet.Term, w.launched, w.loadedAsOver, w.retained, w.worker.session, w.worker.token, w.worker.phase, len(w.delayedCommands), w.holder.Term(), " ")
-	p.At(w.cancelled, w.worker.leaseFrom, w.grantEnd, w.host.renewedAt, w.host.directLaunchAt)
+	p := &explorer.Printer{Now: w.now, MaxAge: cancelTime + tick}
+	p.Values(w.fleet.Term, w.launched, w.loadedAsOver, w.retained, w.worker.session, w.worker.token, w.worker.phase, len(w.delayedCommands), w.holder.Term(), " ")
+	p.Times(w.cancelled, w.worker.leaseFrom, w.grantEnd, w.host.renewedAt, w.host.directLaunchAt)
 	by, asked := w.assigner.Holder("host-1")
-	p.Say(by, asked, w.host.Session, w.host.Fenced, w.host.RenewalStopped, w.host.Lost, w.host.holder != nil, w.host.seq == w.worker.seq, w.host.reportSeq == w.worker.seq, " ")
+	p.Values(by, asked, w.host.Session, w.host.Fenced, w.host.RenewalStopped, w.host.Lost, w.host.holder != nil, w.host.seq == w.worker.seq, w.host.reportSeq == w.worker.seq, " ")
 	for s := range w.fleet.SlotsOf(w.job) {
-		p.Say(s.Phase, s.Seen, s.Direct, s.Stopping)
-		p.At(s.HaltSentAt, s.resentAt, s.PlacedAt)
+		p.Values(s.Phase, s.Seen, s.Direct, s.Stopping)
+		p.Times(s.HaltSentAt, s.resentAt, s.PlacedAt)
 	}
 	for _, d := range w.delayedCommands {
-		p.Say(d.Token, d.Session, len(d.Orders), d.Orders[0].Op)
+		p.Values(d.Token, d.Session, len(d.Orders), d.Orders[0].Op)
 	}
 	return p.String()
 }
@@ -420,7 +420,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			g := &explorer.Game[*world]{New: func() *world { return newWorld(tt.out) }, Actions: actions}
+			g := &explorer.Explorer[*world]{New: func() *world { return newWorld(tt.out) }, Actions: actions}
 			steps, broken := 0, ""
 			for i, start := range tt.starts {
 				if broken != "" {
@@ -428,7 +428,7 @@
 				}
 				g.Start = g.Steps(1, start...)
 				var n int
-				n, broken = g.Walk(rand.New(rand.NewPCG(1, uint64(i))), *walks/len(tt.starts), stepsEach)
+				n, broken = g.RandomWalk(rand.New(rand.NewPCG(1, uint64(i))), *walks/len(tt.starts), stepsEach)
 				steps += n
 			}
 			t.Logf("%d steps: %s", steps, broken)
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -25,10 +25,10 @@
 func newLedgerFixture(t *testing.T) *ledgerFixture {
 	now := time.Unix(1000, 0)
 	b := &ledgerFixture{t: t, now: now, fleet: New(term, 10*time.Second, 25*time.Second),
-		job: job.New(&job.Record{Spec: job.Spec{ID: "run-1", ShapeName: "array", RankName: "standard", Tasks: 4, CPUs: 1}}, now)}
+		job: job.New(&job.Record{Spec: job.Spec{ID: "run-1", ShapeName: "array", PriorityName: "standard", Tasks: 4, CPUs: 1}}, now)}
 	b.host = b.fleet.Add("host-1", now)
 	b.host.Known, b.host.Durable, b.host.Type, b.host.Zone = true, true, 0, 0
-	b.job.RecordedHosts.Add(b.host.Index)
+	b.job.NotedMachines.Add(b.host.Index)
 	return b
 }
 
@@ -99,11 +99,11 @@
 		}},
 		{"6: nothing is launched before the job is noted for the machine", func(b *ledgerFixture) {
 			b.msg(true, 1, 1, term, nil)
-			b.job.RecordedHosts.Drop(b.host.Index)
+			b.job.NotedMachines.Remove(b.host.Index)
 			b.assign(1)
 			b.orders(b.compose(1, true), "")
 			b.orders(b.compose(0, true), "")
-			b.job.RecordedHosts.Add(b.host.Index)
+			b.job.NotedMachines.Add(b.host.Index)
 			b.orders(b.compose(0, true), "launch 1;")
 		}},
 		{"6: a machine of an earlier leader is open until it is fenced or lost", func(b *ledgerFixture) {
--- a/internal/shard/explore_test.go
+++ b/internal/shard/explore_test.go
@@ -153,7 +153,7 @@
 			w.freed(w.leader.Step(w.now))
 		}
 		return true
-	}, Each: 1},
+	}, Count: 1},
 	{Name: "ask", Do: func(w *world, i int) bool {
 		s := &w.holders[i]
 		if s.requestInFlight != nil || s.replyInFlight != nil {
@@ -164,7 +164,7 @@
 		}
 		s.sent, s.requestInFlight = w.now, s.holder.Request(2, 1, false, w.now)
 		return true
-	}, Each: 2},
+	}, Count: 2},
 	{Name: "arrive", Do: func(w *world, i int) bool {
 		s := &w.holders[i]
 		if s.requestInFlight == nil {
@@ -172,7 +172,7 @@
 		}
 		s.replyInFlight, s.requestInFlight = w.arrive(i, s.requestInFlight), nil
 		return true
-	}, Each: 2},
+	}, Count: 2},
 	{Name: "grant", Do: func(w *world, i int) bool {
 		s := &w.holders[i]
 		if s.replyInFlight == nil {
@@ -185,7 +185,7 @@
 		s.holder.HandleReply(s.replyInFlight, sent)
 		s.replyInFlight = nil
 		return true
-	}, Each: 2},
+	}, Count: 2},
 	{Name: "lose", Do: func(w *world, i int) bool {
 		s := &w.holders[i]
 		if s.requestInFlight == nil && s.replyInFlight == nil {
@@ -197,7 +197,7 @@
 		s.requestInFlight, s.replyInFlight = nil, nil
 		s.holder.RequestFailed()
 		return true
-	}, Each: 2},
+	}, Count: 2},
 	{Name: "late", Do: func(w *world, i int) bool {
 		s := &w.holders[i]
 		if s.lateRequest == nil {
@@ -206,8 +206,8 @@
 		w.arrive(i, s.lateRequest) // nobody waits for the reply
 		s.lateRequest = nil
 		return true
-	}, Each: 2},
-	{Name: "end", Do: func(w *world, i int) bool { w.start(i); return true }, Each: 1},
+	}, Count: 2},
+	{Name: "end", Do: func(w *world, i int) bool { w.start(i); return true }, Count: 1},
 	{Name: "report", Do: func(w *world, k int) bool {
 		if w.leads() {
 			if r, _ := w.leader.RouteReport(w.names[k], "", w.now); r == Serve {
@@ -215,7 +215,7 @@
 			}
 		}
 		return true
-	}, Each: 2},
+	}, Count: 2},
 	{Name: "checkin", Do: func(w *world, k int) bool {
 		// The worker reports to whoever answers it.
 		for i := range w.holders {
@@ -227,22 +227,22 @@
 			}
 		}
 		return false
-	}, Each: 2},
-	{Name: "depose", Do: func(w *world, _ int) bool { was := w.deposed; w.deposed = true; return !was && w.leader.term == 1 }, Each: 1},
+	}, Count: 2},
+	{Name: "depose", Do: func(w *world, _ int) bool { was := w.deposed; w.deposed = true; return !was && w.leader.term == 1 }, Count: 1},
 	{Name: "succeed", Do: func(w *world, _ int) bool {
 		if !w.deposed || (w.leads() && w.disabled != leaderAfterEntitlement) {
 			return false
 		}
 		w.begin(w.leader.term + 1)
 		return true
-	}, Each: 1},
+	}, Count: 1},
 	{Name: "renew", Do: func(w *world, _ int) bool {
 		if w.deposed || !w.leads() {
 			return false
 		}
 		w.renew()
 		return true
-	}, Each: 1},
+	}, Count: 1},
 }
 
 // Broken looks at what must hold in every state.
@@ -284,44 +284,44 @@
 
 // Print names the state: times are told from now, and those long past are alike.
 func (w *world) Print() string {
-	p := &explorer.Printer{Now: w.now, Past: 4 * tick}
+	p := &explorer.Printer{Now: w.now, MaxAge: 4 * tick}
 	a := w.leader
-	p.Say(a.term, w.deposed)
-	p.At(w.entitledUntil)
+	p.Values(a.term, w.deposed)
+	p.Times(w.entitledUntil)
 	for k, n := range w.names {
 		mc := a.machines[n]
 		h, _ := a.Holder(n)
-		p.Say(h, mc.phase, !mc.redirectedAt.IsZero())
+		p.Values(h, mc.phase, !mc.redirectedAt.IsZero())
 		if h != "" {
-			p.Say(int64(mc.announcedIn) - int64(mc.holder.ackedReply))
+			p.Values(int64(mc.announcedIn) - int64(mc.holder.ackedReply))
 		}
-		p.At(w.answered[k], w.knownAt[k])
+		p.Times(w.answered[k], w.knownAt[k])
 	}
 	for i := range w.holders {
 		s := &w.holders[i]
-		p.Say("|", s.requestInFlight != nil, s.replyInFlight != nil, s.lateRequest != nil, s.holder.Term(), len(s.holder.previousHosts))
-		p.At(s.holder.grantUntil)
+		p.Values("|", s.requestInFlight != nil, s.replyInFlight != nil, s.lateRequest != nil, s.holder.Term(), len(s.holder.previousHosts))
+		p.Times(s.holder.grantUntil)
 		if s.requestInFlight != nil || s.replyInFlight != nil {
-			p.At(s.sent)
+			p.Times(s.sent)
 		}
 		if s.replyInFlight != nil {
-			p.Say(s.replyInFlight.ForMs, s.replyInFlight.Add, s.replyInFlight.Drop, s.replyInFlight.Reset, s.replyInFlight.Term)
+			p.Values(s.replyInFlight.ForMs, s.replyInFlight.Add, s.replyInFlight.Drop, s.replyInFlight.Reset, s.replyInFlight.Term)
 		}
 		for _, n := range w.names {
 			if k := s.holder.machines[n]; k != nil {
-				p.Say(n, k.dropped, k.lastReport-k.acknowledgedReport)
+				p.Values(n, k.dropped, k.lastReport-k.acknowledgedReport)
 			}
 		}
 		if m := a.members[fmt.Sprintf("h%d", i)]; m != nil {
-			p.Say(m.joined, m.leavingReason, m.needsReset, m.lastReply-m.ackedReply, m.incarnation == s.incarnation, int64(s.holder.lastReply)-int64(m.ackedReply))
-			p.At(m.grantUntil, m.heardAt, m.ackedAt, m.knownUntil, m.noJoinBefore)
+			p.Values(m.joined, m.leavingReason, m.needsReset, m.lastReply-m.ackedReply, m.incarnation == s.incarnation, int64(s.holder.lastReply)-int64(m.ackedReply))
+			p.Times(m.grantUntil, m.heardAt, m.ackedAt, m.knownUntil, m.noJoinBefore)
 		}
 	}
 	return p.String()
 }
 
 // settle plays on without faults: every machine is to be served.
-func settle(g *explorer.Game[*world], w *world) string {
+func settle(g *explorer.Explorer[*world], w *world) string {
 	for range 14 {
 		g.Do(w, "tick", 0)
 		g.Do(w, "renew", 0)
@@ -380,21 +380,21 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			g := &explorer.Game[*world]{New: func() *world { return newWorld(tt.out) }, Actions: actions, Most: *most}
+			g := &explorer.Explorer[*world]{New: func() *world { return newWorld(tt.out) }, Actions: actions, MaxStates: *most}
 			holders := 2
 			if tt.out == noGuard {
-				g.Every, g.Settle = 37, func(w *world) string { return settle(g, w) }
+				g.SettleInterval, g.Settle = 37, func(w *world) string { return settle(g, w) }
 			} else {
 				// One holder and one machine are enough, and go deeper.
 				holders = 1
 				g.Actions = slices.Clone(actions)
 				for a := range g.Actions {
-					g.Actions[a].Each = 1
+					g.Actions[a].Count = 1
 				}
 			}
 			// The holders have joined; one has a machine, then none has.
 			joined := g.Steps(holders, "ask", "arrive", "grant")
-			states, broken := g.From(slices.Concat(joined, g.Steps(1, "tick"), joined, g.Steps(1, "report"), joined, joined), joined)
+			states, broken := g.ExploreFrom(slices.Concat(joined, g.Steps(1, "tick"), joined, g.Steps(1, "report"), joined, joined), joined)
 			t.Logf("%d states: %s", states, broken)
 			if (broken != "") != (tt.out != noGuard) {
 				t.Errorf("after %d states: %q", states, broken)
