--- a/internal/emulate/index.go
+++ b/internal/emulate/task_index.go
@@ -3,8 +3,8 @@
 // tasksOn are tasks with the machines that they are on.
 type tasksOn map[*task]*Worker
 
-// taskIndex finds the tasks of all machines by their names, jobs and teams, so that a start
-// is judged against what it concerns alone. Tasks of unknown jobs are not in it: nothing
+// taskIndex finds the tasks of all machines by their names, jobs and teams, so that a start is
+// checked against the tasks that it concerns alone. Tasks of unknown jobs are not in it: nothing
 // is counted for them.
 type taskIndex struct {
 	byName, byJob, byTeam map[string]tasksOn
@@ -22,27 +22,27 @@
 }
 
 // addTask puts a task on the machine.
-func (k *Worker) addTask(id string, t *task) {
-	k.tasks[id] = t
+func (worker *Worker) addTask(id string, t *task) {
+	worker.tasks[id] = t
 	if t.spec == nil {
 		return
 	}
-	k.world.tasks.each(t, func(sets map[string]tasksOn, key string) {
+	worker.world.tasks.each(t, func(sets map[string]tasksOn, key string) {
 		if sets[key] == nil {
 			sets[key] = tasksOn{}
 		}
-		sets[key][t] = k
+		sets[key][t] = worker
 	})
 }
 
 // deleteTask takes a task off the machine.
-func (k *Worker) deleteTask(id string) {
-	t := k.tasks[id]
-	delete(k.tasks, id)
+func (worker *Worker) deleteTask(id string) {
+	t := worker.tasks[id]
+	delete(worker.tasks, id)
 	if t.spec == nil {
 		return
 	}
-	k.world.tasks.each(t, func(sets map[string]tasksOn, key string) {
+	worker.world.tasks.each(t, func(sets map[string]tasksOn, key string) {
 		delete(sets[key], t)
 		if len(sets[key]) == 0 {
 			delete(sets, key)
--- /dev/null
+++ b/internal/emulate/worker_commands.go
@@ -0,0 +1,144 @@
+package emulate
+
+import (
+	"net/http"
+	"time"
+
+	"vetchstream/internal/job"
+	"vetchstream/internal/wire"
+)
+
+// execute carries out a controller's orders.
+func (worker *Worker) execute(orders []wire.Order) {
+	for _, o := range orders {
+		id := taskKey(o.Task, o.Attempt)
+		t := worker.tasks[id]
+		switch o.Op {
+		case wire.Launch:
+			if t == nil {
+				worker.launch(id, o)
+			}
+		case wire.Halt:
+			if t != nil && t.phase != wire.Exited {
+				worker.halt(t, o.Grace)
+			}
+		case wire.Clear:
+			if t != nil && t.phase == wire.Exited {
+				worker.deleteTask(id)
+			}
+		}
+	}
+}
+
+// launch begins to pull the image of a task.
+func (worker *Worker) launch(id string, o wire.Order) {
+	jobID, index, _ := job.SplitTask(o.Task)
+	spec := worker.world.spec(jobID)
+	t := &task{
+		name:     o.Task,
+		index:    index,
+		attempt:  o.Attempt,
+		spec:     spec,
+		phase:    wire.Pulling,
+		pulledAt: time.Now().Add(worker.world.cfg.ImagePull + worker.pullDelay),
+	}
+	worker.addTask(id, t)
+	worker.changed = true
+	switch {
+	case spec == nil:
+		t.exit(wire.CauseNoSuch)
+	case worker.overcommitted():
+		t.exit(wire.CauseFull)
+	}
+}
+
+// halt ends a task, after a checkpoint if the grace time (in seconds) is long enough for one.
+func (worker *Worker) halt(t *task, grace *float64) {
+	worker.changed = true
+	if t.phase == wire.Running && t.spec.Checkpoint > 0 && grace != nil && *grace >= t.spec.SaveS {
+		t.phase = wire.Saving
+		t.checkpointedAt = time.Now().Add(seconds(t.spec.SaveS))
+		return
+	}
+	if t.phase == wire.Saving && grace != nil && *grace > 0 {
+		return
+	}
+	was := t.phase
+	t.exit(wire.CauseHalted)
+	worker.recordEnd(t, was, time.Now())
+}
+
+// serveHealthCheck answers a health check of a replica.
+func (worker *Worker) serveHealthCheck(rw http.ResponseWriter, taskName string) {
+	if worker.world.dropChecks {
+		panic(http.ErrAbortHandler) // ends the connection without an answer
+	}
+	for _, t := range worker.tasks {
+		if t.name != taskName || t.phase != wire.Running {
+			continue
+		}
+		if worker.world.images[t.spec.Image].health(time.Since(t.runningSince)) == wire.HealthBad {
+			rw.WriteHeader(http.StatusInternalServerError)
+		}
+		return
+	}
+	rw.WriteHeader(http.StatusNotFound)
+}
+
+// lockAwake waits until the worker does not hang, and returns with the world's lock.
+func (worker *Worker) lockAwake() {
+	const pollInterval = 50 * time.Millisecond
+	checker := &worker.world.checker
+	worker.world.mu.Lock()
+	if !worker.hanging {
+		return
+	}
+	checker.blockedCommands++
+	checker.maxBlockedCommands = max(checker.maxBlockedCommands, checker.blockedCommands)
+	for worker.hanging {
+		worker.world.mu.Unlock()
+		time.Sleep(pollInterval)
+		worker.world.mu.Lock()
+	}
+	checker.blockedCommands--
+}
+
+// serve answers direct commands and health checks. A command of a leader that is superseded, or
+// for an earlier session, is refused.
+func (worker *Worker) serve(rw http.ResponseWriter, q *http.Request) {
+	var d wire.Direct
+	decoded := q.URL.Path == "/do" && decode(q, &d)
+	worker.lockAwake()
+	defer worker.world.mu.Unlock()
+	if worker.removed {
+		return
+	}
+	worker.step(time.Now())
+	valid := d.Token >= worker.token && d.Session == worker.session
+	worker.world.recordDirectCommands(d.Orders, valid)
+	switch {
+	case q.URL.Path == "/show":
+	case q.Method == http.MethodGet:
+		worker.serveHealthCheck(rw, q.URL.Query().Get("piece"))
+		return
+	case !decoded:
+		encode(rw, http.StatusBadRequest, wire.Error{Error: "malformed"})
+		return
+	case !valid:
+		encode(rw, http.StatusConflict, worker.heartbeat())
+		return
+	default:
+		worker.raiseToken(d.Token)
+		worker.world.checker.directCommands++
+		worker.execute(d.Orders)
+	}
+	encode(rw, http.StatusOK, worker.heartbeat())
+}
+
+// raiseToken takes over a higher fencing token.
+func (worker *Worker) raiseToken(token uint64) {
+	if token > worker.token {
+		worker.token = token
+		worker.changed = true
+	}
+}
