--- a/internal/scale/configuration.go
+++ b/internal/scale/configuration.go
@@ -21,12 +21,16 @@
 
 const (
 	configPath = "/api/config"
-	// statusInterval spaces the looks whether a change is in force.
+	// statusInterval is how often the status is polled.
 	statusInterval = 50 * time.Millisecond
 	// maxWatchedChanges bounds the changes that are watched at a time.
 	maxWatchedChanges = 200
-	// maxMovedShare is the part of a region's part of a limit that a change moves, at most.
+	// maxMovedShare is the share of a region's part of a limit that a change moves, at most.
 	maxMovedShare = 0.2
+	// rounding is what a sum of CPUs may be off.
+	rounding = 1e-6
+	// maxAnswer bounds the body of an answer, in bytes.
+	maxAnswer = 16 * wire.MaxBody
 )
 
 // configurationReport is how long changes took.
@@ -37,32 +41,39 @@
 	Refused   int64 `json:"refused"`
 	Unsettled int64 `json:"unsettled"`
 	// StoredMs is the time to the answer, InForceMs that from the answer until all regions
-	// have said that they decide by the change.
+	// have reported that they decide by the change.
 	StoredMs  quantiles `json:"stored_ms"`
 	InForceMs quantiles `json:"in_force_everywhere_ms"`
 	// InUseMs is the same of changes of which a raise was seen to wait for another region.
 	InUseMs quantiles `json:"in_force_after_waiting_ms"`
 }
 
-// operators change teams' parts of their limits while the load lasts.
+// operators change the parts of the regions in teams' limits while the load lasts.
 type operators struct {
 	run     *run
 	regions []*region
-	limits  map[string][]float64 // of each region, as last asked for
+	limits  map[string][]float64 // of each team in each region, as last requested
 
 	refused, unsettled atomic.Int64
 
-	mu               sync.Mutex
+	mu               sync.Mutex // guards the histograms and the status
 	stored           *hdrhistogram.Histogram
 	inForce          *hdrhistogram.Histogram
 	inForceAfterWait *hdrhistogram.Histogram
-	watchers         sync.WaitGroup
 	status           dynconfig.Status
+
+	watchers sync.WaitGroup
 }
 
 func newOperators(r *run) *operators {
-	o := &operators{run: r, regions: r.regions, limits: map[string][]float64{},
-		stored: hdrhistogram.New(1, maxWaitMs, 3), inForce: hdrhistogram.New(1, maxWaitMs, 3), inForceAfterWait: hdrhistogram.New(1, maxWaitMs, 3)}
+	o := &operators{
+		run:              r,
+		regions:          r.regions,
+		limits:           map[string][]float64{},
+		stored:           newWaitHistogram(),
+		inForce:          newWaitHistogram(),
+		inForceAfterWait: newWaitHistogram(),
+	}
 	for _, team := range r.regions[0].teamNames() {
 		for _, region := range r.regions {
 			o.limits[team] = append(o.limits[team], region.teamLimit())
@@ -105,23 +116,31 @@
 	}
 }
 
-// drawChange moves a part of a team's limit from one region to another.
+// drawChange moves a share of a team's limit from one region to another.
 func (o *operators) drawChange(team string, r *rand.Rand) *dynconfig.Change {
-	parts := o.limits[team]
-	from, to := r.IntN(len(parts)), r.IntN(len(parts))
-	moved := parts[from] * maxMovedShare * r.Float64()
-	parts[from] -= moved
-	parts[to] += moved
-	total, c := o.totalLimit(), dynconfig.TeamChange{Name: team, Regions: map[string]dynconfig.Part{}}
-	c.Limit = &dynconfig.Quota{CPUs: &total}
+	limits := o.limits[team]
+	from, to := r.IntN(len(limits)), r.IntN(len(limits))
+	moved := limits[from] * maxMovedShare * r.Float64()
+	limits[from] -= moved
+	limits[to] += moved
+	total := o.totalLimit()
+	change := dynconfig.TeamChange{
+		Name:    team,
+		Limit:   &dynconfig.Quota{CPUs: &total},
+		Regions: map[string]dynconfig.Part{},
+	}
 	for i, region := range o.regions {
-		limit, guarantee := parts[i], min(parts[i], region.teamLimit()/(2*limitFactor))
-		c.Regions[region.name] = dynconfig.Part{Limit: &dynconfig.Quota{CPUs: &limit}, Guarantee: &dynconfig.Quota{CPUs: &guarantee}}
+		limit := limits[i]
+		guarantee := min(limit, region.teamGuarantee())
+		change.Regions[region.name] = dynconfig.Part{
+			Limit:     &dynconfig.Quota{CPUs: &limit},
+			Guarantee: &dynconfig.Quota{CPUs: &guarantee},
+		}
 	}
-	return &dynconfig.Change{Teams: []dynconfig.TeamChange{c}}
+	return &dynconfig.Change{Teams: []dynconfig.TeamChange{change}}
 }
 
-// apply hands a change in at the home region.
+// apply makes a change at the home region, and returns its revision.
 func (o *operators) apply(ctx context.Context, c *dynconfig.Change) (revision uint64, ok bool) {
 	body, err := wire.Marshal(c)
 	if err != nil {
@@ -134,7 +153,7 @@
 	return out.Revision, ok
 }
 
-// request asks the home region's controllers in turn.
+// request makes a request at the home region's controllers in turn, until one answers it.
 func (o *operators) request(ctx context.Context, method, path string, body []byte, out any) bool {
 	for _, server := range o.regions[0].addresses {
 		if o.requestFrom(ctx, method, "http://"+server+path, body, out) {
@@ -144,6 +163,7 @@
 	return false
 }
 
+// requestFrom makes a request and decodes the answer to out.
 func (o *operators) requestFrom(ctx context.Context, method, url string, body []byte, out any) bool {
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
@@ -154,11 +174,11 @@
 		return false
 	}
 	defer res.Body.Close()
-	answer, err := io.ReadAll(io.LimitReader(res.Body, 16*wire.MaxBody))
+	answer, err := io.ReadAll(io.LimitReader(res.Body, maxAnswer))
 	return err == nil && res.StatusCode == http.StatusOK && wire.Unmarshal(answer, out) == nil
 }
 
-// pollStatus keeps the status.
+// pollStatus polls the status until the context ends.
 func (o *operators) pollStatus(ctx context.Context) {
 	for sleep(ctx, statusInterval) {
 		var s dynconfig.Status
@@ -172,16 +192,17 @@
 
 // awaitInForce waits until a team's change is in force everywhere.
 func (o *operators) awaitInForce(ctx context.Context, team string, revision uint64) {
-	begun, rests := time.Now(), false
+	begun := time.Now()
+	waited := false
 	for sleep(ctx, statusInterval) {
 		o.mu.Lock()
 		s := o.status
 		o.mu.Unlock()
 		behind, inUse := pendingChange(&s, team, revision)
-		rests = rests || inUse
+		waited = waited || inUse
 		switch {
 		case behind:
-		case rests:
+		case waited:
 			o.record(o.inForceAfterWait, time.Since(begun))
 			return
 		default:
@@ -213,19 +234,28 @@
 	return behind, inUse
 }
 
+// record adds a time to a histogram.
 func (o *operators) record(h *hdrhistogram.Histogram, took time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	_ = h.RecordValue(min(max(1, took.Milliseconds()), maxWaitMs)) // within its range
 }
 
+// report sums up the changes so far.
 func (o *operators) report() configurationReport {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return configurationReport{o.stored.TotalCount(), o.refused.Load(), o.unsettled.Load(), quantilesOf(o.stored), quantilesOf(o.inForce), quantilesOf(o.inForceAfterWait)}
+	return configurationReport{
+		Changes:   o.stored.TotalCount(),
+		Refused:   o.refused.Load(),
+		Unsettled: o.unsettled.Load(),
+		StoredMs:  quantilesOf(o.stored),
+		InForceMs: quantilesOf(o.inForce),
+		InUseMs:   quantilesOf(o.inForceAfterWait),
+	}
 }
 
-// checkLimits looks whether the regions together use more of a team's limit than there is.
+// checkLimits checks that the regions together stay within each team's limit.
 func (o *operators) checkLimits() {
 	used := map[string]float64{}
 	for _, region := range o.regions {
@@ -234,14 +264,14 @@
 		}
 	}
 	for team, cpus := range used {
-		if cpus > o.totalLimit()+1e-6 {
+		if cpus > o.totalLimit()+rounding {
 			o.regions[0].world.ReportViolation("quota: %s uses %g of %g CPUs in all regions", team, cpus, o.totalLimit())
 		}
 	}
 }
 
-// regionSettings is what the controllers of a region are told of the others, with relays to
-// the home region on the way.
+// regionSettings are the settings of the other regions for the controllers of a region, with
+// relays on the way to the home region.
 func (r *run) regionSettings(of *region) (config.Regions, error) {
 	home := r.regions[0]
 	set := config.Regions{Name: of.name, Home: home.name, All: r.options.regionNames(), HomeAddresses: []string{}}
--- a/internal/scale/network.go
+++ b/internal/scale/network.go
@@ -12,7 +12,7 @@
 	"vetchstream/internal/state"
 )
 
-// gate holds what passes while it is closed.
+// gate blocks traffic while it is closed.
 type gate struct {
 	mu   sync.Mutex
 	open chan struct{} // closed while the gate is open
@@ -40,7 +40,7 @@
 	}
 }
 
-// pass waits until the gate is open; false: done came first.
+// pass waits until the gate is open; false: done was closed first.
 func (g *gate) pass(done <-chan struct{}) bool {
 	g.mu.Lock()
 	open := g.open
@@ -53,15 +53,15 @@
 	}
 }
 
-// traffic is what has passed one host, in bytes of payload and in writes, of which a
-// request or an answer takes one as long as it fits into a buffer.
+// traffic counts what one host has sent and received, in bytes of payload, and its writes. A
+// request or an answer takes one write as long as it fits into a buffer.
 type traffic struct {
 	sent, received, messages atomic.Int64
 	gate                     *gate
 }
 
-// network is a region's part of the loopback network. It counts what the workers send
-// and receive, and can cut them off.
+// network is a region's part of the loopback network. It counts what the workers send and
+// receive, and can partition them from everything.
 type network struct {
 	region string
 	*emulate.Loopback
@@ -86,8 +86,8 @@
 	return t
 }
 
-// cut holds what the hosts send and receive, or lets it go on.
-func (n *network) cut(ips []string, on bool) {
+// setPartitioned cuts hosts off from everything, or ends that.
+func (n *network) setPartitioned(ips []string, on bool) {
 	for _, ip := range ips {
 		n.host(ip).gate.set(!on)
 	}
@@ -122,6 +122,7 @@
 	}
 }
 
+// countedListener counts the payload of the connections that it accepts.
 type countedListener struct {
 	net.Listener
 	traffic *traffic
@@ -200,23 +201,26 @@
 	return out
 }
 
-// perWorker is the traffic between two readings of all networks.
+// perWorker is the traffic between two readings of all networks, per worker and second.
 func perWorker(before, after []map[string]counters, took time.Duration) (w workerTraffic) {
 	workers := 0.0
-	s := took.Seconds()
+	seconds := took.Seconds()
 	for i := range after {
 		for ip, now := range after[i] {
 			was := before[i][ip]
-			sent, received := float64(now.sent-was.sent)/s, float64(now.received-was.received)/s
+			sent := float64(now.sent-was.sent) / seconds
+			received := float64(now.received-was.received) / seconds
 			workers++
 			w.Sent += sent
 			w.Received += received
-			w.Messages += float64(now.messages-was.messages) / s
+			w.Messages += float64(now.messages-was.messages) / seconds
 			w.Most = max(w.Most, sent+received)
 		}
 	}
 	if workers > 0 {
-		w.Sent, w.Received, w.Messages = w.Sent/workers, w.Received/workers, w.Messages/workers
+		w.Sent /= workers
+		w.Received /= workers
+		w.Messages /= workers
 	}
 	return w
 }
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// The size that the system is planned for: factor 1 of a run.
+// The size that the system is planned for, that of a run with factor 1.
 const (
 	PlannedWorkers     = 4600
 	PlannedStartsPerS  = 3200
@@ -23,12 +23,13 @@
 	PlannedGang        = 256
 )
 
-// Bounds of a run, so that it ends and leaves the machine to others as well.
+// Bounds of a run, so that it ends and leaves resources of the machine to others.
 const (
 	maxFactor      = 2
 	maxControllers = 40
 	maxRegions     = 10
 	maxDuration    = time.Hour
+	maxChanges     = 1000 // of the configuration, a minute
 	minDuration    = 5 * time.Second
 )
 
@@ -46,7 +47,7 @@
 	Duration time.Duration
 	// Seed draws the jobs.
 	Seed uint64
-	// Faults are what goes wrong when.
+	// Faults are injected, each at its time.
 	Faults []Fault
 	// ChangesPerMinute is how many changes of the configuration are made a minute; 0: none.
 	ChangesPerMinute float64
@@ -55,7 +56,7 @@
 	Log    *slog.Logger
 }
 
-// Check returns an error that names the option that cannot be run.
+// Check returns an error that names the first option that is out of bounds.
 func (o *Options) Check() error {
 	switch {
 	case !(o.Factor > 0 && o.Factor <= maxFactor):
@@ -68,8 +69,8 @@
 		return fmt.Errorf("--starts %v is not from 0 to %d", o.StartsPerS, maxFactor*PlannedStartsPerS)
 	case o.Duration < minDuration || o.Duration > maxDuration:
 		return fmt.Errorf("--duration %v is not from %v to %v", o.Duration, minDuration, maxDuration)
-	case !(o.ChangesPerMinute >= 0 && o.ChangesPerMinute <= 1000):
-		return fmt.Errorf("--changes %v is not from 0 to 1000", o.ChangesPerMinute)
+	case !(o.ChangesPerMinute >= 0 && o.ChangesPerMinute <= maxChanges):
+		return fmt.Errorf("--changes %v is not from 0 to %d", o.ChangesPerMinute, maxChanges)
 	}
 	return checkFaults(o.Faults, o.regionNames())
 }
@@ -111,6 +112,7 @@
 // that of the last.
 func smallerWeight(i, regions int) float64 { return float64(2*regions - i) }
 
+// regionNames are the names of the regions, the home region first.
 func (o *Options) regionNames() []string {
 	names := make([]string, o.Regions)
 	for i := range names {
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -13,14 +13,14 @@
 	"github.com/prometheus/procfs"
 )
 
-// usage is what a process takes at one moment.
+// usage is what resources a process uses at one moment.
 type usage struct {
 	cpu     time.Duration // since its start
 	rssMB   float64
 	sockets int
 }
 
-// usageOf reads /proc; it fails when the process has ended.
+// usageOf reads the usage from /proc; it fails when the process has ended.
 func usageOf(pid int) (u usage, err error) {
 	proc, err := procfs.NewProc(pid)
 	if err != nil {
@@ -30,7 +30,8 @@
 	if err != nil {
 		return u, err
 	}
-	u.cpu, u.rssMB = seconds(stat.CPUTime()), float64(stat.ResidentMemory())/(1<<20)
+	u.cpu = seconds(stat.CPUTime())
+	u.rssMB = float64(stat.ResidentMemory()) / (1 << 20)
 	files, err := proc.FileDescriptorTargets()
 	if err != nil {
 		return u, err
@@ -43,23 +44,24 @@
 	return u, nil
 }
 
-// controller is a controller's process, which can be ended and started again.
+// controller is a controller's process, which can be killed and started again.
 type controller struct {
-	region  string
-	member  string
-	command []string
-	logFile string // file of its standard error
+	region     string
+	member     string
+	command    []string
+	tuningFile string // operators' settings
+	logFile    string // file of its standard error
 
 	mu          sync.Mutex
 	cmd         *exec.Cmd // nil: it does not run
 	ended       chan struct{}
-	endExpected bool // its end was asked for
+	endExpected bool // it is being killed
 	stats       controllerStats
 	lastUsage   usage
 	lastSampled time.Time
 }
 
-// controllerStats is what a controller's process has taken.
+// controllerStats is what a controller's process has used.
 type controllerStats struct {
 	// CPUMean and CPUPeak are parts of a core, the peak over two seconds.
 	CPUMean float64 `json:"cpu_mean"`
@@ -67,18 +69,19 @@
 	// RSSPeakMB is the largest resident memory, in MB.
 	RSSPeakMB   float64 `json:"rss_peak_mb"`
 	SocketsPeak int     `json:"sockets_peak"`
-	// Ends counts the ends that nobody asked for.
+	// Ends counts the ends that were not expected.
 	Ends int `json:"ends"`
 
 	cpuTime, sampledTime time.Duration
 }
 
-// launcher starts processes from one thread that lives as long as it does: the kernel
-// ends a child with the thread that made it, and so no child outlives this process.
+// launcher starts processes from one thread that lives as long as the launcher: the kernel
+// kills a child with the thread that started it, and so no child outlives this process.
 type launcher struct {
 	calls chan func()
 }
 
+// newLauncher starts a launcher, which runs until close.
 func newLauncher() *launcher {
 	l := &launcher{calls: make(chan func())}
 	go func() {
@@ -92,7 +95,7 @@
 
 func (l *launcher) close() { close(l.calls) }
 
-// start runs a command whose errors go to a file.
+// start starts a command whose standard error goes to a file.
 func (l *launcher) start(command []string, log string) (cmd *exec.Cmd, err error) {
 	done := make(chan struct{})
 	l.calls <- func() {
@@ -111,7 +114,7 @@
 	return cmd, err
 }
 
-// start starts the controller's process.
+// start starts the controller's process, and notices its end.
 func (c *controller) start(l *launcher) error {
 	cmd, err := l.start(c.command, c.logFile)
 	if err != nil {
@@ -119,25 +122,34 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.cmd, c.ended, c.endExpected = cmd, make(chan struct{}), false
-	c.lastUsage, c.lastSampled = usage{}, time.Now()
-	ended := c.ended
+	ended := make(chan struct{})
+	c.cmd = cmd
+	c.ended = ended
+	c.endExpected = false
+	c.lastUsage = usage{}
+	c.lastSampled = time.Now()
 	go func() {
-		_ = cmd.Wait() // how it ended is of no interest, only whether it was asked to
-		c.mu.Lock()
-		if c.cmd == cmd {
-			c.cmd = nil
-			if !c.endExpected {
-				c.stats.Ends++
-			}
-		}
-		c.mu.Unlock()
-		close(ended)
+		defer close(ended)
+		c.wait(cmd)
 	}()
 	return nil
 }
 
-// kill ends the process and waits for it.
+// wait waits for the end of the process, and counts it unless it was expected.
+func (c *controller) wait(cmd *exec.Cmd) {
+	_ = cmd.Wait() // whether the end was expected matters, not how it came
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.cmd != cmd {
+		return
+	}
+	c.cmd = nil
+	if !c.endExpected {
+		c.stats.Ends++
+	}
+}
+
+// kill kills the process and waits for its end.
 func (c *controller) kill() {
 	c.mu.Lock()
 	cmd, ended := c.cmd, c.ended
@@ -150,7 +162,7 @@
 	<-ended
 }
 
-// sample notes what the process takes now.
+// sample reads what the process uses now, and adds it to the statistics.
 func (c *controller) sample(now time.Time) usage {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -161,18 +173,25 @@
 	if err != nil {
 		return usage{} // it has just ended
 	}
-	used, over := u.cpu-c.lastUsage.cpu, now.Sub(c.lastSampled)
-	c.stats.cpuTime += used
-	c.stats.sampledTime += over
-	c.stats.CPUMean = c.stats.cpuTime.Seconds() / max(c.stats.sampledTime.Seconds(), 1e-9)
-	c.stats.CPUPeak = max(c.stats.CPUPeak, used.Seconds()/max(over.Seconds(), 1e-9))
+	cpuTime := u.cpu - c.lastUsage.cpu
+	elapsed := now.Sub(c.lastSampled)
+	c.stats.cpuTime += cpuTime
+	c.stats.sampledTime += elapsed
+	c.stats.CPUMean = cores(c.stats.cpuTime, c.stats.sampledTime)
+	c.stats.CPUPeak = max(c.stats.CPUPeak, cores(cpuTime, elapsed))
 	c.stats.RSSPeakMB = max(c.stats.RSSPeakMB, u.rssMB)
 	c.stats.SocketsPeak = max(c.stats.SocketsPeak, u.sockets)
-	c.lastUsage, c.lastSampled = u, now
+	c.lastUsage = u
+	c.lastSampled = now
 	return u
 }
 
-// reset begins the measurement anew, without what the start has taken.
+// cores is a processor time as a part of a core, 0 if no time has elapsed.
+func cores(cpuTime, elapsed time.Duration) float64 {
+	return cpuTime.Seconds() / max(elapsed.Seconds(), 1e-9)
+}
+
+// reset restarts the statistics, without what the start of the process has used.
 func (c *controller) reset(now time.Time) {
 	c.sample(now)
 	c.mu.Lock()
@@ -181,13 +200,14 @@
 	c.stats = controllerStats{Ends: ends}
 }
 
+// statistics is what the process has used since the last reset.
 func (c *controller) statistics() controllerStats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.stats
 }
 
-// lastLine is what the controller has logged last.
+// lastLine is the last line of the log.
 func (c *controller) lastLine() string {
 	b, err := os.ReadFile(c.logFile)
 	if err != nil {
--- a/internal/scale/region.go
+++ b/internal/scale/region.go
@@ -21,7 +21,7 @@
 	"vetchstream/internal/wire"
 )
 
-// machineType is what all workers are: it has room for the planned tasks and a quarter
+// machineType is the type of all workers. It has resources for the planned tasks and a quarter
 // more.
 var machineType = wire.MachineType{Name: "c32", CPUs: 32, MemGB: 128, CacheGB: 100, FetchRate: 1, Price: 1, SpotPrice: 0.3, BootS: 30}
 
@@ -33,60 +33,88 @@
 	controllerMB, controllerSockets                = 1024, 6000
 	imagePullTime                                  = 300 * time.Millisecond
 	userPort, peerPort                             = "8080", "8081"
-	// urgentS is within what time, in seconds, urgentShare of the urgent tasks are to start.
+	// urgentS is the time, in seconds, within which urgentShare of the urgent tasks are to start.
 	urgentS, urgentShare = 5.6, 0.99
 	// promiseMs and yieldS are those of deploy/shares.json.
 	promiseMs, yieldS = 2000, 5
-	// idleBoots is for how many boot times idle machines are kept: the fleet stays as it is.
+	// idleBoots is for how many boot times idle machines are retained: the fleet stays as it is.
 	idleBoots = 100
-	// limitFactor is a team's limit in even parts of the region.
+	// limitFactor is a team's limit in even parts of the region's CPUs.
 	limitFactor = 8
 )
 
-// region is a cell: a state service, a cloud with its workers, controllers and users.
+// region is a cell: a key-value store, a cloud with its workers, controllers and users.
 type region struct {
 	regionPlan
-	options       *Options
-	network       *network
-	store         *emulate.Store
-	world         *emulate.World
-	startWaits    *startWaits
-	users         *users
-	controllers   []*controller
-	addresses     []string // of the controllers, for users and workers
-	peerAddresses []string // of the controllers, for controllers
+	options     *Options
+	network     *network
+	store       *emulate.Store
+	world       *emulate.World
+	startWaits  *startWaits
+	users       *users
+	controllers []*controller
+	// addresses are those of the controllers for users and workers, peerAddresses those for
+	// other controllers.
+	addresses     []string
+	peerAddresses []string
 	servers       []*http.Server
 }
 
-// newRegion starts what a region's controllers live with, and writes their settings below
-// dir.
-func newRegion(o *Options, p regionPlan, l *emulate.Loopback, waits *startWaits, dir string) (*region, error) {
-	r := &region{regionPlan: p, options: o, network: newNetwork(p.name, l), store: emulate.NewStore(), startWaits: waits}
-	typ := machineType
-	typ.Zones = p.zones
-	var workersSee []emulate.Controller
+// newRegion starts the systems that a region's controllers work with, and writes the settings
+// of the controllers below dir. If they cannot be written, it returns the region with the
+// error, so that it can be closed.
+func newRegion(o *Options, p regionPlan, l *emulate.Loopback, startWaits *startWaits, dir string) (*region, error) {
+	r := &region{
+		regionPlan: p,
+		options:    o,
+		network:    newNetwork(p.name, l),
+		store:      emulate.NewStore(),
+		startWaits: startWaits,
+	}
+	var controllers []emulate.Controller
 	for i := range p.controllers {
-		at, err := r.reserveAddress(l, fmt.Sprintf("controller-%d", i))
+		ip, err := r.reserveAddress(l, fmt.Sprintf("controller-%d", i))
 		if err != nil {
 			return nil, err
 		}
-		r.addresses = append(r.addresses, net.JoinHostPort(at, userPort))
-		r.peerAddresses = append(r.peerAddresses, net.JoinHostPort(at, peerPort))
-		workersSee = append(workersSee, emulate.Controller{Member: r.member(i), Addr: r.addresses[i]})
+		r.addresses = append(r.addresses, net.JoinHostPort(ip, userPort))
+		r.peerAddresses = append(r.peerAddresses, net.JoinHostPort(ip, peerPort))
+		controllers = append(controllers, emulate.Controller{Member: r.member(i), Addr: r.addresses[i]})
 	}
-	r.world = emulate.New(emulate.Config{Network: r.network, Store: r.store, Types: []wire.MachineType{typ}, MaxMachines: p.workers, Controllers: workersSee,
-		LeaseDuration: leaseS * time.Second, CancelTimeout: cancelS * time.Second, HeartbeatInterval: reportS * time.Second, GangTimeout: gangWaitS * time.Second,
-		ImagePull: imagePullTime, ListLag: listLagS * time.Second, Limits: r.teamLimits(), OnStarted: waits.started, Log: o.Log})
-	set, err := r.settings(l)
+	r.world = emulate.New(r.worldConfig(controllers))
+	settings, err := r.settings(l)
 	if err != nil {
 		return nil, err
 	}
-	return r, r.writeSettings(set, dir)
+	return r, r.writeSettings(settings, dir)
 }
 
+// worldConfig is the cloud and the workers of the region.
+func (r *region) worldConfig(controllers []emulate.Controller) emulate.Config {
+	typ := machineType
+	typ.Zones = r.zones
+	return emulate.Config{
+		Network:           r.network,
+		Store:             r.store,
+		Types:             []wire.MachineType{typ},
+		MaxMachines:       r.workers,
+		Controllers:       controllers,
+		LeaseDuration:     leaseS * time.Second,
+		CancelTimeout:     cancelS * time.Second,
+		HeartbeatInterval: reportS * time.Second,
+		GangTimeout:       gangWaitS * time.Second,
+		ImagePull:         imagePullTime,
+		ListLag:           listLagS * time.Second,
+		Limits:            r.teamLimits(),
+		OnStarted:         r.startWaits.started,
+		Log:               r.options.Log,
+	}
+}
+
+// member is the name of controller i.
 func (r *region) member(i int) string { return fmt.Sprintf("%s-controller-%d", r.name, i) }
 
-// reserveAddress gives a controller an address of its own.
+// reserveAddress is an address of its own for a controller.
 func (r *region) reserveAddress(l *emulate.Loopback, host string) (ip string, err error) {
 	ln, err := l.Listen(r.name + "/" + host + ":0")
 	if err != nil {
@@ -97,11 +125,15 @@
 	return ip, err
 }
 
-// teamLimit is what a team may use in this region.
+// teamLimit is the CPUs that a team may use in this region.
 func (r *region) teamLimit() float64 {
 	return limitFactor * float64(r.workers) * machineType.CPUs / float64(r.options.teams())
 }
 
+// teamGuarantee is the CPUs that a team is guaranteed in this region: half of an even part.
+func (r *region) teamGuarantee() float64 { return r.teamLimit() / (2 * limitFactor) }
+
+// teamNames are the names of all teams.
 func (r *region) teamNames() []string {
 	names := make([]string, r.options.teams())
 	for i := range names {
@@ -110,8 +142,8 @@
 	return names
 }
 
-// teamLimits are the teams', as the judge of the region holds them against each start. While
-// they move from region to region only their sums are judged.
+// teamLimits are the limits that each start is checked against. While they move from region to
+// region only their sums are checked, see operators.checkLimits.
 func (r *region) teamLimits() map[string]emulate.Limit {
 	if r.options.ChangesPerMinute > 0 {
 		return nil
@@ -123,7 +155,7 @@
 	return out
 }
 
-// serve answers at an address of its own.
+// serve serves a part of the region at an address of its own, which it returns.
 func (r *region) serve(l *emulate.Loopback, name string, h http.Handler) (addr string, err error) {
 	ln, err := l.Listen(r.name + "/" + name + ":0")
 	if err != nil {
@@ -133,13 +165,13 @@
 	r.servers = append(r.servers, srv)
 	go func() {
 		if err := srv.Serve(ln); err != nil && !errors.Is(err, http.ErrServerClosed) {
-			r.options.Log.Error("stand-in ended", "region", r.name, "part", name, "error", err)
+			r.options.Log.Error("emulation ended", "region", r.name, "part", name, "error", err)
 		}
 	}()
 	return ln.Addr().String(), nil
 }
 
-// settings are what all controllers of the region are told.
+// settings are the settings that all controllers of the region share.
 func (r *region) settings(l *emulate.Loopback) (s *config.Settings, err error) {
 	s = &config.Settings{}
 	if s.Outside.State, err = r.serve(l, "state", r.store); err != nil {
@@ -149,43 +181,72 @@
 		return nil, err
 	}
 	f := &s.Facts
-	f.Nodes, f.Zones, f.SkewMs = r.regionPlan.controllers, r.zones, 50
-	for _, t := range r.teamNames() {
-		f.Teams = append(f.Teams, config.Team{Name: t, CPUs: r.teamLimit() / (2 * limitFactor), CPUsMax: r.teamLimit()})
+	f.Nodes = r.regionPlan.controllers
+	f.Zones = r.zones
+	f.SkewMs = 50
+	for _, team := range r.teamNames() {
+		f.Teams = append(f.Teams, config.Team{Name: team, CPUs: r.teamGuarantee(), CPUsMax: r.teamLimit()})
 	}
 	f.Objectives = []config.Objective{{Kind: "wait", Class: urgentClass, WithinS: urgentS, Share: urgentShare}}
 	f.Workers = config.Workers{ReportS: reportS, LeaseS: leaseS, GangWaitS: gangWaitS, GangPeerS: gangPeerS, CancelS: cancelS}
-	f.State.RPS, f.State.WriteRPS, f.State.ValueKB, f.State.TxnOps = stateRPS, stateWriteRPS, valueKB, txnOps
-	f.Cloud.RPS, f.Cloud.ListLagS = cloudRPS, listLagS
-	f.Resources.CoreShare, f.Resources.RAMMB, f.Resources.MaxSockets = 1, controllerMB, controllerSockets
+	f.State.RPS = stateRPS
+	f.State.WriteRPS = stateWriteRPS
+	f.State.ValueKB = valueKB
+	f.State.TxnOps = txnOps
+	f.Cloud.RPS = cloudRPS
+	f.Cloud.ListLagS = listLagS
+	f.Resources.CoreShare = 1
+	f.Resources.RAMMB = controllerMB
+	f.Resources.MaxSockets = controllerSockets
 	return s, nil
 }
 
-// writeSettings writes a file for each controller.
-func (r *region) writeSettings(facts *config.Settings, dir string) error {
-	for i := range r.addresses {
-		set := *facts
-		set.Member, set.Site, set.Listen, set.PeerListen = r.member(i), r.zones[i%len(r.zones)], r.addresses[i], r.peerAddresses[i]
-		for j := range r.addresses {
-			if j != i {
-				set.Siblings = append(set.Siblings, config.Sibling{Member: r.member(j), Site: r.zones[j%len(r.zones)], Address: r.peerAddresses[j]})
-			}
+// controllerSettings are the settings of controller i: the shared ones, its own addresses and
+// those of the others.
+func (r *region) controllerSettings(shared *config.Settings, i int) *config.Settings {
+	set := *shared
+	set.Member = r.member(i)
+	set.Site = r.zones[i%len(r.zones)]
+	set.Listen = r.addresses[i]
+	set.PeerListen = r.peerAddresses[i]
+	for j := range r.addresses {
+		if j == i {
+			continue
 		}
-		b, err := toml.Marshal(&set)
+		set.Siblings = append(set.Siblings, config.Sibling{
+			Member:  r.member(j),
+			Site:    r.zones[j%len(r.zones)],
+			Address: r.peerAddresses[j],
+		})
+	}
+	return &set
+}
+
+// writeSettings writes a file of settings for each controller.
+func (r *region) writeSettings(shared *config.Settings, dir string) error {
+	for i := range r.addresses {
+		set := r.controllerSettings(shared, i)
+		b, err := toml.Marshal(set)
 		if err != nil {
 			return fmt.Errorf("settings: %w", err)
 		}
 		base := filepath.Join(dir, set.Member)
-		if err := os.WriteFile(base+".toml", b, 0o600); err != nil {
+		settingsFile, tuningFile := base+".toml", base+".json"
+		if err := os.WriteFile(settingsFile, b, 0o600); err != nil {
 			return err
 		}
-		r.controllers = append(r.controllers, &controller{region: r.name, member: set.Member, logFile: base + ".log",
-			command: []string{r.options.Binary, "--tuning", base + ".json", "--config", base + ".toml"}})
+		r.controllers = append(r.controllers, &controller{
+			region:     r.name,
+			member:     set.Member,
+			tuningFile: tuningFile,
+			logFile:    base + ".log",
+			command:    []string{r.options.Binary, "--tuning", tuningFile, "--config", settingsFile},
+		})
 	}
 	return nil
 }
 
-// tuning are the operators' settings that differ from the defaults.
+// tuning is the operators' settings that differ from the defaults.
 type tuning struct {
 	PromiseMs int     `json:"promise_ms"`
 	YieldS    float64 `json:"yield_s"`
@@ -201,20 +262,21 @@
 // writeTuning writes the operators' settings of each controller.
 func (r *region) writeTuning(regions config.Regions) error {
 	t := tuning{PromiseMs: promiseMs, YieldS: yieldS, Regions: regions}
-	t.Shares.Enabled, t.Hosts.IdleBoots = true, idleBoots
+	t.Shares.Enabled = true
+	t.Hosts.IdleBoots = idleBoots
 	b, err := json.Marshal(t)
 	if err != nil {
 		return err
 	}
 	for _, c := range r.controllers {
-		if err := os.WriteFile(c.command[2], b, 0o600); err != nil {
+		if err := os.WriteFile(c.tuningFile, b, 0o600); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// bootWorkers lets all workers come up within a while.
+// bootWorkers boots all workers, spread over a time.
 func (r *region) bootWorkers(within time.Duration) {
 	for i := range r.workers {
 		after := within * time.Duration(i) / time.Duration(r.workers)
@@ -225,13 +287,14 @@
 // startLoad lets the users submit until the context ends.
 func (r *region) startLoad(ctx context.Context, u *users, seed uint64) {
 	r.users = u
-	for i, c := range r.options.classes() {
+	for i, class := range r.options.classes() {
 		random := rand.New(rand.NewPCG(seed, uint64(i)))
-		u.wg.Go(func() { u.submit(ctx, c, r.startsPerS, random) })
+		u.wg.Go(func() { u.submit(ctx, class, r.startsPerS, random) })
 	}
 }
 
-// leader is the controller that leads by the state service's word, or the first one.
+// leader is the controller that holds the leader's lease in the key-value store, or the first
+// one.
 func (r *region) leader() *controller {
 	var holder struct {
 		Member string `codec:"member"`
@@ -244,15 +307,15 @@
 	return r.controllers[0]
 }
 
-// holderKey is where the leader stands in the state service.
+// holderKey is the key of the leader's lease.
 const holderKey = "lead/holder"
 
-// controllerEnded reports whether a controller has ended by itself.
+// controllerEnded reports whether a controller has ended unexpectedly.
 func (r *region) controllerEnded() bool {
 	return slices.ContainsFunc(r.controllers, func(c *controller) bool { return c.statistics().Ends > 0 })
 }
 
-// healthy reports whether all controllers say that they can serve.
+// healthy reports whether the health checks of all controllers succeed.
 func (r *region) healthy(client *http.Client) bool {
 	for _, a := range r.addresses {
 		res, err := client.Get("http://" + a + "/healthz")
@@ -267,14 +330,14 @@
 	return true
 }
 
-// close ends the region's processes and stand-ins.
+// close ends the region's processes and the emulated systems.
 func (r *region) close(log *slog.Logger) {
 	for _, c := range r.controllers {
 		c.kill()
 	}
 	for _, s := range r.servers {
 		if err := s.Close(); err != nil {
-			log.Debug("stand-in does not close", "region", r.name, "error", err)
+			log.Debug("emulation does not close", "region", r.name, "error", err)
 		}
 	}
 	r.world.Close()
--- a/internal/scale/relay.go
+++ b/internal/scale/relay.go
@@ -6,8 +6,8 @@
 	"sync"
 )
 
-// relay hands connections on to a controller of another region, and can cut the two
-// regions from each other: what is under way is held, and new connections hang.
+// relay forwards connections to a controller of another region, and can partition the two
+// regions: data under way is held, and new connections hang.
 type relay struct {
 	listener net.Listener
 	target   string
@@ -16,14 +16,14 @@
 	wg       sync.WaitGroup
 }
 
-// newRelay listens at an address of the network for connections to target.
+// newRelay forwards the connections of a listener to target.
 func newRelay(ln net.Listener, target string) *relay {
 	r := &relay{listener: ln, target: target, gate: newGate(), done: make(chan struct{})}
 	r.wg.Go(r.accept)
 	return r
 }
 
-// addr is where the relay is reached.
+// addr is the address of the relay.
 func (r *relay) addr() string { return r.listener.Addr().String() }
 
 // close ends the relay and its connections.
@@ -33,6 +33,7 @@
 	r.wg.Wait()
 }
 
+// accept forwards connections until the relay is closed.
 func (r *relay) accept() {
 	for {
 		c, err := r.listener.Accept()
@@ -43,6 +44,7 @@
 	}
 }
 
+// serve forwards a connection until either side or the relay ends.
 func (r *relay) serve(from net.Conn) {
 	defer from.Close()
 	if !r.gate.pass(r.done) {
@@ -72,7 +74,7 @@
 	}
 }
 
-// gatedWriter writes once the relay's gate is open.
+// gatedWriter writes to dst once the relay's gate is open.
 type gatedWriter struct {
 	dst   net.Conn
 	relay *relay
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -22,11 +22,12 @@
 	Controllers int     `json:"controllers"`
 	Teams       int     `json:"teams"`
 	DurationS   float64 `json:"duration_s"`
-	// ReadyS is how long it took from the first process until the workers were answered.
+	// ReadyS is the time from the first process until the workers had answers.
 	ReadyS float64 `json:"ready_s"`
-	// Stopped says what has ended the run before its time; empty: nothing.
+	// Stopped is why the run has ended before its time; empty: it has not.
 	Stopped string `json:"stopped,omitempty"`
-	// Asked is the rate of task starts that users asked for, StartsPerS what came of it.
+	// RequestedPerS is the rate of task starts that users requested, StartsPerS the rate of those
+	// that there were.
 	RequestedPerS float64 `json:"asked_starts_per_s"`
 	Starts        int     `json:"starts"`
 	StartsPerS    float64 `json:"starts_per_s"`
@@ -41,14 +42,14 @@
 	UrgentMs      quantiles           `json:"urgent_start_ms"`
 	OtherMs       quantiles           `json:"other_start_ms"`
 	Regions       []regionReport      `json:"regions"`
-	// EmulationCPU is the processor that emulated workers, state services, clouds and users
-	// took together, in cores, and StandInsMB their memory.
+	// EmulationCPU is what emulated workers, key-value stores, clouds and users used together, in
+	// cores, and EmulationMB their memory.
 	EmulationCPU float64 `json:"stand_ins_cpu"`
 	EmulationMB  float64 `json:"stand_ins_mb"`
 	TotalMB      float64 `json:"total_mb"`
 }
 
-// jobCounts is what became of the jobs.
+// jobCounts counts the jobs by what became of them.
 type jobCounts struct {
 	Submitted int64 `json:"submitted"`
 	Accepted  int64 `json:"accepted"`
@@ -64,11 +65,17 @@
 	Most  int64 `json:"most"`
 }
 
+// quantilesOf are the quantiles of a histogram of milliseconds.
 func quantilesOf(h *hdrhistogram.Histogram) quantiles {
-	return quantiles{h.TotalCount(), h.ValueAtQuantile(50), h.ValueAtQuantile(99), h.Max()}
+	return quantiles{
+		Count: h.TotalCount(),
+		P50:   h.ValueAtQuantile(50),
+		P99:   h.ValueAtQuantile(99),
+		Most:  h.Max(),
+	}
 }
 
-// regionReport is what one region took.
+// regionReport is what one region did and used.
 type regionReport struct {
 	Name          string             `json:"name"`
 	Zones         int                `json:"zones"`
@@ -82,6 +89,7 @@
 	Controllers   []controllerReport `json:"controllers"`
 }
 
+// controllerReport is what one controller used.
 type controllerReport struct {
 	Member string `json:"member"`
 	controllerStats
@@ -105,12 +113,22 @@
 	return out
 }
 
-// report compares two readings.
+// report compares two readings, took apart. ready is how long the start took, cpu the processor
+// time of this process in between.
 func (r *run) report(before, after counterReading, took, ready, cpu time.Duration) *Report {
 	o := &r.options
-	p := &Report{Factor: o.Factor, Controllers: o.Controllers, Teams: o.teams(), DurationS: took.Seconds(), ReadyS: ready.Seconds(),
-		RequestedPerS: o.starts(), RunS: o.runTime().Seconds(), RulesBroken: []string{}, Worker: perWorker(before.traffic, after.traffic, took),
-		EmulationCPU: cpu.Seconds() / took.Seconds()}
+	p := &Report{
+		Factor:        o.Factor,
+		Controllers:   o.Controllers,
+		Teams:         o.teams(),
+		DurationS:     took.Seconds(),
+		ReadyS:        ready.Seconds(),
+		RequestedPerS: o.starts(),
+		RunS:          o.runTime().Seconds(),
+		RulesBroken:   []string{},
+		Worker:        perWorker(before.traffic, after.traffic, took),
+		EmulationCPU:  cpu.Seconds() / took.Seconds(),
+	}
 	for i, region := range r.regions {
 		p.Workers += region.workers
 		p.Starts += after.starts[i] - before.starts[i]
@@ -122,29 +140,36 @@
 		p.Regions = append(p.Regions, region.report(i, before, after, took.Seconds()))
 	}
 	p.StartsPerS = float64(p.Starts) / took.Seconds()
-	r.startWaits.mu.Lock()
-	p.UrgentMs, p.OtherMs = quantilesOf(r.startWaits.urgent), quantilesOf(r.startWaits.other)
-	r.startWaits.mu.Unlock()
+	p.UrgentMs, p.OtherMs = r.startWaits.quantiles()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	p.RunningPeak, p.EmulationMB, p.TotalMB = r.runningPeak, r.emulationMB, r.totalMB
+	p.RunningPeak = r.runningPeak
+	p.EmulationMB = r.emulationMB
+	p.TotalMB = r.totalMB
 	return p
 }
 
-func (r *region) report(i int, before, after counterReading, s float64) regionReport {
-	per := func(was, now int) float64 { return float64(now-was) / s }
-	out := regionReport{Name: r.name, Zones: len(r.zones), Workers: r.workers, StartsPerS: per(before.starts[i], after.starts[i]),
-		ReportsPerS:   per(before.loads[i].Heartbeats, after.loads[i].Heartbeats),
-		DirectsPerS:   per(before.loads[i].DirectCommands, after.loads[i].DirectCommands),
-		StateRequests: per(before.stores[i].Requests, after.stores[i].Requests),
-		StateWrites:   per(before.stores[i].Writes, after.stores[i].Writes), StateKeys: r.store.CountKeys("")}
+// report compares two readings of region i, that many seconds apart.
+func (r *region) report(i int, before, after counterReading, seconds float64) regionReport {
+	perS := func(was, now int) float64 { return float64(now-was) / seconds }
+	out := regionReport{
+		Name:          r.name,
+		Zones:         len(r.zones),
+		Workers:       r.workers,
+		StartsPerS:    perS(before.starts[i], after.starts[i]),
+		ReportsPerS:   perS(before.loads[i].Heartbeats, after.loads[i].Heartbeats),
+		DirectsPerS:   perS(before.loads[i].DirectCommands, after.loads[i].DirectCommands),
+		StateRequests: perS(before.stores[i].Requests, after.stores[i].Requests),
+		StateWrites:   perS(before.stores[i].Writes, after.stores[i].Writes),
+		StateKeys:     r.store.CountKeys(""),
+	}
 	for _, c := range r.controllers {
 		out.Controllers = append(out.Controllers, controllerReport{c.member, c.statistics()})
 	}
 	return out
 }
 
-// Print writes the report as tables for people.
+// Print writes the report as text with tables.
 func (p *Report) Print(w io.Writer) {
 	fmt.Fprintf(w, "%d workers in %d regions, %d controllers, %d teams, %.0f s (ready after %.0f s); workers and outside systems are emulated\n",
 		p.Workers, len(p.Regions), p.Controllers, p.Teams, p.DurationS, p.ReadyS)
@@ -177,7 +202,7 @@
 	}
 }
 
-// ownCPU is the processor time that this process has taken.
+// ownCPU is the processor time that this process has used.
 func ownCPU() time.Duration {
 	u, err := usageOf(os.Getpid())
 	if err != nil {
@@ -186,7 +211,7 @@
 	return u.cpu
 }
 
-// ownMemoryLimitMB is what a run may take of the machine's memory.
+// ownMemoryLimitMB is the memory of the machine that a run may use.
 func ownMemoryLimitMB() (float64, error) {
 	fs, err := procfs.NewDefaultFS()
 	if err != nil {
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -17,21 +17,22 @@
 )
 
 const (
-	// readyTimeout is how long controllers and workers may take to find each other.
+	// readyTimeout is how long controllers and workers may take until they are ready, and
+	// readyInterval how often they are asked.
 	readyTimeout  = 90 * time.Second
 	readyInterval = 200 * time.Millisecond
-	// bootsPerS is how many workers come up a second.
+	// bootsPerS is how many workers boot a second.
 	bootsPerS = 400
-	// readyShare is the part of the workers that has to be answered before the load.
+	// readyShare is the part of the workers that needs an answer before the load begins.
 	readyShare = 0.98
-	// sampleInterval spaces the looks at the processes.
+	// sampleInterval is how often the usage of the processes is read.
 	sampleInterval = 2 * time.Second
 	// maxMemoryShare is the part of the machine's memory that a run may take.
 	maxMemoryShare = 0.5
 	probeTimeout   = time.Second
 )
 
-// errMemory ends a run that takes more of the machine's memory than it may.
+// errMemory ends a run that uses more of the machine's memory than it may.
 var errMemory = errors.New("half of this machine's memory is used")
 
 // run is a run under way.
@@ -41,21 +42,21 @@
 	regions       []*region
 	relays        map[link]*relay
 	startWaits    *startWaits
-	guard         net.Listener
+	guard         net.Listener // reserves the block of addresses
 	client        *http.Client
-	memoryLimitMB float64 // that a run may take
+	memoryLimitMB float64
 
-	mu          sync.Mutex
-	runningPeak int // tasks, the most at a time
-	emulationMB float64
-	totalMB     float64
+	mu          sync.Mutex // guards the peaks
+	runningPeak int        // tasks
+	emulationMB float64    // of this process
+	totalMB     float64    // of all processes
 }
 
-// link is the way from a region to a controller of another.
+// link is the path from a region to a controller of another.
 type link struct{ from, to, address string }
 
-// Run plays a run and measures it. Everything that it has started has ended when it
-// returns.
+// Run runs the controllers under load and measures them. Everything that it has started has
+// ended when it returns.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	if err := o.Check(); err != nil {
 		return nil, err
@@ -68,7 +69,13 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	r := &run{options: o, launcher: newLauncher(), relays: map[link]*relay{}, startWaits: newStartWaits(), client: &http.Client{Timeout: probeTimeout}}
+	r := &run{
+		options:    o,
+		launcher:   newLauncher(),
+		relays:     map[link]*relay{},
+		startWaits: newStartWaits(),
+		client:     &http.Client{Timeout: probeTimeout},
+	}
 	defer r.close()
 	if r.memoryLimitMB, err = ownMemoryLimitMB(); err != nil {
 		return nil, err
@@ -83,7 +90,7 @@
 	return r.measure(ctx, time.Since(begun))
 }
 
-// prepare makes the regions and starts their controllers.
+// prepare starts the regions and their controllers.
 func (r *run) prepare(dir string) error {
 	loopback, err := r.claimAddressBlock()
 	if err != nil {
@@ -99,18 +106,26 @@
 		}
 	}
 	for _, region := range r.regions {
-		regions, err := r.regionSettings(region)
-		if err != nil {
+		if err := r.startControllers(region); err != nil {
 			return err
 		}
-		if err := region.writeTuning(regions); err != nil {
+	}
+	return nil
+}
+
+// startControllers starts the controllers of a region.
+func (r *run) startControllers(region *region) error {
+	regions, err := r.regionSettings(region)
+	if err != nil {
+		return err
+	}
+	if err := region.writeTuning(regions); err != nil {
+		return err
+	}
+	for _, c := range region.controllers {
+		if err := c.start(r.launcher); err != nil {
 			return err
 		}
-		for _, c := range region.controllers {
-			if err := c.start(r.launcher); err != nil {
-				return err
-			}
-		}
 	}
 	return nil
 }
@@ -121,7 +136,8 @@
 	guardAddress          = "127.%d.255.254:1079"
 )
 
-// claimAddressBlock finds a block of loopback addresses that no other run on this machine uses.
+// claimAddressBlock reserves a block of loopback addresses that no other run on this machine
+// uses.
 func (r *run) claimAddressBlock() (*emulate.Loopback, error) {
 	blocks := lastBlock - firstBlock + 1
 	for i := range blocks {
@@ -135,7 +151,7 @@
 	return nil, errors.New("no block of loopback addresses is free")
 }
 
-// waitReady waits for the controllers, then lets the workers come up and waits for them.
+// waitReady waits for the controllers, then boots the workers and waits for them.
 func (r *run) waitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -159,26 +175,17 @@
 	return nil
 }
 
-// measure lets the load and the troubles happen, and reports.
+// measure applies the load, injects the faults, and reports.
 func (r *run) measure(ctx context.Context, tookReady time.Duration) (*Report, error) {
 	load, cancel := context.WithTimeout(ctx, r.options.Duration)
 	defer cancel()
 	begun := time.Now()
 	before := r.readCounters()
 	cpu := ownCPU()
-	for _, region := range r.regions {
-		for _, c := range region.controllers {
-			c.reset(begun)
-		}
-	}
-	var next atomic.Int64
-	for i, region := range r.regions {
-		u := newUsers(region.world, region.addresses, region.teamNames(), r.options.runTime(), &next)
-		region.startLoad(load, u, r.options.Seed+uint64(i)<<32)
-	}
+	r.startLoad(load, begun)
 	var wg sync.WaitGroup
-	for i, t := range r.options.Faults {
-		wg.Go(func() { r.injectFault(load, t, rand.New(rand.NewPCG(r.options.Seed, uint64(i)))) })
+	for i, f := range r.options.Faults {
+		wg.Go(func() { r.injectFault(load, f, rand.New(rand.NewPCG(r.options.Seed, uint64(i)))) })
 	}
 	operators := newOperators(r)
 	random := rand.New(rand.NewPCG(r.options.Seed, uint64(len(r.regions))))
@@ -199,10 +206,26 @@
 	return report, ctx.Err()
 }
 
-// watch samples the processes until the load ends, or the memory does.
-func (r *run) watch(ctx context.Context, judge func()) error {
+// startLoad restarts the statistics of the controllers and lets the users of all regions submit
+// until the context ends.
+func (r *run) startLoad(ctx context.Context, begun time.Time) {
+	for _, region := range r.regions {
+		for _, c := range region.controllers {
+			c.reset(begun)
+		}
+	}
+	var lastJobID atomic.Int64
+	for i, region := range r.regions {
+		u := newUsers(region.world, region.addresses, region.teamNames(), r.options.runTime(), &lastJobID)
+		region.startLoad(ctx, u, r.options.Seed+uint64(i)<<32)
+	}
+}
+
+// watch samples the processes and calls check until the load ends, or the processes use more
+// memory than they may.
+func (r *run) watch(ctx context.Context, check func()) error {
 	for sleep(ctx, sampleInterval) {
-		judge()
+		check()
 		if r.sample() > r.memoryLimitMB {
 			return errMemory
 		}
@@ -211,35 +234,27 @@
 	return nil
 }
 
-// sample looks at all processes and returns what they take together, in MB.
+// sample reads the usage of all processes and returns their memory together, in MB.
 func (r *run) sample() float64 {
 	now := time.Now()
 	own, err := usageOf(os.Getpid())
 	if err != nil {
 		r.options.Log.Error("own usage cannot be read", "error", err)
 	}
-	total, running := own.rssMB, 0
+	totalMB := own.rssMB
+	running := 0
 	for _, region := range r.regions {
 		running += region.world.Load().RunningTasks
 		for _, c := range region.controllers {
-			total += c.sample(now).rssMB
+			totalMB += c.sample(now).rssMB
 		}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.runningPeak = max(r.runningPeak, running)
-	r.emulationMB, r.totalMB = max(r.emulationMB, own.rssMB), max(r.totalMB, total)
-	return total
-}
-
-// cutRegions cuts a region from another, or from all others, or joins them again.
-func (r *run) cutRegions(region, other string, cut bool) {
-	for l, relay := range r.relays {
-		hit := (l.from == region && (other == "" || l.to == other)) || (l.to == region && (other == "" || l.from == other))
-		if hit {
-			relay.gate.set(!cut)
-		}
-	}
+	r.emulationMB = max(r.emulationMB, own.rssMB)
+	r.totalMB = max(r.totalMB, totalMB)
+	return totalMB
 }
 
 // close ends all that the run has started.
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -12,7 +12,7 @@
 	"vetchstream/internal/emulate"
 )
 
-// TestPlan: the planned size is divided without a rest.
+// TestPlan: the planned size is divided among the regions without a rest.
 func TestPlan(t *testing.T) {
 	for _, tt := range []struct {
 		factor               float64
@@ -25,7 +25,10 @@
 		}
 		workers, controllers, zones, starts := 0, 0, 0, 0.0
 		for _, p := range o.plan() {
-			workers, controllers, zones, starts = workers+p.workers, controllers+p.controllers, zones+len(p.zones), starts+p.startsPerS
+			workers += p.workers
+			controllers += p.controllers
+			zones += len(p.zones)
+			starts += p.startsPerS
 		}
 		if math.Abs(float64(workers-tt.workers)) > float64(tt.regions) || controllers != tt.controllers || zones != PlannedZones || math.Abs(starts-PlannedStartsPerS*tt.factor) > 1e-6 {
 			t.Errorf("%+v: %d workers, %d controllers, %d zones, %v starts", tt, workers, controllers, zones, starts)
@@ -33,7 +36,7 @@
 	}
 }
 
-// TestTroubles: a trouble that cannot be is named with its field.
+// TestTroubles: an error names the fault that is not valid, and its field.
 func TestTroubles(t *testing.T) {
 	for _, tt := range []struct{ text, want string }{
 		{`[{"kind":"zone_cut","region":"region-0"}]`, ""},
@@ -44,9 +47,9 @@
 		{`[{"kind":"zone_cut","region":"region-0","at_s":-1}]`, "troubles[0].at_s"},
 		{`[{"kinds":1}]`, "unknown field"},
 	} {
-		ts, err := ParseFaults([]byte(tt.text))
+		faults, err := ParseFaults([]byte(tt.text))
 		if err == nil {
-			err = checkFaults(ts, []string{"region-0"})
+			err = checkFaults(faults, []string{"region-0"})
 		}
 		if (err == nil) != (tt.want == "") || (err != nil && !strings.Contains(err.Error(), tt.want)) {
 			t.Errorf("%s: %v", tt.text, err)
@@ -54,8 +57,8 @@
 	}
 }
 
-// TestCut: what passes a host that is cut off, or a relay between regions, is held and
-// then delivered, and a closed connection does not wait for that.
+// TestCut: data to and from a host that is partitioned, or through a relay between regions, is
+// held and then delivered, and a closed connection does not wait for that.
 func TestCut(t *testing.T) {
 	l := emulate.NewLoopbackAt(firstBlock - 1)
 	n := newNetwork("r", l)
@@ -81,7 +84,7 @@
 	r := newRelay(front, ln.Addr().String())
 	defer r.close()
 	for name, cut := range map[string]func(on bool){
-		"host":  func(on bool) { n.cut([]string{host}, on) },
+		"host":  func(on bool) { n.setPartitioned([]string{host}, on) },
 		"relay": func(on bool) { r.gate.set(!on) },
 	} {
 		c, err := (&net.Dialer{}).DialContext(context.Background(), "tcp4", r.addr())
--- a/internal/scale/users.go
+++ b/internal/scale/users.go
@@ -19,12 +19,12 @@
 	"vetchstream/internal/wire"
 )
 
-// class is a kind of job that users submit.
+// class is a class of jobs that users submit.
 type class struct {
 	name, shape, rank string
-	// share of the task starts that are of this class.
+	// share is the part of the task starts that are of this class.
 	share float64
-	// drawTasks draws a job's size, of which mean is the mean.
+	// drawTasks draws the number of a job's tasks, of which meanTasks is the mean.
 	drawTasks func(r *rand.Rand) int
 	meanTasks float64
 }
@@ -41,9 +41,30 @@
 		sum += n
 	}
 	return []class{
-		{"batch", "array", "standard", 0.83, func(r *rand.Rand) int { return 1 + int(batch*(0.25+1.5*r.Float64())) }, 1 + batch},
-		{"gang", "ensemble", "standard", 0.14, func(r *rand.Rand) int { return gangs[r.IntN(len(gangs))] }, float64(sum) / float64(len(gangs))},
-		{urgentClass, "array", "urgent", 0.03, func(r *rand.Rand) int { return 1 + r.IntN(7) }, 4},
+		{
+			name:      "batch",
+			shape:     "array",
+			rank:      "standard",
+			share:     0.83,
+			drawTasks: func(r *rand.Rand) int { return 1 + int(batch*(0.25+1.5*r.Float64())) },
+			meanTasks: 1 + batch,
+		},
+		{
+			name:      "gang",
+			shape:     "ensemble",
+			rank:      "standard",
+			share:     0.14,
+			drawTasks: func(r *rand.Rand) int { return gangs[r.IntN(len(gangs))] },
+			meanTasks: float64(sum) / float64(len(gangs)),
+		},
+		{
+			name:      urgentClass,
+			shape:     "array",
+			rank:      "urgent",
+			share:     0.03,
+			drawTasks: func(r *rand.Rand) int { return 1 + r.IntN(7) },
+			meanTasks: 4,
+		},
 	}
 }
 
@@ -57,6 +78,7 @@
 }
 
 const (
+	// A user polls a job with this interval, and submits it that often at the most.
 	pollInterval     = 5 * time.Second
 	pollTimeout      = 2 * time.Second
 	submitTimeout    = 5 * time.Second
@@ -68,10 +90,13 @@
 	maxFollowedJobs = 20_000
 	// taskCPUs and taskMemGB are what a task takes of its machine.
 	taskCPUs, taskMemGB = 1, 1
-	// maxWaitMs is the longest wait that the histograms tell apart, in milliseconds.
+	// maxWaitMs is the longest wait that the histograms can record, in milliseconds.
 	maxWaitMs = int64(time.Hour / time.Millisecond)
 )
 
+// newWaitHistogram makes a histogram of waits in milliseconds.
+func newWaitHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxWaitMs, 3) }
+
 // startWaits are how long tasks waited for their start, in milliseconds.
 type startWaits struct {
 	mu     sync.Mutex
@@ -80,10 +105,10 @@
 }
 
 func newStartWaits() *startWaits {
-	return &startWaits{urgent: hdrhistogram.New(1, maxWaitMs, 3), other: hdrhistogram.New(1, maxWaitMs, 3)}
+	return &startWaits{urgent: newWaitHistogram(), other: newWaitHistogram()}
 }
 
-// started notes the first start of a task.
+// started records the first start of a task.
 func (w *startWaits) started(spec *job.Spec, waited time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -94,32 +119,47 @@
 	_ = h.RecordValue(min(max(1, waited.Milliseconds()), maxWaitMs)) // within its range
 }
 
-// users are those of one region.
+// quantiles are those of the waits of urgent and of other tasks.
+func (w *startWaits) quantiles() (urgent, other quantiles) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return quantilesOf(w.urgent), quantilesOf(w.other)
+}
+
+// users are the users of one region.
 type users struct {
 	world     *emulate.World
 	servers   []string // the controllers' addresses
 	teams     []string
-	runTime   time.Duration
-	lastJobID *atomic.Int64 // of the jobs' ids, in all regions
+	runTime   time.Duration // mean of the tasks
+	lastJobID *atomic.Int64 // in all regions
 	client    *http.Client
 
 	submitted, accepted, refused, done atomic.Int64
-	followed                           chan struct{}
-	wg                                 sync.WaitGroup
+
+	followed chan struct{} // holds one for each job that is followed
+	wg       sync.WaitGroup
 }
 
-func newUsers(w *emulate.World, servers, teams []string, run time.Duration, next *atomic.Int64) *users {
-	return &users{world: w, servers: servers, teams: teams, runTime: run, lastJobID: next, followed: make(chan struct{}, maxFollowedJobs),
-		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, MaxConnsPerHost: 256}}}
+func newUsers(w *emulate.World, servers, teams []string, runTime time.Duration, lastJobID *atomic.Int64) *users {
+	return &users{
+		world:     w,
+		servers:   servers,
+		teams:     teams,
+		runTime:   runTime,
+		lastJobID: lastJobID,
+		client:    &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, MaxConnsPerHost: 256}},
+		followed:  make(chan struct{}, maxFollowedJobs),
+	}
 }
 
 // submit submits jobs of a class at a rate of task starts a second until the context ends.
 func (u *users) submit(ctx context.Context, c class, startsPerS float64, r *rand.Rand) {
-	perS := startsPerS * c.share / c.meanTasks
-	if perS <= 0 {
+	jobsPerS := startsPerS * c.share / c.meanTasks
+	if jobsPerS <= 0 {
 		return
 	}
-	wait := time.Duration(r.Float64() * float64(min(maxFirstDelay, seconds(1/perS))))
+	wait := time.Duration(r.Float64() * float64(min(maxFirstDelay, seconds(1/jobsPerS))))
 	for sleep(ctx, wait) {
 		spec := u.drawJob(c, r)
 		server := u.servers[r.IntN(len(u.servers))]
@@ -132,18 +172,28 @@
 		default:
 			u.refused.Add(1)
 		}
-		wait = seconds(r.ExpFloat64() / perS)
+		wait = seconds(r.ExpFloat64() / jobsPerS)
 	}
 }
 
-// drawJob makes a job.
+// drawJob draws a job of a class.
 func (u *users) drawJob(c class, r *rand.Rand) *job.Spec {
-	return &job.Spec{ID: fmt.Sprintf("run-%d", u.lastJobID.Add(1)), Class: c.name, Team: u.teams[r.IntN(len(u.teams))],
-		ShapeName: c.shape, RankName: c.rank, Tasks: c.drawTasks(r), CPUs: taskCPUs, MemGB: taskMemGB,
-		Image: fmt.Sprintf("img-%02d", r.IntN(20)), ImageGB: 0.5, EstimateS: u.runTime.Seconds() * (0.5 + r.Float64())}
+	return &job.Spec{
+		ID:        fmt.Sprintf("run-%d", u.lastJobID.Add(1)),
+		Class:     c.name,
+		Team:      u.teams[r.IntN(len(u.teams))],
+		ShapeName: c.shape,
+		RankName:  c.rank,
+		Tasks:     c.drawTasks(r),
+		CPUs:      taskCPUs,
+		MemGB:     taskMemGB,
+		Image:     fmt.Sprintf("img-%02d", r.IntN(20)),
+		ImageGB:   0.5,
+		EstimateS: u.runTime.Seconds() * (0.5 + r.Float64()),
+	}
 }
 
-// follow submits a job and asks about it until it is over or the context ends.
+// follow submits a job and polls it until it is over or the context ends.
 func (u *users) follow(ctx context.Context, spec *job.Spec, server string) {
 	body, err := wire.Marshal(spec)
 	if err != nil {
@@ -158,14 +208,14 @@
 	}
 	u.accepted.Add(1)
 	u.world.JobAccepted(spec.ID)
-	told := ""
-	for told == "" && sleep(ctx, pollInterval) {
+	final := ""
+	for final == "" && sleep(ctx, pollInterval) {
 		status, phase := u.request(ctx, pollTimeout, http.MethodGet, server, "/api/jobs/"+spec.ID, nil)
 		if ctx.Err() == nil {
-			told = u.world.CheckPoll(spec, status, phase, told, false)
+			final = u.world.CheckPoll(spec, status, phase, final, false)
 		}
 	}
-	if told == wire.JobDone {
+	if final == wire.JobDone {
 		u.done.Add(1)
 	}
 }
@@ -188,7 +238,7 @@
 	return false
 }
 
-// request makes a request; a status of 0 means that there was no answer.
+// request makes a request with a time limit; a status of 0 means that there was no answer.
 func (u *users) request(ctx context.Context, limit time.Duration, method, server, path string, body []byte) (status int, phase string) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
@@ -211,12 +261,13 @@
 	return res.StatusCode, s.Phase
 }
 
-// close waits for those who are under way; their context has ended.
+// close waits for the users; their context has ended.
 func (u *users) close() {
 	u.wg.Wait()
 	u.client.CloseIdleConnections()
 }
 
+// seconds is a time that is given in seconds.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // sleep waits; false: the context has ended before.
