--- a/internal/emulate/worker_commands.go
+++ b/internal/emulate/worker_commands.go
@@ -55,7 +55,7 @@
 // halt ends a task, after a checkpoint if the grace time (in seconds) is long enough for one.
 func (worker *Worker) halt(t *task, grace *float64) {
 	worker.changed = true
-	if t.phase == wire.Running && t.spec.Checkpoint > 0 && grace != nil && *grace >= t.spec.SaveS {
+	if t.phase == wire.Running && t.spec.CheckpointS > 0 && grace != nil && *grace >= t.spec.SaveS {
 		t.phase = wire.Saving
 		t.checkpointedAt = time.Now().Add(seconds(t.spec.SaveS))
 		return
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -93,16 +93,16 @@
 
 // TestDoneSet stores the results of the largest job in chunks and loads them.
 func TestDoneSet(t *testing.T) {
-	spec := Spec{ID: "run-1", ShapeName: "array", RankName: "idle", Tasks: MaxTasks}
+	spec := Spec{ID: "run-1", ShapeName: "array", PriorityName: "idle", Tasks: MaxTasks}
 	j := New(&Record{Spec: spec}, time.Time{})
 	for i := int32(0); i < MaxTasks; i += 7 {
-		j.SetDone(i)
+		j.MarkDone(i)
 	}
 	for i := int32(0); i < 200; i++ {
-		j.SetDone(i)
+		j.MarkDone(i)
 	}
 	k := New(&Record{Spec: spec}, time.Time{})
-	for _, c := range j.Dirty() {
+	for _, c := range j.DirtyChunks() {
 		ch := j.TakeChunk(c)
 		if b, err := wire.Marshal(ch); err != nil || len(b) > 16<<10 {
 			t.Fatalf("chunk %d: %d bytes, %v", c, len(b), err)
@@ -114,12 +114,12 @@
 	if k.DoneCount != j.DoneCount {
 		t.Fatalf("%d tasks done after loading, want %d", k.DoneCount, j.DoneCount)
 	}
-	if len(j.Dirty()) != 0 {
+	if len(j.DirtyChunks()) != 0 {
 		t.Error("chunks are dirty after they were taken")
 	}
 	k.AddLive(201, 1)
 	var got []int32
-	k.Needs(func(task int32) bool {
+	k.Unplaced(func(task int32) bool {
 		got = append(got, task)
 		return len(got) < 4
 	})
@@ -127,9 +127,9 @@
 		t.Errorf("needs %v, want %v", got, want)
 	}
 	for i := range int32(MaxTasks) {
-		k.SetDone(i)
+		k.MarkDone(i)
 	}
-	if !k.Over() {
+	if !k.Complete() {
 		t.Error("not over with every task done")
 	}
 }
@@ -157,3 +157,23 @@
 		}
 	}
 }
+
+func TestSplitChunkKey(t *testing.T) {
+	tests := []struct {
+		key   string
+		id    string
+		chunk int
+		ok    bool
+	}{
+		{(&Job{Spec: Spec{ID: "run-7"}}).ChunkKey(3), "run-7", 3, true},
+		{DonePrefix + "run-7", "", 0, true},
+		{DonePrefix + "run-7/", "", 0, false},
+		{DonePrefix + "run-7/x", "", 0, false},
+	}
+	for _, tt := range tests {
+		id, chunk, err := SplitChunkKey(tt.key)
+		if id != tt.id || chunk != tt.chunk || (err == nil) != tt.ok {
+			t.Errorf("%q: %q %d %v", tt.key, id, chunk, err)
+		}
+	}
+}
--- a/internal/node/accel_test.go
+++ b/internal/node/accel_test.go
@@ -52,7 +52,7 @@
 		s.Boot("half", "b", true, 0)
 	}
 	submit := func(shape, rank, team string, tasks int, gpus, secs, at float64, edit func(*job.Spec)) {
-		spec := &job.Spec{Team: team, ShapeName: shape, RankName: rank, Tasks: tasks, CPUs: 6 * gpus, GPUs: gpus, MemGB: 40 * gpus, EstimateS: secs}
+		spec := &job.Spec{Team: team, ShapeName: shape, PriorityName: rank, Tasks: tasks, CPUs: 6 * gpus, GPUs: gpus, MemGB: 40 * gpus, EstimateS: secs}
 		edit(spec)
 		cancelAfter := time.Duration(0)
 		if shape == "daemon" {
@@ -62,7 +62,7 @@
 	}
 	spread := func(j *job.Spec) { j.Spread = true }
 	spot := func(j *job.Spec) { j.Spot = true }
-	whole := func(j *job.Spec) { j.OneZone, j.Checkpoint, j.SaveS = true, 4, 1 }
+	whole := func(j *job.Spec) { j.OneZone, j.CheckpointS, j.SaveS = true, 4, 1 }
 	for i := range 4 {
 		at := float64(1 + 11*i)
 		submit("daemon", "production", "blue", 2+2*(i%2), 1, 0, at, spread)
--- a/internal/node/calendar_test.go
+++ b/internal/node/calendar_test.go
@@ -62,7 +62,7 @@
 		t.Fatalf("the reservation got %d", got)
 	}
 	b.fillFleet(400)
-	id := b.submitJob(25, job.Spec{Team: "blue", ShapeName: "ensemble", Tasks: 6, CPUs: 4, EstimateS: 25, Booking: "evening"})
+	id := b.submitJob(25, job.Spec{Team: "blue", ShapeName: "ensemble", Tasks: 6, CPUs: 4, EstimateS: 25, Reservation: "evening"})
 	injected := make(chan struct{})
 	go func() {
 		defer close(injected)
@@ -199,7 +199,7 @@
 				if got := b.reserve(map[string]any{"parts": 4}); got != 201 {
 					t.Fatalf("the reservation got %d", got)
 				}
-				id := b.submitJob(25, job.Spec{Team: "blue", ShapeName: "ensemble", Tasks: 4, CPUs: 4, EstimateS: 25, Booking: "evening"})
+				id := b.submitJob(25, job.Spec{Team: "blue", ShapeName: "ensemble", Tasks: 4, CPUs: 4, EstimateS: 25, Reservation: "evening"})
 				b.sleepUntil(-30 * time.Second)
 				if all, _ := b.MachineCounts(); all != 0 {
 					t.Errorf("%d machines are rented half a minute before", all)
--- a/internal/node/cancel_test.go
+++ b/internal/node/cancel_test.go
@@ -29,16 +29,16 @@
 		s.net.HoldRequests(isCommand)
 		for i := range jobs {
 			spec := &job.Spec{
-				ID:        fmt.Sprintf("run-7%05d", i),
-				Team:      "blue",
-				Class:     "held",
-				ShapeName: "array",
-				RankName:  "urgent",
-				Tasks:     tasks,
-				CPUs:      0.5,
-				MemGB:     0.5,
-				EstimateS: 120,
-				Spot:      true,
+				ID:           fmt.Sprintf("run-7%05d", i),
+				Team:         "blue",
+				Class:        "held",
+				ShapeName:    "array",
+				PriorityName: "urgent",
+				Tasks:        tasks,
+				CPUs:         0.5,
+				MemGB:        0.5,
+				EstimateS:    120,
+				Spot:         true,
 			}
 			s.Go(func() { s.runUser(spec, 0, cancelAfter) })
 			time.Sleep(interval)
@@ -116,7 +116,7 @@
 	}
 	const bound = "a hundred machines hang, called off, few commands at a time"
 	checkCommandsBounded := func(s *simulation) {
-		if most := control.DirectCalls(sockets); s.MaxBlockedCommands() < most {
+		if most := control.MaxDirectCalls(sockets); s.MaxBlockedCommands() < most {
 			s.t.Errorf("%d commands waited for machines that hang, of %d at a time for each controller", s.MaxBlockedCommands(), most)
 		}
 	}
--- a/internal/node/maintenance_test.go
+++ b/internal/node/maintenance_test.go
@@ -115,9 +115,9 @@
 // learned.
 func (b *calendarSimulation) submitBeforeMaintenance() (service string) {
 	b.submitJob(20, job.Spec{Team: "blue", ShapeName: "array", Tasks: 600, EstimateS: 12, Spot: true})
-	b.submitJob(200, job.Spec{Team: "blue", ShapeName: "array", Tasks: 6, EstimateS: 200, Checkpoint: 5, SaveS: 3, CPUs: 2})
-	b.submitJob(150, job.Spec{Team: "blue", ShapeName: "ensemble", Tasks: 4, EstimateS: 150, Checkpoint: 5, SaveS: 3, CPUs: 2, RankName: "urgent"})
-	return b.submitJob(0, job.Spec{Team: "blue", ShapeName: "daemon", Tasks: 4, RankName: "production"})
+	b.submitJob(200, job.Spec{Team: "blue", ShapeName: "array", Tasks: 6, EstimateS: 200, CheckpointS: 5, SaveS: 3, CPUs: 2})
+	b.submitJob(150, job.Spec{Team: "blue", ShapeName: "ensemble", Tasks: 4, EstimateS: 150, CheckpointS: 5, SaveS: 3, CPUs: 2, PriorityName: "urgent"})
+	return b.submitJob(0, job.Spec{Team: "blue", ShapeName: "daemon", Tasks: 4, PriorityName: "production"})
 }
 
 // scheduleMaintenance asks for a maintenance window of zone a.
--- a/internal/node/meetings_test.go
+++ b/internal/node/meetings_test.go
@@ -86,7 +86,7 @@
 func withSmallJobs(env environment) environment {
 	return env.withJobs(func(_ *simulation, add submitAt) {
 		for i := range 12 {
-			spec := &job.Spec{Team: "blue", Class: "few", ShapeName: "array", RankName: "standard", Tasks: 2 + i%2, CPUs: 1, MemGB: 1, EstimateS: float64(4 + 3*i), Spot: true}
+			spec := &job.Spec{Team: "blue", Class: "few", ShapeName: "array", PriorityName: "standard", Tasks: 2 + i%2, CPUs: 1, MemGB: 1, EstimateS: float64(4 + 3*i), Spot: true}
 			add(spec, time.Duration(4+2*i)*time.Second, 0)
 		}
 	})
@@ -272,7 +272,7 @@
 func withZoneBoundJobs(env environment) environment {
 	return env.withJobs(func(_ *simulation, add submitAt) {
 		for i := range 8 {
-			spec := &job.Spec{Team: "blue", Class: "bound", ShapeName: "array", RankName: "standard", Tasks: 6, CPUs: 1, MemGB: 1, EstimateS: 12, Spot: true, OneZone: i%2 == 0}
+			spec := &job.Spec{Team: "blue", Class: "bound", ShapeName: "array", PriorityName: "standard", Tasks: 6, CPUs: 1, MemGB: 1, EstimateS: 12, Spot: true, OneZone: i%2 == 0}
 			if !spec.OneZone {
 				spec.Zone = []string{"a", "b"}[i/2%2]
 			}
--- a/internal/node/region_changes_test.go
+++ b/internal/node/region_changes_test.go
@@ -107,7 +107,7 @@
 func (b *multiRegion) checkHistory() {
 	b.t.Helper()
 	var history struct {
-		Changes []dynconfig.PastSummary `codec:"changes"`
+		Changes []dynconfig.HistorySummary `codec:"changes"`
 	}
 	b.request(1, http.MethodGet, "/api/config/history", nil, &history)
 	if len(history.Changes) != 5 {
@@ -121,7 +121,7 @@
 	b.t.Helper()
 	s := b.regions[1]
 	hc := s.userClient(5 * time.Second)
-	taken := &job.Spec{ID: "run-73", Team: "red", ShapeName: "array", RankName: "standard", Tasks: 1, CPUs: 1, MemGB: 1, EstimateS: 1, Spot: true}
+	taken := &job.Spec{ID: "run-73", Team: "red", ShapeName: "array", PriorityName: "standard", Tasks: 1, CPUs: 1, MemGB: 1, EstimateS: 1, Spot: true}
 	for _, team := range []string{"blue", "red"} {
 		spec := *taken
 		spec.Team = team
--- a/internal/node/region_scenarios_test.go
+++ b/internal/node/region_scenarios_test.go
@@ -176,13 +176,13 @@
 		}
 		var s dynconfig.Status
 		b.request(0, http.MethodGet, "/api/config/status", nil, &s)
-		if r := s.Regions[1]; r.SilentS < 3500 || r.Behind < 390 || len(r.Waits) != 1 || !slices.Equal(r.Waits[0].For, []string{"region-1"}) {
+		if r := s.Regions[1]; r.SilentS < 3500 || r.Behind < 390 || len(r.Pending) != 1 || !slices.Equal(r.Pending[0].BlockedBy, []string{"region-1"}) {
 			t.Errorf("status of the region that is cut off: %+v", r)
 		}
 		b.setPartitioned(1, false)
 		b.awaitInForce(last, forceWithin)
 		b.awaitEnd(2 * time.Minute)
-		if n := b.regions[0].store.CountKeys("t/"); n > 3+dynconfig.HistoryMost {
+		if n := b.regions[0].store.CountKeys("t/"); n > 3+dynconfig.MaxHistory {
 			t.Errorf("%d keys of the configuration are left", n)
 		}
 	})
--- a/internal/node/regions_test.go
+++ b/internal/node/regions_test.go
@@ -208,16 +208,16 @@
 // greenJob is an array of green with tasks of one CPU that take that many seconds.
 func greenJob(id string, tasks int, seconds float64) *job.Spec {
 	return &job.Spec{
-		ID:        id,
-		Class:     "c",
-		Team:      "green",
-		ShapeName: "array",
-		RankName:  "standard",
-		Tasks:     tasks,
-		CPUs:      1,
-		MemGB:     0.5,
-		EstimateS: seconds,
-		Spot:      true,
+		ID:           id,
+		Class:        "c",
+		Team:         "green",
+		ShapeName:    "array",
+		PriorityName: "standard",
+		Tasks:        tasks,
+		CPUs:         1,
+		MemGB:        0.5,
+		EstimateS:    seconds,
+		Spot:         true,
 	}
 }
 
--- a/internal/node/sim_calendar_test.go
+++ b/internal/node/sim_calendar_test.go
@@ -112,8 +112,8 @@
 func (b *calendarSimulation) submitJob(seconds float64, spec job.Spec) string {
 	b.jobsSubmitted++
 	spec.ID = fmt.Sprintf("run-%06d", b.jobsSubmitted)
-	if spec.RankName == "" {
-		spec.RankName = "standard"
+	if spec.PriorityName == "" {
+		spec.PriorityName = "standard"
 	}
 	spec.CPUs = max(spec.CPUs, 1)
 	spec.MemGB = 1
@@ -154,7 +154,7 @@
 func (b *calendarSimulation) fillFleet(tasks int) {
 	estimates := []float64{20, 14, 11, 20}
 	for i, seconds := range []float64{8, 14, 22, 30} {
-		b.submitJob(seconds, job.Spec{Team: "blue", ShapeName: "array", Tasks: tasks, CPUs: 2, EstimateS: estimates[i], RankName: "urgent"})
+		b.submitJob(seconds, job.Spec{Team: "blue", ShapeName: "array", Tasks: tasks, CPUs: 2, EstimateS: estimates[i], PriorityName: "urgent"})
 	}
 }
 
--- a/internal/node/sim_faults_requests_test.go
+++ b/internal/node/sim_faults_requests_test.go
@@ -29,7 +29,7 @@
 
 // submitThrice submits job i of a burst by three users, of whom one cancels it if i is even.
 func (s *simulation) submitThrice(i int) {
-	spec := &job.Spec{ID: fmt.Sprintf("run-9%05d", i), Team: "blue", ShapeName: "array", RankName: "idle", Tasks: 1, CPUs: 0.25, MemGB: 0.5, EstimateS: 4, Spot: true}
+	spec := &job.Spec{ID: fmt.Sprintf("run-9%05d", i), Team: "blue", ShapeName: "array", PriorityName: "idle", Tasks: 1, CPUs: 0.25, MemGB: 0.5, EstimateS: 4, Spot: true}
 	cancelAfter := time.Duration(0)
 	if i%2 == 0 {
 		cancelAfter = time.Duration(i%7)*time.Second + time.Millisecond
@@ -117,16 +117,16 @@
 	return func(s *simulation) {
 		for i := range int(4 * d / time.Second) {
 			spec := &job.Spec{
-				ID:        fmt.Sprintf("run-8%05d", i),
-				Team:      []string{"blue", "red"}[i%2],
-				Class:     "stream",
-				ShapeName: "array",
-				RankName:  "standard",
-				Tasks:     1,
-				CPUs:      0.5,
-				MemGB:     0.5,
-				EstimateS: 3,
-				Spot:      true,
+				ID:           fmt.Sprintf("run-8%05d", i),
+				Team:         []string{"blue", "red"}[i%2],
+				Class:        "stream",
+				ShapeName:    "array",
+				PriorityName: "standard",
+				Tasks:        1,
+				CPUs:         0.5,
+				MemGB:        0.5,
+				EstimateS:    3,
+				Spot:         true,
 			}
 			cancelAfter := time.Duration(0)
 			if i%4 == 3 {
@@ -257,7 +257,7 @@
 
 // minimalSubmission are the fields of a small job's submission.
 func minimalSubmission(id string) (fields map[string]any) {
-	spec := &job.Spec{ID: id, Team: "blue", ShapeName: "array", RankName: "idle", Tasks: 1, CPUs: 1, MemGB: 1}
+	spec := &job.Spec{ID: id, Team: "blue", ShapeName: "array", PriorityName: "idle", Tasks: 1, CPUs: 1, MemGB: 1}
 	if err := wire.Unmarshal(submission(spec), &fields); err != nil {
 		panic(err)
 	}
--- a/internal/node/sim_rollout_test.go
+++ b/internal/node/sim_rollout_test.go
@@ -54,7 +54,7 @@
 		simulation: s,
 		t:          t,
 		client:     s.userClient(5 * time.Second),
-		spec:       &job.Spec{ID: "run-1", Team: team, ShapeName: "daemon", RankName: "standard", Tasks: 6, CPUs: max(1, limit), MemGB: 1, Image: "old"},
+		spec:       &job.Spec{ID: "run-1", Team: team, ShapeName: "daemon", PriorityName: "standard", Tasks: 6, CPUs: max(1, limit), MemGB: 1, Image: "old"},
 		service:    &stormService{name: "svc"},
 	}
 	s.DescribeJob(b.spec)
--- a/internal/node/sim_scenario_test.go
+++ b/internal/node/sim_scenario_test.go
@@ -85,14 +85,14 @@
 		s.Boot("small", "c", true, 0)
 	}
 	submit := func(shape, team string, tasks int, cpus, secs float64, at, cancelAfter time.Duration, edit func(*job.Spec)) {
-		spec := &job.Spec{Team: team, ShapeName: shape, RankName: "standard", Tasks: tasks, CPUs: cpus, MemGB: 1, EstimateS: secs, Spot: true}
+		spec := &job.Spec{Team: team, ShapeName: shape, PriorityName: "standard", Tasks: tasks, CPUs: cpus, MemGB: 1, EstimateS: secs, Spot: true}
 		if edit != nil {
 			edit(spec)
 		}
 		add(spec, at, cancelAfter)
 	}
-	withCheckpoints := func(j *job.Spec) { j.Checkpoint, j.SaveS, j.Spot = 2, 1, false }
-	urgentInOneZone := func(j *job.Spec) { j.OneZone, j.RankName = true, "urgent" }
+	withCheckpoints := func(j *job.Spec) { j.CheckpointS, j.SaveS, j.Spot = 2, 1, false }
+	urgentInOneZone := func(j *job.Spec) { j.OneZone, j.PriorityName = true, "urgent" }
 	sec := time.Second
 	for i := range 5 {
 		at := time.Duration(1+9*i) * sec
@@ -207,7 +207,7 @@
 	return env.withJobs(func(_ *simulation, add submitAt) {
 		const at = 2 * time.Second
 		for i := range 16 {
-			spec := &job.Spec{Team: "blue", Class: "cancelled", ShapeName: "array", RankName: "urgent", Tasks: 2 * env.scale, CPUs: 1, MemGB: 1, EstimateS: 90, Spot: true}
+			spec := &job.Spec{Team: "blue", Class: "cancelled", ShapeName: "array", PriorityName: "urgent", Tasks: 2 * env.scale, CPUs: 1, MemGB: 1, EstimateS: 90, Spot: true}
 			add(spec, at, from+time.Duration(i)*interval-at)
 		}
 	})
@@ -218,7 +218,7 @@
 	return env.withJobs(func(_ *simulation, add submitAt) {
 		for i := range 10 {
 			team := []string{"blue", "red"}[i%2]
-			spec := &job.Spec{Team: team, Class: "long", ShapeName: "array", RankName: "urgent", Tasks: 2 * env.scale, CPUs: 1, MemGB: 1, EstimateS: 45, Spot: true}
+			spec := &job.Spec{Team: team, Class: "long", ShapeName: "array", PriorityName: "urgent", Tasks: 2 * env.scale, CPUs: 1, MemGB: 1, EstimateS: 45, Spot: true}
 			add(spec, time.Duration(3+i)*time.Second, 0)
 		}
 	})
--- a/internal/node/sim_users_test.go
+++ b/internal/node/sim_users_test.go
@@ -88,7 +88,7 @@
 		"breed":        "c",
 		"owner":        spec.Team,
 		"shape":        spec.ShapeName,
-		"rank":         spec.RankName,
+		"rank":         spec.PriorityName,
 		"pieces":       spec.Tasks,
 		"cpus":         spec.CPUs,
 		"accelerators": spec.GPUs,
@@ -99,14 +99,14 @@
 		"apart":        spec.Spread,
 		"loaners":      spec.Spot,
 		"guess_s":      spec.EstimateS,
-		"mark_s":       spec.Checkpoint,
+		"mark_s":       spec.CheckpointS,
 		"stash_s":      spec.SaveS,
 	}
 	if spec.Zone != "" {
 		m["yard"] = spec.Zone
 	}
-	if spec.Booking != "" {
-		m["booking"] = spec.Booking
+	if spec.Reservation != "" {
+		m["booking"] = spec.Reservation
 	}
 	body, err := wire.Marshal(m)
 	if err != nil {
--- a/internal/node/sim_week_test.go
+++ b/internal/node/sim_week_test.go
@@ -111,10 +111,10 @@
 			late:  -1,
 		}
 		w.slots = append(w.slots, slot)
-		spec := job.Spec{ID: slot.id, Team: daily.team, ShapeName: "ensemble", RankName: "standard", Tasks: daily.tasks, CPUs: 4, MemGB: 1, EstimateS: 40, OneZone: daily.oneZone}
+		spec := job.Spec{ID: slot.id, Team: daily.team, ShapeName: "ensemble", PriorityName: "standard", Tasks: daily.tasks, CPUs: 4, MemGB: 1, EstimateS: 40, OneZone: daily.oneZone}
 		at := slot.start
 		if w.plan.calendar {
-			spec.Booking = fmt.Sprintf("slot-%d-%d", d, i)
+			spec.Reservation = fmt.Sprintf("slot-%d-%d", d, i)
 			at = at.Add(-30 * time.Second)
 			w.reserveSlot(slot, &spec)
 		}
@@ -126,7 +126,7 @@
 func (w *weekSimulation) reserveSlot(slot *gangSlot, gang *job.Spec) {
 	w.t.Helper()
 	got := w.createEntry("/api/reservations", map[string]any{
-		"name":       gang.Booking,
+		"name":       gang.Reservation,
 		"team":       gang.Team,
 		"parts":      gang.Tasks,
 		"cpus":       4.0,
@@ -174,14 +174,14 @@
 			return
 		}
 		spec := job.Spec{
-			ID:        fmt.Sprintf("run-%d", 1000+i),
-			Team:      "bulk",
-			ShapeName: "array",
-			RankName:  "standard",
-			Tasks:     55 + w.random.IntN(30),
-			CPUs:      2,
-			MemGB:     1,
-			EstimateS: float64(6 + w.random.IntN(20)),
+			ID:           fmt.Sprintf("run-%d", 1000+i),
+			Team:         "bulk",
+			ShapeName:    "array",
+			PriorityName: "standard",
+			Tasks:        55 + w.random.IntN(30),
+			CPUs:         2,
+			MemGB:        1,
+			EstimateS:    float64(6 + w.random.IntN(20)),
 		}
 		w.submitted[spec.ID] = at
 		w.submitAtTime(at, spec)
--- a/internal/node/storm_test.go
+++ b/internal/node/storm_test.go
@@ -127,14 +127,14 @@
 		batch:    max(1, replicas/2),
 	}
 	service.spec = &job.Spec{
-		ID:        fmt.Sprintf("run-%d", 1000+i),
-		Team:      "blue",
-		ShapeName: "daemon",
-		RankName:  "standard",
-		Tasks:     replicas,
-		CPUs:      1,
-		MemGB:     1,
-		Image:     fmt.Sprintf("img-%d", i),
+		ID:           fmt.Sprintf("run-%d", 1000+i),
+		Team:         "blue",
+		ShapeName:    "daemon",
+		PriorityName: "standard",
+		Tasks:        replicas,
+		CPUs:         1,
+		MemGB:        1,
+		Image:        fmt.Sprintf("img-%d", i),
 	}
 	if service.badBuild {
 		service.buildKind = r.IntN(len(badBuilds))
--- a/internal/scale/configuration.go
+++ b/internal/scale/configuration.go
@@ -127,12 +127,12 @@
 	change := dynconfig.TeamChange{
 		Name:    team,
 		Limit:   &dynconfig.Quota{CPUs: &total},
-		Regions: map[string]dynconfig.Part{},
+		Regions: map[string]dynconfig.RegionQuota{},
 	}
 	for i, region := range o.regions {
 		limit := limits[i]
 		guarantee := min(limit, region.teamGuarantee())
-		change.Regions[region.name] = dynconfig.Part{
+		change.Regions[region.name] = dynconfig.RegionQuota{
 			Limit:     &dynconfig.Quota{CPUs: &limit},
 			Guarantee: &dynconfig.Quota{CPUs: &guarantee},
 		}
@@ -223,13 +223,13 @@
 		if r.Revision >= revision {
 			continue
 		}
-		i := slices.IndexFunc(r.Waits, func(w dynconfig.Wait) bool { return w.Team == team })
+		i := slices.IndexFunc(r.Pending, func(w dynconfig.PendingShare) bool { return w.Team == team })
 		if i < 0 {
-			behind = behind || r.Waiting > len(r.Waits) // the list is cut off
+			behind = behind || r.PendingCount > len(r.Pending) // the list is cut off
 			continue
 		}
 		behind = true
-		inUse = inUse || slices.ContainsFunc(r.Waits[i].For, func(other string) bool { return other != r.Region })
+		inUse = inUse || slices.ContainsFunc(r.Pending[i].BlockedBy, func(other string) bool { return other != r.Region })
 	}
 	return behind, inUse
 }
--- a/internal/scale/users.go
+++ b/internal/scale/users.go
@@ -179,17 +179,17 @@
 // drawJob draws a job of a class.
 func (u *users) drawJob(c class, r *rand.Rand) *job.Spec {
 	return &job.Spec{
-		ID:        fmt.Sprintf("run-%d", u.lastJobID.Add(1)),
-		Class:     c.name,
-		Team:      u.teams[r.IntN(len(u.teams))],
-		ShapeName: c.shape,
-		RankName:  c.rank,
-		Tasks:     c.drawTasks(r),
-		CPUs:      taskCPUs,
-		MemGB:     taskMemGB,
-		Image:     fmt.Sprintf("img-%02d", r.IntN(20)),
-		ImageGB:   0.5,
-		EstimateS: u.runTime.Seconds() * (0.5 + r.Float64()),
+		ID:           fmt.Sprintf("run-%d", u.lastJobID.Add(1)),
+		Class:        c.name,
+		Team:         u.teams[r.IntN(len(u.teams))],
+		ShapeName:    c.shape,
+		PriorityName: c.rank,
+		Tasks:        c.drawTasks(r),
+		CPUs:         taskCPUs,
+		MemGB:        taskMemGB,
+		Image:        fmt.Sprintf("img-%02d", r.IntN(20)),
+		ImageGB:      0.5,
+		EstimateS:    u.runTime.Seconds() * (0.5 + r.Float64()),
 	}
 }
 
