--- a/internal/dynconfig/change_test.go
+++ b/internal/dynconfig/change_test.go
@@ -42,7 +42,7 @@
 				t.Errorf("parts %v: %+v", parts, r)
 			}
 		}
-		if why := w.Broken(); why != "" {
+		if why := w.Violation(); why != "" {
 			t.Error(why)
 		}
 	}
--- a/internal/dynconfig/explore_test.go
+++ b/internal/dynconfig/explore_test.go
@@ -421,8 +421,8 @@
 	}
 }
 
-// Print implements explorer.World.
-func (w *world) Print() string {
+// Fingerprint implements explorer.World.
+func (w *world) Fingerprint() string {
 	p := &explorer.Printer{}
 	p.Values(w.storedHead, " ", w.changesMade, w.leaderEnds, w.restores, len(w.home.dirty), w.home.head)
 	for _, n := range regionNames {
@@ -455,8 +455,8 @@
 	return p.String()
 }
 
-// Broken implements explorer.World.
-func (w *world) Broken() string {
+// Violation implements explorer.World.
+func (w *world) Violation() string {
 	sum := 0.0
 	for i := range w.regions {
 		s := &w.regions[i]
--- a/internal/election/promise_test.go
+++ b/internal/election/promise_test.go
@@ -188,7 +188,7 @@
 	}},
 }
 
-func (w *world) Broken() string {
+func (w *world) Violation() string {
 	var leads []string
 	for i := range w.m {
 		if !w.entitled(i) {
@@ -205,7 +205,7 @@
 	return ""
 }
 
-func (w *world) Print() string {
+func (w *world) Fingerprint() string {
 	p := &explorer.Printer{Now: w.now, MaxAge: 2 * length}
 	p.Values(w.down, w.holder)
 	p.Times(w.expires)
--- a/internal/explorer/explorer.go
+++ b/internal/explorer/explorer.go
@@ -1,6 +1,7 @@
-// Package explorer plays every order of a few steps of a small world, states that
-// look alike once, and finds the shortest order that breaks something. It is for
-// tests of machines that are pure: stepped with messages, with time passed in.
+// Package explorer is a model checker for tests of pure state machines, which are stepped with
+// messages and with time passed in. It explores every order of a few actions breadth first,
+// visits states with the same fingerprint once, and finds the shortest order that violates an
+// invariant. It also walks random orders, which reach deeper.
 package explorer
 
 import (
@@ -11,83 +12,67 @@
 	"time"
 )
 
-// World is what is played. It is made anew for each order, so it need not be copied.
+// World is the state that is explored. It is made anew for each order of actions, so it need
+// not be copied.
 type World interface {
-	// Print names the state: worlds that print alike go on alike.
-	Print() string
-	// Broken says what does not hold; empty: all does.
-	Broken() string
+	// Fingerprint identifies the state: worlds with the same one behave alike from then on.
+	Fingerprint() string
+	// Violation describes an invariant that does not hold; empty: all do.
+	Violation() string
 }
 
-// Action is a step that can be taken for each of some things.
+// Action is an action that can be taken for each of several subjects, 0 to Count-1.
 type Action[W World] struct {
 	Name  string
 	Count int
-	// Do reports whether the step could be taken.
+	// Do takes the action for subject i, and reports whether it could be taken.
 	Do func(w W, i int) bool
 }
 
-// Step is one action for one thing, by their indices.
+// Step is one action for one subject, by their indices.
 type Step struct{ Action, Index int }
 
-// Explorer is a world with its steps.
+// Explorer explores a world by its actions.
 type Explorer[W World] struct {
 	New     func() W
 	Actions []Action[W]
-	// Start are the steps before the first that is tried.
+	// Start are the steps before the first that is explored.
 	Start []Step
-	// MaxStates is how many states are looked at.
+	// MaxStates is how many states are visited.
 	MaxStates int
-	// SettleInterval is how often, in states, a state is played on without faults by Settle; 0:
-	// never. Settle returns what does not come about.
+	// SettleInterval is how often, in states, Settle lets a state go on without faults; 0:
+	// never. Settle describes what does not come about; empty: all does.
 	SettleInterval int
 	Settle         func(w W) string
 }
 
-// ExploreFrom plays from each of several starts, up to the first order that breaks something,
-// and returns how many states were seen in all.
-func (g *Explorer[W]) ExploreFrom(starts ...[]Step) (states int, broken string) {
+// ExploreFrom explores from each of several starts, up to the first violation, and returns how
+// many states were visited in all.
+func (g *Explorer[W]) ExploreFrom(starts ...[]Step) (states int, violation string) {
 	for _, start := range starts {
 		g.Start = start
-		n, b := g.Explore()
+		n, found := g.Explore()
 		states += n
-		if b != "" {
-			return states, b
+		if found != "" {
+			return states, found
 		}
 	}
 	return states, ""
 }
 
-// Explore explores and returns how many states it has seen, and the first order that
-// breaks something with what it breaks; empty: none does.
-func (g *Explorer[W]) Explore() (states int, broken string) {
+// Explore returns how many states it has visited, and the first order of steps with a violation
+// that it leads to; empty: none does.
+func (g *Explorer[W]) Explore() (states int, violation string) {
 	seen := map[string]bool{}
 	level := [][]Step{nil}
 	for len(level) > 0 {
 		var next [][]Step
 		for _, path := range level {
-			for a := range g.Actions {
-				for i := range g.Actions[a].Count {
-					w := g.replay(path)
-					could := g.Actions[a].Do(w, i)
-					now := append(slices.Clone(path), Step{a, i})
-					if why := w.Broken(); why != "" {
-						return len(seen), g.describe(now) + ": " + why
-					}
-					p := w.Print()
-					if !could || seen[p] {
-						continue
-					}
-					seen[p] = true
-					next = append(next, now)
-					if g.SettleInterval == 0 || len(seen)%g.SettleInterval != 0 {
-						continue
-					}
-					if why := g.Settle(w); why != "" {
-						return len(seen), g.describe(now) + ", then without faults: " + why
-					}
-				}
+			extended, found := g.extend(path, seen)
+			if found != "" {
+				return len(seen), found
 			}
+			next = append(next, extended...)
 			if len(seen) >= g.MaxStates {
 				return len(seen), ""
 			}
@@ -97,26 +82,44 @@
 	return len(seen), ""
 }
 
-// RandomWalk plays orders that are drawn, each of so many steps that could be taken, and then on
-// without faults. It reaches deeper than Play, which looks at every order, and finds no
-// shortest one. It returns how many steps were taken, and the first order that breaks
-// something with what it breaks.
-func (g *Explorer[W]) RandomWalk(r *rand.Rand, walks, steps int) (taken int, broken string) {
-	for range walks {
-		w := g.replay(nil)
-		var path []Step
-		for tries := 0; len(path) < steps && tries < maxDrawsPerStep*steps; tries++ {
-			a := r.IntN(len(g.Actions))
-			i := r.IntN(g.Actions[a].Count)
-			if !g.Actions[a].Do(w, i) {
+// extend takes each possible step after a path, and returns the paths to states that were not
+// seen before.
+func (g *Explorer[W]) extend(path []Step, seen map[string]bool) (extended [][]Step, violation string) {
+	for a := range g.Actions {
+		for i := range g.Actions[a].Count {
+			w := g.replay(path)
+			taken := g.Actions[a].Do(w, i)
+			longer := append(slices.Clone(path), Step{a, i})
+			if why := w.Violation(); why != "" {
+				return nil, g.describe(longer) + ": " + why
+			}
+			fingerprint := w.Fingerprint()
+			if !taken || seen[fingerprint] {
+				continue
+			}
+			seen[fingerprint] = true
+			extended = append(extended, longer)
+			if g.SettleInterval == 0 || len(seen)%g.SettleInterval != 0 {
 				continue
 			}
-			path = append(path, Step{a, i})
-			taken++
-			if why := w.Broken(); why != "" {
-				return taken, g.describe(path) + ": " + why
+			if why := g.Settle(w); why != "" {
+				return nil, g.describe(longer) + ", then without faults: " + why
 			}
 		}
+	}
+	return extended, ""
+}
+
+// RandomWalk walks drawn orders of so many steps that could be taken, and lets each go on
+// without faults. It reaches deeper than Explore, and finds no shortest order. It returns how
+// many steps were taken, and the first order with a violation that it leads to.
+func (g *Explorer[W]) RandomWalk(r *rand.Rand, walks, steps int) (taken int, violation string) {
+	for range walks {
+		w, path, found := g.walk(r, steps)
+		taken += len(path)
+		if found != "" {
+			return taken, g.describe(path) + ": " + found
+		}
 		if g.Settle == nil {
 			continue
 		}
@@ -127,9 +130,27 @@
 	return taken, ""
 }
 
+// walk takes drawn steps until a violation.
+func (g *Explorer[W]) walk(r *rand.Rand, steps int) (w W, path []Step, violation string) {
+	w = g.replay(nil)
+	for draws := 0; len(path) < steps && draws < maxDrawsPerStep*steps; draws++ {
+		a := r.IntN(len(g.Actions))
+		i := r.IntN(g.Actions[a].Count)
+		if !g.Actions[a].Do(w, i) {
+			continue
+		}
+		path = append(path, Step{a, i})
+		if why := w.Violation(); why != "" {
+			return w, path, why
+		}
+	}
+	return w, path, ""
+}
+
 // maxDrawsPerStep bounds the draws of steps that cannot be taken.
 const maxDrawsPerStep = 20
 
+// replay makes a world and takes the steps of the start and of a path.
 func (g *Explorer[W]) replay(path []Step) W {
 	w := g.New()
 	for _, s := range slices.Concat(g.Start, path) {
@@ -138,7 +159,7 @@
 	return w
 }
 
-// Do takes a step by its name.
+// Do takes an action by its name.
 func (g *Explorer[W]) Do(w W, name string, i int) {
 	for a := range g.Actions {
 		if g.Actions[a].Name == name {
@@ -146,10 +167,10 @@
 			return
 		}
 	}
-	panic("no step is named " + name)
+	panic("no action is named " + name)
 }
 
-// Steps are steps by their names, each for things 0 to n-1.
+// Steps are the steps of actions by their names, each for subjects 0 to n-1.
 func (g *Explorer[W]) Steps(n int, names ...string) (out []Step) {
 	for _, name := range names {
 		for a := range g.Actions {
@@ -164,29 +185,30 @@
 	return out
 }
 
-// Printer names a state. Times are told from now, so that states that differ in the
-// time of day alone are alike.
+// Printer builds a fingerprint. Times are printed relative to now, so that states that differ
+// in the time of day alone have the same one.
 type Printer struct {
 	strings.Builder
 	Now time.Time
-	// MaxAge is how long ago all that is longer ago counts as.
+	// MaxAge is the age beyond which all times count as equally old.
 	MaxAge time.Duration
 }
 
-// Times prints a time.
+// Times adds times.
 func (p *Printer) Times(times ...time.Time) {
 	for _, t := range times {
 		fmt.Fprintf(p, "%d ", max(-p.MaxAge, t.Sub(p.Now))/time.Millisecond)
 	}
 }
 
-// Values prints values.
+// Values adds values.
 func (p *Printer) Values(values ...any) { fmt.Fprint(p, values...) }
 
+// describe names the steps of a path.
 func (g *Explorer[W]) describe(path []Step) string {
-	var b []string
+	var names []string
 	for _, s := range path {
-		b = append(b, fmt.Sprintf("%s%d", g.Actions[s.Action].Name, s.Index))
+		names = append(names, fmt.Sprintf("%s%d", g.Actions[s.Action].Name, s.Index))
 	}
-	return strings.Join(b, " ")
+	return strings.Join(names, " ")
 }
--- a/internal/fleet/explore_test.go
+++ b/internal/fleet/explore_test.go
@@ -369,11 +369,11 @@
 	}},
 }
 
-// Broken implements explorer.World.
-func (w *world) Broken() string { return w.broken }
+// Violation implements explorer.World.
+func (w *world) Violation() string { return w.broken }
 
-// Print implements explorer.World.
-func (w *world) Print() string {
+// Fingerprint implements explorer.World.
+func (w *world) Fingerprint() string {
 	p := &explorer.Printer{Now: w.now, MaxAge: cancelTime + tick}
 	p.Values(w.f.Term, w.launched, w.over, w.kept, w.w.session, w.w.token, w.w.phase, len(w.held), w.holder.Term(), " ")
 	p.Times(w.cancelled, w.w.leased, w.grantEnd, w.h.heard, w.h.directAt)
--- a/internal/shard/explore_test.go
+++ b/internal/shard/explore_test.go
@@ -243,8 +243,8 @@
 	}, Count: 1},
 }
 
-// Broken looks at what must hold in every state.
-func (w *world) Broken() string {
+// Violation looks at what must hold in every state.
+func (w *world) Violation() string {
 	if w.out == untilOver {
 		for _, m := range w.lead.members {
 			if len(m.machines) > 0 && w.now.Sub(m.heard) >= tick {
@@ -280,8 +280,8 @@
 // begun is the begin of the present term.
 func (w *world) begun() time.Time { return w.ends[w.lead.term-1] }
 
-// Print names the state: times are told from now, and those long past are alike.
-func (w *world) Print() string {
+// Fingerprint names the state: times are told from now, and those long past are alike.
+func (w *world) Fingerprint() string {
 	p := &explorer.Printer{Now: w.now, MaxAge: 4 * tick}
 	a := w.lead
 	p.Values(a.term, w.deposed)
@@ -335,7 +335,7 @@
 				g.Do(w, "report", i) // the worker has nowhere else to go
 			}
 			g.Do(w, "checkin", i)
-			if why := w.Broken(); why != "" {
+			if why := w.Violation(); why != "" {
 				return why
 			}
 		}
