--- a/internal/fleet/explore_test.go
+++ b/internal/fleet/explore_test.go
@@ -370,11 +370,11 @@
 	}},
 }
 
-// Broken implements explorer.World.
-func (w *world) Broken() string { return w.broken }
+// Violation implements explorer.World.
+func (w *world) Violation() string { return w.broken }
 
-// Print implements explorer.World.
-func (w *world) Print() string {
+// Fingerprint implements explorer.World.
+func (w *world) Fingerprint() string {
 	p := &explorer.Printer{Now: w.now, MaxAge: cancelTime + tick}
 	p.Values(w.fleet.Term, w.launched, w.loadedAsOver, w.retained, w.worker.session, w.worker.token, w.worker.phase, len(w.delayedCommands), w.holder.Term(), " ")
 	p.Times(w.cancelled, w.worker.leaseFrom, w.grantEnd, w.host.renewedAt, w.host.directLaunchAt)
--- a/internal/shard/explore_test.go
+++ b/internal/shard/explore_test.go
@@ -245,8 +245,8 @@
 	}, Count: 1},
 }
 
-// Broken looks at what must hold in every state.
-func (w *world) Broken() string {
+// Violation looks at what must hold in every state.
+func (w *world) Violation() string {
 	if w.disabled == silentHolderUntilGrantEnds {
 		for _, m := range w.leader.members {
 			if len(m.machines) > 0 && w.now.Sub(m.heardAt) >= tick {
@@ -282,8 +282,8 @@
 // begun is the begin of the present term.
 func (w *world) begun() time.Time { return w.entitlementEnds[w.leader.term-1] }
 
-// Print names the state: times are told from now, and those long past are alike.
-func (w *world) Print() string {
+// Fingerprint names the state: times are told from now, and those long past are alike.
+func (w *world) Fingerprint() string {
 	p := &explorer.Printer{Now: w.now, MaxAge: 4 * tick}
 	a := w.leader
 	p.Values(a.term, w.deposed)
@@ -337,7 +337,7 @@
 				g.Do(w, "report", i) // the worker has nowhere else to go
 			}
 			g.Do(w, "checkin", i)
-			if why := w.Broken(); why != "" {
+			if why := w.Violation(); why != "" {
 				return why
 			}
 		}
