--- a/internal/control/completions_answers.go
+++ b/internal/control/completions_answers.go
@@ -45,7 +45,7 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(cp.ctx, freshReadTimeout)
 		defer cancel()
-		rec, err := cp.controller.find(ctx, id)
+		rec, err := cp.controller.findRecord(ctx, id)
 		switch {
 		case err != nil:
 			back(Unavailable("the job's record cannot be read now"))
@@ -103,7 +103,7 @@
 		return
 	}
 	takeIn := func(*job.Record) *rpc.Reply {
-		cp.enqueueForUser(func() { cp.admission.admitted(id) })
+		cp.enqueueForUser(func() { cp.admission.adopt(id) })
 		return Unavailable("job is being taken in")
 	}
 	cp.answerFromStore(id, absent, takeIn, back)
--- a/internal/control/leader_term_core.go
+++ b/internal/control/leader_term_core.go
@@ -26,7 +26,7 @@
 	term       uint64
 	// fence is the condition of every transaction of this leader: no later term
 	// has begun.
-	fence          state.Cond
+	fence          state.Condition
 	termStart      time.Time
 	lastLeaderSeen time.Time // last sign of the previous leader; zero: unknown
 	// inbox queues heartbeats and the results of background work.
@@ -43,15 +43,15 @@
 	return &core{
 		controller:     controller,
 		ctx:            ctx,
-		log:            controller.Log.With("term", term.Term),
+		log:            controller.Log.With("term", term.Number),
 		debug:          controller.Log.Enabled(ctx, slog.LevelDebug),
-		term:           term.Term,
-		fence:          state.Cond{Key: election.KeyTerm, Version: term.TermVersion},
+		term:           term.Number,
+		fence:          state.Condition{Key: election.KeyTerm, Version: term.TermVersion},
 		termStart:      term.Since,
-		lastLeaderSeen: term.Alive,
+		lastLeaderSeen: term.LeaderHeardAt,
 		inbox:          make(chan func(), inboxSize),
 		userInbox:      make(chan func(), inboxSize),
-		fleet:          newFleet(term.Term, controller.Settings),
+		fleet:          newFleet(term.Number, controller.Settings),
 	}
 }
 
@@ -96,8 +96,8 @@
 // Only an entitled leader writes the key, so a version of it that has changed is
 // the work of an unclear try of this very transaction. The error is
 // state.ErrRejected or the context's error at the end of the term.
-func (c *core) commitUntilSettled(key string, was uint64, conds []state.Cond, writes []state.Write) (version uint64, err error) {
-	txn := state.Txn{If: append([]state.Cond{c.fence}, conds...), Writes: writes}
+func (c *core) commitUntilSettled(key string, was uint64, conds []state.Condition, writes []state.Write) (version uint64, err error) {
+	txn := state.Txn{If: append([]state.Condition{c.fence}, conds...), Writes: writes}
 	for c.ctx.Err() == nil {
 		version, err = c.controller.State.Commit(c.ctx, txn)
 		if errors.Is(err, state.ErrConflict) {
--- a/internal/control/takeover_load.go
+++ b/internal/control/takeover_load.go
@@ -90,7 +90,7 @@
 		entries *[]state.Entry
 	}{
 		{hostPrefix, &st.hosts},
-		{notePrefix, &st.notes},
+		{jobHostsPrefix, &st.notes},
 		{job.GroupPrefix, &st.groups},
 		{job.ActivePrefix, &st.jobs},
 		{job.DonePrefix, &st.results},
@@ -149,7 +149,7 @@
 			tk.completions.finish(j, wire.JobDone)
 		}
 	}
-	go tk.admission.follow(st.jobsEpoch)
+	go tk.admission.watchActiveJobs(st.jobsEpoch)
 	go tk.teamQuotas.follow()
 	return nil
 }
@@ -183,7 +183,7 @@
 		}
 		if tk.admissionGroups.has(rec.Spec.ID) {
 			// Another node has admitted the job once more: one record is enough.
-			tk.results.drop(e.Key)
+			tk.results.deleteLater(e.Key)
 			continue
 		}
 		if rec.Phase != "" {
@@ -206,11 +206,11 @@
 			return err
 		}
 		j := tk.jobTable.get(id)
-		if unreadable[id] || (j == nil && tk.admissionGroups.doubtful()) {
+		if unreadable[id] || (j == nil && tk.admissionGroups.hasUnreadable()) {
 			continue
 		}
 		if j == nil {
-			tk.results.drop(e.Key)
+			tk.results.deleteLater(e.Key)
 			continue
 		}
 		var ch job.Chunk
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -148,7 +148,7 @@
 		Log:       n.log,
 		Meter:     n.meter,
 		Entitled:  func(term uint64) bool { return n.elector.Entitled(term) },
-		Remaining: func(term uint64) time.Duration { return n.elector.Left(term) },
+		Remaining: func(term uint64) time.Duration { return n.elector.EntitlementLeft(term) },
 		Deposed:   func(term uint64) { n.elector.ObserveLeader("", term) },
 		Follow: func(ctx context.Context, request *dynconfig.Request) (*dynconfig.Reply, error) {
 			return n.home.follow(ctx, request)
@@ -160,7 +160,7 @@
 // is elected and asks siblings for promises while the key-value store does not answer.
 func (n *Node) newElector(network Network) *election.Elector {
 	lease := time.Duration(n.tuning.LeaderLeaseMs) * time.Millisecond
-	store := state.Unbounded(n.settings.External.State, network.Dial)
+	store := state.NewUnbounded(n.settings.External.State, network.Dial)
 	elector := election.New(n.settings.Member, lease, store, n.log, n.controller.Lead)
 	siblings := make([]string, len(n.settings.Siblings))
 	for i := range n.settings.Siblings {
@@ -273,6 +273,6 @@
 		n.transfer.observeSibling(status, time.Now())
 	}
 	if leads {
-		n.elector.LeaderHeartbeat()
+		n.elector.ObserveHeartbeat()
 	}
 }
--- a/internal/node/node_health.go
+++ b/internal/node/node_health.go
@@ -32,7 +32,7 @@
 		ServesUsers:    n.servesUsers(),
 		Overloaded:     n.delay.Overloaded(),
 		ProbeUs:        n.delay.ProbeTime().Microseconds(),
-		StoreReachable: time.Since(view.Seen) < storeReachableTime,
+		StoreReachable: time.Since(view.StoreSeenAt) < storeReachableTime,
 	}
 }
 
@@ -76,6 +76,6 @@
 func (n *Node) ableToServe() bool {
 	view := n.elector.View()
 	return n.controller.Leading() ||
-		time.Since(view.Seen) < healthyStoreTime ||
+		time.Since(view.StoreSeenAt) < healthyStoreTime ||
 		(view.Leader != "" && n.mesh.Reachable(view.Leader))
 }
--- a/internal/node/node_requests.go
+++ b/internal/node/node_requests.go
@@ -49,7 +49,7 @@
 	if ctx.Err() == nil {
 		switch q.Kind {
 		case rpc.KindStatus:
-			return n.controller.Direct(ctx, q.ID)
+			return n.controller.StatusWithoutLeader(ctx, q.ID)
 		case rpc.KindSubmit:
 			return n.admitLocally(ctx, q)
 		}
@@ -93,7 +93,7 @@
 // admitLocally admits a submitted job without the leader.
 func (n *Node) admitLocally(ctx context.Context, q *rpc.Request) *rpc.Reply {
 	begun := time.Now()
-	reply := n.controller.Admit(ctx, q.Body)
+	reply := n.controller.AdmitWithoutLeader(ctx, q.Body)
 	n.route.observeLocal(time.Since(begun))
 	return reply
 }
