--- a/internal/control/admission.go
+++ b/internal/control/admission.go
@@ -237,7 +237,7 @@
 		back(busy(ad.retryPacer.retryAfter(now)))
 		return
 	}
-	in := &pendingSubmission{rec: &job.Record{Spec: *spec, At: now.UnixMilli()}, backs: []func(*rpc.Reply){back}}
+	in := &pendingSubmission{rec: &job.Record{Spec: *spec, SubmittedMS: now.UnixMilli()}, backs: []func(*rpc.Reply){back}}
 	ad.pending[id] = in
 	ad.queue = append(ad.queue, in)
 }
--- a/internal/control/admission_group_reader.go
+++ b/internal/control/admission_group_reader.go
@@ -199,7 +199,7 @@
 	case rec != nil:
 		return recordReply(rec)
 	}
-	rec := &job.Record{Spec: *spec, At: time.Now().UnixMilli()}
+	rec := &job.Record{Spec: *spec, SubmittedMS: time.Now().UnixMilli()}
 	txn, err := admissionTxn("", []*pendingSubmission{{rec: rec}})
 	if err != nil {
 		return noLeader()
--- a/internal/control/calendar_holds.go
+++ b/internal/control/calendar_holds.go
@@ -260,7 +260,7 @@
 // whole reports whether all of a job that has not ended runs.
 func (hd *reservationHolds) whole(j *job.Job) bool {
 	n := hd.jobTable.runningTasks(j)
-	return n > 0 && (j.UnplacedCount() == 0 || j.Complete()) && (j.Shape != job.Gang || n == j.Tasks)
+	return n > 0 && (j.CountUnplaced() == 0 || j.Complete()) && (j.Shape != job.Gang || n == j.Tasks)
 }
 
 // began is when the claimer of an occurrence was first seen running whole; zero: not
--- a/internal/control/calendar_store.go
+++ b/internal/control/calendar_store.go
@@ -259,7 +259,7 @@
 			}
 			continue
 		}
-		if o := cs.claims[c]; o == nil || j.At < o.At || (j.At == o.At && j.ID < o.ID) {
+		if o := cs.claims[c]; o == nil || j.SubmittedMS < o.SubmittedMS || (j.SubmittedMS == o.SubmittedMS && j.ID < o.ID) {
 			cs.claims[c] = j
 		}
 	}
@@ -275,7 +275,7 @@
 	if why := misfit(b.entry, j); why != "" {
 		return claim{}, why
 	}
-	s, ok := b.entry.Claims(j.At)
+	s, ok := b.entry.Claims(j.SubmittedMS)
 	switch {
 	case !ok:
 		return claim{}, "is over"
--- a/internal/control/calendar_store_test.go
+++ b/internal/control/calendar_store_test.go
@@ -79,7 +79,7 @@
 			r := booked(t, 2)
 			var jobs []*job.Job
 			for i, a := range tt.jobs {
-				jobs = append(jobs, r.jobTable.add(&job.Record{At: r.termStart.Add(a.at).UnixMilli(), Spec: job.Spec{ID: fmt.Sprintf("run-%d", i), Team: a.team,
+				jobs = append(jobs, r.jobTable.add(&job.Record{SubmittedMS: r.termStart.Add(a.at).UnixMilli(), Spec: job.Spec{ID: fmt.Sprintf("run-%d", i), Team: a.team,
 					ShapeName: "ensemble", PriorityName: "idle", Tasks: a.tasks, CPUs: a.cpus, Reservation: a.booking}}, 1, r.termStart))
 			}
 			now := r.termStart.Add(time.Second)
@@ -106,7 +106,7 @@
 	r := booked(t, 1)
 	now := r.termStart.Add(time.Hour) // the slot begins, and lasts half an hour
 	add := func(id, booking string) *job.Job {
-		return r.jobTable.add(&job.Record{At: r.termStart.UnixMilli(), Spec: job.Spec{ID: id, Team: "red", ShapeName: "ensemble", PriorityName: "idle",
+		return r.jobTable.add(&job.Record{SubmittedMS: r.termStart.UnixMilli(), Spec: job.Spec{ID: id, Team: "red", ShapeName: "ensemble", PriorityName: "idle",
 			Tasks: 2, CPUs: 4, EstimateS: 2400, Reservation: booking}}, 1, r.termStart)
 	}
 	claimer, other := add("run-1", "r0"), add("run-2", "")
--- a/internal/control/completions.go
+++ b/internal/control/completions.go
@@ -79,10 +79,10 @@
 	}
 	cp.taskTracker.killJob(j)
 	rec := &job.Record{
-		Spec:  j.Spec,
-		Phase: phase,
-		Done:  j.DoneCount,
-		At:    j.At,
+		Spec:        j.Spec,
+		Phase:       phase,
+		Done:        j.DoneCount,
+		SubmittedMS: j.SubmittedMS,
 	}
 	if cp.admissionGroups.has(j.ID) {
 		cp.admissionGroups.end(rec, func() { cp.finished(j, rec) })
--- a/internal/control/parts_test.go
+++ b/internal/control/parts_test.go
@@ -28,7 +28,7 @@
 		}
 		all = append(all, parsed)
 	}
-	fields := structs(all)
+	fields := structFields(all)
 	parts := map[string]bool{} // a part is held by the term under the name of its type
 	for name, typ := range fields["leaderTerm"] {
 		parts[name] = typ == name
@@ -44,7 +44,7 @@
 			}
 			owner := ""
 			if fn.Recv != nil {
-				owner = base(fn.Recv.List[0].Type)
+				owner = typeName(fn.Recv.List[0].Type)
 			}
 			ast.Inspect(fn, func(n ast.Node) bool {
 				outer, ok := n.(*ast.SelectorExpr)
@@ -65,8 +65,8 @@
 	}
 }
 
-// structs lists the fields of each struct with the names of their types.
-func structs(files []*ast.File) map[string]map[string]string {
+// structFields lists the fields of each struct with the names of their types.
+func structFields(files []*ast.File) map[string]map[string]string {
 	out := map[string]map[string]string{}
 	for _, f := range files {
 		ast.Inspect(f, func(n ast.Node) bool {
@@ -81,7 +81,7 @@
 			of := map[string]string{}
 			for _, fl := range st.Fields.List {
 				for _, n := range fl.Names {
-					of[n.Name] = base(fl.Type)
+					of[n.Name] = typeName(fl.Type)
 				}
 			}
 			out[spec.Name.Name] = of
@@ -91,8 +91,8 @@
 	return out
 }
 
-// base is the name of a type or of what it points to.
-func base(e ast.Expr) string {
+// typeName is the name of a type or of what it points to.
+func typeName(e ast.Expr) string {
 	if s, ok := e.(*ast.StarExpr); ok {
 		e = s.X
 	}
--- a/internal/control/planner_input.go
+++ b/internal/control/planner_input.go
@@ -92,7 +92,7 @@
 		if j.Phase != "" || j.Closing != "" || p.jobTable.isUnidentified(j) || p.now.Before(j.NotBefore) || j.TeamIdx < 0 || blocked[j] || p.calendarStore.waits(j, p.now) {
 			continue
 		}
-		if j.UnplacedCount() <= 0 || (j.Shape == job.Gang && (j.GangStopping || j.GangStarted)) {
+		if j.CountUnplaced() <= 0 || (j.Shape == job.Gang && (j.GangStopping || j.GangStarted)) {
 			continue
 		}
 		if d, waits := p.demand(j); waits {
@@ -107,7 +107,7 @@
 	d = place.Demand{ID: p.jobTable.index(j), Shape: j.Shape, Rank: j.Priority, Team: j.TeamIdx,
 		Need: place.Amount{CPUs: j.CPUs, GPUs: j.GPUs, MemGB: j.MemGB}, TypeOK: j.TypeAllowed, Zone: j.ZoneIdx,
 		OneZone: j.OneZone, Spread: j.Spread, Spot: j.Spot, Image: j.ImageIdx, ImageGB: j.ImageGB, LastMachine: j.LastMachine,
-		Total: j.Tasks, Waiting: j.UnplacedCount(), InZone: p.inZone(j), LatestStart: p.jobTable.latestStart(j)}
+		Total: j.Tasks, Waiting: j.CountUnplaced(), InZone: p.inZone(j), LatestStart: p.jobTable.latestStart(j)}
 	waited := p.now.Sub(j.WaitingSince)
 	d.Waited = waited.Seconds()
 	d.Overdue = p.now.Sub(j.Submitted) > overdueAfter && j.DoneCount == 0 && len(j.Live) == 0
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -461,7 +461,7 @@
 	}
 	now := time.Now()
 	rec := rollout.New(spec, handle, current, ro.zonesOf(was), now)
-	ro.create(rec, &job.Record{Spec: next, At: now.UnixMilli()}, version, back)
+	ro.create(rec, &job.Record{Spec: next, SubmittedMS: now.UnixMilli()}, version, back)
 }
 
 // startingPoint is the handle, the current version and the record's version that
--- a/internal/control/takeover_load.go
+++ b/internal/control/takeover_load.go
@@ -157,7 +157,7 @@
 // submittedAt is the time of a job's submission on this node's steady clock. A time
 // of day that lies ahead counts as now.
 func submittedAt(rec *job.Record, now time.Time) time.Time {
-	age := max(0, now.UnixMilli()-rec.At)
+	age := max(0, now.UnixMilli()-rec.SubmittedMS)
 	return now.Add(-time.Duration(age) * time.Millisecond)
 }
 
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -23,9 +23,9 @@
 	// TypeAllowed tells for each machine type whether the job allows it; nil: all.
 	TypeAllowed []bool
 
-	Version   uint64 // of the active record
-	At        int64  // of the record
-	Submitted time.Time
+	Version     uint64 // of the active record
+	SubmittedMS int64  // time of day of the submission, in milliseconds
+	Submitted   time.Time
 	// Phase is empty until the final record is committed.
 	Phase string
 	// Closing is the final phase whose commit has been sent: nothing is launched
@@ -100,7 +100,7 @@
 		ZoneIdx:           anyIndex,
 		ImageIdx:          anyIndex,
 		LastMachine:       anyIndex,
-		At:                r.At,
+		SubmittedMS:       r.SubmittedMS,
 		Phase:             r.Phase,
 		Submitted:         submitted,
 		WaitingSince:      submitted,
--- a/internal/job/record.go
+++ b/internal/job/record.go
@@ -22,8 +22,8 @@
 	// Phase is empty for an active job. Done and aborted are final.
 	Phase string `codec:"phase,omitempty"`
 	Done  int    `codec:"done,omitempty"`
-	// At is the time of day of the submission, in milliseconds.
-	At int64 `codec:"at"`
+	// SubmittedMS is the time of day of the submission, in milliseconds.
+	SubmittedMS int64 `codec:"at"`
 }
 
 // Group is the record of jobs that were admitted together.
--- a/internal/job/spec_parse.go
+++ b/internal/job/spec_parse.go
@@ -186,7 +186,7 @@
 		f.fail(key, "is missing")
 		return 0
 	}
-	n, ok := number(v)
+	n, ok := finiteNumber(v)
 	if !ok || n < 0 || n > maxAmount || (positive && n == 0) {
 		f.fail(key, "is not a valid amount")
 		return 0
@@ -208,9 +208,9 @@
 	return b
 }
 
-// number converts a decoded CBOR number; ok is false for anything else and for
+// finiteNumber converts a decoded CBOR number; ok is false for anything else and for
 // numbers that are not finite.
-func number(v any) (n float64, ok bool) {
+func finiteNumber(v any) (n float64, ok bool) {
 	switch n := v.(type) {
 	case float64:
 		return n, !math.IsNaN(n) && !math.IsInf(n, 0)
--- a/internal/job/tasks.go
+++ b/internal/job/tasks.go
@@ -41,8 +41,8 @@
 	return j.ZoneIdx
 }
 
-// UnplacedCount is the number of tasks that need a placement.
-func (j *Job) UnplacedCount() int {
+// CountUnplaced is the number of tasks that need a placement.
+func (j *Job) CountUnplaced() int {
 	if j.Replicas != nil {
 		return j.unplacedReplicas()
 	}
