--- a/internal/control/commands.go
+++ b/internal/control/commands.go
@@ -69,7 +69,7 @@
 	if h.Calling || h.Lost || h.Addr == "" || !h.Durable || now.Before(h.NextCall) {
 		return false
 	}
-	relayed, may := cm.shards.takes(h)
+	relayed, may := cm.shards.relayable(h)
 	return may && (relayed || cm.callsInFlight < cm.maxCalls)
 }
 
@@ -86,7 +86,7 @@
 		return
 	}
 	h.Calling = true
-	if relayed, _ := cm.shards.takes(h); relayed {
+	if relayed, _ := cm.shards.relayable(h); relayed {
 		cm.shards.relay(h, body, sent, now)
 		return
 	}
--- a/internal/control/control_feasibility.go
+++ b/internal/control/control_feasibility.go
@@ -17,9 +17,9 @@
 // admissionRefusal refuses a job that can never run, or that cannot be judged yet;
 // nil: it may be admitted.
 func (c *Controller) admissionRefusal(spec *job.Spec, types []wire.MachineType, team quota) *rpc.Reply {
-	reason, known := neverSchedulable(spec, types, team.now)
-	if reason != "" && team.soon != nil {
-		if later, _ := neverSchedulable(spec, types, team.soon); later == "" {
+	reason, known := neverSchedulable(spec, types, team.current)
+	if reason != "" && team.target != nil {
+		if later, _ := neverSchedulable(spec, types, team.target); later == "" {
 			return Unavailable("the team's quota is about to change")
 		}
 	}
--- a/internal/control/leader_term_loop.go
+++ b/internal/control/leader_term_loop.go
@@ -93,7 +93,7 @@
 		back(Unavailable("a newer report was answered"))
 		return
 	}
-	if !lt.shards.route(m, func() { lt.heartbeat(m, via, back) }, back) {
+	if !lt.shards.routeHeartbeat(m, func() { lt.heartbeat(m, via, back) }, back) {
 		return
 	}
 	h := lt.fleet.Hosts[m.Host]
@@ -116,7 +116,7 @@
 	p := reply(http.StatusOK, wire.Answer{Token: lt.term, Orders: orders})
 	p.Work = h.Busy()
 	back(p)
-	lt.shards.served(h, via, now)
+	lt.shards.recordAnswered(h, via, now)
 }
 
 // step runs every part's duties after a batch of messages; the slower ones only
@@ -139,7 +139,7 @@
 	lt.machinePool.cloud(now)
 	lt.planner.place(now)
 	lt.registry.register(now)
-	lt.shards.answer(now)
+	lt.shards.answerHeartbeats(now)
 	lt.commands.sendUrgent(now)
 	lt.shards.step(now, scan)
 	lt.homeQuotas.step(now)
