--- a/internal/emulate/worker.go
+++ b/internal/emulate/worker.go
@@ -16,8 +16,8 @@
 
 // Shapes of jobs by their names on the wire.
 const (
-	gang    = "ensemble"
-	service = "daemon"
+	gang    = job.GangName
+	service = job.ServiceName
 )
 
 // task is one attempt on a worker.
--- a/internal/job/record.go
+++ b/internal/job/record.go
@@ -38,8 +38,8 @@
 		Spec: Spec{
 			ID:           id,
 			Tasks:        MaxTasks,
-			ShapeName:    arrayName,
-			PriorityName: idleName,
+			ShapeName:    ArrayName,
+			PriorityName: IdleName,
 		},
 		Phase: wire.JobAborted,
 	}
--- a/internal/job/spec.go
+++ b/internal/job/spec.go
@@ -34,30 +34,30 @@
 	Production
 )
 
-// The protocol's names of shapes and priorities. They are mapped to the constants
-// above here and nowhere else.
+// The protocol's names of shapes and priorities. No other package spells them out to
+// compare them.
 const (
-	arrayName   = "array"
-	gangName    = "ensemble"
-	serviceName = "daemon"
-
-	idleName       = "idle"
-	standardName   = "standard"
-	urgentName     = "urgent"
-	productionName = "production"
+	ArrayName   = "array"
+	GangName    = "ensemble"
+	ServiceName = "daemon"
+
+	IdleName       = "idle"
+	StandardName   = "standard"
+	UrgentName     = "urgent"
+	ProductionName = "production"
 )
 
 var (
 	shapesByName = map[string]Shape{
-		arrayName:   Array,
-		gangName:    Gang,
-		serviceName: Service,
+		ArrayName:   Array,
+		GangName:    Gang,
+		ServiceName: Service,
 	}
 	prioritiesByName = map[string]Priority{
-		idleName:       Idle,
-		standardName:   Standard,
-		urgentName:     Urgent,
-		productionName: Production,
+		IdleName:       Idle,
+		StandardName:   Standard,
+		UrgentName:     Urgent,
+		ProductionName: Production,
 	}
 )
 
--- a/internal/scale/users.go
+++ b/internal/scale/users.go
@@ -41,9 +41,9 @@
 		sum += n
 	}
 	return []class{
-		{"batch", "array", "standard", 0.83, func(r *rand.Rand) int { return 1 + int(batch*(0.25+1.5*r.Float64())) }, 1 + batch},
-		{"gang", "ensemble", "standard", 0.14, func(r *rand.Rand) int { return gangs[r.IntN(len(gangs))] }, float64(sum) / float64(len(gangs))},
-		{urgentClass, "array", "urgent", 0.03, func(r *rand.Rand) int { return 1 + r.IntN(7) }, 4},
+		{"batch", job.ArrayName, job.StandardName, 0.83, func(r *rand.Rand) int { return 1 + int(batch*(0.25+1.5*r.Float64())) }, 1 + batch},
+		{"gang", job.GangName, job.StandardName, 0.14, func(r *rand.Rand) int { return gangs[r.IntN(len(gangs))] }, float64(sum) / float64(len(gangs))},
+		{urgentClass, job.ArrayName, job.UrgentName, 0.03, func(r *rand.Rand) int { return 1 + r.IntN(7) }, 4},
 	}
 }
 
