--- a/internal/control/admission.go
+++ b/internal/control/admission.go
@@ -178,7 +178,7 @@
 		return
 	}
 	ps := &pendingSubmission{
-		rec:       &job.Record{Spec: *spec, At: now.UnixMilli()},
+		rec:       &job.Record{Spec: *spec, SubmittedMS: now.UnixMilli()},
 		callbacks: []func(*rpc.Reply){back},
 	}
 	ad.pending[id] = ps
--- a/internal/control/admission_without_leader.go
+++ b/internal/control/admission_without_leader.go
@@ -92,7 +92,7 @@
 	case inGroup != nil:
 		return recordReply(inGroup)
 	}
-	rec := &job.Record{Spec: *spec, At: time.Now().UnixMilli()}
+	rec := &job.Record{Spec: *spec, SubmittedMS: time.Now().UnixMilli()}
 	txn, err := admissionTxn("", []*pendingSubmission{{rec: rec}})
 	if err != nil {
 		return noLeaderReply()
