--- a/internal/control/shards.go
+++ b/internal/control/shards.go
@@ -1,7 +1,6 @@
 package control
 
 import (
-	"context"
 	"net/http"
 	"time"
 
@@ -13,9 +12,9 @@
 	"vetchstream/internal/wire"
 )
 
-// shards gives the machines out among the controllers and is the leader's end of
-// what it says to the holders. Who has which machine is decided by package share;
-// what may be on it stays in the one ledger.
+// shards divides the machines among the controllers, and is the leader's end of the protocol
+// with the holders of the shards. Package shard decides who holds which machine; what may be
+// on a machine stays in the ledger (package fleet).
 type shards struct {
 	*core
 	nameIndex   *nameIndex
@@ -24,97 +23,83 @@
 	taskTracker *taskTracker
 	commands    *commands
 
-	assigner          *shard.Assigner // nil: off
-	holders           map[string]*fleet.Holder
-	mailboxes         map[string]*mailbox
-	relays            map[uint64]*relayedCommand
-	lastCallID        uint64
-	waitingHeartbeats map[string][]func() // reports of machines whose holder is changing
-	moves             map[moveReason]*moveCount
-	movesLoggedAt     time.Time
-	reserved          map[*fleet.Host]struct{} // machines that no holder may answer now
-	reserveCheckedAt  time.Time                // of the last look for more of them
-}
+	assigner  *shard.Assigner          // nil: sharding is off
+	holders   map[string]*fleet.Holder // by member
+	mailboxes map[string]*mailbox      // by member
 
-// mailbox is what waits for a member's next reply.
-type mailbox struct {
-	respond     func(*shard.Reply) // answers the request under way; nil: there is none
-	since       time.Time
-	maxInFlight int // direct commands that it can have under way
-	inFlight    int // those that it has
-	calls       []shard.Call
-	clearances  []shard.ExitClearance
-	heartbeats  []pendingHeartbeat // reports that said something new and wait for an answer
-	answers     []shard.Answer
-}
+	relays     map[uint64]*relayedCommand // by call ID
+	lastCallID uint64
+
+	// waitingHeartbeats handle heartbeats once more, by machine, when the change of the
+	// machine's holder is complete.
+	waitingHeartbeats map[string][]func()
+
+	moves         map[moveReason]*moveCount // since movesLoggedAt
+	movesLoggedAt time.Time
 
-// pendingHeartbeat is a report whose answer the holder waits for.
-type pendingHeartbeat struct {
-	host         *fleet.Host
-	session, seq uint64
-	fresh        bool
+	reserved         map[*fleet.Host]struct{} // machines that no holder may answer now
+	reserveCheckedAt time.Time
 }
 
-type moveReason struct{ from, reason string }
+// moveReason groups the moves of machines back to the leader for the log.
+type moveReason struct {
+	from   string // the member that held them
+	reason string
+}
 
 type moveCount struct {
 	machines int
-	longest  time.Duration
+	longest  time.Duration // that a move has taken
 }
 
-// maxReplyBytes bounds what a reply carries besides the machines that come and go, as
-// the holders refuse larger messages: a burst of launches on hundreds of machines
-// would be lost whole. One item may come on top; the rest has the next reply.
-const maxReplyBytes = 128 << 10
-
-// orderBytes is what an order takes, about.
-const orderBytes = 80
+// maxWaitingHeartbeats bounds the heartbeats of a machine that wait for its holder to change.
+// A worker has one under way at a time, and may have given up an earlier one.
+const maxWaitingHeartbeats = 2
 
-// fillReply moves what waits into a reply, answers first: workers wait for them.
-func (b *mailbox) fillReply(r *shard.Reply) {
-	size := 0
-	fits := func(n int) bool {
-		ok := size < maxReplyBytes
-		size += n
-		return ok
-	}
-	for len(b.answers) > 0 && fits(64+orderBytes*len(b.answers[0].Orders)) {
-		r.Answers, b.answers = append(r.Answers, b.answers[0]), b.answers[1:]
-	}
-	for len(b.calls) > 0 && fits(64+len(b.calls[0].Body)) {
-		r.Calls, b.calls = append(r.Calls, b.calls[0]), b.calls[1:]
-	}
-	for len(b.clearances) > 0 && fits(64+orderBytes*len(b.clearances[0].Clears)) {
-		r.Clearances, b.clearances = append(r.Clearances, b.clearances[0]), b.clearances[1:]
+func newShards(co *core) *shards {
+	return &shards{
+		core:              co,
+		holders:           map[string]*fleet.Holder{},
+		mailboxes:         map[string]*mailbox{},
+		relays:            map[uint64]*relayedCommand{},
+		waitingHeartbeats: map[string][]func(){},
+		moves:             map[moveReason]*moveCount{},
+		reserved:          map[*fleet.Host]struct{}{},
 	}
 }
 
-// syncHoldTime is how long a holder's request waits for something to say: requests
-// that come as often as they can would take the processor of both sides.
-const syncHoldTime = 50 * time.Millisecond
+// ownSockets are the sockets that a controller needs besides those to workers and users.
+const ownSockets = 40
 
-func newShards(co *core) *shards {
-	return &shards{core: co, holders: map[string]*fleet.Holder{}, mailboxes: map[string]*mailbox{}, relays: map[uint64]*relayedCommand{},
-		waitingHeartbeats: map[string][]func(){}, moves: map[moveReason]*moveCount{}, reserved: map[*fleet.Host]struct{}{}}
+// ShardCapacity is how many machines a controller with that many sockets can serve: each
+// machine takes a connection, and a sixth is left for users.
+func ShardCapacity(maxSockets int) int {
+	free := maxSockets - 2*DirectCalls(maxSockets) - ownSockets
+	return max(0, free*5/6)
 }
 
-// ShardCapacity is how many machines a controller can deal with: a connection each, beside
-// those that it needs itself, and a sixth for users.
-func ShardCapacity(maxSockets int) int { return max(0, (maxSockets-2*DirectCalls(maxSockets)-40)*5/6) }
-
-// begin starts with what the registry names; the leader deals with all of it.
+// begin starts with the machines in the registry, all of which the leader serves at first.
 func (sh *shards) begin(now time.Time) {
-	t, f := sh.c.Tuning.Shares, &sh.c.Settings.Facts
-	if !t.Enabled || len(sh.c.Settings.Siblings) == 0 {
+	tuning := sh.c.Tuning.Shares
+	resources := &sh.c.Settings.Facts.Resources
+	if !tuning.Enabled || len(sh.c.Settings.Siblings) == 0 {
 		return
 	}
-	perS := t.PerS
-	if perS == 0 {
-		perS = shard.PerSecond(f.Resources.CoreShare)
-	}
-	sh.assigner = shard.NewAssigner(sh.term, sh.c.Settings.Member, sh.c.Settings.Site, shard.Settings{
-		Grant: time.Duration(t.GrantMs) * time.Millisecond, Join: config.Seconds(t.JoinS), Rest: config.Seconds(t.RestS),
-		RestMost: config.Seconds(t.RestMostS), Least: t.Least, PerS: perS, Own: t.Own, Room: ShardCapacity(f.Resources.MaxSockets)}, now)
+	movesPerS := tuning.PerS
+	if movesPerS == 0 {
+		movesPerS = shard.PerSecond(resources.CoreShare)
+	}
+	settings := shard.Settings{
+		Grant:    time.Duration(tuning.GrantMs) * time.Millisecond,
+		Join:     config.Seconds(tuning.JoinS),
+		Rest:     config.Seconds(tuning.RestS),
+		RestMost: config.Seconds(tuning.RestMostS),
+		Least:    tuning.Least,
+		PerS:     movesPerS,
+		Own:      tuning.Own,
+		Room:     ShardCapacity(resources.MaxSockets),
+	}
+	sh.assigner = shard.NewAssigner(sh.term, sh.c.Settings.Member, sh.c.Settings.Site, settings, now)
 	for _, h := range sh.fleet.All() {
 		zone := ""
 		if h.Zone >= 0 {
@@ -124,32 +109,33 @@
 	}
 }
 
-// routeHeartbeat says whether the leader answers a report that has come to it. If not, the
-// worker is sent to the holder, or the report waits until there is none.
-func (sh *shards) routeHeartbeat(m *wire.Report, again func(), back func(*rpc.Reply)) bool {
+// routeHeartbeat reports whether the leader answers a heartbeat that has come to it. If not,
+// the worker is redirected to the holder, or the heartbeat waits until the machine has none
+// and is then handled again.
+func (sh *shards) routeHeartbeat(m *wire.Report, again func(), respond func(*rpc.Reply)) bool {
 	if sh.assigner == nil {
 		return true
 	}
-	r, member := sh.assigner.Report(m.Host, m.Zone, time.Now())
-	switch r {
+	route, member := sh.assigner.Report(m.Host, m.Zone, time.Now())
+	switch route {
 	case shard.Send:
-		back(reply(http.StatusMisdirectedRequest, wire.Redirect{ReportTo: member}))
+		respond(reply(http.StatusMisdirectedRequest, wire.Redirect{ReportTo: member}))
 		return false
 	case shard.Wait:
-		// One report of a worker is under way at a time, so this is bounded.
-		if len(sh.waitingHeartbeats[m.Host]) < 2 {
+		if len(sh.waitingHeartbeats[m.Host]) < maxWaitingHeartbeats {
 			sh.waitingHeartbeats[m.Host] = append(sh.waitingHeartbeats[m.Host], again)
 		} else {
-			back(Later("the machine is changing its controller"))
+			respond(Later("the machine is changing its controller"))
 		}
 		return false
 	}
 	return true
 }
 
-// recordAnswered notes that the leader has answered a machine. One that is new is given away
-// before it has seen the term and is in the registry, which a launch still waits for:
-// a fleet that boots within a minute would take all sockets of the leader first.
+// recordAnswered records that the leader has answered a machine; via is the member that
+// forwarded the heartbeat. A new machine may go to a holder before it has seen the term and
+// is in the registry, which a launch still waits for: a fleet that boots within a minute
+// would take all sockets of the leader first.
 func (sh *shards) recordAnswered(h *fleet.Host, via string, now time.Time) {
 	if sh.assigner == nil || h.Releasing {
 		return
@@ -159,19 +145,21 @@
 	sh.bind(h)
 }
 
-// bind ties the ledger's machine to its holder.
+// bind sets the holder of a machine in the ledger as the assigner has it.
 func (sh *shards) bind(h *fleet.Host) {
-	if member, _ := sh.assigner.Holder(h.Name); member != "" && h.Holder() == nil {
-		by := sh.holders[member]
-		if by == nil {
-			by = &fleet.Holder{Name: member}
-			sh.holders[member] = by
-		}
-		sh.fleet.Hold(h, by)
+	member, _ := sh.assigner.Holder(h.Name)
+	if member == "" || h.Holder() != nil {
+		return
+	}
+	holder := sh.holders[member]
+	if holder == nil {
+		holder = &fleet.Holder{Name: member}
+		sh.holders[member] = holder
 	}
+	sh.fleet.Hold(h, holder)
 }
 
-// remove forgets a machine that was returned.
+// remove forgets a machine that was released.
 func (sh *shards) remove(h *fleet.Host) {
 	if sh.assigner == nil {
 		return
@@ -180,134 +168,48 @@
 	sh.assigner.Gone(h.Name, time.Now())
 }
 
-// handleSync takes in a holder's request. It is answered once there is something to say,
-// and after holdTime in any case.
-func (sh *shards) handleSync(r *shard.Request, back func(*shard.Reply)) {
-	now := time.Now()
-	if sh.assigner == nil {
-		back(&shard.Reply{})
-		return
-	}
-	freed, ok := sh.assigner.Sync(r, now)
-	if !ok {
-		sh.releaseMachines(freed, now)
-		back(&shard.Reply{})
-		return
-	}
-	b := sh.mailboxes[r.Member]
-	if b == nil {
-		b = &mailbox{}
-		sh.mailboxes[r.Member] = b
-	}
-	if b.respond != nil {
-		b.respond(&shard.Reply{}) // its caller has given up
-	}
-	b.respond, b.since, b.maxInFlight = back, now, r.Calls
-	if by := sh.holders[r.Member]; by != nil {
-		by.Told = sh.assigner.Told(r.Member)
-	}
-	if r.Term == sh.term {
-		for i := range r.Entries {
-			sh.handleEntry(b, &r.Entries[i], now)
-		}
-		for i := range r.Done {
-			sh.finishRelay(&r.Done[i])
-		}
-	} else {
-		for _, name := range r.Have {
-			if h := sh.fleet.Hosts[name]; h != nil {
-				sh.bind(h)
-			}
-		}
-	}
-	sh.releaseMachines(freed, now)
-	sh.redirectWaiting(r.Member)
-}
-
-// handleEntry takes in what a machine has reported to its holder.
-func (sh *shards) handleEntry(b *mailbox, e *shard.Entry, now time.Time) {
-	h := sh.fleet.Hosts[e.Host]
-	if h == nil || sh.machinePool.gone(e.Host) {
-		return
-	}
-	sh.assigner.Heard(e.Host)
-	if len(e.Report) > 0 {
-		m := &wire.Report{}
-		if err := wire.Unmarshal(e.Report, m); err != nil || m.Host != e.Host {
-			return // it was read once by the holder
-		}
-		fresh, ok := sh.taskTracker.observe(h, m, true, now)
-		if !ok {
-			return
+// releaseMachines takes back the machines that their holders no longer serve.
+func (sh *shards) releaseMachines(revoked []shard.Revocation, now time.Time) {
+	for _, r := range revoked {
+		h := sh.fleet.Hosts[r.Name]
+		if h == nil {
+			continue // it was released meanwhile
 		}
-		b.heartbeats = append(b.heartbeats, pendingHeartbeat{h, m.Session, m.Seq, fresh})
-	}
-	// The holder may have answered a later report that said the same, also when the
-	// one above was told before and its telling was not acknowledged.
-	deaf := h.Deaf()
-	ev := sh.fleet.Renew(h, e.Session, e.Seq, now.Add(-time.Duration(max(0, e.AgeMs))*time.Millisecond))
-	sh.taskTracker.hearing(h, deaf)
-	sh.taskTracker.handle(ev, now)
-	if clears := h.Clears(maxOrders); clears != nil {
-		b.clearances = append(b.clearances, shard.ExitClearance{Host: e.Host, Clears: clears})
+		h.Unhold(r.Until)
+		sh.countMove(&r, now)
+		sh.retryHeartbeats(r.Name)
 	}
 }
 
-// answerHeartbeats answers the reports that wait for it, as the leader answers those that
-// come to it. It comes before the direct commands: what goes by an answer needs none.
-func (sh *shards) answerHeartbeats(now time.Time) {
-	for member, b := range sh.mailboxes {
-		for _, a := range b.heartbeats {
-			if by := a.host.Holder(); by == nil || by.Name != member || sh.fleet.Hosts[a.host.Name] != a.host || a.host.Session != a.session {
-				continue
-			}
-			if !sh.machinePool.renewable(a.host, now) {
-				continue
-			}
-			orders, sent, ev := sh.fleet.Compose(a.host, a.seq, a.fresh, now, maxOrders)
-			sh.takeover.launched(len(sent), now)
-			sh.taskTracker.handle(ev, now)
-			b.answers = append(b.answers, shard.Answer{Host: a.host.Name, Session: a.session, Seq: a.seq, Orders: orders})
-		}
-		b.heartbeats = nil
-	}
+func (sh *shards) countMove(r *shard.Revocation, now time.Time) {
+	key := moveReason{from: r.From, reason: r.Why}
+	count := sh.moves[key]
+	if count == nil {
+		count = &moveCount{}
+		sh.moves[key] = count
+	}
+	count.machines++
+	count.longest = max(count.longest, now.Sub(r.Since))
+	sh.c.Meter.Add(metrics.ShareMoves, r.Why, 1)
 }
 
-// releaseMachines takes machines back from their holders.
-func (sh *shards) releaseMachines(freed []shard.Revocation, now time.Time) {
-	for _, f := range freed {
-		h := sh.fleet.Hosts[f.Name]
-		if h == nil {
-			continue // it was returned meanwhile
-		}
-		h.Unhold(f.Until)
-		k := moveReason{f.From, f.Why}
-		m := sh.moves[k]
-		if m == nil {
-			m = &moveCount{}
-			sh.moves[k] = m
-		}
-		m.machines++
-		m.longest = max(m.longest, now.Sub(f.Since))
-		sh.c.Meter.Add(metrics.ShareMoves, f.Why, 1)
-		sh.retryHeartbeats(f.Name)
-	}
-}
-
-// retryHeartbeats looks once more at the reports of a machine whose holder was changing.
+// retryHeartbeats handles the heartbeats of a machine that have waited for its holder to
+// change.
 func (sh *shards) retryHeartbeats(name string) {
 	waiting := sh.waitingHeartbeats[name]
 	delete(sh.waitingHeartbeats, name)
-	for _, do := range waiting {
-		do()
+	for _, again := range waiting {
+		again()
 	}
 }
 
-// redirectWaiting sends on the workers of machines that the member has taken over meanwhile.
+// redirectWaiting handles the waiting heartbeats of machines that the member has come to
+// hold: their workers are redirected to it.
 func (sh *shards) redirectWaiting(member string) {
 	var names []string
 	for name := range sh.waitingHeartbeats {
-		if by, has := sh.assigner.Holder(name); has && by == member {
+		holder, reachable := sh.assigner.Holder(name)
+		if reachable && holder == member {
 			names = append(names, name)
 		}
 	}
@@ -316,8 +218,9 @@
 	}
 }
 
-// step does what time brings, and answers the requests that have something to be
-// told or have waited for long enough.
+// step does what is due by time, and answers the holders' requests that have waited long
+// enough or for which there is something to send. Scan is true for some of the calls: it
+// includes what looks at all machines.
 func (sh *shards) step(now time.Time, scan bool) {
 	if sh.assigner == nil {
 		return
@@ -327,72 +230,27 @@
 		sh.expireRelays(now)
 		sh.logMoves(now)
 	}
+	// Before any reply, since a reply prolongs the holder's grant.
 	sh.updateReserved(now)
-	for member, b := range sh.mailboxes {
-		if b.respond == nil {
-			continue
-		}
-		if len(b.calls) == 0 && len(b.answers) == 0 && len(b.clearances) == 0 && !sh.assigner.Due(member) && now.Sub(b.since) < syncHoldTime {
-			continue
-		}
-		r := sh.assigner.Reply(member, now)
-		b.fillReply(r)
-		back := b.respond
-		b.respond, b.since = nil, now
-		back(r)
-	}
+	sh.answerRequests(now)
 }
 
-// logMoves logs the moves of the last second, a line for each kind.
+// moveLogInterval spaces the log lines about moves.
+const moveLogInterval = time.Second
+
+// logMoves logs the moves since the last call that did, a line for each reason.
 func (sh *shards) logMoves(now time.Time) {
-	if now.Sub(sh.movesLoggedAt) < time.Second || len(sh.moves) == 0 {
+	if now.Sub(sh.movesLoggedAt) < moveLogInterval || len(sh.moves) == 0 {
 		return
 	}
 	sh.movesLoggedAt = now
 	held := sh.assigner.Held()
-	for k, m := range sh.moves {
-		sh.log.Info("machines changed their controller", "machines", m.machines, "from", k.from, "why", k.reason,
-			"took", m.longest.Round(time.Millisecond), "held", held)
+	for key, count := range sh.moves {
+		sh.log.Info("machines changed their controller", "machines", count.machines, "from", key.from, "why", key.reason,
+			"took", count.longest.Round(time.Millisecond), "held", held)
 	}
 	clear(sh.moves)
 	for member, n := range held {
 		sh.c.Meter.SetFor(metrics.ShareHeld, member, n)
 	}
 }
-
-// Sync answers a holder's request as leader.
-func (c *Controller) Sync(ctx context.Context, q *shard.Request) *shard.Reply {
-	r := c.current()
-	if r == nil || !c.Entitled(r.term) || !r.takeover.loaded() {
-		return &shard.Reply{}
-	}
-	ch := make(chan *shard.Reply, 1)
-	back := func(p *shard.Reply) {
-		select {
-		case ch <- p:
-		default:
-		}
-	}
-	select {
-	case r.inbox <- func() { r.shards.handleSync(q, back) }:
-	case <-r.ctx.Done():
-		return &shard.Reply{}
-	case <-ctx.Done():
-		return &shard.Reply{}
-	}
-	select {
-	case p := <-ch:
-		// The grant ends no later than what entitles this node, and the holder counts it
-		// from before it asked.
-		left := c.Left(r.term).Milliseconds()
-		if left <= 0 {
-			return &shard.Reply{}
-		}
-		p.ForMs = min(p.ForMs, left)
-		return p
-	case <-r.ctx.Done():
-		return &shard.Reply{}
-	case <-ctx.Done():
-		return &shard.Reply{}
-	}
-}
--- a/internal/control/shards_reclaim.go
+++ b/internal/control/shards_reclaim.go
@@ -8,8 +8,8 @@
 
 // Machines that no holder may answer, because a task of a cancelled job may be on them.
 
-// reserve takes a machine back from its holder, or keeps it here, in time before its lease may
-// only be renewed by answers that carry halts.
+// reserve makes the leader serve a machine itself, or take it back from its holder, in time
+// before the machine's lease may only be renewed by answers that carry halts.
 func (sh *shards) reserve(h *fleet.Host, now time.Time) {
 	limit, bounded := sh.fleet.RenewalLimit(h)
 	if !bounded || limit.Sub(now) > sh.assigner.HandoverTime()+2*urgentEvery {
@@ -19,9 +19,9 @@
 	sh.assigner.Keep(h.Name, "a cancelled task may be on it", now)
 }
 
-// updateReserved looks for machines that have to be kept, among those that wait for a command, and
-// lets go of those that need not be any more. It comes before each reply to a holder, since
-// a reply prolongs its grant.
+// updateReserved reserves the machines that have to be, among those that wait for a command,
+// and lets holders have those again that need not be any more. It has to run before each reply
+// to a holder, since a reply prolongs its grant.
 func (sh *shards) updateReserved(now time.Time) {
 	if now.Sub(sh.reserveCheckedAt) < urgentEvery {
 		return
--- a/internal/control/shards_relay.go
+++ b/internal/control/shards_relay.go
@@ -9,73 +9,85 @@
 	"vetchstream/internal/shard"
 )
 
-// Direct commands that go through the holder of a machine.
+// Direct commands that are sent through the holder of a machine.
+
+const (
+	// relayTimeout is how long a holder may take with a direct command. After that it is not
+	// known whether the command was executed, and the ledger sends it again.
+	relayTimeout = 3500 * time.Millisecond
+	// holderAbsentAfter is the time without a request after which a holder gets no commands:
+	// they are sent directly.
+	holderAbsentAfter = 600 * time.Millisecond
+)
+
+// errNoRelayResult is the outcome of a command of which the holder has reported no result.
+var errNoRelayResult = errors.New("the holder has reported no result of the command")
 
 // relayedCommand is a direct command that a holder sends.
 type relayedCommand struct {
 	host      *fleet.Host
 	member    string
-	slots     []*fleet.Slot
+	slots     []*fleet.Slot // what the command launches
 	relayedAt time.Time
 }
 
-// errNoRelayResult is the end of a command of which the holder has told nothing.
-var errNoRelayResult = errors.New("the holder has told nothing of it")
-
-// relayTimeout is how long a holder may take with a direct command. After that what
-// the command launched is in doubt, and the ledger sends it once more.
-const relayTimeout = 3500 * time.Millisecond
-
-// holderAbsentAfter is after what time without a request a holder gets no commands: they
-// are sent directly.
-const holderAbsentAfter = 600 * time.Millisecond
-
 // relayable reports whether a direct command to a machine goes through its holder, and
 // whether it may go now.
 func (sh *shards) relayable(h *fleet.Host) (relayed, now bool) {
 	if sh.assigner == nil || h.Holder() == nil {
 		return false, true
 	}
-	member, asked := sh.assigner.Holder(h.Name)
+	member, reachable := sh.assigner.Holder(h.Name)
 	b := sh.mailboxes[member]
-	if !asked || b == nil || (b.respond == nil && time.Since(b.since) > holderAbsentAfter) {
-		return false, true // it is not there: the command must not wait for its end
+	if !reachable || b == nil || (b.respond == nil && time.Since(b.since) > holderAbsentAfter) {
+		return false, true // the holder is absent, and the command must not wait for its grant to end
 	}
 	return true, b.inFlight < b.maxInFlight
 }
 
-// relay hands a direct command to the machine's holder.
-func (sh *shards) relay(h *fleet.Host, body []byte, sent []*fleet.Slot, now time.Time) {
+// relay passes a direct command to the machine's holder.
+func (sh *shards) relay(h *fleet.Host, body []byte, slots []*fleet.Slot, now time.Time) {
 	member, _ := sh.assigner.Holder(h.Name)
 	b := sh.mailboxes[member]
 	sh.lastCallID++
 	b.inFlight++
-	b.calls = append(b.calls, shard.Call{ID: sh.lastCallID, Addr: h.Addr, Body: body})
-	sh.relays[sh.lastCallID] = &relayedCommand{host: h, member: member, slots: sent, relayedAt: now}
+	b.calls = append(b.calls, shard.Call{
+		ID:   sh.lastCallID,
+		Addr: h.Addr,
+		Body: body,
+	})
+	sh.relays[sh.lastCallID] = &relayedCommand{
+		host:      h,
+		member:    member,
+		slots:     slots,
+		relayedAt: now,
+	}
 }
 
-// finishRelay takes in what became of a command.
+// finishRelay takes in the result of a command.
 func (sh *shards) finishRelay(d *shard.Done) {
 	r := sh.relays[d.ID]
 	if r == nil {
-		return // given up, or told twice
+		return // it has timed out, or the result was reported twice
 	}
 	delete(sh.relays, d.ID)
 	sh.mailboxes[r.member].inFlight--
 	sh.commands.ended(r.host, d.Status, d.Report, d.Reached, nil, r.slots)
 }
 
-// expireRelays gives up the commands of which the holder has told nothing for too long.
+// expireRelays ends the commands that have taken longer than relayTimeout.
 func (sh *shards) expireRelays(now time.Time) {
 	for id, r := range sh.relays {
-		if now.Sub(r.relayedAt) > relayTimeout {
-			delete(sh.relays, id)
-			b := sh.mailboxes[r.member]
-			b.inFlight--
-			waits := len(b.calls)
-			b.calls = slices.DeleteFunc(b.calls, func(c shard.Call) bool { return c.ID == id })
-			// One that has not left yet was certainly not sent.
-			sh.commands.ended(r.host, 0, nil, len(b.calls) == waits, errNoRelayResult, r.slots)
+		if now.Sub(r.relayedAt) <= relayTimeout {
+			continue
 		}
+		delete(sh.relays, id)
+		b := sh.mailboxes[r.member]
+		b.inFlight--
+		before := len(b.calls)
+		b.calls = slices.DeleteFunc(b.calls, func(c shard.Call) bool { return c.ID == id })
+		// A command that was still in the mailbox was certainly not sent.
+		sent := len(b.calls) == before
+		sh.commands.ended(r.host, 0, nil, sent, errNoRelayResult, r.slots)
 	}
 }
--- a/internal/control/shards_test.go
+++ b/internal/control/shards_test.go
@@ -26,14 +26,21 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			orders := make([]wire.Order, 20)
-			b := &mailbox{calls: slices.Repeat([]shard.Call{{Addr: "10.0.0.1:9000", Body: make([]byte, tt.body)}}, tt.calls),
-				answers:    slices.Repeat([]shard.Answer{{Host: "host-000001", Orders: orders}}, tt.answers),
-				clearances: slices.Repeat([]shard.ExitClearance{{Host: "host-000001", Clears: orders}}, tt.clears)}
+			call := shard.Call{Addr: "10.0.0.1:9000", Body: make([]byte, tt.body)}
+			answer := shard.Answer{Host: "host-000001", Orders: orders}
+			clearance := shard.ExitClearance{Host: "host-000001", Clears: orders}
+			b := &mailbox{
+				calls:      slices.Repeat([]shard.Call{call}, tt.calls),
+				answers:    slices.Repeat([]shard.Answer{answer}, tt.answers),
+				clearances: slices.Repeat([]shard.ExitClearance{clearance}, tt.clears),
+			}
 			calls, answers, clears := 0, 0, 0
 			for range 100 {
 				r := &shard.Reply{Term: 1}
 				b.fillReply(r)
-				calls, answers, clears = calls+len(r.Calls), answers+len(r.Answers), clears+len(r.Clearances)
+				calls += len(r.Calls)
+				answers += len(r.Answers)
+				clears += len(r.Clearances)
 				if enc, err := wire.Marshal(r); err != nil || len(enc) > 4*wire.MaxBody {
 					t.Fatalf("a reply of %d bytes: %v", len(enc), err)
 				}
@@ -45,11 +52,12 @@
 	}
 }
 
-// TestEntry: what a holder tells once more, because its request was not answered, may
-// come with a later report that it has answered meanwhile. That one renewed the lease.
+// TestEntry: an entry that a holder sends again, because its request was not answered, may
+// name a later heartbeat that it has answered meanwhile. That one renewed the lease.
 func TestEntry(t *testing.T) {
 	r := bench(t)
-	r.c.Settings.Siblings, r.c.Tuning.Shares.Enabled = []config.Sibling{{Member: "n1"}}, true
+	r.c.Settings.Siblings = []config.Sibling{{Member: "n1"}}
+	r.c.Tuning.Shares.Enabled = true
 	now := r.since
 	r.shards.begin(now)
 	h := r.host("h1")
@@ -63,7 +71,7 @@
 	r.shards.handleEntry(&mailbox{}, &shard.Entry{Host: "h1", Session: 1, Seq: 11, Report: full}, now)
 	now = now.Add(5 * time.Second)
 	if r.fleet.Expire(now); h.Lost {
-		t.Error("lost 5 s after a report that the holder answered")
+		t.Error("lost 5 s after a heartbeat that the holder answered")
 	}
 	now = now.Add(6 * time.Second)
 	if r.fleet.Expire(now); !h.Lost {
--- a/internal/node/shard_holder.go
+++ b/internal/node/shard_holder.go
@@ -60,7 +60,7 @@
 	incarnation := uint64(time.Now().UnixNano())
 	return &shardHolder{
 		node: n,
-		// Each controller keeps connections for commands, so each keeps fewer than a leader
+		// Each controller has connections for commands, so each has fewer than a leader
 		// that sends all of them.
 		client:   control.DirectClient(dial, max(minIdleConns, maxCalls/4)),
 		maxCalls: maxCalls,
