--- a/internal/control/quotas_home.go
+++ b/internal/control/quotas_home.go
@@ -25,9 +25,9 @@
 	*core
 
 	home           *dynconfig.Home
-	headVersion    uint64 // version of headKey
-	storing        bool   // an update is being stored
-	retryAt        time.Time
+	headVersion    uint64    // version of headKey
+	storing        bool      // an update is being stored
+	retryAt        time.Time // when an update may be stored again after one was rejected
 	pendingChanges []*pendingChange
 	heldRequests   []*heldRequest
 }
@@ -84,6 +84,8 @@
 	hq.loadHistory(storedHistory)
 }
 
+// decodeHead decodes the stored position; the zero value if there is none, or if it cannot be
+// read.
 func (hq *homeQuotas) decodeHead(stored state.Entry) (head dynconfig.Head) {
 	if stored.Version == 0 {
 		return head
@@ -95,6 +97,7 @@
 	return head
 }
 
+// decodeRecords decodes the stored team records, without those that cannot be read.
 func (hq *homeQuotas) decodeRecords(stored []state.Entry) (records []*dynconfig.TeamRecord) {
 	for _, entry := range stored {
 		r := &dynconfig.TeamRecord{}
--- a/internal/control/quotas_home_changes.go
+++ b/internal/control/quotas_home_changes.go
@@ -121,11 +121,6 @@
 	if len(accepted) == 0 {
 		return
 	}
-	respondAll := func(p func() *rpc.Reply) {
-		for _, c := range accepted {
-			c.respond(p())
-		}
-	}
 	u, refusal := hq.home.Propose(joined)
 	if refusal != nil { // together they are too many teams
 		for _, p := range accepted {
@@ -135,21 +130,23 @@
 	}
 	entry, put, err := hq.encodeHistory(hq.home.NewHistoryEntry(u, time.Now()))
 	if err != nil {
-		respondAll(func() *rpc.Reply {
-			return reply(http.StatusInternalServerError, wire.Error{Error: err.Error()})
-		})
+		for _, p := range accepted {
+			p.respond(reply(http.StatusInternalServerError, wire.Error{Error: err.Error()}))
+		}
 		return
 	}
 	failed := func() {
-		respondAll(func() *rpc.Reply { return settled(Later("the change could not be stored")) })
+		for _, p := range accepted {
+			p.respond(settled(Later("the change could not be stored")))
+		}
 	}
 	done := func() {
 		hq.home.AddHistory(entry)
 		hq.c.Meter.Add(metrics.ConfigChanges, "taken", len(accepted))
 		hq.log.Info("the configuration has changed", "revision", u.Head.Revision, "changes", len(accepted), "teams", len(u.Records))
-		respondAll(func() *rpc.Reply {
-			return reply(http.StatusOK, changeAnswer{Revision: u.Head.Revision})
-		})
+		for _, p := range accepted {
+			p.respond(reply(http.StatusOK, changeAnswer{Revision: u.Head.Revision}))
+		}
 	}
 	hq.storeUpdate(u, []state.Write{put}, failed, done)
 }
--- a/internal/control/quotas_teams.go
+++ b/internal/control/quotas_teams.go
@@ -21,6 +21,7 @@
 	target  *config.Team // what it will be once a change is complete; nil: none is under way
 }
 
+// quotaOf is the quota of a team with this share, whose limit is to become the target.
 func quotaOf(name string, share dynconfig.Share, target dynconfig.Amount) quota {
 	current := configTeam(name, share)
 	future := configTeam(name, dynconfig.Share{Limit: target})
--- a/internal/control/shards.go
+++ b/internal/control/shards.go
@@ -47,6 +47,7 @@
 	reason string
 }
 
+// moveCount sums up the moves of one reason since the last log line.
 type moveCount struct {
 	machines int
 	longest  time.Duration // that a move has taken
@@ -181,6 +182,7 @@
 	}
 }
 
+// countMove counts the move of a machine back to the leader for the log and the metrics.
 func (sh *shards) countMove(r *shard.Revocation, now time.Time) {
 	key := moveReason{from: r.From, reason: r.Why}
 	count := sh.moves[key]
