--- a/internal/control/leader_actor.go
+++ b/internal/control/leader_actor.go
@@ -7,7 +7,7 @@
 // callActor runs f in the actor and returns its result; the zero value: the term has ended.
 func callActor[T any](co *core, f func() T) (out T) {
 	done := make(chan T, 1)
-	co.ahead(func() { done <- f() })
+	co.enqueueForUser(func() { done <- f() })
 	select {
 	case out = <-done:
 	case <-co.ctx.Done():
--- a/internal/control/quotas.go
+++ b/internal/control/quotas.go
@@ -44,14 +44,14 @@
 }
 
 // enabled reports whether regions are named in the operators' settings.
-func (tq *teamQuotas) enabled() bool { return tq.c.Tuning.Regions.Name != "" }
+func (tq *teamQuotas) enabled() bool { return tq.controller.Tuning.Regions.Name != "" }
 
 // readStored reads the stored grants; none while no regions are named.
 func (tq *teamQuotas) readStored() ([]state.Entry, error) {
 	if !tq.enabled() {
 		return nil, nil
 	}
-	e, err := tq.c.State.Get(tq.ctx, unconfirmedKey)
+	e, err := tq.controller.State.Get(tq.ctx, unconfirmedKey)
 	switch {
 	case err == nil:
 		tq.unconfirmedVersion = e.Version
@@ -62,7 +62,7 @@
 			return nil, err
 		}
 	}
-	entries, _, err := tq.c.State.List(tq.ctx, regionGrantPrefix)
+	entries, _, err := tq.controller.State.List(tq.ctx, regionGrantPrefix)
 	return entries, err
 }
 
@@ -72,7 +72,7 @@
 	if err != nil {
 		return 0, err
 	}
-	return tq.c.State.Commit(tq.ctx, state.Txn{
+	return tq.controller.State.Commit(tq.ctx, state.Txn{
 		If:     []state.Cond{tq.fence, {Key: unconfirmedKey}},
 		Writes: []state.Write{put},
 	})
@@ -99,13 +99,13 @@
 		tq.nameIndex.addTeam(g.Team)
 	}
 	unconfirmed := tq.unconfirmedVersion != 0
-	tq.replica = dynconfig.NewReplica(tq.c.Tuning.Regions.Name, tq.term, tq.c.fileShares(), grants, unconfirmed)
+	tq.replica = dynconfig.NewReplica(tq.controller.Tuning.Regions.Name, tq.term, tq.controller.fileShares(), grants, unconfirmed)
 }
 
 // teams lists the teams, by index.
 func (tq *teamQuotas) teams() []config.Team {
 	if tq.replica == nil {
-		return tq.c.Settings.Facts.Teams
+		return tq.controller.Settings.Facts.Teams
 	}
 	usage := tq.noUsage
 	if tq.replica.Unconfirmed() {
@@ -126,7 +126,7 @@
 // find is the quota of a team that accepts jobs.
 func (tq *teamQuotas) find(name string) quota {
 	if tq.replica == nil {
-		return quota{current: tq.c.fileTeam(name)}
+		return quota{current: tq.controller.fileTeam(name)}
 	}
 	share, exists := tq.replica.Share(name, tq.noUsage)
 	if !exists && !tq.replica.Unconfirmed() {
@@ -163,7 +163,7 @@
 		used.GPUs += tasks * j.GPUs
 		busy[j.TeamIdx] = busy[j.TeamIdx] || tasks > 0 || j.Phase == ""
 	}
-	tq.takeover.blocked(teams)
+	tq.takeover.blockedJobs(teams)
 	return func(team string) (dynconfig.Amount, bool) {
 		i := tq.nameIndex.team(team)
 		if i < 0 {
@@ -178,5 +178,5 @@
 // earlier leaders have sent heartbeats, nor while a machine runs a task of a job whose record
 // has not been read.
 func (tq *teamQuotas) usageKnown() bool {
-	return tq.takeover.around() && len(tq.jobTable.strange()) == 0
+	return tq.takeover.mayPlace() && len(tq.jobTable.unidentifiedJobs()) == 0
 }
--- a/internal/control/quotas_follow.go
+++ b/internal/control/quotas_follow.go
@@ -33,12 +33,12 @@
 	for tq.ctx.Err() == nil {
 		q := callActor(tq.core, tq.nextRequest)
 		if q == nil {
-			tq.pause(usagePollInterval)
+			tq.sleep(usagePollInterval)
 			continue
 		}
 		p, err := tq.sendRequest(q)
 		if err != nil || p.Refused != "" {
-			tq.pause(retry/2 + rand.N(retry))
+			tq.sleep(retry/2 + rand.N(retry))
 			retry = min(2*retry, maxFollowRetry)
 			continue
 		}
@@ -62,15 +62,15 @@
 	ctx, cancel := context.WithTimeout(tq.ctx, followTimeout)
 	defer cancel()
 	if tq.homeQuotas.enabled() {
-		return tq.c.HandleFollow(ctx, q), nil
+		return tq.controller.HandleFollow(ctx, q), nil
 	}
-	return tq.c.Follow(ctx, q)
+	return tq.controller.Follow(ctx, q)
 }
 
 // storeGrants stores grants, in as many transactions as it takes, and puts each batch into
 // effect once it is stored.
 func (tq *teamQuotas) storeGrants(grants []dynconfig.RegionGrant) {
-	maxBatch := max(1, tq.c.Settings.Facts.State.TxnOps)
+	maxBatch := max(1, tq.controller.Settings.Facts.State.TxnOps)
 	for len(grants) > 0 && tq.ctx.Err() == nil {
 		batch := grants[:min(maxBatch, len(grants))]
 		grants = grants[len(batch):]
@@ -106,7 +106,7 @@
 		conds = append(conds, state.Cond{Key: key, Version: versions[i]})
 		writes = append(writes, put)
 	}
-	version, err := tq.settle(conds[0].Key, conds[0].Version, conds, writes)
+	version, err := tq.commitUntilSettled(conds[0].Key, conds[0].Version, conds, writes)
 	if err != nil {
 		tq.log.Error("grants cannot be stored", "teams", len(grants), "error", err)
 		return 0, false
@@ -125,10 +125,10 @@
 	}
 	tq.replica.ApplyStored(grants)
 	if added {
-		tq.jobTable.rebind()
+		tq.jobTable.rebindNames()
 	}
-	tq.c.Meter.Set(metrics.Revision, int(tq.replica.Revision()))
-	tq.changed()
+	tq.controller.Meter.Set(metrics.Revision, int(tq.replica.Revision()))
+	tq.requestPlan()
 }
 
 // clearUnconfirmed deletes unconfirmedKey once the home region has confirmed the limits.
@@ -141,7 +141,7 @@
 	go func() {
 		conds := []state.Cond{{Key: unconfirmedKey, Version: version}}
 		writes := []state.Write{{Delete: unconfirmedKey}}
-		if _, err := tq.settle(unconfirmedKey, version, conds, writes); err != nil {
+		if _, err := tq.commitUntilSettled(unconfirmedKey, version, conds, writes); err != nil {
 			tq.log.Error("the confirmation of limits cannot be stored", "error", err)
 		}
 	}()
--- a/internal/control/quotas_home.go
+++ b/internal/control/quotas_home.go
@@ -52,7 +52,7 @@
 
 // enabled reports whether this is the home region.
 func (hq *homeQuotas) enabled() bool {
-	r := &hq.c.Tuning.Regions
+	r := &hq.controller.Tuning.Regions
 	return r.Name != "" && r.Name == r.Home
 }
 
@@ -61,13 +61,13 @@
 	if !hq.enabled() {
 		return head, nil, nil, nil
 	}
-	if head, err = hq.c.State.Get(hq.ctx, headKey); err != nil && !errors.Is(err, state.ErrNotFound) {
+	if head, err = hq.controller.State.Get(hq.ctx, headKey); err != nil && !errors.Is(err, state.ErrNotFound) {
 		return head, nil, nil, err
 	}
-	if records, _, err = hq.c.State.List(hq.ctx, teamRecordPrefix); err != nil {
+	if records, _, err = hq.controller.State.List(hq.ctx, teamRecordPrefix); err != nil {
 		return head, nil, nil, err
 	}
-	history, _, err = hq.c.State.List(hq.ctx, historyPrefix)
+	history, _, err = hq.controller.State.List(hq.ctx, historyPrefix)
 	return head, records, history, err
 }
 
@@ -79,7 +79,7 @@
 	}
 	head := hq.decodeHead(storedHead)
 	records := hq.decodeRecords(storedRecords)
-	hq.home = dynconfig.NewHome(hq.term, hq.c.Tuning.Regions.All, head, records)
+	hq.home = dynconfig.NewHome(hq.term, hq.controller.Tuning.Regions.All, head, records)
 	hq.headVersion = storedHead.Version
 	hq.loadHistory(storedHistory)
 }
@@ -184,11 +184,11 @@
 // region, and refuses it otherwise.
 func (c *Controller) HandleFollow(ctx context.Context, q *dynconfig.Request) *dynconfig.Reply {
 	refused := &dynconfig.Reply{Refused: "not the leader of the home region"}
-	r := c.current()
+	r := c.currentTerm()
 	if r == nil || !c.Entitled(r.term) || !r.takeover.loaded() || !r.homeQuotas.enabled() {
 		return refused
 	}
-	p := queryActor(ctx, r.core, r.users, func(respond func(*dynconfig.Reply)) {
+	p := queryActor(ctx, r.core, r.userInbox, func(respond func(*dynconfig.Reply)) {
 		r.homeQuotas.handleRequest(q, respond)
 	})
 	if p == nil || !c.Entitled(r.term) {
--- a/internal/control/quotas_home_changes.go
+++ b/internal/control/quotas_home_changes.go
@@ -104,7 +104,7 @@
 // enqueueChange lets a change wait until it can be stored.
 func (hq *homeQuotas) enqueueChange(c *dynconfig.Change, dryRun bool, respond func(*rpc.Reply)) {
 	if len(hq.pendingChanges) >= maxPendingChanges {
-		respond(settled(Later("many changes of the configuration are being stored")))
+		respond(finalRefusal(Unavailable("many changes of the configuration are being stored")))
 		return
 	}
 	hq.pendingChanges = append(hq.pendingChanges, &pendingChange{
@@ -137,12 +137,12 @@
 	}
 	failed := func() {
 		for _, p := range accepted {
-			p.respond(settled(Later("the change could not be stored")))
+			p.respond(finalRefusal(Unavailable("the change could not be stored")))
 		}
 	}
 	done := func() {
 		hq.home.AddHistory(entry)
-		hq.c.Meter.Add(metrics.ConfigChanges, "taken", len(accepted))
+		hq.controller.Meter.Add(metrics.ConfigChanges, "taken", len(accepted))
 		hq.log.Info("the configuration has changed", "revision", u.Head.Revision, "changes", len(accepted), "teams", len(u.Records))
 		for _, p := range accepted {
 			p.respond(reply(http.StatusOK, changeAnswer{Revision: u.Head.Revision}))
@@ -196,19 +196,19 @@
 
 // refuse answers a change with the reason why it is refused.
 func (hq *homeQuotas) refuse(p *pendingChange, refusal *dynconfig.Refusal) {
-	hq.c.Meter.Add(metrics.ConfigChanges, "refused", 1)
+	hq.controller.Meter.Add(metrics.ConfigChanges, "refused", 1)
 	answer := reply(refusal.Status, wire.Error{Error: refusal.Error()})
 	if refusal.Status == http.StatusServiceUnavailable {
 		answer.RetryAfter = 1
 	}
-	p.respond(settled(answer))
+	p.respond(finalRefusal(answer))
 }
 
 // encodeHistory returns the write that stores a history entry, and the entry as it is stored:
 // without the earlier configuration if that is too large for a value.
 func (hq *homeQuotas) encodeHistory(e *dynconfig.HistoryEntry) (*dynconfig.HistoryEntry, state.Write, error) {
 	key := fmt.Sprintf("%s%03d", historyPrefix, e.Slot())
-	maxBytes := hq.c.Settings.Facts.State.ValueKB * 1024 * maxHistoryValueFraction
+	maxBytes := hq.controller.Settings.Facts.State.ValueKB * 1024 * maxHistoryValueFraction
 	put, err := state.Put(key, e)
 	if err != nil || float64(len(put.Value)) < maxBytes {
 		return e, put, err
--- a/internal/control/quotas_home_store.go
+++ b/internal/control/quotas_home_store.go
@@ -14,7 +14,9 @@
 
 // maxBatchRecords is how many team records fit a transaction besides the head and a history
 // entry.
-func (hq *homeQuotas) maxBatchRecords() int { return max(1, hq.c.Settings.Facts.State.TxnOps-2) }
+func (hq *homeQuotas) maxBatchRecords() int {
+	return max(1, hq.controller.Settings.Facts.State.TxnOps-2)
+}
 
 // storeUpdate stores an update, in as many transactions as it takes, with further writes in
 // the last one, and applies it. Then it calls done in the actor, or failed if the store has
@@ -25,7 +27,7 @@
 	maxBatch := hq.maxBatchRecords()
 	go func() {
 		version, err := hq.storeRecords(u, lastWrites, head, maxBatch)
-		hq.ahead(func() {
+		hq.enqueueForUser(func() {
 			hq.storing = false
 			hq.headVersion = version
 			if err != nil {
@@ -74,7 +76,7 @@
 		writes = append(writes, put)
 	}
 	conds := []state.Cond{{Key: headKey, Version: headVersion}}
-	version, err = hq.settle(headKey, headVersion, conds, writes)
+	version, err = hq.commitUntilSettled(headKey, headVersion, conds, writes)
 	if err != nil {
 		return headVersion, err
 	}
--- a/internal/control/shards.go
+++ b/internal/control/shards.go
@@ -75,15 +75,15 @@
 // ShardCapacity is how many machines a controller with that many sockets can serve: each
 // machine takes a connection, and a sixth is left for users.
 func ShardCapacity(maxSockets int) int {
-	free := maxSockets - 2*DirectCalls(maxSockets) - ownSockets
+	free := maxSockets - 2*MaxDirectCalls(maxSockets) - ownSockets
 	return max(0, free*5/6)
 }
 
 // begin starts with the machines in the registry, all of which the leader serves at first.
 func (sh *shards) begin(now time.Time) {
-	tuning := sh.c.Tuning.Shares
-	resources := &sh.c.Settings.Facts.Resources
-	if !tuning.Enabled || len(sh.c.Settings.Siblings) == 0 {
+	tuning := sh.controller.Tuning.Shares
+	resources := &sh.controller.Settings.Facts.Resources
+	if !tuning.Enabled || len(sh.controller.Settings.Siblings) == 0 {
 		return
 	}
 	movesPerS := tuning.PerS
@@ -100,7 +100,7 @@
 		Own:      tuning.Own,
 		Room:     ShardCapacity(resources.MaxSockets),
 	}
-	sh.assigner = shard.NewAssigner(sh.term, sh.c.Settings.Member, sh.c.Settings.Site, settings, now)
+	sh.assigner = shard.NewAssigner(sh.term, sh.controller.Settings.Member, sh.controller.Settings.Site, settings, now)
 	for _, h := range sh.fleet.All() {
 		zone := ""
 		if h.Zone >= 0 {
@@ -126,7 +126,7 @@
 		if len(sh.waitingHeartbeats[m.Host]) < maxWaitingHeartbeats {
 			sh.waitingHeartbeats[m.Host] = append(sh.waitingHeartbeats[m.Host], again)
 		} else {
-			respond(Later("the machine is changing its controller"))
+			respond(Unavailable("the machine is changing its controller"))
 		}
 		return false
 	}
@@ -192,7 +192,7 @@
 	}
 	count.machines++
 	count.longest = max(count.longest, now.Sub(r.Since))
-	sh.c.Meter.Add(metrics.ShareMoves, r.Why, 1)
+	sh.controller.Meter.Add(metrics.ShareMoves, r.Why, 1)
 }
 
 // retryHeartbeats handles the heartbeats of a machine that have waited for its holder to
@@ -253,6 +253,6 @@
 	}
 	clear(sh.moves)
 	for member, n := range held {
-		sh.c.Meter.SetFor(metrics.ShareHeld, member, n)
+		sh.controller.Meter.SetFor(metrics.ShareHeld, member, n)
 	}
 }
--- a/internal/control/shards_reclaim.go
+++ b/internal/control/shards_reclaim.go
@@ -12,7 +12,7 @@
 // before the machine's lease may only be renewed by answers that carry halts.
 func (sh *shards) reserve(h *fleet.Host, now time.Time) {
 	limit, bounded := sh.fleet.RenewalLimit(h)
-	if !bounded || limit.Sub(now) > sh.assigner.HandoverTime()+2*urgentEvery {
+	if !bounded || limit.Sub(now) > sh.assigner.HandoverTime()+2*urgentScanInterval {
 		return
 	}
 	sh.reserved[h] = struct{}{}
@@ -23,7 +23,7 @@
 // and lets holders have those again that need not be any more. It has to run before each reply
 // to a holder, since a reply prolongs its grant.
 func (sh *shards) updateReserved(now time.Time) {
-	if now.Sub(sh.reserveCheckedAt) < urgentEvery {
+	if now.Sub(sh.reserveCheckedAt) < urgentScanInterval {
 		return
 	}
 	sh.reserveCheckedAt = now
--- a/internal/control/shards_relay.go
+++ b/internal/control/shards_relay.go
@@ -72,7 +72,12 @@
 	}
 	delete(sh.relays, d.ID)
 	sh.mailboxes[r.member].inFlight--
-	sh.commands.ended(r.host, d.Status, d.Report, d.Reached, nil, r.slots)
+	result := DirectResult{
+		Status:  d.Status,
+		Body:    d.Report,
+		Reached: d.Reached,
+	}
+	sh.commands.finishCall(r.host, result, nil, r.slots)
 }
 
 // expireRelays ends the commands that have taken longer than relayTimeout.
@@ -88,6 +93,6 @@
 		b.calls = slices.DeleteFunc(b.calls, func(c shard.Call) bool { return c.ID == id })
 		// A command that was still in the mailbox was certainly not sent.
 		sent := len(b.calls) == before
-		sh.commands.ended(r.host, 0, nil, sent, errNoRelayResult, r.slots)
+		sh.commands.finishCall(r.host, DirectResult{Reached: sent}, errNoRelayResult, r.slots)
 	}
 }
--- a/internal/control/shards_sync.go
+++ b/internal/control/shards_sync.go
@@ -155,8 +155,8 @@
 	deaf := h.Deaf()
 	age := time.Duration(max(0, e.AgeMs)) * time.Millisecond
 	events := sh.fleet.Renew(h, e.Session, e.Seq, now.Add(-age))
-	sh.taskTracker.hearing(h, deaf)
-	sh.taskTracker.handle(events, now)
+	sh.taskTracker.reachabilityChanged(h, deaf)
+	sh.taskTracker.applyEvents(events, now)
 	if clears := h.Clears(maxOrders); clears != nil {
 		b.clearances = append(b.clearances, shard.ExitClearance{Host: e.Host, Clears: clears})
 	}
@@ -172,8 +172,8 @@
 				continue
 			}
 			orders, sent, events := sh.fleet.Compose(hb.host, hb.seq, hb.fresh, now, maxOrders)
-			sh.takeover.launched(len(sent), now)
-			sh.taskTracker.handle(events, now)
+			sh.takeover.recordLaunches(len(sent), now)
+			sh.taskTracker.applyEvents(events, now)
 			b.answers = append(b.answers, shard.Answer{
 				Host:    hb.host.Name,
 				Session: hb.session,
@@ -215,7 +215,7 @@
 
 // Sync answers a holder's request if this node is the leader; a reply of term 0 otherwise.
 func (c *Controller) Sync(ctx context.Context, q *shard.Request) *shard.Reply {
-	r := c.current()
+	r := c.currentTerm()
 	if r == nil || !c.Entitled(r.term) || !r.takeover.loaded() {
 		return &shard.Reply{}
 	}
@@ -225,7 +225,7 @@
 	}
 	// The grant ends no later than this node's own lease, and the holder counts it from before
 	// it sent the request.
-	left := c.Left(r.term).Milliseconds()
+	left := c.Remaining(r.term).Milliseconds()
 	if left <= 0 {
 		return &shard.Reply{}
 	}
--- a/internal/control/shards_test.go
+++ b/internal/control/shards_test.go
@@ -55,10 +55,10 @@
 // TestEntry: an entry that a holder sends again, because its request was not answered, may
 // name a later heartbeat that it has answered meanwhile. That one renewed the lease.
 func TestEntry(t *testing.T) {
-	r := bench(t)
-	r.c.Settings.Siblings = []config.Sibling{{Member: "n1"}}
-	r.c.Tuning.Shares.Enabled = true
-	now := r.since
+	r := newTestTerm(t)
+	r.controller.Settings.Siblings = []config.Sibling{{Member: "n1"}}
+	r.controller.Tuning.Shares.Enabled = true
+	now := r.termStart
 	r.shards.begin(now)
 	h := r.host("h1")
 	m := &wire.Report{Host: "h1", Type: "x", Zone: "a", Session: 1, Seq: 10, Token: 7}
--- a/internal/dynconfig/explore_test.go
+++ b/internal/dynconfig/explore_test.go
@@ -213,9 +213,9 @@
 // regionAction is an action whose index chooses the region, modulo two.
 func regionAction(name string, each int, do func(w *world, s *regionSim, i int) bool) explorer.Action[*world] {
 	return explorer.Action[*world]{
-		Name: name,
-		Each: each,
-		Do:   func(w *world, i int) bool { return do(w, &w.regions[i%len(w.regions)], i) },
+		Name:  name,
+		Count: each,
+		Do:    func(w *world, i int) bool { return do(w, &w.regions[i%len(w.regions)], i) },
 	}
 }
 
@@ -424,31 +424,31 @@
 // Print implements explorer.World.
 func (w *world) Print() string {
 	p := &explorer.Printer{}
-	p.Say(w.storedHead, " ", w.changesMade, w.leaderEnds, w.restores, len(w.home.dirty), w.home.head)
+	p.Values(w.storedHead, " ", w.changesMade, w.leaderEnds, w.restores, len(w.home.dirty), w.home.head)
 	for _, n := range regionNames {
 		for _, recs := range []map[string]*TeamRecord{w.home.teams, w.records, w.previousRecords} {
 			if r := recs[theTeam]; r != nil {
-				p.Say(" ", r.Grants[n], r.Shares[n])
+				p.Values(" ", r.Grants[n], r.Shares[n])
 			}
 		}
 		f := w.home.followers[n]
 		if r := w.home.teams[theTeam]; r != nil {
-			p.Say(r.Removed)
+			p.Values(r.Removed)
 		}
-		p.Say(" ", f.reported, f.reports[theTeam], f.storedSeq)
+		p.Values(" ", f.reported, f.reports[theTeam], f.storedSeq)
 	}
 	for i := range w.regions {
 		s := &w.regions[i]
 		r := s.replica
-		p.Say("\n", s.used, s.markedUnconfirmed, s.entries, s.previousEntries, s.storing, s.lateTxn, r.teams, r.lastSeq, r.homeTerm, r.reportedTerm, r.acknowledged, r.unconfirmed)
+		p.Values("\n", s.used, s.markedUnconfirmed, s.entries, s.previousEntries, s.storing, s.lateTxn, r.teams, r.lastSeq, r.homeTerm, r.reportedTerm, r.acknowledged, r.unconfirmed)
 		for _, q := range []*Request{s.request, s.lateRequest} {
 			if q != nil {
-				p.Say(" asks ", q.HomeTerm, q.After, q.Full, q.Reports, q.Term == s.term)
+				p.Values(" asks ", q.HomeTerm, q.After, q.Full, q.Reports, q.Term == s.term)
 			}
 		}
 		for _, a := range []*Reply{s.reply, s.lateReply} {
 			if a != nil {
-				p.Say(" gets ", a.Term, a.Resync, a.Grants)
+				p.Values(" gets ", a.Term, a.Resync, a.Grants)
 			}
 		}
 	}
@@ -529,13 +529,13 @@
 // guard disabled the explorer finds why it is there.
 func TestExplore(t *testing.T) {
 	const states, walks, steps, rounds = 300, 1500, 40, 3
-	play := func(disabled guard) *explorer.Game[*world] {
-		return &explorer.Game[*world]{
-			New:     func() *world { return newWorld(disabled) },
-			Actions: worldActions(),
-			Most:    states,
-			Every:   50,
-			Settle:  convergenceFault,
+	play := func(disabled guard) *explorer.Explorer[*world] {
+		return &explorer.Explorer[*world]{
+			New:            func() *world { return newWorld(disabled) },
+			Actions:        worldActions(),
+			MaxStates:      states,
+			SettleInterval: 50,
+			Settle:         convergenceFault,
 		}
 	}
 	names := play(none)
@@ -568,10 +568,10 @@
 			t.Parallel()
 			g := play(tt.disabled)
 			g.Start = tt.start
-			seen, broken := g.Play()
+			seen, broken := g.Explore()
 			for seed := uint64(0); broken == "" && seed < rounds; seed++ {
 				var n int
-				n, broken = g.Walk(rand.New(rand.NewPCG(seed, 0)), walks, steps)
+				n, broken = g.RandomWalk(rand.New(rand.NewPCG(seed, 0)), walks, steps)
 				seen += n
 			}
 			if (tt.disabled == none) != (broken == "") {
--- a/internal/node/shard_holder.go
+++ b/internal/node/shard_holder.go
@@ -54,7 +54,7 @@
 
 func newShardHolder(n *Node, dial state.DialFunc) *shardHolder {
 	sockets := n.set.Facts.Resources.MaxSockets
-	maxCalls := control.DirectCalls(sockets)
+	maxCalls := control.MaxDirectCalls(sockets)
 	// A later process has a later time of day, within the clock's skew. The leader accepts
 	// one that has not once the grants of the earlier process have ended.
 	incarnation := uint64(time.Now().UnixNano())
@@ -164,17 +164,17 @@
 // bounds how many are in flight.
 func (sh *shardHolder) sendCommand(ctx context.Context, term uint64, call shard.Call) {
 	valid := func() bool { return sh.grantValid(term) }
-	status, answer, reached, err := control.Direct(ctx, sh.client, call.Addr, call.Body, valid)
+	result, err := control.SendDirect(ctx, sh.client, call.Addr, call.Body, valid)
 	if err != nil {
-		sh.node.log.Debug("direct command failed", "addr", call.Addr, "status", status, "error", err)
+		sh.node.log.Debug("direct command failed", "addr", call.Addr, "status", result.Status, "error", err)
 	}
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	sh.holder.Finish(shard.Done{
 		ID:      call.ID,
-		Status:  status,
-		Reached: reached,
-		Report:  answer,
+		Status:  result.Status,
+		Reached: result.Reached,
+		Report:  result.Body,
 	})
 }
 
@@ -251,7 +251,7 @@
 		if m.Token > r.term {
 			sh.node.elector.ObserveLeader("", m.Token)
 		}
-		return control.Later("the leader has not renewed this node's grant")
+		return control.Unavailable("the leader has not renewed this node's grant")
 	}
 	orders := r.orders
 	if r.outcome >= shard.ReportChanged {
@@ -264,16 +264,16 @@
 		case ok:
 			orders = leaderOrders
 		case r.outcome == shard.LeaderRequired:
-			return control.Later("the leader has not been told of all tasks of the machine")
+			return control.Unavailable("the leader has not been told of all tasks of the machine")
 		}
 	}
 	b, err := wire.Marshal(wire.Answer{Token: r.term, Orders: orders})
 	if err != nil {
-		return control.Later("the answer does not encode")
+		return control.Unavailable("the answer does not encode")
 	}
 	// Checked as late as possible: the grant may have ended while the lock was waited for.
 	if !sh.grantValid(r.term) {
-		return control.Later("the leader has not renewed this node's grant")
+		return control.Unavailable("the leader has not renewed this node's grant")
 	}
 	return &rpc.Reply{Status: http.StatusOK, Body: b, Work: len(m.Tasks) > 0}
 }
