--- a/internal/autoscale/cloud.go
+++ b/internal/autoscale/cloud.go
@@ -21,8 +21,8 @@
 var (
 	// ErrNoCapacity means that none is available for this type, zone and kind.
 	ErrNoCapacity = errors.New("no capacity")
-	// ErrCloud means that the cloud did not do it now; it may be asked again.
-	ErrCloud = errors.New("cloud trouble")
+	// ErrUnavailable means that the cloud did not do it now; it may be asked again.
+	ErrUnavailable = errors.New("cloud trouble")
 )
 
 // Cloud is the client of the cloud's API.
@@ -48,7 +48,7 @@
 	ctx, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
 	if err := c.limit.Wait(ctx); err != nil {
-		return fmt.Errorf("%w: %w", ErrCloud, err)
+		return fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
 	var rd io.Reader
 	if body != nil {
@@ -65,12 +65,12 @@
 	req.Header.Set("Content-Type", wire.ContentType)
 	res, err := c.http.Do(req)
 	if err != nil {
-		return fmt.Errorf("%w: %w", ErrCloud, err)
+		return fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
 	defer res.Body.Close()
 	b, err := io.ReadAll(io.LimitReader(res.Body, 4<<20))
 	if err != nil {
-		return fmt.Errorf("%w: %w", ErrCloud, err)
+		return fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
 	if res.StatusCode != http.StatusOK {
 		var e wire.Error
@@ -78,20 +78,20 @@
 		if e.Error == ErrNoCapacity.Error() {
 			return ErrNoCapacity
 		}
-		return fmt.Errorf("%w: status %d %s", ErrCloud, res.StatusCode, e.Error)
+		return fmt.Errorf("%w: status %d %s", ErrUnavailable, res.StatusCode, e.Error)
 	}
 	return wire.Unmarshal(b, out)
 }
 
-// Types reads the price list.
-func (c *Cloud) Types(ctx context.Context) ([]wire.MachineType, error) {
+// MachineTypes reads the price list.
+func (c *Cloud) MachineTypes(ctx context.Context) ([]wire.MachineType, error) {
 	var out wire.MachineTypes
 	err := c.do(ctx, http.MethodGet, "/machine_types", nil, &out)
 	return out.Types, err
 }
 
-// List reads the whole list of machines.
-func (c *Cloud) List(ctx context.Context) ([]wire.CloudHost, error) {
+// ListMachines reads the whole list of machines.
+func (c *Cloud) ListMachines(ctx context.Context) ([]wire.CloudHost, error) {
 	var all []wire.CloudHost
 	after := ""
 	for {
@@ -111,8 +111,8 @@
 	}
 }
 
-// Rent asks for machines and returns the names of those rented.
-func (c *Cloud) Rent(ctx context.Context, h wire.Hire) ([]string, error) {
+// Provision asks for machines and returns the names of those rented.
+func (c *Cloud) Provision(ctx context.Context, h wire.Hire) ([]string, error) {
 	var out wire.HostNames
 	err := c.do(ctx, http.MethodPost, "/hosts", h, &out)
 	return out.Hosts, err
--- a/internal/autoscale/plan.go
+++ b/internal/autoscale/plan.go
@@ -36,42 +36,42 @@
 	b.step[o], b.until[o] = d, now.Add(d)
 }
 
-// Served forgets the refusals of an offer.
-func (b *Backoff) Served(o Offer) { delete(b.step, o); delete(b.until, o) }
+// Succeeded forgets the refusals of an offer.
+func (b *Backoff) Succeeded(o Offer) { delete(b.step, o); delete(b.until, o) }
 
 // Open reports whether the offer may be asked for.
 func (b *Backoff) Open(o Offer, now time.Time) bool { return !now.Before(b.until[o]) }
 
-// Want is waiting work of one job that found no machine.
-type Want struct {
+// UnmetDemand is waiting work of one job that found no machine.
+type UnmetDemand struct {
 	Demand *place.Demand
 	Count  int
 	// TaskS is the expected run time of a task, in seconds.
-	TaskS  float64
-	Image  float64 // GB
-	Waited float64 // seconds
-	Urgent bool    // waiting costs an aim: rent without regard to the fill
-	// Room is how many of the tasks fit now on machines that are up, by zone, for a
+	TaskS   float64
+	ImageGB float64 // GB
+	Waited  float64 // seconds
+	Urgent  bool    // waiting costs an aim: rent without regard to the fill
+	// FitsByZone is how many of the tasks fit now on machines that are up, by zone, for a
 	// gang that has to be in one; nil: not known.
-	Room []int
-	// Chosen is the zone that Rentals has chosen for such a gang; -1: none.
-	Chosen int
+	FitsByZone []int
+	// ChosenZone is the zone that Rentals has chosen for such a gang; -1: none.
+	ChosenZone int
 }
 
-// gather chooses the zone of a gang that has to be in one: where the fewest tasks
+// chooseGangZone chooses the zone of a gang that has to be in one: where the fewest tasks
 // are without room, counting what is up and what comes. Renting wherever it is
 // cheapest would bring one machine here and one there, each idle and returned
 // before the next comes, and the gang would wait for ever.
-func (s *Shop) gather(w *Want, coming []Coming) (zone int) {
+func (s *Input) chooseGangZone(w *UnmetDemand, coming []PendingMachine) (zone int) {
 	zone = -1
 	best, _, any := s.cheapest(w.Demand, w.Count, *w)
 	least := 0
-	for z, fit := range w.Room {
+	for z, fit := range w.FitsByZone {
 		d := *w.Demand
 		d.Zone = z
 		for i := range coming {
-			if allowed(&d, coming[i].Offer) {
-				fit += coming[i].Free.Times(d.Need)
+			if eligible(&d, coming[i].Offer) {
+				fit += coming[i].Free.FitCount(d.Need)
 			}
 		}
 		left := max(0, w.Count-fit)
@@ -87,62 +87,62 @@
 	return zone
 }
 
-// Coming is a machine that was rented and is not up yet.
-type Coming struct {
+// PendingMachine is a machine that was rented and is not up yet.
+type PendingMachine struct {
 	Offer
-	Free place.Amount
+	Free place.Resources
 }
 
-// Shop is all that a rental decision depends on.
-type Shop struct {
+// Input is all that a rental decision depends on.
+type Input struct {
 	Types   []wire.MachineType
 	ZoneOf  map[string]int
-	Coming  []Coming
+	Pending []PendingMachine
 	Backoff *Backoff
-	// InZone counts the machines of each zone: what costs the same is spread, so
+	// MachinesByZone counts the machines of each zone: what costs the same is spread, so
 	// that a wave of notices or a cut in one zone takes few.
-	InZone   []int
-	MinFill  float64
-	Patience float64
-	Now      time.Time
+	MachinesByZone []int
+	MinFill        float64
+	PatienceS      float64
+	Now            time.Time
 	// Closed tells of offers that would only be returned again for maintenance; nil:
 	// none.
 	Closed func(Offer) bool
 }
 
-// mostAtOnce bounds what one look rents, in machines.
-const mostAtOnce = 150
+// maxMachinesPerPass bounds what one look rents, in machines.
+const maxMachinesPerPass = 150
 
-// Rentals decides what to rent: waiting work goes first to the machines that
+// ScaleOut decides what to rent: waiting work goes first to the machines that
 // are coming, and what is left to the offer that runs it at the lowest cost, if
 // the work can fill enough of it or has waited for long.
-func Rentals(s Shop, wants []Want) map[Offer]int {
+func ScaleOut(s Input, wants []UnmetDemand) map[Offer]int {
 	out := map[Offer]int{}
-	coming := append([]Coming(nil), s.Coming...)
+	coming := append([]PendingMachine(nil), s.Pending...)
 	for wi := range wants {
 		w := &wants[wi]
 		d := w.Demand
 		left := w.Count
-		w.Chosen = -1
-		if w.Room != nil {
-			zone := s.gather(w, coming)
+		w.ChosenZone = -1
+		if w.FitsByZone != nil {
+			zone := s.chooseGangZone(w, coming)
 			if zone < 0 {
 				continue
 			}
 			here := *d
-			here.Zone, w.Chosen = zone, zone
+			here.Zone, w.ChosenZone = zone, zone
 			d = &here
-			left -= min(left, w.Room[zone])
+			left -= min(left, w.FitsByZone[zone])
 		}
 		for i := range coming {
 			c := &coming[i]
 			if left == 0 {
 				break
 			}
-			if !allowed(d, c.Offer) {
+			if !eligible(d, c.Offer) {
 				continue
 			}
-			n := min(left, c.Free.Times(d.Need))
+			n := min(left, c.Free.FitCount(d.Need))
 			c.Free = minus(c.Free, d.Need, n)
 			left -= n
 		}
@@ -152,16 +152,16 @@
 				break
 			}
 			t := &s.Types[o.Type]
-			total := place.Amount{CPUs: t.CPUs, GPUs: t.GPUs, MemGB: t.MemGB}
+			total := place.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemGB: t.MemGB}
 			n := min(left, slots)
 			fill := float64(n) / float64(slots)
-			if !w.Urgent && fill < s.MinFill && w.Waited < s.Patience {
+			if !w.Urgent && fill < s.MinFill && w.Waited < s.PatienceS {
 				break
 			}
 			out[o]++
-			coming = append(coming, Coming{o, minus(total, d.Need, n)})
+			coming = append(coming, PendingMachine{o, minus(total, d.Need, n)})
 			left -= n
-			if len(coming) > len(s.Coming)+mostAtOnce {
+			if len(coming) > len(s.Pending)+maxMachinesPerPass {
 				return out // the rest at the next look, when capacity has shown itself
 			}
 		}
@@ -169,20 +169,20 @@
 	return out
 }
 
-func minus(a, need place.Amount, n int) place.Amount {
+func minus(a, need place.Resources, n int) place.Resources {
 	k := float64(n)
-	return place.Amount{CPUs: a.CPUs - k*need.CPUs, GPUs: a.GPUs - k*need.GPUs, MemGB: a.MemGB - k*need.MemGB}
+	return place.Resources{CPUs: a.CPUs - k*need.CPUs, GPUs: a.GPUs - k*need.GPUs, MemGB: a.MemGB - k*need.MemGB}
 }
 
-func allowed(d *place.Demand, o Offer) bool {
-	if (d.TypeOK != nil && !d.TypeOK[o.Type]) || (d.Zone >= 0 && d.Zone != o.Zone) || (o.Spot && !d.Spot) {
+func eligible(d *place.Demand, o Offer) bool {
+	if (d.AllowedTypes != nil && !d.AllowedTypes[o.Type]) || (d.Zone >= 0 && d.Zone != o.Zone) || (o.Spot && !d.Spot) {
 		return false
 	}
-	if d.Spread && d.InZone[o.Zone] >= (d.Total+1)/2 {
+	if d.Spread && d.TasksByZone[o.Zone] >= (d.Total+1)/2 {
 		return false
 	}
 	if d.OneZone {
-		for z, n := range d.InZone {
+		for z, n := range d.TasksByZone {
 			if n > 0 && z != o.Zone {
 				return false
 			}
@@ -194,11 +194,11 @@
 // cheapest is the offer with the lowest cost per task: the machine is paid from
 // the request, so the boot time counts, and for as long as its share of the
 // tasks takes.
-func (s *Shop) cheapest(d *place.Demand, left int, w Want) (best Offer, slots int, ok bool) {
+func (s *Input) cheapest(d *place.Demand, left int, w UnmetDemand) (best Offer, slots int, ok bool) {
 	cost := math.Inf(1)
 	for ti := range s.Types {
 		t := &s.Types[ti]
-		n := place.Amount{CPUs: t.CPUs, GPUs: t.GPUs, MemGB: t.MemGB}.Times(d.Need)
+		n := place.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemGB: t.MemGB}.FitCount(d.Need)
 		if n == 0 {
 			continue
 		}
@@ -209,7 +209,7 @@
 			}
 			for _, spot := range []bool{false, true} {
 				o := Offer{ti, z, spot}
-				if !allowed(d, o) || !s.Backoff.Open(o, s.Now) || (s.Closed != nil && s.Closed(o)) {
+				if !eligible(d, o) || !s.Backoff.Open(o, s.Now) || (s.Closed != nil && s.Closed(o)) {
 					continue
 				}
 				price := t.Price
@@ -218,11 +218,11 @@
 				}
 				secs := t.BootS + w.TaskS
 				if t.FetchRate > 0 {
-					secs += w.Image / t.FetchRate
+					secs += w.ImageGB / t.FetchRate
 				}
 				c := price * max(60, secs) / float64(min(n, left))
-				if z < len(s.InZone) {
-					c *= 1 + 0.001*float64(s.InZone[z])
+				if z < len(s.MachinesByZone) {
+					c *= 1 + 0.001*float64(s.MachinesByZone[z])
 				}
 				if c < cost {
 					best, slots, cost, ok = o, n, c, true
--- a/internal/calendar/calendar.go
+++ b/internal/calendar/calendar.go
@@ -76,7 +76,7 @@
 	// beyond is what is reserved beyond guarantees, of all teams together, and closed
 	// what windows take of the machines counted upon.
 	beyond, closed use
-	total, floor   place.Amount // of the machines counted upon; of the guarantees
+	total, floor   place.Resources // of the machines counted upon; of the guarantees
 	entries        map[string]*Entry
 	perTeam        map[string]int
 	windows        map[string]*Plan
@@ -178,7 +178,7 @@
 	if (r.Types != nil && !slices.Contains(r.Types, t.Name)) || (r.Zone != "" && r.Zone != zone) {
 		return 0
 	}
-	return place.Amount{CPUs: t.CPUs, GPUs: t.GPUs, MemGB: t.MemGB}.Times(r.Need())
+	return place.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemGB: t.MemGB}.FitCount(r.Need())
 }
 
 // ahead are the occurrences that are not over.
--- a/internal/calendar/spec.go
+++ b/internal/calendar/spec.go
@@ -133,8 +133,8 @@
 }
 
 // Need is the size of a part.
-func (r *Reservation) Need() place.Amount {
-	return place.Amount{CPUs: r.CPUs, GPUs: r.GPUs, MemGB: r.MemGB}
+func (r *Reservation) Need() place.Resources {
+	return place.Resources{CPUs: r.CPUs, GPUs: r.GPUs, MemGB: r.MemGB}
 }
 
 // Spans are the occurrences, by time.
--- a/internal/control/admission.go
+++ b/internal/control/admission.go
@@ -218,7 +218,7 @@
 		ad.completions.readBack(id, bad, recorded, back)
 		return
 	}
-	switch p := ad.c.admissionRefusal(spec, ad.nameIndex.list(), ad.teamQuotas.find(spec.Team)); {
+	switch p := ad.c.admissionRefusal(spec, ad.nameIndex.machineTypes(), ad.teamQuotas.find(spec.Team)); {
 	case p == nil:
 	case p.Status == http.StatusServiceUnavailable:
 		back(p)
--- a/internal/control/calendar_drains.go
+++ b/internal/control/calendar_drains.go
@@ -46,7 +46,7 @@
 
 // takes reports whether a window is about a machine.
 func (dr *maintenanceDrains) takes(p *calendar.Window, h *fleet.Host) bool {
-	t := dr.nameIndex.typeOf(h)
+	t := dr.nameIndex.machineType(h)
 	return t != nil && h.Zone >= 0 && p.Takes(h.Name, h.Addr, t.Name, dr.nameIndex.zoneNames()[h.Zone])
 }
 
@@ -61,7 +61,7 @@
 		if h.Releasing || !dr.takes(w, h) {
 			continue
 		}
-		typ, zone := dr.nameIndex.typeOf(h).Name, dr.nameIndex.zoneNames()[h.Zone]
+		typ, zone := dr.nameIndex.machineType(h).Name, dr.nameIndex.zoneNames()[h.Zone]
 		i := slices.IndexFunc(out, func(s calendar.Share) bool { return s.Type == typ && s.Zone == zone })
 		if i < 0 {
 			out, i = append(out, calendar.Share{Type: typ, Zone: zone}), len(out)
@@ -120,7 +120,7 @@
 		return
 	}
 	at := dr.calendarStore.clock(now)
-	m.Leaves, m.LeavesIn = true, time.UnixMilli(p.Span().From).Add(-dr.handBack()).Sub(at).Seconds()
+	m.MaintenanceDue, m.MaintenanceIn = true, time.UnixMilli(p.Span().From).Add(-dr.handBack()).Sub(at).Seconds()
 	m.Draining = at.UnixMilli() >= p.DrainAt()
 }
 
--- a/internal/control/calendar_holds.go
+++ b/internal/control/calendar_holds.go
@@ -35,7 +35,7 @@
 	boots map[int]*calendar.Pace    // seconds, by machine type
 	hired map[*fleet.Host]bool      // rented in this term and not up yet
 	paces map[string]*calendar.Pace // run time over estimate, by class
-	wants []autoscale.Want
+	wants []autoscale.UnmetDemand
 }
 
 // slot is an occurrence that room is gathered for.
@@ -136,8 +136,8 @@
 // seconds.
 func (hd *reservationHolds) endsIn(j *job.Job) float64 {
 	fetch := 0.0
-	for i := range hd.nameIndex.list() {
-		if r := hd.nameIndex.list()[i].FetchRate; r > 0 {
+	for i := range hd.nameIndex.machineTypes() {
+		if r := hd.nameIndex.machineTypes()[i].FetchRate; r > 0 {
 			fetch = max(fetch, j.ImageGB/r)
 		}
 	}
@@ -181,8 +181,8 @@
 		return config.Seconds(*e.LeadS)
 	}
 	lead := 0.0
-	for i := range hd.nameIndex.list() {
-		t := &hd.nameIndex.list()[i]
+	for i := range hd.nameIndex.machineTypes() {
+		t := &hd.nameIndex.machineTypes()[i]
 		if !slices.ContainsFunc(e.Shares, func(s calendar.Share) bool { return s.Type == t.Name }) {
 			continue
 		}
@@ -347,7 +347,7 @@
 
 // is reports whether a machine is of a share's type and zone.
 func (hd *reservationHolds) is(h *fleet.Host, x calendar.Share) bool {
-	t := hd.nameIndex.typeOf(h)
+	t := hd.nameIndex.machineType(h)
 	return t != nil && h.Zone >= 0 && t.Name == x.Type && hd.nameIndex.zoneNames()[h.Zone] == x.Zone
 }
 
@@ -375,7 +375,7 @@
 				n--
 				continue
 			}
-			if hd.held[h] != nil || !hd.able(h, s) || hd.planner.kept(h) {
+			if hd.held[h] != nil || !hd.able(h, s) || hd.planner.reserved(h) {
 				continue
 			}
 			free := 0.0
@@ -407,13 +407,13 @@
 // had, and there are no others.
 func (hd *reservationHolds) elsewhere(s *slot, short []calendar.Share, now time.Time) (moved, stuck bool) {
 	down := hd.silent(now)
-	barred := func(typ, zone string) bool { return down[zone] || !hd.machinePool.open(typ, zone, s.spot, now) }
+	barred := func(typ, zone string) bool { return down[zone] || !hd.machinePool.offerOpen(typ, zone, s.spot, now) }
 	if !slices.ContainsFunc(short, func(x calendar.Share) bool { return barred(x.Type, x.Zone) }) {
 		return false, false
 	}
 	there := map[[2]string]int{}
 	for _, h := range hd.fleet.All() {
-		if t := hd.nameIndex.typeOf(h); t != nil && h.Zone >= 0 && (hd.able(h, s) || h.Booting) && (hd.held[h] == nil || hd.held[h] == s) {
+		if t := hd.nameIndex.machineType(h); t != nil && h.Zone >= 0 && (hd.able(h, s) || h.Booting) && (hd.held[h] == nil || hd.held[h] == s) {
 			there[[2]string{t.Name, hd.nameIndex.zoneNames()[h.Zone]}]++
 		}
 	}
@@ -468,21 +468,21 @@
 
 // want asks for the machines that a slot is short of, as whole machines.
 func (hd *reservationHolds) want(s *slot, x calendar.Share) {
-	types := hd.nameIndex.list()
+	types := hd.nameIndex.machineTypes()
 	ok := make([]bool, len(types))
-	need := place.Amount{}
+	need := place.Resources{}
 	for i := range types {
 		if types[i].Name == x.Type {
-			ok[i], need = true, place.Amount{CPUs: types[i].CPUs, GPUs: types[i].GPUs, MemGB: types[i].MemGB}
+			ok[i], need = true, place.Resources{CPUs: types[i].CPUs, GPUs: types[i].GPUs, MemGB: types[i].MemGB}
 		}
 	}
-	d := &place.Demand{Shape: job.Gang, Need: need, TypeOK: ok, Zone: hd.nameIndex.zone(x.Zone), Spot: s.spot, Total: x.Machines, InZone: make([]int, len(hd.nameIndex.zoneNames()))}
-	hd.wants = append(hd.wants, autoscale.Want{Demand: d, Count: x.Machines, TaskS: float64(s.span.To-s.span.From) / 1000, Urgent: true})
+	d := &place.Demand{Shape: job.Gang, Need: need, AllowedTypes: ok, Zone: hd.nameIndex.zoneIndex(x.Zone), Spot: s.spot, Total: x.Machines, TasksByZone: make([]int, len(hd.nameIndex.zoneNames()))}
+	hd.wants = append(hd.wants, autoscale.UnmetDemand{Demand: d, Count: x.Machines, TaskS: float64(s.span.To-s.span.From) / 1000, Urgent: true})
 }
 
 // missing is what has to be rented for the slots, by a fresh look: a machine that has
 // come up since the last one would be rented once more.
-func (hd *reservationHolds) missing(now time.Time) []autoscale.Want {
+func (hd *reservationHolds) missing(now time.Time) []autoscale.UnmetDemand {
 	hd.gather(now)
 	return hd.wants
 }
@@ -508,7 +508,7 @@
 	if s == nil {
 		return
 	}
-	m.HeldFor = place.Nobody
+	m.HeldFor = place.FutureDemand
 	if s.claimer != nil {
 		m.HeldFor = hd.jobTable.index(s.claimer)
 	}
@@ -525,17 +525,19 @@
 		return false
 	}
 	for h := range s.hosts {
-		if t := hd.nameIndex.typeOf(h); t != nil && h.Usable() {
-			n -= freeOn(t, h).Times(needOf(j))
+		if t := hd.nameIndex.machineType(h); t != nil && h.Usable() {
+			n -= freeOn(t, h).FitCount(needOf(j))
 		}
 	}
 	return n <= 0
 }
 
 // needOf is what a task of a job takes.
-func needOf(j *job.Job) place.Amount { return place.Amount{CPUs: j.CPUs, GPUs: j.GPUs, MemGB: j.MemGB} }
+func needOf(j *job.Job) place.Resources {
+	return place.Resources{CPUs: j.CPUs, GPUs: j.GPUs, MemGB: j.MemGB}
+}
 
 // freeOn is the room on a machine.
-func freeOn(t *wire.MachineType, h *fleet.Host) place.Amount {
-	return place.Amount{CPUs: t.CPUs - h.CPUs, GPUs: t.GPUs - h.GPUs, MemGB: t.MemGB - h.MemGB}
+func freeOn(t *wire.MachineType, h *fleet.Host) place.Resources {
+	return place.Resources{CPUs: t.CPUs - h.CPUs, GPUs: t.GPUs - h.GPUs, MemGB: t.MemGB - h.MemGB}
 }
--- a/internal/control/calendar_requests.go
+++ b/internal/control/calendar_requests.go
@@ -20,7 +20,7 @@
 	switch {
 	case !cs.on():
 		refuse(http.StatusNotFound, "the calendar is switched off here")
-	case len(cs.nameIndex.list()) == 0:
+	case len(cs.nameIndex.machineTypes()) == 0:
 		back(Later("machine types are not known yet"))
 	case op.Window && op.Team != "" && (op.Verb == rpc.VerbStart || op.Verb == rpc.VerbCancel):
 		refuse(http.StatusForbidden, "maintenance is an operator's")
--- a/internal/control/calendar_store.go
+++ b/internal/control/calendar_store.go
@@ -168,7 +168,7 @@
 
 // remake fits the calendar to a price list that has become longer.
 func (cs *calendarStore) remake() {
-	types, zones := cs.nameIndex.list(), cs.nameIndex.zoneNames()
+	types, zones := cs.nameIndex.machineTypes(), cs.nameIndex.zoneNames()
 	if n := (madeOf{len(types), len(zones), cs.teamQuotas.sequence()}); n != cs.made {
 		cs.made = n
 		was := cs.cal
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -306,11 +306,11 @@
 	if len(types) == 0 {
 		return "", false
 	}
-	need := place.Amount{CPUs: s.CPUs, GPUs: s.GPUs, MemGB: s.MemGB}
+	need := place.Resources{CPUs: s.CPUs, GPUs: s.GPUs, MemGB: s.MemGB}
 	zones := map[string]bool{} // in which a task fits
 	for i := range types {
 		mt := &types[i]
-		if !(place.Amount{CPUs: mt.CPUs, GPUs: mt.GPUs, MemGB: mt.MemGB}).Fits(need) || (s.Types != nil && !slices.Contains(s.Types, mt.Name)) {
+		if !(place.Resources{CPUs: mt.CPUs, GPUs: mt.GPUs, MemGB: mt.MemGB}).Fits(need) || (s.Types != nil && !slices.Contains(s.Types, mt.Name)) {
 			continue
 		}
 		for _, z := range mt.Zones {
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -36,7 +36,7 @@
 func (r *leaderTerm) host(name string) *fleet.Host { return r.fleet.Add(name, time.Unix(1000, 0)) }
 
 func (r *leaderTerm) learn(types []wire.MachineType) {
-	r.nameIndex.learn(types)
+	r.nameIndex.updateTypes(types)
 	r.jobTable.rebind()
 }
 
@@ -160,7 +160,7 @@
 				r.jobTable.add(&job.Record{Spec: job.Spec{ID: id, Team: team, ShapeName: "array", RankName: "idle", Tasks: 1, CPUs: 1}}, 1, time.Unix(1000, 0))
 			}
 			h := r.host("h1")
-			r.nameIndex.describe(h, "small", "a", false)
+			r.nameIndex.describeHost(h, "small", "a", false)
 			for _, id := range tt.old {
 				team := -1
 				if r.jobTable.get(id) != nil {
@@ -212,8 +212,8 @@
 				}
 			}
 			r.takeover.silent()
-			if got := len(r.machinePool.returns) == tt.silent; got != tt.want {
-				t.Errorf("%d given up, want all: %v", len(r.machinePool.returns), tt.want)
+			if got := len(r.machinePool.pendingReleases) == tt.silent; got != tt.want {
+				t.Errorf("%d given up, want all: %v", len(r.machinePool.pendingReleases), tt.want)
 			}
 		})
 	}
@@ -240,7 +240,7 @@
 			r.learn([]wire.MachineType{{Name: "small", CPUs: 8, MemGB: 16, Zones: []string{"a"}}})
 			for _, n := range []string{"h1", "h2", "h3"} {
 				h := r.host(n)
-				r.nameIndex.describe(h, "small", "a", false)
+				r.nameIndex.describeHost(h, "small", "a", false)
 				h.Inherited = true
 			}
 			var list []wire.CloudHost
@@ -250,7 +250,7 @@
 			r.takeover.listed(list)
 			r.takeover.settle(r.since.Add(tt.after))
 			got := ""
-			for _, h := range r.machinePool.returns {
+			for _, h := range r.machinePool.pendingReleases {
 				got += h.Name
 			}
 			if got != tt.want {
@@ -286,10 +286,10 @@
 				for _, n := range names {
 					list = append(list, wire.CloudHost{Name: n})
 				}
-				r.machinePool.listed(list)
+				r.machinePool.applyList(list)
 			}
 			got := ""
-			for _, h := range r.machinePool.returns {
+			for _, h := range r.machinePool.pendingReleases {
 				got += h.Name
 			}
 			if got != tt.want {
@@ -396,7 +396,7 @@
 			}
 			s := &job.Spec{ID: "run-1", Team: "red", ShapeName: "array", Tasks: 1, CPUs: 1, MemGB: 1}
 			tt.edit(s)
-			why, known := neverSchedulable(s, r.nameIndex.list(), r.teamQuotas.find(s.Team).now)
+			why, known := neverSchedulable(s, r.nameIndex.machineTypes(), r.teamQuotas.find(s.Team).now)
 			if (why != "") != tt.never || known != tt.known {
 				t.Errorf("%q, known %v", why, known)
 			}
@@ -412,15 +412,15 @@
 		t.Run(fmt.Sprintf("%d slots", slots), func(t *testing.T) {
 			r := bench(t)
 			r.learn([]wire.MachineType{{Name: "small", CPUs: 4, MemGB: 16, Zones: []string{"a", "b"}}})
-			r.nameIndex.zone("a")
-			need := place.Amount{CPUs: 4}
+			r.nameIndex.zoneIndex("a")
+			need := place.Resources{CPUs: 4}
 			gang := r.jobTable.add(&job.Record{Spec: job.Spec{ID: "run-1", ShapeName: "ensemble", RankName: "idle", Tasks: 2, CPUs: 4, OneZone: true}}, 1, r.since)
-			r.machinePool.want([]autoscale.Want{{Demand: &place.Demand{ID: r.jobTable.index(gang), Shape: job.Gang, Need: need, Zone: -1, OneZone: true, InZone: make([]int, 2)}, Count: 2, Chosen: -7}})
+			r.machinePool.setUnmetDemand([]autoscale.UnmetDemand{{Demand: &place.Demand{ID: r.jobTable.index(gang), Shape: job.Gang, Need: need, Zone: -1, OneZone: true, TasksByZone: make([]int, 2)}, Count: 2, ChosenZone: -7}})
 			for range slots {
-				r.reservationHolds.wants = append(r.reservationHolds.wants, autoscale.Want{Demand: &place.Demand{Shape: job.Gang, Need: need, Zone: 0, InZone: make([]int, 2)}, Count: 1})
+				r.reservationHolds.wants = append(r.reservationHolds.wants, autoscale.UnmetDemand{Demand: &place.Demand{Shape: job.Gang, Need: need, Zone: 0, TasksByZone: make([]int, 2)}, Count: 1})
 			}
-			r.machinePool.rent(r.since)
-			if got := r.machinePool.wants[0].Chosen; got < 0 {
+			r.machinePool.scaleOut(r.since)
+			if got := r.machinePool.unmetDemand[0].ChosenZone; got < 0 {
 				t.Errorf("chosen zone %d", got)
 			}
 		})
--- a/internal/control/gangs_test.go
+++ b/internal/control/gangs_test.go
@@ -59,12 +59,12 @@
 		r.learn([]wire.MachineType{{Name: "x", CPUs: 8, BootS: 1000, Zones: []string{"a"}}})
 		now := r.since.Add(tt.deaf)
 		h := r.host("h1")
-		r.nameIndex.describe(h, "x", "a", false)
+		r.nameIndex.describeHost(h, "x", "a", false)
 		h.Booting, h.Durable, h.Fenced, h.IdleFrom = false, true, !tt.old, now
 		if h.Inherited = tt.old; !tt.old {
 			r.fleet.Deafen(h, r.since)
 		}
-		r.machinePool.giveBack(now)
+		r.machinePool.scaleIn(now)
 		if h.Releasing != tt.returned {
 			t.Errorf("%s: returned %v, want %v", tt.name, h.Releasing, tt.returned)
 		}
--- a/internal/control/job_table.go
+++ b/internal/control/job_table.go
@@ -70,7 +70,7 @@
 		bk.bind(j)
 	}
 	for _, h := range bk.fleet.All() {
-		if bk.nameIndex.typeOf(h) != nil {
+		if bk.nameIndex.machineType(h) != nil {
 			h.Known = true
 		}
 	}
@@ -91,16 +91,16 @@
 
 // bind maps a job's names to indices.
 func (bk *jobTable) bind(j *job.Job) {
-	if t := bk.nameIndex.team(j.Team); t >= 0 {
+	if t := bk.nameIndex.teamIndex(j.Team); t >= 0 {
 		j.TeamIdx = t
 	}
-	j.ImageIdx = bk.nameIndex.image(j.Image)
+	j.ImageIdx = bk.nameIndex.imageIndex(j.Image)
 	if j.Zone != "" {
-		j.ZoneIdx = bk.nameIndex.zone(j.Zone)
+		j.ZoneIdx = bk.nameIndex.zoneIndex(j.Zone)
 	}
 	j.TypeOK = nil
 	if j.Types != nil {
-		j.TypeOK = bk.nameIndex.allowed(j.Types)
+		j.TypeOK = bk.nameIndex.allowedTypes(j.Types)
 	}
 }
 
@@ -199,7 +199,7 @@
 	for id, j := range bk.jobs {
 		if (j.Phase != "" || bk.strangers[j]) && len(bk.fleet.On(j)) == 0 {
 			bk.registry.orphan(id)
-			bk.planner.forget(j)
+			bk.planner.forgetJob(j)
 			delete(bk.jobs, id)
 			delete(bk.byID, bk.ids[j])
 			delete(bk.ids, j)
--- a/internal/control/leader_term.go
+++ b/internal/control/leader_term.go
@@ -241,7 +241,7 @@
 // handed it on.
 func (r *leaderTerm) report(m *wire.Report, via string, back func(*rpc.Reply)) {
 	now := time.Now()
-	if r.machinePool.gone(m.Host) {
+	if r.machinePool.wasReleased(m.Host) {
 		// A late message of a machine that is gone must not bring it back.
 		back(Later("machine was returned"))
 		return
@@ -266,7 +266,7 @@
 		back(Later("a later term is known"))
 		return
 	}
-	if !r.machinePool.renewable(h, now) {
+	if !r.machinePool.mayRenewLease(h, now) {
 		back(Later("a launch of a cancelled job may be on its way to the machine"))
 		return
 	}
@@ -304,7 +304,7 @@
 	r.results.flush(now)
 	r.results.tidy()
 	r.completions.settleFinals()
-	r.machinePool.cloud(now)
+	r.machinePool.reconcile(now)
 	r.planner.place(now)
 	r.registry.register(now)
 	r.shards.answer(now)
@@ -316,7 +316,7 @@
 	}
 	r.rollouts.step(now)
 	r.calendarStore.step(now)
-	r.planner.expire(now)
+	r.planner.expireReservations(now)
 	r.c.Meter.Set(metrics.Machines, len(r.fleet.Hosts))
 	r.c.Meter.Set(metrics.Jobs, len(r.jobTable.all()))
 	r.commands.fence(now)
--- a/internal/control/machine_quarantine.go
+++ b/internal/control/machine_quarantine.go
@@ -7,24 +7,24 @@
 	"vetchstream/internal/job"
 )
 
-// blame decides whether an error is the machine's or the job's. A job that has
+// attributeFailure decides whether an error is the machine's or the job's. A job that has
 // failed on several machines and worked on none is at fault itself; the others'
 // errors count against the machine.
-func (wk *taskTracker) blame(j *job.Job, h *fleet.Host, now time.Time) {
+func (wk *taskTracker) attributeFailure(j *job.Job, h *fleet.Host, now time.Time) {
 	j.ErrorHosts[h.Name] = true
 	if !j.Worked && len(j.ErrorHosts) > 1 {
-		wk.holdBack(j, now)
+		wk.backOffJob(j, now)
 		return
 	}
 	h.Errors++
 	h.ErrorJobs[j] = true
-	wk.judge(h)
+	wk.quarantineIfFaulty(h)
 }
 
-// judge condemns a machine on which sound work keeps failing: several jobs, or
+// quarantineIfFaulty condemns a machine on which sound work keeps failing: several jobs, or
 // one that works elsewhere. One job alone may be at fault itself; until another
 // machine has shown that, this one is only avoided.
-func (wk *taskTracker) judge(h *fleet.Host) {
+func (wk *taskTracker) quarantineIfFaulty(h *fleet.Host) {
 	sound, jobs := false, 0
 	for j := range h.ErrorJobs {
 		if j.Worked {
@@ -42,29 +42,29 @@
 }
 
 const (
-	// slowTasks is how many tasks must have run slowly before a machine is held
+	// minSlowTasks is how many tasks must have run slowly before a machine is held
 	// to be faulty, and slowFactor how much longer than elsewhere they took.
 	// Machines of a type differ by a tenth; a faulty one can be much slower.
-	slowTasks  = 6
-	slowFactor = 2.0
+	minSlowTasks = 6
+	slowFactor   = 2.0
 )
 
-// pace compares a completed task with its job's others on other machines.
-func (wk *taskTracker) pace(s *fleet.Slot, j *job.Job, h *fleet.Host, now time.Time) {
+// checkSpeed compares a completed task with its job's others on other machines.
+func (wk *taskTracker) checkSpeed(s *fleet.Slot, j *job.Job, h *fleet.Host, now time.Time) {
 	// Of a task that an earlier leader launched only the end is known: its short
 	// remainder would make all others look slow.
 	if s.RunAt.IsZero() || s.Adopted {
 		return
 	}
 	ran := now.Sub(s.RunAt).Seconds()
-	if n := j.RunCount - j.RunsOn[h.Name].Count; n >= slowTasks {
+	if n := j.RunCount - j.RunsOn[h.Name].Count; n >= minSlowTasks {
 		mean := (j.RunSum - j.RunsOn[h.Name].Sum) / float64(n)
 		if mean > 1 && ran > slowFactor*mean {
 			h.Slow++
 		} else {
 			h.Slow = 0
 		}
-		if h.Slow >= slowTasks && !h.Draining {
+		if h.Slow >= minSlowTasks && !h.Draining {
 			wk.log.Info("machine is far slower than others, returning it", "host", h.Name, "ran", ran, "elsewhere", mean)
 			h.Draining = true
 		}
@@ -72,8 +72,8 @@
 	j.Ran(h.Name, ran)
 }
 
-// holdBack makes a job that keeps failing wait, longer each time.
-func (wk *taskTracker) holdBack(j *job.Job, now time.Time) {
+// backOffJob makes a job that keeps failing wait, longer each time.
+func (wk *taskTracker) backOffJob(j *job.Job, now time.Time) {
 	if now.Before(j.NotBefore) {
 		return
 	}
--- a/internal/control/name_index.go
+++ b/internal/control/name_index.go
@@ -9,19 +9,19 @@
 // nameIndex maps the names of machine types, zones, teams and images to the dense
 // indices that the parts work with.
 type nameIndex struct {
-	types   []wire.MachineType
-	typeIdx map[string]int
-	zones   []string
-	zoneIdx map[string]int
-	teams   []string
-	teamIdx map[string]int
-	images  map[string]int
+	types    []wire.MachineType
+	typeIdx  map[string]int
+	zones    []string
+	zoneIdx  map[string]int
+	teams    []string
+	teamIdx  map[string]int
+	imageIdx map[string]int
 }
 
 func newNameIndex(zones []string, teams []config.Team) *nameIndex {
-	nm := &nameIndex{typeIdx: map[string]int{}, zoneIdx: map[string]int{}, teamIdx: map[string]int{}, images: map[string]int{}}
+	nm := &nameIndex{typeIdx: map[string]int{}, zoneIdx: map[string]int{}, teamIdx: map[string]int{}, imageIdx: map[string]int{}}
 	for _, z := range zones {
-		nm.zone(z)
+		nm.zoneIndex(z)
 	}
 	for _, t := range teams {
 		nm.addTeam(t.Name)
@@ -43,12 +43,12 @@
 // teamNames are the teams, by index.
 func (nm *nameIndex) teamNames() []string { return nm.teams }
 
-// learn takes in a price list. A type retains its index for as long as the term
+// updateTypes takes in a price list. A type retains its index for as long as the term
 // lasts.
-func (nm *nameIndex) learn(types []wire.MachineType) {
+func (nm *nameIndex) updateTypes(types []wire.MachineType) {
 	for _, t := range types {
 		for _, z := range t.Zones {
-			nm.zone(z)
+			nm.zoneIndex(z)
 		}
 		if i, ok := nm.typeIdx[t.Name]; ok {
 			nm.types[i] = t
@@ -59,34 +59,34 @@
 	}
 }
 
-// list is the price list, by index.
-func (nm *nameIndex) list() []wire.MachineType { return nm.types }
+// machineTypes is the price list, by index.
+func (nm *nameIndex) machineTypes() []wire.MachineType { return nm.types }
 
-// typeOf is a machine's type; nil if it is not known.
-func (nm *nameIndex) typeOf(h *fleet.Host) *wire.MachineType {
+// machineType is a machine's type; nil if it is not known.
+func (nm *nameIndex) machineType(h *fleet.Host) *wire.MachineType {
 	if h.Type < 0 || h.Type >= len(nm.types) {
 		return nil
 	}
 	return &nm.types[h.Type]
 }
 
-// team is a team's index; -1: there is none of that name.
-func (nm *nameIndex) team(name string) int {
+// teamIndex is a team's index; -1: there is none of that name.
+func (nm *nameIndex) teamIndex(name string) int {
 	if i, ok := nm.teamIdx[name]; ok {
 		return i
 	}
 	return -1
 }
 
-// offer is the indices of a type and a zone.
-func (nm *nameIndex) offer(typ, zone string) (t, z int, known bool) {
+// offerIndices is the indices of a type and a zone.
+func (nm *nameIndex) offerIndices(typ, zone string) (t, z int, known bool) {
 	t, known = nm.typeIdx[typ]
 	z, there := nm.zoneIdx[zone]
 	return t, z, known && there
 }
 
-// allowed tells, by index, which of the named types are in the price list.
-func (nm *nameIndex) allowed(types []string) []bool {
+// allowedTypes tells, by index, which of the named types are in the price list.
+func (nm *nameIndex) allowedTypes(types []string) []bool {
 	ok := make([]bool, len(nm.types))
 	for _, n := range types {
 		if i, known := nm.typeIdx[n]; known {
@@ -99,10 +99,10 @@
 // zoneNames are the zones, by index.
 func (nm *nameIndex) zoneNames() []string { return nm.zones }
 
-// zonesByName are the zones' indices.
-func (nm *nameIndex) zonesByName() map[string]int { return nm.zoneIdx }
+// zoneIndices are the zones' indices.
+func (nm *nameIndex) zoneIndices() map[string]int { return nm.zoneIdx }
 
-func (nm *nameIndex) zone(name string) int {
+func (nm *nameIndex) zoneIndex(name string) int {
 	if i, ok := nm.zoneIdx[name]; ok {
 		return i
 	}
@@ -111,16 +111,16 @@
 	return len(nm.zones) - 1
 }
 
-func (nm *nameIndex) image(name string) int {
-	if i, ok := nm.images[name]; ok {
+func (nm *nameIndex) imageIndex(name string) int {
+	if i, ok := nm.imageIdx[name]; ok {
 		return i
 	}
-	nm.images[name] = len(nm.images)
-	return len(nm.images) - 1
+	nm.imageIdx[name] = len(nm.imageIdx)
+	return len(nm.imageIdx) - 1
 }
 
-// describe notes a machine's type, zone and kind.
-func (nm *nameIndex) describe(h *fleet.Host, typ, zone string, spot bool) {
+// describeHost notes a machine's type, zone and kind.
+func (nm *nameIndex) describeHost(h *fleet.Host, typ, zone string, spot bool) {
 	if zone == "" || typ == "" {
 		return
 	}
@@ -128,5 +128,5 @@
 	if !ok {
 		return
 	}
-	h.Type, h.Zone, h.Spot, h.Known = t, nm.zone(zone), spot, true
+	h.Type, h.Zone, h.Spot, h.Known = t, nm.zoneIndex(zone), spot, true
 }
--- a/internal/control/planner.go
+++ b/internal/control/planner.go
@@ -12,20 +12,20 @@
 	"vetchstream/internal/wire"
 )
 
-// placeEvery keeps bursts of messages from making a plan each; and a plan may
+// minPlanInterval keeps bursts of messages from making a plan each; and a plan may
 // take one part in placeShare of the time, so that reports, aborts and the lease
 // are served while a large fleet is full of work.
 const (
-	placeEvery = 50 * time.Millisecond
-	placeShare = 4
+	minPlanInterval = 50 * time.Millisecond
+	planTimeShare   = 4
 )
 
-// keep is room that is being made on a machine for a job.
-type keep struct {
+// machineReservation is room that is being made on a machine for a job.
+type machineReservation struct {
 	job   *job.Job
 	until time.Time
-	// reserved: the room comes by itself, nothing is stopped for it.
-	reserved bool
+	// awaitsCompletion: the room comes by itself, nothing is stopped for it.
+	awaitsCompletion bool
 }
 
 // planner makes plans and carries them out: what is placed, stopped and kept.
@@ -42,43 +42,43 @@
 	maintenanceDrains *maintenanceDrains
 	teamQuotas        *teamQuotas
 
-	keeps     map[*fleet.Host]keep
-	attempts  uint64 // made in this term
-	passAt    time.Time
-	passTook  time.Duration
-	preempted map[*job.Job]time.Time // when a job last looked for work to stop
-	logWaitAt time.Time
+	reservations     map[*fleet.Host]machineReservation
+	attemptCount     uint64 // made in this term
+	lastPlanAt       time.Time
+	lastPlanDuration time.Duration
+	lastPreemptAt    map[*job.Job]time.Time // when a job last looked for work to stop
+	lastWaitLogAt    time.Time
 }
 
 func newPlanner(co *core) *planner {
-	return &planner{core: co, keeps: map[*fleet.Host]keep{}, preempted: map[*job.Job]time.Time{}}
+	return &planner{core: co, reservations: map[*fleet.Host]machineReservation{}, lastPreemptAt: map[*job.Job]time.Time{}}
 }
 
-// kept reports whether room is being kept on a machine.
-func (pl *planner) kept(h *fleet.Host) bool { return pl.keeps[h].job != nil }
+// reserved reports whether room is being kept on a machine.
+func (pl *planner) reserved(h *fleet.Host) bool { return pl.reservations[h].job != nil }
 
-// keeper is the job for which room is being kept on a machine; nil: none.
-func (pl *planner) keeper(h *fleet.Host) *job.Job { return pl.keeps[h].job }
+// reservedFor is the job for which room is being kept on a machine; nil: none.
+func (pl *planner) reservedFor(h *fleet.Host) *job.Job { return pl.reservations[h].job }
 
-// gone forgets a machine that has been returned.
-func (pl *planner) gone(h *fleet.Host) { delete(pl.keeps, h) }
+// forgetMachine forgets a machine that has been returned.
+func (pl *planner) forgetMachine(h *fleet.Host) { delete(pl.reservations, h) }
 
-// forget forgets a job that is over.
-func (pl *planner) forget(j *job.Job) { delete(pl.preempted, j) }
+// forgetJob forgets a job that is over.
+func (pl *planner) forgetJob(j *job.Job) { delete(pl.lastPreemptAt, j) }
 
-// expire ends the keeping of room that nobody came for. It is not left to the
+// expireReservations ends the keeping of room that nobody came for. It is not left to the
 // next plan: a machine must not be kept for as long as no work comes.
-func (pl *planner) expire(now time.Time) {
-	for h, k := range pl.keeps {
+func (pl *planner) expireReservations(now time.Time) {
+	for h, k := range pl.reservations {
 		if now.After(k.until) || k.job.Phase+k.job.Closing != "" {
-			delete(pl.keeps, h)
+			delete(pl.reservations, h)
 		}
 	}
 }
 
 // place makes and carries out a plan, if anything has changed.
 func (pl *planner) place(now time.Time) {
-	if now.Sub(pl.passAt) < max(placeEvery, placeShare*pl.passTook) || (!pl.dirty && now.Sub(pl.passAt) < time.Second) {
+	if now.Sub(pl.lastPlanAt) < max(minPlanInterval, planTimeShare*pl.lastPlanDuration) || (!pl.dirty && now.Sub(pl.lastPlanAt) < time.Second) {
 		return
 	}
 	if !pl.takeover.settle(now) {
@@ -92,20 +92,20 @@
 			}
 		}
 	}
-	pl.passAt, pl.dirty = now, false
+	pl.lastPlanAt, pl.dirty = now, false
 	pl.reservationHolds.gather(now) // a machine that has just come up for a slot must not be filled
 	defer func() {
-		pl.passTook = time.Since(now)
-		pl.c.Meter.Took(metrics.PlanTime, "", pl.passTook)
+		pl.lastPlanDuration = time.Since(now)
+		pl.c.Meter.Took(metrics.PlanTime, "", pl.lastPlanDuration)
 	}()
 	in, ms, slots := pl.input(now)
 	if len(in.Demands) == 0 {
-		pl.machinePool.want(nil)
+		pl.machinePool.setUnmetDemand(nil)
 		return
 	}
 	plan := place.Make(in)
 	attempts := map[*job.Job]uint64{}
-	for _, a := range plan.Assign {
+	for _, a := range plan.Assignments {
 		j := pl.jobTable.at(in.Demands[a.Demand].ID)
 		h := ms[a.Machine]
 		n := attempts[j]
@@ -113,10 +113,10 @@
 		case j.Shape == job.Gang && j.GangAttempt != 0:
 			n = j.GangAttempt
 		case j.Shape == job.Gang:
-			n = pl.attempt()
+			n = pl.nextAttempt()
 			j.GangAttempt = n
 		case n == 0:
-			n = pl.attempt()
+			n = pl.nextAttempt()
 			attempts[j] = n
 		}
 		if pl.debug {
@@ -127,36 +127,36 @@
 		j.LastHost = h.Idx
 		pl.c.Meter.Took(metrics.StartWait, j.Class, now.Sub(j.WaitFrom))
 		j.WaitFrom = now
-		if k, ok := pl.keeps[h]; ok && k.job == j {
-			delete(pl.keeps, h)
+		if k, ok := pl.reservations[h]; ok && k.job == j {
+			delete(pl.reservations, h)
 		}
 	}
-	for _, p := range plan.Preempt {
+	for _, p := range plan.Preemptions {
 		j, h := pl.jobTable.at(in.Demands[p.Demand].ID), ms[p.Machine]
 		pl.log.Info("making room", "job", j.ID, "host", h.Name, "stops", len(p.Victims))
-		pl.keeps[h] = keep{job: j, until: now.Add(15 * time.Second)}
+		pl.reservations[h] = machineReservation{job: j, until: now.Add(15 * time.Second)}
 		for _, v := range p.Victims {
 			pl.taskTracker.stopSlot(slots[v], saveGrace(slots[v].Job))
 		}
 	}
-	pl.reserve(now, in, plan.Reserve, ms)
-	var wants []autoscale.Want
+	pl.renewReservations(now, in, plan.Reservations, ms)
+	var wants []autoscale.UnmetDemand
 	for i := range in.Demands {
 		d := &in.Demands[i]
-		if plan.Short[i] == 0 {
+		if plan.Unplaced[i] == 0 {
 			continue
 		}
 		j := pl.jobTable.at(d.ID)
 		if pl.reservationHolds.covers(j) {
 			continue
 		}
-		wants = append(wants, autoscale.Want{Demand: d, Count: plan.Short[i], TaskS: estimate(j), Image: j.ImageGB,
+		wants = append(wants, autoscale.UnmetDemand{Demand: d, Count: plan.Unplaced[i], TaskS: estimate(j), ImageGB: j.ImageGB,
 			Waited: d.Waited, Urgent: j.Shape == job.Gang})
 	}
 	sort.SliceStable(wants, func(a, b int) bool { return wants[a].Demand.LatestStart < wants[b].Demand.LatestStart })
-	pl.machinePool.want(wants)
-	if now.Sub(pl.logWaitAt) > 5*time.Second && len(wants) > 0 {
-		pl.logWaitAt = now
+	pl.machinePool.setUnmetDemand(wants)
+	if now.Sub(pl.lastWaitLogAt) > 5*time.Second && len(wants) > 0 {
+		pl.lastWaitLogAt = now
 		for i, w := range wants {
 			if i == 5 {
 				break
@@ -183,22 +183,22 @@
 // of its tasks that way.
 const (
 	overdueAfter = 2 * time.Minute
-	overduePart  = 20
+	overdueShare = 20
 )
 
-// lateS is how much time a job has left, in seconds, when it is late.
-const lateS = 5
+// lateMarginS is how much time a job has left, in seconds, when it is late.
+const lateMarginS = 5
 
-// patience is how much time an array must have left, in seconds, to wait for machines
+// delayMarginS is how much time an array must have left, in seconds, to wait for machines
 // that have its image while others with theirs could use what is free.
-const patience = 15
+const delayMarginS = 15
 
-// preemptEvery is how often a waiting job looks for work to stop: the look is at
+// preemptInterval is how often a waiting job looks for work to stop: the look is at
 // every task of the fleet.
-const preemptEvery = 500 * time.Millisecond
+const preemptInterval = 500 * time.Millisecond
 
-// inZone counts, per zone, what may be running of a job.
-func (pl *planner) inZone(j *job.Job) []int {
+// tasksByZone counts, per zone, what may be running of a job.
+func (pl *planner) tasksByZone(j *job.Job) []int {
 	z := make([]int, len(pl.nameIndex.zoneNames()))
 	if j.Shape == job.Array && !j.OneZone && !j.Spread {
 		return z // nothing depends on it
@@ -213,9 +213,9 @@
 	return z
 }
 
-// exits are the tasks whose exits the worker still reports and that may be
+// unclearedExits are the tasks whose exits the worker still reports and that may be
 // placed again.
-func (pl *planner) exits(h *fleet.Host) map[place.Task]bool {
+func (pl *planner) unclearedExits(h *fleet.Host) map[place.Task]bool {
 	if h.Exits == 0 {
 		return nil
 	}
@@ -234,9 +234,9 @@
 	return out
 }
 
-// left is the time in which a task is expected to end by itself, in seconds. One
+// remainingSeconds is the time in which a task is expected to end by itself, in seconds. One
 // that runs longer than expected may go on for a while.
-func left(s *fleet.Slot, now time.Time) float64 {
+func remainingSeconds(s *fleet.Slot, now time.Time) float64 {
 	run := estimate(s.Job)
 	if s.RunAt.IsZero() {
 		return run
@@ -244,22 +244,22 @@
 	return max(run/5, run-now.Sub(s.RunAt).Seconds())
 }
 
-// reserve keeps the machines that a plan has chosen for gangs until the next look,
+// renewReservations keeps the machines that a plan has chosen for gangs until the next look,
 // and gives back those that it has not chosen again.
-func (pl *planner) reserve(now time.Time, in place.Input, chosen []place.Reservation, ms []*fleet.Host) {
+func (pl *planner) renewReservations(now time.Time, in place.Input, chosen []place.Reservation, ms []*fleet.Host) {
 	looked := map[*job.Job]bool{}
 	for i := range in.Demands {
-		if in.Demands[i].Preempts {
+		if in.Demands[i].MayPreempt {
 			looked[pl.jobTable.at(in.Demands[i].ID)] = true
 		}
 	}
-	for h, k := range pl.keeps {
-		if k.reserved && looked[k.job] {
-			delete(pl.keeps, h)
+	for h, k := range pl.reservations {
+		if k.awaitsCompletion && looked[k.job] {
+			delete(pl.reservations, h)
 		}
 	}
 	for _, c := range chosen {
-		pl.keeps[ms[c.Machine]] = keep{job: pl.jobTable.at(in.Demands[c.Demand].ID), until: now.Add(4 * preemptEvery), reserved: true}
+		pl.reservations[ms[c.Machine]] = machineReservation{job: pl.jobTable.at(in.Demands[c.Demand].ID), until: now.Add(4 * preemptInterval), awaitsCompletion: true}
 	}
 }
 
@@ -267,10 +267,10 @@
 // is stopped: saving, a new place, its image and a common start, in seconds.
 const restartS = 15
 
-// stopLoss is the work that stopping a task throws away, in CPU seconds. A gang
+// preemptionLoss is the work that stopping a task throws away, in CPU seconds. A gang
 // stops whole: for a member that looks free to stop it loses all its members'
 // time.
-func stopLoss(s *fleet.Slot, now time.Time) float64 {
+func preemptionLoss(s *fleet.Slot, now time.Time) float64 {
 	switch {
 	case s.Job.Shape == job.Gang:
 		return restartS * s.Job.CPUs * float64(s.Job.Tasks)
@@ -282,8 +282,8 @@
 	return now.Sub(s.RunAt).Seconds() * s.Job.CPUs
 }
 
-// attempt makes a number that no other term can make.
-func (pl *planner) attempt() uint64 {
-	pl.attempts++
-	return pl.term<<24 | pl.attempts
+// nextAttempt makes a number that no other term can make.
+func (pl *planner) nextAttempt() uint64 {
+	pl.attemptCount++
+	return pl.term<<24 | pl.attemptCount
 }
--- a/internal/control/planner_input.go
+++ b/internal/control/planner_input.go
@@ -15,27 +15,27 @@
 // maxPending bounds the tasks of one job that one plan looks at.
 const maxPending = 600
 
-// preemptAfter is how long work waits before it looks for other work to stop.
-const preemptAfter = 300 * time.Millisecond
+// preemptDelay is how long work waits before it looks for other work to stop.
+const preemptDelay = 300 * time.Millisecond
 
 // planInput is the fleet and the waiting work as one plan sees them.
 type planInput struct {
 	*planner
-	now  time.Time
-	in   place.Input
-	ms   []*fleet.Host // of the input's machines, in their order
-	late map[*job.Job]bool
+	now      time.Time
+	in       place.Input
+	hosts    []*fleet.Host // of the input's machines, in their order
+	lateJobs map[*job.Job]bool
 	// slots are those of the input's victims, by their ids.
 	slots []*fleet.Slot
-	// preempts: some work may stop other work.
-	preempts bool
-	// slowest is at how many GB a second images come at the least.
-	slowest float64
+	// mayPreempt: some work may stop other work.
+	mayPreempt bool
+	// slowestFetchRate is at how many GB a second images come at the least.
+	slowestFetchRate float64
 }
 
 // input describes the fleet and the waiting work to the planner.
 func (pl *planner) input(now time.Time) (in place.Input, ms []*fleet.Host, slots []*fleet.Slot) {
-	p := &planInput{planner: pl, now: now, late: map[*job.Job]bool{}, slowest: pl.slowestFetch()}
+	p := &planInput{planner: pl, now: now, lateJobs: map[*job.Job]bool{}, slowestFetchRate: pl.slowestFetchRate()}
 	w := pl.c.Tuning.Weights
 	p.in.Weights = place.Weights{Queue: w.Queue, Jobs: w.Jobs, CPU: w.CPU, Image: w.Image, Sticky: w.Sticky,
 		SameZone: w.SameZone, Unreliable: w.Unreliable, Empty: w.Empty, Price: w.Price}
@@ -45,14 +45,14 @@
 		return p.in, nil, nil
 	}
 	p.addMachines()
-	return p.in, p.ms, p.slots
+	return p.in, p.hosts, p.slots
 }
 
-// slowestFetch is at how many GB a second images come at the least.
-func (pl *planner) slowestFetch() float64 {
+// slowestFetchRate is at how many GB a second images come at the least.
+func (pl *planner) slowestFetchRate() float64 {
 	slowest := math.Inf(1)
-	for i := range pl.nameIndex.list() {
-		if r := pl.nameIndex.list()[i].FetchRate; r > 0 {
+	for i := range pl.nameIndex.machineTypes() {
+		if r := pl.nameIndex.machineTypes()[i].FetchRate; r > 0 {
 			slowest = min(slowest, r)
 		}
 	}
@@ -63,8 +63,8 @@
 func (p *planInput) addTeams() {
 	for _, t := range p.teamQuotas.all() {
 		p.in.Teams = append(p.in.Teams, place.Team{
-			Guarantee: place.Amount{CPUs: t.CPUs, GPUs: t.GPUs},
-			Limit:     place.Amount{CPUs: t.CPUsMax, GPUs: t.GPUsMax}})
+			Guarantee: place.Resources{CPUs: t.CPUs, GPUs: t.GPUs},
+			Limit:     place.Resources{CPUs: t.CPUsMax, GPUs: t.GPUsMax}})
 	}
 	for _, j := range p.jobTable.all() {
 		if j.TeamIdx < 0 {
@@ -81,7 +81,7 @@
 		}
 		t := &p.in.Teams[j.TeamIdx]
 		t.Used.CPUs, t.Used.GPUs = t.Used.CPUs+n*j.CPUs, t.Used.GPUs+n*j.GPUs
-		t.Leaving.CPUs, t.Leaving.GPUs = t.Leaving.CPUs+leaving*j.CPUs, t.Leaving.GPUs+leaving*j.GPUs
+		t.Stopping.CPUs, t.Stopping.GPUs = t.Stopping.CPUs+leaving*j.CPUs, t.Stopping.GPUs+leaving*j.GPUs
 	}
 }
 
@@ -105,37 +105,37 @@
 // demand is what a job waits for; false: nothing of it may be placed now.
 func (p *planInput) demand(j *job.Job) (d place.Demand, waits bool) {
 	d = place.Demand{ID: p.jobTable.index(j), Shape: j.Shape, Rank: j.Rank, Team: j.TeamIdx,
-		Need: place.Amount{CPUs: j.CPUs, GPUs: j.GPUs, MemGB: j.MemGB}, TypeOK: j.TypeOK, Zone: j.ZoneIdx,
+		Need: place.Resources{CPUs: j.CPUs, GPUs: j.GPUs, MemGB: j.MemGB}, AllowedTypes: j.TypeOK, Zone: j.ZoneIdx,
 		OneZone: j.OneZone, Spread: j.Spread, Spot: j.Spot, Image: j.ImageIdx, ImageGB: j.ImageGB, LastMachine: j.LastHost,
-		Total: j.Tasks, Waiting: j.Waiting(), InZone: p.inZone(j), LatestStart: p.jobTable.latestStart(j)}
+		Total: j.Tasks, Waiting: j.Waiting(), TasksByZone: p.tasksByZone(j), LatestStart: p.jobTable.latestStart(j)}
 	waited := p.now.Sub(j.WaitFrom)
 	d.Waited = waited.Seconds()
 	d.Overdue = p.now.Sub(j.Submitted) > overdueAfter && j.DoneCount == 0 && len(j.Live) == 0
-	pending(j, &d)
+	listPending(j, &d)
 	if len(d.Pending) == 0 {
 		return d, false
 	}
 	if p.calendarStore.on() {
 		d.EndsIn, d.Movable = p.reservationHolds.needs(j, p.now), j.Shape == job.Service || j.Checkpoint > 0
-		d.HeldOnly = j.Booking != "" && p.reservationHolds.enough(j, len(d.Pending))
+		d.OnlyHeldMachines = j.Booking != "" && p.reservationHolds.enough(j, len(d.Pending))
 	}
 	left := d.LatestStart - p.now.Sub(p.since).Seconds()
-	late := left < lateS
-	d.Hurry = j.Shape != job.Array && left > 0 && left < j.ImageGB/p.slowest
-	d.Patient = j.Shape == job.Array && left > patience
-	if (waited > preemptAfter || (d.Hurry && j.Shape == job.Service)) && (j.Shape != job.Array || late) && p.now.Sub(p.preempted[j]) >= preemptEvery {
-		d.Preempts = true
-		p.preempts = true
-		p.preempted[j] = p.now
+	late := left < lateMarginS
+	d.FetchTooSlow = j.Shape != job.Array && left > 0 && left < j.ImageGB/p.slowestFetchRate
+	d.CanDelay = j.Shape == job.Array && left > delayMarginS
+	if (waited > preemptDelay || (d.FetchTooSlow && j.Shape == job.Service)) && (j.Shape != job.Array || late) && p.now.Sub(p.lastPreemptAt[j]) >= preemptInterval {
+		d.MayPreempt = true
+		p.mayPreempt = true
+		p.lastPreemptAt[j] = p.now
 	}
 	return d, true
 }
 
-// pending lists the tasks that a plan looks at.
-func pending(j *job.Job, d *place.Demand) {
+// listPending lists the tasks that a plan looks at.
+func listPending(j *job.Job, d *place.Demand) {
 	limit := maxPending
 	if d.Overdue {
-		limit = 1 + j.Tasks/overduePart // to begin, not to pass the others with all it has
+		limit = 1 + j.Tasks/overdueShare // to begin, not to pass the others with all it has
 	}
 	if !j.Worked && j.Backoff > 0 {
 		limit = 2 // a job that has only failed so far is tried with little
@@ -162,33 +162,33 @@
 // addMachines adds the machines that may take work.
 func (p *planInput) addMachines() {
 	smallest, cheapest := math.Inf(1), math.Inf(1)
-	for i := range p.nameIndex.list() {
-		t := &p.nameIndex.list()[i]
+	for i := range p.nameIndex.machineTypes() {
+		t := &p.nameIndex.machineTypes()[i]
 		smallest = min(smallest, t.CPUs)
 		cheapest = min(cheapest, cpuPrice(t, false), cpuPrice(t, true))
 	}
 	for _, h := range p.fleet.All() {
 		// One that answers direct commands and whose reports do not come any more has less
 		// than half of its lease left: what it gets now would end with it.
-		if !h.Usable() || h.Silent(p.now) > p.fleet.Lease/2 || h.Type >= len(p.nameIndex.list()) {
+		if !h.Usable() || h.Silent(p.now) > p.fleet.Lease/2 || h.Type >= len(p.nameIndex.machineTypes()) {
 			continue
 		}
 		m := p.machine(h, smallest, cheapest)
-		if p.preempts {
+		if p.mayPreempt {
 			p.addVictims(&m, h)
 		}
 		p.in.Machines = append(p.in.Machines, m)
-		p.ms = append(p.ms, h)
+		p.hosts = append(p.hosts, h)
 	}
 }
 
 // machine is a machine with its free room and what it has cached.
 func (p *planInput) machine(h *fleet.Host, smallest, cheapest float64) place.Machine {
-	t := &p.nameIndex.list()[h.Type]
+	t := &p.nameIndex.machineTypes()[h.Type]
 	m := place.Machine{ID: h.Idx, Type: h.Type, Zone: h.Zone, Spot: h.Spot,
-		Total: place.Amount{CPUs: t.CPUs, GPUs: t.GPUs, MemGB: t.MemGB},
-		Free:  place.Amount{CPUs: t.CPUs - h.CPUs, GPUs: t.GPUs - h.GPUs, MemGB: t.MemGB - h.MemGB},
-		Queue: h.Queue, Jobs: h.Jobs, Unreliable: h.Errors > 0, Exits: p.exits(h),
+		Total: place.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemGB: t.MemGB},
+		Free:  place.Resources{CPUs: t.CPUs - h.CPUs, GPUs: t.GPUs - h.GPUs, MemGB: t.MemGB - h.MemGB},
+		Queue: h.Queue, Jobs: h.Jobs, Unreliable: h.Errors > 0, UnclearedExits: p.unclearedExits(h),
 		FetchRate: t.FetchRate, Scale: smallest / t.CPUs, Price: cpuPrice(t, h.Spot) / cheapest}
 	for _, im := range h.Images {
 		m.Images = append(m.Images, im.Idx)
@@ -200,9 +200,9 @@
 			}
 		}
 	}
-	if k, ok := p.keeps[h]; ok {
-		m.KeptFor, m.Reserved = p.jobTable.index(k.job), k.reserved
-		m.Kept = place.Amount{CPUs: k.job.CPUs, GPUs: k.job.GPUs, MemGB: k.job.MemGB}
+	if k, ok := p.reservations[h]; ok {
+		m.ReservedFor, m.AwaitsCompletion = p.jobTable.index(k.job), k.awaitsCompletion
+		m.Reserved = place.Resources{CPUs: k.job.CPUs, GPUs: k.job.GPUs, MemGB: k.job.MemGB}
 	}
 	p.reservationHolds.mark(&m, h, p.now)
 	p.maintenanceDrains.mark(&m, h, p.now)
@@ -215,24 +215,24 @@
 		if !s.On() || s.Stopping || !s.Sent || s.Job.Closing != "" || s.Job.Phase != "" {
 			continue
 		}
-		need := place.Amount{CPUs: s.Job.CPUs, GPUs: s.Job.GPUs, MemGB: s.Job.MemGB}
-		loss, whole := stopLoss(s, p.now), need
+		need := place.Resources{CPUs: s.Job.CPUs, GPUs: s.Job.GPUs, MemGB: s.Job.MemGB}
+		loss, whole := preemptionLoss(s, p.now), need
 		if s.Job.Shape == job.Gang {
 			n := float64(s.Job.Tasks)
-			whole = place.Amount{CPUs: n * need.CPUs, GPUs: n * need.GPUs, MemGB: n * need.MemGB}
+			whole = place.Resources{CPUs: n * need.CPUs, GPUs: n * need.GPUs, MemGB: n * need.MemGB}
 		}
 		m.Victims = append(m.Victims, place.Victim{ID: len(p.slots), Rank: s.Job.Rank, Team: s.Job.TeamIdx,
-			Need: need, Whole: whole, Loss: loss, Left: left(s, p.now), Late: p.isLate(s.Job)})
+			Need: need, Released: whole, Loss: loss, Remaining: remainingSeconds(s, p.now), Late: p.isLate(s.Job)})
 		p.slots = append(p.slots, s)
 	}
 }
 
 // isLate reports whether a job misses its aims unless it starts very soon.
 func (p *planInput) isLate(j *job.Job) bool {
-	late, known := p.late[j]
+	late, known := p.lateJobs[j]
 	if !known {
-		late = p.jobTable.latestStart(j)-p.now.Sub(p.since).Seconds() < lateS
-		p.late[j] = late
+		late = p.jobTable.latestStart(j)-p.now.Sub(p.since).Seconds() < lateMarginS
+		p.lateJobs[j] = late
 	}
 	return late
 }
--- a/internal/control/quotas.go
+++ b/internal/control/quotas.go
@@ -207,7 +207,7 @@
 	}
 	tm.takeover.blocked(all)
 	return func(team string) (dynconfig.Amount, bool) {
-		i := tm.nameIndex.team(team)
+		i := tm.nameIndex.teamIndex(team)
 		if i < 0 {
 			return dynconfig.Amount{}, false
 		}
--- a/internal/control/records_registry.go
+++ b/internal/control/records_registry.go
@@ -542,7 +542,7 @@
 		h := g.fleet.AddAt(hr.Name, hr.Idx, g.since)
 		byIdx[hr.Idx] = h
 		h.Addr, h.Durable, h.Inherited, h.Booting = hr.Addr, true, true, false
-		g.nameIndex.describe(h, hr.Type, hr.Zone, hr.Spot)
+		g.nameIndex.describeHost(h, hr.Type, hr.Zone, hr.Spot)
 		p.hosts = append(p.hosts, h)
 		g.entries[h] = entry{hr, p}
 	}
@@ -558,7 +558,7 @@
 			return &pageError{key: key, err: err}
 		}
 		g.loadNote(p, nr, set)
-		team := g.nameIndex.team(nr.Team)
+		team := g.nameIndex.teamIndex(nr.Team)
 		for idx, h := range byIdx {
 			if set.Has(idx) {
 				h.InheritedJobs = append(h.InheritedJobs, fleet.InheritedJob{ID: nr.Job, Team: team})
--- a/internal/control/records_registry_test.go
+++ b/internal/control/records_registry_test.go
@@ -73,7 +73,7 @@
 
 func (b *registryBed) up(name string) *fleet.Host {
 	h := b.host(name)
-	b.nameIndex.describe(h, "small", "a", false)
+	b.nameIndex.describeHost(h, "small", "a", false)
 	h.Addr = "10.0.0.1:1"
 	b.registry.enter(h, "small", "a")
 	return h
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -372,7 +372,7 @@
 		ok, zone := want(i)
 		q.Allowed[i], q.Zone[i] = ok, -1
 		if zone != "" {
-			q.Zone[i] = ro.nameIndex.zone(zone)
+			q.Zone[i] = ro.nameIndex.zoneIndex(zone)
 		}
 	}
 	if j.Quota == nil || !slices.Equal(j.Quota.Allowed, q.Allowed) {
@@ -522,7 +522,7 @@
 // nextRefusal refuses a next version that admission would refuse, or whose job
 // exists already.
 func (ro *rollouts) nextRefusal(next *job.Spec) *rpc.Reply {
-	if p := ro.c.admissionRefusal(next, ro.nameIndex.list(), ro.teamQuotas.find(next.Team)); p != nil {
+	if p := ro.c.admissionRefusal(next, ro.nameIndex.machineTypes(), ro.teamQuotas.find(next.Team)); p != nil {
 		return p
 	}
 	if ro.completions.known(next.ID) != nil || ro.admissionGroups.has(next.ID) {
--- a/internal/control/shards.go
+++ b/internal/control/shards.go
@@ -227,7 +227,7 @@
 // entry takes in what a machine has reported to its holder.
 func (sh *shards) entry(b *box, e *shard.Entry, now time.Time) {
 	h := sh.fleet.Hosts[e.Host]
-	if h == nil || sh.machinePool.gone(e.Host) {
+	if h == nil || sh.machinePool.wasReleased(e.Host) {
 		return
 	}
 	sh.allot.Heard(e.Host)
@@ -261,7 +261,7 @@
 			if by := a.host.Holder(); by == nil || by.Name != member || sh.fleet.Hosts[a.host.Name] != a.host || a.host.Session != a.session {
 				continue
 			}
-			if !sh.machinePool.renewable(a.host, now) {
+			if !sh.machinePool.mayRenewLease(a.host, now) {
 				continue
 			}
 			orders, sent, ev := sh.fleet.Compose(a.host, a.seq, a.fresh, now, maxOrders)
--- a/internal/control/takeover.go
+++ b/internal/control/takeover.go
@@ -162,7 +162,7 @@
 				used[t] = true // its team is not known here: it may be any
 			}
 		}
-		t := &tk.nameIndex.list()[h.Type]
+		t := &tk.nameIndex.machineTypes()[h.Type]
 		for i := range used {
 			teams[i].Used.CPUs += t.CPUs
 			teams[i].Used.GPUs += t.GPUs
--- a/internal/control/takeover_load.go
+++ b/internal/control/takeover_load.go
@@ -88,7 +88,7 @@
 		return err
 	}
 	tk.reset()
-	tk.nameIndex.learn(st.types)
+	tk.nameIndex.updateTypes(st.types)
 	tk.teamQuotas.load(st.teams)
 	tk.homeQuotas.load(st.homeHead, st.homeTeams, st.homeHistory)
 	if err := tk.registry.load(st.hosts, st.notes); err != nil {
--- a/internal/control/tasks_heartbeats.go
+++ b/internal/control/tasks_heartbeats.go
@@ -26,7 +26,7 @@
 // observe takes in a worker's message.
 func (wk *taskTracker) observe(h *fleet.Host, m *wire.Report, isHeartbeat bool, now time.Time) (fresh, ok bool) {
 	if !h.Known || h.Type < 0 {
-		wk.nameIndex.describe(h, m.Type, m.Zone, m.Spot)
+		wk.nameIndex.describeHost(h, m.Type, m.Zone, m.Spot)
 	}
 	booting, deaf := h.Booting, h.Deaf()
 	res := wk.fleet.Observe(h, m, isHeartbeat, now, wk.jobTable.find)
@@ -56,10 +56,10 @@
 	}
 	wk.handle(res.Events, now)
 	if h.Fenced && !h.Durable && h.Known && h.Addr != "" && !h.Lost && !h.Releasing {
-		wk.registry.enter(h, wk.nameIndex.list()[h.Type].Name, wk.nameIndex.zoneNames()[h.Zone])
+		wk.registry.enter(h, wk.nameIndex.machineTypes()[h.Type].Name, wk.nameIndex.zoneNames()[h.Zone])
 	}
 	if res.Fresh && !h.RecallAt.IsZero() {
-		wk.machinePool.recall(h, now)
+		wk.machinePool.handleSpotNotice(h, now)
 	}
 	return res.Fresh, true
 }
@@ -141,7 +141,7 @@
 		switch e.Kind {
 		case fleet.Started:
 			cache := 0.0
-			if t := wk.nameIndex.typeOf(h); t != nil {
+			if t := wk.nameIndex.machineType(h); t != nil {
 				cache = t.CacheGB
 			}
 			h.Touch(j.ImageIdx, j.ImageGB, cache)
@@ -183,11 +183,11 @@
 			j.Worked, j.Backoff, j.NotBefore = true, 0, time.Time{}
 			for _, o := range wk.fleet.All() {
 				if o.ErrorJobs[j] {
-					wk.judge(o)
+					wk.quarantineIfFaulty(o)
 				}
 			}
 		}
-		wk.pace(s, j, h, now)
+		wk.checkSpeed(s, j, h, now)
 		if !s.RunAt.IsZero() && !s.Adopted {
 			wk.reservationHolds.ran(j, now.Sub(s.RunAt).Seconds())
 		}
@@ -208,10 +208,10 @@
 		}
 		return
 	case wire.CauseError:
-		wk.blame(j, h, now)
+		wk.attributeFailure(j, h, now)
 		wk.rollouts.failed(j, s.Task, h.Name)
 	case wire.CauseNoSuch:
-		wk.holdBack(j, now)
+		wk.backOffJob(j, now)
 	}
 	if j.Shape == job.Gang && s.Cause != wire.CauseFull && !(s.Cause == wire.CauseIncomplete && wk.fetching(j)) {
 		wk.breakGang(j)
--- a/internal/place/images_test.go
+++ b/internal/place/images_test.go
@@ -21,7 +21,7 @@
 	}
 	full := func(id int, loss float64, images ...int) Machine {
 		m := has(id, 0, images...)
-		m.Victims = []Victim{{ID: id, Rank: job.Idle, Team: -1, Need: Amount{CPUs: 8}, Loss: loss, Left: 5}}
+		m.Victims = []Victim{{ID: id, Rank: job.Idle, Team: -1, Need: Resources{CPUs: 8}, Loss: loss, Remaining: 5}}
 		return m
 	}
 	array := func(id, image int, edit func(*Demand)) Demand {
@@ -32,9 +32,9 @@
 		}
 		return d
 	}
-	patient := func(d *Demand) { d.Patient = true }
+	patient := func(d *Demand) { d.CanDelay = true }
 	hurried := func(shape job.Shape) func(*Demand) {
-		return func(d *Demand) { d.Shape, d.Hurry, d.Preempts = shape, true, true }
+		return func(d *Demand) { d.Shape, d.FetchTooSlow, d.MayPreempt = shape, true, true }
 	}
 	tests := []struct {
 		name string
@@ -47,24 +47,24 @@
 			Machines: []Machine{has(0, 8, 1), has(1, 8, 1)}, Demands: []Demand{array(1, 0, patient), array(2, 1, patient)}}, "1>a 0>b"},
 		{"one without does not wait", Input{
 			Machines: []Machine{has(0, 8, 1)}, Demands: []Demand{array(1, 0, nil), array(2, 1, patient)}}, "0>a"},
-		{"nor does one inside its guarantee", Input{Teams: []Team{{Guarantee: Amount{CPUs: 8}}}, Machines: []Machine{has(0, 8, 1)},
-			Demands: []Demand{array(1, 0, func(d *Demand) { d.Patient, d.Team = true, 0 }), array(2, 1, patient)}}, "0>a"},
+		{"nor does one inside its guarantee", Input{Teams: []Team{{Guarantee: Resources{CPUs: 8}}}, Machines: []Machine{has(0, 8, 1)},
+			Demands: []Demand{array(1, 0, func(d *Demand) { d.CanDelay, d.Team = true, 0 }), array(2, 1, patient)}}, "0>a"},
 		{"a service in a hurry has room made where its image is", Input{
 			Machines: []Machine{has(0, 8), full(1, 100, 0)}, Demands: []Demand{array(1, 0, hurried(job.Service))}}, "0!b"},
 		{"and waits for that room", Input{
 			Machines: []Machine{has(0, 8), func() Machine {
 				m := full(1, 100, 0)
-				m.KeptFor, m.Kept, m.Victims = 1, Amount{CPUs: 8}, nil
+				m.ReservedFor, m.Reserved, m.Victims = 1, Resources{CPUs: 8}, nil
 				return m
 			}(), full(2, 1)}, Demands: []Demand{array(1, 0, hurried(job.Service))}}, ""},
 		{"without any such machine it takes another", Input{
 			Machines: []Machine{has(0, 8), full(1, 100, 1)}, Demands: []Demand{array(1, 0, hurried(job.Service))}}, "0>a"},
 		{"work is stopped where the image is, though more is lost", Input{
-			Machines: []Machine{full(0, 1), full(1, 100, 0)}, Demands: []Demand{array(1, 0, func(d *Demand) { d.Shape, d.Preempts = job.Service, true })}}, "0!b"},
+			Machines: []Machine{full(0, 1), full(1, 100, 0)}, Demands: []Demand{array(1, 0, func(d *Demand) { d.Shape, d.MayPreempt = job.Service, true })}}, "0!b"},
 		{"a gang in a hurry waits for one of many machines with its image", Input{
-			Machines: slices.Concat([]Machine{has(0, 8)}, slices.Repeat([]Machine{has(1, 0, 0)}, commonPlaces)), Demands: []Demand{array(1, 0, hurried(job.Gang))}}, ""},
+			Machines: slices.Concat([]Machine{has(0, 8)}, slices.Repeat([]Machine{has(1, 0, 0)}, commonImageFactor)), Demands: []Demand{array(1, 0, hurried(job.Gang))}}, ""},
 		{"and has the soonest of them kept", Input{
-			Machines: slices.Concat([]Machine{has(0, 8)}, slices.Repeat([]Machine{has(1, 0, 0)}, commonPlaces), []Machine{func() Machine {
+			Machines: slices.Concat([]Machine{has(0, 8)}, slices.Repeat([]Machine{has(1, 0, 0)}, commonImageFactor), []Machine{func() Machine {
 				m := full(9, 1, 0)
 				m.Victims[0].Rank = job.Standard
 				return m
@@ -77,7 +77,7 @@
 				ms[2].Zone = 1
 				return ms
 			}(), Demands: []Demand{array(1, 0, func(d *Demand) {
-				d.Shape, d.Preempts, d.Spread, d.Total, d.Pending = job.Service, true, true, 2, []int32{0, 1}
+				d.Shape, d.MayPreempt, d.Spread, d.Total, d.Pending = job.Service, true, true, 2, []int32{0, 1}
 			})}}, "0!a 0!c"},
 	}
 	for _, tt := range tests {
@@ -87,13 +87,13 @@
 		}
 		p := Make(tt.in)
 		got := ""
-		for _, a := range p.Assign {
+		for _, a := range p.Assignments {
 			got += fmt.Sprintf(" %d>%c", a.Demand, 'a'+a.Machine)
 		}
-		for _, e := range p.Preempt {
+		for _, e := range p.Preemptions {
 			got += fmt.Sprintf(" %d!%c", e.Demand, 'a'+e.Machine)
 		}
-		for _, r := range p.Reserve {
+		for _, r := range p.Reservations {
 			got += fmt.Sprintf(" %d?%c", r.Demand, 'a'+r.Machine)
 		}
 		if got != "" {
--- a/internal/place/plain_test.go
+++ b/internal/place/plain_test.go
@@ -21,7 +21,7 @@
 	best, length := -1, math.Inf(1)
 	for i := range p.Machines {
 		m := &p.Machines[i]
-		if (zone >= 0 && m.Zone != zone) || !free(m, d).Fits(d.Need) || !p.allowed(m, d) || m.Exits[Task{d.ID, task}] {
+		if (zone >= 0 && m.Zone != zone) || !available(m, d).Fits(d.Need) || !p.eligible(m, d) || m.UnclearedExits[Task{d.ID, task}] {
 			continue
 		}
 		if l := Length(&p.Weights, m, d); l < length {
@@ -35,7 +35,7 @@
 func (p *plain) place(i, zone int) (set []Assignment, length float64) {
 	d := &p.Demands[i]
 	for _, t := range d.Pending {
-		if d.Team >= 0 && !p.Teams[d.Team].room(d.Need) {
+		if d.Team >= 0 && !p.Teams[d.Team].withinLimit(d.Need) {
 			break
 		}
 		m := p.best(d, t, zone)
@@ -43,7 +43,7 @@
 			break
 		}
 		length += Length(&p.Weights, &p.Machines[m], d)
-		p.take(d, m)
+		p.assign(d, m)
 		set = append(set, Assignment{i, t, m})
 	}
 	return set, length
@@ -53,7 +53,7 @@
 	q := &plain{planner{Input: p.Input}}
 	q.Machines, q.Teams, q.Demands = slices.Clone(p.Machines), slices.Clone(p.Teams), slices.Clone(p.Demands)
 	for i := range q.Demands {
-		q.Demands[i].InZone = slices.Clone(q.Demands[i].InZone)
+		q.Demands[i].TasksByZone = slices.Clone(q.Demands[i].TasksByZone)
 	}
 	return q
 }
@@ -65,7 +65,7 @@
 		if d.Shape != job.Gang {
 			zone := d.Zone
 			if d.OneZone && zone < 0 {
-				zone = p.roomiest(d)
+				zone = p.roomiestZone(d)
 			}
 			set, _ := p.place(i, zone)
 			all = append(all, set...)
@@ -91,7 +91,7 @@
 func randomFleet(r *rand.Rand, machines, demands int) Input {
 	w := paper
 	w.Price, w.Empty = 30, 300
-	in := Input{Weights: w, Teams: []Team{{}, {Limit: Amount{CPUs: float64(machines)}}, {Guarantee: Amount{CPUs: 20}}}}
+	in := Input{Weights: w, Teams: []Team{{}, {Limit: Resources{CPUs: float64(machines)}}, {Guarantee: Resources{CPUs: 20}}}}
 	for i := range machines {
 		// Few different values, so that there are many ties.
 		cpus := float64(int(4) << r.IntN(3))
@@ -105,10 +105,10 @@
 			}
 		}
 		if r.IntN(8) == 0 {
-			m.KeptFor, m.Kept = 1+r.IntN(demands), Amount{CPUs: 2, MemGB: 1}
+			m.ReservedFor, m.Reserved = 1+r.IntN(demands), Resources{CPUs: 2, MemGB: 1}
 		}
 		if r.IntN(4) == 0 {
-			m.Exits = map[Task]bool{{1 + r.IntN(demands), int32(r.IntN(4))}: true}
+			m.UnclearedExits = map[Task]bool{{1 + r.IntN(demands), int32(r.IntN(4))}: true}
 		}
 		in.Machines = append(in.Machines, m)
 	}
@@ -121,7 +121,7 @@
 		d.Rank, d.LatestStart, d.Spot = job.Rank(r.IntN(3)), float64(r.IntN(4)), r.IntN(2) == 0
 		d.OneZone, d.Spread = r.IntN(4) == 0, r.IntN(4) == 0
 		if r.IntN(5) == 0 {
-			d.TypeOK = []bool{true, r.IntN(2) == 0, false}
+			d.AllowedTypes = []bool{true, r.IntN(2) == 0, false}
 		}
 		if d.Shape != job.Gang && !d.OneZone && r.IntN(5) == 0 {
 			d.Zone = r.IntN(3)
@@ -129,7 +129,7 @@
 		if i > 0 && d.ID%3 == 0 {
 			// One of a swarm: like the one before, and next to it in the order.
 			like := in.Demands[i-1]
-			like.ID, like.InZone = d.ID, d.InZone
+			like.ID, like.TasksByZone = d.ID, d.TasksByZone
 			d = like
 		}
 		in.Demands = append(in.Demands, d)
@@ -145,7 +145,7 @@
 		same := (&plain{planner{Input: in}}).copyOf().Input
 		p := Make(in)
 		var order []int
-		for _, a := range p.Assign {
+		for _, a := range p.Assignments {
 			if !slices.Contains(order, a.Demand) {
 				order = append(order, a.Demand)
 			}
@@ -156,8 +156,8 @@
 				order = append(order, i)
 			}
 		}
-		if want := plainMake(same, order); !reflect.DeepEqual(p.Assign, want) {
-			t.Errorf("seed %d: placed\n%v, want\n%v", seed, p.Assign, want)
+		if want := plainMake(same, order); !reflect.DeepEqual(p.Assignments, want) {
+			t.Errorf("seed %d: placed\n%v, want\n%v", seed, p.Assignments, want)
 		}
 	}
 }
@@ -171,9 +171,9 @@
 			in := randomFleet(r, 850, 60)
 			for i := range in.Machines {
 				m := &in.Machines[i]
-				m.KeptFor, m.Exits, m.Images = 0, nil, []int{r.IntN(4)}
+				m.ReservedFor, m.UnclearedExits, m.Images = 0, nil, []int{r.IntN(4)}
 				if m.Free = m.Total; full {
-					m.Free = Amount{}
+					m.Free = Resources{}
 				}
 			}
 			for i := range in.Demands {
--- a/internal/place/preempt.go
+++ b/internal/place/preempt.go
@@ -7,15 +7,15 @@
 	"vetchstream/internal/job"
 )
 
-// mayStop reports whether there can be anything at all that the demand may stop.
-func (p *planner) mayStop(d *Demand) bool {
-	if !p.stops {
+// canPreemptAny reports whether there can be anything at all that the demand may stop.
+func (p *planner) canPreemptAny(d *Demand) bool {
+	if !p.hasVictims {
 		return false
 	}
-	if p.lowest < d.Rank {
+	if p.lowestRank < d.Rank {
 		return true
 	}
-	if d.Team < 0 || !p.Teams[d.Team].within(d.Need) {
+	if d.Team < 0 || !p.Teams[d.Team].withinGuarantee(d.Need) {
 		return false
 	}
 	for t := range p.Teams {
@@ -26,15 +26,15 @@
 	return false
 }
 
-// may reports whether a demand may stop a victim: lower rank, or borrowed work
+// canPreempt reports whether a demand may stop a victim: lower rank, or borrowed work
 // of another team when the demand is within its own team's guarantee.
 //
 // Late work inside its team's guarantee is not stopped by rank for another team that
 // borrows: it would claim the room back at once, from that very work, and the two would
 // stop each other for as long as there is too little room for both.
-func (p *planner) may(d *Demand, v *Victim) bool {
+func (p *planner) canPreempt(d *Demand, v *Victim) bool {
 	if v.Rank < d.Rank {
-		return !v.Late || v.Team < 0 || v.Team == d.Team || p.inside(d) || p.Teams[v.Team].spares(v.whole())
+		return !v.Late || v.Team < 0 || v.Team == d.Team || p.insideGuarantee(d) || p.Teams[v.Team].canYield(v.released())
 	}
 	if d.Team < 0 || v.Team < 0 || v.Team == d.Team {
 		return false
@@ -42,25 +42,25 @@
 	// Room that is being made counts as used: a team that claimed more than its guarantee
 	// would borrow, and have it claimed back by the next.
 	t := p.Teams[d.Team]
-	t.Used = t.Used.plus(t.Claimed, 1)
-	return t.within(d.Need) && p.Teams[v.Team].borrows() && p.Teams[v.Team].spares(v.whole())
+	t.Used = t.Used.addScaled(t.Claimed, 1)
+	return t.withinGuarantee(d.Need) && p.Teams[v.Team].borrows() && p.Teams[v.Team].canYield(v.released())
 }
 
-// inside reports whether all that the demand waits for, of a gang, or its next task is
+// insideGuarantee reports whether all that the demand waits for, of a gang, or its next task is
 // within its team's guarantee.
-func (p *planner) inside(d *Demand) bool {
+func (p *planner) insideGuarantee(d *Demand) bool {
 	need := d.Need
 	if d.Shape == job.Gang {
-		need = Amount{}.plus(need, float64(len(d.Pending)))
+		need = Resources{}.addScaled(need, float64(len(d.Pending)))
 	}
-	return d.Team >= 0 && p.Teams[d.Team].within(need)
+	return d.Team >= 0 && p.Teams[d.Team].withinGuarantee(need)
 }
 
-// making counts the machines on which room is being made for the demand. One in a
+// preparedMachines counts the machines on which room is being made for the demand. One in a
 // zone that has been closed to it meanwhile is of no use.
-func (p *planner) making(d *Demand) (n int) {
+func (p *planner) preparedMachines(d *Demand) (n int) {
 	for i := range p.Machines {
-		if m := &p.Machines[i]; m.KeptFor == d.ID && !m.Reserved && p.allowed(m, d) {
+		if m := &p.Machines[i]; m.ReservedFor == d.ID && !m.AwaitsCompletion && p.eligible(m, d) {
 			n++
 		}
 	}
@@ -72,7 +72,7 @@
 // takes no longer there than fetch, in seconds.
 func (p *planner) preempt(i, zone, n int, fetch float64) int {
 	d := &p.Demands[i]
-	if n <= 0 || !p.mayStop(d) {
+	if n <= 0 || !p.canPreemptAny(d) {
 		return 0
 	}
 	type choice struct {
@@ -80,17 +80,17 @@
 		fetch, loss      float64
 	}
 	var all []choice
-	p.each(zone, func(mi int, m *Machine) {
-		if m.fetch(d) > fetch || p.kept(m, d) || m.Unreliable || len(m.Victims) == 0 || !m.Total.Fits(d.Need) || !p.allowed(m, d) {
+	p.eachMachine(zone, func(mi int, m *Machine) {
+		if m.fetchSeconds(d) > fetch || p.blocked(m, d) || m.Unreliable || len(m.Victims) == 0 || !m.Total.Fits(d.Need) || !p.eligible(m, d) {
 			return
 		}
-		room, c := m.Free, choice{machine: mi, fetch: m.fetch(d)}
-		for v := range p.victims(mi) {
+		room, c := m.Free, choice{machine: mi, fetch: m.fetchSeconds(d)}
+		for v := range p.sortedVictims(mi) {
 			if room.Fits(d.Need) {
 				break
 			}
-			if p.may(d, &m.Victims[v]) {
-				room = room.plus(m.Victims[v].Need, 1)
+			if p.canPreempt(d, &m.Victims[v]) {
+				room = room.addScaled(m.Victims[v].Need, 1)
 				c.loss += m.Victims[v].Loss
 				c.victims++
 			}
@@ -103,14 +103,14 @@
 		// What is stopped makes the demand start now, not after a fetch.
 		return cmp.Or(cmp.Compare(a.fetch, b.fetch), cmp.Compare(a.loss, b.loss), cmp.Compare(a.machine, b.machine))
 	})
-	made, inZone := 0, make([]int, len(d.InZone))
+	made, inZone := 0, make([]int, len(d.TasksByZone))
 	for _, c := range all {
 		if made == n {
 			break
 		}
 		m := &p.Machines[c.machine]
 		// Replicas that are kept apart need room in each zone, not twice in one.
-		if d.Spread && d.InZone[m.Zone]+inZone[m.Zone] >= (d.Total+1)/2 {
+		if d.Spread && d.TasksByZone[m.Zone]+inZone[m.Zone] >= (d.Total+1)/2 {
 			continue
 		}
 		var ids []int
@@ -120,12 +120,12 @@
 			if room.Fits(d.Need) {
 				break
 			}
-			if p.may(d, x) {
+			if p.canPreempt(d, x) {
 				ids = append(ids, x.ID)
-				room = room.plus(x.Need, 1)
+				room = room.addScaled(x.Need, 1)
 				if x.Team >= 0 {
 					t := &p.Teams[x.Team]
-					t.Leaving = t.Leaving.plus(x.whole(), 1)
+					t.Stopping = t.Stopping.addScaled(x.released(), 1)
 				}
 			}
 		}
@@ -133,28 +133,28 @@
 			p.Teams = teams // what this look has stopped before leaves too little to stop here
 			continue
 		}
-		m.KeptFor, m.Kept, m.Reserved = d.ID, d.Need, false
+		m.ReservedFor, m.Reserved, m.AwaitsCompletion = d.ID, d.Need, false
 		if d.Team >= 0 {
 			t := &p.Teams[d.Team]
-			t.Claimed = t.Claimed.plus(d.Need, 1)
+			t.Claimed = t.Claimed.addScaled(d.Need, 1)
 		}
-		p.plan.Preempt = append(p.plan.Preempt, Preemption{i, c.machine, ids})
+		p.plan.Preemptions = append(p.plan.Preemptions, Preemption{i, c.machine, ids})
 		inZone[m.Zone]++
 		made++
 	}
 	return made
 }
 
-// whole is what leaves when the victim is stopped.
-func (v *Victim) whole() Amount {
-	return Amount{max(v.Need.CPUs, v.Whole.CPUs), max(v.Need.GPUs, v.Whole.GPUs), max(v.Need.MemGB, v.Whole.MemGB)}
+// released is what leaves when the victim is stopped.
+func (v *Victim) released() Resources {
+	return Resources{max(v.Need.CPUs, v.Released.CPUs), max(v.Need.GPUs, v.Released.GPUs), max(v.Need.MemGB, v.Released.MemGB)}
 }
 
-// victims returns a machine's victims in the order in which they are stopped.
-func (p *planner) victims(i int) []Victim {
+// sortedVictims returns a machine's victims in the order in which they are stopped.
+func (p *planner) sortedVictims(i int) []Victim {
 	m := &p.Machines[i]
-	if !p.sorted[i] {
-		p.sorted[i] = true
+	if !p.victimsSorted[i] {
+		p.victimsSorted[i] = true
 		slices.SortStableFunc(m.Victims, func(a, b Victim) int {
 			return cmp.Or(cmp.Compare(a.Rank, b.Rank), cmp.Compare(a.Loss, b.Loss))
 		})
@@ -162,8 +162,8 @@
 	return m.Victims
 }
 
-// kept reports whether room is being kept here that is not the demand's to use
+// blocked reports whether room is being kept here that is not the demand's to use
 // anew: another's, or its own for which work is being stopped already.
-func (p *planner) kept(m *Machine, d *Demand) bool {
-	return m.KeptFor != 0 && (m.KeptFor != d.ID || !m.Reserved)
+func (p *planner) blocked(m *Machine, d *Demand) bool {
+	return m.ReservedFor != 0 && (m.ReservedFor != d.ID || !m.AwaitsCompletion)
 }
