--- /dev/null
+++ b/internal/place/assign.go
@@ -0,0 +1,127 @@
+package place
+
+import "math"
+
+// assign debits the placement of a task on machine i, so that the next task sees the load.
+func (p *planner) assign(d *Demand, i int) {
+	m := &p.Machines[i]
+	m.Free = m.Free.addScaled(d.Need, -1)
+	if m.ReservedFor == d.ID {
+		if d.Team >= 0 && !m.AwaitsCompletion {
+			t := &p.Teams[d.Team]
+			t.Claimed = t.Claimed.addScaled(m.Reserved, -1)
+		}
+		m.claim(d)
+	}
+	m.Jobs++
+	m.Queue++
+	d.TasksByZone[m.Zone]++
+	if d.Team >= 0 {
+		t := &p.Teams[d.Team]
+		t.Used = t.Used.addScaled(d.Need, 1)
+	}
+}
+
+// placeWhereCached places a demand that a fetch would make late: where its image is
+// cached, also by preemption there, and only the rest on other machines.
+func (p *planner) placeWhereCached(i int) {
+	d := &p.Demands[i]
+	p.placeTasks(i, true)
+	if len(d.Pending) == 0 || p.plan.OverLimit[i] {
+		return
+	}
+	n := len(d.Pending)
+	prepared := min(n, p.preparedMachines(d))
+	if d.MayPreempt {
+		if more := p.preempt(i, -1, n-prepared, 0); more > 0 {
+			prepared += more
+			p.lastQueue = nil
+		}
+	}
+	d.Pending = d.Pending[:n-prepared]
+	d.Waiting -= prepared
+	if prepared < n {
+		p.placeTasks(i, false)
+	}
+}
+
+// placeTasks places the tasks of an array or a service that fit; with cachedOnly only where
+// the image is cached.
+func (p *planner) placeTasks(i int, cachedOnly bool) {
+	d := &p.Demands[i]
+	zone := d.Zone
+	if d.OneZone && zone < 0 {
+		zone = p.roomiestZone(d)
+	}
+	q := p.reuseQueue(d, zone, cachedOnly)
+	p.lastQueue = q
+	pending := d.Pending
+	for n, task := range pending {
+		if !p.withinTeamLimit(d, d.Need) {
+			p.plan.OverLimit[i] = true
+			return
+		}
+		m := q.next(task)
+		if m < 0 {
+			if !cachedOnly {
+				p.reportUnplaced(i, len(pending)-n)
+			}
+			return
+		}
+		p.assign(d, m)
+		q.placed(m)
+		p.plan.Assignments = append(p.plan.Assignments, Assignment{Demand: i, Task: task, Machine: m})
+		d.Pending = pending[n+1:]
+		d.Waiting--
+	}
+}
+
+// reportUnplaced notes that no machine has room for the rest of a demand, of which pending
+// tasks were to be placed now, and preempts for them if the demand may.
+func (p *planner) reportUnplaced(i, pending int) {
+	d := &p.Demands[i]
+	p.plan.Unplaced[i] = p.capToTeamLimit(d, max(d.Waiting, pending))
+	if d.MayPreempt && p.preempt(i, -1, p.plan.Unplaced[i]-p.preparedMachines(d), math.Inf(1)) > 0 {
+		p.lastQueue = nil
+	}
+}
+
+// capToTeamLimit returns how many of n tasks of the demand its team's limit lets run.
+func (p *planner) capToTeamLimit(d *Demand, n int) int {
+	if d.Team < 0 {
+		return n
+	}
+	t := &p.Teams[d.Team]
+	left := Resources{CPUs: math.Inf(1), GPUs: math.Inf(1), MemGB: math.Inf(1)}
+	if t.Limit.CPUs > 0 {
+		left.CPUs = t.Limit.CPUs - t.Used.CPUs
+	}
+	if t.Limit.GPUs > 0 {
+		left.GPUs = t.Limit.GPUs - t.Used.GPUs
+	}
+	return min(n, left.FitCount(d.Need))
+}
+
+// roomiestZone returns the zone for a demand that has to be in one: that of its tasks, or
+// else the one in which most of them fit.
+func (p *planner) roomiestZone(d *Demand) int {
+	for z, n := range d.TasksByZone {
+		if n > 0 {
+			return z
+		}
+	}
+	fit := make([]int, len(d.TasksByZone))
+	for i := range p.Machines {
+		m := &p.Machines[i]
+		if p.eligible(m, d) {
+			fit[m.Zone] += m.available(d).FitCount(d.Need)
+		}
+	}
+	best := 0
+	for z, n := range fit {
+		if n > fit[best] {
+			best = z
+		}
+	}
+	return best
+}
--- /dev/null
+++ b/internal/place/filter.go
@@ -0,0 +1,46 @@
+package place
+
+// eligible reports whether tasks of the demand may run on the machine at all, whatever is
+// free there: the conditions that no score can outweigh.
+func (p *planner) eligible(m *Machine, d *Demand) bool {
+	return (d.AllowedTypes == nil || d.AllowedTypes[m.Type]) &&
+		(d.Zone < 0 || d.Zone == m.Zone) &&
+		(d.Spot || !m.Spot) &&
+		p.zoneAllowed(d, m.Zone) &&
+		respectsCalendar(m, d)
+}
+
+// zoneAllowed reports whether another task of the demand may run in a zone, given those
+// that run already.
+func (p *planner) zoneAllowed(d *Demand, zone int) bool {
+	if d.Spread && d.TasksByZone[zone] >= d.maxPerZone() {
+		return false
+	}
+	if d.OneZone {
+		for z, n := range d.TasksByZone {
+			if n > 0 && z != zone {
+				return false
+			}
+		}
+	}
+	return true
+}
+
+// maxPerZone returns how many tasks of a demand that is spread may be in one zone.
+func (d *Demand) maxPerZone() int { return (d.Total + 1) / 2 }
+
+// respectsCalendar reports whether a task that starts now leaves the machine in time for
+// what the calendar has planned there. This is a filter and not a part of the score: else
+// the machines of a reservation would be full of tasks that nothing may stop, and
+// maintenance would cut off what had just started.
+func respectsCalendar(m *Machine, d *Demand) bool {
+	if m.HeldFor != d.ID {
+		if d.OnlyHeldMachines {
+			return false
+		}
+		if m.HeldFor != 0 && d.EndsIn > m.HeldIn {
+			return false
+		}
+	}
+	return !m.MaintenanceDue || d.EndsIn <= m.MaintenanceIn || (d.Movable && !m.Draining)
+}
--- a/internal/place/plain_test.go
+++ b/internal/place/plain_test.go
@@ -21,7 +21,7 @@
 	best, length := -1, math.Inf(1)
 	for i := range p.Machines {
 		m := &p.Machines[i]
-		if (zone >= 0 && m.Zone != zone) || !available(m, d).Fits(d.Need) || !p.eligible(m, d) || m.UnclearedExits[Task{d.ID, task}] {
+		if (zone >= 0 && m.Zone != zone) || !m.available(d).Fits(d.Need) || !p.eligible(m, d) || m.UnclearedExits[Task{d.ID, task}] {
 			continue
 		}
 		if l := Length(&p.Weights, m, d); l < length {
--- a/internal/place/preempt.go
+++ b/internal/place/preempt.go
@@ -7,7 +7,7 @@
 	"vetchstream/internal/job"
 )
 
-// canPreemptAny reports whether there can be anything at all that the demand may stop.
+// canPreemptAny reports whether there can be any task at all that the demand may preempt.
 func (p *planner) canPreemptAny(d *Demand) bool {
 	if !p.hasVictims {
 		return false
@@ -26,28 +26,38 @@
 	return false
 }
 
-// canPreempt reports whether a demand may stop a victim: lower rank, or borrowed work
-// of another team when the demand is within its own team's guarantee.
-//
-// Late work inside its team's guarantee is not stopped by rank for another team that
-// borrows: it would claim the room back at once, from that very work, and the two would
-// stop each other for as long as there is too little room for both.
+// canPreempt reports whether the demand may preempt a victim: by its higher rank, or for
+// its team's guarantee.
 func (p *planner) canPreempt(d *Demand, v *Victim) bool {
 	if v.Rank < d.Rank {
-		return !v.Late || v.Team < 0 || v.Team == d.Team || p.insideGuarantee(d) || p.Teams[v.Team].canYield(v.released())
+		return p.canPreemptByRank(d, v)
 	}
+	return p.canReclaim(d, v)
+}
+
+// canPreemptByRank reports whether the demand may preempt a victim of lower rank. A late
+// victim inside its team's guarantee is spared from a demand beyond its own: it would
+// reclaim the room at once, from that very demand, and the two would preempt each other for
+// as long as there is too little room for both.
+func (p *planner) canPreemptByRank(d *Demand, v *Victim) bool {
+	return !v.Late || v.Team < 0 || v.Team == d.Team || p.insideGuarantee(d) || p.Teams[v.Team].canYield(v.released())
+}
+
+// canReclaim reports whether the demand is inside its team's guarantee and the victim is
+// what another team borrows.
+func (p *planner) canReclaim(d *Demand, v *Victim) bool {
 	if d.Team < 0 || v.Team < 0 || v.Team == d.Team {
 		return false
 	}
-	// Room that is being made counts as used: a team that claimed more than its guarantee
-	// would borrow, and have it claimed back by the next.
+	// What is claimed counts as used: a team that claimed more than its guarantee would
+	// borrow, and have it reclaimed by the next.
 	t := p.Teams[d.Team]
 	t.Used = t.Used.addScaled(t.Claimed, 1)
 	return t.withinGuarantee(d.Need) && p.Teams[v.Team].borrows() && p.Teams[v.Team].canYield(v.released())
 }
 
-// insideGuarantee reports whether all that the demand waits for, of a gang, or its next task is
-// within its team's guarantee.
+// insideGuarantee reports whether all that a gang waits for, or the next task of another
+// demand, is within its team's guarantee.
 func (p *planner) insideGuarantee(d *Demand) bool {
 	need := d.Need
 	if d.Shape == job.Gang {
@@ -56,8 +66,8 @@
 	return d.Team >= 0 && p.Teams[d.Team].withinGuarantee(need)
 }
 
-// preparedMachines counts the machines on which room is being made for the demand. One in a
-// zone that has been closed to it meanwhile is of no use.
+// preparedMachines counts the machines on which preemption is making room for the demand.
+// Those that have become ineligible meanwhile are of no use.
 func (p *planner) preparedMachines(d *Demand) (n int) {
 	for i := range p.Machines {
 		if m := &p.Machines[i]; m.ReservedFor == d.ID && !m.AwaitsCompletion && p.eligible(m, d) {
@@ -67,103 +77,130 @@
 	return n
 }
 
-// preempt keeps room for up to n tasks of the demand, each on another machine,
-// where that throws away the least work, and returns for how many it did. The image
-// takes no longer there than fetch, in seconds.
-func (p *planner) preempt(i, zone, n int, fetch float64) int {
+// canPrepare reports whether room may be made on the machine for a task of the demand, whose
+// image takes at most maxFetch seconds there.
+func (p *planner) canPrepare(m *Machine, d *Demand, maxFetch float64) bool {
+	return m.fetchSeconds(d) <= maxFetch && !m.reservationBlocks(d) && !m.Unreliable &&
+		m.Total.Fits(d.Need) && p.eligible(m, d)
+}
+
+// preemptionCandidate is a machine on which preemption could make room for a task.
+type preemptionCandidate struct {
+	machine int // index into Input.Machines
+	// fetch is how long the image takes there, in seconds.
+	fetch float64
+	// loss is the work that would be thrown away, in CPU seconds.
+	loss float64
+}
+
+// preempt makes room for up to n tasks of demand i, each on another machine, where that
+// throws away the least work, and returns for how many it did. The image takes at most
+// maxFetch seconds there. A negative zone means any.
+func (p *planner) preempt(i, zone, n int, maxFetch float64) (made int) {
 	d := &p.Demands[i]
 	if n <= 0 || !p.canPreemptAny(d) {
 		return 0
 	}
-	type choice struct {
-		machine, victims int
-		fetch, loss      float64
-	}
-	var all []choice
-	p.eachMachine(zone, func(mi int, m *Machine) {
-		if m.fetchSeconds(d) > fetch || p.blocked(m, d) || m.Unreliable || len(m.Victims) == 0 || !m.Total.Fits(d.Need) || !p.eligible(m, d) {
-			return
-		}
-		room, c := m.Free, choice{machine: mi, fetch: m.fetchSeconds(d)}
-		for v := range p.sortedVictims(mi) {
-			if room.Fits(d.Need) {
-				break
-			}
-			if p.canPreempt(d, &m.Victims[v]) {
-				room = room.addScaled(m.Victims[v].Need, 1)
-				c.loss += m.Victims[v].Loss
-				c.victims++
-			}
-		}
-		if c.victims > 0 && room.Fits(d.Need) {
-			all = append(all, c)
-		}
-	})
-	slices.SortFunc(all, func(a, b choice) int {
-		// What is stopped makes the demand start now, not after a fetch.
-		return cmp.Or(cmp.Compare(a.fetch, b.fetch), cmp.Compare(a.loss, b.loss), cmp.Compare(a.machine, b.machine))
-	})
-	made, inZone := 0, make([]int, len(d.TasksByZone))
-	for _, c := range all {
+	madeByZone := make([]int, len(d.TasksByZone))
+	for _, c := range p.preemptionCandidates(d, zone, maxFetch) {
 		if made == n {
 			break
 		}
 		m := &p.Machines[c.machine]
-		// Replicas that are kept apart need room in each zone, not twice in one.
-		if d.Spread && d.TasksByZone[m.Zone]+inZone[m.Zone] >= (d.Total+1)/2 {
+		// Replicas that are spread need room in each zone, not twice in one.
+		if d.Spread && d.TasksByZone[m.Zone]+madeByZone[m.Zone] >= d.maxPerZone() {
 			continue
 		}
-		var ids []int
-		room, teams := m.Free, slices.Clone(p.Teams)
-		for v := range m.Victims {
-			x := &m.Victims[v]
-			if room.Fits(d.Need) {
-				break
-			}
-			if p.canPreempt(d, x) {
-				ids = append(ids, x.ID)
-				room = room.addScaled(x.Need, 1)
-				if x.Team >= 0 {
-					t := &p.Teams[x.Team]
-					t.Stopping = t.Stopping.addScaled(x.released(), 1)
-				}
-			}
-		}
-		if !room.Fits(d.Need) {
-			p.Teams = teams // what this look has stopped before leaves too little to stop here
+		victims, ok := p.chooseVictims(m, d)
+		if !ok {
 			continue
 		}
-		m.ReservedFor, m.Reserved, m.AwaitsCompletion = d.ID, d.Need, false
+		m.reserve(d, false)
 		if d.Team >= 0 {
 			t := &p.Teams[d.Team]
 			t.Claimed = t.Claimed.addScaled(d.Need, 1)
 		}
-		p.plan.Preemptions = append(p.plan.Preemptions, Preemption{i, c.machine, ids})
-		inZone[m.Zone]++
+		p.plan.Preemptions = append(p.plan.Preemptions, Preemption{Demand: i, Machine: c.machine, Victims: victims})
+		madeByZone[m.Zone]++
 		made++
 	}
 	return made
 }
 
-// released is what leaves when the victim is stopped.
-func (v *Victim) released() Resources {
-	return Resources{max(v.Need.CPUs, v.Released.CPUs), max(v.Need.GPUs, v.Released.GPUs), max(v.Need.MemGB, v.Released.MemGB)}
+// preemptionCandidates returns the machines on which preemption makes room for a task of
+// the demand, the best first: what is preempted should let the demand start now, not after
+// a fetch, and lose as little work as possible.
+func (p *planner) preemptionCandidates(d *Demand, zone int, maxFetch float64) []preemptionCandidate {
+	var all []preemptionCandidate
+	p.eachMachine(zone, func(i int, m *Machine) {
+		if len(m.Victims) == 0 || !p.canPrepare(m, d, maxFetch) {
+			return
+		}
+		p.sortVictims(i)
+		if loss, ok := p.preemptionLoss(m, d); ok {
+			all = append(all, preemptionCandidate{machine: i, fetch: m.fetchSeconds(d), loss: loss})
+		}
+	})
+	slices.SortFunc(all, func(a, b preemptionCandidate) int {
+		return cmp.Or(cmp.Compare(a.fetch, b.fetch), cmp.Compare(a.loss, b.loss), cmp.Compare(a.machine, b.machine))
+	})
+	return all
+}
+
+// preemptionLoss returns the work that making room for a task of the demand on the machine
+// throws away, in CPU seconds; ok is false if preemption makes no room there, or none is
+// needed.
+func (p *planner) preemptionLoss(m *Machine, d *Demand) (loss float64, ok bool) {
+	free := m.Free
+	victims := 0
+	for v := range m.Victims {
+		if free.Fits(d.Need) {
+			break
+		}
+		if victim := &m.Victims[v]; p.canPreempt(d, victim) {
+			free = free.addScaled(victim.Need, 1)
+			loss += victim.Loss
+			victims++
+		}
+	}
+	return loss, victims > 0 && free.Fits(d.Need)
 }
 
-// sortedVictims returns a machine's victims in the order in which they are stopped.
-func (p *planner) sortedVictims(i int) []Victim {
-	m := &p.Machines[i]
-	if !p.victimsSorted[i] {
-		p.victimsSorted[i] = true
-		slices.SortStableFunc(m.Victims, func(a, b Victim) int {
-			return cmp.Or(cmp.Compare(a.Rank, b.Rank), cmp.Compare(a.Loss, b.Loss))
-		})
+// chooseVictims returns the ids of the machine's victims that make room for a task of the
+// demand and counts them as stopping. It is false, and changes nothing, if they do not
+// suffice, because of what this plan has preempted before.
+func (p *planner) chooseVictims(m *Machine, d *Demand) (ids []int, ok bool) {
+	free := m.Free
+	before := slices.Clone(p.Teams)
+	for v := range m.Victims {
+		if free.Fits(d.Need) {
+			break
+		}
+		victim := &m.Victims[v]
+		if !p.canPreempt(d, victim) {
+			continue
+		}
+		ids = append(ids, victim.ID)
+		free = free.addScaled(victim.Need, 1)
+		if victim.Team >= 0 {
+			t := &p.Teams[victim.Team]
+			t.Stopping = t.Stopping.addScaled(victim.released(), 1)
+		}
+	}
+	if !free.Fits(d.Need) {
+		p.Teams = before
+		return nil, false
 	}
-	return m.Victims
+	return ids, true
 }
 
-// blocked reports whether room is being kept here that is not the demand's to use
-// anew: another's, or its own for which work is being stopped already.
-func (p *planner) blocked(m *Machine, d *Demand) bool {
-	return m.ReservedFor != 0 && (m.ReservedFor != d.ID || !m.AwaitsCompletion)
+// sortVictims brings the victims of machine i into the order in which they are preempted.
+func (p *planner) sortVictims(i int) {
+	if p.victimsSorted[i] {
+		return
+	}
+	p.victimsSorted[i] = true
+	slices.SortStableFunc(p.Machines[i].Victims, func(a, b Victim) int {
+		return cmp.Or(cmp.Compare(a.Rank, b.Rank), cmp.Compare(a.Loss, b.Loss))
+	})
 }
--- a/internal/place/queue.go
+++ b/internal/place/queue.go
@@ -7,114 +7,155 @@
 	"vetchstream/internal/job"
 )
 
-// candidateQueue holds the machines that have room for a task of a demand, the shortest
-// length first and the first machine among equals: what a look at every machine
-// would choose, but with one look for all tasks of the demand, because a
-// placement changes the length of its own machine alone. (For a service it
-// changes the zone's; its queue is made anew for each replica.)
+// candidateQueue is a heap of the machines that have room for a task of a demand: the best
+// score first, and the first machine among equals. It gives what scoring every machine for
+// every task would, but scores them once for all tasks of the demand, because a placement
+// changes the score of its own machine alone. (For a service it changes the whole zone's,
+// so that the queue is built anew for each replica.)
 type candidateQueue struct {
-	p    *planner
-	d    *Demand
+	planner *planner
+	demand  *Demand
+	// zone is the only zone of the candidates; -1 means any.
 	zone int
 	// cachedOnly: only machines that have the image, or fetch it.
 	cachedOnly bool
 	heap       []candidate
-	capacity   int // tasks that fit, at least
+	// capacity is how many tasks fit when the queue is built.
+	capacity int
 }
 
+// candidate is a machine with its score.
 type candidate struct {
 	length  float64
-	machine int
+	machine int // index into Input.Machines
 }
 
+// Len is part of heap.Interface.
 func (q *candidateQueue) Len() int { return len(q.heap) }
 
+// Less is part of heap.Interface.
 func (q *candidateQueue) Less(a, b int) bool {
 	x, y := &q.heap[a], &q.heap[b]
 	return x.length < y.length || (x.length == y.length && x.machine < y.machine)
 }
 
+// Swap is part of heap.Interface.
 func (q *candidateQueue) Swap(a, b int) { q.heap[a], q.heap[b] = q.heap[b], q.heap[a] }
 
+// Push is part of heap.Interface.
 func (q *candidateQueue) Push(x any) { q.heap = append(q.heap, x.(candidate)) }
 
+// Pop is part of heap.Interface.
 func (q *candidateQueue) Pop() any {
-	c := q.heap[len(q.heap)-1]
-	q.heap = q.heap[:len(q.heap)-1]
+	last := len(q.heap) - 1
+	c := q.heap[last]
+	q.heap = q.heap[:last]
 	return c
 }
 
-func (p *planner) newQueue(d *Demand, zone int, cached bool) *candidateQueue {
-	q := &candidateQueue{p: p, d: d, zone: zone, cachedOnly: cached}
+// newQueue builds a queue for a demand.
+func (p *planner) newQueue(d *Demand, zone int, cachedOnly bool) *candidateQueue {
+	q := &candidateQueue{
+		planner:    p,
+		demand:     d,
+		zone:       zone,
+		cachedOnly: cachedOnly,
+	}
 	q.fill()
 	return q
 }
 
-// reuseQueue is queue, taken over from the demand before if that one asks for the
-// same of its machines: a swarm of thousands of small jobs must not cost a look
-// at every machine for each of them.
-func (p *planner) reuseQueue(d *Demand, zone int, cached bool) *candidateQueue {
-	if q := p.lastQueue; q != nil && q.zone == zone && q.cachedOnly == cached && (!p.calendarBound || (q.d.EndsIn == d.EndsIn && q.d.Movable == d.Movable)) && interchangeable(q.d, d) && !p.reservedFor[q.d.ID] && !p.reservedFor[d.ID] {
-		q.d = d
-		return q
+// reuseQueue returns the previous demand's queue if it serves this demand too, and builds
+// one otherwise. Thousands of small jobs that are alike need not score every machine each.
+func (p *planner) reuseQueue(d *Demand, zone int, cachedOnly bool) *candidateQueue {
+	q := p.lastQueue
+	if q == nil || q.zone != zone || q.cachedOnly != cachedOnly || !p.sharesQueue(q.demand, d) {
+		return p.newQueue(d, zone, cachedOnly)
+	}
+	q.demand = d
+	return q
+}
+
+// sharesQueue reports whether two demands have the same candidates with the same scores.
+func (p *planner) sharesQueue(a, b *Demand) bool {
+	if p.calendarBound && (a.EndsIn != b.EndsIn || a.Movable != b.Movable) {
+		return false
 	}
-	return p.newQueue(d, zone, cached)
+	return interchangeable(a, b) && !p.reservedFor[a.ID] && !p.reservedFor[b.ID]
 }
 
-// interchangeable reports whether two demands see the same length on every machine, and may
+// interchangeable reports whether two demands see the same score on every machine, and may
 // use the same ones, whatever has been placed of either.
 func interchangeable(a, b *Demand) bool {
-	return a.Shape == job.Array && b.Shape == job.Array && a.Need == b.Need && a.Image == b.Image &&
-		a.LastMachine == b.LastMachine && a.Spot == b.Spot && a.Zone == b.Zone && slices.Equal(a.AllowedTypes, b.AllowedTypes) &&
-		!a.OneZone && !b.OneZone && !a.Spread && !b.Spread
+	return a.Shape == job.Array && b.Shape == job.Array &&
+		a.Need == b.Need &&
+		a.Image == b.Image &&
+		a.LastMachine == b.LastMachine &&
+		a.Spot == b.Spot &&
+		a.Zone == b.Zone &&
+		slices.Equal(a.AllowedTypes, b.AllowedTypes) &&
+		!a.OneZone && !b.OneZone &&
+		!a.Spread && !b.Spread
 }
 
+// fill builds the heap from all machines.
 func (q *candidateQueue) fill() {
-	q.heap, q.capacity = q.heap[:0], 0
-	q.p.eachMachine(q.zone, func(i int, m *Machine) {
-		if m.Free.CPUs+slack < q.d.Need.CPUs || !available(m, q.d).Fits(q.d.Need) || !q.p.eligible(m, q.d) ||
-			(q.cachedOnly && !slices.Contains(m.Images, q.d.Image)) {
+	q.heap = q.heap[:0]
+	q.capacity = 0
+	q.planner.eachMachine(q.zone, func(i int, m *Machine) {
+		// The first condition is implied by the second, and cheap.
+		if m.Free.CPUs+slack < q.demand.Need.CPUs || !q.hasRoom(m) || (q.cachedOnly && !m.hasImage(q.demand)) {
 			return
 		}
-		q.capacity += available(m, q.d).FitCount(q.d.Need)
-		q.heap = append(q.heap, candidate{Length(&q.p.Weights, m, q.d), i})
+		q.capacity += m.available(q.demand).FitCount(q.demand.Need)
+		q.heap = append(q.heap, candidate{length: q.score(m), machine: i})
 	})
 	heap.Init(q)
 }
 
-// next is the best machine for a task, or -1.
+// hasRoom reports whether another task of the demand may run on the machine.
+func (q *candidateQueue) hasRoom(m *Machine) bool {
+	return m.available(q.demand).Fits(q.demand.Need) && q.planner.eligible(m, q.demand)
+}
+
+func (q *candidateQueue) score(m *Machine) float64 {
+	return Length(&q.planner.Weights, m, q.demand)
+}
+
+// next returns the index of the best machine for a task, or -1 if there is none.
 func (q *candidateQueue) next(task int32) int {
-	var aside []candidate
+	// skipped are machines that would refuse this task; they stay candidates for others.
+	var skipped []candidate
 	best := -1
 	for len(q.heap) > 0 {
 		c := q.heap[0]
-		m := &q.p.Machines[c.machine]
-		if !available(m, q.d).Fits(q.d.Need) || !q.p.eligible(m, q.d) {
-			heap.Pop(q) // full, or its zone is closed by now: for good
+		m := &q.planner.Machines[c.machine]
+		if !q.hasRoom(m) {
+			heap.Pop(q) // for good: it is full, or its zone is closed to the demand by now
 			continue
 		}
-		if len(m.UnclearedExits) > 0 && m.UnclearedExits[Task{q.d.ID, task}] {
-			aside = append(aside, heap.Pop(q).(candidate))
+		if len(m.UnclearedExits) > 0 && m.UnclearedExits[Task{Job: q.demand.ID, Task: task}] {
+			skipped = append(skipped, heap.Pop(q).(candidate))
 			continue
 		}
 		best = c.machine
 		break
 	}
-	for _, c := range aside {
+	for _, c := range skipped {
 		heap.Push(q, c)
 	}
 	return best
 }
 
-// placed brings the queue up to date after a placement on machine i.
+// placed updates the queue after a placement on machine i.
 func (q *candidateQueue) placed(i int) {
-	if q.d.Shape == job.Service {
+	if q.demand.Shape == job.Service {
 		q.fill()
 		return
 	}
 	for at := range q.heap {
 		if q.heap[at].machine == i {
-			q.heap[at].length = Length(&q.p.Weights, &q.p.Machines[i], q.d)
+			q.heap[at].length = q.score(&q.planner.Machines[i])
 			heap.Fix(q, at)
 			return
 		}
