--- a/internal/place/images_test.go
+++ b/internal/place/images_test.go
@@ -8,79 +8,93 @@
 	"vetchstream/internal/job"
 )
 
-// TestImages: who takes which room when an image takes as long as a start may. "a" to
-// "d" are machines; image 0 is the first demand's.
-func TestImages(t *testing.T) {
-	has := func(id int, free float64, images ...int) Machine {
-		m := machine(id, 0, 8)
-		m.Free.CPUs, m.Images, m.FetchRate = free, images, 0.5
-		if free < 8 {
-			m.Jobs = 1
-		}
-		return m
-	}
-	full := func(id int, loss float64, images ...int) Machine {
-		m := has(id, 0, images...)
-		m.Victims = []Victim{{ID: id, Rank: job.Idle, Team: -1, Need: Resources{CPUs: 8}, Loss: loss, Remaining: 5}}
-		return m
-	}
-	array := func(id, image int, edit func(*Demand)) Demand {
-		d := demand(id, job.Array, 8, 0)
-		d.Rank, d.Image, d.ImageGB, d.Team = job.Standard, image, 5, -1
-		if edit != nil {
-			edit(&d)
-		}
-		return d
+// imageMachine is a machine with so many free CPUs of 8 and the images.
+func imageMachine(id int, free float64, images ...int) Machine {
+	m := machine(id, 0, 8)
+	m.Free.CPUs, m.Images, m.FetchRate = free, images, 0.5
+	if free < 8 {
+		m.Jobs = 1
 	}
-	patient := func(d *Demand) { d.CanDelay = true }
-	hurried := func(shape job.Shape) func(*Demand) {
-		return func(d *Demand) { d.Shape, d.FetchTooSlow, d.MayPreempt = shape, true, true }
+	return m
+}
+
+// fullMachine is a machine that is full with one victim.
+func fullMachine(id int, loss float64, images ...int) Machine {
+	m := imageMachine(id, 0, images...)
+	m.Victims = []Victim{{ID: id, Rank: job.Idle, Team: -1, Need: Resources{CPUs: 8}, Loss: loss, Remaining: 5}}
+	return m
+}
+
+// imageDemand is an array of one task that needs a whole machine and the image.
+func imageDemand(id, image int, edit func(*Demand)) Demand {
+	d := demand(id, job.Array, 8, 0)
+	d.Rank, d.Image, d.ImageGB, d.Team = job.Standard, image, 5, -1
+	if edit != nil {
+		edit(&d)
 	}
-	tests := []struct {
-		name string
-		in   Input
-		want string // demand>machine, demand!machine where work is stopped, demand?machine that is kept
-	}{
+	return d
+}
+
+func canDelay(d *Demand) { d.CanDelay = true }
+
+func fetchTooSlow(shape job.Shape) func(*Demand) {
+	return func(d *Demand) { d.Shape, d.FetchTooSlow, d.MayPreempt = shape, true, true }
+}
+
+type imageTest struct {
+	name string
+	in   Input
+	want string // demand>machine, demand!machine where work is stopped, demand?machine that is kept
+}
+
+// imageTests returns the cases anew, because Make changes its input.
+func imageTests() []imageTest {
+	return []imageTest{
 		{"an array with time left leaves room to one that has its image there", Input{
-			Machines: []Machine{has(0, 8, 1)}, Demands: []Demand{array(1, 0, patient), array(2, 1, patient)}}, "1>a"},
+			Machines: []Machine{imageMachine(0, 8, 1)}, Demands: []Demand{imageDemand(1, 0, canDelay), imageDemand(2, 1, canDelay)}}, "1>a"},
 		{"and takes what is left", Input{
-			Machines: []Machine{has(0, 8, 1), has(1, 8, 1)}, Demands: []Demand{array(1, 0, patient), array(2, 1, patient)}}, "1>a 0>b"},
+			Machines: []Machine{imageMachine(0, 8, 1), imageMachine(1, 8, 1)}, Demands: []Demand{imageDemand(1, 0, canDelay), imageDemand(2, 1, canDelay)}}, "1>a 0>b"},
 		{"one without does not wait", Input{
-			Machines: []Machine{has(0, 8, 1)}, Demands: []Demand{array(1, 0, nil), array(2, 1, patient)}}, "0>a"},
-		{"nor does one inside its guarantee", Input{Teams: []Team{{Guarantee: Resources{CPUs: 8}}}, Machines: []Machine{has(0, 8, 1)},
-			Demands: []Demand{array(1, 0, func(d *Demand) { d.CanDelay, d.Team = true, 0 }), array(2, 1, patient)}}, "0>a"},
+			Machines: []Machine{imageMachine(0, 8, 1)}, Demands: []Demand{imageDemand(1, 0, nil), imageDemand(2, 1, canDelay)}}, "0>a"},
+		{"nor does one inside its guarantee", Input{Teams: []Team{{Guarantee: Resources{CPUs: 8}}}, Machines: []Machine{imageMachine(0, 8, 1)},
+			Demands: []Demand{imageDemand(1, 0, func(d *Demand) { d.CanDelay, d.Team = true, 0 }), imageDemand(2, 1, canDelay)}}, "0>a"},
 		{"a service in a hurry has room made where its image is", Input{
-			Machines: []Machine{has(0, 8), full(1, 100, 0)}, Demands: []Demand{array(1, 0, hurried(job.Service))}}, "0!b"},
+			Machines: []Machine{imageMachine(0, 8), fullMachine(1, 100, 0)}, Demands: []Demand{imageDemand(1, 0, fetchTooSlow(job.Service))}}, "0!b"},
 		{"and waits for that room", Input{
-			Machines: []Machine{has(0, 8), func() Machine {
-				m := full(1, 100, 0)
+			Machines: []Machine{imageMachine(0, 8), func() Machine {
+				m := fullMachine(1, 100, 0)
 				m.ReservedFor, m.Reserved, m.Victims = 1, Resources{CPUs: 8}, nil
 				return m
-			}(), full(2, 1)}, Demands: []Demand{array(1, 0, hurried(job.Service))}}, ""},
+			}(), fullMachine(2, 1)}, Demands: []Demand{imageDemand(1, 0, fetchTooSlow(job.Service))}}, ""},
 		{"without any such machine it takes another", Input{
-			Machines: []Machine{has(0, 8), full(1, 100, 1)}, Demands: []Demand{array(1, 0, hurried(job.Service))}}, "0>a"},
+			Machines: []Machine{imageMachine(0, 8), fullMachine(1, 100, 1)}, Demands: []Demand{imageDemand(1, 0, fetchTooSlow(job.Service))}}, "0>a"},
 		{"work is stopped where the image is, though more is lost", Input{
-			Machines: []Machine{full(0, 1), full(1, 100, 0)}, Demands: []Demand{array(1, 0, func(d *Demand) { d.Shape, d.MayPreempt = job.Service, true })}}, "0!b"},
+			Machines: []Machine{fullMachine(0, 1), fullMachine(1, 100, 0)}, Demands: []Demand{imageDemand(1, 0, func(d *Demand) { d.Shape, d.MayPreempt = job.Service, true })}}, "0!b"},
 		{"a gang in a hurry waits for one of many machines with its image", Input{
-			Machines: slices.Concat([]Machine{has(0, 8)}, slices.Repeat([]Machine{has(1, 0, 0)}, commonImageFactor)), Demands: []Demand{array(1, 0, hurried(job.Gang))}}, ""},
+			Machines: slices.Concat([]Machine{imageMachine(0, 8)}, slices.Repeat([]Machine{imageMachine(1, 0, 0)}, commonImageFactor)), Demands: []Demand{imageDemand(1, 0, fetchTooSlow(job.Gang))}}, ""},
 		{"and has the soonest of them kept", Input{
-			Machines: slices.Concat([]Machine{has(0, 8)}, slices.Repeat([]Machine{has(1, 0, 0)}, commonImageFactor), []Machine{func() Machine {
-				m := full(9, 1, 0)
+			Machines: slices.Concat([]Machine{imageMachine(0, 8)}, slices.Repeat([]Machine{imageMachine(1, 0, 0)}, commonImageFactor), []Machine{func() Machine {
+				m := fullMachine(9, 1, 0)
 				m.Victims[0].Rank = job.Standard
 				return m
-			}()}), Demands: []Demand{array(1, 0, hurried(job.Gang))}}, "0?j"},
+			}()}), Demands: []Demand{imageDemand(1, 0, fetchTooSlow(job.Gang))}}, "0?j"},
 		{"not if there are few", Input{
-			Machines: []Machine{has(0, 8), has(1, 0, 0)}, Demands: []Demand{array(1, 0, hurried(job.Gang))}}, "0>a"},
+			Machines: []Machine{imageMachine(0, 8), imageMachine(1, 0, 0)}, Demands: []Demand{imageDemand(1, 0, fetchTooSlow(job.Gang))}}, "0>a"},
 		{"room for replicas that are kept apart is made in each zone", Input{
 			Machines: func() []Machine {
-				ms := []Machine{full(0, 1), full(1, 2), full(2, 100)}
+				ms := []Machine{fullMachine(0, 1), fullMachine(1, 2), fullMachine(2, 100)}
 				ms[2].Zone = 1
 				return ms
-			}(), Demands: []Demand{array(1, 0, func(d *Demand) {
+			}(), Demands: []Demand{imageDemand(1, 0, func(d *Demand) {
 				d.Shape, d.MayPreempt, d.Spread, d.Total, d.Pending = job.Service, true, true, 2, []int32{0, 1}
 			})}}, "0!a 0!c"},
 	}
-	for _, tt := range tests {
+}
+
+// TestImages: who takes which room when an image takes as long as a start may. "a" to
+// "d" are machines; image 0 is the first demand's.
+func TestImages(t *testing.T) {
+	for _, tt := range imageTests() {
 		tt.in.Weights = paper
 		for i := range tt.in.Machines {
 			tt.in.Machines[i].ID = i
