--- a/internal/autoscale/cloud.go
+++ b/internal/autoscale/cloud.go
@@ -1,5 +1,5 @@
-// Package autoscale rents and returns machines: the cloud's client, and the pure
-// decisions about what to rent and when to give it back.
+// Package autoscale scales the fleet out and in: the client of the cloud's API, and the pure
+// decision about which machines to request for unmet demand.
 package autoscale
 
 import (
@@ -10,6 +10,7 @@
 	"io"
 	"net/http"
 	"net/url"
+	"strconv"
 	"time"
 
 	"golang.org/x/time/rate"
@@ -18,84 +19,121 @@
 	"vetchstream/internal/wire"
 )
 
+// noCapacity is the error in the body of a response that refuses a request for machines.
+const noCapacity = "no capacity"
+
 var (
-	// ErrNoCapacity means that none is available for this type, zone and kind.
-	ErrNoCapacity = errors.New("no capacity")
-	// ErrUnavailable means that the cloud did not do it now; it may be asked again.
+	// ErrNoCapacity means that the cloud has no machine of a type, zone and kind.
+	ErrNoCapacity = errors.New(noCapacity)
+	// ErrUnavailable means that a request failed and may be repeated.
 	ErrUnavailable = errors.New("cloud trouble")
 )
 
-// Cloud is the client of the cloud's API.
+const (
+	requestTimeout  = 5 * time.Second
+	idleConnTimeout = time.Minute
+	maxConns        = 4
+	// maxResponseBytes bounds the body of a response.
+	maxResponseBytes = 4 << 20
+	// listPageSize is the cloud's limit for one page of the machine list.
+	listPageSize = 500
+	// rateShare is the share of the cloud's request rate that one controller uses. The rest is
+	// left to the other controllers: an earlier leader may have requests in flight, and all of
+	// them read the machine types.
+	rateShare = 0.8
+)
+
+// Cloud is the client of the cloud's API. It is safe for concurrent use.
 type Cloud struct {
-	base  string
-	http  *http.Client
-	limit *rate.Limiter
+	baseURL string
+	client  *http.Client
+	limiter *rate.Limiter
 }
 
-// NewCloud makes a client that stays within rps requests per second.
+// NewCloud returns a client for the API at addr, which allows rps requests per second.
 func NewCloud(addr string, dial state.DialFunc, rps float64) *Cloud {
+	transport := &http.Transport{
+		DialContext:         dial,
+		MaxConnsPerHost:     maxConns,
+		MaxIdleConnsPerHost: maxConns,
+		IdleConnTimeout:     idleConnTimeout,
+		DisableCompression:  true,
+	}
 	return &Cloud{
-		base: "http://" + addr,
-		http: &http.Client{Transport: &http.Transport{DialContext: dial, MaxConnsPerHost: 4, MaxIdleConnsPerHost: 4,
-			IdleConnTimeout: time.Minute, DisableCompression: true}},
-		// A part is left for the other controllers, which may hold the lead's
-		// last requests in flight, and for the price list.
-		limit: rate.NewLimiter(rate.Limit(rps*0.8), max(1, int(rps))),
+		baseURL: "http://" + addr,
+		client:  &http.Client{Transport: transport},
+		limiter: rate.NewLimiter(rate.Limit(rps*rateShare), max(1, int(rps))),
 	}
 }
 
-func (c *Cloud) do(ctx context.Context, method, path string, body, out any) error {
-	ctx, cancel := context.WithTimeout(ctx, 5*time.Second)
+// do sends a request, with in as its body unless it is nil, and decodes the response into
+// out. Errors are ErrNoCapacity or wrap ErrUnavailable where the cloud caused them.
+func (c *Cloud) do(ctx context.Context, method, path string, in, out any) error {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	if err := c.limit.Wait(ctx); err != nil {
+	if err := c.limiter.Wait(ctx); err != nil {
 		return fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
-	var rd io.Reader
-	if body != nil {
-		b, err := wire.Marshal(body)
-		if err != nil {
-			return err
-		}
-		rd = bytes.NewReader(b)
-	}
-	req, err := http.NewRequestWithContext(ctx, method, c.base+path, rd)
+	req, err := c.newRequest(ctx, method, path, in)
 	if err != nil {
-		return fmt.Errorf("cloud request: %w", err)
+		return err
 	}
-	req.Header.Set("Content-Type", wire.ContentType)
-	res, err := c.http.Do(req)
+	res, err := c.client.Do(req)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
 	defer res.Body.Close()
-	b, err := io.ReadAll(io.LimitReader(res.Body, 4<<20))
+	body, err := io.ReadAll(io.LimitReader(res.Body, maxResponseBytes))
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
 	if res.StatusCode != http.StatusOK {
-		var e wire.Error
-		_ = wire.Unmarshal(b, &e)
-		if e.Error == ErrNoCapacity.Error() {
-			return ErrNoCapacity
+		return statusError(res.StatusCode, body)
+	}
+	return wire.Unmarshal(body, out)
+}
+
+// newRequest makes a request with in as its body unless it is nil.
+func (c *Cloud) newRequest(ctx context.Context, method, path string, in any) (*http.Request, error) {
+	var body io.Reader
+	if in != nil {
+		b, err := wire.Marshal(in)
+		if err != nil {
+			return nil, err
 		}
-		return fmt.Errorf("%w: status %d %s", ErrUnavailable, res.StatusCode, e.Error)
+		body = bytes.NewReader(b)
+	}
+	req, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, body)
+	if err != nil {
+		return nil, fmt.Errorf("cloud request: %w", err)
+	}
+	req.Header.Set("Content-Type", wire.ContentType)
+	return req, nil
+}
+
+// statusError returns the error for a response whose status is not 200.
+func statusError(status int, body []byte) error {
+	var e wire.Error
+	_ = wire.Unmarshal(body, &e) // the status says enough where the body is none
+	if e.Error == noCapacity {
+		return ErrNoCapacity
 	}
-	return wire.Unmarshal(b, out)
+	return fmt.Errorf("%w: status %d %s", ErrUnavailable, status, e.Error)
 }
 
-// MachineTypes reads the price list.
+// MachineTypes returns the machine types with their current prices.
 func (c *Cloud) MachineTypes(ctx context.Context) ([]wire.MachineType, error) {
 	var out wire.MachineTypes
 	err := c.do(ctx, http.MethodGet, "/machine_types", nil, &out)
 	return out.Types, err
 }
 
-// ListMachines reads the whole list of machines.
+// ListMachines returns all machines, ordered by name.
 func (c *Cloud) ListMachines(ctx context.Context) ([]wire.CloudHost, error) {
 	var all []wire.CloudHost
 	after := ""
 	for {
-		q := url.Values{"page": {"500"}}
+		q := url.Values{"page": {strconv.Itoa(listPageSize)}}
 		if after != "" {
 			q.Set("after", after)
 		}
@@ -111,14 +149,16 @@
 	}
 }
 
-// Provision asks for machines and returns the names of those rented.
+// Provision requests machines and returns the names of those that the cloud has created, which
+// may be fewer. Repeating a request that has succeeded creates none.
 func (c *Cloud) Provision(ctx context.Context, h wire.Hire) ([]string, error) {
 	var out wire.HostNames
 	err := c.do(ctx, http.MethodPost, "/hosts", h, &out)
 	return out.Hosts, err
 }
 
-// Release returns machines; without an error they are gone with all on them.
+// Release gives machines back to the cloud; without an error they and all tasks on them are
+// gone.
 func (c *Cloud) Release(ctx context.Context, names []string) error {
 	var out struct{}
 	return c.do(ctx, http.MethodPost, "/hosts/release", wire.HostNames{Hosts: names}, &out)
--- a/internal/autoscale/plan.go
+++ b/internal/autoscale/plan.go
@@ -2,233 +2,281 @@
 
 import (
 	"math"
+	"slices"
 	"time"
 
 	"vetchstream/internal/place"
 	"vetchstream/internal/wire"
 )
 
-// Offer is a machine type in one zone, ordinary or spot.
-type Offer struct {
-	Type, Zone int
-	Spot       bool
-}
-
-// Backoff remembers which offers were refused lately.
-type Backoff struct {
-	until map[Offer]time.Time
-	step  map[Offer]time.Duration
-}
-
-// NewBackoff makes an empty memory.
-func NewBackoff() *Backoff {
-	return &Backoff{until: map[Offer]time.Time{}, step: map[Offer]time.Duration{}}
-}
-
 const (
-	firstBackoff = 5 * time.Second
-	maxBackoff   = 40 * time.Second
+	// maxMachinesPerPass bounds what one call of ScaleOut requests. The rest follows when the
+	// cloud has shown what capacity it has.
+	maxMachinesPerPass = 150
+	// minChargedS is for how long a machine costs at the least, in seconds.
+	minChargedS = 60
+	// zoneSpreadFactor is by how much each machine in a zone makes another one there count as
+	// dearer. It decides only between offers that cost the same.
+	zoneSpreadFactor = 0.001
 )
 
-// Refused notes a refusal; the pause doubles from one to the next.
-func (b *Backoff) Refused(o Offer, now time.Time) {
-	d := min(maxBackoff, max(firstBackoff, 2*b.step[o]))
-	b.step[o], b.until[o] = d, now.Add(d)
+// Offer is a machine type in one zone, on demand or spot.
+type Offer struct {
+	Type int // index into Input.Types
+	Zone int
+	Spot bool
 }
 
-// Succeeded forgets the refusals of an offer.
-func (b *Backoff) Succeeded(o Offer) { delete(b.step, o); delete(b.until, o) }
-
-// Open reports whether the offer may be asked for.
-func (b *Backoff) Open(o Offer, now time.Time) bool { return !now.Before(b.until[o]) }
-
-// UnmetDemand is waiting work of one job that found no machine.
+// UnmetDemand is a job with tasks that found no machine.
 type UnmetDemand struct {
 	Demand *place.Demand
-	Count  int
+	// Count is the number of those tasks.
+	Count int
 	// TaskS is the expected run time of a task, in seconds.
-	TaskS   float64
-	ImageGB float64 // GB
-	Waited  float64 // seconds
-	Urgent  bool    // waiting costs an aim: rent without regard to the fill
-	// FitsByZone is how many of the tasks fit now on machines that are up, by zone, for a
-	// gang that has to be in one; nil: not known.
+	TaskS float64
+	// ImageGB is the size of the job's image.
+	ImageGB float64
+	// WaitedS is for how long the job has waited, in seconds.
+	WaitedS float64
+	// Urgent: machines are requested however little of them the job fills.
+	Urgent bool
+	// FitsByZone is, for a gang that has to be in one zone, how many of its tasks fit now on
+	// the machines that are up, by zone; nil if unknown.
 	FitsByZone []int
-	// ChosenZone is the zone that Rentals has chosen for such a gang; -1: none.
+	// ChosenZone is set by ScaleOut to the zone that it has chosen for such a gang, and to -1
+	// for all others.
 	ChosenZone int
 }
 
-// chooseGangZone chooses the zone of a gang that has to be in one: where the fewest tasks
-// are without room, counting what is up and what comes. Renting wherever it is
-// cheapest would bring one machine here and one there, each idle and returned
-// before the next comes, and the gang would wait for ever.
-func (s *Input) chooseGangZone(w *UnmetDemand, coming []PendingMachine) (zone int) {
-	zone = -1
-	best, _, any := s.cheapest(w.Demand, w.Count, *w)
-	least := 0
-	for z, fit := range w.FitsByZone {
-		d := *w.Demand
-		d.Zone = z
-		for i := range coming {
-			if eligible(&d, coming[i].Offer) {
-				fit += coming[i].Free.FitCount(d.Need)
-			}
-		}
-		left := max(0, w.Count-fit)
-		if left > 0 {
-			if _, _, ok := s.cheapest(&d, left, *w); !ok {
-				continue
-			}
-		}
-		if zone < 0 || left < least || (left == least && any && z == best.Zone) {
-			zone, least = z, left
-		}
-	}
-	return zone
-}
-
-// PendingMachine is a machine that was rented and is not up yet.
+// PendingMachine is a machine that was requested and is not up yet.
 type PendingMachine struct {
 	Offer
+	// Free is what no unmet demand has been assigned of it.
 	Free place.Resources
 }
 
-// Input is all that a rental decision depends on.
+// Input is all that a decision to scale out depends on, apart from the unmet demand.
 type Input struct {
-	Types   []wire.MachineType
-	ZoneOf  map[string]int
-	Pending []PendingMachine
-	Backoff *Backoff
-	// MachinesByZone counts the machines of each zone: what costs the same is spread, so
-	// that a wave of notices or a cut in one zone takes few.
+	Types []wire.MachineType
+	// ZoneIndex maps the names of zones to their indices.
+	ZoneIndex map[string]int
+	Pending   []PendingMachine
+	Backoff   *Backoff
+	// MachinesByZone counts the machines of each zone. Offers that cost the same are spread,
+	// so that a wave of spot notices or the loss of a zone takes few.
 	MachinesByZone []int
-	MinFill        float64
-	PatienceS      float64
-	Now            time.Time
-	// Closed tells of offers that would only be returned again for maintenance; nil:
-	// none.
+	// MinFill is the part of a machine that a job must fill for the machine to be requested
+	// before the job has waited for PatienceS seconds.
+	MinFill   float64
+	PatienceS float64
+	Now       time.Time
+	// Closed reports whether machines of an offer would only be released again for
+	// maintenance; nil means none.
 	Closed func(Offer) bool
 }
 
-// maxMachinesPerPass bounds what one look rents, in machines.
-const maxMachinesPerPass = 150
-
-// ScaleOut decides what to rent: waiting work goes first to the machines that
-// are coming, and what is left to the offer that runs it at the lowest cost, if
-// the work can fill enough of it or has waited for long.
-func ScaleOut(s Input, wants []UnmetDemand) map[Offer]int {
-	out := map[Offer]int{}
-	coming := append([]PendingMachine(nil), s.Pending...)
-	for wi := range wants {
-		w := &wants[wi]
-		d := w.Demand
-		left := w.Count
-		w.ChosenZone = -1
-		if w.FitsByZone != nil {
-			zone := s.chooseGangZone(w, coming)
-			if zone < 0 {
-				continue
-			}
-			here := *d
-			here.Zone, w.ChosenZone = zone, zone
-			d = &here
-			left -= min(left, w.FitsByZone[zone])
-		}
-		for i := range coming {
-			c := &coming[i]
-			if left == 0 {
-				break
-			}
-			if !eligible(d, c.Offer) {
-				continue
-			}
-			n := min(left, c.Free.FitCount(d.Need))
-			c.Free = minus(c.Free, d.Need, n)
-			left -= n
-		}
-		for left > 0 {
-			o, slots, ok := s.cheapest(d, left, *w)
-			if !ok {
-				break
-			}
-			t := &s.Types[o.Type]
-			total := place.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemGB: t.MemGB}
-			n := min(left, slots)
-			fill := float64(n) / float64(slots)
-			if !w.Urgent && fill < s.MinFill && w.Waited < s.PatienceS {
-				break
-			}
-			out[o]++
-			coming = append(coming, PendingMachine{o, minus(total, d.Need, n)})
-			left -= n
-			if len(coming) > len(s.Pending)+maxMachinesPerPass {
-				return out // the rest at the next look, when capacity has shown itself
-			}
+// MachineResources returns what a machine of a type has.
+func MachineResources(t *wire.MachineType) place.Resources {
+	return place.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemGB: t.MemGB}
+}
+
+// HourlyPrice returns the price of a machine of a type, per hour.
+func HourlyPrice(t *wire.MachineType, spot bool) float64 {
+	if spot {
+		return t.SpotPrice
+	}
+	return t.Price
+}
+
+// ScaleOut decides how many machines of which offers to request. Unmet demand, in its
+// order, goes first to the machines that are pending and then to the offer that runs it at
+// the lowest cost, if it fills enough of the machine or has waited for long.
+func ScaleOut(in Input, unmet []UnmetDemand) map[Offer]int {
+	p := &pass{
+		Input:    in,
+		pending:  slices.Clone(in.Pending),
+		requests: map[Offer]int{},
+	}
+	for i := range unmet {
+		p.serve(&unmet[i])
+		if p.full() {
+			break
 		}
 	}
-	return out
+	return p.requests
 }
 
-func minus(a, need place.Resources, n int) place.Resources {
-	k := float64(n)
-	return place.Resources{CPUs: a.CPUs - k*need.CPUs, GPUs: a.GPUs - k*need.GPUs, MemGB: a.MemGB - k*need.MemGB}
+// pass is one call of ScaleOut.
+type pass struct {
+	Input
+	// pending are the machines of Input.Pending and those that this pass requests.
+	pending  []PendingMachine
+	requests map[Offer]int
+}
+
+// full reports whether the pass has requested as much as one pass may.
+func (p *pass) full() bool { return len(p.pending) > len(p.Pending)+maxMachinesPerPass }
+
+// serve finds machines for an unmet demand.
+func (p *pass) serve(u *UnmetDemand) {
+	d := u.Demand
+	count := u.Count
+	u.ChosenZone = -1
+	if u.FitsByZone != nil {
+		zone := p.chooseGangZone(u)
+		if zone < 0 {
+			return
+		}
+		u.ChosenZone = zone
+		inZone := *d
+		inZone.Zone = zone
+		d = &inZone
+		count -= min(count, u.FitsByZone[zone])
+	}
+	count = p.usePending(d, count)
+	p.request(u, d, count)
 }
 
-func eligible(d *place.Demand, o Offer) bool {
-	if (d.AllowedTypes != nil && !d.AllowedTypes[o.Type]) || (d.Zone >= 0 && d.Zone != o.Zone) || (o.Spot && !d.Spot) {
-		return false
+// usePending assigns tasks of a demand to machines that are pending, and returns how many
+// of count are left.
+func (p *pass) usePending(d *place.Demand, count int) (left int) {
+	for i := range p.pending {
+		if count == 0 {
+			break
+		}
+		m := &p.pending[i]
+		if !allows(d, m.Offer) {
+			continue
+		}
+		n := min(count, m.Free.FitCount(d.Need))
+		m.Free = subtract(m.Free, d.Need, n)
+		count -= n
 	}
-	if d.Spread && d.TasksByZone[o.Zone] >= (d.Total+1)/2 {
-		return false
+	return count
+}
+
+// request requests machines for count tasks of a demand; d is u.Demand, confined to the
+// chosen zone where there is one.
+func (p *pass) request(u *UnmetDemand, d *place.Demand, count int) {
+	for count > 0 && !p.full() {
+		best, ok := p.cheapest(u, d, count)
+		if !ok {
+			return
+		}
+		n := min(count, best.capacity)
+		fill := float64(n) / float64(best.capacity)
+		if !u.Urgent && fill < p.MinFill && u.WaitedS < p.PatienceS {
+			return
+		}
+		p.requests[best.offer]++
+		total := MachineResources(&p.Types[best.offer.Type])
+		p.pending = append(p.pending, PendingMachine{Offer: best.offer, Free: subtract(total, d.Need, n)})
+		count -= n
 	}
-	if d.OneZone {
-		for z, n := range d.TasksByZone {
-			if n > 0 && z != o.Zone {
-				return false
+}
+
+// chooseGangZone chooses the zone of a gang that has to be in one: where the fewest tasks
+// lack room, counting the machines that are up and those pending; -1 if there is none.
+// Requesting wherever it is cheapest would bring one machine to each zone, idle and released
+// before the next comes, and the gang would wait for ever.
+func (p *pass) chooseGangZone(u *UnmetDemand) (zone int) {
+	zone = -1
+	fewest := 0
+	cheapest, hasCheapest := p.cheapest(u, u.Demand, u.Count)
+	for z, fit := range u.FitsByZone {
+		d := *u.Demand
+		d.Zone = z
+		missing := max(0, u.Count-fit-p.pendingFit(&d))
+		if missing > 0 {
+			if _, ok := p.cheapest(u, &d, missing); !ok {
+				continue
 			}
 		}
+		if zone < 0 || missing < fewest || (missing == fewest && hasCheapest && z == cheapest.offer.Zone) {
+			zone = z
+			fewest = missing
+		}
+	}
+	return zone
+}
+
+// pendingFit returns how many tasks of a demand fit on the machines that are pending.
+func (p *pass) pendingFit(d *place.Demand) (n int) {
+	for i := range p.pending {
+		if m := &p.pending[i]; allows(d, m.Offer) {
+			n += m.Free.FitCount(d.Need)
+		}
 	}
-	return true
-}
-
-// cheapest is the offer with the lowest cost per task: the machine is paid from
-// the request, so the boot time counts, and for as long as its share of the
-// tasks takes.
-func (s *Input) cheapest(d *place.Demand, left int, w UnmetDemand) (best Offer, slots int, ok bool) {
-	cost := math.Inf(1)
-	for ti := range s.Types {
-		t := &s.Types[ti]
-		n := place.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemGB: t.MemGB}.FitCount(d.Need)
-		if n == 0 {
+	return n
+}
+
+// choice is an offer with the number of tasks that fit on one of its machines.
+type choice struct {
+	offer    Offer
+	capacity int
+}
+
+// cheapest returns the offer that can be had with the lowest cost per task for count tasks
+// of a demand; ok is false if there is none.
+func (in *Input) cheapest(u *UnmetDemand, d *place.Demand, count int) (best choice, ok bool) {
+	lowest := math.Inf(1)
+	for i := range in.Types {
+		t := &in.Types[i]
+		capacity := MachineResources(t).FitCount(d.Need)
+		if capacity == 0 {
 			continue
 		}
-		for _, zn := range t.Zones {
-			z, known := s.ZoneOf[zn]
+		for _, name := range t.Zones {
+			zone, known := in.ZoneIndex[name]
 			if !known {
 				continue
 			}
-			for _, spot := range []bool{false, true} {
-				o := Offer{ti, z, spot}
-				if !eligible(d, o) || !s.Backoff.Open(o, s.Now) || (s.Closed != nil && s.Closed(o)) {
+			for _, spot := range [...]bool{false, true} {
+				o := Offer{Type: i, Zone: zone, Spot: spot}
+				if !allows(d, o) || !in.available(o) {
 					continue
 				}
-				price := t.Price
-				if spot {
-					price = t.SpotPrice
-				}
-				secs := t.BootS + w.TaskS
-				if t.FetchRate > 0 {
-					secs += w.ImageGB / t.FetchRate
-				}
-				c := price * max(60, secs) / float64(min(n, left))
-				if z < len(s.MachinesByZone) {
-					c *= 1 + 0.001*float64(s.MachinesByZone[z])
-				}
-				if c < cost {
-					best, slots, cost, ok = o, n, c, true
+				if cost := in.costPerTask(o, u, min(capacity, count)); cost < lowest {
+					best = choice{offer: o, capacity: capacity}
+					lowest = cost
+					ok = true
 				}
 			}
 		}
 	}
-	return best, slots, ok
+	return best, ok
+}
+
+// available reports whether machines of an offer may be requested now.
+func (in *Input) available(o Offer) bool {
+	return in.Backoff.Open(o, in.Now) && (in.Closed == nil || !in.Closed(o))
+}
+
+// costPerTask returns the cost of each of the given number of tasks that share a machine of
+// an offer. The machine is charged from the request on, so that booting and the image fetch
+// count.
+func (in *Input) costPerTask(o Offer, u *UnmetDemand, tasks int) float64 {
+	t := &in.Types[o.Type]
+	seconds := t.BootS + u.TaskS
+	if t.FetchRate > 0 {
+		seconds += u.ImageGB / t.FetchRate
+	}
+	cost := HourlyPrice(t, o.Spot) * max(minChargedS, seconds) / float64(tasks)
+	if o.Zone < len(in.MachinesByZone) {
+		cost *= 1 + zoneSpreadFactor*float64(in.MachinesByZone[o.Zone])
+	}
+	return cost
+}
+
+// allows reports whether a task of the demand may run on a machine of the offer.
+func allows(d *place.Demand, o Offer) bool { return d.Allows(o.Type, o.Zone, o.Spot) }
+
+// subtract returns a less n times need.
+func subtract(a, need place.Resources, n int) place.Resources {
+	k := float64(n)
+	return place.Resources{
+		CPUs:  a.CPUs - k*need.CPUs,
+		GPUs:  a.GPUs - k*need.GPUs,
+		MemGB: a.MemGB - k*need.MemGB,
+	}
 }
--- a/internal/autoscale/plan_test.go
+++ b/internal/autoscale/plan_test.go
@@ -37,7 +37,7 @@
 			s.Pending = []PendingMachine{{smallSpot, place.Resources{CPUs: 4, MemGB: 16}}}
 		}, map[Offer]int{}},
 		{"too little work waits", []UnmetDemand{want(1, 1, nil)}, nil, map[Offer]int{}},
-		{"but not for ever", []UnmetDemand{want(1, 1, func(w *UnmetDemand) { w.Waited = 20 })}, nil, map[Offer]int{smallSpot: 1}},
+		{"but not for ever", []UnmetDemand{want(1, 1, func(w *UnmetDemand) { w.WaitedS = 20 })}, nil, map[Offer]int{smallSpot: 1}},
 		{"an urgent gang does not wait", []UnmetDemand{want(1, 1, func(w *UnmetDemand) { w.Urgent = true })}, nil, map[Offer]int{smallSpot: 1}},
 		{"only the allowed zone", []UnmetDemand{want(1, 4, func(w *UnmetDemand) { w.Demand.Zone = 1 })}, nil, map[Offer]int{{0, 1, true}: 1}},
 		{"a job in one zone stays there", []UnmetDemand{want(1, 4, func(w *UnmetDemand) { w.Demand.OneZone, w.Demand.TasksByZone = true, []int{0, 2} })}, nil, map[Offer]int{{0, 1, true}: 1}},
@@ -58,7 +58,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			s := Input{Types: types, ZoneOf: map[string]int{"a": 0, "b": 1}, Backoff: NewBackoff(), MinFill: 0.5, PatienceS: 15, Now: now}
+			s := Input{Types: types, ZoneIndex: map[string]int{"a": 0, "b": 1}, Backoff: NewBackoff(), MinFill: 0.5, PatienceS: 15, Now: now}
 			if tt.edit != nil {
 				tt.edit(&s)
 			}
--- a/internal/control/machine_pool.go
+++ b/internal/control/machine_pool.go
@@ -317,7 +317,7 @@
 	if len(mc.unmetDemand)+len(slots) == 0 {
 		return
 	}
-	shop := autoscale.Input{Types: mc.nameIndex.machineTypes(), ZoneOf: mc.nameIndex.zoneIndices(), Backoff: mc.backoff,
+	shop := autoscale.Input{Types: mc.nameIndex.machineTypes(), ZoneIndex: mc.nameIndex.zoneIndices(), Backoff: mc.backoff,
 		MinFill: mc.c.Tuning.Hosts.MinFill, PatienceS: mc.c.Tuning.Hosts.PatienceS, Now: now,
 		Closed: func(o autoscale.Offer) bool {
 			return mc.maintenanceDrains.closed(mc.nameIndex.machineTypes()[o.Type].Name, mc.nameIndex.zoneNames()[o.Zone], now)
--- a/internal/control/planner.go
+++ b/internal/control/planner.go
@@ -151,7 +151,7 @@
 			continue
 		}
 		wants = append(wants, autoscale.UnmetDemand{Demand: d, Count: plan.Unplaced[i], TaskS: estimate(j), ImageGB: j.ImageGB,
-			Waited: d.Waited, Urgent: j.Shape == job.Gang})
+			WaitedS: d.Waited, Urgent: j.Shape == job.Gang})
 	}
 	sort.SliceStable(wants, func(a, b int) bool { return wants[a].Demand.LatestStart < wants[b].Demand.LatestStart })
 	pl.machinePool.setUnmetDemand(wants)
@@ -162,7 +162,7 @@
 				break
 			}
 			j := pl.jobTable.at(w.Demand.ID)
-			pl.log.Info("no machine has room", "job", j.ID, "class", j.Class, "tasks", w.Count, "waited", w.Waited)
+			pl.log.Info("no machine has room", "job", j.ID, "class", j.Class, "tasks", w.Count, "waited", w.WaitedS)
 		}
 	}
 }
--- a/internal/place/filter.go
+++ b/internal/place/filter.go
@@ -3,16 +3,21 @@
 // eligible reports whether tasks of the demand may run on the machine at all, whatever is
 // free there: the conditions that no score can outweigh.
 func (p *planner) eligible(m *Machine, d *Demand) bool {
-	return (d.AllowedTypes == nil || d.AllowedTypes[m.Type]) &&
-		(d.Zone < 0 || d.Zone == m.Zone) &&
-		(d.Spot || !m.Spot) &&
-		p.zoneAllowed(d, m.Zone) &&
-		respectsCalendar(m, d)
+	return d.Allows(m.Type, m.Zone, m.Spot) && respectsCalendar(m, d)
 }
 
-// zoneAllowed reports whether another task of the demand may run in a zone, given those
-// that run already.
-func (p *planner) zoneAllowed(d *Demand, zone int) bool {
+// Allows reports whether another task of the demand may run on a machine of a type, in a
+// zone and of a kind, given those that run already.
+func (d *Demand) Allows(machineType, zone int, spot bool) bool {
+	return (d.AllowedTypes == nil || d.AllowedTypes[machineType]) &&
+		(d.Zone < 0 || d.Zone == zone) &&
+		(d.Spot || !spot) &&
+		d.zoneOpen(zone)
+}
+
+// zoneOpen reports whether the conditions on zones let another task of the demand run in
+// one.
+func (d *Demand) zoneOpen(zone int) bool {
 	if d.Spread && d.TasksByZone[zone] >= d.maxPerZone() {
 		return false
 	}
