--- a/internal/control/planner.go
+++ b/internal/control/planner.go
@@ -9,26 +9,40 @@
 	"vetchstream/internal/job"
 	"vetchstream/internal/metrics"
 	"vetchstream/internal/place"
-	"vetchstream/internal/wire"
 )
 
-// minPlanInterval keeps bursts of messages from making a plan each; and a plan may
-// take one part in placeShare of the time, so that reports, aborts and the lease
-// are served while a large fleet is full of work.
 const (
+	// minPlanInterval keeps bursts of messages from making a plan each.
 	minPlanInterval = 50 * time.Millisecond
-	planTimeShare   = 4
+	// maxPlanInterval is after what time a plan is made although nothing is known to have
+	// changed.
+	maxPlanInterval = time.Second
+	// planTimeShare bounds the part of the time that plans take to one in planTimeShare, so
+	// that heartbeats, cancellations and the lease are served while a large fleet is full.
+	planTimeShare = 4
+	// preemptionHold is for how long a machine stays reserved for the job for which work was
+	// preempted there.
+	preemptionHold = 15 * time.Second
+	// completionHold is for how long a machine stays reserved for a gang that waits for room;
+	// each plan in which the gang may preempt renews or ends it.
+	completionHold = 4 * preemptInterval
+	// waitLogInterval and maxWaitLogJobs bound the log of jobs that find no machine.
+	waitLogInterval = 5 * time.Second
+	maxWaitLogJobs  = 5
+	// attemptTermShift is the position of the term in an attempt number.
+	attemptTermShift = 24
 )
 
-// machineReservation is room that is being made on a machine for a job.
+// machineReservation reserves room on a machine for a job.
 type machineReservation struct {
 	job   *job.Job
 	until time.Time
-	// awaitsCompletion: the room comes by itself, nothing is stopped for it.
+	// awaitsCompletion: the room becomes free as tasks complete; nothing was preempted for it.
 	awaitsCompletion bool
 }
 
-// planner makes plans and carries them out: what is placed, stopped and kept.
+// planner makes plans and carries them out: which tasks are placed and preempted, and which
+// machines are reserved.
 type planner struct {
 	*core
 	nameIndex         *nameIndex
@@ -42,248 +56,212 @@
 	maintenanceDrains *maintenanceDrains
 	teamQuotas        *teamQuotas
 
-	reservations     map[*fleet.Host]machineReservation
-	attemptCount     uint64 // made in this term
+	reservations map[*fleet.Host]machineReservation
+	// attemptCount counts the attempt numbers made in this term.
+	attemptCount uint64
+	// lastPlanAt is when the last plan was begun, lastPlanDuration how long it took.
 	lastPlanAt       time.Time
 	lastPlanDuration time.Duration
-	lastPreemptAt    map[*job.Job]time.Time // when a job last looked for work to stop
-	lastWaitLogAt    time.Time
+	// lastPreemptAt is when a job last looked for tasks to preempt.
+	lastPreemptAt map[*job.Job]time.Time
+	lastWaitLogAt time.Time
 }
 
 func newPlanner(co *core) *planner {
-	return &planner{core: co, reservations: map[*fleet.Host]machineReservation{}, lastPreemptAt: map[*job.Job]time.Time{}}
+	return &planner{
+		core:          co,
+		reservations:  map[*fleet.Host]machineReservation{},
+		lastPreemptAt: map[*job.Job]time.Time{},
+	}
 }
 
-// reserved reports whether room is being kept on a machine.
+// reserved reports whether a machine is reserved for some job.
 func (pl *planner) reserved(h *fleet.Host) bool { return pl.reservations[h].job != nil }
 
-// reservedFor is the job for which room is being kept on a machine; nil: none.
+// reservedFor returns the job for which a machine is reserved, or nil.
 func (pl *planner) reservedFor(h *fleet.Host) *job.Job { return pl.reservations[h].job }
 
-// forgetMachine forgets a machine that has been returned.
+// forgetMachine forgets a machine that has been released.
 func (pl *planner) forgetMachine(h *fleet.Host) { delete(pl.reservations, h) }
 
 // forgetJob forgets a job that is over.
 func (pl *planner) forgetJob(j *job.Job) { delete(pl.lastPreemptAt, j) }
 
-// expireReservations ends the keeping of room that nobody came for. It is not left to the
-// next plan: a machine must not be kept for as long as no work comes.
+// expireReservations ends the reservations that were not used in time, and those of jobs
+// that are over. It is not left to the next plan: while no job waits there is none.
 func (pl *planner) expireReservations(now time.Time) {
-	for h, k := range pl.reservations {
-		if now.After(k.until) || k.job.Phase+k.job.Closing != "" {
+	for h, r := range pl.reservations {
+		if now.After(r.until) || r.job.Phase+r.job.Closing != "" {
 			delete(pl.reservations, h)
 		}
 	}
 }
 
-// place makes and carries out a plan, if anything has changed.
+// place makes a plan and carries it out, if one is due.
 func (pl *planner) place(now time.Time) {
-	if now.Sub(pl.lastPlanAt) < max(minPlanInterval, planTimeShare*pl.lastPlanDuration) || (!pl.dirty && now.Sub(pl.lastPlanAt) < time.Second) {
-		return
-	}
-	if !pl.takeover.settle(now) {
+	if !pl.due(now) || !pl.takeover.settle(now) || pl.hasUncountedTasks() {
 		return
 	}
-	if len(pl.jobTable.strange()) > 0 {
-		// What a stranger takes is not counted for any team yet.
-		for j := range pl.jobTable.strange() {
-			if len(j.Live) > 0 {
-				return
-			}
-		}
-	}
-	pl.lastPlanAt, pl.dirty = now, false
-	pl.reservationHolds.gather(now) // a machine that has just come up for a slot must not be filled
+	pl.lastPlanAt = now
+	pl.dirty = false
+	pl.reservationHolds.gather(now) // a machine that has just come up for a reservation must not be filled
 	defer func() {
 		pl.lastPlanDuration = time.Since(now)
 		pl.c.Meter.Took(metrics.PlanTime, "", pl.lastPlanDuration)
 	}()
-	in, ms, slots := pl.input(now)
-	if len(in.Demands) == 0 {
+	in := pl.input(now)
+	if len(in.input.Demands) == 0 {
 		pl.machinePool.setUnmetDemand(nil)
 		return
 	}
-	plan := place.Make(in)
-	attempts := map[*job.Job]uint64{}
-	for _, a := range plan.Assignments {
-		j := pl.jobTable.at(in.Demands[a.Demand].ID)
-		h := ms[a.Machine]
-		n := attempts[j]
-		switch {
-		case j.Shape == job.Gang && j.GangAttempt != 0:
-			n = j.GangAttempt
-		case j.Shape == job.Gang:
-			n = pl.nextAttempt()
-			j.GangAttempt = n
-		case n == 0:
-			n = pl.nextAttempt()
-			attempts[j] = n
-		}
-		if pl.debug {
-			pl.log.Debug("task is placed", "task", job.TaskName(j.ID, a.Task), "host", h.Name, "waited", now.Sub(j.WaitFrom))
-		}
-		pl.fleet.Assign(h, fleet.Key{Job: j, Task: a.Task, Attempt: n}, now)
-		pl.registry.note(j, h)
-		j.LastHost = h.Idx
-		pl.c.Meter.Took(metrics.StartWait, j.Class, now.Sub(j.WaitFrom))
-		j.WaitFrom = now
-		if k, ok := pl.reservations[h]; ok && k.job == j {
-			delete(pl.reservations, h)
-		}
-	}
-	for _, p := range plan.Preemptions {
-		j, h := pl.jobTable.at(in.Demands[p.Demand].ID), ms[p.Machine]
-		pl.log.Info("making room", "job", j.ID, "host", h.Name, "stops", len(p.Victims))
-		pl.reservations[h] = machineReservation{job: j, until: now.Add(15 * time.Second)}
-		for _, v := range p.Victims {
-			pl.taskTracker.stopSlot(slots[v], saveGrace(slots[v].Job))
-		}
-	}
-	pl.renewReservations(now, in, plan.Reservations, ms)
-	var wants []autoscale.UnmetDemand
-	for i := range in.Demands {
-		d := &in.Demands[i]
-		if plan.Unplaced[i] == 0 {
-			continue
-		}
-		j := pl.jobTable.at(d.ID)
-		if pl.reservationHolds.covers(j) {
-			continue
-		}
-		wants = append(wants, autoscale.UnmetDemand{Demand: d, Count: plan.Unplaced[i], TaskS: estimate(j), ImageGB: j.ImageGB,
-			WaitedS: d.Waited, Urgent: j.Shape == job.Gang})
+	plan := place.Make(in.input)
+	pl.applyAssignments(in, plan.Assignments)
+	pl.applyPreemptions(in, plan.Preemptions)
+	pl.renewReservations(in, plan.Reservations)
+	unmet := pl.unmetDemand(in, plan.Unplaced)
+	pl.machinePool.setUnmetDemand(unmet)
+	pl.logUnmetDemand(now, unmet)
+}
+
+// due reports whether it is time for a plan.
+func (pl *planner) due(now time.Time) bool {
+	sinceLast := now.Sub(pl.lastPlanAt)
+	if sinceLast < max(minPlanInterval, planTimeShare*pl.lastPlanDuration) {
+		return false
 	}
-	sort.SliceStable(wants, func(a, b int) bool { return wants[a].Demand.LatestStart < wants[b].Demand.LatestStart })
-	pl.machinePool.setUnmetDemand(wants)
-	if now.Sub(pl.lastWaitLogAt) > 5*time.Second && len(wants) > 0 {
-		pl.lastWaitLogAt = now
-		for i, w := range wants {
-			if i == 5 {
-				break
-			}
-			j := pl.jobTable.at(w.Demand.ID)
-			pl.log.Info("no machine has room", "job", j.ID, "class", j.Class, "tasks", w.Count, "waited", w.WaitedS)
+	return pl.dirty || sinceLast >= maxPlanInterval
+}
+
+// hasUncountedTasks reports whether there are tasks of jobs whose records have not been
+// read: what these use is not counted for any team yet.
+func (pl *planner) hasUncountedTasks() bool {
+	for j := range pl.jobTable.strange() {
+		if len(j.Live) > 0 {
+			return true
 		}
 	}
+	return false
 }
 
-// cpuPrice is what a CPU of the type costs an hour. It is never 0, so that it
-// can be compared.
-func cpuPrice(t *wire.MachineType, spot bool) float64 {
-	p := t.Price
-	if spot {
-		p = t.SpotPrice
+// applyAssignments enters the placements of a plan into the ledger.
+func (pl *planner) applyAssignments(in *planInput, assignments []place.Assignment) {
+	attempts := map[*job.Job]uint64{} // of this plan
+	for _, a := range assignments {
+		pl.assign(in.job(a.Demand), a.Task, in.hosts[a.Machine], attempts, in.now)
 	}
-	return max(p, 1e-6) / max(t.CPUs, 1e-6)
 }
 
-// overdueAfter is for how long nothing of a job may have begun before it goes first:
-// users expect the largest jobs to begin within four minutes, also beside a steady
-// stream of what is small or of a higher rank. An array gets one part in overduePart
-// of its tasks that way.
-const (
-	overdueAfter = 2 * time.Minute
-	overdueShare = 20
-)
-
-// lateMarginS is how much time a job has left, in seconds, when it is late.
-const lateMarginS = 5
-
-// delayMarginS is how much time an array must have left, in seconds, to wait for machines
-// that have its image while others with theirs could use what is free.
-const delayMarginS = 15
-
-// preemptInterval is how often a waiting job looks for work to stop: the look is at
-// every task of the fleet.
-const preemptInterval = 500 * time.Millisecond
-
-// tasksByZone counts, per zone, what may be running of a job.
-func (pl *planner) tasksByZone(j *job.Job) []int {
-	z := make([]int, len(pl.nameIndex.zoneNames()))
-	if j.Shape == job.Array && !j.OneZone && !j.Spread {
-		return z // nothing depends on it
+// assign places a task of a job on a machine. The tasks that a plan places of an array or a
+// service share an attempt number; attempts holds those made so far.
+func (pl *planner) assign(j *job.Job, task int32, h *fleet.Host, attempts map[*job.Job]uint64, now time.Time) {
+	attempt := pl.attemptFor(j, attempts)
+	waited := now.Sub(j.WaitFrom)
+	if pl.debug {
+		pl.log.Debug("task is placed", "task", job.TaskName(j.ID, task), "host", h.Name, "waited", waited)
 	}
-	for _, v := range append([]*job.Job{j}, j.Versions...) {
-		for s := range pl.fleet.On(v) {
-			if s.On() && s.Host.Zone >= 0 {
-				z[s.Host.Zone]++
-			}
-		}
+	pl.fleet.Assign(h, fleet.Key{Job: j, Task: task, Attempt: attempt}, now)
+	pl.registry.note(j, h)
+	j.LastHost = h.Idx
+	pl.c.Meter.Took(metrics.StartWait, j.Class, waited)
+	j.WaitFrom = now
+	if pl.reservedFor(h) == j {
+		delete(pl.reservations, h)
 	}
-	return z
 }
 
-// unclearedExits are the tasks whose exits the worker still reports and that may be
-// placed again.
-func (pl *planner) unclearedExits(h *fleet.Host) map[place.Task]bool {
-	if h.Exits == 0 {
-		return nil
-	}
-	var out map[place.Task]bool
-	for _, s := range h.Slots {
-		if s.On() || (s.Job.IsDone(s.Task) && s.Job.Shape != job.Service) {
-			continue
-		}
-		if id := pl.jobTable.index(s.Job); id != 0 {
-			if out == nil {
-				out = map[place.Task]bool{}
-			}
-			out[place.Task{Job: id, Task: s.Task}] = true
+// attemptFor returns the attempt number for the next task of a job: that of its gang, or
+// that of the job in this plan.
+func (pl *planner) attemptFor(j *job.Job, attempts map[*job.Job]uint64) uint64 {
+	if j.Shape == job.Gang {
+		if j.GangAttempt == 0 {
+			j.GangAttempt = pl.nextAttempt()
 		}
+		return j.GangAttempt
+	}
+	if attempts[j] == 0 {
+		attempts[j] = pl.nextAttempt()
 	}
-	return out
+	return attempts[j]
 }
 
-// remainingSeconds is the time in which a task is expected to end by itself, in seconds. One
-// that runs longer than expected may go on for a while.
-func remainingSeconds(s *fleet.Slot, now time.Time) float64 {
-	run := estimate(s.Job)
-	if s.RunAt.IsZero() {
-		return run
+// nextAttempt returns an attempt number that no other term can make.
+func (pl *planner) nextAttempt() uint64 {
+	pl.attemptCount++
+	return pl.term<<attemptTermShift | pl.attemptCount
+}
+
+// applyPreemptions stops the victims of a plan and reserves the machines.
+func (pl *planner) applyPreemptions(in *planInput, preemptions []place.Preemption) {
+	for _, p := range preemptions {
+		j, h := in.job(p.Demand), in.hosts[p.Machine]
+		pl.log.Info("preempting tasks", "job", j.ID, "host", h.Name, "victims", len(p.Victims))
+		pl.reservations[h] = machineReservation{job: j, until: in.now.Add(preemptionHold)}
+		for _, v := range p.Victims {
+			s := in.slots[v]
+			pl.taskTracker.stopSlot(s, saveGrace(s.Job))
+		}
 	}
-	return max(run/5, run-now.Sub(s.RunAt).Seconds())
 }
 
-// renewReservations keeps the machines that a plan has chosen for gangs until the next look,
-// and gives back those that it has not chosen again.
-func (pl *planner) renewReservations(now time.Time, in place.Input, chosen []place.Reservation, ms []*fleet.Host) {
+// renewReservations reserves the machines that a plan has chosen for gangs, and ends the
+// earlier reservations of the gangs that looked for machines in this plan.
+func (pl *planner) renewReservations(in *planInput, chosen []place.Reservation) {
 	looked := map[*job.Job]bool{}
-	for i := range in.Demands {
-		if in.Demands[i].MayPreempt {
-			looked[pl.jobTable.at(in.Demands[i].ID)] = true
+	for i := range in.input.Demands {
+		if in.input.Demands[i].MayPreempt {
+			looked[in.job(i)] = true
 		}
 	}
-	for h, k := range pl.reservations {
-		if k.awaitsCompletion && looked[k.job] {
+	for h, r := range pl.reservations {
+		if r.awaitsCompletion && looked[r.job] {
 			delete(pl.reservations, h)
 		}
 	}
 	for _, c := range chosen {
-		pl.reservations[ms[c.Machine]] = machineReservation{job: pl.jobTable.at(in.Demands[c.Demand].ID), until: now.Add(4 * preemptInterval), awaitsCompletion: true}
+		pl.reservations[in.hosts[c.Machine]] = machineReservation{
+			job:              in.job(c.Demand),
+			until:            in.now.Add(completionHold),
+			awaitsCompletion: true,
+		}
 	}
 }
 
-// restartS is what a task loses that has saved, and a gang with every member that
-// is stopped: saving, a new place, its image and a common start, in seconds.
-const restartS = 15
-
-// preemptionLoss is the work that stopping a task throws away, in CPU seconds. A gang
-// stops whole: for a member that looks free to stop it loses all its members'
-// time.
-func preemptionLoss(s *fleet.Slot, now time.Time) float64 {
-	switch {
-	case s.Job.Shape == job.Gang:
-		return restartS * s.Job.CPUs * float64(s.Job.Tasks)
-	case s.RunAt.IsZero():
-		return 0
-	case s.Job.Checkpoint > 0:
-		return min(restartS, now.Sub(s.RunAt).Seconds()) * s.Job.CPUs
+// unmetDemand returns the jobs for whose tasks a plan has found no machine, the most urgent
+// first; unplaced counts those tasks, by demand.
+func (pl *planner) unmetDemand(in *planInput, unplaced []int) []autoscale.UnmetDemand {
+	var unmet []autoscale.UnmetDemand
+	for i := range in.input.Demands {
+		if unplaced[i] == 0 {
+			continue
+		}
+		j := in.job(i)
+		if pl.reservationHolds.covers(j) {
+			continue
+		}
+		d := &in.input.Demands[i]
+		unmet = append(unmet, autoscale.UnmetDemand{
+			Demand:  d,
+			Count:   unplaced[i],
+			TaskS:   estimate(j),
+			ImageGB: j.ImageGB,
+			WaitedS: d.Waited,
+			Urgent:  j.Shape == job.Gang,
+		})
 	}
-	return now.Sub(s.RunAt).Seconds() * s.Job.CPUs
+	sort.SliceStable(unmet, func(a, b int) bool {
+		return unmet[a].Demand.LatestStart < unmet[b].Demand.LatestStart
+	})
+	return unmet
 }
 
-// nextAttempt makes a number that no other term can make.
-func (pl *planner) nextAttempt() uint64 {
-	pl.attemptCount++
-	return pl.term<<24 | pl.attemptCount
+// logUnmetDemand logs the most urgent jobs that found no machine, now and then.
+func (pl *planner) logUnmetDemand(now time.Time, unmet []autoscale.UnmetDemand) {
+	if len(unmet) == 0 || now.Sub(pl.lastWaitLogAt) <= waitLogInterval {
+		return
+	}
+	pl.lastWaitLogAt = now
+	for _, u := range unmet[:min(len(unmet), maxWaitLogJobs)] {
+		j := pl.jobTable.at(u.Demand.ID)
+		pl.log.Info("no machine has room", "job", j.ID, "class", j.Class, "tasks", u.Count, "waited", u.WaitedS)
+	}
 }
