--- /dev/null
+++ b/internal/control/machine_scale_out.go
@@ -0,0 +1,208 @@
+package control
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"time"
+
+	"vetchstream/internal/autoscale"
+	"vetchstream/internal/fleet"
+	"vetchstream/internal/job"
+	"vetchstream/internal/place"
+	"vetchstream/internal/wire"
+)
+
+const (
+	// maxRequestMachines is the protocol's limit for one request for machines.
+	maxRequestMachines = 50
+	// provisionTries is how often a request is sent, provisionRetryInterval the time between.
+	provisionTries         = 4
+	provisionRetryInterval = time.Second
+	// maxGatheringGangs is for how many gangs the room is counted, zone by zone.
+	maxGatheringGangs = 20
+	// pendingBoots is for how many boot times a machine that boots is expected to come up.
+	pendingBoots = 2
+)
+
+// scaleOut requests machines for calendar reservations and unmet demand.
+func (mp *machinePool) scaleOut(now time.Time) {
+	reserved := mp.reservationHolds.missing(now)
+	if len(mp.unmetDemand)+len(reserved) == 0 {
+		return
+	}
+	in := mp.scaleOutInput(now)
+	mp.countZoneCapacity()
+	unmet := slices.Concat(reserved, mp.unmetDemand)
+	for offer, count := range autoscale.ScaleOut(in, unmet) {
+		mp.provision(offer, min(count, maxRequestMachines))
+	}
+	// The zone that was chosen for a gang prevents the release of its idle machines.
+	copy(mp.unmetDemand, unmet[len(reserved):])
+}
+
+// scaleOutInput describes the cloud's offers and the machines.
+func (mp *machinePool) scaleOutInput(now time.Time) autoscale.Input {
+	types, zones := mp.nameIndex.machineTypes(), mp.nameIndex.zoneNames()
+	in := autoscale.Input{
+		Types:          types,
+		ZoneIndex:      mp.nameIndex.zoneIndices(),
+		Backoff:        mp.backoff,
+		MachinesByZone: make([]int, len(zones)),
+		MinFill:        mp.c.Tuning.Hosts.MinFill,
+		PatienceS:      mp.c.Tuning.Hosts.PatienceS,
+		Now:            now,
+		Closed: func(o autoscale.Offer) bool {
+			return mp.maintenanceDrains.closed(types[o.Type].Name, zones[o.Zone], now)
+		},
+	}
+	addPending := func(o autoscale.Offer) {
+		in.Pending = append(in.Pending, autoscale.PendingMachine{
+			Offer: o,
+			Free:  autoscale.MachineResources(&types[o.Type]),
+		})
+	}
+	for _, h := range mp.fleet.All() {
+		if h.Zone >= 0 {
+			in.MachinesByZone[h.Zone]++
+		}
+		if mp.isPending(h, now) {
+			addPending(autoscale.Offer{Type: h.Type, Zone: h.Zone, Spot: h.Spot})
+		}
+	}
+	for offer, count := range mp.provisioning {
+		for range count {
+			addPending(offer)
+		}
+	}
+	return in
+}
+
+// isPending reports whether a machine is expected to take tasks soon: it boots, or it is up
+// and not in the registry yet.
+func (mp *machinePool) isPending(h *fleet.Host, now time.Time) bool {
+	if h.Releasing || !h.Known {
+		return false
+	}
+	if h.Booting {
+		return now.Sub(h.Born) < pendingBoots*mp.bootTime(h)
+	}
+	return !h.Lost && !h.Durable
+}
+
+// offerOpen reports whether machines of a type in a zone may be had, as far as the cloud's
+// last answers have shown.
+func (mp *machinePool) offerOpen(typ, zone string, spot bool, now time.Time) bool {
+	t, z, known := mp.nameIndex.offerIndices(typ, zone)
+	if !known || mp.maintenanceDrains.closed(typ, zone, now) {
+		return false
+	}
+	onDemand := autoscale.Offer{Type: t, Zone: z}
+	if mp.backoff.Open(onDemand, now) {
+		return true
+	}
+	return spot && mp.backoff.Open(autoscale.Offer{Type: t, Zone: z, Spot: true}, now)
+}
+
+// countZoneCapacity sets, for the first gangs that have to be in one zone and are in none
+// yet, how many of their tasks fit in each.
+func (mp *machinePool) countZoneCapacity() {
+	gangs := 0
+	for i := range mp.unmetDemand {
+		u := &mp.unmetDemand[i]
+		d := u.Demand
+		if !d.OneZone || d.Zone >= 0 || slices.Max(d.TasksByZone) > 0 {
+			continue
+		}
+		if gangs == maxGatheringGangs {
+			return
+		}
+		gangs++
+		u.FitsByZone = mp.fitsByZone(d)
+	}
+}
+
+// fitsByZone counts, per zone, the tasks of a demand that fit on the machines that are up.
+func (mp *machinePool) fitsByZone(d *place.Demand) []int {
+	j := mp.jobTable.at(d.ID)
+	fits := make([]int, len(mp.nameIndex.zoneNames()))
+	for _, h := range mp.fleet.All() {
+		t := mp.nameIndex.machineType(h)
+		if h.Usable() && t != nil && allowsKind(d, h) && !mp.takenFromGang(h, j) {
+			fits[h.Zone] += freeOn(t, h).FitCount(d.Need)
+		}
+	}
+	return fits
+}
+
+// takenFromGang reports whether a machine is reserved or held for others than the gang.
+func (mp *machinePool) takenFromGang(h *fleet.Host, gang *job.Job) bool {
+	holder := mp.planner.reservedFor(h)
+	return (holder != nil && holder != gang) || mp.reservationHolds.holding(h)
+}
+
+// allowsKind reports whether a demand may run on machines of the type and kind of h.
+func allowsKind(d *place.Demand, h *fleet.Host) bool {
+	return (d.AllowedTypes == nil || d.AllowedTypes[h.Type]) && (d.Spot || !h.Spot)
+}
+
+// provision requests machines of an offer.
+func (mp *machinePool) provision(o autoscale.Offer, count int) {
+	mp.requestCount++
+	req := wire.Hire{
+		Request: fmt.Sprintf("r-%d-%d", mp.term, mp.requestCount),
+		Type:    mp.nameIndex.machineTypes()[o.Type].Name,
+		Zone:    mp.nameIndex.zoneNames()[o.Zone],
+		Spot:    o.Spot,
+		Count:   count,
+	}
+	mp.provisioning[o] += count
+	mp.log.Info("renting", "request", req.Request, "type", req.Type, "zone", req.Zone, "spot", req.Spot, "count", count)
+	requestedAt := time.Now()
+	go func() {
+		names, err := mp.sendRequest(req)
+		mp.post(func() {
+			mp.provisioning[o] -= count
+			mp.provisioned(o, req, names, err, requestedAt)
+		})
+	}()
+}
+
+// sendRequest sends a request for machines until it succeeds or is refused, a few times at
+// most. The name of the request makes repeating it safe: it provisions nothing twice.
+func (mp *machinePool) sendRequest(req wire.Hire) (names []string, err error) {
+	err = errNotEntitled
+	for try := 0; try < provisionTries && mp.ctx.Err() == nil; try++ {
+		if mp.c.Entitled(mp.term) {
+			names, err = mp.c.Cloud.Provision(mp.ctx, req)
+			if err == nil || errors.Is(err, autoscale.ErrNoCapacity) {
+				break
+			}
+		}
+		mp.pause(provisionRetryInterval)
+	}
+	return names, err
+}
+
+// provisioned takes in the outcome of a request for machines.
+func (mp *machinePool) provisioned(o autoscale.Offer, req wire.Hire, names []string, err error, requestedAt time.Time) {
+	if err != nil {
+		mp.log.Info("rental refused", "request", req.Request, "error", err)
+		mp.backoff.Refused(o, time.Now())
+		return
+	}
+	mp.log.Info("rented", "request", req.Request, "hosts", names)
+	if len(names) < req.Count {
+		mp.backoff.Refused(o, time.Now())
+	} else {
+		mp.backoff.Succeeded(o)
+	}
+	for _, name := range names {
+		if mp.wasReleased(name) {
+			continue
+		}
+		h := mp.fleet.Add(name, requestedAt)
+		mp.nameIndex.describeHost(h, req.Type, req.Zone, o.Spot)
+		mp.reservationHolds.rented(h)
+	}
+}
--- /dev/null
+++ b/internal/control/machine_spot_notices.go
@@ -0,0 +1,39 @@
+package control
+
+import (
+	"time"
+
+	"vetchstream/internal/fleet"
+	"vetchstream/internal/wire"
+)
+
+// handleSpotNotice evacuates a machine that the cloud takes back: it stops the tasks that
+// can save a checkpoint in time, and those that are not expected to complete in time.
+func (mp *machinePool) handleSpotNotice(h *fleet.Host, now time.Time) {
+	left := h.RecallAt.Sub(now).Seconds()
+	if !mp.noticeLogged[h] {
+		mp.log.Info("machine is being taken back", "host", h.Name, "in", left)
+		mp.noticeLogged[h] = true
+	}
+	for _, s := range h.Slots {
+		if !s.On() || s.Stopping {
+			continue
+		}
+		if grace := saveGrace(s.Job); grace > 0 && left > s.Job.SaveS {
+			mp.taskTracker.stopSlot(s, grace)
+			continue
+		}
+		if s.Phase != wire.Running || remainingEstimate(s, now) > left {
+			mp.taskTracker.stopSlot(s, 0)
+		}
+	}
+}
+
+// remainingEstimate returns the part of a task's estimated run time that it has not run yet,
+// in seconds; negative if it runs longer than estimated.
+func remainingEstimate(s *fleet.Slot, now time.Time) float64 {
+	if s.RunAt.IsZero() {
+		return estimate(s.Job)
+	}
+	return estimate(s.Job) - now.Sub(s.RunAt).Seconds()
+}
--- a/internal/control/planner.go
+++ b/internal/control/planner.go
@@ -194,7 +194,7 @@
 func (pl *planner) applyPreemptions(in *planInput, preemptions []place.Preemption) {
 	for _, p := range preemptions {
 		j, h := in.job(p.Demand), in.hosts[p.Machine]
-		pl.log.Info("preempting tasks", "job", j.ID, "host", h.Name, "victims", len(p.Victims))
+		pl.log.Info("making room", "job", j.ID, "host", h.Name, "stops", len(p.Victims))
 		pl.reservations[h] = machineReservation{job: j, until: in.now.Add(preemptionHold)}
 		for _, v := range p.Victims {
 			s := in.slots[v]
