--- a/internal/control/machine_quarantine.go
+++ b/internal/control/machine_quarantine.go
@@ -7,77 +7,98 @@
 	"vetchstream/internal/job"
 )
 
-// attributeFailure decides whether an error is the machine's or the job's. A job that has
-// failed on several machines and worked on none is at fault itself; the others'
-// errors count against the machine.
-func (wk *taskTracker) attributeFailure(j *job.Job, h *fleet.Host, now time.Time) {
+const (
+	// minSlowTasks is how many tasks in a row must have run slowly before a machine counts as
+	// faulty, and how many others each is compared with. slowFactor is how much longer than
+	// those it must have taken. Machines of a type differ by a tenth; a faulty one can be much
+	// slower.
+	minSlowTasks = 6
+	slowFactor   = 2.0
+	// minComparableS is the mean run time, in seconds, that others must have to be compared
+	// with.
+	minComparableS = 1
+	// minFailedMachines is on how many machines a job must have failed before the fault may be
+	// its own, and minFailedJobs how many jobs must have failed on a machine before the fault
+	// is the machine's although none of them has worked elsewhere.
+	minFailedMachines = 2
+	minFailedJobs     = 2
+	// A job that keeps failing waits between minJobBackoff and maxJobBackoff.
+	minJobBackoff = time.Second
+	maxJobBackoff = 30 * time.Second
+)
+
+// attributeFailure decides whether a failed task is the machine's fault or the job's. A job
+// that has failed on several machines and worked on none is at fault itself; the failures of
+// others count against the machine.
+func (tt *taskTracker) attributeFailure(j *job.Job, h *fleet.Host, now time.Time) {
 	j.ErrorHosts[h.Name] = true
-	if !j.Worked && len(j.ErrorHosts) > 1 {
-		wk.backOffJob(j, now)
+	if !j.Worked && len(j.ErrorHosts) >= minFailedMachines {
+		tt.backOffJob(j, now)
 		return
 	}
 	h.Errors++
 	h.ErrorJobs[j] = true
-	wk.quarantineIfFaulty(h)
+	tt.quarantineIfFaulty(h)
 }
 
-// quarantineIfFaulty condemns a machine on which sound work keeps failing: several jobs, or
-// one that works elsewhere. One job alone may be at fault itself; until another
-// machine has shown that, this one is only avoided.
-func (wk *taskTracker) quarantineIfFaulty(h *fleet.Host) {
-	sound, jobs := false, 0
+// quarantineIfFaulty drains a machine on which several jobs keep failing, or one that works
+// elsewhere. One job alone may be at fault itself; until another machine has shown that, the
+// machine is only avoided.
+func (tt *taskTracker) quarantineIfFaulty(h *fleet.Host) {
+	worksElsewhere := false
+	jobs := 0
 	for j := range h.ErrorJobs {
 		if j.Worked {
-			sound = true
+			worksElsewhere = true
 		}
-		if j.Worked || len(j.ErrorHosts) < 2 {
+		if j.Worked || len(j.ErrorHosts) < minFailedMachines {
 			jobs++
 		}
 	}
-	if h.Draining || h.Errors < wk.c.Tuning.Hosts.SickErrors || (!sound && jobs < 2) {
+	if h.Draining || h.Errors < tt.c.Tuning.Hosts.SickErrors || (!worksElsewhere && jobs < minFailedJobs) {
 		return
 	}
-	wk.log.Info("machine fails what it starts, returning it", "host", h.Name, "errors", h.Errors, "jobs", len(h.ErrorJobs))
+	tt.log.Info("machine fails what it starts, returning it", "host", h.Name, "errors", h.Errors, "jobs", len(h.ErrorJobs))
 	h.Draining = true
 }
 
-const (
-	// minSlowTasks is how many tasks must have run slowly before a machine is held
-	// to be faulty, and slowFactor how much longer than elsewhere they took.
-	// Machines of a type differ by a tenth; a faulty one can be much slower.
-	minSlowTasks = 6
-	slowFactor   = 2.0
-)
-
-// checkSpeed compares a completed task with its job's others on other machines.
-func (wk *taskTracker) checkSpeed(s *fleet.Slot, j *job.Job, h *fleet.Host, now time.Time) {
-	// Of a task that an earlier leader launched only the end is known: its short
-	// remainder would make all others look slow.
+// checkSpeed compares a completed task with those of its job on other machines, and drains a
+// machine that is far slower.
+func (tt *taskTracker) checkSpeed(s *fleet.Slot, j *job.Job, h *fleet.Host, now time.Time) {
+	// Of a task that an earlier leader launched only the end is known: its short remainder
+	// would make all others look slow.
 	if s.RunAt.IsZero() || s.Adopted {
 		return
 	}
 	ran := now.Sub(s.RunAt).Seconds()
-	if n := j.RunCount - j.RunsOn[h.Name].Count; n >= minSlowTasks {
-		mean := (j.RunSum - j.RunsOn[h.Name].Sum) / float64(n)
-		if mean > 1 && ran > slowFactor*mean {
-			h.Slow++
-		} else {
-			h.Slow = 0
-		}
-		if h.Slow >= minSlowTasks && !h.Draining {
-			wk.log.Info("machine is far slower than others, returning it", "host", h.Name, "ran", ran, "elsewhere", mean)
-			h.Draining = true
-		}
+	here := j.RunsOn[h.Name]
+	if others := j.RunCount - here.Count; others >= minSlowTasks {
+		mean := (j.RunSum - here.Sum) / float64(others)
+		tt.countSlow(h, ran, mean)
 	}
 	j.Ran(h.Name, ran)
 }
 
+// countSlow counts a task that ran for ran seconds on a machine, against a mean of others on
+// other machines, and drains the machine if it is far slower.
+func (tt *taskTracker) countSlow(h *fleet.Host, ran, mean float64) {
+	if mean > minComparableS && ran > slowFactor*mean {
+		h.Slow++
+	} else {
+		h.Slow = 0
+	}
+	if h.Slow >= minSlowTasks && !h.Draining {
+		tt.log.Info("machine is far slower than others, returning it", "host", h.Name, "ran", ran, "elsewhere", mean)
+		h.Draining = true
+	}
+}
+
 // backOffJob makes a job that keeps failing wait, longer each time.
-func (wk *taskTracker) backOffJob(j *job.Job, now time.Time) {
+func (tt *taskTracker) backOffJob(j *job.Job, now time.Time) {
 	if now.Before(j.NotBefore) {
 		return
 	}
-	j.Backoff = min(30*time.Second, max(time.Second, 2*j.Backoff))
+	j.Backoff = min(maxJobBackoff, max(minJobBackoff, 2*j.Backoff))
 	j.NotBefore = now.Add(j.Backoff)
-	wk.log.Info("job fails, holding it back", "job", j.ID, "for", j.Backoff, "hosts", len(j.ErrorHosts))
+	tt.log.Info("job fails, holding it back", "job", j.ID, "for", j.Backoff, "hosts", len(j.ErrorHosts))
 }
--- a/internal/control/name_index.go
+++ b/internal/control/name_index.go
@@ -6,127 +6,140 @@
 	"vetchstream/internal/wire"
 )
 
-// nameIndex maps the names of machine types, zones, teams and images to the dense
-// indices that the parts work with.
+// nameIndex maps the names of machine types, zones, teams and images to dense indices. A
+// name retains its index for as long as the term lasts.
 type nameIndex struct {
-	types    []wire.MachineType
-	typeIdx  map[string]int
-	zones    []string
-	zoneIdx  map[string]int
-	teams    []string
-	teamIdx  map[string]int
+	types   []wire.MachineType
+	typeIdx map[string]int
+
+	zones   []string
+	zoneIdx map[string]int
+
+	teams   []string
+	teamIdx map[string]int
+
 	imageIdx map[string]int
 }
 
 func newNameIndex(zones []string, teams []config.Team) *nameIndex {
-	nm := &nameIndex{typeIdx: map[string]int{}, zoneIdx: map[string]int{}, teamIdx: map[string]int{}, imageIdx: map[string]int{}}
-	for _, z := range zones {
-		nm.zoneIndex(z)
+	ni := &nameIndex{
+		typeIdx:  map[string]int{},
+		zoneIdx:  map[string]int{},
+		teamIdx:  map[string]int{},
+		imageIdx: map[string]int{},
 	}
-	for _, t := range teams {
-		nm.addTeam(t.Name)
+	for _, zone := range zones {
+		ni.zoneIndex(zone)
 	}
-	return nm
-}
-
-// addTeam gives a team an index, and reports whether it had none. It retains the index for as long
-// as the term lasts, also when it is removed.
-func (nm *nameIndex) addTeam(name string) bool {
-	if _, ok := nm.teamIdx[name]; ok {
-		return false
+	for _, t := range teams {
+		ni.addTeam(t.Name)
 	}
-	nm.teamIdx[name] = len(nm.teams)
-	nm.teams = append(nm.teams, name)
-	return true
+	return ni
 }
 
-// teamNames are the teams, by index.
-func (nm *nameIndex) teamNames() []string { return nm.teams }
-
-// updateTypes takes in a price list. A type retains its index for as long as the term
-// lasts.
-func (nm *nameIndex) updateTypes(types []wire.MachineType) {
+// updateTypes adds the machine types that are new, with their zones, and replaces those that
+// are known.
+func (ni *nameIndex) updateTypes(types []wire.MachineType) {
 	for _, t := range types {
-		for _, z := range t.Zones {
-			nm.zoneIndex(z)
+		for _, zone := range t.Zones {
+			ni.zoneIndex(zone)
 		}
-		if i, ok := nm.typeIdx[t.Name]; ok {
-			nm.types[i] = t
+		if i, ok := ni.typeIdx[t.Name]; ok {
+			ni.types[i] = t
 			continue
 		}
-		nm.typeIdx[t.Name] = len(nm.types)
-		nm.types = append(nm.types, t)
+		ni.typeIdx[t.Name] = len(ni.types)
+		ni.types = append(ni.types, t)
 	}
 }
 
-// machineTypes is the price list, by index.
-func (nm *nameIndex) machineTypes() []wire.MachineType { return nm.types }
+// machineTypes returns the machine types, by index.
+func (ni *nameIndex) machineTypes() []wire.MachineType { return ni.types }
 
-// machineType is a machine's type; nil if it is not known.
-func (nm *nameIndex) machineType(h *fleet.Host) *wire.MachineType {
-	if h.Type < 0 || h.Type >= len(nm.types) {
+// machineType returns a machine's type, or nil if it is not known.
+func (ni *nameIndex) machineType(h *fleet.Host) *wire.MachineType {
+	if h.Type < 0 || h.Type >= len(ni.types) {
 		return nil
 	}
-	return &nm.types[h.Type]
+	return &ni.types[h.Type]
 }
 
-// teamIndex is a team's index; -1: there is none of that name.
-func (nm *nameIndex) teamIndex(name string) int {
-	if i, ok := nm.teamIdx[name]; ok {
-		return i
+// allowedTypes tells, by index, which of the machine types are named.
+func (ni *nameIndex) allowedTypes(names []string) []bool {
+	allowed := make([]bool, len(ni.types))
+	for _, name := range names {
+		if i, known := ni.typeIdx[name]; known {
+			allowed[i] = true
+		}
 	}
-	return -1
-}
-
-// offerIndices is the indices of a type and a zone.
-func (nm *nameIndex) offerIndices(typ, zone string) (t, z int, known bool) {
-	t, known = nm.typeIdx[typ]
-	z, there := nm.zoneIdx[zone]
-	return t, z, known && there
+	return allowed
 }
 
-// allowedTypes tells, by index, which of the named types are in the price list.
-func (nm *nameIndex) allowedTypes(types []string) []bool {
-	ok := make([]bool, len(nm.types))
-	for _, n := range types {
-		if i, known := nm.typeIdx[n]; known {
-			ok[i] = true
-		}
+// describeHost sets a machine's type, zone and kind, unless the type is not known.
+func (ni *nameIndex) describeHost(h *fleet.Host, typeName, zone string, spot bool) {
+	if zone == "" || typeName == "" {
+		return
+	}
+	i, ok := ni.typeIdx[typeName]
+	if !ok {
+		return
 	}
-	return ok
+	h.Type = i
+	h.Zone = ni.zoneIndex(zone)
+	h.Spot = spot
+	h.Known = true
 }
 
-// zoneNames are the zones, by index.
-func (nm *nameIndex) zoneNames() []string { return nm.zones }
+// zoneNames returns the zones, by index.
+func (ni *nameIndex) zoneNames() []string { return ni.zones }
 
-// zoneIndices are the zones' indices.
-func (nm *nameIndex) zoneIndices() map[string]int { return nm.zoneIdx }
+// zoneIndices returns the indices of the zones, by name.
+func (ni *nameIndex) zoneIndices() map[string]int { return ni.zoneIdx }
 
-func (nm *nameIndex) zoneIndex(name string) int {
-	if i, ok := nm.zoneIdx[name]; ok {
+// zoneIndex returns the index of a zone, which it adds if it is new.
+func (ni *nameIndex) zoneIndex(name string) int {
+	if i, ok := ni.zoneIdx[name]; ok {
 		return i
 	}
-	nm.zoneIdx[name] = len(nm.zones)
-	nm.zones = append(nm.zones, name)
-	return len(nm.zones) - 1
+	ni.zoneIdx[name] = len(ni.zones)
+	ni.zones = append(ni.zones, name)
+	return len(ni.zones) - 1
 }
 
-func (nm *nameIndex) imageIndex(name string) int {
-	if i, ok := nm.imageIdx[name]; ok {
+// offerIndices returns the indices of a machine type and a zone; known is false if either
+// has none.
+func (ni *nameIndex) offerIndices(typeName, zone string) (typeIdx, zoneIdx int, known bool) {
+	typeIdx, typeKnown := ni.typeIdx[typeName]
+	zoneIdx, zoneKnown := ni.zoneIdx[zone]
+	return typeIdx, zoneIdx, typeKnown && zoneKnown
+}
+
+// teamNames returns the teams, by index, those that have been removed included.
+func (ni *nameIndex) teamNames() []string { return ni.teams }
+
+// teamIndex returns the index of a team, or -1 if there is none of that name.
+func (ni *nameIndex) teamIndex(name string) int {
+	if i, ok := ni.teamIdx[name]; ok {
 		return i
 	}
-	nm.imageIdx[name] = len(nm.imageIdx)
-	return len(nm.imageIdx) - 1
+	return -1
 }
 
-// describeHost notes a machine's type, zone and kind.
-func (nm *nameIndex) describeHost(h *fleet.Host, typ, zone string, spot bool) {
-	if zone == "" || typ == "" {
-		return
+// addTeam gives a team an index, and reports whether it had none.
+func (ni *nameIndex) addTeam(name string) bool {
+	if _, ok := ni.teamIdx[name]; ok {
+		return false
 	}
-	t, ok := nm.typeIdx[typ]
-	if !ok {
-		return
+	ni.teamIdx[name] = len(ni.teams)
+	ni.teams = append(ni.teams, name)
+	return true
+}
+
+// imageIndex returns the index of an image, which it adds if it is new.
+func (ni *nameIndex) imageIndex(name string) int {
+	if i, ok := ni.imageIdx[name]; ok {
+		return i
 	}
-	h.Type, h.Zone, h.Spot, h.Known = t, nm.zoneIndex(zone), spot, true
+	ni.imageIdx[name] = len(ni.imageIdx)
+	return len(ni.imageIdx) - 1
 }
