--- a/internal/control/machine_quarantine.go
+++ b/internal/control/machine_quarantine.go
@@ -22,7 +22,7 @@
 	// is the machine's although none of them has worked elsewhere.
 	minFailedMachines = 2
 	minFailedJobs     = 2
-	// A job that keeps failing waits between minJobBackoff and maxJobBackoff.
+	// A job that goes on failing waits between minJobBackoff and maxJobBackoff.
 	minJobBackoff = time.Second
 	maxJobBackoff = 30 * time.Second
 )
@@ -93,7 +93,7 @@
 	}
 }
 
-// backOffJob makes a job that keeps failing wait, longer each time.
+// backOffJob makes a job that goes on failing wait, longer each time.
 func (tt *taskTracker) backOffJob(j *job.Job, now time.Time) {
 	if now.Before(j.NotBefore) {
 		return
--- a/internal/control/planner.go
+++ b/internal/control/planner.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// minPlanInterval keeps bursts of messages from making a plan each.
+	// minPlanInterval prevents a plan for each message of a burst.
 	minPlanInterval = 50 * time.Millisecond
 	// maxPlanInterval is after what time a plan is made although nothing is known to have
 	// changed.
--- a/internal/control/planner_demands.go
+++ b/internal/control/planner_demands.go
@@ -15,7 +15,7 @@
 	backoffPending = 2
 	// overdueAfter is for how long nothing of a job may have started before it goes first:
 	// users expect the largest jobs to start within four minutes, also beside a steady stream
-	// of small jobs or of those of a higher rank.
+	// of small jobs or of those of a higher priority.
 	overdueAfter = 2 * time.Minute
 	// overdueShare: an overdue array goes first with one in overdueShare of its tasks. That
 	// starts it, and does not let all of it pass the other jobs.
@@ -63,7 +63,7 @@
 	d = place.Demand{
 		ID:           p.jobTable.index(j),
 		Shape:        j.Shape,
-		Rank:         j.Rank,
+		Priority:     j.Rank,
 		Team:         j.TeamIdx,
 		Need:         needOf(j),
 		AllowedTypes: j.TypeOK,
--- a/internal/control/planner_victims.go
+++ b/internal/control/planner_victims.go
@@ -25,7 +25,7 @@
 		}
 		m.Victims = append(m.Victims, place.Victim{
 			ID:        len(p.slots),
-			Rank:      s.Job.Rank,
+			Priority:  s.Job.Rank,
 			Team:      s.Job.TeamIdx,
 			Need:      needOf(s.Job),
 			Released:  releasedWith(s.Job),
--- a/internal/place/demand.go
+++ b/internal/place/demand.go
@@ -5,9 +5,9 @@
 // Demand is a job with tasks that wait for machines.
 type Demand struct {
 	// ID identifies the demand; it is above 0.
-	ID    int
-	Shape job.Shape
-	Rank  job.Rank
+	ID       int
+	Shape    job.Shape
+	Priority job.Rank
 	// Team indexes Input.Teams; -1 means none.
 	Team int
 	// Need is what each task takes.
@@ -36,14 +36,14 @@
 	// TasksByZone counts, per zone, the tasks of the job that may be running.
 	TasksByZone []int
 	// LatestStart is when the job has to start to be in time, in seconds since an origin that
-	// all demands share. It orders demands of the same rank.
+	// all demands share. It orders demands of the same priority.
 	LatestStart float64
 	// MayPreempt: the demand may stop others' tasks in this plan.
 	MayPreempt bool
 	// Waited is for how long the demand has waited, in seconds.
 	Waited float64
 	// Overdue: nothing of the job has started for so long that it goes first, whatever its
-	// rank.
+	// priority.
 	Overdue bool
 	// EndsIn is in how many seconds a task that starts now is sure to have ended. It matters on
 	// machines that the calendar holds and on those with maintenance due.
--- a/internal/place/gang_test.go
+++ b/internal/place/gang_test.go
@@ -13,7 +13,7 @@
 	m := machine(id, zone, 8)
 	m.Free = Resources{MemGB: 30}
 	for i, l := range left {
-		m.Victims = append(m.Victims, Victim{ID: 10*id + i, Rank: job.Standard, Team: 0, Need: Resources{CPUs: 8 / float64(len(left))}, Remaining: l})
+		m.Victims = append(m.Victims, Victim{ID: 10*id + i, Priority: job.Standard, Team: 0, Need: Resources{CPUs: 8 / float64(len(left))}, Remaining: l})
 	}
 	return m
 }
@@ -58,23 +58,23 @@
 		}
 		in.Demands[0].Waited = 1000
 	}, nil, 0},
-	{"work of a lower rank is stopped at once", func(in *Input) { in.Demands[0].Rank = job.Urgent }, nil, 2},
+	{"work of a lower priority is stopped at once", func(in *Input) { in.Demands[0].Priority = job.Urgent }, nil, 2},
 	{"only where it is the last that is in the way", func(in *Input) {
 		for i := range in.Machines {
-			in.Machines[i].Victims[0].Rank = job.Idle
+			in.Machines[i].Victims[0].Priority = job.Idle
 		}
 	}, []int{2, 3}, 0},
 }
 
 // TestReserve: a gang that may stop nothing gets machines kept for it where room
-// comes soonest, so that arrays of its own rank do not fill it up again.
+// comes soonest, so that arrays of its own priority do not fill it up again.
 func TestReserve(t *testing.T) {
 	for _, tt := range reserveTests {
 		t.Run(tt.name, func(t *testing.T) {
 			d := demand(1, job.Gang, 8, 0, 1)
-			d.Rank, d.MayPreempt, d.OneZone, d.Team = job.Standard, true, true, 0
+			d.Priority, d.MayPreempt, d.OneZone, d.Team = job.Standard, true, true, 0
 			later := demand(2, job.Array, 1, 0)
-			later.Rank = job.Idle
+			later.Priority = job.Idle
 			in := Input{Machines: []Machine{busyMachine(0, 0, 20, 30), busyMachine(1, 0, 25, 31), busyMachine(2, 1, 5, 10), busyMachine(3, 1, 8, 12)},
 				Demands: []Demand{d, later}, Teams: []Team{{}}, Weights: paper}
 			tt.edit(&in)
--- a/internal/place/images_test.go
+++ b/internal/place/images_test.go
@@ -21,14 +21,14 @@
 // fullMachine is a machine that is full with one victim.
 func fullMachine(id int, loss float64, images ...int) Machine {
 	m := imageMachine(id, 0, images...)
-	m.Victims = []Victim{{ID: id, Rank: job.Idle, Team: -1, Need: Resources{CPUs: 8}, Loss: loss, Remaining: 5}}
+	m.Victims = []Victim{{ID: id, Priority: job.Idle, Team: -1, Need: Resources{CPUs: 8}, Loss: loss, Remaining: 5}}
 	return m
 }
 
 // imageDemand is an array of one task that needs a whole machine and the image.
 func imageDemand(id, image int, edit func(*Demand)) Demand {
 	d := demand(id, job.Array, 8, 0)
-	d.Rank, d.Image, d.ImageGB, d.Team = job.Standard, image, 5, -1
+	d.Priority, d.Image, d.ImageGB, d.Team = job.Standard, image, 5, -1
 	if edit != nil {
 		edit(&d)
 	}
@@ -75,7 +75,7 @@
 		{"and has the soonest of them kept", Input{
 			Machines: slices.Concat([]Machine{imageMachine(0, 8)}, slices.Repeat([]Machine{imageMachine(1, 0, 0)}, commonImageFactor), []Machine{func() Machine {
 				m := fullMachine(9, 1, 0)
-				m.Victims[0].Rank = job.Standard
+				m.Victims[0].Priority = job.Standard
 				return m
 			}()}), Demands: []Demand{imageDemand(1, 0, fetchTooSlow(job.Gang))}}, "0?j"},
 		{"not if there are few", Input{
--- a/internal/place/machine.go
+++ b/internal/place/machine.go
@@ -70,8 +70,8 @@
 // Victim is a task that may be preempted.
 type Victim struct {
 	// ID names the victim in Preemption.Victims.
-	ID   int
-	Rank job.Rank
+	ID       int
+	Priority job.Rank
 	// Team indexes Input.Teams; -1 means none.
 	Team int
 	// Need is what the task uses.
--- a/internal/place/order.go
+++ b/internal/place/order.go
@@ -50,8 +50,8 @@
 	switch {
 	case x.Overdue != y.Overdue:
 		return x.Overdue
-	case x.Rank != y.Rank:
-		return x.Rank > y.Rank
+	case x.Priority != y.Priority:
+		return x.Priority > y.Priority
 	case p.guaranteed[i] != p.guaranteed[k]:
 		return p.guaranteed[i]
 	case start[i] != start[k]:
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -60,10 +60,10 @@
 	machinesByZone [][]int
 	// victimsSorted tells of which machines the victims are in the order of preemption.
 	victimsSorted []bool
-	// hasVictims: there are tasks that may be preempted; lowestRank is the lowest of their
-	// ranks.
-	hasVictims bool
-	lowestRank job.Rank
+	// hasVictims: there are tasks that may be preempted; lowestPriority is the lowest of their
+	// priorities.
+	hasVictims     bool
+	lowestPriority job.Rank
 	// lastQueue is the queue of the previous demand, for one that is interchangeable with it.
 	lastQueue *candidateQueue
 	// reservedFor holds the demands for which a machine is reserved, or held by the calendar.
@@ -148,11 +148,11 @@
 	return zones
 }
 
-// noteVictims updates the lowest rank that may be preempted with a machine's victims.
+// noteVictims updates the lowest priority that may be preempted with a machine's victims.
 func (p *planner) noteVictims(m *Machine) {
 	for v := range m.Victims {
-		if r := m.Victims[v].Rank; !p.hasVictims || r < p.lowestRank {
-			p.lowestRank = r
+		if r := m.Victims[v].Priority; !p.hasVictims || r < p.lowestPriority {
+			p.lowestPriority = r
 			p.hasVictims = true
 		}
 	}
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -118,7 +118,7 @@
 }
 
 // TestOverdue: a job of which nothing has begun for long goes before work of a higher
-// rank, within its team's limit.
+// priority, within its team's limit.
 func TestOverdue(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -126,14 +126,14 @@
 		limit   float64 // of its team
 		want    int     // the demand that gets the room
 	}{
-		{"the higher rank", false, 0, 2},
+		{"the higher priority", false, 0, 2},
 		{"what is overdue", true, 0, 1},
 		{"not beyond its team's limit", true, 0.5, 2},
 	}
 	for _, tt := range tests {
 		m := machine(0, 0, 1)
 		a, b := demand(1, job.Array, 1, 0), demand(2, job.Array, 1, 0)
-		a.Rank, a.Overdue, b.Rank, b.Team = job.Idle, tt.overdue, job.Urgent, 1
+		a.Priority, a.Overdue, b.Priority, b.Team = job.Idle, tt.overdue, job.Urgent, 1
 		p := Make(Input{Machines: []Machine{m}, Demands: []Demand{a, b}, Teams: []Team{{Limit: Resources{CPUs: tt.limit}}, {}}, Weights: paper})
 		if len(p.Assignments) != 1 || p.Assignments[0].Demand+1 != tt.want {
 			t.Errorf("%s: %v, want demand %d", tt.name, p.Assignments, tt.want)
--- a/internal/place/plain_test.go
+++ b/internal/place/plain_test.go
@@ -118,7 +118,7 @@
 			d.Pending = append(d.Pending, t)
 		}
 		d.Total, d.Team, d.Image, d.LastMachine = len(d.Pending), r.IntN(4)-1, r.IntN(4), r.IntN(machines)
-		d.Rank, d.LatestStart, d.Spot = job.Rank(r.IntN(3)), float64(r.IntN(4)), r.IntN(2) == 0
+		d.Priority, d.LatestStart, d.Spot = job.Rank(r.IntN(3)), float64(r.IntN(4)), r.IntN(2) == 0
 		d.OneZone, d.Spread = r.IntN(4) == 0, r.IntN(4) == 0
 		if r.IntN(5) == 0 {
 			d.AllowedTypes = []bool{true, r.IntN(2) == 0, false}
--- a/internal/place/preempt.go
+++ b/internal/place/preempt.go
@@ -12,7 +12,7 @@
 	if !p.hasVictims {
 		return false
 	}
-	if p.lowestRank < d.Rank {
+	if p.lowestPriority < d.Priority {
 		return true
 	}
 	if d.Team < 0 || !p.Teams[d.Team].withinGuarantee(d.Need) {
@@ -26,20 +26,20 @@
 	return false
 }
 
-// canPreempt reports whether the demand may preempt a victim: by its higher rank, or for
+// canPreempt reports whether the demand may preempt a victim: by its higher priority, or for
 // its team's guarantee.
 func (p *planner) canPreempt(d *Demand, v *Victim) bool {
-	if v.Rank < d.Rank {
-		return p.canPreemptByRank(d, v)
+	if v.Priority < d.Priority {
+		return p.canPreemptByPriority(d, v)
 	}
 	return p.canReclaim(d, v)
 }
 
-// canPreemptByRank reports whether the demand may preempt a victim of lower rank. A late
+// canPreemptByPriority reports whether the demand may preempt a victim of lower priority. A late
 // victim inside its team's guarantee is spared from a demand beyond its own: it would
 // reclaim the room at once, from that very demand, and the two would preempt each other for
 // as long as there is too little room for both.
-func (p *planner) canPreemptByRank(d *Demand, v *Victim) bool {
+func (p *planner) canPreemptByPriority(d *Demand, v *Victim) bool {
 	return !v.Late || v.Team < 0 || v.Team == d.Team || p.insideGuarantee(d) || p.Teams[v.Team].canYield(v.released())
 }
 
@@ -201,6 +201,6 @@
 	}
 	p.victimsSorted[i] = true
 	slices.SortStableFunc(p.Machines[i].Victims, func(a, b Victim) int {
-		return cmp.Or(cmp.Compare(a.Rank, b.Rank), cmp.Compare(a.Loss, b.Loss))
+		return cmp.Or(cmp.Compare(a.Priority, b.Priority), cmp.Compare(a.Loss, b.Loss))
 	})
 }
--- a/internal/place/preempt_test.go
+++ b/internal/place/preempt_test.go
@@ -7,16 +7,16 @@
 	"vetchstream/internal/job"
 )
 
-// preemptInput is a machine with two victims and a gang of a higher rank that lacks room.
+// preemptInput is a machine with two victims and a gang of a higher priority that lacks room.
 func preemptInput() Input {
 	m := machine(0, 0, 8)
 	m.Free = Resources{CPUs: 1, MemGB: 30}
 	m.Victims = []Victim{
-		{ID: 0, Rank: job.Standard, Team: 1, Need: Resources{CPUs: 4}, Loss: 40},
-		{ID: 1, Rank: job.Standard, Team: 1, Need: Resources{CPUs: 3}, Loss: 5},
+		{ID: 0, Priority: job.Standard, Team: 1, Need: Resources{CPUs: 4}, Loss: 40},
+		{ID: 1, Priority: job.Standard, Team: 1, Need: Resources{CPUs: 3}, Loss: 5},
 	}
 	d := demand(1, job.Gang, 4, 0)
-	d.Rank, d.MayPreempt = job.Urgent, true
+	d.Priority, d.MayPreempt = job.Urgent, true
 	return Input{Machines: []Machine{m}, Demands: []Demand{d}, Teams: []Team{{}, {Used: Resources{CPUs: 7}}}, Weights: paper}
 }
 
@@ -24,14 +24,14 @@
 // there is borrowed work of the other team.
 func claimGuarantee(in *Input, guarantee float64) {
 	d := demand(1, job.Array, 1, 0, 1, 2, 3)
-	d.Rank, d.MayPreempt = job.Standard, true
+	d.Priority, d.MayPreempt = job.Standard, true
 	in.Demands = []Demand{d}
 	in.Teams = []Team{{Guarantee: Resources{CPUs: guarantee}, Used: Resources{CPUs: 3}}, {Guarantee: Resources{CPUs: 1}, Used: Resources{CPUs: 20}}}
 	in.Machines = nil
 	for i := range 3 {
 		m := machine(i, 0, 4)
 		m.Free = Resources{MemGB: 8}
-		m.Victims = []Victim{{ID: i, Rank: job.Standard, Team: 1, Need: Resources{CPUs: 4, MemGB: 1}, Loss: 1}}
+		m.Victims = []Victim{{ID: i, Priority: job.Standard, Team: 1, Need: Resources{CPUs: 4, MemGB: 1}, Loss: 1}}
 		in.Machines = append(in.Machines, m)
 	}
 }
@@ -49,30 +49,30 @@
 	want []int
 }{
 	{"the cheapest victims that make room", func(*Input) {}, []int{1}},
-	{"not the same rank", func(in *Input) { in.Demands[0].Rank = job.Standard }, nil},
+	{"not the same priority", func(in *Input) { in.Demands[0].Priority = job.Standard }, nil},
 	{"borrowed work yields to a guarantee", func(in *Input) {
-		in.Demands[0].Rank = job.Standard
+		in.Demands[0].Priority = job.Standard
 		in.Teams[0].Guarantee = Resources{CPUs: 10}
 		in.Teams[1].Guarantee = Resources{CPUs: 2}
 	}, []int{1}},
 	{"no more than the other team has beyond its guarantee", func(in *Input) {
-		in.Demands[0].Rank = job.Standard
+		in.Demands[0].Priority = job.Standard
 		in.Teams[0].Guarantee = Resources{CPUs: 10}
 		in.Teams[1].Guarantee = Resources{CPUs: 5}
 	}, nil},
 	{"a gang that would leave whole counts whole", func(in *Input) {
-		in.Demands[0].Rank = job.Standard
+		in.Demands[0].Priority = job.Standard
 		in.Teams[0].Guarantee = Resources{CPUs: 10}
 		in.Teams[1].Guarantee = Resources{CPUs: 2}
 		in.Machines[0].Victims[1].Released = Resources{CPUs: 6}
 	}, []int{0}},
 	{"what is leaving already is not beyond it", func(in *Input) {
-		in.Demands[0].Rank = job.Standard
+		in.Demands[0].Priority = job.Standard
 		in.Teams[0].Guarantee = Resources{CPUs: 10}
 		in.Teams[1].Guarantee, in.Teams[1].Stopping = Resources{CPUs: 2}, Resources{CPUs: 3}
 	}, nil},
 	{"borrowed accelerators yield to a guarantee of accelerators", func(in *Input) {
-		in.Demands[0].Rank = job.Standard
+		in.Demands[0].Priority = job.Standard
 		in.Demands[0].Need = Resources{CPUs: 4, GPUs: 4}
 		in.Machines[0].Total.GPUs = 4
 		for i := range in.Machines[0].Victims {
@@ -82,11 +82,11 @@
 		in.Teams[1] = Team{Guarantee: Resources{GPUs: 1}, Used: Resources{CPUs: 7, GPUs: 6}}
 	}, []int{1, 0}},
 	{"guaranteed work does not yield to a guarantee", func(in *Input) {
-		in.Demands[0].Rank = job.Standard
+		in.Demands[0].Priority = job.Standard
 		in.Teams[0].Guarantee = Resources{CPUs: 10}
 		in.Teams[1].Guarantee = Resources{CPUs: 7}
 	}, nil},
-	{"late work inside its guarantee does not yield to a higher rank that borrows", func(in *Input) {
+	{"late work inside its guarantee does not yield to a higher priority that borrows", func(in *Input) {
 		in.Teams[0] = Team{Guarantee: Resources{CPUs: 2}, Used: Resources{CPUs: 5}}
 		in.Teams[1].Guarantee = Resources{CPUs: 10}
 		makeVictimsLate(in)
@@ -102,7 +102,7 @@
 		in.Teams[0] = Team{Guarantee: Resources{CPUs: 2}, Used: Resources{CPUs: 5}}
 		in.Teams[1].Guarantee = Resources{CPUs: 10}
 	}, []int{1}},
-	{"it does to a higher rank inside its own guarantee", func(in *Input) {
+	{"it does to a higher priority inside its own guarantee", func(in *Input) {
 		in.Teams[0].Guarantee = Resources{CPUs: 10}
 		in.Teams[1].Guarantee = Resources{CPUs: 10}
 		makeVictimsLate(in)
@@ -112,12 +112,12 @@
 		in.Teams[1].Guarantee = Resources{CPUs: 4}
 		makeVictimsLate(in)
 	}, []int{1}},
-	{"and the other way round: late work takes the room that a higher rank borrows", func(in *Input) {
-		in.Demands[0].Rank = job.Standard
+	{"and the other way round: late work takes the room that a higher priority borrows", func(in *Input) {
+		in.Demands[0].Priority = job.Standard
 		in.Teams[0].Guarantee = Resources{CPUs: 10}
 		in.Teams[1].Guarantee = Resources{CPUs: 2}
 		for v := range in.Machines[0].Victims {
-			in.Machines[0].Victims[v].Rank = job.Urgent
+			in.Machines[0].Victims[v].Priority = job.Urgent
 		}
 	}, []int{1}},
 	{"no more is claimed than the guarantee holds", func(in *Input) { claimGuarantee(in, 5) }, []int{0, 1}},
