--- a/internal/control/machine_pool.go
+++ b/internal/control/machine_pool.go
@@ -107,8 +107,8 @@
 	}
 	mp.typesInFlight = true
 	go func() {
-		types, err := mp.c.Cloud.MachineTypes(mp.ctx)
-		mp.post(func() {
+		types, err := mp.controller.Cloud.MachineTypes(mp.ctx)
+		mp.enqueue(func() {
 			mp.typesInFlight = false
 			if err != nil {
 				mp.nextTypesAt = time.Now().Add(typesRetryInterval)
@@ -124,11 +124,11 @@
 func (mp *machinePool) applyTypes(types []wire.MachineType) {
 	first := len(mp.nameIndex.machineTypes()) == 0
 	mp.nameIndex.updateTypes(types)
-	mp.jobTable.rebind()
-	mp.c.mu.Lock()
-	mp.c.types = mp.nameIndex.machineTypes()
-	mp.c.mu.Unlock()
-	mp.changed()
+	mp.jobTable.rebindNames()
+	mp.controller.mu.Lock()
+	mp.controller.types = mp.nameIndex.machineTypes()
+	mp.controller.mu.Unlock()
+	mp.requestPlan()
 	if first {
 		mp.storeTypes(types)
 	}
@@ -150,10 +150,10 @@
 		return
 	}
 	mp.listInFlight = true
-	lag := config.Seconds(mp.c.Settings.Facts.Cloud.ListLagS)
+	lag := config.Seconds(mp.controller.Settings.Facts.Cloud.ListLagS)
 	go func() {
-		list, err := mp.c.Cloud.ListMachines(mp.ctx)
-		mp.post(func() {
+		list, err := mp.controller.Cloud.ListMachines(mp.ctx)
+		mp.enqueue(func() {
 			mp.listInFlight = false
 			mp.nextListAt = time.Now().Add(max(minListInterval, lag/2))
 			if err != nil {
@@ -169,7 +169,7 @@
 // that it has may be gone.
 func (mp *machinePool) applyList(list []wire.CloudHost) {
 	now := time.Now()
-	mp.takeover.listed(list)
+	mp.takeover.compareListing(list)
 	mp.releaseStaleAdoptions(list)
 	for i := range list {
 		if listed := &list[i]; !mp.wasReleased(listed.Name) {
@@ -206,7 +206,7 @@
 }
 
 // releaseStaleAdoptions releases the adopted machines that the list lacks although it has
-// later ones: they were gone when it was made (takeover.listed says why). A late copy of a
+// later ones: they were gone when it was made (takeover.compareListing says why). A late copy of a
 // heartbeat has brought back a machine that an earlier leader has released; until it is
 // settled, the jobs that it names would wait for a lease.
 func (mp *machinePool) releaseStaleAdoptions(list []wire.CloudHost) {
@@ -246,8 +246,8 @@
 	if !h.Withheld {
 		mp.log.Info("a launch of a cancelled job may be on its way to a machine, its session has to end",
 			"host", h.Name, "tasks", h.Jobs-h.Unsettled)
-		mp.c.Meter.Add(metrics.Withheld, "", 1)
-		mp.taskTracker.handle(mp.fleet.Withhold(h), now)
+		mp.controller.Meter.Add(metrics.Withheld, "", 1)
+		mp.taskTracker.applyEvents(mp.fleet.Withhold(h), now)
 	}
 	return false
 }
--- a/internal/control/machine_quarantine.go
+++ b/internal/control/machine_quarantine.go
@@ -31,8 +31,8 @@
 // that has failed on several machines and worked on none is at fault itself; the failures of
 // others count against the machine.
 func (tt *taskTracker) attributeFailure(j *job.Job, h *fleet.Host, now time.Time) {
-	j.ErrorHosts[h.Name] = true
-	if !j.Worked && len(j.ErrorHosts) >= minFailedMachines {
+	j.FailedMachines[h.Name] = true
+	if !j.HasSucceeded && len(j.FailedMachines) >= minFailedMachines {
 		tt.backOffJob(j, now)
 		return
 	}
@@ -48,14 +48,14 @@
 	worksElsewhere := false
 	jobs := 0
 	for j := range h.ErrorJobs {
-		if j.Worked {
+		if j.HasSucceeded {
 			worksElsewhere = true
 		}
-		if j.Worked || len(j.ErrorHosts) < minFailedMachines {
+		if j.HasSucceeded || len(j.FailedMachines) < minFailedMachines {
 			jobs++
 		}
 	}
-	if h.Draining || h.Errors < tt.c.Tuning.Hosts.SickErrors || (!worksElsewhere && jobs < minFailedJobs) {
+	if h.Draining || h.Errors < tt.controller.Tuning.Hosts.SickErrors || (!worksElsewhere && jobs < minFailedJobs) {
 		return
 	}
 	tt.log.Info("machine fails what it starts, returning it", "host", h.Name, "errors", h.Errors, "jobs", len(h.ErrorJobs))
@@ -71,12 +71,12 @@
 		return
 	}
 	ran := now.Sub(s.RunAt).Seconds()
-	here := j.RunsOn[h.Name]
-	if others := j.RunCount - here.Count; others >= minSlowTasks {
-		mean := (j.RunSum - here.Sum) / float64(others)
+	here := j.RunTimesByMachine[h.Name]
+	if others := j.RunTimeCount - here.Count; others >= minSlowTasks {
+		mean := (j.RunTimeSumS - here.SumS) / float64(others)
 		tt.countSlow(h, ran, mean)
 	}
-	j.Ran(h.Name, ran)
+	j.RecordRunTime(h.Name, ran)
 }
 
 // countSlow counts a task that ran for ran seconds on a machine, against a mean of others on
@@ -100,5 +100,5 @@
 	}
 	j.Backoff = min(maxJobBackoff, max(minJobBackoff, 2*j.Backoff))
 	j.NotBefore = now.Add(j.Backoff)
-	tt.log.Info("job fails, holding it back", "job", j.ID, "for", j.Backoff, "hosts", len(j.ErrorHosts))
+	tt.log.Info("job fails, holding it back", "job", j.ID, "for", j.Backoff, "hosts", len(j.FailedMachines))
 }
--- a/internal/control/machine_scale_in.go
+++ b/internal/control/machine_scale_in.go
@@ -42,7 +42,7 @@
 		// Its heartbeats prevent its lease from expiring, but it has taken in nothing in this
 		// term: its jobs would be blocked for as long as it goes on. After a failover the
 		// machines that have answered need not wait for those that have not.
-		if now.Sub(mp.takeover.begun()) > patience {
+		if now.Sub(mp.takeover.contactStart()) > patience {
 			return "it reports and takes in nothing that is sent to it"
 		}
 		return ""
@@ -55,7 +55,7 @@
 		// lease does not expire here.
 		return "it lives and reaches no controller"
 	case h.Booting:
-		granted := time.Duration(mp.c.Tuning.Hosts.GiveUpBoots * float64(mp.bootTime(h)))
+		granted := time.Duration(mp.controller.Tuning.Hosts.GiveUpBoots * float64(mp.bootTime(h)))
 		if now.Sub(h.Born) > granted+bootGrace {
 			return "it does not come up"
 		}
@@ -90,7 +90,7 @@
 // idleTooLong reports whether a machine has been idle for so long that it does not pay to
 // retain it.
 func (mp *machinePool) idleTooLong(h *fleet.Host, now time.Time) bool {
-	return now.Sub(h.IdleFrom) > time.Duration(mp.c.Tuning.Hosts.IdleBoots*float64(mp.bootTime(h)))
+	return now.Sub(h.IdleFrom) > time.Duration(mp.controller.Tuning.Hosts.IdleBoots*float64(mp.bootTime(h)))
 }
 
 // neededForGang reports whether a machine is in the zone that was chosen for a gang whose
@@ -121,7 +121,7 @@
 // sendReleases sends the pending releases, many in one request: the cloud takes a few
 // requests a second, and provisioning needs them too.
 func (mp *machinePool) sendReleases(now time.Time) {
-	if mp.releaseInFlight || len(mp.pendingReleases) == 0 || now.Before(mp.nextReleaseAt) || !mp.c.Entitled(mp.term) {
+	if mp.releaseInFlight || len(mp.pendingReleases) == 0 || now.Before(mp.nextReleaseAt) || !mp.controller.Entitled(mp.term) {
 		return
 	}
 	hosts := slices.Clone(mp.pendingReleases[:min(len(mp.pendingReleases), maxReleaseBatch)])
@@ -131,8 +131,8 @@
 	}
 	mp.releaseInFlight = true
 	go func() {
-		err := mp.c.Cloud.Release(mp.ctx, names)
-		mp.post(func() {
+		err := mp.controller.Cloud.Release(mp.ctx, names)
+		mp.enqueue(func() {
 			mp.releaseInFlight = false
 			mp.nextReleaseAt = time.Now().Add(releaseInterval)
 			if err != nil {
@@ -149,11 +149,11 @@
 
 // forgetReleased removes a machine that is gone, with all tasks on it.
 func (mp *machinePool) forgetReleased(h *fleet.Host) {
-	mp.taskTracker.handle(mp.fleet.Remove(h), time.Now())
+	mp.taskTracker.applyEvents(mp.fleet.Remove(h), time.Now())
 	mp.releasedNames[h.Name] = true
 	mp.planner.forgetMachine(h)
 	mp.reservationHolds.forget(h)
-	mp.shards.gone(h)
+	mp.shards.remove(h)
 	delete(mp.noticeLogged, h)
 	delete(mp.unlisted, h)
 	if mp.registry.leave(h) {
--- a/internal/control/machine_scale_out.go
+++ b/internal/control/machine_scale_out.go
@@ -49,8 +49,8 @@
 		ZoneIndex:      mp.nameIndex.zoneIndices(),
 		Backoff:        mp.backoff,
 		MachinesByZone: make([]int, len(zones)),
-		MinFill:        mp.c.Tuning.Hosts.MinFill,
-		PatienceS:      mp.c.Tuning.Hosts.PatienceS,
+		MinFill:        mp.controller.Tuning.Hosts.MinFill,
+		PatienceS:      mp.controller.Tuning.Hosts.PatienceS,
 		Now:            now,
 		Closed: func(o autoscale.Offer) bool {
 			return mp.maintenanceDrains.closed(types[o.Type].Name, zones[o.Zone], now)
@@ -124,7 +124,7 @@
 
 // fitsByZone counts, per zone, the tasks of a demand that fit on the machines that are up.
 func (mp *machinePool) fitsByZone(d *place.Demand) []int {
-	j := mp.jobTable.at(d.ID)
+	j := mp.jobTable.byIndex(d.ID)
 	fits := make([]int, len(mp.nameIndex.zoneNames()))
 	for _, h := range mp.fleet.All() {
 		t := mp.nameIndex.machineType(h)
@@ -161,7 +161,7 @@
 	requestedAt := time.Now()
 	go func() {
 		names, err := mp.sendRequest(req)
-		mp.post(func() {
+		mp.enqueue(func() {
 			mp.provisioning[o] -= count
 			mp.provisioned(o, req, names, err, requestedAt)
 		})
@@ -173,13 +173,13 @@
 func (mp *machinePool) sendRequest(req wire.Hire) (names []string, err error) {
 	err = errNotEntitled
 	for try := 0; try < provisionTries && mp.ctx.Err() == nil; try++ {
-		if mp.c.Entitled(mp.term) {
-			names, err = mp.c.Cloud.Provision(mp.ctx, req)
+		if mp.controller.Entitled(mp.term) {
+			names, err = mp.controller.Cloud.Provision(mp.ctx, req)
 			if err == nil || errors.Is(err, autoscale.ErrNoCapacity) {
 				break
 			}
 		}
-		mp.pause(provisionRetryInterval)
+		mp.sleep(provisionRetryInterval)
 	}
 	return names, err
 }
--- a/internal/control/machine_spot_notices.go
+++ b/internal/control/machine_spot_notices.go
@@ -33,7 +33,7 @@
 // in seconds; negative if it runs longer than estimated.
 func remainingEstimate(s *fleet.Slot, now time.Time) float64 {
 	if s.RunAt.IsZero() {
-		return estimate(s.Job)
+		return runTimeEstimate(s.Job)
 	}
-	return estimate(s.Job) - now.Sub(s.RunAt).Seconds()
+	return runTimeEstimate(s.Job) - now.Sub(s.RunAt).Seconds()
 }
--- a/internal/control/planner.go
+++ b/internal/control/planner.go
@@ -99,15 +99,15 @@
 
 // place makes a plan and carries it out, if one is due.
 func (pl *planner) place(now time.Time) {
-	if !pl.due(now) || !pl.takeover.settle(now) || pl.hasUncountedTasks() {
+	if !pl.due(now) || !pl.takeover.reconcile(now) || pl.hasUncountedTasks() {
 		return
 	}
 	pl.lastPlanAt = now
-	pl.dirty = false
+	pl.planRequested = false
 	pl.reservationHolds.gather(now) // a machine that has just come up for a reservation must not be filled
 	defer func() {
 		pl.lastPlanDuration = time.Since(now)
-		pl.c.Meter.Took(metrics.PlanTime, "", pl.lastPlanDuration)
+		pl.controller.Meter.Took(metrics.PlanTime, "", pl.lastPlanDuration)
 	}()
 	in := pl.input(now)
 	if len(in.input.Demands) == 0 {
@@ -129,13 +129,13 @@
 	if sinceLast < max(minPlanInterval, planTimeShare*pl.lastPlanDuration) {
 		return false
 	}
-	return pl.dirty || sinceLast >= maxPlanInterval
+	return pl.planRequested || sinceLast >= maxPlanInterval
 }
 
 // hasUncountedTasks reports whether there are tasks of jobs whose records have not been
 // read: what these use is not counted for any team yet.
 func (pl *planner) hasUncountedTasks() bool {
-	for j := range pl.jobTable.strange() {
+	for j := range pl.jobTable.unidentifiedJobs() {
 		if len(j.Live) > 0 {
 			return true
 		}
@@ -155,15 +155,15 @@
 // service share an attempt number; attempts holds those made so far.
 func (pl *planner) assign(j *job.Job, task int32, h *fleet.Host, attempts map[*job.Job]uint64, now time.Time) {
 	attempt := pl.attemptFor(j, attempts)
-	waited := now.Sub(j.WaitFrom)
+	waited := now.Sub(j.WaitingSince)
 	if pl.debug {
 		pl.log.Debug("task is placed", "task", job.TaskName(j.ID, task), "host", h.Name, "waited", waited)
 	}
 	pl.fleet.Assign(h, fleet.Key{Job: j, Task: task, Attempt: attempt}, now)
 	pl.registry.note(j, h)
-	j.LastHost = h.Idx
-	pl.c.Meter.Took(metrics.StartWait, j.Class, waited)
-	j.WaitFrom = now
+	j.LastMachine = h.Idx
+	pl.controller.Meter.Took(metrics.StartWait, j.Class, waited)
+	j.WaitingSince = now
 	if pl.reservedFor(h) == j {
 		delete(pl.reservations, h)
 	}
@@ -242,7 +242,7 @@
 		unmet = append(unmet, autoscale.UnmetDemand{
 			Demand:  d,
 			Count:   unplaced[i],
-			TaskS:   estimate(j),
+			TaskS:   runTimeEstimate(j),
 			ImageGB: j.ImageGB,
 			WaitedS: d.Waited,
 			Urgent:  j.Shape == job.Gang,
@@ -261,7 +261,7 @@
 	}
 	pl.lastWaitLogAt = now
 	for _, u := range unmet[:min(len(unmet), maxWaitLogJobs)] {
-		j := pl.jobTable.at(u.Demand.ID)
+		j := pl.jobTable.byIndex(u.Demand.ID)
 		pl.log.Info("no machine has room", "job", j.ID, "class", j.Class, "tasks", u.Count, "waited", u.WaitedS)
 	}
 }
--- a/internal/control/planner_demands.go
+++ b/internal/control/planner_demands.go
@@ -33,7 +33,7 @@
 
 // addDemands adds the jobs that wait for machines, ordered by index.
 func (p *planInput) addDemands() {
-	blocked := p.takeover.blocked(p.input.Teams)
+	blocked := p.takeover.blockedJobs(p.input.Teams)
 	for _, j := range p.jobTable.all() {
 		if blocked[j] || !p.placeable(j) {
 			continue
@@ -50,12 +50,12 @@
 // placeable reports whether a job has tasks to place and may have them placed now.
 func (p *planInput) placeable(j *job.Job) bool {
 	over := j.Phase != "" || j.Closing != ""
-	if over || p.jobTable.stranger(j) || p.now.Before(j.NotBefore) || j.TeamIdx < 0 || p.calendarStore.waits(j, p.now) {
+	if over || p.jobTable.isUnidentified(j) || p.now.Before(j.NotBefore) || j.TeamIdx < 0 || p.calendarStore.waits(j, p.now) {
 		return false
 	}
 	// A gang that has broken or has run gets its next attempt when all of this one is gone.
-	gangInAttempt := j.Shape == job.Gang && (j.GangBroken || j.GangRan)
-	return j.Waiting() > 0 && !gangInAttempt
+	gangInAttempt := j.Shape == job.Gang && (j.GangStopping || j.GangStarted)
+	return j.UnplacedCount() > 0 && !gangInAttempt
 }
 
 // demand describes a job that waits; waits is false if nothing of it is to be placed now.
@@ -63,22 +63,22 @@
 	d = place.Demand{
 		ID:           p.jobTable.index(j),
 		Shape:        j.Shape,
-		Priority:     j.Rank,
+		Priority:     j.Priority,
 		Team:         j.TeamIdx,
 		Need:         needOf(j),
-		AllowedTypes: j.TypeOK,
+		AllowedTypes: j.TypeAllowed,
 		Zone:         j.ZoneIdx,
 		OneZone:      j.OneZone,
 		Spread:       j.Spread,
 		Spot:         j.Spot,
 		Image:        j.ImageIdx,
 		ImageGB:      j.ImageGB,
-		LastMachine:  j.LastHost,
+		LastMachine:  j.LastMachine,
 		Total:        j.Tasks,
-		Waiting:      j.Waiting(),
+		Waiting:      j.UnplacedCount(),
 		TasksByZone:  p.tasksByZone(j),
 		LatestStart:  p.jobTable.latestStart(j),
-		Waited:       p.now.Sub(j.WaitFrom).Seconds(),
+		Waited:       p.now.Sub(j.WaitingSince).Seconds(),
 		Overdue:      p.now.Sub(j.Submitted) > overdueAfter && j.DoneCount == 0 && len(j.Live) == 0,
 	}
 	listPending(j, &d)
@@ -87,10 +87,10 @@
 	}
 	if p.calendarStore.on() {
 		d.EndsIn = p.reservationHolds.needs(j, p.now)
-		d.Movable = j.Shape == job.Service || j.Checkpoint > 0
-		d.OnlyHeldMachines = j.Booking != "" && p.reservationHolds.enough(j, len(d.Pending))
+		d.Movable = j.Shape == job.Service || j.CheckpointS > 0
+		d.OnlyHeldMachines = j.Reservation != "" && p.reservationHolds.enough(j, len(d.Pending))
 	}
-	left := d.LatestStart - p.now.Sub(p.since).Seconds()
+	left := d.LatestStart - p.now.Sub(p.termStart).Seconds()
 	isArray := j.Shape == job.Array
 	d.FetchTooSlow = !isArray && left > 0 && left < j.ImageGB/p.slowestFetchRate
 	d.CanDelay = isArray && left > delayMarginS
@@ -105,7 +105,7 @@
 // looksForVictims reports whether a job that has left seconds until its latest start may
 // preempt tasks in this plan. Arrays do so only when they are late.
 func (p *planInput) looksForVictims(j *job.Job, d *place.Demand, left float64) bool {
-	hasWaited := p.now.Sub(j.WaitFrom) > preemptDelay || (d.FetchTooSlow && j.Shape == job.Service)
+	hasWaited := p.now.Sub(j.WaitingSince) > preemptDelay || (d.FetchTooSlow && j.Shape == job.Service)
 	isPressing := j.Shape != job.Array || left < lateMarginS
 	return hasWaited && isPressing && p.now.Sub(p.lastPreemptAt[j]) >= preemptInterval
 }
@@ -113,8 +113,8 @@
 // listPending lists the tasks of a job that a plan may place.
 func listPending(j *job.Job, d *place.Demand) {
 	limit := pendingLimit(j, d.Overdue)
-	for task := range j.Needs {
-		if j.Quota != nil {
+	for task := range j.Unplaced {
+		if j.Replicas != nil {
 			// The replicas of a roll-out's batch have their zones: one zone a plan.
 			zone := j.ZoneOf(task)
 			if len(d.Pending) == 0 {
@@ -135,7 +135,7 @@
 	switch {
 	case j.Shape == job.Gang:
 		return j.Tasks
-	case !j.Worked && j.Backoff > 0:
+	case !j.HasSucceeded && j.Backoff > 0:
 		return backoffPending
 	case overdue:
 		return 1 + j.Tasks/overdueShare
--- a/internal/control/planner_input.go
+++ b/internal/control/planner_input.go
@@ -48,7 +48,7 @@
 		lateJobs:         map[*job.Job]bool{},
 		slowestFetchRate: pl.slowestFetchRate(),
 	}
-	w := &pl.c.Tuning.Weights
+	w := &pl.controller.Tuning.Weights
 	p.input.Weights = place.Weights{
 		Queue:      w.Queue,
 		Jobs:       w.Jobs,
@@ -69,7 +69,7 @@
 }
 
 // job returns the job of a demand, given its index.
-func (p *planInput) job(demand int) *job.Job { return p.jobTable.at(p.input.Demands[demand].ID) }
+func (p *planInput) job(demand int) *job.Job { return p.jobTable.byIndex(p.input.Demands[demand].ID) }
 
 // slowestFetchRate returns the lowest known fetch rate of all machine types, in GB per
 // second; infinity if none is known.
@@ -86,7 +86,7 @@
 
 // addTeams adds the teams with what their tasks use.
 func (p *planInput) addTeams() {
-	for _, t := range p.teamQuotas.all() {
+	for _, t := range p.teamQuotas.teams() {
 		p.input.Teams = append(p.input.Teams, place.Team{
 			Guarantee: place.Resources{CPUs: t.CPUs, GPUs: t.GPUs},
 			Limit:     place.Resources{CPUs: t.CPUsMax, GPUs: t.GPUsMax},
--- a/internal/control/planner_victims.go
+++ b/internal/control/planner_victims.go
@@ -25,7 +25,7 @@
 		}
 		m.Victims = append(m.Victims, place.Victim{
 			ID:        len(p.slots),
-			Priority:  s.Job.Rank,
+			Priority:  s.Job.Priority,
 			Team:      s.Job.TeamIdx,
 			Need:      needOf(s.Job),
 			Released:  releasedWith(s.Job),
@@ -59,7 +59,7 @@
 		return restartS * s.Job.CPUs * float64(s.Job.Tasks)
 	case s.RunAt.IsZero():
 		return 0
-	case s.Job.Checkpoint > 0:
+	case s.Job.CheckpointS > 0:
 		return min(restartS, now.Sub(s.RunAt).Seconds()) * s.Job.CPUs
 	}
 	return now.Sub(s.RunAt).Seconds() * s.Job.CPUs
@@ -67,7 +67,7 @@
 
 // remainingSeconds returns in how many seconds a task is expected to complete.
 func remainingSeconds(s *fleet.Slot, now time.Time) float64 {
-	run := estimate(s.Job)
+	run := runTimeEstimate(s.Job)
 	if s.RunAt.IsZero() {
 		return run
 	}
@@ -78,7 +78,7 @@
 func (p *planInput) isLate(j *job.Job) bool {
 	late, known := p.lateJobs[j]
 	if !known {
-		late = p.jobTable.latestStart(j)-p.now.Sub(p.since).Seconds() < lateMarginS
+		late = p.jobTable.latestStart(j)-p.now.Sub(p.termStart).Seconds() < lateMarginS
 		p.lateJobs[j] = late
 	}
 	return late
--- a/internal/place/demand.go
+++ b/internal/place/demand.go
@@ -7,7 +7,7 @@
 	// ID identifies the demand; it is above 0.
 	ID       int
 	Shape    job.Shape
-	Priority job.Rank
+	Priority job.Priority
 	// Team indexes Input.Teams; -1 means none.
 	Team int
 	// Need is what each task takes.
--- a/internal/place/machine.go
+++ b/internal/place/machine.go
@@ -71,7 +71,7 @@
 type Victim struct {
 	// ID names the victim in Preemption.Victims.
 	ID       int
-	Priority job.Rank
+	Priority job.Priority
 	// Team indexes Input.Teams; -1 means none.
 	Team int
 	// Need is what the task uses.
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -63,7 +63,7 @@
 	// hasVictims: there are tasks that may be preempted; lowestPriority is the lowest of their
 	// priorities.
 	hasVictims     bool
-	lowestPriority job.Rank
+	lowestPriority job.Priority
 	// lastQueue is the queue of the previous demand, for one that is interchangeable with it.
 	lastQueue *candidateQueue
 	// reservedFor holds the demands for which a machine is reserved, or held by the calendar.
