--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -45,7 +45,7 @@
 
 // learn takes in a price list.
 func (lt *leaderTerm) learn(types []wire.MachineType) {
-	lt.nameIndex.learn(types)
+	lt.nameIndex.updateTypes(types)
 	lt.jobTable.rebindNames()
 }
 
--- a/internal/control/records_load.go
+++ b/internal/control/records_load.go
@@ -88,7 +88,7 @@
 		h.Durable = true
 		h.Inherited = true
 		h.Booting = false
-		g.nameIndex.describe(h, hr.Type, hr.Zone, hr.Spot)
+		g.nameIndex.describeHost(h, hr.Type, hr.Zone, hr.Spot)
 		p.hosts = append(p.hosts, h)
 		g.hostEntries[h] = hostEntry{hostRecord: hr, page: p}
 	}
@@ -104,7 +104,7 @@
 			return &pageError{key: p.key, err: err}
 		}
 		g.mergeJobHosts(p, jr, set)
-		team := g.nameIndex.team(jr.Team)
+		team := g.nameIndex.teamIndex(jr.Team)
 		for index, h := range byIndex {
 			if set.Has(index) {
 				h.InheritedJobs = append(h.InheritedJobs, fleet.InheritedJob{ID: jr.Job, Team: team})
--- a/internal/control/shards_sync.go
+++ b/internal/control/shards_sync.go
@@ -130,7 +130,7 @@
 // handleEntry takes in what a machine has reported to its holder.
 func (sh *shards) handleEntry(b *mailbox, e *shard.HostReport, now time.Time) {
 	h := sh.fleet.Hosts[e.Host]
-	if h == nil || sh.machinePool.gone(e.Host) {
+	if h == nil || sh.machinePool.wasReleased(e.Host) {
 		return
 	}
 	sh.assigner.ConfirmContact(e.Host)
@@ -168,7 +168,7 @@
 func (sh *shards) answerHeartbeats(now time.Time) {
 	for member, b := range sh.mailboxes {
 		for _, hb := range b.heartbeats {
-			if !sh.answerable(member, &hb) || !sh.machinePool.renewable(hb.host, now) {
+			if !sh.answerable(member, &hb) || !sh.machinePool.mayRenewLease(hb.host, now) {
 				continue
 			}
 			orders, sent, events := sh.fleet.ComposeOrders(hb.host, hb.seq, hb.fresh, now, maxOrders)
--- a/internal/control/takeover_test.go
+++ b/internal/control/takeover_test.go
@@ -35,7 +35,7 @@
 				lt.jobTable.add(&job.Record{Spec: job.Spec{ID: id, Team: team, ShapeName: "array", PriorityName: "idle", Tasks: 1, CPUs: 1}}, 1, time.Unix(1000, 0))
 			}
 			h := lt.host("h1")
-			lt.nameIndex.describe(h, "small", "a", false)
+			lt.nameIndex.describeHost(h, "small", "a", false)
 			for _, id := range tt.old {
 				team := -1
 				if lt.jobTable.get(id) != nil {
@@ -87,8 +87,8 @@
 				}
 			}
 			lt.takeover.releaseSilent()
-			if got := len(lt.machinePool.returns) == tt.silent; got != tt.want {
-				t.Errorf("%d given up, want all: %v", len(lt.machinePool.returns), tt.want)
+			if got := len(lt.machinePool.pendingReleases) == tt.silent; got != tt.want {
+				t.Errorf("%d given up, want all: %v", len(lt.machinePool.pendingReleases), tt.want)
 			}
 		})
 	}
@@ -115,7 +115,7 @@
 			lt.learn([]wire.MachineType{{Name: "small", CPUs: 8, MemGB: 16, Zones: []string{"a"}}})
 			for _, n := range []string{"h1", "h2", "h3"} {
 				h := lt.host(n)
-				lt.nameIndex.describe(h, "small", "a", false)
+				lt.nameIndex.describeHost(h, "small", "a", false)
 				h.Inherited = true
 			}
 			var list []wire.CloudHost
@@ -125,7 +125,7 @@
 			lt.takeover.compareListing(list)
 			lt.takeover.reconcile(lt.termStart.Add(tt.after))
 			got := ""
-			for _, h := range lt.machinePool.returns {
+			for _, h := range lt.machinePool.pendingReleases {
 				got += h.Name
 			}
 			if got != tt.want {
