--- a/internal/control/machine_pool_test.go
+++ b/internal/control/machine_pool_test.go
@@ -39,10 +39,10 @@
 				for _, n := range names {
 					list = append(list, wire.CloudMachine{Name: n})
 				}
-				lt.machinePool.listed(list)
+				lt.machinePool.applyList(list)
 			}
 			got := ""
-			for _, h := range lt.machinePool.returns {
+			for _, h := range lt.machinePool.pendingReleases {
 				got += h.Name
 			}
 			if got != tt.want {
@@ -60,15 +60,15 @@
 		t.Run(fmt.Sprintf("%d slots", slots), func(t *testing.T) {
 			lt := newTestTerm(t)
 			lt.learn([]wire.MachineType{{Name: "small", CPUs: 4, MemGB: 16, Zones: []string{"a", "b"}}})
-			lt.nameIndex.zone("a")
-			need := place.Amount{CPUs: 4}
+			lt.nameIndex.zoneIndex("a")
+			need := place.Resources{CPUs: 4}
 			gang := lt.jobTable.add(&job.Record{Spec: job.Spec{ID: "run-1", ShapeName: "ensemble", PriorityName: "idle", Tasks: 2, CPUs: 4, OneZone: true}}, 1, lt.termStart)
-			lt.machinePool.want([]autoscale.Want{{Demand: &place.Demand{ID: lt.jobTable.index(gang), Shape: job.Gang, Need: need, Zone: -1, OneZone: true, InZone: make([]int, 2)}, Count: 2, Chosen: -7}})
+			lt.machinePool.setUnmetDemand([]autoscale.UnmetDemand{{Demand: &place.Demand{ID: lt.jobTable.index(gang), Shape: job.Gang, Need: need, Zone: -1, OneZone: true, TasksByZone: make([]int, 2)}, Count: 2, ChosenZone: -7}})
 			for range slots {
-				lt.reservationHolds.wants = append(lt.reservationHolds.wants, autoscale.Want{Demand: &place.Demand{Shape: job.Gang, Need: need, Zone: 0, InZone: make([]int, 2)}, Count: 1})
+				lt.reservationHolds.wants = append(lt.reservationHolds.wants, autoscale.UnmetDemand{Demand: &place.Demand{Shape: job.Gang, Need: need, Zone: 0, TasksByZone: make([]int, 2)}, Count: 1})
 			}
-			lt.machinePool.rent(lt.termStart)
-			if got := lt.machinePool.wants[0].Chosen; got < 0 {
+			lt.machinePool.scaleOut(lt.termStart)
+			if got := lt.machinePool.unmetDemand[0].ChosenZone; got < 0 {
 				t.Errorf("chosen zone %d", got)
 			}
 		})
@@ -95,12 +95,12 @@
 		lt.learn([]wire.MachineType{{Name: "x", CPUs: 8, BootS: 1000, Zones: []string{"a"}}})
 		now := lt.termStart.Add(tt.deaf)
 		h := lt.host("h1")
-		lt.nameIndex.describe(h, "x", "a", false)
+		lt.nameIndex.describeHost(h, "x", "a", false)
 		h.Booting, h.Durable, h.Fenced, h.IdleFrom = false, true, !tt.old, now
 		if h.Inherited = tt.old; !tt.old {
 			lt.fleet.MarkInboundCut(h, lt.termStart)
 		}
-		lt.machinePool.giveBack(now)
+		lt.machinePool.scaleIn(now)
 		if h.Releasing != tt.returned {
 			t.Errorf("%s: returned %v, want %v", tt.name, h.Releasing, tt.returned)
 		}
--- a/internal/control/records_registry_test.go
+++ b/internal/control/records_registry_test.go
@@ -80,7 +80,7 @@
 // addHost adds a machine to the fleet and to the registry.
 func (b *registryFixture) addHost(name string) *fleet.Host {
 	h := b.host(name)
-	b.nameIndex.describe(h, "small", "a", false)
+	b.nameIndex.describeHost(h, "small", "a", false)
 	h.Addr = "10.0.0.1:1"
 	b.registry.addHost(h, "small", "a")
 	return h
--- a/internal/control/takeover.go
+++ b/internal/control/takeover.go
@@ -106,7 +106,7 @@
 				blocked[j] = true
 			}
 		}
-		capacity := &tk.nameIndex.list()[h.Type]
+		capacity := &tk.nameIndex.machineTypes()[h.Type]
 		for i := range possibleTeams(h, len(teams)) {
 			teams[i].Used.CPUs += capacity.CPUs
 			teams[i].Used.GPUs += capacity.GPUs
--- a/internal/emulate/task.go
+++ b/internal/emulate/task.go
@@ -10,8 +10,8 @@
 
 // Shapes of jobs by their names on the wire.
 const (
-	gang    = "ensemble"
-	service = "daemon"
+	gang    = job.GangName
+	service = job.ServiceName
 )
 
 // task is one attempt of a task on a worker.
