--- a/internal/control/leader_term.go
+++ b/internal/control/leader_term.go
@@ -57,7 +57,7 @@
 		commands:          newCommands(co, facts.Resources.MaxSockets),
 		planner:           newPlanner(co),
 		taskTracker:       &taskTracker{core: co},
-		recordWriter:      &recordWriter{core: co, batch: facts.State.TxnOps},
+		recordWriter:      &recordWriter{core: co, maxBatch: facts.State.TxnOps},
 		admissionGroups:   newAdmissionGroups(co, completionLimit),
 		rollouts:          newRollouts(co),
 		calendarStore:     newCalendarStore(co),
--- a/internal/control/machine_pool_test.go
+++ b/internal/control/machine_pool_test.go
@@ -75,9 +75,9 @@
 	}
 }
 
-// TestDeafReturned: machines that report and take in nothing are left in time, and
+// TestPartitionedMachinesReturned: machines that report and take in nothing are left in time, and
 // returned after their lease and a while.
-func TestDeafReturned(t *testing.T) {
+func TestPartitionedMachinesReturned(t *testing.T) {
 	patience := 11*time.Second + lostGrace
 	tests := []struct {
 		name     string
@@ -98,7 +98,7 @@
 		lt.nameIndex.describe(h, "x", "a", false)
 		h.Booting, h.Durable, h.Fenced, h.IdleFrom = false, true, !tt.old, now
 		if h.Inherited = tt.old; !tt.old {
-			lt.fleet.Deafen(h, lt.termStart)
+			lt.fleet.MarkInboundCut(h, lt.termStart)
 		}
 		lt.machinePool.giveBack(now)
 		if h.Releasing != tt.returned {
--- a/internal/control/planner.go
+++ b/internal/control/planner.go
@@ -123,8 +123,8 @@
 			pl.log.Debug("task is placed", "task", job.TaskName(j.ID, a.Task), "host", h.Name, "waited", now.Sub(j.WaitingSince))
 		}
 		pl.fleet.Assign(h, fleet.Key{Job: j, Task: a.Task, Attempt: n}, now)
-		pl.registry.note(j, h)
-		j.LastMachine = h.Idx
+		pl.registry.recordPlacement(j, h)
+		j.LastMachine = h.Index
 		pl.controller.Meter.Took(metrics.StartWait, j.Class, now.Sub(j.WaitingSince))
 		j.WaitingSince = now
 		if k, ok := pl.keeps[h]; ok && k.job == j {
@@ -204,8 +204,8 @@
 		return z // nothing depends on it
 	}
 	for _, v := range append([]*job.Job{j}, j.Versions...) {
-		for s := range pl.fleet.On(v) {
-			if s.On() && s.Host.Zone >= 0 {
+		for s := range pl.fleet.SlotsOf(v) {
+			if s.Active() && s.Host.Zone >= 0 {
 				z[s.Host.Zone]++
 			}
 		}
@@ -216,12 +216,12 @@
 // exits are the tasks whose exits the worker still reports and that may be
 // placed again.
 func (pl *planner) exits(h *fleet.Host) map[place.Task]bool {
-	if h.Exits == 0 {
+	if h.ReportedExits == 0 {
 		return nil
 	}
 	var out map[place.Task]bool
 	for _, s := range h.Slots {
-		if s.On() || (s.Job.IsDone(s.Task) && s.Job.Shape != job.Service) {
+		if s.Active() || (s.Job.IsDone(s.Task) && s.Job.Shape != job.Service) {
 			continue
 		}
 		if id := pl.jobTable.index(s.Job); id != 0 {
--- a/internal/control/quotas.go
+++ b/internal/control/quotas.go
@@ -73,7 +73,7 @@
 		return 0, err
 	}
 	return tq.controller.State.Commit(tq.ctx, state.Txn{
-		If:     []state.Cond{tq.fence, {Key: unconfirmedKey}},
+		If:     []state.Condition{tq.fence, {Key: unconfirmedKey}},
 		Writes: []state.Write{put},
 	})
 }
@@ -153,8 +153,8 @@
 			continue
 		}
 		tasks := 0.0
-		for slot := range tq.fleet.On(j) {
-			if slot.On() {
+		for slot := range tq.fleet.SlotsOf(j) {
+			if slot.Active() {
 				tasks++
 			}
 		}
@@ -170,7 +170,7 @@
 			return dynconfig.Amount{}, false
 		}
 		used := dynconfig.Amount{CPUs: teams[i].Used.CPUs, GPUs: teams[i].Used.GPUs}
-		return used, busy[i] || tq.admission.arriving(team)
+		return used, busy[i] || tq.admission.hasPending(team)
 	}
 }
 
--- a/internal/control/quotas_follow.go
+++ b/internal/control/quotas_follow.go
@@ -94,7 +94,7 @@
 	if versions == nil {
 		return 0, false
 	}
-	var conds []state.Cond
+	var conds []state.Condition
 	var writes []state.Write
 	for i, g := range grants {
 		key := regionGrantPrefix + g.Team
@@ -103,7 +103,7 @@
 			tq.log.Error("grant does not encode", "team", g.Team, "error", err)
 			return 0, false
 		}
-		conds = append(conds, state.Cond{Key: key, Version: versions[i]})
+		conds = append(conds, state.Condition{Key: key, Version: versions[i]})
 		writes = append(writes, put)
 	}
 	version, err := tq.commitUntilSettled(conds[0].Key, conds[0].Version, conds, writes)
@@ -139,7 +139,7 @@
 	version := tq.unconfirmedVersion
 	tq.unconfirmedVersion = 0
 	go func() {
-		conds := []state.Cond{{Key: unconfirmedKey, Version: version}}
+		conds := []state.Condition{{Key: unconfirmedKey, Version: version}}
 		writes := []state.Write{{Delete: unconfirmedKey}}
 		if _, err := tq.commitUntilSettled(unconfirmedKey, version, conds, writes); err != nil {
 			tq.log.Error("the confirmation of limits cannot be stored", "error", err)
--- a/internal/control/quotas_home_store.go
+++ b/internal/control/quotas_home_store.go
@@ -75,7 +75,7 @@
 		}
 		writes = append(writes, put)
 	}
-	conds := []state.Cond{{Key: headKey, Version: headVersion}}
+	conds := []state.Condition{{Key: headKey, Version: headVersion}}
 	version, err = hq.commitUntilSettled(headKey, headVersion, conds, writes)
 	if err != nil {
 		return headVersion, err
--- a/internal/control/quotas_teams.go
+++ b/internal/control/quotas_teams.go
@@ -83,7 +83,7 @@
 
 // storedTeam is a team's quota as the region's leader has last stored it, for a node that
 // does not lead, with the conditions under which it still holds.
-func (c *Controller) storedTeam(ctx context.Context, name string) (quota, []state.Cond, error) {
+func (c *Controller) storedTeam(ctx context.Context, name string) (quota, []state.Condition, error) {
 	if c.Tuning.Regions.Name == "" || !job.ValidTeam(name) {
 		return quota{current: c.fileTeam(name)}, nil, nil
 	}
@@ -94,7 +94,7 @@
 	if err != nil {
 		return quota{}, nil, err
 	}
-	conds := []state.Cond{{Key: regionGrantPrefix + name, Version: e.Version}}
+	conds := []state.Condition{{Key: regionGrantPrefix + name, Version: e.Version}}
 	var g dynconfig.RegionGrant
 	if err := wire.Unmarshal(e.Value, &g); err != nil {
 		return quota{}, nil, err
@@ -111,8 +111,8 @@
 
 // ungrantedTeam is the quota of a team that has no grant here. That there is no such team is
 // certain only if the region's quotas are confirmed; the error is errUnconfirmed otherwise.
-func (c *Controller) ungrantedTeam(ctx context.Context, name string) (quota, []state.Cond, error) {
-	conds := []state.Cond{{Key: regionGrantPrefix + name}}
+func (c *Controller) ungrantedTeam(ctx context.Context, name string) (quota, []state.Condition, error) {
+	conds := []state.Condition{{Key: regionGrantPrefix + name}}
 	if t := c.fileTeam(name); t != nil {
 		return quota{current: t}, conds, nil
 	}
--- a/internal/control/shards.go
+++ b/internal/control/shards.go
@@ -88,17 +88,17 @@
 	}
 	movesPerS := tuning.PerS
 	if movesPerS == 0 {
-		movesPerS = shard.PerSecond(resources.CoreShare)
+		movesPerS = shard.MovesPerSecond(resources.CoreShare)
 	}
 	settings := shard.Settings{
-		Grant:    time.Duration(tuning.GrantMs) * time.Millisecond,
-		Join:     config.Seconds(tuning.JoinS),
-		Rest:     config.Seconds(tuning.RestS),
-		RestMost: config.Seconds(tuning.RestMostS),
-		Least:    tuning.Least,
-		PerS:     movesPerS,
-		Own:      tuning.Own,
-		Room:     ShardCapacity(resources.MaxSockets),
+		GrantDuration:  time.Duration(tuning.GrantMs) * time.Millisecond,
+		JoinDelay:      config.Seconds(tuning.JoinS),
+		RejoinDelay:    config.Seconds(tuning.RestS),
+		MaxRejoinDelay: config.Seconds(tuning.RestMostS),
+		MinMachines:    tuning.Least,
+		MovesPerSecond: movesPerS,
+		LeaderWeight:   tuning.Own,
+		LeaderCapacity: ShardCapacity(resources.MaxSockets),
 	}
 	sh.assigner = shard.NewAssigner(sh.term, sh.controller.Settings.Member, sh.controller.Settings.Site, settings, now)
 	for _, h := range sh.fleet.All() {
@@ -106,7 +106,7 @@
 		if h.Zone >= 0 {
 			zone = sh.nameIndex.zoneNames()[h.Zone]
 		}
-		sh.assigner.Known(h.Name, zone)
+		sh.assigner.AddMachine(h.Name, zone)
 	}
 }
 
@@ -117,7 +117,7 @@
 	if sh.assigner == nil {
 		return true
 	}
-	route, member := sh.assigner.Report(m.Host, m.Zone, time.Now())
+	route, member := sh.assigner.RouteReport(m.Host, m.Zone, time.Now())
 	switch route {
 	case shard.Send:
 		respond(reply(http.StatusMisdirectedRequest, wire.Redirect{ReportTo: member}))
@@ -142,7 +142,7 @@
 		return
 	}
 	sh.reserve(h, now)
-	sh.assigner.Served(h.Name, via, now)
+	sh.assigner.ReportServed(h.Name, via, now)
 	sh.bind(h)
 }
 
@@ -157,7 +157,7 @@
 		holder = &fleet.Holder{Name: member}
 		sh.holders[member] = holder
 	}
-	sh.fleet.Hold(h, holder)
+	sh.fleet.SetHolder(h, holder)
 }
 
 // remove forgets a machine that was released.
@@ -165,8 +165,8 @@
 	if sh.assigner == nil {
 		return
 	}
-	h.Unhold(time.Time{})
-	sh.assigner.Gone(h.Name, time.Now())
+	h.ClearHolder(time.Time{})
+	sh.assigner.RemoveMachine(h.Name, time.Now())
 }
 
 // releaseMachines takes back the machines that their holders no longer serve.
@@ -176,7 +176,7 @@
 		if h == nil {
 			continue // it was released meanwhile
 		}
-		h.Unhold(r.Until)
+		h.ClearHolder(r.Until)
 		sh.countMove(&r, now)
 		sh.retryHeartbeats(r.Name)
 	}
@@ -184,7 +184,7 @@
 
 // countMove counts the move of a machine back to the leader for the log and the metrics.
 func (sh *shards) countMove(r *shard.Revocation, now time.Time) {
-	key := moveReason{from: r.From, reason: r.Why}
+	key := moveReason{from: r.From, reason: r.Reason}
 	count := sh.moves[key]
 	if count == nil {
 		count = &moveCount{}
@@ -192,7 +192,7 @@
 	}
 	count.machines++
 	count.longest = max(count.longest, now.Sub(r.Since))
-	sh.controller.Meter.Add(metrics.ShareMoves, r.Why, 1)
+	sh.controller.Meter.Add(metrics.ShareMoves, r.Reason, 1)
 }
 
 // retryHeartbeats handles the heartbeats of a machine that have waited for its holder to
@@ -246,7 +246,7 @@
 		return
 	}
 	sh.movesLoggedAt = now
-	held := sh.assigner.Held()
+	held := sh.assigner.HeldCounts()
 	for key, count := range sh.moves {
 		sh.log.Info("machines changed their controller", "machines", count.machines, "from", key.from, "why", key.reason,
 			"took", count.longest.Round(time.Millisecond), "held", held)
--- a/internal/control/shards_relay.go
+++ b/internal/control/shards_relay.go
@@ -65,7 +65,7 @@
 }
 
 // finishRelay takes in the result of a command.
-func (sh *shards) finishRelay(d *shard.Done) {
+func (sh *shards) finishRelay(d *shard.CallResult) {
 	r := sh.relays[d.ID]
 	if r == nil {
 		return // it has timed out, or the result was reported twice
--- a/internal/control/shards_sync.go
+++ b/internal/control/shards_sync.go
@@ -83,7 +83,7 @@
 		respond(&shard.Reply{})
 		return
 	}
-	revoked, ok := sh.assigner.Sync(r, now)
+	revoked, ok := sh.assigner.HandleRequest(r, now)
 	if !ok {
 		sh.releaseMachines(revoked, now)
 		respond(&shard.Reply{})
@@ -91,17 +91,17 @@
 	}
 	b := sh.openMailbox(r, respond, now)
 	if holder := sh.holders[r.Member]; holder != nil {
-		holder.Told = sh.assigner.Told(r.Member)
+		holder.KnownUntil = sh.assigner.KnownUntil(r.Member)
 	}
 	if r.Term == sh.term {
-		for i := range r.Entries {
-			sh.handleEntry(b, &r.Entries[i], now)
+		for i := range r.Reports {
+			sh.handleHostReport(b, &r.Reports[i], now)
 		}
-		for i := range r.Done {
-			sh.finishRelay(&r.Done[i])
+		for i := range r.CallResults {
+			sh.finishRelay(&r.CallResults[i])
 		}
 	} else {
-		for _, name := range r.Have {
+		for _, name := range r.PreviousHosts {
 			if h := sh.fleet.Hosts[name]; h != nil {
 				sh.bind(h)
 			}
@@ -127,16 +127,16 @@
 	return b
 }
 
-// handleEntry takes in what a machine has reported to its holder.
-func (sh *shards) handleEntry(b *mailbox, e *shard.Entry, now time.Time) {
-	h := sh.fleet.Hosts[e.Host]
-	if h == nil || sh.machinePool.gone(e.Host) {
+// handleHostReport takes in what a machine has reported to its holder.
+func (sh *shards) handleHostReport(b *mailbox, report *shard.HostReport, now time.Time) {
+	h := sh.fleet.Hosts[report.Host]
+	if h == nil || sh.machinePool.gone(report.Host) {
 		return
 	}
-	sh.assigner.Heard(e.Host)
-	if len(e.Report) > 0 {
+	sh.assigner.ConfirmContact(report.Host)
+	if len(report.Report) > 0 {
 		m := &wire.Report{}
-		if err := wire.Unmarshal(e.Report, m); err != nil || m.Host != e.Host {
+		if err := wire.Unmarshal(report.Report, m); err != nil || m.Host != report.Host {
 			return // the holder has decoded it before
 		}
 		fresh, ok := sh.taskTracker.observe(h, m, true, now)
@@ -152,13 +152,13 @@
 	}
 	// The holder may have answered a later heartbeat that reported the same, also if the one
 	// above was sent before and not acknowledged.
-	deaf := h.Deaf()
-	age := time.Duration(max(0, e.AgeMs)) * time.Millisecond
-	events := sh.fleet.Renew(h, e.Session, e.Seq, now.Add(-age))
-	sh.taskTracker.reachabilityChanged(h, deaf)
+	wasCut := h.InboundCut()
+	age := time.Duration(max(0, report.AgeMs)) * time.Millisecond
+	events := sh.fleet.Renew(h, report.Session, report.Seq, now.Add(-age))
+	sh.taskTracker.reachabilityChanged(h, wasCut)
 	sh.taskTracker.applyEvents(events, now)
-	if clears := h.Clears(maxOrders); clears != nil {
-		b.clearances = append(b.clearances, shard.ExitClearance{Host: e.Host, Clears: clears})
+	if clears := h.ClearOrders(maxOrders); clears != nil {
+		b.clearances = append(b.clearances, shard.ExitClearance{Host: report.Host, Clears: clears})
 	}
 }
 
@@ -171,7 +171,7 @@
 			if !sh.answerable(member, &hb) || !sh.machinePool.renewable(hb.host, now) {
 				continue
 			}
-			orders, sent, events := sh.fleet.Compose(hb.host, hb.seq, hb.fresh, now, maxOrders)
+			orders, sent, events := sh.fleet.ComposeOrders(hb.host, hb.seq, hb.fresh, now, maxOrders)
 			sh.takeover.recordLaunches(len(sent), now)
 			sh.taskTracker.applyEvents(events, now)
 			b.answers = append(b.answers, shard.Answer{
@@ -201,7 +201,7 @@
 		if b.respond == nil {
 			continue
 		}
-		if b.empty() && !sh.assigner.Due(member) && now.Sub(b.since) < syncHoldTime {
+		if b.empty() && !sh.assigner.ReplyDue(member) && now.Sub(b.since) < syncHoldTime {
 			continue
 		}
 		r := sh.assigner.Reply(member, now)
