--- a/internal/control/admission.go
+++ b/internal/control/admission.go
@@ -119,7 +119,7 @@
 		ad.rejectInvalid(id, invalid, back)
 		return
 	}
-	if refusal := ad.controller.admissionRefusal(spec, ad.nameIndex.list(), ad.teamQuotas.find(spec.Team)); refusal != nil {
+	if refusal := ad.controller.admissionRefusal(spec, ad.nameIndex.machineTypes(), ad.teamQuotas.find(spec.Team)); refusal != nil {
 		if refusal.Status == http.StatusServiceUnavailable {
 			back(refusal)
 			return
@@ -178,7 +178,7 @@
 		return
 	}
 	ps := &pendingSubmission{
-		rec:       &job.Record{Spec: *spec, At: now.UnixMilli()},
+		rec:       &job.Record{Spec: *spec, SubmittedMS: now.UnixMilli()},
 		callbacks: []func(*rpc.Reply){back},
 	}
 	ad.pending[id] = ps
--- a/internal/control/job_table.go
+++ b/internal/control/job_table.go
@@ -72,7 +72,7 @@
 		jt.bindNames(j)
 	}
 	for _, h := range jt.fleet.All() {
-		if jt.nameIndex.typeOf(h) != nil {
+		if jt.nameIndex.machineType(h) != nil {
 			h.Known = true
 		}
 	}
@@ -80,16 +80,16 @@
 
 // bindNames maps a job's names to indices.
 func (jt *jobTable) bindNames(j *job.Job) {
-	if t := jt.nameIndex.team(j.Team); t >= 0 {
+	if t := jt.nameIndex.teamIndex(j.Team); t >= 0 {
 		j.TeamIdx = t
 	}
-	j.ImageIdx = jt.nameIndex.image(j.Image)
+	j.ImageIdx = jt.nameIndex.imageIndex(j.Image)
 	if j.Zone != "" {
-		j.ZoneIdx = jt.nameIndex.zone(j.Zone)
+		j.ZoneIdx = jt.nameIndex.zoneIndex(j.Zone)
 	}
 	j.TypeAllowed = nil
 	if j.Types != nil {
-		j.TypeAllowed = jt.nameIndex.allowed(j.Types)
+		j.TypeAllowed = jt.nameIndex.allowedTypes(j.Types)
 	}
 }
 
@@ -188,7 +188,7 @@
 	for id, j := range jt.jobs {
 		if (j.Phase != "" || jt.unidentified[j]) && len(jt.fleet.SlotsOf(j)) == 0 {
 			jt.registry.detachJob(id)
-			jt.planner.forget(j)
+			jt.planner.forgetJob(j)
 			delete(jt.jobs, id)
 			delete(jt.jobsByIndex, jt.indexes[j])
 			delete(jt.indexes, j)
--- a/internal/control/leader_term_loop.go
+++ b/internal/control/leader_term_loop.go
@@ -80,7 +80,7 @@
 // controller node that forwarded it.
 func (lt *leaderTerm) heartbeat(m *wire.Report, via string, back func(*rpc.Reply)) {
 	now := time.Now()
-	if lt.machinePool.gone(m.Host) {
+	if lt.machinePool.wasReleased(m.Host) {
 		// A late message of a machine that is gone must not bring it back.
 		back(Unavailable("machine was returned"))
 		return
@@ -105,7 +105,7 @@
 		back(Unavailable("a later term is known"))
 		return
 	}
-	if !lt.machinePool.renewable(h, now) {
+	if !lt.machinePool.mayRenewLease(h, now) {
 		back(Unavailable("a launch of a cancelled job may be on its way to the machine"))
 		return
 	}
@@ -136,7 +136,7 @@
 	lt.results.storeCompleted(now)
 	lt.results.deleteObsolete()
 	lt.completions.moveFinalRecords()
-	lt.machinePool.cloud(now)
+	lt.machinePool.reconcile(now)
 	lt.planner.place(now)
 	lt.registry.storePages(now)
 	lt.shards.answerHeartbeats(now)
@@ -161,7 +161,7 @@
 func (lt *leaderTerm) stepScan(now time.Time) {
 	lt.rollouts.step(now)
 	lt.calendarStore.step(now)
-	lt.planner.expire(now)
+	lt.planner.expireReservations(now)
 	lt.controller.Meter.Set(metrics.Machines, len(lt.fleet.Hosts))
 	lt.controller.Meter.Set(metrics.Jobs, len(lt.jobTable.all()))
 	lt.commands.fenceWorkers(now)
--- a/internal/control/quotas.go
+++ b/internal/control/quotas.go
@@ -165,7 +165,7 @@
 	}
 	tq.takeover.blockedJobs(teams)
 	return func(team string) (dynconfig.Amount, bool) {
-		i := tq.nameIndex.team(team)
+		i := tq.nameIndex.teamIndex(team)
 		if i < 0 {
 			return dynconfig.Amount{}, false
 		}
--- a/internal/control/shards_sync.go
+++ b/internal/control/shards_sync.go
@@ -130,7 +130,7 @@
 // handleHostReport takes in what a machine has reported to its holder.
 func (sh *shards) handleHostReport(b *mailbox, report *shard.HostReport, now time.Time) {
 	h := sh.fleet.Hosts[report.Host]
-	if h == nil || sh.machinePool.gone(report.Host) {
+	if h == nil || sh.machinePool.wasReleased(report.Host) {
 		return
 	}
 	sh.assigner.ConfirmContact(report.Host)
@@ -168,7 +168,7 @@
 func (sh *shards) answerHeartbeats(now time.Time) {
 	for member, b := range sh.mailboxes {
 		for _, hb := range b.heartbeats {
-			if !sh.answerable(member, &hb) || !sh.machinePool.renewable(hb.host, now) {
+			if !sh.answerable(member, &hb) || !sh.machinePool.mayRenewLease(hb.host, now) {
 				continue
 			}
 			orders, sent, events := sh.fleet.ComposeOrders(hb.host, hb.seq, hb.fresh, now, maxOrders)
