--- /dev/null
+++ b/internal/dynconfig/explore_actions_test.go
@@ -0,0 +1,218 @@
+package dynconfig
+
+import (
+	"slices"
+
+	"vetchstream/internal/explorer"
+)
+
+// regionAction is an action whose index chooses the region, modulo two.
+func regionAction(name string, each int, do func(w *world, s *regionSim, i int) bool) explorer.Action[*world] {
+	return explorer.Action[*world]{
+		Name:  name,
+		Count: each,
+		Do:    func(w *world, i int) bool { return do(w, &w.regions[i%len(w.regions)], i) },
+	}
+}
+
+// worldActions are all actions. Their order decides what a seed plays.
+func worldActions() []explorer.Action[*world] {
+	return slices.Concat(homeActions(), requestActions(), lateActions(), leaderActions(), taskActions(), failureActions())
+}
+
+// homeActions change and reconcile the configuration at the home region.
+func homeActions() []explorer.Action[*world] {
+	return []explorer.Action[*world]{
+		regionAction("change team", len(testChanges), func(w *world, _ *regionSim, i int) bool {
+			u, err := w.home.Propose(testChanges[i])
+			if err != nil || w.changesMade >= maxChanges {
+				return false
+			}
+			w.changesMade++
+			w.storeHome(u)
+			return true
+		}),
+		regionAction("remove team", 1, func(w *world, _ *regionSim, _ int) bool {
+			u, err := w.home.Propose(&Change{Remove: []string{theTeam}})
+			if err != nil || w.changesMade >= maxChanges {
+				return false
+			}
+			w.changesMade++
+			w.storeHome(u)
+			return true
+		}),
+		regionAction("reconcile", 1, func(w *world, _ *regionSim, _ int) bool {
+			u := w.home.Step(stepTeams)
+			if u.Empty() {
+				return false
+			}
+			w.storeHome(u)
+			return true
+		}),
+	}
+}
+
+// requestActions carry requests and replies.
+func requestActions() []explorer.Action[*world] {
+	return []explorer.Action[*world]{
+		regionAction("send request", 2, func(w *world, s *regionSim, _ int) bool {
+			if s.request != nil || (s.storing != nil && w.disabled != storedBeforeUse) {
+				return false
+			}
+			s.request = s.replica.Request(w.reportedUsage(s))
+			return true
+		}),
+		regionAction("receive request", 2, func(w *world, s *regionSim, _ int) bool {
+			if s.request == nil || s.reply != nil {
+				return false
+			}
+			s.reply = w.homeReply(s.request)
+			return true
+		}),
+		regionAction("receive reply", 2, func(w *world, s *regionSim, _ int) bool {
+			if s.reply == nil {
+				return false
+			}
+			if out := s.replica.HandleReply(s.request, s.reply); len(out) > 0 {
+				s.storing = out
+				if w.disabled == storedBeforeUse {
+					s.applyStored(out)
+				}
+			} else if !s.replica.Unconfirmed() {
+				s.markedUnconfirmed = false
+			}
+			s.request = nil
+			s.reply = nil
+			return true
+		}),
+	}
+}
+
+// lateActions carry requests that were abandoned, and the replies to them.
+func lateActions() []explorer.Action[*world] {
+	return []explorer.Action[*world]{
+		regionAction("abandon request", 2, func(_ *world, s *regionSim, _ int) bool {
+			if s.request == nil {
+				return false
+			}
+			s.lateRequest = s.request
+			s.lateReply = s.reply
+			s.request = nil
+			s.reply = nil
+			return true
+		}),
+		regionAction("receive late request", 2, func(w *world, s *regionSim, _ int) bool {
+			if s.lateRequest == nil {
+				return false
+			}
+			if f := w.home.followers[s.lateRequest.Region]; w.disabled == newestRequest {
+				f.term = 0
+				f.number = 0
+			}
+			w.homeReply(s.lateRequest)
+			s.lateRequest = nil
+			return true
+		}),
+		regionAction("receive late reply", 2, func(w *world, s *regionSim, _ int) bool {
+			if s.lateReply == nil || w.disabled != currentReply || s.storing != nil {
+				return false
+			}
+			s.replica.homeTerm = 0
+			s.replica.lastSeq = 0
+			for _, e := range s.lateReply.Grants {
+				s.storing = append(s.storing, e)
+				delete(s.replica.teams, e.Team)
+			}
+			s.lateReply = nil
+			return len(s.storing) > 0
+		}),
+	}
+}
+
+// leaderActions store grants and end the terms of the regions' leaders.
+func leaderActions() []explorer.Action[*world] {
+	return []explorer.Action[*world]{
+		regionAction("store grants", 2, func(w *world, s *regionSim, _ int) bool {
+			if s.storing == nil {
+				return false
+			}
+			s.store(s.storing)
+			s.applyStored(s.storing)
+			s.storing = nil
+			return true
+		}),
+		regionAction("end term", 2, func(w *world, s *regionSim, i int) bool {
+			if w.leaderEnds >= maxEnds {
+				return false
+			}
+			w.leaderEnds++
+			s.lateTxn = s.storing
+			s.lateRequest = s.request
+			w.startTerm(i, false)
+			return true
+		}),
+		regionAction("store late grants", 2, func(w *world, s *regionSim, _ int) bool {
+			if w.disabled != fencing || s.lateTxn == nil {
+				return false
+			}
+			s.store(s.lateTxn)
+			s.lateTxn = nil
+			return true
+		}),
+	}
+}
+
+// taskActions start and finish tasks, a CPU each.
+func taskActions() []explorer.Action[*world] {
+	return []explorer.Action[*world]{
+		regionAction("start task", 2, func(w *world, s *regionSim, _ int) bool {
+			share, known := s.replica.Share(theTeam, s.usage(w))
+			if !known || s.used+1 > share.Limit.CPUs+tolerance {
+				return false
+			}
+			s.used++
+			return true
+		}),
+		regionAction("finish task", 2, func(_ *world, s *regionSim, _ int) bool {
+			if s.used == 0 {
+				return false
+			}
+			s.used--
+			return true
+		}),
+	}
+}
+
+// failureActions end the home leader's term and restore stores to an earlier state.
+func failureActions() []explorer.Action[*world] {
+	return []explorer.Action[*world]{
+		regionAction("end home term", 1, func(w *world, _ *regionSim, _ int) bool {
+			if w.leaderEnds >= maxEnds {
+				return false
+			}
+			w.leaderEnds++
+			w.startHomeTerm()
+			return true
+		}),
+		regionAction("restore home store", 1, func(w *world, _ *regionSim, _ int) bool {
+			if w.restores >= maxRestores {
+				return false
+			}
+			w.restores++
+			w.records = w.previousRecords
+			w.storedHead = w.previousHead
+			w.startHomeTerm()
+			return true
+		}),
+		regionAction("restore store", 2, func(w *world, s *regionSim, i int) bool {
+			if w.restores >= maxRestores {
+				return false
+			}
+			w.restores++
+			s.entries = s.previousEntries
+			s.highestSeq = 0
+			w.startTerm(i, true)
+			return true
+		}),
+	}
+}
