--- a/internal/control/shards_sync.go
+++ b/internal/control/shards_sync.go
@@ -95,7 +95,7 @@
 	}
 	if r.Term == sh.term {
 		for i := range r.Reports {
-			sh.handleEntry(b, &r.Reports[i], now)
+			sh.handleHostReport(b, &r.Reports[i], now)
 		}
 		for i := range r.CallResults {
 			sh.finishRelay(&r.CallResults[i])
@@ -127,16 +127,16 @@
 	return b
 }
 
-// handleEntry takes in what a machine has reported to its holder.
-func (sh *shards) handleEntry(b *mailbox, e *shard.HostReport, now time.Time) {
-	h := sh.fleet.Hosts[e.Host]
-	if h == nil || sh.machinePool.wasReleased(e.Host) {
+// handleHostReport takes in what a machine has reported to its holder.
+func (sh *shards) handleHostReport(b *mailbox, report *shard.HostReport, now time.Time) {
+	h := sh.fleet.Hosts[report.Host]
+	if h == nil || sh.machinePool.wasReleased(report.Host) {
 		return
 	}
-	sh.assigner.ConfirmContact(e.Host)
-	if len(e.Report) > 0 {
+	sh.assigner.ConfirmContact(report.Host)
+	if len(report.Report) > 0 {
 		m := &wire.Heartbeat{}
-		if err := wire.Unmarshal(e.Report, m); err != nil || m.Host != e.Host {
+		if err := wire.Unmarshal(report.Report, m); err != nil || m.Host != report.Host {
 			return // the holder has decoded it before
 		}
 		fresh, ok := sh.taskTracker.observe(h, m, true, now)
@@ -152,13 +152,13 @@
 	}
 	// The holder may have answered a later heartbeat that reported the same, also if the one
 	// above was sent before and not acknowledged.
-	deaf := h.InboundCut()
-	age := time.Duration(max(0, e.AgeMs)) * time.Millisecond
-	events := sh.fleet.Renew(h, e.Session, e.Seq, now.Add(-age))
-	sh.taskTracker.reachabilityChanged(h, deaf)
+	wasCut := h.InboundCut()
+	age := time.Duration(max(0, report.AgeMs)) * time.Millisecond
+	events := sh.fleet.Renew(h, report.Session, report.Seq, now.Add(-age))
+	sh.taskTracker.reachabilityChanged(h, wasCut)
 	sh.taskTracker.applyEvents(events, now)
 	if clears := h.ClearOrders(maxOrders); clears != nil {
-		b.clearances = append(b.clearances, shard.ExitClearance{Host: e.Host, Clears: clears})
+		b.clearances = append(b.clearances, shard.ExitClearance{Host: report.Host, Clears: clears})
 	}
 }
 
--- a/internal/control/shards_test.go
+++ b/internal/control/shards_test.go
@@ -52,9 +52,9 @@
 	}
 }
 
-// TestEntry: an entry that a holder sends again, because its request was not answered, may
+// TestRepeatedHostReport: a report that a holder sends again, because its request was not answered, may
 // name a later heartbeat that it has answered meanwhile. That one renewed the lease.
-func TestEntry(t *testing.T) {
+func TestRepeatedHostReport(t *testing.T) {
 	r := newTestTerm(t)
 	r.controller.Settings.Siblings = []config.Sibling{{Member: "n1"}}
 	r.controller.Tuning.Sharding.Enabled = true
@@ -66,9 +66,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.shards.handleEntry(&mailbox{}, &shard.HostReport{Host: "h1", Session: 1, Seq: 10, Report: full}, now)
+	r.shards.handleHostReport(&mailbox{}, &shard.HostReport{Host: "h1", Session: 1, Seq: 10, Report: full}, now)
 	now = now.Add(8 * time.Second)
-	r.shards.handleEntry(&mailbox{}, &shard.HostReport{Host: "h1", Session: 1, Seq: 11, Report: full}, now)
+	r.shards.handleHostReport(&mailbox{}, &shard.HostReport{Host: "h1", Session: 1, Seq: 11, Report: full}, now)
 	now = now.Add(5 * time.Second)
 	if r.fleet.Expire(now); h.Lost {
 		t.Error("lost 5 s after a heartbeat that the holder answered")
