--- a/internal/control/completions.go
+++ b/internal/control/completions.go
@@ -85,7 +85,7 @@
 		At:    j.At,
 	}
 	if cp.admissionGroups.has(j.ID) {
-		cp.admissionGroups.end(rec, func() { cp.finished(j, rec) })
+		cp.admissionGroups.recordEnd(rec, func() { cp.finished(j, rec) })
 		return
 	}
 	final, err := cp.newFinalCommit(j, rec)
@@ -109,7 +109,7 @@
 // once, or later where many jobs end together: the phase alone takes half the writes.
 func (cp *completions) newFinalCommit(j *job.Job, rec *job.Record) (finalCommit, error) {
 	activeKey := job.ActivePrefix + j.ID
-	inPlace := !cp.controller.State.Idle(cp.recordWriter.size())
+	inPlace := !cp.controller.State.Idle(cp.recordWriter.maxWrites())
 	key := job.FinalPrefix + j.ID
 	writes := []state.Write{{Delete: activeKey}}
 	if inPlace {
@@ -121,7 +121,7 @@
 		return finalCommit{}, err
 	}
 	txn := state.Txn{
-		If:     []state.Cond{cp.fence, {Key: activeKey, Version: j.Version}},
+		If:     []state.Condition{cp.fence, {Key: activeKey, Version: j.Version}},
 		Writes: append(writes, put),
 	}
 	return finalCommit{job: j, rec: rec, txn: txn, inPlace: inPlace}, nil
@@ -160,7 +160,7 @@
 // storedFinalRecord reads the record of a job that is over; nil: it is not over, or
 // that cannot be decided now, or the leader is deposed.
 func (cp *completions) storedFinalRecord(id string) *job.Record {
-	rec, _, err := lookup(cp.ctx, cp.controller.State, id)
+	rec, _, err := readJobRecord(cp.ctx, cp.controller.State, id)
 	if err != nil || rec == nil || rec.Phase == "" {
 		return nil
 	}
@@ -177,7 +177,7 @@
 		back(reply(http.StatusOK, status))
 	}
 	delete(cp.cancelWaiters, j)
-	cp.results.over(j)
+	cp.results.discard(j)
 	cp.log.Info("job is over", "job", j.ID, "phase", j.Phase, "class", j.Class, "after", time.Since(j.Submitted).Round(time.Second))
 	cp.requestPlan()
 }
@@ -197,10 +197,10 @@
 // moveFinalRecords moves records of jobs that are over to their own keys, when the
 // budget is idle: the next leader has to read the list of active jobs.
 func (cp *completions) moveFinalRecords() {
-	if cp.moveInFlight || len(cp.pendingMoves) == 0 || !cp.controller.State.Idle(cp.recordWriter.size()) {
+	if cp.moveInFlight || len(cp.pendingMoves) == 0 || !cp.controller.State.Idle(cp.recordWriter.maxWrites()) {
 		return
 	}
-	n := min(len(cp.pendingMoves), max(1, cp.recordWriter.size()/2))
+	n := min(len(cp.pendingMoves), max(1, cp.recordWriter.maxWrites()/2))
 	txn := cp.moveTxn(cp.pendingMoves[:n])
 	cp.moveInFlight = true
 	go func() {
@@ -210,7 +210,7 @@
 		}
 		cp.enqueueForUser(func() {
 			cp.moveInFlight = false
-			cp.recordWriter.smaller(err)
+			cp.recordWriter.shrinkIfRejected(err)
 			// On a conflict an unclear commit of before was applied; what is left of the
 			// batch is found by the next leader.
 			if err == nil || errors.Is(err, state.ErrConflict) {
@@ -222,7 +222,7 @@
 
 // moveTxn is the transaction that moves final records to their own keys.
 func (cp *completions) moveTxn(moves []finalRecordMove) state.Txn {
-	txn := state.Txn{If: []state.Cond{cp.fence}}
+	txn := state.Txn{If: []state.Condition{cp.fence}}
 	for _, m := range moves {
 		id := m.rec.Spec.ID
 		put, err := state.Put(job.FinalPrefix+id, m.rec)
@@ -231,7 +231,7 @@
 			continue
 		}
 		activeKey := job.ActivePrefix + id
-		txn.If = append(txn.If, state.Cond{Key: activeKey, Version: m.version})
+		txn.If = append(txn.If, state.Condition{Key: activeKey, Version: m.version})
 		txn.Writes = append(txn.Writes, state.Write{Delete: activeKey}, put)
 	}
 	return txn
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -37,7 +37,7 @@
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel() // nothing that is started in the background may run on
-	return newLeaderTerm(ctx, c, election.Term{Term: 7, Since: testStart})
+	return newLeaderTerm(ctx, c, election.Term{Number: 7, Since: testStart})
 }
 
 // host adds a machine.
--- a/internal/control/machine_pool.go
+++ b/internal/control/machine_pool.go
@@ -183,7 +183,7 @@
 	h := mp.fleet.Hosts[listed.Name]
 	if h == nil {
 		h = mp.fleet.Add(listed.Name, now)
-		h.Born = now.Add(-config.Seconds(listed.AgeS))
+		h.AddedAt = now.Add(-config.Seconds(listed.AgeS))
 		mp.log.Info("machine found in the list", "host", listed.Name, "phase", listed.Phase)
 	}
 	if !h.Known {
@@ -240,14 +240,14 @@
 // the worker's session has to end, and the tasks there are lost.
 func (mp *machinePool) mayRenewLease(h *fleet.Host, now time.Time) bool {
 	if mp.fleet.Renewable(h, now, maxOrders) {
-		h.Withheld = false
+		h.RenewalStopped = false
 		return true
 	}
-	if !h.Withheld {
+	if !h.RenewalStopped {
 		mp.log.Info("a launch of a cancelled job may be on its way to a machine, its session has to end",
-			"host", h.Name, "tasks", h.Jobs-h.Unsettled)
+			"host", h.Name, "tasks", h.Jobs-h.CancelledInFlight)
 		mp.controller.Meter.Add(metrics.Withheld, "", 1)
-		mp.taskTracker.applyEvents(mp.fleet.Withhold(h), now)
+		mp.taskTracker.applyEvents(mp.fleet.StopRenewal(h), now)
 	}
 	return false
 }
--- a/internal/control/machine_scale_in.go
+++ b/internal/control/machine_scale_in.go
@@ -48,15 +48,15 @@
 		return ""
 	}
 	switch {
-	case h.Deaf() && now.Sub(h.DeafAt) > patience:
+	case h.InboundCut() && now.Sub(h.InboundCutAt) > patience:
 		return "it reports and takes in nothing that is sent to it"
-	case h.Mute() && now.Sub(h.MuteAt) > patience:
+	case h.OutboundCut() && now.Sub(h.OutboundCutAt) > patience:
 		// Its tasks die with each of its leases, and as long as it answers direct commands its
 		// lease does not expire here.
 		return "it lives and reaches no controller"
 	case h.Booting:
 		granted := time.Duration(mp.controller.Tuning.Hosts.GiveUpBoots * float64(mp.bootTime(h)))
-		if now.Sub(h.Born) > granted+bootGrace {
+		if now.Sub(h.AddedAt) > granted+bootGrace {
 			return "it does not come up"
 		}
 	case h.Lost:
@@ -156,7 +156,7 @@
 	mp.shards.remove(h)
 	delete(mp.noticeLogged, h)
 	delete(mp.unlisted, h)
-	if mp.registry.leave(h) {
-		mp.fleet.Free(h.Idx)
+	if mp.registry.removeHost(h) {
+		mp.fleet.FreeIndex(h.Index)
 	}
 }
--- a/internal/control/machine_scale_out.go
+++ b/internal/control/machine_scale_out.go
@@ -85,7 +85,7 @@
 		return false
 	}
 	if h.Booting {
-		return now.Sub(h.Born) < pendingBoots*mp.bootTime(h)
+		return now.Sub(h.AddedAt) < pendingBoots*mp.bootTime(h)
 	}
 	return !h.Lost && !h.Durable
 }
--- a/internal/control/machine_spot_notices.go
+++ b/internal/control/machine_spot_notices.go
@@ -16,7 +16,7 @@
 		mp.noticeLogged[h] = true
 	}
 	for _, s := range h.Slots {
-		if !s.On() || s.Stopping {
+		if !s.Active() || s.Stopping {
 			continue
 		}
 		if grace := saveGrace(s.Job); grace > 0 && left > s.Job.SaveS {
--- a/internal/control/planner.go
+++ b/internal/control/planner.go
@@ -160,8 +160,8 @@
 		pl.log.Debug("task is placed", "task", job.TaskName(j.ID, task), "host", h.Name, "waited", waited)
 	}
 	pl.fleet.Assign(h, fleet.Key{Job: j, Task: task, Attempt: attempt}, now)
-	pl.registry.note(j, h)
-	j.LastMachine = h.Idx
+	pl.registry.recordPlacement(j, h)
+	j.LastMachine = h.Index
 	pl.controller.Meter.Took(metrics.StartWait, j.Class, waited)
 	j.WaitingSince = now
 	if pl.reservedFor(h) == j {
--- a/internal/control/planner_demands.go
+++ b/internal/control/planner_demands.go
@@ -151,8 +151,8 @@
 		return tasks // nothing depends on it
 	}
 	for _, version := range append([]*job.Job{j}, j.Versions...) {
-		for s := range pl.fleet.On(version) {
-			if s.On() && s.Host.Zone >= 0 {
+		for s := range pl.fleet.SlotsOf(version) {
+			if s.Active() && s.Host.Zone >= 0 {
 				tasks[s.Host.Zone]++
 			}
 		}
--- a/internal/control/planner_input.go
+++ b/internal/control/planner_input.go
@@ -102,8 +102,8 @@
 // addUse adds what a job's tasks use to its team. Memory has no quota.
 func (p *planInput) addUse(t *place.Team, j *job.Job) {
 	tasks, stopping := 0.0, 0.0
-	for s := range p.fleet.On(j) {
-		if !s.On() {
+	for s := range p.fleet.SlotsOf(j) {
+		if !s.Active() {
 			continue
 		}
 		tasks++
@@ -125,7 +125,7 @@
 	for _, h := range p.fleet.All() {
 		// A machine that answers direct commands and sends no heartbeats any more has less than
 		// half of its lease left. What it got now would end with it.
-		if !h.Usable() || h.Silent(p.now) > p.fleet.Lease/2 || h.Type >= len(types) {
+		if !h.Usable() || h.SilentFor(p.now) > p.fleet.Lease/2 || h.Type >= len(types) {
 			continue
 		}
 		m := p.machine(h, &types[h.Type])
@@ -158,7 +158,7 @@
 // machine describes a machine with what is free, cached, reserved and held on it.
 func (p *planInput) machine(h *fleet.Host, t *wire.MachineType) place.Machine {
 	m := place.Machine{
-		ID:             h.Idx,
+		ID:             h.Index,
 		Type:           h.Type,
 		Zone:           h.Zone,
 		Spot:           h.Spot,
@@ -188,13 +188,13 @@
 func imagesOn(h *fleet.Host) []int {
 	var images []int
 	for _, image := range h.Images {
-		images = append(images, image.Idx)
+		images = append(images, image.Index)
 	}
 	if h.Queue == 0 {
 		return images
 	}
 	for _, s := range h.Slots {
-		fetches := s.On() && (s.Phase == "" || s.Phase == wire.Pulling)
+		fetches := s.Active() && (s.Phase == "" || s.Phase == wire.Pulling)
 		if fetches && !slices.Contains(images, s.Job.ImageIdx) {
 			images = append(images, s.Job.ImageIdx)
 		}
@@ -205,12 +205,12 @@
 // unclearedExits returns the tasks whose exits the worker still reports and that may be
 // placed again.
 func (pl *planner) unclearedExits(h *fleet.Host) map[place.Task]bool {
-	if h.Exits == 0 {
+	if h.ReportedExits == 0 {
 		return nil
 	}
 	var exits map[place.Task]bool
 	for _, s := range h.Slots {
-		if s.On() || (s.Job.IsDone(s.Task) && s.Job.Shape != job.Service) {
+		if s.Active() || (s.Job.IsDone(s.Task) && s.Job.Shape != job.Service) {
 			continue
 		}
 		if id := pl.jobTable.index(s.Job); id != 0 {
--- a/internal/control/planner_victims.go
+++ b/internal/control/planner_victims.go
@@ -20,7 +20,7 @@
 // addVictims adds the tasks on a machine that may be preempted.
 func (p *planInput) addVictims(m *place.Machine, h *fleet.Host) {
 	for _, s := range h.Slots {
-		if !s.On() || s.Stopping || !s.Sent || s.Job.Closing != "" || s.Job.Phase != "" {
+		if !s.Active() || s.Stopping || !s.Sent || s.Job.Closing != "" || s.Job.Phase != "" {
 			continue
 		}
 		m.Victims = append(m.Victims, place.Victim{
--- a/internal/control/shards.go
+++ b/internal/control/shards.go
@@ -112,17 +112,17 @@
 	}
 	perS := t.PerS
 	if perS == 0 {
-		perS = shard.PerSecond(f.Resources.CoreShare)
+		perS = shard.MovesPerSecond(f.Resources.CoreShare)
 	}
 	sh.assigner = shard.NewAssigner(sh.term, sh.controller.Settings.Member, sh.controller.Settings.Site, shard.Settings{
-		Grant: time.Duration(t.GrantMs) * time.Millisecond, Join: config.Seconds(t.JoinS), Rest: config.Seconds(t.RestS),
-		RestMost: config.Seconds(t.RestMostS), Least: t.Least, PerS: perS, Own: t.Own, Room: ShardCapacity(f.Resources.MaxSockets)}, now)
+		GrantDuration: time.Duration(t.GrantMs) * time.Millisecond, JoinDelay: config.Seconds(t.JoinS), RejoinDelay: config.Seconds(t.RestS),
+		MaxRejoinDelay: config.Seconds(t.RestMostS), MinMachines: t.Least, MovesPerSecond: perS, LeaderWeight: t.Own, LeaderCapacity: ShardCapacity(f.Resources.MaxSockets)}, now)
 	for _, h := range sh.fleet.All() {
 		zone := ""
 		if h.Zone >= 0 {
 			zone = sh.nameIndex.zoneNames()[h.Zone]
 		}
-		sh.assigner.Known(h.Name, zone)
+		sh.assigner.AddMachine(h.Name, zone)
 	}
 }
 
@@ -132,7 +132,7 @@
 	if sh.assigner == nil {
 		return true
 	}
-	r, member := sh.assigner.Report(m.Host, m.Zone, time.Now())
+	r, member := sh.assigner.RouteReport(m.Host, m.Zone, time.Now())
 	switch r {
 	case shard.Send:
 		back(reply(http.StatusMisdirectedRequest, wire.Redirect{ReportTo: member}))
@@ -157,7 +157,7 @@
 		return
 	}
 	sh.reserve(h, now)
-	sh.assigner.Served(h.Name, via, now)
+	sh.assigner.ReportServed(h.Name, via, now)
 	sh.bind(h)
 }
 
@@ -169,7 +169,7 @@
 			by = &fleet.Holder{Name: member}
 			sh.holders[member] = by
 		}
-		sh.fleet.Hold(h, by)
+		sh.fleet.SetHolder(h, by)
 	}
 }
 
@@ -178,8 +178,8 @@
 	if sh.assigner == nil {
 		return
 	}
-	h.Unhold(time.Time{})
-	sh.assigner.Gone(h.Name, time.Now())
+	h.ClearHolder(time.Time{})
+	sh.assigner.RemoveMachine(h.Name, time.Now())
 }
 
 // handleSync takes in a holder's request. It is answered once there is something to say,
@@ -190,7 +190,7 @@
 		back(&shard.Reply{})
 		return
 	}
-	freed, ok := sh.assigner.Sync(r, now)
+	freed, ok := sh.assigner.HandleRequest(r, now)
 	if !ok {
 		sh.releaseMachines(freed, now)
 		back(&shard.Reply{})
@@ -206,17 +206,17 @@
 	}
 	b.respond, b.since, b.maxInFlight = back, now, r.Calls
 	if by := sh.holders[r.Member]; by != nil {
-		by.Told = sh.assigner.Told(r.Member)
+		by.KnownUntil = sh.assigner.KnownUntil(r.Member)
 	}
 	if r.Term == sh.term {
-		for i := range r.Entries {
-			sh.handleEntry(b, &r.Entries[i], now)
+		for i := range r.Reports {
+			sh.handleEntry(b, &r.Reports[i], now)
 		}
-		for i := range r.Done {
-			sh.finishRelay(&r.Done[i])
+		for i := range r.CallResults {
+			sh.finishRelay(&r.CallResults[i])
 		}
 	} else {
-		for _, name := range r.Have {
+		for _, name := range r.PreviousHosts {
 			if h := sh.fleet.Hosts[name]; h != nil {
 				sh.bind(h)
 			}
@@ -227,12 +227,12 @@
 }
 
 // handleEntry takes in what a machine has reported to its holder.
-func (sh *shards) handleEntry(b *mailbox, e *shard.Entry, now time.Time) {
+func (sh *shards) handleEntry(b *mailbox, e *shard.HostReport, now time.Time) {
 	h := sh.fleet.Hosts[e.Host]
 	if h == nil || sh.machinePool.wasReleased(e.Host) {
 		return
 	}
-	sh.assigner.Heard(e.Host)
+	sh.assigner.ConfirmContact(e.Host)
 	if len(e.Report) > 0 {
 		m := &wire.Report{}
 		if err := wire.Unmarshal(e.Report, m); err != nil || m.Host != e.Host {
@@ -246,11 +246,11 @@
 	}
 	// The holder may have answered a later report that said the same, also when the
 	// one above was told before and its telling was not acknowledged.
-	deaf := h.Deaf()
+	deaf := h.InboundCut()
 	ev := sh.fleet.Renew(h, e.Session, e.Seq, now.Add(-time.Duration(max(0, e.AgeMs))*time.Millisecond))
 	sh.taskTracker.reachabilityChanged(h, deaf)
 	sh.taskTracker.applyEvents(ev, now)
-	if clears := h.Clears(maxOrders); clears != nil {
+	if clears := h.ClearOrders(maxOrders); clears != nil {
 		b.clearances = append(b.clearances, shard.ExitClearance{Host: e.Host, Clears: clears})
 	}
 }
@@ -266,7 +266,7 @@
 			if !sh.machinePool.mayRenewLease(a.host, now) {
 				continue
 			}
-			orders, sent, ev := sh.fleet.Compose(a.host, a.seq, a.fresh, now, maxOrders)
+			orders, sent, ev := sh.fleet.ComposeOrders(a.host, a.seq, a.fresh, now, maxOrders)
 			sh.takeover.recordLaunches(len(sent), now)
 			sh.taskTracker.applyEvents(ev, now)
 			b.answers = append(b.answers, shard.Answer{Host: a.host.Name, Session: a.session, Seq: a.seq, Orders: orders})
@@ -282,8 +282,8 @@
 		if h == nil {
 			continue // it was returned meanwhile
 		}
-		h.Unhold(f.Until)
-		k := moveReason{f.From, f.Why}
+		h.ClearHolder(f.Until)
+		k := moveReason{f.From, f.Reason}
 		m := sh.moves[k]
 		if m == nil {
 			m = &moveCount{}
@@ -291,7 +291,7 @@
 		}
 		m.machines++
 		m.longest = max(m.longest, now.Sub(f.Since))
-		sh.controller.Meter.Add(metrics.ShareMoves, f.Why, 1)
+		sh.controller.Meter.Add(metrics.ShareMoves, f.Reason, 1)
 		sh.retryHeartbeats(f.Name)
 	}
 }
@@ -334,7 +334,7 @@
 		if b.respond == nil {
 			continue
 		}
-		if len(b.calls) == 0 && len(b.answers) == 0 && len(b.clearances) == 0 && !sh.assigner.Due(member) && now.Sub(b.since) < syncHoldTime {
+		if len(b.calls) == 0 && len(b.answers) == 0 && len(b.clearances) == 0 && !sh.assigner.ReplyDue(member) && now.Sub(b.since) < syncHoldTime {
 			continue
 		}
 		r := sh.assigner.Reply(member, now)
@@ -351,7 +351,7 @@
 		return
 	}
 	sh.movesLoggedAt = now
-	held := sh.assigner.Held()
+	held := sh.assigner.HeldCounts()
 	for k, m := range sh.moves {
 		sh.log.Info("machines changed their controller", "machines", m.machines, "from", k.from, "why", k.reason,
 			"took", m.longest.Round(time.Millisecond), "held", held)
--- a/internal/control/shards_reclaim.go
+++ b/internal/control/shards_reclaim.go
@@ -12,11 +12,11 @@
 // only be renewed by answers that carry halts.
 func (sh *shards) reserve(h *fleet.Host, now time.Time) {
 	limit, bounded := sh.fleet.RenewalLimit(h)
-	if !bounded || limit.Sub(now) > sh.assigner.HandoverTime()+2*urgentScanInterval {
+	if !bounded || limit.Sub(now) > sh.assigner.RevocationTime()+2*urgentScanInterval {
 		return
 	}
 	sh.reserved[h] = struct{}{}
-	sh.assigner.Keep(h.Name, "a cancelled task may be on it", now)
+	sh.assigner.Retain(h.Name, "a cancelled task may be on it", now)
 }
 
 // updateReserved looks for machines that have to be kept, among those that wait for a command, and
@@ -27,7 +27,7 @@
 		return
 	}
 	sh.reserveCheckedAt = now
-	for _, h := range sh.fleet.Awake() {
+	for _, h := range sh.fleet.AwaitingCommand() {
 		sh.reserve(h, now)
 	}
 	for h := range sh.reserved {
--- a/internal/control/shards_relay.go
+++ b/internal/control/shards_relay.go
@@ -55,7 +55,7 @@
 }
 
 // finishRelay takes in what became of a command.
-func (sh *shards) finishRelay(d *shard.Done) {
+func (sh *shards) finishRelay(d *shard.CallResult) {
 	r := sh.relays[d.ID]
 	if r == nil {
 		return // given up, or told twice
