--- a/internal/control/planner_demands.go
+++ b/internal/control/planner_demands.go
@@ -55,7 +55,7 @@
 	}
 	// A gang that has broken or has run gets its next attempt when all of this one is gone.
 	gangInAttempt := j.Shape == job.Gang && (j.GangStopping || j.GangStarted)
-	return j.UnplacedCount() > 0 && !gangInAttempt
+	return j.CountUnplaced() > 0 && !gangInAttempt
 }
 
 // demand describes a job that waits; waits is false if nothing of it is to be placed now.
@@ -75,7 +75,7 @@
 		ImageGB:      j.ImageGB,
 		LastMachine:  j.LastMachine,
 		Total:        j.Tasks,
-		Waiting:      j.UnplacedCount(),
+		Waiting:      j.CountUnplaced(),
 		TasksByZone:  p.tasksByZone(j),
 		LatestStart:  p.jobTable.latestStart(j),
 		Waited:       p.now.Sub(j.WaitingSince).Seconds(),
