--- a/internal/place/gang_test.go
+++ b/internal/place/gang_test.go
@@ -76,7 +76,7 @@
 			later := demand(2, job.Array, 1, 0)
 			later.Priority = job.Idle
 			in := Input{Machines: []Machine{busyMachine(0, 0, 20, 30), busyMachine(1, 0, 25, 31), busyMachine(2, 1, 5, 10), busyMachine(3, 1, 8, 12)},
-				Demands: []Demand{d, later}, Teams: []Team{{}}, Weights: paper}
+				Demands: []Demand{d, later}, Teams: []Team{{}}, Weights: paperWeights}
 			tt.edit(&in)
 			p := Make(in)
 			var got []int
--- a/internal/place/images_test.go
+++ b/internal/place/images_test.go
@@ -44,7 +44,7 @@
 type imageTest struct {
 	name string
 	in   Input
-	want string // demand>machine, demand!machine where work is stopped, demand?machine that is kept
+	want string // demand>machine for a placement, demand!machine for a preemption, demand?machine for a reservation
 }
 
 // imageTests returns the cases anew, because Make changes its input.
@@ -91,11 +91,11 @@
 	}
 }
 
-// TestImages: who takes which room when an image takes as long as a start may. "a" to
+// TestImages: delay scheduling, and preemption where an image is cached. "a" to
 // "d" are machines; image 0 is the first demand's.
 func TestImages(t *testing.T) {
 	for _, tt := range imageTests() {
-		tt.in.Weights = paper
+		tt.in.Weights = paperWeights
 		for i := range tt.in.Machines {
 			tt.in.Machines[i].ID = i
 		}
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -7,19 +7,25 @@
 	"vetchstream/internal/job"
 )
 
+// machine is an empty machine.
 func machine(id, zone int, cpus float64) Machine {
 	a := Resources{CPUs: cpus, MemGB: 4 * cpus}
 	return Machine{ID: id, Zone: zone, Total: a, Free: a, Scale: 1, Price: 1}
 }
 
+// demand is a job of the first team whose tasks need so many CPUs each.
 func demand(id int, shape job.Shape, cpus float64, pending ...int32) Demand {
 	return Demand{ID: id, Shape: shape, Need: Resources{CPUs: cpus, MemGB: 1}, Zone: -1, LastMachine: -1, Total: len(pending),
 		Pending: pending, TasksByZone: make([]int, 3), Spot: true}
 }
 
-var paper = Weights{Queue: 13, Jobs: 7, CPU: 1, Image: 150, Sticky: 100, SameZone: 100, Unreliable: 400}
+// paperWeights are the weights without those for price and empty machines.
+var paperWeights = Weights{Queue: 13, Jobs: 7, CPU: 1, Image: 150, Sticky: 100, SameZone: 100, Unreliable: 400}
 
-func demandWith(d Demand, f func(*Demand)) Demand     { f(&d); return d }
+// demandWith returns a demand that f has changed.
+func demandWith(d Demand, f func(*Demand)) Demand { f(&d); return d }
+
+// machineWith returns a machine that f has changed.
 func machineWith(m Machine, f func(*Machine)) Machine { f(&m); return m }
 
 type makeTest struct {
@@ -71,10 +77,11 @@
 	}
 }
 
+// TestMake: filters, scores, quotas and reservations.
 func TestMake(t *testing.T) {
 	for _, tt := range makeTests() {
 		t.Run(tt.name, func(t *testing.T) {
-			tt.in.Weights = paper
+			tt.in.Weights = paperWeights
 			if tt.in.Teams == nil {
 				tt.in.Teams = []Team{{}}
 			}
@@ -110,7 +117,7 @@
 		m.Free = Resources{CPUs: 1, MemGB: 40}
 		a, b := demand(1, job.Array, 1, 0), demand(2, job.Array, 1, 0)
 		a.Team, a.LatestStart, b.Team, b.LatestStart = 0, tt.start, 1, 100
-		p := Make(Input{Machines: []Machine{m}, Demands: []Demand{a, b}, Teams: []Team{{Used: Resources{CPUs: 8}}, {Used: Resources{CPUs: 1}}}, Weights: paper})
+		p := Make(Input{Machines: []Machine{m}, Demands: []Demand{a, b}, Teams: []Team{{Used: Resources{CPUs: 8}}, {Used: Resources{CPUs: 1}}}, Weights: paperWeights})
 		if len(p.Assignments) != 1 || p.Assignments[0].Demand+1 != tt.want {
 			t.Errorf("%s: %v, want demand %d", tt.name, p.Assignments, tt.want)
 		}
@@ -134,7 +141,7 @@
 		m := machine(0, 0, 1)
 		a, b := demand(1, job.Array, 1, 0), demand(2, job.Array, 1, 0)
 		a.Priority, a.Overdue, b.Priority, b.Team = job.Idle, tt.overdue, job.Urgent, 1
-		p := Make(Input{Machines: []Machine{m}, Demands: []Demand{a, b}, Teams: []Team{{Limit: Resources{CPUs: tt.limit}}, {}}, Weights: paper})
+		p := Make(Input{Machines: []Machine{m}, Demands: []Demand{a, b}, Teams: []Team{{Limit: Resources{CPUs: tt.limit}}, {}}, Weights: paperWeights})
 		if len(p.Assignments) != 1 || p.Assignments[0].Demand+1 != tt.want {
 			t.Errorf("%s: %v, want demand %d", tt.name, p.Assignments, tt.want)
 		}
@@ -169,7 +176,7 @@
 	m := Machine{Total: Resources{CPUs: 100, GPUs: 10, MemGB: 10}, Free: Resources{CPUs: 50, GPUs: 1, MemGB: 10}, Scale: 1, Price: 1}
 	a, b := demand(1, job.Array, 1, 0), demand(2, job.Array, 1, 0)
 	a.Need.GPUs, b.Need.GPUs, b.Team = 1, 1, 1
-	p := Make(Input{Machines: []Machine{m}, Demands: []Demand{a, b}, Weights: paper,
+	p := Make(Input{Machines: []Machine{m}, Demands: []Demand{a, b}, Weights: paperWeights,
 		Teams: []Team{{Guarantee: Resources{GPUs: 1}, Used: Resources{CPUs: 8, GPUs: 8}}, {Guarantee: Resources{GPUs: 1}, Used: Resources{CPUs: 40, GPUs: 1}}}})
 	if len(p.Assignments) != 1 || p.Assignments[0].Demand != 1 {
 		t.Errorf("the room went to %v, want the team that borrows nothing", p.Assignments)
--- a/internal/place/plain_test.go
+++ b/internal/place/plain_test.go
@@ -11,13 +11,13 @@
 	"vetchstream/internal/job"
 )
 
-// plain is the planner as the paper describes it, a look at every machine for
-// every task: what the queue of Make must come to, ties included.
-type plain struct {
+// referencePlanner is the planner as the paper describes it, which scores every machine for
+// every task. The queue of Make must come to the same result, ties included.
+type referencePlanner struct {
 	planner
 }
 
-func (p *plain) best(d *Demand, task int32, zone int) int {
+func (p *referencePlanner) best(d *Demand, task int32, zone int) int {
 	best, length := -1, math.Inf(1)
 	for i := range p.Machines {
 		m := &p.Machines[i]
@@ -31,8 +31,8 @@
 	return best
 }
 
-// place puts all tasks of demand i that fit into a zone, or into any (-1).
-func (p *plain) place(i, zone int) (set []Assignment, length float64) {
+// place places the tasks of demand i that fit in a zone, or in any if zone is -1.
+func (p *referencePlanner) place(i, zone int) (set []Assignment, length float64) {
 	d := &p.Demands[i]
 	for _, t := range d.Pending {
 		if d.Team >= 0 && !p.Teams[d.Team].withinLimit(d.Need) {
@@ -49,8 +49,8 @@
 	return set, length
 }
 
-func (p *plain) copyOf() *plain {
-	q := &plain{planner{Input: p.Input}}
+func (p *referencePlanner) copyOf() *referencePlanner {
+	q := &referencePlanner{planner{Input: p.Input}}
 	q.Machines, q.Teams, q.Demands = slices.Clone(p.Machines), slices.Clone(p.Teams), slices.Clone(p.Demands)
 	for i := range q.Demands {
 		q.Demands[i].TasksByZone = slices.Clone(q.Demands[i].TasksByZone)
@@ -58,8 +58,8 @@
 	return q
 }
 
-func plainMake(in Input, order []int) (all []Assignment) {
-	p := (&plain{planner{Input: in}}).copyOf()
+func referenceMake(in Input, order []int) (all []Assignment) {
+	p := (&referencePlanner{planner{Input: in}}).copyOf()
 	for _, i := range order {
 		d := &p.Demands[i]
 		if d.Shape != job.Gang {
@@ -89,11 +89,11 @@
 }
 
 func randomFleet(r *rand.Rand, machines, demands int) Input {
-	w := paper
+	w := paperWeights
 	w.Price, w.Empty = 30, 300
 	in := Input{Weights: w, Teams: []Team{{}, {Limit: Resources{CPUs: float64(machines)}}, {Guarantee: Resources{CPUs: 20}}}}
 	for i := range machines {
-		// Few different values, so that there are many ties.
+		// Few different values give many ties.
 		cpus := float64(int(4) << r.IntN(3))
 		m := machine(i, r.IntN(3), cpus)
 		m.Type, m.Spot, m.Scale, m.Price = int(math.Log2(cpus))-2, r.IntN(2) == 0, 4/cpus, float64(1+r.IntN(3))
@@ -127,7 +127,7 @@
 			d.Zone = r.IntN(3)
 		}
 		if i > 0 && d.ID%3 == 0 {
-			// One of a swarm: like the one before, and next to it in the order.
+			// Interchangeable with the one before, and next to it in the order.
 			like := in.Demands[i-1]
 			like.ID, like.TasksByZone = d.ID, d.TasksByZone
 			d = like
@@ -137,12 +137,12 @@
 	return in
 }
 
-// TestPlain: the queue chooses what the plain sum over all machines would.
+// TestPlain: the queue chooses what scoring every machine for every task would.
 func TestPlain(t *testing.T) {
 	for seed := range uint64(60) {
 		r := rand.New(rand.NewPCG(seed, 2))
 		in := randomFleet(r, 6+r.IntN(60), 1+r.IntN(8))
-		same := (&plain{planner{Input: in}}).copyOf().Input
+		same := (&referencePlanner{planner{Input: in}}).copyOf().Input
 		p := Make(in)
 		var order []int
 		for _, a := range p.Assignments {
@@ -150,20 +150,20 @@
 				order = append(order, a.Demand)
 			}
 		}
-		// Demands that got nothing take nothing either: their turn does not matter.
+		// Demands that got nothing take nothing either, so that their turn does not matter.
 		for i := range in.Demands {
 			if !slices.Contains(order, i) {
 				order = append(order, i)
 			}
 		}
-		if want := plainMake(same, order); !reflect.DeepEqual(p.Assignments, want) {
+		if want := referenceMake(same, order); !reflect.DeepEqual(p.Assignments, want) {
 			t.Errorf("seed %d: placed\n%v, want\n%v", seed, p.Assignments, want)
 		}
 	}
 }
 
-// BenchmarkMake is a pass over a fleet of the grown size: "full" has no room,
-// "wave" takes in a large array and gangs.
+// BenchmarkMake makes a plan for a large fleet: "full" has no room,
+// the other places large arrays and gangs.
 func BenchmarkMake(b *testing.B) {
 	for _, full := range []bool{true, false} {
 		b.Run(fmt.Sprintf("full=%v", full), func(b *testing.B) {
@@ -188,7 +188,7 @@
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				p := plain{planner{Input: in}}
+				p := referencePlanner{planner{Input: in}}
 				Make(p.copyOf().Input)
 			}
 		})
--- a/internal/place/preempt_test.go
+++ b/internal/place/preempt_test.go
@@ -17,11 +17,11 @@
 	}
 	d := demand(1, job.Gang, 4, 0)
 	d.Priority, d.MayPreempt = job.Urgent, true
-	return Input{Machines: []Machine{m}, Demands: []Demand{d}, Teams: []Team{{}, {Used: Resources{CPUs: 7}}}, Weights: paper}
+	return Input{Machines: []Machine{m}, Demands: []Demand{d}, Teams: []Team{{}, {Used: Resources{CPUs: 7}}}, Weights: paperWeights}
 }
 
-// claimGuarantee: an array of four waits, its team uses three CPUs; on each of three machines
-// there is borrowed work of the other team.
+// claimGuarantee makes an array of four wait whose team uses three CPUs; on each of three machines
+// there is a task that the other team borrows for.
 func claimGuarantee(in *Input, guarantee float64) {
 	d := demand(1, job.Array, 1, 0, 1, 2, 3)
 	d.Priority, d.MayPreempt = job.Standard, true
@@ -131,6 +131,7 @@
 	}, nil},
 }
 
+// TestPreempt: which victims a gang or an array may preempt, by priority and by guarantee.
 func TestPreempt(t *testing.T) {
 	for _, tt := range preemptTests {
 		t.Run(tt.name, func(t *testing.T) {
