--- a/internal/election/promise_test.go
+++ b/internal/election/promise_test.go
@@ -58,14 +58,14 @@
 func newWorld(disabled guard) *world {
 	w := &world{disabled: disabled, now: time.Unix(1000, 0), leader: -1}
 	for i := range w.members {
-		w.start(i)
+		w.startMember(i)
 	}
 	w.now = w.now.Add(2 * length)
 	return w
 }
 
-// start starts the process of a member, or starts it anew.
-func (w *world) start(i int) {
+// startMember starts the process of a member, or starts it anew.
+func (w *world) startMember(i int) {
 	siblings := slices.Delete([]string{"0", "1", "2"}, i, i+1)
 	w.members[i] = member{
 		promises:         newPromiseState(length, siblings, w.now),
@@ -82,6 +82,7 @@
 	return w.members[i].leading && w.now.Before(w.entitledUntil(i))
 }
 
+// entitledUntil is when the entitlement of a member ends.
 func (w *world) entitledUntil(i int) time.Time {
 	m := &w.members[i]
 	until := m.leaseUntil
@@ -99,6 +100,7 @@
 	return until
 }
 
+// actions are the steps of the explorer, for each member.
 var actions = []explorer.Action[*world]{
 	{Name: "tick", Count: 1, Do: func(w *world, _ int) bool {
 		w.now = w.now.Add(tick)
@@ -156,7 +158,7 @@
 		m.leading, m.term, m.leaseUntil = true, w.lastTerm, w.now.Add(ttl-50*time.Millisecond)
 		return true
 	}},
-	// The leader, member 0 in most plays, asks a sibling, which answers at once; the
+	// The leader, member 0 in most cases, asks a sibling, which answers at once, but the
 	// answer may come late. No sibling knows of a later term than the leader's.
 	{Name: "ask", Count: 2, Do: func(w *world, i int) bool {
 		m, s := &w.members[0], &w.members[1+i]
@@ -188,15 +190,16 @@
 		m.promises.recordReceived(fmt.Sprint(1+i), asked, w.now, entitled)
 		return true
 	}},
-	{Name: "end", Count: 2, Do: func(w *world, i int) bool { w.start(i); return true }},
+	{Name: "end", Count: 2, Do: func(w *world, i int) bool { w.startMember(i); return true }},
 	{Name: "hear", Count: 2, Do: func(w *world, i int) bool {
-		// Member 1 hears of the two others.
+		// Member 1 has heartbeats of the two others.
 		j := 2 * i
 		w.members[1].promises.observeSibling(fmt.Sprint(j), w.members[j].leading)
 		return true
 	}},
 }
 
+// Broken implements explorer.World.
 func (w *world) Broken() string {
 	var leads []string
 	for i := range w.members {
@@ -214,6 +217,7 @@
 	return ""
 }
 
+// Print implements explorer.World.
 func (w *world) Print() string {
 	p := &explorer.Printer{Now: w.now, MaxAge: 2 * length}
 	p.Values(w.storeDown, w.leader)
@@ -229,13 +233,12 @@
 	return p.String()
 }
 
-// TestPromisesNeverTwoLeaders: never two members that are entitled, whatever is
-// refused, down, ends or comes late. With a guard taken out the explorer finds
-// why it is there.
+// TestPromisesNeverTwoLeaders: never two entitled members, whatever fails, ends or comes
+// late. With a guard disabled the explorer finds the fault that it prevents.
 func TestPromisesNeverTwoLeaders(t *testing.T) {
 	tests := []struct {
-		name string
-		out  guard
+		name     string
+		disabled guard
 	}{
 		{"as it is", noGuard},
 		{"a member that has promised campaigns", promiserDoesNotCampaign},
@@ -247,7 +250,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			g := &explorer.Explorer[*world]{New: func() *world { return newWorld(tt.out) }, Actions: actions, MaxStates: 2000}
+			g := &explorer.Explorer[*world]{New: func() *world { return newWorld(tt.disabled) }, Actions: actions, MaxStates: 2000}
 			one := func(name string) []explorer.Step { return g.Steps(2, name)[1:] } // for the second thing alone
 			leads := slices.Concat(g.Steps(1, "campaign", "elected"))
 			refused := slices.Concat(leads, g.Steps(3, "refuse"), g.Steps(1, "tick", "tick", "tick"))
@@ -262,7 +265,7 @@
 			states, broken := g.ExploreFrom(leads, refused, asked, slices.Concat(asked, g.Steps(2, "answer")), late,
 				slices.Concat(refused, one("ask"), one("answer")), trying, led, slices.Concat(led, one("end"), g.Steps(2, "ask")))
 			t.Logf("%d states: %s", states, broken)
-			if (broken != "") != (tt.out != noGuard) {
+			if (broken != "") != (tt.disabled != noGuard) {
 				t.Errorf("after %d states: %q", states, broken)
 			}
 		})
--- /dev/null
+++ b/internal/fleet/explore_world_test.go
@@ -0,0 +1,341 @@
+package fleet
+
+import (
+	"time"
+
+	"vetchstream/internal/job"
+	"vetchstream/internal/shard"
+	"vetchstream/internal/wire"
+)
+
+// The explorer tries every order of a few steps of a leader, a holder, a worker and
+// delayed direct commands, and looks for a task of a cancelled job that is still on its
+// machine after the deadline.
+
+// guard is a rule that a world can disable, to check that the explorer finds the fault
+// that the rule prevents.
+type guard uint8
+
+const (
+	noGuard                  guard = iota
+	leaderStopsAtLimit             // the leader does not renew a lease past the limit while a launch is on its way
+	holderReturnsBeforeLimit       // a holder gives the machine back before the limit
+	returnAllowsForGrant           // by as much before it as its grant may last
+	holderReportsTasksFirst        // a holder does not answer by itself a report with a task that the leader does not know of
+	everyAnswerHalts               // each answer of the leader halts what is cancelled, also what was halted a moment ago
+	cancelTimeFromCommit           // the time counts from when the commit of the cancellation was sent
+	unknownCancelIsPast            // a job that an earlier leader cancelled may have been cancelled at any time before
+)
+
+const (
+	tick       = 4 * time.Second
+	leaseTime  = 9 * time.Second
+	cancelTime = 21 * time.Second
+	grantTime  = 2500 * time.Millisecond
+	// maxDelayedCommands bounds the commands on their way; what is sent beyond never arrives.
+	maxDelayedCommands = 2
+)
+
+// Outcomes of a report.
+const (
+	reportAnswered     = iota // it is answered
+	reportAnsweredLate        // the leader's answer comes too late for a worker that waits at a holder
+	reportAnswerLost          // it arrives, but the answer does not
+	reportOutcomes            // the number of outcomes
+)
+
+// world is one machine, at most one holder of it, and one job of one task.
+type world struct {
+	disabled        guard
+	now             time.Time
+	fleet           *Fleet
+	assigner        *shard.Assigner
+	holder          *shard.Holder
+	grantEnd        time.Time
+	fleetHolder     *Holder
+	host            *Host
+	job             *job.Job
+	retained        bool
+	launched        bool
+	cancelled       time.Time // when the user may first have been told; zero: never
+	loadedAsOver    bool      // the job was over when the leader's term began
+	delayedCommands []wire.Direct
+	worker          worker
+	broken          string
+}
+
+// worker is the worker of the machine.
+type worker struct {
+	session, seq, token uint64
+	leaseFrom           time.Time // when the lease was last renewed
+	phase               string    // of the task; empty: the worker has not had it
+}
+
+func newWorld(disabled guard) *world {
+	start := time.Unix(1000, 0)
+	spec := job.Spec{ID: "run-1", ShapeName: "array", PriorityName: "standard", Tasks: 1, CPUs: 1}
+	w := &world{
+		disabled: disabled,
+		now:      start,
+		holder:   shard.NewHolder("n1", "", 1),
+		job:      job.New(&job.Record{Spec: spec}, start),
+	}
+	w.worker = worker{session: 1, leaseFrom: w.now}
+	w.beginTerm(1)
+	return w
+}
+
+// beginTerm begins a term.
+func (w *world) beginTerm(term uint64) {
+	w.fleet = New(term, leaseTime, cancelTime)
+	w.host = w.fleet.Add("host-1", w.now)
+	w.host.Known, w.host.Durable, w.host.Type, w.host.Zone = true, true, 0, 0
+	settings := shard.Settings{
+		GrantDuration:  grantTime,
+		RejoinDelay:    tick,
+		MaxRejoinDelay: tick,
+		MovesPerSecond: 1000,
+		LeaderWeight:   0.01,
+		LeaderCapacity: 1,
+	}
+	w.assigner = shard.NewAssigner(term, "n0", "", settings, w.now)
+	w.assigner.AddMachine("host-1", "")
+	w.fleetHolder = &Holder{Name: "n1"}
+	w.retained = false
+	w.job.NotedMachines.Add(w.host.Index)
+	w.loadedAsOver = !w.cancelled.IsZero()
+	if w.loadedAsOver {
+		rec := &job.Record{Spec: w.job.Spec, Phase: wire.JobAborted}
+		w.job.ReplaceRecord(rec, w.now)
+		if w.disabled == unknownCancelIsPast {
+			w.job.CancelledAt = w.now
+		}
+	}
+	for s := range w.fleet.SlotsOf(w.job) {
+		delete(w.fleet.SlotsOf(w.job), s)
+	}
+}
+
+// find returns the only job.
+func (w *world) find(string) *job.Job { return w.job }
+
+// observe handles a message of the worker as the leader does.
+func (w *world) observe(m *wire.Report, isReport bool) (fresh bool) {
+	fresh = w.fleet.Observe(w.host, m, isReport, w.now, w.find).Fresh
+	for s := range w.fleet.SlotsOf(w.job) {
+		if s.Active() && w.job.Cancelled() && !s.Stopping {
+			w.fleet.Stop(s, 0)
+		}
+	}
+	return fresh
+}
+
+// retainBeforeLimit has the leader retain the machine when its renewal limit is near.
+func (w *world) retainBeforeLimit() {
+	limit, bounded := w.fleet.RenewalLimit(w.host)
+	early := w.assigner.RevocationTime()
+	if w.disabled == returnAllowsForGrant {
+		early = 0
+	}
+	switch {
+	case w.disabled == holderReturnsBeforeLimit:
+	case bounded && limit.Sub(w.now) <= early:
+		w.retained = true
+		w.assigner.Retain("host-1", "", w.now)
+	case !bounded && w.retained:
+		w.retained = false
+		w.assigner.Release("host-1")
+	}
+}
+
+// answer makes the leader's answer to a report; nil: there is none.
+func (w *world) answer(m *wire.Report, fresh bool) *wire.Answer {
+	if w.disabled != leaderStopsAtLimit && !w.fleet.Renewable(w.host, w.now, 100) {
+		return nil
+	}
+	haltedNow := false
+	for s := range w.fleet.SlotsOf(w.job) {
+		haltedNow = haltedNow || s.HaltSentAt.Equal(w.now)
+	}
+	orders, _, _ := w.fleet.ComposeOrders(w.host, m.Seq, fresh, w.now, 100)
+	if w.disabled == everyAnswerHalts && haltedNow {
+		orders = nil
+	}
+	return &wire.Answer{Token: w.fleet.Term, Orders: orders}
+}
+
+// nextReport is the worker's next report.
+func (w *world) nextReport() *wire.Report {
+	w.worker.seq++
+	m := &wire.Report{Host: "host-1", Session: w.worker.session, Seq: w.worker.seq, Token: w.worker.token}
+	if w.worker.phase != "" {
+		m.Tasks = []wire.TaskReport{{Task: "run-1/0", Attempt: 1, Phase: w.worker.phase, Cause: wire.CauseHalted}}
+	}
+	return m
+}
+
+// receiveAnswer has the worker handle an answer to its report; nil: there is none.
+func (w *world) receiveAnswer(a *wire.Answer) {
+	if a == nil || a.Token < w.worker.token {
+		return
+	}
+	w.worker.token = a.Token
+	w.worker.leaseFrom = w.now
+	w.executeOrders(a.Orders)
+}
+
+// executeOrders has the worker execute orders.
+func (w *world) executeOrders(orders []wire.Order) {
+	for _, o := range orders {
+		switch {
+		case o.Op == wire.Launch && w.worker.phase == "":
+			w.worker.phase = wire.Running
+			w.checkDeadline("starts")
+		case o.Op == wire.Halt && w.worker.phase != "":
+			w.worker.phase = wire.Exited
+		}
+	}
+}
+
+// checkDeadline notes a fault if the task runs after its deadline; what says how it was
+// found.
+func (w *world) checkDeadline(what string) {
+	if w.worker.phase == wire.Running && !w.cancelled.IsZero() && w.now.Sub(w.cancelled) > cancelTime {
+		w.broken = "ran_cancelled: the task " + what + " " + w.now.Sub(w.cancelled).String() + " after the cancellation"
+	}
+}
+
+// sendReport has the worker report to the holder or the leader.
+func (w *world) sendReport(outcome int) bool {
+	receive := w.receiveAnswer
+	if outcome == reportAnswerLost {
+		receive = func(*wire.Answer) {}
+	}
+	m := w.nextReport()
+	body, err := wire.Marshal(m)
+	if err != nil {
+		panic(err)
+	}
+	_, byHolder := w.holder.Report(m, body, w.now)
+	switch byHolder {
+	case shard.GrantExpired:
+		return false
+	case shard.Answered:
+		receive(&wire.Answer{Token: w.holder.Term()})
+		return true
+	case shard.ReportChanged, shard.LeaderRequired:
+		if outcome != reportAnsweredLate && w.holder.Term() == w.fleet.Term {
+			w.syncHolder()
+			if w.host.Holder() != nil {
+				receive(w.answer(m, true))
+				return true
+			}
+		}
+		if byHolder == shard.ReportChanged || w.disabled == holderReportsTasksFirst {
+			receive(&wire.Answer{Token: w.holder.Term()})
+		}
+		return true
+	}
+	if r, _ := w.assigner.RouteReport("host-1", "", w.now); r != shard.Serve || outcome == reportAnsweredLate {
+		return false
+	}
+	fresh := w.observe(m, true)
+	receive(w.answer(m, fresh))
+	w.retainBeforeLimit()
+	w.assigner.ReportServed("host-1", "", w.now)
+	w.setHolder()
+	return true
+}
+
+// setHolder sets the machine's holder in the ledger once it has one.
+func (w *world) setHolder() {
+	if member, _ := w.assigner.Holder("host-1"); member != "" && w.host.Holder() == nil {
+		w.fleet.SetHolder(w.host, w.fleetHolder)
+	}
+}
+
+// syncHolder exchanges a request of the holder and its reply.
+func (w *world) syncHolder() {
+	if w.fleet.Term > w.holder.Term() {
+		w.holder.EndTerm()
+	}
+	r := w.holder.Request(10, 1, false, w.now)
+	freed, ok := w.assigner.HandleRequest(r, w.now)
+	if !ok {
+		w.holder.RequestFailed()
+		return
+	}
+	w.fleetHolder.KnownUntil = w.assigner.KnownUntil("n1")
+	if r.Term == w.fleet.Term {
+		for i := range r.Reports {
+			w.handleHostReport(&r.Reports[i])
+		}
+	}
+	w.clearHolder(freed)
+	w.retainBeforeLimit()
+	p := w.assigner.Reply("n1", w.now)
+	w.holder.HandleReply(p, w.now)
+	w.grantEnd = w.now.Add(time.Duration(p.ForMs) * time.Millisecond)
+	w.setHolder()
+}
+
+// handleHostReport handles a report that the holder has answered.
+func (w *world) handleHostReport(e *shard.HostReport) {
+	w.assigner.ConfirmContact(e.Host)
+	if len(e.Report) > 0 {
+		m := &wire.Report{}
+		if err := wire.Unmarshal(e.Report, m); err != nil {
+			panic(err)
+		}
+		w.observe(m, true)
+	}
+	w.fleet.Renew(w.host, e.Session, e.Seq, w.now.Add(-time.Duration(e.AgeMs)*time.Millisecond))
+}
+
+// clearHolder clears the machine's holder in the ledger if it was revoked.
+func (w *world) clearHolder(freed []shard.Revocation) {
+	for _, f := range freed {
+		w.host.ClearHolder(f.Until)
+	}
+}
+
+// sendDirectCommand sends the machine's next direct command, which is delayed.
+func (w *world) sendDirectCommand() bool {
+	orders, _, _ := w.fleet.ComposeOrders(w.host, 0, w.host.Usable(), w.now, 100)
+	if len(orders) > 0 && len(w.delayedCommands) < maxDelayedCommands {
+		w.delayedCommands = append(w.delayedCommands, wire.Direct{Token: w.fleet.Term, Session: max(1, w.host.Session), Orders: orders})
+	}
+	return len(orders) > 0
+}
+
+// deliverCommand delivers the first delayed command; its answer may be lost.
+func (w *world) deliverCommand(answered bool) bool {
+	if len(w.delayedCommands) == 0 {
+		return false
+	}
+	d := w.delayedCommands[0]
+	w.delayedCommands = w.delayedCommands[1:]
+	if d.Token >= w.worker.token && d.Session == w.worker.session {
+		w.worker.token = d.Token
+		w.executeOrders(d.Orders)
+		if m := w.nextReport(); answered {
+			w.observe(m, false)
+		}
+	}
+	return true
+}
+
+// advance advances the time for the worker and the leader.
+func (w *world) advance(d time.Duration) {
+	const part = 500 * time.Millisecond
+	for ; d > 0; d -= part {
+		w.now = w.now.Add(part)
+		if w.now.Sub(w.worker.leaseFrom) > leaseTime {
+			w.worker = worker{session: w.worker.session + 1, token: w.worker.token, leaseFrom: w.now}
+		}
+		w.checkDeadline("is there")
+		w.fleet.Expire(w.now)
+		w.retainBeforeLimit()
+		w.clearHolder(w.assigner.Step(w.now))
+	}
+}
--- a/internal/shard/assigner.go
+++ b/internal/shard/assigner.go
@@ -139,7 +139,7 @@
 	joinContactGap = time.Second
 )
 
-// Step expires members that have fallen silent, and moves machines where the shares
+// Step expires members that have fallen silent, and moves machines where the shards
 // have become too large, at the rate of the settings. It returns the machines that
 // have no holder any more.
 func (a *Assigner) Step(now time.Time) (freed []Revocation) {
--- a/internal/shard/explore_test.go
+++ b/internal/shard/explore_test.go
@@ -11,146 +11,12 @@
 	"vetchstream/internal/wire"
 )
 
-// The explorer tries every order of a few steps of two leaders, two holders and two
-// machines, with messages that are late or lost, and processes that end.
-
-// guard is a rule that a world can disable, to check that the explorer finds the fault
-// that the rule prevents.
-type guard uint8
-
-const (
-	noGuard                    guard = iota
-	grantFromRequest                 // a grant is counted from before the request, not from its answer
-	grantWithinEntitlement           // a grant ends no later than the leader's entitlement
-	newestRequestOnly                // a request that is not the newest is refused
-	confirmedByHolder                // a change counts once the holder has confirmed it, not once it was sent
-	silentHolderUntilGrantEnds       // a silent holder retains its machines until its grant has ended
-	leaderAfterEntitlement           // a leader begins once the one before is no longer entitled
-	reportsBeforeRevocation          // a holder reports what it answered before it stopped
-)
-
-const (
-	tick      = 700 * time.Millisecond
-	grantTime = 1500 * time.Millisecond
-	leadTime  = 2200 * time.Millisecond
-)
-
-// holderProcess is a holder with its connection to the leader: one message is in flight
-// at a time, and one that was given up may come late.
-type holderProcess struct {
-	holder          *Holder
-	incarnation     uint64
-	sent            time.Time
-	requestInFlight *Request
-	replyInFlight   *Reply
-	lateRequest     *Request
-}
-
-// world is two leaders, one after the other, with two holders and two machines.
-type world struct {
-	disabled        guard
-	now             time.Time
-	leader          *Assigner
-	entitledUntil   time.Time // when the leader's entitlement ends
-	deposed         bool
-	entitlementEnds map[uint64]time.Time // of the entitlement, by term
-	holders         [2]holderProcess
-	names           [2]string
-	seq             [2]uint64
-	answered        [2]time.Time // the last answer of a holder
-	knownAt         [2]time.Time // the last answer that the leader knows of, or assumes
-	broken          string
-}
-
-func newWorld(disabled guard) *world {
-	w := &world{disabled: disabled, now: time.Unix(1000, 0), names: [2]string{"m1", "m2"}, entitlementEnds: map[uint64]time.Time{}}
-	w.begin(1)
-	for i := range w.holders {
-		w.start(i)
-	}
-	return w
-}
-
-func (w *world) begin(term uint64) {
-	w.leader = NewAssigner(term, "lead", "", Settings{GrantDuration: grantTime, RejoinDelay: tick, MaxRejoinDelay: 2 * tick, MovesPerSecond: 1000, LeaderWeight: 0.01, LeaderCapacity: 2}, w.now)
-	for _, n := range w.names {
-		w.leader.AddMachine(n, "")
-	}
-	w.knownAt = [2]time.Time{w.now, w.now} // a new leader counts from its own begin
-	w.deposed = false
-	w.renew()
-}
-
-func (w *world) renew() {
-	w.entitledUntil = w.now.Add(leadTime)
-	w.entitlementEnds[w.leader.term] = w.entitledUntil
-}
-
-func (w *world) leads() bool { return w.now.Before(w.entitledUntil) }
-
-func (w *world) start(i int) {
-	s := &w.holders[i]
-	s.incarnation++
-	if s.requestInFlight != nil {
-		s.lateRequest = s.requestInFlight
-	}
-	s.requestInFlight, s.replyInFlight = nil, nil
-	s.holder = NewHolder(fmt.Sprintf("h%d", i), "", s.incarnation)
-}
-
-// freed takes in what the leader holds to be without a holder.
-func (w *world) freed(fs []Revocation) {
-	for _, f := range fs {
-		k := slices.Index(w.names[:], f.Name)
-		if f.Until.After(w.knownAt[k]) {
-			w.knownAt[k] = f.Until
-		}
-		if w.answered[k].After(w.knownAt[k]) {
-			w.broken = fmt.Sprintf("%s was answered at %v, and the leader counts from %v", f.Name, w.rel(w.answered[k]), w.rel(w.knownAt[k]))
-		}
-	}
-}
-
-func (w *world) rel(t time.Time) time.Duration { return t.Sub(w.now) }
-
-// arrive lets a request come to the leader.
-func (w *world) arrive(i int, r *Request) *Reply {
-	if !w.leads() {
-		return &Reply{}
-	}
-	c := *r
-	if m := w.leader.members[c.Member]; w.disabled == confirmedByHolder && m != nil {
-		c.Number, c.Term = m.lastReply, w.leader.term
-	}
-	if w.disabled == reportsBeforeRevocation {
-		c.Reports = nil
-	}
-	fs, ok := w.leader.HandleRequest(&c, w.now)
-	if ok && c.Term == w.leader.term {
-		for _, e := range c.Reports {
-			k := slices.Index(w.names[:], e.Host)
-			if at := w.now.Add(-time.Duration(e.AgeMs) * time.Millisecond); at.After(w.knownAt[k]) {
-				w.knownAt[k] = at
-			}
-		}
-	}
-	w.freed(fs)
-	if !ok {
-		return &Reply{}
-	}
-	p := w.leader.Reply(c.Member, w.now)
-	if w.disabled != grantWithinEntitlement {
-		p.ForMs = min(p.ForMs, w.entitledUntil.Sub(w.now).Milliseconds())
-	}
-	return p
-}
-
-// actions are the steps, for the holders or the machines.
+// actions are the steps of the explorer, for each holder or each machine.
 var actions = []explorer.Action[*world]{
 	{Name: "tick", Do: func(w *world, _ int) bool {
 		w.now = w.now.Add(tick)
-		if w.leads() {
-			w.freed(w.leader.Step(w.now))
+		if w.entitled() {
+			w.recordRevocations(w.leader.Step(w.now))
 		}
 		return true
 	}, Count: 1},
@@ -170,7 +36,7 @@
 		if s.requestInFlight == nil {
 			return false
 		}
-		s.replyInFlight, s.requestInFlight = w.arrive(i, s.requestInFlight), nil
+		s.replyInFlight, s.requestInFlight = w.handleRequest(i, s.requestInFlight), nil
 		return true
 	}, Count: 2},
 	{Name: "grant", Do: func(w *world, i int) bool {
@@ -203,13 +69,13 @@
 		if s.lateRequest == nil {
 			return false
 		}
-		w.arrive(i, s.lateRequest) // nobody waits for the reply
+		w.handleRequest(i, s.lateRequest) // nobody waits for the reply
 		s.lateRequest = nil
 		return true
 	}, Count: 2},
-	{Name: "end", Do: func(w *world, i int) bool { w.start(i); return true }, Count: 1},
+	{Name: "end", Do: func(w *world, i int) bool { w.startHolder(i); return true }, Count: 1},
 	{Name: "report", Do: func(w *world, k int) bool {
-		if w.leads() {
+		if w.entitled() {
 			if r, _ := w.leader.RouteReport(w.names[k], "", w.now); r == Serve {
 				w.leader.ReportServed(w.names[k], "", w.now)
 			}
@@ -230,33 +96,33 @@
 	}, Count: 2},
 	{Name: "depose", Do: func(w *world, _ int) bool { was := w.deposed; w.deposed = true; return !was && w.leader.term == 1 }, Count: 1},
 	{Name: "succeed", Do: func(w *world, _ int) bool {
-		if !w.deposed || (w.leads() && w.disabled != leaderAfterEntitlement) {
+		if !w.deposed || (w.entitled() && w.disabled != leaderAfterEntitlement) {
 			return false
 		}
-		w.begin(w.leader.term + 1)
+		w.beginTerm(w.leader.term + 1)
 		return true
 	}, Count: 1},
 	{Name: "renew", Do: func(w *world, _ int) bool {
-		if w.deposed || !w.leads() {
+		if w.deposed || !w.entitled() {
 			return false
 		}
-		w.renew()
+		w.renewEntitlement()
 		return true
 	}, Count: 1},
 }
 
-// Broken looks at what must hold in every state.
+// Broken checks what must hold in every state, and returns the fault.
 func (w *world) Broken() string {
 	if w.disabled == silentHolderUntilGrantEnds {
 		for _, m := range w.leader.members {
 			if len(m.machines) > 0 && w.now.Sub(m.heardAt) >= tick {
-				w.freed(w.leader.revokeAll(m, w.now, "", w.now))
+				w.recordRevocations(w.leader.revokeAll(m, w.now, "", w.now))
 			}
 		}
 	}
 	for k, name := range w.names {
 		n := 0
-		if h, _ := w.leader.Holder(name); h == "" && w.leads() {
+		if h, _ := w.leader.Holder(name); h == "" && w.entitled() {
 			n++
 		}
 		for i := range w.holders {
@@ -272,17 +138,17 @@
 		if n > 1 {
 			w.broken = name + " has two valid holders"
 		}
-		if h, _ := w.leader.Holder(name); h != "" && w.leads() && w.answered[k].Before(w.leader.KnownUntil(h)) && w.answered[k].Sub(w.knownAt[k]) > time.Millisecond && w.answered[k].After(w.begun()) {
+		if h, _ := w.leader.Holder(name); h != "" && w.entitled() && w.answered[k].Before(w.leader.KnownUntil(h)) && w.answered[k].Sub(w.knownAt[k]) > time.Millisecond && w.answered[k].After(w.begun()) {
 			w.broken = fmt.Sprintf("%s was answered at %v, told up to %v, known %v", name, w.rel(w.answered[k]), w.rel(w.leader.KnownUntil(h)), w.rel(w.knownAt[k]))
 		}
 	}
 	return w.broken
 }
 
-// begun is the begin of the present term.
+// begun is when the current term began.
 func (w *world) begun() time.Time { return w.entitlementEnds[w.leader.term-1] }
 
-// Print names the state: times are told from now, and those long past are alike.
+// Print describes the state: times are relative to now, and those long past are equal.
 func (w *world) Print() string {
 	p := &explorer.Printer{Now: w.now, MaxAge: 4 * tick}
 	a := w.leader
@@ -320,12 +186,12 @@
 	return p.String()
 }
 
-// settle plays on without faults: every machine is to be served.
+// settle continues without faults: every machine has to be served in the end.
 func settle(g *explorer.Explorer[*world], w *world) string {
 	for range 14 {
 		g.Do(w, "tick", 0)
 		g.Do(w, "renew", 0)
-		if !w.leads() {
+		if !w.entitled() {
 			g.Do(w, "depose", 0)
 			g.Do(w, "succeed", 0)
 		}
@@ -352,23 +218,23 @@
 			return name + " is not served again"
 		}
 	}
-	if !w.leads() {
+	if !w.entitled() {
 		return "nobody leads"
 	}
 	return ""
 }
 
-// most is how many states a case looks at from each start. More find nothing new
-// since 200,000 were looked at, and take long with the race detector.
-var most = flag.Int("states", 9000, "states that TestExplore looks at")
+// maxStates is how many states a case explores from each start. 200,000 states found
+// nothing more, and take long with the race detector.
+var maxStates = flag.Int("states", 9000, "states that TestExplore looks at")
 
 // TestExplore: never two valid holders of a machine, no answer outside the leader's
-// entitlement, nothing answered that the leader does not count with, and every
-// machine served again. With a guard taken out the explorer finds why it is there.
+// entitlement, no answer that the leader does not allow for, and every machine served
+// again. With a guard disabled the explorer finds the fault that it prevents.
 func TestExplore(t *testing.T) {
 	tests := []struct {
-		name string
-		out  guard
+		name     string
+		disabled guard
 	}{
 		{"as it is", noGuard},
 		{"a grant counted from its answer", grantFromRequest},
@@ -380,9 +246,9 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			g := &explorer.Explorer[*world]{New: func() *world { return newWorld(tt.out) }, Actions: actions, MaxStates: *most}
+			g := &explorer.Explorer[*world]{New: func() *world { return newWorld(tt.disabled) }, Actions: actions, MaxStates: *maxStates}
 			holders := 2
-			if tt.out == noGuard {
+			if tt.disabled == noGuard {
 				g.SettleInterval, g.Settle = 37, func(w *world) string { return settle(g, w) }
 			} else {
 				// One holder and one machine are enough, and go deeper.
@@ -396,7 +262,7 @@
 			joined := g.Steps(holders, "ask", "arrive", "grant")
 			states, broken := g.ExploreFrom(slices.Concat(joined, g.Steps(1, "tick"), joined, g.Steps(1, "report"), joined, joined), joined)
 			t.Logf("%d states: %s", states, broken)
-			if (broken != "") != (tt.out != noGuard) {
+			if (broken != "") != (tt.disabled != noGuard) {
 				t.Errorf("after %d states: %q", states, broken)
 			}
 		})
--- a/internal/shard/holder.go
+++ b/internal/shard/holder.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Holder deals with a share of the machines under the grants of the leader. It is not
+// Holder deals with a shard of the machines under the grants of the leader. It is not
 // safe for concurrent use.
 type Holder struct {
 	member      string
@@ -179,7 +179,7 @@
 	}
 }
 
-// updateMachines applies the changes of the share in a reply.
+// updateMachines applies the changes of the shard in a reply.
 func (h *Holder) updateMachines(r *Reply) {
 	for _, name := range r.Drop {
 		if k := h.machines[name]; k != nil {
@@ -211,7 +211,7 @@
 	h.grantUntil = time.Time{}
 }
 
-// BecomeLeader forgets the share, because the member leads itself.
+// BecomeLeader forgets the shard, because the member leads itself.
 func (h *Holder) BecomeLeader() {
 	h.reset()
 	h.previousHosts = nil
--- a/internal/shard/holder_reports.go
+++ b/internal/shard/holder_reports.go
@@ -14,9 +14,9 @@
 type Outcome uint8
 
 const (
-	// NotHeld means that the machine is not in the share; the leader knows who holds it.
+	// NotHeld means that the machine is not in the shard; the leader knows who holds it.
 	NotHeld Outcome = iota
-	// GrantExpired means that the machine is in the share, but the grant has ended or
+	// GrantExpired means that the machine is in the shard, but the grant has ended or
 	// does not cover the report. The report must not be answered with status 200: the
 	// leader may have assigned the machine to another holder.
 	GrantExpired
@@ -37,7 +37,7 @@
 	attempt uint64
 }
 
-// heldMachine is a machine of the share, with what its worker has reported.
+// heldMachine is a machine of the shard, with what its worker has reported.
 type heldMachine struct {
 	// dropped: the machine was taken away. It stays here until the leader has
 	// acknowledged what it reported before.
--- a/internal/shard/members.go
+++ b/internal/shard/members.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// The members of an Assigner: which controllers hold a share, what they have
+// The members of an Assigner: which controllers hold a shard, what they have
 // acknowledged, and the handling of their requests.
 
-// member is a controller that may hold a share of the machines.
+// member is a controller that may hold a shard of the machines.
 type member struct {
 	name string
 	zone string
--- a/internal/shard/shard.go
+++ b/internal/shard/shard.go
@@ -1,7 +1,7 @@
-// Package shard divides the machines among the controllers. A share is the set of
+// Package shard divides the machines among the controllers. A shard is the set of
 // machines that one controller, its holder, deals with: connections, reports,
 // leases and direct commands. The leader makes all decisions and owns the ledger. It
-// assigns the shares under grants that end no later than its own lease, and the
+// assigns the shards under grants that end no later than its own lease, and the
 // holders act only under those grants (docs/shares.md).
 //
 // Assigner is the leader's side, Holder the holder's. Both are pure: they are stepped
