--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -24,16 +24,22 @@
 
 func newLedgerFixture(t *testing.T) *ledgerFixture {
 	now := time.Unix(1000, 0)
-	b := &ledgerFixture{t: t, now: now, fleet: New(term, 10*time.Second, 25*time.Second),
-		job: job.New(&job.Record{Spec: job.Spec{ID: "run-1", ShapeName: "array", PriorityName: "standard", Tasks: 4, CPUs: 1}}, now)}
+	spec := job.Spec{ID: "run-1", ShapeName: "array", PriorityName: "standard", Tasks: 4, CPUs: 1}
+	b := &ledgerFixture{
+		t:     t,
+		now:   now,
+		fleet: New(term, 10*time.Second, 25*time.Second),
+		job:   job.New(&job.Record{Spec: spec}, now),
+	}
 	b.host = b.fleet.Add("host-1", now)
 	b.host.Known, b.host.Durable, b.host.Type, b.host.Zone = true, true, 0, 0
 	b.job.NotedMachines.Add(b.host.Index)
 	return b
 }
 
-// msg lets the worker speak; phases maps attempts of task 0 to their phases.
-func (b *ledgerFixture) msg(report bool, session, seq, token uint64, phases map[uint64]string) Result {
+// observe has the fleet observe a message of the worker; phases maps attempts of task 0
+// to their phases.
+func (b *ledgerFixture) observe(report bool, session, seq, token uint64, phases map[uint64]string) Result {
 	m := &wire.Report{Host: "host-1", Session: session, Seq: seq, Token: token}
 	for a, p := range phases {
 		tr := wire.TaskReport{Task: "run-1/0", Attempt: a, Phase: p}
@@ -45,22 +51,26 @@
 	return b.fleet.Observe(b.host, m, report, b.now, find(b))
 }
 
+// assign assigns an attempt of task 0 to the machine.
 func (b *ledgerFixture) assign(attempt uint64) { b.fleet.Assign(b.host, Key{b.job, 0, attempt}, b.now) }
 
+// compose makes the orders for the machine.
 func (b *ledgerFixture) compose(seq uint64, launches bool) []wire.Order {
 	o, sent, _ := b.fleet.ComposeOrders(b.host, seq, launches, b.now, 100)
 	b.sent = sent
 	return o
 }
 
-func (b *ledgerFixture) live(want int, when string) {
+// checkLive checks how many placements of task 0 may be on a machine.
+func (b *ledgerFixture) checkLive(want int, when string) {
 	b.t.Helper()
 	if got := b.job.Live[0]; got != want {
 		b.t.Errorf("%s: %d placements may be on a machine, want %d", when, got, want)
 	}
 }
 
-func (b *ledgerFixture) orders(o []wire.Order, want string) {
+// checkOrders checks orders, written as "launch 1;halt 2;" with the attempts.
+func (b *ledgerFixture) checkOrders(o []wire.Order, want string) {
 	b.t.Helper()
 	got := ""
 	for _, x := range o {
@@ -77,7 +87,7 @@
 	do   func(b *ledgerFixture)
 }
 
-// TestLedger holds what may be on a machine through the messages that settle it.
+// TestLedger: which placements may be on a machine, up to the message that settles each.
 // The numbers are the points of docs/safety.md.
 func TestLedger(t *testing.T) {
 	tests := slices.Concat(ledgerLaunchCases(), ledgerDirectCases(), ledgerHolderCases(), ledgerLeaseCases(), ledgerSessionCases(), ledgerAbortCases())
@@ -91,45 +101,45 @@
 	run := map[uint64]string{1: wire.Running}
 	return []ledgerCase{
 		{"5: nothing is launched on a machine that is not fenced", func(b *ledgerFixture) {
-			b.msg(true, 1, 1, term-1, nil)
+			b.observe(true, 1, 1, term-1, nil)
 			b.assign(1)
-			b.orders(b.compose(1, true), "")
-			b.msg(true, 1, 2, term, nil)
-			b.orders(b.compose(2, true), "launch 1;")
+			b.checkOrders(b.compose(1, true), "")
+			b.observe(true, 1, 2, term, nil)
+			b.checkOrders(b.compose(2, true), "launch 1;")
 		}},
 		{"6: nothing is launched before the job is noted for the machine", func(b *ledgerFixture) {
-			b.msg(true, 1, 1, term, nil)
+			b.observe(true, 1, 1, term, nil)
 			b.job.NotedMachines.Remove(b.host.Index)
 			b.assign(1)
-			b.orders(b.compose(1, true), "")
-			b.orders(b.compose(0, true), "")
+			b.checkOrders(b.compose(1, true), "")
+			b.checkOrders(b.compose(0, true), "")
 			b.job.NotedMachines.Add(b.host.Index)
-			b.orders(b.compose(0, true), "launch 1;")
+			b.checkOrders(b.compose(0, true), "launch 1;")
 		}},
 		{"6: a machine of an earlier leader is open until it is fenced or lost", func(b *ledgerFixture) {
 			b.host.Inherited = true
-			b.msg(true, 1, 1, term-1, run)
+			b.observe(true, 1, 1, term-1, run)
 			if len(b.fleet.SettleInherited()) != 1 {
 				b.t.Error("settled before it has seen the term")
 			}
-			b.msg(true, 1, 2, term, run)
+			b.observe(true, 1, 2, term, run)
 			if len(b.fleet.SettleInherited()) != 0 {
 				b.t.Error("open although it is fenced")
 			}
 		}},
 		{"7: an older message changes nothing and its answer has no launch", func(b *ledgerFixture) {
-			b.msg(true, 1, 5, term, run)
-			if r := b.msg(true, 1, 4, term, nil); r.Fresh {
+			b.observe(true, 1, 5, term, run)
+			if r := b.observe(true, 1, 4, term, nil); r.Fresh {
 				b.t.Error("an older report is fresh")
 			}
-			b.live(1, "after an older report")
+			b.checkLive(1, "after an older report")
 		}},
 		{"8: a launch in an answer is settled by the next report", func(b *ledgerFixture) {
-			b.msg(true, 1, 1, term, nil)
+			b.observe(true, 1, 1, term, nil)
 			b.assign(1)
 			b.compose(1, true)
-			b.msg(true, 1, 2, term, nil)
-			b.live(0, "after the next report")
+			b.observe(true, 1, 2, term, nil)
+			b.checkLive(0, "after the next report")
 		}},
 	}
 }
@@ -139,49 +149,49 @@
 	run := map[uint64]string{1: wire.Running}
 	return []ledgerCase{
 		{"15: a halt without grace is repeated also while the task saves, one with grace is not", func(b *ledgerFixture) {
-			b.msg(true, 1, 1, term, run)
+			b.observe(true, 1, 1, term, run)
 			for s := range b.fleet.SlotsOf(b.job) {
 				b.fleet.Stop(s, 5)
-				b.orders(b.compose(1, true), "halt 1;")
-				b.msg(true, 1, 2, term, map[uint64]string{1: wire.Saving})
+				b.checkOrders(b.compose(1, true), "halt 1;")
+				b.observe(true, 1, 2, term, map[uint64]string{1: wire.Saving})
 				b.now = b.now.Add(haltInterval)
-				b.orders(b.compose(2, true), "")
+				b.checkOrders(b.compose(2, true), "")
 				b.fleet.Stop(s, 0) // its job is cancelled
 			}
 			for range 2 {
-				b.orders(b.compose(2, true), "halt 1;")
+				b.checkOrders(b.compose(2, true), "halt 1;")
 				b.now = b.now.Add(haltInterval)
 			}
 		}},
 		{"8: the answer to a direct command does not settle it", func(b *ledgerFixture) {
-			b.msg(true, 1, 1, term, nil)
+			b.observe(true, 1, 1, term, nil)
 			b.assign(1)
 			b.compose(1, true)
-			b.msg(false, 1, 2, term, nil)
-			b.live(1, "after a direct answer that overtook it")
-			b.msg(true, 1, 3, term, run)
-			b.live(1, "once it is seen")
+			b.observe(false, 1, 2, term, nil)
+			b.checkLive(1, "after a direct answer that overtook it")
+			b.observe(true, 1, 3, term, run)
+			b.checkLive(1, "once it is seen")
 		}},
 		{"8: a direct launch that was lost is sent once more, and its exit is not cleared", func(b *ledgerFixture) {
-			b.msg(true, 1, 1, term, nil)
+			b.observe(true, 1, 1, term, nil)
 			b.assign(1)
 			b.compose(0, true)
-			b.msg(true, 1, 2, term, nil)
-			b.orders(b.compose(2, true), "")
+			b.observe(true, 1, 2, term, nil)
+			b.checkOrders(b.compose(2, true), "")
 			b.now = b.now.Add(resendAfter)
-			b.msg(true, 1, 3, term, nil)
-			b.orders(b.compose(3, true), "launch 1;")
-			b.msg(true, 1, 4, term, nil)
-			b.orders(b.compose(4, true), "")
-			b.live(1, "the second copy may be lost too")
-			b.msg(true, 1, 5, term, map[uint64]string{1: wire.Exited})
-			b.live(0, "once its exit is seen")
+			b.observe(true, 1, 3, term, nil)
+			b.checkOrders(b.compose(3, true), "launch 1;")
+			b.observe(true, 1, 4, term, nil)
+			b.checkOrders(b.compose(4, true), "")
+			b.checkLive(1, "the second copy may be lost too")
+			b.observe(true, 1, 5, term, map[uint64]string{1: wire.Exited})
+			b.checkLive(0, "once its exit is seen")
 			for s := range b.fleet.SlotsOf(b.job) {
 				s.Settled = true
 			}
-			b.orders(b.compose(5, true), "")
-			b.msg(true, 2, 1, term, nil)
-			b.orders(b.compose(1, true), "")
+			b.checkOrders(b.compose(5, true), "")
+			b.observe(true, 2, 1, term, nil)
+			b.checkOrders(b.compose(1, true), "")
 		}},
 	}
 }
@@ -192,43 +202,43 @@
 	return []ledgerCase{
 		{"4, 9: a held machine is judged as of what its holder has told, and at its end as of the grant", func(b *ledgerFixture) {
 			by := &Holder{Name: "n1", KnownUntil: b.now}
-			b.msg(true, 1, 1, term, run)
+			b.observe(true, 1, 1, term, run)
 			b.fleet.SetHolder(b.host, by)
 			b.now = b.now.Add(15 * time.Second)
 			b.fleet.Expire(b.now)
-			b.live(1, "its holder may have renewed the lease since")
+			b.checkLive(1, "its holder may have renewed the lease since")
 			by.KnownUntil = b.now.Add(-10 * time.Second)
 			b.fleet.Renew(b.host, 1, 2, b.now.Add(-4*time.Second))
 			b.host.ClearHolder(b.now.Add(-time.Second))
 			b.now = b.now.Add(9 * time.Second)
 			b.fleet.Expire(b.now)
-			b.live(1, "within a lease of the grant's end")
+			b.checkLive(1, "within a lease of the grant's end")
 			b.now = b.now.Add(time.Second)
 			b.fleet.Expire(b.now)
-			b.live(0, "beyond it")
+			b.checkLive(0, "beyond it")
 		}},
 		{"8: a launch in an answer of the holder's is settled by a report that says nothing new", func(b *ledgerFixture) {
-			b.msg(true, 1, 1, term, nil)
+			b.observe(true, 1, 1, term, nil)
 			b.fleet.SetHolder(b.host, &Holder{Name: "n1"})
 			b.assign(1)
 			b.compose(1, true)
 			b.fleet.Renew(b.host, 1, 1, b.now)
-			b.live(1, "the same report once more")
+			b.checkLive(1, "the same report once more")
 			b.fleet.Renew(b.host, 1, 2, b.now)
-			b.live(0, "after the next report")
+			b.checkLive(0, "after the next report")
 		}},
 		{"8, 15: one that has to go is launched to be stopped, one of a cancelled job is not", func(b *ledgerFixture) {
-			b.msg(true, 1, 1, term, nil)
+			b.observe(true, 1, 1, term, nil)
 			b.assign(1)
 			b.compose(0, true)
 			for s := range b.fleet.SlotsOf(b.job) {
 				b.fleet.Stop(s, 0)
 			}
 			b.now = b.now.Add(resendAfter)
-			b.orders(b.compose(1, true), "launch 1;halt 1;")
+			b.checkOrders(b.compose(1, true), "launch 1;halt 1;")
 			b.now = b.now.Add(resendAfter)
 			b.job.Closing = wire.JobAborted
-			b.orders(b.compose(1, true), "halt 1;")
+			b.checkOrders(b.compose(1, true), "halt 1;")
 		}},
 	}
 }
@@ -238,47 +248,47 @@
 	run := map[uint64]string{1: wire.Running}
 	return []ledgerCase{
 		{"8: an unanswered direct launch outlives reports without it", func(b *ledgerFixture) {
-			b.msg(true, 1, 1, term, nil)
+			b.observe(true, 1, 1, term, nil)
 			b.assign(1)
-			b.orders(b.compose(0, true), "launch 1;")
-			b.msg(true, 1, 2, term, nil)
-			b.msg(true, 1, 3, term, nil)
-			b.live(1, "after two reports")
-			b.msg(true, 2, 1, term, nil)
-			b.live(0, "after a new session")
+			b.checkOrders(b.compose(0, true), "launch 1;")
+			b.observe(true, 1, 2, term, nil)
+			b.observe(true, 1, 3, term, nil)
+			b.checkLive(1, "after two reports")
+			b.observe(true, 2, 1, term, nil)
+			b.checkLive(0, "after a new session")
 		}},
 		{"8: a direct launch that was certainly not sent is gone", func(b *ledgerFixture) {
-			b.msg(true, 1, 1, term, nil)
+			b.observe(true, 1, 1, term, nil)
 			b.assign(1)
 			b.compose(0, true)
 			b.fleet.RemoveNotDelivered(b.sent)
-			b.live(0, "after a refused connection")
+			b.checkLive(0, "after a refused connection")
 		}},
 		{"9: the lease ends what is on a silent machine, and not a moment earlier", func(b *ledgerFixture) {
-			b.msg(true, 1, 1, term, run)
+			b.observe(true, 1, 1, term, run)
 			b.now = b.now.Add(10 * time.Second)
 			b.fleet.Expire(b.now)
-			b.live(1, "at the bare lease")
+			b.checkLive(1, "at the bare lease")
 			b.now = b.now.Add(600 * time.Millisecond)
 			b.fleet.Expire(b.now)
-			b.live(0, "after the margin")
+			b.checkLive(0, "after the margin")
 		}},
 		{"9: an older report renews the lease too, when a direct answer overtook it", func(b *ledgerFixture) {
-			b.msg(true, 1, 1, term, run)
+			b.observe(true, 1, 1, term, run)
 			b.now = b.now.Add(8 * time.Second)
-			b.msg(false, 1, 3, term, run)
-			b.msg(true, 1, 2, term, run)
+			b.observe(false, 1, 3, term, run)
+			b.observe(true, 1, 2, term, run)
 			b.now = b.now.Add(8 * time.Second)
 			b.fleet.Expire(b.now)
-			b.live(1, "8 s after the overtaken report")
+			b.checkLive(1, "8 s after the overtaken report")
 		}},
 		{"9: direct answers do not renew the lease", func(b *ledgerFixture) {
-			b.msg(true, 1, 1, term, run)
+			b.observe(true, 1, 1, term, run)
 			b.now = b.now.Add(8 * time.Second)
-			b.msg(false, 1, 2, term, run)
+			b.observe(false, 1, 2, term, run)
 			b.now = b.now.Add(3 * time.Second)
 			b.fleet.Expire(b.now)
-			b.live(0, "11 s after the only report")
+			b.checkLive(0, "11 s after the only report")
 		}},
 	}
 }
@@ -289,37 +299,37 @@
 	return []ledgerCase{
 		{"9: a new session has its lease from its own begin", func(b *ledgerFixture) {
 			b.now = b.now.Add(9 * time.Second) // after a takeover, by a direct command only
-			b.msg(false, 2, 1, term, nil)
+			b.observe(false, 2, 1, term, nil)
 			b.assign(1)
 			b.compose(0, true)
-			b.msg(false, 2, 2, term, run)
+			b.observe(false, 2, 2, term, run)
 			b.now = b.now.Add(5 * time.Second)
 			b.fleet.Expire(b.now)
-			b.live(1, "14 s after the takeover, 5 s after the session was met")
+			b.checkLive(1, "14 s after the takeover, 5 s after the session was met")
 			b.now = b.now.Add(6 * time.Second)
 			b.fleet.Expire(b.now)
-			b.live(0, "11 s after the session was met")
+			b.checkLive(0, "11 s after the session was met")
 		}},
 		{"9: a held message of a dead session does not come back", func(b *ledgerFixture) {
-			b.msg(true, 1, 1, term, run)
+			b.observe(true, 1, 1, term, run)
 			b.now = b.now.Add(11 * time.Second)
 			b.fleet.Expire(b.now)
-			if r := b.msg(true, 1, 2, term, run); r.Fresh {
+			if r := b.observe(true, 1, 2, term, run); r.Fresh {
 				b.t.Error("a dead session is fresh")
 			}
-			b.live(0, "after a message of the dead session")
+			b.checkLive(0, "after a message of the dead session")
 		}},
 		{"11: clear is sent once the exit is settled", func(b *ledgerFixture) {
-			r := b.msg(true, 1, 1, term, map[uint64]string{1: wire.Exited})
-			b.orders(b.compose(1, true), "")
+			r := b.observe(true, 1, 1, term, map[uint64]string{1: wire.Exited})
+			b.checkOrders(b.compose(1, true), "")
 			r.Events[0].Slot.Settled = true
-			b.orders(b.compose(0, true), "")
-			b.orders(b.compose(1, true), "clear 1;")
+			b.checkOrders(b.compose(0, true), "")
+			b.checkOrders(b.compose(1, true), "clear 1;")
 		}},
 		{"12: a released machine takes everything with it", func(b *ledgerFixture) {
-			b.msg(true, 1, 1, term, run)
+			b.observe(true, 1, 1, term, run)
 			b.fleet.Remove(b.host)
-			b.live(0, "after the release")
+			b.checkLive(0, "after the release")
 		}},
 	}
 }
@@ -329,25 +339,25 @@
 	run := map[uint64]string{1: wire.Running}
 	return []ledgerCase{
 		{"15: nothing is launched once an abort was sent, halts are repeated", func(b *ledgerFixture) {
-			b.msg(true, 1, 1, term, run)
+			b.observe(true, 1, 1, term, run)
 			b.fleet.Assign(b.host, Key{b.job, 1, 1}, b.now)
 			b.job.Closing = wire.JobAborted
 			for _, s := range b.host.Slots {
 				b.fleet.Stop(s, 0)
 			}
-			b.orders(b.compose(0, true), "halt 1;")
-			b.orders(b.compose(0, true), "")
+			b.checkOrders(b.compose(0, true), "halt 1;")
+			b.checkOrders(b.compose(0, true), "")
 			b.now = b.now.Add(2 * time.Second)
-			b.orders(b.compose(0, true), "halt 1;")
+			b.checkOrders(b.compose(0, true), "halt 1;")
 			// What renews the lease halts each time.
-			b.orders(b.compose(1, true), "halt 1;")
-			b.orders(b.compose(1, true), "halt 1;")
+			b.checkOrders(b.compose(1, true), "halt 1;")
+			b.checkOrders(b.compose(1, true), "halt 1;")
 		}},
 		{"a worker that has seen a later term deposes the leader", func(b *ledgerFixture) {
-			if r := b.msg(true, 1, 1, term+1, run); !r.Deposed {
+			if r := b.observe(true, 1, 1, term+1, run); !r.Deposed {
 				b.t.Error("not deposed")
 			}
-			b.live(0, "after a message of a later term")
+			b.checkLive(0, "after a message of a later term")
 		}},
 	}
 }
