--- a/internal/election/promise_test.go
+++ b/internal/election/promise_test.go
@@ -200,7 +200,7 @@
 }
 
 // Broken implements explorer.World.
-func (w *world) Broken() string {
+func (w *world) Violation() string {
 	var leads []string
 	for i := range w.members {
 		if !w.entitled(i) {
@@ -218,7 +218,7 @@
 }
 
 // Print implements explorer.World.
-func (w *world) Print() string {
+func (w *world) Fingerprint() string {
 	p := &explorer.Printer{Now: w.now, MaxAge: 2 * length}
 	p.Values(w.storeDown, w.leader)
 	p.Times(w.leaseExpires)
--- a/internal/shard/explore_test.go
+++ b/internal/shard/explore_test.go
@@ -111,8 +111,8 @@
 	}, Count: 1},
 }
 
-// Broken checks what must hold in every state, and returns the fault.
-func (w *world) Broken() string {
+// Violation checks what must hold in every state, and returns the fault.
+func (w *world) Violation() string {
 	if w.disabled == silentHolderUntilGrantEnds {
 		for _, m := range w.leader.members {
 			if len(m.machines) > 0 && w.now.Sub(m.heardAt) >= tick {
@@ -148,8 +148,8 @@
 // begun is when the current term began.
 func (w *world) begun() time.Time { return w.entitlementEnds[w.leader.term-1] }
 
-// Print describes the state: times are relative to now, and those long past are equal.
-func (w *world) Print() string {
+// Fingerprint describes the state: times are relative to now, and those long past are equal.
+func (w *world) Fingerprint() string {
 	p := &explorer.Printer{Now: w.now, MaxAge: 4 * tick}
 	a := w.leader
 	p.Values(a.term, w.deposed)
@@ -203,7 +203,7 @@
 				g.Do(w, "report", i) // the worker has nowhere else to go
 			}
 			g.Do(w, "checkin", i)
-			if why := w.Broken(); why != "" {
+			if why := w.Violation(); why != "" {
 				return why
 			}
 		}
