--- a/internal/control/records_load.go
+++ b/internal/control/records_load.go
@@ -31,23 +31,23 @@
 
 // load reads the stored pages of earlier leaders: hostPages of machines, jobPages of
 // jobs. The error is a *pageError.
-func (g *registry) load(hostPages, jobPages []state.Entry) error {
+func (r *registry) load(hostPages, jobPages []state.Entry) error {
 	byIndex := map[int]*fleet.Host{}
 	for _, e := range hostPages {
-		p, rec, err := g.readPage(hostPrefix, e)
+		p, rec, err := r.readPage(hostPrefix, e)
 		if err != nil {
 			return err
 		}
-		if err := g.loadHosts(p, rec, byIndex); err != nil {
+		if err := r.loadHosts(p, rec, byIndex); err != nil {
 			return err
 		}
 	}
 	for _, e := range jobPages {
-		p, rec, err := g.readPage(jobHostsPrefix, e)
+		p, rec, err := r.readPage(jobHostsPrefix, e)
 		if err != nil {
 			return err
 		}
-		if err := g.loadJobHosts(p, rec, byIndex); err != nil {
+		if err := r.loadJobHosts(p, rec, byIndex); err != nil {
 			return err
 		}
 	}
@@ -55,7 +55,7 @@
 }
 
 // readPage decodes a stored page and adds it, stale, to the registry.
-func (g *registry) readPage(prefix string, e state.Entry) (*registryPage, *pageRecord, error) {
+func (r *registry) readPage(prefix string, e state.Entry) (*registryPage, *pageRecord, error) {
 	var rec pageRecord
 	if err := wire.Unmarshal(e.Value, &rec); err != nil {
 		return nil, nil, &pageError{key: e.Key, err: err}
@@ -64,47 +64,47 @@
 	if _, err := fmt.Sscanf(e.Key[len(prefix):], "%d", &number); err != nil {
 		return nil, nil, &pageError{key: e.Key, err: err}
 	}
-	g.nextPage[prefix] = max(g.nextPage[prefix], number+1)
+	r.nextPage[prefix] = max(r.nextPage[prefix], number+1)
 	p := &registryPage{key: e.Key, version: e.Version, stale: true}
-	g.pages = append(g.pages, p)
+	r.pages = append(r.pages, p)
 	return p, &rec, nil
 }
 
 // loadHosts adds the machines of a stored page to the fleet, under their indexes.
-func (g *registry) loadHosts(p *registryPage, rec *pageRecord, byIndex map[int]*fleet.Host) error {
+func (r *registry) loadHosts(p *registryPage, rec *pageRecord, byIndex map[int]*fleet.Host) error {
 	for _, hr := range rec.Hosts {
 		known := byIndex[hr.Idx]
 		if known != nil && known.Name == hr.Name {
 			// The earlier leader was moving the machine between two pages.
-			g.storeInOrder(p, g.hostEntries[known].page)
+			r.storeInOrder(p, r.hostEntries[known].page)
 			continue
 		}
 		if known != nil || hr.Idx < 0 {
 			return &pageError{key: p.key, err: &indexReusedError{index: hr.Idx}}
 		}
-		h := g.fleet.AddAt(hr.Name, hr.Idx, g.termStart)
+		h := r.fleet.AddAt(hr.Name, hr.Idx, r.termStart)
 		byIndex[hr.Idx] = h
 		h.Addr = hr.Addr
 		h.Durable = true
 		h.Inherited = true
 		h.Booting = false
-		g.nameIndex.describe(h, hr.Type, hr.Zone, hr.Spot)
+		r.nameIndex.describe(h, hr.Type, hr.Zone, hr.Spot)
 		p.hosts = append(p.hosts, h)
-		g.hostEntries[h] = hostEntry{hostRecord: hr, page: p}
+		r.hostEntries[h] = hostEntry{hostRecord: hr, page: p}
 	}
 	return nil
 }
 
 // loadJobHosts reads the jobs of a stored page, and sets which jobs each machine may
 // have inherited.
-func (g *registry) loadJobHosts(p *registryPage, rec *pageRecord, byIndex map[int]*fleet.Host) error {
+func (r *registry) loadJobHosts(p *registryPage, rec *pageRecord, byIndex map[int]*fleet.Host) error {
 	for _, jr := range rec.Jobs {
 		set, err := job.ParseMachineSet(jr.Hosts)
 		if err != nil {
 			return &pageError{key: p.key, err: err}
 		}
-		g.mergeJobHosts(p, jr, set)
-		team := g.nameIndex.team(jr.Team)
+		r.mergeJobHosts(p, jr, set)
+		team := r.nameIndex.team(jr.Team)
 		for index, h := range byIndex {
 			if set.Has(index) {
 				h.InheritedJobs = append(h.InheritedJobs, fleet.InheritedJob{ID: jr.Job, Team: team})
@@ -116,12 +116,12 @@
 
 // mergeJobHosts adds the stored entry of a job, or merges it into the one that
 // another page has.
-func (g *registry) mergeJobHosts(p *registryPage, jr jobHostsRecord, set job.MachineSet) {
-	known := g.hostsByJob[jr.Job]
+func (r *registry) mergeJobHosts(p *registryPage, jr jobHostsRecord, set job.MachineSet) {
+	known := r.hostsByJob[jr.Job]
 	if known == nil {
 		added := &jobHosts{id: jr.Job, team: jr.Team, confirmed: set, desired: slices.Clone(set), page: p}
 		p.jobs = append(p.jobs, added)
-		g.hostsByJob[jr.Job] = added
+		r.hostsByJob[jr.Job] = added
 		return
 	}
 	// The earlier leader was moving the job between two pages. It may be on the machines
@@ -132,5 +132,5 @@
 		}
 	}
 	known.confirmed = nil
-	g.storeInOrder(p, known.page)
+	r.storeInOrder(p, known.page)
 }
--- a/internal/control/records_pages.go
+++ b/internal/control/records_pages.go
@@ -137,7 +137,7 @@
 )
 
 // pageSize estimates the encoded size of a page.
-func (g *registry) pageSize(p *registryPage) int {
+func (r *registry) pageSize(p *registryPage) int {
 	n := pageOverheadBytes
 	for _, h := range p.hosts {
 		n += hostSize(h)
@@ -160,55 +160,55 @@
 // if there is none. A page that takes over entries of another one (takesOver) must
 // have no dependencies itself: two pages that waited for each other would never be
 // stored, and nothing that they name would ever be launched.
-func (g *registry) pageWithRoom(prefix string, n int, takesOver bool) *registryPage {
-	for _, p := range g.pages {
-		if p.hasPrefix(prefix) && (!takesOver || len(p.dependencies) == 0) && g.pageSize(p)+n <= g.maxPageBytes {
+func (r *registry) pageWithRoom(prefix string, n int, takesOver bool) *registryPage {
+	for _, p := range r.pages {
+		if p.hasPrefix(prefix) && (!takesOver || len(p.dependencies) == 0) && r.pageSize(p)+n <= r.maxPageBytes {
 			return p
 		}
 	}
-	p := &registryPage{key: fmt.Sprintf("%s%d", prefix, g.nextPage[prefix])}
-	g.nextPage[prefix]++
-	g.pages = append(g.pages, p)
+	p := &registryPage{key: fmt.Sprintf("%s%d", prefix, r.nextPage[prefix])}
+	r.nextPage[prefix]++
+	r.pages = append(r.pages, p)
 	return p
 }
 
 // splitUrgentPages splits the pages that are to be stored next where they have
 // grown too large.
-func (g *registry) splitUrgentPages() {
-	for i := 0; i < len(g.pages); i++ { // splitPage appends
-		if p := g.pages[i]; p.urgent {
-			g.splitPage(p)
+func (r *registry) splitUrgentPages() {
+	for i := 0; i < len(r.pages); i++ { // splitPage appends
+		if p := r.pages[i]; p.urgent {
+			r.splitPage(p)
 		}
 	}
 }
 
 // splitPage moves entries of a page that is larger than the limit to other pages.
-func (g *registry) splitPage(p *registryPage) {
-	for len(p.jobs) > 1 && g.pageSize(p) > g.maxPageBytes {
+func (r *registry) splitPage(p *registryPage) {
+	for len(p.jobs) > 1 && r.pageSize(p) > r.maxPageBytes {
 		last := len(p.jobs) - 1
 		jh := p.jobs[last]
 		p.jobs = p.jobs[:last]
-		to := g.pageWithRoom(jobHostsPrefix, jobHostsSize(jh), true)
-		g.storeInOrder(p, to)
+		to := r.pageWithRoom(jobHostsPrefix, jobHostsSize(jh), true)
+		r.storeInOrder(p, to)
 		to.jobs = append(to.jobs, jh)
 		jh.page = to
 	}
-	for len(p.hosts) > 1 && g.pageSize(p) > g.maxPageBytes {
+	for len(p.hosts) > 1 && r.pageSize(p) > r.maxPageBytes {
 		last := len(p.hosts) - 1
 		h := p.hosts[last]
 		p.hosts = p.hosts[:last]
-		to := g.pageWithRoom(hostPrefix, hostSize(h), true)
-		g.storeInOrder(p, to)
+		to := r.pageWithRoom(hostPrefix, hostSize(h), true)
+		r.storeInOrder(p, to)
 		to.hosts = append(to.hosts, h)
-		entry := g.hostEntries[h]
+		entry := r.hostEntries[h]
 		entry.page = to
-		g.hostEntries[h] = entry
+		r.hostEntries[h] = entry
 	}
 }
 
 // storeInOrder makes sure that an entry which moves from one page to another is
 // stored in the new page before, or together with, its removal from the old one.
-func (g *registry) storeInOrder(from, to *registryPage) {
+func (r *registry) storeInOrder(from, to *registryPage) {
 	to.urgent = true
 	from.storeAfter(to)
 }
--- a/internal/control/records_registry.go
+++ b/internal/control/records_registry.go
@@ -31,64 +31,64 @@
 // newRegistry makes a registry whose pages fit the state service's limit for values,
 // in KiB.
 func newRegistry(co *core, valueKB float64) *registry {
-	g := &registry{core: co, maxPageBytes: max(minPageBytes, int(valueKB*1024*valueFillFraction))}
-	g.reset()
-	return g
+	r := &registry{core: co, maxPageBytes: max(minPageBytes, int(valueKB*1024*valueFillFraction))}
+	r.reset()
+	return r
 }
 
 // reset forgets the pages of a load that failed half-way.
-func (g *registry) reset() {
-	g.pages = nil
-	g.nextPage = map[string]int{}
-	g.hostEntries = map[*fleet.Host]hostEntry{}
-	g.hostsByJob = map[string]*jobHosts{}
+func (r *registry) reset() {
+	r.pages = nil
+	r.nextPage = map[string]int{}
+	r.hostEntries = map[*fleet.Host]hostEntry{}
+	r.hostsByJob = map[string]*jobHosts{}
 }
 
 // canShrinkPages reports whether the size limit of pages may still be lowered.
-func (g *registry) canShrinkPages() bool { return g.maxPageBytes > minPageBytes }
+func (r *registry) canShrinkPages() bool { return r.maxPageBytes > minPageBytes }
 
 // shrinkPages halves the size limit of pages: the state service accepts less than
 // its settings say.
-func (g *registry) shrinkPages() { g.maxPageBytes = max(minPageBytes, g.maxPageBytes/2) }
+func (r *registry) shrinkPages() { r.maxPageBytes = max(minPageBytes, r.maxPageBytes/2) }
 
 // attachJob connects a job with the entry that an earlier leader has stored for it.
-func (g *registry) attachJob(j *job.Job) {
-	if jh := g.hostsByJob[j.ID]; jh != nil {
+func (r *registry) attachJob(j *job.Job) {
+	if jh := r.hostsByJob[j.ID]; jh != nil {
 		jh.job = j
 		j.NotedMachines = jh.confirmed
 	}
 }
 
 // detachJob disconnects a job that is over from its entry.
-func (g *registry) detachJob(id string) {
-	if jh := g.hostsByJob[id]; jh != nil {
+func (r *registry) detachJob(id string) {
+	if jh := r.hostsByJob[id]; jh != nil {
 		jh.job = nil
 	}
 }
 
 // addHost adds a machine to the registry, unless it has it already.
-func (g *registry) addHost(h *fleet.Host, typ, zone string) {
-	if _, registered := g.hostEntries[h]; registered {
+func (r *registry) addHost(h *fleet.Host, typ, zone string) {
+	if _, registered := r.hostEntries[h]; registered {
 		return
 	}
-	p := g.pageWithRoom(hostPrefix, hostSize(h), false)
+	p := r.pageWithRoom(hostPrefix, hostSize(h), false)
 	p.hosts = append(p.hosts, h)
 	p.urgent = true
 	record := hostRecord{Idx: h.Index, Name: h.Name, Addr: h.Addr, Type: typ, Zone: zone, Spot: h.Spot}
-	g.hostEntries[h] = hostEntry{hostRecord: record, page: p}
+	r.hostEntries[h] = hostEntry{hostRecord: record, page: p}
 }
 
 // removeHost removes a machine and reports whether its index is free at once;
 // otherwise the index is free when the machine's page has been stored.
-func (g *registry) removeHost(h *fleet.Host) bool {
-	for _, jh := range g.hostsByJob {
+func (r *registry) removeHost(h *fleet.Host) bool {
+	for _, jh := range r.hostsByJob {
 		jh.desired.Remove(h.Index)
 	}
-	entry, registered := g.hostEntries[h]
+	entry, registered := r.hostEntries[h]
 	if !registered {
 		return true
 	}
-	delete(g.hostEntries, h)
+	delete(r.hostEntries, h)
 	p := entry.page
 	p.hosts = slices.DeleteFunc(p.hosts, func(x *fleet.Host) bool { return x == h })
 	p.removedIndexes = append(p.removedIndexes, h.Index)
@@ -98,14 +98,14 @@
 
 // recordPlacement has the registry name a machine for a job; the job may be launched
 // there once j.NotedMachines has the machine.
-func (g *registry) recordPlacement(j *job.Job, h *fleet.Host) {
-	jh := g.hostsByJob[j.ID]
+func (r *registry) recordPlacement(j *job.Job, h *fleet.Host) {
+	jh := r.hostsByJob[j.ID]
 	if jh == nil {
 		jh = &jobHosts{id: j.ID, team: j.Team, job: j}
 		size := jobHostsSize(jh) + setWordBytes*(h.Index/setWordBits+2)
-		jh.page = g.pageWithRoom(jobHostsPrefix, size, false)
+		jh.page = r.pageWithRoom(jobHostsPrefix, size, false)
 		jh.page.jobs = append(jh.page.jobs, jh)
-		g.hostsByJob[j.ID] = jh
+		r.hostsByJob[j.ID] = jh
 	}
 	jh.desired.Add(h.Index)
 	if !j.NotedMachines.Has(h.Index) {
@@ -117,32 +117,32 @@
 // on now: the gang restarts elsewhere, and an unreachable machine of an attempt that
 // is over must not delay it. An array comes back to the machines that it has used,
 // so its entry only grows, which saves most writes.
-func (g *registry) pruneGangHosts(jh *jobHosts) {
-	if jh.job == nil || jh.job.Shape != job.Gang || !g.takeover.reconciled() {
+func (r *registry) pruneGangHosts(jh *jobHosts) {
+	if jh.job == nil || jh.job.Shape != job.Gang || !r.takeover.reconciled() {
 		return
 	}
 	clear(jh.desired)
-	for s := range g.fleet.SlotsOf(jh.job) {
+	for s := range r.fleet.SlotsOf(jh.job) {
 		jh.desired.Add(s.Host.Index)
 	}
 }
 
 // removeFinishedJobs removes the entries of jobs that are over, once every machine
 // that they name is settled.
-func (g *registry) removeFinishedJobs() {
-	if !g.takeover.reconciled() {
+func (r *registry) removeFinishedJobs() {
+	if !r.takeover.reconciled() {
 		return
 	}
-	for id, jh := range g.hostsByJob {
-		if g.jobTable.get(id) == nil {
-			g.removeJob(jh)
+	for id, jh := range r.hostsByJob {
+		if r.jobTable.get(id) == nil {
+			r.removeJob(jh)
 		}
 	}
 }
 
 // removeJob removes the entry of a job that is over and on no machine.
-func (g *registry) removeJob(jh *jobHosts) {
-	delete(g.hostsByJob, jh.id)
+func (r *registry) removeJob(jh *jobHosts) {
+	delete(r.hostsByJob, jh.id)
 	jh.page.jobs = slices.DeleteFunc(jh.page.jobs, func(x *jobHosts) bool { return x == jh })
 	jh.page.stale = true
 }
--- a/internal/control/records_registry_test.go
+++ b/internal/control/records_registry_test.go
@@ -13,92 +13,92 @@
 // registryCase is a case of TestRegistry: do runs against a fresh registryBed.
 type registryCase struct {
 	name string
-	do   func(b *registryFixture)
+	do   func(f *registryFixture)
 }
 
 // registryCases are the cases of TestRegistry.
 var registryCases = []registryCase{
-	{"an array over many machines is one write", func(b *registryFixture) {
-		j := b.array("run-1")
+	{"an array over many machines is one write", func(f *registryFixture) {
+		j := f.array("run-1")
 		for i := range 60 {
-			b.assign(j, int32(i), b.addHost(fmt.Sprintf("h%d", i)))
+			f.assign(j, int32(i), f.addHost(fmt.Sprintf("h%d", i)))
 		}
-		if n := len(b.storeOnce(b.store.apply).Writes); n != 2 {
-			b.t.Errorf("%d writes, want 2: a page of machines and one of jobs", n)
+		if n := len(f.storeOnce(f.store.apply).Writes); n != 2 {
+			f.t.Errorf("%d writes, want 2: a page of machines and one of jobs", n)
 		}
 		for i := range 60 {
 			if !j.NotedMachines.Has(i) {
-				b.t.Errorf("machine %d is not noted", i)
+				f.t.Errorf("machine %d is not noted", i)
 			}
 		}
 	}},
-	{"an unclear write names nothing, one applied late takes no newer one's place", func(b *registryFixture) {
-		j := b.array("run-1")
-		b.assign(j, 0, b.addHost("h0"))
-		late := b.storeOnce(lostResponse)
-		if j.NotedMachines.Has(0) || b.host("h0").Durable {
-			b.t.Error("launched on the word of an unclear write")
-		}
-		b.assign(j, 1, b.addHost("h1"))
-		b.storeOnce(b.store.apply)
-		if _, err := b.store.apply(late); err == nil {
-			b.t.Error("the late write was applied")
-		}
-		b.checkRecordedHosts()
+	{"an unclear write names nothing, one applied late takes no newer one's place", func(f *registryFixture) {
+		j := f.array("run-1")
+		f.assign(j, 0, f.addHost("h0"))
+		late := f.storeOnce(lostResponse)
+		if j.NotedMachines.Has(0) || f.host("h0").Durable {
+			f.t.Error("launched on the word of an unclear write")
+		}
+		f.assign(j, 1, f.addHost("h1"))
+		f.storeOnce(f.store.apply)
+		if _, err := f.store.apply(late); err == nil {
+			f.t.Error("the late write was applied")
+		}
+		f.checkRecordedHosts()
 	}},
-	{"an unclear write that was applied is found out", func(b *registryFixture) {
-		j := b.array("run-1")
-		b.assign(j, 0, b.addHost("h0"))
-		late := b.storeOnce(lostResponse)
-		if _, err := b.store.apply(late); err != nil {
-			b.t.Fatal(err)
-		}
-		b.storeOnce(b.store.apply) // conflicts
-		b.storeOnce(b.store.apply)
+	{"an unclear write that was applied is found out", func(f *registryFixture) {
+		j := f.array("run-1")
+		f.assign(j, 0, f.addHost("h0"))
+		late := f.storeOnce(lostResponse)
+		if _, err := f.store.apply(late); err != nil {
+			f.t.Fatal(err)
+		}
+		f.storeOnce(f.store.apply) // conflicts
+		f.storeOnce(f.store.apply)
 		if !j.NotedMachines.Has(0) {
-			b.t.Error("not noted after the conflict")
+			f.t.Error("not noted after the conflict")
 		}
 	}},
-	{"a gang's note shrinks to where it may be, and only then", func(b *registryFixture) {
-		j := newGangJob(b, "run-1")
-		b.assign(j, 0, b.addHost("h0"))
-		b.storeOnce(b.store.apply)
-		for s := range b.fleet.SlotsOf(j) {
-			b.fleet.Stop(s, 0)
-		}
-		b.assign(j, 1, b.addHost("h1"))
-		b.storeOnce(lostResponse)
+	{"a gang's note shrinks to where it may be, and only then", func(f *registryFixture) {
+		j := newGangJob(f, "run-1")
+		f.assign(j, 0, f.addHost("h0"))
+		f.storeOnce(f.store.apply)
+		for s := range f.fleet.SlotsOf(j) {
+			f.fleet.Stop(s, 0)
+		}
+		f.assign(j, 1, f.addHost("h1"))
+		f.storeOnce(lostResponse)
 		if j.NotedMachines.Has(0) || j.NotedMachines.Has(1) {
-			b.t.Error("what only one of the two records names may be launched")
+			f.t.Error("what only one of the two records names may be launched")
 		}
-		b.storeOnce(b.store.apply)
+		f.storeOnce(f.store.apply)
 		if j.NotedMachines.Has(0) || !j.NotedMachines.Has(1) {
-			b.t.Error("the new place is not the noted one")
+			f.t.Error("the new place is not the noted one")
 		}
 	}},
-	{"pages that outgrow the limit are split, and a new leader finds all", func(b *registryFixture) {
+	{"pages that outgrow the limit are split, and a new leader finds all", func(f *registryFixture) {
 		for i := range 40 {
-			b.assign(b.array(fmt.Sprintf("run-%d", i)), 0, b.addHost(fmt.Sprintf("h%d", i)))
+			f.assign(f.array(fmt.Sprintf("run-%d", i)), 0, f.addHost(fmt.Sprintf("h%d", i)))
 		}
-		b.storeOnce(b.store.apply)
-		b.registry.maxPageBytes = 1000
+		f.storeOnce(f.store.apply)
+		f.registry.maxPageBytes = 1000
 		for i := range 40 {
-			b.assign(b.jobTable.get(fmt.Sprintf("run-%d", i)), 1, b.host(fmt.Sprintf("h%d", (i+1)%40)))
+			f.assign(f.jobTable.get(fmt.Sprintf("run-%d", i)), 1, f.host(fmt.Sprintf("h%d", (i+1)%40)))
 		}
-		for _, p := range b.registry.pages {
+		for _, p := range f.registry.pages {
 			p.urgent = true
 		}
 		for n := range 30 {
-			b.storeOnce([]func(state.Txn) (uint64, error){b.store.apply, lostResponse}[n%2])
+			f.storeOnce([]func(state.Txn) (uint64, error){f.store.apply, lostResponse}[n%2])
 		}
-		for k, e := range b.store.kv {
+		for k, e := range f.store.kv {
 			if len(e.Value) > 1000 {
-				b.t.Errorf("page %s has %d bytes", k, len(e.Value))
+				f.t.Errorf("page %s has %d bytes", k, len(e.Value))
 			}
 		}
-		next := newRegistryFixture(b.t)
+		next := newRegistryFixture(f.t)
 		var hosts, notes []state.Entry
-		for k, e := range b.store.kv {
+		for k, e := range f.store.kv {
 			if k[0] == hostPrefix[0] {
 				hosts = append(hosts, e)
 			} else {
@@ -106,7 +106,7 @@
 			}
 		}
 		if err := next.registry.load(hosts, notes); err != nil {
-			b.t.Fatal(err)
+			f.t.Fatal(err)
 		}
 		for i := range 40 {
 			past := map[string]bool{}
@@ -114,101 +114,101 @@
 				past[p.ID] = true
 			}
 			if !past[fmt.Sprintf("run-%d", i)] || !past[fmt.Sprintf("run-%d", (i+39)%40)] {
-				b.t.Errorf("machine %d: %v", i, past)
+				f.t.Errorf("machine %d: %v", i, past)
 			}
 		}
 	}},
-	{"pages that take over each other's entries do not wait for each other", func(b *registryFixture) {
+	{"pages that take over each other's entries do not wait for each other", func(f *registryFixture) {
 		p0, p1 := &registryPage{key: "p/0"}, &registryPage{key: "p/1"}
-		b.usePages(p0, p1)
-		b.addJobToPage(p0, "run-1", 60)
-		b.addJobToPage(p0, "run-2", 30)
-		b.addJobToPage(p1, "run-3", 20)
-		b.addJobToPage(p1, "run-4", 15)
-		b.storeOnce(lostResponse) // run-2 goes to the second page
-		b.recordHost("run-3", 70)
-		b.storeOnce(lostResponse) // and run-4 to where it has made room
+		f.usePages(p0, p1)
+		f.addJobToPage(p0, "run-1", 60)
+		f.addJobToPage(p0, "run-2", 30)
+		f.addJobToPage(p1, "run-3", 20)
+		f.addJobToPage(p1, "run-4", 15)
+		f.storeOnce(lostResponse) // run-2 goes to the second page
+		f.recordHost("run-3", 70)
+		f.storeOnce(lostResponse) // and run-4 to where it has made room
 		for range 6 {
-			b.storeOnce(b.store.apply)
+			f.storeOnce(f.store.apply)
 		}
 		for id, w := range map[string]int{"run-1": 60, "run-2": 30, "run-3": 70, "run-4": 15} {
-			if !b.jobTable.get(id).NotedMachines.Has(64*w - 1) {
-				b.t.Errorf("%s is never noted", id)
+			if !f.jobTable.get(id).NotedMachines.Has(64*w - 1) {
+				f.t.Errorf("%s is never noted", id)
 			}
 		}
 	}},
-	{"a page does not wait for entries that come to the other later", func(b *registryFixture) {
+	{"a page does not wait for entries that come to the other later", func(f *registryFixture) {
 		p := &registryPage{key: "p/0"}
-		b.usePages(p)
-		b.addJobToPage(p, "run-1", 60)
-		b.addJobToPage(p, "run-2", 10)
-		b.addJobToPage(p, "run-3", 30) // goes to a page of its own
+		f.usePages(p)
+		f.addJobToPage(p, "run-1", 60)
+		f.addJobToPage(p, "run-2", 10)
+		f.addJobToPage(p, "run-3", 30) // goes to a page of its own
 		for w := range 9 {
-			b.storeOnce(b.store.apply)
-			b.recordHost("run-3", 29-w) // and is in demand before each store
+			f.storeOnce(f.store.apply)
+			f.recordHost("run-3", 29-w) // and is in demand before each store
 		}
-		if !b.jobTable.jobs["run-1"].NotedMachines.Has(64*60 - 1) {
-			b.t.Error("never noted")
+		if !f.jobTable.jobs["run-1"].NotedMachines.Has(64*60 - 1) {
+			f.t.Error("never noted")
 		}
 	}},
-	{"pages that say too much have their turn, whatever becomes of those before them", func(b *registryFixture) {
-		b.registry.maxPageBytes = 1000
+	{"pages that say too much have their turn, whatever becomes of those before them", func(f *registryFixture) {
+		f.registry.maxPageBytes = 1000
 		for i := range 60 {
-			b.addHost(fmt.Sprintf("h%d", i))
+			f.addHost(fmt.Sprintf("h%d", i))
 		}
 		for range 10 {
-			b.storeOnce(b.store.apply)
+			f.storeOnce(f.store.apply)
 		}
-		first, last := b.registry.pages[0], b.registry.pages[len(b.registry.pages)-1]
-		b.registry.removeHost(last.hosts[0])
+		first, last := f.registry.pages[0], f.registry.pages[len(f.registry.pages)-1]
+		f.registry.removeHost(last.hosts[0])
 		for i := range 6 {
-			for _, p := range b.registry.pages[:len(b.registry.pages)-1] {
+			for _, p := range f.registry.pages[:len(f.registry.pages)-1] {
 				p.stale = true // as in a fleet whose machines come and go
 			}
-			b.now = b.now.Add(staleInterval)
-			if out, txn := b.registry.nextTransaction(b.now, 4, true); len(out) > 0 {
-				version, err := b.store.apply(txn)
-				b.registry.handleStored(out, version, nil, err)
+			f.now = f.now.Add(staleInterval)
+			if out, txn := f.registry.nextTransaction(f.now, 4, true); len(out) > 0 {
+				version, err := f.store.apply(txn)
+				f.registry.handleStored(out, version, nil, err)
 			}
 			if i == 0 && first.stale && last.stale {
-				b.t.Error("nothing was taken")
+				f.t.Error("nothing was taken")
 			}
 		}
 		if last.stale {
-			b.t.Error("the last page still names a machine that is gone")
+			f.t.Error("the last page still names a machine that is gone")
 		}
 	}},
-	{"an index is used again only when no record names its machine", func(b *registryFixture) {
-		h := b.addHost("h0")
-		b.storeOnce(b.store.apply)
-		b.fleet.Remove(h)
-		if b.registry.removeHost(h) {
-			b.t.Fatal("free while the record names it")
+	{"an index is used again only when no record names its machine", func(f *registryFixture) {
+		h := f.addHost("h0")
+		f.storeOnce(f.store.apply)
+		f.fleet.Remove(h)
+		if f.registry.removeHost(h) {
+			f.t.Fatal("free while the record names it")
 		}
-		if b.addHost("h1").Index == h.Index {
-			b.t.Error("used again at once")
+		if f.addHost("h1").Index == h.Index {
+			f.t.Error("used again at once")
 		}
-		b.storeOnce(b.store.apply)
-		if got := b.addHost("h2").Index; got != h.Index {
-			b.t.Errorf("index %d, want %d", got, h.Index)
+		f.storeOnce(f.store.apply)
+		if got := f.addHost("h2").Index; got != h.Index {
+			f.t.Errorf("index %d, want %d", got, h.Index)
 		}
 	}},
-	{"the note of a job that is over goes when the takeover is settled", func(b *registryFixture) {
-		j := b.array("run-1")
-		b.assign(j, 0, b.addHost("h0"))
-		b.storeOnce(b.store.apply)
-		delete(b.jobTable.jobs, "run-1")
-		b.takeover.allReconciled = false
-		b.registry.removeFinishedJobs()
-		if b.registry.hostsByJob["run-1"] == nil {
-			b.t.Fatal("dropped before")
-		}
-		b.takeover.allReconciled = true
-		b.registry.removeFinishedJobs()
-		b.now = b.now.Add(time.Minute)
-		b.storeOnce(b.store.apply)
-		if len(b.store.names(b.t, "run-1")) != 0 {
-			b.t.Error("still named")
+	{"the note of a job that is over goes when the takeover is settled", func(f *registryFixture) {
+		j := f.array("run-1")
+		f.assign(j, 0, f.addHost("h0"))
+		f.storeOnce(f.store.apply)
+		delete(f.jobTable.jobs, "run-1")
+		f.takeover.allReconciled = false
+		f.registry.removeFinishedJobs()
+		if f.registry.hostsByJob["run-1"] == nil {
+			f.t.Fatal("dropped before")
+		}
+		f.takeover.allReconciled = true
+		f.registry.removeFinishedJobs()
+		f.now = f.now.Add(time.Minute)
+		f.storeOnce(f.store.apply)
+		if len(f.store.names(f.t, "run-1")) != 0 {
+			f.t.Error("still named")
 		}
 	}},
 }
--- a/internal/control/records_store.go
+++ b/internal/control/records_store.go
@@ -39,23 +39,23 @@
 
 // storePages stores the pages that launches wait for, and stale ones if the budget
 // is idle.
-func (g *registry) storePages(now time.Time) {
-	if g.commitInFlight || now.Before(g.nextStoreAt) {
+func (r *registry) storePages(now time.Time) {
+	if r.commitInFlight || now.Before(r.nextStoreAt) {
 		return
 	}
-	maxPages := min(g.recordWriter.maxWrites(), g.controller.State.SpareWrites()-reservedWrites)
+	maxPages := min(r.recordWriter.maxWrites(), r.controller.State.SpareWrites()-reservedWrites)
 	if maxPages < 1 {
 		return
 	}
-	stores, txn := g.nextTransaction(now, maxPages, g.controller.State.Idle(g.recordWriter.maxWrites()))
+	stores, txn := r.nextTransaction(now, maxPages, r.controller.State.Idle(r.recordWriter.maxWrites()))
 	if len(stores) == 0 {
 		return
 	}
-	g.commitInFlight = true
-	g.nextStoreAt = now.Add(storeInterval)
+	r.commitInFlight = true
+	r.nextStoreAt = now.Add(storeInterval)
 	go func() {
-		version, found, err := g.commitPages(stores, txn)
-		g.enqueue(func() { g.handleStored(stores, version, found, err) })
+		version, found, err := r.commitPages(stores, txn)
+		r.enqueue(func() { r.handleStored(stores, version, found, err) })
 	}()
 }
 
@@ -64,25 +64,25 @@
 // one: a job may be launched only on machines that both name. The transaction is
 // conditional on each page's version, so that one that is executed late cannot
 // overwrite a newer one.
-func (g *registry) nextTransaction(now time.Time, maxPages int, idle bool) (stores []pageStore, txn state.Txn) {
-	staleDue := !now.Before(g.staleDueAt)
-	g.splitUrgentPages()
+func (r *registry) nextTransaction(now time.Time, maxPages int, idle bool) (stores []pageStore, txn state.Txn) {
+	staleDue := !now.Before(r.staleDueAt)
+	r.splitUrgentPages()
 	bytes := 0
 	included := map[*registryPage]bool{}
-	txn.If = []state.Condition{g.fence}
+	txn.If = []state.Condition{r.fence}
 	complete := true
-	for _, p := range g.storeOrder(staleDue, idle) {
+	for _, p := range r.storeOrder(staleDue, idle) {
 		if !p.storable(included) {
 			continue
 		}
-		size := g.pageSize(p)
+		size := r.pageSize(p)
 		if len(stores) >= maxPages || (bytes > 0 && bytes+size > maxTxnPageBytes) {
 			complete = false
 			break
 		}
-		store, write, err := g.encodePage(p)
+		store, write, err := r.encodePage(p)
 		if err != nil {
-			g.log.Error("page does not encode", "key", p.key, "error", err)
+			r.log.Error("page does not encode", "key", p.key, "error", err)
 			continue
 		}
 		store.begin(now)
@@ -94,18 +94,18 @@
 	}
 	switch {
 	case staleDue && idle && complete:
-		g.staleDueAt = now.Add(staleInterval)
+		r.staleDueAt = now.Add(staleInterval)
 	case staleDue && idle:
-		g.staleDueAt = now.Add(staleRetryInterval)
+		r.staleDueAt = now.Add(staleRetryInterval)
 	}
 	return stores, txn
 }
 
 // storeOrder is the order in which pages are stored: first the urgent ones, then, if
 // they are due and the budget is idle, the stale ones.
-func (g *registry) storeOrder(staleDue, idle bool) []*registryPage {
+func (r *registry) storeOrder(staleDue, idle bool) []*registryPage {
 	var order []*registryPage
-	for _, p := range g.pages {
+	for _, p := range r.pages {
 		if p.urgent {
 			order = append(order, p)
 		}
@@ -114,7 +114,7 @@
 	if !staleDue || !idle {
 		return order
 	}
-	for _, p := range g.pages {
+	for _, p := range r.pages {
 		if p.stale && !p.urgent {
 			order = append(order, p)
 		}
@@ -136,7 +136,7 @@
 }
 
 // encodePage makes the write of a page, and what it says of its machines and jobs.
-func (g *registry) encodePage(p *registryPage) (pageStore, state.Write, error) {
+func (r *registry) encodePage(p *registryPage) (pageStore, state.Write, error) {
 	store := pageStore{
 		page:           p,
 		hosts:          slices.Clone(p.hosts),
@@ -145,10 +145,10 @@
 	}
 	record := pageRecord{}
 	for _, h := range p.hosts {
-		record.Hosts = append(record.Hosts, g.hostEntries[h].hostRecord)
+		record.Hosts = append(record.Hosts, r.hostEntries[h].hostRecord)
 	}
 	for _, jh := range p.jobs {
-		g.pruneGangHosts(jh)
+		r.pruneGangHosts(jh)
 		set := slices.Clone(jh.desired)
 		store.sets = append(store.sets, set)
 		record.Jobs = append(record.Jobs, jobHostsRecord{Job: jh.id, Team: jh.team, Hosts: set.Encode()})
@@ -173,17 +173,17 @@
 
 // commitPages runs the transaction. After a conflict it also returns the versions
 // that the pages have now, as far as they can be read.
-func (g *registry) commitPages(stores []pageStore, txn state.Txn) (version uint64, found map[*registryPage]uint64, err error) {
-	version, err = g.controller.State.Commit(g.ctx, txn)
+func (r *registry) commitPages(stores []pageStore, txn state.Txn) (version uint64, found map[*registryPage]uint64, err error) {
+	version, err = r.controller.State.Commit(r.ctx, txn)
 	if err != nil {
-		g.sleep(storeFailurePause)
+		r.sleep(storeFailurePause)
 	}
 	if !errors.Is(err, state.ErrConflict) {
 		return version, nil, err
 	}
 	found = map[*registryPage]uint64{}
 	for _, store := range stores {
-		if current, known := g.recordWriter.readVersion(store.page.key); known {
+		if current, known := r.recordWriter.readVersion(store.page.key); known {
 			found[store.page] = current
 		}
 	}
@@ -192,8 +192,8 @@
 
 // handleStored applies the outcome of a transaction: what it has stored is confirmed;
 // if it failed, its pages are to be stored again.
-func (g *registry) handleStored(stores []pageStore, version uint64, found map[*registryPage]uint64, err error) {
-	g.commitInFlight = false
+func (r *registry) handleStored(stores []pageStore, version uint64, found map[*registryPage]uint64, err error) {
+	r.commitInFlight = false
 	for p, current := range found {
 		p.version = current
 	}
@@ -202,28 +202,28 @@
 			store.page.urgent = true
 			store.page.removedIndexes = append(store.page.removedIndexes, store.removedIndexes...)
 		}
-		g.recordWriter.shrinkIfRejected(err)
+		r.recordWriter.shrinkIfRejected(err)
 		return
 	}
 	for i := range stores {
-		g.confirm(&stores[i], version)
+		r.confirm(&stores[i], version)
 	}
-	g.requestPlan()
+	r.requestPlan()
 }
 
 // confirm notes that a page was stored at the version: its machines are durable, and
 // its jobs may be launched on the machines that it names.
-func (g *registry) confirm(store *pageStore, version uint64) {
+func (r *registry) confirm(store *pageStore, version uint64) {
 	p := store.page
 	p.version = version
 	p.lastStored = p.storesBegun
 	for _, h := range store.hosts {
-		if g.hostEntries[h].page == p {
+		if r.hostEntries[h].page == p {
 			h.Durable = true
 		}
 	}
 	for _, index := range store.removedIndexes {
-		g.fleet.FreeIndex(index)
+		r.fleet.FreeIndex(index)
 	}
 	for i, jh := range store.jobs {
 		jh.setConfirmed(store.sets[i])
--- a/internal/control/registry_fixture_test.go
+++ b/internal/control/registry_fixture_test.go
@@ -65,72 +65,72 @@
 }
 
 func newRegistryFixture(t *testing.T) *registryFixture {
-	b := &registryFixture{
+	f := &registryFixture{
 		leaderTerm: newTestTerm(t),
 		t:          t,
 		store:      &fakeStore{kv: map[string]state.Entry{}},
 		now:        time.Unix(1000, 0),
 	}
-	b.learn([]wire.MachineType{{Name: "small", CPUs: 8, MemGB: 16, Zones: []string{"a"}}})
-	b.registry.maxPageBytes = newRegistry(b.core, 16).maxPageBytes
-	b.takeover.allReconciled = true
-	return b
+	f.learn([]wire.MachineType{{Name: "small", CPUs: 8, MemGB: 16, Zones: []string{"a"}}})
+	f.registry.maxPageBytes = newRegistry(f.core, 16).maxPageBytes
+	f.takeover.allReconciled = true
+	return f
 }
 
 // addHost adds a machine to the fleet and to the registry.
-func (b *registryFixture) addHost(name string) *fleet.Host {
-	h := b.host(name)
-	b.nameIndex.describe(h, "small", "a", false)
+func (f *registryFixture) addHost(name string) *fleet.Host {
+	h := f.host(name)
+	f.nameIndex.describe(h, "small", "a", false)
 	h.Addr = "10.0.0.1:1"
-	b.registry.addHost(h, "small", "a")
+	f.registry.addHost(h, "small", "a")
 	return h
 }
 
 // assign places a task on a machine, in the fleet and in the registry.
-func (b *registryFixture) assign(j *job.Job, task int32, h *fleet.Host) {
-	b.fleet.Assign(h, fleet.Key{Job: j, Task: task, Attempt: uint64(task) + 1}, b.now)
-	b.registry.recordPlacement(j, h)
+func (f *registryFixture) assign(j *job.Job, task int32, h *fleet.Host) {
+	f.fleet.Assign(h, fleet.Key{Job: j, Task: task, Attempt: uint64(task) + 1}, f.now)
+	f.registry.recordPlacement(j, h)
 }
 
 // storeOnce makes one transaction and has commit decide its outcome.
-func (b *registryFixture) storeOnce(commit func(state.Txn) (uint64, error)) (txn state.Txn) {
-	stores, txn := b.registry.nextTransaction(b.now, 12, true)
+func (f *registryFixture) storeOnce(commit func(state.Txn) (uint64, error)) (txn state.Txn) {
+	stores, txn := f.registry.nextTransaction(f.now, 12, true)
 	version, err := commit(txn)
 	found := map[*registryPage]uint64{}
 	if errors.Is(err, state.ErrConflict) {
 		for _, s := range stores {
-			found[s.page] = b.store.kv[s.page.key].Version
+			found[s.page] = f.store.kv[s.page.key].Version
 		}
 	}
-	b.registry.handleStored(stores, version, found, err)
-	b.checkRecordedHosts()
+	f.registry.handleStored(stores, version, found, err)
+	f.checkRecordedHosts()
 	return txn
 }
 
 // usePages gives the registry these pages of jobs, with a small size limit.
-func (b *registryFixture) usePages(pages ...*registryPage) {
-	b.registry.maxPageBytes = 1000
-	b.registry.pages = pages
-	b.registry.nextPage[jobHostsPrefix] = len(pages)
+func (f *registryFixture) usePages(pages ...*registryPage) {
+	f.registry.maxPageBytes = 1000
+	f.registry.pages = pages
+	f.registry.nextPage[jobHostsPrefix] = len(pages)
 }
 
 // recordHost records a placement of a job on a machine whose index makes the job's
 // set that many words long.
-func (b *registryFixture) recordHost(id string, words int) {
+func (f *registryFixture) recordHost(id string, words int) {
 	name := fmt.Sprintf("h%d", words)
-	h := b.fleet.Hosts[name]
+	h := f.fleet.Hosts[name]
 	if h == nil {
-		h = b.fleet.AddAt(name, 64*words-1, b.now)
+		h = f.fleet.AddAt(name, 64*words-1, f.now)
 	}
-	b.registry.recordPlacement(b.jobTable.get(id), h)
+	f.registry.recordPlacement(f.jobTable.get(id), h)
 }
 
 // addJobToPage adds a new job to a page, with a set of that many words.
-func (b *registryFixture) addJobToPage(p *registryPage, id string, words int) {
-	jh := &jobHosts{id: id, job: b.array(id), page: p}
+func (f *registryFixture) addJobToPage(p *registryPage, id string, words int) {
+	jh := &jobHosts{id: id, job: f.array(id), page: p}
 	p.jobs = append(p.jobs, jh)
-	b.registry.hostsByJob[id] = jh
-	b.recordHost(id, words)
+	f.registry.hostsByJob[id] = jh
+	f.recordHost(id, words)
 }
 
 // lostResponse is a commit that is not executed, and whose response is lost.
@@ -138,19 +138,19 @@
 
 // checkRecordedHosts checks that the stored records name every machine on which a
 // job may be launched.
-func (b *registryFixture) checkRecordedHosts() {
-	b.t.Helper()
-	for id, j := range b.jobTable.all() {
-		named := b.store.names(b.t, id)
+func (f *registryFixture) checkRecordedHosts() {
+	f.t.Helper()
+	for id, j := range f.jobTable.all() {
+		named := f.store.names(f.t, id)
 		for i := range 64 * len(j.NotedMachines) {
 			if j.NotedMachines.Has(i) && !named[i] {
-				b.t.Errorf("job %s may be launched on machine %d, which no record names", id, i)
+				f.t.Errorf("job %s may be launched on machine %d, which no record names", id, i)
 			}
 		}
 	}
 }
 
-// newGangJob adds a gang of two tasks to the job table of b.
-func newGangJob(b *registryFixture, id string) *job.Job {
-	return b.jobTable.add(&job.Record{Spec: job.Spec{ID: id, ShapeName: "ensemble", PriorityName: "idle", Tasks: 2, CPUs: 1}}, 1, b.now)
+// newGangJob adds a gang of two tasks to the job table of f.
+func newGangJob(f *registryFixture, id string) *job.Job {
+	return f.jobTable.add(&job.Record{Spec: job.Spec{ID: id, ShapeName: "ensemble", PriorityName: "idle", Tasks: 2, CPUs: 1}}, 1, f.now)
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -25,21 +25,21 @@
 func newLedgerFixture(t *testing.T) *ledgerFixture {
 	now := time.Unix(1000, 0)
 	spec := job.Spec{ID: "run-1", ShapeName: "array", PriorityName: "standard", Tasks: 4, CPUs: 1}
-	b := &ledgerFixture{
+	f := &ledgerFixture{
 		t:     t,
 		now:   now,
 		fleet: New(term, 10*time.Second, 25*time.Second),
 		job:   job.New(&job.Record{Spec: spec}, now),
 	}
-	b.host = b.fleet.Add("host-1", now)
-	b.host.Known, b.host.Durable, b.host.Type, b.host.Zone = true, true, 0, 0
-	b.job.NotedMachines.Add(b.host.Index)
-	return b
+	f.host = f.fleet.Add("host-1", now)
+	f.host.Known, f.host.Durable, f.host.Type, f.host.Zone = true, true, 0, 0
+	f.job.NotedMachines.Add(f.host.Index)
+	return f
 }
 
 // observe has the fleet observe a message of the worker; phases maps attempts of task 0
 // to their phases.
-func (b *ledgerFixture) observe(report bool, session, seq, token uint64, phases map[uint64]string) Result {
+func (f *ledgerFixture) observe(report bool, session, seq, token uint64, phases map[uint64]string) Result {
 	m := &wire.Report{Host: "host-1", Session: session, Seq: seq, Token: token}
 	for a, p := range phases {
 		tr := wire.TaskReport{Task: "run-1/0", Attempt: a, Phase: p}
@@ -48,43 +48,43 @@
 		}
 		m.Tasks = append(m.Tasks, tr)
 	}
-	return b.fleet.Observe(b.host, m, report, b.now, find(b))
+	return f.fleet.Observe(f.host, m, report, f.now, find(f))
 }
 
 // assign assigns an attempt of task 0 to the machine.
-func (b *ledgerFixture) assign(attempt uint64) { b.fleet.Assign(b.host, Key{b.job, 0, attempt}, b.now) }
+func (f *ledgerFixture) assign(attempt uint64) { f.fleet.Assign(f.host, Key{f.job, 0, attempt}, f.now) }
 
 // compose makes the orders for the machine.
-func (b *ledgerFixture) compose(seq uint64, launches bool) []wire.Order {
-	o, sent, _ := b.fleet.ComposeOrders(b.host, seq, launches, b.now, 100)
-	b.sent = sent
+func (f *ledgerFixture) compose(seq uint64, launches bool) []wire.Order {
+	o, sent, _ := f.fleet.ComposeOrders(f.host, seq, launches, f.now, 100)
+	f.sent = sent
 	return o
 }
 
 // checkLive checks how many placements of task 0 may be on a machine.
-func (b *ledgerFixture) checkLive(want int, when string) {
-	b.t.Helper()
-	if got := b.job.Live[0]; got != want {
-		b.t.Errorf("%s: %d placements may be on a machine, want %d", when, got, want)
+func (f *ledgerFixture) checkLive(want int, when string) {
+	f.t.Helper()
+	if got := f.job.Live[0]; got != want {
+		f.t.Errorf("%s: %d placements may be on a machine, want %d", when, got, want)
 	}
 }
 
 // checkOrders checks orders, written as "launch 1;halt 2;" with the attempts.
-func (b *ledgerFixture) checkOrders(o []wire.Order, want string) {
-	b.t.Helper()
+func (f *ledgerFixture) checkOrders(o []wire.Order, want string) {
+	f.t.Helper()
 	got := ""
 	for _, x := range o {
 		got += fmt.Sprintf("%s %d;", x.Op, x.Attempt)
 	}
 	if got != want {
-		b.t.Errorf("orders %q, want %q", got, want)
+		f.t.Errorf("orders %q, want %q", got, want)
 	}
 }
 
 // ledgerCase is a case of TestLedger and TestOneWayPartitions.
 type ledgerCase struct {
 	name string
-	do   func(b *ledgerFixture)
+	do   func(f *ledgerFixture)
 }
 
 // TestLedger: which placements may be on a machine, up to the message that settles each.
@@ -100,46 +100,46 @@
 func ledgerLaunchCases() []ledgerCase {
 	run := map[uint64]string{1: wire.Running}
 	return []ledgerCase{
-		{"5: nothing is launched on a machine that is not fenced", func(b *ledgerFixture) {
-			b.observe(true, 1, 1, term-1, nil)
-			b.assign(1)
-			b.checkOrders(b.compose(1, true), "")
-			b.observe(true, 1, 2, term, nil)
-			b.checkOrders(b.compose(2, true), "launch 1;")
+		{"5: nothing is launched on a machine that is not fenced", func(f *ledgerFixture) {
+			f.observe(true, 1, 1, term-1, nil)
+			f.assign(1)
+			f.checkOrders(f.compose(1, true), "")
+			f.observe(true, 1, 2, term, nil)
+			f.checkOrders(f.compose(2, true), "launch 1;")
 		}},
-		{"6: nothing is launched before the job is noted for the machine", func(b *ledgerFixture) {
-			b.observe(true, 1, 1, term, nil)
-			b.job.NotedMachines.Remove(b.host.Index)
-			b.assign(1)
-			b.checkOrders(b.compose(1, true), "")
-			b.checkOrders(b.compose(0, true), "")
-			b.job.NotedMachines.Add(b.host.Index)
-			b.checkOrders(b.compose(0, true), "launch 1;")
+		{"6: nothing is launched before the job is noted for the machine", func(f *ledgerFixture) {
+			f.observe(true, 1, 1, term, nil)
+			f.job.NotedMachines.Remove(f.host.Index)
+			f.assign(1)
+			f.checkOrders(f.compose(1, true), "")
+			f.checkOrders(f.compose(0, true), "")
+			f.job.NotedMachines.Add(f.host.Index)
+			f.checkOrders(f.compose(0, true), "launch 1;")
 		}},
-		{"6: a machine of an earlier leader is open until it is fenced or lost", func(b *ledgerFixture) {
-			b.host.Inherited = true
-			b.observe(true, 1, 1, term-1, run)
-			if len(b.fleet.SettleInherited()) != 1 {
-				b.t.Error("settled before it has seen the term")
+		{"6: a machine of an earlier leader is open until it is fenced or lost", func(f *ledgerFixture) {
+			f.host.Inherited = true
+			f.observe(true, 1, 1, term-1, run)
+			if len(f.fleet.SettleInherited()) != 1 {
+				f.t.Error("settled before it has seen the term")
 			}
-			b.observe(true, 1, 2, term, run)
-			if len(b.fleet.SettleInherited()) != 0 {
-				b.t.Error("open although it is fenced")
+			f.observe(true, 1, 2, term, run)
+			if len(f.fleet.SettleInherited()) != 0 {
+				f.t.Error("open although it is fenced")
 			}
 		}},
-		{"7: an older message changes nothing and its answer has no launch", func(b *ledgerFixture) {
-			b.observe(true, 1, 5, term, run)
-			if r := b.observe(true, 1, 4, term, nil); r.Fresh {
-				b.t.Error("an older report is fresh")
+		{"7: an older message changes nothing and its answer has no launch", func(f *ledgerFixture) {
+			f.observe(true, 1, 5, term, run)
+			if r := f.observe(true, 1, 4, term, nil); r.Fresh {
+				f.t.Error("an older report is fresh")
 			}
-			b.checkLive(1, "after an older report")
+			f.checkLive(1, "after an older report")
 		}},
-		{"8: a launch in an answer is settled by the next report", func(b *ledgerFixture) {
-			b.observe(true, 1, 1, term, nil)
-			b.assign(1)
-			b.compose(1, true)
-			b.observe(true, 1, 2, term, nil)
-			b.checkLive(0, "after the next report")
+		{"8: a launch in an answer is settled by the next report", func(f *ledgerFixture) {
+			f.observe(true, 1, 1, term, nil)
+			f.assign(1)
+			f.compose(1, true)
+			f.observe(true, 1, 2, term, nil)
+			f.checkLive(0, "after the next report")
 		}},
 	}
 }
@@ -148,50 +148,50 @@
 func ledgerDirectCases() []ledgerCase {
 	run := map[uint64]string{1: wire.Running}
 	return []ledgerCase{
-		{"15: a halt without grace is repeated also while the task saves, one with grace is not", func(b *ledgerFixture) {
-			b.observe(true, 1, 1, term, run)
-			for s := range b.fleet.SlotsOf(b.job) {
-				b.fleet.Stop(s, 5)
-				b.checkOrders(b.compose(1, true), "halt 1;")
-				b.observe(true, 1, 2, term, map[uint64]string{1: wire.Saving})
-				b.now = b.now.Add(haltInterval)
-				b.checkOrders(b.compose(2, true), "")
-				b.fleet.Stop(s, 0) // its job is cancelled
+		{"15: a halt without grace is repeated also while the task saves, one with grace is not", func(f *ledgerFixture) {
+			f.observe(true, 1, 1, term, run)
+			for s := range f.fleet.SlotsOf(f.job) {
+				f.fleet.Stop(s, 5)
+				f.checkOrders(f.compose(1, true), "halt 1;")
+				f.observe(true, 1, 2, term, map[uint64]string{1: wire.Saving})
+				f.now = f.now.Add(haltInterval)
+				f.checkOrders(f.compose(2, true), "")
+				f.fleet.Stop(s, 0) // its job is cancelled
 			}
 			for range 2 {
-				b.checkOrders(b.compose(2, true), "halt 1;")
-				b.now = b.now.Add(haltInterval)
+				f.checkOrders(f.compose(2, true), "halt 1;")
+				f.now = f.now.Add(haltInterval)
 			}
 		}},
-		{"8: the answer to a direct command does not settle it", func(b *ledgerFixture) {
-			b.observe(true, 1, 1, term, nil)
-			b.assign(1)
-			b.compose(1, true)
-			b.observe(false, 1, 2, term, nil)
-			b.checkLive(1, "after a direct answer that overtook it")
-			b.observe(true, 1, 3, term, run)
-			b.checkLive(1, "once it is seen")
+		{"8: the answer to a direct command does not settle it", func(f *ledgerFixture) {
+			f.observe(true, 1, 1, term, nil)
+			f.assign(1)
+			f.compose(1, true)
+			f.observe(false, 1, 2, term, nil)
+			f.checkLive(1, "after a direct answer that overtook it")
+			f.observe(true, 1, 3, term, run)
+			f.checkLive(1, "once it is seen")
 		}},
-		{"8: a direct launch that was lost is sent once more, and its exit is not cleared", func(b *ledgerFixture) {
-			b.observe(true, 1, 1, term, nil)
-			b.assign(1)
-			b.compose(0, true)
-			b.observe(true, 1, 2, term, nil)
-			b.checkOrders(b.compose(2, true), "")
-			b.now = b.now.Add(resendAfter)
-			b.observe(true, 1, 3, term, nil)
-			b.checkOrders(b.compose(3, true), "launch 1;")
-			b.observe(true, 1, 4, term, nil)
-			b.checkOrders(b.compose(4, true), "")
-			b.checkLive(1, "the second copy may be lost too")
-			b.observe(true, 1, 5, term, map[uint64]string{1: wire.Exited})
-			b.checkLive(0, "once its exit is seen")
-			for s := range b.fleet.SlotsOf(b.job) {
+		{"8: a direct launch that was lost is sent once more, and its exit is not cleared", func(f *ledgerFixture) {
+			f.observe(true, 1, 1, term, nil)
+			f.assign(1)
+			f.compose(0, true)
+			f.observe(true, 1, 2, term, nil)
+			f.checkOrders(f.compose(2, true), "")
+			f.now = f.now.Add(resendAfter)
+			f.observe(true, 1, 3, term, nil)
+			f.checkOrders(f.compose(3, true), "launch 1;")
+			f.observe(true, 1, 4, term, nil)
+			f.checkOrders(f.compose(4, true), "")
+			f.checkLive(1, "the second copy may be lost too")
+			f.observe(true, 1, 5, term, map[uint64]string{1: wire.Exited})
+			f.checkLive(0, "once its exit is seen")
+			for s := range f.fleet.SlotsOf(f.job) {
 				s.Settled = true
 			}
-			b.checkOrders(b.compose(5, true), "")
-			b.observe(true, 2, 1, term, nil)
-			b.checkOrders(b.compose(1, true), "")
+			f.checkOrders(f.compose(5, true), "")
+			f.observe(true, 2, 1, term, nil)
+			f.checkOrders(f.compose(1, true), "")
 		}},
 	}
 }
@@ -200,45 +200,45 @@
 func ledgerHolderCases() []ledgerCase {
 	run := map[uint64]string{1: wire.Running}
 	return []ledgerCase{
-		{"4, 9: a held machine is judged as of what its holder has told, and at its end as of the grant", func(b *ledgerFixture) {
-			by := &Holder{Name: "n1", KnownUntil: b.now}
-			b.observe(true, 1, 1, term, run)
-			b.fleet.SetHolder(b.host, by)
-			b.now = b.now.Add(15 * time.Second)
-			b.fleet.Expire(b.now)
-			b.checkLive(1, "its holder may have renewed the lease since")
-			by.KnownUntil = b.now.Add(-10 * time.Second)
-			b.fleet.Renew(b.host, 1, 2, b.now.Add(-4*time.Second))
-			b.host.ClearHolder(b.now.Add(-time.Second))
-			b.now = b.now.Add(9 * time.Second)
-			b.fleet.Expire(b.now)
-			b.checkLive(1, "within a lease of the grant's end")
-			b.now = b.now.Add(time.Second)
-			b.fleet.Expire(b.now)
-			b.checkLive(0, "beyond it")
+		{"4, 9: a held machine is judged as of what its holder has told, and at its end as of the grant", func(f *ledgerFixture) {
+			by := &Holder{Name: "n1", KnownUntil: f.now}
+			f.observe(true, 1, 1, term, run)
+			f.fleet.SetHolder(f.host, by)
+			f.now = f.now.Add(15 * time.Second)
+			f.fleet.Expire(f.now)
+			f.checkLive(1, "its holder may have renewed the lease since")
+			by.KnownUntil = f.now.Add(-10 * time.Second)
+			f.fleet.Renew(f.host, 1, 2, f.now.Add(-4*time.Second))
+			f.host.ClearHolder(f.now.Add(-time.Second))
+			f.now = f.now.Add(9 * time.Second)
+			f.fleet.Expire(f.now)
+			f.checkLive(1, "within a lease of the grant's end")
+			f.now = f.now.Add(time.Second)
+			f.fleet.Expire(f.now)
+			f.checkLive(0, "beyond it")
 		}},
-		{"8: a launch in an answer of the holder's is settled by a report that says nothing new", func(b *ledgerFixture) {
-			b.observe(true, 1, 1, term, nil)
-			b.fleet.SetHolder(b.host, &Holder{Name: "n1"})
-			b.assign(1)
-			b.compose(1, true)
-			b.fleet.Renew(b.host, 1, 1, b.now)
-			b.checkLive(1, "the same report once more")
-			b.fleet.Renew(b.host, 1, 2, b.now)
-			b.checkLive(0, "after the next report")
+		{"8: a launch in an answer of the holder's is settled by a report that says nothing new", func(f *ledgerFixture) {
+			f.observe(true, 1, 1, term, nil)
+			f.fleet.SetHolder(f.host, &Holder{Name: "n1"})
+			f.assign(1)
+			f.compose(1, true)
+			f.fleet.Renew(f.host, 1, 1, f.now)
+			f.checkLive(1, "the same report once more")
+			f.fleet.Renew(f.host, 1, 2, f.now)
+			f.checkLive(0, "after the next report")
 		}},
-		{"8, 15: one that has to go is launched to be stopped, one of a cancelled job is not", func(b *ledgerFixture) {
-			b.observe(true, 1, 1, term, nil)
-			b.assign(1)
-			b.compose(0, true)
-			for s := range b.fleet.SlotsOf(b.job) {
-				b.fleet.Stop(s, 0)
+		{"8, 15: one that has to go is launched to be stopped, one of a cancelled job is not", func(f *ledgerFixture) {
+			f.observe(true, 1, 1, term, nil)
+			f.assign(1)
+			f.compose(0, true)
+			for s := range f.fleet.SlotsOf(f.job) {
+				f.fleet.Stop(s, 0)
 			}
-			b.now = b.now.Add(resendAfter)
-			b.checkOrders(b.compose(1, true), "launch 1;halt 1;")
-			b.now = b.now.Add(resendAfter)
-			b.job.Closing = wire.JobAborted
-			b.checkOrders(b.compose(1, true), "halt 1;")
+			f.now = f.now.Add(resendAfter)
+			f.checkOrders(f.compose(1, true), "launch 1;halt 1;")
+			f.now = f.now.Add(resendAfter)
+			f.job.Closing = wire.JobAborted
+			f.checkOrders(f.compose(1, true), "halt 1;")
 		}},
 	}
 }
@@ -247,48 +247,48 @@
 func ledgerLeaseCases() []ledgerCase {
 	run := map[uint64]string{1: wire.Running}
 	return []ledgerCase{
-		{"8: an unanswered direct launch outlives reports without it", func(b *ledgerFixture) {
-			b.observe(true, 1, 1, term, nil)
-			b.assign(1)
-			b.checkOrders(b.compose(0, true), "launch 1;")
-			b.observe(true, 1, 2, term, nil)
-			b.observe(true, 1, 3, term, nil)
-			b.checkLive(1, "after two reports")
-			b.observe(true, 2, 1, term, nil)
-			b.checkLive(0, "after a new session")
+		{"8: an unanswered direct launch outlives reports without it", func(f *ledgerFixture) {
+			f.observe(true, 1, 1, term, nil)
+			f.assign(1)
+			f.checkOrders(f.compose(0, true), "launch 1;")
+			f.observe(true, 1, 2, term, nil)
+			f.observe(true, 1, 3, term, nil)
+			f.checkLive(1, "after two reports")
+			f.observe(true, 2, 1, term, nil)
+			f.checkLive(0, "after a new session")
 		}},
-		{"8: a direct launch that was certainly not sent is gone", func(b *ledgerFixture) {
-			b.observe(true, 1, 1, term, nil)
-			b.assign(1)
-			b.compose(0, true)
-			b.fleet.RemoveNotDelivered(b.sent)
-			b.checkLive(0, "after a refused connection")
+		{"8: a direct launch that was certainly not sent is gone", func(f *ledgerFixture) {
+			f.observe(true, 1, 1, term, nil)
+			f.assign(1)
+			f.compose(0, true)
+			f.fleet.RemoveNotDelivered(f.sent)
+			f.checkLive(0, "after a refused connection")
 		}},
-		{"9: the lease ends what is on a silent machine, and not a moment earlier", func(b *ledgerFixture) {
-			b.observe(true, 1, 1, term, run)
-			b.now = b.now.Add(10 * time.Second)
-			b.fleet.Expire(b.now)
-			b.checkLive(1, "at the bare lease")
-			b.now = b.now.Add(600 * time.Millisecond)
-			b.fleet.Expire(b.now)
-			b.checkLive(0, "after the margin")
+		{"9: the lease ends what is on a silent machine, and not a moment earlier", func(f *ledgerFixture) {
+			f.observe(true, 1, 1, term, run)
+			f.now = f.now.Add(10 * time.Second)
+			f.fleet.Expire(f.now)
+			f.checkLive(1, "at the bare lease")
+			f.now = f.now.Add(600 * time.Millisecond)
+			f.fleet.Expire(f.now)
+			f.checkLive(0, "after the margin")
 		}},
-		{"9: an older report renews the lease too, when a direct answer overtook it", func(b *ledgerFixture) {
-			b.observe(true, 1, 1, term, run)
-			b.now = b.now.Add(8 * time.Second)
-			b.observe(false, 1, 3, term, run)
-			b.observe(true, 1, 2, term, run)
-			b.now = b.now.Add(8 * time.Second)
-			b.fleet.Expire(b.now)
-			b.checkLive(1, "8 s after the overtaken report")
+		{"9: an older report renews the lease too, when a direct answer overtook it", func(f *ledgerFixture) {
+			f.observe(true, 1, 1, term, run)
+			f.now = f.now.Add(8 * time.Second)
+			f.observe(false, 1, 3, term, run)
+			f.observe(true, 1, 2, term, run)
+			f.now = f.now.Add(8 * time.Second)
+			f.fleet.Expire(f.now)
+			f.checkLive(1, "8 s after the overtaken report")
 		}},
-		{"9: direct answers do not renew the lease", func(b *ledgerFixture) {
-			b.observe(true, 1, 1, term, run)
-			b.now = b.now.Add(8 * time.Second)
-			b.observe(false, 1, 2, term, run)
-			b.now = b.now.Add(3 * time.Second)
-			b.fleet.Expire(b.now)
-			b.checkLive(0, "11 s after the only report")
+		{"9: direct answers do not renew the lease", func(f *ledgerFixture) {
+			f.observe(true, 1, 1, term, run)
+			f.now = f.now.Add(8 * time.Second)
+			f.observe(false, 1, 2, term, run)
+			f.now = f.now.Add(3 * time.Second)
+			f.fleet.Expire(f.now)
+			f.checkLive(0, "11 s after the only report")
 		}},
 	}
 }
@@ -297,39 +297,39 @@
 func ledgerSessionCases() []ledgerCase {
 	run := map[uint64]string{1: wire.Running}
 	return []ledgerCase{
-		{"9: a new session has its lease from its own begin", func(b *ledgerFixture) {
-			b.now = b.now.Add(9 * time.Second) // after a takeover, by a direct command only
-			b.observe(false, 2, 1, term, nil)
-			b.assign(1)
-			b.compose(0, true)
-			b.observe(false, 2, 2, term, run)
-			b.now = b.now.Add(5 * time.Second)
-			b.fleet.Expire(b.now)
-			b.checkLive(1, "14 s after the takeover, 5 s after the session was met")
-			b.now = b.now.Add(6 * time.Second)
-			b.fleet.Expire(b.now)
-			b.checkLive(0, "11 s after the session was met")
+		{"9: a new session has its lease from its own begin", func(f *ledgerFixture) {
+			f.now = f.now.Add(9 * time.Second) // after a takeover, by a direct command only
+			f.observe(false, 2, 1, term, nil)
+			f.assign(1)
+			f.compose(0, true)
+			f.observe(false, 2, 2, term, run)
+			f.now = f.now.Add(5 * time.Second)
+			f.fleet.Expire(f.now)
+			f.checkLive(1, "14 s after the takeover, 5 s after the session was met")
+			f.now = f.now.Add(6 * time.Second)
+			f.fleet.Expire(f.now)
+			f.checkLive(0, "11 s after the session was met")
 		}},
-		{"9: a held message of a dead session does not come back", func(b *ledgerFixture) {
-			b.observe(true, 1, 1, term, run)
-			b.now = b.now.Add(11 * time.Second)
-			b.fleet.Expire(b.now)
-			if r := b.observe(true, 1, 2, term, run); r.Fresh {
-				b.t.Error("a dead session is fresh")
+		{"9: a held message of a dead session does not come back", func(f *ledgerFixture) {
+			f.observe(true, 1, 1, term, run)
+			f.now = f.now.Add(11 * time.Second)
+			f.fleet.Expire(f.now)
+			if r := f.observe(true, 1, 2, term, run); r.Fresh {
+				f.t.Error("a dead session is fresh")
 			}
-			b.checkLive(0, "after a message of the dead session")
+			f.checkLive(0, "after a message of the dead session")
 		}},
-		{"11: clear is sent once the exit is settled", func(b *ledgerFixture) {
-			r := b.observe(true, 1, 1, term, map[uint64]string{1: wire.Exited})
-			b.checkOrders(b.compose(1, true), "")
+		{"11: clear is sent once the exit is settled", func(f *ledgerFixture) {
+			r := f.observe(true, 1, 1, term, map[uint64]string{1: wire.Exited})
+			f.checkOrders(f.compose(1, true), "")
 			r.Events[0].Slot.Settled = true
-			b.checkOrders(b.compose(0, true), "")
-			b.checkOrders(b.compose(1, true), "clear 1;")
+			f.checkOrders(f.compose(0, true), "")
+			f.checkOrders(f.compose(1, true), "clear 1;")
 		}},
-		{"12: a released machine takes everything with it", func(b *ledgerFixture) {
-			b.observe(true, 1, 1, term, run)
-			b.fleet.Remove(b.host)
-			b.checkLive(0, "after the release")
+		{"12: a released machine takes everything with it", func(f *ledgerFixture) {
+			f.observe(true, 1, 1, term, run)
+			f.fleet.Remove(f.host)
+			f.checkLive(0, "after the release")
 		}},
 	}
 }
@@ -338,28 +338,28 @@
 func ledgerAbortCases() []ledgerCase {
 	run := map[uint64]string{1: wire.Running}
 	return []ledgerCase{
-		{"15: nothing is launched once an abort was sent, halts are repeated", func(b *ledgerFixture) {
-			b.observe(true, 1, 1, term, run)
-			b.fleet.Assign(b.host, Key{b.job, 1, 1}, b.now)
-			b.job.Closing = wire.JobAborted
-			for _, s := range b.host.Slots {
-				b.fleet.Stop(s, 0)
+		{"15: nothing is launched once an abort was sent, halts are repeated", func(f *ledgerFixture) {
+			f.observe(true, 1, 1, term, run)
+			f.fleet.Assign(f.host, Key{f.job, 1, 1}, f.now)
+			f.job.Closing = wire.JobAborted
+			for _, s := range f.host.Slots {
+				f.fleet.Stop(s, 0)
 			}
-			b.checkOrders(b.compose(0, true), "halt 1;")
-			b.checkOrders(b.compose(0, true), "")
-			b.now = b.now.Add(2 * time.Second)
-			b.checkOrders(b.compose(0, true), "halt 1;")
+			f.checkOrders(f.compose(0, true), "halt 1;")
+			f.checkOrders(f.compose(0, true), "")
+			f.now = f.now.Add(2 * time.Second)
+			f.checkOrders(f.compose(0, true), "halt 1;")
 			// What renews the lease halts each time.
-			b.checkOrders(b.compose(1, true), "halt 1;")
-			b.checkOrders(b.compose(1, true), "halt 1;")
+			f.checkOrders(f.compose(1, true), "halt 1;")
+			f.checkOrders(f.compose(1, true), "halt 1;")
 		}},
-		{"a worker that has seen a later term deposes the leader", func(b *ledgerFixture) {
-			if r := b.observe(true, 1, 1, term+1, run); !r.Deposed {
-				b.t.Error("not deposed")
+		{"a worker that has seen a later term deposes the leader", func(f *ledgerFixture) {
+			if r := f.observe(true, 1, 1, term+1, run); !r.Deposed {
+				f.t.Error("not deposed")
 			}
-			b.checkLive(0, "after a message of a later term")
+			f.checkLive(0, "after a message of a later term")
 		}},
 	}
 }
 
-func find(b *ledgerFixture) func(string) *job.Job { return func(string) *job.Job { return b.job } }
+func find(f *ledgerFixture) func(string) *job.Job { return func(string) *job.Job { return f.job } }
--- a/internal/fleet/partition_test.go
+++ b/internal/fleet/partition_test.go
@@ -22,39 +22,39 @@
 // inboundCutLaunchCases: point 18, launches to a worker that receives nothing.
 func inboundCutLaunchCases() []ledgerCase {
 	return []ledgerCase{
-		{"18: an answer that was not taken in: no more launches, the rest goes elsewhere", func(b *ledgerFixture) {
-			b.observe(true, 1, 1, term, nil)
-			b.assign(1)
-			b.compose(1, true)
-			b.fleet.Assign(b.host, Key{b.job, 1, 2}, b.now)
-			b.observe(true, 1, 2, term, nil)
-			b.checkLive(0, "the launch did not arrive")
-			if b.job.Live[1] != 0 {
-				b.t.Error("what waited to be sent still waits for the unreachable machine")
+		{"18: an answer that was not taken in: no more launches, the rest goes elsewhere", func(f *ledgerFixture) {
+			f.observe(true, 1, 1, term, nil)
+			f.assign(1)
+			f.compose(1, true)
+			f.fleet.Assign(f.host, Key{f.job, 1, 2}, f.now)
+			f.observe(true, 1, 2, term, nil)
+			f.checkLive(0, "the launch did not arrive")
+			if f.job.Live[1] != 0 {
+				f.t.Error("what waited to be sent still waits for the unreachable machine")
 			}
-			checkUsable(b, false, "after the lost launch")
+			checkUsable(f, false, "after the lost launch")
 		}},
-		{"18: it is used again once it has taken something in", func(b *ledgerFixture) {
-			b.observe(true, 1, 1, term, nil)
-			b.assign(1)
-			b.compose(1, true)
-			b.observe(true, 1, 2, term, nil)
-			b.observe(true, 1, 3, term, nil)
-			checkUsable(b, false, "a report alone shows nothing")
-			b.observe(false, 1, 4, term, nil)
-			checkUsable(b, true, "after its answer to a direct command")
+		{"18: it is used again once it has taken something in", func(f *ledgerFixture) {
+			f.observe(true, 1, 1, term, nil)
+			f.assign(1)
+			f.compose(1, true)
+			f.observe(true, 1, 2, term, nil)
+			f.observe(true, 1, 3, term, nil)
+			checkUsable(f, false, "a report alone shows nothing")
+			f.observe(false, 1, 4, term, nil)
+			checkUsable(f, true, "after its answer to a direct command")
 		}},
-		{"18: so does a launch that was thought lost", func(b *ledgerFixture) {
-			b.observe(true, 1, 1, term, nil)
-			b.assign(1)
-			b.compose(1, true)
-			b.fleet.Assign(b.host, Key{b.job, 1, 2}, b.now)
-			b.compose(0, true)
-			b.observe(true, 1, 2, term, nil)
-			checkUsable(b, false, "after the lost answer")
+		{"18: so does a launch that was thought lost", func(f *ledgerFixture) {
+			f.observe(true, 1, 1, term, nil)
+			f.assign(1)
+			f.compose(1, true)
+			f.fleet.Assign(f.host, Key{f.job, 1, 2}, f.now)
+			f.compose(0, true)
+			f.observe(true, 1, 2, term, nil)
+			checkUsable(f, false, "after the lost answer")
 			m := &wire.Report{Host: "host-1", Session: 1, Seq: 3, Token: term, Tasks: []wire.TaskReport{{Task: "run-1/1", Attempt: 2, Phase: wire.Running}}}
-			b.fleet.Observe(b.host, m, true, b.now, find(b))
-			checkUsable(b, true, "its report shows the direct launch")
+			f.fleet.Observe(f.host, m, true, f.now, find(f))
+			checkUsable(f, true, "its report shows the direct launch")
 		}},
 	}
 }
@@ -64,35 +64,35 @@
 func inboundCutSessionCases() []ledgerCase {
 	run := map[uint64]string{1: wire.Running}
 	return []ledgerCase{
-		{"18: a session that ends although its reports were answered", func(b *ledgerFixture) {
-			b.observe(true, 1, 1, term, run)
-			b.now = b.now.Add(8 * time.Second)
-			b.observe(true, 1, 2, term, run)
-			b.now = b.now.Add(5 * time.Second)
-			b.observe(true, 2, 3, term, nil)
-			b.checkLive(0, "the session is over")
-			checkUsable(b, false, "in the new session")
+		{"18: a session that ends although its reports were answered", func(f *ledgerFixture) {
+			f.observe(true, 1, 1, term, run)
+			f.now = f.now.Add(8 * time.Second)
+			f.observe(true, 1, 2, term, run)
+			f.now = f.now.Add(5 * time.Second)
+			f.observe(true, 2, 3, term, nil)
+			f.checkLive(0, "the session is over")
+			checkUsable(f, false, "in the new session")
 		}},
-		{"18: what may be on it goes by the answers, not by what it hears", func(b *ledgerFixture) {
-			b.observe(true, 1, 1, term, nil)
-			b.assign(1)
-			b.compose(0, true)
-			b.fleet.MarkInboundCut(b.host, b.now)
-			b.checkLive(1, "a direct launch without an answer")
-			b.now = b.now.Add(9 * time.Second)
-			b.observe(true, 1, 2, term, nil)
-			b.now = b.now.Add(9 * time.Second)
-			b.fleet.Expire(b.now)
-			b.checkLive(1, "18 s after the launch, 9 s after a report was answered")
-			b.observe(true, 2, 3, term, nil)
-			b.checkLive(0, "after the session")
+		{"18: what may be on it goes by the answers, not by what it hears", func(f *ledgerFixture) {
+			f.observe(true, 1, 1, term, nil)
+			f.assign(1)
+			f.compose(0, true)
+			f.fleet.MarkInboundCut(f.host, f.now)
+			f.checkLive(1, "a direct launch without an answer")
+			f.now = f.now.Add(9 * time.Second)
+			f.observe(true, 1, 2, term, nil)
+			f.now = f.now.Add(9 * time.Second)
+			f.fleet.Expire(f.now)
+			f.checkLive(1, "18 s after the launch, 9 s after a report was answered")
+			f.observe(true, 2, 3, term, nil)
+			f.checkLive(0, "after the session")
 		}},
-		{"18: a machine that hangs gets nothing until it is heard", func(b *ledgerFixture) {
-			b.observe(true, 1, 1, term, nil)
-			b.host.CallUnanswered = true
-			checkUsable(b, false, "after a direct command without an answer")
-			b.observe(true, 1, 2, term, nil)
-			checkUsable(b, true, "after a report")
+		{"18: a machine that hangs gets nothing until it is heard", func(f *ledgerFixture) {
+			f.observe(true, 1, 1, term, nil)
+			f.host.CallUnanswered = true
+			checkUsable(f, false, "after a direct command without an answer")
+			f.observe(true, 1, 2, term, nil)
+			checkUsable(f, true, "after a report")
 		}},
 	}
 }
@@ -101,42 +101,42 @@
 func copyCases() []ledgerCase {
 	run := map[uint64]string{1: wire.Running}
 	return []ledgerCase{
-		{"19: copies renew no lease", func(b *ledgerFixture) {
-			b.observe(true, 1, 1, term, run)
-			b.observe(true, 1, 2, term, run)
+		{"19: copies renew no lease", func(f *ledgerFixture) {
+			f.observe(true, 1, 1, term, run)
+			f.observe(true, 1, 2, term, run)
 			for range 3 {
-				b.now = b.now.Add(4 * time.Second)
-				b.observe(true, 1, 2, term, run)
-				b.observe(true, 1, 1, term, run)
+				f.now = f.now.Add(4 * time.Second)
+				f.observe(true, 1, 2, term, run)
+				f.observe(true, 1, 1, term, run)
 			}
-			b.fleet.Expire(b.now)
-			b.checkLive(0, "12 s after the last report, 0 s after its copy")
+			f.fleet.Expire(f.now)
+			f.checkLive(0, "12 s after the last report, 0 s after its copy")
 		}},
-		{"19: nor do they through a holder", func(b *ledgerFixture) {
-			b.observe(true, 1, 1, term, run)
-			b.fleet.Renew(b.host, 1, 2, b.now)
-			b.now = b.now.Add(9 * time.Second)
-			b.fleet.Renew(b.host, 1, 2, b.now)
-			b.now = b.now.Add(4 * time.Second)
-			b.fleet.Expire(b.now)
-			b.checkLive(0, "13 s after the last report, 4 s after its copy")
+		{"19: nor do they through a holder", func(f *ledgerFixture) {
+			f.observe(true, 1, 1, term, run)
+			f.fleet.Renew(f.host, 1, 2, f.now)
+			f.now = f.now.Add(9 * time.Second)
+			f.fleet.Renew(f.host, 1, 2, f.now)
+			f.now = f.now.Add(4 * time.Second)
+			f.fleet.Expire(f.now)
+			f.checkLive(0, "13 s after the last report, 4 s after its copy")
 		}},
-		{"19: a copy at the next leader is the past once a report has come", func(b *ledgerFixture) {
-			b.observe(true, 1, 9, term, nil)
-			if !b.host.Stale(1, 8) || b.host.Stale(1, 10) || b.host.Stale(2, 1) {
-				b.t.Error("the past is what is older than the newest report")
+		{"19: a copy at the next leader is the past once a report has come", func(f *ledgerFixture) {
+			f.observe(true, 1, 9, term, nil)
+			if !f.host.Stale(1, 8) || f.host.Stale(1, 10) || f.host.Stale(2, 1) {
+				f.t.Error("the past is what is older than the newest report")
 			}
-			b.observe(true, 1, 8, term, run)
-			b.checkLive(0, "after a copy that shows the task")
+			f.observe(true, 1, 8, term, run)
+			f.checkLive(0, "after a copy that shows the task")
 		}},
-		{"9, 19: a report that a direct answer overtook is no copy", func(b *ledgerFixture) {
-			b.observe(true, 1, 1, term, run)
-			b.observe(false, 1, 3, term, run)
-			b.now = b.now.Add(9 * time.Second)
-			b.observe(true, 1, 2, term, run)
-			b.now = b.now.Add(5 * time.Second)
-			b.fleet.Expire(b.now)
-			b.checkLive(1, "14 s after the first report, 5 s after the one that was overtaken")
+		{"9, 19: a report that a direct answer overtook is no copy", func(f *ledgerFixture) {
+			f.observe(true, 1, 1, term, run)
+			f.observe(false, 1, 3, term, run)
+			f.now = f.now.Add(9 * time.Second)
+			f.observe(true, 1, 2, term, run)
+			f.now = f.now.Add(5 * time.Second)
+			f.fleet.Expire(f.now)
+			f.checkLive(1, "14 s after the first report, 5 s after the one that was overtaken")
 		}},
 	}
 }
@@ -145,60 +145,60 @@
 func newSessionCases() []ledgerCase {
 	run := map[uint64]string{1: wire.Running}
 	return []ledgerCase{
-		{"21: what was sent directly to a machine that began anew is on it for a lease", func(b *ledgerFixture) {
-			b.observe(true, 1, 40, term, nil)
-			b.now = b.now.Add(6 * time.Second)
-			b.assign(1)
-			b.compose(0, true)
-			b.observe(false, 1, 1, term, run) // its answer counts as old
-			b.now = b.now.Add(6 * time.Second)
-			b.fleet.Expire(b.now)
-			b.checkLive(1, "12 s after the last report, 6 s after the launch")
-			b.now = b.now.Add(5 * time.Second)
-			b.fleet.Expire(b.now)
-			b.checkLive(0, "11 s after the launch")
+		{"21: what was sent directly to a machine that began anew is on it for a lease", func(f *ledgerFixture) {
+			f.observe(true, 1, 40, term, nil)
+			f.now = f.now.Add(6 * time.Second)
+			f.assign(1)
+			f.compose(0, true)
+			f.observe(false, 1, 1, term, run) // its answer counts as old
+			f.now = f.now.Add(6 * time.Second)
+			f.fleet.Expire(f.now)
+			f.checkLive(1, "12 s after the last report, 6 s after the launch")
+			f.now = f.now.Add(5 * time.Second)
+			f.fleet.Expire(f.now)
+			f.checkLive(0, "11 s after the launch")
 		}},
-		{"18: a new session that only a direct answer tells of: mute until a report comes", func(b *ledgerFixture) {
-			b.observe(true, 1, 1, term, nil)
-			b.assign(1)
-			b.compose(0, true)
-			b.observe(false, 2, 2, term, nil)
-			b.checkLive(0, "its lease has run out")
-			checkUsable(b, false, "it lives and reaches nobody")
-			b.observe(false, 2, 3, term, nil)
-			b.observe(false, 3, 4, term, nil)
-			checkUsable(b, false, "another lease later")
-			if b.now = b.now.Add(time.Second); !b.host.OutboundCutAt.Equal(b.now.Add(-time.Second)) {
-				b.t.Error("counted from its second session")
+		{"18: a new session that only a direct answer tells of: mute until a report comes", func(f *ledgerFixture) {
+			f.observe(true, 1, 1, term, nil)
+			f.assign(1)
+			f.compose(0, true)
+			f.observe(false, 2, 2, term, nil)
+			f.checkLive(0, "its lease has run out")
+			checkUsable(f, false, "it lives and reaches nobody")
+			f.observe(false, 2, 3, term, nil)
+			f.observe(false, 3, 4, term, nil)
+			checkUsable(f, false, "another lease later")
+			if f.now = f.now.Add(time.Second); !f.host.OutboundCutAt.Equal(f.now.Add(-time.Second)) {
+				f.t.Error("counted from its second session")
 			}
-			b.observe(true, 3, 5, term, nil)
-			checkUsable(b, true, "a report came")
+			f.observe(true, 3, 5, term, nil)
+			checkUsable(f, true, "a report came")
 		}},
-		{"18: at a new leader that meets it by a direct answer it is used at once", func(b *ledgerFixture) {
-			b.observe(false, 4, 9, term, nil)
-			checkUsable(b, true, "its first message")
+		{"18: at a new leader that meets it by a direct answer it is used at once", func(f *ledgerFixture) {
+			f.observe(false, 4, 9, term, nil)
+			checkUsable(f, true, "its first message")
 		}},
-		{"19: a copy takes nothing of a machine that began anew", func(b *ledgerFixture) {
-			b.observe(true, 1, 40, term, run)
-			b.now = b.now.Add(time.Second)
+		{"19: a copy takes nothing of a machine that began anew", func(f *ledgerFixture) {
+			f.observe(true, 1, 40, term, run)
+			f.now = f.now.Add(time.Second)
 			for seq := range uint64(6) { // it counts from the start, with nothing on it
-				b.observe(true, 1, seq+1, 0, nil)
-				b.now = b.now.Add(2 * time.Second)
+				f.observe(true, 1, seq+1, 0, nil)
+				f.now = f.now.Add(2 * time.Second)
 			}
-			b.fleet.Expire(b.now)
-			b.checkLive(0, "its tasks are given up with the lease of the session that is known")
-			b.observe(true, 2, 7, 0, nil)
-			if b.host.Lost {
-				b.t.Error("shut out for good")
+			f.fleet.Expire(f.now)
+			f.checkLive(0, "its tasks are given up with the lease of the session that is known")
+			f.observe(true, 2, 7, 0, nil)
+			if f.host.Lost {
+				f.t.Error("shut out for good")
 			}
 		}},
 	}
 }
 
 // checkUsable checks whether the machine can be given work.
-func checkUsable(b *ledgerFixture, want bool, when string) {
-	b.t.Helper()
-	if got := b.host.Usable(); got != want {
-		b.t.Errorf("%s: usable %v, want %v", when, got, want)
+func checkUsable(f *ledgerFixture, want bool, when string) {
+	f.t.Helper()
+	if got := f.host.Usable(); got != want {
+		f.t.Errorf("%s: usable %v, want %v", when, got, want)
 	}
 }
--- a/internal/fleet/renewal_test.go
+++ b/internal/fleet/renewal_test.go
@@ -8,34 +8,34 @@
 )
 
 // cancelJob cancels the job: its user may be told from now on.
-func (b *ledgerFixture) cancelJob() {
-	b.job.Closing = wire.JobAborted
-	b.job.CancelledAt = b.now
-	for s := range b.fleet.SlotsOf(b.job) {
-		b.fleet.Stop(s, 0)
+func (f *ledgerFixture) cancelJob() {
+	f.job.Closing = wire.JobAborted
+	f.job.CancelledAt = f.now
+	for s := range f.fleet.SlotsOf(f.job) {
+		f.fleet.Stop(s, 0)
 	}
 }
 
 // checkRenewable checks whether the leader may renew the machine's lease.
-func (b *ledgerFixture) checkRenewable(want bool, when string) {
-	b.t.Helper()
-	if got := b.fleet.Renewable(b.host, b.now, 100); got != want {
-		b.t.Errorf("%s: the lease may be renewed: %v, want %v", when, got, want)
+func (f *ledgerFixture) checkRenewable(want bool, when string) {
+	f.t.Helper()
+	if got := f.fleet.Renewable(f.host, f.now, 100); got != want {
+		f.t.Errorf("%s: the lease may be renewed: %v, want %v", when, got, want)
 	}
 }
 
 // renewalCase is a case of the tests below.
 type renewalCase struct {
 	name string
-	do   func(b *ledgerFixture)
+	do   func(f *ledgerFixture)
 }
 
 // launchInFlight cancels the job while its launch by direct command is in flight.
-func launchInFlight(b *ledgerFixture) {
-	b.observe(true, 1, 1, term, nil)
-	b.assign(1)
-	b.checkOrders(b.compose(0, true), "launch 1;")
-	b.cancelJob()
+func launchInFlight(f *ledgerFixture) {
+	f.observe(true, 1, 1, term, nil)
+	f.assign(1)
+	f.checkOrders(f.compose(0, true), "launch 1;")
+	f.cancelJob()
 }
 
 var running = map[uint64]string{1: wire.Running}
@@ -48,44 +48,44 @@
 // start, is not renewed beyond the time that the job's user was told.
 func TestRenewal(t *testing.T) {
 	tests := []renewalCase{
-		{"a launch on its way: until the limit, not from it on", func(b *ledgerFixture) {
-			launchInFlight(b)
-			b.now = b.now.Add(renewalDeadline - time.Millisecond)
-			b.observe(true, 1, 2, term, nil)
-			b.checkRenewable(true, "before the limit")
-			b.now = b.now.Add(time.Millisecond)
-			b.observe(true, 1, 3, term, nil)
-			b.checkRenewable(false, "at the limit")
-			b.observe(true, 2, 1, term, nil)
-			b.checkRenewable(true, "once the session has ended")
-			b.checkLive(0, "once the session has ended")
+		{"a launch on its way: until the limit, not from it on", func(f *ledgerFixture) {
+			launchInFlight(f)
+			f.now = f.now.Add(renewalDeadline - time.Millisecond)
+			f.observe(true, 1, 2, term, nil)
+			f.checkRenewable(true, "before the limit")
+			f.now = f.now.Add(time.Millisecond)
+			f.observe(true, 1, 3, term, nil)
+			f.checkRenewable(false, "at the limit")
+			f.observe(true, 2, 1, term, nil)
+			f.checkRenewable(true, "once the session has ended")
+			f.checkLive(0, "once the session has ended")
 		}},
-		{"a launch that arrives late is halted, and what halts it renews", func(b *ledgerFixture) {
-			launchInFlight(b)
-			b.now = b.now.Add(renewalDeadline + time.Second)
-			b.observe(true, 1, 2, term, running)
-			b.checkRenewable(true, "shown by the report")
-			b.checkOrders(b.compose(2, true), "halt 1;")
-			if _, bounded := b.fleet.RenewalLimit(b.host); !bounded {
-				b.t.Error("who answers without halts may renew")
+		{"a launch that arrives late is halted, and what halts it renews", func(f *ledgerFixture) {
+			launchInFlight(f)
+			f.now = f.now.Add(renewalDeadline + time.Second)
+			f.observe(true, 1, 2, term, running)
+			f.checkRenewable(true, "shown by the report")
+			f.checkOrders(f.compose(2, true), "halt 1;")
+			if _, bounded := f.fleet.RenewalLimit(f.host); !bounded {
+				f.t.Error("who answers without halts may renew")
 			}
-			b.observe(true, 1, 3, term, map[uint64]string{1: wire.Exited})
-			if _, bounded := b.fleet.RenewalLimit(b.host); bounded {
-				b.t.Error("bounded after the exit")
+			f.observe(true, 1, 3, term, map[uint64]string{1: wire.Exited})
+			if _, bounded := f.fleet.RenewalLimit(f.host); bounded {
+				f.t.Error("bounded after the exit")
 			}
 		}},
-		{"a launch that the answer to a direct command settles", func(b *ledgerFixture) {
-			launchInFlight(b)
-			b.fleet.RemoveNotDelivered(b.sent)
-			b.now = b.now.Add(renewalDeadline)
-			b.checkRenewable(true, "after the refusal")
+		{"a launch that the answer to a direct command settles", func(f *ledgerFixture) {
+			launchInFlight(f)
+			f.fleet.RemoveNotDelivered(f.sent)
+			f.now = f.now.Add(renewalDeadline)
+			f.checkRenewable(true, "after the refusal")
 		}},
-		{"cancelled by an earlier leader: nobody knows when", func(b *ledgerFixture) {
-			b.job.Phase = wire.JobAborted
-			b.observe(true, 1, 1, term-1, running)
-			b.checkRenewable(true, "by an answer with halts")
-			if at, bounded := b.fleet.RenewalLimit(b.host); !bounded || at.After(b.now) {
-				b.t.Error("a holder may renew")
+		{"cancelled by an earlier leader: nobody knows when", func(f *ledgerFixture) {
+			f.job.Phase = wire.JobAborted
+			f.observe(true, 1, 1, term-1, running)
+			f.checkRenewable(true, "by an answer with halts")
+			if at, bounded := f.fleet.RenewalLimit(f.host); !bounded || at.After(f.now) {
+				f.t.Error("a holder may renew")
 			}
 		}},
 	}
@@ -97,47 +97,47 @@
 // TestRenewalBeside: what else the bound concerns, and what it does not.
 func TestRenewalBeside(t *testing.T) {
 	tests := []renewalCase{
-		{"more to halt than an answer holds", func(b *ledgerFixture) {
-			b.observe(true, 1, 1, term, map[uint64]string{1: wire.Running, 2: wire.Running})
-			b.cancelJob()
-			b.now = b.now.Add(renewalDeadline)
-			if b.fleet.Renewable(b.host, b.now, 1) || !b.fleet.Renewable(b.host, b.now, 2) {
-				b.t.Error("an answer that cannot halt everything renews")
+		{"more to halt than an answer holds", func(f *ledgerFixture) {
+			f.observe(true, 1, 1, term, map[uint64]string{1: wire.Running, 2: wire.Running})
+			f.cancelJob()
+			f.now = f.now.Add(renewalDeadline)
+			if f.fleet.Renewable(f.host, f.now, 1) || !f.fleet.Renewable(f.host, f.now, 2) {
+				f.t.Error("an answer that cannot halt everything renews")
 			}
 		}},
-		{"a job that is done, or goes on, bounds nothing", func(b *ledgerFixture) {
-			launchInFlight(b)
-			b.job.Phase = wire.JobDone
-			b.now = b.now.Add(time.Minute)
-			b.checkRenewable(true, "its end came first")
+		{"a job that is done, or goes on, bounds nothing", func(f *ledgerFixture) {
+			launchInFlight(f)
+			f.job.Phase = wire.JobDone
+			f.now = f.now.Add(time.Minute)
+			f.checkRenewable(true, "its end came first")
 		}},
-		{"no work for a machine whose session may have to end", func(b *ledgerFixture) {
-			b.observe(true, 1, 1, term, nil)
-			b.assign(1)
-			b.compose(0, true)
-			if !b.host.Usable() {
-				b.t.Error("not usable before the cancellation")
+		{"no work for a machine whose session may have to end", func(f *ledgerFixture) {
+			f.observe(true, 1, 1, term, nil)
+			f.assign(1)
+			f.compose(0, true)
+			if !f.host.Usable() {
+				f.t.Error("not usable before the cancellation")
 			}
-			b.cancelJob()
-			if b.host.Usable() {
-				b.t.Error("usable after it")
+			f.cancelJob()
+			if f.host.Usable() {
+				f.t.Error("usable after it")
 			}
-			b.fleet.StopRenewal(b.host)
-			b.observe(true, 2, 1, term, nil)
-			if !b.host.Usable() || b.host.InboundCut() {
-				b.t.Error("not usable in the next session")
+			f.fleet.StopRenewal(f.host)
+			f.observe(true, 2, 1, term, nil)
+			if !f.host.Usable() || f.host.InboundCut() {
+				f.t.Error("not usable in the next session")
 			}
 		}},
-		{"8: a launch on its way is sent once more when its machine goes to a holder", func(b *ledgerFixture) {
-			b.observe(true, 1, 1, term, nil)
-			b.assign(1)
-			b.compose(0, true)
-			if len(b.fleet.AwaitingCommand()) != 0 {
-				b.t.Error("the leader sends it in an answer")
+		{"8: a launch on its way is sent once more when its machine goes to a holder", func(f *ledgerFixture) {
+			f.observe(true, 1, 1, term, nil)
+			f.assign(1)
+			f.compose(0, true)
+			if len(f.fleet.AwaitingCommand()) != 0 {
+				f.t.Error("the leader sends it in an answer")
 			}
-			b.fleet.SetHolder(b.host, &Holder{Name: "n1"})
-			if len(b.fleet.AwaitingCommand()) != 1 {
-				b.t.Error("nobody sends it")
+			f.fleet.SetHolder(f.host, &Holder{Name: "n1"})
+			if len(f.fleet.AwaitingCommand()) != 1 {
+				f.t.Error("nobody sends it")
 			}
 		}},
 	}
--- a/internal/shard/assigner.go
+++ b/internal/shard/assigner.go
@@ -94,11 +94,11 @@
 // confirmed reports whether the member has confirmed that, so that it can send direct
 // commands.
 func (a *Assigner) Holder(name string) (member string, confirmed bool) {
-	k := a.machines[name]
-	if k == nil || k.holder == nil {
+	mc := a.machines[name]
+	if mc == nil || mc.holder == nil {
 		return "", false
 	}
-	return k.holder.name, k.phase == assigned
+	return mc.holder.name, mc.phase == assigned
 }
 
 // KnownUntil is the time up to which all answers of the member are known.
@@ -118,15 +118,15 @@
 
 // RemoveMachine removes a machine that was returned to the cloud.
 func (a *Assigner) RemoveMachine(name string, now time.Time) {
-	k := a.machines[name]
-	if k == nil {
+	mc := a.machines[name]
+	if mc == nil {
 		return
 	}
-	if k.phase == heldByLeader {
+	if mc.phase == heldByLeader {
 		delete(a.machines, name)
 		return
 	}
-	a.revoke(k, "it was returned", now)
+	a.revoke(mc, "it was returned", now)
 	delete(a.machines, name)
 }
 
--- a/internal/shard/handover.go
+++ b/internal/shard/handover.go
@@ -35,30 +35,30 @@
 
 // Retain has the leader deal with a machine until Release; a holder returns it.
 func (a *Assigner) Retain(name, reason string, now time.Time) {
-	if k := a.machines[name]; k != nil && !k.retained {
-		k.retained = true
-		a.revoke(k, reason, now)
+	if mc := a.machines[name]; mc != nil && !mc.retained {
+		mc.retained = true
+		a.revoke(mc, reason, now)
 	}
 }
 
 // Release lets a retained machine be assigned to a holder again.
 func (a *Assigner) Release(name string) {
-	if k := a.machines[name]; k != nil {
-		k.retained = false
+	if mc := a.machines[name]; mc != nil {
+		mc.retained = false
 	}
 }
 
 // assign begins to hand a machine over to a member.
-func (a *Assigner) assign(k *machine, m *member, reason string, now time.Time) {
-	k.holder = m
-	k.phase = assigning
-	k.announcedIn = 0
-	k.since = now
-	k.reason = reason
-	k.redirectedAt = time.Time{}
-	k.neverAssigned = false
-	m.machines[k] = struct{}{}
-	m.pending[k] = struct{}{}
+func (a *Assigner) assign(mc *machine, m *member, reason string, now time.Time) {
+	mc.holder = m
+	mc.phase = assigning
+	mc.announcedIn = 0
+	mc.since = now
+	mc.reason = reason
+	mc.redirectedAt = time.Time{}
+	mc.neverAssigned = false
+	m.machines[mc] = struct{}{}
+	m.pending[mc] = struct{}{}
 	if len(m.machines) == 1 && now.After(m.grantUntil) {
 		// The member has no grant yet: it must not count as silent before its next request.
 		m.grantUntil = now.Add(a.settings.GrantDuration)
@@ -67,27 +67,27 @@
 }
 
 // revoke begins to take a machine back from its holder.
-func (a *Assigner) revoke(k *machine, reason string, now time.Time) {
-	if k.phase == heldByLeader || k.phase == revoking {
+func (a *Assigner) revoke(mc *machine, reason string, now time.Time) {
+	if mc.phase == heldByLeader || mc.phase == revoking {
 		return
 	}
-	k.phase = revoking
-	k.announcedIn = 0
-	k.since = now
-	k.reason = reason
-	k.holder.pending[k] = struct{}{}
+	mc.phase = revoking
+	mc.announcedIn = 0
+	mc.since = now
+	mc.reason = reason
+	mc.holder.pending[mc] = struct{}{}
 }
 
 // endHolding returns a machine to the leader; its holder may have answered it until the
 // given time.
-func (a *Assigner) endHolding(k *machine, until time.Time) Revocation {
-	revocation := Revocation{Name: k.name, From: k.holder.name, Reason: k.reason, Until: until, Since: k.since}
-	delete(k.holder.machines, k)
-	delete(k.holder.pending, k)
-	k.holder = nil
-	k.phase = heldByLeader
-	k.announcedIn = 0
-	k.redirectedAt = time.Time{}
+func (a *Assigner) endHolding(mc *machine, until time.Time) Revocation {
+	revocation := Revocation{Name: mc.name, From: mc.holder.name, Reason: mc.reason, Until: until, Since: mc.since}
+	delete(mc.holder.machines, mc)
+	delete(mc.holder.pending, mc)
+	mc.holder = nil
+	mc.phase = heldByLeader
+	mc.announcedIn = 0
+	mc.redirectedAt = time.Time{}
 	a.moves++
 	return revocation
 }
--- a/internal/shard/holder.go
+++ b/internal/shard/holder.go
@@ -101,8 +101,8 @@
 // addReports adds the reports that are not acknowledged to a request of that size.
 func (h *Holder) addReports(r *Request, size int, now time.Time) {
 	h.reportsInFlight = map[string]uint64{}
-	for name, k := range h.machines {
-		if k.lastReport == k.acknowledgedReport {
+	for name, hm := range h.machines {
+		if hm.lastReport == hm.acknowledgedReport {
 			continue
 		}
 		if size > maxReportBytes {
@@ -111,15 +111,15 @@
 		}
 		report := HostReport{
 			Host:    name,
-			Session: k.session,
-			Seq:     k.seq,
-			AgeMs:   now.Sub(k.reportedAt).Milliseconds(),
+			Session: hm.session,
+			Seq:     hm.seq,
+			AgeMs:   now.Sub(hm.reportedAt).Milliseconds(),
 		}
-		if k.fullReportAt > k.acknowledgedReport {
-			report.Report = k.fullReport
+		if hm.fullReportAt > hm.acknowledgedReport {
+			report.Report = hm.fullReport
 		}
 		size += itemOverheadBytes + len(report.Report)
-		h.reportsInFlight[name] = k.lastReport
+		h.reportsInFlight[name] = hm.lastReport
 		r.Reports = append(r.Reports, report)
 	}
 }
@@ -153,8 +153,8 @@
 	h.updateMachines(r)
 	for i := range r.Clearances {
 		clearance := &r.Clearances[i]
-		if k := h.machines[clearance.Host]; k != nil && !k.dropped {
-			k.settle(clearance.Clears)
+		if hm := h.machines[clearance.Host]; hm != nil && !hm.dropped {
+			hm.settle(clearance.Clears)
 		}
 	}
 	return r.Calls
@@ -163,8 +163,8 @@
 // acknowledgeRequest notes that the leader has handled the request in flight.
 func (h *Holder) acknowledgeRequest() {
 	for name, report := range h.reportsInFlight {
-		if k := h.machines[name]; k != nil {
-			k.acknowledge(report)
+		if hm := h.machines[name]; hm != nil {
+			hm.acknowledge(report)
 		}
 	}
 	h.callResults = slices.Delete(h.callResults, 0, h.callResultsInFlight)
@@ -182,22 +182,22 @@
 // updateMachines applies the changes of the shard in a reply.
 func (h *Holder) updateMachines(r *Reply) {
 	for _, name := range r.Drop {
-		if k := h.machines[name]; k != nil {
-			k.dropped = true
-			k.settledExits = nil
+		if hm := h.machines[name]; hm != nil {
+			hm.dropped = true
+			hm.settledExits = nil
 		}
 	}
 	for _, name := range r.Add {
-		if k := h.machines[name]; k == nil {
+		if hm := h.machines[name]; hm == nil {
 			h.machines[name] = &heldMachine{}
-		} else if k.dropped {
+		} else if hm.dropped {
 			// The leader has answered its reports meanwhile: the next one is sent in full.
-			k.dropped = false
-			k.hasDigest = false
+			hm.dropped = false
+			hm.hasDigest = false
 		}
 	}
-	for name, k := range h.machines {
-		if k.dropped && k.acknowledgedReport == k.lastReport {
+	for name, hm := range h.machines {
+		if hm.dropped && hm.acknowledgedReport == hm.lastReport {
 			delete(h.machines, name)
 		}
 	}
@@ -222,8 +222,8 @@
 func (h *Holder) EndTerm() {
 	h.grantUntil = time.Time{}
 	h.previousHosts = nil
-	for name, k := range h.machines {
-		if !k.dropped && k.hasDigest {
+	for name, hm := range h.machines {
+		if !hm.dropped && hm.hasDigest {
 			h.previousHosts = append(h.previousHosts, name)
 		}
 	}
--- a/internal/shard/holder_reports.go
+++ b/internal/shard/holder_reports.go
@@ -72,93 +72,93 @@
 // answer are exits that the worker may forget. The leader's orders come by its answer
 // to a report that has changed, or by direct commands.
 func (h *Holder) Report(m *wire.Report, body []byte, now time.Time) ([]wire.Order, Outcome) {
-	k := h.machines[m.Host]
-	if k == nil || k.dropped {
+	hm := h.machines[m.Host]
+	if hm == nil || hm.dropped {
 		return nil, NotHeld
 	}
 	if !now.Before(h.grantUntil) || m.Token > h.term {
 		return nil, GrantExpired
 	}
-	if m.Session < k.session || (m.Session == k.session && m.Seq <= k.seq) {
+	if m.Session < hm.session || (m.Session == hm.session && m.Seq <= hm.seq) {
 		// A delayed report. The answer to a newer one has renewed the lease already.
 		return nil, GrantExpired
 	}
-	k.session = m.Session
-	k.seq = m.Seq
-	k.reportedAt = now
-	k.lastReport++
-	outcome := k.compare(m)
+	hm.session = m.Session
+	hm.seq = m.Seq
+	hm.reportedAt = now
+	hm.lastReport++
+	outcome := hm.compare(m)
 	if outcome != Answered {
-		k.fullReport = slices.Clone(body)
-		k.fullReportAt = k.lastReport
+		hm.fullReport = slices.Clone(body)
+		hm.fullReportAt = hm.lastReport
 	}
-	return k.clearOrders(), outcome
+	return hm.clearOrders(), outcome
 }
 
 // compare compares a report with the one before, and records its tasks if they differ.
-func (k *heldMachine) compare(m *wire.Report) Outcome {
+func (hm *heldMachine) compare(m *wire.Report) Outcome {
 	outcome := Answered
 	d := digest(m)
-	if !k.hasDigest || d != k.digest || m.Notice != nil {
+	if !hm.hasDigest || d != hm.digest || m.Notice != nil {
 		outcome = ReportChanged
-		k.recordTasks(m)
+		hm.recordTasks(m)
 	}
-	if k.hasUnacknowledgedTask() {
+	if hm.hasUnacknowledgedTask() {
 		outcome = LeaderRequired
 	}
 	if outcome != Answered {
-		k.digest = d
-		k.hasDigest = true
+		hm.digest = d
+		hm.hasDigest = true
 	}
 	return outcome
 }
 
 // recordTasks records the tasks and exits that a report shows.
-func (k *heldMachine) recordTasks(m *wire.Report) {
-	k.reportedExits = k.reportedExits[:0]
-	k.tasks = k.tasks[:0]
+func (hm *heldMachine) recordTasks(m *wire.Report) {
+	hm.reportedExits = hm.reportedExits[:0]
+	hm.tasks = hm.tasks[:0]
 	for i := range m.Tasks {
 		t := &m.Tasks[i]
 		p := placement{task: t.Task, attempt: t.Attempt}
 		if t.Phase == wire.Exited {
-			k.reportedExits = append(k.reportedExits, p)
+			hm.reportedExits = append(hm.reportedExits, p)
 		} else {
-			k.tasks = append(k.tasks, p)
+			hm.tasks = append(hm.tasks, p)
 		}
 	}
 }
 
 // hasUnacknowledgedTask reports whether the last report shows a task that the leader
 // has not acknowledged.
-func (k *heldMachine) hasUnacknowledgedTask() bool {
-	return slices.ContainsFunc(k.tasks, func(t placement) bool { return !slices.Contains(k.acknowledgedTasks, t) })
+func (hm *heldMachine) hasUnacknowledgedTask() bool {
+	return slices.ContainsFunc(hm.tasks, func(t placement) bool { return !slices.Contains(hm.acknowledgedTasks, t) })
 }
 
 // acknowledge notes that the leader has acknowledged the reports up to that number.
-func (k *heldMachine) acknowledge(report uint64) {
-	k.acknowledgedReport = max(k.acknowledgedReport, report)
-	if k.acknowledgedReport >= k.fullReportAt {
-		k.acknowledgedTasks = append(k.acknowledgedTasks[:0], k.tasks...)
+func (hm *heldMachine) acknowledge(report uint64) {
+	hm.acknowledgedReport = max(hm.acknowledgedReport, report)
+	if hm.acknowledgedReport >= hm.fullReportAt {
+		hm.acknowledgedTasks = append(hm.acknowledgedTasks[:0], hm.tasks...)
 	}
 }
 
 // settle notes exits that the worker may forget. One that the last report does not show
 // is ignored: the exit has been cleared since, and the same attempt of a gang may have
 // come back.
-func (k *heldMachine) settle(clears []wire.Order) {
+func (hm *heldMachine) settle(clears []wire.Order) {
 	for _, order := range clears {
 		exit := placement{task: order.Task, attempt: order.Attempt}
-		if slices.Contains(k.reportedExits, exit) && !slices.Contains(k.settledExits, exit) {
-			k.settledExits = append(k.settledExits, exit)
+		if slices.Contains(hm.reportedExits, exit) && !slices.Contains(hm.settledExits, exit) {
+			hm.settledExits = append(hm.settledExits, exit)
 		}
 	}
 }
 
 // clearOrders are the orders to forget the settled exits that the worker still reports.
-func (k *heldMachine) clearOrders() []wire.Order {
-	k.settledExits = slices.DeleteFunc(k.settledExits, func(e placement) bool { return !slices.Contains(k.reportedExits, e) })
+func (hm *heldMachine) clearOrders() []wire.Order {
+	hm.settledExits = slices.DeleteFunc(hm.settledExits, func(e placement) bool { return !slices.Contains(hm.reportedExits, e) })
 	orders := []wire.Order{}
-	for _, exit := range k.settledExits {
+	for _, exit := range hm.settledExits {
 		orders = append(orders, wire.Order{Op: wire.Clear, Task: exit.task, Attempt: exit.attempt})
 	}
 	return orders
--- a/internal/shard/members.go
+++ b/internal/shard/members.go
@@ -94,12 +94,12 @@
 // ended: it may have answered reports until the given time.
 func (a *Assigner) revokeAll(m *member, until time.Time, reason string, now time.Time) []Revocation {
 	var freed []Revocation
-	for k := range m.machines {
-		if k.phase != revoking {
-			k.since = now
-			k.reason = reason
+	for mc := range m.machines {
+		if mc.phase != revoking {
+			mc.since = now
+			mc.reason = reason
 		}
-		freed = append(freed, a.endHolding(k, until))
+		freed = append(freed, a.endHolding(mc, until))
 	}
 	slices.SortFunc(freed, func(x, y Revocation) int { return cmp.Compare(x.Name, y.Name) })
 	if m.joined {
@@ -183,15 +183,15 @@
 		m.needsReset = false
 		m.resetInReply = 0
 	}
-	for k := range m.pending {
+	for mc := range m.pending {
 		switch {
-		case k.announcedIn == 0 || k.announcedIn > m.ackedReply:
-		case k.phase == assigning:
-			k.phase = assigned
-			delete(m.pending, k)
-		case k.phase == revoking:
+		case mc.announcedIn == 0 || mc.announcedIn > m.ackedReply:
+		case mc.phase == assigning:
+			mc.phase = assigned
+			delete(m.pending, mc)
+		case mc.phase == revoking:
 			// This request has all that the member answered before it stopped.
-			freed = append(freed, a.endHolding(k, at))
+			freed = append(freed, a.endHolding(mc, at))
 		}
 	}
 	return freed, true
@@ -219,8 +219,8 @@
 		return
 	}
 	for _, name := range names {
-		if k := a.machines[name]; k != nil && k.phase == heldByLeader && !k.retained && len(m.machines) < m.capacity {
-			a.assign(k, m, "it had it before", now)
+		if mc := a.machines[name]; mc != nil && mc.phase == heldByLeader && !mc.retained && len(m.machines) < m.capacity {
+			a.assign(mc, m, "it had it before", now)
 		}
 	}
 }
@@ -231,8 +231,8 @@
 	if m == nil {
 		return false
 	}
-	for k := range m.pending {
-		if k.announcedIn == 0 {
+	for mc := range m.pending {
+		if mc.announcedIn == 0 {
 			return true
 		}
 	}
@@ -249,14 +249,14 @@
 	if m.needsReset && m.resetInReply == 0 {
 		m.resetInReply = m.lastReply
 	}
-	for k := range m.pending {
-		if k.announcedIn == 0 {
-			k.announcedIn = m.lastReply
+	for mc := range m.pending {
+		if mc.announcedIn == 0 {
+			mc.announcedIn = m.lastReply
 		}
-		if k.phase == assigning {
-			r.Add = append(r.Add, k.name)
+		if mc.phase == assigning {
+			r.Add = append(r.Add, mc.name)
 		} else {
-			r.Drop = append(r.Drop, k.name)
+			r.Drop = append(r.Drop, mc.name)
 		}
 	}
 	slices.Sort(r.Add)
--- a/internal/shard/rebalance.go
+++ b/internal/shard/rebalance.go
@@ -20,11 +20,11 @@
 	smallFleet := len(a.machines) < a.settings.MinMachines-a.settings.MinMachines/minMachinesHysteresis
 	for _, name := range slices.Sorted(maps.Keys(a.members)) {
 		m := a.members[name]
-		for k := range m.machines {
-			if k.phase != assigned {
+		for mc := range m.machines {
+			if mc.phase != assigned {
 				continue
 			}
-			reason := a.moveReason(k, smallFleet, now)
+			reason := a.moveReason(mc, smallFleet, now)
 			if reason == "" {
 				continue
 			}
@@ -36,22 +36,22 @@
 					c.load--
 				}
 			}
-			a.revoke(k, reason, now)
+			a.revoke(mc, reason, now)
 		}
 	}
 }
 
 // moveReason is why a machine is to leave its holder; empty: it is not. A machine that
 // is to have another holder counts as load of that one.
-func (a *Assigner) moveReason(k *machine, smallFleet bool, now time.Time) string {
-	if k.holder.leavingReason != "" {
-		return k.holder.leavingReason
+func (a *Assigner) moveReason(mc *machine, smallFleet bool, now time.Time) string {
+	if mc.holder.leavingReason != "" {
+		return mc.holder.leavingReason
 	}
 	if smallFleet {
 		return "the fleet is small"
 	}
-	to := a.target(k, now)
-	if to.member == k.holder {
+	to := a.target(mc, now)
+	if to.member == mc.holder {
 		return ""
 	}
 	to.load++
@@ -126,27 +126,27 @@
 // target is the candidate that should hold a machine: the first in its ranking that is
 // below its bound. The current holder retains the machine while it is within its
 // bound, unless the very first of the ranking is below its own.
-func (a *Assigner) target(k *machine, now time.Time) *candidate {
-	if k.rankedEpoch != a.candidatesEpoch {
-		k.ranked = rank(k.name, k.zone, a.candidates)
-		k.rankedEpoch = a.candidatesEpoch
+func (a *Assigner) target(mc *machine, now time.Time) *candidate {
+	if mc.rankedEpoch != a.candidatesEpoch {
+		mc.ranked = rank(mc.name, mc.zone, a.candidates)
+		mc.rankedEpoch = a.candidatesEpoch
 	}
 	var current *candidate
-	for _, c := range k.ranked {
-		if c.member == k.holder {
+	for _, c := range mc.ranked {
+		if c.member == mc.holder {
 			current = c
 		}
-		if c.name == k.pinned && now.Before(k.pinnedUntil) && c.load < c.capacity {
+		if c.name == mc.pinned && now.Before(mc.pinnedUntil) && c.load < c.capacity {
 			return c
 		}
 	}
 	if current != nil && current.load <= current.bound {
-		if first := k.ranked[0]; first != current && first.load < first.bound {
+		if first := mc.ranked[0]; first != current && first.load < first.bound {
 			return first
 		}
 		return current
 	}
-	for _, c := range k.ranked {
+	for _, c := range mc.ranked {
 		if c.load < c.bound {
 			return c
 		}
--- a/internal/shard/routing.go
+++ b/internal/shard/routing.go
@@ -43,18 +43,18 @@
 // RouteReport decides who answers a report that has come to the leader; for Send it
 // names the holder.
 func (a *Assigner) RouteReport(name, zone string, now time.Time) (route Route, holder string) {
-	k := a.machines[name]
-	if k == nil {
-		k = &machine{name: name, zone: zone, neverAssigned: true}
-		a.machines[name] = k
+	mc := a.machines[name]
+	if mc == nil {
+		mc = &machine{name: name, zone: zone, neverAssigned: true}
+		a.machines[name] = mc
 	}
-	if k.zone != zone && zone != "" {
-		k.zone = zone
-		k.rankedEpoch = 0
+	if mc.zone != zone && zone != "" {
+		mc.zone = zone
+		mc.rankedEpoch = 0
 	}
-	switch k.phase {
+	switch mc.phase {
 	case assigned:
-		return a.routeToHolder(k, now)
+		return a.routeToHolder(mc, now)
 	case assigning, revoking:
 		return Wait, ""
 	}
@@ -62,23 +62,23 @@
 }
 
 // routeToHolder decides on a report of a machine that a member holds.
-func (a *Assigner) routeToHolder(k *machine, now time.Time) (Route, string) {
-	if now.Sub(k.holder.heardAt) > maxContactGap {
+func (a *Assigner) routeToHolder(mc *machine, now time.Time) (Route, string) {
+	if now.Sub(mc.holder.heardAt) > maxContactGap {
 		return Wait, "" // the holder may have ended: its machines are free when its grant ends
 	}
-	if !k.redirectedAt.IsZero() && now.Sub(k.redirectedAt) < redirectTimeout {
-		a.recordUnreached(k, now)
+	if !mc.redirectedAt.IsZero() && now.Sub(mc.redirectedAt) < redirectTimeout {
+		a.recordUnreached(mc, now)
 		return Wait, ""
 	}
-	k.redirectedAt = now
-	return Send, k.holder.name
+	mc.redirectedAt = now
+	return Send, mc.holder.name
 }
 
 // recordUnreached revokes a machine whose worker does not reach its holder. A holder
 // that many workers do not reach leaves.
-func (a *Assigner) recordUnreached(k *machine, now time.Time) {
-	m := k.holder
-	a.revoke(k, "its worker does not reach the holder", now)
+func (a *Assigner) recordUnreached(mc *machine, now time.Time) {
+	m := mc.holder
+	a.revoke(mc, "its worker does not reach the holder", now)
 	m.unreachedAt = slices.DeleteFunc(m.unreachedAt, func(t time.Time) bool { return now.Sub(t) > redirectTimeout })
 	m.unreachedAt = append(m.unreachedAt, now)
 	if m.leavingReason == "" && len(m.unreachedAt) >= max(minUnreached, len(m.machines)/unreachedFraction) {
@@ -88,8 +88,8 @@
 
 // ConfirmContact notes that the holder has had contact with a machine.
 func (a *Assigner) ConfirmContact(name string) {
-	if k := a.machines[name]; k != nil {
-		k.redirectedAt = time.Time{}
+	if mc := a.machines[name]; mc != nil {
+		mc.redirectedAt = time.Time{}
 	}
 }
 
@@ -99,13 +99,13 @@
 // worker. A leader that is cut off from its workers assigns their machines to members
 // that are not.
 func (a *Assigner) ReportServed(name, via string, now time.Time) {
-	k := a.machines[name]
-	if k == nil || k.phase != heldByLeader || k.retained || len(a.machines) < a.settings.MinMachines {
+	mc := a.machines[name]
+	if mc == nil || mc.phase != heldByLeader || mc.retained || len(a.machines) < a.settings.MinMachines {
 		return
 	}
 	if via != "" {
-		k.pinned = via
-		k.pinnedUntil = now.Add(pinDuration)
+		mc.pinned = via
+		mc.pinnedUntil = now.Add(pinDuration)
 		a.forwardedReportAt = now
 	} else {
 		a.directReportAt = now
@@ -114,7 +114,7 @@
 	if len(a.candidates) == 1 {
 		return
 	}
-	if to := a.target(k, now); to.member != nil && (k.neverAssigned || a.takeMove(now)) {
-		a.assign(k, to.member, "its share", now)
+	if to := a.target(mc, now); to.member != nil && (mc.neverAssigned || a.takeMove(now)) {
+		a.assign(mc, to.member, "its share", now)
 	}
 }
