--- a/internal/control/admission_test.go
+++ b/internal/control/admission_retry_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestRetryPacer: submissions beyond what can be stored are told to come back, each
-// at a time of its own, and never later than users heed.
+// TestRetryPacer: submissions beyond what can be stored are given times to retry, each
+// one of its own, and none later than users respect.
 func TestRetryPacer(t *testing.T) {
 	ts := retryPacer{perSecond: 10}
 	now := time.Unix(1000, 0)
--- a/internal/state/errors.go
+++ b/internal/state/errors.go
@@ -67,9 +67,7 @@
 	case http.StatusNotFound:
 		return ErrNotFound
 	case http.StatusConflict:
-		var body struct {
-			Failed []string `codec:"failed"`
-		}
+		var body conflictResponse
 		_ = wire.Unmarshal(b, &body) // without the names it is a conflict all the same
 		return &ConflictError{Failed: body.Failed}
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
--- a/internal/state/messages.go
+++ b/internal/state/messages.go
@@ -51,6 +51,32 @@
 	Epoch   uint64  `codec:"epoch"`
 }
 
+// commitResponse is the response to a transaction that was applied.
+type commitResponse struct {
+	Epoch uint64 `codec:"epoch"` // the revision of its changes
+}
+
+// conflictResponse is the response to a transaction whose conditions do not hold.
+type conflictResponse struct {
+	Failed []string `codec:"failed"` // the keys of these conditions
+}
+
+// leaseRequest asks for a new lease.
+type leaseRequest struct {
+	TTLMs int64 `codec:"ttl_ms"`
+}
+
+// leaseResponse is the response to a leaseRequest.
+type leaseResponse struct {
+	Lease uint64 `codec:"tenure"`
+}
+
+// watchResponse is the response to a watch.
+type watchResponse struct {
+	Epoch  uint64  `codec:"epoch"` // the revision to watch from next
+	Events []Event `codec:"events"`
+}
+
 // Event is a change that a watch reports.
 type Event struct {
 	Put string `codec:"put"` // the key that was written; empty: a key was deleted
--- a/internal/state/watch.go
+++ b/internal/state/watch.go
@@ -18,10 +18,7 @@
 		"after":   {strconv.FormatUint(after, 10)},
 		"wait_ms": {strconv.FormatInt(wait.Milliseconds(), 10)},
 	}
-	var out struct {
-		Epoch  uint64  `codec:"epoch"`
-		Events []Event `codec:"events"`
-	}
+	var out watchResponse
 	err := c.do(ctx, c.watch, http.MethodGet, "/changes?"+q.Encode(), nil, &out, wait+callTimeout)
 	return out.Events, out.Epoch, err
 }
