--- a/internal/control/control_feasibility.go
+++ b/internal/control/control_feasibility.go
@@ -99,11 +99,11 @@
 // feasibleZones are the zones in which a task of a job fits a machine type that the
 // job allows.
 func feasibleZones(s *job.Spec, types []wire.MachineType) map[string]bool {
-	need := place.Amount{CPUs: s.CPUs, GPUs: s.GPUs, MemGB: s.MemGB}
+	need := place.Resources{CPUs: s.CPUs, GPUs: s.GPUs, MemGB: s.MemGB}
 	zones := map[string]bool{}
 	for i := range types {
 		mt := &types[i]
-		capacity := place.Amount{CPUs: mt.CPUs, GPUs: mt.GPUs, MemGB: mt.MemGB}
+		capacity := place.Resources{CPUs: mt.CPUs, GPUs: mt.GPUs, MemGB: mt.MemGB}
 		if !capacity.Fits(need) || (s.Types != nil && !slices.Contains(s.Types, mt.Name)) {
 			continue
 		}
--- a/internal/control/records_load.go
+++ b/internal/control/records_load.go
@@ -88,7 +88,7 @@
 		h.Durable = true
 		h.Inherited = true
 		h.Booting = false
-		r.nameIndex.describe(h, hr.Type, hr.Zone, hr.Spot)
+		r.nameIndex.describeHost(h, hr.Type, hr.Zone, hr.Spot)
 		p.hosts = append(p.hosts, h)
 		r.hostEntries[h] = hostEntry{hostRecord: hr, page: p}
 	}
@@ -104,7 +104,7 @@
 			return &pageError{key: p.key, err: err}
 		}
 		r.mergeJobHosts(p, jr, set)
-		team := r.nameIndex.team(jr.Team)
+		team := r.nameIndex.teamIndex(jr.Team)
 		for index, h := range byIndex {
 			if set.Has(index) {
 				h.InheritedJobs = append(h.InheritedJobs, fleet.InheritedJob{ID: jr.Job, Team: team})
--- a/internal/control/tasks_heartbeats.go
+++ b/internal/control/tasks_heartbeats.go
@@ -28,7 +28,7 @@
 // seen a later term.
 func (tt *taskTracker) observe(h *fleet.Host, m *wire.Report, isHeartbeat bool, now time.Time) (fresh, ok bool) {
 	if !h.Known || h.Type < 0 {
-		tt.nameIndex.describe(h, m.Type, m.Zone, m.Spot)
+		tt.nameIndex.describeHost(h, m.Type, m.Zone, m.Spot)
 	}
 	wasBooting := h.Booting
 	wasDeaf := h.InboundCut()
@@ -45,10 +45,10 @@
 	tt.observeSlots(h, now)
 	tt.applyEvents(res.Events, now)
 	if h.Fenced && !h.Durable && h.Known && h.Addr != "" && !h.Lost && !h.Releasing {
-		tt.registry.addHost(h, tt.nameIndex.list()[h.Type].Name, tt.nameIndex.zoneNames()[h.Zone])
+		tt.registry.addHost(h, tt.nameIndex.machineTypes()[h.Type].Name, tt.nameIndex.zoneNames()[h.Zone])
 	}
 	if res.Fresh && !h.RecallAt.IsZero() {
-		tt.machinePool.recall(h, now)
+		tt.machinePool.handleSpotNotice(h, now)
 	}
 	return res.Fresh, true
 }
@@ -131,7 +131,7 @@
 func (tt *taskTracker) taskStarted(s *fleet.Slot, now time.Time) {
 	j := s.Job
 	cacheGB := 0.0
-	if t := tt.nameIndex.typeOf(s.Host); t != nil {
+	if t := tt.nameIndex.machineType(s.Host); t != nil {
 		cacheGB = t.CacheGB
 	}
 	s.Host.UseImage(j.ImageIdx, j.ImageGB, cacheGB)
@@ -157,10 +157,10 @@
 		tt.taskDone(s, j, h, now)
 		return
 	case wire.CauseError:
-		tt.blame(j, h, now)
+		tt.attributeFailure(j, h, now)
 		tt.rollouts.failed(j, s.Task, h.Name)
 	case wire.CauseNoSuch:
-		tt.holdBack(j, now)
+		tt.backOffJob(j, now)
 	}
 	if j.Shape != job.Gang || s.Cause == wire.CauseFull {
 		return
@@ -179,7 +179,7 @@
 	if !j.HasSucceeded {
 		tt.firstSuccess(j)
 	}
-	tt.pace(s, j, h, now)
+	tt.checkSpeed(s, j, h, now)
 	if !s.RunAt.IsZero() && !s.Adopted {
 		tt.reservationHolds.ran(j, now.Sub(s.RunAt).Seconds())
 	}
@@ -208,7 +208,7 @@
 	j.NotBefore = time.Time{}
 	for _, h := range tt.fleet.All() {
 		if h.ErrorJobs[j] {
-			tt.judge(h)
+			tt.quarantineIfFaulty(h)
 		}
 	}
 }
