--- a/internal/state/client_test.go
+++ b/internal/state/client_test.go
@@ -12,13 +12,15 @@
 	"time"
 )
 
+// answers is an HTTP transport that answers each request with a status and an empty
+// CBOR map.
 type answers func(*http.Request) int
 
 func (a answers) RoundTrip(q *http.Request) (*http.Response, error) {
 	return &http.Response{StatusCode: a(q), Body: io.NopCloser(bytes.NewReader([]byte{0xa0}))}, nil
 }
 
-// TestBudget: refusals for the rate narrow a node's budget, service widens it
+// TestBudget: refusals for the rate narrow a node's budget, served requests widen it
 // again, and an outage leaves it as it is.
 func TestBudget(t *testing.T) {
 	tests := []struct {
@@ -57,8 +59,8 @@
 	}
 }
 
-// TestUnbounded: the election's requests wait for no budget, and refusals do not
-// slow them down.
+// TestUnbounded: the requests of leader election wait for no budget, and refusals do
+// not slow them down.
 func TestUnbounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := NewUnbounded("state:1", nil)
--- a/internal/state/hedge_test.go
+++ b/internal/state/hedge_test.go
@@ -18,12 +18,12 @@
 	}
 	ok := error(nil)
 	tests := []struct {
-		name  string
-		steps []step // of the first and the second attempt
-		again bool
-		want  error
-		sent  int
-		took  time.Duration
+		name         string
+		steps        []step // of the first and the second attempt
+		mayHedge     bool
+		want         error
+		wantAttempts int
+		wantTime     time.Duration
 	}{
 		{"in time", []step{{5 * time.Millisecond, ok}}, true, ok, 1, 5 * time.Millisecond},
 		{"late: the second counts", []step{{time.Second, ok}, {5 * time.Millisecond, ok}}, true, ok, 2, maxHedgeDelay + 5*time.Millisecond},
@@ -39,10 +39,10 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				begun := time.Now()
-				var sent atomic.Int32
-				_, err := hedged(context.Background(), newLatencyTracker(), func() bool { return tt.again }, func(ctx context.Context) (int, error) {
-					s := tt.steps[sent.Add(1)-1]
+				start := time.Now()
+				var attempts atomic.Int32
+				_, err := hedged(context.Background(), newLatencyTracker(), func() bool { return tt.mayHedge }, func(ctx context.Context) (int, error) {
+					s := tt.steps[attempts.Add(1)-1]
 					select {
 					case <-time.After(s.after):
 						return 0, s.err
@@ -50,8 +50,8 @@
 						return 0, ErrUnknown
 					}
 				})
-				if !errors.Is(err, tt.want) || int(sent.Load()) != tt.sent || time.Since(begun) != tt.took {
-					t.Errorf("%v after %v with %d sent, want %v after %v with %d", err, time.Since(begun), sent.Load(), tt.want, tt.took, tt.sent)
+				if !errors.Is(err, tt.want) || int(attempts.Load()) != tt.wantAttempts || time.Since(start) != tt.wantTime {
+					t.Errorf("%v after %v with %d attempts, want %v after %v with %d", err, time.Since(start), attempts.Load(), tt.want, tt.wantTime, tt.wantAttempts)
 				}
 				synctest.Wait()
 			})
