--- a/internal/fleet/renewal_test.go
+++ b/internal/fleet/renewal_test.go
@@ -7,83 +7,85 @@
 	"vetchstream/internal/wire"
 )
 
-// cancel notes that the job's cancellation is sent.
-func (b *ledgerFixture) cancel() {
-	b.job.Closing, b.job.CancelledAt = wire.JobCancelled, b.now
-	for s := range b.fleet.SlotsOf(b.job) {
-		b.fleet.Stop(s, 0)
+// cancelJob cancels the job: its user may be told from now on.
+func (f *ledgerFixture) cancelJob() {
+	f.job.Closing = wire.JobCancelled
+	f.job.CancelledAt = f.now
+	for s := range f.fleet.SlotsOf(f.job) {
+		f.fleet.Stop(s, 0)
 	}
 }
 
-func (b *ledgerFixture) renewable(want bool, when string) {
-	b.t.Helper()
-	if got := b.fleet.Renewable(b.host, b.now, 100); got != want {
-		b.t.Errorf("%s: the lease may be renewed: %v, want %v", when, got, want)
+// checkRenewable checks whether the leader may renew the machine's lease.
+func (f *ledgerFixture) checkRenewable(want bool, when string) {
+	f.t.Helper()
+	if got := f.fleet.Renewable(f.host, f.now, 100); got != want {
+		f.t.Errorf("%s: the lease may be renewed: %v, want %v", when, got, want)
 	}
 }
 
 // renewalCase is a case of the tests below.
 type renewalCase struct {
 	name string
-	do   func(b *ledgerFixture)
+	do   func(f *ledgerFixture)
 }
 
-// inFlight lets a job be cancelled whose launch is on its way.
-func inFlight(b *ledgerFixture) {
-	b.msg(true, 1, 1, term, nil)
-	b.assign(1)
-	b.orders(b.compose(0, true), "launch 1;")
-	b.cancel()
+// launchInFlight cancels the job while its launch by direct command is in flight.
+func launchInFlight(f *ledgerFixture) {
+	f.observe(true, 1, 1, term, nil)
+	f.assign(1)
+	f.checkOrders(f.compose(0, true), "launch 1;")
+	f.cancelJob()
 }
 
 var running = map[uint64]wire.TaskPhase{1: wire.TaskRunning}
 
-// limit is when, after the cancellation, the lease may be renewed no more: cancel_s is 25 s,
-// the lease with its margin 10.51 s.
-const limit = 14490 * time.Millisecond
+// renewalDeadline is how long after the cancellation the lease may still be renewed:
+// cancel_s is 25 s, the lease with its margin 10.51 s.
+const renewalDeadline = 14490 * time.Millisecond
 
-// TestRenewal: the lease of a machine that a cancelled job may be on, or may come to, is not
-// renewed beyond what the job's user was told.
+// TestRenewal: the lease of a machine where a task of a cancelled job may be, or may still
+// start, is not renewed beyond the time that the job's user was told.
 func TestRenewal(t *testing.T) {
 	tests := []renewalCase{
-		{"a launch on its way: until the limit, not from it on", func(b *ledgerFixture) {
-			inFlight(b)
-			b.now = b.now.Add(limit - time.Millisecond)
-			b.msg(true, 1, 2, term, nil)
-			b.renewable(true, "before the limit")
-			b.now = b.now.Add(time.Millisecond)
-			b.msg(true, 1, 3, term, nil)
-			b.renewable(false, "at the limit")
-			b.msg(true, 2, 1, term, nil)
-			b.renewable(true, "once the session has ended")
-			b.live(0, "once the session has ended")
+		{"a launch on its way: until the limit, not from it on", func(f *ledgerFixture) {
+			launchInFlight(f)
+			f.now = f.now.Add(renewalDeadline - time.Millisecond)
+			f.observe(true, 1, 2, term, nil)
+			f.checkRenewable(true, "before the limit")
+			f.now = f.now.Add(time.Millisecond)
+			f.observe(true, 1, 3, term, nil)
+			f.checkRenewable(false, "at the limit")
+			f.observe(true, 2, 1, term, nil)
+			f.checkRenewable(true, "once the session has ended")
+			f.checkLive(0, "once the session has ended")
 		}},
-		{"a launch that arrives late is halted, and what halts it renews", func(b *ledgerFixture) {
-			inFlight(b)
-			b.now = b.now.Add(limit + time.Second)
-			b.msg(true, 1, 2, term, running)
-			b.renewable(true, "shown by the report")
-			b.orders(b.compose(2, true), "halt 1;")
-			if _, bounded := b.fleet.RenewalLimit(b.host); !bounded {
-				b.t.Error("who answers without halts may renew")
+		{"a launch that arrives late is halted, and what halts it renews", func(f *ledgerFixture) {
+			launchInFlight(f)
+			f.now = f.now.Add(renewalDeadline + time.Second)
+			f.observe(true, 1, 2, term, running)
+			f.checkRenewable(true, "shown by the report")
+			f.checkOrders(f.compose(2, true), "halt 1;")
+			if _, bounded := f.fleet.RenewalLimit(f.host); !bounded {
+				f.t.Error("who answers without halts may renew")
 			}
-			b.msg(true, 1, 3, term, map[uint64]wire.TaskPhase{1: wire.TaskExited})
-			if _, bounded := b.fleet.RenewalLimit(b.host); bounded {
-				b.t.Error("bounded after the exit")
+			f.observe(true, 1, 3, term, map[uint64]wire.TaskPhase{1: wire.TaskExited})
+			if _, bounded := f.fleet.RenewalLimit(f.host); bounded {
+				f.t.Error("bounded after the exit")
 			}
 		}},
-		{"a launch that the answer to a direct command settles", func(b *ledgerFixture) {
-			inFlight(b)
-			b.fleet.RemoveNotDelivered(b.sent)
-			b.now = b.now.Add(limit)
-			b.renewable(true, "after the refusal")
+		{"a launch that the answer to a direct command settles", func(f *ledgerFixture) {
+			launchInFlight(f)
+			f.fleet.RemoveNotDelivered(f.sent)
+			f.now = f.now.Add(renewalDeadline)
+			f.checkRenewable(true, "after the refusal")
 		}},
-		{"cancelled by an earlier leader: nobody knows when", func(b *ledgerFixture) {
-			b.job.Phase = wire.JobCancelled
-			b.msg(true, 1, 1, term-1, running)
-			b.renewable(true, "by an answer with halts")
-			if at, bounded := b.fleet.RenewalLimit(b.host); !bounded || at.After(b.now) {
-				b.t.Error("a holder may renew")
+		{"cancelled by an earlier leader: nobody knows when", func(f *ledgerFixture) {
+			f.job.Phase = wire.JobCancelled
+			f.observe(true, 1, 1, term-1, running)
+			f.checkRenewable(true, "by an answer with halts")
+			if at, bounded := f.fleet.RenewalLimit(f.host); !bounded || at.After(f.now) {
+				f.t.Error("a holder may renew")
 			}
 		}},
 	}
@@ -95,47 +97,47 @@
 // TestRenewalBeside: what else the bound concerns, and what it does not.
 func TestRenewalBeside(t *testing.T) {
 	tests := []renewalCase{
-		{"more to halt than an answer holds", func(b *ledgerFixture) {
-			b.msg(true, 1, 1, term, map[uint64]wire.TaskPhase{1: wire.TaskRunning, 2: wire.TaskRunning})
-			b.cancel()
-			b.now = b.now.Add(limit)
-			if b.fleet.Renewable(b.host, b.now, 1) || !b.fleet.Renewable(b.host, b.now, 2) {
-				b.t.Error("an answer that cannot halt everything renews")
+		{"more to halt than an answer holds", func(f *ledgerFixture) {
+			f.observe(true, 1, 1, term, map[uint64]wire.TaskPhase{1: wire.TaskRunning, 2: wire.TaskRunning})
+			f.cancelJob()
+			f.now = f.now.Add(renewalDeadline)
+			if f.fleet.Renewable(f.host, f.now, 1) || !f.fleet.Renewable(f.host, f.now, 2) {
+				f.t.Error("an answer that cannot halt everything renews")
 			}
 		}},
-		{"a job that is done, or goes on, bounds nothing", func(b *ledgerFixture) {
-			inFlight(b)
-			b.job.Phase = wire.JobDone
-			b.now = b.now.Add(time.Minute)
-			b.renewable(true, "its end came first")
+		{"a job that is done, or goes on, bounds nothing", func(f *ledgerFixture) {
+			launchInFlight(f)
+			f.job.Phase = wire.JobDone
+			f.now = f.now.Add(time.Minute)
+			f.checkRenewable(true, "its end came first")
 		}},
-		{"no work for a machine whose session may have to end", func(b *ledgerFixture) {
-			b.msg(true, 1, 1, term, nil)
-			b.assign(1)
-			b.compose(0, true)
-			if !b.host.Usable() {
-				b.t.Error("not usable before the cancellation")
+		{"no work for a machine whose session may have to end", func(f *ledgerFixture) {
+			f.observe(true, 1, 1, term, nil)
+			f.assign(1)
+			f.compose(0, true)
+			if !f.host.Usable() {
+				f.t.Error("not usable before the cancellation")
 			}
-			b.cancel()
-			if b.host.Usable() {
-				b.t.Error("usable after it")
+			f.cancelJob()
+			if f.host.Usable() {
+				f.t.Error("usable after it")
 			}
-			b.fleet.StopRenewal(b.host)
-			b.msg(true, 2, 1, term, nil)
-			if !b.host.Usable() || b.host.InboundCut() {
-				b.t.Error("not usable in the next session")
+			f.fleet.StopRenewal(f.host)
+			f.observe(true, 2, 1, term, nil)
+			if !f.host.Usable() || f.host.InboundCut() {
+				f.t.Error("not usable in the next session")
 			}
 		}},
-		{"8: a launch on its way is sent once more when its machine goes to a holder", func(b *ledgerFixture) {
-			b.msg(true, 1, 1, term, nil)
-			b.assign(1)
-			b.compose(0, true)
-			if len(b.fleet.AwaitingCommand()) != 0 {
-				b.t.Error("the leader sends it in an answer")
+		{"8: a launch on its way is sent once more when its machine goes to a holder", func(f *ledgerFixture) {
+			f.observe(true, 1, 1, term, nil)
+			f.assign(1)
+			f.compose(0, true)
+			if len(f.fleet.AwaitingCommand()) != 0 {
+				f.t.Error("the leader sends it in an answer")
 			}
-			b.fleet.SetHolder(b.host, &Holder{Name: "n1"})
-			if len(b.fleet.AwaitingCommand()) != 1 {
-				b.t.Error("nobody sends it")
+			f.fleet.SetHolder(f.host, &Holder{Name: "n1"})
+			if len(f.fleet.AwaitingCommand()) != 1 {
+				f.t.Error("nobody sends it")
 			}
 		}},
 	}
