--- a/internal/emulate/store_http.go
+++ b/internal/emulate/store_http.go
@@ -13,6 +13,36 @@
 	"vetchstream/internal/wire"
 )
 
+// The answers of the key-value store, by their names on the wire.
+type (
+	listAnswer struct {
+		Entries  []state.Entry `codec:"entries"`
+		More     bool          `codec:"more"`
+		Revision uint64        `codec:"epoch"`
+	}
+	revisionAnswer struct {
+		Revision uint64 `codec:"epoch"`
+	}
+	conflictAnswer struct {
+		Failed   []string `codec:"failed"` // keys whose conditions do not hold
+		Revision uint64   `codec:"epoch"`
+	}
+	grantAnswer struct {
+		Lease uint64 `codec:"tenure"`
+	}
+	changesAnswer struct {
+		Revision uint64   `codec:"epoch"`
+		Events   []change `codec:"events"`
+	}
+	// change is a key that was put or deleted.
+	change struct {
+		Put      string   `codec:"put,omitempty"`
+		Delete   string   `codec:"drop,omitempty"`
+		Value    wire.Raw `codec:"data,omitempty"`
+		Revision uint64   `codec:"stamp"`
+	}
+)
+
 // ServeHTTP implements http.Handler: the published protocol of the key-value store.
 func (s *Store) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	from, _, _ := net.SplitHostPort(q.RemoteAddr)
@@ -63,14 +93,14 @@
 		}
 	}
 	page := min(len(out), s.pageSize)
-	encode(w, http.StatusOK, map[string]any{"entries": out[:page], "more": page < len(out), "epoch": s.revision})
+	encode(w, http.StatusOK, listAnswer{Entries: out[:page], More: page < len(out), Revision: s.revision})
 }
 
 // serveEntry answers a read of one key; the caller holds the lock.
 func (s *Store) serveEntry(w http.ResponseWriter, key string) {
 	e, ok := s.entries[key]
 	if !ok {
-		encode(w, http.StatusNotFound, map[string]any{"epoch": s.revision})
+		encode(w, http.StatusNotFound, revisionAnswer{s.revision})
 		return
 	}
 	encode(w, http.StatusOK, e)
@@ -92,10 +122,10 @@
 			s.answersLost++
 			defer func() {
 				s.sleepUnlocked(-d)
-				panic(http.ErrAbortHandler)
+				panic(http.ErrAbortHandler) // ends the connection without an answer
 			}()
 		case d > 0:
-			// Its sender gives up long before. What it says is carried out all the same.
+			// The client gives up long before; the transaction is carried out all the same.
 			s.sleepUnlocked(d)
 			s.expireLeases()
 		}
@@ -112,12 +142,12 @@
 		}
 	}
 	if failed != nil {
-		encode(w, http.StatusConflict, map[string]any{"failed": failed, "epoch": s.revision})
+		encode(w, http.StatusConflict, conflictAnswer{Failed: failed, Revision: s.revision})
 		return
 	}
 	for _, x := range t.Writes {
 		if _, ok := s.leaseExpiry[x.Lease]; x.Lease != 0 && !ok {
-			encode(w, http.StatusBadRequest, map[string]any{"error": "no such lease"})
+			encode(w, http.StatusBadRequest, wire.Error{Error: "no such lease"})
 			return
 		}
 	}
@@ -131,10 +161,10 @@
 		s.entries[x.Put] = state.Entry{Key: x.Put, Value: append(wire.Raw(nil), x.Value...), Version: s.revision, Lease: x.Lease}
 	}
 	s.notifyWatchers()
-	encode(w, http.StatusOK, map[string]any{"epoch": s.revision})
+	encode(w, http.StatusOK, revisionAnswer{s.revision})
 }
 
-// serveGrant makes a lease; the caller holds the lock.
+// serveGrant grants a lease; the caller holds the lock.
 func (s *Store) serveGrant(w http.ResponseWriter, q *http.Request) {
 	var in struct {
 		TTL int64 `codec:"ttl_ms"`
@@ -146,7 +176,7 @@
 	s.lastLease++
 	s.leaseTTL[s.lastLease] = time.Duration(in.TTL) * time.Millisecond
 	s.leaseExpiry[s.lastLease] = time.Now().Add(s.leaseTTL[s.lastLease])
-	encode(w, http.StatusOK, map[string]any{"tenure": s.lastLease})
+	encode(w, http.StatusOK, grantAnswer{s.lastLease})
 }
 
 // serveLease renews or ends a lease; the caller holds the lock.
@@ -161,10 +191,10 @@
 	} else {
 		s.leaseExpiry[id] = time.Now().Add(s.leaseTTL[id])
 	}
-	encode(w, http.StatusOK, map[string]any{})
+	encode(w, http.StatusOK, struct{}{})
 }
 
-// watchPollInterval is how often a watch looks for leases that have run out.
+// watchPollInterval is how often a watch looks for leases that have expired.
 const watchPollInterval = 100 * time.Millisecond
 
 // serveChanges answers a watch; the caller holds the lock.
@@ -177,7 +207,7 @@
 		s.expireLeases()
 		events := s.events(v.Get("under"), after)
 		if (len(events) > 0 && !s.refuses(from)) || time.Now().After(end) {
-			encode(w, http.StatusOK, map[string]any{"epoch": s.revision, "events": events})
+			encode(w, http.StatusOK, changesAnswer{Revision: s.revision, Events: events})
 			return
 		}
 		if !s.awaitChange(q) {
@@ -187,23 +217,23 @@
 }
 
 // events are the changes below a prefix after a revision; the caller holds the lock.
-func (s *Store) events(under string, after uint64) []map[string]any {
-	events := []map[string]any{}
+func (s *Store) events(under string, after uint64) []change {
+	events := []change{}
 	for k, e := range s.entries {
 		if strings.HasPrefix(k, under) && e.Version > after {
-			events = append(events, map[string]any{"put": k, "data": e.Value, "stamp": e.Version})
+			events = append(events, change{Put: k, Value: e.Value, Revision: e.Version})
 		}
 	}
 	for k, rev := range s.deletedAt {
 		if strings.HasPrefix(k, under) && rev > after {
-			events = append(events, map[string]any{"drop": k, "stamp": rev})
+			events = append(events, change{Delete: k, Revision: rev})
 		}
 	}
 	return events
 }
 
-// awaitChange waits without the lock for a change or for a lease that may have run out;
-// false: the watcher has left.
+// awaitChange waits without the lock for a change or for a lease that may have expired; false: the
+// watcher has left.
 func (s *Store) awaitChange(q *http.Request) bool {
 	changed := s.changed
 	s.mu.Unlock()
