--- a/internal/control/commands.go
+++ b/internal/control/commands.go
@@ -47,8 +47,8 @@
 		return
 	}
 	cm.nextUrgentScan = now.Add(urgentScanInterval)
-	for _, h := range cm.fleet.Awake() {
-		if cm.mayCall(h, now) && h.Urgent(now) {
+	for _, h := range cm.fleet.AwaitingCommand() {
+		if cm.mayCall(h, now) && h.NeedsDirectCommand(now) {
 			cm.send(h, now)
 		}
 	}
@@ -58,7 +58,7 @@
 // those that seem unreachable: an answer brings them back into use.
 func (cm *commands) fenceWorkers(now time.Time) {
 	for _, h := range cm.fleet.All() {
-		if (!h.Fenced || h.Deaf() || h.Unheard) && cm.mayCall(h, now) {
+		if (!h.Fenced || h.InboundCut() || h.CallUnanswered) && cm.mayCall(h, now) {
 			cm.send(h, now)
 		}
 	}
@@ -66,7 +66,7 @@
 
 // mayCall reports whether a direct command may be sent to a machine now.
 func (cm *commands) mayCall(h *fleet.Host, now time.Time) bool {
-	if h.Calling || h.Lost || h.Addr == "" || !h.Durable || now.Before(h.NextCall) {
+	if h.CallInFlight || h.Lost || h.Addr == "" || !h.Durable || now.Before(h.NextCallAt) {
 		return false
 	}
 	relayed, may := cm.shards.relayable(h)
@@ -77,7 +77,7 @@
 // and brings launches and halts without waiting for the next heartbeat.
 func (cm *commands) send(h *fleet.Host, now time.Time) {
 	session := max(1, h.Session)
-	orders, sent, events := cm.fleet.Compose(h, 0, h.Usable(), now, maxOrders)
+	orders, sent, events := cm.fleet.ComposeOrders(h, 0, h.Usable(), now, maxOrders)
 	cm.takeover.recordLaunches(len(sent), now)
 	cm.taskTracker.applyEvents(events, now)
 	body, err := wire.Marshal(wire.Direct{Token: cm.term, Session: session, Orders: orders})
@@ -85,7 +85,7 @@
 		cm.log.Error("orders do not encode", "error", err)
 		return
 	}
-	h.Calling = true
+	h.CallInFlight = true
 	if relayed, _ := cm.shards.relayable(h); relayed {
 		cm.shards.relay(h, body, sent, now)
 		return
@@ -105,13 +105,13 @@
 // the placements that it launched.
 func (cm *commands) finishCall(h *fleet.Host, result DirectResult, err error, sent []*fleet.Slot) {
 	now := time.Now()
-	h.Calling = false
+	h.CallInFlight = false
 	if cm.fleet.Hosts[h.Name] != h {
 		return
 	}
 	report := decodeReport(result.Body)
 	if result.notExecuted(report) {
-		cm.taskTracker.applyEvents(cm.fleet.Unsent(sent), now)
+		cm.taskTracker.applyEvents(cm.fleet.RemoveNotDelivered(sent), now)
 	}
 	if report == nil {
 		cm.log.Debug("direct command failed", "host", h.Name, "status", result.Status, "error", err)
@@ -120,7 +120,7 @@
 	}
 	h.Failures = 0
 	if report.Host != "" && report.Host != h.Name {
-		h.NextCall = now.Add(wrongHostPause)
+		h.NextCallAt = now.Add(wrongHostPause)
 		return
 	}
 	cm.taskTracker.observe(h, report, false, now)
@@ -141,10 +141,10 @@
 // callFailed backs off from a machine that did not answer.
 func (cm *commands) callFailed(h *fleet.Host, now time.Time) {
 	// Silent machines must not take up the few calls that may be in flight.
-	h.NextCall = now.Add(min(maxCallBackoff, time.Second<<min(h.Failures, maxBackoffDoublings)))
+	h.NextCallAt = now.Add(min(maxCallBackoff, time.Second<<min(h.Failures, maxBackoffDoublings)))
 	h.Failures++
 	// A machine that hangs, or that nothing reaches, has much capacity and would be
 	// chosen again and again.
-	h.Unheard = true
-	cm.taskTracker.applyEvents(cm.fleet.Withdraw(h), now)
+	h.CallUnanswered = true
+	cm.taskTracker.applyEvents(cm.fleet.RemoveUnsent(h), now)
 }
--- a/internal/control/job_table.go
+++ b/internal/control/job_table.go
@@ -103,7 +103,7 @@
 	jt.indexes[j] = jt.lastIndex
 	jt.jobsByIndex[jt.lastIndex] = j
 	jt.bindNames(j)
-	jt.registry.adopt(j)
+	jt.registry.attachJob(j)
 	jt.requestPlan()
 	jt.log.Info("job is taken in", "job", j.ID, "class", j.Class, "team", j.Team, "tasks", j.Tasks, "cpus", j.CPUs, "estimate", j.EstimateS)
 	return j
@@ -132,7 +132,7 @@
 // the term ends.
 func (jt *jobTable) identify(j *job.Job, id string) {
 	for jt.ctx.Err() == nil {
-		rec, version, err := lookup(jt.ctx, jt.controller.State, id)
+		rec, version, err := readJobRecord(jt.ctx, jt.controller.State, id)
 		if errors.Is(err, errUnreadable) {
 			// What its tasks take of a team's limit will not be known: nothing is placed
 			// until they are gone.
@@ -169,7 +169,7 @@
 // service that is rolled out.
 func (jt *jobTable) runningTasks(j *job.Job) int {
 	n := 0
-	for s := range jt.fleet.On(j) {
+	for s := range jt.fleet.SlotsOf(j) {
 		if s.Phase == wire.Running || s.Phase == wire.Saving {
 			n++
 		}
@@ -186,8 +186,8 @@
 // machine.
 func (jt *jobTable) removeFinished() {
 	for id, j := range jt.jobs {
-		if (j.Phase != "" || jt.unidentified[j]) && len(jt.fleet.On(j)) == 0 {
-			jt.registry.orphan(id)
+		if (j.Phase != "" || jt.unidentified[j]) && len(jt.fleet.SlotsOf(j)) == 0 {
+			jt.registry.detachJob(id)
 			jt.planner.forget(j)
 			delete(jt.jobs, id)
 			delete(jt.jobsByIndex, jt.indexes[j])
--- a/internal/control/leader_term_loop.go
+++ b/internal/control/leader_term_loop.go
@@ -48,7 +48,7 @@
 		}
 		lt.drainInboxes()
 		lt.step(time.Now())
-		if lt.fleet.Waits() {
+		if lt.fleet.AnyAwaitingCommand() {
 			urgent.Reset(urgentScanInterval)
 		}
 	}
@@ -73,7 +73,7 @@
 		f := <-lt.userInbox
 		f()
 	}
-	lt.admission.flush(time.Now())
+	lt.admission.storeQueued(time.Now())
 }
 
 // heartbeat takes in a worker's heartbeat and answers it with commands; via is the
@@ -110,7 +110,7 @@
 		return
 	}
 	lt.planner.place(now)
-	orders, sent, events := lt.fleet.Compose(h, m.Seq, fresh, now, maxOrders)
+	orders, sent, events := lt.fleet.ComposeOrders(h, m.Seq, fresh, now, maxOrders)
 	lt.takeover.recordLaunches(len(sent), now)
 	lt.taskTracker.applyEvents(events, now)
 	p := reply(http.StatusOK, wire.Answer{Token: lt.term, Orders: orders})
@@ -128,17 +128,17 @@
 		lt.expireLeases(now)
 	}
 	if !lt.controller.Entitled(lt.term) {
-		lt.admission.refuse()
+		lt.admission.refuseQueued()
 		return
 	}
-	lt.admission.flush(now)
-	lt.admissionGroups.step(now)
-	lt.results.flush(now)
-	lt.results.tidy()
+	lt.admission.storeQueued(now)
+	lt.admissionGroups.storeAndCompact(now)
+	lt.results.storeCompleted(now)
+	lt.results.deleteObsolete()
 	lt.completions.moveFinalRecords()
 	lt.machinePool.cloud(now)
 	lt.planner.place(now)
-	lt.registry.register(now)
+	lt.registry.storePages(now)
 	lt.shards.answerHeartbeats(now)
 	lt.commands.sendUrgent(now)
 	lt.shards.step(now, scan)
@@ -166,5 +166,5 @@
 	lt.controller.Meter.Set(metrics.Jobs, len(lt.jobTable.all()))
 	lt.commands.fenceWorkers(now)
 	lt.jobTable.removeFinished()
-	lt.registry.sweepNotes()
+	lt.registry.removeFinishedJobs()
 }
--- a/internal/control/quotas_home.go
+++ b/internal/control/quotas_home.go
@@ -338,7 +338,7 @@
 		}
 		writes = append(writes, put)
 	}
-	version, err = ht.commitUntilSettled(headKey, was, []state.Cond{{Key: headKey, Version: was}}, writes)
+	version, err = ht.commitUntilSettled(headKey, was, []state.Condition{{Key: headKey, Version: was}}, writes)
 	if err != nil {
 		return was, err
 	}
--- a/internal/control/takeover.go
+++ b/internal/control/takeover.go
@@ -62,7 +62,7 @@
 	if tk.allReconciled {
 		return true
 	}
-	tk.inherited = tk.fleet.Settle()
+	tk.inherited = tk.fleet.SettleInherited()
 	if p := &tk.phases; p.contacted.IsZero() && 100*len(tk.inherited) <= (100-contactedPercent)*p.machines {
 		p.contacted = now
 	}
--- a/internal/control/tasks_stops.go
+++ b/internal/control/tasks_stops.go
@@ -44,7 +44,7 @@
 // stopJob stops every placement of a job; grace is the time to save, in seconds.
 func (tt *taskTracker) stopJob(j *job.Job, grace float64) {
 	now := time.Now()
-	for s := range tt.fleet.On(j) {
+	for s := range tt.fleet.SlotsOf(j) {
 		tt.applyEvents(tt.fleet.Stop(s, grace), now)
 	}
 }
@@ -81,8 +81,8 @@
 	if j.GangStopping || j.GangStarted || len(j.Live) != j.Tasks-1 {
 		return false
 	}
-	for s := range tt.fleet.On(j) {
-		if s.On() && !s.Stopping && (s.Phase == "" || s.Phase == wire.Pulling) {
+	for s := range tt.fleet.SlotsOf(j) {
+		if s.Active() && !s.Stopping && (s.Phase == "" || s.Phase == wire.Pulling) {
 			return true
 		}
 	}
--- a/internal/node/shard_holder.go
+++ b/internal/node/shard_holder.go
@@ -123,7 +123,7 @@
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	if view.Leader == sh.node.set.Member {
-		sh.holder.Lead()
+		sh.holder.BecomeLeader()
 	}
 	if view.Leader == "" || view.Leader == sh.node.set.Member {
 		return "", nil, time.Time{}
@@ -139,7 +139,7 @@
 func (sh *shardHolder) requestFailed() {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	sh.holder.Missed()
+	sh.holder.RequestFailed()
 }
 
 // handleReply takes in the leader's reply to the request that was sent at that time: it
@@ -147,7 +147,7 @@
 func (sh *shardHolder) handleReply(ctx context.Context, p *shard.Reply, sent time.Time) {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	for _, call := range sh.holder.Granted(p, sent) {
+	for _, call := range sh.holder.HandleReply(p, sent) {
 		go sh.sendCommand(ctx, p.Term, call)
 	}
 	for i := range p.Answers {
@@ -170,7 +170,7 @@
 	}
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	sh.holder.Finish(shard.Done{
+	sh.holder.RecordCallResult(shard.CallResult{
 		ID:      call.ID,
 		Status:  result.Status,
 		Reached: result.Reached,
@@ -203,7 +203,7 @@
 func (sh *shardHolder) grantValid(term uint64) bool {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	return sh.holder.Valid(term, time.Now())
+	return sh.holder.GrantValid(term, time.Now())
 }
 
 // receivedHeartbeat is what the holder decided about a heartbeat.
