--- a/internal/emulate/task_index.go
+++ b/internal/emulate/task_index.go
@@ -15,10 +15,10 @@
 }
 
 // each calls f with the sets that a task belongs to, by their keys.
-func (x *taskIndex) each(t *task, f func(sets map[string]tasksOn, key string)) {
-	f(x.byName, t.name)
-	f(x.byJob, t.spec.ID)
-	f(x.byTeam, t.spec.Team)
+func (index *taskIndex) each(t *task, f func(sets map[string]tasksOn, key string)) {
+	f(index.byName, t.name)
+	f(index.byJob, t.spec.ID)
+	f(index.byTeam, t.spec.Team)
 }
 
 // addTask puts a task on the machine.
--- a/internal/node/accel_test.go
+++ b/internal/node/accel_test.go
@@ -52,7 +52,16 @@
 		s.Boot("half", "b", true, 0)
 	}
 	submit := func(shape, rank, team string, tasks int, gpus, secs, at float64, edit func(*job.Spec)) {
-		spec := &job.Spec{Team: team, ShapeName: shape, PriorityName: rank, Tasks: tasks, CPUs: 6 * gpus, GPUs: gpus, MemGB: 40 * gpus, EstimateS: secs}
+		spec := &job.Spec{
+			Team:         team,
+			ShapeName:    shape,
+			PriorityName: rank,
+			Tasks:        tasks,
+			CPUs:         6 * gpus,
+			GPUs:         gpus,
+			MemGB:        40 * gpus,
+			EstimateS:    secs,
+		}
 		edit(spec)
 		cancelAfter := time.Duration(0)
 		if shape == "daemon" {
--- a/internal/node/calendar_test.go
+++ b/internal/node/calendar_test.go
@@ -15,17 +15,17 @@
 	name     string
 	machines int
 	edit     func(*config.Calendar)
-	reserve  map[string]any              // edits of the reservation
-	inject   func(b *calendarSimulation) // from the moment all is set up; nil: nothing
-	maxLate  time.Duration               // 0: the tolerance; below 0: it has to be late
-	outcome  string                      // that is stored of the occurrence; empty: any
+	reserve  map[string]any                // edits of the reservation
+	inject   func(sim *calendarSimulation) // from the moment all is set up; nil: nothing
+	maxLate  time.Duration                 // 0: the tolerance; below 0: it has to be late
+	outcome  string                        // that is stored of the occurrence; empty: any
 }
 
 // beforeSlot injects a fault at a moment relative to the slot's start.
 func beforeSlot(at time.Duration, inject func(*simulation)) func(*calendarSimulation) {
-	return func(b *calendarSimulation) {
-		b.sleepUntil(at)
-		inject(b.simulation)
+	return func(sim *calendarSimulation) {
+		sim.sleepUntil(at)
+		inject(sim.simulation)
 	}
 }
 
@@ -57,33 +57,33 @@
 
 // run plays the case and checks the start of the gang and the stored occurrence.
 func (tt *slotCase) run(t *testing.T) {
-	b, closeAll := newCalendarSimulation(t, tt.machines, tt.edit)
-	if got := b.reserve(tt.reserve); got != 201 {
+	sim, closeAll := newCalendarSimulation(t, tt.machines, tt.edit)
+	if got := sim.reserve(tt.reserve); got != 201 {
 		t.Fatalf("the reservation got %d", got)
 	}
-	b.fillFleet(400)
-	id := b.submitJob(25, job.Spec{Team: "blue", ShapeName: "ensemble", Tasks: 6, CPUs: 4, EstimateS: 25, Reservation: "evening"})
+	sim.fillFleet(400)
+	id := sim.submitJob(25, job.Spec{Team: "blue", ShapeName: "ensemble", Tasks: 6, CPUs: 4, EstimateS: 25, Reservation: "evening"})
 	injected := make(chan struct{})
 	go func() {
 		defer close(injected)
 		if tt.inject != nil {
-			tt.inject(b)
+			tt.inject(sim)
 		}
 	}()
-	tt.checkStart(t, b.awaitRunning(id, 6))
+	tt.checkStart(t, sim.awaitRunning(id, 6))
 	<-injected
 	for range 100 { // it ends, once, whatever was injected
-		if b.UnfinishedJobs()[id] == "" {
+		if sim.UnfinishedJobs()[id] == "" {
 			break
 		}
 		time.Sleep(time.Second)
 	}
-	if tt.maxLate >= 0 && b.UnfinishedJobs()[id] != "" {
+	if tt.maxLate >= 0 && sim.UnfinishedJobs()[id] != "" {
 		t.Error("it is not over")
 	}
-	b.sleepUntil(105 * time.Second)
-	tt.checkOccurrence(t, b, id)
-	b.checkViolations(t)
+	sim.sleepUntil(105 * time.Second)
+	tt.checkOccurrence(t, sim, id)
+	sim.checkViolations(t)
 	closeAll()
 }
 
@@ -103,10 +103,10 @@
 }
 
 // checkOccurrence checks what is stored of the slot once it is over.
-func (tt *slotCase) checkOccurrence(t *testing.T, b *calendarSimulation, id string) {
+func (tt *slotCase) checkOccurrence(t *testing.T, sim *calendarSimulation, id string) {
 	t.Helper()
 	var s calendar.Status
-	b.readEntry("/api/reservations/evening", &s)
+	sim.readEntry("/api/reservations/evening", &s)
 	if tt.maxLate >= 0 && s.Claimer != "" {
 		t.Errorf("%s claims it still", s.Claimer)
 	}
@@ -137,36 +137,36 @@
 // work again; requests of another team do not reach it.
 func TestUnclaimed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b, closeAll := newCalendarSimulation(t, 6, nil)
+		sim, closeAll := newCalendarSimulation(t, 6, nil)
 		defer closeAll()
 		// All six machines: not beside the guarantee of another team.
-		if got := b.reserve(nil); got != 409 {
+		if got := sim.reserve(nil); got != 409 {
 			t.Fatalf("a reservation of everything got %d", got)
 		}
-		if got := b.reserve(map[string]any{"parts": 4}); got != 201 {
+		if got := sim.reserve(map[string]any{"parts": 4}); got != 201 {
 			t.Fatalf("the reservation got %d", got)
 		}
 		for _, x := range calendarRequests {
-			if got := b.createEntry(x.path, b.reservation(4, x.edit)); got != x.want {
+			if got := sim.createEntry(x.path, sim.reservation(4, x.edit)); got != x.want {
 				t.Errorf("%s got %d, want %d", x.what, got, x.want)
 			}
 		}
-		b.submitJob(15, job.Spec{Team: "blue", ShapeName: "array", Tasks: 2000, EstimateS: 15})
-		busy := func() (n int) { return b.RunningTasks("run-000001") }
-		b.sleepUntil(20 * time.Second)
+		sim.submitJob(15, job.Spec{Team: "blue", ShapeName: "array", Tasks: 2000, EstimateS: 15})
+		busy := func() (n int) { return sim.RunningTasks("run-000001") }
+		sim.sleepUntil(20 * time.Second)
 		if n := busy(); n > 8 {
 			t.Errorf("%d tasks run after the start, and two machines are not held", n)
 		}
 		most := 0
 		for d := 30; d < 60; d++ {
-			b.sleepUntil(time.Duration(d) * time.Second)
+			sim.sleepUntil(time.Duration(d) * time.Second)
 			most = max(most, busy())
 		}
 		if most < 20 {
 			t.Errorf("at most %d tasks run after the slot has lapsed", most)
 		}
 		var s calendar.Status
-		b.readEntry("/api/reservations/evening", &s)
+		sim.readEntry("/api/reservations/evening", &s)
 		if len(s.Past) != 1 || s.Past[0].What != calendar.Lapsed {
 			t.Errorf("stored: %+v", s.Past)
 		}
@@ -191,30 +191,30 @@
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				b, closeAll := newCalendarSimulation(t, 12, nil)
+				sim, closeAll := newCalendarSimulation(t, 12, nil)
 				defer closeAll()
-				b.Kill(b.RandomWorkers(newRand(1), 12))
+				sim.Kill(sim.RandomWorkers(newRand(1), 12))
 				time.Sleep(25 * time.Second) // their leases run out
-				b.DelayBoots(2, tt.bootDelay)
-				if got := b.reserve(map[string]any{"parts": 4}); got != 201 {
+				sim.DelayBoots(2, tt.bootDelay)
+				if got := sim.reserve(map[string]any{"parts": 4}); got != 201 {
 					t.Fatalf("the reservation got %d", got)
 				}
-				id := b.submitJob(25, job.Spec{Team: "blue", ShapeName: "ensemble", Tasks: 4, CPUs: 4, EstimateS: 25, Reservation: "evening"})
-				b.sleepUntil(-30 * time.Second)
-				if all, _ := b.MachineCounts(); all != 0 {
+				id := sim.submitJob(25, job.Spec{Team: "blue", ShapeName: "ensemble", Tasks: 4, CPUs: 4, EstimateS: 25, Reservation: "evening"})
+				sim.sleepUntil(-30 * time.Second)
+				if all, _ := sim.MachineCounts(); all != 0 {
 					t.Errorf("%d machines are rented half a minute before", all)
 				}
-				if late := b.awaitRunning(id, 4); late > tt.maxLate {
+				if late := sim.awaitRunning(id, 4); late > tt.maxLate {
 					t.Errorf("it runs %s late, at most %s", late, tt.maxLate)
 				}
 				time.Sleep(150 * time.Second)
-				if all, _ := b.MachineCounts(); all != 0 {
+				if all, _ := sim.MachineCounts(); all != 0 {
 					t.Errorf("%d machines are still there", all)
 				}
-				if n := b.MachinesProvisioned(); n > tt.maxProvisioned {
+				if n := sim.MachinesProvisioned(); n > tt.maxProvisioned {
 					t.Errorf("%d machines were rented, at most %d", n, tt.maxProvisioned)
 				}
-				b.checkViolations(t)
+				sim.checkViolations(t)
 			})
 		})
 	}
--- a/internal/node/meetings_test.go
+++ b/internal/node/coinciding_faults_test.go
@@ -6,7 +6,6 @@
 	"testing"
 	"time"
 
-	"vetchstream/internal/config"
 	"vetchstream/internal/emulate"
 	"vetchstream/internal/job"
 )
@@ -23,7 +22,8 @@
 	env := withCancelledJobs(defaultEnvironment(3, 1, withOutagePromises), 15*sec, 600*time.Millisecond)
 	var days []scenario
 	for _, shift := range []time.Duration{2000, 3800, 6000} {
-		days = append(days, scenario{fmt.Sprintf("the outage %d ms after the refusal", shift), overlapping(fault{at, refuseLeaderThenOutage(shift*time.Millisecond, out)})})
+		name := fmt.Sprintf("the outage %d ms after the refusal", shift)
+		days = append(days, scenario{name, overlapping(fault{at, refuseLeaderThenOutage(shift*time.Millisecond, out)})})
 	}
 	runScenarios(t, env, nil, days)
 	// Machines whose heartbeats the new leader gets only in the outage, with tasks of jobs that
@@ -86,7 +86,17 @@
 func withSmallJobs(env environment) environment {
 	return env.withJobs(func(_ *simulation, add submitAt) {
 		for i := range 12 {
-			spec := &job.Spec{Team: "blue", Class: "few", ShapeName: "array", PriorityName: "standard", Tasks: 2 + i%2, CPUs: 1, MemGB: 1, EstimateS: float64(4 + 3*i), Spot: true}
+			spec := &job.Spec{
+				Team:         "blue",
+				Class:        "few",
+				ShapeName:    "array",
+				PriorityName: "standard",
+				Tasks:        2 + i%2,
+				CPUs:         1,
+				MemGB:        1,
+				EstimateS:    float64(4 + 3*i),
+				Spot:         true,
+			}
 			add(spec, time.Duration(4+2*i)*time.Second, 0)
 		}
 	})
@@ -232,47 +242,22 @@
 	})
 }
 
-// onceAtLimit injects overlapping faults once teams use nearly all of their limits.
-func onceAtLimit(teams []string, faults ...fault) []fault {
-	return overlapping(fault{14 * time.Second, inSequence(waitUntilAtLimit(teams...), overlapping(faults...)[0].inject)})
-}
-
-// TestLimits: faults while teams are at their limits.
-func TestLimits(t *testing.T) {
-	sec := time.Second
-	one := withLongJobs(defaultEnvironment(3, 1, withOutagePromises))
-	runScenarios(t, one, nil, []scenario{
-		{"a team at its limit, machines cut, called off, the leader changes", onceAtLimit([]string{"red"},
-			fault{0, partitionWorkers(newRand(96), 3, 14*sec)},
-			fault{sec, cancelRunningJobs(97, 6, 0, 20*sec)},
-			fault{1500 * time.Millisecond, crashControllers(1)},
-		)},
-	})
-	both := withLongJobs(defaultEnvironment(3, 1, withOutagePromises))
-	both.configure = func(set *config.Settings, tun *config.Tuning) {
-		withOutagePromises(set, tun)
-		set.Facts.Teams[1].CPUsMax = 14
-	}
-	both.editCluster = func(c *emulate.Config) { c.Limits["blue"] = emulate.Limit{CPUs: 14} }
-	runScenarios(t, both, nil, []scenario{
-		{"all at their limits, machines hang, called off, the leader changes", onceAtLimit([]string{"red", "blue"},
-			fault{0, cancelRunningJobs(98, 8, 9*sec, 20*sec)},
-			fault{300 * time.Millisecond, crashControllers(1)},
-		)},
-		{"all at their limits, machines cut, called off, the leader changes twice", onceAtLimit([]string{"red", "blue"},
-			fault{0, partitionWorkers(newRand(99), 4, 16*sec)},
-			fault{500 * time.Millisecond, cancelRunningJobs(100, 8, 0, 20*sec)},
-			fault{time.Second, crashControllers(1)},
-			fault{9 * sec, restartController(0, 300*time.Millisecond)},
-		)},
-	})
-}
-
 // withZoneBoundJobs adds jobs that are bound to a zone, or to any one.
 func withZoneBoundJobs(env environment) environment {
 	return env.withJobs(func(_ *simulation, add submitAt) {
 		for i := range 8 {
-			spec := &job.Spec{Team: "blue", Class: "bound", ShapeName: "array", PriorityName: "standard", Tasks: 6, CPUs: 1, MemGB: 1, EstimateS: 12, Spot: true, OneZone: i%2 == 0}
+			spec := &job.Spec{
+				Team:         "blue",
+				Class:        "bound",
+				ShapeName:    "array",
+				PriorityName: "standard",
+				Tasks:        6,
+				CPUs:         1,
+				MemGB:        1,
+				EstimateS:    12,
+				Spot:         true,
+				OneZone:      i%2 == 0,
+			}
 			if !spec.OneZone {
 				spec.Zone = []string{"a", "b"}[i/2%2]
 			}
@@ -316,30 +301,6 @@
 	})
 }
 
-// checkNoKeysLeft checks that no record of a job is left under the keys that a leader loads.
-func checkNoKeysLeft(s *simulation) {
-	for _, prefix := range []string{job.ActivePrefix, job.GroupPrefix, job.DonePrefix} {
-		if n := s.store.CountKeys(prefix); n > 0 {
-			s.t.Errorf("%d keys are left under %s", n, prefix)
-		}
-	}
-}
-
-// TestStream: one-task jobs, four a second for minutes, a quarter of them cancelled, through
-// a change of leader, an outage and late transactions.
-func TestStream(t *testing.T) {
-	sec := time.Second
-	const name = "two minutes"
-	runScenarios(t, defaultEnvironment(3, 1, withOutagePromises), finalChecks{name: checkNoKeysLeft}, []scenario{
-		{name, overlapping(
-			fault{5 * sec, jobStream(2 * time.Minute)},
-			fault{20 * sec, crashControllers(1)},
-			fault{45 * sec, storeOutage(8 * sec)},
-			fault{70 * sec, lateTransactions(102, 0.15, 30*sec)},
-		)},
-	})
-}
-
 // TestMeetingsAtSize: some of them with up to 240 machines.
 func TestMeetingsAtSize(t *testing.T) {
 	const scale = 20
--- a/internal/node/users_test.go
+++ b/internal/node/connectivity_test.go
@@ -43,7 +43,12 @@
 		}},
 	}
 	runDefault(t, 1, nil, nil, days)
-	runScenarios(t, defaultEnvironment(5, 1, withSharding), nil, []scenario{{"at other holders, five controllers", []fault{{10 * sec, replayHeartbeats(15*sec, 8*sec)}, {30 * sec, crashFollower(2 * sec)}}}})
+	runScenarios(t, defaultEnvironment(5, 1, withSharding), nil, []scenario{
+		{"at other holders, five controllers", []fault{
+			{10 * sec, replayHeartbeats(15*sec, 8*sec)},
+			{30 * sec, crashFollower(2 * sec)},
+		}},
+	})
 }
 
 // TestAlone: a controller that reaches neither the key-value store nor the other controllers,
@@ -105,10 +110,10 @@
 	const scale = 20
 	sec := time.Second
 	runScenarios(t, defaultEnvironment(5, scale, withSharding), nil, []scenario{
-		{"a part hears nothing over a takeover, copies by the hundred", []fault{{14 * sec, blockAnswers(61, 2*scale, anyController, 20*sec)}, {18 * sec, func(s *simulation) {
-			restartController(0, 300*time.Millisecond)(s)
-			replayHeartbeats(10*sec, 8*sec)(s)
-		}}}},
+		{"a part hears nothing over a takeover, copies by the hundred", []fault{
+			{14 * sec, blockAnswers(61, 2*scale, anyController, 20*sec)},
+			{18 * sec, inSequence(restartController(0, 300*time.Millisecond), replayHeartbeats(10*sec, 8*sec))},
+		}},
 	})
 }
 
--- a/internal/node/maintenance_test.go
+++ b/internal/node/maintenance_test.go
@@ -17,22 +17,22 @@
 	name string
 	edit func(*config.Calendar)
 	// inject returns a machine that cannot be drained, or none.
-	inject func(b *calendarSimulation) (stuck string)
+	inject func(sim *calendarSimulation) (stuck string)
 	cutOff bool // tasks have to be cut off
 }
 
 // drainingWith injects a fault at a moment relative to the window's start.
 func drainingWith(at time.Duration, inject func(*simulation)) func(*calendarSimulation) string {
-	return func(b *calendarSimulation) string {
-		beforeSlot(at, inject)(b)
+	return func(sim *calendarSimulation) string {
+		beforeSlot(at, inject)(sim)
 		return ""
 	}
 }
 
 // rollOutBeforeDrain starts a roll-out of the service shortly after the zone is being drained.
-func rollOutBeforeDrain(b *calendarSimulation) string {
-	b.sleepUntil(-57 * time.Second)
-	got := b.createEntry("/api/rollouts", map[string]any{
+func rollOutBeforeDrain(sim *calendarSimulation) string {
+	sim.sleepUntil(-57 * time.Second)
+	got := sim.createEntry("/api/rollouts", map[string]any{
 		"service":    "svc",
 		"from":       "run-000004",
 		"to":         map[string]any{"uid": "run-999999", "reel": "new"},
@@ -42,18 +42,18 @@
 		"deadline_s": 60.0,
 	})
 	if got != 201 {
-		b.t.Errorf("the roll-out got %d", got)
+		sim.t.Errorf("the roll-out got %d", got)
 	}
 	return ""
 }
 
 // hangOneWorker hangs a worker of the zone from before the drain until after the start.
-func hangOneWorker(b *calendarSimulation) (stuck string) {
-	b.sleepUntil(-62 * time.Second)
-	worker := b.WorkersInZone("a")[0]
-	b.Hang([]*emulate.Worker{worker}, true)
-	b.sleepUntil(30 * time.Second)
-	b.Hang([]*emulate.Worker{worker}, false)
+func hangOneWorker(sim *calendarSimulation) (stuck string) {
+	sim.sleepUntil(-62 * time.Second)
+	worker := sim.WorkersInZone("a")[0]
+	sim.Hang([]*emulate.Worker{worker}, true)
+	sim.sleepUntil(30 * time.Second)
+	sim.Hang([]*emulate.Worker{worker}, false)
 	return worker.Name()
 }
 
@@ -79,69 +79,69 @@
 
 // run plays the case and checks the drain and what was cut off.
 func (tt *maintenanceCase) run(t *testing.T) {
-	b, closeAll := newCalendarSimulation(t, 15, tt.edit)
+	sim, closeAll := newCalendarSimulation(t, 15, tt.edit)
 	defer closeAll()
-	service := b.submitBeforeMaintenance()
+	service := sim.submitBeforeMaintenance()
 	time.Sleep(30 * time.Second)
-	b.scheduleMaintenance()
+	sim.scheduleMaintenance()
 	injected, stuck := make(chan struct{}), ""
 	go func() {
 		defer close(injected)
 		if tt.inject != nil {
-			stuck = tt.inject(b)
+			stuck = tt.inject(sim)
 		}
 	}()
-	if replicas := b.fewestReplicasDuringDrain(service); tt.inject == nil && replicas < 3 {
+	if replicas := sim.fewestReplicasDuringDrain(service); tt.inject == nil && replicas < 3 {
 		t.Errorf("only %d of 4 replicas run while the zone is drained", replicas)
 	}
-	b.sleepUntil(0)
-	b.Kill(b.WorkersInZone("a")) // the maintenance begins
-	b.sleepUntil(60 * time.Second)
+	sim.sleepUntil(0)
+	sim.Kill(sim.WorkersInZone("a")) // the maintenance begins
+	sim.sleepUntil(60 * time.Second)
 	<-injected
-	if n := len(b.WorkersInZone("a")); !tt.cutOff && n > 0 {
+	if n := len(sim.WorkersInZone("a")); !tt.cutOff && n > 0 {
 		t.Errorf("%d machines were rented in the zone meanwhile", n)
 	}
-	if n := b.RunningTasks(service) + b.RunningTasks("run-999999"); n < 4 || n > 5 {
+	if n := sim.RunningTasks(service) + sim.RunningTasks("run-999999"); n < 4 || n > 5 {
 		t.Errorf("%d of 4 replicas run", n)
 	}
-	if cutOff := b.tasksCutOff(stuck); (len(cutOff) > 0) != tt.cutOff {
+	if cutOff := sim.tasksCutOff(stuck); (len(cutOff) > 0) != tt.cutOff {
 		t.Errorf("cut off: %v, want some: %v", cutOff, tt.cutOff)
 	}
-	b.checkViolations(t)
+	sim.checkViolations(t)
 }
 
 // submitBeforeMaintenance submits work for all machines, and returns the job of a service with
 // four replicas. Estimates are wrong by half or more, and the errors of the classes are
 // learned.
-func (b *calendarSimulation) submitBeforeMaintenance() (service string) {
-	b.submitJob(20, job.Spec{Team: "blue", ShapeName: "array", Tasks: 600, EstimateS: 12, Spot: true})
-	b.submitJob(200, job.Spec{Team: "blue", ShapeName: "array", Tasks: 6, EstimateS: 200, CheckpointS: 5, SaveS: 3, CPUs: 2})
-	b.submitJob(150, job.Spec{Team: "blue", ShapeName: "ensemble", Tasks: 4, EstimateS: 150, CheckpointS: 5, SaveS: 3, CPUs: 2, PriorityName: "urgent"})
-	return b.submitJob(0, job.Spec{Team: "blue", ShapeName: "daemon", Tasks: 4, PriorityName: "production"})
+func (sim *calendarSimulation) submitBeforeMaintenance() (service string) {
+	sim.submitJob(20, job.Spec{Team: "blue", ShapeName: "array", Tasks: 600, EstimateS: 12, Spot: true})
+	sim.submitJob(200, job.Spec{Team: "blue", ShapeName: "array", Tasks: 6, EstimateS: 200, CheckpointS: 5, SaveS: 3, CPUs: 2})
+	sim.submitJob(150, job.Spec{Team: "blue", ShapeName: "ensemble", Tasks: 4, EstimateS: 150, CheckpointS: 5, SaveS: 3, CPUs: 2, PriorityName: "urgent"})
+	return sim.submitJob(0, job.Spec{Team: "blue", ShapeName: "daemon", Tasks: 4, PriorityName: "production"})
 }
 
 // scheduleMaintenance asks for a maintenance window of zone a.
-func (b *calendarSimulation) scheduleMaintenance() {
-	b.t.Helper()
-	got := b.createEntry("/api/maintenance", map[string]any{
+func (sim *calendarSimulation) scheduleMaintenance() {
+	sim.t.Helper()
+	got := sim.createEntry("/api/maintenance", map[string]any{
 		"name":    "night",
 		"yard":    "a",
 		"drain_s": 60.0,
-		"start":   b.start.UTC().Format(time.RFC3339),
-		"end":     b.start.Add(100 * time.Second).UTC().Format(time.RFC3339),
+		"start":   sim.start.UTC().Format(time.RFC3339),
+		"end":     sim.start.Add(100 * time.Second).UTC().Format(time.RFC3339),
 	})
 	if got != 201 {
-		b.t.Fatalf("the window got %d", got)
+		sim.t.Fatalf("the window got %d", got)
 	}
 }
 
 // fewestReplicasDuringDrain watches the service from the begin of the drain until ten seconds
 // before the maintenance.
-func (b *calendarSimulation) fewestReplicasDuringDrain(service string) int {
+func (sim *calendarSimulation) fewestReplicasDuringDrain(service string) int {
 	fewest := 4
-	b.sleepUntil(-60 * time.Second)
-	for time.Now().Before(b.start.Add(-10 * time.Second)) {
-		fewest = min(fewest, b.RunningTasks(service))
+	sim.sleepUntil(-60 * time.Second)
+	for time.Now().Before(sim.start.Add(-10 * time.Second)) {
+		fewest = min(fewest, sim.RunningTasks(service))
 		time.Sleep(100 * time.Millisecond)
 	}
 	return fewest
@@ -149,9 +149,9 @@
 
 // tasksCutOff are the tasks of the zone that were lost with their machines, and those of the
 // first job that were halted, other than on the machine that could not be drained.
-func (b *calendarSimulation) tasksCutOff(stuck string) (cutOff []string) {
-	for _, e := range b.History() {
-		inWindow := e.Zone == "a" && e.Host != stuck && e.At.After(b.start.Add(-70*time.Second))
+func (sim *calendarSimulation) tasksCutOff(stuck string) (cutOff []string) {
+	for _, e := range sim.History() {
+		inWindow := e.Zone == "a" && e.Host != stuck && e.At.After(sim.start.Add(-70*time.Second))
 		halted := e.Cause == wire.CauseHalted && e.Task[:10] == "run-000001"
 		if !e.Start && inWindow && (e.Cause == emulate.CauseLost || halted) {
 			cutOff = append(cutOff, e.Task+" "+e.Cause)
--- a/internal/node/region_changes_test.go
+++ b/internal/node/region_changes_test.go
@@ -57,98 +57,108 @@
 // follows from the removal of a team.
 func TestChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b, closeAll := newMultiRegion(t, 2, 3)
+		m, closeAll := newMultiRegion(t, 2, 3)
 		defer closeAll()
 		time.Sleep(8 * time.Second)
-		b.awaitInForce(b.applyChange(0, greenSplit(8, 4)), forceWithin)
-		b.submitGreenJobs(4 * time.Second)
+		m.awaitInForce(m.applyChange(0, greenSplit(8, 4)), forceWithin)
+		m.submitGreenJobs(4 * time.Second)
 		time.Sleep(2 * time.Second)
-		b.checkChanges()
-		b.checkRollbacks()
-		b.checkHistory()
+		m.checkChanges()
+		m.checkRollbacks()
+		m.checkHistory()
 		time.Sleep(5 * time.Second)
-		b.checkRemovedTeam()
-		b.setPartitioned(1, true)
-		b.checkWithoutHomeRegion()
-		b.setPartitioned(1, false)
-		b.allowIdle = true
-		b.awaitEnd(2 * time.Minute)
+		m.checkRemovedTeam()
+		m.setPartitioned(1, true)
+		m.checkWithoutHomeRegion()
+		m.setPartitioned(1, false)
+		m.allowIdle = true
+		m.awaitEnd(2 * time.Minute)
 	})
 }
 
 // checkChanges applies each of the changes at each region.
-func (b *multiRegion) checkChanges() {
-	b.t.Helper()
+func (m *multiRegion) checkChanges() {
+	m.t.Helper()
 	for _, tt := range configurationChanges {
-		for region := range b.regions {
-			if got := b.request(region, http.MethodPost, "/api/config"+tt.query, tt.change, nil); got != tt.want {
-				b.t.Errorf("%s at region %d: %d, want %d", tt.name, region, got, tt.want)
+		for region := range m.regions {
+			if got := m.request(region, http.MethodPost, "/api/config"+tt.query, tt.change, nil); got != tt.want {
+				m.t.Errorf("%s at region %d: %d, want %d", tt.name, region, got, tt.want)
 			}
 		}
 	}
 }
 
 // checkRollbacks tries rollbacks to revisions that are there and that are not.
-func (b *multiRegion) checkRollbacks() {
-	b.t.Helper()
+func (m *multiRegion) checkRollbacks() {
+	m.t.Helper()
 	wants := map[string]int{
 		"99":   http.StatusUnprocessableEntity,
 		"none": http.StatusBadRequest,
 		"3":    http.StatusOK,
 	}
 	for revision, want := range wants {
-		if got := b.request(1, http.MethodPost, "/api/config/rollback/"+revision+"?dry_run=true", nil, nil); got != want {
-			b.t.Errorf("rollback to %s: %d, want %d", revision, got, want)
+		if got := m.request(1, http.MethodPost, "/api/config/rollback/"+revision+"?dry_run=true", nil, nil); got != want {
+			m.t.Errorf("rollback to %s: %d, want %d", revision, got, want)
 		}
 	}
 }
 
 // checkHistory checks that the changes that were taken are in the history, once.
-func (b *multiRegion) checkHistory() {
-	b.t.Helper()
+func (m *multiRegion) checkHistory() {
+	m.t.Helper()
 	var history struct {
 		Changes []dynconfig.HistorySummary `codec:"changes"`
 	}
-	b.request(1, http.MethodGet, "/api/config/history", nil, &history)
+	m.request(1, http.MethodGet, "/api/config/history", nil, &history)
 	if len(history.Changes) != 5 {
-		b.t.Errorf("%d changes are kept: %+v", len(history.Changes), history)
+		m.t.Errorf("%d changes are kept: %+v", len(history.Changes), history)
 	}
 }
 
 // checkRemovedTeam submits jobs of the team that was removed, which is refused, and of one that
 // is still there.
-func (b *multiRegion) checkRemovedTeam() {
-	b.t.Helper()
-	s := b.regions[1]
+func (m *multiRegion) checkRemovedTeam() {
+	m.t.Helper()
+	s := m.regions[1]
 	hc := s.userClient(5 * time.Second)
-	taken := &job.Spec{ID: "run-73", Team: "red", ShapeName: "array", PriorityName: "standard", Tasks: 1, CPUs: 1, MemGB: 1, EstimateS: 1, Spot: true}
+	taken := &job.Spec{
+		ID:           "run-73",
+		Team:         "red",
+		ShapeName:    "array",
+		PriorityName: "standard",
+		Tasks:        1,
+		CPUs:         1,
+		MemGB:        1,
+		EstimateS:    1,
+		Spot:         true,
+	}
 	for _, team := range []string{"blue", "red"} {
 		spec := *taken
 		spec.Team = team
 		res, err := hc.Post("http://"+s.controllerAddress(0)+"/api/jobs", wire.ContentType, bytes.NewReader(submission(&spec)))
 		if err != nil {
-			b.t.Fatal(err)
+			m.t.Fatal(err)
 		}
 		_ = res.Body.Close()
 		if refused := res.StatusCode == http.StatusUnprocessableEntity; refused != (team == "blue") {
-			b.t.Errorf("a job of %s got %d", team, res.StatusCode)
+			m.t.Errorf("a job of %s got %d", team, res.StatusCode)
 		}
 	}
 	s.Go(func() { s.runUser(taken, 0, 0) })
 }
 
 // checkWithoutHomeRegion asks for the status at a region that is cut off from the home region.
-func (b *multiRegion) checkWithoutHomeRegion() {
-	b.t.Helper()
-	s := b.regions[1]
+func (m *multiRegion) checkWithoutHomeRegion() {
+	m.t.Helper()
+	s := m.regions[1]
 	hc := s.userClient(5 * time.Second)
 	res, err := hc.Get("http://" + s.controllerAddress(0) + "/api/config/status")
 	if err != nil {
-		b.t.Fatal(err)
+		m.t.Fatal(err)
 	}
 	_ = res.Body.Close()
 	if res.StatusCode != http.StatusServiceUnavailable || res.Header.Get("Retry-After") == "" {
-		b.t.Errorf("without the home region: %d", res.StatusCode)
+		m.t.Errorf("without the home region: %d", res.StatusCode)
 	}
 }
 
@@ -157,33 +167,33 @@
 // its end, and nothing is accepted once the removal is in force.
 func TestRemoval(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b, closeAll := newMultiRegion(t, 2, 3)
+		m, closeAll := newMultiRegion(t, 2, 3)
 		defer closeAll()
 		time.Sleep(8 * time.Second)
-		b.awaitInForce(b.applyChange(0, greenSplit(8, 4)), forceWithin)
+		m.awaitInForce(m.applyChange(0, greenSplit(8, 4)), forceWithin)
 		removed := make(chan uint64, 1)
-		b.tasks.Go(func() { partitionControllers(30 * time.Second)(b.regions[1]) })
-		b.tasks.Go(func() {
+		m.tasks.Go(func() { partitionControllers(30 * time.Second)(m.regions[1]) })
+		m.tasks.Go(func() {
 			time.Sleep(10 * time.Second)
-			removed <- b.removeGreen()
+			removed <- m.removeGreen()
 		})
-		accepted, refused := b.submitDuringRemoval()
-		b.awaitInForce(<-removed, time.Minute)
+		accepted, refused := m.submitDuringRemoval()
+		m.awaitInForce(<-removed, time.Minute)
 		if accepted == 0 || refused == 0 {
 			t.Errorf("%d accepted, %d refused: the day tells nothing", accepted, refused)
 		}
-		b.allowIdle = true
-		b.awaitEnd(3 * time.Minute)
+		m.allowIdle = true
+		m.awaitEnd(3 * time.Minute)
 	})
 }
 
 // removeGreen removes green as soon as its jobs are over, and returns the change's revision.
-func (b *multiRegion) removeGreen() uint64 {
+func (m *multiRegion) removeGreen() uint64 {
 	for {
 		var out struct {
 			Revision uint64 `codec:"revision"`
 		}
-		if b.request(0, http.MethodPost, "/api/config", map[string]any{"remove": []any{"green"}}, &out) == http.StatusOK {
+		if m.request(0, http.MethodPost, "/api/config", map[string]any{"remove": []any{"green"}}, &out) == http.StatusOK {
 			return out.Revision
 		}
 		time.Sleep(50 * time.Millisecond) // its jobs are not over
@@ -192,8 +202,8 @@
 
 // submitDuringRemoval submits jobs of green in region 1, with pauses in which it has none, and
 // counts those that were accepted and refused.
-func (b *multiRegion) submitDuringRemoval() (accepted, refused int) {
-	s := b.regions[1]
+func (m *multiRegion) submitDuringRemoval() (accepted, refused int) {
+	s := m.regions[1]
 	hc := s.userClient(5 * time.Second)
 	for i := range 150 {
 		spec := greenJob(fmt.Sprintf("run-8%04d", i), 1, 0.2)
@@ -223,24 +233,24 @@
 // at a rate that leaves the store to others.
 func TestRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b, closeAll := newMultiRegion(t, 2, 1)
+		m, closeAll := newMultiRegion(t, 2, 1)
 		defer closeAll()
-		b.allowIdle = true
+		m.allowIdle = true
 		time.Sleep(8 * time.Second)
-		b.awaitInForce(b.applyChange(0, greenSplit(8, 4)), forceWithin)
-		store := b.regions[0].store
+		m.awaitInForce(m.applyChange(0, greenSplit(8, 4)), forceWithin)
+		store := m.regions[0].store
 		requestsInTenSeconds := func() int {
 			before := store.Load().Requests
 			time.Sleep(10 * time.Second)
 			return store.Load().Requests - before
 		}
 		usual := requestsInTenSeconds()
-		revision := b.applyChange(0, greenSplit(2, 10))
+		revision := m.applyChange(0, greenSplit(2, 10))
 		store.SetMaxWrites(1) // the raise that follows takes two writes
 		if rejected := requestsInTenSeconds(); rejected > usual+30 {
 			t.Errorf("%d requests in ten seconds, usually %d", rejected, usual)
 		}
 		store.SetMaxWrites(12)
-		b.awaitInForce(revision, forceWithin)
+		m.awaitInForce(revision, forceWithin)
 	})
 }
--- a/internal/node/region_scenarios_test.go
+++ b/internal/node/region_scenarios_test.go
@@ -10,12 +10,12 @@
 	"vetchstream/internal/dynconfig"
 )
 
-// unreliableTransactions lets a part of a region's transactions be carried out late, or at once with their
-// answers lost.
+// unreliableTransactions lets a part of a region's transactions be carried out late, or at once
+// with their answers lost.
 func unreliableTransactions(region int, d time.Duration) func(*multiRegion) {
-	return func(b *multiRegion) {
+	return func(m *multiRegion) {
 		r := newRand(uint64(region))
-		b.regions[region].store.DelayTransactions(func() time.Duration {
+		m.regions[region].store.DelayTransactions(func() time.Duration {
 			switch r.IntN(6) {
 			case 0:
 				return time.Duration(2+r.IntN(8)) * time.Second
@@ -25,29 +25,29 @@
 			return 0
 		})
 		time.Sleep(d)
-		b.regions[region].store.DelayTransactions(nil)
+		m.regions[region].store.DelayTransactions(nil)
 	}
 }
 
 // inRegion injects a fault in one region.
 func inRegion(region int, inject func(*simulation)) func(*multiRegion) {
-	return func(b *multiRegion) { inject(b.regions[region]) }
+	return func(m *multiRegion) { inject(m.regions[region]) }
 }
 
 // partitionRegion cuts a region from the home region for a while.
 func partitionRegion(region int, d time.Duration) func(*multiRegion) {
-	return func(b *multiRegion) {
-		b.setPartitioned(region, true)
+	return func(m *multiRegion) {
+		m.setPartitioned(region, true)
 		time.Sleep(d)
-		b.setPartitioned(region, false)
+		m.setPartitioned(region, false)
 	}
 }
 
 // restoreOlderRecords gives a region's key-value store an older state of the configuration and
 // of the term, as one that has lost its last writes, and ends the leader.
 func restoreOlderRecords(region int) func(*multiRegion) {
-	return func(b *multiRegion) {
-		s := b.regions[region]
+	return func(m *multiRegion) {
+		s := m.regions[region]
 		older := s.store.Snapshot("t/")
 		time.Sleep(8 * time.Second) // a change is made meanwhile
 		s.store.Restore("t/", older)
@@ -55,10 +55,11 @@
 	}
 }
 
-// corruptRecords makes all records of the configuration in a region unreadable, and ends its leader.
+// corruptRecords makes all records of the configuration in a region unreadable, and ends its
+// leader.
 func corruptRecords(region int) func(*multiRegion) {
-	return func(b *multiRegion) {
-		s := b.regions[region]
+	return func(m *multiRegion) {
+		s := m.regions[region]
 		for _, e := range s.store.Snapshot("t/") {
 			if err := s.store.Put(e.Key, "spoilt"); err != nil {
 				panic(err)
@@ -84,14 +85,14 @@
 		{"calm", nil},
 		{"home's leader ends, twice", []func(*multiRegion){inRegion(0, crashControllers(1)), inRegion(0, crashControllers(1))}},
 		{"a region's leader ends, twice", []func(*multiRegion){inRegion(1, crashControllers(1)), inRegion(1, crashControllers(1))}},
-		{"both at once", []func(*multiRegion){func(b *multiRegion) {
-			b.tasks.Go(func() { crashControllers(1)(b.regions[1]) })
-			crashControllers(1)(b.regions[0])
+		{"both at once", []func(*multiRegion){func(m *multiRegion) {
+			m.tasks.Go(func() { crashControllers(1)(m.regions[1]) })
+			crashControllers(1)(m.regions[0])
 		}}},
-		{"a region is cut off, and its leader ends", []func(*multiRegion){func(b *multiRegion) {
-			b.tasks.Go(func() { partitionRegion(1, 40*sec)(b) })
+		{"a region is cut off, and its leader ends", []func(*multiRegion){func(m *multiRegion) {
+			m.tasks.Go(func() { partitionRegion(1, 40*sec)(m) })
 			time.Sleep(5 * sec)
-			crashControllers(1)(b.regions[1])
+			crashControllers(1)(m.regions[1])
 		}}},
 		{"home is gone altogether", []func(*multiRegion){inRegion(0, crashControllers(3))}},
 	})
@@ -101,13 +102,19 @@
 func TestRegionsStores(t *testing.T) {
 	sec := time.Second
 	runRegionScenarios(t, []regionScenario{
-		{"a region's state service is out, then refuses its leader", []func(*multiRegion){inRegion(1, storeOutage(8*sec)), inRegion(1, refuseLeaderAtStore(9*sec))}},
-		{"home's state service is out, then refuses its leader", []func(*multiRegion){inRegion(0, storeOutage(8*sec)), inRegion(0, refuseLeaderAtStore(9*sec))}},
-		{"late transactions and lost answers", []func(*multiRegion){func(b *multiRegion) {
-			b.tasks.Go(func() { unreliableTransactions(0, 25*sec)(b) })
-			b.tasks.Go(func() { unreliableTransactions(1, 25*sec)(b) })
+		{"a region's state service is out, then refuses its leader", []func(*multiRegion){
+			inRegion(1, storeOutage(8*sec)),
+			inRegion(1, refuseLeaderAtStore(9*sec)),
+		}},
+		{"home's state service is out, then refuses its leader", []func(*multiRegion){
+			inRegion(0, storeOutage(8*sec)),
+			inRegion(0, refuseLeaderAtStore(9*sec)),
+		}},
+		{"late transactions and lost answers", []func(*multiRegion){func(m *multiRegion) {
+			m.tasks.Go(func() { unreliableTransactions(0, 25*sec)(m) })
+			m.tasks.Go(func() { unreliableTransactions(1, 25*sec)(m) })
 			time.Sleep(10 * sec)
-			crashControllers(1)(b.regions[1])
+			crashControllers(1)(m.regions[1])
 		}}},
 		{"home's store is put back", []func(*multiRegion){restoreOlderRecords(0)}},
 		{"a region's store is put back", []func(*multiRegion){restoreOlderRecords(1)}},
@@ -130,15 +137,15 @@
 // runRegionScenario injects the faults while green's limit moves from region to region.
 func runRegionScenario(t *testing.T, faults []func(*multiRegion)) {
 	sec := time.Second
-	b, closeAll := newMultiRegion(t, 2, 3)
+	m, closeAll := newMultiRegion(t, 2, 3)
 	defer closeAll()
 	time.Sleep(8 * sec)
-	b.awaitInForce(b.applyChange(0, greenSplit(8, 4)), forceWithin)
-	b.submitGreenJobs(80 * sec)
-	b.tasks.Go(func() {
+	m.awaitInForce(m.applyChange(0, greenSplit(8, 4)), forceWithin)
+	m.submitGreenJobs(80 * sec)
+	m.tasks.Go(func() {
 		time.Sleep(10 * sec)
 		for _, inject := range faults {
-			inject(b)
+			inject(m)
 			time.Sleep(3 * sec)
 		}
 	})
@@ -146,43 +153,43 @@
 	var last uint64
 	for i := range 9 {
 		time.Sleep(8 * sec)
-		last = b.applyChange(i%2, greenSplit(splits[i%3]...))
+		last = m.applyChange(i%2, greenSplit(splits[i%3]...))
 	}
 	time.Sleep(30 * sec)
-	last = max(last, b.applyChange(1, greenSplit(5, 7)))
-	b.awaitInForce(last, forceWithin)
-	b.awaitEnd(3 * time.Minute)
+	last = max(last, m.applyChange(1, greenSplit(5, 7)))
+	m.awaitInForce(last, forceWithin)
+	m.awaitEnd(3 * time.Minute)
 }
 
 // TestRegionsApart: a region that is cut off for an hour retains its part of the limit and goes
 // on, and has everything within 19 seconds after the partition.
 func TestRegionsApart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b, closeAll := newMultiRegion(t, 2, 1)
+		m, closeAll := newMultiRegion(t, 2, 1)
 		defer closeAll()
 		time.Sleep(8 * time.Second)
-		b.awaitInForce(b.applyChange(0, greenSplit(8, 4)), forceWithin)
-		b.setPartitioned(1, true)
+		m.awaitInForce(m.applyChange(0, greenSplit(8, 4)), forceWithin)
+		m.setPartitioned(1, true)
 		splits := [][]float64{{12, 0}, {4, 8}}
 		var last uint64
 		for i := range 400 {
-			last = b.applyChange(0, greenSplit(splits[i%2]...))
+			last = m.applyChange(0, greenSplit(splits[i%2]...))
 			time.Sleep(9 * time.Second)
 		}
-		b.submitGreenJobs(8 * time.Second)
+		m.submitGreenJobs(8 * time.Second)
 		time.Sleep(20 * time.Second)
-		if used := b.regions[1].Starts(); used == 0 {
+		if used := m.regions[1].Starts(); used == 0 {
 			t.Error("the region that is cut off starts nothing")
 		}
 		var s dynconfig.Status
-		b.request(0, http.MethodGet, "/api/config/status", nil, &s)
+		m.request(0, http.MethodGet, "/api/config/status", nil, &s)
 		if r := s.Regions[1]; r.SilentS < 3500 || r.Behind < 390 || len(r.Pending) != 1 || !slices.Equal(r.Pending[0].BlockedBy, []string{"region-1"}) {
 			t.Errorf("status of the region that is cut off: %+v", r)
 		}
-		b.setPartitioned(1, false)
-		b.awaitInForce(last, forceWithin)
-		b.awaitEnd(2 * time.Minute)
-		if n := b.regions[0].store.CountKeys("t/"); n > 3+dynconfig.MaxHistory {
+		m.setPartitioned(1, false)
+		m.awaitInForce(last, forceWithin)
+		m.awaitEnd(2 * time.Minute)
+		if n := m.regions[0].store.CountKeys("t/"); n > 3+dynconfig.MaxHistory {
 			t.Errorf("%d keys of the configuration are left", n)
 		}
 	})
--- a/internal/node/regions_test.go
+++ b/internal/node/regions_test.go
@@ -23,6 +23,9 @@
 // greenLimitCPUs is what team green, which no platform's file names, may use in all regions.
 const greenLimitCPUs = 12
 
+// rounding is what a sum of CPUs may be off.
+const rounding = 1e-6
+
 // homeRegionPrefix is how controllers of other regions name those of the home region.
 const homeRegionPrefix = "home/"
 
@@ -40,24 +43,24 @@
 
 // newMultiRegion starts regions of that many controllers each, and returns what ends them.
 func newMultiRegion(t *testing.T, regions, controllers int) (*multiRegion, func()) {
-	b := &multiRegion{t: t, stopped: make(chan struct{})}
+	m := &multiRegion{t: t, stopped: make(chan struct{})}
 	names := make([]string, regions)
 	for i := range names {
 		names[i] = fmt.Sprintf("region-%d", i)
 	}
 	var closers []func()
 	for i := range regions {
-		s, closeAll := b.newRegion(i, names, controllers)
-		b.regions = append(b.regions, s)
+		s, closeAll := m.newRegion(i, names, controllers)
+		m.regions = append(m.regions, s)
 		closers = append(closers, closeAll)
 		for _, zone := range []string{"a", "b", "c"} {
 			s.Boot("small", zone, false, 0)
 		}
 	}
-	b.tasks.Go(b.trackGreenUsage)
-	return b, func() {
-		close(b.stopped)
-		b.tasks.Wait()
+	m.tasks.Go(m.trackGreenUsage)
+	return m, func() {
+		close(m.stopped)
+		m.tasks.Wait()
 		for _, closeAll := range closers {
 			closeAll()
 		}
@@ -65,7 +68,7 @@
 }
 
 // newRegion starts region i, whose controllers reach the home region by a host of their own.
-func (b *multiRegion) newRegion(i int, names []string, controllers int) (*simulation, func()) {
+func (m *multiRegion) newRegion(i int, names []string, controllers int) (*simulation, func()) {
 	editCluster := func(c *emulate.Config) {
 		c.Limits = nil
 		c.Controllers = simMembers(controllers)
@@ -76,9 +79,9 @@
 			tun.Regions.HomeAddresses = append(tun.Regions.HomeAddresses, homeRegionPrefix+simMember(j)+":81")
 		}
 	}
-	s, closeAll := newSimulation(b.t, 1, editCluster, configure)
+	s, closeAll := newSimulation(m.t, 1, editCluster, configure)
 	s.dialHomeRegion = func(ctx context.Context, network, addr string) (net.Conn, error) {
-		return b.regions[0].net.Dialer(regionHost(i))(ctx, network, strings.TrimPrefix(addr, homeRegionPrefix))
+		return m.regions[0].net.Dialer(regionHost(i))(ctx, network, strings.TrimPrefix(addr, homeRegionPrefix))
 	}
 	return s, closeAll
 }
@@ -87,47 +90,47 @@
 func regionHost(region int) string { return fmt.Sprintf("abroad-%d", region) }
 
 // trackGreenUsage adds up what green uses in all regions, ten times a second.
-func (b *multiRegion) trackGreenUsage() {
+func (m *multiRegion) trackGreenUsage() {
 	for {
 		select {
-		case <-b.stopped:
+		case <-m.stopped:
 			return
 		case <-time.After(100 * time.Millisecond):
 		}
 		sum := 0.0
-		for _, s := range b.regions {
+		for _, s := range m.regions {
 			sum += s.TeamCPUs("green")
 		}
-		b.mu.Lock()
-		b.greenPeak = max(b.greenPeak, sum)
-		b.mu.Unlock()
+		m.mu.Lock()
+		m.greenPeak = max(m.greenPeak, sum)
+		m.mu.Unlock()
 	}
 }
 
 // setPartitioned cuts a region from the home region, or ends that partition.
-func (b *multiRegion) setPartitioned(region int, on bool) {
+func (m *multiRegion) setPartitioned(region int, on bool) {
 	name := regionHost(region)
 	if !on {
-		b.regions[0].setPartition(name, nil)
+		m.regions[0].setPartition(name, nil)
 		return
 	}
-	b.regions[0].setPartition(name, func(from, to string) bool { return from == name || to == name })
+	m.regions[0].setPartition(name, func(from, to string) bool { return from == name || to == name })
 }
 
 // request repeats a request at a region until it has a clear answer, and returns its status; 0:
 // there was none. The answer is decoded to out, unless that is nil.
-func (b *multiRegion) request(region int, method, path string, doc, out any) int {
-	b.t.Helper()
+func (m *multiRegion) request(region int, method, path string, doc, out any) int {
+	m.t.Helper()
 	body, err := wire.Marshal(doc)
 	if err != nil {
-		b.t.Fatal(err)
+		m.t.Fatal(err)
 	}
-	s := b.regions[region]
+	s := m.regions[region]
 	hc := s.userClient(5 * time.Second)
 	for try := range 120 {
 		req, err := http.NewRequest(method, "http://"+s.controllerAddress(try)+path, bytes.NewReader(body))
 		if err != nil {
-			b.t.Fatal(err)
+			m.t.Fatal(err)
 		}
 		res, err := hc.Do(req)
 		if err == nil {
@@ -164,42 +167,42 @@
 }
 
 // applyChange makes a change at a region and returns its revision.
-func (b *multiRegion) applyChange(region int, change map[string]any) uint64 {
-	b.t.Helper()
+func (m *multiRegion) applyChange(region int, change map[string]any) uint64 {
+	m.t.Helper()
 	var out struct {
 		Revision uint64 `codec:"revision"`
 	}
-	if got := b.request(region, http.MethodPost, "/api/config", change, &out); got != http.StatusOK {
-		b.t.Errorf("a change got %d", got)
+	if got := m.request(region, http.MethodPost, "/api/config", change, &out); got != http.StatusOK {
+		m.t.Errorf("a change got %d", got)
 	}
 	return out.Revision
 }
 
 // awaitInForce waits until a revision is in force in all regions, and returns how long it took.
-func (b *multiRegion) awaitInForce(revision uint64, within time.Duration) time.Duration {
-	b.t.Helper()
+func (m *multiRegion) awaitInForce(revision uint64, within time.Duration) time.Duration {
+	m.t.Helper()
 	begun := time.Now()
 	var s dynconfig.Status
 	behind := func(r dynconfig.RegionStatus) bool { return r.Revision < revision }
 	for time.Since(begun) < within {
-		b.request(0, http.MethodGet, "/api/config/status", nil, &s)
+		m.request(0, http.MethodGet, "/api/config/status", nil, &s)
 		if len(s.Regions) > 0 && !slices.ContainsFunc(s.Regions, behind) {
 			return time.Since(begun)
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
-	b.t.Errorf("revision %d is not in force after %v: %+v", revision, within, s)
+	m.t.Errorf("revision %d is not in force after %v: %+v", revision, within, s)
 	return within
 }
 
 // submitGreenJobs lets a user of green in each region submit a job every four seconds, for a
 // while.
-func (b *multiRegion) submitGreenJobs(d time.Duration) {
+func (m *multiRegion) submitGreenJobs(d time.Duration) {
 	const interval = 4 * time.Second
-	for i, s := range b.regions {
+	for i, s := range m.regions {
 		for at := time.Duration(0); at < d; at += interval {
-			b.jobsCreated++
-			spec := greenJob(fmt.Sprintf("run-%d%04d", i+1, b.jobsCreated), 6, 5)
+			m.jobsCreated++
+			spec := greenJob(fmt.Sprintf("run-%d%04d", i+1, m.jobsCreated), 6, 5)
 			s.Go(func() { s.runUser(spec, at, 0) })
 		}
 	}
@@ -222,37 +225,37 @@
 }
 
 // awaitEnd waits until all jobs are over, and checks what was seen.
-func (b *multiRegion) awaitEnd(within time.Duration) {
-	b.t.Helper()
+func (m *multiRegion) awaitEnd(within time.Duration) {
+	m.t.Helper()
 	begun := time.Now()
-	for b.unfinishedJobs() > 0 && time.Since(begun) < within {
+	for m.unfinishedJobs() > 0 && time.Since(begun) < within {
 		time.Sleep(time.Second)
 	}
-	if n := b.unfinishedJobs(); n > 0 {
-		b.t.Errorf("%d jobs are not over", n)
-		for _, s := range b.regions {
-			b.t.Log(s.UnfinishedJobs())
+	if n := m.unfinishedJobs(); n > 0 {
+		m.t.Errorf("%d jobs are not over", n)
+		for _, s := range m.regions {
+			m.t.Log(s.UnfinishedJobs())
 		}
 	}
-	for i, s := range b.regions {
+	for i, s := range m.regions {
 		for _, violation := range s.Violations() {
-			b.t.Errorf("region %d: %s", i, violation)
+			m.t.Errorf("region %d: %s", i, violation)
 		}
 	}
-	b.mu.Lock()
-	peak := b.greenPeak
-	b.mu.Unlock()
-	if peak > greenLimitCPUs+1e-6 {
-		b.t.Errorf("green has used %g of %d", peak, greenLimitCPUs)
+	m.mu.Lock()
+	peak := m.greenPeak
+	m.mu.Unlock()
+	if peak > greenLimitCPUs+rounding {
+		m.t.Errorf("green has used %g of %d", peak, greenLimitCPUs)
 	}
-	if peak < greenLimitCPUs/2 && !b.allowIdle {
-		b.t.Errorf("green has used %g at the most: the day tells nothing", peak)
+	if peak < greenLimitCPUs/2 && !m.allowIdle {
+		m.t.Errorf("green has used %g at the most: the day tells nothing", peak)
 	}
 }
 
 // unfinishedJobs counts the jobs of all regions that are not over.
-func (b *multiRegion) unfinishedJobs() (n int) {
-	for _, s := range b.regions {
+func (m *multiRegion) unfinishedJobs() (n int) {
+	for _, s := range m.regions {
 		n += len(s.UnfinishedJobs())
 	}
 	return n
--- a/internal/node/rules_test.go
+++ b/internal/node/rules_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// checkTermAbove checks that the last term is above one that workers have seen, by no
-// more than that many.
+// checkTermAbove checks that the last term is above one that workers have seen, by at most that
+// many.
 func checkTermAbove(seen, most uint64) func(*simulation) {
 	return func(s *simulation) {
 		if term := s.term(); term <= seen || term > seen+most {
@@ -16,7 +16,7 @@
 	}
 }
 
-// TestRules plays days on which leaders and the state service fail.
+// TestRules: leaders and the key-value store fail.
 func TestRules(t *testing.T) {
 	runDefault(t, 1, nil, nil, []scenario{
 		{"quiet (10, 13, 16)", nil},
@@ -43,15 +43,18 @@
 			{18 * time.Second, pauseControllers(1, 7*time.Second)},
 			{40 * time.Second, pauseControllers(1, 16*time.Second)},
 		}},
-		{"all controllers stand still, then the leader in an outage (2, 9, 17)", []fault{{14 * time.Second, pauseControllers(3, 6*time.Second)}, {30 * time.Second, func(s *simulation) {
-			s.store.SetOutage(true)
-			pauseControllers(1, 14*time.Second)(s)
-			s.store.SetOutage(false)
-		}}}},
+		{"all controllers stand still, then the leader in an outage (2, 9, 17)", []fault{
+			{14 * time.Second, pauseControllers(3, 6*time.Second)},
+			{30 * time.Second, func(s *simulation) {
+				s.store.SetOutage(true)
+				pauseControllers(1, 14*time.Second)(s)
+				s.store.SetOutage(false)
+			}},
+		}},
 	})
 }
 
-// TestRulesWorkers plays days on which workers and links fail.
+// TestRulesWorkers: workers and links fail.
 func TestRulesWorkers(t *testing.T) {
 	runDefault(t, 1, nil, finalChecks{"the stored term falls behind the tokens of the workers (1, 5)": checkTermAbove(41, 3)}, []scenario{
 		{"all controllers crash (6, 11, 13)", []fault{{20 * time.Second, crashControllers(3)}}},
@@ -83,7 +86,7 @@
 	})
 }
 
-// TestRulesStorms plays days on which much fails, or much is asked, at a time.
+// TestRulesStorms: many faults, or many requests, at a time.
 func TestRulesStorms(t *testing.T) {
 	days := []scenario{
 		{"a swarm whose ids repeat, half of it cancelled, while the leader crashes (13, 14, 15, 16)", []fault{
@@ -108,8 +111,8 @@
 	runDefault(t, 1, nil, nil, days)
 }
 
-// TestRulesAtSize plays days of several hundred machines: takeovers that load and
-// fence a whole fleet, registry pages and returns of many machines at once.
+// TestRulesAtSize: several hundred machines, with failovers that load and fence a whole fleet,
+// registry pages and releases of many machines at once.
 func TestRulesAtSize(t *testing.T) {
 	const scale = 20
 	runDefault(t, scale, nil, nil, []scenario{
--- a/internal/node/sim_calendar_test.go
+++ b/internal/node/sim_calendar_test.go
@@ -46,7 +46,7 @@
 	}
 	s, closeAll := newSimulation(t, 1, editCluster, configure)
 	s.RecordHistory()
-	b := &calendarSimulation{
+	sim := &calendarSimulation{
 		simulation: s,
 		t:          t,
 		client:     s.userClient(5 * time.Second),
@@ -56,17 +56,17 @@
 		s.Boot("small", zones[i%3], false, 0)
 	}
 	time.Sleep(5 * time.Second)
-	return b, closeAll
+	return sim, closeAll
 }
 
 // createEntry posts an entry of the calendar, and returns the answer's status.
-func (b *calendarSimulation) createEntry(path string, doc map[string]any) int {
+func (sim *calendarSimulation) createEntry(path string, doc map[string]any) int {
 	body, err := wire.Marshal(doc)
 	if err != nil {
-		b.t.Fatal(err)
+		sim.t.Fatal(err)
 	}
 	got := 0
-	b.request(b.client, "POST", path, body, func(status int, _ wire.Status) bool {
+	sim.request(sim.client, "POST", path, body, func(status int, _ wire.Status) bool {
 		got = status
 		return status < 500
 	})
@@ -74,10 +74,10 @@
 }
 
 // readEntry reads an entry of the calendar into out.
-func (b *calendarSimulation) readEntry(path string, out any) {
-	b.request(b.client, "GET", path, nil, func(status int, _ wire.Status) bool { return status == 200 })
+func (sim *calendarSimulation) readEntry(path string, out any) {
+	sim.request(sim.client, "GET", path, nil, func(status int, _ wire.Status) bool { return status == 200 })
 	for i := range 90 {
-		if res, err := b.client.Get("http://" + simControllers[i%3].Addr + path); err == nil {
+		if res, err := sim.client.Get("http://" + simControllers[i%3].Addr + path); err == nil {
 			if body := readAll(res); res.StatusCode == 200 && wire.Unmarshal(body, out) == nil {
 				return
 			}
@@ -87,12 +87,12 @@
 }
 
 // reserve asks for the slot, edited, and returns the answer's status.
-func (b *calendarSimulation) reserve(edit map[string]any) int {
-	return b.createEntry("/api/reservations", b.reservation(6, edit))
+func (sim *calendarSimulation) reserve(edit map[string]any) int {
+	return sim.createEntry("/api/reservations", sim.reservation(6, edit))
 }
 
 // reservation is a request for the slot with that many parts, edited.
-func (b *calendarSimulation) reservation(parts int, edit map[string]any) map[string]any {
+func (sim *calendarSimulation) reservation(parts int, edit map[string]any) map[string]any {
 	fields := map[string]any{
 		"name":    "evening",
 		"team":    "blue",
@@ -100,8 +100,8 @@
 		"cpus":    4.0,
 		"mem_gb":  4.0,
 		"grace_s": 30.0,
-		"start":   b.start.UTC().Format(time.RFC3339),
-		"end":     b.start.Add(100 * time.Second).UTC().Format(time.RFC3339),
+		"start":   sim.start.UTC().Format(time.RFC3339),
+		"end":     sim.start.Add(100 * time.Second).UTC().Format(time.RFC3339),
 	}
 	maps.Copy(fields, edit)
 	return fields
@@ -109,9 +109,9 @@
 
 // submitJob submits a job and lets its user poll it. It runs for that many seconds, whatever
 // its estimate is.
-func (b *calendarSimulation) submitJob(seconds float64, spec job.Spec) string {
-	b.jobsSubmitted++
-	spec.ID = fmt.Sprintf("run-%06d", b.jobsSubmitted)
+func (sim *calendarSimulation) submitJob(seconds float64, spec job.Spec) string {
+	sim.jobsSubmitted++
+	spec.ID = fmt.Sprintf("run-%06d", sim.jobsSubmitted)
 	if spec.PriorityName == "" {
 		spec.PriorityName = "standard"
 	}
@@ -119,51 +119,51 @@
 	spec.MemGB = 1
 	declared, actual := spec, spec
 	actual.EstimateS = seconds
-	b.DescribeJob(&actual)
-	if !b.submit(b.client, &declared) {
-		b.t.Fatal("not accepted")
+	sim.DescribeJob(&actual)
+	if !sim.submit(sim.client, &declared) {
+		sim.t.Fatal("not accepted")
 	}
-	b.JobAccepted(spec.ID)
-	b.Go(func() { b.pollUntilEnd(&actual) })
+	sim.JobAccepted(spec.ID)
+	sim.Go(func() { sim.pollUntilEnd(&actual) })
 	return spec.ID
 }
 
 // pollUntilEnd polls a job every three seconds until the simulation ends, and checks the
 // answers.
-func (b *calendarSimulation) pollUntilEnd(spec *job.Spec) {
+func (sim *calendarSimulation) pollUntilEnd(spec *job.Spec) {
 	final := ""
 	for {
 		select {
-		case <-b.Ended():
+		case <-sim.Ended():
 			return
 		case <-time.After(3 * time.Second):
 		}
-		res, err := b.client.Get("http://" + simControllers[b.jobsSubmitted%3].Addr + "/api/jobs/" + spec.ID)
+		res, err := sim.client.Get("http://" + simControllers[sim.jobsSubmitted%3].Addr + "/api/jobs/" + spec.ID)
 		if err != nil {
 			continue
 		}
 		var st wire.Status
 		if body := readAll(res); res.StatusCode == 404 || (res.StatusCode == 200 && wire.Unmarshal(body, &st) == nil) {
-			final = b.CheckPoll(spec, res.StatusCode, st.Phase, final, false)
+			final = sim.CheckPoll(spec, res.StatusCode, st.Phase, final, false)
 		}
 	}
 }
 
 // fillFleet fills the fleet with work that may not be preempted: tasks that end after two
 // fifths of their estimate to over twice of it.
-func (b *calendarSimulation) fillFleet(tasks int) {
+func (sim *calendarSimulation) fillFleet(tasks int) {
 	estimates := []float64{20, 14, 11, 20}
 	for i, seconds := range []float64{8, 14, 22, 30} {
-		b.submitJob(seconds, job.Spec{Team: "blue", ShapeName: "array", Tasks: tasks, CPUs: 2, EstimateS: estimates[i], PriorityName: "urgent"})
+		sim.submitJob(seconds, job.Spec{Team: "blue", ShapeName: "array", Tasks: tasks, CPUs: 2, EstimateS: estimates[i], PriorityName: "urgent"})
 	}
 }
 
 // awaitRunning waits until that many tasks of a job run, and returns how long after the slot's
 // start that is; an hour if it does not come about.
-func (b *calendarSimulation) awaitRunning(id string, n int) time.Duration {
+func (sim *calendarSimulation) awaitRunning(id string, n int) time.Duration {
 	for range 2400 {
-		if b.RunningTasks(id) == n {
-			return time.Since(b.start)
+		if sim.RunningTasks(id) == n {
+			return time.Since(sim.start)
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
@@ -171,4 +171,4 @@
 }
 
 // sleepUntil sleeps until a moment relative to the slot's start.
-func (b *calendarSimulation) sleepUntil(d time.Duration) { time.Sleep(time.Until(b.start.Add(d))) }
+func (sim *calendarSimulation) sleepUntil(d time.Duration) { time.Sleep(time.Until(sim.start.Add(d))) }
--- a/internal/node/sim_rollout_test.go
+++ b/internal/node/sim_rollout_test.go
@@ -50,35 +50,35 @@
 	if limit > 0 {
 		team = "red"
 	}
-	b := &rolloutSimulation{
+	sim := &rolloutSimulation{
 		simulation: s,
 		t:          t,
 		client:     s.userClient(5 * time.Second),
 		spec:       &job.Spec{ID: "run-1", Team: team, ShapeName: "daemon", PriorityName: "standard", Tasks: 6, CPUs: max(1, limit), MemGB: 1, Image: "old"},
 		service:    &stormService{name: "svc"},
 	}
-	s.DescribeJob(b.spec)
-	if !s.submit(b.client, b.spec) {
+	s.DescribeJob(sim.spec)
+	if !s.submit(sim.client, sim.spec) {
 		t.Fatal("not accepted")
 	}
-	b.waitFor(60, b.allRun("run-1"))
+	sim.waitFor(60, sim.allRun("run-1"))
 	time.Sleep(5 * time.Second)
-	return b, closeAll
+	return sim, closeAll
 }
 
 // waitFor waits until a condition holds, for that many seconds at most.
-func (b *rolloutSimulation) waitFor(seconds int, condition func() bool) {
+func (sim *rolloutSimulation) waitFor(seconds int, condition func() bool) {
 	for range 10 * seconds {
 		if condition() {
 			return
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	b.t.Errorf("not within %d s; the roll-out is %s (%s)", seconds, b.service.state, b.service.reason)
+	sim.t.Errorf("not within %d s; the roll-out is %s (%s)", seconds, sim.service.state, sim.service.reason)
 }
 
 // start asks for a roll-out from run-1 to run-2, edited, and returns the answer's status.
-func (b *rolloutSimulation) start(edit map[string]any) int {
+func (sim *rolloutSimulation) start(edit map[string]any) int {
 	fields := map[string]any{
 		"service":    "svc",
 		"from":       "run-1",
@@ -92,10 +92,10 @@
 	maps.Copy(fields, edit)
 	body, err := wire.Marshal(fields)
 	if err != nil {
-		b.t.Fatal(err)
+		sim.t.Fatal(err)
 	}
 	got := 0
-	b.request(b.client, "POST", "/api/rollouts", body, func(status int, _ wire.Status) bool {
+	sim.request(sim.client, "POST", "/api/rollouts", body, func(status int, _ wire.Status) bool {
 		got = status
 		return status < 500
 	})
@@ -103,54 +103,54 @@
 }
 
 // startTo asks for a roll-out to another version of the service, edited.
-func (b *rolloutSimulation) startTo(version, image string, edit map[string]any) int {
+func (sim *rolloutSimulation) startTo(version, image string, edit map[string]any) int {
 	fields := map[string]any{"to": map[string]any{"uid": version, "reel": image}}
 	maps.Copy(fields, edit)
-	return b.start(fields)
+	return sim.start(fields)
 }
 
 // stateIs is the condition that the roll-out is in a state.
-func (b *rolloutSimulation) stateIs(state rollout.State) func() bool {
+func (sim *rolloutSimulation) stateIs(state rollout.State) func() bool {
 	return func() bool {
-		b.pollRollout(b.client, b.service)
-		return b.service.state == string(state)
+		sim.pollRollout(sim.client, sim.service)
+		return sim.service.state == string(state)
 	}
 }
 
 // running is the condition that at least that many replicas of a version run.
-func (b *rolloutSimulation) running(version string, replicas int) func() bool {
-	return func() bool { return b.RunningTasks(version) >= replicas }
+func (sim *rolloutSimulation) running(version string, replicas int) func() bool {
+	return func() bool { return sim.RunningTasks(version) >= replicas }
 }
 
 // allRun is the condition that all replicas of a version run, and none of the others.
-func (b *rolloutSimulation) allRun(version string, others ...string) func() bool {
+func (sim *rolloutSimulation) allRun(version string, others ...string) func() bool {
 	return func() bool {
-		if b.RunningTasks(version) != 6 {
+		if sim.RunningTasks(version) != 6 {
 			return false
 		}
-		return b.noneRun(others...)()
+		return sim.noneRun(others...)()
 	}
 }
 
 // noneRun is the condition that no replica of the versions runs.
-func (b *rolloutSimulation) noneRun(versions ...string) func() bool {
+func (sim *rolloutSimulation) noneRun(versions ...string) func() bool {
 	return func() bool {
-		return !slices.ContainsFunc(versions, func(v string) bool { return b.RunningTasks(v) > 0 })
+		return !slices.ContainsFunc(versions, func(v string) bool { return sim.RunningTasks(v) > 0 })
 	}
 }
 
 // cancelService cancels the job of the first version.
-func (b *rolloutSimulation) cancelService() {
-	b.request(b.client, "POST", "/api/jobs/run-1/abort", nil, func(status int, st wire.Status) bool {
+func (sim *rolloutSimulation) cancelService() {
+	sim.request(sim.client, "POST", "/api/jobs/run-1/abort", nil, func(status int, st wire.Status) bool {
 		return status == 200 && st.Phase == wire.JobAborted
 	})
 }
 
 // afterEachStep injects a fault each time the stored record of the roll-out changes, n times.
-func (b *rolloutSimulation) afterEachStep(n int, inject func()) {
+func (sim *rolloutSimulation) afterEachStep(n int, inject func()) {
 	last := uint64(0)
 	for n > 0 {
-		e, _ := b.store.Entry("r/svc")
+		e, _ := sim.store.Entry("r/svc")
 		if e.Version != last && last != 0 {
 			n--
 			inject()
@@ -162,7 +162,7 @@
 
 // pollFirstVersion polls the job of the first version until stop is closed, and checks the
 // answers.
-func (b *rolloutSimulation) pollFirstVersion(stop <-chan struct{}, cancelled bool) {
+func (sim *rolloutSimulation) pollFirstVersion(stop <-chan struct{}, cancelled bool) {
 	before := ""
 	for {
 		select {
@@ -170,14 +170,14 @@
 			return
 		case <-time.After(2 * time.Second):
 		}
-		res, err := b.client.Get("http://" + simControllers[1].Addr + "/api/jobs/run-1")
+		res, err := sim.client.Get("http://" + simControllers[1].Addr + "/api/jobs/run-1")
 		if err != nil {
 			continue
 		}
 		var st wire.Status
 		body := readAll(res)
 		if res.StatusCode == 404 || (res.StatusCode == 200 && wire.Unmarshal(body, &st) == nil) {
-			before = b.CheckPoll(b.spec, res.StatusCode, st.Phase, before, cancelled)
+			before = sim.CheckPoll(sim.spec, res.StatusCode, st.Phase, before, cancelled)
 		}
 	}
 }
--- a/internal/node/sim_scenario_test.go
+++ b/internal/node/sim_scenario_test.go
@@ -207,7 +207,17 @@
 	return env.withJobs(func(_ *simulation, add submitAt) {
 		const at = 2 * time.Second
 		for i := range 16 {
-			spec := &job.Spec{Team: "blue", Class: "cancelled", ShapeName: "array", PriorityName: "urgent", Tasks: 2 * env.scale, CPUs: 1, MemGB: 1, EstimateS: 90, Spot: true}
+			spec := &job.Spec{
+				Team:         "blue",
+				Class:        "cancelled",
+				ShapeName:    "array",
+				PriorityName: "urgent",
+				Tasks:        2 * env.scale,
+				CPUs:         1,
+				MemGB:        1,
+				EstimateS:    90,
+				Spot:         true,
+			}
 			add(spec, at, from+time.Duration(i)*interval-at)
 		}
 	})
@@ -218,7 +228,17 @@
 	return env.withJobs(func(_ *simulation, add submitAt) {
 		for i := range 10 {
 			team := []string{"blue", "red"}[i%2]
-			spec := &job.Spec{Team: team, Class: "long", ShapeName: "array", PriorityName: "urgent", Tasks: 2 * env.scale, CPUs: 1, MemGB: 1, EstimateS: 45, Spot: true}
+			spec := &job.Spec{
+				Team:         team,
+				Class:        "long",
+				ShapeName:    "array",
+				PriorityName: "urgent",
+				Tasks:        2 * env.scale,
+				CPUs:         1,
+				MemGB:        1,
+				EstimateS:    45,
+				Spot:         true,
+			}
 			add(spec, time.Duration(3+i)*time.Second, 0)
 		}
 	})
--- a/internal/node/sim_week_test.go
+++ b/internal/node/sim_week_test.go
@@ -111,7 +111,17 @@
 			late:  -1,
 		}
 		w.slots = append(w.slots, slot)
-		spec := job.Spec{ID: slot.id, Team: daily.team, ShapeName: "ensemble", PriorityName: "standard", Tasks: daily.tasks, CPUs: 4, MemGB: 1, EstimateS: 40, OneZone: daily.oneZone}
+		spec := job.Spec{
+			ID:           slot.id,
+			Team:         daily.team,
+			ShapeName:    "ensemble",
+			PriorityName: "standard",
+			Tasks:        daily.tasks,
+			CPUs:         4,
+			MemGB:        1,
+			EstimateS:    40,
+			OneZone:      daily.oneZone,
+		}
 		at := slot.start
 		if w.plan.calendar {
 			spec.Reservation = fmt.Sprintf("slot-%d-%d", d, i)
--- a/internal/node/storm_checks_test.go
+++ b/internal/node/storm_checks_test.go
@@ -26,6 +26,11 @@
 	violations          []string
 }
 
+// violate adds a violation.
+func (h *rolloutHistory) violate(format string, a ...any) {
+	h.violations = append(h.violations, fmt.Sprintf(format, a...))
+}
+
 // add takes an event of the service's images into account.
 func (h *rolloutHistory) add(e emulate.Event) {
 	_, replica, _ := strings.Cut(e.Task, "/")
@@ -64,7 +69,7 @@
 func (h *rolloutHistory) checkReplicaCount(e emulate.Event, replica string) {
 	halted := !e.Start && e.Cause == wire.CauseHalted && e.Image == h.service.spec.Image
 	if halted && h.complete && h.running[replica] == 0 && e.At.Sub(h.lostAt[replica]) > staleRunningTime {
-		h.violations = append(h.violations, fmt.Sprintf("%s fell below its floor: %s was stopped at %v with no copy of it elsewhere", h.service.name, e.Task, e.At))
+		h.violate("%s fell below its floor: %s was stopped at %v with no copy of it elsewhere", h.service.name, e.Task, e.At)
 	}
 }
 
@@ -79,14 +84,14 @@
 	if service.badBuild {
 		want = rollout.Undone
 		if len(h.started) > service.batch || len(zones) > 1 {
-			h.violations = append(h.violations, fmt.Sprintf("%s: the bad build ran as %d replicas in %d zones, a batch is %d", service.name, len(h.started), len(zones), service.batch))
+			h.violate("%s: the bad build ran as %d replicas in %d zones, a batch is %d", service.name, len(h.started), len(zones), service.batch)
 		}
 		if service.state == string(rollout.Undone) {
 			service.rolledBackAfter = h.lastEnd.Sub(h.firstStart)
 		}
 	}
 	if service.state != string(want) {
-		h.violations = append(h.violations, fmt.Sprintf("%s (bad: %v) ended %q, want %q: %s", service.name, service.badBuild, service.state, want, service.reason))
+		h.violate("%s (bad: %v) ended %q, want %q: %s", service.name, service.badBuild, service.state, want, service.reason)
 	}
 }
 
--- a/internal/node/week_plot_test.go
+++ b/internal/node/week_plot_test.go
@@ -10,25 +10,25 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// variantResult sums up the weeks of one variant.
+// variantResult is the weeks of one variant.
 type variantResult struct {
 	name  string
 	weeks []weekResult
 }
 
-// mean is the mean of a figure over the weeks.
-func (p *variantResult) mean(of func(*weekResult) float64) float64 {
+// mean is the mean of a metric over the weeks.
+func (p *variantResult) mean(metric func(*weekResult) float64) float64 {
 	sum := 0.0
 	for i := range p.weeks {
-		sum += of(&p.weeks[i])
+		sum += metric(&p.weeks[i])
 	}
 	return sum / float64(max(1, len(p.weeks)))
 }
 
-// weekMetrics are what the variants are compared by.
+// weekMetrics are the metrics by which the variants are compared.
 var weekMetrics = []struct {
 	file, title, unit string
-	of                func(*weekResult) float64
+	value             func(*weekResult) float64
 }{
 	{"week-on-time", "Slots that start whole and on time", "share", func(r *weekResult) float64 { return float64(r.onTime) / float64(r.slots) }},
 	{"week-idle", "Machine hours without a task, a week", "hours", func(r *weekResult) float64 { return r.idleHours }},
@@ -36,35 +36,44 @@
 	{"week-delay", "Ordinary tasks, from submission to end", "seconds", func(r *weekResult) float64 { return r.meanDelayS }},
 }
 
-// plotWeeks draws a bar chart of each figure into a directory.
-func plotWeeks(t *testing.T, dir string, all []variantResult) {
-	for _, f := range weekMetrics {
+// plotWeeks draws a bar chart of each metric into a directory, and logs them all.
+func plotWeeks(t *testing.T, dir string, results []variantResult) {
+	for _, metric := range weekMetrics {
 		p := plot.New()
-		p.Title.Text = f.title + " (simulated)"
+		p.Title.Text = metric.title + " (simulated)"
 		var values plotter.Values
 		var names []string
-		for i := range all {
-			values, names = append(values, all[i].mean(f.of)), append(names, all[i].name)
+		for i := range results {
+			values = append(values, results[i].mean(metric.value))
+			names = append(names, results[i].name)
 		}
 		bars, err := plotter.NewBarChart(values, vg.Points(18))
 		if err != nil {
 			t.Fatal(err)
 		}
 		bars.Horizontal = true
-		p.X.Label.Text, p.X.Min = f.unit, 0
+		p.X.Label.Text = metric.unit
+		p.X.Min = 0
 		p.Add(bars)
 		p.NominalY(names...)
-		if err := p.Save(7*vg.Inch, 3.4*vg.Inch, filepath.Join(dir, f.file+".svg")); err != nil {
+		if err := p.Save(7*vg.Inch, 3.4*vg.Inch, filepath.Join(dir, metric.file+".svg")); err != nil {
 			t.Fatal(err)
 		}
 	}
-	for i := range all {
-		line := fmt.Sprintf("%-36s %d weeks", all[i].name, len(all[i].weeks))
-		for _, f := range weekMetrics {
-			line += fmt.Sprintf("  %s %.3f", f.file, all[i].mean(f.of))
-		}
-		t.Log(line, "cut", all[i].mean(func(r *weekResult) float64 { return float64(len(r.cutOff)) }), "kept of sound",
-			all[i].mean(func(r *weekResult) float64 { return float64(r.undisturbedOnTime) }), all[i].mean(func(r *weekResult) float64 { return float64(r.undisturbed) }),
-			"done", all[i].mean(func(r *weekResult) float64 { return float64(r.tasksDone) }))
+	for i := range results {
+		logWeeks(t, &results[i])
+	}
+}
+
+// logWeeks logs the means of a variant's metrics.
+func logWeeks(t *testing.T, p *variantResult) {
+	line := fmt.Sprintf("%-36s %d weeks", p.name, len(p.weeks))
+	for _, metric := range weekMetrics {
+		line += fmt.Sprintf("  %s %.3f", metric.file, p.mean(metric.value))
 	}
+	cutOff := p.mean(func(r *weekResult) float64 { return float64(len(r.cutOff)) })
+	onTime := p.mean(func(r *weekResult) float64 { return float64(r.undisturbedOnTime) })
+	undisturbed := p.mean(func(r *weekResult) float64 { return float64(r.undisturbed) })
+	done := p.mean(func(r *weekResult) float64 { return float64(r.tasksDone) })
+	t.Log(line, "cut", cutOff, "kept of sound", onTime, undisturbed, "done", done)
 }
