--- a/internal/control/planner.go
+++ b/internal/control/planner.go
@@ -9,26 +9,40 @@
 	"vetchstream/internal/job"
 	"vetchstream/internal/metrics"
 	"vetchstream/internal/place"
-	"vetchstream/internal/wire"
 )
 
-// placeEvery keeps bursts of messages from making a plan each; and a plan may
-// take one part in placeShare of the time, so that reports, aborts and the lease
-// are served while a large fleet is full of work.
 const (
-	placeEvery = 50 * time.Millisecond
-	placeShare = 4
+	// minPlanInterval prevents a plan for each message of a burst.
+	minPlanInterval = 50 * time.Millisecond
+	// maxPlanInterval is after what time a plan is made although nothing is known to have
+	// changed.
+	maxPlanInterval = time.Second
+	// planTimeShare bounds the part of the time that plans take to one in planTimeShare, so
+	// that heartbeats, cancellations and the lease are served while a large fleet is full.
+	planTimeShare = 4
+	// preemptionHold is for how long a machine stays reserved for the job for which work was
+	// preempted there.
+	preemptionHold = 15 * time.Second
+	// completionHold is for how long a machine stays reserved for a gang that waits for room;
+	// each plan in which the gang may preempt renews or ends it.
+	completionHold = 4 * preemptInterval
+	// waitLogInterval and maxWaitLogJobs bound the log of jobs that find no machine.
+	waitLogInterval = 5 * time.Second
+	maxWaitLogJobs  = 5
+	// attemptTermShift is the position of the term in an attempt number.
+	attemptTermShift = 24
 )
 
-// keep is room that is being made on a machine for a job.
-type keep struct {
+// machineReservation reserves room on a machine for a job.
+type machineReservation struct {
 	job   *job.Job
 	until time.Time
-	// reserved: the room comes by itself, nothing is stopped for it.
-	reserved bool
+	// awaitsCompletion: the room becomes free as tasks complete; nothing was preempted for it.
+	awaitsCompletion bool
 }
 
-// planner makes plans and carries them out: what is placed, stopped and kept.
+// planner makes plans and carries them out: which tasks are placed and preempted, and which
+// machines are reserved.
 type planner struct {
 	*core
 	nameIndex         *nameIndex
@@ -42,248 +56,212 @@
 	maintenanceDrains *maintenanceDrains
 	teamQuotas        *teamQuotas
 
-	keeps     map[*fleet.Host]keep
-	attempts  uint64 // made in this term
-	passAt    time.Time
-	passTook  time.Duration
-	preempted map[*job.Job]time.Time // when a job last looked for work to stop
-	logWaitAt time.Time
+	reservations map[*fleet.Host]machineReservation
+	// attemptCount counts the attempt numbers made in this term.
+	attemptCount uint64
+	// lastPlanAt is when the last plan was begun, lastPlanDuration how long it took.
+	lastPlanAt       time.Time
+	lastPlanDuration time.Duration
+	// lastPreemptAt is when a job last looked for tasks to preempt.
+	lastPreemptAt map[*job.Job]time.Time
+	lastWaitLogAt time.Time
 }
 
 func newPlanner(co *core) *planner {
-	return &planner{core: co, keeps: map[*fleet.Host]keep{}, preempted: map[*job.Job]time.Time{}}
+	return &planner{
+		core:          co,
+		reservations:  map[*fleet.Host]machineReservation{},
+		lastPreemptAt: map[*job.Job]time.Time{},
+	}
 }
 
-// kept reports whether room is being kept on a machine.
-func (pl *planner) kept(h *fleet.Host) bool { return pl.keeps[h].job != nil }
+// reserved reports whether a machine is reserved for some job.
+func (pl *planner) reserved(h *fleet.Host) bool { return pl.reservations[h].job != nil }
 
-// keeper is the job for which room is being kept on a machine; nil: none.
-func (pl *planner) keeper(h *fleet.Host) *job.Job { return pl.keeps[h].job }
+// reservedFor returns the job for which a machine is reserved, or nil.
+func (pl *planner) reservedFor(h *fleet.Host) *job.Job { return pl.reservations[h].job }
 
-// gone forgets a machine that has been returned.
-func (pl *planner) gone(h *fleet.Host) { delete(pl.keeps, h) }
+// forgetMachine forgets a machine that has been released.
+func (pl *planner) forgetMachine(h *fleet.Host) { delete(pl.reservations, h) }
 
-// forget forgets a job that is over.
-func (pl *planner) forget(j *job.Job) { delete(pl.preempted, j) }
+// forgetJob forgets a job that is over.
+func (pl *planner) forgetJob(j *job.Job) { delete(pl.lastPreemptAt, j) }
 
-// expire ends the keeping of room that nobody came for. It is not left to the
-// next plan: a machine must not be kept for as long as no work comes.
-func (pl *planner) expire(now time.Time) {
-	for h, k := range pl.keeps {
-		if now.After(k.until) || k.job.Phase+k.job.Closing != "" {
-			delete(pl.keeps, h)
+// expireReservations ends the reservations that were not used in time, and those of jobs
+// that are over. It is not left to the next plan: while no job waits there is none.
+func (pl *planner) expireReservations(now time.Time) {
+	for h, r := range pl.reservations {
+		if now.After(r.until) || r.job.Phase+r.job.Closing != "" {
+			delete(pl.reservations, h)
 		}
 	}
 }
 
-// place makes and carries out a plan, if anything has changed.
+// place makes a plan and carries it out, if one is due.
 func (pl *planner) place(now time.Time) {
-	if now.Sub(pl.passAt) < max(placeEvery, placeShare*pl.passTook) || (!pl.planRequested && now.Sub(pl.passAt) < time.Second) {
-		return
-	}
-	if !pl.takeover.reconcile(now) {
+	if !pl.due(now) || !pl.takeover.reconcile(now) || pl.hasUncountedTasks() {
 		return
 	}
-	if len(pl.jobTable.unidentifiedJobs()) > 0 {
-		// What a stranger takes is not counted for any team yet.
-		for j := range pl.jobTable.unidentifiedJobs() {
-			if len(j.Live) > 0 {
-				return
-			}
-		}
-	}
-	pl.passAt, pl.planRequested = now, false
-	pl.reservationHolds.gather(now) // a machine that has just come up for a slot must not be filled
+	pl.lastPlanAt = now
+	pl.planRequested = false
+	pl.reservationHolds.gather(now) // a machine that has just come up for a reservation must not be filled
 	defer func() {
-		pl.passTook = time.Since(now)
-		pl.controller.Meter.Took(metrics.PlanTime, "", pl.passTook)
+		pl.lastPlanDuration = time.Since(now)
+		pl.controller.Meter.Took(metrics.PlanTime, "", pl.lastPlanDuration)
 	}()
-	in, ms, slots := pl.input(now)
-	if len(in.Demands) == 0 {
-		pl.machinePool.want(nil)
+	in := pl.input(now)
+	if len(in.input.Demands) == 0 {
+		pl.machinePool.setUnmetDemand(nil)
 		return
 	}
-	plan := place.Make(in)
-	attempts := map[*job.Job]uint64{}
-	for _, a := range plan.Assign {
-		j := pl.jobTable.byIndex(in.Demands[a.Demand].ID)
-		h := ms[a.Machine]
-		n := attempts[j]
-		switch {
-		case j.Shape == job.Gang && j.GangAttempt != 0:
-			n = j.GangAttempt
-		case j.Shape == job.Gang:
-			n = pl.attempt()
-			j.GangAttempt = n
-		case n == 0:
-			n = pl.attempt()
-			attempts[j] = n
-		}
-		if pl.debug {
-			pl.log.Debug("task is placed", "task", job.TaskName(j.ID, a.Task), "host", h.Name, "waited", now.Sub(j.WaitingSince))
-		}
-		pl.fleet.Assign(h, fleet.Key{Job: j, Task: a.Task, Attempt: n}, now)
-		pl.registry.recordPlacement(j, h)
-		j.LastMachine = h.Index
-		pl.controller.Meter.Took(metrics.StartWait, j.Class, now.Sub(j.WaitingSince))
-		j.WaitingSince = now
-		if k, ok := pl.keeps[h]; ok && k.job == j {
-			delete(pl.keeps, h)
-		}
-	}
-	for _, p := range plan.Preempt {
-		j, h := pl.jobTable.byIndex(in.Demands[p.Demand].ID), ms[p.Machine]
-		pl.log.Info("making room", "job", j.ID, "host", h.Name, "stops", len(p.Victims))
-		pl.keeps[h] = keep{job: j, until: now.Add(15 * time.Second)}
-		for _, v := range p.Victims {
-			pl.taskTracker.stopSlot(slots[v], saveGrace(slots[v].Job))
-		}
-	}
-	pl.reserve(now, in, plan.Reserve, ms)
-	var wants []autoscale.Want
-	for i := range in.Demands {
-		d := &in.Demands[i]
-		if plan.Short[i] == 0 {
-			continue
-		}
-		j := pl.jobTable.byIndex(d.ID)
-		if pl.reservationHolds.covers(j) {
-			continue
-		}
-		wants = append(wants, autoscale.Want{Demand: d, Count: plan.Short[i], TaskS: runTimeEstimate(j), Image: j.ImageGB,
-			Waited: d.Waited, Urgent: j.Shape == job.Gang})
+	plan := place.Make(in.input)
+	pl.applyAssignments(in, plan.Assignments)
+	pl.applyPreemptions(in, plan.Preemptions)
+	pl.renewReservations(in, plan.Reservations)
+	unmet := pl.unmetDemand(in, plan.Unplaced)
+	pl.machinePool.setUnmetDemand(unmet)
+	pl.logUnmetDemand(now, unmet)
+}
+
+// due reports whether it is time for a plan.
+func (pl *planner) due(now time.Time) bool {
+	sinceLast := now.Sub(pl.lastPlanAt)
+	if sinceLast < max(minPlanInterval, planTimeShare*pl.lastPlanDuration) {
+		return false
 	}
-	sort.SliceStable(wants, func(a, b int) bool { return wants[a].Demand.LatestStart < wants[b].Demand.LatestStart })
-	pl.machinePool.want(wants)
-	if now.Sub(pl.logWaitAt) > 5*time.Second && len(wants) > 0 {
-		pl.logWaitAt = now
-		for i, w := range wants {
-			if i == 5 {
-				break
-			}
-			j := pl.jobTable.byIndex(w.Demand.ID)
-			pl.log.Info("no machine has room", "job", j.ID, "class", j.Class, "tasks", w.Count, "waited", w.Waited)
+	return pl.planRequested || sinceLast >= maxPlanInterval
+}
+
+// hasUncountedTasks reports whether there are tasks of jobs whose records have not been
+// read: what these use is not counted for any team yet.
+func (pl *planner) hasUncountedTasks() bool {
+	for j := range pl.jobTable.unidentifiedJobs() {
+		if len(j.Live) > 0 {
+			return true
 		}
 	}
+	return false
 }
 
-// cpuPrice is what a CPU of the type costs an hour. It is never 0, so that it
-// can be compared.
-func cpuPrice(t *wire.MachineType, spot bool) float64 {
-	p := t.Price
-	if spot {
-		p = t.SpotPrice
+// applyAssignments enters the placements of a plan into the ledger.
+func (pl *planner) applyAssignments(in *planInput, assignments []place.Assignment) {
+	attempts := map[*job.Job]uint64{} // of this plan
+	for _, a := range assignments {
+		pl.assign(in.job(a.Demand), a.Task, in.hosts[a.Machine], attempts, in.now)
 	}
-	return max(p, 1e-6) / max(t.CPUs, 1e-6)
 }
 
-// overdueAfter is for how long nothing of a job may have begun before it goes first:
-// users expect the largest jobs to begin within four minutes, also beside a steady
-// stream of what is small or of a higher rank. An array gets one part in overduePart
-// of its tasks that way.
-const (
-	overdueAfter = 2 * time.Minute
-	overduePart  = 20
-)
-
-// lateS is how much time a job has left, in seconds, when it is late.
-const lateS = 5
-
-// patience is how much time an array must have left, in seconds, to wait for machines
-// that have its image while others with theirs could use what is free.
-const patience = 15
-
-// preemptEvery is how often a waiting job looks for work to stop: the look is at
-// every task of the fleet.
-const preemptEvery = 500 * time.Millisecond
-
-// inZone counts, per zone, what may be running of a job.
-func (pl *planner) inZone(j *job.Job) []int {
-	z := make([]int, len(pl.nameIndex.zoneNames()))
-	if j.Shape == job.Array && !j.OneZone && !j.Spread {
-		return z // nothing depends on it
+// assign places a task of a job on a machine. The tasks that a plan places of an array or a
+// service share an attempt number; attempts holds those made so far.
+func (pl *planner) assign(j *job.Job, task int32, h *fleet.Host, attempts map[*job.Job]uint64, now time.Time) {
+	attempt := pl.attemptFor(j, attempts)
+	waited := now.Sub(j.WaitingSince)
+	if pl.debug {
+		pl.log.Debug("task is placed", "task", job.TaskName(j.ID, task), "host", h.Name, "waited", waited)
 	}
-	for _, v := range append([]*job.Job{j}, j.Versions...) {
-		for s := range pl.fleet.SlotsOf(v) {
-			if s.Active() && s.Host.Zone >= 0 {
-				z[s.Host.Zone]++
-			}
-		}
+	pl.fleet.Assign(h, fleet.Key{Job: j, Task: task, Attempt: attempt}, now)
+	pl.registry.recordPlacement(j, h)
+	j.LastMachine = h.Index
+	pl.controller.Meter.Took(metrics.StartWait, j.Class, waited)
+	j.WaitingSince = now
+	if pl.reservedFor(h) == j {
+		delete(pl.reservations, h)
 	}
-	return z
 }
 
-// exits are the tasks whose exits the worker still reports and that may be
-// placed again.
-func (pl *planner) exits(h *fleet.Host) map[place.Task]bool {
-	if h.ReportedExits == 0 {
-		return nil
-	}
-	var out map[place.Task]bool
-	for _, s := range h.Slots {
-		if s.Active() || (s.Job.IsDone(s.Task) && s.Job.Shape != job.Service) {
-			continue
-		}
-		if id := pl.jobTable.index(s.Job); id != 0 {
-			if out == nil {
-				out = map[place.Task]bool{}
-			}
-			out[place.Task{Job: id, Task: s.Task}] = true
+// attemptFor returns the attempt number for the next task of a job: that of its gang, or
+// that of the job in this plan.
+func (pl *planner) attemptFor(j *job.Job, attempts map[*job.Job]uint64) uint64 {
+	if j.Shape == job.Gang {
+		if j.GangAttempt == 0 {
+			j.GangAttempt = pl.nextAttempt()
 		}
+		return j.GangAttempt
+	}
+	if attempts[j] == 0 {
+		attempts[j] = pl.nextAttempt()
 	}
-	return out
+	return attempts[j]
 }
 
-// left is the time in which a task is expected to end by itself, in seconds. One
-// that runs longer than expected may go on for a while.
-func left(s *fleet.Slot, now time.Time) float64 {
-	run := runTimeEstimate(s.Job)
-	if s.RunAt.IsZero() {
-		return run
+// nextAttempt returns an attempt number that no other term can make.
+func (pl *planner) nextAttempt() uint64 {
+	pl.attemptCount++
+	return pl.term<<attemptTermShift | pl.attemptCount
+}
+
+// applyPreemptions stops the victims of a plan and reserves the machines.
+func (pl *planner) applyPreemptions(in *planInput, preemptions []place.Preemption) {
+	for _, p := range preemptions {
+		j, h := in.job(p.Demand), in.hosts[p.Machine]
+		pl.log.Info("making room", "job", j.ID, "host", h.Name, "stops", len(p.Victims))
+		pl.reservations[h] = machineReservation{job: j, until: in.now.Add(preemptionHold)}
+		for _, v := range p.Victims {
+			s := in.slots[v]
+			pl.taskTracker.stopSlot(s, saveGrace(s.Job))
+		}
 	}
-	return max(run/5, run-now.Sub(s.RunAt).Seconds())
 }
 
-// reserve keeps the machines that a plan has chosen for gangs until the next look,
-// and gives back those that it has not chosen again.
-func (pl *planner) reserve(now time.Time, in place.Input, chosen []place.Reservation, ms []*fleet.Host) {
+// renewReservations reserves the machines that a plan has chosen for gangs, and ends the
+// earlier reservations of the gangs that looked for machines in this plan.
+func (pl *planner) renewReservations(in *planInput, chosen []place.Reservation) {
 	looked := map[*job.Job]bool{}
-	for i := range in.Demands {
-		if in.Demands[i].Preempts {
-			looked[pl.jobTable.byIndex(in.Demands[i].ID)] = true
+	for i := range in.input.Demands {
+		if in.input.Demands[i].MayPreempt {
+			looked[in.job(i)] = true
 		}
 	}
-	for h, k := range pl.keeps {
-		if k.reserved && looked[k.job] {
-			delete(pl.keeps, h)
+	for h, r := range pl.reservations {
+		if r.awaitsCompletion && looked[r.job] {
+			delete(pl.reservations, h)
 		}
 	}
 	for _, c := range chosen {
-		pl.keeps[ms[c.Machine]] = keep{job: pl.jobTable.byIndex(in.Demands[c.Demand].ID), until: now.Add(4 * preemptEvery), reserved: true}
+		pl.reservations[in.hosts[c.Machine]] = machineReservation{
+			job:              in.job(c.Demand),
+			until:            in.now.Add(completionHold),
+			awaitsCompletion: true,
+		}
 	}
 }
 
-// restartS is what a task loses that has saved, and a gang with every member that
-// is stopped: saving, a new place, its image and a common start, in seconds.
-const restartS = 15
-
-// stopLoss is the work that stopping a task throws away, in CPU seconds. A gang
-// stops whole: for a member that looks free to stop it loses all its members'
-// time.
-func stopLoss(s *fleet.Slot, now time.Time) float64 {
-	switch {
-	case s.Job.Shape == job.Gang:
-		return restartS * s.Job.CPUs * float64(s.Job.Tasks)
-	case s.RunAt.IsZero():
-		return 0
-	case s.Job.CheckpointS > 0:
-		return min(restartS, now.Sub(s.RunAt).Seconds()) * s.Job.CPUs
+// unmetDemand returns the jobs for whose tasks a plan has found no machine, the most urgent
+// first; unplaced counts those tasks, by demand.
+func (pl *planner) unmetDemand(in *planInput, unplaced []int) []autoscale.UnmetDemand {
+	var unmet []autoscale.UnmetDemand
+	for i := range in.input.Demands {
+		if unplaced[i] == 0 {
+			continue
+		}
+		j := in.job(i)
+		if pl.reservationHolds.covers(j) {
+			continue
+		}
+		d := &in.input.Demands[i]
+		unmet = append(unmet, autoscale.UnmetDemand{
+			Demand:  d,
+			Count:   unplaced[i],
+			TaskS:   runTimeEstimate(j),
+			ImageGB: j.ImageGB,
+			WaitedS: d.Waited,
+			Urgent:  j.Shape == job.Gang,
+		})
 	}
-	return now.Sub(s.RunAt).Seconds() * s.Job.CPUs
+	sort.SliceStable(unmet, func(a, b int) bool {
+		return unmet[a].Demand.LatestStart < unmet[b].Demand.LatestStart
+	})
+	return unmet
 }
 
-// attempt makes a number that no other term can make.
-func (pl *planner) attempt() uint64 {
-	pl.attempts++
-	return pl.term<<24 | pl.attempts
+// logUnmetDemand logs the most urgent jobs that found no machine, now and then.
+func (pl *planner) logUnmetDemand(now time.Time, unmet []autoscale.UnmetDemand) {
+	if len(unmet) == 0 || now.Sub(pl.lastWaitLogAt) <= waitLogInterval {
+		return
+	}
+	pl.lastWaitLogAt = now
+	for _, u := range unmet[:min(len(unmet), maxWaitLogJobs)] {
+		j := pl.jobTable.byIndex(u.Demand.ID)
+		pl.log.Info("no machine has room", "job", j.ID, "class", j.Class, "tasks", u.Count, "waited", u.WaitedS)
+	}
 }
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -372,7 +372,7 @@
 		ok, zone := want(i)
 		q.Allowed[i], q.Zone[i] = ok, -1
 		if zone != "" {
-			q.Zone[i] = ro.nameIndex.zone(zone)
+			q.Zone[i] = ro.nameIndex.zoneIndex(zone)
 		}
 	}
 	if j.Replicas == nil || !slices.Equal(j.Replicas.Allowed, q.Allowed) {
@@ -461,7 +461,7 @@
 	}
 	now := time.Now()
 	rec := rollout.New(spec, handle, current, ro.zonesOf(was), now)
-	ro.create(rec, &job.Record{Spec: next, At: now.UnixMilli()}, version, back)
+	ro.create(rec, &job.Record{Spec: next, SubmittedMS: now.UnixMilli()}, version, back)
 }
 
 // startingPoint is the handle, the current version and the record's version that
@@ -522,7 +522,7 @@
 // nextRefusal refuses a next version that admission would refuse, or whose job
 // exists already.
 func (ro *rollouts) nextRefusal(next *job.Spec) *rpc.Reply {
-	if p := ro.controller.admissionRefusal(next, ro.nameIndex.list(), ro.teamQuotas.find(next.Team)); p != nil {
+	if p := ro.controller.admissionRefusal(next, ro.nameIndex.machineTypes(), ro.teamQuotas.find(next.Team)); p != nil {
 		return p
 	}
 	if ro.completions.answerFromMemory(next.ID) != nil || ro.admissionGroups.has(next.ID) {
--- a/internal/control/takeover_load.go
+++ b/internal/control/takeover_load.go
@@ -128,7 +128,7 @@
 		return err
 	}
 	tk.reset()
-	tk.nameIndex.learn(st.types)
+	tk.nameIndex.updateTypes(st.types)
 	tk.teamQuotas.load(st.teams)
 	tk.homeQuotas.load(st.homeHead, st.homeTeams, st.homeHistory)
 	if err := tk.registry.load(st.hosts, st.notes); err != nil {
@@ -157,7 +157,7 @@
 // submittedAt is the time of a job's submission on this node's steady clock. A time
 // of day that lies ahead counts as now.
 func submittedAt(rec *job.Record, now time.Time) time.Time {
-	age := max(0, now.UnixMilli()-rec.At)
+	age := max(0, now.UnixMilli()-rec.SubmittedMS)
 	return now.Add(-time.Duration(age) * time.Millisecond)
 }
 
