--- a/cmd/vetchstream/calendar.go
+++ b/cmd/vetchstream/calendar.go
@@ -71,7 +71,7 @@
 				t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 				fmt.Fprintln(t, "NAME\tTEAM\tSTATE\tPARTS\tNEXT\tUNTIL\tLEFT\tHELD\tCLAIMER\tLAST")
 				for _, s := range all {
-					fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\t%s\t%d\t%d\t%s\t%s\n", s.Spec.Name, s.Spec.Team, s.State, s.Spec.Parts, s.Next, s.Until, s.Left, s.Held, s.Claimer, last(s.Past))
+					fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\t%s\t%d\t%d\t%s\t%s\n", s.Spec.Name, s.Spec.Team, s.State, s.Spec.Parts, s.Next, s.Until, s.Remaining, s.Held, s.Claimer, last(s.Outcomes))
 				}
 				_ = t.Flush()
 			})
@@ -137,7 +137,7 @@
 
 // clientLimits are those of the client's own look at a file: the service's are its
 // operators'.
-var clientLimits = calendar.Limits{Days: 400, Occurrences: 1000}
+var clientLimits = calendar.Limits{HorizonDays: 400, Occurrences: 1000}
 
 // asTeam is the part of a query that restricts a request to a team.
 func asTeam(team, sep string) string {
@@ -202,22 +202,22 @@
 	}
 	o := past[len(past)-1]
 	if o.LateS > 0 {
-		return fmt.Sprintf("%s by %.0f s", o.What, o.LateS)
+		return fmt.Sprintf("%s by %.0f s", o.Kind, o.LateS)
 	}
-	return o.What
+	return o.Kind
 }
 
 // showReservation is a reservation for people.
 func showReservation(w io.Writer, s *calendar.Status) {
-	fmt.Fprintf(w, "%s: %s, %d parts for team %s, %d occurrences left", s.Spec.Name, s.State, s.Spec.Parts, s.Spec.Team, s.Left)
-	if s.Lost > 0 {
-		fmt.Fprintf(w, ", %d of them retired by maintenance", s.Lost)
+	fmt.Fprintf(w, "%s: %s, %d parts for team %s, %d occurrences left", s.Spec.Name, s.State, s.Spec.Parts, s.Spec.Team, s.Remaining)
+	if s.Revoked > 0 {
+		fmt.Fprintf(w, ", %d of them retired by maintenance", s.Revoked)
 	}
 	fmt.Fprintln(w)
 	if s.Next != "" {
 		fmt.Fprintf(w, "  next: %s to %s\n", s.Next, s.Until)
 	}
-	for _, x := range s.Shares {
+	for _, x := range s.Allocations {
 		fmt.Fprintf(w, "  machines: %d of %s in %s, for %d parts\n", x.Machines, x.Type, x.Zone, x.Parts)
 	}
 	if s.Held > 0 {
@@ -226,7 +226,7 @@
 	if s.Claimer != "" {
 		fmt.Fprintf(w, "  claimed by: %s\n", s.Claimer)
 	}
-	for _, o := range s.Past {
+	for _, o := range s.Outcomes {
 		fmt.Fprintf(w, "  %s: %s %s\n", clock(o.Start), last([]calendar.Outcome{o}), o.Job)
 	}
 }
@@ -273,7 +273,7 @@
 	}
 	slices.SortFunc(all, func(a, b calendar.Status) int { return strings.Compare(a.Spec.Name, b.Spec.Name) })
 	for _, s := range all {
-		row(s.Spec.Name, s.Ahead, '#')
+		row(s.Spec.Name, s.Occurrences, '#')
 	}
 	if len(ws) > 0 {
 		fmt.Fprintln(w, "maintenance")
@@ -297,7 +297,7 @@
 		e.SetDescription(text)
 	}
 	for _, s := range all {
-		for _, x := range s.Ahead {
+		for _, x := range s.Occurrences {
 			event(fmt.Sprintf("%s-%d@vetchstream", s.Spec.Name, x.From), s.Spec.Name+" ("+s.Spec.Team+")", fmt.Sprintf("%d parts of %g CPUs", s.Spec.Parts, s.Spec.CPUs), x)
 		}
 	}
--- a/cmd/vetchstream/demo_rollout.go
+++ b/cmd/vetchstream/demo_rollout.go
@@ -115,7 +115,7 @@
 	if err := roll("a good", goodJob, "captions-2", rollout.Done); err != nil {
 		return err
 	}
-	if err := roll("a bad", badJob, badImage, rollout.Undone); err != nil {
+	if err := roll("a bad", badJob, badImage, rollout.RolledBack); err != nil {
 		return err
 	}
 	return reportRollouts(w, c)
--- a/internal/calendar/calendar.go
+++ b/internal/calendar/calendar.go
@@ -16,45 +16,45 @@
 
 // Limits bound a calendar.
 type Limits struct {
-	Days        int // how far ahead anything may be planned
-	Entries     int // reservations
-	PerTeam     int // reservations of one team
-	Windows     int // maintenance windows
-	Occurrences int // of one reservation
+	HorizonDays         int // how far ahead anything may be planned
+	Reservations        int // reservations
+	ReservationsPerTeam int // reservations of one team
+	Windows             int // maintenance windows
+	Occurrences         int // of one reservation
 }
 
-// Facts are what a calendar is fitted to.
-type Facts struct {
+// Config are what a calendar is fitted to.
+type Config struct {
 	Types []wire.MachineType
 	Zones []string
 	Teams []config.Team
-	// Counted is how many machines of a type in a zone are counted upon; negative:
+	// Machines is how many machines of a type in a zone are counted upon; negative:
 	// any number.
-	Counted func(typ, zone string) int
-	Limits  Limits
+	Machines func(typ, zone string) int
+	Limits   Limits
 }
 
 // unbounded stands for any number of machines.
 const unbounded = 1e6
 
-// Share is a part of a reservation's room: machines of one type in one zone. Whole
+// Allocation is a part of a reservation's room: machines of one type in one zone. Whole
 // machines are set aside, so that no ordinary work on the rest of one can be in the
 // way.
-type Share struct {
+type Allocation struct {
 	Type     string `codec:"type" json:"type"`
 	Zone     string `codec:"zone" json:"zone"`
 	Machines int    `codec:"machines" json:"machines"`
 	Parts    int    `codec:"parts" json:"parts"`
 }
 
-// Entry is an accepted reservation.
-type Entry struct {
+// Booking is an accepted reservation.
+type Booking struct {
 	*Reservation
 	// Seq is the order of acceptance.
-	Seq    uint64
-	Shares []Share
-	// Lost are occurrences, by start, whose room a forced window has taken.
-	Lost map[int64]bool
+	Seq         uint64
+	Allocations []Allocation
+	// Revoked are occurrences, by start, whose room a forced window has taken.
+	Revoked map[int64]bool
 }
 
 // cell is the machines of one type in one zone.
@@ -69,7 +69,7 @@
 
 // Calendar is what is accepted, and decides what more can be.
 type Calendar struct {
-	facts   Facts
+	facts   Config
 	cells   []cell
 	teams   []use
 	teamIdx map[string]int
@@ -77,22 +77,22 @@
 	// what windows take of the machines counted upon.
 	beyond, closed use
 	total, floor   place.Amount // of the machines counted upon; of the guarantees
-	entries        map[string]*Entry
+	entries        map[string]*Booking
 	perTeam        map[string]int
-	windows        map[string]*Plan
+	windows        map[string]*PlannedWindow
 	seq            uint64
 }
 
-// Plan is an accepted maintenance window: the machines that it takes of each cell;
+// PlannedWindow is an accepted maintenance window: the machines that it takes of each cell;
 // -1: all.
-type Plan struct {
+type PlannedWindow struct {
 	*Window
-	Closes []Share
+	Closed []Allocation
 }
 
 // New makes an empty calendar.
-func New(f Facts) *Calendar {
-	c := &Calendar{facts: f, teamIdx: map[string]int{}, entries: map[string]*Entry{}, perTeam: map[string]int{}, windows: map[string]*Plan{},
+func New(f Config) *Calendar {
+	c := &Calendar{facts: f, teamIdx: map[string]int{}, entries: map[string]*Booking{}, perTeam: map[string]int{}, windows: map[string]*PlannedWindow{},
 		teams: make([]use, len(f.Teams))}
 	for i, t := range f.Teams {
 		c.teamIdx[t.Name] = i
@@ -104,7 +104,7 @@
 			if !slices.Contains(t.Zones, z) {
 				continue
 			}
-			n := float64(f.Counted(t.Name, z))
+			n := float64(f.Machines(t.Name, z))
 			if n < 0 {
 				n = unbounded
 			}
@@ -116,54 +116,54 @@
 	return c
 }
 
-// Entries are the accepted reservations, by name.
-func (c *Calendar) Entries() map[string]*Entry { return c.entries }
+// Bookings are the accepted reservations, by name.
+func (c *Calendar) Bookings() map[string]*Booking { return c.entries }
 
 // Windows are the accepted maintenance windows, by name.
-func (c *Calendar) Windows() map[string]*Plan { return c.windows }
+func (c *Calendar) Windows() map[string]*PlannedWindow { return c.windows }
 
 // Conflict is a refusal: what is in the way, and, if one was searched for, the next
 // start that would fit (zero: none was found within the horizon).
 type Conflict struct {
-	Why      string
-	Searched bool
-	Next     time.Time
+	Reason    string
+	Searched  bool
+	NextStart time.Time
 }
 
 func (e *Conflict) Error() string {
 	switch {
 	case !e.Searched:
-		return e.Why
-	case e.Next.IsZero():
-		return e.Why + "; no later start was found that would fit"
+		return e.Reason
+	case e.NextStart.IsZero():
+		return e.Reason + "; no later start was found that would fit"
 	}
-	return e.Why + "; it would fit from " + e.Next.UTC().Format(time.RFC3339)
+	return e.Reason + "; it would fit from " + e.NextStart.UTC().Format(time.RFC3339)
 }
 
-// ErrBounds marks a refusal because of the calendar's own limits.
-var ErrBounds = errors.New("the calendar is full")
+// ErrLimit marks a refusal because of the calendar's own limits.
+var ErrLimit = errors.New("the calendar is full")
 
 // Fit finds room for a reservation, and changes nothing. The error is a *Conflict,
 // or an ErrBounds.
-func (c *Calendar) Fit(r *Reservation, now time.Time) (*Entry, error) {
-	if len(c.entries) >= c.facts.Limits.Entries {
-		return nil, fmt.Errorf("%w: %d reservations", ErrBounds, len(c.entries))
+func (c *Calendar) Fit(r *Reservation, now time.Time) (*Booking, error) {
+	if len(c.entries) >= c.facts.Limits.Reservations {
+		return nil, fmt.Errorf("%w: %d reservations", ErrLimit, len(c.entries))
 	}
-	if c.perTeam[r.Team] >= c.facts.Limits.PerTeam {
-		return nil, fmt.Errorf("%w: team %s has %d reservations", ErrBounds, r.Team, c.perTeam[r.Team])
+	if c.perTeam[r.Team] >= c.facts.Limits.ReservationsPerTeam {
+		return nil, fmt.Errorf("%w: team %s has %d reservations", ErrLimit, r.Team, c.perTeam[r.Team])
 	}
 	if _, ok := c.teamIdx[r.Team]; !ok {
-		return nil, &Conflict{Why: "team " + r.Team + " is not known"}
+		return nil, &Conflict{Reason: "team " + r.Team + " is not known"}
 	}
 	if !c.possible(r) {
-		return nil, &Conflict{Why: "a part fits no machine type that is allowed there"}
+		return nil, &Conflict{Reason: "a part fits no machine type that is allowed there"}
 	}
 	spans := c.ahead(r, now)
 	shares, why := c.fit(r, spans, nil)
 	if why != "" {
-		return nil, &Conflict{Why: why, Searched: true, Next: c.nextFit(r, spans)}
+		return nil, &Conflict{Reason: why, Searched: true, NextStart: c.nextFit(r, spans)}
 	}
-	return &Entry{Reservation: r, Seq: c.seq + 1, Shares: shares}, nil
+	return &Booking{Reservation: r, Seq: c.seq + 1, Allocations: shares}, nil
 }
 
 // possible reports whether a part fits any machine at all.
@@ -178,7 +178,7 @@
 	if (r.Types != nil && !slices.Contains(r.Types, t.Name)) || (r.Zone != "" && r.Zone != zone) {
 		return 0
 	}
-	return place.Amount{CPUs: t.CPUs, GPUs: t.GPUs, MemGB: t.MemGB}.Times(r.Need())
+	return place.Amount{CPUs: t.CPUs, GPUs: t.GPUs, MemGB: t.MemGB}.Times(r.PartSize())
 }
 
 // ahead are the occurrences that are not over.
@@ -189,7 +189,7 @@
 
 // fit finds machines that are free in all of the spans, of each cell at most as many
 // as most says (nil: no bound). Why is what is in the way.
-func (c *Calendar) fit(r *Reservation, spans []Span, most func(typ, zone string) int) (shares []Share, why string) {
+func (c *Calendar) fit(r *Reservation, spans []Span, most func(typ, zone string) int) (shares []Allocation, why string) {
 	if why := c.teamAllows(r, spans); why != "" {
 		return nil, why
 	}
@@ -223,7 +223,7 @@
 		}
 	}
 	// take fills the cheapest machines first.
-	take := func(rooms []room, parts int) (out []Share, cost float64, left int) {
+	take := func(rooms []room, parts int) (out []Allocation, cost float64, left int) {
 		slices.SortFunc(rooms, func(a, b room) int { return cmp.Or(cmp.Compare(a.partCost, b.partCost), cmp.Compare(a.cell, b.cell)) })
 		for _, x := range rooms {
 			n := min(parts, x.parts)
@@ -231,7 +231,7 @@
 				break
 			}
 			machines := (n + x.per - 1) / x.per
-			out = append(out, Share{c.facts.Types[c.cells[x.cell].typ].Name, c.facts.Zones[c.cells[x.cell].zone], machines, n})
+			out = append(out, Allocation{c.facts.Types[c.cells[x.cell].typ].Name, c.facts.Zones[c.cells[x.cell].zone], machines, n})
 			cost += float64(machines*x.per) * x.partCost
 			parts -= n
 		}
@@ -337,12 +337,12 @@
 			break
 		}
 	}
-	may := func(sh Share) bool {
+	may := func(sh Allocation) bool {
 		return (r.Types == nil || slices.Contains(r.Types, sh.Type)) && (r.Zone == "" || r.Zone == sh.Zone)
 	}
 	var names []string
 	for _, n := range slices.Sorted(maps.Keys(c.windows)) {
-		if w := c.windows[n]; w.span.Meets(s) && slices.ContainsFunc(w.Closes, may) {
+		if w := c.windows[n]; w.span.Overlaps(s) && slices.ContainsFunc(w.Closed, may) {
 			names = append(names, "window "+n)
 		}
 	}
@@ -350,7 +350,7 @@
 		if len(names) > named {
 			break
 		}
-		if e := c.entries[n]; slices.ContainsFunc(e.Shares, may) && e.meets(s) {
+		if e := c.entries[n]; slices.ContainsFunc(e.Allocations, may) && e.overlaps(s) {
 			names = append(names, "reservation "+n)
 		}
 	}
@@ -381,10 +381,10 @@
 	return sum >= r.Parts && (!r.OneZone || most >= r.Parts)
 }
 
-// meets reports whether an occurrence has a moment in common with a span.
-func (e *Entry) meets(s Span) bool {
+// overlaps reports whether an occurrence has a moment in common with a span.
+func (e *Booking) overlaps(s Span) bool {
 	i, _ := slices.BinarySearchFunc(e.spans, s.From+1, func(x Span, t int64) int { return cmp.Compare(x.To, t) })
-	return i < len(e.spans) && e.spans[i].Meets(s)
+	return i < len(e.spans) && e.spans[i].Overlaps(s)
 }
 
 func when(ms int64) string { return time.UnixMilli(ms).UTC().Format(time.RFC3339) }
@@ -420,9 +420,9 @@
 	return time.Time{}
 }
 
-// Around finds other room for one occurrence of an accepted reservation, where there
+// Reallocate finds other room for one occurrence of an accepted reservation, where there
 // are at most so many machines of a type in a zone; nil: there is none.
-func (c *Calendar) Around(name string, s Span, most func(typ, zone string) int) []Share {
+func (c *Calendar) Reallocate(name string, s Span, most func(typ, zone string) int) []Allocation {
 	e := c.entries[name]
 	if e == nil {
 		return nil
@@ -434,7 +434,7 @@
 }
 
 // Add takes in an accepted reservation.
-func (c *Calendar) Add(e *Entry) {
+func (c *Calendar) Add(e *Booking) {
 	c.Remove(e.Name)
 	c.entries[e.Name] = e
 	c.perTeam[e.Team]++
@@ -454,13 +454,13 @@
 }
 
 // book adds what a reservation takes to the profiles, or takes it away (sign -1).
-func (c *Calendar) book(e *Entry, sign float64) {
+func (c *Calendar) book(e *Booking, sign float64) {
 	ti, known := c.teamIdx[e.Team]
 	for _, s := range e.spans {
-		if e.Lost[s.From] {
+		if e.Revoked[s.From] {
 			continue
 		}
-		for _, sh := range e.Shares {
+		for _, sh := range e.Allocations {
 			if x := c.cell(sh.Type, sh.Zone); x != nil {
 				x.taken.add(s, sign*float64(sh.Machines))
 			}
@@ -506,49 +506,49 @@
 	return nil
 }
 
-// Announced is what planning a window changes: the window, the reservations that
+// WindowPlan is what planning a window changes: the window, the reservations that
 // move to other machines, and those that lose occurrences.
-type Announced struct {
-	Plan  *Plan
-	Moved []*Entry
-	Lost  []*Entry
+type WindowPlan struct {
+	Window  *PlannedWindow
+	Moved   []*Booking
+	Revoked []*Booking
 }
 
-// Announce plans a window over what is accepted, and changes nothing. Single are the
+// PlanWindow plans a window over what is accepted, and changes nothing. Single are the
 // machines that it names, by cell. Reservations that it touches are moved if they
 // fit elsewhere, in the order of their acceptance; if one does not, the window is
 // refused unless it is forced. The error is a *Conflict, or an ErrBounds.
-func (c *Calendar) Announce(w *Window, single []Share, now time.Time) (*Announced, error) {
+func (c *Calendar) PlanWindow(w *Window, single []Allocation, now time.Time) (*WindowPlan, error) {
 	if len(c.windows) >= c.facts.Limits.Windows {
-		return nil, fmt.Errorf("%w: %d maintenance windows", ErrBounds, len(c.windows))
+		return nil, fmt.Errorf("%w: %d maintenance windows", ErrLimit, len(c.windows))
 	}
-	p := &Plan{Window: w, Closes: single}
-	if !w.Single() {
-		p.Closes = nil
+	p := &PlannedWindow{Window: w, Closed: single}
+	if !w.NamesMachines() {
+		p.Closed = nil
 		for i := range c.cells {
 			x := &c.cells[i]
-			if t, z := c.facts.Types[x.typ].Name, c.facts.Zones[x.zone]; w.Offers(t, z) {
-				p.Closes = append(p.Closes, Share{Type: t, Zone: z, Machines: -1})
+			if t, z := c.facts.Types[x.typ].Name, c.facts.Zones[x.zone]; w.ClosesPool(t, z) {
+				p.Closed = append(p.Closed, Allocation{Type: t, Zone: z, Machines: -1})
 			}
 		}
-		if len(p.Closes) == 0 {
-			return nil, &Conflict{Why: "no machine type is offered there"}
+		if len(p.Closed) == 0 {
+			return nil, &Conflict{Reason: "no machine type is offered there"}
 		}
 	}
 	if why := c.wholeFleet(p); why != "" && !w.Force {
-		return nil, &Conflict{Why: why}
+		return nil, &Conflict{Reason: why}
 	}
-	out := &Announced{Plan: p}
-	var hit []*Entry
+	out := &WindowPlan{Window: p}
+	var hit []*Booking
 	for _, e := range c.entries {
-		if e.meets(w.span) && slices.ContainsFunc(e.Shares, func(s Share) bool { return p.closes(s.Type, s.Zone) }) {
+		if e.overlaps(w.span) && slices.ContainsFunc(e.Allocations, func(s Allocation) bool { return p.takesFrom(s.Type, s.Zone) }) {
 			hit = append(hit, e)
 		}
 	}
-	slices.SortFunc(hit, func(a, b *Entry) int { return cmp.Compare(a.Seq, b.Seq) })
+	slices.SortFunc(hit, func(a, b *Booking) int { return cmp.Compare(a.Seq, b.Seq) })
 	c.AddWindow(p)
 	defer func() { // only a look: what is stored comes back through Add and AddWindow
-		for _, e := range slices.Concat(out.Moved, out.Lost) {
+		for _, e := range slices.Concat(out.Moved, out.Revoked) {
 			c.Remove(e.Name)
 		}
 		c.RemoveWindow(w.Name)
@@ -557,7 +557,7 @@
 		}
 	}()
 	// Those that still fit where they are stay there; only the others move.
-	var move []*Entry
+	var move []*Booking
 	for _, e := range hit {
 		if c.over(e) {
 			c.Remove(e.Name)
@@ -568,25 +568,25 @@
 		spans := c.ahead(e.Reservation, now)
 		shares, why := c.fit(e.Reservation, spans, nil)
 		if why == "" {
-			next := &Entry{Reservation: e.Reservation, Seq: e.Seq, Shares: shares, Lost: e.Lost}
+			next := &Booking{Reservation: e.Reservation, Seq: e.Seq, Allocations: shares, Revoked: e.Revoked}
 			out.Moved = append(out.Moved, next)
 			c.Add(next)
 			continue
 		}
 		if !w.Force {
-			return nil, &Conflict{Why: fmt.Sprintf("reservation %s of team %s does not fit elsewhere (%s); cancel it, or force the window", e.Name, e.Team, why)}
+			return nil, &Conflict{Reason: fmt.Sprintf("reservation %s of team %s does not fit elsewhere (%s); cancel it, or force the window", e.Name, e.Team, why)}
 		}
-		lost := maps.Clone(e.Lost)
+		lost := maps.Clone(e.Revoked)
 		if lost == nil {
 			lost = map[int64]bool{}
 		}
 		for _, s := range spans {
-			if s.Meets(w.span) {
+			if s.Overlaps(w.span) {
 				lost[s.From] = true
 			}
 		}
-		next := &Entry{Reservation: e.Reservation, Seq: e.Seq, Shares: e.Shares, Lost: lost}
-		out.Lost = append(out.Lost, next)
+		next := &Booking{Reservation: e.Reservation, Seq: e.Seq, Allocations: e.Allocations, Revoked: lost}
+		out.Revoked = append(out.Revoked, next)
 		c.Add(next)
 	}
 	return out, nil
@@ -594,14 +594,14 @@
 
 // over reports whether a cell of a reservation is promised more often than it is
 // counted, in the time of its occurrences.
-func (c *Calendar) over(e *Entry) bool {
-	for _, sh := range e.Shares {
+func (c *Calendar) over(e *Booking) bool {
+	for _, sh := range e.Allocations {
 		x := c.cell(sh.Type, sh.Zone)
 		if x == nil {
 			return true
 		}
 		for _, s := range e.spans {
-			if !e.Lost[s.From] && x.taken.most(s) > x.counted+1e-6 {
+			if !e.Revoked[s.From] && x.taken.most(s) > x.counted+1e-6 {
 				return true
 			}
 		}
@@ -610,11 +610,11 @@
 }
 
 // wholeFleet says that a window would leave no machine.
-func (c *Calendar) wholeFleet(p *Plan) string {
+func (c *Calendar) wholeFleet(p *PlannedWindow) string {
 	for i := range c.cells {
 		x := &c.cells[i]
 		left := x.counted
-		for _, s := range p.Closes {
+		for _, s := range p.Closed {
 			if s.Type == c.facts.Types[x.typ].Name && s.Zone == c.facts.Zones[x.zone] {
 				left = 0
 				if s.Machines >= 0 {
@@ -629,12 +629,12 @@
 	return "it takes every machine counted upon; force it if that is meant"
 }
 
-func (p *Plan) closes(typ, zone string) bool {
-	return slices.ContainsFunc(p.Closes, func(s Share) bool { return s.Type == typ && s.Zone == zone })
+func (p *PlannedWindow) takesFrom(typ, zone string) bool {
+	return slices.ContainsFunc(p.Closed, func(s Allocation) bool { return s.Type == typ && s.Zone == zone })
 }
 
 // AddWindow takes in an accepted window.
-func (c *Calendar) AddWindow(p *Plan) {
+func (c *Calendar) AddWindow(p *PlannedWindow) {
 	c.RemoveWindow(p.Name)
 	c.windows[p.Name] = p
 	c.shut(p, 1)
@@ -648,8 +648,8 @@
 	}
 }
 
-func (c *Calendar) shut(p *Plan, sign float64) {
-	for _, s := range p.Closes {
+func (c *Calendar) shut(p *PlannedWindow, sign float64) {
+	for _, s := range p.Closed {
 		x := c.cell(s.Type, s.Zone)
 		if x == nil {
 			continue
--- a/internal/calendar/calendar_test.go
+++ b/internal/calendar/calendar_test.go
@@ -16,18 +16,18 @@
 
 var (
 	today  = time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
-	bounds = Limits{Days: 100, Entries: 20_000, PerTeam: 10_000, Windows: 50, Occurrences: 200}
+	bounds = Limits{HorizonDays: 100, Reservations: 20_000, ReservationsPerTeam: 10_000, Windows: 50, Occurrences: 200}
 )
 
 // facts are two zones of ten small machines each, and four large ones in a. Red has
 // 40 CPUs guaranteed and 100 at most, blue 20 guaranteed.
-func facts() Facts {
-	return Facts{Zones: []string{"a", "b"}, Limits: bounds,
+func facts() Config {
+	return Config{Zones: []string{"a", "b"}, Limits: bounds,
 		Types: []wire.MachineType{
 			{Name: "small", CPUs: 4, MemGB: 16, Price: 0.2, SpotPrice: 0.05, Zones: []string{"a", "b"}},
 			{Name: "large", CPUs: 16, MemGB: 64, Price: 0.9, SpotPrice: 0.2, Zones: []string{"a"}}},
 		Teams: []config.Team{{Name: "red", CPUs: 40, CPUsMax: 100}, {Name: "blue", CPUs: 20}, {Name: "green"}},
-		Counted: func(typ, _ string) int {
+		Machines: func(typ, _ string) int {
 			if typ == "large" {
 				return 4
 			}
@@ -107,7 +107,7 @@
 			switch {
 			case tt.want == "" && err != nil:
 				t.Errorf("refused: %v", err)
-			case tt.want != "" && (!errors.Is(err, ErrSpec) || !strings.Contains(fmt.Sprint(err), tt.want)):
+			case tt.want != "" && (!errors.Is(err, ErrMalformed) || !strings.Contains(fmt.Sprint(err), tt.want)):
 				t.Errorf("got %v, want %q", err, tt.want)
 			}
 		})
@@ -198,9 +198,9 @@
 			got, next := "", ""
 			var conflict *Conflict
 			if errors.As(err, &conflict) {
-				got = conflict.Why
-				if !conflict.Next.IsZero() {
-					next = conflict.Next.UTC().Format("15:04")
+				got = conflict.Reason
+				if !conflict.NextStart.IsZero() {
+					next = conflict.NextStart.UTC().Format("15:04")
 				}
 			} else if err != nil {
 				t.Fatal(err)
@@ -214,9 +214,9 @@
 	}
 }
 
-func shares(e *Entry) string {
+func shares(e *Booking) string {
 	var out []string
-	for _, s := range e.Shares {
+	for _, s := range e.Allocations {
 		out = append(out, fmt.Sprintf("%s/%s %d/%d", s.Type, s.Zone, s.Machines, s.Parts))
 	}
 	return strings.Join(out, " ")
@@ -245,7 +245,7 @@
 			if tt.want == "" {
 				f := facts()
 				f.Zones = []string{"a"}
-				_, err := New(f).Announce(parseWindow(t, map[string]any{"yard": "a"}), nil, today)
+				_, err := New(f).PlanWindow(parseWindow(t, map[string]any{"yard": "a"}), nil, today)
 				if err == nil || !strings.Contains(err.Error(), "every machine") {
 					t.Errorf("got %v", err)
 				}
@@ -256,17 +256,17 @@
 			c := New(f)
 			r := parse(t, map[string]any{"parts": tt.parts})
 			w := parseWindow(t, tt.window)
-			var single []Share
-			if w.Single() {
-				single = []Share{{Type: "small", Zone: "a", Machines: 1}}
+			var single []Allocation
+			if w.NamesMachines() {
+				single = []Allocation{{Type: "small", Zone: "a", Machines: 1}}
 			}
 			var got string
 			if tt.first {
-				a, err := c.Announce(w, single, today)
+				a, err := c.PlanWindow(w, single, today)
 				if err != nil {
 					t.Fatal(err)
 				}
-				c.AddWindow(a.Plan)
+				c.AddWindow(a.Window)
 				if e, err := c.Fit(r, today); err != nil {
 					got = err.Error()
 				} else {
@@ -278,18 +278,18 @@
 					t.Fatal(err)
 				}
 				c.Add(e)
-				a, err := c.Announce(w, single, today)
+				a, err := c.PlanWindow(w, single, today)
 				switch {
 				case err != nil:
 					got = err.Error()
 				case len(a.Moved) > 0:
 					got = "moved " + shares(a.Moved[0])
-				case len(a.Lost) > 0:
-					got = fmt.Sprintf("lost %d", len(a.Lost[0].Lost))
+				case len(a.Revoked) > 0:
+					got = fmt.Sprintf("lost %d", len(a.Revoked[0].Revoked))
 				default:
 					got = "stays"
 				}
-				if len(c.Windows()) != 0 || c.Entries()["r"] != e {
+				if len(c.Windows()) != 0 || c.Bookings()["r"] != e {
 					t.Error("a look has changed the calendar")
 				}
 			}
@@ -319,7 +319,7 @@
 			w := parseWindow(t, tt.doc)
 			var got []string
 			for _, h := range [][4]string{{"h1", "10.0.1.5:9000", "small", "a"}, {"h2", "10.0.2.5:9000", "small", "b"}, {"h3", "10.0.1.9:9000", "large", "a"}} {
-				if w.Takes(h[0], h[1], h[2], h[3]) {
+				if w.Covers(h[0], h[1], h[2], h[3]) {
 					got = append(got, h[0])
 				}
 			}
@@ -343,33 +343,33 @@
 	day := 24 * time.Hour
 	tests := []struct {
 		name  string
-		looks []Look
+		looks []Observation
 		want  string
 	}{
-		{"before", []Look{{Now: at(-time.Second)}}, ""},
-		{"kept", []Look{{Now: at(0), Claimer: "run-1"}, {Now: at(time.Second), Claimer: "run-1", RunAt: at(time.Second)}, {Now: at(time.Minute), Claimer: "run-1", RunAt: at(time.Second)}}, "kept"},
-		{"late", []Look{{Now: at(0), Claimer: "run-1"}, {Now: at(61 * time.Second), Claimer: "run-1", RunAt: at(time.Minute)}}, "late 60"},
-		{"unclaimed", []Look{{Now: at(119 * time.Second)}, {Now: at(121 * time.Second)}}, "lapsed"},
-		{"claimed in time and never run", []Look{{Now: at(121 * time.Second), Claimer: "run-1"}, {Now: at(time.Hour), Claimer: "run-1"}}, "missed"},
-		{"nobody led over two of them", []Look{{Now: at(day + 2*time.Hour)}, {Now: at(day + 2*time.Hour)}, {Now: at(day + 2*time.Hour)}}, "lapsed lapsed"},
-		{"nobody led over its start", []Look{{Now: at(time.Minute)}, {Now: at(2 * time.Minute), Claimer: "run-1", RunAt: at(90 * time.Second)}}, "late 90"},
-		{"a successor whose clock is behind", []Look{{Now: at(100 * time.Millisecond), Claimer: "run-1", RunAt: at(50 * time.Millisecond)},
+		{"before", []Observation{{Now: at(-time.Second)}}, ""},
+		{"kept", []Observation{{Now: at(0), Claimer: "run-1"}, {Now: at(time.Second), Claimer: "run-1", RunAt: at(time.Second)}, {Now: at(time.Minute), Claimer: "run-1", RunAt: at(time.Second)}}, "kept"},
+		{"late", []Observation{{Now: at(0), Claimer: "run-1"}, {Now: at(61 * time.Second), Claimer: "run-1", RunAt: at(time.Minute)}}, "late 60"},
+		{"unclaimed", []Observation{{Now: at(119 * time.Second)}, {Now: at(121 * time.Second)}}, "lapsed"},
+		{"claimed in time and never run", []Observation{{Now: at(121 * time.Second), Claimer: "run-1"}, {Now: at(time.Hour), Claimer: "run-1"}}, "missed"},
+		{"nobody led over two of them", []Observation{{Now: at(day + 2*time.Hour)}, {Now: at(day + 2*time.Hour)}, {Now: at(day + 2*time.Hour)}}, "lapsed lapsed"},
+		{"nobody led over its start", []Observation{{Now: at(time.Minute)}, {Now: at(2 * time.Minute), Claimer: "run-1", RunAt: at(90 * time.Second)}}, "late 90"},
+		{"a successor whose clock is behind", []Observation{{Now: at(100 * time.Millisecond), Claimer: "run-1", RunAt: at(50 * time.Millisecond)},
 			{Now: at(-200 * time.Millisecond), Claimer: "run-1"}, {Now: at(50 * time.Millisecond), Claimer: "run-1", RunAt: at(-100 * time.Millisecond)}}, "kept"},
-		{"all three and nothing after", []Look{{Now: at(3 * day)}, {Now: at(3 * day)}, {Now: at(3 * day)}, {Now: at(3 * day)}, {Now: at(3 * day)}}, "lapsed lapsed lapsed"},
+		{"all three and nothing after", []Observation{{Now: at(3 * day)}, {Now: at(3 * day)}, {Now: at(3 * day)}, {Now: at(3 * day)}, {Now: at(3 * day)}}, "lapsed lapsed lapsed"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			rec := NewRecord(e, today)
 			for _, l := range tt.looks {
-				next, changed := Step(rec, e, l, Tolerance(2, 100))
+				next, changed := DecideOutcome(rec, e, l, Tolerance(2, 100))
 				if changed == (next == rec) {
 					t.Error("a change that does not show")
 				}
 				rec = next
 			}
 			var got []string
-			for _, o := range rec.Past {
-				s := o.What
+			for _, o := range rec.Outcomes {
+				s := o.Kind
 				if o.LateS > 0 {
 					s += fmt.Sprintf(" %.0f", o.LateS)
 				}
@@ -399,11 +399,11 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			var p Pace
+			var p Estimator
 			for _, x := range tt.seen {
 				p.Add(x)
 			}
-			if got := p.Bound(10); got < tt.low || got > tt.high {
+			if got := p.UpperBound(10); got < tt.low || got > tt.high {
 				t.Errorf("bound %.1f, want %.1f to %.1f", got, tt.low, tt.high)
 			}
 		})
@@ -411,13 +411,13 @@
 }
 
 // load is a generated load of daily and weekly slots, for a fleet of its size.
-func load(t testing.TB, n int) (Facts, []*Reservation) {
+func load(t testing.TB, n int) (Config, []*Reservation) {
 	f := facts()
 	f.Teams = nil
 	for i := range 10 {
 		f.Teams = append(f.Teams, config.Team{Name: fmt.Sprintf("t%d", i), CPUs: float64(2 * n / 10)})
 	}
-	f.Counted = func(string, string) int { return n / 2 }
+	f.Machines = func(string, string) int { return n / 2 }
 	rnd := rand.New(rand.NewPCG(1, 2))
 	var out []*Reservation
 	for i := range n {
@@ -446,10 +446,10 @@
 			c.Add(e)
 		}
 	}
-	if len(c.Entries()) < 100 {
-		t.Fatalf("only %d of 200 were accepted", len(c.Entries()))
+	if len(c.Bookings()) < 100 {
+		t.Fatalf("only %d of 200 were accepted", len(c.Bookings()))
 	}
-	for name := range c.Entries() {
+	for name := range c.Bookings() {
 		c.Remove(name)
 	}
 	for i := range c.cells {
@@ -491,7 +491,7 @@
 			b.ReportMetric(float64(is.HeapAlloc-was.HeapAlloc)/1e6, "MB")
 			b.ReportMetric(100*float64(accepted)/float64(n), "%accepted")
 			var stored [][]byte
-			for _, e := range c.Entries() {
+			for _, e := range c.Bookings() {
 				body, err := wire.Marshal(NewRecord(e, today))
 				if err != nil {
 					b.Fatal(err)
@@ -505,7 +505,7 @@
 				if err := wire.Unmarshal(body, rec); err != nil {
 					b.Fatal(err)
 				}
-				e, err := rec.Entry()
+				e, err := rec.Booking()
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/calendar/fixtures_test.go
+++ b/internal/calendar/fixtures_test.go
@@ -16,7 +16,7 @@
 	{File: "window-spec.cbor", Value: fixture.Filled[Window]()},
 	{File: "span.cbor", Value: fixture.Filled[Span]()},
 	{File: "occurrence-outcome.cbor", Value: fixture.Filled[Outcome]()},
-	{File: "calendar-share.cbor", Value: fixture.Filled[Share]()},
+	{File: "calendar-share.cbor", Value: fixture.Filled[Allocation]()},
 	{File: "reservation-status.cbor", Value: fixture.Filled[Status]()},
 	{File: "window-status.cbor", Value: fixture.Filled[WindowStatus]()},
 }
--- a/internal/calendar/recur.go
+++ b/internal/calendar/recur.go
@@ -16,7 +16,7 @@
 // at the horizon.
 func occurrences(start, end time.Time, rule string, horizon time.Time, most int) ([]Span, error) {
 	bad := func(field, format string, a ...any) error {
-		return fmt.Errorf("%w: %s: %s", ErrSpec, field, fmt.Sprintf(format, a...))
+		return fmt.Errorf("%w: %s: %s", ErrMalformed, field, fmt.Sprintf(format, a...))
 	}
 	lasts := end.Sub(start).Milliseconds()
 	if start.After(horizon) {
--- a/internal/calendar/show.go
+++ b/internal/calendar/show.go
@@ -8,48 +8,48 @@
 
 // Status is what a team or an operator is shown of a reservation.
 type Status struct {
-	Spec   Reservation `codec:"spec" json:"spec"`
-	State  string      `codec:"state" json:"state"`
-	Shares []Share     `codec:"shares" json:"shares"`
+	Spec        Reservation  `codec:"spec" json:"spec"`
+	State       string       `codec:"state" json:"state"`
+	Allocations []Allocation `codec:"shares" json:"shares"`
 	// Next and Until are the occurrence that is next or under way; empty: none.
 	Next  string `codec:"next,omitempty" json:"next,omitempty"`
 	Until string `codec:"until,omitempty" json:"until,omitempty"`
-	// Ahead are the occurrences that are not over, at most mostShown of them.
-	Ahead   []Span    `codec:"ahead" json:"ahead"`
-	Left    int       `codec:"left" json:"left"`                     // occurrences that are not over
-	Lost    int       `codec:"lost,omitempty" json:"lost,omitempty"` // those of them whose room a window took
-	Held    int       `codec:"held" json:"held"`                     // machines held now
-	Claimer string    `codec:"claimer,omitempty" json:"claimer,omitempty"`
-	Past    []Outcome `codec:"past,omitempty" json:"past,omitempty"`
+	// Occurrences are the occurrences that are not over, at most mostShown of them.
+	Occurrences []Span    `codec:"ahead" json:"ahead"`
+	Remaining   int       `codec:"left" json:"left"`                     // occurrences that are not over
+	Revoked     int       `codec:"lost,omitempty" json:"lost,omitempty"` // those of them whose room a window took
+	Held        int       `codec:"held" json:"held"`                     // machines held now
+	Claimer     string    `codec:"claimer,omitempty" json:"claimer,omitempty"`
+	Outcomes    []Outcome `codec:"past,omitempty" json:"past,omitempty"`
 }
 
 // mostShown bounds the occurrences of one status.
 const mostShown = 40
 
-// Tell sums up a reservation, but for what is held and who claims it.
-func Tell(r *Record, e *Entry, now time.Time) Status {
-	s := Status{Spec: *e.Reservation, Shares: r.Shares, Past: r.Past, State: "over", Ahead: []Span{}}
+// NewStatus sums up a reservation, but for what is held and who claims it.
+func NewStatus(r *Record, e *Booking, now time.Time) Status {
+	s := Status{Spec: *e.Reservation, Allocations: r.Allocations, Outcomes: r.Outcomes, State: "over", Occurrences: []Span{}}
 	t := now.UnixMilli()
 	for _, x := range e.spans {
 		if x.To <= t {
 			continue
 		}
-		if s.Left == 0 {
+		if s.Remaining == 0 {
 			s.Next, s.Until = when(x.From), when(x.To)
 			s.State = "booked"
 			if x.From <= t {
 				s.State = "under way"
 			}
 		}
-		s.Left++
-		if e.Lost[x.From] {
-			s.Lost++
-			if s.Left == 1 {
+		s.Remaining++
+		if e.Revoked[x.From] {
+			s.Revoked++
+			if s.Remaining == 1 {
 				s.State = "retired"
 			}
 		}
-		if len(s.Ahead) < mostShown {
-			s.Ahead = append(s.Ahead, x)
+		if len(s.Occurrences) < mostShown {
+			s.Occurrences = append(s.Occurrences, x)
 		}
 	}
 	return s
@@ -72,8 +72,8 @@
 	Retired []string `codec:"retired,omitempty" json:"retired,omitempty"`
 }
 
-// TellWindow sums up a window, but for its machines.
-func TellWindow(p *Plan, now time.Time) WindowStatus {
+// NewWindowStatus sums up a window, but for its machines.
+func NewWindowStatus(p *PlannedWindow, now time.Time) WindowStatus {
 	t := now.UnixMilli()
 	s := WindowStatus{Spec: *p.Window, From: p.span.From, To: p.span.To, State: "planned"}
 	switch {
@@ -88,7 +88,7 @@
 }
 
 // names are the names of entries, in order.
-func names(es []*Entry) []string {
+func names(es []*Booking) []string {
 	var out []string
 	for _, e := range es {
 		out = append(out, e.Name)
@@ -97,15 +97,15 @@
 	return out
 }
 
-// Tell is the status of a window that has just been planned.
-func (a *Announced) Tell(now time.Time) WindowStatus {
-	s := TellWindow(a.Plan, now)
-	s.Moved, s.Retired = names(a.Moved), names(a.Lost)
+// Status is the status of a window that has just been planned.
+func (a *WindowPlan) Status(now time.Time) WindowStatus {
+	s := NewWindowStatus(a.Window, now)
+	s.Moved, s.Retired = names(a.Moved), names(a.Revoked)
 	return s
 }
 
-// Same reports whether two reservations ask for the same.
-func Same(a, b *Reservation) bool {
+// SameReservation reports whether two reservations ask for the same.
+func SameReservation(a, b *Reservation) bool {
 	x, y := *a, *b
 	x.spans, y.spans = nil, nil
 	return reflect.DeepEqual(&x, &y)
--- a/internal/calendar/spec.go
+++ b/internal/calendar/spec.go
@@ -20,8 +20,8 @@
 	"vetchstream/internal/schema"
 )
 
-// ErrSpec marks a reservation or a window that is wrong, whatever else is planned.
-var ErrSpec = errors.New("calendar entry is malformed")
+// ErrMalformed marks a reservation or a window that is wrong, whatever else is planned.
+var ErrMalformed = errors.New("calendar entry is malformed")
 
 // Reservation is room that a team wants at a time, once or again and again.
 type Reservation struct {
@@ -81,8 +81,8 @@
 // Span is a stretch of time: milliseconds of the time of day, the end not included.
 type Span struct{ From, To int64 }
 
-// Meets reports whether two stretches have a moment in common.
-func (s Span) Meets(o Span) bool { return s.From < o.To && o.From < s.To }
+// Overlaps reports whether two stretches have a moment in common.
+func (s Span) Overlaps(o Span) bool { return s.From < o.To && o.From < s.To }
 
 const (
 	defaultGraceS = 300
@@ -105,10 +105,10 @@
 func ParseReservation(body []byte, lim Limits, now time.Time) (*Reservation, error) {
 	r := &Reservation{}
 	if err := reservationSchema.Decode(body, r, "parts"); err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrSpec, err)
+		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	if r.Spread && r.OneZone {
-		return nil, fmt.Errorf("%w: apart: given beside same_place", ErrSpec)
+		return nil, fmt.Errorf("%w: apart: given beside same_place", ErrMalformed)
 	}
 	if r.GraceS == 0 {
 		r.GraceS = defaultGraceS
@@ -117,7 +117,7 @@
 		return nil, err
 	}
 	if last := r.spans[len(r.spans)-1]; last.To <= now.UnixMilli() {
-		return nil, fmt.Errorf("%w: end: is over", ErrSpec)
+		return nil, fmt.Errorf("%w: end: is over", ErrMalformed)
 	}
 	return r, nil
 }
@@ -128,12 +128,12 @@
 	if err != nil {
 		return err
 	}
-	r.spans, err = occurrences(start, end, r.Rule, now.AddDate(0, 0, lim.Days), lim.Occurrences)
+	r.spans, err = occurrences(start, end, r.Rule, now.AddDate(0, 0, lim.HorizonDays), lim.Occurrences)
 	return err
 }
 
-// Need is the size of a part.
-func (r *Reservation) Need() place.Amount {
+// PartSize is the size of a part.
+func (r *Reservation) PartSize() place.Amount {
 	return place.Amount{CPUs: r.CPUs, GPUs: r.GPUs, MemGB: r.MemGB}
 }
 
@@ -145,7 +145,7 @@
 func ParseWindow(body []byte, lim Limits, now time.Time) (*Window, error) {
 	w := &Window{}
 	if err := windowSchema.Decode(body, w); err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrSpec, err)
+		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	if w.DrainS == 0 {
 		w.DrainS = defaultDrainS
@@ -155,9 +155,9 @@
 	}
 	switch {
 	case w.span.To <= now.UnixMilli():
-		return nil, fmt.Errorf("%w: end: is over", ErrSpec)
-	case w.span.To > now.AddDate(0, 0, lim.Days).UnixMilli():
-		return nil, fmt.Errorf("%w: end: more than %d days ahead", ErrSpec, lim.Days)
+		return nil, fmt.Errorf("%w: end: is over", ErrMalformed)
+	case w.span.To > now.AddDate(0, 0, lim.HorizonDays).UnixMilli():
+		return nil, fmt.Errorf("%w: end: more than %d days ahead", ErrMalformed, lim.HorizonDays)
 	}
 	return w, nil
 }
@@ -173,7 +173,7 @@
 	for _, p := range w.Range {
 		n, err := netip.ParsePrefix(p)
 		if err != nil {
-			return fmt.Errorf("%w: range: %q is not a prefix of addresses", ErrSpec, p)
+			return fmt.Errorf("%w: range: %q is not a prefix of addresses", ErrMalformed, p)
 		}
 		w.nets.Insert(n.Masked())
 	}
@@ -190,21 +190,21 @@
 // milliseconds of the time of day.
 func (w *Window) DrainAt() int64 { return w.span.From - int64(w.DrainS*1000) }
 
-// Single reports whether the window is of single machines, by name or address.
-func (w *Window) Single() bool { return len(w.Hosts)+len(w.Range) > 0 }
+// NamesMachines reports whether the window is of single machines, by name or address.
+func (w *Window) NamesMachines() bool { return len(w.Hosts)+len(w.Range) > 0 }
 
-// Offers reports whether the window is of all machines of a type in a zone.
-func (w *Window) Offers(typ, zone string) bool {
-	return !w.Single() && (w.Zone == "" || w.Zone == zone) && (w.Type == "" || w.Type == typ)
+// ClosesPool reports whether the window is of all machines of a type in a zone.
+func (w *Window) ClosesPool(typ, zone string) bool {
+	return !w.NamesMachines() && (w.Zone == "" || w.Zone == zone) && (w.Type == "" || w.Type == typ)
 }
 
-// Takes reports whether a machine is serviced in the window; addr is its worker's
+// Covers reports whether a machine is serviced in the window; addr is its worker's
 // address with the port.
-func (w *Window) Takes(host, addr, typ, zone string) bool {
+func (w *Window) Covers(host, addr, typ, zone string) bool {
 	if (w.Zone != "" && w.Zone != zone) || (w.Type != "" && w.Type != typ) {
 		return false
 	}
-	if !w.Single() || w.named[host] {
+	if !w.NamesMachines() || w.named[host] {
 		return true
 	}
 	ap, err := netip.ParseAddrPort(addr)
@@ -216,17 +216,17 @@
 	loc := time.UTC
 	if zone != "" {
 		if loc, err = time.LoadLocation(zone); err != nil || zone == "Local" {
-			return from, to, fmt.Errorf("%w: time_zone: %q is not known", ErrSpec, zone)
+			return from, to, fmt.Errorf("%w: time_zone: %q is not known", ErrMalformed, zone)
 		}
 	}
 	if from, err = moment(start, loc); err != nil {
-		return from, to, fmt.Errorf("%w: start: %w", ErrSpec, err)
+		return from, to, fmt.Errorf("%w: start: %w", ErrMalformed, err)
 	}
 	if to, err = moment(end, loc); err != nil {
-		return from, to, fmt.Errorf("%w: end: %w", ErrSpec, err)
+		return from, to, fmt.Errorf("%w: end: %w", ErrMalformed, err)
 	}
 	if !from.Before(to) {
-		return from, to, fmt.Errorf("%w: end: not after the start", ErrSpec)
+		return from, to, fmt.Errorf("%w: end: not after the start", ErrMalformed)
 	}
 	return from, to, nil
 }
--- a/internal/calendar/step.go
+++ b/internal/calendar/step.go
@@ -10,37 +10,37 @@
 // Record is the durable state of a reservation. All that is done for it follows from
 // it and from what is seen; a leader that takes over goes on from it.
 type Record struct {
-	Spec   Reservation `codec:"spec"`
-	Seq    uint64      `codec:"seq"`
-	Shares []Share     `codec:"shares"`
-	Lost   []int64     `codec:"lost,omitempty"`
-	// Next is the start of the first occurrence that is not decided, in milliseconds of
+	Spec        Reservation  `codec:"spec"`
+	Seq         uint64       `codec:"seq"`
+	Allocations []Allocation `codec:"shares"`
+	Revoked     []int64      `codec:"lost,omitempty"`
+	// NextStart is the start of the first occurrence that is not decided, in milliseconds of
 	// the time of day; MaxInt64: all are.
-	Next int64 `codec:"next"`
-	// Past are the last outcomes, the latest last.
-	Past []Outcome `codec:"past,omitempty"`
+	NextStart int64 `codec:"next"`
+	// Outcomes are the last outcomes, the latest last.
+	Outcomes []Outcome `codec:"past,omitempty"`
 }
 
 // WindowRecord is the durable state of a maintenance window. What is to be done for
 // it follows from the time of day alone, so it never changes.
 type WindowRecord struct {
-	Spec   Window  `codec:"spec"`
-	Closes []Share `codec:"closes"`
+	Spec   Window       `codec:"spec"`
+	Closed []Allocation `codec:"closes"`
 }
 
 // Outcomes of an occurrence.
 const (
-	Kept    = "kept"    // its job started whole in time
-	Late    = "late"    // its job started whole after the tolerance
-	Lapsed  = "lapsed"  // no job claimed it in time
-	Missed  = "missed"  // its job did not start before its end
-	Retired = "retired" // a forced maintenance window took its room
+	OutcomeOnTime  = "kept"    // its job started whole in time
+	OutcomeLate    = "late"    // its job started whole after the tolerance
+	OutcomeLapsed  = "lapsed"  // no job claimed it in time
+	OutcomeMissed  = "missed"  // its job did not start before its end
+	OutcomeRetired = "retired" // a forced maintenance window took its room
 )
 
 // Outcome is what became of an occurrence.
 type Outcome struct {
 	Start int64   `codec:"start" json:"start"` // milliseconds of the time of day
-	What  string  `codec:"what" json:"what"`
+	Kind  string  `codec:"what" json:"what"`
 	Job   string  `codec:"job,omitempty" json:"job,omitempty"`
 	LateS float64 `codec:"late_s,omitempty" json:"late_s,omitempty"`
 }
@@ -50,60 +50,60 @@
 
 // NewRecord makes the record of an accepted reservation. Occurrences that are over
 // are not looked at.
-func NewRecord(e *Entry, now time.Time) *Record {
-	r := &Record{Spec: *e.Reservation, Seq: e.Seq, Shares: e.Shares, Next: math.MaxInt64}
+func NewRecord(e *Booking, now time.Time) *Record {
+	r := &Record{Spec: *e.Reservation, Seq: e.Seq, Allocations: e.Allocations, NextStart: math.MaxInt64}
 	for _, s := range e.spans {
 		if s.To > now.UnixMilli() {
-			r.Next = s.From
+			r.NextStart = s.From
 			break
 		}
 	}
-	r.lose(e)
+	r.setRevoked(e)
 	return r
 }
 
-// lose takes over the occurrences whose room is gone.
-func (r *Record) lose(e *Entry) {
-	r.Lost = nil
-	for at := range e.Lost {
-		r.Lost = append(r.Lost, at)
+// setRevoked takes over the occurrences whose room is gone.
+func (r *Record) setRevoked(e *Booking) {
+	r.Revoked = nil
+	for at := range e.Revoked {
+		r.Revoked = append(r.Revoked, at)
 	}
-	slices.Sort(r.Lost)
+	slices.Sort(r.Revoked)
 }
 
-// Moved is the record with another choice of machines.
-func (r *Record) Moved(e *Entry) *Record {
+// WithBooking is the record with another choice of machines.
+func (r *Record) WithBooking(e *Booking) *Record {
 	next := *r
-	next.Shares = e.Shares
-	next.lose(e)
+	next.Allocations = e.Allocations
+	next.setRevoked(e)
 	return &next
 }
 
-// Entry is the reservation as the calendar has it. The limits are those of its
+// Booking is the reservation as the calendar has it. The limits are those of its
 // acceptance, so they are not asked again.
-func (r *Record) Entry() (*Entry, error) {
+func (r *Record) Booking() (*Booking, error) {
 	spec := r.Spec
-	if err := spec.expand(Limits{Days: 100 * 366, Occurrences: math.MaxInt32}, time.Now()); err != nil {
+	if err := spec.expand(Limits{HorizonDays: 100 * 366, Occurrences: math.MaxInt32}, time.Now()); err != nil {
 		return nil, err
 	}
-	e := &Entry{Reservation: &spec, Seq: r.Seq, Shares: r.Shares, Lost: map[int64]bool{}}
-	for _, at := range r.Lost {
-		e.Lost[at] = true
+	e := &Booking{Reservation: &spec, Seq: r.Seq, Allocations: r.Allocations, Revoked: map[int64]bool{}}
+	for _, at := range r.Revoked {
+		e.Revoked[at] = true
 	}
 	return e, nil
 }
 
-// Plan is the window as the calendar has it.
-func (r *WindowRecord) Plan() (*Plan, error) {
+// Window is the window as the calendar has it.
+func (r *WindowRecord) Window() (*PlannedWindow, error) {
 	spec := r.Spec
 	if err := spec.prepare(); err != nil {
 		return nil, err
 	}
-	return &Plan{Window: &spec, Closes: r.Closes}, nil
+	return &PlannedWindow{Window: &spec, Closed: r.Closed}, nil
 }
 
-// Look is what the leader sees of the occurrence that is next.
-type Look struct {
+// Observation is what the leader sees of the occurrence that is next.
+type Observation struct {
 	Now time.Time
 	// Claimer is the job that claims it; empty: none, or it is over without having
 	// run. RunAt is when all of it was first seen running; zero: not yet.
@@ -118,14 +118,14 @@
 	return time.Duration((2*reportS + skewMs/1000 + 3) * float64(time.Second))
 }
 
-// Step decides at most one occurrence, and reports whether the record has changed.
+// DecideOutcome decides at most one occurrence, and reports whether the record has changed.
 // It must be stored before anything follows from it.
 //
 // Occurrences that fell due while nobody led are given up, each once: one that is
 // over by then has lapsed if no job claims it and is missed otherwise; one that is
 // not over is served for the rest of its time.
-func Step(r *Record, e *Entry, l Look, tolerance time.Duration) (*Record, bool) {
-	i, found := slices.BinarySearchFunc(e.spans, r.Next, func(s Span, t int64) int { return cmp.Compare(s.From, t) })
+func DecideOutcome(r *Record, e *Booking, l Observation, tolerance time.Duration) (*Record, bool) {
+	i, found := slices.BinarySearchFunc(e.spans, r.NextStart, func(s Span, t int64) int { return cmp.Compare(s.From, t) })
 	if !found {
 		return r, false
 	}
@@ -136,54 +136,54 @@
 	o := Outcome{Start: s.From, Job: l.Claimer}
 	grace := s.From + int64(e.GraceS*1000)
 	switch {
-	case e.Lost[s.From]:
-		o.What = Retired
+	case e.Revoked[s.From]:
+		o.Kind = OutcomeRetired
 	case l.Claimer != "" && !l.RunAt.IsZero():
-		o.What = Kept
+		o.Kind = OutcomeOnTime
 		if late := l.RunAt.UnixMilli() - s.From; late > tolerance.Milliseconds() {
-			o.What, o.LateS = Late, math.Round(float64(late)/100)/10
+			o.Kind, o.LateS = OutcomeLate, math.Round(float64(late)/100)/10
 		}
 	case l.Claimer == "" && now >= min(grace, s.To):
-		o.What = Lapsed
+		o.Kind = OutcomeLapsed
 	case now >= s.To:
-		o.What = Missed
+		o.Kind = OutcomeMissed
 	default:
 		return r, false
 	}
 	next := *r
-	next.Next = math.MaxInt64
+	next.NextStart = math.MaxInt64
 	if i+1 < len(e.spans) {
-		next.Next = e.spans[i+1].From
+		next.NextStart = e.spans[i+1].From
 	}
-	next.Past = append(slices.Clone(r.Past), o)
-	if len(next.Past) > mostPast {
-		next.Past = next.Past[len(next.Past)-mostPast:]
+	next.Outcomes = append(slices.Clone(r.Outcomes), o)
+	if len(next.Outcomes) > mostPast {
+		next.Outcomes = next.Outcomes[len(next.Outcomes)-mostPast:]
 	}
 	return &next, true
 }
 
-// Current is the occurrence that room is to be held for at a moment, gathered from
+// ActiveOccurrence is the occurrence that room is to be held for at a moment, gathered from
 // lead before its start on: the next one, or the one that is under way and was kept.
-func (r *Record) Current(e *Entry, now time.Time, lead time.Duration) (s Span, decided, ok bool) {
+func (r *Record) ActiveOccurrence(e *Booking, now time.Time, lead time.Duration) (s Span, decided, ok bool) {
 	t := now.UnixMilli()
 	i, _ := slices.BinarySearchFunc(e.spans, t+1, func(s Span, t int64) int { return cmp.Compare(s.To, t) })
-	if i == len(e.spans) || e.Lost[e.spans[i].From] || t < e.spans[i].From-lead.Milliseconds() {
+	if i == len(e.spans) || e.Revoked[e.spans[i].From] || t < e.spans[i].From-lead.Milliseconds() {
 		return Span{}, false, false
 	}
 	s = e.spans[i]
-	if s.From >= r.Next {
+	if s.From >= r.NextStart {
 		return s, false, true
 	}
-	n := len(r.Past)
-	if n > 0 && r.Past[n-1].Start == s.From && (r.Past[n-1].What == Kept || r.Past[n-1].What == Late) {
+	n := len(r.Outcomes)
+	if n > 0 && r.Outcomes[n-1].Start == s.From && (r.Outcomes[n-1].Kind == OutcomeOnTime || r.Outcomes[n-1].Kind == OutcomeLate) {
 		return s, true, true
 	}
 	return Span{}, false, false
 }
 
-// Claims is the occurrence that a job claims: the first that is not over when the
+// OccurrenceAt is the occurrence that a job claims: the first that is not over when the
 // job is submitted.
-func (e *Entry) Claims(at int64) (Span, bool) {
+func (e *Booking) OccurrenceAt(at int64) (Span, bool) {
 	i, _ := slices.BinarySearchFunc(e.spans, at+1, func(s Span, t int64) int { return cmp.Compare(s.To, t) })
 	if i == len(e.spans) {
 		return Span{}, false
@@ -191,34 +191,34 @@
 	return e.spans[i], true
 }
 
-// Pace is a running mean and mean deviation of a time or ratio, smoothed as round
+// Estimator is a running mean and mean deviation of a time or ratio, smoothed as round
 // trips are in RFC 6298, with the highest one, which is forgotten slowly: a deviation
 // that has shrunk must not promise less than what was seen. The zero value knows nothing.
-type Pace struct {
-	mean, dev, peak float64
-	count           int
+type Estimator struct {
+	mean, deviation, peak float64
+	count                 int
 }
 
 // Count is how many measurements there were.
-func (p *Pace) Count() int { return p.count }
+func (p *Estimator) Count() int { return p.count }
 
 // Add takes in a measurement.
-func (p *Pace) Add(x float64) {
+func (p *Estimator) Add(x float64) {
 	p.count++
 	if p.count == 1 {
-		p.mean, p.dev, p.peak = x, x/2, x
+		p.mean, p.deviation, p.peak = x, x/2, x
 		return
 	}
 	p.peak = max(x, p.peak-(p.peak-p.mean)/64)
-	p.dev += (math.Abs(x-p.mean) - p.dev) / 4
+	p.deviation += (math.Abs(x-p.mean) - p.deviation) / 4
 	p.mean += (x - p.mean) / 8
 }
 
-// Bound is what hardly any measurement exceeds; before the first one it is twice
+// UpperBound is what hardly any measurement exceeds; before the first one it is twice
 // what is expected, since estimates are wrong by half or more.
-func (p *Pace) Bound(expected float64) float64 {
+func (p *Estimator) UpperBound(expected float64) float64 {
 	if p.count == 0 {
 		return 2 * expected
 	}
-	return max(p.mean+4*p.dev, p.peak)
+	return max(p.mean+4*p.deviation, p.peak)
 }
--- a/internal/calendar/ways_test.go
+++ b/internal/calendar/ways_test.go
@@ -14,7 +14,7 @@
 
 // tight is a load of n reservations for one day that ten machines in each of two
 // zones cannot hold.
-func tight(t testing.TB, n int, seed uint64) (Facts, []*Reservation) {
+func tight(t testing.TB, n int, seed uint64) (Config, []*Reservation) {
 	f := facts()
 	f.Types, f.Teams = f.Types[:1], f.Teams[2:] // without guarantees
 	r := rand.New(rand.NewPCG(seed, 3))
@@ -33,7 +33,7 @@
 }
 
 // greedy admits reservations one by one and returns what it has accepted.
-func greedy(f Facts, rs []*Reservation) (accepted int, hours float64) {
+func greedy(f Config, rs []*Reservation) (accepted int, hours float64) {
 	c := New(f)
 	for _, r := range rs {
 		if e, err := c.Fit(r, today); err == nil {
@@ -48,7 +48,7 @@
 // relaxed is the most machine hours that any choice could accept, with all
 // reservations known beforehand: a linear program in which each may be accepted in
 // part, and in parts of zones.
-func relaxed(t testing.TB, f Facts, rs []*Reservation) float64 {
+func relaxed(t testing.TB, f Config, rs []*Reservation) float64 {
 	var times []int64
 	for _, r := range rs {
 		times = append(times, r.spans[0].From)
@@ -75,7 +75,7 @@
 	for i := range rows {
 		a.Set(i, vars+i, 1)
 		if i >= len(rs) {
-			b[i] = float64(f.Counted("small", f.Zones[(i-len(rs))%zones]))
+			b[i] = float64(f.Machines("small", f.Zones[(i-len(rs))%zones]))
 		}
 	}
 	basis := make([]int, rows)
--- a/internal/control/calendar_drains.go
+++ b/internal/control/calendar_drains.go
@@ -24,7 +24,7 @@
 	taskTracker      *taskTracker
 
 	// next is the first window, not over, of each machine that has one.
-	next   map[*fleet.Host]*calendar.Plan
+	next   map[*fleet.Host]*calendar.PlannedWindow
 	looked time.Time
 	// late are placements that are not expected to end in time and cannot save.
 	late map[*fleet.Slot]bool
@@ -38,33 +38,35 @@
 }
 
 func (dr *maintenanceDrains) reset() {
-	dr.next, dr.late, dr.told, dr.looked = map[*fleet.Host]*calendar.Plan{}, map[*fleet.Slot]bool{}, map[string]string{}, time.Time{}
+	dr.next, dr.late, dr.told, dr.looked = map[*fleet.Host]*calendar.PlannedWindow{}, map[*fleet.Slot]bool{}, map[string]string{}, time.Time{}
 }
 
-// on reports whether machines are drained.
-func (dr *maintenanceDrains) on() bool { return dr.calendarStore.on() && dr.c.Tuning.Calendar.Drain }
+// enabled reports whether machines are drained.
+func (dr *maintenanceDrains) enabled() bool {
+	return dr.calendarStore.enabled() && dr.c.Tuning.Calendar.Drain
+}
 
 // takes reports whether a window is about a machine.
 func (dr *maintenanceDrains) takes(p *calendar.Window, h *fleet.Host) bool {
 	t := dr.nameIndex.typeOf(h)
-	return t != nil && h.Zone >= 0 && p.Takes(h.Name, h.Addr, t.Name, dr.nameIndex.zoneNames()[h.Zone])
+	return t != nil && h.Zone >= 0 && p.Covers(h.Name, h.Addr, t.Name, dr.nameIndex.zoneNames()[h.Zone])
 }
 
 // machinesOf counts the machines that a window names, by type and zone; nil for one
 // that is about all of some kind.
-func (dr *maintenanceDrains) machinesOf(w *calendar.Window) []calendar.Share {
-	if !w.Single() {
+func (dr *maintenanceDrains) machinesOf(w *calendar.Window) []calendar.Allocation {
+	if !w.NamesMachines() {
 		return nil
 	}
-	var out []calendar.Share
+	var out []calendar.Allocation
 	for _, h := range dr.fleet.All() {
 		if h.Releasing || !dr.takes(w, h) {
 			continue
 		}
 		typ, zone := dr.nameIndex.typeOf(h).Name, dr.nameIndex.zoneNames()[h.Zone]
-		i := slices.IndexFunc(out, func(s calendar.Share) bool { return s.Type == typ && s.Zone == zone })
+		i := slices.IndexFunc(out, func(s calendar.Allocation) bool { return s.Type == typ && s.Zone == zone })
 		if i < 0 {
-			out, i = append(out, calendar.Share{Type: typ, Zone: zone}), len(out)
+			out, i = append(out, calendar.Allocation{Type: typ, Zone: zone}), len(out)
 		}
 		out[i].Machines++
 	}
@@ -81,8 +83,8 @@
 	}
 	dr.looked = now
 	clear(dr.next)
-	at := dr.calendarStore.clock(now).UnixMilli()
-	for _, p := range dr.calendarStore.planned() {
+	at := dr.calendarStore.timeOfDay(now).UnixMilli()
+	for _, p := range dr.calendarStore.windowsByName() {
 		if p.Span().To <= at {
 			continue
 		}
@@ -95,8 +97,8 @@
 }
 
 // windowOf is a machine's next window; nil: it has none.
-func (dr *maintenanceDrains) windowOf(h *fleet.Host, now time.Time) *calendar.Plan {
-	if !dr.on() || !dr.calendarStore.plans() {
+func (dr *maintenanceDrains) windowOf(h *fleet.Host, now time.Time) *calendar.PlannedWindow {
+	if !dr.enabled() || !dr.calendarStore.hasWindows() {
 		return nil
 	}
 	dr.look(now)
@@ -106,51 +108,51 @@
 // spares reports whether a machine stays out of maintenance for a span.
 func (dr *maintenanceDrains) spares(h *fleet.Host, s calendar.Span) bool {
 	p := dr.windowOf(h, time.Now())
-	return p == nil || !p.Span().Meets(s)
+	return p == nil || !p.Span().Overlaps(s)
 }
 
 // handBack is how long before the start a machine is to be empty: its worker has to
 // tell so.
 func (dr *maintenanceDrains) handBack() time.Duration { return 2*dr.reportTime() + time.Second }
 
-// mark tells the plan when a machine leaves.
-func (dr *maintenanceDrains) mark(m *place.Machine, h *fleet.Host, now time.Time) {
+// annotate tells the plan when a machine leaves.
+func (dr *maintenanceDrains) annotate(m *place.Machine, h *fleet.Host, now time.Time) {
 	p := dr.windowOf(h, now)
 	if p == nil {
 		return
 	}
-	at := dr.calendarStore.clock(now)
+	at := dr.calendarStore.timeOfDay(now)
 	m.Leaves, m.LeavesIn = true, time.UnixMilli(p.Span().From).Add(-dr.handBack()).Sub(at).Seconds()
 	m.Draining = at.UnixMilli() >= p.DrainAt()
 }
 
-// closed reports whether machines of a type in a zone would only be returned again.
-func (dr *maintenanceDrains) closed(typ, zone string, now time.Time) bool {
-	if !dr.on() {
+// poolClosed reports whether machines of a type in a zone would only be returned again.
+func (dr *maintenanceDrains) poolClosed(typ, zone string, now time.Time) bool {
+	if !dr.enabled() {
 		return false
 	}
-	at := dr.calendarStore.clock(now).UnixMilli()
-	for _, p := range dr.calendarStore.planned() {
-		if p.Offers(typ, zone) && at >= p.DrainAt() && at < p.Span().To {
+	at := dr.calendarStore.timeOfDay(now).UnixMilli()
+	for _, p := range dr.calendarStore.windowsByName() {
+		if p.ClosesPool(typ, zone) && at >= p.DrainAt() && at < p.Span().To {
 			return true
 		}
 	}
 	return false
 }
 
-// due reports whether a machine's maintenance has begun.
-func (dr *maintenanceDrains) due(h *fleet.Host, now time.Time) bool {
+// started reports whether a machine's maintenance has begun.
+func (dr *maintenanceDrains) started(h *fleet.Host, now time.Time) bool {
 	p := dr.windowOf(h, now)
-	return p != nil && dr.calendarStore.clock(now).UnixMilli() >= p.Span().From
+	return p != nil && dr.calendarStore.timeOfDay(now).UnixMilli() >= p.Span().From
 }
 
 // step moves what can be moved, and stops at last what has not ended.
 func (dr *maintenanceDrains) step(now time.Time) {
-	if !dr.on() || !dr.calendarStore.plans() {
+	if !dr.enabled() || !dr.calendarStore.hasWindows() {
 		return
 	}
 	dr.look(now)
-	at := dr.calendarStore.clock(now)
+	at := dr.calendarStore.timeOfDay(now)
 	for s := range dr.late {
 		if !s.On() || s.Stopping || dr.next[s.Host] == nil {
 			delete(dr.late, s)
@@ -162,14 +164,14 @@
 			dr.empty(h, p, at, now)
 		}
 	}
-	for name, p := range dr.calendarStore.planned() {
+	for name, p := range dr.calendarStore.windowsByName() {
 		dr.tell(name, p, at)
 	}
 }
 
 // tell logs each state of a window once.
-func (dr *maintenanceDrains) tell(name string, p *calendar.Plan, at time.Time) {
-	s := calendar.TellWindow(p, at)
+func (dr *maintenanceDrains) tell(name string, p *calendar.PlannedWindow, at time.Time) {
+	s := calendar.NewWindowStatus(p, at)
 	if s.State == "planned" || dr.told[name] == s.State {
 		return
 	}
@@ -180,7 +182,7 @@
 
 // empty lets a machine's work end, moves it or stops it, as the time that is left
 // demands.
-func (dr *maintenanceDrains) empty(h *fleet.Host, p *calendar.Plan, at, now time.Time) {
+func (dr *maintenanceDrains) empty(h *fleet.Host, p *calendar.PlannedWindow, at, now time.Time) {
 	left := time.UnixMilli(p.Span().From).Add(-dr.handBack()).Sub(at).Seconds()
 	for _, s := range h.Slots {
 		if !s.On() || s.Stopping {
@@ -197,7 +199,7 @@
 			if left <= save+dr.handBack().Seconds() || dr.serving(s.Job) >= replicas(s.Job) {
 				dr.stop(s, save, h, p)
 			}
-		case dr.reservationHolds.leftOf(s, now) <= left:
+		case dr.reservationHolds.maxRemainingSeconds(s, now) <= left:
 			// It ends in time.
 		case save > 0:
 			dr.stop(s, save, h, p) // early: it goes on elsewhere
@@ -233,7 +235,7 @@
 	return n
 }
 
-func (dr *maintenanceDrains) stop(s *fleet.Slot, grace float64, h *fleet.Host, p *calendar.Plan) {
+func (dr *maintenanceDrains) stop(s *fleet.Slot, grace float64, h *fleet.Host, p *calendar.PlannedWindow) {
 	dr.log.Info("moving a task for maintenance", "task", job.TaskName(s.Job.ID, s.Task), "host", h.Name, "window", p.Name, "save_s", grace)
 	dr.c.Meter.Add(metrics.Moves, "", 1)
 	dr.taskTracker.stopSlot(s, grace)
@@ -244,7 +246,7 @@
 
 // state is how many machines a window takes, how many of them are busy, and the
 // tasks that it may cut off.
-func (dr *maintenanceDrains) state(p *calendar.Plan) (machines, busy int, late []string) {
+func (dr *maintenanceDrains) state(p *calendar.PlannedWindow) (machines, busy int, late []string) {
 	for _, h := range dr.fleet.All() {
 		if h.Releasing || !dr.takes(p.Window, h) {
 			continue
--- a/internal/control/calendar_holds.go
+++ b/internal/control/calendar_holds.go
@@ -32,9 +32,9 @@
 
 	slots map[string]*slot // by reservation
 	held  map[*fleet.Host]*slot
-	boots map[int]*calendar.Pace    // seconds, by machine type
-	hired map[*fleet.Host]bool      // rented in this term and not up yet
-	paces map[string]*calendar.Pace // run time over estimate, by class
+	boots map[int]*calendar.Estimator    // seconds, by machine type
+	hired map[*fleet.Host]bool           // rented in this term and not up yet
+	paces map[string]*calendar.Estimator // run time over estimate, by class
 	wants []autoscale.Want
 }
 
@@ -42,7 +42,7 @@
 type slot struct {
 	name   string
 	span   calendar.Span
-	shares []calendar.Share
+	shares []calendar.Allocation
 	hosts  map[*fleet.Host]bool
 	spot   bool
 	// claimer is the job that claims it; nil: none yet, or it is over.
@@ -64,34 +64,34 @@
 
 func (hd *reservationHolds) reset() {
 	hd.slots, hd.held, hd.wants = map[string]*slot{}, map[*fleet.Host]*slot{}, nil
-	hd.boots, hd.paces, hd.hired = map[int]*calendar.Pace{}, map[string]*calendar.Pace{}, map[*fleet.Host]bool{}
+	hd.boots, hd.paces, hd.hired = map[int]*calendar.Estimator{}, map[string]*calendar.Estimator{}, map[*fleet.Host]bool{}
 }
 
-// rented notes that a machine's boot can be timed. One that was met when it was up
+// machineProvisioned notes that a machine's boot can be timed. One that was met when it was up
 // would show boots that take no time, and slots would be rented too late.
-func (hd *reservationHolds) rented(h *fleet.Host) {
-	if hd.calendarStore.on() {
+func (hd *reservationHolds) machineProvisioned(h *fleet.Host) {
+	if hd.calendarStore.enabled() {
 		hd.hired[h] = true
 	}
 }
 
-// booted takes in how long a machine took to come up.
-func (hd *reservationHolds) booted(h *fleet.Host, took time.Duration) {
+// machineBooted takes in how long a machine took to come up.
+func (hd *reservationHolds) machineBooted(h *fleet.Host, took time.Duration) {
 	if !hd.hired[h] {
 		return
 	}
 	delete(hd.hired, h)
 	if hd.boots[h.Type] == nil {
-		hd.boots[h.Type] = &calendar.Pace{}
+		hd.boots[h.Type] = &calendar.Estimator{}
 	}
 	hd.boots[h.Type].Add(took.Seconds())
 }
 
-// ran takes in how long a job's first task ran, against its estimate. The tasks of one
+// taskCompleted takes in how long a job's first task ran, against its estimate. The tasks of one
 // job are alike: to count them all would make a class look surer than it is, and the
 // next job's tasks would overrun the start of a slot.
-func (hd *reservationHolds) ran(j *job.Job, secs float64) {
-	if !hd.calendarStore.on() || j.RunCount != 1 {
+func (hd *reservationHolds) taskCompleted(j *job.Job, secs float64) {
+	if !hd.calendarStore.enabled() || j.RunCount != 1 {
 		return
 	}
 	p := hd.paces[j.Class]
@@ -99,7 +99,7 @@
 		if len(hd.paces) >= mostClasses {
 			return
 		}
-		p = &calendar.Pace{}
+		p = &calendar.Estimator{}
 		hd.paces[j.Class] = p
 	}
 	p.Add(secs / estimate(j))
@@ -124,9 +124,9 @@
 	}
 	sure := unsure
 	if p := hd.paces[j.Class]; p != nil {
-		sure = max(sure, p.Bound(1))
+		sure = max(sure, p.UpperBound(1))
 		if p.Count() >= enoughJobs {
-			sure = max(1, p.Bound(1))
+			sure = max(1, p.UpperBound(1))
 		}
 	}
 	return estimate(j) * sure
@@ -144,22 +144,22 @@
 	return fetch + 2*hd.reportTime().Seconds() + hd.atMost(j)
 }
 
-// needs is for how long a task of the job that is placed now is to have its machine, in
+// requiredSeconds is for how long a task of the job that is placed now is to have its machine, in
 // seconds: the claimer of a slot at most to the slot's end, which the calendar has kept
 // free of maintenance. By twice its estimate it was kept off its own machines when
 // maintenance came soon after the slot.
-func (hd *reservationHolds) needs(j *job.Job, now time.Time) float64 {
+func (hd *reservationHolds) requiredSeconds(j *job.Job, now time.Time) float64 {
 	ends := hd.endsIn(j)
 	if s := hd.slots[j.Booking]; s != nil && s.claimer == j {
-		left := time.UnixMilli(s.span.To).Sub(hd.calendarStore.clock(now)) - hd.maintenanceDrains.handBack()
+		left := time.UnixMilli(s.span.To).Sub(hd.calendarStore.timeOfDay(now)) - hd.maintenanceDrains.handBack()
 		ends = min(ends, max(0, left.Seconds()))
 	}
 	return ends
 }
 
-// leftOf is in how long a placement is sure to be gone, in seconds. One that has run
+// maxRemainingSeconds is in how long a placement is sure to be gone, in seconds. One that has run
 // over everything that was known of its class may go on for a while.
-func (hd *reservationHolds) leftOf(s *fleet.Slot, now time.Time) float64 {
+func (hd *reservationHolds) maxRemainingSeconds(s *fleet.Slot, now time.Time) float64 {
 	most := hd.atMost(s.Job)
 	if s.RunAt.IsZero() {
 		return hd.endsIn(s.Job)
@@ -170,40 +170,40 @@
 // lead is how long before its start machines that are up are held for a reservation.
 // It comes before the renting: where nothing can be rented the machines are full of
 // work that takes longer to end than a machine to come up.
-func (hd *reservationHolds) lead(e *calendar.Entry) time.Duration {
+func (hd *reservationHolds) lead(e *calendar.Booking) time.Duration {
 	return max(hd.rentLead(e), config.Seconds(hd.c.Tuning.Calendar.HoldS))
 }
 
 // rentLead is how long before its start what a reservation misses is rented: what its
 // machines take to come up, as far as hardly any exceeds, and to be heard of.
-func (hd *reservationHolds) rentLead(e *calendar.Entry) time.Duration {
+func (hd *reservationHolds) rentLead(e *calendar.Booking) time.Duration {
 	if e.LeadS != nil {
 		return config.Seconds(*e.LeadS)
 	}
 	lead := 0.0
 	for i := range hd.nameIndex.list() {
 		t := &hd.nameIndex.list()[i]
-		if !slices.ContainsFunc(e.Shares, func(s calendar.Share) bool { return s.Type == t.Name }) {
+		if !slices.ContainsFunc(e.Allocations, func(s calendar.Allocation) bool { return s.Type == t.Name }) {
 			continue
 		}
-		var none calendar.Pace
+		var none calendar.Estimator
 		p := hd.boots[i]
 		if p == nil {
 			p = &none
 		}
-		lead = max(lead, p.Bound(t.BootS))
+		lead = max(lead, p.UpperBound(t.BootS))
 	}
 	return config.Seconds(lead) + 3*hd.reportTime() + 2*calendarEvery
 }
 
-// gather brings the slots up to date: which there are, which machines are held for
+// refresh brings the slots up to date: which there are, which machines are held for
 // them, and what has to be rented.
-func (hd *reservationHolds) gather(now time.Time) {
-	if !hd.calendarStore.on() {
+func (hd *reservationHolds) refresh(now time.Time) {
+	if !hd.calendarStore.enabled() {
 		return
 	}
 	hd.wants = nil
-	due := hd.calendarStore.due(now, hd.lead)
+	due := hd.calendarStore.upcomingOccurrences(now, hd.lead)
 	for name, s := range hd.slots {
 		if d, ok := due[name]; !ok || d.span != s.span {
 			hd.drop(s)
@@ -218,7 +218,7 @@
 		d := due[name]
 		s := hd.slots[name]
 		if s == nil {
-			s = &slot{name: name, span: d.span, shares: d.entry.Shares, hosts: map[*fleet.Host]bool{}, spot: d.entry.Spot}
+			s = &slot{name: name, span: d.span, shares: d.entry.Allocations, hosts: map[*fleet.Host]bool{}, spot: d.entry.Spot}
 			hd.slots[name] = s
 		}
 		s.claimer = d.claimer
@@ -253,7 +253,7 @@
 // watch notes when the claimer runs whole.
 func (hd *reservationHolds) watch(s *slot, now time.Time) {
 	if s.claimer != nil && s.ran != s.claimer.ID && hd.whole(s.claimer) {
-		s.ran, s.runAt = s.claimer.ID, hd.calendarStore.clock(now)
+		s.ran, s.runAt = s.claimer.ID, hd.calendarStore.timeOfDay(now)
 	}
 }
 
@@ -289,8 +289,8 @@
 }
 
 // hold chooses the machines for a slot, and asks for those that are missing.
-func (hd *reservationHolds) hold(s *slot, e *calendar.Entry, now time.Time) {
-	until := time.UnixMilli(s.span.From).Sub(hd.calendarStore.clock(now)).Seconds()
+func (hd *reservationHolds) hold(s *slot, e *calendar.Booking, now time.Time) {
+	until := time.UnixMilli(s.span.From).Sub(hd.calendarStore.timeOfDay(now)).Seconds()
 	if !s.renting && until <= hd.rentLead(e).Seconds() {
 		s.renting = true
 		hd.log.Info("gathering room for a slot", "reservation", s.name, "start", time.UnixMilli(s.span.From).UTC(), "machines", s.shares)
@@ -300,7 +300,7 @@
 		return
 	}
 	for h := range s.hosts {
-		if !hd.able(h, s) || !slices.ContainsFunc(s.shares, func(x calendar.Share) bool { return hd.is(h, x) }) {
+		if !hd.able(h, s) || !slices.ContainsFunc(s.shares, func(x calendar.Allocation) bool { return hd.is(h, x) }) {
 			delete(s.hosts, h)
 			delete(hd.held, h)
 			hd.changed()
@@ -346,7 +346,7 @@
 }
 
 // is reports whether a machine is of a share's type and zone.
-func (hd *reservationHolds) is(h *fleet.Host, x calendar.Share) bool {
+func (hd *reservationHolds) is(h *fleet.Host, x calendar.Allocation) bool {
 	t := hd.nameIndex.typeOf(h)
 	return t != nil && h.Zone >= 0 && t.Name == x.Type && hd.nameIndex.zoneNames()[h.Zone] == x.Zone
 }
@@ -359,7 +359,7 @@
 // fill holds machines until each share has its number, those that are free soonest
 // first, and returns what is missing. A machine whose work is not sure to end in
 // time is not held before the start: it would be held in vain.
-func (hd *reservationHolds) fill(s *slot, until float64, now time.Time) (short []calendar.Share) {
+func (hd *reservationHolds) fill(s *slot, until float64, now time.Time) (short []calendar.Allocation) {
 	type candidate struct {
 		h    *fleet.Host
 		free float64
@@ -381,7 +381,7 @@
 			free := 0.0
 			for _, p := range h.Slots {
 				if p.On() && p.Job != s.claimer {
-					free = max(free, hd.leftOf(p, now))
+					free = max(free, hd.maxRemainingSeconds(p, now))
 				}
 			}
 			if free <= max(0, until) {
@@ -405,10 +405,10 @@
 // elsewhere chooses other machines for a slot if those that it lacks cannot be had:
 // their zone is silent, or the cloud has refused them lately. Stuck: they cannot be
 // had, and there are no others.
-func (hd *reservationHolds) elsewhere(s *slot, short []calendar.Share, now time.Time) (moved, stuck bool) {
+func (hd *reservationHolds) elsewhere(s *slot, short []calendar.Allocation, now time.Time) (moved, stuck bool) {
 	down := hd.silent(now)
 	barred := func(typ, zone string) bool { return down[zone] || !hd.machinePool.open(typ, zone, s.spot, now) }
-	if !slices.ContainsFunc(short, func(x calendar.Share) bool { return barred(x.Type, x.Zone) }) {
+	if !slices.ContainsFunc(short, func(x calendar.Allocation) bool { return barred(x.Type, x.Zone) }) {
 		return false, false
 	}
 	there := map[[2]string]int{}
@@ -423,13 +423,13 @@
 		}
 		return math.MaxInt32
 	}
-	missing := func(shares []calendar.Share) (n int) {
+	missing := func(shares []calendar.Allocation) (n int) {
 		for _, x := range shares {
 			n += max(0, x.Machines-most(x.Type, x.Zone))
 		}
 		return n
 	}
-	other := hd.calendarStore.around(s, most)
+	other := hd.calendarStore.reallocate(s, most)
 	if other == nil || missing(other) >= missing(s.shares) {
 		return false, true // no better: a slot must not wander
 	}
@@ -440,7 +440,7 @@
 
 // silent are the zones of which only silent machines are left.
 func (hd *reservationHolds) silent(now time.Time) map[string]bool {
-	quiet := hd.rollouts.quiet()
+	quiet := hd.rollouts.silenceLimit()
 	out, heard := map[string]bool{}, map[string]bool{}
 	for _, h := range hd.fleet.All() {
 		if h.Zone < 0 || h.Booting {
@@ -459,15 +459,15 @@
 	return out
 }
 
-// covers reports whether what a job needs is left to its slot: it would be rented
+// providesFor reports whether what a job needs is left to its slot: it would be rented
 // twice.
-func (hd *reservationHolds) covers(j *job.Job) bool {
+func (hd *reservationHolds) providesFor(j *job.Job) bool {
 	s := hd.slots[j.Booking]
 	return s != nil && s.claimer == j && s.covered
 }
 
 // want asks for the machines that a slot is short of, as whole machines.
-func (hd *reservationHolds) want(s *slot, x calendar.Share) {
+func (hd *reservationHolds) want(s *slot, x calendar.Allocation) {
 	types := hd.nameIndex.list()
 	ok := make([]bool, len(types))
 	need := place.Amount{}
@@ -480,21 +480,21 @@
 	hd.wants = append(hd.wants, autoscale.Want{Demand: d, Count: x.Machines, TaskS: float64(s.span.To-s.span.From) / 1000, Urgent: true})
 }
 
-// missing is what has to be rented for the slots, by a fresh look: a machine that has
+// machineRequests is what has to be rented for the slots, by a fresh look: a machine that has
 // come up since the last one would be rented once more.
-func (hd *reservationHolds) missing(now time.Time) []autoscale.Want {
-	hd.gather(now)
+func (hd *reservationHolds) machineRequests(now time.Time) []autoscale.Want {
+	hd.refresh(now)
 	return hd.wants
 }
 
-// holding reports whether a machine is to be kept although it is idle: it is held for a
+// retains reports whether a machine is to be kept although it is idle: it is held for a
 // slot that is near, or nothing else may run on it.
-func (hd *reservationHolds) holding(h *fleet.Host) bool {
+func (hd *reservationHolds) retains(h *fleet.Host) bool {
 	return hd.held[h] != nil && (hd.held[h].renting || !hd.c.Tuning.Calendar.Backfill)
 }
 
-// forget forgets a machine that has been returned.
-func (hd *reservationHolds) forget(h *fleet.Host) {
+// machineRemoved forgets a machine that has been returned.
+func (hd *reservationHolds) machineRemoved(h *fleet.Host) {
 	delete(hd.hired, h)
 	if s := hd.held[h]; s != nil {
 		delete(s.hosts, h)
@@ -502,8 +502,8 @@
 	}
 }
 
-// mark tells the plan for whom a machine is held, and for when.
-func (hd *reservationHolds) mark(m *place.Machine, h *fleet.Host, now time.Time) {
+// annotate tells the plan for whom a machine is held, and for when.
+func (hd *reservationHolds) annotate(m *place.Machine, h *fleet.Host, now time.Time) {
 	s := hd.held[h]
 	if s == nil {
 		return
@@ -513,13 +513,13 @@
 		m.HeldFor = hd.jobTable.index(s.claimer)
 	}
 	if hd.c.Tuning.Calendar.Backfill {
-		m.HeldIn = time.UnixMilli(s.span.From).Sub(hd.calendarStore.clock(now)).Seconds()
+		m.HeldIn = time.UnixMilli(s.span.From).Sub(hd.calendarStore.timeOfDay(now)).Seconds()
 	}
 }
 
-// enough reports whether the machines that are held for a job have room for n of its
+// hasCapacity reports whether the machines that are held for a job have room for n of its
 // tasks now.
-func (hd *reservationHolds) enough(j *job.Job, n int) bool {
+func (hd *reservationHolds) hasCapacity(j *job.Job, n int) bool {
 	s := hd.slots[j.Booking]
 	if s == nil || s.claimer != j {
 		return false
--- a/internal/control/calendar_requests.go
+++ b/internal/control/calendar_requests.go
@@ -14,11 +14,11 @@
 	"vetchstream/internal/wire"
 )
 
-// operate answers a request about the calendar.
-func (cs *calendarStore) operate(op *rpc.Operation, back func(*rpc.Reply)) {
+// handle answers a request about the calendar.
+func (cs *calendarStore) handle(op *rpc.Operation, back func(*rpc.Reply)) {
 	refuse := func(status int, why string) { back(reply(status, wire.Error{Error: why})) }
 	switch {
-	case !cs.on():
+	case !cs.enabled():
 		refuse(http.StatusNotFound, "the calendar is switched off here")
 	case len(cs.nameIndex.list()) == 0:
 		back(Later("machine types are not known yet"))
@@ -84,10 +84,10 @@
 
 func (cs *calendarStore) status(name string) calendar.Status {
 	b := cs.bookings[name]
-	s := calendar.Tell(b.rec, b.entry, cs.clock(time.Now()))
+	s := calendar.NewStatus(b.rec, b.entry, cs.timeOfDay(time.Now()))
 	s.Held = cs.reservationHolds.count(name)
-	if len(s.Ahead) > 0 {
-		if j := cs.claims[claim{name, s.Ahead[0].From}]; j != nil {
+	if len(s.Occurrences) > 0 {
+		if j := cs.claims[claim{name, s.Occurrences[0].From}]; j != nil {
 			s.Claimer = j.ID
 		}
 	}
@@ -96,7 +96,7 @@
 
 func (cs *calendarStore) windowStatus(name string) calendar.WindowStatus {
 	p := cs.cal.Windows()[name]
-	s := calendar.TellWindow(p, cs.clock(time.Now()))
+	s := calendar.NewWindowStatus(p, cs.timeOfDay(time.Now()))
 	s.Machines, s.Busy, s.Late = cs.maintenanceDrains.state(p)
 	return s
 }
@@ -104,7 +104,7 @@
 // reserve takes in a reservation, if it fits.
 func (cs *calendarStore) reserve(body []byte, team string, back func(*rpc.Reply)) {
 	refuse := func(status int, why string) { back(reply(status, wire.Error{Error: why})) }
-	at := cs.clock(time.Now())
+	at := cs.timeOfDay(time.Now())
 	r, err := calendar.ParseReservation(body, cs.limits(), at)
 	if err != nil {
 		refuse(http.StatusBadRequest, err.Error())
@@ -115,7 +115,7 @@
 		return
 	}
 	if b := cs.bookings[r.Name]; b != nil {
-		if calendar.Same(r, b.entry.Reservation) {
+		if calendar.SameReservation(r, b.entry.Reservation) {
 			back(reply(http.StatusOK, cs.status(r.Name))) // the same request once more
 			return
 		}
@@ -139,7 +139,7 @@
 			refuse(http.StatusRequestEntityTooLarge, err.Error())
 		} else {
 			cs.adopt(rec, e, v)
-			cs.log.Info("reservation is taken in", "reservation", r.Name, "team", r.Team, "parts", r.Parts, "occurrences", len(r.Spans()), "machines", e.Shares)
+			cs.log.Info("reservation is taken in", "reservation", r.Name, "team", r.Team, "parts", r.Parts, "occurrences", len(r.Spans()), "machines", e.Allocations)
 			back(reply(http.StatusCreated, cs.status(r.Name)))
 		}
 	})
@@ -153,7 +153,7 @@
 // plan takes in a maintenance window, and moves the reservations on its machines.
 func (cs *calendarStore) plan(body []byte, back func(*rpc.Reply)) {
 	refuse := func(status int, why string) { back(reply(status, wire.Error{Error: why})) }
-	at := cs.clock(time.Now())
+	at := cs.timeOfDay(time.Now())
 	w, err := calendar.ParseWindow(body, cs.limits(), at)
 	if err != nil {
 		refuse(http.StatusBadRequest, err.Error())
@@ -164,7 +164,7 @@
 		return
 	}
 	cs.remake()
-	a, err := cs.cal.Announce(w, cs.maintenanceDrains.machinesOf(w), at)
+	a, err := cs.cal.PlanWindow(w, cs.maintenanceDrains.machinesOf(w), at)
 	if err != nil {
 		refuse(http.StatusConflict, err.Error())
 		return
@@ -185,7 +185,7 @@
 
 // windowAgain answers a window whose name is taken: the same window once more is
 // an idempotent request, another one of that name a conflict.
-func (cs *calendarStore) windowAgain(w *calendar.Window, p *calendar.Plan) *rpc.Reply {
+func (cs *calendarStore) windowAgain(w *calendar.Window, p *calendar.PlannedWindow) *rpc.Reply {
 	if calendar.SameWindow(w, p.Window) {
 		return reply(http.StatusOK, cs.windowStatus(w.Name))
 	}
@@ -197,21 +197,21 @@
 type windowTxn struct {
 	conds   []state.Cond
 	writes  []state.Write
-	touched []*calendar.Entry           // reservations moved or lost
+	touched []*calendar.Booking         // reservations moved or lost
 	next    map[string]*calendar.Record // their records once moved, by name
 }
 
 // windowChange builds the one transaction of a window and of the reservations
 // that it moves; refusal is set if it cannot be stored.
-func (cs *calendarStore) windowChange(w *calendar.Window, a *calendar.Announced) (change *windowTxn, refusal *rpc.Reply) {
+func (cs *calendarStore) windowChange(w *calendar.Window, a *calendar.WindowPlan) (change *windowTxn, refusal *rpc.Reply) {
 	key := windowPrefix + w.Name
-	put, err := state.Put(key, calendar.WindowRecord{Spec: *w, Closes: a.Plan.Closes})
+	put, err := state.Put(key, calendar.WindowRecord{Spec: *w, Closed: a.Window.Closed})
 	if err != nil || cs.tooLarge(put) {
 		return nil, reply(http.StatusRequestEntityTooLarge, wire.Error{Error: "the window is too large to be stored; name fewer machines"})
 	}
 	// All of it in one transaction: a leader that ends in between must not leave a
 	// window over reservations that were never moved.
-	change = &windowTxn{conds: []state.Cond{{Key: key}}, writes: []state.Write{put}, touched: slices.Concat(a.Moved, a.Lost)}
+	change = &windowTxn{conds: []state.Cond{{Key: key}}, writes: []state.Write{put}, touched: slices.Concat(a.Moved, a.Revoked)}
 	if most := cs.c.Settings.Facts.State.TxnOps - 2; len(change.touched) > most {
 		why := fmt.Sprintf("%d reservations would have to move, and at most %d can at once; plan smaller windows", len(change.touched), most)
 		return nil, reply(http.StatusConflict, wire.Error{Error: why})
@@ -222,7 +222,7 @@
 		if b.writing {
 			return nil, settled(Later("a reservation is being stored"))
 		}
-		change.next[e.Name] = b.rec.Moved(e)
+		change.next[e.Name] = b.rec.WithBooking(e)
 		p, err := state.Put(bookingPrefix+e.Name, change.next[e.Name])
 		if err != nil {
 			return nil, reply(http.StatusInternalServerError, wire.Error{Error: err.Error()})
@@ -234,14 +234,14 @@
 
 // windowStored takes in a window once it is stored, with the reservations that
 // it moved, and answers with its status.
-func (cs *calendarStore) windowStored(w *calendar.Window, a *calendar.Announced, at time.Time, change *windowTxn, v uint64, back func(*rpc.Reply)) {
-	cs.cal.AddWindow(a.Plan)
+func (cs *calendarStore) windowStored(w *calendar.Window, a *calendar.WindowPlan, at time.Time, change *windowTxn, v uint64, back func(*rpc.Reply)) {
+	cs.cal.AddWindow(a.Window)
 	cs.windows[w.Name] = v
 	for _, e := range change.touched {
 		cs.adopt(change.next[e.Name], e, v)
 	}
-	s := a.Tell(at)
-	s.Machines, s.Busy, s.Late = cs.maintenanceDrains.state(a.Plan)
+	s := a.Status(at)
+	s.Machines, s.Busy, s.Late = cs.maintenanceDrains.state(a.Window)
 	cs.log.Info("maintenance window is taken in", "window", w.Name, "start", time.UnixMilli(w.Span().From).UTC(), "machines", s.Machines,
 		"moved", strings.Join(s.Moved, " "), "retired", strings.Join(s.Retired, " "))
 	back(reply(http.StatusCreated, s))
--- a/internal/control/calendar_store.go
+++ b/internal/control/calendar_store.go
@@ -60,7 +60,7 @@
 // storedReservation is a reservation's record as stored.
 type storedReservation struct {
 	rec     *calendar.Record
-	entry   *calendar.Entry
+	entry   *calendar.Booking
 	version uint64
 	writing bool // an outcome is being stored
 }
@@ -81,36 +81,36 @@
 	cs.cal, cs.made, cs.near = calendar.New(cs.facts(nil, nil)), madeOf{}, nil
 }
 
-// on reports whether the calendar is switched on.
-func (cs *calendarStore) on() bool { return cs.c.Tuning.Calendar.Enabled }
+// enabled reports whether the calendar is switched on.
+func (cs *calendarStore) enabled() bool { return cs.c.Tuning.Calendar.Enabled }
 
 // empty reports whether there is nothing to do for it.
 func (cs *calendarStore) empty() bool { return len(cs.bookings) == 0 && len(cs.windows) == 0 }
 
-// clock is the time of day as this term goes on from its begin: a jump of the
+// timeOfDay is the time of day as this term goes on from its begin: a jump of the
 // machine's clock must not let every slot of a year lapse at once.
-func (cs *calendarStore) clock(now time.Time) time.Time {
+func (cs *calendarStore) timeOfDay(now time.Time) time.Time {
 	return cs.since.Round(0).Add(now.Sub(cs.since))
 }
 
 func (cs *calendarStore) limits() calendar.Limits {
 	t := &cs.c.Tuning.Calendar
-	return calendar.Limits{Days: t.Days, Entries: t.Most, PerTeam: t.PerTeam, Windows: t.Windows, Occurrences: t.Occurrences}
+	return calendar.Limits{HorizonDays: t.Days, Reservations: t.Most, ReservationsPerTeam: t.PerTeam, Windows: t.Windows, Occurrences: t.Occurrences}
 }
 
-func (cs *calendarStore) facts(types []wire.MachineType, zones []string) calendar.Facts {
+func (cs *calendarStore) facts(types []wire.MachineType, zones []string) calendar.Config {
 	counted := func(typ, _ string) int {
 		if n, ok := cs.c.Tuning.Calendar.CountOn[typ]; ok {
 			return n
 		}
 		return -1
 	}
-	return calendar.Facts{Types: types, Zones: zones, Teams: cs.teamQuotas.all(), Counted: counted, Limits: cs.limits()}
+	return calendar.Config{Types: types, Zones: zones, Teams: cs.teamQuotas.all(), Machines: counted, Limits: cs.limits()}
 }
 
-// list reads the records; none while the calendar is switched off.
-func (cs *calendarStore) list() (bookings, windows []state.Entry, err error) {
-	if !cs.on() {
+// readRecords reads the records; none while the calendar is switched off.
+func (cs *calendarStore) readRecords() (bookings, windows []state.Entry, err error) {
+	if !cs.enabled() {
 		return nil, nil, nil
 	}
 	e, err := cs.c.State.Get(cs.ctx, changesKey)
@@ -134,9 +134,9 @@
 	for _, e := range windows {
 		rec := &calendar.WindowRecord{}
 		err := wire.Unmarshal(e.Value, rec)
-		var p *calendar.Plan
+		var p *calendar.PlannedWindow
 		if err == nil {
-			p, err = rec.Plan()
+			p, err = rec.Window()
 		}
 		if err != nil {
 			cs.log.Error("maintenance window cannot be read", "key", e.Key, "error", err)
@@ -148,9 +148,9 @@
 	for _, e := range bookings {
 		rec := &calendar.Record{}
 		err := wire.Unmarshal(e.Value, rec)
-		var entry *calendar.Entry
+		var entry *calendar.Booking
 		if err == nil {
-			entry, err = rec.Entry()
+			entry, err = rec.Booking()
 		}
 		if err != nil {
 			cs.log.Error("reservation cannot be read", "key", e.Key, "error", err)
@@ -160,7 +160,7 @@
 	}
 }
 
-func (cs *calendarStore) adopt(rec *calendar.Record, e *calendar.Entry, version uint64) {
+func (cs *calendarStore) adopt(rec *calendar.Record, e *calendar.Booking, version uint64) {
 	cs.near = nil
 	cs.cal.Add(e)
 	cs.bookings[rec.Spec.Name] = &storedReservation{rec: rec, entry: e, version: version}
@@ -176,7 +176,7 @@
 		for _, p := range was.Windows() {
 			cs.cal.AddWindow(p)
 		}
-		for _, e := range was.Entries() {
+		for _, e := range was.Bookings() {
 			cs.cal.Add(e)
 		}
 	}
@@ -187,7 +187,7 @@
 
 // step decides occurrences and lets holds and drains follow.
 func (cs *calendarStore) step(now time.Time) {
-	if !cs.on() || now.Sub(cs.stepAt) < calendarEvery {
+	if !cs.enabled() || now.Sub(cs.stepAt) < calendarEvery {
 		return
 	}
 	cs.stepAt = now
@@ -196,11 +196,11 @@
 		return
 	}
 	cs.remake()
-	cs.reservationHolds.gather(now)
+	cs.reservationHolds.refresh(now)
 	if !cs.takeover.settled() {
 		return // what runs where is not known yet: nothing is decided, nothing is stopped
 	}
-	at := cs.clock(now)
+	at := cs.timeOfDay(now)
 	for _, b := range cs.bookings {
 		cs.decide(b, at)
 	}
@@ -232,13 +232,13 @@
 }
 
 // misfit says why a job is none that a reservation is for; empty: it is.
-func misfit(e *calendar.Entry, j *job.Job) string {
+func misfit(e *calendar.Booking, j *job.Job) string {
 	switch {
 	case j.Team != e.Team:
 		return "is another team's"
 	case j.Tasks > e.Parts:
 		return fmt.Sprintf("has %d parts", e.Parts)
-	case !e.Need().Fits(needOf(j)):
+	case !e.PartSize().Fits(needOf(j)):
 		return "has smaller parts"
 	}
 	return ""
@@ -275,43 +275,43 @@
 	if why := misfit(b.entry, j); why != "" {
 		return claim{}, why
 	}
-	s, ok := b.entry.Claims(j.At)
+	s, ok := b.entry.OccurrenceAt(j.At)
 	switch {
 	case !ok:
 		return claim{}, "is over"
-	case b.entry.Lost[s.From]:
+	case b.entry.Revoked[s.From]:
 		return claim{}, "has lost its room to maintenance"
 	}
 	return claim{j.Booking, s.From}, ""
 }
 
-// waits reports whether a job is to wait for its slot to begin.
-func (cs *calendarStore) waits(j *job.Job, now time.Time) bool {
-	if j.Booking == "" || !cs.on() {
+// waitsForStart reports whether a job is to wait for its slot to begin.
+func (cs *calendarStore) waitsForStart(j *job.Job, now time.Time) bool {
+	if j.Booking == "" || !cs.enabled() {
 		return false
 	}
 	c, why := cs.claimOf(j)
 	if why != "" || (cs.claims[c] != nil && cs.claims[c] != j) {
 		return false
 	}
-	return cs.clock(now).UnixMilli() < c.from
+	return cs.timeOfDay(now).UnixMilli() < c.from
 }
 
 // due is an occurrence that room is to be held for.
 type due struct {
-	entry   *calendar.Entry
+	entry   *calendar.Booking
 	span    calendar.Span
 	decided bool
 	claimer *job.Job
 }
 
-// due lists the occurrences that room is to be held for, by reservation.
-func (cs *calendarStore) due(now time.Time, lead func(*calendar.Entry) time.Duration) map[string]due {
+// upcomingOccurrences lists the occurrences that room is to be held for, by reservation.
+func (cs *calendarStore) upcomingOccurrences(now time.Time, lead func(*calendar.Booking) time.Duration) map[string]due {
 	if cs.near == nil || now.Sub(cs.nearAt) >= calendarEvery {
 		cs.near, cs.nearAt = map[string]due{}, now
-		at := cs.clock(now)
+		at := cs.timeOfDay(now)
 		for name, b := range cs.bookings {
-			if s, decided, ok := b.rec.Current(b.entry, at, lead(b.entry)); ok {
+			if s, decided, ok := b.rec.ActiveOccurrence(b.entry, at, lead(b.entry)); ok {
 				cs.near[name] = due{b.entry, s, decided, nil}
 			}
 		}
@@ -323,29 +323,29 @@
 	return cs.near
 }
 
-// around finds other machines for a slot.
-func (cs *calendarStore) around(s *slot, most func(typ, zone string) int) []calendar.Share {
-	return cs.cal.Around(s.name, s.span, most)
+// reallocate finds other machines for a slot.
+func (cs *calendarStore) reallocate(s *slot, most func(typ, zone string) int) []calendar.Allocation {
+	return cs.cal.Reallocate(s.name, s.span, most)
 }
 
-// planned are the maintenance windows, by name; plans reports whether there are any.
-func (cs *calendarStore) planned() map[string]*calendar.Plan { return cs.cal.Windows() }
+// windowsByName are the maintenance windows, by name; plans reports whether there are any.
+func (cs *calendarStore) windowsByName() map[string]*calendar.PlannedWindow { return cs.cal.Windows() }
 
-func (cs *calendarStore) plans() bool { return len(cs.windows) > 0 }
+func (cs *calendarStore) hasWindows() bool { return len(cs.windows) > 0 }
 
 // decide stores what has become of the next occurrence.
 func (cs *calendarStore) decide(b *storedReservation, at time.Time) {
-	if b.writing || cs.writing || b.rec.Next > at.UnixMilli() {
+	if b.writing || cs.writing || b.rec.NextStart > at.UnixMilli() {
 		return
 	}
-	l := calendar.Look{Now: at}
-	if j := cs.claims[claim{b.rec.Spec.Name, b.rec.Next}]; j != nil {
-		l.Claimer, l.RunAt = j.ID, cs.reservationHolds.began(b.rec.Spec.Name, b.rec.Next)
+	l := calendar.Observation{Now: at}
+	if j := cs.claims[claim{b.rec.Spec.Name, b.rec.NextStart}]; j != nil {
+		l.Claimer, l.RunAt = j.ID, cs.reservationHolds.began(b.rec.Spec.Name, b.rec.NextStart)
 	} else {
-		l.Claimer, l.RunAt = cs.reservationHolds.finished(b.rec.Spec.Name, b.rec.Next)
+		l.Claimer, l.RunAt = cs.reservationHolds.finished(b.rec.Spec.Name, b.rec.NextStart)
 	}
 	f := &cs.c.Settings.Facts
-	next, changed := calendar.Step(b.rec, b.entry, l, calendar.Tolerance(f.Workers.ReportS, f.SkewMs))
+	next, changed := calendar.DecideOutcome(b.rec, b.entry, l, calendar.Tolerance(f.Workers.ReportS, f.SkewMs))
 	if !changed {
 		return
 	}
@@ -362,9 +362,9 @@
 			cs.log.Error("outcome of a slot cannot be stored", "reservation", b.rec.Spec.Name, "error", err)
 			return
 		}
-		o := next.Past[len(next.Past)-1]
-		cs.c.Meter.Add(metrics.Slots, o.What, 1)
-		cs.log.Info("slot is decided", "reservation", b.rec.Spec.Name, "start", time.UnixMilli(o.Start).UTC(), "outcome", o.What, "job", o.Job, "late_s", o.LateS)
+		o := next.Outcomes[len(next.Outcomes)-1]
+		cs.c.Meter.Add(metrics.Slots, o.Kind, 1)
+		cs.log.Info("slot is decided", "reservation", b.rec.Spec.Name, "start", time.UnixMilli(o.Start).UTC(), "outcome", o.Kind, "job", o.Job, "late_s", o.LateS)
 		b.rec, b.version, cs.near = next, v, nil
 		cs.changed()
 	})
--- a/internal/control/calendar_store_test.go
+++ b/internal/control/calendar_store_test.go
@@ -29,11 +29,11 @@
 		if err != nil {
 			tb.Fatal(err)
 		}
-		spec, err := calendar.ParseReservation(body, calendar.Limits{Days: 10_000, Occurrences: 10}, r.since)
+		spec, err := calendar.ParseReservation(body, calendar.Limits{HorizonDays: 10_000, Occurrences: 10}, r.since)
 		if err != nil {
 			tb.Fatal(err)
 		}
-		rec := calendar.NewRecord(&calendar.Entry{Reservation: spec, Seq: uint64(i), Shares: []calendar.Share{{Type: "small", Zone: "a", Machines: 2, Parts: 2}}}, r.since)
+		rec := calendar.NewRecord(&calendar.Booking{Reservation: spec, Seq: uint64(i), Allocations: []calendar.Allocation{{Type: "small", Zone: "a", Machines: 2, Parts: 2}}}, r.since)
 		put, err := state.Put(bookingPrefix+spec.Name, rec)
 		if err != nil {
 			tb.Fatal(err)
@@ -86,7 +86,7 @@
 			r.calendarStore.step(now)
 			var waits []string
 			for i, j := range jobs {
-				if r.calendarStore.waits(j, now) {
+				if r.calendarStore.waitsForStart(j, now) {
 					waits = append(waits, fmt.Sprint(i))
 				}
 			}
@@ -111,10 +111,10 @@
 	}
 	claimer, other := add("run-1", "r0"), add("run-2", "")
 	r.calendarStore.step(now)
-	if got := r.reservationHolds.needs(claimer, now); got > 1800 {
+	if got := r.reservationHolds.requiredSeconds(claimer, now); got > 1800 {
 		t.Errorf("the claimer needs its machines for %.0f s", got)
 	}
-	if got := r.reservationHolds.needs(other, now); got < 4800 {
+	if got := r.reservationHolds.requiredSeconds(other, now); got < 4800 {
 		t.Errorf("another needs its machines for %.0f s", got)
 	}
 }
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -167,13 +167,13 @@
 		if bad != nil {
 			return nil, nil, bad
 		}
-		do = func(r *leaderTerm, back func(*rpc.Reply)) { r.rollouts.operate(op, back) }
+		do = func(r *leaderTerm, back func(*rpc.Reply)) { r.rollouts.handle(op, back) }
 	case rpc.KindCalendar:
 		op, bad := decodeOperation(q.Body)
 		if bad != nil {
 			return nil, nil, bad
 		}
-		do = func(r *leaderTerm, back func(*rpc.Reply)) { r.calendarStore.operate(op, back) }
+		do = func(r *leaderTerm, back func(*rpc.Reply)) { r.calendarStore.handle(op, back) }
 	case rpc.KindConfig:
 		op, bad := decodeOperation(q.Body)
 		if bad != nil {
--- a/internal/control/machine_pool.go
+++ b/internal/control/machine_pool.go
@@ -224,9 +224,9 @@
 			mc.release(h, "it is sick")
 		case !h.RecallAt.IsZero():
 			mc.release(h, "it is being taken back and is empty")
-		case mc.maintenanceDrains.due(h, now):
+		case mc.maintenanceDrains.started(h, now):
 			mc.release(h, "its maintenance begins")
-		case mc.planner.kept(h) || mc.reservationHolds.holding(h):
+		case mc.planner.kept(h) || mc.reservationHolds.retains(h):
 		case now.Sub(h.IdleFrom) > time.Duration(t.IdleBoots*float64(mc.boot(h))):
 			if !mc.awaited(h, now) {
 				mc.release(h, "it is idle")
@@ -303,7 +303,7 @@
 	mc.taskTracker.handle(mc.fleet.Remove(h), time.Now())
 	mc.removed[h.Name] = true
 	mc.planner.gone(h)
-	mc.reservationHolds.forget(h)
+	mc.reservationHolds.machineRemoved(h)
 	mc.shards.gone(h)
 	delete(mc.noticed, h)
 	delete(mc.met, h)
@@ -313,14 +313,14 @@
 }
 
 func (mc *machinePool) rent(now time.Time) {
-	slots := mc.reservationHolds.missing(now)
+	slots := mc.reservationHolds.machineRequests(now)
 	if len(mc.wants)+len(slots) == 0 {
 		return
 	}
 	shop := autoscale.Shop{Types: mc.nameIndex.list(), ZoneOf: mc.nameIndex.zonesByName(), Backoff: mc.backoff,
 		MinFill: mc.c.Tuning.Hosts.MinFill, Patience: mc.c.Tuning.Hosts.PatienceS, Now: now,
 		Closed: func(o autoscale.Offer) bool {
-			return mc.maintenanceDrains.closed(mc.nameIndex.list()[o.Type].Name, mc.nameIndex.zoneNames()[o.Zone], now)
+			return mc.maintenanceDrains.poolClosed(mc.nameIndex.list()[o.Type].Name, mc.nameIndex.zoneNames()[o.Zone], now)
 		}}
 	coming := func(o autoscale.Offer) {
 		t := &mc.nameIndex.list()[o.Type]
@@ -353,7 +353,7 @@
 // answers have shown.
 func (mc *machinePool) open(typ, zone string, spot bool, now time.Time) bool {
 	t, z, known := mc.nameIndex.offer(typ, zone)
-	if !known || mc.maintenanceDrains.closed(typ, zone, now) {
+	if !known || mc.maintenanceDrains.poolClosed(typ, zone, now) {
 		return false
 	}
 	return mc.backoff.Open(autoscale.Offer{Type: t, Zone: z}, now) || (spot && mc.backoff.Open(autoscale.Offer{Type: t, Zone: z, Spot: true}, now))
@@ -379,7 +379,7 @@
 			if !h.Usable() || t == nil || (d.TypeOK != nil && !d.TypeOK[h.Type]) || (h.Spot && !d.Spot) {
 				continue
 			}
-			if k := mc.planner.keeper(h); (k != nil && k != j) || mc.reservationHolds.holding(h) {
+			if k := mc.planner.keeper(h); (k != nil && k != j) || mc.reservationHolds.retains(h) {
 				continue
 			}
 			w.Room[h.Zone] += place.Amount{CPUs: t.CPUs - h.CPUs, GPUs: t.GPUs - h.GPUs, MemGB: t.MemGB - h.MemGB}.Times(d.Need)
@@ -446,7 +446,7 @@
 				}
 				h := mc.fleet.Add(name, asked)
 				mc.nameIndex.describe(h, req.Type, req.Zone, o.Spot)
-				mc.reservationHolds.rented(h)
+				mc.reservationHolds.machineProvisioned(h)
 			}
 		})
 	}()
--- a/internal/control/planner.go
+++ b/internal/control/planner.go
@@ -93,7 +93,7 @@
 		}
 	}
 	pl.passAt, pl.dirty = now, false
-	pl.reservationHolds.gather(now) // a machine that has just come up for a slot must not be filled
+	pl.reservationHolds.refresh(now) // a machine that has just come up for a slot must not be filled
 	defer func() {
 		pl.passTook = time.Since(now)
 		pl.c.Meter.Took(metrics.PlanTime, "", pl.passTook)
@@ -147,7 +147,7 @@
 			continue
 		}
 		j := pl.jobTable.at(d.ID)
-		if pl.reservationHolds.covers(j) {
+		if pl.reservationHolds.providesFor(j) {
 			continue
 		}
 		wants = append(wants, autoscale.Want{Demand: d, Count: plan.Short[i], TaskS: estimate(j), Image: j.ImageGB,
--- a/internal/control/planner_input.go
+++ b/internal/control/planner_input.go
@@ -89,7 +89,7 @@
 func (p *planInput) addDemands() {
 	blocked := p.takeover.blocked(p.in.Teams)
 	for _, j := range p.jobTable.all() {
-		if j.Phase != "" || j.Closing != "" || p.jobTable.stranger(j) || p.now.Before(j.NotBefore) || j.TeamIdx < 0 || blocked[j] || p.calendarStore.waits(j, p.now) {
+		if j.Phase != "" || j.Closing != "" || p.jobTable.stranger(j) || p.now.Before(j.NotBefore) || j.TeamIdx < 0 || blocked[j] || p.calendarStore.waitsForStart(j, p.now) {
 			continue
 		}
 		if j.Waiting() <= 0 || (j.Shape == job.Gang && (j.GangBroken || j.GangRan)) {
@@ -115,9 +115,9 @@
 	if len(d.Pending) == 0 {
 		return d, false
 	}
-	if p.calendarStore.on() {
-		d.EndsIn, d.Movable = p.reservationHolds.needs(j, p.now), j.Shape == job.Service || j.Checkpoint > 0
-		d.HeldOnly = j.Booking != "" && p.reservationHolds.enough(j, len(d.Pending))
+	if p.calendarStore.enabled() {
+		d.EndsIn, d.Movable = p.reservationHolds.requiredSeconds(j, p.now), j.Shape == job.Service || j.Checkpoint > 0
+		d.HeldOnly = j.Booking != "" && p.reservationHolds.hasCapacity(j, len(d.Pending))
 	}
 	left := d.LatestStart - p.now.Sub(p.since).Seconds()
 	late := left < lateS
@@ -204,8 +204,8 @@
 		m.KeptFor, m.Reserved = p.jobTable.index(k.job), k.reserved
 		m.Kept = place.Amount{CPUs: k.job.CPUs, GPUs: k.job.GPUs, MemGB: k.job.MemGB}
 	}
-	p.reservationHolds.mark(&m, h, p.now)
-	p.maintenanceDrains.mark(&m, h, p.now)
+	p.reservationHolds.annotate(&m, h, p.now)
+	p.maintenanceDrains.annotate(&m, h, p.now)
 	return m
 }
 
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -69,12 +69,12 @@
 	ro.services, ro.byJob = map[string]*service{}, map[string]*service{}
 }
 
-// on reports whether roll-outs are switched on.
-func (ro *rollouts) on() bool { return ro.c.Tuning.Rollouts.Enabled }
+// enabled reports whether roll-outs are switched on.
+func (ro *rollouts) enabled() bool { return ro.c.Tuning.Rollouts.Enabled }
 
-// list reads the records; none while roll-outs are switched off.
-func (ro *rollouts) list() ([]state.Entry, error) {
-	if !ro.on() {
+// readRecords reads the records; none while roll-outs are switched off.
+func (ro *rollouts) readRecords() ([]state.Entry, error) {
+	if !ro.enabled() {
 		return nil, nil
 	}
 	entries, _, err := ro.c.State.List(ro.ctx, rolloutPrefix)
@@ -128,8 +128,8 @@
 	}
 }
 
-// failed notes that a copy of a version that is being rolled out has failed.
-func (ro *rollouts) failed(j *job.Job, replica int32, host string) {
+// recordFailure notes that a copy of a version that is being rolled out has failed.
+func (ro *rollouts) recordFailure(j *job.Job, replica int32, host string) {
 	if s := ro.byJob[j.ID]; s != nil && j.ID == s.rec.Next && !s.rec.State.Over() {
 		s.failed = append(s.failed, failure{replica, host})
 	}
@@ -166,7 +166,7 @@
 	copied, changed := *s.rec, false
 	next := &copied
 	for _, f := range s.failed {
-		changed = next.Fail(f.replica, f.host) || changed
+		changed = next.AddFailure(f.replica, f.host) || changed
 	}
 	s.failed = nil
 	var told []func()
@@ -176,7 +176,7 @@
 	}
 	s.asked = nil
 	if next.State != rollout.Failed && ro.jobTable.sound(next.Next) == nil && !next.State.Over() {
-		changed = rollout.Undo(next, now) || changed // its job was cancelled
+		changed = rollout.RollBack(next, now) || changed // its job was cancelled
 	}
 	changed = rollout.Step(next, view, s.gate) || changed
 	if changed {
@@ -212,8 +212,8 @@
 			}
 			if err == nil {
 				ro.ahead(func() {
-					if rec.State != s.rec.State || rec.At != s.rec.At {
-						ro.log.Info("roll-out", "service", rec.Service, "state", rec.State, "batch", rec.At+1, "of", len(rec.Batches), "version", rec.Next, "reason", rec.Reason)
+					if rec.State != s.rec.State || rec.BatchIndex != s.rec.BatchIndex {
+						ro.log.Info("roll-out", "service", rec.Service, "state", rec.State, "batch", rec.BatchIndex+1, "of", len(rec.Batches), "version", rec.Next, "reason", rec.Reason)
 					}
 					s.rec, s.version, s.writing = rec, version, false
 					ro.changed()
@@ -232,7 +232,7 @@
 func (ro *rollouts) down(now time.Time) map[string]bool {
 	zones := ro.nameIndex.zoneNames()
 	there, able := make([]bool, len(zones)), make([]bool, len(zones))
-	quiet := ro.quiet()
+	quiet := ro.silenceLimit()
 	for _, h := range ro.fleet.All() {
 		if h.Zone < 0 || h.Booting {
 			continue
@@ -249,8 +249,8 @@
 	return out
 }
 
-// quiet is how long a machine may be silent before its copies count as lost.
-func (ro *rollouts) quiet() time.Duration {
+// silenceLimit is how long a machine may be silent before its copies count as lost.
+func (ro *rollouts) silenceLimit() time.Duration {
 	w := ro.c.Settings.Facts.Workers
 	return config.Seconds(max(2.5*w.ReportS, w.LeaseS/2))
 }
@@ -258,11 +258,11 @@
 // view is what is seen of a service.
 func (ro *rollouts) view(s *service, down map[string]bool, now time.Time) *rollout.View {
 	old, next := ro.jobTable.sound(s.rec.Current), ro.jobTable.sound(s.rec.Next)
-	v := &rollout.View{Now: now, Down: down, Old: ro.copies(old, now), New: ro.copies(next, now)}
+	v := &rollout.View{Now: now, UnavailableZones: down, Old: ro.copies(old, now), New: ro.copies(next, now)}
 	v.Cancelled = gone(ro.jobTable.sound(s.rec.Handle)) || gone(old)
-	v.Blind = s.rec.Spec.Check != nil && ro.blind(old, next)
+	v.ChecksUnreachable = s.rec.Spec.Check != nil && ro.blind(old, next)
 	if n := len(v.Old); len(v.New) < n {
-		v.New = append(v.New, make([]rollout.Copy, n-len(v.New))...)
+		v.New = append(v.New, make([]rollout.Instance, n-len(v.New))...)
 	}
 	return v
 }
@@ -270,11 +270,11 @@
 func gone(j *job.Job) bool { return j == nil || j.Phase+j.Closing != "" }
 
 // copies are the copies of a version, by replica.
-func (ro *rollouts) copies(j *job.Job, now time.Time) []rollout.Copy {
+func (ro *rollouts) copies(j *job.Job, now time.Time) []rollout.Instance {
 	if j == nil {
 		return nil
 	}
-	out := make([]rollout.Copy, j.Tasks)
+	out := make([]rollout.Instance, j.Tasks)
 	for s := range ro.fleet.On(j) {
 		if !s.On() {
 			continue
@@ -282,7 +282,7 @@
 		c := &out[s.Task]
 		c.Live = true
 		h := s.Host
-		c.Lost = c.Lost || h.Lost || h.Draining || h.Releasing || !h.RecallAt.IsZero() || h.Silent(now) > ro.quiet()
+		c.Lost = c.Lost || h.Lost || h.Draining || h.Releasing || !h.RecallAt.IsZero() || h.Silent(now) > ro.silenceLimit()
 		if s.Phase == wire.Running && !s.Stopping {
 			c.Running, c.Health = true, health(s)
 			if !s.RunAt.IsZero() {
@@ -310,7 +310,7 @@
 
 // apply lets the planner and the workers follow the stored record.
 func (ro *rollouts) apply(s *service, v *rollout.View) {
-	w := rollout.Wanted(s.rec, v)
+	w := rollout.Desired(s.rec, v)
 	old, next := ro.jobTable.sound(s.rec.Current), ro.jobTable.sound(s.rec.Next)
 	if old != nil {
 		ro.quota(old, func(i int) (bool, string) { return i < len(w.Old) && w.Old[i], "" })
@@ -386,9 +386,9 @@
 	}
 }
 
-// operate answers an operator's request.
-func (ro *rollouts) operate(op *rpc.Operation, back func(*rpc.Reply)) {
-	if !ro.on() {
+// handle answers an operator's request.
+func (ro *rollouts) handle(op *rpc.Operation, back func(*rpc.Reply)) {
+	if !ro.enabled() {
 		back(reply(http.StatusNotFound, wire.Error{Error: "roll-outs are switched off here"}))
 		return
 	}
@@ -416,7 +416,7 @@
 	case rpc.VerbResume:
 		ask = rollout.Resume
 	case rpc.VerbUndo:
-		ask = rollout.Undo
+		ask = rollout.RollBack
 	default:
 		back(reply(http.StatusOK, ro.status(s)))
 		return
@@ -434,7 +434,7 @@
 // status is what an operator is shown.
 func (ro *rollouts) status(s *service) rollout.Status {
 	now := time.Now()
-	return rollout.Tell(s.rec, &rollout.View{Now: now, Old: ro.copies(ro.jobTable.sound(s.rec.Current), now), New: ro.copies(ro.jobTable.sound(s.rec.Next), now)})
+	return rollout.NewStatus(s.rec, &rollout.View{Now: now, Old: ro.copies(ro.jobTable.sound(s.rec.Current), now), New: ro.copies(ro.jobTable.sound(s.rec.Next), now)})
 }
 
 // start stores a new roll-out together with the job of its next version.
@@ -454,7 +454,7 @@
 		back(p)
 		return
 	}
-	next := spec.Next(&was.Spec)
+	next := spec.NextJob(&was.Spec)
 	if p := ro.nextRefusal(&next); p != nil {
 		back(p)
 		return
@@ -493,7 +493,7 @@
 	case !s.rec.State.Over():
 		// What has been rolled out is taken back first; the new one is asked for again.
 		s.asked = append(s.asked, func(rec *rollout.Record) (bool, func()) {
-			return rollout.Undo(rec, time.Now()), func() { back(Later("the roll-out before is rolled back first")) }
+			return rollout.RollBack(rec, time.Now()), func() { back(Later("the roll-out before is rolled back first")) }
 		})
 		return "", "", 0, true
 	}
@@ -585,7 +585,7 @@
 				e, gerr := ro.c.State.Get(ro.ctx, key)
 				var stored rollout.Record
 				switch {
-				case gerr == nil && wire.Unmarshal(e.Value, &stored) == nil && stored.Next == rec.Next && stored.Started == rec.Started:
+				case gerr == nil && wire.Unmarshal(e.Value, &stored) == nil && stored.Next == rec.Next && stored.StartedAt == rec.StartedAt:
 					done(e.Version, nil)
 					return
 				case gerr == nil || errors.Is(gerr, state.ErrNotFound):
--- a/internal/control/rollout_checks.go
+++ b/internal/control/rollout_checks.go
@@ -34,10 +34,10 @@
 // check asks for the health of the new copies, and of a few old ones.
 func (ro *rollouts) check(s *service, old, next *job.Job, now time.Time) {
 	c := s.rec.Spec.Check
-	if c == nil || s.rec.State == rollout.Undoing {
+	if c == nil || s.rec.State == rollout.RollingBack {
 		return
 	}
-	every := time.Duration(s.rec.Spec.EveryS() * float64(time.Second))
+	every := time.Duration(s.rec.Spec.CheckIntervalS() * float64(time.Second))
 	if ro.checker.last == nil || len(ro.checker.last) > 100_000 {
 		ro.checker.last = map[*fleet.Slot]time.Time{}
 	}
@@ -93,7 +93,7 @@
 				return
 			}
 			if sl.Checked == wire.HealthGood && said == wire.HealthBad {
-				ro.failed(sl.Job, sl.Task, sl.Host.Name)
+				ro.recordFailure(sl.Job, sl.Task, sl.Host.Name)
 			}
 			sl.Checked = said
 			sl.Judge(time.Now())
--- a/internal/control/rollout_test.go
+++ b/internal/control/rollout_test.go
@@ -60,9 +60,11 @@
 	}{
 		{"a batch under way, one extra", true, func(*rollout.Record) {}, 10, 1},
 		{"not settled", false, func(*rollout.Record) {}, 0, 0},
-		{"taken back", true, func(r *rollout.Record) { r.State = rollout.Undone }, 10, 0},
-		{"paused before anything was changed", true, func(r *rollout.Record) { r.State, r.Resume, r.Held = rollout.Paused, rollout.Advancing, true }, 10, 0},
-		{"the second batch", true, func(r *rollout.Record) { r.At = 1 }, 9, 2},
+		{"taken back", true, func(r *rollout.Record) { r.State = rollout.RolledBack }, 10, 0},
+		{"paused before anything was changed", true, func(r *rollout.Record) {
+			r.State, r.ResumeState, r.PausedByOperator = rollout.Paused, rollout.Advancing, true
+		}, 10, 0},
+		{"the second batch", true, func(r *rollout.Record) { r.BatchIndex = 1 }, 9, 2},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/control/takeover_load.go
+++ b/internal/control/takeover_load.go
@@ -57,10 +57,10 @@
 	if st.types, err = tk.c.knownTypes(tk.ctx); err != nil {
 		return nil, err
 	}
-	if st.rollouts, err = tk.rollouts.list(); err != nil {
+	if st.rollouts, err = tk.rollouts.readRecords(); err != nil {
 		return nil, err
 	}
-	if st.bookings, st.windows, err = tk.calendarStore.list(); err != nil {
+	if st.bookings, st.windows, err = tk.calendarStore.readRecords(); err != nil {
 		return nil, err
 	}
 	if st.teams, err = tk.teamQuotas.list(); err != nil {
--- a/internal/control/tasks_heartbeats.go
+++ b/internal/control/tasks_heartbeats.go
@@ -39,7 +39,7 @@
 	if res.Fresh && booting && !h.Booting {
 		wk.log.Info("machine is up", "host", h.Name, "after", now.Sub(h.Born).Round(time.Second))
 		h.IdleFrom = now
-		wk.reservationHolds.booted(h, now.Sub(h.Born))
+		wk.reservationHolds.machineBooted(h, now.Sub(h.Born))
 		wk.changed()
 	}
 	for _, s := range h.Slots {
@@ -154,7 +154,7 @@
 		case fleet.Ended:
 			wk.ended(s, j, h, now)
 		case fleet.Sickened:
-			wk.rollouts.failed(j, s.Task, h.Name)
+			wk.rollouts.recordFailure(j, s.Task, h.Name)
 		case fleet.Gone, fleet.Never:
 			if j.Shape == job.Gang && j.GangRan {
 				wk.breakGang(j)
@@ -189,7 +189,7 @@
 		}
 		wk.pace(s, j, h, now)
 		if !s.RunAt.IsZero() && !s.Adopted {
-			wk.reservationHolds.ran(j, now.Sub(s.RunAt).Seconds())
+			wk.reservationHolds.taskCompleted(j, now.Sub(s.RunAt).Seconds())
 		}
 		wk.results.add(s)
 		if j.Shape == job.Service {
@@ -209,7 +209,7 @@
 		return
 	case wire.CauseError:
 		wk.blame(j, h, now)
-		wk.rollouts.failed(j, s.Task, h.Name)
+		wk.rollouts.recordFailure(j, s.Task, h.Name)
 	case wire.CauseNoSuch:
 		wk.holdBack(j, now)
 	}
--- a/internal/node/calendar_test.go
+++ b/internal/node/calendar_test.go
@@ -161,11 +161,11 @@
 		late time.Duration    // at most; 0: the tolerance
 		out  string           // what is stored of the occurrence
 	}{
-		{"nothing goes wrong", 12, nil, nil, nil, 0, calendar.Kept},
-		{"holding is switched off", 12, func(c *config.Calendar) { c.Hold = false }, nil, nil, -1, calendar.Missed},
-		{"without backfill", 12, func(c *config.Calendar) { c.Backfill = false }, nil, nil, 0, calendar.Kept},
-		{"the cloud has less than anybody knew", 12, func(c *config.Calendar) { c.CountOn = nil }, nil, nil, 0, calendar.Kept},
-		{"in one place", 24, nil, map[string]any{"same_place": true}, nil, 0, calendar.Kept},
+		{"nothing goes wrong", 12, nil, nil, nil, 0, calendar.OutcomeOnTime},
+		{"holding is switched off", 12, func(c *config.Calendar) { c.Hold = false }, nil, nil, -1, calendar.OutcomeMissed},
+		{"without backfill", 12, func(c *config.Calendar) { c.Backfill = false }, nil, nil, 0, calendar.OutcomeOnTime},
+		{"the cloud has less than anybody knew", 12, func(c *config.Calendar) { c.CountOn = nil }, nil, nil, 0, calendar.OutcomeOnTime},
+		{"in one place", 24, nil, map[string]any{"same_place": true}, nil, 0, calendar.OutcomeOnTime},
 		{"the leader ends at the very start", 12, nil, nil, func(b *slotBed) { b.at(-100 * time.Millisecond); crash(1)(b.sim) }, 20 * time.Second, ""},
 		{"all controllers end just before", 12, nil, nil, func(b *slotBed) { b.at(-6 * time.Second); crash(3)(b.sim) }, 20 * time.Second, ""},
 		{"the leader stands still over the start", 12, nil, nil, func(b *slotBed) { b.at(-3 * time.Second); freeze(1, 6*time.Second)(b.sim) }, 20 * time.Second, ""},
@@ -220,8 +220,8 @@
 				if tt.late >= 0 && s.Claimer != "" {
 					t.Errorf("%s claims it still", s.Claimer)
 				}
-				if len(s.Past) != 1 || (tt.out != "" && s.Past[0].What != tt.out) || s.Past[0].Job != id {
-					t.Errorf("stored: %+v, want one that is %s", s.Past, tt.out)
+				if len(s.Outcomes) != 1 || (tt.out != "" && s.Outcomes[0].Kind != tt.out) || s.Outcomes[0].Job != id {
+					t.Errorf("stored: %+v, want one that is %s", s.Outcomes, tt.out)
 				}
 				if tt.late >= 0 && s.Held != 0 {
 					t.Errorf("%d machines are still held", s.Held)
@@ -286,8 +286,8 @@
 		}
 		var s calendar.Status
 		b.show("/api/reservations/evening", &s)
-		if len(s.Past) != 1 || s.Past[0].What != calendar.Lapsed {
-			t.Errorf("stored: %+v", s.Past)
+		if len(s.Outcomes) != 1 || s.Outcomes[0].Kind != calendar.OutcomeLapsed {
+			t.Errorf("stored: %+v", s.Outcomes)
 		}
 	})
 }
--- a/internal/node/rollout_test.go
+++ b/internal/node/rollout_test.go
@@ -158,7 +158,7 @@
 		{"a bad build, and a good one after it", 0, func(b *rollBed) {
 			b.Behave("new", emulate.Image{BadAfter: 4 * time.Second})
 			b.start(nil)
-			b.until(200, b.is(rollout.Undone))
+			b.until(200, b.is(rollout.RolledBack))
 			b.until(60, func() bool { return b.Running("run-1") == 6 && b.Running("run-2") == 0 })
 			b.start(map[string]any{"to": map[string]any{"uid": "run-3", "reel": "newer"}})
 			b.until(200, b.is(rollout.Done))
--- a/internal/node/storm_test.go
+++ b/internal/node/storm_test.go
@@ -226,10 +226,10 @@
 		if sv.bad && (len(ran) > sv.batch || len(zones) > 1) {
 			broken = append(broken, fmt.Sprintf("%s: the bad build ran as %d replicas in %d zones, a batch is %d", sv.name, len(ran), len(zones), sv.batch))
 		}
-		if sv.bad && sv.state == string(rollout.Undone) {
+		if sv.bad && sv.state == string(rollout.RolledBack) {
 			sv.undone = last.Sub(first)
 		}
-		if want := map[bool]string{true: string(rollout.Undone), false: string(rollout.Done)}[sv.bad]; sv.state != want {
+		if want := map[bool]string{true: string(rollout.RolledBack), false: string(rollout.Done)}[sv.bad]; sv.state != want {
 			broken = append(broken, fmt.Sprintf("%s (bad: %v) ended %q, want %q: %s", sv.name, sv.bad, sv.state, want, sv.reason))
 		}
 	}
--- a/internal/rollout/fixtures_test.go
+++ b/internal/rollout/fixtures_test.go
@@ -12,7 +12,7 @@
 	{File: "rollout-record.cbor", Value: fixture.Filled[Record]()},
 	{File: "rollout-batch.cbor", Value: fixture.Filled[Batch]()},
 	{File: "rollout-failure.cbor", Value: fixture.Filled[Failure]()},
-	{File: "rollout-copy.cbor", Value: fixture.Filled[Copy]()},
+	{File: "rollout-copy.cbor", Value: fixture.Filled[Instance]()},
 	{File: "rollout-view.cbor", Value: fixture.Filled[View]()},
 	{File: "rollout-spec.cbor", Value: fixture.Filled[Spec]()},
 	{File: "rollout-target.cbor", Value: fixture.Filled[Target]()},
--- a/internal/rollout/record.go
+++ b/internal/rollout/record.go
@@ -18,19 +18,19 @@
 	Soaking State = "soaking"
 	// Paused means that nothing is changed until an operator, or the reason's end, resumes it.
 	Paused State = "paused"
-	// Undoing means that batches are taken back, the last one first.
-	Undoing State = "rolling back"
+	// RollingBack means that batches are taken back, the last one first.
+	RollingBack State = "rolling back"
 	// Done means that every replica is of the new version.
 	Done State = "done"
-	// Undone means that every replica is of the old version again.
-	Undone State = "rolled back"
+	// RolledBack means that every replica is of the old version again.
+	RolledBack State = "rolled back"
 	// Failed means that it was given up: the service was cancelled, or its old version does not
 	// come back up either.
 	Failed State = "failed"
 )
 
 // Over reports whether a roll-out has come to its end.
-func (s State) Over() bool { return s == Done || s == Undone || s == Failed }
+func (s State) Over() bool { return s == Done || s == RolledBack || s == Failed }
 
 // Batch is the replicas that change together, all in one zone.
 type Batch struct {
@@ -53,22 +53,22 @@
 	Service string `codec:"service"`
 	// Handle is the service's first job: its user's id for it. Current is the job of
 	// the version that runs, Next that of the one that is rolled out.
-	Handle  string  `codec:"handle"`
-	Current string  `codec:"current"`
-	Next    string  `codec:"next,omitempty"`
-	Spec    Spec    `codec:"spec"`
-	State   State   `codec:"state"`
-	Resume  State   `codec:"resume,omitempty"` // what a paused one was doing
-	Held    bool    `codec:"held,omitempty"`   // paused by an operator
-	Reason  string  `codec:"reason,omitempty"`
-	Batches []Batch `codec:"batches"`
-	// At is the batch that is being changed, or taken back.
-	At int `codec:"at"`
-	// Begun is when the batch began, Since when the state did, Started when the
+	Handle           string  `codec:"handle"`
+	Current          string  `codec:"current"`
+	Next             string  `codec:"next,omitempty"`
+	Spec             Spec    `codec:"spec"`
+	State            State   `codec:"state"`
+	ResumeState      State   `codec:"resume,omitempty"` // what a paused one was doing
+	PausedByOperator bool    `codec:"held,omitempty"`   // paused by an operator
+	Reason           string  `codec:"reason,omitempty"`
+	Batches          []Batch `codec:"batches"`
+	// BatchIndex is the batch that is being changed, or taken back.
+	BatchIndex int `codec:"at"`
+	// BatchStartedAt is when the batch began, Since when the state did, Started when the
 	// roll-out was asked for: times of day in milliseconds.
-	Begun   int64 `codec:"begun"`
-	Since   int64 `codec:"since"`
-	Started int64 `codec:"started"`
+	BatchStartedAt int64 `codec:"begun"`
+	StateSince     int64 `codec:"since"`
+	StartedAt      int64 `codec:"started"`
 	// Failures of new copies, by replica. They are durable, so that a change of
 	// leader does not forgive a build what it has done.
 	Failures map[int32]Failure `codec:"failures,omitempty"`
@@ -86,8 +86,8 @@
 	Unhealthy
 )
 
-// Copy is what the leader sees of one replica's copy of a version.
-type Copy struct {
+// Instance is what the leader sees of one replica's copy of a version.
+type Instance struct {
 	// Live: it may be on a machine. Running: its worker says so.
 	Live, Running bool
 	Health        Health
@@ -101,19 +101,19 @@
 type View struct {
 	Now time.Time
 	// Old and New are the copies of the two versions, by replica.
-	Old, New []Copy
-	// Down are zones in which no machine can take work.
-	Down map[string]bool
-	// Blind: the checks fail for copies of the old version as well, and for nearly
+	Old, New []Instance
+	// UnavailableZones are zones in which no machine can take work.
+	UnavailableZones map[string]bool `codec:"Down"`
+	// ChecksUnreachable: the checks fail for copies of the old version as well, and for nearly
 	// all copies: it is the checker that is cut off, not the copies.
-	Blind bool
+	ChecksUnreachable bool `codec:"Blind"`
 	// Cancelled: the user has cancelled the service.
 	Cancelled bool
 }
 
-// Plan divides a service's replicas into batches, none of them in two zones.
+// PlanBatches divides a service's replicas into batches, none of them in two zones.
 // zoneOf is where each replica runs; empty: nowhere at the moment.
-func Plan(s *Spec, zoneOf []string) []Batch {
+func PlanBatches(s *Spec, zoneOf []string) []Batch {
 	byZone := map[string][]int32{}
 	for i, z := range zoneOf {
 		byZone[z] = append(byZone[z], int32(i))
@@ -149,15 +149,15 @@
 func New(s *Spec, handle, current string, zoneOf []string, now time.Time) *Record {
 	ms := now.UnixMilli()
 	return &Record{Service: s.Service, Handle: handle, Current: current, Next: s.To.ID, Spec: *s, State: Pending,
-		Batches: Plan(s, zoneOf), Begun: ms, Since: ms, Started: ms}
+		Batches: PlanBatches(s, zoneOf), BatchStartedAt: ms, StateSince: ms, StartedAt: ms}
 }
 
 // maxHosts bounds the machines that are remembered of one replica's failures.
 const maxHosts = 4
 
-// Fail notes that a replica's new copy has failed on a machine, and reports
+// AddFailure notes that a replica's new copy has failed on a machine, and reports
 // whether the record has changed.
-func (r *Record) Fail(replica int32, host string) bool {
+func (r *Record) AddFailure(replica int32, host string) bool {
 	if r.State.Over() || !slices.ContainsFunc(r.Batches, func(b Batch) bool { return slices.Contains(b.Replicas, replica) }) {
 		return false
 	}
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -74,9 +74,9 @@
 		t.Fatal(err)
 	}
 	b := &bed{T: t, zones: zones, health: func(int, float64) Health { return Healthy }, batch: map[int]bool{}}
-	b.view = View{Now: time.Unix(1000, 0), Old: make([]Copy, len(zones)), New: make([]Copy, len(zones)), Down: map[string]bool{}}
+	b.view = View{Now: time.Unix(1000, 0), Old: make([]Instance, len(zones)), New: make([]Instance, len(zones)), UnavailableZones: map[string]bool{}}
 	for i := range b.view.Old {
-		b.view.Old[i] = Copy{Live: true, Running: true, Health: Healthy, SinceS: 1000}
+		b.view.Old[i] = Instance{Live: true, Running: true, Health: Healthy, SinceS: 1000}
 	}
 	if b.gate, err = NewGate(s.Pass, s.Fail); err != nil {
 		t.Fatal(err)
@@ -103,7 +103,7 @@
 				break
 			}
 		}
-		w := Wanted(b.rec, &b.view)
+		w := Desired(b.rec, &b.view)
 		missing := 0
 		for i := range w.Old {
 			old, next := &b.view.Old[i], &b.view.New[i]
@@ -114,15 +114,15 @@
 			if old.SinceS++; !old.Live {
 				old.SinceS = 0
 			}
-			if z := w.New[i]; z.Wanted && !b.view.Down[z.Zone] {
+			if z := w.New[i]; z.Wanted && !b.view.UnavailableZones[z.Zone] {
 				if !next.Live {
-					*next = Copy{Live: true}
+					*next = Instance{Live: true}
 				}
 				if z.Zone != b.zones[i] {
 					b.Errorf("replica %d goes to %q", i, z.Zone)
 				}
 			} else if !z.Wanted {
-				*next = Copy{}
+				*next = Instance{}
 			}
 			if next.Live {
 				next.Running = true
@@ -133,7 +133,7 @@
 					next.BadS = 0
 				}
 				if was == Healthy && next.Health == Unhealthy {
-					b.rec.Fail(int32(i), "h")
+					b.rec.AddFailure(int32(i), "h")
 				}
 				b.batch[b.batchOf(i)] = true
 			}
@@ -160,8 +160,8 @@
 // crash ends new copies with an error on a machine.
 func (b *bed) crash(host string, replicas ...int) {
 	for _, i := range replicas {
-		b.rec.Fail(int32(i), host)
-		b.view.New[i] = Copy{}
+		b.rec.AddFailure(int32(i), host)
+		b.view.New[i] = Instance{}
 	}
 }
 
@@ -183,13 +183,13 @@
 		{"bad from the start, as health goes", nil, func(b *bed) {
 			b.health = func(int, float64) Health { return Unhealthy }
 			b.run(300)
-		}, Undone, 1, 0},
+		}, RolledBack, 1, 0},
 		{"one copy of the batch turns bad and stays so", map[string]any{"soak_s": 300, "deadline_s": 600}, func(b *bed) {
 			b.health = func(i int, age float64) Health {
 				return map[bool]Health{true: Unhealthy, false: Healthy}[i == 0 && age > 30]
 			}
 			b.run(100)
-		}, Undone, 1, 2},
+		}, RolledBack, 1, 2},
 		{"a crash at once", nil, func(b *bed) {
 			b.run(2)
 			b.crash("h1", 0)
@@ -198,28 +198,28 @@
 			b.run(1)
 			b.crash("h1", 0)
 			b.run(20)
-		}, Undone, 1, 0},
+		}, RolledBack, 1, 0},
 		{"it passes at first and fails within the soak", map[string]any{"soak_s": 150, "deadline_s": 400}, func(b *bed) {
 			b.health = func(_ int, age float64) Health {
 				return map[bool]Health{true: Healthy, false: Unhealthy}[int(age)%125 < 120]
 			}
 			b.run(900)
-		}, Undone, 1, 2},
+		}, RolledBack, 1, 2},
 		{"it fails after the soak, while a later batch runs", nil, func(b *bed) {
 			b.run(45)
-			if b.rec.At != 1 {
-				b.Fatalf("at batch %d", b.rec.At)
+			if b.rec.BatchIndex != 1 {
+				b.Fatalf("at batch %d", b.rec.BatchIndex)
 			}
 			b.crash("h1", 0, 1)
 			b.crash("h2", 0)
 			b.run(300)
-		}, Undone, 2, 1},
+		}, RolledBack, 2, 1},
 		{"healthy and unhealthy in turn", nil, func(b *bed) {
 			b.health = func(_ int, age float64) Health {
 				return map[bool]Health{true: Healthy, false: Unhealthy}[int(age)%10 < 7]
 			}
 			b.run(300)
-		}, Undone, 1, 2},
+		}, RolledBack, 1, 2},
 		{"its health is never known: paused, not taken back", nil, func(b *bed) {
 			b.health = func(int, float64) Health { return Unknown }
 			b.run(300)
@@ -236,35 +236,35 @@
 				b.run(4)
 				b.view.New[0].Lost, b.view.New[1].Lost = true, true // told to go
 				b.run(1)
-				b.view.New[0], b.view.New[1] = Copy{}, Copy{}
+				b.view.New[0], b.view.New[1] = Instance{}, Instance{}
 			}
 			b.run(300)
 		}, Done, 3, 2},
 		{"the checker is cut off: paused, and on when it is back", nil, func(b *bed) {
 			b.run(20)
-			b.view.Blind = true
+			b.view.ChecksUnreachable = true
 			b.health = func(int, float64) Health { return Unknown }
 			b.run(250)
 			if b.rec.State != Paused {
 				b.Errorf("%s while blind", b.rec.State)
 			}
-			b.view.Blind = false
+			b.view.ChecksUnreachable = false
 			b.health = func(int, float64) Health { return Healthy }
 			b.run(300)
 		}, Done, 3, 2},
 		{"a zone goes before its batch: another is first", nil, func(b *bed) {
-			b.view.Down["a"] = true
+			b.view.UnavailableZones["a"] = true
 			b.run(300)
 		}, Paused, 2, 0},
 		{"and comes back", nil, func(b *bed) {
-			b.view.Down["a"] = true
+			b.view.UnavailableZones["a"] = true
 			b.run(300)
-			b.view.Down["a"] = false
+			b.view.UnavailableZones["a"] = false
 			b.run(300)
 		}, Done, 3, 0},
 		{"a zone goes in the middle of its batch: it waits", nil, func(b *bed) {
 			b.run(2)
-			b.view.Down["a"] = true
+			b.view.UnavailableZones["a"] = true
 			for i := range 2 {
 				b.view.New[i].Lost, b.view.Old[i].Lost = true, true
 			}
@@ -282,9 +282,9 @@
 		}, Done, 3, 0},
 		{"an operator takes it back", nil, func(b *bed) {
 			b.run(60)
-			Undo(b.rec, b.view.Now)
+			RollBack(b.rec, b.view.Now)
 			b.run(60)
-		}, Undone, 2, 0},
+		}, RolledBack, 2, 0},
 		{"the service is cancelled", nil, func(b *bed) {
 			b.run(20)
 			b.view.Cancelled = true
@@ -313,10 +313,10 @@
 func TestUndoFails(t *testing.T) {
 	b := newBed(t, nil, "a", "a")
 	b.run(5)
-	Undo(b.rec, b.view.Now)
+	RollBack(b.rec, b.view.Now)
 	for range 300 {
 		b.view.Now = b.view.Now.Add(time.Second)
-		b.view.Old, b.view.New = make([]Copy, 2), make([]Copy, 2)
+		b.view.Old, b.view.New = make([]Instance, 2), make([]Instance, 2)
 		Step(b.rec, &b.view, b.gate)
 	}
 	if b.rec.State != Failed || !strings.Contains(b.rec.Reason, "old version") {
@@ -347,7 +347,7 @@
 			t.Fatal(err)
 		}
 		var got []string
-		for _, b := range Plan(s, tt.zones) {
+		for _, b := range PlanBatches(s, tt.zones) {
 			text := make([]string, len(b.Replicas))
 			for i, r := range b.Replicas {
 				text[i] = string(rune('0' + r))
--- a/internal/rollout/spec.go
+++ b/internal/rollout/spec.go
@@ -39,12 +39,12 @@
 	From string `codec:"from,omitempty" json:"from,omitempty"`
 	To   Target `codec:"to" json:"to"`
 	// Batch is how many replicas change at a time, or BatchShare of them.
-	Batch      int     `codec:"batch,omitempty" json:"batch,omitempty"`
-	BatchShare float64 `codec:"batch_share,omitempty" json:"batch_share,omitempty"`
-	// MostMissing and MostExtra bound how many replicas there are too few or too
+	Batch         int     `codec:"batch,omitempty" json:"batch,omitempty"`
+	BatchFraction float64 `codec:"batch_share,omitempty" json:"batch_share,omitempty"`
+	// MaxUnavailable and MostExtra bound how many replicas there are too few or too
 	// many at a time.
-	MostMissing *int `codec:"most_missing,omitempty" json:"most_missing,omitempty"`
-	MostExtra   *int `codec:"most_extra,omitempty" json:"most_extra,omitempty"`
+	MaxUnavailable *int `codec:"most_missing,omitempty" json:"most_missing,omitempty"`
+	MaxSurge       *int `codec:"most_extra,omitempty" json:"most_extra,omitempty"`
 	// Pass and Fail are the gate, see gate.go.
 	Pass string `codec:"pass,omitempty" json:"pass,omitempty"`
 	Fail string `codec:"fail,omitempty" json:"fail,omitempty"`
@@ -55,8 +55,8 @@
 	// may take until then. In seconds.
 	SoakS     *float64 `codec:"soak_s,omitempty" json:"soak_s,omitempty"`
 	DeadlineS float64  `codec:"deadline_s,omitempty" json:"deadline_s,omitempty"`
-	// Undo: roll back by itself; else it pauses.
-	Undo *bool `codec:"undo,omitempty" json:"undo,omitempty"`
+	// AutoRollback: roll back by itself; else it pauses.
+	AutoRollback *bool `codec:"undo,omitempty" json:"undo,omitempty"`
 	// Zones is the order of the zones; the others follow by name.
 	Zones []string `codec:"zones,omitempty" json:"zones,omitempty"`
 	// Supersede: take the place of a roll-out that is under way.
@@ -73,8 +73,8 @@
 	defaultEveryS    = 5.0
 )
 
-// ErrSpec marks a specification that is wrong.
-var ErrSpec = errors.New("roll-out is malformed")
+// ErrMalformed marks a specification that is wrong.
+var ErrMalformed = errors.New("roll-out is malformed")
 
 //go:embed schema.json
 var schemaJSON []byte
@@ -86,30 +86,30 @@
 func Parse(body []byte) (*Spec, error) {
 	s := &Spec{}
 	if err := document.Decode(body, s, "batch", "most_missing", "most_extra"); err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrSpec, err)
+		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
-	if s.Batch > 0 && s.BatchShare > 0 {
-		return nil, fmt.Errorf("%w: batch: given beside batch_share", ErrSpec)
+	if s.Batch > 0 && s.BatchFraction > 0 {
+		return nil, fmt.Errorf("%w: batch: given beside batch_share", ErrMalformed)
 	}
 	if s.missing() == 0 && s.extra() == 0 {
-		return nil, fmt.Errorf("%w: most_missing: 0 beside most_extra 0 lets nothing change", ErrSpec)
+		return nil, fmt.Errorf("%w: most_missing: 0 beside most_extra 0 lets nothing change", ErrMalformed)
 	}
 	if _, err := NewGate(s.Pass, s.Fail); err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrSpec, err)
+		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	return s, nil
 }
 
 func (s *Spec) missing() int {
-	if s.MostMissing != nil {
-		return *s.MostMissing
+	if s.MaxUnavailable != nil {
+		return *s.MaxUnavailable
 	}
 	return 0
 }
 
 func (s *Spec) extra() int {
-	if s.MostExtra != nil {
-		return *s.MostExtra
+	if s.MaxSurge != nil {
+		return *s.MaxSurge
 	}
 	return 1
 }
@@ -135,10 +135,10 @@
 	return defaultDeadlineS
 }
 
-func (s *Spec) undo() bool { return s.Undo == nil || *s.Undo }
+func (s *Spec) undo() bool { return s.AutoRollback == nil || *s.AutoRollback }
 
-// EveryS is how often a copy is checked, in seconds.
-func (s *Spec) EveryS() float64 {
+// CheckIntervalS is how often a copy is checked, in seconds.
+func (s *Spec) CheckIntervalS() float64 {
 	if s.Check != nil && s.Check.EveryS > 0 {
 		return s.Check.EveryS
 	}
@@ -149,7 +149,7 @@
 func (s *Spec) size(replicas int) int {
 	n := s.Batch
 	if n == 0 {
-		share := s.BatchShare
+		share := s.BatchFraction
 		if share == 0 {
 			share = defaultShare
 		}
@@ -158,8 +158,8 @@
 	return max(1, min(n, replicas))
 }
 
-// Next is the job of the next version.
-func (s *Spec) Next(was *job.Spec) job.Spec {
+// NextJob is the job of the next version.
+func (s *Spec) NextJob(was *job.Spec) job.Spec {
 	next := *was
 	next.ID, next.Image = s.To.ID, s.To.Image
 	for _, f := range []struct {
--- a/internal/rollout/status.go
+++ b/internal/rollout/status.go
@@ -32,16 +32,16 @@
 	Failures  int    `codec:"failures" json:"failures"`
 }
 
-// Tell sums up a roll-out as it is seen. Of the view it needs the time and the
+// NewStatus sums up a roll-out as it is seen. Of the view it needs the time and the
 // copies alone.
-func Tell(r *Record, v *View) Status {
+func NewStatus(r *Record, v *View) Status {
 	round := func(s float64) float64 { return math.Round(10*s) / 10 }
 	s := Status{Service: r.Service, Handle: r.Handle, Current: r.Current, Next: r.Next, State: string(r.State), Reason: r.Reason,
-		Batch: min(r.At+1, len(r.Batches)), SinceS: round(secs(r.Since, v.Now))}
-	s.TookS = round(secs(r.Started, v.Now))
+		Batch: min(r.BatchIndex+1, len(r.Batches)), SinceS: round(secs(r.StateSince, v.Now))}
+	s.TookS = round(secs(r.StartedAt, v.Now))
 	of := v.New
 	if r.State.Over() {
-		s.TookS = round(float64(r.Since-r.Started) / 1000)
+		s.TookS = round(float64(r.StateSince-r.StartedAt) / 1000)
 		if r.State == Done {
 			of = v.Old // the versions have changed places
 		}
@@ -74,7 +74,7 @@
 	if r.State.Over() || len(bs) == 0 {
 		return ""
 	}
-	b := bs[min(r.At, len(bs)-1)]
+	b := bs[min(r.BatchIndex, len(bs)-1)]
 	switch r.State {
 	case Advancing:
 		if b.Healthy == b.Replicas {
@@ -83,10 +83,10 @@
 		return fmt.Sprintf("%d of %d copies to be healthy, within %.0f s", b.Replicas-b.Healthy, b.Replicas, r.Spec.deadline())
 	case Soaking:
 		return fmt.Sprintf("the batch to stay healthy for %.0f s", r.Spec.soak())
-	case Undoing:
-		return fmt.Sprintf("the old copies of batch %d", r.At+1)
+	case RollingBack:
+		return fmt.Sprintf("the old copies of batch %d", r.BatchIndex+1)
 	case Paused:
-		if r.Held {
+		if r.PausedByOperator {
 			return "an operator"
 		}
 		return "the reason to go away"
--- a/internal/rollout/step.go
+++ b/internal/rollout/step.go
@@ -47,24 +47,24 @@
 	return s
 }
 
-func (v *View) copyOf(of []Copy, i int32) Copy {
+func (v *View) copyOf(of []Instance, i int32) Instance {
 	if int(i) >= len(of) {
-		return Copy{}
+		return Instance{}
 	}
 	return of[i]
 }
 
 // to moves the record to a state.
 func (r *Record) to(s State, now time.Time, why string) {
-	r.State, r.Since, r.Reason = s, now.UnixMilli(), why
+	r.State, r.StateSince, r.Reason = s, now.UnixMilli(), why
 }
 
 // begin starts work on a batch. One whose zone is down gives way to one elsewhere,
 // now and not later: once it has begun, its new version may have run there.
 func (r *Record) begin(at int, v *View) {
-	r.At, r.Begun = at, v.Now.UnixMilli()
+	r.BatchIndex, r.BatchStartedAt = at, v.Now.UnixMilli()
 	for i := at; i < len(r.Batches); i++ {
-		if v.Down[r.Batches[i].Zone] {
+		if v.UnavailableZones[r.Batches[i].Zone] {
 			continue
 		}
 		if i != at {
@@ -80,14 +80,14 @@
 
 // pause stops where it is. What is wanted stays as it was.
 func (r *Record) pause(now time.Time, why string) {
-	r.Resume = r.State
+	r.ResumeState = r.State
 	r.to(Paused, now, why)
 }
 
 // undo begins to take batches back, the one that is under way first.
 func (r *Record) undo(now time.Time, why string) {
-	r.Begun = now.UnixMilli()
-	r.to(Undoing, now, why)
+	r.BatchStartedAt = now.UnixMilli()
+	r.to(RollingBack, now, why)
 }
 
 func secs(from int64, now time.Time) float64 { return float64(now.UnixMilli()-from) / 1000 }
@@ -109,7 +109,7 @@
 	if gate == nil { // it was checked when it came; a record of another version
 		if r.State != Paused {
 			r.pause(v.Now, "the gate cannot be read")
-			r.Held = true
+			r.PausedByOperator = true
 			return true
 		}
 		return false
@@ -118,13 +118,13 @@
 	case Pending:
 		r.begin(0, v)
 		return true
-	case Undoing:
+	case RollingBack:
 		return r.stepBack(v)
 	}
 	// A copy that passed at first and fails later stops the roll-out, whichever
 	// batch it was in; so does one that fails while it is paused.
-	if r.At < len(r.Batches) && !v.Blind {
-		for i := 0; i <= r.At; i++ {
+	if r.BatchIndex < len(r.Batches) && !v.ChecksUnreachable {
+		for i := 0; i <= r.BatchIndex; i++ {
 			s := r.sample(v, &r.Batches[i])
 			if !gate.Fails(s) {
 				continue
@@ -136,7 +136,7 @@
 			}
 			if r.State != Paused {
 				r.pause(v.Now, why)
-				r.Held = true
+				r.PausedByOperator = true
 				return true
 			}
 			return false
@@ -168,13 +168,13 @@
 
 // stepPaused resumes what was paused for a reason that has gone.
 func (r *Record) stepPaused(v *View) bool {
-	if r.Held || v.Blind || (r.At < len(r.Batches) && v.Down[r.Batches[r.At].Zone]) {
+	if r.PausedByOperator || v.ChecksUnreachable || (r.BatchIndex < len(r.Batches) && v.UnavailableZones[r.Batches[r.BatchIndex].Zone]) {
 		return false
 	}
 	switch {
 	case r.Reason == blindReason || strings.HasPrefix(r.Reason, zoneReason):
 	case strings.HasPrefix(r.Reason, lostReason):
-		for _, i := range r.Batches[min(r.At, len(r.Batches)-1)].Replicas {
+		for _, i := range r.Batches[min(r.BatchIndex, len(r.Batches)-1)].Replicas {
 			if v.copyOf(v.Old, i).Lost || v.copyOf(v.New, i).Lost {
 				return false
 			}
@@ -189,21 +189,21 @@
 // resume goes on where a pause began. The batch has its full time again: it was
 // not its copies' doing.
 func (r *Record) resume(now time.Time) {
-	back := r.Resume
+	back := r.ResumeState
 	if back == Soaking || back == "" {
 		back = Advancing // it has to pass anew
 	}
-	r.Held, r.Resume, r.Begun = false, "", now.UnixMilli()
+	r.PausedByOperator, r.ResumeState, r.BatchStartedAt = false, "", now.UnixMilli()
 	r.to(back, now, "")
 }
 
 func (r *Record) stepForward(v *View, gate *Gate) bool {
-	b := &r.Batches[r.At]
-	if v.Blind {
+	b := &r.Batches[r.BatchIndex]
+	if v.ChecksUnreachable {
 		r.pause(v.Now, blindReason)
 		return true
 	}
-	if v.Down[b.Zone] {
+	if v.UnavailableZones[b.Zone] {
 		// It has begun: it is waited for, and never made larger.
 		r.pause(v.Now, zoneReason+b.Zone)
 		return true
@@ -217,11 +217,11 @@
 		r.to(Soaking, v.Now, "")
 		return true
 	}
-	if secs(r.Begun, v.Now) <= r.Spec.deadline() {
+	if secs(r.BatchStartedAt, v.Now) <= r.Spec.deadline() {
 		return false
 	}
 	// Late. Only what the copies are known to have done is held against the build.
-	why := fmt.Sprintf("batch %d is not healthy after %.0f s: %s", r.At+1, r.Spec.deadline(), tell(s))
+	why := fmt.Sprintf("batch %d is not healthy after %.0f s: %s", r.BatchIndex+1, r.Spec.deadline(), tell(s))
 	switch {
 	case (s.Unhealthy > 0 || s.AllFailures > 0) && r.Spec.undo():
 		r.undo(v.Now, why)
@@ -229,28 +229,28 @@
 		r.pause(v.Now, lostReason+why)
 	default:
 		r.pause(v.Now, why)
-		r.Held = true
+		r.PausedByOperator = true
 	}
 	return true
 }
 
 func (r *Record) stepSoak(v *View, gate *Gate) bool {
-	if v.Blind {
+	if v.ChecksUnreachable {
 		r.pause(v.Now, blindReason)
 		return true
 	}
-	if s := r.sample(v, &r.Batches[r.At]); s.Lost > 0 || !gate.Passes(s) {
+	if s := r.sample(v, &r.Batches[r.BatchIndex]); s.Lost > 0 || !gate.Passes(s) {
 		r.to(Advancing, v.Now, "") // to pass anew, within the batch's deadline
 		return true
 	}
-	if secs(r.Since, v.Now) < r.Spec.soak() {
+	if secs(r.StateSince, v.Now) < r.Spec.soak() {
 		return false
 	}
-	if r.At+1 < len(r.Batches) {
-		r.begin(r.At+1, v)
+	if r.BatchIndex+1 < len(r.Batches) {
+		r.begin(r.BatchIndex+1, v)
 		return true
 	}
-	r.At = len(r.Batches)
+	r.BatchIndex = len(r.Batches)
 	r.Current, r.Next = r.Next, r.Current
 	r.to(Done, v.Now, "")
 	return true
@@ -258,24 +258,24 @@
 
 // stepBack takes back one batch after the other, with or without a healthy copy.
 func (r *Record) stepBack(v *View) bool {
-	b := &r.Batches[min(r.At, len(r.Batches)-1)]
+	b := &r.Batches[min(r.BatchIndex, len(r.Batches)-1)]
 	// An old copy counts when it has run for a while: one that crashes looks up for a
 	// moment each time.
-	up := func(c Copy) bool { return c.Running && c.SinceS >= r.Spec.ready() }
+	up := func(c Instance) bool { return c.Running && c.SinceS >= r.Spec.ready() }
 	back := true
 	for _, i := range b.Replicas {
 		back = back && !v.copyOf(v.New, i).Live && up(v.copyOf(v.Old, i))
 	}
-	late := secs(r.Begun, v.Now) > r.Spec.deadline()
+	late := secs(r.BatchStartedAt, v.Now) > r.Spec.deadline()
 	if !back && !late {
 		return false
 	}
 	why := r.Reason
-	if r.At > 0 {
+	if r.BatchIndex > 0 {
 		// One that does not come back up in time must not keep the others on the bad
 		// version.
-		r.At--
-		r.Begun = v.Now.UnixMilli()
+		r.BatchIndex--
+		r.BatchStartedAt = v.Now.UnixMilli()
 		return true
 	}
 	for i, c := range v.Old {
@@ -284,53 +284,53 @@
 			return true
 		}
 	}
-	r.to(Undone, v.Now, why)
+	r.to(RolledBack, v.Now, why)
 	return true
 }
 
-// Want is what should run: for each replica whether its old copy should, and the
+// DesiredState is what should run: for each replica whether its old copy should, and the
 // zone of its new one.
-type Want struct {
+type DesiredState struct {
 	Old []bool
-	New []Place
+	New []Placement
 }
 
-// Place is where a new copy should run.
-type Place struct {
+// Placement is where a new copy should run.
+type Placement struct {
 	Wanted bool
 	Zone   string // empty: anywhere
 }
 
-// Wanted says what should run now. It follows from the record and the view alone.
-func Wanted(r *Record, v *View) Want {
+// Desired says what should run now. It follows from the record and the view alone.
+func Desired(r *Record, v *View) DesiredState {
 	n := max(len(v.Old), len(v.New))
-	w := Want{Old: make([]bool, n), New: make([]Place, n)}
+	w := DesiredState{Old: make([]bool, n), New: make([]Placement, n)}
 	for i := range w.Old {
 		w.Old[i] = true
 	}
 	state := r.State
 	if state == Paused {
-		state = r.Resume
+		state = r.ResumeState
 	}
 	switch state {
-	case Pending, Undone, Failed, Done:
+	case Pending, RolledBack, Failed, Done:
 		return w // what is current: when it is done, the versions have changed places
 	}
 	for at, b := range r.Batches {
 		switch {
-		case at > r.At:
+		case at > r.BatchIndex:
 			continue
-		case at < r.At:
+		case at < r.BatchIndex:
 			for _, i := range b.Replicas {
-				w.Old[i], w.New[i] = false, Place{true, b.Zone}
+				w.Old[i], w.New[i] = false, Placement{true, b.Zone}
 			}
-		case state == Undoing:
+		case state == RollingBack:
 			// The whole batch goes back at once: its new copies are bad.
 		case r.State == Paused:
 			// What is there stays, and what is missing comes back as it was.
 			for _, i := range b.Replicas {
 				if next := v.copyOf(v.New, i); next.Live {
-					w.Old[i], w.New[i] = v.copyOf(v.Old, i).Live, Place{true, b.Zone}
+					w.Old[i], w.New[i] = v.copyOf(v.Old, i).Live, Placement{true, b.Zone}
 				}
 			}
 		default:
@@ -344,26 +344,26 @@
 // start when there is one extra or when its old one has gone; an old copy goes
 // when its new one has been healthy for a while (a bad build can look healthy for a
 // moment), or when one may be missing.
-func (r *Record) change(v *View, b *Batch, w *Want) {
+func (r *Record) change(v *View, b *Batch, w *DesiredState) {
 	extra, missing := r.Spec.extra(), r.Spec.missing()
 	for _, i := range b.Replicas {
 		old, next := v.copyOf(v.Old, i), v.copyOf(v.New, i)
 		good := next.Running && !next.Lost && next.Health == Healthy && next.SinceS >= r.Spec.ready()
 		switch {
 		case next.Live && !old.Live:
-			w.Old[i], w.New[i] = false, Place{true, b.Zone}
+			w.Old[i], w.New[i] = false, Placement{true, b.Zone}
 			if !good {
 				missing--
 			}
 		case next.Live && good:
-			w.Old[i], w.New[i] = false, Place{true, b.Zone}
+			w.Old[i], w.New[i] = false, Placement{true, b.Zone}
 			extra--
 		case next.Live:
-			w.New[i] = Place{true, b.Zone}
+			w.New[i] = Placement{true, b.Zone}
 			extra--
 		case !old.Live:
 			// Neither is there: the old one has gone by itself, or for this change.
-			w.Old[i], w.New[i] = false, Place{true, b.Zone}
+			w.Old[i], w.New[i] = false, Placement{true, b.Zone}
 			missing--
 		}
 	}
@@ -373,7 +373,7 @@
 		}
 		switch {
 		case extra > 0:
-			w.New[i] = Place{true, b.Zone}
+			w.New[i] = Placement{true, b.Zone}
 			extra--
 		case missing > 0:
 			w.Old[i] = false // the new one follows when it has gone
@@ -384,13 +384,13 @@
 
 // Pause stops a roll-out for an operator.
 func Pause(r *Record, now time.Time) bool {
-	if r.State.Over() || (r.State == Paused && r.Held) {
+	if r.State.Over() || (r.State == Paused && r.PausedByOperator) {
 		return false
 	}
 	if r.State != Paused {
 		r.pause(now, "")
 	}
-	r.Held, r.Reason = true, "paused by an operator"
+	r.PausedByOperator, r.Reason = true, "paused by an operator"
 	return true
 }
 
@@ -403,13 +403,13 @@
 	return true
 }
 
-// Undo rolls back for an operator.
-func Undo(r *Record, now time.Time) bool {
-	if r.State.Over() || r.State == Undoing {
+// RollBack rolls back for an operator.
+func RollBack(r *Record, now time.Time) bool {
+	if r.State.Over() || r.State == RollingBack {
 		return false
 	}
-	r.Held = false
-	r.At = min(r.At, max(0, len(r.Batches)-1))
+	r.PausedByOperator = false
+	r.BatchIndex = min(r.BatchIndex, max(0, len(r.Batches)-1))
 	r.undo(now, "rolled back by an operator")
 	return true
 }
