--- a/cmd/vetchstream/calendar.go
+++ b/cmd/vetchstream/calendar.go
@@ -204,7 +204,7 @@
 	if o.LateS > 0 {
 		return fmt.Sprintf("%s by %.0f s", o.Kind, o.LateS)
 	}
-	return o.Kind
+	return string(o.Kind)
 }
 
 // showReservation is a reservation for people.
--- a/internal/calendar/calendar_test.go
+++ b/internal/calendar/calendar_test.go
@@ -369,7 +369,7 @@
 			}
 			var got []string
 			for _, o := range rec.Outcomes {
-				s := o.Kind
+				s := string(o.Kind)
 				if o.LateS > 0 {
 					s += fmt.Sprintf(" %.0f", o.LateS)
 				}
@@ -452,12 +452,12 @@
 	for name := range c.Bookings() {
 		c.Remove(name)
 	}
-	for i := range c.cells {
-		if n := len(c.cells[i].taken.at); n > 0 {
+	for i := range c.pools {
+		if n := len(c.pools[i].reserved.starts); n > 0 {
 			t.Errorf("cell %d has %d steps", i, n)
 		}
 	}
-	if n := len(c.beyond.cpus.at); n > 0 {
+	if n := len(c.overGuarantee.cpus.starts); n > 0 {
 		t.Errorf("%d steps beyond guarantees", n)
 	}
 }
--- a/internal/calendar/profile.go
+++ b/internal/calendar/profile.go
@@ -2,87 +2,94 @@
 
 import "slices"
 
-// profile is a level over time, as steps: level[i] holds from at[i] to at[i+1],
-// the last one for ever, and 0 before the first.
+// profile is a level over time, as a step function: levels[i] holds from starts[i] to
+// starts[i+1], the last one for ever, and 0 before the first.
 type profile struct {
-	at    []int64
-	level []float64
+	starts []int64
+	levels []float64
 }
 
-// step makes a step at t and returns its index.
-func (p *profile) step(t int64) int {
-	i, found := slices.BinarySearch(p.at, t)
+// levelTolerance is the difference below which two levels count as equal: they are sums of
+// floating-point numbers.
+const levelTolerance = 1e-9
+
+// splitAt makes a step begin at t and returns its index.
+func (p *profile) splitAt(t int64) int {
+	i, found := slices.BinarySearch(p.starts, t)
 	if found {
 		return i
 	}
-	was := 0.0
-	if i > 0 {
-		was = p.level[i-1]
-	}
-	p.at, p.level = slices.Insert(p.at, i, t), slices.Insert(p.level, i, was)
+	p.starts = slices.Insert(p.starts, i, t)
+	p.levels = slices.Insert(p.levels, i, p.before(i))
 	return i
 }
 
+// before is the level before step i.
+func (p *profile) before(i int) float64 {
+	if i == 0 {
+		return 0
+	}
+	return p.levels[i-1]
+}
+
 // add raises the level over a span.
-func (p *profile) add(s Span, by float64) {
-	from := p.step(s.From)
-	to := p.step(s.To)
+func (p *profile) add(s Span, amount float64) {
+	from := p.splitAt(s.From)
+	to := p.splitAt(s.To)
 	for i := from; i < to; i++ {
-		p.level[i] += by
+		p.levels[i] += amount
 	}
-	// Steps that are none any more go: cancelled entries must leave nothing behind.
-	for i := min(to, len(p.at)-1); i >= max(0, from); i-- {
-		was := 0.0
-		if i > 0 {
-			was = p.level[i-1]
-		}
-		if d := p.level[i] - was; d < 1e-9 && d > -1e-9 {
-			p.at, p.level = slices.Delete(p.at, i, i+1), slices.Delete(p.level, i, i+1)
+	// Steps between equal levels are removed: cancelled entries must leave nothing behind.
+	for i := min(to, len(p.starts)-1); i >= max(0, from); i-- {
+		if d := p.levels[i] - p.before(i); d < levelTolerance && d > -levelTolerance {
+			p.starts = slices.Delete(p.starts, i, i+1)
+			p.levels = slices.Delete(p.levels, i, i+1)
 		}
 	}
 }
 
-// each calls f for the stretches of a span with their levels, until it says stop.
-func (p *profile) each(s Span, f func(Span, float64) bool) {
-	i, found := slices.BinarySearch(p.at, s.From)
+// forEach calls f for each part of a span with its level, until f returns false.
+func (p *profile) forEach(s Span, f func(Span, float64) bool) {
+	i, found := slices.BinarySearch(p.starts, s.From)
 	if !found {
 		i--
 	}
-	for at := s.From; at < s.To; i++ {
+	for from := s.From; from < s.To; i++ {
 		level, to := 0.0, s.To
-		if i >= 0 && i < len(p.level) {
-			level = p.level[i]
+		if i >= 0 && i < len(p.levels) {
+			level = p.levels[i]
 		}
-		if i+1 < len(p.at) {
-			to = min(to, p.at[i+1])
+		if i+1 < len(p.starts) {
+			to = min(to, p.starts[i+1])
 		}
-		if !f(Span{at, to}, level) {
+		if !f(Span{from, to}, level) {
 			return
 		}
-		at = to
+		from = to
 	}
 }
 
-// most is the highest level over a span.
-func (p *profile) most(s Span) float64 {
-	m := 0.0
+// max is the highest level over a span.
+func (p *profile) max(s Span) float64 {
+	highest := 0.0
 	first := true
-	p.each(s, func(_ Span, level float64) bool {
-		if first || level > m {
-			m, first = level, false
+	p.forEach(s, func(_ Span, level float64) bool {
+		if first || level > highest {
+			highest = level
+			first = false
 		}
 		return true
 	})
-	return m
+	return highest
 }
 
-// falls are the moments after t at which the level falls, at most n of them.
-func (p *profile) falls(t int64, n int) (out []int64) {
-	i, _ := slices.BinarySearch(p.at, t+1)
-	for ; i < len(p.at) && len(out) < n; i++ {
-		if i > 0 && p.level[i] < p.level[i-1] {
-			out = append(out, p.at[i])
+// decreasesAfter are the times after t at which the level decreases, at most n of them.
+func (p *profile) decreasesAfter(t int64, n int) (times []int64) {
+	i, _ := slices.BinarySearch(p.starts, t+1)
+	for ; i < len(p.starts) && len(times) < n; i++ {
+		if i > 0 && p.levels[i] < p.levels[i-1] {
+			times = append(times, p.starts[i])
 		}
 	}
-	return out
+	return times
 }
--- a/internal/calendar/spec.go
+++ b/internal/calendar/spec.go
@@ -1,8 +1,7 @@
-// Package calendar knows what is to run, or not to run, at times agreed on
-// beforehand: advance reservations and maintenance windows. It decides and holds
-// no connection, goroutine or clock: the leader passes in what it sees and the
-// time, stores the records that come back under its term, and lets the ordinary
-// placement follow them.
+// Package calendar plans ahead: advance reservations of machines and maintenance windows.
+// It decides, and has no connection, goroutine or clock: the leader passes in what it
+// observes and the time, stores the records that are returned under its term, and lets the
+// ordinary placement follow them.
 package calendar
 
 import (
@@ -20,14 +19,15 @@
 	"vetchstream/internal/schema"
 )
 
-// ErrMalformed marks a reservation or a window that is wrong, whatever else is planned.
+// ErrMalformed is returned for a specification that is wrong, whatever else is planned.
 var ErrMalformed = errors.New("calendar entry is malformed")
 
-// Reservation is room that a team wants at a time, once or again and again.
+// Reservation is the specification of capacity that a team wants at a time, once or
+// repeatedly.
 type Reservation struct {
 	Name string `codec:"name" json:"name"`
 	Team string `codec:"team" json:"team"`
-	// Parts is how many pieces of the size below there are to be room for.
+	// Parts is how many tasks of the size below there has to be capacity for.
 	Parts int     `codec:"parts" json:"parts"`
 	CPUs  float64 `codec:"cpus,omitempty" json:"cpus,omitempty"`
 	GPUs  float64 `codec:"accelerators,omitempty" json:"accelerators,omitempty"`
@@ -45,16 +45,17 @@
 	TimeZone string `codec:"time_zone,omitempty" json:"time_zone,omitempty"`
 	// Rule is a recurrence rule of RFC 5545 that ends (COUNT or UNTIL); empty: once.
 	Rule string `codec:"rule,omitempty" json:"rule,omitempty"`
-	// LeadS is how long before the start its room is gathered, in seconds; none: as
-	// boots take.
+	// LeadS is how long before the start missing machines are provisioned, in seconds; nil:
+	// as long as machines take to boot.
 	LeadS *float64 `codec:"lead_s,omitempty" json:"lead_s,omitempty"`
-	// GraceS is after how long an occurrence lapses that no job claims, in seconds.
+	// GraceS is how long after its start an occurrence lapses that no job claims, in seconds.
 	GraceS float64 `codec:"grace_s,omitempty" json:"grace_s,omitempty"`
 
-	spans []Span
+	spans []Span // the occurrences, by time
 }
 
-// Window is a time in which machines are serviced.
+// Window is the specification of a maintenance window: a time in which machines are
+// serviced.
 type Window struct {
 	Name string `codec:"name" json:"name"`
 	// Hosts, Range (prefixes of the workers' addresses), Zone and Type choose the
@@ -67,23 +68,24 @@
 	Start    string   `codec:"start" json:"start"`
 	End      string   `codec:"end" json:"end"`
 	TimeZone string   `codec:"time_zone,omitempty" json:"time_zone,omitempty"`
-	// DrainS is how long before the start services and work that can save are moved,
-	// in seconds.
+	// DrainS is how long before the start services and tasks with checkpoints are evicted, in
+	// seconds.
 	DrainS float64 `codec:"drain_s,omitempty" json:"drain_s,omitempty"`
-	// Force: plan it even if reservations lose their room.
+	// Force: plan it even if reservations lose their capacity.
 	Force bool `codec:"force,omitempty" json:"force,omitempty"`
 
-	span  Span
-	nets  *bart.Lite
-	named map[string]bool
+	span      Span
+	prefixes  *bart.Lite // of Range
+	hostNames map[string]bool
 }
 
-// Span is a stretch of time: milliseconds of the time of day, the end not included.
+// Span is a period in milliseconds of the time of day, the end not included.
 type Span struct{ From, To int64 }
 
-// Overlaps reports whether two stretches have a moment in common.
+// Overlaps reports whether two spans have a moment in common.
 func (s Span) Overlaps(o Span) bool { return s.From < o.To && o.From < s.To }
 
+// Defaults of a specification that leaves them out, in seconds.
 const (
 	defaultGraceS = 300
 	defaultDrainS = 600
@@ -101,7 +103,7 @@
 )
 
 // ParseReservation reads a reservation in its encoded form. Its occurrences are
-// bounded by the limits. An error is an ErrSpec and names the field.
+// bounded by the limits. An error is an ErrMalformed and names the field.
 func ParseReservation(body []byte, lim Limits, now time.Time) (*Reservation, error) {
 	r := &Reservation{}
 	if err := reservationSchema.Decode(body, r, "parts"); err != nil {
@@ -113,7 +115,7 @@
 	if r.GraceS == 0 {
 		r.GraceS = defaultGraceS
 	}
-	if err := r.expand(lim, now); err != nil {
+	if err := r.expandOccurrences(lim, now); err != nil {
 		return nil, err
 	}
 	if last := r.spans[len(r.spans)-1]; last.To <= now.UnixMilli() {
@@ -122,17 +124,17 @@
 	return r, nil
 }
 
-// expand finds the occurrences.
-func (r *Reservation) expand(lim Limits, now time.Time) error {
-	start, end, err := interval(r.Start, r.End, r.TimeZone)
+// expandOccurrences computes the occurrences.
+func (r *Reservation) expandOccurrences(lim Limits, now time.Time) error {
+	start, end, err := parseInterval(r.Start, r.End, r.TimeZone)
 	if err != nil {
 		return err
 	}
-	r.spans, err = occurrences(start, end, r.Rule, now.AddDate(0, 0, lim.HorizonDays), lim.Occurrences)
+	r.spans, err = expandRule(start, end, r.Rule, now.AddDate(0, 0, lim.HorizonDays), lim.Occurrences)
 	return err
 }
 
-// PartSize is the size of a part.
+// PartSize is the resource requirement of a part.
 func (r *Reservation) PartSize() place.Amount {
 	return place.Amount{CPUs: r.CPUs, GPUs: r.GPUs, MemGB: r.MemGB}
 }
@@ -141,7 +143,7 @@
 func (r *Reservation) Spans() []Span { return r.spans }
 
 // ParseWindow reads a maintenance window in its encoded form. An error is an
-// ErrSpec and names the field.
+// ErrMalformed and names the field.
 func ParseWindow(body []byte, lim Limits, now time.Time) (*Window, error) {
 	w := &Window{}
 	if err := windowSchema.Decode(body, w); err != nil {
@@ -150,7 +152,7 @@
 	if w.DrainS == 0 {
 		w.DrainS = defaultDrainS
 	}
-	if err := w.prepare(); err != nil {
+	if err := w.parseSelectors(); err != nil {
 		return nil, err
 	}
 	switch {
@@ -162,38 +164,39 @@
 	return w, nil
 }
 
-// prepare makes what the choice of machines needs.
-func (w *Window) prepare() error {
-	start, end, err := interval(w.Start, w.End, w.TimeZone)
+// parseSelectors computes the window's span and what its choice of machines needs.
+func (w *Window) parseSelectors() error {
+	start, end, err := parseInterval(w.Start, w.End, w.TimeZone)
 	if err != nil {
 		return err
 	}
 	w.span = Span{start.UnixMilli(), end.UnixMilli()}
-	w.nets, w.named = &bart.Lite{}, map[string]bool{}
-	for _, p := range w.Range {
-		n, err := netip.ParsePrefix(p)
+	w.prefixes = &bart.Lite{}
+	for _, text := range w.Range {
+		prefix, err := netip.ParsePrefix(text)
 		if err != nil {
-			return fmt.Errorf("%w: range: %q is not a prefix of addresses", ErrMalformed, p)
+			return malformed("range", "%q is not a prefix of addresses", text)
 		}
-		w.nets.Insert(n.Masked())
+		w.prefixes.Insert(prefix.Masked())
 	}
+	w.hostNames = map[string]bool{}
 	for _, h := range w.Hosts {
-		w.named[h] = true
+		w.hostNames[h] = true
 	}
 	return nil
 }
 
-// Span is when the window is.
+// Span is the time of the window.
 func (w *Window) Span() Span { return w.span }
 
-// DrainAt is when services and work that can save begin to be moved, in
-// milliseconds of the time of day.
+// DrainAt is when services and tasks with checkpoints begin to be evicted, in milliseconds
+// of the time of day.
 func (w *Window) DrainAt() int64 { return w.span.From - int64(w.DrainS*1000) }
 
-// NamesMachines reports whether the window is of single machines, by name or address.
+// NamesMachines reports whether the window selects single machines, by name or address.
 func (w *Window) NamesMachines() bool { return len(w.Hosts)+len(w.Range) > 0 }
 
-// ClosesPool reports whether the window is of all machines of a type in a zone.
+// ClosesPool reports whether the window takes all machines of a type in a zone.
 func (w *Window) ClosesPool(typ, zone string) bool {
 	return !w.NamesMachines() && (w.Zone == "" || w.Zone == zone) && (w.Type == "" || w.Type == typ)
 }
@@ -204,25 +207,28 @@
 	if (w.Zone != "" && w.Zone != zone) || (w.Type != "" && w.Type != typ) {
 		return false
 	}
-	if !w.NamesMachines() || w.named[host] {
+	if !w.NamesMachines() || w.hostNames[host] {
 		return true
 	}
 	ap, err := netip.ParseAddrPort(addr)
-	return err == nil && w.nets.Contains(ap.Addr().Unmap())
+	return err == nil && w.prefixes.Contains(ap.Addr().Unmap())
 }
 
-// interval reads a start and an end in a time zone.
-func interval(start, end, zone string) (from, to time.Time, err error) {
+// localTimeLayout is the layout of a time without an offset.
+const localTimeLayout = "2006-01-02T15:04:05"
+
+// parseInterval reads a start and an end in a time zone (IANA name; empty: UTC).
+func parseInterval(start, end, zone string) (from, to time.Time, err error) {
 	loc := time.UTC
 	if zone != "" {
 		if loc, err = time.LoadLocation(zone); err != nil || zone == "Local" {
 			return from, to, fmt.Errorf("%w: time_zone: %q is not known", ErrMalformed, zone)
 		}
 	}
-	if from, err = moment(start, loc); err != nil {
+	if from, err = parseTime(start, loc); err != nil {
 		return from, to, fmt.Errorf("%w: start: %w", ErrMalformed, err)
 	}
-	if to, err = moment(end, loc); err != nil {
+	if to, err = parseTime(end, loc); err != nil {
 		return from, to, fmt.Errorf("%w: end: %w", ErrMalformed, err)
 	}
 	if !from.Before(to) {
@@ -231,11 +237,12 @@
 	return from, to, nil
 }
 
-func moment(s string, loc *time.Location) (time.Time, error) {
+// parseTime reads a time in RFC 3339, or without an offset as a time of day in a location.
+func parseTime(s string, loc *time.Location) (time.Time, error) {
 	if t, err := time.Parse(time.RFC3339, s); err == nil {
 		return t.In(loc), nil
 	}
-	t, err := time.ParseInLocation("2006-01-02T15:04:05", strings.Replace(s, " ", "T", 1), loc)
+	t, err := time.ParseInLocation(localTimeLayout, strings.Replace(s, " ", "T", 1), loc)
 	if err != nil {
 		return t, fmt.Errorf("%q is not a time such as 2026-12-01T20:00:00", s)
 	}
--- a/internal/control/calendar_drains.go
+++ b/internal/control/calendar_drains.go
@@ -12,9 +12,9 @@
 	"vetchstream/internal/wire"
 )
 
-// maintenanceDrains empty machines before their maintenance and hand them back at its start.
-// What is to be done follows from the windows and the time of day: a leader that
-// comes late does what is left of it, and nothing once the window is over.
+// maintenanceDrains drains machines before their maintenance and returns them at its start.
+// What is to be done follows from the windows and the time of day: a leader that takes over
+// late does what is left of it, and nothing once the window is over.
 type maintenanceDrains struct {
 	*core
 	nameIndex        *nameIndex
@@ -23,117 +23,134 @@
 	reservationHolds *reservationHolds
 	taskTracker      *taskTracker
 
-	// next is the first window, not over, of each machine that has one.
-	next   map[*fleet.Host]*calendar.PlannedWindow
-	looked time.Time
-	// late are placements that are not expected to end in time and cannot save.
-	late map[*fleet.Slot]bool
-	told map[string]string // state of each window that was logged last
+	// windowOf is the first window that is not over of each machine that has one, as of
+	// assignedAt.
+	windowOf   map[*fleet.Host]*calendar.PlannedWindow
+	assignedAt time.Time
+	// atRisk are tasks that are not expected to end in time and have no checkpoint.
+	atRisk map[*fleet.Slot]bool
+	// loggedStates are the states of the windows that were logged last, by name.
+	loggedStates map[string]calendar.WindowState
 }
 
 func newMaintenanceDrains(co *core) *maintenanceDrains {
-	dr := &maintenanceDrains{core: co}
-	dr.reset()
-	return dr
+	md := &maintenanceDrains{core: co}
+	md.reset()
+	return md
 }
 
-func (dr *maintenanceDrains) reset() {
-	dr.next, dr.late, dr.told, dr.looked = map[*fleet.Host]*calendar.PlannedWindow{}, map[*fleet.Slot]bool{}, map[string]string{}, time.Time{}
+// reset forgets what was derived from the windows.
+func (md *maintenanceDrains) reset() {
+	md.windowOf = map[*fleet.Host]*calendar.PlannedWindow{}
+	md.assignedAt = time.Time{}
+	md.atRisk = map[*fleet.Slot]bool{}
+	md.loggedStates = map[string]calendar.WindowState{}
 }
 
-// enabled reports whether machines are drained.
-func (dr *maintenanceDrains) enabled() bool {
-	return dr.calendarStore.enabled() && dr.c.Tuning.Calendar.Drain
+// enabled reports whether machines are drained for maintenance.
+func (md *maintenanceDrains) enabled() bool {
+	return md.calendarStore.enabled() && md.c.Tuning.Calendar.Drain
 }
 
-// takes reports whether a window is about a machine.
-func (dr *maintenanceDrains) takes(p *calendar.Window, h *fleet.Host) bool {
-	t := dr.nameIndex.typeOf(h)
-	return t != nil && h.Zone >= 0 && p.Covers(h.Name, h.Addr, t.Name, dr.nameIndex.zoneNames()[h.Zone])
+// covers reports whether a machine is serviced in a window.
+func (md *maintenanceDrains) covers(w *calendar.Window, h *fleet.Host) bool {
+	t := md.nameIndex.typeOf(h)
+	return t != nil && h.Zone >= 0 && w.Covers(h.Name, h.Addr, t.Name, md.nameIndex.zoneNames()[h.Zone])
 }
 
-// machinesOf counts the machines that a window names, by type and zone; nil for one
-// that is about all of some kind.
-func (dr *maintenanceDrains) machinesOf(w *calendar.Window) []calendar.Allocation {
+// machinesByPool counts the machines that a window names, by type and zone; nil for a
+// window that closes whole pools.
+func (md *maintenanceDrains) machinesByPool(w *calendar.Window) []calendar.Allocation {
 	if !w.NamesMachines() {
 		return nil
 	}
-	var out []calendar.Allocation
-	for _, h := range dr.fleet.All() {
-		if h.Releasing || !dr.takes(w, h) {
+	var pools []calendar.Allocation
+	for _, h := range md.fleet.All() {
+		if h.Releasing || !md.covers(w, h) {
 			continue
 		}
-		typ, zone := dr.nameIndex.typeOf(h).Name, dr.nameIndex.zoneNames()[h.Zone]
-		i := slices.IndexFunc(out, func(s calendar.Allocation) bool { return s.Type == typ && s.Zone == zone })
+		typ, zone := md.nameIndex.typeOf(h).Name, md.nameIndex.zoneNames()[h.Zone]
+		i := slices.IndexFunc(pools, func(a calendar.Allocation) bool { return a.Type == typ && a.Zone == zone })
 		if i < 0 {
-			out, i = append(out, calendar.Allocation{Type: typ, Zone: zone}), len(out)
+			i = len(pools)
+			pools = append(pools, calendar.Allocation{Type: typ, Zone: zone})
 		}
-		out[i].Machines++
+		pools[i].Machines++
 	}
-	return out
+	return pools
 }
 
-// lookEvery spaces the looks at which machine is in which window.
-const lookEvery = time.Second
+// windowAssignmentInterval is how often the machines' windows are determined.
+const windowAssignmentInterval = time.Second
 
-// look finds the machines' windows.
-func (dr *maintenanceDrains) look(now time.Time) {
-	if now.Sub(dr.looked) < lookEvery {
+// assignWindows determines the next window of each machine.
+func (md *maintenanceDrains) assignWindows(now time.Time) {
+	if now.Sub(md.assignedAt) < windowAssignmentInterval {
 		return
 	}
-	dr.looked = now
-	clear(dr.next)
-	at := dr.calendarStore.timeOfDay(now).UnixMilli()
-	for _, p := range dr.calendarStore.windowsByName() {
-		if p.Span().To <= at {
+	md.assignedAt = now
+	clear(md.windowOf)
+	timeOfDay := md.calendarStore.timeOfDay(now).UnixMilli()
+	for _, w := range md.calendarStore.windowsByName() {
+		if w.Span().To <= timeOfDay {
 			continue
 		}
-		for _, h := range dr.fleet.All() {
-			if was := dr.next[h]; (was == nil || p.Span().From < was.Span().From) && dr.takes(p.Window, h) {
-				dr.next[h] = p
+		for _, h := range md.fleet.All() {
+			if first := md.windowOf[h]; (first == nil || w.Span().From < first.Span().From) && md.covers(w.Window, h) {
+				md.windowOf[h] = w
 			}
 		}
 	}
 }
 
-// windowOf is a machine's next window; nil: it has none.
-func (dr *maintenanceDrains) windowOf(h *fleet.Host, now time.Time) *calendar.PlannedWindow {
-	if !dr.enabled() || !dr.calendarStore.hasWindows() {
+// nextWindow is a machine's next window; nil: it has none.
+func (md *maintenanceDrains) nextWindow(h *fleet.Host, now time.Time) *calendar.PlannedWindow {
+	if !md.enabled() || !md.calendarStore.hasWindows() {
 		return nil
 	}
-	dr.look(now)
-	return dr.next[h]
+	md.assignWindows(now)
+	return md.windowOf[h]
 }
 
-// spares reports whether a machine stays out of maintenance for a span.
-func (dr *maintenanceDrains) spares(h *fleet.Host, s calendar.Span) bool {
-	p := dr.windowOf(h, time.Now())
-	return p == nil || !p.Span().Overlaps(s)
+// staysUp reports whether a machine is free of maintenance for a span.
+func (md *maintenanceDrains) staysUp(h *fleet.Host, s calendar.Span) bool {
+	w := md.nextWindow(h, time.Now())
+	return w == nil || !w.Span().Overlaps(s)
 }
 
-// handBack is how long before the start a machine is to be empty: its worker has to
-// tell so.
-func (dr *maintenanceDrains) handBack() time.Duration { return 2*dr.reportTime() + time.Second }
+// returnMargin is how long before the start of its maintenance a machine has to be empty:
+// its worker has to confirm that in a heartbeat.
+func (md *maintenanceDrains) returnMargin() time.Duration {
+	return heartbeatsToEnd*md.reportTime() + time.Second
+}
 
-// annotate tells the plan when a machine leaves.
-func (dr *maintenanceDrains) annotate(m *place.Machine, h *fleet.Host, now time.Time) {
-	p := dr.windowOf(h, now)
-	if p == nil {
+// annotate sets in the planner's view of a machine in how many seconds it leaves for
+// maintenance, and whether it is being drained.
+func (md *maintenanceDrains) annotate(m *place.Machine, h *fleet.Host, now time.Time) {
+	w := md.nextWindow(h, now)
+	if w == nil {
 		return
 	}
-	at := dr.calendarStore.timeOfDay(now)
-	m.Leaves, m.LeavesIn = true, time.UnixMilli(p.Span().From).Add(-dr.handBack()).Sub(at).Seconds()
-	m.Draining = at.UnixMilli() >= p.DrainAt()
+	timeOfDay := md.calendarStore.timeOfDay(now)
+	m.Leaves = true
+	m.LeavesIn = md.secondsToReturn(w, timeOfDay)
+	m.Draining = timeOfDay.UnixMilli() >= w.DrainAt()
+}
+
+// secondsToReturn is in how many seconds the machines of a window have to be empty.
+func (md *maintenanceDrains) secondsToReturn(w *calendar.PlannedWindow, timeOfDay time.Time) float64 {
+	return time.UnixMilli(w.Span().From).Add(-md.returnMargin()).Sub(timeOfDay).Seconds()
 }
 
-// poolClosed reports whether machines of a type in a zone would only be returned again.
-func (dr *maintenanceDrains) poolClosed(typ, zone string, now time.Time) bool {
-	if !dr.enabled() {
+// poolClosed reports whether new machines of a type in a zone would have to be returned at
+// once, since a window closes all of them.
+func (md *maintenanceDrains) poolClosed(typ, zone string, now time.Time) bool {
+	if !md.enabled() {
 		return false
 	}
-	at := dr.calendarStore.timeOfDay(now).UnixMilli()
-	for _, p := range dr.calendarStore.windowsByName() {
-		if p.ClosesPool(typ, zone) && at >= p.DrainAt() && at < p.Span().To {
+	timeOfDay := md.calendarStore.timeOfDay(now).UnixMilli()
+	for _, w := range md.calendarStore.windowsByName() {
+		if w.ClosesPool(typ, zone) && timeOfDay >= w.DrainAt() && timeOfDay < w.Span().To {
 			return true
 		}
 	}
@@ -141,82 +158,95 @@
 }
 
 // started reports whether a machine's maintenance has begun.
-func (dr *maintenanceDrains) started(h *fleet.Host, now time.Time) bool {
-	p := dr.windowOf(h, now)
-	return p != nil && dr.calendarStore.timeOfDay(now).UnixMilli() >= p.Span().From
+func (md *maintenanceDrains) started(h *fleet.Host, now time.Time) bool {
+	w := md.nextWindow(h, now)
+	return w != nil && md.calendarStore.timeOfDay(now).UnixMilli() >= w.Span().From
 }
 
-// step moves what can be moved, and stops at last what has not ended.
-func (dr *maintenanceDrains) step(now time.Time) {
-	if !dr.enabled() || !dr.calendarStore.hasWindows() {
+// step evicts what can go on elsewhere, and finally stops what has not ended.
+func (md *maintenanceDrains) step(now time.Time) {
+	if !md.enabled() || !md.calendarStore.hasWindows() {
 		return
 	}
-	dr.look(now)
-	at := dr.calendarStore.timeOfDay(now)
-	for s := range dr.late {
-		if !s.On() || s.Stopping || dr.next[s.Host] == nil {
-			delete(dr.late, s)
+	md.assignWindows(now)
+	timeOfDay := md.calendarStore.timeOfDay(now)
+	for s := range md.atRisk {
+		if !s.On() || s.Stopping || md.windowOf[s.Host] == nil {
+			delete(md.atRisk, s)
 			s.Job.Notice = ""
 		}
 	}
-	for h, p := range dr.next {
-		if at.UnixMilli() >= p.DrainAt() && !h.Lost {
-			dr.empty(h, p, at, now)
+	for h, w := range md.windowOf {
+		if timeOfDay.UnixMilli() >= w.DrainAt() && !h.Lost {
+			md.drainMachine(h, w, timeOfDay, now)
 		}
 	}
-	for name, p := range dr.calendarStore.windowsByName() {
-		dr.tell(name, p, at)
+	for name, w := range md.calendarStore.windowsByName() {
+		md.logState(name, w, timeOfDay)
 	}
 }
 
-// tell logs each state of a window once.
-func (dr *maintenanceDrains) tell(name string, p *calendar.PlannedWindow, at time.Time) {
-	s := calendar.NewWindowStatus(p, at)
-	if s.State == "planned" || dr.told[name] == s.State {
+// logState logs each state of a window once.
+func (md *maintenanceDrains) logState(name string, w *calendar.PlannedWindow, timeOfDay time.Time) {
+	s := calendar.NewWindowStatus(w, timeOfDay)
+	if s.State == calendar.WindowPlanned || md.loggedStates[name] == s.State {
 		return
 	}
-	dr.told[name] = s.State
-	all, busy, late := dr.state(p)
-	dr.log.Info("maintenance", "window", name, "state", s.State, "machines", all, "busy", busy, "late", len(late))
+	md.loggedStates[name] = s.State
+	md.addMachines(&s, w)
+	md.log.Info("maintenance", "window", name, "state", s.State, "machines", s.Machines, "busy", s.Busy, "late", len(s.Late))
 }
 
-// empty lets a machine's work end, moves it or stops it, as the time that is left
-// demands.
-func (dr *maintenanceDrains) empty(h *fleet.Host, p *calendar.PlannedWindow, at, now time.Time) {
-	left := time.UnixMilli(p.Span().From).Add(-dr.handBack()).Sub(at).Seconds()
+// drainMachine lets a machine's tasks end, evicts them or stops them, as the time that is
+// left demands.
+func (md *maintenanceDrains) drainMachine(h *fleet.Host, w *calendar.PlannedWindow, timeOfDay, now time.Time) {
+	left := md.secondsToReturn(w, timeOfDay)
 	for _, s := range h.Slots {
 		if !s.On() || s.Stopping {
 			continue
 		}
 		if !s.Sent {
-			dr.taskTracker.handle(dr.taskTracker.fleet.Stop(s, 0), now)
+			md.taskTracker.handle(md.taskTracker.fleet.Stop(s, 0), now)
 			continue
 		}
-		save := saveGrace(s.Job)
-		switch {
-		case s.Job.Shape == job.Service:
-			// One replica of a service at a time, so that the others serve on.
-			if left <= save+dr.handBack().Seconds() || dr.serving(s.Job) >= replicas(s.Job) {
-				dr.stop(s, save, h, p)
-			}
-		case dr.reservationHolds.maxRemainingSeconds(s, now) <= left:
-			// It ends in time.
-		case save > 0:
-			dr.stop(s, save, h, p) // early: it goes on elsewhere
-		case left <= 0:
-			dr.stop(s, 0, h, p)
-		case !dr.late[s]:
-			dr.late[s] = true
-			s.Job.Notice = "maintenance of " + h.Name + " at " + time.UnixMilli(p.Span().From).UTC().Format(time.RFC3339) + " may stop " + job.TaskName(s.Job.ID, s.Task)
-			dr.log.Info("task may be cut off by maintenance", "task", job.TaskName(s.Job.ID, s.Task), "host", h.Name, "window", p.Name, "in_s", left)
+		md.drainTask(s, w, left, now)
+	}
+}
+
+// drainTask decides about one task of a machine that has to be empty in so many seconds.
+func (md *maintenanceDrains) drainTask(s *fleet.Slot, w *calendar.PlannedWindow, left float64, now time.Time) {
+	grace := saveGrace(s.Job)
+	switch {
+	case s.Job.Shape == job.Service:
+		// One replica of a service at a time, so that the others continue to serve.
+		if left <= grace+md.returnMargin().Seconds() || md.servingReplicas(s.Job) >= desiredReplicas(s.Job) {
+			md.evict(s, grace, w)
 		}
+	case md.reservationHolds.maxRemainingSeconds(s, now) <= left:
+		// It ends in time.
+	case grace > 0:
+		md.evict(s, grace, w) // early: it goes on elsewhere from its checkpoint
+	case left <= 0:
+		md.evict(s, 0, w)
+	case !md.atRisk[s]:
+		md.warn(s, w, left)
 	}
 }
 
-// serving counts the replicas that run and are to go on. Those that are told to stop
-// still run until their worker says so: counted, they let all of a machine go at once.
-func (dr *maintenanceDrains) serving(j *job.Job) (n int) {
-	for s := range dr.fleet.On(j) {
+// warn tells the user of a task that maintenance may stop it in so many seconds.
+func (md *maintenanceDrains) warn(s *fleet.Slot, w *calendar.PlannedWindow, left float64) {
+	md.atRisk[s] = true
+	task, host := job.TaskName(s.Job.ID, s.Task), s.Host.Name
+	start := time.UnixMilli(w.Span().From).UTC().Format(time.RFC3339)
+	s.Job.Notice = "maintenance of " + host + " at " + start + " may stop " + task
+	md.log.Info("task may be cut off by maintenance", "task", task, "host", host, "window", w.Name, "in_s", left)
+}
+
+// servingReplicas counts the replicas that run and are not being stopped. Those that are
+// being stopped run until their worker confirms the stop: if they were counted, all replicas
+// on a machine would be evicted at once.
+func (md *maintenanceDrains) servingReplicas(j *job.Job) (n int) {
+	for s := range md.fleet.On(j) {
 		if s.Phase == wire.Running && !s.Stopping {
 			n++
 		}
@@ -224,8 +254,8 @@
 	return n
 }
 
-// replicas is how many replicas of a service are to run.
-func replicas(j *job.Job) int {
+// desiredReplicas is how many replicas of a service should run.
+func desiredReplicas(j *job.Job) int {
 	n := 0
 	for t := range int32(j.Tasks) {
 		if j.May(t) {
@@ -235,32 +265,32 @@
 	return n
 }
 
-func (dr *maintenanceDrains) stop(s *fleet.Slot, grace float64, h *fleet.Host, p *calendar.PlannedWindow) {
-	dr.log.Info("moving a task for maintenance", "task", job.TaskName(s.Job.ID, s.Task), "host", h.Name, "window", p.Name, "save_s", grace)
-	dr.c.Meter.Add(metrics.Moves, "", 1)
-	dr.taskTracker.stopSlot(s, grace)
+// evict stops a task for maintenance, with so many seconds to write a checkpoint.
+func (md *maintenanceDrains) evict(s *fleet.Slot, grace float64, w *calendar.PlannedWindow) {
+	md.log.Info("moving a task for maintenance", "task", job.TaskName(s.Job.ID, s.Task), "host", s.Host.Name, "window", w.Name, "save_s", grace)
+	md.c.Meter.Add(metrics.Moves, "", 1)
+	md.taskTracker.stopSlot(s, grace)
 }
 
-// mostLate bounds the tasks that a status names.
-const mostLate = 20
+// maxListedTasks bounds the tasks that a status names.
+const maxListedTasks = 20
 
-// state is how many machines a window takes, how many of them are busy, and the
-// tasks that it may cut off.
-func (dr *maintenanceDrains) state(p *calendar.PlannedWindow) (machines, busy int, late []string) {
-	for _, h := range dr.fleet.All() {
-		if h.Releasing || !dr.takes(p.Window, h) {
+// addMachines completes the status of a window: how many machines it takes, how many of
+// them are busy, and the tasks that it may cut off.
+func (md *maintenanceDrains) addMachines(status *calendar.WindowStatus, w *calendar.PlannedWindow) {
+	for _, h := range md.fleet.All() {
+		if h.Releasing || !md.covers(w.Window, h) {
 			continue
 		}
-		machines++
+		status.Machines++
 		if h.Busy() {
-			busy++
+			status.Busy++
 		}
 		for _, s := range h.Slots {
-			if dr.late[s] && len(late) < mostLate {
-				late = append(late, job.TaskName(s.Job.ID, s.Task))
+			if md.atRisk[s] && len(status.Late) < maxListedTasks {
+				status.Late = append(status.Late, job.TaskName(s.Job.ID, s.Task))
 			}
 		}
 	}
-	slices.Sort(late)
-	return machines, busy, late
+	slices.Sort(status.Late)
 }
--- a/internal/control/calendar_requests.go
+++ b/internal/control/calendar_requests.go
@@ -14,28 +14,32 @@
 	"vetchstream/internal/wire"
 )
 
+// errorReply is the reply to a request that is refused.
+func errorReply(status int, reason string) *rpc.Reply {
+	return reply(status, wire.Error{Error: reason})
+}
+
 // handle answers a request about the calendar.
 func (cs *calendarStore) handle(op *rpc.Operation, back func(*rpc.Reply)) {
-	refuse := func(status int, why string) { back(reply(status, wire.Error{Error: why})) }
 	switch {
 	case !cs.enabled():
-		refuse(http.StatusNotFound, "the calendar is switched off here")
+		back(errorReply(http.StatusNotFound, "the calendar is switched off here"))
 	case len(cs.nameIndex.list()) == 0:
 		back(Later("machine types are not known yet"))
 	case op.Window && op.Team != "" && (op.Verb == rpc.VerbStart || op.Verb == rpc.VerbCancel):
-		refuse(http.StatusForbidden, "maintenance is an operator's")
+		back(errorReply(http.StatusForbidden, "maintenance is an operator's"))
 	case op.Verb == rpc.VerbList:
-		back(reply(http.StatusOK, cs.page(op)))
+		back(reply(http.StatusOK, cs.listPage(op)))
 	case op.Verb == rpc.VerbStart && op.Window:
-		cs.change(func() { cs.plan(op.Spec, back) }, back)
+		cs.queueChange(func() { cs.planWindow(op.Spec, back) }, back)
 	case op.Verb == rpc.VerbStart:
-		cs.change(func() { cs.reserve(op.Spec, op.Team, back) }, back)
+		cs.queueChange(func() { cs.reserve(op.Spec, op.Team, back) }, back)
 	case op.Window && cs.windows[op.Service] == 0:
-		refuse(http.StatusNotFound, "no maintenance window of that name")
-	case !op.Window && !cs.sees(op.Team, op.Service):
-		refuse(http.StatusNotFound, "no reservation of that name")
+		back(errorReply(http.StatusNotFound, "no maintenance window of that name"))
+	case !op.Window && !cs.visible(op.Team, op.Service):
+		back(errorReply(http.StatusNotFound, "no reservation of that name"))
 	case op.Verb == rpc.VerbCancel:
-		cs.change(func() { cs.cancel(op, back) }, back)
+		cs.queueChange(func() { cs.cancel(op, back) }, back)
 	case op.Window:
 		back(reply(http.StatusOK, cs.windowStatus(op.Service)))
 	default:
@@ -43,241 +47,286 @@
 	}
 }
 
-// sees reports whether there is a reservation that the team may see.
-func (cs *calendarStore) sees(team, name string) bool {
+// visible reports whether there is a reservation of that name that a team may see; empty:
+// an operator, who sees all.
+func (cs *calendarStore) visible(team, name string) bool {
 	b := cs.bookings[name]
-	return b != nil && (team == "" || team == b.entry.Team)
+	return b != nil && (team == "" || team == b.booking.Team)
 }
 
-// pageSize bounds the entries of one answer.
+// pageSize bounds the reservations or windows of one reply.
 const pageSize = 50
 
-// page lists entries by name, from after the given one on.
-func (cs *calendarStore) page(op *rpc.Operation) any {
-	var names []string
+// reservationPage is a page of the list of reservations.
+type reservationPage struct {
+	More         bool              `codec:"more"`
+	Reservations []calendar.Status `codec:"reservations"`
+}
+
+// windowPage is a page of the list of maintenance windows.
+type windowPage struct {
+	More    bool                    `codec:"more"`
+	Windows []calendar.WindowStatus `codec:"windows"`
+}
+
+// listPage lists reservations or windows by name, those after the name in the request.
+func (cs *calendarStore) listPage(op *rpc.Operation) any {
 	if op.Window {
-		names = slices.Collect(maps.Keys(cs.windows))
-	} else {
-		for name := range cs.bookings {
-			if cs.sees(op.Team, name) {
-				names = append(names, name)
-			}
+		names, more := nextPage(slices.Collect(maps.Keys(cs.windows)), op.Service)
+		page := windowPage{Windows: []calendar.WindowStatus{}, More: more}
+		for _, name := range names {
+			page.Windows = append(page.Windows, cs.windowStatus(name))
 		}
+		return page
 	}
-	names = slices.DeleteFunc(names, func(n string) bool { return n <= op.Service })
-	slices.Sort(names)
-	more := len(names) > pageSize
-	names = names[:min(len(names), pageSize)]
-	bookings, windows := []calendar.Status{}, []calendar.WindowStatus{}
-	for _, n := range names {
-		if op.Window {
-			windows = append(windows, cs.windowStatus(n))
-		} else {
-			bookings = append(bookings, cs.status(n))
+	var visible []string
+	for name := range cs.bookings {
+		if cs.visible(op.Team, name) {
+			visible = append(visible, name)
 		}
 	}
-	if op.Window {
-		return map[string]any{"windows": windows, "more": more}
+	names, more := nextPage(visible, op.Service)
+	page := reservationPage{Reservations: []calendar.Status{}, More: more}
+	for _, name := range names {
+		page.Reservations = append(page.Reservations, cs.status(name))
 	}
-	return map[string]any{"reservations": bookings, "more": more}
+	return page
 }
 
+// nextPage returns the first names after the given one, in order, and whether there are
+// more of them.
+func nextPage(names []string, after string) (page []string, more bool) {
+	names = slices.DeleteFunc(names, func(n string) bool { return n <= after })
+	slices.Sort(names)
+	return names[:min(len(names), pageSize)], len(names) > pageSize
+}
+
+// status is what a team is shown of a reservation.
 func (cs *calendarStore) status(name string) calendar.Status {
 	b := cs.bookings[name]
-	s := calendar.NewStatus(b.rec, b.entry, cs.timeOfDay(time.Now()))
-	s.Held = cs.reservationHolds.count(name)
+	s := calendar.NewStatus(b.rec, b.booking, cs.timeOfDay(time.Now()))
+	s.Held = cs.reservationHolds.heldMachines(name)
 	if len(s.Occurrences) > 0 {
-		if j := cs.claims[claim{name, s.Occurrences[0].From}]; j != nil {
+		if j := cs.claims[occurrence{name, s.Occurrences[0].From}]; j != nil {
 			s.Claimer = j.ID
 		}
 	}
 	return s
 }
 
+// windowStatus is what an operator is shown of a maintenance window.
 func (cs *calendarStore) windowStatus(name string) calendar.WindowStatus {
-	p := cs.cal.Windows()[name]
-	s := calendar.NewWindowStatus(p, cs.timeOfDay(time.Now()))
-	s.Machines, s.Busy, s.Late = cs.maintenanceDrains.state(p)
+	w := cs.calendar.Windows()[name]
+	s := calendar.NewWindowStatus(w, cs.timeOfDay(time.Now()))
+	cs.maintenanceDrains.addMachines(&s, w)
 	return s
 }
 
-// reserve takes in a reservation, if it fits.
+// reserve accepts and stores a reservation if it fits.
 func (cs *calendarStore) reserve(body []byte, team string, back func(*rpc.Reply)) {
-	refuse := func(status int, why string) { back(reply(status, wire.Error{Error: why})) }
-	at := cs.timeOfDay(time.Now())
-	r, err := calendar.ParseReservation(body, cs.limits(), at)
+	timeOfDay := cs.timeOfDay(time.Now())
+	r, err := calendar.ParseReservation(body, cs.limits(), timeOfDay)
 	if err != nil {
-		refuse(http.StatusBadRequest, err.Error())
+		back(errorReply(http.StatusBadRequest, err.Error()))
 		return
 	}
 	if team != "" && team != r.Team {
-		refuse(http.StatusForbidden, "team: a reservation is made by its own team")
+		back(errorReply(http.StatusForbidden, "team: a reservation is made by its own team"))
 		return
 	}
 	if b := cs.bookings[r.Name]; b != nil {
-		if calendar.SameReservation(r, b.entry.Reservation) {
-			back(reply(http.StatusOK, cs.status(r.Name))) // the same request once more
-			return
-		}
-		refuse(http.StatusConflict, "name: there is another reservation of that name; cancel it first")
+		back(cs.repeatedReservation(r, b))
 		return
 	}
-	cs.remake()
-	e, err := cs.cal.Fit(r, at)
+	cs.rebuild()
+	b, err := cs.calendar.Fit(r, timeOfDay)
 	if err != nil {
-		refuse(http.StatusConflict, err.Error())
+		back(errorReply(http.StatusConflict, err.Error()))
 		return
 	}
-	key, rec := bookingPrefix+r.Name, calendar.NewRecord(e, at)
+	key := bookingPrefix + r.Name
+	rec := calendar.NewRecord(b, timeOfDay)
 	put, err := state.Put(key, rec)
 	if err != nil || cs.tooLarge(put) {
-		refuse(http.StatusRequestEntityTooLarge, "the reservation is too large to be stored")
+		back(errorReply(http.StatusRequestEntityTooLarge, "the reservation is too large to be stored"))
 		return
 	}
-	cs.store([]state.Cond{{Key: key}}, []state.Write{put}, func(v uint64, err error) {
+	absent := []state.Cond{{Key: key}}
+	cs.storeChange(absent, []state.Write{put}, func(version uint64, err error) {
 		if err != nil {
-			refuse(http.StatusRequestEntityTooLarge, err.Error())
-		} else {
-			cs.adopt(rec, e, v)
-			cs.log.Info("reservation is taken in", "reservation", r.Name, "team", r.Team, "parts", r.Parts, "occurrences", len(r.Spans()), "machines", e.Allocations)
-			back(reply(http.StatusCreated, cs.status(r.Name)))
+			back(errorReply(http.StatusRequestEntityTooLarge, err.Error()))
+			return
 		}
+		cs.addBooking(rec, b, version)
+		cs.log.Info("reservation is taken in", "reservation", r.Name, "team", r.Team, "parts", r.Parts, "occurrences", len(r.Spans()), "machines", b.Allocations)
+		back(reply(http.StatusCreated, cs.status(r.Name)))
 	})
 }
 
-// tooLarge reports whether a record exceeds what the state service takes.
+// repeatedReservation answers a reservation whose name is taken: the same reservation once
+// more is an idempotent request, another one of that name a conflict.
+func (cs *calendarStore) repeatedReservation(r *calendar.Reservation, existing *storedBooking) *rpc.Reply {
+	if calendar.SameReservation(r, existing.booking.Reservation) {
+		return reply(http.StatusOK, cs.status(r.Name))
+	}
+	return errorReply(http.StatusConflict, "name: there is another reservation of that name; cancel it first")
+}
+
+// tooLarge reports whether a record exceeds what the key-value store accepts.
 func (cs *calendarStore) tooLarge(w state.Write) bool {
-	return float64(recordSize(w.Value)) > cs.c.Settings.Facts.State.ValueKB*1024*pageShare
+	return float64(recordSize(w.Value)) > cs.c.Settings.Facts.State.ValueKB*bytesPerKB*pageShare
 }
 
-// plan takes in a maintenance window, and moves the reservations on its machines.
-func (cs *calendarStore) plan(body []byte, back func(*rpc.Reply)) {
-	refuse := func(status int, why string) { back(reply(status, wire.Error{Error: why})) }
-	at := cs.timeOfDay(time.Now())
-	w, err := calendar.ParseWindow(body, cs.limits(), at)
+const (
+	bytesPerKB = 1024
+	// calendarOps are the operations of a transaction that planning a window needs besides
+	// one for each reservation that moves: the window's record and changesKey.
+	calendarOps = 2
+)
+
+// planWindow accepts and stores a maintenance window, and moves the reservations on its
+// machines.
+func (cs *calendarStore) planWindow(body []byte, back func(*rpc.Reply)) {
+	timeOfDay := cs.timeOfDay(time.Now())
+	w, err := calendar.ParseWindow(body, cs.limits(), timeOfDay)
 	if err != nil {
-		refuse(http.StatusBadRequest, err.Error())
+		back(errorReply(http.StatusBadRequest, err.Error()))
 		return
 	}
-	if p := cs.cal.Windows()[w.Name]; p != nil {
-		back(cs.windowAgain(w, p))
+	if existing := cs.calendar.Windows()[w.Name]; existing != nil {
+		back(cs.repeatedWindow(w, existing))
 		return
 	}
-	cs.remake()
-	a, err := cs.cal.PlanWindow(w, cs.maintenanceDrains.machinesOf(w), at)
+	cs.rebuild()
+	plan, err := cs.calendar.PlanWindow(w, cs.maintenanceDrains.machinesByPool(w), timeOfDay)
 	if err != nil {
-		refuse(http.StatusConflict, err.Error())
+		back(errorReply(http.StatusConflict, err.Error()))
 		return
 	}
-	change, refusal := cs.windowChange(w, a)
-	if refusal != nil {
-		back(refusal)
+	txn, refused := cs.buildWindowTxn(w, plan)
+	if refused != nil {
+		back(refused)
 		return
 	}
-	cs.store(change.conds, change.writes, func(v uint64, err error) {
+	cs.storeChange(txn.conds, txn.writes, func(version uint64, err error) {
 		if err != nil {
-			refuse(http.StatusRequestEntityTooLarge, err.Error())
-		} else {
-			cs.windowStored(w, a, at, change, v, back)
+			back(errorReply(http.StatusRequestEntityTooLarge, err.Error()))
+			return
 		}
+		back(reply(http.StatusCreated, cs.windowStored(plan, txn, version, timeOfDay)))
 	})
 }
 
-// windowAgain answers a window whose name is taken: the same window once more is
-// an idempotent request, another one of that name a conflict.
-func (cs *calendarStore) windowAgain(w *calendar.Window, p *calendar.PlannedWindow) *rpc.Reply {
-	if calendar.SameWindow(w, p.Window) {
+// repeatedWindow answers a window whose name is taken: the same window once more is an
+// idempotent request, another one of that name a conflict.
+func (cs *calendarStore) repeatedWindow(w *calendar.Window, existing *calendar.PlannedWindow) *rpc.Reply {
+	if calendar.SameWindow(w, existing.Window) {
 		return reply(http.StatusOK, cs.windowStatus(w.Name))
 	}
-	return reply(http.StatusConflict, wire.Error{Error: "name: there is another window of that name; cancel it first"})
+	return errorReply(http.StatusConflict, "name: there is another window of that name; cancel it first")
 }
 
-// windowTxn is the transaction that stores a maintenance window together with
-// the reservations that it moves.
+// windowTxn is the transaction that stores a maintenance window together with the
+// reservations that it moves.
 type windowTxn struct {
 	conds   []state.Cond
 	writes  []state.Write
-	touched []*calendar.Booking         // reservations moved or lost
-	next    map[string]*calendar.Record // their records once moved, by name
+	changed []*calendar.Booking         // reservations that move or lose occurrences
+	records map[string]*calendar.Record // their changed records, by name
 }
 
-// windowChange builds the one transaction of a window and of the reservations
-// that it moves; refusal is set if it cannot be stored.
-func (cs *calendarStore) windowChange(w *calendar.Window, a *calendar.WindowPlan) (change *windowTxn, refusal *rpc.Reply) {
+// buildWindowTxn builds the one transaction of a window and of the reservations that it moves: a
+// leader that ends in between must not leave a window over reservations that never moved.
+// Refused is the reply if it cannot be stored.
+func (cs *calendarStore) buildWindowTxn(w *calendar.Window, plan *calendar.WindowPlan) (txn *windowTxn, refused *rpc.Reply) {
 	key := windowPrefix + w.Name
-	put, err := state.Put(key, calendar.WindowRecord{Spec: *w, Closed: a.Window.Closed})
+	put, err := state.Put(key, calendar.WindowRecord{Spec: *w, Closed: plan.Window.Closed})
 	if err != nil || cs.tooLarge(put) {
-		return nil, reply(http.StatusRequestEntityTooLarge, wire.Error{Error: "the window is too large to be stored; name fewer machines"})
+		return nil, errorReply(http.StatusRequestEntityTooLarge, "the window is too large to be stored; name fewer machines")
 	}
-	// All of it in one transaction: a leader that ends in between must not leave a
-	// window over reservations that were never moved.
-	change = &windowTxn{conds: []state.Cond{{Key: key}}, writes: []state.Write{put}, touched: slices.Concat(a.Moved, a.Revoked)}
-	if most := cs.c.Settings.Facts.State.TxnOps - 2; len(change.touched) > most {
-		why := fmt.Sprintf("%d reservations would have to move, and at most %d can at once; plan smaller windows", len(change.touched), most)
-		return nil, reply(http.StatusConflict, wire.Error{Error: why})
+	txn = &windowTxn{
+		conds:   []state.Cond{{Key: key}},
+		writes:  []state.Write{put},
+		changed: slices.Concat(plan.Moved, plan.Revoked),
+		records: map[string]*calendar.Record{},
 	}
-	change.next = map[string]*calendar.Record{}
-	for _, e := range change.touched {
-		b := cs.bookings[e.Name]
-		if b.writing {
+	if limit := cs.c.Settings.Facts.State.TxnOps - calendarOps; len(txn.changed) > limit {
+		return nil, errorReply(http.StatusConflict, fmt.Sprintf("%d reservations would have to move, and at most %d can at once; plan smaller windows", len(txn.changed), limit))
+	}
+	for _, b := range txn.changed {
+		stored := cs.bookings[b.Name]
+		if stored.storing {
 			return nil, settled(Later("a reservation is being stored"))
 		}
-		change.next[e.Name] = b.rec.WithBooking(e)
-		p, err := state.Put(bookingPrefix+e.Name, change.next[e.Name])
+		rec := stored.rec.WithBooking(b)
+		put, err := state.Put(bookingPrefix+b.Name, rec)
 		if err != nil {
-			return nil, reply(http.StatusInternalServerError, wire.Error{Error: err.Error()})
+			return nil, errorReply(http.StatusInternalServerError, err.Error())
 		}
-		change.conds, change.writes = append(change.conds, state.Cond{Key: p.Put, Version: b.version}), append(change.writes, p)
+		txn.records[b.Name] = rec
+		txn.conds = append(txn.conds, state.Cond{Key: put.Put, Version: stored.version})
+		txn.writes = append(txn.writes, put)
 	}
-	return change, nil
+	return txn, nil
 }
 
-// windowStored takes in a window once it is stored, with the reservations that
-// it moved, and answers with its status.
-func (cs *calendarStore) windowStored(w *calendar.Window, a *calendar.WindowPlan, at time.Time, change *windowTxn, v uint64, back func(*rpc.Reply)) {
-	cs.cal.AddWindow(a.Window)
-	cs.windows[w.Name] = v
-	for _, e := range change.touched {
-		cs.adopt(change.next[e.Name], e, v)
+// windowStored adds a stored window to the calendar, with the reservations that it moved,
+// and returns its status.
+func (cs *calendarStore) windowStored(plan *calendar.WindowPlan, txn *windowTxn, version uint64, timeOfDay time.Time) calendar.WindowStatus {
+	w := plan.Window
+	cs.calendar.AddWindow(w)
+	cs.windows[w.Name] = version
+	for _, b := range txn.changed {
+		cs.addBooking(txn.records[b.Name], b, version)
 	}
-	s := a.Status(at)
-	s.Machines, s.Busy, s.Late = cs.maintenanceDrains.state(a.Window)
+	s := plan.Status(timeOfDay)
+	cs.maintenanceDrains.addMachines(&s, w)
 	cs.log.Info("maintenance window is taken in", "window", w.Name, "start", time.UnixMilli(w.Span().From).UTC(), "machines", s.Machines,
 		"moved", strings.Join(s.Moved, " "), "retired", strings.Join(s.Retired, " "))
-	back(reply(http.StatusCreated, s))
+	return s
 }
 
-// cancel removes a reservation or a window. What runs goes on as ordinary work.
+// cancel cancels a reservation or a window. Running jobs go on as ordinary work.
 func (cs *calendarStore) cancel(op *rpc.Operation, back func(*rpc.Reply)) {
-	gone := reply(http.StatusNotFound, wire.Error{Error: "no entry of that name"})
 	if op.Window {
-		if cs.windows[op.Service] == 0 {
-			back(gone)
-			return
-		}
-		s := cs.windowStatus(op.Service)
-		cs.remove(windowPrefix+op.Service, cs.windows[op.Service], func() {
-			cs.forgetWindow(op.Service)
-			cs.log.Info("maintenance window is cancelled", "window", op.Service)
-			s.State = "cancelled"
-			back(reply(http.StatusOK, s))
-		})
+		cs.cancelWindow(op.Service, back)
 		return
 	}
-	b := cs.bookings[op.Service]
+	cs.cancelReservation(op.Service, op.Team, back)
+}
+
+// noSuchEntry answers a cancellation that was queued behind another one of the same entry.
+const noSuchEntry = "no entry of that name"
+
+func (cs *calendarStore) cancelWindow(name string, back func(*rpc.Reply)) {
+	if cs.windows[name] == 0 {
+		back(errorReply(http.StatusNotFound, noSuchEntry))
+		return
+	}
+	s := cs.windowStatus(name)
+	cs.deleteRecord(windowPrefix+name, cs.windows[name], func() {
+		cs.removeWindow(name)
+		cs.log.Info("maintenance window is cancelled", "window", name)
+		s.State = calendar.WindowCancelled
+		back(reply(http.StatusOK, s))
+	})
+}
+
+func (cs *calendarStore) cancelReservation(name, team string, back func(*rpc.Reply)) {
+	b := cs.bookings[name]
 	switch {
 	case b == nil:
-		back(gone)
+		back(errorReply(http.StatusNotFound, noSuchEntry))
 		return
-	case b.writing:
+	case b.storing:
 		back(settled(Later("the reservation is being stored")))
 		return
 	}
-	s := cs.status(op.Service)
-	cs.remove(bookingPrefix+op.Service, b.version, func() {
-		cs.forget(op.Service)
-		cs.log.Info("reservation is cancelled", "reservation", op.Service, "by", op.Team)
-		s.State = "cancelled"
+	s := cs.status(name)
+	cs.deleteRecord(bookingPrefix+name, b.version, func() {
+		cs.removeBooking(name)
+		cs.log.Info("reservation is cancelled", "reservation", name, "by", team)
+		s.State = calendar.ReservationCancelled
 		back(reply(http.StatusOK, s))
 	})
 }
--- a/internal/control/calendar_store.go
+++ b/internal/control/calendar_store.go
@@ -2,12 +2,10 @@
 
 import (
 	"errors"
-	"fmt"
 	"time"
 
 	"vetchstream/internal/calendar"
 	"vetchstream/internal/job"
-	"vetchstream/internal/metrics"
 	"vetchstream/internal/rpc"
 	"vetchstream/internal/state"
 	"vetchstream/internal/wire"
@@ -17,15 +15,15 @@
 const (
 	bookingPrefix = "c/r/"
 	windowPrefix  = "c/w/"
-	// changesKey is written by every change of the calendar. An entry that is cancelled is
-	// deleted: a try of its making that had no answer, carried out after that, would make
-	// it anew, since there is none of its name any more.
+	// changesKey is written by every change of the calendar. The record of a cancelled
+	// reservation or window is deleted: without this key a delayed retry of the transaction
+	// that made it would make it again, since no record of its name exists any more.
 	changesKey = "c/changes"
 )
 
-// calendarStore holds the calendar: it takes in reservations and maintenance windows,
-// stores them under the term before anybody is told, and decides what has become of
-// each occurrence. What follows on the machines is the holds' and the drains' duty.
+// calendarStore holds the calendar: it accepts reservations and maintenance windows, stores
+// them under the term before anybody is answered, and decides the outcome of each
+// occurrence. Acting on the machines is up to reservationHolds and maintenanceDrains.
 type calendarStore struct {
 	*core
 	nameIndex         *nameIndex
@@ -35,89 +33,102 @@
 	maintenanceDrains *maintenanceDrains
 	teamQuotas        *teamQuotas
 
-	cal      *calendar.Calendar
-	made     madeOf
-	bookings map[string]*storedReservation
+	calendar *calendar.Calendar
+	builtFor calendarInputs
+	bookings map[string]*storedBooking
 	windows  map[string]uint64 // versions of the windows' records
 	// claims are the jobs that have each claimed an occurrence first.
-	claims  map[claim]*job.Job
-	writing bool     // a change of the calendar is being stored
-	queue   []func() // changes that wait for it
-	version uint64   // of changesKey
-	stepAt  time.Time
-	// near are the occurrences that room is to be held for, as of nearAt: the plans ask
-	// for them many times a second, and there can be thousands of reservations.
-	near   map[string]due
-	nearAt time.Time
+	claims         map[occurrence]*job.Job
+	storing        bool     // a change of the calendar is being stored
+	queuedChanges  []func() // changes that wait until it is stored
+	changesVersion uint64   // of changesKey
+	lastStep       time.Time
+	// upcoming are the occurrences that machines are held for, as of upcomingAt: the planner
+	// asks for them many times a second, and there can be thousands of reservations.
+	upcoming   map[string]upcomingOccurrence
+	upcomingAt time.Time
 }
 
-// madeOf is what a calendar was made with: how many types and zones, and which teams.
-type madeOf struct {
+// calendarInputs is what a calendar was built for: how many machine types and zones, and
+// the version of the teams' settings.
+type calendarInputs struct {
 	types, zones int
 	teams        uint64
 }
 
-// storedReservation is a reservation's record as stored.
-type storedReservation struct {
+// storedBooking is a reservation's record as stored.
+type storedBooking struct {
 	rec     *calendar.Record
-	entry   *calendar.Booking
+	booking *calendar.Booking
 	version uint64
-	writing bool // an outcome is being stored
-}
-
-// claim names an occurrence of a reservation.
-type claim struct {
-	name string
-	from int64
+	storing bool // an outcome is being stored
 }
 
 func newCalendarStore(co *core) *calendarStore {
-	cs := &calendarStore{core: co}
-	return cs
+	return &calendarStore{core: co}
 }
 
+// reset empties the calendar.
 func (cs *calendarStore) reset() {
-	cs.bookings, cs.windows, cs.claims = map[string]*storedReservation{}, map[string]uint64{}, map[claim]*job.Job{}
-	cs.cal, cs.made, cs.near = calendar.New(cs.facts(nil, nil)), madeOf{}, nil
+	cs.bookings = map[string]*storedBooking{}
+	cs.windows = map[string]uint64{}
+	cs.claims = map[occurrence]*job.Job{}
+	cs.calendar = calendar.New(cs.calendarConfig(nil, nil))
+	cs.builtFor = calendarInputs{}
+	cs.upcoming = nil
 }
 
 // enabled reports whether the calendar is switched on.
 func (cs *calendarStore) enabled() bool { return cs.c.Tuning.Calendar.Enabled }
 
-// empty reports whether there is nothing to do for it.
+// empty reports whether there are neither reservations nor windows.
 func (cs *calendarStore) empty() bool { return len(cs.bookings) == 0 && len(cs.windows) == 0 }
 
-// timeOfDay is the time of day as this term goes on from its begin: a jump of the
-// machine's clock must not let every slot of a year lapse at once.
+// timeOfDay is the time of day, continued from the begin of the term: a jump of the
+// machine's clock must not let all occurrences of a year lapse at once.
 func (cs *calendarStore) timeOfDay(now time.Time) time.Time {
 	return cs.since.Round(0).Add(now.Sub(cs.since))
 }
 
+// limits are the operators' bounds on the calendar.
 func (cs *calendarStore) limits() calendar.Limits {
 	t := &cs.c.Tuning.Calendar
-	return calendar.Limits{HorizonDays: t.Days, Reservations: t.Most, ReservationsPerTeam: t.PerTeam, Windows: t.Windows, Occurrences: t.Occurrences}
+	return calendar.Limits{
+		HorizonDays:         t.Days,
+		Reservations:        t.Most,
+		ReservationsPerTeam: t.PerTeam,
+		Windows:             t.Windows,
+		Occurrences:         t.Occurrences,
+	}
 }
 
-func (cs *calendarStore) facts(types []wire.MachineType, zones []string) calendar.Config {
-	counted := func(typ, _ string) int {
+// calendarConfig is the configuration of a calendar for these machine types and zones.
+func (cs *calendarStore) calendarConfig(types []wire.MachineType, zones []string) calendar.Config {
+	machines := func(typ, _ string) int {
 		if n, ok := cs.c.Tuning.Calendar.CountOn[typ]; ok {
 			return n
 		}
-		return -1
+		return calendar.UnlimitedMachines
+	}
+	return calendar.Config{
+		Types:    types,
+		Zones:    zones,
+		Teams:    cs.teamQuotas.all(),
+		Machines: machines,
+		Limits:   cs.limits(),
 	}
-	return calendar.Config{Types: types, Zones: zones, Teams: cs.teamQuotas.all(), Machines: counted, Limits: cs.limits()}
 }
 
-// readRecords reads the records; none while the calendar is switched off.
+// readRecords reads the stored records; none while the calendar is switched off.
 func (cs *calendarStore) readRecords() (bookings, windows []state.Entry, err error) {
 	if !cs.enabled() {
 		return nil, nil, nil
 	}
-	e, err := cs.c.State.Get(cs.ctx, changesKey)
+	changes, err := cs.c.State.Get(cs.ctx, changesKey)
 	if err != nil && !errors.Is(err, state.ErrNotFound) {
 		return nil, nil, err
 	}
-	cs.version = e.Version
+	cs.changesVersion = changes.Version
 	if bookings, _, err = cs.c.State.List(cs.ctx, bookingPrefix); err != nil {
 		return nil, nil, err
 	}
@@ -125,323 +136,217 @@
 	return bookings, windows, err
 }
 
-// load takes in the records of earlier leaders.
+// load builds the calendar from the records of earlier leaders. A record that cannot be
+// read is left as it is: it must not prevent the cluster from having a leader.
 func (cs *calendarStore) load(bookings, windows []state.Entry) {
 	cs.reset()
-	cs.remake()
-	// A record that cannot be read is left as it is: it must not keep the cluster from
-	// being led.
+	cs.rebuild()
 	for _, e := range windows {
-		rec := &calendar.WindowRecord{}
-		err := wire.Unmarshal(e.Value, rec)
-		var p *calendar.PlannedWindow
-		if err == nil {
-			p, err = rec.Window()
-		}
-		if err != nil {
+		if err := cs.loadWindow(e); err != nil {
 			cs.log.Error("maintenance window cannot be read", "key", e.Key, "error", err)
-			continue
 		}
-		cs.cal.AddWindow(p)
-		cs.windows[rec.Spec.Name] = e.Version
 	}
 	for _, e := range bookings {
-		rec := &calendar.Record{}
-		err := wire.Unmarshal(e.Value, rec)
-		var entry *calendar.Booking
-		if err == nil {
-			entry, err = rec.Booking()
-		}
-		if err != nil {
+		if err := cs.loadBooking(e); err != nil {
 			cs.log.Error("reservation cannot be read", "key", e.Key, "error", err)
-			continue
-		}
-		cs.adopt(rec, entry, e.Version)
-	}
-}
-
-func (cs *calendarStore) adopt(rec *calendar.Record, e *calendar.Booking, version uint64) {
-	cs.near = nil
-	cs.cal.Add(e)
-	cs.bookings[rec.Spec.Name] = &storedReservation{rec: rec, entry: e, version: version}
-}
-
-// remake fits the calendar to a price list that has become longer.
-func (cs *calendarStore) remake() {
-	types, zones := cs.nameIndex.list(), cs.nameIndex.zoneNames()
-	if n := (madeOf{len(types), len(zones), cs.teamQuotas.sequence()}); n != cs.made {
-		cs.made = n
-		was := cs.cal
-		cs.cal = calendar.New(cs.facts(types, zones))
-		for _, p := range was.Windows() {
-			cs.cal.AddWindow(p)
-		}
-		for _, e := range was.Bookings() {
-			cs.cal.Add(e)
 		}
 	}
 }
 
-// calendarEvery spaces the looks at the calendar.
-const calendarEvery = 250 * time.Millisecond
-
-// step decides occurrences and lets holds and drains follow.
-func (cs *calendarStore) step(now time.Time) {
-	if !cs.enabled() || now.Sub(cs.stepAt) < calendarEvery {
-		return
-	}
-	cs.stepAt = now
-	cs.claimed()
-	if cs.empty() {
-		return
+// loadWindow adds the maintenance window of a stored record.
+func (cs *calendarStore) loadWindow(e state.Entry) error {
+	rec := &calendar.WindowRecord{}
+	if err := wire.Unmarshal(e.Value, rec); err != nil {
+		return err
 	}
-	cs.remake()
-	cs.reservationHolds.refresh(now)
-	if !cs.takeover.settled() {
-		return // what runs where is not known yet: nothing is decided, nothing is stopped
-	}
-	at := cs.timeOfDay(now)
-	for _, b := range cs.bookings {
-		cs.decide(b, at)
+	w, err := rec.Window()
+	if err != nil {
+		return err
 	}
-	cs.maintenanceDrains.step(now)
-	cs.tidy(at)
+	cs.calendar.AddWindow(w)
+	cs.windows[rec.Spec.Name] = e.Version
+	return nil
 }
 
-// keepDays is how long entries that are over are kept, to be looked at.
-const keepDays = 7
-
-// tidy removes an entry that is long over, one at a time.
-func (cs *calendarStore) tidy(at time.Time) {
-	before := at.AddDate(0, 0, -keepDays).UnixMilli()
-	if cs.writing {
-		return
+// loadBooking adds the reservation of a stored record.
+func (cs *calendarStore) loadBooking(e state.Entry) error {
+	rec := &calendar.Record{}
+	if err := wire.Unmarshal(e.Value, rec); err != nil {
+		return err
 	}
-	for name, p := range cs.cal.Windows() {
-		if p.Span().To < before {
-			cs.remove(windowPrefix+name, cs.windows[name], func() { cs.forgetWindow(name) })
-			return
-		}
-	}
-	for name, b := range cs.bookings {
-		if spans := b.entry.Spans(); spans[len(spans)-1].To < before && !b.writing {
-			cs.remove(bookingPrefix+name, b.version, func() { cs.forget(name) })
-			return
-		}
+	b, err := rec.Booking()
+	if err != nil {
+		return err
 	}
+	cs.addBooking(rec, b, e.Version)
+	return nil
 }
 
-// misfit says why a job is none that a reservation is for; empty: it is.
-func misfit(e *calendar.Booking, j *job.Job) string {
-	switch {
-	case j.Team != e.Team:
-		return "is another team's"
-	case j.Tasks > e.Parts:
-		return fmt.Sprintf("has %d parts", e.Parts)
-	case !e.PartSize().Fits(needOf(j)):
-		return "has smaller parts"
-	}
-	return ""
+// addBooking adds a stored reservation to the calendar, or replaces it.
+func (cs *calendarStore) addBooking(rec *calendar.Record, b *calendar.Booking, version uint64) {
+	cs.upcoming = nil
+	cs.calendar.Add(b)
+	cs.bookings[rec.Spec.Name] = &storedBooking{rec: rec, booking: b, version: version}
 }
 
-// claimed finds out which job claims which occurrence: the first that was submitted.
-func (cs *calendarStore) claimed() {
-	clear(cs.claims)
-	for _, j := range cs.jobTable.all() {
-		if j.Booking == "" || j.Phase+j.Closing != "" || cs.jobTable.stranger(j) {
-			continue
-		}
-		c, why := cs.claimOf(j)
-		if why != "" {
-			if j.Notice == "" {
-				j.Notice = "reservation " + j.Booking + " " + why + ": the job runs without it"
-				cs.log.Info("claim fits no reservation", "job", j.ID, "reservation", j.Booking, "why", why)
-			}
-			continue
-		}
-		if o := cs.claims[c]; o == nil || j.At < o.At || (j.At == o.At && j.ID < o.ID) {
-			cs.claims[c] = j
-		}
-	}
+// removeBooking removes a reservation whose record is deleted.
+func (cs *calendarStore) removeBooking(name string) {
+	cs.upcoming = nil
+	cs.calendar.Remove(name)
+	delete(cs.bookings, name)
 }
 
-// claimOf is the occurrence that a job asks for. A claim that fits none is no
-// mistake: the job competes like any other, and its user is told why.
-func (cs *calendarStore) claimOf(j *job.Job) (c claim, misfits string) {
-	b := cs.bookings[j.Booking]
-	if b == nil {
-		return claim{}, "does not exist"
-	}
-	if why := misfit(b.entry, j); why != "" {
-		return claim{}, why
-	}
-	s, ok := b.entry.OccurrenceAt(j.At)
-	switch {
-	case !ok:
-		return claim{}, "is over"
-	case b.entry.Revoked[s.From]:
-		return claim{}, "has lost its room to maintenance"
-	}
-	return claim{j.Booking, s.From}, ""
+// removeWindow removes a maintenance window whose record is deleted.
+func (cs *calendarStore) removeWindow(name string) {
+	cs.calendar.RemoveWindow(name)
+	delete(cs.windows, name)
 }
 
-// waitsForStart reports whether a job is to wait for its slot to begin.
-func (cs *calendarStore) waitsForStart(j *job.Job, now time.Time) bool {
-	if j.Booking == "" || !cs.enabled() {
-		return false
-	}
-	c, why := cs.claimOf(j)
-	if why != "" || (cs.claims[c] != nil && cs.claims[c] != j) {
-		return false
+// rebuild makes the calendar anew when machine types, zones or teams have changed.
+func (cs *calendarStore) rebuild() {
+	types, zones := cs.nameIndex.list(), cs.nameIndex.zoneNames()
+	inputs := calendarInputs{types: len(types), zones: len(zones), teams: cs.teamQuotas.sequence()}
+	if inputs == cs.builtFor {
+		return
 	}
-	return cs.timeOfDay(now).UnixMilli() < c.from
-}
-
-// due is an occurrence that room is to be held for.
-type due struct {
-	entry   *calendar.Booking
-	span    calendar.Span
-	decided bool
-	claimer *job.Job
-}
-
-// upcomingOccurrences lists the occurrences that room is to be held for, by reservation.
-func (cs *calendarStore) upcomingOccurrences(now time.Time, lead func(*calendar.Booking) time.Duration) map[string]due {
-	if cs.near == nil || now.Sub(cs.nearAt) >= calendarEvery {
-		cs.near, cs.nearAt = map[string]due{}, now
-		at := cs.timeOfDay(now)
-		for name, b := range cs.bookings {
-			if s, decided, ok := b.rec.ActiveOccurrence(b.entry, at, lead(b.entry)); ok {
-				cs.near[name] = due{b.entry, s, decided, nil}
-			}
-		}
+	cs.builtFor = inputs
+	before := cs.calendar
+	cs.calendar = calendar.New(cs.calendarConfig(types, zones))
+	for _, w := range before.Windows() {
+		cs.calendar.AddWindow(w)
 	}
-	for name, d := range cs.near {
-		d.claimer = cs.claims[claim{name, d.span.From}]
-		cs.near[name] = d
+	for _, b := range before.Bookings() {
+		cs.calendar.Add(b)
 	}
-	return cs.near
 }
 
-// reallocate finds other machines for a slot.
-func (cs *calendarStore) reallocate(s *slot, most func(typ, zone string) int) []calendar.Allocation {
-	return cs.cal.Reallocate(s.name, s.span, most)
+// reallocate finds other machines for the occurrence of a hold. Limit is how many machines
+// of a type can be had in a zone.
+func (cs *calendarStore) reallocate(hold *occurrenceHold, limit func(typ, zone string) int) []calendar.Allocation {
+	return cs.calendar.Reallocate(hold.reservation, hold.span, limit)
 }
 
-// windowsByName are the maintenance windows, by name; plans reports whether there are any.
-func (cs *calendarStore) windowsByName() map[string]*calendar.PlannedWindow { return cs.cal.Windows() }
+// windowsByName are the maintenance windows.
+func (cs *calendarStore) windowsByName() map[string]*calendar.PlannedWindow {
+	return cs.calendar.Windows()
+}
 
+// hasWindows reports whether there are maintenance windows.
 func (cs *calendarStore) hasWindows() bool { return len(cs.windows) > 0 }
 
-// decide stores what has become of the next occurrence.
-func (cs *calendarStore) decide(b *storedReservation, at time.Time) {
-	if b.writing || cs.writing || b.rec.NextStart > at.UnixMilli() {
+// calendarInterval is how often the calendar is evaluated.
+const calendarInterval = 250 * time.Millisecond
+
+// step decides the outcomes of occurrences and lets holds and drains follow.
+func (cs *calendarStore) step(now time.Time) {
+	if !cs.enabled() || now.Sub(cs.lastStep) < calendarInterval {
 		return
 	}
-	l := calendar.Observation{Now: at}
-	if j := cs.claims[claim{b.rec.Spec.Name, b.rec.NextStart}]; j != nil {
-		l.Claimer, l.RunAt = j.ID, cs.reservationHolds.began(b.rec.Spec.Name, b.rec.NextStart)
-	} else {
-		l.Claimer, l.RunAt = cs.reservationHolds.finished(b.rec.Spec.Name, b.rec.NextStart)
-	}
-	f := &cs.c.Settings.Facts
-	next, changed := calendar.DecideOutcome(b.rec, b.entry, l, calendar.Tolerance(f.Workers.ReportS, f.SkewMs))
-	if !changed {
+	cs.lastStep = now
+	cs.assignClaims()
+	if cs.empty() {
 		return
 	}
-	key := bookingPrefix + b.rec.Spec.Name
-	put, err := state.Put(key, next)
-	if err != nil {
-		cs.log.Error("reservation does not encode", "reservation", b.rec.Spec.Name, "error", err)
+	cs.rebuild()
+	cs.reservationHolds.refresh(now)
+	if !cs.takeover.settled() {
+		return // what runs where is not known yet: nothing is decided, nothing is stopped
+	}
+	timeOfDay := cs.timeOfDay(now)
+	for _, b := range cs.bookings {
+		cs.decideOutcome(b, timeOfDay)
+	}
+	cs.maintenanceDrains.step(now)
+	cs.removeExpired(timeOfDay)
+}
+
+// retentionDays is how long reservations and windows that are over can still be shown.
+const retentionDays = 7
+
+// removeExpired deletes one reservation or window whose retention has ended.
+func (cs *calendarStore) removeExpired(timeOfDay time.Time) {
+	before := timeOfDay.AddDate(0, 0, -retentionDays).UnixMilli()
+	if cs.storing {
 		return
 	}
-	b.writing = true
-	cs.commit(key, b.version, []state.Cond{{Key: key, Version: b.version}}, []state.Write{put}, func(v uint64, err error) {
-		b.writing = false
-		if err != nil {
-			cs.log.Error("outcome of a slot cannot be stored", "reservation", b.rec.Spec.Name, "error", err)
+	for name, w := range cs.calendar.Windows() {
+		if w.Span().To < before {
+			cs.deleteRecord(windowPrefix+name, cs.windows[name], func() { cs.removeWindow(name) })
 			return
 		}
-		o := next.Outcomes[len(next.Outcomes)-1]
-		cs.c.Meter.Add(metrics.Slots, o.Kind, 1)
-		cs.log.Info("slot is decided", "reservation", b.rec.Spec.Name, "start", time.UnixMilli(o.Start).UTC(), "outcome", o.Kind, "job", o.Job, "late_s", o.LateS)
-		b.rec, b.version, cs.near = next, v, nil
-		cs.changed()
-	})
+	}
+	for name, b := range cs.bookings {
+		if spans := b.booking.Spans(); spans[len(spans)-1].To < before && !b.storing {
+			cs.deleteRecord(bookingPrefix+name, b.version, func() { cs.removeBooking(name) })
+			return
+		}
+	}
 }
 
-// commit runs a fenced transaction until its outcome is clear, and hands it to the actor.
-func (cs *calendarStore) commit(key string, was uint64, conds []state.Cond, writes []state.Write, then func(version uint64, err error)) {
+// commitInBackground runs a fenced transaction until its outcome is clear, and calls then
+// on the leader's goroutine. Version is that of key before the transaction.
+func (cs *calendarStore) commitInBackground(key string, version uint64, conds []state.Cond, writes []state.Write, then func(version uint64, err error)) {
 	go func() {
-		v, err := cs.settle(key, was, conds, writes)
+		committed, err := cs.settle(key, version, conds, writes)
 		if cs.ctx.Err() == nil {
-			cs.ahead(func() { then(v, err) })
+			cs.ahead(func() { then(committed, err) })
 		}
 	}()
 }
 
-// store stores a change of the calendar, one at a time.
-func (cs *calendarStore) store(conds []state.Cond, writes []state.Write, then func(version uint64, err error)) {
+// storeChange stores a change of the calendar, one at a time.
+func (cs *calendarStore) storeChange(conds []state.Cond, writes []state.Write, then func(version uint64, err error)) {
 	put, err := state.Put(changesKey, struct{}{})
 	if err != nil {
 		then(0, err)
 		return
 	}
-	cs.writing = true
-	conds, writes = append(conds, state.Cond{Key: changesKey, Version: cs.version}), append(writes, put)
-	cs.commit(changesKey, cs.version, conds, writes, func(v uint64, err error) {
+	cs.storing = true
+	conds = append(conds, state.Cond{Key: changesKey, Version: cs.changesVersion})
+	writes = append(writes, put)
+	cs.commitInBackground(changesKey, cs.changesVersion, conds, writes, func(version uint64, err error) {
 		if err == nil {
-			cs.version = v
+			cs.changesVersion = version
 		}
-		then(v, err)
-		cs.stored()
+		then(version, err)
+		cs.changeStored()
 	})
 }
 
-// change runs a change of the calendar, or lets it wait for the one before: what
-// fits is decided beside what is stored.
-func (cs *calendarStore) change(f func(), back func(*rpc.Reply)) {
+// queueChange runs a change of the calendar, or queues it until the one before is stored:
+// whether an entry fits is decided against the stored ones.
+func (cs *calendarStore) queueChange(change func(), back func(*rpc.Reply)) {
 	switch {
-	case !cs.writing:
-		f()
-	case len(cs.queue) >= mostChanges:
+	case !cs.storing:
+		change()
+	case len(cs.queuedChanges) >= maxQueuedChanges:
 		back(settled(Later("many changes of the calendar are being stored")))
 	default:
-		cs.queue = append(cs.queue, f)
+		cs.queuedChanges = append(cs.queuedChanges, change)
 	}
 }
 
-// mostChanges bounds the changes that wait.
-const mostChanges = 64
+// maxQueuedChanges bounds the queued changes.
+const maxQueuedChanges = 64
 
-// stored goes on after a change.
-func (cs *calendarStore) stored() {
-	cs.writing = false
-	cs.stepAt = time.Time{}
+// changeStored runs the queued changes after one has been stored or refused.
+func (cs *calendarStore) changeStored() {
+	cs.storing = false
+	cs.lastStep = time.Time{}
 	cs.changed()
-	for len(cs.queue) > 0 && !cs.writing {
-		f := cs.queue[0]
-		cs.queue = cs.queue[1:]
-		f()
+	for len(cs.queuedChanges) > 0 && !cs.storing {
+		change := cs.queuedChanges[0]
+		cs.queuedChanges = cs.queuedChanges[1:]
+		change()
 	}
 }
 
-// remove deletes a record.
-func (cs *calendarStore) remove(key string, version uint64, then func()) {
-	cs.store([]state.Cond{{Key: key, Version: version}}, []state.Write{{Delete: key}}, func(_ uint64, err error) {
+// deleteRecord deletes a record of the given version, and calls then once it is deleted.
+func (cs *calendarStore) deleteRecord(key string, version uint64, then func()) {
+	unchanged := []state.Cond{{Key: key, Version: version}}
+	cs.storeChange(unchanged, []state.Write{{Delete: key}}, func(_ uint64, err error) {
 		if err == nil {
 			then()
 		}
 	})
 }
-
-func (cs *calendarStore) forget(name string) {
-	cs.near = nil
-	cs.cal.Remove(name)
-	delete(cs.bookings, name)
-}
-
-func (cs *calendarStore) forgetWindow(name string) {
-	cs.cal.RemoveWindow(name)
-	delete(cs.windows, name)
-}
--- a/internal/control/calendar_store_test.go
+++ b/internal/control/calendar_store_test.go
@@ -119,14 +119,14 @@
 	}
 }
 
-// BenchmarkAgenda is a look at the calendar, as it comes four times a second.
+// BenchmarkCalendarStore is one evaluation of the calendar, as it comes four times a second.
 func BenchmarkCalendarStore(b *testing.B) {
 	for _, n := range []int{100, 1000, 10_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			r := booked(b, n)
 			at := r.since.Add(time.Second)
 			for b.Loop() {
-				at = at.Add(calendarEvery)
+				at = at.Add(calendarInterval)
 				r.calendarStore.step(at)
 			}
 		})
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -417,7 +417,7 @@
 			gang := r.jobTable.add(&job.Record{Spec: job.Spec{ID: "run-1", ShapeName: "ensemble", RankName: "idle", Tasks: 2, CPUs: 4, OneZone: true}}, 1, r.since)
 			r.machinePool.want([]autoscale.Want{{Demand: &place.Demand{ID: r.jobTable.index(gang), Shape: job.Gang, Need: need, Zone: -1, OneZone: true, InZone: make([]int, 2)}, Count: 2, Chosen: -7}})
 			for range slots {
-				r.reservationHolds.wants = append(r.reservationHolds.wants, autoscale.Want{Demand: &place.Demand{Shape: job.Gang, Need: need, Zone: 0, InZone: make([]int, 2)}, Count: 1})
+				r.reservationHolds.requests = append(r.reservationHolds.requests, autoscale.Want{Demand: &place.Demand{Shape: job.Gang, Need: need, Zone: 0, InZone: make([]int, 2)}, Count: 1})
 			}
 			r.machinePool.rent(r.since)
 			if got := r.machinePool.wants[0].Chosen; got < 0 {
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -34,10 +34,10 @@
 	admissionGroups *admissionGroups
 	teamQuotas      *teamQuotas
 
-	services map[string]*service
-	byJob    map[string]*service // versions, by job id
-	stepAt   time.Time
-	checker  checker
+	services  map[string]*service
+	serviceOf map[string]*service // versions, by job id
+	lastStep  time.Time
+	checker   checker
 }
 
 // service is one service's record as stored, and what has come up since.
@@ -45,28 +45,28 @@
 	rec     *rollout.Record
 	gate    *rollout.Gate // of its spec; nil: it cannot be read
 	version uint64
-	// rests: the roll-out is over and what it wants is done.
-	rests   bool
-	writing bool
-	// failed are failures of new copies that are not stored yet.
-	failed []failure
-	// asked is what an operator has asked for, with who waits for it.
-	asked []func(*rollout.Record) (changed bool, tell func())
+	// idle: the roll-out is over and what it wants is done.
+	idle    bool
+	storing bool
+	// newFailures are failures of new copies that are not stored yet.
+	newFailures []instanceFailure
+	// requests is what an operator has asked for, with who waits for it.
+	requests []func(*rollout.Record) (changed bool, tell func())
 }
 
-type failure struct {
+type instanceFailure struct {
 	replica int32
 	host    string
 }
 
 func newRollouts(co *core) *rollouts {
-	ro := &rollouts{core: co, checker: checker{free: co.c.Tuning.Rollouts.Checks}}
+	ro := &rollouts{core: co, checker: checker{slots: co.c.Tuning.Rollouts.Checks}}
 	ro.reset()
 	return ro
 }
 
 func (ro *rollouts) reset() {
-	ro.services, ro.byJob = map[string]*service{}, map[string]*service{}
+	ro.services, ro.serviceOf = map[string]*service{}, map[string]*service{}
 }
 
 // enabled reports whether roll-outs are switched on.
@@ -89,13 +89,13 @@
 		if err := wire.Unmarshal(e.Value, rec); err != nil {
 			return fmt.Errorf("roll-out %s: %w", e.Key, err)
 		}
-		ro.adopt(&service{rec: rec, version: e.Version})
+		ro.addService(&service{rec: rec, version: e.Version})
 	}
 	return nil
 }
 
-// adopt takes in a stored record.
-func (ro *rollouts) adopt(s *service) {
+// addService takes in a stored record.
+func (ro *rollouts) addService(s *service) {
 	gate, err := rollout.NewGate(s.rec.Spec.Pass, s.rec.Spec.Fail)
 	if err != nil {
 		ro.log.Error("gate cannot be read", "service", s.rec.Service, "error", err)
@@ -104,15 +104,15 @@
 	ro.services[s.rec.Service] = s
 	for _, id := range []string{s.rec.Handle, s.rec.Current, s.rec.Next} {
 		if id != "" {
-			ro.byJob[id] = s
+			ro.serviceOf[id] = s
 		}
 	}
-	ro.tie(s)
+	ro.linkVersions(s)
 }
 
-// tie tells the versions' jobs of each other, and holds back all that is not
+// linkVersions tells the versions' jobs of each other, and holds back all that is not
 // placed yet until the next step says what may be.
-func (ro *rollouts) tie(s *service) {
+func (ro *rollouts) linkVersions(s *service) {
 	var jobs []*job.Job
 	for _, id := range []string{s.rec.Handle, s.rec.Current, s.rec.Next} {
 		if j := ro.jobTable.sound(id); j != nil && !slices.Contains(jobs, j) {
@@ -130,51 +130,51 @@
 
 // recordFailure notes that a copy of a version that is being rolled out has failed.
 func (ro *rollouts) recordFailure(j *job.Job, replica int32, host string) {
-	if s := ro.byJob[j.ID]; s != nil && j.ID == s.rec.Next && !s.rec.State.Over() {
-		s.failed = append(s.failed, failure{replica, host})
+	if s := ro.serviceOf[j.ID]; s != nil && j.ID == s.rec.Next && !s.rec.State.Over() {
+		s.newFailures = append(s.newFailures, instanceFailure{replica, host})
 	}
 }
 
-// rolloutEvery spaces the looks at all roll-outs.
-const rolloutEvery = 250 * time.Millisecond
+// rolloutInterval spaces the looks at all roll-outs.
+const rolloutInterval = 250 * time.Millisecond
 
 // step looks at each service once.
 func (ro *rollouts) step(now time.Time) {
-	if len(ro.services) == 0 || now.Sub(ro.stepAt) < rolloutEvery {
+	if len(ro.services) == 0 || now.Sub(ro.lastStep) < rolloutInterval {
 		return
 	}
-	ro.stepAt = now
+	ro.lastStep = now
 	for _, s := range ro.services {
 		ro.endCancelled(s)
 	}
 	if !ro.takeover.settled() {
 		return // what runs where is not known yet: nothing new starts, nothing is stopped
 	}
-	down := ro.down(now)
+	down := ro.unavailableZones(now)
 	for _, s := range ro.services {
-		ro.advance(s, down, now)
+		ro.advanceService(s, down, now)
 	}
 }
 
-// advance stores a service's next step, or carries out the one that is stored.
-func (ro *rollouts) advance(s *service, down map[string]bool, now time.Time) {
-	if s.writing || (s.rests && len(s.asked) == 0 && !gone(ro.jobTable.sound(s.rec.Handle))) {
+// advanceService stores a service's next step, or carries out the one that is stored.
+func (ro *rollouts) advanceService(s *service, down map[string]bool, now time.Time) {
+	if s.storing || (s.idle && len(s.requests) == 0 && !jobEnded(ro.jobTable.sound(s.rec.Handle))) {
 		return
 	}
-	ro.tie(s)
-	view := ro.view(s, down, now)
+	ro.linkVersions(s)
+	view := ro.observe(s, down, now)
 	copied, changed := *s.rec, false
 	next := &copied
-	for _, f := range s.failed {
+	for _, f := range s.newFailures {
 		changed = next.AddFailure(f.replica, f.host) || changed
 	}
-	s.failed = nil
+	s.newFailures = nil
 	var told []func()
-	for _, ask := range s.asked {
+	for _, ask := range s.requests {
 		did, tell := ask(next)
 		changed, told = changed || did, append(told, tell)
 	}
-	s.asked = nil
+	s.requests = nil
 	if next.State != rollout.Failed && ro.jobTable.sound(next.Next) == nil && !next.State.Over() {
 		changed = rollout.RollBack(next, now) || changed // its job was cancelled
 	}
@@ -186,7 +186,7 @@
 	for _, tell := range told {
 		tell()
 	}
-	ro.apply(s, view)
+	ro.applyRecord(s, view)
 }
 
 // store writes a service's record; what it says is done once it is durable.
@@ -197,7 +197,7 @@
 		ro.log.Error("roll-out does not encode", "service", rec.Service, "error", err)
 		return
 	}
-	s.writing = true
+	s.storing = true
 	txn := state.Txn{If: []state.Cond{ro.fence, {Key: key, Version: s.version}}, Writes: []state.Write{put}}
 	was := s.version
 	go func() {
@@ -215,7 +215,7 @@
 					if rec.State != s.rec.State || rec.BatchIndex != s.rec.BatchIndex {
 						ro.log.Info("roll-out", "service", rec.Service, "state", rec.State, "batch", rec.BatchIndex+1, "of", len(rec.Batches), "version", rec.Next, "reason", rec.Reason)
 					}
-					s.rec, s.version, s.writing = rec, version, false
+					s.rec, s.version, s.storing = rec, version, false
 					ro.changed()
 					for _, tell := range told {
 						tell()
@@ -228,8 +228,8 @@
 	}()
 }
 
-// down are the zones in which there are machines, and none that can take work.
-func (ro *rollouts) down(now time.Time) map[string]bool {
+// unavailableZones are the zones in which there are machines, and none that can take work.
+func (ro *rollouts) unavailableZones(now time.Time) map[string]bool {
 	zones := ro.nameIndex.zoneNames()
 	there, able := make([]bool, len(zones)), make([]bool, len(zones))
 	quiet := ro.silenceLimit()
@@ -255,22 +255,22 @@
 	return config.Seconds(max(2.5*w.ReportS, w.LeaseS/2))
 }
 
-// view is what is seen of a service.
-func (ro *rollouts) view(s *service, down map[string]bool, now time.Time) *rollout.View {
+// observe is what is seen of a service.
+func (ro *rollouts) observe(s *service, down map[string]bool, now time.Time) *rollout.View {
 	old, next := ro.jobTable.sound(s.rec.Current), ro.jobTable.sound(s.rec.Next)
-	v := &rollout.View{Now: now, UnavailableZones: down, Old: ro.copies(old, now), New: ro.copies(next, now)}
-	v.Cancelled = gone(ro.jobTable.sound(s.rec.Handle)) || gone(old)
-	v.ChecksUnreachable = s.rec.Spec.Check != nil && ro.blind(old, next)
+	v := &rollout.View{Now: now, UnavailableZones: down, Old: ro.instances(old, now), New: ro.instances(next, now)}
+	v.Cancelled = jobEnded(ro.jobTable.sound(s.rec.Handle)) || jobEnded(old)
+	v.ChecksUnreachable = s.rec.Spec.Check != nil && ro.checksUnreachable(old, next)
 	if n := len(v.Old); len(v.New) < n {
 		v.New = append(v.New, make([]rollout.Instance, n-len(v.New))...)
 	}
 	return v
 }
 
-func gone(j *job.Job) bool { return j == nil || j.Phase+j.Closing != "" }
+func jobEnded(j *job.Job) bool { return j == nil || j.Phase+j.Closing != "" }
 
-// copies are the copies of a version, by replica.
-func (ro *rollouts) copies(j *job.Job, now time.Time) []rollout.Instance {
+// instances are the copies of a version, by replica.
+func (ro *rollouts) instances(j *job.Job, now time.Time) []rollout.Instance {
 	if j == nil {
 		return nil
 	}
@@ -308,32 +308,32 @@
 	return rollout.Unknown
 }
 
-// apply lets the planner and the workers follow the stored record.
-func (ro *rollouts) apply(s *service, v *rollout.View) {
+// applyRecord lets the planner and the workers follow the stored record.
+func (ro *rollouts) applyRecord(s *service, v *rollout.View) {
 	w := rollout.Desired(s.rec, v)
 	old, next := ro.jobTable.sound(s.rec.Current), ro.jobTable.sound(s.rec.Next)
 	if old != nil {
-		ro.quota(old, func(i int) (bool, string) { return i < len(w.Old) && w.Old[i], "" })
+		ro.applyQuota(old, func(i int) (bool, string) { return i < len(w.Old) && w.Old[i], "" })
 	}
 	if next != nil {
-		ro.quota(next, func(i int) (bool, string) { return i < len(w.New) && w.New[i].Wanted, w.New[i].Zone })
+		ro.applyQuota(next, func(i int) (bool, string) { return i < len(w.New) && w.New[i].Wanted, w.New[i].Zone })
 	}
 	if h := ro.jobTable.sound(s.rec.Handle); h != nil && h != old && h != next {
-		ro.quota(h, func(int) (bool, string) { return false, "" })
+		ro.applyQuota(h, func(int) (bool, string) { return false, "" })
 	}
 	if !s.rec.State.Over() {
-		ro.check(s, old, next, v.Now)
+		ro.checkHealth(s, old, next, v.Now)
 		return
 	}
-	s.rests = v.Cancelled || next == nil || len(ro.fleet.On(next)) == 0
+	s.idle = v.Cancelled || next == nil || len(ro.fleet.On(next)) == 0
 	if v.Cancelled {
 		for _, j := range []*job.Job{old, next} {
-			ro.retire(j, s.rec.Handle)
+			ro.abortVersion(j, s.rec.Handle)
 		}
 		return
 	}
 	if next != nil && len(ro.fleet.On(next)) == 0 {
-		ro.retire(next, s.rec.Handle)
+		ro.abortVersion(next, s.rec.Handle)
 	}
 }
 
@@ -342,7 +342,7 @@
 // earlier leaders: their tasks have as long to go as those of any cancelled job.
 func (ro *rollouts) endCancelled(s *service) {
 	handle := ro.jobTable.sound(s.rec.Handle)
-	if !gone(handle) {
+	if !jobEnded(handle) {
 		return
 	}
 	var since time.Time // an earlier leader has sent it, nobody knows when
@@ -350,23 +350,23 @@
 		since = handle.CancelledAt
 	}
 	for _, id := range []string{s.rec.Current, s.rec.Next} {
-		if j := ro.jobTable.sound(id); !gone(j) {
-			ro.retire(j, s.rec.Handle)
+		if j := ro.jobTable.sound(id); !jobEnded(j) {
+			ro.abortVersion(j, s.rec.Handle)
 			j.CancelledAt = since
 		}
 	}
 }
 
-// retire ends the job of a version that is not wanted any more. The handle is its
+// abortVersion ends the job of a version that is not wanted any more. The handle is its
 // user's, and stays until they cancel it.
-func (ro *rollouts) retire(j *job.Job, handle string) {
+func (ro *rollouts) abortVersion(j *job.Job, handle string) {
 	if j != nil && j.ID != handle && j.Phase+j.Closing == "" {
 		ro.completions.finish(j, wire.JobAborted)
 	}
 }
 
-// quota sets which replicas of a version may run and where, and stops the others.
-func (ro *rollouts) quota(j *job.Job, want func(int) (bool, string)) {
+// applyQuota sets which replicas of a version may run and where, and stops the others.
+func (ro *rollouts) applyQuota(j *job.Job, want func(int) (bool, string)) {
 	q := &job.Quota{Allowed: make([]bool, j.Tasks), Zone: make([]int, j.Tasks)}
 	for i := range j.Tasks {
 		ok, zone := want(i)
@@ -421,7 +421,7 @@
 		back(reply(http.StatusOK, ro.status(s)))
 		return
 	}
-	s.asked = append(s.asked, func(rec *rollout.Record) (bool, func()) {
+	s.requests = append(s.requests, func(rec *rollout.Record) (bool, func()) {
 		if !ask(rec, time.Now()) {
 			return false, func() {
 				back(reply(http.StatusConflict, wire.Error{Error: fmt.Sprintf("the roll-out is %s", rec.State)}))
@@ -434,7 +434,7 @@
 // status is what an operator is shown.
 func (ro *rollouts) status(s *service) rollout.Status {
 	now := time.Now()
-	return rollout.NewStatus(s.rec, &rollout.View{Now: now, Old: ro.copies(ro.jobTable.sound(s.rec.Current), now), New: ro.copies(ro.jobTable.sound(s.rec.Next), now)})
+	return rollout.NewStatus(s.rec, &rollout.View{Now: now, Old: ro.instances(ro.jobTable.sound(s.rec.Current), now), New: ro.instances(ro.jobTable.sound(s.rec.Next), now)})
 }
 
 // start stores a new roll-out together with the job of its next version.
@@ -445,7 +445,7 @@
 		return
 	}
 	s := ro.services[spec.Service]
-	handle, current, version, answered := ro.startingPoint(s, spec, back)
+	handle, current, version, answered := ro.startPoint(s, spec, back)
 	if answered {
 		return
 	}
@@ -464,10 +464,10 @@
 	ro.create(rec, &job.Record{Spec: next, At: now.UnixMilli()}, version, back)
 }
 
-// startingPoint is the handle, the current version and the record's version that
+// startPoint is the handle, the current version and the record's version that
 // a new roll-out of service s starts from. answered: back has been told, or will
 // be once the roll-out before is rolled back, and nothing is started now.
-func (ro *rollouts) startingPoint(s *service, spec *rollout.Spec, back func(*rpc.Reply)) (handle, current string, version uint64, answered bool) {
+func (ro *rollouts) startPoint(s *service, spec *rollout.Spec, back func(*rpc.Reply)) (handle, current string, version uint64, answered bool) {
 	refuse := func(status int, why string) { back(reply(status, wire.Error{Error: why})) }
 	if s == nil {
 		if len(ro.services) >= ro.c.Tuning.Rollouts.Most {
@@ -481,7 +481,7 @@
 		return "", "", 0, true
 	}
 	switch {
-	case s.writing:
+	case s.storing:
 		back(Later("the service's record is being stored"))
 		return "", "", 0, true
 	case s.rec.Next == spec.To.ID && !s.rec.State.Over():
@@ -492,7 +492,7 @@
 		return "", "", 0, true
 	case !s.rec.State.Over():
 		// What has been rolled out is taken back first; the new one is asked for again.
-		s.asked = append(s.asked, func(rec *rollout.Record) (bool, func()) {
+		s.requests = append(s.requests, func(rec *rollout.Record) (bool, func()) {
 			return rollout.RollBack(rec, time.Now()), func() { back(Later("the roll-out before is rolled back first")) }
 		})
 		return "", "", 0, true
@@ -507,12 +507,12 @@
 	switch {
 	case current == "":
 		return refusal(http.StatusBadRequest, "from: missing in a service's first roll-out")
-	case gone(was):
+	case jobEnded(was):
 		return refusal(http.StatusNotFound, "from: no such service is running")
 	case was.Shape != job.Service:
 		return refusal(http.StatusUnprocessableEntity, "from: the job is not a service")
-	case ro.byJob[current] != nil && ro.byJob[current] != s:
-		return refusal(http.StatusConflict, "from: the job belongs to the service "+ro.byJob[current].rec.Service)
+	case ro.serviceOf[current] != nil && ro.serviceOf[current] != s:
+		return refusal(http.StatusConflict, "from: the job belongs to the service "+ro.serviceOf[current].rec.Service)
 	case !ro.takeover.settled():
 		return Later("machines are being met after a change of leader")
 	}
@@ -554,12 +554,12 @@
 	txn := state.Txn{Writes: []state.Write{put, job1}, If: []state.Cond{ro.fence, {Key: key, Version: version},
 		{Key: job.ActivePrefix + id}, {Key: job.FinalPrefix + id}}}
 	if s := ro.services[rec.Service]; s != nil {
-		s.writing = true
+		s.storing = true
 	}
 	done := func(v uint64, p *rpc.Reply) {
 		ro.ahead(func() {
 			if s := ro.services[rec.Service]; s != nil {
-				s.writing = false
+				s.storing = false
 			}
 			if v == 0 {
 				back(p)
@@ -569,7 +569,7 @@
 				ro.jobTable.add(next, v, time.Now())
 			}
 			s := &service{rec: rec, version: v}
-			ro.adopt(s)
+			ro.addService(s)
 			ro.log.Info("roll-out is taken in", "service", rec.Service, "from", rec.Current, "to", rec.Next, "batches", len(rec.Batches))
 			back(reply(http.StatusCreated, ro.status(s)))
 		})
--- a/internal/control/rollout_checks.go
+++ b/internal/control/rollout_checks.go
@@ -16,53 +16,53 @@
 // checker makes the health checks of roll-outs, a bounded number at a time over
 // all services: they must not take the sockets that reports and users need.
 type checker struct {
-	free int
-	last map[*fleet.Slot]time.Time
+	slots     int
+	lastCheck map[*fleet.Slot]time.Time
 }
 
 const (
-	// checkTime bounds one check.
-	checkTime = 2 * time.Second
-	// oldChecked is how many copies of the old version are checked beside the new
+	// checkTimeout bounds one check.
+	checkTimeout = 2 * time.Second
+	// maxCheckedOld is how many copies of the old version are checked beside the new
 	// ones: they tell a bad build from a checker that reaches nobody.
-	oldChecked = 3
+	maxCheckedOld = 3
 )
 
 // Answers of a check: those of a worker's word on health, and none.
 const noAnswer = "none"
 
-// check asks for the health of the new copies, and of a few old ones.
-func (ro *rollouts) check(s *service, old, next *job.Job, now time.Time) {
+// checkHealth asks for the health of the new copies, and of a few old ones.
+func (ro *rollouts) checkHealth(s *service, old, next *job.Job, now time.Time) {
 	c := s.rec.Spec.Check
 	if c == nil || s.rec.State == rollout.RollingBack {
 		return
 	}
 	every := time.Duration(s.rec.Spec.CheckIntervalS() * float64(time.Second))
-	if ro.checker.last == nil || len(ro.checker.last) > 100_000 {
-		ro.checker.last = map[*fleet.Slot]time.Time{}
+	if ro.checker.lastCheck == nil || len(ro.checker.lastCheck) > 100_000 {
+		ro.checker.lastCheck = map[*fleet.Slot]time.Time{}
 	}
 	ask := func(j *job.Job, most int) {
 		if j == nil {
 			return
 		}
 		for sl := range ro.fleet.On(j) {
-			if most == 0 || ro.checker.free == 0 {
+			if most == 0 || ro.checker.slots == 0 {
 				return
 			}
 			if !sl.On() || sl.Phase != wire.Running || sl.Host.Addr == "" {
 				continue
 			}
 			most--
-			if now.Sub(ro.checker.last[sl]) < every {
+			if now.Sub(ro.checker.lastCheck[sl]) < every {
 				continue
 			}
-			ro.checker.last[sl] = now
-			ro.checker.free--
+			ro.checker.lastCheck[sl] = now
+			ro.checker.slots--
 			ro.probe(sl, c.Path)
 		}
 	}
 	ask(next, -1)
-	ask(old, oldChecked)
+	ask(old, maxCheckedOld)
 }
 
 // probe makes one check.
@@ -70,7 +70,7 @@
 	at := "http://" + sl.Host.Addr + path + "?" + url.Values{"piece": {job.TaskName(sl.Job.ID, sl.Task)}}.Encode()
 	go func() {
 		said := noAnswer
-		ctx, cancel := context.WithTimeout(ro.ctx, checkTime)
+		ctx, cancel := context.WithTimeout(ro.ctx, checkTimeout)
 		defer cancel()
 		if req, err := http.NewRequestWithContext(ctx, http.MethodGet, at, nil); err == nil {
 			if res, err := ro.c.direct.Do(req); err == nil {
@@ -87,9 +87,9 @@
 			}
 		}
 		ro.post(func() {
-			ro.checker.free++
+			ro.checker.slots++
 			if sl.Host.Slots[sl.Key] != sl {
-				delete(ro.checker.last, sl)
+				delete(ro.checker.lastCheck, sl)
 				return
 			}
 			if sl.Checked == wire.HealthGood && said == wire.HealthBad {
@@ -101,10 +101,10 @@
 	}()
 }
 
-// blind reports whether the checks reach nobody: no copy of either version
+// checksUnreachable reports whether the checks reach nobody: no copy of either version
 // answers, and at least one of the old ones was asked, which nothing was done to.
 // Where no old copy is left, silence of every new one is silence of the checker.
-func (ro *rollouts) blind(old, next *job.Job) bool {
+func (ro *rollouts) checksUnreachable(old, next *job.Job) bool {
 	asked, answered := 0, 0
 	for _, j := range []*job.Job{old, next} {
 		if j == nil {
--- a/internal/control/rollout_test.go
+++ b/internal/control/rollout_test.go
@@ -43,7 +43,7 @@
 		rs := &rollout.Spec{Service: fmt.Sprintf("s%d", i), To: rollout.Target{ID: spec.ID, Image: "next"}}
 		rec := rollout.New(rs, old.ID, old.ID, zones, now)
 		rec.State = rollout.Advancing
-		r.rollouts.adopt(&service{rec: rec, version: 1})
+		r.rollouts.addService(&service{rec: rec, version: 1})
 	}
 	return r, now
 }
@@ -94,7 +94,7 @@
 	r, now := rolling(b, 200, 20)
 	b.ReportAllocs()
 	for b.Loop() {
-		r.rollouts.stepAt = time.Time{}
+		r.rollouts.lastStep = time.Time{}
 		r.rollouts.step(now)
 	}
 }
--- a/internal/node/calendar_test.go
+++ b/internal/node/calendar_test.go
@@ -157,9 +157,9 @@
 		most int
 		tune func(*config.Calendar)
 		edit map[string]any
-		do   func(b *slotBed) // from the moment all is set up
-		late time.Duration    // at most; 0: the tolerance
-		out  string           // what is stored of the occurrence
+		do   func(b *slotBed)     // from the moment all is set up
+		late time.Duration        // at most; 0: the tolerance
+		out  calendar.OutcomeKind // what is stored of the occurrence
 	}{
 		{"nothing goes wrong", 12, nil, nil, nil, 0, calendar.OutcomeOnTime},
 		{"holding is switched off", 12, func(c *config.Calendar) { c.Hold = false }, nil, nil, -1, calendar.OutcomeMissed},
--- a/internal/rollout/gate.go
+++ b/internal/rollout/gate.go
@@ -46,11 +46,11 @@
 // Without functions and ranges it has no loops, so that bounds its time too.
 const maxNodes = 200
 
-// loops finds what an expression may not have.
-type loops struct{ found string }
+// forbiddenNodes finds what an expression may not have.
+type forbiddenNodes struct{ found string }
 
 // Visit implements ast.Visitor.
-func (l *loops) Visit(n *ast.Node) {
+func (l *forbiddenNodes) Visit(n *ast.Node) {
 	switch x := (*n).(type) {
 	case *ast.BuiltinNode:
 		l.found = x.Name
@@ -75,7 +75,7 @@
 		fail = DefaultFail
 	}
 	compile := func(field, text string) (*vm.Program, error) {
-		var l loops
+		var l forbiddenNodes
 		p, err := expr.Compile(text, expr.Env(Sample{}), expr.AsBool(), expr.DisableAllBuiltins(), expr.MaxNodes(maxNodes), expr.Patch(&l))
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", field, err)
@@ -97,13 +97,13 @@
 }
 
 // Passes reports whether the batch is good; a gate that cannot tell does not pass.
-func (g *Gate) Passes(s Sample) bool { return eval(g.pass, s, false) }
+func (g *Gate) Passes(s Sample) bool { return evaluate(g.pass, s, false) }
 
 // Fails reports whether the build is bad; a gate that cannot tell fails: whoever
 // wrote it wanted the roll-out to stop.
-func (g *Gate) Fails(s Sample) bool { return eval(g.fail, s, true) }
+func (g *Gate) Fails(s Sample) bool { return evaluate(g.fail, s, true) }
 
-func eval(p *vm.Program, s Sample, broken bool) bool {
+func evaluate(p *vm.Program, s Sample, broken bool) bool {
 	out, err := expr.Run(p, s)
 	if err != nil {
 		return broken
--- a/internal/rollout/record.go
+++ b/internal/rollout/record.go
@@ -135,7 +135,7 @@
 	if byZone[""] != nil {
 		order = append(order, "")
 	}
-	size := s.size(len(zoneOf))
+	size := s.batchSize(len(zoneOf))
 	var out []Batch
 	for _, z := range order {
 		for c := range slices.Chunk(byZone[z], size) {
--- a/internal/rollout/spec.go
+++ b/internal/rollout/spec.go
@@ -66,11 +66,11 @@
 
 // Defaults of a spec that says nothing.
 const (
-	defaultReadyS    = 10.0
-	defaultSoakS     = 60.0
-	defaultDeadlineS = 600.0
-	defaultShare     = 0.1
-	defaultEveryS    = 5.0
+	defaultReadyS         = 10.0
+	defaultSoakS          = 60.0
+	defaultDeadlineS      = 600.0
+	defaultBatchFraction  = 0.1
+	defaultCheckIntervalS = 5.0
 )
 
 // ErrMalformed marks a specification that is wrong.
@@ -79,19 +79,19 @@
 //go:embed schema.json
 var schemaJSON []byte
 
-var document = schema.New("rollout", schemaJSON)
+var specSchema = schema.New("rollout", schemaJSON)
 
 // Parse reads a specification in its encoded form and checks it against the
 // schema. An error is an ErrSpec and names the field.
 func Parse(body []byte) (*Spec, error) {
 	s := &Spec{}
-	if err := document.Decode(body, s, "batch", "most_missing", "most_extra"); err != nil {
+	if err := specSchema.Decode(body, s, "batch", "most_missing", "most_extra"); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	if s.Batch > 0 && s.BatchFraction > 0 {
 		return nil, fmt.Errorf("%w: batch: given beside batch_share", ErrMalformed)
 	}
-	if s.missing() == 0 && s.extra() == 0 {
+	if s.maxUnavailable() == 0 && s.maxSurge() == 0 {
 		return nil, fmt.Errorf("%w: most_missing: 0 beside most_extra 0 lets nothing change", ErrMalformed)
 	}
 	if _, err := NewGate(s.Pass, s.Fail); err != nil {
@@ -100,58 +100,58 @@
 	return s, nil
 }
 
-func (s *Spec) missing() int {
+func (s *Spec) maxUnavailable() int {
 	if s.MaxUnavailable != nil {
 		return *s.MaxUnavailable
 	}
 	return 0
 }
 
-func (s *Spec) extra() int {
+func (s *Spec) maxSurge() int {
 	if s.MaxSurge != nil {
 		return *s.MaxSurge
 	}
 	return 1
 }
 
-func (s *Spec) ready() float64 {
+func (s *Spec) readySeconds() float64 {
 	if s.ReadyS != nil {
 		return *s.ReadyS
 	}
 	return defaultReadyS
 }
 
-func (s *Spec) soak() float64 {
+func (s *Spec) soakSeconds() float64 {
 	if s.SoakS != nil {
 		return *s.SoakS
 	}
 	return defaultSoakS
 }
 
-func (s *Spec) deadline() float64 {
+func (s *Spec) deadlineSeconds() float64 {
 	if s.DeadlineS > 0 {
 		return s.DeadlineS
 	}
 	return defaultDeadlineS
 }
 
-func (s *Spec) undo() bool { return s.AutoRollback == nil || *s.AutoRollback }
+func (s *Spec) autoRollback() bool { return s.AutoRollback == nil || *s.AutoRollback }
 
 // CheckIntervalS is how often a copy is checked, in seconds.
 func (s *Spec) CheckIntervalS() float64 {
 	if s.Check != nil && s.Check.EveryS > 0 {
 		return s.Check.EveryS
 	}
-	return defaultEveryS
+	return defaultCheckIntervalS
 }
 
-// size is how many replicas change at a time.
-func (s *Spec) size(replicas int) int {
+// batchSize is how many replicas change at a time.
+func (s *Spec) batchSize(replicas int) int {
 	n := s.Batch
 	if n == 0 {
 		share := s.BatchFraction
 		if share == 0 {
-			share = defaultShare
+			share = defaultBatchFraction
 		}
 		n = int(math.Ceil(share * float64(replicas)))
 	}
--- a/internal/rollout/status.go
+++ b/internal/rollout/status.go
@@ -37,8 +37,8 @@
 func NewStatus(r *Record, v *View) Status {
 	round := func(s float64) float64 { return math.Round(10*s) / 10 }
 	s := Status{Service: r.Service, Handle: r.Handle, Current: r.Current, Next: r.Next, State: string(r.State), Reason: r.Reason,
-		Batch: min(r.BatchIndex+1, len(r.Batches)), SinceS: round(secs(r.StateSince, v.Now))}
-	s.TookS = round(secs(r.StartedAt, v.Now))
+		Batch: min(r.BatchIndex+1, len(r.Batches)), SinceS: round(secondsSince(r.StateSince, v.Now))}
+	s.TookS = round(secondsSince(r.StartedAt, v.Now))
 	of := v.New
 	if r.State.Over() {
 		s.TookS = round(float64(r.StateSince-r.StartedAt) / 1000)
@@ -50,7 +50,7 @@
 		bs := BatchStatus{Zone: b.Zone, Replicas: len(b.Replicas)}
 		for _, i := range b.Replicas {
 			bs.Failures += r.Failures[i].Count
-			c := v.copyOf(of, i)
+			c := v.instance(of, i)
 			if c.Running {
 				bs.Running++
 			}
@@ -65,12 +65,12 @@
 		}
 		s.Batches = append(s.Batches, bs)
 	}
-	s.Waits = r.waits(s.Batches)
+	s.Waits = r.waitingFor(s.Batches)
 	return s
 }
 
-// waits says what comes next.
-func (r *Record) waits(bs []BatchStatus) string {
+// waitingFor says what comes next.
+func (r *Record) waitingFor(bs []BatchStatus) string {
 	if r.State.Over() || len(bs) == 0 {
 		return ""
 	}
@@ -80,9 +80,9 @@
 		if b.Healthy == b.Replicas {
 			return "the old copies of the batch to go"
 		}
-		return fmt.Sprintf("%d of %d copies to be healthy, within %.0f s", b.Replicas-b.Healthy, b.Replicas, r.Spec.deadline())
+		return fmt.Sprintf("%d of %d copies to be healthy, within %.0f s", b.Replicas-b.Healthy, b.Replicas, r.Spec.deadlineSeconds())
 	case Soaking:
-		return fmt.Sprintf("the batch to stay healthy for %.0f s", r.Spec.soak())
+		return fmt.Sprintf("the batch to stay healthy for %.0f s", r.Spec.soakSeconds())
 	case RollingBack:
 		return fmt.Sprintf("the old copies of batch %d", r.BatchIndex+1)
 	case Paused:
--- a/internal/rollout/step.go
+++ b/internal/rollout/step.go
@@ -20,7 +20,7 @@
 		for _, h := range f.Hosts {
 			hosts[h] = true
 		}
-		c := v.copyOf(v.New, i)
+		c := v.instance(v.New, i)
 		switch {
 		case c.Lost:
 			s.Lost++
@@ -47,21 +47,21 @@
 	return s
 }
 
-func (v *View) copyOf(of []Instance, i int32) Instance {
+func (v *View) instance(of []Instance, i int32) Instance {
 	if int(i) >= len(of) {
 		return Instance{}
 	}
 	return of[i]
 }
 
-// to moves the record to a state.
-func (r *Record) to(s State, now time.Time, why string) {
+// setState moves the record to a state.
+func (r *Record) setState(s State, now time.Time, why string) {
 	r.State, r.StateSince, r.Reason = s, now.UnixMilli(), why
 }
 
-// begin starts work on a batch. One whose zone is down gives way to one elsewhere,
+// startBatch starts work on a batch. One whose zone is down gives way to one elsewhere,
 // now and not later: once it has begun, its new version may have run there.
-func (r *Record) begin(at int, v *View) {
+func (r *Record) startBatch(at int, v *View) {
 	r.BatchIndex, r.BatchStartedAt = at, v.Now.UnixMilli()
 	for i := at; i < len(r.Batches); i++ {
 		if v.UnavailableZones[r.Batches[i].Zone] {
@@ -71,26 +71,26 @@
 			r.Batches = slices.Clone(r.Batches)
 			r.Batches[at], r.Batches[i] = r.Batches[i], r.Batches[at]
 		}
-		r.to(Advancing, v.Now, "")
+		r.setState(Advancing, v.Now, "")
 		return
 	}
 	r.State = Advancing
-	r.pause(v.Now, zoneReason+r.Batches[at].Zone)
+	r.pause(v.Now, zoneUnavailableReason+r.Batches[at].Zone)
 }
 
 // pause stops where it is. What is wanted stays as it was.
 func (r *Record) pause(now time.Time, why string) {
 	r.ResumeState = r.State
-	r.to(Paused, now, why)
+	r.setState(Paused, now, why)
 }
 
-// undo begins to take batches back, the one that is under way first.
-func (r *Record) undo(now time.Time, why string) {
+// rollBack begins to take batches back, the one that is under way first.
+func (r *Record) rollBack(now time.Time, why string) {
 	r.BatchStartedAt = now.UnixMilli()
-	r.to(RollingBack, now, why)
+	r.setState(RollingBack, now, why)
 }
 
-func secs(from int64, now time.Time) float64 { return float64(now.UnixMilli()-from) / 1000 }
+func secondsSince(from int64, now time.Time) float64 { return float64(now.UnixMilli()-from) / 1000 }
 
 // Step takes one step, if it is time for one, and reports whether the record has
 // changed. It is the same whoever takes it, and taking it twice changes nothing
@@ -103,7 +103,7 @@
 		return false
 	}
 	if v.Cancelled {
-		r.to(Failed, v.Now, "the service was cancelled by its user")
+		r.setState(Failed, v.Now, "the service was cancelled by its user")
 		return true
 	}
 	if gate == nil { // it was checked when it came; a record of another version
@@ -116,10 +116,10 @@
 	}
 	switch r.State {
 	case Pending:
-		r.begin(0, v)
+		r.startBatch(0, v)
 		return true
 	case RollingBack:
-		return r.stepBack(v)
+		return r.stepRollingBack(v)
 	}
 	// A copy that passed at first and fails later stops the roll-out, whichever
 	// batch it was in; so does one that fails while it is paused.
@@ -129,9 +129,9 @@
 			if !gate.Fails(s) {
 				continue
 			}
-			why := fmt.Sprintf("batch %d: %s", i+1, tell(s))
-			if r.Spec.undo() {
-				r.undo(v.Now, why)
+			why := fmt.Sprintf("batch %d: %s", i+1, describeSample(s))
+			if r.Spec.autoRollback() {
+				r.rollBack(v.Now, why)
 				return true
 			}
 			if r.State != Paused {
@@ -146,24 +146,24 @@
 	case Paused:
 		return r.stepPaused(v)
 	case Advancing:
-		return r.stepForward(v, gate)
+		return r.stepAdvancing(v, gate)
 	case Soaking:
-		return r.stepSoak(v, gate)
+		return r.stepSoaking(v, gate)
 	}
 	return false
 }
 
-// tell says in words what a gate has seen.
-func tell(s Sample) string {
+// describeSample says in words what a gate has seen.
+func describeSample(s Sample) string {
 	return fmt.Sprintf("%d failures on %d machines, at most %d of one copy; %.0f %% healthy, %.0f %% unhealthy, %.0f %% unknown, %d lost",
 		s.AllFailures, s.FailedHosts, s.Failures, 100*s.Healthy, 100*s.Unhealthy, 100*s.Unknown, s.Lost)
 }
 
 // Reasons of a pause that ends by itself.
 const (
-	blindReason = "the checks fail for old copies as well: the checker is cut off"
-	zoneReason  = "no machine of the zone can take work: "
-	lostReason  = "machines of the batch were lost: "
+	checksUnreachableReason = "the checks fail for old copies as well: the checker is cut off"
+	zoneUnavailableReason   = "no machine of the zone can take work: "
+	machinesLostReason      = "machines of the batch were lost: "
 )
 
 // stepPaused resumes what was paused for a reason that has gone.
@@ -172,10 +172,10 @@
 		return false
 	}
 	switch {
-	case r.Reason == blindReason || strings.HasPrefix(r.Reason, zoneReason):
-	case strings.HasPrefix(r.Reason, lostReason):
+	case r.Reason == checksUnreachableReason || strings.HasPrefix(r.Reason, zoneUnavailableReason):
+	case strings.HasPrefix(r.Reason, machinesLostReason):
 		for _, i := range r.Batches[min(r.BatchIndex, len(r.Batches)-1)].Replicas {
-			if v.copyOf(v.Old, i).Lost || v.copyOf(v.New, i).Lost {
+			if v.instance(v.Old, i).Lost || v.instance(v.New, i).Lost {
 				return false
 			}
 		}
@@ -194,39 +194,39 @@
 		back = Advancing // it has to pass anew
 	}
 	r.PausedByOperator, r.ResumeState, r.BatchStartedAt = false, "", now.UnixMilli()
-	r.to(back, now, "")
+	r.setState(back, now, "")
 }
 
-func (r *Record) stepForward(v *View, gate *Gate) bool {
+func (r *Record) stepAdvancing(v *View, gate *Gate) bool {
 	b := &r.Batches[r.BatchIndex]
 	if v.ChecksUnreachable {
-		r.pause(v.Now, blindReason)
+		r.pause(v.Now, checksUnreachableReason)
 		return true
 	}
 	if v.UnavailableZones[b.Zone] {
 		// It has begun: it is waited for, and never made larger.
-		r.pause(v.Now, zoneReason+b.Zone)
+		r.pause(v.Now, zoneUnavailableReason+b.Zone)
 		return true
 	}
 	s := r.sample(v, b)
 	changed := s.Lost == 0
 	for _, i := range b.Replicas {
-		changed = changed && v.copyOf(v.New, i).Running && !v.copyOf(v.Old, i).Live
+		changed = changed && v.instance(v.New, i).Running && !v.instance(v.Old, i).Live
 	}
 	if changed && gate.Passes(s) {
-		r.to(Soaking, v.Now, "")
+		r.setState(Soaking, v.Now, "")
 		return true
 	}
-	if secs(r.BatchStartedAt, v.Now) <= r.Spec.deadline() {
+	if secondsSince(r.BatchStartedAt, v.Now) <= r.Spec.deadlineSeconds() {
 		return false
 	}
 	// Late. Only what the copies are known to have done is held against the build.
-	why := fmt.Sprintf("batch %d is not healthy after %.0f s: %s", r.BatchIndex+1, r.Spec.deadline(), tell(s))
+	why := fmt.Sprintf("batch %d is not healthy after %.0f s: %s", r.BatchIndex+1, r.Spec.deadlineSeconds(), describeSample(s))
 	switch {
-	case (s.Unhealthy > 0 || s.AllFailures > 0) && r.Spec.undo():
-		r.undo(v.Now, why)
+	case (s.Unhealthy > 0 || s.AllFailures > 0) && r.Spec.autoRollback():
+		r.rollBack(v.Now, why)
 	case s.Lost > 0:
-		r.pause(v.Now, lostReason+why)
+		r.pause(v.Now, machinesLostReason+why)
 	default:
 		r.pause(v.Now, why)
 		r.PausedByOperator = true
@@ -234,39 +234,39 @@
 	return true
 }
 
-func (r *Record) stepSoak(v *View, gate *Gate) bool {
+func (r *Record) stepSoaking(v *View, gate *Gate) bool {
 	if v.ChecksUnreachable {
-		r.pause(v.Now, blindReason)
+		r.pause(v.Now, checksUnreachableReason)
 		return true
 	}
 	if s := r.sample(v, &r.Batches[r.BatchIndex]); s.Lost > 0 || !gate.Passes(s) {
-		r.to(Advancing, v.Now, "") // to pass anew, within the batch's deadline
+		r.setState(Advancing, v.Now, "") // to pass anew, within the batch's deadline
 		return true
 	}
-	if secs(r.StateSince, v.Now) < r.Spec.soak() {
+	if secondsSince(r.StateSince, v.Now) < r.Spec.soakSeconds() {
 		return false
 	}
 	if r.BatchIndex+1 < len(r.Batches) {
-		r.begin(r.BatchIndex+1, v)
+		r.startBatch(r.BatchIndex+1, v)
 		return true
 	}
 	r.BatchIndex = len(r.Batches)
 	r.Current, r.Next = r.Next, r.Current
-	r.to(Done, v.Now, "")
+	r.setState(Done, v.Now, "")
 	return true
 }
 
-// stepBack takes back one batch after the other, with or without a healthy copy.
-func (r *Record) stepBack(v *View) bool {
+// stepRollingBack takes back one batch after the other, with or without a healthy copy.
+func (r *Record) stepRollingBack(v *View) bool {
 	b := &r.Batches[min(r.BatchIndex, len(r.Batches)-1)]
 	// An old copy counts when it has run for a while: one that crashes looks up for a
 	// moment each time.
-	up := func(c Instance) bool { return c.Running && c.SinceS >= r.Spec.ready() }
+	up := func(c Instance) bool { return c.Running && c.SinceS >= r.Spec.readySeconds() }
 	back := true
 	for _, i := range b.Replicas {
-		back = back && !v.copyOf(v.New, i).Live && up(v.copyOf(v.Old, i))
+		back = back && !v.instance(v.New, i).Live && up(v.instance(v.Old, i))
 	}
-	late := secs(r.BatchStartedAt, v.Now) > r.Spec.deadline()
+	late := secondsSince(r.BatchStartedAt, v.Now) > r.Spec.deadlineSeconds()
 	if !back && !late {
 		return false
 	}
@@ -280,11 +280,11 @@
 	}
 	for i, c := range v.Old {
 		if !up(c) && late {
-			r.to(Failed, v.Now, fmt.Sprintf("%s; rolled back, but the old version does not come up either (replica %d)", why, i))
+			r.setState(Failed, v.Now, fmt.Sprintf("%s; rolled back, but the old version does not come up either (replica %d)", why, i))
 			return true
 		}
 	}
-	r.to(RolledBack, v.Now, why)
+	r.setState(RolledBack, v.Now, why)
 	return true
 }
 
@@ -329,26 +329,26 @@
 		case r.State == Paused:
 			// What is there stays, and what is missing comes back as it was.
 			for _, i := range b.Replicas {
-				if next := v.copyOf(v.New, i); next.Live {
-					w.Old[i], w.New[i] = v.copyOf(v.Old, i).Live, Placement{true, b.Zone}
+				if next := v.instance(v.New, i); next.Live {
+					w.Old[i], w.New[i] = v.instance(v.Old, i).Live, Placement{true, b.Zone}
 				}
 			}
 		default:
-			r.change(v, &b, &w)
+			r.changeBatch(v, &b, &w)
 		}
 	}
 	return w
 }
 
-// change says which replicas of the batch under way change now. A new copy may
+// changeBatch says which replicas of the batch under way change now. A new copy may
 // start when there is one extra or when its old one has gone; an old copy goes
 // when its new one has been healthy for a while (a bad build can look healthy for a
 // moment), or when one may be missing.
-func (r *Record) change(v *View, b *Batch, w *DesiredState) {
-	extra, missing := r.Spec.extra(), r.Spec.missing()
+func (r *Record) changeBatch(v *View, b *Batch, w *DesiredState) {
+	extra, missing := r.Spec.maxSurge(), r.Spec.maxUnavailable()
 	for _, i := range b.Replicas {
-		old, next := v.copyOf(v.Old, i), v.copyOf(v.New, i)
-		good := next.Running && !next.Lost && next.Health == Healthy && next.SinceS >= r.Spec.ready()
+		old, next := v.instance(v.Old, i), v.instance(v.New, i)
+		good := next.Running && !next.Lost && next.Health == Healthy && next.SinceS >= r.Spec.readySeconds()
 		switch {
 		case next.Live && !old.Live:
 			w.Old[i], w.New[i] = false, Placement{true, b.Zone}
@@ -410,6 +410,6 @@
 	}
 	r.PausedByOperator = false
 	r.BatchIndex = min(r.BatchIndex, max(0, len(r.Batches)-1))
-	r.undo(now, "rolled back by an operator")
+	r.rollBack(now, "rolled back by an operator")
 	return true
 }
