--- a/internal/calendar/ways_test.go
+++ b/internal/calendar/admission_test.go
@@ -12,10 +12,10 @@
 	"gonum.org/v1/gonum/optimize/convex/lp"
 )
 
-// tight is a load of n reservations for one day that ten machines in each of two
+// overload is a load of n reservations for one day that ten machines in each of two
 // zones cannot hold.
-func tight(t testing.TB, n int, seed uint64) (Config, []*Reservation) {
-	f := facts()
+func overload(t testing.TB, n int, seed uint64) (Config, []*Reservation) {
+	f := testConfig()
 	f.Types, f.Teams = f.Types[:1], f.Teams[2:] // without guarantees
 	r := rand.New(rand.NewPCG(seed, 3))
 	var out []*Reservation
@@ -27,28 +27,28 @@
 	return f, out
 }
 
-// size is what a reservation is worth here: machine hours.
-func size(r *Reservation) float64 {
+// machineHours is what a reservation is worth here: machine hours.
+func machineHours(r *Reservation) float64 {
 	return float64(r.Parts) * float64(r.spans[0].To-r.spans[0].From) / 3.6e6
 }
 
-// greedy admits reservations one by one and returns what it has accepted.
-func greedy(f Config, rs []*Reservation) (accepted int, hours float64) {
+// admitInOrder admits reservations one by one and returns what it has accepted.
+func admitInOrder(f Config, rs []*Reservation) (accepted int, hours float64) {
 	c := New(f)
 	for _, r := range rs {
 		if e, err := c.Fit(r, today); err == nil {
 			c.Add(e)
 			accepted++
-			hours += size(r)
+			hours += machineHours(r)
 		}
 	}
 	return accepted, hours
 }
 
-// relaxed is the most machine hours that any choice could accept, with all
+// admissionBound is the most machine hours that any choice could accept, with all
 // reservations known beforehand: a linear program in which each may be accepted in
 // part, and in parts of zones.
-func relaxed(t testing.TB, f Config, rs []*Reservation) float64 {
+func admissionBound(t testing.TB, f Config, rs []*Reservation) float64 {
 	var times []int64
 	for _, r := range rs {
 		times = append(times, r.spans[0].From)
@@ -63,7 +63,7 @@
 		b[i] = 1
 		for z := range zones {
 			x := i*zones + z
-			c[x] = -size(r)
+			c[x] = -machineHours(r)
 			a.Set(i, x, 1)
 			for k, at := range times {
 				if s := r.spans[0]; s.From <= at && at < s.To {
@@ -89,13 +89,13 @@
 	return -best
 }
 
-// TestBound: what is accepted one by one is never more than any choice could accept,
+// TestAdmissionBound: what is accepted one by one is never more than any choice could accept,
 // and, of loads twice too large, most of it.
-func TestBound(t *testing.T) {
+func TestAdmissionBound(t *testing.T) {
 	for seed := range uint64(3) {
-		f, rs := tight(t, 30, seed)
-		_, hours := greedy(f, rs)
-		best := relaxed(t, f, rs)
+		f, rs := overload(t, 30, seed)
+		_, hours := admitInOrder(f, rs)
+		best := admissionBound(t, f, rs)
 		if hours > best+1e-6 {
 			t.Errorf("seed %d: %.1f machine hours accepted, at most %.1f fit", seed, hours, best)
 		}
@@ -105,11 +105,11 @@
 	}
 }
 
-// BenchmarkWays weighs admission one by one against the linear program, on the same
+// BenchmarkAdmissionOrder weighs admission one by one against the linear program, on the same
 // loads: machine hours accepted of those that any choice could accept at most.
-func BenchmarkWays(b *testing.B) {
+func BenchmarkAdmissionOrder(b *testing.B) {
 	for _, n := range []int{20, 40, 80, 160} {
-		f, rs := tight(b, n, 9)
+		f, rs := overload(b, n, 9)
 		var best, hours float64
 		measure := func(name string, do func()) {
 			b.Run(fmt.Sprintf("%s %d", name, n), func(b *testing.B) {
@@ -123,11 +123,11 @@
 				b.ReportMetric(100*hours/best, "%-of-bound")
 			})
 		}
-		best = relaxed(b, f, rs)
-		measure("program", func() { hours = relaxed(b, f, rs) })
-		measure("arrival", func() { _, hours = greedy(f, rs) })
+		best = admissionBound(b, f, rs)
+		measure("program", func() { hours = admissionBound(b, f, rs) })
+		measure("arrival", func() { _, hours = admitInOrder(f, rs) })
 		large := slices.Clone(rs)
-		slices.SortStableFunc(large, func(x, y *Reservation) int { return int(1000 * (size(y) - size(x))) })
-		measure("largest first", func() { _, hours = greedy(f, large) })
+		slices.SortStableFunc(large, func(x, y *Reservation) int { return int(1000 * (machineHours(y) - machineHours(x))) })
+		measure("largest first", func() { _, hours = admitInOrder(f, large) })
 	}
 }
