--- a/internal/control/calendar_store_test.go
+++ b/internal/control/calendar_store_test.go
@@ -13,9 +13,9 @@
 	"vetchstream/internal/wire"
 )
 
-// booked is a leader with n reservations of one team, an hour apart, stored by an
+// leaderWithReservations is a leader with n reservations of one team, an hour apart, stored by an
 // earlier one.
-func booked(tb testing.TB, n int) *leaderTerm {
+func leaderWithReservations(tb testing.TB, n int) *leaderTerm {
 	tb.Helper()
 	r := bench(tb, config.Team{Name: "red"})
 	r.c.Tuning.Calendar.Enabled = true
@@ -52,7 +52,7 @@
 // TestClaims: which job has an occurrence, who waits for it, and what the others are
 // told.
 func TestClaims(t *testing.T) {
-	type asked struct {
+	type submission struct {
 		team, booking string
 		tasks         int
 		cpus          float64
@@ -60,23 +60,23 @@
 	}
 	tests := []struct {
 		name   string
-		jobs   []asked
+		jobs   []submission
 		waits  string // the jobs that wait for a slot, by number
 		notice string // of the last job
 	}{
-		{"one", []asked{{"red", "r0", 2, 4, 0}}, "0", ""},
-		{"the first of two has it", []asked{{"red", "r0", 2, 4, time.Minute}, {"red", "r0", 2, 4, 0}}, "1", ""},
-		{"two slots", []asked{{"red", "r0", 2, 4, 0}, {"red", "r1", 1, 1, 0}}, "0 1", ""},
-		{"another team", []asked{{"blue", "r0", 2, 4, 0}}, "", "is another team's"},
-		{"too many parts", []asked{{"red", "r0", 3, 4, 0}}, "", "has 2 parts"},
-		{"too large", []asked{{"red", "r0", 2, 5, 0}}, "", "has smaller parts"},
-		{"no such reservation", []asked{{"red", "r9", 2, 4, 0}}, "", "does not exist"},
-		{"over", []asked{{"red", "r0", 2, 4, 2 * time.Hour}}, "", "is over"},
-		{"none", []asked{{"red", "", 2, 4, 0}}, "", ""},
+		{"one", []submission{{"red", "r0", 2, 4, 0}}, "0", ""},
+		{"the first of two has it", []submission{{"red", "r0", 2, 4, time.Minute}, {"red", "r0", 2, 4, 0}}, "1", ""},
+		{"two slots", []submission{{"red", "r0", 2, 4, 0}, {"red", "r1", 1, 1, 0}}, "0 1", ""},
+		{"another team", []submission{{"blue", "r0", 2, 4, 0}}, "", "is another team's"},
+		{"too many parts", []submission{{"red", "r0", 3, 4, 0}}, "", "has 2 parts"},
+		{"too large", []submission{{"red", "r0", 2, 5, 0}}, "", "has smaller parts"},
+		{"no such reservation", []submission{{"red", "r9", 2, 4, 0}}, "", "does not exist"},
+		{"over", []submission{{"red", "r0", 2, 4, 2 * time.Hour}}, "", "is over"},
+		{"none", []submission{{"red", "", 2, 4, 0}}, "", ""},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			r := booked(t, 2)
+			r := leaderWithReservations(t, 2)
 			var jobs []*job.Job
 			for i, a := range tt.jobs {
 				jobs = append(jobs, r.jobTable.add(&job.Record{At: r.since.Add(a.at).UnixMilli(), Spec: job.Spec{ID: fmt.Sprintf("run-%d", i), Team: a.team,
@@ -103,7 +103,7 @@
 // TestNeeds: the claimer of a slot needs its machines to the slot's end at most, others
 // for as long as they may run.
 func TestNeeds(t *testing.T) {
-	r := booked(t, 1)
+	r := leaderWithReservations(t, 1)
 	now := r.since.Add(time.Hour) // the slot begins, and lasts half an hour
 	add := func(id, booking string) *job.Job {
 		return r.jobTable.add(&job.Record{At: r.since.UnixMilli(), Spec: job.Spec{ID: id, Team: "red", ShapeName: "ensemble", RankName: "idle",
@@ -123,7 +123,7 @@
 func BenchmarkCalendarStore(b *testing.B) {
 	for _, n := range []int{100, 1000, 10_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			r := booked(b, n)
+			r := leaderWithReservations(b, n)
 			at := r.since.Add(time.Second)
 			for b.Loop() {
 				at = at.Add(calendarInterval)
--- a/internal/control/rollout_checks.go
+++ b/internal/control/rollout_checks.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"io"
+	"math"
 	"net/http"
 	"net/url"
 	"time"
@@ -13,112 +14,130 @@
 	"vetchstream/internal/wire"
 )
 
-// checker makes the health checks of roll-outs, a bounded number at a time over
-// all services: they must not take the sockets that reports and users need.
+// checker makes the health checks of roll-outs, a bounded number at a time over all
+// services: they must not take the sockets that heartbeats and users need.
 type checker struct {
-	slots     int
+	slots     int // checks that may be started now
 	lastCheck map[*fleet.Slot]time.Time
 }
 
 const (
 	// checkTimeout bounds one check.
 	checkTimeout = 2 * time.Second
-	// maxCheckedOld is how many copies of the old version are checked beside the new
+	// maxCheckedOld is how many instances of the old version are checked beside the new
 	// ones: they tell a bad build from a checker that reaches nobody.
 	maxCheckedOld = 3
+	// maxLastChecks bounds the instances whose last check is remembered.
+	maxLastChecks = 100_000
+	// maxDrainedBytes is how much of a response's body is read, so that its connection can be
+	// used again.
+	maxDrainedBytes = 4096
+	// checkNoAnswer is the result of a check without an answer. The other results are the
+	// workers' words on health; empty: the worker knows no checks, or not this instance.
+	checkNoAnswer = "none"
 )
 
-// Answers of a check: those of a worker's word on health, and none.
-const noAnswer = "none"
-
-// checkHealth asks for the health of the new copies, and of a few old ones.
+// checkHealth starts the due checks of the new instances, and of a few old ones.
 func (ro *rollouts) checkHealth(s *service, old, next *job.Job, now time.Time) {
-	c := s.rec.Spec.Check
-	if c == nil || s.rec.State == rollout.RollingBack {
+	if s.rec.Spec.Check == nil || s.rec.State == rollout.RollingBack {
 		return
 	}
-	every := time.Duration(s.rec.Spec.CheckIntervalS() * float64(time.Second))
-	if ro.checker.lastCheck == nil || len(ro.checker.lastCheck) > 100_000 {
+	if ro.checker.lastCheck == nil || len(ro.checker.lastCheck) > maxLastChecks {
 		ro.checker.lastCheck = map[*fleet.Slot]time.Time{}
 	}
-	ask := func(j *job.Job, most int) {
-		if j == nil {
+	if next != nil {
+		ro.checkInstances(next, math.MaxInt, &s.rec.Spec, now)
+	}
+	if old != nil {
+		ro.checkInstances(old, maxCheckedOld, &s.rec.Spec, now)
+	}
+}
+
+// checkInstances starts the due checks of at most limit running instances of a version.
+func (ro *rollouts) checkInstances(j *job.Job, limit int, spec *rollout.Spec, now time.Time) {
+	interval := time.Duration(spec.CheckIntervalS() * float64(time.Second))
+	for s := range ro.fleet.On(j) {
+		if limit == 0 || ro.checker.slots == 0 {
 			return
 		}
-		for sl := range ro.fleet.On(j) {
-			if most == 0 || ro.checker.slots == 0 {
-				return
-			}
-			if !sl.On() || sl.Phase != wire.Running || sl.Host.Addr == "" {
-				continue
-			}
-			most--
-			if now.Sub(ro.checker.lastCheck[sl]) < every {
-				continue
-			}
-			ro.checker.lastCheck[sl] = now
-			ro.checker.slots--
-			ro.probe(sl, c.Path)
+		if !s.On() || s.Phase != wire.Running || s.Host.Addr == "" {
+			continue
 		}
+		limit--
+		if now.Sub(ro.checker.lastCheck[s]) < interval {
+			continue
+		}
+		ro.checker.lastCheck[s] = now
+		ro.checker.slots--
+		ro.probe(s, spec.Check.Path)
 	}
-	ask(next, -1)
-	ask(old, maxCheckedOld)
 }
 
-// probe makes one check.
-func (ro *rollouts) probe(sl *fleet.Slot, path string) {
-	at := "http://" + sl.Host.Addr + path + "?" + url.Values{"piece": {job.TaskName(sl.Job.ID, sl.Task)}}.Encode()
+// probe makes one check in the background.
+func (ro *rollouts) probe(s *fleet.Slot, path string) {
+	query := url.Values{"piece": {job.TaskName(s.Job.ID, s.Task)}}
+	target := "http://" + s.Host.Addr + path + "?" + query.Encode()
 	go func() {
-		said := noAnswer
-		ctx, cancel := context.WithTimeout(ro.ctx, checkTimeout)
-		defer cancel()
-		if req, err := http.NewRequestWithContext(ctx, http.MethodGet, at, nil); err == nil {
-			if res, err := ro.c.direct.Do(req); err == nil {
-				_, _ = io.Copy(io.Discard, io.LimitReader(res.Body, 4096))
-				_ = res.Body.Close()
-				switch {
-				case res.StatusCode == http.StatusNotFound:
-					said = "" // a worker that knows no checks, or not this copy
-				case res.StatusCode >= 200 && res.StatusCode < 300:
-					said = wire.HealthGood
-				default:
-					said = wire.HealthBad
-				}
-			}
-		}
-		ro.post(func() {
-			ro.checker.slots++
-			if sl.Host.Slots[sl.Key] != sl {
-				delete(ro.checker.lastCheck, sl)
-				return
-			}
-			if sl.Checked == wire.HealthGood && said == wire.HealthBad {
-				ro.recordFailure(sl.Job, sl.Task, sl.Host.Name)
-			}
-			sl.Checked = said
-			sl.Judge(time.Now())
-		})
+		result := ro.requestHealth(target)
+		ro.post(func() { ro.checked(s, result) })
 	}()
 }
 
-// checksUnreachable reports whether the checks reach nobody: no copy of either version
-// answers, and at least one of the old ones was asked, which nothing was done to.
-// Where no old copy is left, silence of every new one is silence of the checker.
+// requestHealth requests the health of an instance from its worker.
+func (ro *rollouts) requestHealth(target string) (result string) {
+	ctx, cancel := context.WithTimeout(ro.ctx, checkTimeout)
+	defer cancel()
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
+	if err != nil {
+		return checkNoAnswer
+	}
+	res, err := ro.c.direct.Do(req)
+	if err != nil {
+		return checkNoAnswer
+	}
+	_, _ = io.Copy(io.Discard, io.LimitReader(res.Body, maxDrainedBytes))
+	_ = res.Body.Close()
+	switch {
+	case res.StatusCode == http.StatusNotFound:
+		return ""
+	case res.StatusCode >= 200 && res.StatusCode < 300:
+		return wire.HealthGood
+	}
+	return wire.HealthBad
+}
+
+// checked records the result of a check. A turn from good to bad counts as a failure.
+func (ro *rollouts) checked(s *fleet.Slot, result string) {
+	ro.checker.slots++
+	if s.Host.Slots[s.Key] != s {
+		delete(ro.checker.lastCheck, s)
+		return
+	}
+	if s.Checked == wire.HealthGood && result == wire.HealthBad {
+		ro.recordFailure(s.Job, s.Task, s.Host.Name)
+	}
+	s.Checked = result
+	s.Judge(time.Now())
+}
+
+// checksUnreachable reports whether the checks reach nobody: of at least two instances that
+// were checked, of either version, none has answered. Where no old instance is left, the
+// silence of all new ones counts as the checker's.
 func (ro *rollouts) checksUnreachable(old, next *job.Job) bool {
-	asked, answered := 0, 0
+	checked, answered := 0, 0
 	for _, j := range []*job.Job{old, next} {
 		if j == nil {
 			continue
 		}
-		for sl := range ro.fleet.On(j) {
+		for s := range ro.fleet.On(j) {
 			switch {
-			case sl.Checked == noAnswer:
-				asked++
-			case sl.Checked != "":
-				asked++
+			case s.Checked == checkNoAnswer:
+				checked++
+			case s.Checked != "":
+				checked++
 				answered++
 			}
 		}
 	}
-	return asked > 1 && answered == 0
+	return checked > 1 && answered == 0
 }
--- a/internal/control/rollout_test.go
+++ b/internal/control/rollout_test.go
@@ -11,9 +11,9 @@
 	"vetchstream/internal/wire"
 )
 
-// rolling is a leader with services of which each has a roll-out under way, every
+// leaderWithRollouts is a leader with services of which each has a roll-out under way, every
 // old copy running.
-func rolling(tb testing.TB, services, replicas int) (*leaderTerm, time.Time) {
+func leaderWithRollouts(tb testing.TB, services, replicas int) (*leaderTerm, time.Time) {
 	tb.Helper()
 	r := bench(tb)
 	r.c.Tuning.Rollouts.Enabled = true
@@ -68,7 +68,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			r, now := rolling(t, 1, 10)
+			r, now := leaderWithRollouts(t, 1, 10)
 			tt.stored(r.rollouts.services["s0"].rec)
 			r.takeover.ready = tt.settled
 			r.rollouts.step(now)
@@ -91,7 +91,7 @@
 // BenchmarkRollouts is a look at 200 services of 20 replicas, as it comes four
 // times a second.
 func BenchmarkRollouts(b *testing.B) {
-	r, now := rolling(b, 200, 20)
+	r, now := leaderWithRollouts(b, 200, 20)
 	b.ReportAllocs()
 	for b.Loop() {
 		r.rollouts.lastStep = time.Time{}
