--- a/cmd/vetchstream/rollout.go
+++ b/cmd/vetchstream/rollout.go
@@ -123,8 +123,8 @@
 	if s.Reason != "" {
 		fmt.Fprintf(w, "  because: %s\n", s.Reason)
 	}
-	if s.Waits != "" {
-		fmt.Fprintf(w, "  waits for: %s\n", s.Waits)
+	if s.WaitingFor != "" {
+		fmt.Fprintf(w, "  waits for: %s\n", s.WaitingFor)
 	}
 	t := tabwriter.NewWriter(w, 2, 4, 2, ' ', 0)
 	fmt.Fprintln(t, "  BATCH\tZONE\tREPLICAS\tRUNNING\tHEALTHY\tUNHEALTHY\tLOST\tFAILURES")
--- a/internal/control/rollout_test.go
+++ b/internal/control/rollout_test.go
@@ -62,7 +62,7 @@
 		{"not settled", false, func(*rollout.Record) {}, 0, 0},
 		{"taken back", true, func(r *rollout.Record) { r.State = rollout.RolledBack }, 10, 0},
 		{"paused before anything was changed", true, func(r *rollout.Record) {
-			r.State, r.ResumeState, r.PausedByOperator = rollout.Paused, rollout.Advancing, true
+			r.State, r.ResumeState, r.ManualResume = rollout.Paused, rollout.Advancing, true
 		}, 10, 0},
 		{"the second batch", true, func(r *rollout.Record) { r.BatchIndex = 1 }, 9, 2},
 	}
--- a/internal/rollout/spec.go
+++ b/internal/rollout/spec.go
@@ -1,7 +1,7 @@
-// Package rollout moves a service from one build to the next, batch by batch, and
-// back when the new one is bad. It decides and holds no connection, goroutine or
-// clock: the leader passes in what it sees and the time, stores the record that
-// comes back under its term, and carries out what the record says is wanted.
+// Package rollout moves a service from one version to the next, batch by batch, and back when
+// the new one is bad. It decides, and has no connection, goroutine or clock: the leader passes
+// in what it observes and the time, stores the changed record under its term, and carries out
+// what the record requires.
 package rollout
 
 import (
@@ -14,8 +14,8 @@
 	"vetchstream/internal/schema"
 )
 
-// Target is the next version of a service: a job id of its own, since a worker
-// reads a job's description by its id, and what differs from the version before.
+// Target is the next version of a service: a job id of its own, since a worker reads a job's
+// specification by its id, and what differs from the version before.
 type Target struct {
 	ID      string   `codec:"uid" json:"uid"`
 	Image   string   `codec:"reel" json:"reel"`
@@ -26,46 +26,50 @@
 	Types   []string `codec:"builds,omitempty" json:"builds,omitempty"`
 }
 
-// Check is a request that the leader makes to each copy's worker.
+// Check is an HTTP request that the leader makes to each instance's worker, every IntervalS
+// seconds.
 type Check struct {
-	Path   string  `codec:"path" json:"path"`
-	EveryS float64 `codec:"every_s,omitempty" json:"every_s,omitempty"`
+	Path      string  `codec:"path" json:"path"`
+	IntervalS float64 `codec:"every_s,omitempty" json:"every_s,omitempty"`
 }
 
-// Spec is a roll-out as an operator asks for it.
+// Spec is the specification of a roll-out by an operator.
 type Spec struct {
 	Service string `codec:"service" json:"service"`
 	// From is the service's first job, named in its first roll-out.
 	From string `codec:"from,omitempty" json:"from,omitempty"`
 	To   Target `codec:"to" json:"to"`
-	// Batch is how many replicas change at a time, or BatchShare of them.
+	// Batch is how many replicas change at a time, BatchFraction which fraction of them; one of
+	// them may be given.
 	Batch         int     `codec:"batch,omitempty" json:"batch,omitempty"`
 	BatchFraction float64 `codec:"batch_share,omitempty" json:"batch_share,omitempty"`
-	// MaxUnavailable and MostExtra bound how many replicas there are too few or too
-	// many at a time.
+	// MaxUnavailable and MaxSurge bound how many replicas there are too few or too many at a
+	// time.
 	MaxUnavailable *int `codec:"most_missing,omitempty" json:"most_missing,omitempty"`
 	MaxSurge       *int `codec:"most_extra,omitempty" json:"most_extra,omitempty"`
-	// Pass and Fail are the gate, see gate.go.
+	// Pass and Fail are the expressions of the Gate; empty: its defaults.
 	Pass string `codec:"pass,omitempty" json:"pass,omitempty"`
 	Fail string `codec:"fail,omitempty" json:"fail,omitempty"`
-	// ReadyS is how long a new copy has to be healthy before its old one goes, in
+	// ReadyS is how long a new instance has to be healthy before its old one is stopped, in
 	// seconds.
 	ReadyS *float64 `codec:"ready_s,omitempty" json:"ready_s,omitempty"`
-	// SoakS is how long a batch has to pass before the next, DeadlineS how long it
-	// may take until then. In seconds.
+	// SoakS is how long a batch has to pass before the next, DeadlineS how long it may take
+	// until then, in seconds.
 	SoakS     *float64 `codec:"soak_s,omitempty" json:"soak_s,omitempty"`
 	DeadlineS float64  `codec:"deadline_s,omitempty" json:"deadline_s,omitempty"`
-	// AutoRollback: roll back by itself; else it pauses.
+	// AutoRollback: roll back when the gate fails, else pause; nil: roll back.
 	AutoRollback *bool `codec:"undo,omitempty" json:"undo,omitempty"`
 	// Zones is the order of the zones; the others follow by name.
 	Zones []string `codec:"zones,omitempty" json:"zones,omitempty"`
-	// Supersede: take the place of a roll-out that is under way.
+	// Supersede: replace a roll-out that is under way.
 	Supersede bool   `codec:"supersede,omitempty" json:"supersede,omitempty"`
 	Check     *Check `codec:"check,omitempty" json:"check,omitempty"`
 }
 
-// Defaults of a spec that says nothing.
+// Defaults of a specification that leaves them out.
 const (
+	defaultMaxUnavailable = 0
+	defaultMaxSurge       = 1
 	defaultReadyS         = 10.0
 	defaultSoakS          = 60.0
 	defaultDeadlineS      = 600.0
@@ -73,7 +77,7 @@
 	defaultCheckIntervalS = 5.0
 )
 
-// ErrMalformed marks a specification that is wrong.
+// ErrMalformed is returned for a specification that is wrong.
 var ErrMalformed = errors.New("roll-out is malformed")
 
 //go:embed schema.json
@@ -81,8 +85,8 @@
 
 var specSchema = schema.New("rollout", schemaJSON)
 
-// Parse reads a specification in its encoded form and checks it against the
-// schema. An error is an ErrSpec and names the field.
+// Parse reads a specification in its encoded form and checks it against the schema. An error
+// is an ErrMalformed and names the field.
 func Parse(body []byte) (*Spec, error) {
 	s := &Spec{}
 	if err := specSchema.Decode(body, s, "batch", "most_missing", "most_extra"); err != nil {
@@ -100,20 +104,23 @@
 	return s, nil
 }
 
+// maxUnavailable is how many replicas there may be too few at a time.
 func (s *Spec) maxUnavailable() int {
 	if s.MaxUnavailable != nil {
 		return *s.MaxUnavailable
 	}
-	return 0
+	return defaultMaxUnavailable
 }
 
+// maxSurge is how many replicas there may be too many at a time.
 func (s *Spec) maxSurge() int {
 	if s.MaxSurge != nil {
 		return *s.MaxSurge
 	}
-	return 1
+	return defaultMaxSurge
 }
 
+// readySeconds is how long a new instance has to be healthy before its old one is stopped.
 func (s *Spec) readySeconds() float64 {
 	if s.ReadyS != nil {
 		return *s.ReadyS
@@ -121,6 +128,7 @@
 	return defaultReadyS
 }
 
+// soakSeconds is how long a batch has to pass before the next.
 func (s *Spec) soakSeconds() float64 {
 	if s.SoakS != nil {
 		return *s.SoakS
@@ -128,6 +136,7 @@
 	return defaultSoakS
 }
 
+// deadlineSeconds is how long a batch may take.
 func (s *Spec) deadlineSeconds() float64 {
 	if s.DeadlineS > 0 {
 		return s.DeadlineS
@@ -135,12 +144,13 @@
 	return defaultDeadlineS
 }
 
+// autoRollback reports whether the roll-out is rolled back when it fails.
 func (s *Spec) autoRollback() bool { return s.AutoRollback == nil || *s.AutoRollback }
 
-// CheckIntervalS is how often a copy is checked, in seconds.
+// CheckIntervalS is how often an instance is checked, in seconds.
 func (s *Spec) CheckIntervalS() float64 {
-	if s.Check != nil && s.Check.EveryS > 0 {
-		return s.Check.EveryS
+	if s.Check != nil && s.Check.IntervalS > 0 {
+		return s.Check.IntervalS
 	}
 	return defaultCheckIntervalS
 }
@@ -149,29 +159,33 @@
 func (s *Spec) batchSize(replicas int) int {
 	n := s.Batch
 	if n == 0 {
-		share := s.BatchFraction
-		if share == 0 {
-			share = defaultBatchFraction
+		fraction := s.BatchFraction
+		if fraction == 0 {
+			fraction = defaultBatchFraction
 		}
-		n = int(math.Ceil(share * float64(replicas)))
+		n = int(math.Ceil(fraction * float64(replicas)))
 	}
 	return max(1, min(n, replicas))
 }
 
-// NextJob is the job of the next version.
-func (s *Spec) NextJob(was *job.Spec) job.Spec {
-	next := *was
-	next.ID, next.Image = s.To.ID, s.To.Image
-	for _, f := range []struct {
-		to   *float64
-		from *float64
-	}{{&next.ImageGB, s.To.ImageGB}, {&next.CPUs, s.To.CPUs}, {&next.GPUs, s.To.GPUs}, {&next.MemGB, s.To.MemGB}} {
-		if f.from != nil {
-			*f.to = *f.from
-		}
-	}
+// NextJob is the job of the next version, which differs from the current one by the target.
+func (s *Spec) NextJob(current *job.Spec) job.Spec {
+	next := *current
+	next.ID = s.To.ID
+	next.Image = s.To.Image
+	override(&next.ImageGB, s.To.ImageGB)
+	override(&next.CPUs, s.To.CPUs)
+	override(&next.GPUs, s.To.GPUs)
+	override(&next.MemGB, s.To.MemGB)
 	if s.To.Types != nil {
 		next.Types = s.To.Types
 	}
 	return next
 }
+
+// override replaces an amount by another one, if that is given.
+func override(amount *float64, by *float64) {
+	if by != nil {
+		*amount = *by
+	}
+}
--- a/internal/rollout/status.go
+++ b/internal/rollout/status.go
@@ -12,16 +12,18 @@
 	Current string `codec:"current" json:"current"`
 	Next    string `codec:"next" json:"next"`
 	State   string `codec:"state" json:"state"`
-	// Waits says what it waits for, Reason why it is where it is.
-	Waits   string        `codec:"waits,omitempty" json:"waits,omitempty"`
-	Reason  string        `codec:"reason,omitempty" json:"reason,omitempty"`
-	Batch   int           `codec:"batch" json:"batch"` // from 1
+	// WaitingFor says what it waits for, Reason why it is in its state.
+	WaitingFor string `codec:"waits,omitempty" json:"waits,omitempty"`
+	Reason     string `codec:"reason,omitempty" json:"reason,omitempty"`
+	Batch      int    `codec:"batch" json:"batch"` // from 1
+	// SinceS is how long it has been in its state, TookS how long it has taken, in seconds.
 	SinceS  float64       `codec:"since_s" json:"since_s"`
 	TookS   float64       `codec:"took_s" json:"took_s"`
 	Batches []BatchStatus `codec:"batches" json:"batches"`
 }
 
-// BatchStatus is one batch of it: copies of the version that is rolled out.
+// BatchStatus is one batch of a roll-out. It counts instances of the version that is rolled
+// out.
 type BatchStatus struct {
 	Zone      string `codec:"zone" json:"zone"`
 	Replicas  int    `codec:"replicas" json:"replicas"`
@@ -32,49 +34,64 @@
 	Failures  int    `codec:"failures" json:"failures"`
 }
 
-// NewStatus sums up a roll-out as it is seen. Of the view it needs the time and the
-// copies alone.
+// NewStatus is the status of a roll-out. Of the view it needs the time and the instances
+// alone.
 func NewStatus(r *Record, v *View) Status {
-	round := func(s float64) float64 { return math.Round(10*s) / 10 }
-	s := Status{Service: r.Service, Handle: r.Handle, Current: r.Current, Next: r.Next, State: string(r.State), Reason: r.Reason,
-		Batch: min(r.BatchIndex+1, len(r.Batches)), SinceS: round(secondsSince(r.StateSince, v.Now))}
-	s.TookS = round(secondsSince(r.StartedAt, v.Now))
-	of := v.New
+	s := Status{
+		Service: r.Service,
+		Handle:  r.Handle,
+		Current: r.Current,
+		Next:    r.Next,
+		State:   string(r.State),
+		Reason:  r.Reason,
+		Batch:   min(r.BatchIndex+1, len(r.Batches)),
+		SinceS:  roundToTenth(secondsSince(r.StateSince, v.Now)),
+		TookS:   roundToTenth(secondsSince(r.StartedAt, v.Now)),
+	}
 	if r.State.Over() {
-		s.TookS = round(float64(r.StateSince-r.StartedAt) / 1000)
-		if r.State == Done {
-			of = v.Old // the versions have changed places
-		}
+		s.TookS = roundToTenth(float64(r.StateSince-r.StartedAt) / 1000)
+	}
+	instances := v.New
+	if r.State == Done {
+		instances = v.Old // the versions have changed places
 	}
-	for _, b := range r.Batches {
-		bs := BatchStatus{Zone: b.Zone, Replicas: len(b.Replicas)}
-		for _, i := range b.Replicas {
-			bs.Failures += r.Failures[i].Count
-			c := v.instance(of, i)
-			if c.Running {
-				bs.Running++
-			}
-			switch {
-			case c.Lost:
-				bs.Lost++
-			case c.Running && c.Health == Healthy:
-				bs.Healthy++
-			case c.Running && c.Health == Unhealthy:
-				bs.Unhealthy++
-			}
+	for i := range r.Batches {
+		s.Batches = append(s.Batches, r.batchStatus(&r.Batches[i], instances))
+	}
+	s.WaitingFor = r.waitingFor(s.Batches)
+	return s
+}
+
+// roundToTenth rounds to one decimal.
+func roundToTenth(x float64) float64 { return math.Round(10*x) / 10 }
+
+// batchStatus is the status of a batch with these instances.
+func (r *Record) batchStatus(b *Batch, instances []Instance) BatchStatus {
+	s := BatchStatus{Zone: b.Zone, Replicas: len(b.Replicas)}
+	for _, replica := range b.Replicas {
+		s.Failures += r.Failures[replica].Count
+		instance := instanceOf(instances, replica)
+		if instance.Running {
+			s.Running++
+		}
+		switch {
+		case instance.Lost:
+			s.Lost++
+		case instance.Running && instance.Health == Healthy:
+			s.Healthy++
+		case instance.Running && instance.Health == Unhealthy:
+			s.Unhealthy++
 		}
-		s.Batches = append(s.Batches, bs)
 	}
-	s.Waits = r.waitingFor(s.Batches)
 	return s
 }
 
-// waitingFor says what comes next.
-func (r *Record) waitingFor(bs []BatchStatus) string {
-	if r.State.Over() || len(bs) == 0 {
+// waitingFor says what a roll-out waits for; empty: nothing.
+func (r *Record) waitingFor(batches []BatchStatus) string {
+	if r.State.Over() || len(batches) == 0 {
 		return ""
 	}
-	b := bs[min(r.BatchIndex, len(bs)-1)]
+	b := batches[min(r.BatchIndex, len(batches)-1)]
 	switch r.State {
 	case Advancing:
 		if b.Healthy == b.Replicas {
@@ -86,7 +103,7 @@
 	case RollingBack:
 		return fmt.Sprintf("the old copies of batch %d", r.BatchIndex+1)
 	case Paused:
-		if r.PausedByOperator {
+		if r.ManualResume {
 			return "an operator"
 		}
 		return "the reason to go away"
