--- a/cmd/vetchstream/demo_rollout.go
+++ b/cmd/vetchstream/demo_rollout.go
@@ -19,24 +19,35 @@
 // demoTime bounds the whole demonstration.
 const demoTime = 58 * time.Second
 
-// errDemo marks a demonstration that did not go as it should.
+// errDemo is returned for a demonstration that did not go as it should.
 var errDemo = errors.New("the demonstration did not go as it should")
 
 // The service of the demonstration and its builds.
 const (
-	demoService = "captions"
-	demoJob     = "run-500"
-	goodJob     = "run-501"
-	badJob      = "run-502"
-	badImage    = "captions-3"
-	demoCopies  = 6
+	demoService  = "captions"
+	demoReplicas = 6
+	demoBatch    = 2
+	demoJob      = "run-500"
+	demoImage    = "captions-1"
+	goodJob      = "run-501"
+	goodImage    = "captions-2"
+	badJob       = "run-502"
+	badImage     = "captions-3"
+	// badAfter is how long an instance of the bad build runs before it turns unhealthy.
+	badAfter = 2 * time.Second
+	// demoPollInterval is how often the start of the service is polled.
+	demoPollInterval = 200 * time.Millisecond
 )
 
+// demoRollout is the command that demonstrates a good and a bad roll-out.
 func demoRollout(tuning *string) *cobra.Command {
 	em := emulation{options: emulate.Options{Nodes: 3, Machines: 24}}
 	cmd := &cobra.Command{
-		Use: "rollout", Short: "Show a good and a bad roll-out on an emulated cluster, in under a minute", Args: noArgs,
-		Long: "rollout runs a cluster as demo does, rolls a service out to a good build and then to a bad one, which turns unhealthy\ntwo seconds after it starts, and reports from the emulated machines' own history which build ran where.\n\n" + gone,
+		Use:   "rollout",
+		Short: "Show a good and a bad roll-out on an emulated cluster, in under a minute",
+		Long: "rollout runs a cluster as demo does, rolls a service out to a good build and then to a bad one, which turns unhealthy\n" +
+			"two seconds after it starts, and reports from the emulated machines' own history which build ran where.\n\n" + gone,
+		Args: noArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			tun, err := config.LoadTuning(*tuning)
 			if err != nil {
@@ -51,7 +62,7 @@
 				return err
 			}
 			c.World.Keep()
-			c.World.Behave(badImage, emulate.Image{BadAfter: 2 * time.Second})
+			c.World.Behave(badImage, emulate.Image{BadAfter: badAfter})
 			err = playRollouts(ctx, cmd, c, em.options.Listen)
 			return errors.Join(err, c.close())
 		},
@@ -60,11 +71,36 @@
 	return cmd
 }
 
+// rolloutDemo is a demonstration under way.
+type rolloutDemo struct {
+	*client
+	cmd *cobra.Command
+	out io.Writer
+}
+
 // playRollouts plays the demonstration and reports on it.
 func playRollouts(ctx context.Context, cmd *cobra.Command, c *cluster, server string) error {
-	w := cmd.OutOrStdout()
-	fmt.Fprintln(w, gone)
-	pause := func(d time.Duration) {
+	d := &rolloutDemo{
+		client: &client{server: server, output: "table", pause: pauseUntil(ctx)},
+		cmd:    cmd,
+		out:    cmd.OutOrStdout(),
+	}
+	fmt.Fprintln(d.out, gone)
+	if err := d.startService(ctx); err != nil {
+		return err
+	}
+	if err := d.roll("a good", goodJob, goodImage, rollout.Done); err != nil {
+		return err
+	}
+	if err := d.roll("a bad", badJob, badImage, rollout.RolledBack); err != nil {
+		return err
+	}
+	return reportRollouts(d.out, c)
+}
+
+// pauseUntil makes a function that pauses for a time, or until a context is done.
+func pauseUntil(ctx context.Context) func(time.Duration) {
+	return func(d time.Duration) {
 		t := time.NewTimer(d)
 		defer t.Stop()
 		select {
@@ -72,69 +108,99 @@
 		case <-t.C:
 		}
 	}
-	cl := &client{server: server, output: "table", pause: pause}
-	post := func(path string, doc map[string]any, out any) error {
-		b, err := wire.Marshal(doc)
-		if err != nil {
-			return err
-		}
-		return cl.call(cmd, http.MethodPost, path, b, out)
+}
+
+// post posts a document and decodes the reply.
+func (d *rolloutDemo) post(path string, doc map[string]any, reply any) error {
+	body, err := wire.Marshal(doc)
+	if err != nil {
+		return err
+	}
+	return d.call(d.cmd, http.MethodPost, path, body, reply)
+}
+
+// startService submits the service and waits until all replicas run.
+func (d *rolloutDemo) startService(ctx context.Context) error {
+	fmt.Fprintf(d.out, "A service of %d replicas starts.\n", demoReplicas)
+	spec := map[string]any{
+		"uid":          demoJob,
+		"breed":        demoService,
+		"owner":        "blue",
+		"shape":        "daemon",
+		"rank":         "standard",
+		"pieces":       demoReplicas,
+		"cpus":         1.0,
+		"accelerators": 0.0,
+		"mem_gb":       1.0,
+		"reel":         demoImage,
+		"image_gb":     0.4,
+		"same_place":   false,
+		"apart":        false,
+		"loaners":      true,
+		"guess_s":      0.0,
+		"mark_s":       0.0,
+		"stash_s":      0.0,
 	}
 	var job wire.Status
-	fmt.Fprintf(w, "A service of %d replicas starts.\n", demoCopies)
-	if err := post("/api/jobs", map[string]any{"uid": demoJob, "breed": "captions", "owner": "blue", "shape": "daemon", "rank": "standard", "pieces": demoCopies,
-		"cpus": 1.0, "accelerators": 0.0, "mem_gb": 1.0, "reel": "captions-1", "image_gb": 0.4, "same_place": false, "apart": false, "loaners": true,
-		"guess_s": 0.0, "mark_s": 0.0, "stash_s": 0.0}, &job); err != nil {
+	if err := d.post("/api/jobs", spec, &job); err != nil {
 		return err
 	}
-	for ctx.Err() == nil && job.Running < demoCopies {
-		pause(200 * time.Millisecond)
-		if err := cl.call(cmd, http.MethodGet, "/api/jobs/"+demoJob, nil, &job); err != nil {
+	for ctx.Err() == nil && job.Running < demoReplicas {
+		d.pause(demoPollInterval)
+		if err := d.call(d.cmd, http.MethodGet, "/api/jobs/"+demoJob, nil, &job); err != nil {
 			return err
 		}
 	}
-	roll := func(what, id, image string, want rollout.State) error {
-		fmt.Fprintf(w, "\nIt is rolled out to %s build %s.\n", what, image)
-		var s rollout.Status
-		err := post("/api/rollouts", map[string]any{"service": demoService, "from": demoJob, "to": map[string]any{"uid": id, "reel": image},
-			"batch": 2, "most_extra": 1, "ready_s": 1.0, "soak_s": 3.0, "deadline_s": 20.0}, &s)
-		if err != nil {
-			return err
-		}
-		if err := cl.watch(cmd, demoService); err != nil && !errors.Is(err, errNotDone) {
-			return err
-		}
-		if err := cl.call(cmd, http.MethodGet, "/api/rollouts/"+demoService, nil, &s); err != nil {
-			return err
-		}
-		if rollout.State(s.State) != want {
-			return fmt.Errorf("%w: %s is %s", errDemo, image, s.State)
-		}
-		return nil
+	return nil
+}
+
+// roll rolls the service out to a build, and checks the state in which that ends.
+func (d *rolloutDemo) roll(what, id, image string, want rollout.State) error {
+	fmt.Fprintf(d.out, "\nIt is rolled out to %s build %s.\n", what, image)
+	spec := map[string]any{
+		"service":    demoService,
+		"from":       demoJob,
+		"to":         map[string]any{"uid": id, "reel": image},
+		"batch":      demoBatch,
+		"most_extra": 1,
+		"ready_s":    1.0,
+		"soak_s":     3.0,
+		"deadline_s": 20.0,
+	}
+	var s rollout.Status
+	if err := d.post(rolloutPath, spec, &s); err != nil {
+		return err
 	}
-	if err := roll("a good", goodJob, "captions-2", rollout.Done); err != nil {
+	if err := d.watchRollout(d.cmd, demoService); err != nil && !errors.Is(err, errNotDone) {
 		return err
 	}
-	if err := roll("a bad", badJob, badImage, rollout.RolledBack); err != nil {
+	if err := d.call(d.cmd, http.MethodGet, rolloutPath+"/"+demoService, nil, &s); err != nil {
 		return err
 	}
-	return reportRollouts(w, c)
+	if rollout.State(s.State) != want {
+		return fmt.Errorf("%w: %s is %s", errDemo, image, s.State)
+	}
+	return nil
 }
 
-// reportRollouts tells from the machines' history which build ran where.
+// reportRollouts reports from the machines' history which build ran where.
 func reportRollouts(w io.Writer, c *cluster) error {
-	copies := map[string]map[string]bool{}
+	tasks := map[string]map[string]bool{} // that ran an image
 	for _, e := range c.World.History() {
-		if e.Start {
-			if copies[e.Image] == nil {
-				copies[e.Image] = map[string]bool{}
-			}
-			copies[e.Image][e.Task] = true
+		if !e.Start {
+			continue
+		}
+		if tasks[e.Image] == nil {
+			tasks[e.Image] = map[string]bool{}
 		}
+		tasks[e.Image][e.Task] = true
 	}
-	fmt.Fprintf(w, "\nReport, from the emulated machines' history:\n  the good build ran as %d of %d replicas\n  the bad build ran as %d, in a batch of at most 2\n  broken rules: %d\n",
-		len(copies["captions-2"]), demoCopies, len(copies[badImage]), len(c.World.Broken()))
-	if len(copies["captions-2"]) != demoCopies || len(copies[badImage]) > 2 || len(c.World.Broken()) > 0 {
+	good, bad, broken := len(tasks[goodImage]), len(tasks[badImage]), len(c.World.Broken())
+	fmt.Fprintf(w, "\nReport, from the emulated machines' history:\n")
+	fmt.Fprintf(w, "  the good build ran as %d of %d replicas\n", good, demoReplicas)
+	fmt.Fprintf(w, "  the bad build ran as %d, in a batch of at most %d\n", bad, demoBatch)
+	fmt.Fprintf(w, "  broken rules: %d\n", broken)
+	if good != demoReplicas || bad > demoBatch || broken > 0 {
 		return errDemo
 	}
 	return nil
--- a/cmd/vetchstream/rollout.go
+++ b/cmd/vetchstream/rollout.go
@@ -12,19 +12,41 @@
 	"github.com/spf13/cobra"
 
 	"vetchstream/internal/rollout"
+	"vetchstream/internal/rpc"
 )
 
+// rolloutPath is the path of the requests about roll-outs.
+const rolloutPath = "/api/rollouts"
+
 // rolloutCommands are the operators' commands for roll-outs.
 func rolloutCommands(c *client) *cobra.Command {
 	root := &cobra.Command{
-		Use: "rollout", Short: "Roll a service out to its next version, batch by batch", Args: noArgs,
-		Long: "A roll-out moves a service to its next version in batches, one zone at a time, while health gates pass, and takes\nit back by itself when they fail. See docs/rollouts.md.",
+		Use:   "rollout",
+		Short: "Roll a service out to its next version, batch by batch",
+		Long: "A roll-out moves a service to its next version in batches, one zone at a time, while health gates pass, and takes\n" +
+			"it back by itself when they fail. See docs/rollouts.md.",
+		Args: noArgs,
 		RunE: func(*cobra.Command, []string) error {
 			return usageError{errors.New("one of start, status, list, pause, resume and undo is needed")}
 		},
 	}
-	start := &cobra.Command{
-		Use: "start FILE", Short: "Start a roll-out described in a JSON file (- for standard input)", Args: one,
+	root.AddCommand(
+		c.rolloutStartCommand(),
+		c.rolloutStatusCommand(),
+		c.rolloutListCommand(),
+		c.rolloutVerbCommand(rpc.VerbPause, "Stop a roll-out where it is"),
+		c.rolloutVerbCommand(rpc.VerbResume, "Go on with a paused roll-out"),
+		c.rolloutVerbCommand(rpc.VerbUndo, "Roll back"),
+	)
+	return root
+}
+
+// rolloutStartCommand starts a roll-out.
+func (c *client) rolloutStartCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "start FILE",
+		Short: "Start a roll-out described in a JSON file (- for standard input)",
+		Args:  one,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			body, err := encodeFile(args[0])
 			if err != nil {
@@ -33,49 +55,60 @@
 			if _, err := rollout.Parse(body); err != nil {
 				return usageError{err}
 			}
-			return c.rollout(cmd, http.MethodPost, "/api/rollouts", body)
+			return c.rollout(cmd, http.MethodPost, rolloutPath, body)
 		},
 	}
+}
+
+// rolloutStatusCommand shows a roll-out, once or until it is over.
+func (c *client) rolloutStatusCommand() *cobra.Command {
 	var watch bool
 	status := &cobra.Command{
-		Use: "status SERVICE", Short: "Show a roll-out: its batches, their health, what it waits for", Args: one,
+		Use:   "status SERVICE",
+		Short: "Show a roll-out: its batches, their health, what it waits for",
+		Args:  one,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if !watch {
-				return c.rollout(cmd, http.MethodGet, "/api/rollouts/"+args[0], nil)
+				return c.rollout(cmd, http.MethodGet, rolloutPath+"/"+args[0], nil)
 			}
-			return c.watch(cmd, args[0])
+			return c.watchRollout(cmd, args[0])
 		},
 	}
 	status.Flags().BoolVar(&watch, "watch", false, "show every change until the roll-out is over; exits with 1 if it is not done then")
-	list := &cobra.Command{
-		Use: "list", Short: "List the roll-outs", Args: noArgs,
+	return status
+}
+
+// rolloutListCommand lists the roll-outs.
+func (c *client) rolloutListCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "list",
+		Short: "List the roll-outs",
+		Args:  noArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			var out struct {
+			var list struct {
 				Rollouts []rollout.Status `codec:"rollouts" json:"rollouts"`
 			}
-			if err := c.call(cmd, http.MethodGet, "/api/rollouts", nil, &out); err != nil {
+			if err := c.call(cmd, http.MethodGet, rolloutPath, nil, &list); err != nil {
 				return err
 			}
-			return c.print(cmd, out, func(w io.Writer) {
-				t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
-				fmt.Fprintln(t, "SERVICE\tSTATE\tBATCH\tCURRENT\tNEXT\tREASON")
-				for _, s := range out.Rollouts {
-					fmt.Fprintf(t, "%s\t%s\t%d/%d\t%s\t%s\t%s\n", s.Service, s.State, s.Batch, len(s.Batches), s.Current, s.Next, s.Reason)
-				}
-				_ = t.Flush()
-			})
+			return c.print(cmd, list, func(w io.Writer) { listRollouts(w, list.Rollouts) })
 		},
 	}
-	root.AddCommand(start, status, list)
-	for _, v := range [][2]string{{"pause", "Stop a roll-out where it is"}, {"resume", "Go on with a paused roll-out"}, {"undo", "Roll back"}} {
-		root.AddCommand(&cobra.Command{Use: v[0] + " SERVICE", Short: v[1], Args: one, RunE: func(cmd *cobra.Command, args []string) error {
-			return c.rollout(cmd, http.MethodPost, "/api/rollouts/"+args[0]+"/"+v[0], nil)
-		}})
+}
+
+// rolloutVerbCommand makes a request about a roll-out that is under way.
+func (c *client) rolloutVerbCommand(verb, short string) *cobra.Command {
+	return &cobra.Command{
+		Use:   verb + " SERVICE",
+		Short: short,
+		Args:  one,
+		RunE: func(cmd *cobra.Command, args []string) error {
+			return c.rollout(cmd, http.MethodPost, rolloutPath+"/"+args[0]+"/"+verb, nil)
+		},
 	}
-	return root
 }
 
-// rollout makes a request and shows the roll-out that it answers with.
+// rollout makes a request and shows the roll-out in the reply.
 func (c *client) rollout(cmd *cobra.Command, method, path string, body []byte) error {
 	var s rollout.Status
 	if err := c.call(cmd, method, path, body, &s); err != nil {
@@ -84,24 +117,22 @@
 	return c.print(cmd, s, func(w io.Writer) { showRollout(w, &s) })
 }
 
-// watchEvery is how often a watched roll-out is looked at.
-const watchEvery = time.Second
+// watchInterval is how often a watched roll-out is requested.
+const watchInterval = time.Second
 
-// errNotDone is the end of a watched roll-out that did not come through.
+// errNotDone is returned for a watched roll-out that ended in another state than done.
 var errNotDone = errors.New("the roll-out is over and not done")
 
-// watch shows a roll-out whenever it changes, until it is over.
-func (c *client) watch(cmd *cobra.Command, service string) error {
-	last := ""
+// watchRollout shows a roll-out whenever it changes, until it is over.
+func (c *client) watchRollout(cmd *cobra.Command, service string) error {
+	shown := ""
 	for {
 		var s rollout.Status
-		if err := c.call(cmd, http.MethodGet, "/api/rollouts/"+service, nil, &s); err != nil {
+		if err := c.call(cmd, http.MethodGet, rolloutPath+"/"+service, nil, &s); err != nil {
 			return err
 		}
-		sum := s
-		sum.SinceS, sum.TookS = 0, 0
-		if now := fmt.Sprint(sum); now != last {
-			last = now
+		if summary := summarize(s); summary != shown {
+			shown = summary
 			if err := c.print(cmd, s, func(w io.Writer) { showRollout(w, &s) }); err != nil {
 				return err
 			}
@@ -112,11 +143,28 @@
 		case state.Over():
 			return errNotDone
 		}
-		c.pause(watchEvery)
+		c.pause(watchInterval)
 	}
 }
 
-// showRollout is a roll-out for people.
+// summarize is what has to differ for a roll-out to be shown again: all but its times.
+func summarize(s rollout.Status) string {
+	s.SinceS = 0
+	s.TookS = 0
+	return fmt.Sprint(s)
+}
+
+// listRollouts prints roll-outs as a table.
+func listRollouts(w io.Writer, all []rollout.Status) {
+	t := newTable(w)
+	fmt.Fprintln(t, "SERVICE\tSTATE\tBATCH\tCURRENT\tNEXT\tREASON")
+	for _, s := range all {
+		fmt.Fprintf(t, "%s\t%s\t%d/%d\t%s\t%s\t%s\n", s.Service, s.State, s.Batch, len(s.Batches), s.Current, s.Next, s.Reason)
+	}
+	_ = t.Flush()
+}
+
+// showRollout prints a roll-out and its batches.
 func showRollout(w io.Writer, s *rollout.Status) {
 	fmt.Fprintf(w, "%s: %s, batch %d of %d, %.0f s", s.Service, s.State, s.Batch, len(s.Batches), s.TookS)
 	fmt.Fprintf(w, " (runs %s, other version %s)\n", s.Current, s.Next)
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -89,8 +89,8 @@
 	rt.POST("/api/jobs/:id/abort", func(w http.ResponseWriter, q *http.Request, p httprouter.Params) {
 		s.user(w, q, &rpc.Request{Kind: rpc.KindAbort, ID: p.ByName("id")}, submitTime)
 	})
-	s.rollouts(rt)
-	s.calendar(rt)
+	s.rolloutRoutes(rt)
+	s.calendarRoutes(rt)
 	s.configuration(rt)
 	rt.POST("/checkin", s.checkin)
 	rt.GET("/healthz", func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
--- a/internal/api/calendar.go
+++ b/internal/api/calendar.go
@@ -6,10 +6,9 @@
 	"github.com/julienschmidt/httprouter"
 
 	"vetchstream/internal/rpc"
-	"vetchstream/internal/wire"
 )
 
-// calendar are the routes for reservations and maintenance windows, beside the
+// calendarRoutes adds the routes for reservations and maintenance windows, beside the
 // protocol's own; PLACE is reservations or maintenance:
 //
 //	POST /api/PLACE                create one; the body is its specification
@@ -18,33 +17,26 @@
 //	POST /api/PLACE/{name}/cancel  cancel it
 //
 // With ?team=NAME a request sees and changes that team's reservations alone.
-func (s *Server) calendar(rt *httprouter.Router) {
-	for place, window := range map[string]bool{"/api/reservations": false, "/api/maintenance": true} {
-		operate := func(w http.ResponseWriter, q *http.Request, op rpc.Operation) {
-			op.Window, op.Team = window, q.URL.Query().Get("team")
-			b, err := wire.Marshal(op)
-			if err != nil {
-				write(w, refuse(http.StatusInternalServerError, err.Error()))
-				return
-			}
-			s.user(w, q, &rpc.Request{Kind: rpc.KindCalendar, Body: b}, submitTime)
-		}
-		rt.POST(place, func(w http.ResponseWriter, q *http.Request, _ httprouter.Params) {
-			body, err := read(q)
-			if err != nil {
-				write(w, refuse(http.StatusBadRequest, err.Error()))
-				return
-			}
-			operate(w, q, rpc.Operation{Verb: rpc.VerbStart, Spec: body})
-		})
-		rt.GET(place, func(w http.ResponseWriter, q *http.Request, _ httprouter.Params) {
-			operate(w, q, rpc.Operation{Verb: rpc.VerbList, Service: q.URL.Query().Get("after")})
-		})
-		rt.GET(place+"/:name", func(w http.ResponseWriter, q *http.Request, p httprouter.Params) {
-			operate(w, q, rpc.Operation{Verb: rpc.VerbStatus, Service: p.ByName("name")})
-		})
-		rt.POST(place+"/:name/cancel", func(w http.ResponseWriter, q *http.Request, p httprouter.Params) {
-			operate(w, q, rpc.Operation{Verb: rpc.VerbCancel, Service: p.ByName("name")})
-		})
+func (s *Server) calendarRoutes(rt *httprouter.Router) {
+	s.calendarEntryRoutes(rt, "/api/reservations", false)
+	s.calendarEntryRoutes(rt, "/api/maintenance", true)
+}
+
+// calendarEntryRoutes adds the routes below a path for maintenance windows or reservations.
+func (s *Server) calendarEntryRoutes(rt *httprouter.Router, path string, window bool) {
+	operation := func(q *http.Request, verb, name string) rpc.Operation {
+		return rpc.Operation{Verb: verb, Service: name, Window: window, Team: q.URL.Query().Get("team")}
 	}
+	rt.POST(path, func(w http.ResponseWriter, q *http.Request, _ httprouter.Params) {
+		s.operateBody(w, q, rpc.KindCalendar, operation(q, rpc.VerbStart, ""))
+	})
+	rt.GET(path, func(w http.ResponseWriter, q *http.Request, _ httprouter.Params) {
+		s.operate(w, q, rpc.KindCalendar, operation(q, rpc.VerbList, q.URL.Query().Get("after")))
+	})
+	rt.GET(path+"/:name", func(w http.ResponseWriter, q *http.Request, p httprouter.Params) {
+		s.operate(w, q, rpc.KindCalendar, operation(q, rpc.VerbStatus, p.ByName("name")))
+	})
+	rt.POST(path+"/:name/cancel", func(w http.ResponseWriter, q *http.Request, p httprouter.Params) {
+		s.operate(w, q, rpc.KindCalendar, operation(q, rpc.VerbCancel, p.ByName("name")))
+	})
 }
--- /dev/null
+++ b/internal/api/operations.go
@@ -0,0 +1,29 @@
+package api
+
+import (
+	"net/http"
+
+	"vetchstream/internal/rpc"
+	"vetchstream/internal/wire"
+)
+
+// operate hands an operator's request to the leader and writes the reply.
+func (s *Server) operate(w http.ResponseWriter, q *http.Request, kind string, op rpc.Operation) {
+	body, err := wire.Marshal(op)
+	if err != nil {
+		write(w, refuse(http.StatusInternalServerError, err.Error()))
+		return
+	}
+	s.user(w, q, &rpc.Request{Kind: kind, Body: body}, submitTime)
+}
+
+// operateBody is operate for an operation whose specification is the request's body.
+func (s *Server) operateBody(w http.ResponseWriter, q *http.Request, kind string, op rpc.Operation) {
+	body, err := read(q)
+	if err != nil {
+		write(w, refuse(http.StatusBadRequest, err.Error()))
+		return
+	}
+	op.Spec = body
+	s.operate(w, q, kind, op)
+}
--- a/internal/api/rollouts.go
+++ b/internal/api/rollouts.go
@@ -6,42 +6,28 @@
 	"github.com/julienschmidt/httprouter"
 
 	"vetchstream/internal/rpc"
-	"vetchstream/internal/wire"
 )
 
-// rollouts are the routes for operators' roll-outs, beside the protocol's own:
+// rolloutRoutes adds the routes for operators' roll-outs, beside the protocol's own:
 //
 //	POST /api/rollouts                 start one; the body is its specification
 //	GET  /api/rollouts                 all of them
 //	GET  /api/rollouts/{service}       one
 //	POST /api/rollouts/{service}/VERB  pause, resume or undo it
-func (s *Server) rollouts(rt *httprouter.Router) {
-	operate := func(w http.ResponseWriter, q *http.Request, op rpc.Operation) {
-		b, err := wire.Marshal(op)
-		if err != nil {
-			write(w, refuse(http.StatusInternalServerError, err.Error()))
-			return
-		}
-		s.user(w, q, &rpc.Request{Kind: rpc.KindRollout, Body: b}, submitTime)
-	}
+func (s *Server) rolloutRoutes(rt *httprouter.Router) {
 	rt.POST("/api/rollouts", func(w http.ResponseWriter, q *http.Request, _ httprouter.Params) {
-		body, err := read(q)
-		if err != nil {
-			write(w, refuse(http.StatusBadRequest, err.Error()))
-			return
-		}
-		operate(w, q, rpc.Operation{Verb: rpc.VerbStart, Spec: body})
+		s.operateBody(w, q, rpc.KindRollout, rpc.Operation{Verb: rpc.VerbStart})
 	})
 	rt.GET("/api/rollouts", func(w http.ResponseWriter, q *http.Request, _ httprouter.Params) {
-		operate(w, q, rpc.Operation{Verb: rpc.VerbList})
+		s.operate(w, q, rpc.KindRollout, rpc.Operation{Verb: rpc.VerbList})
 	})
 	rt.GET("/api/rollouts/:service", func(w http.ResponseWriter, q *http.Request, p httprouter.Params) {
-		operate(w, q, rpc.Operation{Verb: rpc.VerbStatus, Service: p.ByName("service")})
+		s.operate(w, q, rpc.KindRollout, rpc.Operation{Verb: rpc.VerbStatus, Service: p.ByName("service")})
 	})
 	rt.POST("/api/rollouts/:service/:verb", func(w http.ResponseWriter, q *http.Request, p httprouter.Params) {
 		switch verb := p.ByName("verb"); verb {
 		case rpc.VerbPause, rpc.VerbResume, rpc.VerbUndo:
-			operate(w, q, rpc.Operation{Verb: verb, Service: p.ByName("service")})
+			s.operate(w, q, rpc.KindRollout, rpc.Operation{Verb: verb, Service: p.ByName("service")})
 		default:
 			write(w, refuse(http.StatusNotFound, "no such route"))
 		}
