--- a/cmd/vetchstream/demo_rollout.go
+++ b/cmd/vetchstream/demo_rollout.go
@@ -33,15 +33,15 @@
 	goodImage    = "captions-2"
 	badJob       = "run-502"
 	badImage     = "captions-3"
-	// badAfter is how long an instance of the bad build runs before it turns unhealthy.
-	badAfter = 2 * time.Second
+	// unhealthyAfter is how long an instance of the bad build runs before it turns unhealthy.
+	unhealthyAfter = 2 * time.Second
 	// demoPollInterval is how often the start of the service is polled.
 	demoPollInterval = 200 * time.Millisecond
 )
 
 // demoRollout is the command that demonstrates a good and a bad roll-out.
 func demoRollout(tuning *string) *cobra.Command {
-	em := emulation{options: emulate.Options{Nodes: 3, Machines: 24}}
+	em := emulation{options: emulate.Options{Nodes: 3, MaxMachines: 24}}
 	cmd := &cobra.Command{
 		Use:   "rollout",
 		Short: "Show a good and a bad roll-out on an emulated cluster, in under a minute",
@@ -61,8 +61,8 @@
 			if err != nil {
 				return err
 			}
-			c.World.Keep()
-			c.World.Behave(badImage, emulate.Image{BadAfter: badAfter})
+			c.World.RecordHistory()
+			c.World.SetImageBehavior(badImage, emulate.ImageBehavior{UnhealthyAfter: unhealthyAfter})
 			err = playRollouts(ctx, cmd, c, em.options.Listen)
 			return errors.Join(err, c.close())
 		},
@@ -195,7 +195,7 @@
 		}
 		tasks[e.Image][e.Task] = true
 	}
-	good, bad, broken := len(tasks[goodImage]), len(tasks[badImage]), len(c.World.Broken())
+	good, bad, broken := len(tasks[goodImage]), len(tasks[badImage]), len(c.World.Violations())
 	fmt.Fprintf(w, "\nReport, from the emulated machines' history:\n")
 	fmt.Fprintf(w, "  the good build ran as %d of %d replicas\n", good, demoReplicas)
 	fmt.Fprintf(w, "  the bad build ran as %d, in a batch of at most %d\n", bad, demoBatch)
--- a/internal/control/calendar_claims.go
+++ b/internal/control/calendar_claims.go
@@ -50,14 +50,14 @@
 func (cs *calendarStore) assignClaims() {
 	clear(cs.claims)
 	for _, j := range cs.jobTable.all() {
-		if j.Booking == "" || j.Phase+j.Closing != "" || cs.jobTable.stranger(j) {
+		if j.Reservation == "" || j.Phase+j.Closing != "" || cs.jobTable.isUnidentified(j) {
 			continue
 		}
 		o, err := cs.claimedOccurrence(j)
 		if err != nil {
 			if j.Notice == "" {
-				j.Notice = "reservation " + j.Booking + " " + err.Error() + ": the job runs without it"
-				cs.log.Info("claim fits no reservation", "job", j.ID, "reservation", j.Booking, "why", err.Error())
+				j.Notice = "reservation " + j.Reservation + " " + err.Error() + ": the job runs without it"
+				cs.log.Info("claim fits no reservation", "job", j.ID, "reservation", j.Reservation, "why", err.Error())
 			}
 			continue
 		}
@@ -70,7 +70,7 @@
 // claimedOccurrence is the occurrence that a job claims. A claim that matches none is not
 // an invalid job: it competes like any other, and its user is shown the claimError.
 func (cs *calendarStore) claimedOccurrence(j *job.Job) (occurrence, error) {
-	b := cs.bookings[j.Booking]
+	b := cs.bookings[j.Reservation]
 	if b == nil {
 		return occurrence{}, errUnknownReservation
 	}
@@ -84,13 +84,13 @@
 	case b.booking.Revoked[span.From]:
 		return occurrence{}, errCapacityRevoked
 	}
-	return occurrence{j.Booking, span.From}, nil
+	return occurrence{j.Reservation, span.From}, nil
 }
 
 // waitsForStart reports whether a job has to wait for the start of the occurrence that it
 // claims.
 func (cs *calendarStore) waitsForStart(j *job.Job, now time.Time) bool {
-	if j.Booking == "" || !cs.enabled() {
+	if j.Reservation == "" || !cs.enabled() {
 		return false
 	}
 	o, err := cs.claimedOccurrence(j)
@@ -133,7 +133,7 @@
 	if b.storing || cs.storing || b.rec.NextStart > timeOfDay.UnixMilli() {
 		return
 	}
-	f := &cs.c.Settings.Facts
+	f := &cs.controller.Settings.Facts
 	tolerance := calendar.Tolerance(f.Workers.ReportS, f.SkewMs)
 	next, changed := calendar.DecideOutcome(b.rec, b.booking, cs.observeNext(b, timeOfDay), tolerance)
 	if !changed {
@@ -155,12 +155,12 @@
 			return
 		}
 		o := next.Outcomes[len(next.Outcomes)-1]
-		cs.c.Meter.Add(metrics.Slots, string(o.Kind), 1)
+		cs.controller.Meter.Add(metrics.Slots, string(o.Kind), 1)
 		cs.log.Info("slot is decided", "reservation", name, "start", time.UnixMilli(o.Start).UTC(), "outcome", o.Kind, "job", o.Job, "late_s", o.LateS)
 		b.rec = next
 		b.version = version
 		cs.upcoming = nil
-		cs.changed()
+		cs.requestPlan()
 	})
 }
 
--- a/internal/control/calendar_drains.go
+++ b/internal/control/calendar_drains.go
@@ -49,7 +49,7 @@
 
 // enabled reports whether machines are drained for maintenance.
 func (md *maintenanceDrains) enabled() bool {
-	return md.calendarStore.enabled() && md.c.Tuning.Calendar.Drain
+	return md.calendarStore.enabled() && md.controller.Tuning.Calendar.Drain
 }
 
 // covers reports whether a machine is serviced in a window.
@@ -121,7 +121,7 @@
 // returnMargin is how long before the start of its maintenance a machine has to be empty:
 // its worker has to confirm that in a heartbeat.
 func (md *maintenanceDrains) returnMargin() time.Duration {
-	return heartbeatsToEnd*md.reportTime() + time.Second
+	return heartbeatsToEnd*md.heartbeatInterval() + time.Second
 }
 
 // annotate sets in the planner's view of a machine in how many seconds it leaves for
@@ -206,7 +206,7 @@
 			continue
 		}
 		if !s.Sent {
-			md.taskTracker.handle(md.taskTracker.fleet.Stop(s, 0), now)
+			md.taskTracker.applyEvents(md.taskTracker.fleet.Stop(s, 0), now)
 			continue
 		}
 		md.drainTask(s, w, left, now)
@@ -258,7 +258,7 @@
 func desiredReplicas(j *job.Job) int {
 	n := 0
 	for t := range int32(j.Tasks) {
-		if j.May(t) {
+		if j.MayRun(t) {
 			n++
 		}
 	}
@@ -268,7 +268,7 @@
 // evict stops a task for maintenance, with so many seconds to write a checkpoint.
 func (md *maintenanceDrains) evict(s *fleet.Slot, grace float64, w *calendar.PlannedWindow) {
 	md.log.Info("moving a task for maintenance", "task", job.TaskName(s.Job.ID, s.Task), "host", s.Host.Name, "window", w.Name, "save_s", grace)
-	md.c.Meter.Add(metrics.Moves, "", 1)
+	md.controller.Meter.Add(metrics.Moves, "", 1)
 	md.taskTracker.stopSlot(s, grace)
 }
 
--- a/internal/control/calendar_holds.go
+++ b/internal/control/calendar_holds.go
@@ -89,7 +89,7 @@
 			rh.drop(hold)
 		}
 	}
-	defer func() { rh.c.Meter.Set(metrics.Held, len(rh.holdOf)) }()
+	defer func() { rh.controller.Meter.Set(metrics.Held, len(rh.holdOf)) }()
 	// The earliest start chooses first, so that two leaders choose alike.
 	order := slices.SortedFunc(maps.Keys(upcoming), func(a, b string) int {
 		return cmp.Or(cmp.Compare(upcoming[a].span.From, upcoming[b].span.From), cmp.Compare(a, b))
@@ -118,7 +118,7 @@
 		rh.release(hold) // its job has ended
 		return
 	}
-	if rh.c.Tuning.Calendar.Hold {
+	if rh.controller.Tuning.Calendar.Hold {
 		rh.holdMachines(hold, o.booking, now)
 	}
 }
@@ -135,7 +135,7 @@
 		delete(rh.holdOf, h)
 	}
 	if len(hold.hosts) > 0 {
-		rh.changed()
+		rh.requestPlan()
 	}
 	clear(hold.hosts)
 }
@@ -170,8 +170,8 @@
 
 // fullyRunning reports whether all tasks of a job that have not ended are running.
 func (rh *reservationHolds) fullyRunning(j *job.Job) bool {
-	n := rh.jobTable.running(j)
-	return n > 0 && (j.Waiting() == 0 || j.Over()) && (j.Shape != job.Gang || n == j.Tasks)
+	n := rh.jobTable.runningTasks(j)
+	return n > 0 && (j.UnplacedCount() == 0 || j.Complete()) && (j.Shape != job.Gang || n == j.Tasks)
 }
 
 // startTime is when all tasks of an occurrence's claimer were first observed running;
@@ -204,7 +204,7 @@
 // providesFor reports whether the hold of a job's occurrence already provides what the
 // job needs: the autoscaler must not provision it a second time.
 func (rh *reservationHolds) providesFor(j *job.Job) bool {
-	hold := rh.holds[j.Booking]
+	hold := rh.holds[j.Reservation]
 	return hold != nil && hold.claimer == j && hold.covered
 }
 
@@ -218,7 +218,7 @@
 // retains reports whether a machine is not to be released although it is idle: it is held
 // for an occurrence that starts soon, or nothing else may run on it.
 func (rh *reservationHolds) retains(h *fleet.Host) bool {
-	return rh.holdOf[h] != nil && (rh.holdOf[h].provisioning || !rh.c.Tuning.Calendar.Backfill)
+	return rh.holdOf[h] != nil && (rh.holdOf[h].provisioning || !rh.controller.Tuning.Calendar.Backfill)
 }
 
 // annotate sets in the planner's view of a machine for which job it is held, and in how
@@ -232,7 +232,7 @@
 	if hold.claimer != nil {
 		m.HeldFor = rh.jobTable.index(hold.claimer)
 	}
-	if rh.c.Tuning.Calendar.Backfill {
+	if rh.controller.Tuning.Calendar.Backfill {
 		m.HeldIn = rh.secondsToStart(hold, now)
 	}
 }
@@ -246,7 +246,7 @@
 // hasCapacity reports whether the machines that are held for a job have free capacity for
 // n of its tasks now.
 func (rh *reservationHolds) hasCapacity(j *job.Job, n int) bool {
-	hold := rh.holds[j.Booking]
+	hold := rh.holds[j.Reservation]
 	if hold == nil || hold.claimer != j {
 		return false
 	}
--- a/internal/control/calendar_holds_estimates.go
+++ b/internal/control/calendar_holds_estimates.go
@@ -54,7 +54,7 @@
 // more accurate than they are, and the next job's tasks would overrun the start of an
 // occurrence.
 func (rh *reservationHolds) taskCompleted(j *job.Job, seconds float64) {
-	if !rh.calendarStore.enabled() || j.RunCount != 1 {
+	if !rh.calendarStore.enabled() || j.RunTimeCount != 1 {
 		return
 	}
 	ratios := rh.runTimeRatios[j.Class]
@@ -65,7 +65,7 @@
 		ratios = &calendar.Estimator{}
 		rh.runTimeRatios[j.Class] = ratios
 	}
-	ratios.Add(seconds / estimate(j))
+	ratios.Add(seconds / runTimeEstimate(j))
 }
 
 // maxRunSeconds is how long a task of the job runs at most, as far as the estimates of its
@@ -81,7 +81,7 @@
 			overrun = max(1, ratios.UpperBound(1))
 		}
 	}
-	return estimate(j) * overrun
+	return runTimeEstimate(j) * overrun
 }
 
 // maxSecondsToEnd is in how many seconds a task of the job that is placed now is sure to
@@ -93,7 +93,7 @@
 			fetch = max(fetch, j.ImageGB/rate)
 		}
 	}
-	return fetch + heartbeatsToEnd*rh.reportTime().Seconds() + rh.maxRunSeconds(j)
+	return fetch + heartbeatsToEnd*rh.heartbeatInterval().Seconds() + rh.maxRunSeconds(j)
 }
 
 // requiredSeconds is for how many seconds a task of the job that is placed now needs its
@@ -102,7 +102,7 @@
 // own machines when maintenance follows soon after.
 func (rh *reservationHolds) requiredSeconds(j *job.Job, now time.Time) float64 {
 	required := rh.maxSecondsToEnd(j)
-	if hold := rh.holds[j.Booking]; hold != nil && hold.claimer == j {
+	if hold := rh.holds[j.Reservation]; hold != nil && hold.claimer == j {
 		left := time.UnixMilli(hold.span.To).Sub(rh.calendarStore.timeOfDay(now)) - rh.maintenanceDrains.returnMargin()
 		required = min(required, max(0, left.Seconds()))
 	}
@@ -123,7 +123,7 @@
 // reservation. It is no shorter than the lead time of provisioning: where nothing can be
 // provisioned the machines are full of work that takes longer to end than a machine to boot.
 func (rh *reservationHolds) holdLeadTime(b *calendar.Booking) time.Duration {
-	return max(rh.provisionLeadTime(b), config.Seconds(rh.c.Tuning.Calendar.HoldS))
+	return max(rh.provisionLeadTime(b), config.Seconds(rh.controller.Tuning.Calendar.HoldS))
 }
 
 // provisionLeadTime is how long before its start a reservation's missing machines are
@@ -146,5 +146,5 @@
 		}
 		boot = max(boot, bootTime.UpperBound(t.BootS))
 	}
-	return config.Seconds(boot) + heartbeatsToStart*rh.reportTime() + 2*calendarInterval
+	return config.Seconds(boot) + heartbeatsToStart*rh.heartbeatInterval() + 2*calendarInterval
 }
--- a/internal/control/calendar_holds_machines.go
+++ b/internal/control/calendar_holds_machines.go
@@ -52,7 +52,7 @@
 		allocated := func(a calendar.Allocation) bool { return rh.matches(h, a) }
 		if !rh.canServe(h, hold) || !slices.ContainsFunc(hold.allocations, allocated) {
 			rh.remove(hold, h)
-			rh.changed()
+			rh.requestPlan()
 		}
 	}
 }
@@ -69,7 +69,7 @@
 	for h := range hold.hosts {
 		if !running[h] {
 			rh.remove(hold, h)
-			rh.changed()
+			rh.requestPlan()
 		}
 	}
 	for h := range running {
@@ -97,7 +97,7 @@
 		for _, c := range candidates[:min(max(0, missing), len(candidates))] {
 			rh.add(hold, c.host)
 			missing--
-			rh.changed()
+			rh.requestPlan()
 		}
 		if missing > 0 {
 			a.Machines = missing
--- a/internal/control/calendar_requests.go
+++ b/internal/control/calendar_requests.go
@@ -19,13 +19,13 @@
 	return reply(status, wire.Error{Error: reason})
 }
 
-// handle answers a request about the calendar.
-func (cs *calendarStore) handle(op *rpc.Operation, back func(*rpc.Reply)) {
+// handleOperation answers a request about the calendar.
+func (cs *calendarStore) handleOperation(op *rpc.Operation, back func(*rpc.Reply)) {
 	switch {
 	case !cs.enabled():
 		back(errorReply(http.StatusNotFound, "the calendar is switched off here"))
 	case len(cs.nameIndex.list()) == 0:
-		back(Later("machine types are not known yet"))
+		back(Unavailable("machine types are not known yet"))
 	case op.Window && op.Team != "" && (op.Verb == rpc.VerbStart || op.Verb == rpc.VerbCancel):
 		back(errorReply(http.StatusForbidden, "maintenance is an operator's"))
 	case op.Verb == rpc.VerbList:
@@ -174,7 +174,7 @@
 
 // tooLarge reports whether a record exceeds what the key-value store accepts.
 func (cs *calendarStore) tooLarge(w state.Write) bool {
-	return float64(recordSize(w.Value)) > cs.c.Settings.Facts.State.ValueKB*bytesPerKB*pageShare
+	return float64(recordSize(w.Value)) > cs.controller.Settings.Facts.State.ValueKB*bytesPerKB*pageShare
 }
 
 const (
@@ -250,13 +250,13 @@
 		changed: slices.Concat(plan.Moved, plan.Revoked),
 		records: map[string]*calendar.Record{},
 	}
-	if limit := cs.c.Settings.Facts.State.TxnOps - calendarOps; len(txn.changed) > limit {
+	if limit := cs.controller.Settings.Facts.State.TxnOps - calendarOps; len(txn.changed) > limit {
 		return nil, errorReply(http.StatusConflict, fmt.Sprintf("%d reservations would have to move, and at most %d can at once; plan smaller windows", len(txn.changed), limit))
 	}
 	for _, b := range txn.changed {
 		stored := cs.bookings[b.Name]
 		if stored.storing {
-			return nil, settled(Later("a reservation is being stored"))
+			return nil, finalRefusal(Unavailable("a reservation is being stored"))
 		}
 		rec := stored.rec.WithBooking(b)
 		put, err := state.Put(bookingPrefix+b.Name, rec)
@@ -319,7 +319,7 @@
 		back(errorReply(http.StatusNotFound, noSuchEntry))
 		return
 	case b.storing:
-		back(settled(Later("the reservation is being stored")))
+		back(finalRefusal(Unavailable("the reservation is being stored")))
 		return
 	}
 	s := cs.status(name)
--- a/internal/control/calendar_store.go
+++ b/internal/control/calendar_store.go
@@ -79,7 +79,7 @@
 }
 
 // enabled reports whether the calendar is switched on.
-func (cs *calendarStore) enabled() bool { return cs.c.Tuning.Calendar.Enabled }
+func (cs *calendarStore) enabled() bool { return cs.controller.Tuning.Calendar.Enabled }
 
 // empty reports whether there are neither reservations nor windows.
 func (cs *calendarStore) empty() bool { return len(cs.bookings) == 0 && len(cs.windows) == 0 }
@@ -87,12 +87,12 @@
 // timeOfDay is the time of day, continued from the begin of the term: a jump of the
 // machine's clock must not let all occurrences of a year lapse at once.
 func (cs *calendarStore) timeOfDay(now time.Time) time.Time {
-	return cs.since.Round(0).Add(now.Sub(cs.since))
+	return cs.termStart.Round(0).Add(now.Sub(cs.termStart))
 }
 
 // limits are the operators' bounds on the calendar.
 func (cs *calendarStore) limits() calendar.Limits {
-	t := &cs.c.Tuning.Calendar
+	t := &cs.controller.Tuning.Calendar
 	return calendar.Limits{
 		HorizonDays:         t.Days,
 		Reservations:        t.Most,
@@ -105,7 +105,7 @@
 // calendarConfig is the configuration of a calendar for these machine types and zones.
 func (cs *calendarStore) calendarConfig(types []wire.MachineType, zones []string) calendar.Config {
 	machines := func(typ, _ string) int {
-		if n, ok := cs.c.Tuning.Calendar.CountOn[typ]; ok {
+		if n, ok := cs.controller.Tuning.Calendar.CountOn[typ]; ok {
 			return n
 		}
 		return calendar.UnlimitedMachines
@@ -113,7 +113,7 @@
 	return calendar.Config{
 		Types:    types,
 		Zones:    zones,
-		Teams:    cs.teamQuotas.all(),
+		Teams:    cs.teamQuotas.teams(),
 		Machines: machines,
 		Limits:   cs.limits(),
 	}
@@ -124,15 +124,15 @@
 	if !cs.enabled() {
 		return nil, nil, nil
 	}
-	changes, err := cs.c.State.Get(cs.ctx, changesKey)
+	changes, err := cs.controller.State.Get(cs.ctx, changesKey)
 	if err != nil && !errors.Is(err, state.ErrNotFound) {
 		return nil, nil, err
 	}
 	cs.changesVersion = changes.Version
-	if bookings, _, err = cs.c.State.List(cs.ctx, bookingPrefix); err != nil {
+	if bookings, _, err = cs.controller.State.List(cs.ctx, bookingPrefix); err != nil {
 		return nil, nil, err
 	}
-	windows, _, err = cs.c.State.List(cs.ctx, windowPrefix)
+	windows, _, err = cs.controller.State.List(cs.ctx, windowPrefix)
 	return bookings, windows, err
 }
 
@@ -249,7 +249,7 @@
 	}
 	cs.rebuild()
 	cs.reservationHolds.refresh(now)
-	if !cs.takeover.settled() {
+	if !cs.takeover.reconciled() {
 		return // what runs where is not known yet: nothing is decided, nothing is stopped
 	}
 	timeOfDay := cs.timeOfDay(now)
@@ -287,9 +287,9 @@
 // on the leader's goroutine. Version is that of key before the transaction.
 func (cs *calendarStore) commitInBackground(key string, version uint64, conds []state.Cond, writes []state.Write, then func(version uint64, err error)) {
 	go func() {
-		committed, err := cs.settle(key, version, conds, writes)
+		committed, err := cs.commitUntilSettled(key, version, conds, writes)
 		if cs.ctx.Err() == nil {
-			cs.ahead(func() { then(committed, err) })
+			cs.enqueueForUser(func() { then(committed, err) })
 		}
 	}()
 }
@@ -320,7 +320,7 @@
 	case !cs.storing:
 		change()
 	case len(cs.queuedChanges) >= maxQueuedChanges:
-		back(settled(Later("many changes of the calendar are being stored")))
+		back(finalRefusal(Unavailable("many changes of the calendar are being stored")))
 	default:
 		cs.queuedChanges = append(cs.queuedChanges, change)
 	}
@@ -333,7 +333,7 @@
 func (cs *calendarStore) changeStored() {
 	cs.storing = false
 	cs.lastStep = time.Time{}
-	cs.changed()
+	cs.requestPlan()
 	for len(cs.queuedChanges) > 0 && !cs.storing {
 		change := cs.queuedChanges[0]
 		cs.queuedChanges = cs.queuedChanges[1:]
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -59,7 +59,7 @@
 }
 
 func newRollouts(co *core) *rollouts {
-	ro := &rollouts{core: co, checker: checker{slots: co.c.Tuning.Rollouts.Checks}}
+	ro := &rollouts{core: co, checker: checker{slots: co.controller.Tuning.Rollouts.Checks}}
 	ro.reset()
 	return ro
 }
@@ -71,14 +71,14 @@
 }
 
 // enabled reports whether roll-outs are switched on.
-func (ro *rollouts) enabled() bool { return ro.c.Tuning.Rollouts.Enabled }
+func (ro *rollouts) enabled() bool { return ro.controller.Tuning.Rollouts.Enabled }
 
 // readRecords reads the stored records; none while roll-outs are switched off.
 func (ro *rollouts) readRecords() ([]state.Entry, error) {
 	if !ro.enabled() {
 		return nil, nil
 	}
-	entries, _, err := ro.c.State.List(ro.ctx, rolloutPrefix)
+	entries, _, err := ro.controller.State.List(ro.ctx, rolloutPrefix)
 	return entries, err
 }
 
@@ -122,15 +122,15 @@
 func (ro *rollouts) linkVersions(s *service) {
 	var jobs []*job.Job
 	for _, id := range s.jobIDs() {
-		if j := ro.jobTable.sound(id); j != nil && !slices.Contains(jobs, j) {
+		if j := ro.jobTable.identified(id); j != nil && !slices.Contains(jobs, j) {
 			jobs = append(jobs, j)
 		}
 	}
 	for _, j := range jobs {
-		j.Handle = j.ID == s.rec.Handle
+		j.IsVersionGroup = j.ID == s.rec.Handle
 		j.Versions = slices.DeleteFunc(slices.Clone(jobs), func(o *job.Job) bool { return o == j })
-		if j.Quota == nil {
-			j.Quota = &job.Quota{Allowed: make([]bool, j.Tasks)}
+		if j.Replicas == nil {
+			j.Replicas = &job.ReplicaPlan{Allowed: make([]bool, j.Tasks)}
 		}
 	}
 }
@@ -154,7 +154,7 @@
 	for _, s := range ro.services {
 		ro.endCancelled(s)
 	}
-	if !ro.takeover.settled() {
+	if !ro.takeover.reconciled() {
 		return // what runs where is not known yet: nothing new starts, nothing is stopped
 	}
 	unavailable := ro.unavailableZones(now)
@@ -165,7 +165,7 @@
 
 // advanceService stores a service's next step, or carries out the one that is stored.
 func (ro *rollouts) advanceService(s *service, unavailable map[string]bool, now time.Time) {
-	if s.storing || (s.idle && len(s.requests) == 0 && !jobEnded(ro.jobTable.sound(s.rec.Handle))) {
+	if s.storing || (s.idle && len(s.requests) == 0 && !jobEnded(ro.jobTable.identified(s.rec.Handle))) {
 		return
 	}
 	ro.linkVersions(s)
@@ -174,7 +174,7 @@
 	changed := s.addFailures(&next)
 	requested, responses := s.applyRequests(&next)
 	changed = requested || changed
-	if next.State != rollout.Failed && ro.jobTable.sound(next.Next) == nil && !next.State.Over() {
+	if next.State != rollout.Failed && ro.jobTable.identified(next.Next) == nil && !next.State.Over() {
 		changed = rollout.RollBack(&next, now) || changed // the next version's job was cancelled
 	}
 	changed = rollout.Step(&next, view, s.gate) || changed
@@ -226,7 +226,7 @@
 	}
 	go func() {
 		if version, ok := ro.commitRecord(txn, key, before); ok {
-			ro.ahead(func() { ro.stored(s, rec, version, responses) })
+			ro.enqueueForUser(func() { ro.stored(s, rec, version, responses) })
 		}
 	}()
 }
@@ -235,18 +235,18 @@
 // record's version; not ok: the term has ended.
 func (ro *rollouts) commitRecord(txn state.Txn, key string, before uint64) (version uint64, ok bool) {
 	for ro.ctx.Err() == nil {
-		version, err := ro.c.State.Commit(ro.ctx, txn)
+		version, err := ro.controller.State.Commit(ro.ctx, txn)
 		if err == nil {
 			return version, true
 		}
 		if errors.Is(err, state.ErrConflict) {
 			// Only the leader writes the record: a version that has moved on is the work of an
 			// earlier attempt of this very transaction whose outcome was not clear.
-			if entry, err := ro.c.State.Get(ro.ctx, key); err == nil && entry.Version != before {
+			if entry, err := ro.controller.State.Get(ro.ctx, key); err == nil && entry.Version != before {
 				return entry.Version, true
 			}
 		}
-		ro.pause(settlePause)
+		ro.sleep(commitRetryPause)
 	}
 	return 0, false
 }
@@ -260,7 +260,7 @@
 	s.rec = rec
 	s.version = version
 	s.storing = false
-	ro.changed()
+	ro.requestPlan()
 	for _, respond := range responses {
 		respond()
 	}
--- a/internal/control/rollout_apply.go
+++ b/internal/control/rollout_apply.go
@@ -26,7 +26,7 @@
 			return desired.New[i]
 		})
 	}
-	if handle := ro.jobTable.sound(s.rec.Handle); handle != nil && handle != old && handle != next {
+	if handle := ro.jobTable.identified(s.rec.Handle); handle != nil && handle != old && handle != next {
 		ro.applyQuota(handle, func(int) rollout.Placement { return rollout.Placement{} })
 	}
 	if !s.rec.State.Over() {
@@ -49,7 +49,7 @@
 // nor until the machines of earlier leaders are reconciled: the tasks have as long to stop
 // as those of any cancelled job.
 func (ro *rollouts) endCancelled(s *service) {
-	handle := ro.jobTable.sound(s.rec.Handle)
+	handle := ro.jobTable.identified(s.rec.Handle)
 	if !jobEnded(handle) {
 		return
 	}
@@ -58,7 +58,7 @@
 		since = handle.CancelledAt
 	}
 	for _, id := range []string{s.rec.Current, s.rec.Next} {
-		if j := ro.jobTable.sound(id); !jobEnded(j) {
+		if j := ro.jobTable.identified(id); !jobEnded(j) {
 			ro.abortVersion(j, s.rec.Handle)
 			j.CancelledAt = since
 		}
@@ -79,7 +79,7 @@
 // applyQuota sets which replicas of a version may run and in which zone, and stops the
 // others.
 func (ro *rollouts) applyQuota(j *job.Job, desired func(replica int) rollout.Placement) {
-	quota := &job.Quota{
+	quota := &job.ReplicaPlan{
 		Allowed: make([]bool, j.Tasks),
 		Zone:    make([]int, j.Tasks),
 	}
@@ -91,10 +91,10 @@
 			quota.Zone[i] = ro.nameIndex.zone(placement.Zone)
 		}
 	}
-	if j.Quota == nil || !slices.Equal(j.Quota.Allowed, quota.Allowed) {
-		ro.changed()
+	if j.Replicas == nil || !slices.Equal(j.Replicas.Allowed, quota.Allowed) {
+		ro.requestPlan()
 	}
-	j.Quota = quota
+	j.Replicas = quota
 	for s := range ro.fleet.On(j) {
 		if s.On() && !s.Stopping && !quota.Allowed[s.Task] {
 			ro.taskTracker.stopSlot(s, saveGrace(j))
--- a/internal/control/rollout_checks.go
+++ b/internal/control/rollout_checks.go
@@ -79,7 +79,7 @@
 	target := "http://" + s.Host.Addr + path + "?" + query.Encode()
 	go func() {
 		result := ro.requestHealth(target)
-		ro.post(func() { ro.checked(s, result) })
+		ro.enqueue(func() { ro.checked(s, result) })
 	}()
 }
 
@@ -91,7 +91,7 @@
 	if err != nil {
 		return checkNoAnswer
 	}
-	res, err := ro.c.direct.Do(req)
+	res, err := ro.controller.directClient.Do(req)
 	if err != nil {
 		return checkNoAnswer
 	}
--- a/internal/control/rollout_observe.go
+++ b/internal/control/rollout_observe.go
@@ -38,7 +38,7 @@
 
 // silenceLimit is how long a machine may be silent before its instances count as lost.
 func (ro *rollouts) silenceLimit() time.Duration {
-	w := ro.c.Settings.Facts.Workers
+	w := ro.controller.Settings.Facts.Workers
 	return config.Seconds(max(silentHeartbeats*w.ReportS, w.LeaseS/2))
 }
 
@@ -51,7 +51,7 @@
 		Old:              ro.instances(old, now),
 		New:              ro.instances(next, now),
 	}
-	v.Cancelled = jobEnded(ro.jobTable.sound(s.rec.Handle)) || jobEnded(old)
+	v.Cancelled = jobEnded(ro.jobTable.identified(s.rec.Handle)) || jobEnded(old)
 	v.ChecksUnreachable = s.rec.Spec.Check != nil && ro.checksUnreachable(old, next)
 	if missing := len(v.Old) - len(v.New); missing > 0 {
 		v.New = append(v.New, make([]rollout.Instance, missing)...)
@@ -61,7 +61,7 @@
 
 // versions are the jobs of a service's current and next version; nil: unknown.
 func (ro *rollouts) versions(s *service) (old, next *job.Job) {
-	return ro.jobTable.sound(s.rec.Current), ro.jobTable.sound(s.rec.Next)
+	return ro.jobTable.identified(s.rec.Current), ro.jobTable.identified(s.rec.Next)
 }
 
 // jobEnded reports whether a job has ended, is ending, or is unknown.
--- a/internal/control/rollout_requests.go
+++ b/internal/control/rollout_requests.go
@@ -20,8 +20,8 @@
 	Rollouts []rollout.Status `codec:"rollouts"`
 }
 
-// handle answers an operator's request about roll-outs.
-func (ro *rollouts) handle(op *rpc.Operation, back func(*rpc.Reply)) {
+// handleOperation answers an operator's request about roll-outs.
+func (ro *rollouts) handleOperation(op *rpc.Operation, back func(*rpc.Reply)) {
 	if !ro.enabled() {
 		back(errorReply(http.StatusNotFound, "roll-outs are switched off here"))
 		return
@@ -96,7 +96,7 @@
 	if !ok {
 		return
 	}
-	current := ro.jobTable.sound(base.current)
+	current := ro.jobTable.identified(base.current)
 	if refused := ro.currentRefusal(s, base.current, current); refused != nil {
 		back(refused)
 		return
@@ -122,7 +122,7 @@
 // before is rolled back.
 func (ro *rollouts) startBase(s *service, spec *rollout.Spec, back func(*rpc.Reply)) (base rolloutBase, ok bool) {
 	if s == nil {
-		if len(ro.services) >= ro.c.Tuning.Rollouts.Most {
+		if len(ro.services) >= ro.controller.Tuning.Rollouts.Most {
 			back(errorReply(http.StatusTooManyRequests, "too many services have roll-outs"))
 			return rolloutBase{}, false
 		}
@@ -133,7 +133,7 @@
 	case spec.From != "" && spec.From != s.rec.Handle && spec.From != s.rec.Current:
 		back(errorReply(http.StatusConflict, "from: the service runs "+s.rec.Current))
 	case s.storing:
-		back(Later("the service's record is being stored"))
+		back(Unavailable("the service's record is being stored"))
 	case s.rec.Next == spec.To.ID && !over:
 		back(reply(http.StatusOK, ro.status(s))) // the same request once more
 	case !over && !spec.Supersede:
@@ -141,7 +141,7 @@
 	case !over:
 		// The roll-out before is rolled back first; the client repeats its request.
 		s.requests = append(s.requests, func(rec *rollout.Record) (changed bool, respond func()) {
-			return rollout.RollBack(rec, time.Now()), func() { back(Later("the roll-out before is rolled back first")) }
+			return rollout.RollBack(rec, time.Now()), func() { back(Unavailable("the roll-out before is rolled back first")) }
 		})
 	default:
 		return rolloutBase{handle: s.rec.Handle, current: s.rec.Current, version: s.version}, true
@@ -161,8 +161,8 @@
 		return errorReply(http.StatusUnprocessableEntity, "from: the job is not a service")
 	case ro.serviceOf[id] != nil && ro.serviceOf[id] != s:
 		return errorReply(http.StatusConflict, "from: the job belongs to the service "+ro.serviceOf[id].rec.Service)
-	case !ro.takeover.settled():
-		return Later("machines are being met after a change of leader")
+	case !ro.takeover.reconciled():
+		return Unavailable("machines are being met after a change of leader")
 	}
 	return nil
 }
@@ -170,10 +170,10 @@
 // nextRefusal refuses a next version that admission would refuse, or whose job exists
 // already.
 func (ro *rollouts) nextRefusal(next *job.Spec) *rpc.Reply {
-	if refused := ro.c.admissionRefusal(next, ro.nameIndex.list(), ro.teamQuotas.find(next.Team)); refused != nil {
+	if refused := ro.controller.admissionRefusal(next, ro.nameIndex.list(), ro.teamQuotas.find(next.Team)); refused != nil {
 		return refused
 	}
-	if ro.completions.known(next.ID) != nil || ro.admissionGroups.has(next.ID) {
+	if ro.completions.answerFromMemory(next.ID) != nil || ro.admissionGroups.has(next.ID) {
 		return errorReply(http.StatusConflict, "to.uid: the job exists already")
 	}
 	return nil
@@ -217,7 +217,7 @@
 		if stored == 0 && refused == nil {
 			return // the term has ended
 		}
-		ro.ahead(func() {
+		ro.enqueueForUser(func() {
 			if s := ro.services[rec.Service]; s != nil {
 				s.storing = false
 			}
@@ -235,7 +235,7 @@
 // the outcome is not clear it answers that the client has to come back.
 func (ro *rollouts) commitCreation(txn state.Txn, key string, rec *rollout.Record, back func(*rpc.Reply)) (version uint64, refused *rpc.Reply) {
 	for unclear := false; ro.ctx.Err() == nil; {
-		version, err := ro.c.State.Commit(ro.ctx, txn)
+		version, err := ro.controller.State.Commit(ro.ctx, txn)
 		switch {
 		case err == nil:
 			return version, nil
@@ -248,12 +248,12 @@
 				return 0, errorReply(http.StatusConflict, "to.uid: the job exists already, or the service has changed")
 			}
 		case errors.Is(err, state.ErrRefused) && !unclear:
-			return 0, Later("state service refuses writes")
+			return 0, Unavailable("state service refuses writes")
 		default:
 			unclear = true
-			back(Later("roll-out is not settled yet"))
+			back(Unavailable("roll-out is not settled yet"))
 		}
-		ro.pause(settlePause)
+		ro.sleep(commitRetryPause)
 	}
 	return 0, nil
 }
@@ -261,7 +261,7 @@
 // storedCreation is the version of the stored record after a conflict if an earlier attempt
 // of the same transaction has stored it, else 0. Answered: the key-value store has answered.
 func (ro *rollouts) storedCreation(key string, rec *rollout.Record) (version uint64, answered bool) {
-	entry, err := ro.c.State.Get(ro.ctx, key)
+	entry, err := ro.controller.State.Get(ro.ctx, key)
 	if err != nil {
 		return 0, errors.Is(err, state.ErrNotFound)
 	}
@@ -274,7 +274,7 @@
 
 // created adds a stored roll-out and the job of its next version, and answers its operator.
 func (ro *rollouts) created(rec *rollout.Record, next *job.Record, version uint64, back func(*rpc.Reply)) {
-	if ro.jobTable.sound(next.Spec.ID) == nil {
+	if ro.jobTable.identified(next.Spec.ID) == nil {
 		ro.jobTable.add(next, version, time.Now())
 	}
 	s := &service{rec: rec, version: version}
