--- a/internal/calendar/admission_test.go
+++ b/internal/calendar/admission_test.go
@@ -16,23 +16,29 @@
 // zones cannot hold.
 func overload(t testing.TB, n int, seed uint64) (Config, []*Reservation) {
 	f := testConfig()
-	f.Types, f.Teams = f.Types[:1], f.Teams[2:] // without guarantees
+	f.Types = f.Types[:1]
+	f.Teams = f.Teams[2:] // without guarantees
 	r := rand.New(rand.NewPCG(seed, 3))
 	var out []*Reservation
 	for i := range n {
 		start := today.Add(time.Duration(r.IntN(80)) * 15 * time.Minute)
-		out = append(out, parse(t, map[string]any{"name": fmt.Sprintf("r%d", i), "parts": 1 + r.IntN(10), "same_place": r.IntN(2) == 0,
-			"start": start.Format(time.RFC3339), "end": start.Add(time.Duration(1+r.IntN(16)) * 15 * time.Minute).Format(time.RFC3339)}))
+		out = append(out, parse(t, map[string]any{
+			"name":       fmt.Sprintf("r%d", i),
+			"parts":      1 + r.IntN(10),
+			"same_place": r.IntN(2) == 0,
+			"start":      start.Format(time.RFC3339),
+			"end":        start.Add(time.Duration(1+r.IntN(16)) * 15 * time.Minute).Format(time.RFC3339),
+		}))
 	}
 	return f, out
 }
 
-// machineHours is what a reservation is worth here: machine hours.
+// machineHours is the size of a reservation of whole machines.
 func machineHours(r *Reservation) float64 {
 	return float64(r.Parts) * float64(r.spans[0].To-r.spans[0].From) / 3.6e6
 }
 
-// admitInOrder admits reservations one by one and returns what it has accepted.
+// admitInOrder admits reservations one by one and returns how many, and their size.
 func admitInOrder(f Config, rs []*Reservation) (accepted int, hours float64) {
 	c := New(f)
 	for _, r := range rs {
@@ -49,46 +55,53 @@
 // reservations known beforehand: a linear program in which each may be accepted in
 // part, and in parts of zones.
 func admissionBound(t testing.TB, f Config, rs []*Reservation) float64 {
-	var times []int64
-	for _, r := range rs {
-		times = append(times, r.spans[0].From)
-	}
-	slices.Sort(times)
-	times = slices.Compact(times)
+	starts := sortedStarts(rs)
 	zones := len(f.Zones)
-	rows := len(rs) + zones*len(times)
+	// A variable for each reservation in each zone, and a slack variable for each constraint: a
+	// reservation is accepted at most once, and a zone has so many machines at each start.
 	vars := zones * len(rs)
-	a, b, c := mat.NewDense(rows, vars+rows, nil), make([]float64, rows), make([]float64, vars+rows)
+	rows := len(rs) + zones*len(starts)
+	objective := make([]float64, vars+rows)
+	constraints := mat.NewDense(rows, vars+rows, nil)
+	bounds := make([]float64, rows)
 	for i, r := range rs {
-		b[i] = 1
+		bounds[i] = 1
 		for z := range zones {
 			x := i*zones + z
-			c[x] = -machineHours(r)
-			a.Set(i, x, 1)
-			for k, at := range times {
+			objective[x] = -machineHours(r)
+			constraints.Set(i, x, 1)
+			for k, at := range starts {
 				if s := r.spans[0]; s.From <= at && at < s.To {
-					a.Set(len(rs)+k*zones+z, x, float64(r.Parts))
+					constraints.Set(len(rs)+k*zones+z, x, float64(r.Parts))
 				}
 			}
 		}
 	}
+	basis := make([]int, rows)
 	for i := range rows {
-		a.Set(i, vars+i, 1)
+		basis[i] = vars + i
+		constraints.Set(i, vars+i, 1)
 		if i >= len(rs) {
-			b[i] = float64(f.Machines("small", f.Zones[(i-len(rs))%zones]))
+			bounds[i] = float64(f.Machines("small", f.Zones[(i-len(rs))%zones]))
 		}
 	}
-	basis := make([]int, rows)
-	for i := range basis {
-		basis[i] = vars + i
-	}
-	best, _, err := lp.Simplex(c, a, b, 1e-9, basis)
+	best, _, err := lp.Simplex(objective, constraints, bounds, 1e-9, basis)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return -best
 }
 
+// sortedStarts are the different starts of reservations.
+func sortedStarts(rs []*Reservation) []int64 {
+	var starts []int64
+	for _, r := range rs {
+		starts = append(starts, r.spans[0].From)
+	}
+	slices.Sort(starts)
+	return slices.Compact(starts)
+}
+
 // TestAdmissionBound: what is accepted one by one is never more than any choice could accept,
 // and, of loads twice too large, most of it.
 func TestAdmissionBound(t *testing.T) {
@@ -105,7 +118,7 @@
 	}
 }
 
-// BenchmarkAdmissionOrder weighs admission one by one against the linear program, on the same
+// BenchmarkAdmissionOrder compares admission one by one with the linear program, on the same
 // loads: machine hours accepted of those that any choice could accept at most.
 func BenchmarkAdmissionOrder(b *testing.B) {
 	for _, n := range []int{20, 40, 80, 160} {
@@ -113,13 +126,13 @@
 		var best, hours float64
 		measure := func(name string, do func()) {
 			b.Run(fmt.Sprintf("%s %d", name, n), func(b *testing.B) {
-				var was, is runtime.MemStats
-				runtime.ReadMemStats(&was)
+				var before, after runtime.MemStats
+				runtime.ReadMemStats(&before)
 				for b.Loop() {
 					do()
 				}
-				runtime.ReadMemStats(&is)
-				b.ReportMetric(float64(is.TotalAlloc-was.TotalAlloc)/float64(b.N)/1e6, "MB-allocated")
+				runtime.ReadMemStats(&after)
+				b.ReportMetric(float64(after.TotalAlloc-before.TotalAlloc)/float64(b.N)/1e6, "MB-allocated")
 				b.ReportMetric(100*hours/best, "%-of-bound")
 			})
 		}
--- a/internal/calendar/calendar_test.go
+++ b/internal/calendar/calendar_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"maps"
 	"math/rand/v2"
 	"testing"
 	"time"
@@ -18,43 +19,65 @@
 // testConfig are two zones of ten small machines each, and four large ones in a. Red has
 // 40 CPUs guaranteed and 100 at most, blue 20 guaranteed.
 func testConfig() Config {
-	return Config{Zones: []string{"a", "b"}, Limits: testLimits,
+	return Config{
 		Types: []wire.MachineType{
 			{Name: "small", CPUs: 4, MemGB: 16, Price: 0.2, SpotPrice: 0.05, Zones: []string{"a", "b"}},
-			{Name: "large", CPUs: 16, MemGB: 64, Price: 0.9, SpotPrice: 0.2, Zones: []string{"a"}}},
-		Teams: []config.Team{{Name: "red", CPUs: 40, CPUsMax: 100}, {Name: "blue", CPUs: 20}, {Name: "green"}},
+			{Name: "large", CPUs: 16, MemGB: 64, Price: 0.9, SpotPrice: 0.2, Zones: []string{"a"}},
+		},
+		Zones: []string{"a", "b"},
+		Teams: []config.Team{
+			{Name: "red", CPUs: 40, CPUsMax: 100},
+			{Name: "blue", CPUs: 20},
+			{Name: "green"},
+		},
 		Machines: func(typ, _ string) int {
 			if typ == "large" {
 				return 4
 			}
 			return 10
-		}}
+		},
+		Limits: testLimits,
+	}
 }
 
-func parse(t testing.TB, doc map[string]any) *Reservation {
+// encodeReservation encodes a reservation of four parts on the evening of the tenth, with some
+// fields changed.
+func encodeReservation(t testing.TB, edit map[string]any) []byte {
 	t.Helper()
-	base := map[string]any{"name": "r", "team": "green", "parts": 4, "cpus": 4.0, "mem_gb": 1.0, "start": "2026-03-10T20:00:00", "end": "2026-03-10T21:00:00"}
-	for k, v := range doc {
-		base[k] = v
+	doc := map[string]any{
+		"name":   "r",
+		"team":   "green",
+		"parts":  4,
+		"cpus":   4.0,
+		"mem_gb": 1.0,
+		"start":  "2026-03-10T20:00:00",
+		"end":    "2026-03-10T21:00:00",
 	}
-	body, err := wire.Marshal(base)
+	maps.Copy(doc, edit)
+	body, err := wire.Marshal(doc)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := ParseReservation(body, testLimits, today)
+	return body
+}
+
+// parse is the reservation of encodeReservation.
+func parse(t testing.TB, edit map[string]any) *Reservation {
+	t.Helper()
+	r, err := ParseReservation(encodeReservation(t, edit), testLimits, today)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return r
 }
 
-func parseWindow(t testing.TB, doc map[string]any) *Window {
+// parseWindow is a window around the reservation of encodeReservation, with some fields
+// changed.
+func parseWindow(t testing.TB, edit map[string]any) *Window {
 	t.Helper()
-	base := map[string]any{"name": "w", "start": "2026-03-10T19:00:00", "end": "2026-03-10T22:00:00"}
-	for k, v := range doc {
-		base[k] = v
-	}
-	body, err := wire.Marshal(base)
+	doc := map[string]any{"name": "w", "start": "2026-03-10T19:00:00", "end": "2026-03-10T22:00:00"}
+	maps.Copy(doc, edit)
+	body, err := wire.Marshal(doc)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -77,8 +100,15 @@
 	var out []*Reservation
 	for i := range n {
 		start := today.Add(time.Duration(rnd.IntN(40*96)) * 15 * time.Minute)
-		doc := map[string]any{"name": fmt.Sprintf("r%d", i), "team": fmt.Sprintf("t%d", rnd.IntN(10)), "parts": 1 + rnd.IntN(8), "cpus": float64(1 + rnd.IntN(8)), "mem_gb": 1.0,
-			"start": start.Format(time.RFC3339), "end": start.Add(time.Duration(1+rnd.IntN(16)) * 15 * time.Minute).Format(time.RFC3339)}
+		doc := map[string]any{
+			"name":   fmt.Sprintf("r%d", i),
+			"team":   fmt.Sprintf("t%d", rnd.IntN(10)),
+			"parts":  1 + rnd.IntN(8),
+			"cpus":   float64(1 + rnd.IntN(8)),
+			"mem_gb": 1.0,
+			"start":  start.Format(time.RFC3339),
+			"end":    start.Add(time.Duration(1+rnd.IntN(16)) * 15 * time.Minute).Format(time.RFC3339),
+		}
 		switch rnd.IntN(3) {
 		case 0:
 			doc["rule"] = "FREQ=DAILY;COUNT=20"
--- a/internal/calendar/fit_test.go
+++ b/internal/calendar/fit_test.go
@@ -123,3 +123,30 @@
 		t.Errorf("%d steps beyond guarantees", n)
 	}
 }
+
+// TestLimits: an entry beyond the calendar's limits is an ErrLimit, and no Conflict.
+func TestLimits(t *testing.T) {
+	tests := []struct {
+		name   string
+		limits Limits
+	}{
+		{"of the whole calendar", Limits{Reservations: 1, ReservationsPerTeam: 2}},
+		{"of the team", Limits{Reservations: 2, ReservationsPerTeam: 1}},
+	}
+	for _, tt := range tests {
+		t.Run(tt.name, func(t *testing.T) {
+			f := testConfig()
+			f.Limits = tt.limits
+			c := New(f)
+			c.Add(&Booking{Reservation: parse(t, nil)})
+			_, err := c.Fit(parse(t, map[string]any{"name": "r2"}), today)
+			if !errors.Is(err, ErrLimit) {
+				t.Errorf("got %v, want an ErrLimit", err)
+			}
+			_, err = c.PlanWindow(parseWindow(t, map[string]any{"yard": "a"}), nil, today) // no window is allowed
+			if !errors.Is(err, ErrLimit) {
+				t.Errorf("got %v for a window, want an ErrLimit", err)
+			}
+		})
+	}
+}
--- a/internal/calendar/spec_test.go
+++ b/internal/calendar/spec_test.go
@@ -6,8 +6,6 @@
 	"strings"
 	"testing"
 	"time"
-
-	"vetchstream/internal/wire"
 )
 
 // TestMalformed: bad input is refused with the field's name, and the work that a
@@ -39,12 +37,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			doc := map[string]any{"name": "r", "team": "green", "parts": 4, "cpus": 4.0, "mem_gb": 1.0, "start": "2026-03-10T20:00:00", "end": "2026-03-10T21:00:00"}
-			for k, v := range tt.doc {
-				doc[k] = v
-			}
-			body, _ := wire.Marshal(doc)
-			_, err := ParseReservation(body, testLimits, today)
+			_, err := ParseReservation(encodeReservation(t, tt.doc), testLimits, today)
 			switch {
 			case tt.want == "" && err != nil:
 				t.Errorf("refused: %v", err)
--- a/internal/control/calendar_store_test.go
+++ b/internal/control/calendar_store_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -13,50 +14,69 @@
 	"vetchstream/internal/wire"
 )
 
-// leaderWithReservations is a leader with n reservations of one team, an hour apart, stored by an
-// earlier one.
+// leaderWithReservations is a leader with n reservations of one team, an hour apart, stored by
+// an earlier one.
 func leaderWithReservations(tb testing.TB, n int) *leaderTerm {
 	tb.Helper()
-	r := newTestTerm(tb, config.Team{Name: "red"})
-	r.controller.Tuning.Calendar.Enabled = true
-	r.learn([]wire.MachineType{{Name: "small", CPUs: 4, MemGB: 16, BootS: 60, Zones: []string{"a", "b"}}})
-	r.takeover.allReconciled = true
-	var stored []state.Entry
+	lt := newTestTerm(tb, config.Team{Name: "red"})
+	lt.controller.Tuning.Calendar.Enabled = true
+	lt.learn([]wire.MachineType{{Name: "small", CPUs: 4, MemGB: 16, BootS: 60, Zones: []string{"a", "b"}}})
+	lt.takeover.allReconciled = true
+	unreadable := wire.Raw{0xa0}
+	// A record that cannot be read must not prevent the cluster from having a leader.
+	bookings := []state.Entry{{Key: bookingPrefix + "broken", Value: unreadable, Version: 1}}
+	windows := []state.Entry{{Key: windowPrefix + "broken", Value: unreadable, Version: 1}}
 	for i := range n {
-		start := r.termStart.UTC().Add(time.Duration(i+1) * time.Hour)
-		body, err := wire.Marshal(map[string]any{"name": fmt.Sprintf("r%d", i), "team": "red", "parts": 2, "cpus": 4.0, "mem_gb": 4.0,
-			"start": start.Format(time.RFC3339), "end": start.Add(30 * time.Minute).Format(time.RFC3339)})
-		if err != nil {
-			tb.Fatal(err)
-		}
-		spec, err := calendar.ParseReservation(body, calendar.Limits{HorizonDays: 10_000, Occurrences: 10}, r.termStart)
-		if err != nil {
-			tb.Fatal(err)
-		}
-		rec := calendar.NewRecord(&calendar.Booking{Reservation: spec, Seq: uint64(i), Allocations: []calendar.Allocation{{Type: "small", Zone: "a", Machines: 2, Parts: 2}}}, r.termStart)
-		put, err := state.Put(bookingPrefix+spec.Name, rec)
-		if err != nil {
-			tb.Fatal(err)
-		}
-		stored = append(stored, state.Entry{Key: put.Put, Value: put.Value, Version: 1})
+		bookings = append(bookings, storedReservation(tb, i, lt.termStart))
+	}
+	lt.calendarStore.load(bookings, windows)
+	if len(lt.calendarStore.bookings) != n {
+		tb.Fatalf("%d of %d reservations were loaded", len(lt.calendarStore.bookings), n)
+	}
+	return lt
+}
+
+// storedReservation is the stored reservation of half an hour that begins i+1 hours after a
+// time.
+func storedReservation(tb testing.TB, i int, now time.Time) state.Entry {
+	tb.Helper()
+	start := now.UTC().Add(time.Duration(i+1) * time.Hour)
+	body, err := wire.Marshal(map[string]any{
+		"name":   fmt.Sprintf("r%d", i),
+		"team":   "red",
+		"parts":  2,
+		"cpus":   4.0,
+		"mem_gb": 4.0,
+		"start":  start.Format(time.RFC3339),
+		"end":    start.Add(30 * time.Minute).Format(time.RFC3339),
+	})
+	if err != nil {
+		tb.Fatal(err)
 	}
-	// What cannot be read must not keep the cluster from being led.
-	stored = append(stored, state.Entry{Key: bookingPrefix + "broken", Value: wire.Raw{0xa0}, Version: 1})
-	r.calendarStore.load(stored, []state.Entry{{Key: windowPrefix + "broken", Value: wire.Raw{0xa0}, Version: 1}})
-	if len(r.calendarStore.bookings) != n {
-		tb.Fatalf("%d of %d reservations were loaded", len(r.calendarStore.bookings), n)
+	spec, err := calendar.ParseReservation(body, calendar.Limits{HorizonDays: 10_000, Occurrences: 10}, now)
+	if err != nil {
+		tb.Fatal(err)
 	}
-	return r
+	rec := calendar.NewRecord(&calendar.Booking{
+		Reservation: spec,
+		Seq:         uint64(i),
+		Allocations: []calendar.Allocation{{Type: "small", Zone: "a", Machines: 2, Parts: 2}},
+	}, now)
+	put, err := state.Put(bookingPrefix+spec.Name, rec)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	return state.Entry{Key: put.Put, Value: put.Value, Version: 1}
 }
 
-// TestClaims: which job has an occurrence, who waits for it, and what the others are
-// told.
+// TestClaims: which job has an occurrence, which jobs wait for its start, and which notice the
+// others get.
 func TestClaims(t *testing.T) {
 	type submission struct {
-		team, booking string
-		tasks         int
-		cpus          float64
-		at            time.Duration // of the submission, from the begin of the term
+		team, reservation string
+		tasks             int
+		cpus              float64
+		at                time.Duration // of the submission, from the begin of the term
 	}
 	tests := []struct {
 		name   string
@@ -80,7 +100,7 @@
 			var jobs []*job.Job
 			for i, a := range tt.jobs {
 				jobs = append(jobs, r.jobTable.add(&job.Record{At: r.termStart.Add(a.at).UnixMilli(), Spec: job.Spec{ID: fmt.Sprintf("run-%d", i), Team: a.team,
-					ShapeName: "ensemble", PriorityName: "idle", Tasks: a.tasks, CPUs: a.cpus, Reservation: a.booking}}, 1, r.termStart))
+					ShapeName: "ensemble", PriorityName: "idle", Tasks: a.tasks, CPUs: a.cpus, Reservation: a.reservation}}, 1, r.termStart))
 			}
 			now := r.termStart.Add(time.Second)
 			r.calendarStore.step(now)
@@ -94,7 +114,7 @@
 				t.Errorf("jobs %q wait, want %q", got, tt.waits)
 			}
 			if got := jobs[len(jobs)-1].Notice; !strings.Contains(got, tt.notice) || (tt.notice == "" && got != "") {
-				t.Errorf("told %q, want %q", got, tt.notice)
+				t.Errorf("notice %q, want %q", got, tt.notice)
 			}
 		})
 	}
@@ -132,3 +152,30 @@
 		})
 	}
 }
+
+// TestNextPage: a list is read by pages in the order of names, and says when there are more.
+func TestNextPage(t *testing.T) {
+	names := func(from, to int) (out []string) {
+		for i := from; i < to; i++ {
+			out = append(out, fmt.Sprintf("r%03d", i))
+		}
+		return out
+	}
+	tests := []struct {
+		name  string
+		after string
+		want  []string
+		more  bool
+	}{
+		{"the first page", "", names(0, pageSize), true},
+		{"the last page", names(pageSize-1, pageSize)[0], names(pageSize, pageSize+3), false},
+		{"after the last name", "s", nil, false},
+	}
+	for _, tt := range tests {
+		all := names(0, pageSize+3)
+		slices.Reverse(all)
+		if got, more := nextPage(all, tt.after); !slices.Equal(got, tt.want) || more != tt.more {
+			t.Errorf("%s: %v, more %t; want %v, more %t", tt.name, got, more, tt.want, tt.more)
+		}
+	}
+}
--- a/internal/control/rollout_test.go
+++ b/internal/control/rollout_test.go
@@ -11,8 +11,8 @@
 	"vetchstream/internal/wire"
 )
 
-// leaderWithRollouts is a leader with services of which each has a roll-out under way, every
-// old copy running.
+// leaderWithRollouts is a leader with services that each have a roll-out under way, with all
+// instances of the old version running.
 func leaderWithRollouts(tb testing.TB, services, replicas int) (*leaderTerm, time.Time) {
 	tb.Helper()
 	r := newTestTerm(tb)
@@ -35,7 +35,11 @@
 		for t := range replicas {
 			h := hosts[(i*replicas+t)%len(hosts)]
 			s := r.fleet.Assign(h, fleet.Key{Job: old, Task: int32(t), Attempt: 1}, now)
-			s.Sent, s.Seen, s.Phase, s.Health, s.RunAt = true, true, wire.Running, wire.HealthGood, now.Add(-time.Minute)
+			s.Sent = true
+			s.Seen = true
+			s.Phase = wire.Running
+			s.Health = wire.HealthGood
+			s.RunAt = now.Add(-time.Minute)
 			zones[t] = r.nameIndex.zoneNames()[h.Zone]
 		}
 		spec.ID = fmt.Sprintf("run-%d", 10_000+i)
@@ -48,15 +52,15 @@
 	return r, now
 }
 
-// TestQuota: what a stored roll-out wants is what may be placed, and nothing new
-// before the machines of earlier leaders are settled.
+// TestQuota: what a stored roll-out requires is what may be placed, and nothing new before the
+// machines of earlier leaders are reconciled.
 func TestQuota(t *testing.T) {
 	tests := []struct {
 		name    string
 		settled bool
 		stored  func(*rollout.Record)
-		old     int // old copies that may run
-		next    int // new ones
+		old     int // instances of the old version that may run
+		next    int // of the new one
 	}{
 		{"a batch under way, one extra", true, func(*rollout.Record) {}, 10, 1},
 		{"not settled", false, func(*rollout.Record) {}, 0, 0},
@@ -88,8 +92,8 @@
 	}
 }
 
-// BenchmarkRollouts is a look at 200 services of 20 replicas, as it comes four
-// times a second.
+// BenchmarkRollouts is one evaluation of 200 services of 20 replicas, as it comes four times a
+// second.
 func BenchmarkRollouts(b *testing.B) {
 	r, now := leaderWithRollouts(b, 200, 20)
 	b.ReportAllocs()
