--- a/internal/control/calendar_requests.go
+++ b/internal/control/calendar_requests.go
@@ -298,6 +298,7 @@
 // noSuchEntry answers a cancellation that was queued behind another one of the same entry.
 const noSuchEntry = "no entry of that name"
 
+// cancelWindow deletes a maintenance window. Machines that were drained take work again.
 func (cs *calendarStore) cancelWindow(name string, back func(*rpc.Reply)) {
 	if cs.windows[name] == 0 {
 		back(errorReply(http.StatusNotFound, noSuchEntry))
@@ -312,6 +313,7 @@
 	})
 }
 
+// cancelReservation deletes a reservation for a team; empty: an operator.
 func (cs *calendarStore) cancelReservation(name, team string, back func(*rpc.Reply)) {
 	b := cs.bookings[name]
 	switch {
