--- a/internal/control/calendar_claims.go
+++ b/internal/control/calendar_claims.go
@@ -147,7 +147,7 @@
 		return
 	}
 	b.storing = true
-	unchanged := []state.Cond{{Key: key, Version: b.version}}
+	unchanged := []state.Condition{{Key: key, Version: b.version}}
 	cs.commitInBackground(key, b.version, unchanged, []state.Write{put}, func(version uint64, err error) {
 		b.storing = false
 		if err != nil {
--- a/internal/control/calendar_drains.go
+++ b/internal/control/calendar_drains.go
@@ -171,7 +171,7 @@
 	md.assignWindows(now)
 	timeOfDay := md.calendarStore.timeOfDay(now)
 	for s := range md.atRisk {
-		if !s.On() || s.Stopping || md.windowOf[s.Host] == nil {
+		if !s.Active() || s.Stopping || md.windowOf[s.Host] == nil {
 			delete(md.atRisk, s)
 			s.Job.Notice = ""
 		}
@@ -202,7 +202,7 @@
 func (md *maintenanceDrains) drainMachine(h *fleet.Host, w *calendar.PlannedWindow, timeOfDay, now time.Time) {
 	left := md.secondsToReturn(w, timeOfDay)
 	for _, s := range h.Slots {
-		if !s.On() || s.Stopping {
+		if !s.Active() || s.Stopping {
 			continue
 		}
 		if !s.Sent {
@@ -246,7 +246,7 @@
 // being stopped run until their worker confirms the stop: if they were counted, all replicas
 // on a machine would be evicted at once.
 func (md *maintenanceDrains) servingReplicas(j *job.Job) (n int) {
-	for s := range md.fleet.On(j) {
+	for s := range md.fleet.SlotsOf(j) {
 		if s.Phase == wire.Running && !s.Stopping {
 			n++
 		}
--- a/internal/control/calendar_holds_machines.go
+++ b/internal/control/calendar_holds_machines.go
@@ -61,8 +61,8 @@
 // started on others, and a machine that came up after that is not needed any more.
 func (rh *reservationHolds) holdRunningMachines(hold *occurrenceHold) {
 	running := map[*fleet.Host]bool{}
-	for s := range rh.fleet.On(hold.claimer) {
-		if s.On() && (rh.holdOf[s.Host] == nil || rh.holdOf[s.Host] == hold) {
+	for s := range rh.fleet.SlotsOf(hold.claimer) {
+		if s.Active() && (rh.holdOf[s.Host] == nil || rh.holdOf[s.Host] == hold) {
 			running[s.Host] = true
 		}
 	}
@@ -134,7 +134,7 @@
 		}
 	}
 	slices.SortFunc(list, func(a, b holdCandidate) int {
-		return cmp.Or(cmp.Compare(a.freeSeconds, b.freeSeconds), cmp.Compare(a.host.Idx, b.host.Idx))
+		return cmp.Or(cmp.Compare(a.freeSeconds, b.freeSeconds), cmp.Compare(a.host.Index, b.host.Index))
 	})
 	return held, list
 }
@@ -144,7 +144,7 @@
 func (rh *reservationHolds) secondsUntilFree(h *fleet.Host, claimer *job.Job, now time.Time) float64 {
 	free := 0.0
 	for _, s := range h.Slots {
-		if s.On() && s.Job != claimer {
+		if s.Active() && s.Job != claimer {
 			free = max(free, rh.maxRemainingSeconds(s, now))
 		}
 	}
@@ -219,7 +219,7 @@
 			continue
 		}
 		zone := rh.nameIndex.zoneNames()[h.Zone]
-		if h.Lost || h.Silent(now) > limit {
+		if h.Lost || h.SilentFor(now) > limit {
 			silent[zone] = true
 		} else {
 			responsive[zone] = true
--- a/internal/control/calendar_requests.go
+++ b/internal/control/calendar_requests.go
@@ -151,7 +151,7 @@
 		back(errorReply(http.StatusRequestEntityTooLarge, "the reservation is too large to be stored"))
 		return
 	}
-	absent := []state.Cond{{Key: key}}
+	absent := []state.Condition{{Key: key}}
 	cs.storeChange(absent, []state.Write{put}, func(version uint64, err error) {
 		if err != nil {
 			back(errorReply(http.StatusRequestEntityTooLarge, err.Error()))
@@ -174,7 +174,7 @@
 
 // tooLarge reports whether a record exceeds what the key-value store accepts.
 func (cs *calendarStore) tooLarge(w state.Write) bool {
-	return float64(recordSize(w.Value)) > cs.controller.Settings.Facts.State.ValueKB*bytesPerKB*pageShare
+	return float64(recordSize(w.Value)) > cs.controller.Settings.Facts.State.ValueKB*bytesPerKB*valueFillFraction
 }
 
 const (
@@ -229,7 +229,7 @@
 // windowTxn is the transaction that stores a maintenance window together with the
 // reservations that it moves.
 type windowTxn struct {
-	conds   []state.Cond
+	conds   []state.Condition
 	writes  []state.Write
 	changed []*calendar.Booking         // reservations that move or lose occurrences
 	records map[string]*calendar.Record // their changed records, by name
@@ -245,7 +245,7 @@
 		return nil, errorReply(http.StatusRequestEntityTooLarge, "the window is too large to be stored; name fewer machines")
 	}
 	txn = &windowTxn{
-		conds:   []state.Cond{{Key: key}},
+		conds:   []state.Condition{{Key: key}},
 		writes:  []state.Write{put},
 		changed: slices.Concat(plan.Moved, plan.Revoked),
 		records: map[string]*calendar.Record{},
@@ -264,7 +264,7 @@
 			return nil, errorReply(http.StatusInternalServerError, err.Error())
 		}
 		txn.records[b.Name] = rec
-		txn.conds = append(txn.conds, state.Cond{Key: put.Put, Version: stored.version})
+		txn.conds = append(txn.conds, state.Condition{Key: put.Put, Version: stored.version})
 		txn.writes = append(txn.writes, put)
 	}
 	return txn, nil
--- a/internal/control/calendar_store.go
+++ b/internal/control/calendar_store.go
@@ -285,7 +285,7 @@
 
 // commitInBackground runs a fenced transaction until its outcome is clear, and calls then
 // on the leader's goroutine. Version is that of key before the transaction.
-func (cs *calendarStore) commitInBackground(key string, version uint64, conds []state.Cond, writes []state.Write, then func(version uint64, err error)) {
+func (cs *calendarStore) commitInBackground(key string, version uint64, conds []state.Condition, writes []state.Write, then func(version uint64, err error)) {
 	go func() {
 		committed, err := cs.commitUntilSettled(key, version, conds, writes)
 		if cs.ctx.Err() == nil {
@@ -295,14 +295,14 @@
 }
 
 // storeChange stores a change of the calendar, one at a time.
-func (cs *calendarStore) storeChange(conds []state.Cond, writes []state.Write, then func(version uint64, err error)) {
+func (cs *calendarStore) storeChange(conds []state.Condition, writes []state.Write, then func(version uint64, err error)) {
 	put, err := state.Put(changesKey, struct{}{})
 	if err != nil {
 		then(0, err)
 		return
 	}
 	cs.storing = true
-	conds = append(conds, state.Cond{Key: changesKey, Version: cs.changesVersion})
+	conds = append(conds, state.Condition{Key: changesKey, Version: cs.changesVersion})
 	writes = append(writes, put)
 	cs.commitInBackground(changesKey, cs.changesVersion, conds, writes, func(version uint64, err error) {
 		if err == nil {
@@ -343,7 +343,7 @@
 
 // deleteRecord deletes a record of the given version, and calls then once it is deleted.
 func (cs *calendarStore) deleteRecord(key string, version uint64, then func()) {
-	unchanged := []state.Cond{{Key: key, Version: version}}
+	unchanged := []state.Condition{{Key: key, Version: version}}
 	cs.storeChange(unchanged, []state.Write{{Delete: key}}, func(_ uint64, err error) {
 		if err == nil {
 			then()
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -221,7 +221,7 @@
 	s.storing = true
 	before := s.version
 	txn := state.Txn{
-		If:     []state.Cond{ro.fence, {Key: key, Version: before}},
+		If:     []state.Condition{ro.fence, {Key: key, Version: before}},
 		Writes: []state.Write{put},
 	}
 	go func() {
--- a/internal/control/rollout_apply.go
+++ b/internal/control/rollout_apply.go
@@ -33,7 +33,7 @@
 		ro.checkHealth(s, old, next, v.Now)
 		return
 	}
-	replaced := next != nil && len(ro.fleet.On(next)) == 0
+	replaced := next != nil && len(ro.fleet.SlotsOf(next)) == 0
 	s.idle = v.Cancelled || next == nil || replaced
 	switch {
 	case v.Cancelled:
@@ -95,8 +95,8 @@
 		ro.requestPlan()
 	}
 	j.Replicas = quota
-	for s := range ro.fleet.On(j) {
-		if s.On() && !s.Stopping && !quota.Allowed[s.Task] {
+	for s := range ro.fleet.SlotsOf(j) {
+		if s.Active() && !s.Stopping && !quota.Allowed[s.Task] {
 			ro.taskTracker.stopSlot(s, saveGrace(j))
 		}
 	}
--- a/internal/control/rollout_checks.go
+++ b/internal/control/rollout_checks.go
@@ -56,11 +56,11 @@
 // checkInstances starts the due checks of at most limit running instances of a version.
 func (ro *rollouts) checkInstances(j *job.Job, limit int, spec *rollout.Spec, now time.Time) {
 	interval := time.Duration(spec.CheckIntervalS() * float64(time.Second))
-	for s := range ro.fleet.On(j) {
+	for s := range ro.fleet.SlotsOf(j) {
 		if limit == 0 || ro.checker.slots == 0 {
 			return
 		}
-		if !s.On() || s.Phase != wire.Running || s.Host.Addr == "" {
+		if !s.Active() || s.Phase != wire.Running || s.Host.Addr == "" {
 			continue
 		}
 		limit--
@@ -113,11 +113,11 @@
 		delete(ro.checker.lastCheck, s)
 		return
 	}
-	if s.Checked == wire.HealthGood && result == wire.HealthBad {
+	if s.ProbeHealth == wire.HealthGood && result == wire.HealthBad {
 		ro.recordFailure(s.Job, s.Task, s.Host.Name)
 	}
-	s.Checked = result
-	s.Judge(time.Now())
+	s.ProbeHealth = result
+	s.UpdateHealth(time.Now())
 }
 
 // checksUnreachable reports whether the checks reach nobody: of at least two instances that
@@ -129,11 +129,11 @@
 		if j == nil {
 			continue
 		}
-		for s := range ro.fleet.On(j) {
+		for s := range ro.fleet.SlotsOf(j) {
 			switch {
-			case s.Checked == checkNoAnswer:
+			case s.ProbeHealth == checkNoAnswer:
 				checked++
-			case s.Checked != "":
+			case s.ProbeHealth != "":
 				checked++
 				answered++
 			}
--- a/internal/control/rollout_observe.go
+++ b/internal/control/rollout_observe.go
@@ -21,7 +21,7 @@
 			continue
 		}
 		populated[h.Zone] = true
-		available[h.Zone] = available[h.Zone] || (h.Usable() && h.Silent(now) < limit)
+		available[h.Zone] = available[h.Zone] || (h.Usable() && h.SilentFor(now) < limit)
 	}
 	unavailable := map[string]bool{}
 	for i, zone := range zones {
@@ -73,8 +73,8 @@
 		return nil
 	}
 	instances := make([]rollout.Instance, j.Tasks)
-	for s := range ro.fleet.On(j) {
-		if s.On() {
+	for s := range ro.fleet.SlotsOf(j) {
+		if s.Active() {
 			ro.observeInstance(&instances[s.Task], s, now)
 		}
 	}
@@ -85,7 +85,7 @@
 func (ro *rollouts) observeInstance(i *rollout.Instance, s *fleet.Slot, now time.Time) {
 	h := s.Host
 	i.Live = true
-	i.Lost = i.Lost || h.Lost || h.Draining || h.Releasing || !h.RecallAt.IsZero() || h.Silent(now) > ro.silenceLimit()
+	i.Lost = i.Lost || h.Lost || h.Draining || h.Releasing || !h.RecallAt.IsZero() || h.SilentFor(now) > ro.silenceLimit()
 	if s.Phase != wire.Running || s.Stopping {
 		return
 	}
@@ -94,8 +94,8 @@
 	if !s.RunAt.IsZero() {
 		i.SinceS = now.Sub(s.RunAt).Seconds()
 	}
-	if !s.BadAt.IsZero() {
-		i.BadS = now.Sub(s.BadAt).Seconds()
+	if !s.UnhealthySince.IsZero() {
+		i.BadS = now.Sub(s.UnhealthySince).Seconds()
 	}
 }
 
@@ -103,9 +103,9 @@
 // says so, healthy if one says so and the other does not object.
 func health(s *fleet.Slot) rollout.Health {
 	switch {
-	case s.Health == wire.HealthBad || s.Checked == wire.HealthBad:
+	case s.Health == wire.HealthBad || s.ProbeHealth == wire.HealthBad:
 		return rollout.Unhealthy
-	case s.Health == wire.HealthGood || s.Checked == wire.HealthGood:
+	case s.Health == wire.HealthGood || s.ProbeHealth == wire.HealthGood:
 		return rollout.Healthy
 	}
 	return rollout.Unknown
--- a/internal/control/rollout_requests.go
+++ b/internal/control/rollout_requests.go
@@ -182,8 +182,8 @@
 // zonesOf is where each replica of a job runs; empty: nowhere.
 func (ro *rollouts) zonesOf(j *job.Job) []string {
 	zones := make([]string, j.Tasks)
-	for s := range ro.fleet.On(j) {
-		if s.On() && s.Host.Zone >= 0 {
+	for s := range ro.fleet.SlotsOf(j) {
+		if s.Active() && s.Host.Zone >= 0 {
 			zones[s.Task] = ro.nameIndex.zoneNames()[s.Host.Zone]
 		}
 	}
@@ -201,7 +201,7 @@
 		return
 	}
 	txn := state.Txn{
-		If: []state.Cond{
+		If: []state.Condition{
 			ro.fence,
 			{Key: key, Version: version},
 			{Key: job.ActivePrefix + id},
--- a/internal/control/tasks_heartbeats.go
+++ b/internal/control/tasks_heartbeats.go
@@ -31,7 +31,7 @@
 		tt.nameIndex.describe(h, m.Type, m.Zone, m.Spot)
 	}
 	wasBooting := h.Booting
-	wasDeaf := h.Deaf()
+	wasDeaf := h.InboundCut()
 	res := tt.fleet.Observe(h, m, isHeartbeat, now, tt.jobTable.findOrAdd)
 	if res.Deposed {
 		tt.log.Info("a worker has seen a later term", "host", h.Name, "seen", m.Token)
@@ -45,7 +45,7 @@
 	tt.observeSlots(h, now)
 	tt.applyEvents(res.Events, now)
 	if h.Fenced && !h.Durable && h.Known && h.Addr != "" && !h.Lost && !h.Releasing {
-		tt.registry.enter(h, tt.nameIndex.list()[h.Type].Name, tt.nameIndex.zoneNames()[h.Zone])
+		tt.registry.addHost(h, tt.nameIndex.list()[h.Type].Name, tt.nameIndex.zoneNames()[h.Zone])
 	}
 	if res.Fresh && !h.RecallAt.IsZero() {
 		tt.machinePool.recall(h, now)
@@ -57,9 +57,9 @@
 // what is sent to it.
 func (tt *taskTracker) reachabilityChanged(h *fleet.Host, wasDeaf bool) {
 	switch {
-	case h.Deaf() && !wasDeaf:
+	case h.InboundCut() && !wasDeaf:
 		tt.log.Info("machine reports and takes in nothing that is sent to it, no more work for now", "host", h.Name)
-	case wasDeaf && !h.Deaf():
+	case wasDeaf && !h.InboundCut():
 		tt.log.Info("machine hears again", "host", h.Name)
 		tt.requestPlan()
 	}
@@ -67,7 +67,7 @@
 
 // machineUp handles the first heartbeat of a machine that was booting.
 func (tt *taskTracker) machineUp(h *fleet.Host, now time.Time) {
-	bootTime := now.Sub(h.Born)
+	bootTime := now.Sub(h.AddedAt)
 	tt.log.Info("machine is up", "host", h.Name, "after", bootTime.Round(time.Second))
 	h.IdleFrom = now
 	tt.reservationHolds.machineBooted(h, bootTime)
@@ -82,10 +82,10 @@
 		// is over, or its record cannot be read. Its record is read to know what it takes;
 		// in an outage that takes long, and its lease must not be renewed meanwhile for a
 		// task whose user may have been notified that it is cancelled.
-		if s.On() && s.Job.Phase+s.Job.Closing != "" && !s.Stopping {
+		if s.Active() && s.Job.Phase+s.Job.Closing != "" && !s.Stopping {
 			tt.applyEvents(tt.fleet.Stop(s, 0), now)
 		}
-		if s.Job.Shape == job.Gang && s.On() {
+		if s.Job.Shape == job.Gang && s.Active() {
 			tt.observeGang(s)
 		}
 	}
@@ -118,9 +118,9 @@
 		tt.taskStarted(s, now)
 	case fleet.Ended:
 		tt.taskEnded(s, s.Job, s.Host, now)
-	case fleet.Sickened:
+	case fleet.TurnedUnhealthy:
 		tt.rollouts.recordFailure(s.Job, s.Task, s.Host.Name)
-	case fleet.Gone, fleet.Never:
+	case fleet.Gone, fleet.NeverStarted:
 		if s.Job.Shape == job.Gang && s.Job.GangStarted {
 			tt.stopGangAttempt(s.Job)
 		}
@@ -134,9 +134,9 @@
 	if t := tt.nameIndex.typeOf(s.Host); t != nil {
 		cacheGB = t.CacheGB
 	}
-	s.Host.Touch(j.ImageIdx, j.ImageGB, cacheGB)
+	s.Host.UseImage(j.ImageIdx, j.ImageGB, cacheGB)
 	if tt.debug {
-		tt.log.Debug("task runs", "task", job.TaskName(j.ID, s.Task), "host", s.Host.Name, "after", now.Sub(s.At))
+		tt.log.Debug("task runs", "task", job.TaskName(j.ID, s.Task), "host", s.Host.Name, "after", now.Sub(s.PlacedAt))
 	}
 	if j.Shape == job.Gang {
 		j.GangStarted = true
@@ -183,7 +183,7 @@
 	if !s.RunAt.IsZero() && !s.Adopted {
 		tt.reservationHolds.taskCompleted(j, now.Sub(s.RunAt).Seconds())
 	}
-	tt.results.add(s)
+	tt.results.addCompleted(s)
 	if j.Shape == job.Service {
 		s.Settled = true // a replica that ends is started again
 		return
