--- a/internal/api/calendar.go
+++ b/internal/api/calendar.go
@@ -6,10 +6,9 @@
 	"github.com/julienschmidt/httprouter"
 
 	"vetchstream/internal/rpc"
-	"vetchstream/internal/wire"
 )
 
-// routeCalendar are the routes for reservations and maintenance windows, beside the
+// routeCalendar adds the routes for reservations and maintenance windows, beside the
 // protocol's own; PLACE is reservations or maintenance:
 //
 //	POST /api/PLACE                create one; the body is its specification
@@ -19,32 +18,25 @@
 //
 // With ?team=NAME a request sees and changes that team's reservations alone.
 func (s *Server) routeCalendar(rt *httprouter.Router) {
-	for place, window := range map[string]bool{"/api/reservations": false, "/api/maintenance": true} {
-		operate := func(w http.ResponseWriter, q *http.Request, op rpc.Operation) {
-			op.Window, op.Team = window, q.URL.Query().Get("team")
-			b, err := wire.Marshal(op)
-			if err != nil {
-				writeReply(w, errorReply(http.StatusInternalServerError, err.Error()))
-				return
-			}
-			s.serveUser(w, q, &rpc.Request{Kind: rpc.KindCalendar, Body: b}, changeTimeout)
-		}
-		rt.POST(place, func(w http.ResponseWriter, q *http.Request, _ httprouter.Params) {
-			body, err := readBody(q)
-			if err != nil {
-				writeReply(w, errorReply(http.StatusBadRequest, err.Error()))
-				return
-			}
-			operate(w, q, rpc.Operation{Verb: rpc.VerbStart, Spec: body})
-		})
-		rt.GET(place, func(w http.ResponseWriter, q *http.Request, _ httprouter.Params) {
-			operate(w, q, rpc.Operation{Verb: rpc.VerbList, Name: q.URL.Query().Get("after")})
-		})
-		rt.GET(place+"/:name", func(w http.ResponseWriter, q *http.Request, p httprouter.Params) {
-			operate(w, q, rpc.Operation{Verb: rpc.VerbStatus, Name: p.ByName("name")})
-		})
-		rt.POST(place+"/:name/cancel", func(w http.ResponseWriter, q *http.Request, p httprouter.Params) {
-			operate(w, q, rpc.Operation{Verb: rpc.VerbCancel, Name: p.ByName("name")})
-		})
+	s.routeCalendarEntries(rt, "/api/reservations", false)
+	s.routeCalendarEntries(rt, "/api/maintenance", true)
+}
+
+// routeCalendarEntries adds the routes below a path for maintenance windows or reservations.
+func (s *Server) routeCalendarEntries(rt *httprouter.Router, path string, window bool) {
+	operation := func(q *http.Request, verb rpc.Verb, name string) rpc.Operation {
+		return rpc.Operation{Verb: verb, Name: name, Window: window, Team: q.URL.Query().Get("team")}
 	}
+	rt.POST(path, func(w http.ResponseWriter, q *http.Request, _ httprouter.Params) {
+		s.operateBody(w, q, rpc.KindCalendar, operation(q, rpc.VerbStart, ""))
+	})
+	rt.GET(path, func(w http.ResponseWriter, q *http.Request, _ httprouter.Params) {
+		s.operate(w, q, rpc.KindCalendar, operation(q, rpc.VerbList, q.URL.Query().Get("after")))
+	})
+	rt.GET(path+"/:name", func(w http.ResponseWriter, q *http.Request, p httprouter.Params) {
+		s.operate(w, q, rpc.KindCalendar, operation(q, rpc.VerbStatus, p.ByName("name")))
+	})
+	rt.POST(path+"/:name/cancel", func(w http.ResponseWriter, q *http.Request, p httprouter.Params) {
+		s.operate(w, q, rpc.KindCalendar, operation(q, rpc.VerbCancel, p.ByName("name")))
+	})
 }
--- a/internal/api/rollouts.go
+++ b/internal/api/rollouts.go
@@ -6,42 +6,28 @@
 	"github.com/julienschmidt/httprouter"
 
 	"vetchstream/internal/rpc"
-	"vetchstream/internal/wire"
 )
 
-// routeRollouts are the routes for operators' roll-outs, beside the protocol's own:
+// routeRollouts adds the routes for operators' roll-outs, beside the protocol's own:
 //
 //	POST /api/rollouts                 start one; the body is its specification
 //	GET  /api/rollouts                 all of them
 //	GET  /api/rollouts/{service}       one
 //	POST /api/rollouts/{service}/VERB  pause, resume or undo it
 func (s *Server) routeRollouts(rt *httprouter.Router) {
-	operate := func(w http.ResponseWriter, q *http.Request, op rpc.Operation) {
-		b, err := wire.Marshal(op)
-		if err != nil {
-			writeReply(w, errorReply(http.StatusInternalServerError, err.Error()))
-			return
-		}
-		s.serveUser(w, q, &rpc.Request{Kind: rpc.KindRollout, Body: b}, changeTimeout)
-	}
 	rt.POST("/api/rollouts", func(w http.ResponseWriter, q *http.Request, _ httprouter.Params) {
-		body, err := readBody(q)
-		if err != nil {
-			writeReply(w, errorReply(http.StatusBadRequest, err.Error()))
-			return
-		}
-		operate(w, q, rpc.Operation{Verb: rpc.VerbStart, Spec: body})
+		s.operateBody(w, q, rpc.KindRollout, rpc.Operation{Verb: rpc.VerbStart})
 	})
 	rt.GET("/api/rollouts", func(w http.ResponseWriter, q *http.Request, _ httprouter.Params) {
-		operate(w, q, rpc.Operation{Verb: rpc.VerbList})
+		s.operate(w, q, rpc.KindRollout, rpc.Operation{Verb: rpc.VerbList})
 	})
 	rt.GET("/api/rollouts/:service", func(w http.ResponseWriter, q *http.Request, p httprouter.Params) {
-		operate(w, q, rpc.Operation{Verb: rpc.VerbStatus, Name: p.ByName("service")})
+		s.operate(w, q, rpc.KindRollout, rpc.Operation{Verb: rpc.VerbStatus, Name: p.ByName("service")})
 	})
 	rt.POST("/api/rollouts/:service/:verb", func(w http.ResponseWriter, q *http.Request, p httprouter.Params) {
 		switch verb := rpc.Verb(p.ByName("verb")); verb {
 		case rpc.VerbPause, rpc.VerbResume, rpc.VerbRollback:
-			operate(w, q, rpc.Operation{Verb: verb, Name: p.ByName("service")})
+			s.operate(w, q, rpc.KindRollout, rpc.Operation{Verb: verb, Name: p.ByName("service")})
 		default:
 			writeReply(w, errorReply(http.StatusNotFound, "no such route"))
 		}
--- a/internal/control/control_requests.go
+++ b/internal/control/control_requests.go
@@ -92,9 +92,9 @@
 	operate := lt.homeQuotas.handleOperation
 	switch q.Kind {
 	case rpc.KindRollout:
-		operate = lt.rollouts.operate
+		operate = lt.rollouts.handleOperation
 	case rpc.KindCalendar:
-		operate = lt.calendarStore.operate
+		operate = lt.calendarStore.handleOperation
 	}
 	return func(back func(*rpc.Reply)) { operate(op, back) }, nil
 }
--- a/internal/control/machine_pool_test.go
+++ b/internal/control/machine_pool_test.go
@@ -65,7 +65,7 @@
 			gang := lt.jobTable.add(&job.Record{Spec: job.Spec{ID: "run-1", ShapeName: "ensemble", PriorityName: "idle", Tasks: 2, CPUs: 4, OneZone: true}}, 1, lt.termStart)
 			lt.machinePool.setUnmetDemand([]autoscale.UnmetDemand{{Demand: &place.Demand{ID: lt.jobTable.index(gang), Shape: job.Gang, Need: need, Zone: -1, OneZone: true, TasksByZone: make([]int, 2)}, Count: 2, ChosenZone: -7}})
 			for range slots {
-				lt.reservationHolds.wants = append(lt.reservationHolds.wants, autoscale.UnmetDemand{Demand: &place.Demand{Shape: job.Gang, Need: need, Zone: 0, TasksByZone: make([]int, 2)}, Count: 1})
+				lt.reservationHolds.requests = append(lt.reservationHolds.requests, autoscale.UnmetDemand{Demand: &place.Demand{Shape: job.Gang, Need: need, Zone: 0, TasksByZone: make([]int, 2)}, Count: 1})
 			}
 			lt.machinePool.scaleOut(lt.termStart)
 			if got := lt.machinePool.unmetDemand[0].ChosenZone; got < 0 {
--- a/internal/control/machine_scale_in.go
+++ b/internal/control/machine_scale_in.go
@@ -68,9 +68,9 @@
 		return "it is sick"
 	case !h.RecallAt.IsZero():
 		return "it is being taken back and is empty"
-	case mp.maintenanceDrains.due(h, now):
+	case mp.maintenanceDrains.started(h, now):
 		return "its maintenance begins"
-	case mp.planner.reserved(h) || mp.reservationHolds.holding(h):
+	case mp.planner.reserved(h) || mp.reservationHolds.retains(h):
 	case mp.idleTooLong(h, now) && !mp.neededForGang(h, now):
 		return "it is idle"
 	}
@@ -152,7 +152,7 @@
 	mp.taskTracker.applyEvents(mp.fleet.Remove(h), time.Now())
 	mp.releasedNames[h.Name] = true
 	mp.planner.forgetMachine(h)
-	mp.reservationHolds.forget(h)
+	mp.reservationHolds.machineRemoved(h)
 	mp.shards.remove(h)
 	delete(mp.noticeLogged, h)
 	delete(mp.unlisted, h)
--- a/internal/control/machine_scale_out.go
+++ b/internal/control/machine_scale_out.go
@@ -27,7 +27,7 @@
 
 // scaleOut requests machines for calendar reservations and unmet demand.
 func (mp *machinePool) scaleOut(now time.Time) {
-	reserved := mp.reservationHolds.missing(now)
+	reserved := mp.reservationHolds.machineRequests(now)
 	if len(mp.unmetDemand)+len(reserved) == 0 {
 		return
 	}
@@ -53,7 +53,7 @@
 		PatienceS:      mp.controller.Tuning.Machines.PatienceS,
 		Now:            now,
 		Closed: func(o autoscale.Offer) bool {
-			return mp.maintenanceDrains.closed(types[o.Type].Name, zones[o.Zone], now)
+			return mp.maintenanceDrains.poolClosed(types[o.Type].Name, zones[o.Zone], now)
 		},
 	}
 	addPending := func(o autoscale.Offer) {
@@ -94,7 +94,7 @@
 // last answers have shown.
 func (mp *machinePool) offerOpen(typ, zone string, spot bool, now time.Time) bool {
 	t, z, known := mp.nameIndex.offerIndices(typ, zone)
-	if !known || mp.maintenanceDrains.closed(typ, zone, now) {
+	if !known || mp.maintenanceDrains.poolClosed(typ, zone, now) {
 		return false
 	}
 	onDemand := autoscale.Offer{Type: t, Zone: z}
@@ -129,7 +129,7 @@
 	for _, h := range mp.fleet.All() {
 		t := mp.nameIndex.machineType(h)
 		if h.Usable() && t != nil && allowsKind(d, h) && !mp.takenFromGang(h, j) {
-			fits[h.Zone] += freeOn(t, h).FitCount(d.Need)
+			fits[h.Zone] += freeCapacity(t, h).FitCount(d.Need)
 		}
 	}
 	return fits
@@ -138,7 +138,7 @@
 // takenFromGang reports whether a machine is reserved or held for others than the gang.
 func (mp *machinePool) takenFromGang(h *fleet.Host, gang *job.Job) bool {
 	holder := mp.planner.reservedFor(h)
-	return (holder != nil && holder != gang) || mp.reservationHolds.holding(h)
+	return (holder != nil && holder != gang) || mp.reservationHolds.retains(h)
 }
 
 // allowsKind reports whether a demand may run on machines of the type and kind of h.
@@ -203,6 +203,6 @@
 		}
 		h := mp.fleet.Add(name, requestedAt)
 		mp.nameIndex.describeHost(h, req.Type, req.Zone, o.Spot)
-		mp.reservationHolds.rented(h)
+		mp.reservationHolds.machineProvisioned(h)
 	}
 }
--- a/internal/control/planner.go
+++ b/internal/control/planner.go
@@ -104,7 +104,7 @@
 	}
 	pl.lastPlanAt = now
 	pl.planRequested = false
-	pl.reservationHolds.gather(now) // a machine that has just come up for a reservation must not be filled
+	pl.reservationHolds.refresh(now) // a machine that has just come up for a reservation must not be filled
 	defer func() {
 		pl.lastPlanDuration = time.Since(now)
 		pl.controller.Meter.Observe(metrics.PlanTime, "", pl.lastPlanDuration)
@@ -235,7 +235,7 @@
 			continue
 		}
 		j := in.job(i)
-		if pl.reservationHolds.covers(j) {
+		if pl.reservationHolds.providesFor(j) {
 			continue
 		}
 		d := &in.input.Demands[i]
--- a/internal/control/planner_demands.go
+++ b/internal/control/planner_demands.go
@@ -50,7 +50,7 @@
 // placeable reports whether a job has tasks to place and may have them placed now.
 func (p *planInput) placeable(j *job.Job) bool {
 	over := j.Phase != "" || j.Closing != ""
-	if over || p.jobTable.isUnidentified(j) || p.now.Before(j.NotBefore) || j.TeamIdx < 0 || p.calendarStore.waits(j, p.now) {
+	if over || p.jobTable.isUnidentified(j) || p.now.Before(j.NotBefore) || j.TeamIdx < 0 || p.calendarStore.waitsForStart(j, p.now) {
 		return false
 	}
 	// A gang that has broken or has run gets its next attempt when all of this one is gone.
@@ -85,10 +85,10 @@
 	if len(d.Pending) == 0 {
 		return d, false
 	}
-	if p.calendarStore.on() {
-		d.EndsIn = p.reservationHolds.needs(j, p.now)
+	if p.calendarStore.enabled() {
+		d.EndsIn = p.reservationHolds.requiredSeconds(j, p.now)
 		d.Movable = j.Shape == job.Service || j.CheckpointS > 0
-		d.OnlyHeldMachines = j.Reservation != "" && p.reservationHolds.enough(j, len(d.Pending))
+		d.OnlyHeldMachines = j.Reservation != "" && p.reservationHolds.hasCapacity(j, len(d.Pending))
 	}
 	left := d.LatestStart - p.now.Sub(p.termStart).Seconds()
 	isArray := j.Shape == job.Array
--- a/internal/control/planner_input.go
+++ b/internal/control/planner_input.go
@@ -163,7 +163,7 @@
 		Zone:           h.Zone,
 		Spot:           h.Spot,
 		Total:          autoscale.MachineResources(t),
-		Free:           freeOn(t, h),
+		Free:           freeCapacity(t, h),
 		Queue:          h.Queue,
 		Jobs:           h.Jobs,
 		Scale:          p.smallestCPUs / t.CPUs,
@@ -178,8 +178,8 @@
 		m.Reserved = needOf(r.job)
 		m.AwaitsCompletion = r.awaitsCompletion
 	}
-	p.reservationHolds.mark(&m, h, p.now)
-	p.maintenanceDrains.mark(&m, h, p.now)
+	p.reservationHolds.annotate(&m, h, p.now)
+	p.maintenanceDrains.annotate(&m, h, p.now)
 	return m
 }
 
--- a/internal/control/rollout_test.go
+++ b/internal/control/rollout_test.go
@@ -11,9 +11,9 @@
 	"vetchstream/internal/wire"
 )
 
-// rolling is a leader with services of which each has a roll-out under way, every
-// old copy running.
-func rolling(tb testing.TB, services, replicas int) (*leaderTerm, time.Time) {
+// leaderWithRollouts is a leader with services that each have a roll-out under way, with all
+// instances of the old version running.
+func leaderWithRollouts(tb testing.TB, services, replicas int) (*leaderTerm, time.Time) {
 	tb.Helper()
 	r := newTestTerm(tb)
 	r.controller.Tuning.Rollouts.Enabled = true
@@ -35,7 +35,11 @@
 		for t := range replicas {
 			h := hosts[(i*replicas+t)%len(hosts)]
 			s := r.fleet.Assign(h, fleet.Key{Job: old, Task: int32(t), Attempt: 1}, now)
-			s.Sent, s.Seen, s.Phase, s.Health, s.RunAt = true, true, wire.TaskRunning, wire.HealthGood, now.Add(-time.Minute)
+			s.Sent = true
+			s.Seen = true
+			s.Phase = wire.TaskRunning
+			s.Health = wire.HealthGood
+			s.RunAt = now.Add(-time.Minute)
 			zones[t] = r.nameIndex.zoneNames()[h.Zone]
 		}
 		spec.ID = fmt.Sprintf("run-%d", 10_000+i)
@@ -43,30 +47,32 @@
 		rs := &rollout.Spec{Service: fmt.Sprintf("s%d", i), To: rollout.Target{ID: spec.ID, Image: "next"}}
 		rec := rollout.New(rs, old.ID, old.ID, zones, now)
 		rec.State = rollout.Advancing
-		r.rollouts.adopt(&service{rec: rec, version: 1})
+		r.rollouts.addService(&service{rec: rec, version: 1})
 	}
 	return r, now
 }
 
-// TestQuota: what a stored roll-out wants is what may be placed, and nothing new
-// before the machines of earlier leaders are settled.
+// TestQuota: what a stored roll-out requires is what may be placed, and nothing new before the
+// machines of earlier leaders are reconciled.
 func TestQuota(t *testing.T) {
 	tests := []struct {
 		name    string
 		settled bool
 		stored  func(*rollout.Record)
-		old     int // old copies that may run
-		next    int // new ones
+		old     int // instances of the old version that may run
+		next    int // of the new one
 	}{
 		{"a batch under way, one extra", true, func(*rollout.Record) {}, 10, 1},
 		{"not settled", false, func(*rollout.Record) {}, 0, 0},
-		{"taken back", true, func(r *rollout.Record) { r.State = rollout.Undone }, 10, 0},
-		{"paused before anything was changed", true, func(r *rollout.Record) { r.State, r.Resume, r.Held = rollout.Paused, rollout.Advancing, true }, 10, 0},
-		{"the second batch", true, func(r *rollout.Record) { r.At = 1 }, 9, 2},
+		{"taken back", true, func(r *rollout.Record) { r.State = rollout.RolledBack }, 10, 0},
+		{"paused before anything was changed", true, func(r *rollout.Record) {
+			r.State, r.ResumeState, r.ManualResume = rollout.Paused, rollout.Advancing, true
+		}, 10, 0},
+		{"the second batch", true, func(r *rollout.Record) { r.BatchIndex = 1 }, 9, 2},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			r, now := rolling(t, 1, 10)
+			r, now := leaderWithRollouts(t, 1, 10)
 			tt.stored(r.rollouts.services["s0"].rec)
 			r.takeover.allReconciled = tt.settled
 			r.rollouts.step(now)
@@ -86,13 +92,13 @@
 	}
 }
 
-// BenchmarkRollouts is a look at 200 services of 20 replicas, as it comes four
-// times a second.
+// BenchmarkRollouts is one evaluation of 200 services of 20 replicas, as it comes four times a
+// second.
 func BenchmarkRollouts(b *testing.B) {
-	r, now := rolling(b, 200, 20)
+	r, now := leaderWithRollouts(b, 200, 20)
 	b.ReportAllocs()
 	for b.Loop() {
-		r.rollouts.stepAt = time.Time{}
+		r.rollouts.lastStep = time.Time{}
 		r.rollouts.step(now)
 	}
 }
--- a/internal/control/tasks_heartbeats.go
+++ b/internal/control/tasks_heartbeats.go
@@ -70,7 +70,7 @@
 	bootTime := now.Sub(h.AddedAt)
 	tt.log.Info("machine is up", "host", h.Name, "after", bootTime.Round(time.Second))
 	h.IdleFrom = now
-	tt.reservationHolds.booted(h, bootTime)
+	tt.reservationHolds.machineBooted(h, bootTime)
 	tt.requestPlan()
 }
 
@@ -119,7 +119,7 @@
 	case fleet.Ended:
 		tt.taskEnded(s, s.Job, s.Host, now)
 	case fleet.TurnedUnhealthy:
-		tt.rollouts.failed(s.Job, s.Task, s.Host.Name)
+		tt.rollouts.recordFailure(s.Job, s.Task, s.Host.Name)
 	case fleet.Gone, fleet.NeverStarted:
 		if s.Job.Shape == job.Gang && s.Job.GangStarted {
 			tt.stopGangAttempt(s.Job)
@@ -158,7 +158,7 @@
 		return
 	case wire.CauseError:
 		tt.attributeFailure(j, h, now)
-		tt.rollouts.failed(j, s.Task, h.Name)
+		tt.rollouts.recordFailure(j, s.Task, h.Name)
 	case wire.CauseUnknownTask:
 		tt.backOffJob(j, now)
 	}
@@ -181,7 +181,7 @@
 	}
 	tt.checkSpeed(s, j, h, now)
 	if !s.RunAt.IsZero() && !s.Adopted {
-		tt.reservationHolds.ran(j, now.Sub(s.RunAt).Seconds())
+		tt.reservationHolds.taskCompleted(j, now.Sub(s.RunAt).Seconds())
 	}
 	tt.results.addCompleted(s)
 	if j.Shape == job.Service {
--- a/internal/node/calendar_test.go
+++ b/internal/node/calendar_test.go
@@ -18,7 +18,7 @@
 	reserve  map[string]any                // edits of the reservation
 	inject   func(sim *calendarSimulation) // from the moment all is set up; nil: nothing
 	maxLate  time.Duration                 // 0: the tolerance; below 0: it has to be late
-	outcome  string                        // that is stored of the occurrence; empty: any
+	outcome  calendar.OutcomeKind          // that is stored of the occurrence; empty: any
 }
 
 // beforeSlot injects a fault at a moment relative to the slot's start.
@@ -30,11 +30,11 @@
 }
 
 var slotCases = []slotCase{
-	{"nothing goes wrong", 12, nil, nil, nil, 0, calendar.Kept},
-	{"holding is switched off", 12, func(c *config.Calendar) { c.Hold = false }, nil, nil, -1, calendar.Missed},
-	{"without backfill", 12, func(c *config.Calendar) { c.Backfill = false }, nil, nil, 0, calendar.Kept},
-	{"the cloud has less than anybody knew", 12, func(c *config.Calendar) { c.AssumedCapacity = nil }, nil, nil, 0, calendar.Kept},
-	{"in one place", 24, nil, map[string]any{"same_place": true}, nil, 0, calendar.Kept},
+	{"nothing goes wrong", 12, nil, nil, nil, 0, calendar.OutcomeOnTime},
+	{"holding is switched off", 12, func(c *config.Calendar) { c.Hold = false }, nil, nil, -1, calendar.OutcomeMissed},
+	{"without backfill", 12, func(c *config.Calendar) { c.Backfill = false }, nil, nil, 0, calendar.OutcomeOnTime},
+	{"the cloud has less than anybody knew", 12, func(c *config.Calendar) { c.AssumedCapacity = nil }, nil, nil, 0, calendar.OutcomeOnTime},
+	{"in one place", 24, nil, map[string]any{"same_place": true}, nil, 0, calendar.OutcomeOnTime},
 	{"the leader ends at the very start", 12, nil, nil, beforeSlot(-100*time.Millisecond, crashControllers(1)), 20 * time.Second, ""},
 	{"all controllers end just before", 12, nil, nil, beforeSlot(-6*time.Second, crashControllers(3)), 20 * time.Second, ""},
 	{"the leader stands still over the start", 12, nil, nil, beforeSlot(-3*time.Second, pauseControllers(1, 6*time.Second)), 20 * time.Second, ""},
@@ -110,8 +110,8 @@
 	if tt.maxLate >= 0 && s.Claimer != "" {
 		t.Errorf("%s claims it still", s.Claimer)
 	}
-	if len(s.Past) != 1 || (tt.outcome != "" && s.Past[0].What != tt.outcome) || s.Past[0].Job != id {
-		t.Errorf("stored: %+v, want one that is %s", s.Past, tt.outcome)
+	if len(s.Outcomes) != 1 || (tt.outcome != "" && s.Outcomes[0].Kind != tt.outcome) || s.Outcomes[0].Job != id {
+		t.Errorf("stored: %+v, want one that is %s", s.Outcomes, tt.outcome)
 	}
 	if tt.maxLate >= 0 && s.Held != 0 {
 		t.Errorf("%d machines are still held", s.Held)
@@ -167,8 +167,8 @@
 		}
 		var s calendar.Status
 		sim.readEntry("/api/reservations/evening", &s)
-		if len(s.Past) != 1 || s.Past[0].What != calendar.Lapsed {
-			t.Errorf("stored: %+v", s.Past)
+		if len(s.Outcomes) != 1 || s.Outcomes[0].Kind != calendar.OutcomeLapsed {
+			t.Errorf("stored: %+v", s.Outcomes)
 		}
 	})
 }
--- a/internal/node/rollout_test.go
+++ b/internal/node/rollout_test.go
@@ -92,7 +92,7 @@
 	{"a bad build, and a good one after it", 0, func(sim *rolloutSimulation) {
 		sim.SetImageBehavior("new", emulate.ImageBehavior{UnhealthyAfter: 4 * time.Second})
 		sim.start(nil)
-		sim.waitFor(200, sim.stateIs(rollout.Undone))
+		sim.waitFor(200, sim.stateIs(rollout.RolledBack))
 		sim.waitFor(60, sim.allRun("run-1", "run-2"))
 		sim.startTo("run-3", "newer", nil)
 		sim.waitFor(200, sim.stateIs(rollout.Done))
--- a/internal/node/storm_checks_test.go
+++ b/internal/node/storm_checks_test.go
@@ -82,11 +82,11 @@
 	}
 	want := rollout.Done
 	if service.badBuild {
-		want = rollout.Undone
+		want = rollout.RolledBack
 		if len(h.started) > service.batch || len(zones) > 1 {
 			h.violate("%s: the bad build ran as %d replicas in %d zones, a batch is %d", service.name, len(h.started), len(zones), service.batch)
 		}
-		if service.state == string(rollout.Undone) {
+		if service.state == string(rollout.RolledBack) {
 			service.rolledBackAfter = h.lastEnd.Sub(h.firstStart)
 		}
 	}
--- a/internal/rollout/spec.go
+++ b/internal/rollout/spec.go
@@ -1,7 +1,7 @@
-// Package rollout moves a service from one build to the next, batch by batch, and
-// back when the new one is bad. It decides and holds no connection, goroutine or
-// clock: the leader passes in what it sees and the time, stores the record that
-// comes back under its term, and carries out what the record says is wanted.
+// Package rollout moves a service from one version to the next, batch by batch, and back when
+// the new one is bad. It decides, and has no connection, goroutine or clock: the leader passes
+// in what it observes and the time, stores the changed record under its term, and carries out
+// what the record requires.
 package rollout
 
 import (
@@ -14,8 +14,8 @@
 	"vetchstream/internal/schema"
 )
 
-// Target is the next version of a service: a job id of its own, since a worker
-// reads a job's description by its id, and what differs from the version before.
+// Target is the next version of a service: a job id of its own, since a worker reads a job's
+// specification by its id, and what differs from the version before.
 type Target struct {
 	ID      string   `codec:"uid" json:"uid"`
 	Image   string   `codec:"reel" json:"reel"`
@@ -26,152 +26,166 @@
 	Types   []string `codec:"builds,omitempty" json:"builds,omitempty"`
 }
 
-// Check is a request that the leader makes to each copy's worker.
+// Check is an HTTP request that the leader makes to each instance's worker, every IntervalS
+// seconds.
 type Check struct {
-	Path   string  `codec:"path" json:"path"`
-	EveryS float64 `codec:"every_s,omitempty" json:"every_s,omitempty"`
+	Path      string  `codec:"path" json:"path"`
+	IntervalS float64 `codec:"every_s,omitempty" json:"every_s,omitempty"`
 }
 
-// Spec is a roll-out as an operator asks for it.
+// Spec is the specification of a roll-out by an operator.
 type Spec struct {
 	Service string `codec:"service" json:"service"`
 	// From is the service's first job, named in its first roll-out.
 	From string `codec:"from,omitempty" json:"from,omitempty"`
 	To   Target `codec:"to" json:"to"`
-	// Batch is how many replicas change at a time, or BatchShare of them.
-	Batch      int     `codec:"batch,omitempty" json:"batch,omitempty"`
-	BatchShare float64 `codec:"batch_share,omitempty" json:"batch_share,omitempty"`
-	// MostMissing and MostExtra bound how many replicas there are too few or too
-	// many at a time.
-	MostMissing *int `codec:"most_missing,omitempty" json:"most_missing,omitempty"`
-	MostExtra   *int `codec:"most_extra,omitempty" json:"most_extra,omitempty"`
-	// Pass and Fail are the gate, see gate.go.
+	// Batch is how many replicas change at a time, BatchFraction which fraction of them; one of
+	// them may be given.
+	Batch         int     `codec:"batch,omitempty" json:"batch,omitempty"`
+	BatchFraction float64 `codec:"batch_share,omitempty" json:"batch_share,omitempty"`
+	// MaxUnavailable and MaxSurge bound how many replicas there are too few or too many at a
+	// time.
+	MaxUnavailable *int `codec:"most_missing,omitempty" json:"most_missing,omitempty"`
+	MaxSurge       *int `codec:"most_extra,omitempty" json:"most_extra,omitempty"`
+	// Pass and Fail are the expressions of the Gate; empty: its defaults.
 	Pass string `codec:"pass,omitempty" json:"pass,omitempty"`
 	Fail string `codec:"fail,omitempty" json:"fail,omitempty"`
-	// ReadyS is how long a new copy has to be healthy before its old one goes, in
+	// ReadyS is how long a new instance has to be healthy before its old one is stopped, in
 	// seconds.
 	ReadyS *float64 `codec:"ready_s,omitempty" json:"ready_s,omitempty"`
-	// SoakS is how long a batch has to pass before the next, DeadlineS how long it
-	// may take until then. In seconds.
+	// SoakS is how long a batch has to pass before the next, DeadlineS how long it may take
+	// until then, in seconds.
 	SoakS     *float64 `codec:"soak_s,omitempty" json:"soak_s,omitempty"`
 	DeadlineS float64  `codec:"deadline_s,omitempty" json:"deadline_s,omitempty"`
-	// Undo: roll back by itself; else it pauses.
-	Undo *bool `codec:"undo,omitempty" json:"undo,omitempty"`
+	// AutoRollback: roll back when the gate fails, else pause; nil: roll back.
+	AutoRollback *bool `codec:"undo,omitempty" json:"undo,omitempty"`
 	// Zones is the order of the zones; the others follow by name.
 	Zones []string `codec:"zones,omitempty" json:"zones,omitempty"`
-	// Supersede: take the place of a roll-out that is under way.
+	// Supersede: replace a roll-out that is under way.
 	Supersede bool   `codec:"supersede,omitempty" json:"supersede,omitempty"`
 	Check     *Check `codec:"check,omitempty" json:"check,omitempty"`
 }
 
-// Defaults of a spec that says nothing.
+// Defaults of a specification that leaves them out.
 const (
-	defaultReadyS    = 10.0
-	defaultSoakS     = 60.0
-	defaultDeadlineS = 600.0
-	defaultShare     = 0.1
-	defaultEveryS    = 5.0
+	defaultMaxUnavailable = 0
+	defaultMaxSurge       = 1
+	defaultReadyS         = 10.0
+	defaultSoakS          = 60.0
+	defaultDeadlineS      = 600.0
+	defaultBatchFraction  = 0.1
+	defaultCheckIntervalS = 5.0
 )
 
-// ErrSpec marks a specification that is wrong.
-var ErrSpec = errors.New("roll-out is malformed")
+// ErrMalformed is returned for a specification that is wrong.
+var ErrMalformed = errors.New("roll-out is malformed")
 
 //go:embed schema.json
 var schemaJSON []byte
 
-var document = schema.New("rollout", schemaJSON)
+var specSchema = schema.New("rollout", schemaJSON)
 
-// Parse reads a specification in its encoded form and checks it against the
-// schema. An error is an ErrSpec and names the field.
+// Parse reads a specification in its encoded form and checks it against the schema. An error
+// is an ErrMalformed and names the field.
 func Parse(body []byte) (*Spec, error) {
 	s := &Spec{}
-	if err := document.Decode(body, s, "batch", "most_missing", "most_extra"); err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrSpec, err)
+	if err := specSchema.Decode(body, s, "batch", "most_missing", "most_extra"); err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
-	if s.Batch > 0 && s.BatchShare > 0 {
-		return nil, fmt.Errorf("%w: batch: given beside batch_share", ErrSpec)
+	if s.Batch > 0 && s.BatchFraction > 0 {
+		return nil, fmt.Errorf("%w: batch: given beside batch_share", ErrMalformed)
 	}
-	if s.missing() == 0 && s.extra() == 0 {
-		return nil, fmt.Errorf("%w: most_missing: 0 beside most_extra 0 lets nothing change", ErrSpec)
+	if s.maxUnavailable() == 0 && s.maxSurge() == 0 {
+		return nil, fmt.Errorf("%w: most_missing: 0 beside most_extra 0 lets nothing change", ErrMalformed)
 	}
 	if _, err := NewGate(s.Pass, s.Fail); err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrSpec, err)
+		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	return s, nil
 }
 
-func (s *Spec) missing() int {
-	if s.MostMissing != nil {
-		return *s.MostMissing
+// maxUnavailable is how many replicas there may be too few at a time.
+func (s *Spec) maxUnavailable() int {
+	if s.MaxUnavailable != nil {
+		return *s.MaxUnavailable
 	}
-	return 0
+	return defaultMaxUnavailable
 }
 
-func (s *Spec) extra() int {
-	if s.MostExtra != nil {
-		return *s.MostExtra
+// maxSurge is how many replicas there may be too many at a time.
+func (s *Spec) maxSurge() int {
+	if s.MaxSurge != nil {
+		return *s.MaxSurge
 	}
-	return 1
+	return defaultMaxSurge
 }
 
-func (s *Spec) ready() float64 {
+// readySeconds is how long a new instance has to be healthy before its old one is stopped.
+func (s *Spec) readySeconds() float64 {
 	if s.ReadyS != nil {
 		return *s.ReadyS
 	}
 	return defaultReadyS
 }
 
-func (s *Spec) soak() float64 {
+// soakSeconds is how long a batch has to pass before the next.
+func (s *Spec) soakSeconds() float64 {
 	if s.SoakS != nil {
 		return *s.SoakS
 	}
 	return defaultSoakS
 }
 
-func (s *Spec) deadline() float64 {
+// deadlineSeconds is how long a batch may take.
+func (s *Spec) deadlineSeconds() float64 {
 	if s.DeadlineS > 0 {
 		return s.DeadlineS
 	}
 	return defaultDeadlineS
 }
 
-func (s *Spec) undo() bool { return s.Undo == nil || *s.Undo }
+// autoRollback reports whether the roll-out is rolled back when it fails.
+func (s *Spec) autoRollback() bool { return s.AutoRollback == nil || *s.AutoRollback }
 
-// EveryS is how often a copy is checked, in seconds.
-func (s *Spec) EveryS() float64 {
-	if s.Check != nil && s.Check.EveryS > 0 {
-		return s.Check.EveryS
+// CheckIntervalS is how often an instance is checked, in seconds.
+func (s *Spec) CheckIntervalS() float64 {
+	if s.Check != nil && s.Check.IntervalS > 0 {
+		return s.Check.IntervalS
 	}
-	return defaultEveryS
+	return defaultCheckIntervalS
 }
 
-// size is how many replicas change at a time.
-func (s *Spec) size(replicas int) int {
+// batchSize is how many replicas change at a time.
+func (s *Spec) batchSize(replicas int) int {
 	n := s.Batch
 	if n == 0 {
-		share := s.BatchShare
-		if share == 0 {
-			share = defaultShare
+		fraction := s.BatchFraction
+		if fraction == 0 {
+			fraction = defaultBatchFraction
 		}
-		n = int(math.Ceil(share * float64(replicas)))
+		n = int(math.Ceil(fraction * float64(replicas)))
 	}
 	return max(1, min(n, replicas))
 }
 
-// Next is the job of the next version.
-func (s *Spec) Next(was *job.Spec) job.Spec {
-	next := *was
-	next.ID, next.Image = s.To.ID, s.To.Image
-	for _, f := range []struct {
-		to   *float64
-		from *float64
-	}{{&next.ImageGB, s.To.ImageGB}, {&next.CPUs, s.To.CPUs}, {&next.GPUs, s.To.GPUs}, {&next.MemGB, s.To.MemGB}} {
-		if f.from != nil {
-			*f.to = *f.from
-		}
-	}
+// NextJob is the job of the next version, which differs from the current one by the target.
+func (s *Spec) NextJob(current *job.Spec) job.Spec {
+	next := *current
+	next.ID = s.To.ID
+	next.Image = s.To.Image
+	override(&next.ImageGB, s.To.ImageGB)
+	override(&next.CPUs, s.To.CPUs)
+	override(&next.GPUs, s.To.GPUs)
+	override(&next.MemGB, s.To.MemGB)
 	if s.To.Types != nil {
 		next.Types = s.To.Types
 	}
 	return next
 }
+
+// override replaces an amount by another one, if that is given.
+func override(amount *float64, by *float64) {
+	if by != nil {
+		*amount = *by
+	}
+}
