--- a/cmd/vetchstream/demo.go
+++ b/cmd/vetchstream/demo.go
@@ -76,7 +76,8 @@
 		Use:   "demo",
 		Short: "Run a whole cluster on this machine: emulated machines and three controllers",
 		Args:  noArgs,
-		Long:  "demo runs three controllers in one process on an emulated state service, cloud and workers, and says how it stands\nuntil ctrl-C. The client commands reach it at their default address.\n\n" + emulatedNotice,
+		Long: "demo runs three controllers in one process on an emulated state service, cloud and workers, and says how it stands\n" +
+			"until ctrl-C. The client commands reach it at their default address.\n\n" + emulatedNotice,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return flags.runDemo(cmd, *tuning)
 		},
--- a/cmd/vetchstream/emulate.go
+++ b/cmd/vetchstream/emulate.go
@@ -81,7 +81,8 @@
 		Use:   "emulate --settings OUT.toml",
 		Short: "Emulate state service, cloud and workers on loopback, for controllers started by hand",
 		Args:  noArgs,
-		Long:  "emulate runs a state service, a cloud and its workers on loopback in real time and writes the settings for the\ncontrollers that are to live on them: OUT.toml, and OUT-2.toml and so on with --nodes.\n\n" + emulatedNotice,
+		Long: "emulate runs a state service, a cloud and its workers on loopback in real time and writes the settings for the\n" +
+			"controllers that are to live on them: OUT.toml, and OUT-2.toml and so on with --nodes.\n\n" + emulatedNotice,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return flags.runEmulation(cmd, settingsFile)
 		},
--- a/cmd/vetchstream/scale.go
+++ b/cmd/vetchstream/scale.go
@@ -29,7 +29,8 @@
 		Use:   "scale",
 		Short: "Measure real controllers of several regions beside workers that run no tasks",
 		Args:  noArgs,
-		Long:  "scale starts the controllers of several regions as processes of this program, on emulated state services and clouds,\nwith thousands of emulated workers and users, and measures what each role takes. See docs/CAPACITY.md.\n\n" + emulatedNotice,
+		Long: "scale starts the controllers of several regions as processes of this program, on emulated state services and clouds,\n" +
+			"with thousands of emulated workers and users, and measures what each role takes. See docs/CAPACITY.md.\n\n" + emulatedNotice,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if err := flags.check(); err != nil {
 				return flagError{err}
--- a/internal/dynconfig/change_test.go
+++ b/internal/dynconfig/change_test.go
@@ -10,7 +10,7 @@
 	for range times {
 		for j := range w.regions {
 			s := &w.regions[j]
-			q := s.replica.Request(s.usage(w))
+			q := s.replica.Request(s.usage())
 			entries := s.replica.HandleReply(q, w.homeReply(q))
 			s.store(entries)
 			s.applyStored(entries)
@@ -55,7 +55,7 @@
 	follow := func(used float64) Amount {
 		w.regions[0].used = used
 		w.follow(10)
-		share, _ := w.regions[0].replica.Share(theTeam, w.regions[0].usage(w))
+		share, _ := w.regions[0].replica.Share(theTeam, w.regions[0].usage())
 		return share.Limit
 	}
 	follow(0)
@@ -71,7 +71,7 @@
 		if got := follow(tt.used); got.CPUs != tt.want {
 			t.Errorf("with %v in use the limit is %v, want %v", tt.used, got.CPUs, tt.want)
 		}
-		if _, exists := w.regions[0].replica.Share(theTeam, w.regions[0].usage(w)); exists {
+		if _, exists := w.regions[0].replica.Share(theTeam, w.regions[0].usage()); exists {
 			t.Error("the region accepts jobs of it again")
 		}
 	}
--- a/internal/dynconfig/explore_actions_test.go
+++ b/internal/dynconfig/explore_actions_test.go
@@ -132,7 +132,7 @@
 // leaderActions store grants and end the terms of the regions' leaders.
 func leaderActions() []explorer.Action[*world] {
 	return []explorer.Action[*world]{
-		regionAction("store grants", 2, func(w *world, s *regionSim, _ int) bool {
+		regionAction("store grants", 2, func(_ *world, s *regionSim, _ int) bool {
 			if s.storing == nil {
 				return false
 			}
@@ -165,8 +165,8 @@
 // taskActions start and finish tasks, a CPU each.
 func taskActions() []explorer.Action[*world] {
 	return []explorer.Action[*world]{
-		regionAction("start task", 2, func(w *world, s *regionSim, _ int) bool {
-			share, known := s.replica.Share(theTeam, s.usage(w))
+		regionAction("start task", 2, func(_ *world, s *regionSim, _ int) bool {
+			share, known := s.replica.Share(theTeam, s.usage())
 			if !known || s.used+1 > share.Limit.CPUs+tolerance {
 				return false
 			}
--- a/internal/dynconfig/explore_test.go
+++ b/internal/dynconfig/explore_test.go
@@ -32,7 +32,7 @@
 				s.reply = nil
 			}
 			if s.storing == nil {
-				q := s.replica.Request(s.usage(w))
+				q := s.replica.Request(s.usage())
 				s.storing = s.replica.HandleReply(q, w.homeReply(q))
 			}
 			s.store(s.storing)
@@ -52,7 +52,7 @@
 	}
 	for i, n := range regionNames {
 		s := &w.regions[i]
-		share, _ := s.replica.Share(theTeam, s.usage(w))
+		share, _ := s.replica.Share(theTeam, s.usage())
 		removed := want.Removed && share.Limit != Amount{}
 		if share.Limit != w.home.currentShare(want, n).Limit || removed {
 			return fmt.Sprintf("region %s has %v, not %v", n, share.Limit, want.Shares[n].Limit)
--- a/internal/dynconfig/explore_world_test.go
+++ b/internal/dynconfig/explore_world_test.go
@@ -120,7 +120,7 @@
 	s.storing = nil
 }
 
-func (s *regionSim) usage(w *world) UsageFunc {
+func (s *regionSim) usage() UsageFunc {
 	return func(string) (Amount, bool) { return Amount{CPUs: s.used}, s.used > 0 }
 }
 
@@ -128,7 +128,7 @@
 	if w.disabled == usageHeld {
 		return func(string) (Amount, bool) { return Amount{}, false }
 	}
-	return s.usage(w)
+	return s.usage()
 }
 
 // storeHome stores an update of the home region and applies it.
@@ -246,7 +246,7 @@
 	sum := 0.0
 	for i := range w.regions {
 		s := &w.regions[i]
-		share, _ := s.replica.Share(theTeam, s.usage(w))
+		share, _ := s.replica.Share(theTeam, s.usage())
 		sum += max(s.used, share.Limit.CPUs)
 		if s.regression != "" {
 			return s.regression
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,4 +1,4 @@
-// Package fleet keeps the ledger of which task placements may be on each machine,
+// Package fleet holds the ledger of which task placements may be on each machine,
 // with the workers' sessions, leases and message order. It does no I/O and has no
 // goroutine: the leader's actor owns it and passes the time in.
 package fleet
--- a/internal/shard/explore_test.go
+++ b/internal/shard/explore_test.go
@@ -36,7 +36,7 @@
 		if s.requestInFlight == nil {
 			return false
 		}
-		s.replyInFlight, s.requestInFlight = w.handleRequest(i, s.requestInFlight), nil
+		s.replyInFlight, s.requestInFlight = w.handleRequest(s.requestInFlight), nil
 		return true
 	}, Count: 2},
 	{Name: "grant", Do: func(w *world, i int) bool {
@@ -69,7 +69,7 @@
 		if s.lateRequest == nil {
 			return false
 		}
-		w.handleRequest(i, s.lateRequest) // nobody waits for the reply
+		w.handleRequest(s.lateRequest) // nobody waits for the reply
 		s.lateRequest = nil
 		return true
 	}, Count: 2},
--- a/internal/shard/explore_world_test.go
+++ b/internal/shard/explore_world_test.go
@@ -123,7 +123,7 @@
 func (w *world) rel(t time.Time) time.Duration { return t.Sub(w.now) }
 
 // handleRequest has the leader handle a request, and returns its reply.
-func (w *world) handleRequest(i int, r *Request) *Reply {
+func (w *world) handleRequest(r *Request) *Reply {
 	if !w.entitled() {
 		return &Reply{}
 	}
