--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,5 +1,3 @@
-// Package control is the leader of the controller nodes: the actor that owns jobs,
-// fleet, placement and scaling for the length of one leader term.
 package control
 
 import (
