--- a/internal/election/promise_test.go
+++ b/internal/election/promise_test.go
@@ -199,7 +199,7 @@
 	}},
 }
 
-// Broken implements explorer.World.
+// Violation implements explorer.World.
 func (w *world) Violation() string {
 	var leads []string
 	for i := range w.members {
@@ -217,7 +217,7 @@
 	return ""
 }
 
-// Print implements explorer.World.
+// Fingerprint implements explorer.World.
 func (w *world) Fingerprint() string {
 	p := &explorer.Printer{Now: w.now, MaxAge: 2 * length}
 	p.Values(w.storeDown, w.leader)
