--- a/internal/control/admission_records_test.go
+++ b/internal/control/admission_records_test.go
@@ -114,7 +114,7 @@
 func TestUnknownTaskStopped(t *testing.T) {
 	tests := []struct {
 		name  string
-		phase string // of its record; empty: there is none
+		phase wire.JobPhase // of its record; empty: there is none
 	}{
 		{"cancelled through the leader before", wire.JobCancelled},
 		{"done", wire.JobDone},
@@ -143,8 +143,8 @@
 // admitted, was read before the job ended. The job is not adopted again, and its user
 // is told its end.
 func TestResolve(t *testing.T) {
-	for _, phase := range []string{"", wire.JobDone, wire.JobCancelled} {
-		t.Run("ended: "+phase, func(t *testing.T) {
+	for _, phase := range []wire.JobPhase{"", wire.JobDone, wire.JobCancelled} {
+		t.Run("ended: "+string(phase), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := newFakeStateService(t)
 				s.watchesSilent = true
--- a/internal/control/completions.go
+++ b/internal/control/completions.go
@@ -72,7 +72,7 @@
 // finish moves a job to its final phase. From here on nothing of it is launched,
 // whatever becomes of the commit. Done and aborted race on the version of the active
 // record; the first to commit is final.
-func (cp *completions) finish(j *job.Job, phase string) {
+func (cp *completions) finish(j *job.Job, phase wire.JobPhase) {
 	j.Closing = phase
 	if phase == wire.JobCancelled {
 		j.CancelledAt = time.Now()
@@ -170,7 +170,7 @@
 // finished takes in that a job's final record is stored, and notifies its user.
 func (cp *completions) finished(j *job.Job, rec *job.Record) {
 	j.Phase = rec.Phase
-	cp.controller.Meter.Add(metrics.JobsEnded, j.Phase, 1)
+	cp.controller.Meter.Add(metrics.JobsEnded, string(j.Phase), 1)
 	status := recordStatus(rec)
 	cp.finalStatuses.put(status)
 	for _, back := range cp.cancelWaiters[j] {
--- a/internal/control/leader_fixture_test.go
+++ b/internal/control/leader_fixture_test.go
@@ -125,11 +125,11 @@
 }
 
 // phase is the phase of a job, or the status of the reply if that is not 200.
-func (st *testLeader) phase(id string) string {
+func (st *testLeader) phase(id string) wire.JobPhase {
 	p := st.request(rpc.KindStatus, id, nil)
 	var s wire.JobStatus
 	if p.Status != 200 {
-		return fmt.Sprint(p.Status)
+		return wire.JobPhase(fmt.Sprint(p.Status))
 	}
 	if err := wire.Unmarshal(p.Body, &s); err != nil {
 		st.t.Fatal(err)
--- a/internal/emulate/invariants.go
+++ b/internal/emulate/invariants.go
@@ -18,7 +18,7 @@
 	users      userObservations
 	violations []string
 
-	reportedPhase map[string]string         // job -> the last final phase that a user was told, or phaseAccepted
+	reportedPhase map[string]wire.JobPhase  // job -> the last final phase that a user was told, or phaseAccepted
 	cancelledAt   map[string]time.Time      // job -> the first answer that confirmed its cancellation
 	completed     map[string]map[int32]bool // job -> its tasks that are done
 
@@ -44,7 +44,7 @@
 func newInvariantChecker() invariantChecker {
 	return invariantChecker{
 		users:              newUserObservations(),
-		reportedPhase:      map[string]string{},
+		reportedPhase:      map[string]wire.JobPhase{},
 		cancelledAt:        map[string]time.Time{},
 		completed:          map[string]map[int32]bool{},
 		heartbeatsAnswered: map[string]int{},
@@ -93,17 +93,14 @@
 	}
 }
 
-// isFinal reports whether a job in that phase is over.
-func isFinal(phase string) bool { return phase == wire.JobDone || phase == wire.JobCancelled }
-
 // UnfinishedJobs lists the jobs whose users have not been told that they are over, with
 // what they were told.
-func (w *World) UnfinishedJobs() map[string]string {
+func (w *World) UnfinishedJobs() map[string]wire.JobPhase {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	unfinished := map[string]string{}
+	unfinished := map[string]wire.JobPhase{}
 	for id := range w.specs {
-		if phase := w.checker.reportedPhase[id]; !isFinal(phase) {
+		if phase := w.checker.reportedPhase[id]; !phase.Final() {
 			unfinished[id] = phase
 		}
 	}
@@ -119,7 +116,7 @@
 }
 
 // CancellationAnswered records the answer to a cancellation.
-func (w *World) CancellationAnswered(id, phase string) {
+func (w *World) CancellationAnswered(id string, phase wire.JobPhase) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.checker.reportedPhase[id] = phase
@@ -128,7 +125,7 @@
 
 // recordCancelled records when a cancellation was first confirmed, by any controller and in
 // answer to any request; the caller holds the lock.
-func (w *World) recordCancelled(id, phase string) {
+func (w *World) recordCancelled(id string, phase wire.JobPhase) {
 	if _, known := w.checker.cancelledAt[id]; phase == wire.JobCancelled && !known {
 		w.checker.cancelledAt[id] = time.Now()
 	}
@@ -137,7 +134,7 @@
 // CheckPoll checks the answer to a poll against the final phase that was told before (empty:
 // none), and against whether the job's user has cancelled it. It returns the final phase to
 // check the next answer against.
-func (w *World) CheckPoll(spec *job.Spec, status int, phase, before string, cancelled bool) string {
+func (w *World) CheckPoll(spec *job.Spec, status int, phase, before wire.JobPhase, cancelled bool) wire.JobPhase {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if status == http.StatusNotFound {
@@ -156,7 +153,7 @@
 	if phase == wire.JobCancelled && !cancelled && !w.checker.users.cancelled[spec.ID] {
 		w.addViolation("went_back: %s was not cancelled by its user", spec.ID)
 	}
-	if isFinal(phase) {
+	if phase.Final() {
 		w.checker.reportedPhase[spec.ID] = phase
 		w.recordCancelled(spec.ID, phase)
 		return phase
--- a/internal/emulate/user_checks.go
+++ b/internal/emulate/user_checks.go
@@ -91,10 +91,10 @@
 
 // FinalPhase is the final phase of a job that a user was told by any controller, or empty. A
 // poll that begins now must not get an older answer.
-func (w *World) FinalPhase(id string) string {
+func (w *World) FinalPhase(id string) wire.JobPhase {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if phase := w.checker.reportedPhase[id]; isFinal(phase) {
+	if phase := w.checker.reportedPhase[id]; phase.Final() {
 		return phase
 	}
 	return ""
@@ -102,7 +102,7 @@
 
 // ReportedPhases are what users were told last of each accepted job: accepted, or its final
 // phase.
-func (w *World) ReportedPhases() map[string]string {
+func (w *World) ReportedPhases() map[string]wire.JobPhase {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return maps.Clone(w.checker.reportedPhase)
@@ -258,7 +258,7 @@
 
 // CheckResubmission checks the answer to a submission that is repeated; final is the job's final
 // phase that users had been told when they asked, or empty.
-func (w *World) CheckResubmission(spec *job.Spec, status int, phase, final string) {
+func (w *World) CheckResubmission(spec *job.Spec, status int, phase, final wire.JobPhase) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	switch {
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -27,10 +27,10 @@
 	SubmittedMS int64  // time of day of the submission, in milliseconds
 	Submitted   time.Time
 	// Phase is empty until the final record is committed.
-	Phase string
+	Phase wire.JobPhase
 	// Closing is the final phase whose commit has been sent: nothing is launched
 	// from that moment on, whatever becomes of the commit.
-	Closing string
+	Closing wire.JobPhase
 	// CancelledAt is when the commit of the job's cancellation was first sent: its user
 	// may have been notified from then on. Zero where an earlier leader sent it.
 	CancelledAt time.Time
--- a/internal/job/record.go
+++ b/internal/job/record.go
@@ -20,8 +20,8 @@
 type Record struct {
 	Spec Spec `codec:"spec"`
 	// Phase is empty for an active job. Done and aborted are final.
-	Phase string `codec:"phase,omitempty"`
-	Done  int    `codec:"done,omitempty"`
+	Phase wire.JobPhase `codec:"phase,omitempty"`
+	Done  int           `codec:"done,omitempty"`
 	// SubmittedMS is the time of day of the submission, in milliseconds.
 	SubmittedMS int64 `codec:"at"`
 }
--- a/internal/node/sim_calendar_test.go
+++ b/internal/node/sim_calendar_test.go
@@ -131,7 +131,7 @@
 // pollUntilEnd polls a job every three seconds until the simulation ends, and checks the
 // answers.
 func (sim *calendarSimulation) pollUntilEnd(spec *job.Spec) {
-	final := ""
+	var final wire.JobPhase
 	for {
 		select {
 		case <-sim.Ended():
--- a/internal/node/sim_faults_invalid_requests_test.go
+++ b/internal/node/sim_faults_invalid_requests_test.go
@@ -112,7 +112,7 @@
 
 // post sends a request to a drawn controller. A status of 0 means that there was no clear
 // answer.
-func (u *invalidUser) post(path string, fields map[string]any) (status int, phase string) {
+func (u *invalidUser) post(path string, fields map[string]any) (status int, phase wire.JobPhase) {
 	b, err := wire.Marshal(fields)
 	if err != nil {
 		panic(err)
--- a/internal/node/sim_rollout_test.go
+++ b/internal/node/sim_rollout_test.go
@@ -163,7 +163,7 @@
 // pollFirstVersion polls the job of the first version until stop is closed, and checks the
 // answers.
 func (sim *rolloutSimulation) pollFirstVersion(stop <-chan struct{}, cancelled bool) {
-	before := ""
+	var before wire.JobPhase
 	for {
 		select {
 		case <-stop:
--- a/internal/node/sim_users_test.go
+++ b/internal/node/sim_users_test.go
@@ -74,7 +74,7 @@
 }
 
 // resubmit repeats the submission of a job that is over, as a user whose retry comes late.
-func (s *simulation) resubmit(hc *http.Client, spec *job.Spec, final string) {
+func (s *simulation) resubmit(hc *http.Client, spec *job.Spec, final wire.JobPhase) {
 	s.request(hc, "POST", "/api/jobs", submission(spec), func(status int, st wire.JobStatus) bool {
 		s.CheckResubmission(spec, status, st.Phase, final)
 		return status < 429
@@ -160,7 +160,8 @@
 
 // pollJob polls a job and checks the answers. Once the job is over it is submitted again.
 func (s *simulation) pollJob(hc *http.Client, spec *job.Spec, cancelled bool) {
-	final, resubmitted := "", false
+	var final wire.JobPhase
+	resubmitted := false
 	poll := func(status int, st wire.JobStatus) bool {
 		before := final
 		final = s.CheckPoll(spec, status, st.Phase, before, cancelled)
@@ -188,7 +189,7 @@
 // pollDuringCancellation polls a job that is being cancelled, until its user stops.
 func (s *simulation) pollDuringCancellation(spec *job.Spec, until <-chan struct{}) {
 	hc := s.userClient(2 * time.Second)
-	before := ""
+	var before wire.JobPhase
 	for i := 1; before == ""; i++ {
 		select {
 		case <-until:
--- a/internal/scale/users.go
+++ b/internal/scale/users.go
@@ -208,7 +208,7 @@
 	}
 	u.accepted.Add(1)
 	u.world.JobAccepted(spec.ID)
-	final := ""
+	var final wire.JobPhase
 	for final == "" && sleep(ctx, pollInterval) {
 		status, phase := u.request(ctx, pollTimeout, http.MethodGet, server, "/api/jobs/"+spec.ID, nil)
 		if ctx.Err() == nil {
@@ -239,7 +239,7 @@
 }
 
 // request makes a request with a time limit; a status of 0 means that there was no answer.
-func (u *users) request(ctx context.Context, limit time.Duration, method, server, path string, body []byte) (status int, phase string) {
+func (u *users) request(ctx context.Context, limit time.Duration, method, server, path string, body []byte) (status int, phase wire.JobPhase) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+server+path, bytes.NewReader(body))
