--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -104,7 +104,7 @@
 
 // recoverPanic answers a request whose handler has panicked.
 func (s *Server) recoverPanic(w http.ResponseWriter, _ *http.Request, v any) {
-	s.log.Error("request failed", "panic", v)
+	s.log.Error("request handler panicked", "panic", v)
 	w.WriteHeader(http.StatusInternalServerError)
 }
 
--- a/internal/control/admission_groups.go
+++ b/internal/control/admission_groups.go
@@ -77,7 +77,7 @@
 	for _, e := range entries {
 		var rec job.Group
 		if err := wire.Unmarshal(e.Value, &rec); err != nil {
-			gs.log.Error("a group's record cannot be read, it is kept, its jobs wait and no new ones are taken in", "key", e.Key, "error", err)
+			gs.log.Error("group record cannot be read: it is retained, its jobs wait and no new ones are admitted", "key", e.Key, "error", err)
 			gs.unreadable = true
 			continue
 		}
@@ -181,7 +181,7 @@
 	}
 	put, err := state.Put(g.key, job.Group{Jobs: jobs})
 	if err != nil {
-		gs.log.Error("group does not encode", "key", g.key, "error", err)
+		gs.log.Error("group record cannot be encoded", "key", g.key, "error", err)
 		return
 	}
 	gs.commitGroup(g, nil, []state.Write{put}, func() {
@@ -206,7 +206,7 @@
 	} else {
 		put, err := state.Put(g.key, job.Group{Jobs: remaining})
 		if err != nil {
-			gs.log.Error("group does not encode", "key", g.key, "error", err)
+			gs.log.Error("group record cannot be encoded", "key", g.key, "error", err)
 			return
 		}
 		writes = append(writes, put)
@@ -235,7 +235,7 @@
 		}
 		put, err := state.Put(job.FinalPrefix+rec.Spec.ID, rec)
 		if err != nil {
-			gs.log.Error("record does not encode", "job", rec.Spec.ID, "error", err)
+			gs.log.Error("job record cannot be encoded", "job", rec.Spec.ID, "error", err)
 			remaining = append(remaining, *rec)
 			continue
 		}
--- a/internal/control/admission_store.go
+++ b/internal/control/admission_store.go
@@ -72,7 +72,7 @@
 	for n < len(ad.queue) && n < ad.jobsPerTxn() {
 		b, err := wire.Marshal(ad.queue[n].rec)
 		if err != nil {
-			ad.log.Error("record does not encode", "job", ad.queue[n].id(), "error", err)
+			ad.log.Error("job record cannot be encoded", "job", ad.queue[n].id(), "error", err)
 		}
 		bytes += recordSize(b)
 		if n > 0 && bytes > ad.maxGroupBytes {
--- a/internal/control/admission_without_leader.go
+++ b/internal/control/admission_without_leader.go
@@ -116,6 +116,6 @@
 		return noLeaderReply()
 	}
 	c.Meter.Add(metrics.JobsAccepted, "without the leader", 1)
-	c.Log.Info("admitted a job without the leader", "job", id)
+	c.Log.Info("job admitted without the leader", "job", id)
 	return reply(http.StatusCreated, recordStatus(rec))
 }
--- a/internal/control/calendar_claims.go
+++ b/internal/control/calendar_claims.go
@@ -57,7 +57,7 @@
 		if err != nil {
 			if j.Notice == "" {
 				j.Notice = "reservation " + j.Reservation + " " + err.Error() + ": the job runs without it"
-				cs.log.Info("claim fits no reservation", "job", j.ID, "reservation", j.Reservation, "why", err.Error())
+				cs.log.Info("job cannot use the reservation that it claims", "job", j.ID, "reservation", j.Reservation, "reason", err.Error())
 			}
 			continue
 		}
@@ -143,7 +143,7 @@
 	key := bookingPrefix + name
 	put, err := state.Put(key, next)
 	if err != nil {
-		cs.log.Error("reservation does not encode", "reservation", name, "error", err)
+		cs.log.Error("reservation cannot be encoded", "reservation", name, "error", err)
 		return
 	}
 	b.storing = true
@@ -151,12 +151,12 @@
 	cs.commitInBackground(key, b.version, unchanged, []state.Write{put}, func(version uint64, err error) {
 		b.storing = false
 		if err != nil {
-			cs.log.Error("outcome of a slot cannot be stored", "reservation", name, "error", err)
+			cs.log.Error("outcome of a reservation cannot be stored", "reservation", name, "error", err)
 			return
 		}
 		o := next.Outcomes[len(next.Outcomes)-1]
 		cs.controller.Meter.Add(metrics.ReservationSlots, string(o.Kind), 1)
-		cs.log.Info("slot is decided", "reservation", name, "start", time.UnixMilli(o.Start).UTC(), "outcome", o.Kind, "job", o.Job, "late_s", o.LateS)
+		cs.log.Info("reservation outcome recorded", "reservation", name, "start", time.UnixMilli(o.Start).UTC(), "outcome", o.Kind, "job", o.Job, "late_s", o.LateS)
 		b.rec = next
 		b.version = version
 		cs.upcoming = nil
--- a/internal/control/calendar_drains.go
+++ b/internal/control/calendar_drains.go
@@ -194,7 +194,7 @@
 	}
 	md.loggedStates[name] = s.State
 	md.addMachines(&s, w)
-	md.log.Info("maintenance", "window", name, "state", s.State, "machines", s.Machines, "busy", s.Busy, "late", len(s.Late))
+	md.log.Info("maintenance window state", "window", name, "state", s.State, "machines", s.Machines, "busy_machines", s.Busy, "late_tasks", len(s.Late))
 }
 
 // drainMachine lets a machine's tasks end, evicts them or stops them, as the time that is
@@ -239,7 +239,7 @@
 	task, host := job.TaskName(s.Job.ID, s.Task), s.Host.Name
 	start := time.UnixMilli(w.Span().From).UTC().Format(time.RFC3339)
 	s.Job.Notice = "maintenance of " + host + " at " + start + " may stop " + task
-	md.log.Info("task may be cut off by maintenance", "task", task, "host", host, "window", w.Name, "in_s", left)
+	md.log.Info("maintenance may stop a task", "task", task, "machine", host, "window", w.Name, "remaining_s", left)
 }
 
 // servingReplicas counts the replicas that run and are not being stopped. Those that are
@@ -267,7 +267,7 @@
 
 // evict stops a task for maintenance, with so many seconds to write a checkpoint.
 func (md *maintenanceDrains) evict(s *fleet.Slot, grace float64, w *calendar.PlannedWindow) {
-	md.log.Info("moving a task for maintenance", "task", job.TaskName(s.Job.ID, s.Task), "host", s.Host.Name, "window", w.Name, "save_s", grace)
+	md.log.Info("evicting a task for maintenance", "task", job.TaskName(s.Job.ID, s.Task), "machine", s.Host.Name, "window", w.Name, "grace_s", grace)
 	md.controller.Meter.Add(metrics.MaintenanceMoves, "", 1)
 	md.taskTracker.stopSlot(s, grace)
 }
--- a/internal/control/calendar_holds_machines.go
+++ b/internal/control/calendar_holds_machines.go
@@ -18,7 +18,7 @@
 	untilStart := rh.secondsToStart(hold, now)
 	if !hold.provisioning && untilStart <= rh.provisionLeadTime(b).Seconds() {
 		hold.provisioning = true
-		rh.log.Info("gathering room for a slot", "reservation", hold.reservation, "start", time.UnixMilli(hold.span.From).UTC(), "machines", hold.allocations)
+		rh.log.Info("provisioning machines for a reservation", "reservation", hold.reservation, "start", time.UnixMilli(hold.span.From).UTC(), "allocations", hold.allocations)
 	}
 	if hold.claimer != nil && rh.fullyRunning(hold.claimer) {
 		rh.holdRunningMachines(hold)
@@ -190,7 +190,7 @@
 	if other == nil || missing(other) >= missing(hold.allocations) {
 		return relocationImpossible // no better: a hold must not move back and forth
 	}
-	rh.log.Info("slot gathers elsewhere", "reservation", hold.reservation, "machines", other, "instead", hold.allocations)
+	rh.log.Info("reservation relocated", "reservation", hold.reservation, "allocations", other, "previous", hold.allocations)
 	hold.allocations = other
 	return relocated
 }
--- a/internal/control/calendar_requests.go
+++ b/internal/control/calendar_requests.go
@@ -158,7 +158,7 @@
 			return
 		}
 		cs.addBooking(rec, b, version)
-		cs.log.Info("reservation is taken in", "reservation", r.Name, "team", r.Team, "parts", r.Parts, "occurrences", len(r.Spans()), "machines", b.Allocations)
+		cs.log.Info("reservation accepted", "reservation", r.Name, "team", r.Team, "parts", r.Parts, "occurrences", len(r.Spans()), "allocations", b.Allocations)
 		back(reply(http.StatusCreated, cs.status(r.Name)))
 	})
 }
@@ -281,8 +281,8 @@
 	}
 	s := plan.Status(timeOfDay)
 	cs.maintenanceDrains.addMachines(&s, w)
-	cs.log.Info("maintenance window is taken in", "window", w.Name, "start", time.UnixMilli(w.Span().From).UTC(), "machines", s.Machines,
-		"moved", strings.Join(s.Moved, " "), "retired", strings.Join(s.Retired, " "))
+	cs.log.Info("maintenance window accepted", "window", w.Name, "start", time.UnixMilli(w.Span().From).UTC(), "machines", s.Machines,
+		"moved_reservations", strings.Join(s.Moved, " "), "retired_reservations", strings.Join(s.Retired, " "))
 	return s
 }
 
@@ -307,7 +307,7 @@
 	s := cs.windowStatus(name)
 	cs.deleteRecord(windowPrefix+name, cs.windows[name], func() {
 		cs.removeWindow(name)
-		cs.log.Info("maintenance window is cancelled", "window", name)
+		cs.log.Info("maintenance window cancelled", "window", name)
 		s.State = calendar.WindowCancelled
 		back(reply(http.StatusOK, s))
 	})
@@ -327,7 +327,7 @@
 	s := cs.status(name)
 	cs.deleteRecord(bookingPrefix+name, b.version, func() {
 		cs.removeBooking(name)
-		cs.log.Info("reservation is cancelled", "reservation", name, "by", team)
+		cs.log.Info("reservation cancelled", "reservation", name, "team", team)
 		s.State = calendar.ReservationCancelled
 		back(reply(http.StatusOK, s))
 	})
--- a/internal/control/commands.go
+++ b/internal/control/commands.go
@@ -82,7 +82,7 @@
 	cm.taskTracker.applyEvents(events, now)
 	body, err := wire.Marshal(wire.DirectCommands{Token: cm.term, Session: session, Commands: orders})
 	if err != nil {
-		cm.log.Error("orders do not encode", "error", err)
+		cm.log.Error("commands cannot be encoded", "error", err)
 		return
 	}
 	h.CallInFlight = true
@@ -114,7 +114,7 @@
 		cm.taskTracker.applyEvents(cm.fleet.RemoveNotDelivered(sent), now)
 	}
 	if report == nil {
-		cm.log.Debug("direct command failed", "host", h.Name, "status", result.Status, "error", err)
+		cm.log.Debug("direct command failed", "machine", h.Name, "status", result.Status, "error", err)
 		cm.callFailed(h, now)
 		return
 	}
--- a/internal/control/completions.go
+++ b/internal/control/completions.go
@@ -90,7 +90,7 @@
 	}
 	final, err := cp.newFinalCommit(j, rec)
 	if err != nil {
-		cp.log.Error("record does not encode", "job", j.ID, "error", err)
+		cp.log.Error("job record cannot be encoded", "job", j.ID, "error", err)
 		return
 	}
 	go cp.commitFinal(final)
@@ -178,7 +178,7 @@
 	}
 	delete(cp.cancelWaiters, j)
 	cp.results.discard(j)
-	cp.log.Info("job is over", "job", j.ID, "phase", j.Phase, "class", j.Class, "after", time.Since(j.Submitted).Round(time.Second))
+	cp.log.Info("job finished", "job", j.ID, "phase", j.Phase, "class", j.Class, "duration", time.Since(j.Submitted).Round(time.Second))
 	cp.requestPlan()
 }
 
@@ -227,7 +227,7 @@
 		id := m.rec.Spec.ID
 		put, err := state.Put(job.FinalPrefix+id, m.rec)
 		if err != nil {
-			cp.log.Error("record does not encode", "job", id, "error", err)
+			cp.log.Error("job record cannot be encoded", "job", id, "error", err)
 			continue
 		}
 		activeKey := job.ActivePrefix + id
--- a/internal/control/job_table.go
+++ b/internal/control/job_table.go
@@ -105,7 +105,7 @@
 	jt.bindNames(j)
 	jt.registry.attachJob(j)
 	jt.requestPlan()
-	jt.log.Info("job is taken in", "job", j.ID, "class", j.Class, "team", j.Team, "tasks", j.Tasks, "cpus", j.CPUs, "estimate", j.EstimateS)
+	jt.log.Info("job added", "job", j.ID, "class", j.Class, "team", j.Team, "tasks", j.Tasks, "cpus", j.CPUs, "estimate_s", j.EstimateS)
 	return j
 }
 
--- a/internal/control/leader_term_loop.go
+++ b/internal/control/leader_term_loop.go
@@ -152,7 +152,7 @@
 func (lt *leaderTerm) expireLeases(now time.Time) {
 	events, lost := lt.fleet.Expire(now)
 	if lost > 0 {
-		lt.log.Info("leases of machines have run out", "machines", lost, "tasks", len(events))
+		lt.log.Info("machine leases expired", "machines", lost, "tasks", len(events))
 	}
 	lt.taskTracker.applyEvents(events, now)
 }
--- a/internal/control/machine_pool.go
+++ b/internal/control/machine_pool.go
@@ -157,7 +157,7 @@
 			mp.listInFlight = false
 			mp.nextListAt = time.Now().Add(max(minListInterval, lag/2))
 			if err != nil {
-				mp.log.Debug("machine list failed", "error", err)
+				mp.log.Debug("listing the machines failed", "error", err)
 				return
 			}
 			mp.applyList(list)
@@ -184,7 +184,7 @@
 	if h == nil {
 		h = mp.fleet.Add(listed.Name, now)
 		h.AddedAt = now.Add(-config.Seconds(listed.AgeS))
-		mp.log.Info("machine found in the list", "host", listed.Name, "phase", listed.Phase)
+		mp.log.Info("unknown machine found in the cloud's list", "machine", listed.Name, "phase", listed.Phase)
 	}
 	if !h.Known {
 		mp.nameIndex.describeHost(h, listed.Type, listed.Zone, listed.Spot)
@@ -193,13 +193,13 @@
 		h.Addr = listed.Addr
 	}
 	if listed.Phase == phaseFailed && !h.Releasing {
-		mp.release(h, "it has failed")
+		mp.release(h, "the cloud reports it as failed")
 	}
 }
 
 // adopt adds a machine that nobody expected and that sends heartbeats.
 func (mp *machinePool) adopt(m *wire.Heartbeat, now time.Time) *fleet.Host {
-	mp.log.Info("adopting a machine that nobody expected", "host", m.Host, "type", m.Type, "zone", m.Zone)
+	mp.log.Info("adopting an unknown machine that sends heartbeats", "machine", m.Host, "type", m.Type, "zone", m.Zone)
 	h := mp.fleet.Add(m.Host, now)
 	mp.unlisted[h] = true
 	return h
@@ -223,7 +223,7 @@
 		case listed[h.Name]:
 			delete(mp.unlisted, h)
 		case h.Name < last && !h.Releasing:
-			mp.release(h, "a late report has brought it back")
+			mp.release(h, "a delayed heartbeat added it after its release")
 		}
 	}
 }
@@ -244,8 +244,8 @@
 		return true
 	}
 	if !h.RenewalStopped {
-		mp.log.Info("a launch of a cancelled job may be on its way to a machine, its session has to end",
-			"host", h.Name, "tasks", h.Jobs-h.CancelledInFlight)
+		mp.log.Info("ending an agent session: a launch of a cancelled job may still be in flight",
+			"machine", h.Name, "tasks", h.Jobs-h.CancelledInFlight)
 		mp.controller.Meter.Add(metrics.SessionsExpired, "", 1)
 		mp.taskTracker.applyEvents(mp.fleet.StopRenewal(h), now)
 	}
--- a/internal/control/machine_quarantine.go
+++ b/internal/control/machine_quarantine.go
@@ -41,7 +41,7 @@
 	tt.quarantineIfFaulty(h)
 }
 
-// quarantineIfFaulty drains a machine on which several jobs keep failing, or one that works
+// quarantineIfFaulty quarantines a machine on which several jobs keep failing, or one that works
 // elsewhere. One job alone may be at fault itself; until another machine has shown that, the
 // machine is only avoided.
 func (tt *taskTracker) quarantineIfFaulty(h *fleet.Host) {
@@ -55,14 +55,14 @@
 			jobs++
 		}
 	}
-	if h.Draining || h.Errors < tt.controller.Tuning.Machines.QuarantineErrors || (!worksElsewhere && jobs < minFailedJobs) {
+	if h.Quarantined || h.Errors < tt.controller.Tuning.Machines.QuarantineErrors || (!worksElsewhere && jobs < minFailedJobs) {
 		return
 	}
-	tt.log.Info("machine fails what it starts, returning it", "host", h.Name, "errors", h.Errors, "jobs", len(h.ErrorJobs))
-	h.Draining = true
+	tt.log.Info("quarantining a machine: its tasks keep failing", "machine", h.Name, "failures", h.Errors, "jobs", len(h.ErrorJobs))
+	h.Quarantined = true
 }
 
-// checkSpeed compares a completed task with those of its job on other machines, and drains a
+// checkSpeed compares a completed task with those of its job on other machines, and quarantines a
 // machine that is far slower.
 func (tt *taskTracker) checkSpeed(s *fleet.Slot, j *job.Job, h *fleet.Host, now time.Time) {
 	// Of a task that an earlier leader launched only the end is known: its short remainder
@@ -80,16 +80,16 @@
 }
 
 // countSlow counts a task that ran for ran seconds on a machine, against a mean of others on
-// other machines, and drains the machine if it is far slower.
+// other machines, and quarantines the machine if it is far slower.
 func (tt *taskTracker) countSlow(h *fleet.Host, ran, mean float64) {
 	if mean > minComparableS && ran > slowFactor*mean {
 		h.Slow++
 	} else {
 		h.Slow = 0
 	}
-	if h.Slow >= minSlowTasks && !h.Draining {
-		tt.log.Info("machine is far slower than others, returning it", "host", h.Name, "ran", ran, "elsewhere", mean)
-		h.Draining = true
+	if h.Slow >= minSlowTasks && !h.Quarantined {
+		tt.log.Info("quarantining a machine: it is much slower than others", "machine", h.Name, "run_time_s", ran, "mean_elsewhere_s", mean)
+		h.Quarantined = true
 	}
 }
 
@@ -100,5 +100,5 @@
 	}
 	j.Backoff = min(maxJobBackoff, max(minJobBackoff, 2*j.Backoff))
 	j.NotBefore = now.Add(j.Backoff)
-	tt.log.Info("job fails, holding it back", "job", j.ID, "for", j.Backoff, "hosts", len(j.FailedMachines))
+	tt.log.Info("job keeps failing, backing off", "job", j.ID, "backoff", j.Backoff, "machines", len(j.FailedMachines))
 }
--- a/internal/control/machine_quarantine_test.go
+++ b/internal/control/machine_quarantine_test.go
@@ -48,7 +48,7 @@
 			}
 			sick, held := "", ""
 			for _, h := range lt.fleet.All() {
-				if h.Draining {
+				if h.Quarantined {
 					sick += h.Name
 				}
 			}
@@ -95,7 +95,7 @@
 			for i := range 10 {
 				end(20+i, "h2", tt.ran, false)
 			}
-			if got := lt.host("h2").Draining; got != tt.want {
+			if got := lt.host("h2").Quarantined; got != tt.want {
 				t.Errorf("given up: %v, want %v", got, tt.want)
 			}
 		})
--- a/internal/control/machine_scale_in.go
+++ b/internal/control/machine_scale_in.go
@@ -19,6 +19,9 @@
 	gangIdleBoots = 4
 	// maxReleaseBatch is the protocol's limit for one release request.
 	maxReleaseBatch = 100
+	// reasonInboundCut is the reason to release a machine that sends heartbeats but
+	// receives nothing.
+	reasonInboundCut = "it sends heartbeats but receives nothing"
 	// releaseInterval is the least time between a release's answer and the next request.
 	releaseInterval = time.Second
 )
@@ -29,8 +32,8 @@
 		if h.Releasing {
 			continue
 		}
-		if why := mp.releaseReason(h, now); why != "" {
-			mp.release(h, why)
+		if reason := mp.releaseReason(h, now); reason != "" {
+			mp.release(h, reason)
 		}
 	}
 }
@@ -43,33 +46,33 @@
 		// term: its jobs would be blocked for as long as it goes on. After a failover the
 		// machines that have answered need not wait for those that have not.
 		if now.Sub(mp.takeover.contactStart()) > patience {
-			return "it reports and takes in nothing that is sent to it"
+			return reasonInboundCut
 		}
 		return ""
 	}
 	switch {
 	case h.InboundCut() && now.Sub(h.InboundCutAt) > patience:
-		return "it reports and takes in nothing that is sent to it"
+		return reasonInboundCut
 	case h.OutboundCut() && now.Sub(h.OutboundCutAt) > patience:
 		// Its tasks die with each of its leases, and as long as it answers direct commands its
 		// lease does not expire here.
-		return "it lives and reaches no controller"
+		return "it answers direct commands but its heartbeats reach no controller"
 	case h.Booting:
 		granted := time.Duration(mp.controller.Tuning.Machines.GiveUpBoots * float64(mp.bootTime(h)))
 		if now.Sub(h.AddedAt) > granted+bootGrace {
-			return "it does not come up"
+			return "it did not boot in time"
 		}
 	case h.Lost:
 		if now.Sub(h.LostAt) > lostGrace {
-			return "it is silent"
+			return "its lease expired and it sends no heartbeats"
 		}
 	case h.Busy() || hasUnsettled(h):
-	case h.Draining:
-		return "it is sick"
+	case h.Quarantined:
+		return "it is quarantined and empty"
 	case !h.RecallAt.IsZero():
-		return "it is being taken back and is empty"
+		return "its spot capacity is being reclaimed and it is empty"
 	case mp.maintenanceDrains.started(h, now):
-		return "its maintenance begins"
+		return "its maintenance window begins"
 	case mp.planner.reserved(h) || mp.reservationHolds.retains(h):
 	case mp.idleTooLong(h, now) && !mp.neededForGang(h, now):
 		return "it is idle"
@@ -112,9 +115,9 @@
 
 // release releases a machine. That is never taken back: a request that was sent may be
 // executed at any later time.
-func (mp *machinePool) release(h *fleet.Host, why string) {
+func (mp *machinePool) release(h *fleet.Host, reason string) {
 	h.Releasing = true
-	mp.log.Info("returning a machine", "host", h.Name, "why", why)
+	mp.log.Info("releasing a machine", "machine", h.Name, "reason", reason)
 	mp.pendingReleases = append(mp.pendingReleases, h)
 }
 
@@ -136,7 +139,7 @@
 			mp.releaseInFlight = false
 			mp.nextReleaseAt = time.Now().Add(releaseInterval)
 			if err != nil {
-				mp.log.Info("returning failed, trying again", "machines", len(names), "error", err)
+				mp.log.Info("releasing machines failed, retrying", "machines", len(names), "error", err)
 				return
 			}
 			mp.pendingReleases = mp.pendingReleases[len(hosts):]
--- a/internal/control/machine_scale_out.go
+++ b/internal/control/machine_scale_out.go
@@ -157,7 +157,7 @@
 		Count:   count,
 	}
 	mp.provisioning[o] += count
-	mp.log.Info("renting", "request", req.Request, "type", req.Type, "zone", req.Zone, "spot", req.Spot, "count", count)
+	mp.log.Info("provisioning machines", "request", req.Request, "type", req.Type, "zone", req.Zone, "spot", req.Spot, "count", count)
 	requestedAt := time.Now()
 	go func() {
 		names, err := mp.sendRequest(req)
@@ -187,11 +187,11 @@
 // provisioned takes in the outcome of a request for machines.
 func (mp *machinePool) provisioned(o autoscale.Offer, req wire.RentalRequest, names []string, err error, requestedAt time.Time) {
 	if err != nil {
-		mp.log.Info("rental refused", "request", req.Request, "error", err)
+		mp.log.Info("provisioning failed", "request", req.Request, "error", err)
 		mp.backoff.Refused(o, time.Now())
 		return
 	}
-	mp.log.Info("rented", "request", req.Request, "hosts", names)
+	mp.log.Info("machines provisioned", "request", req.Request, "machines", names)
 	if len(names) < req.Count {
 		mp.backoff.Refused(o, time.Now())
 	} else {
--- a/internal/control/machine_spot_notices.go
+++ b/internal/control/machine_spot_notices.go
@@ -12,7 +12,7 @@
 func (mp *machinePool) handleSpotNotice(h *fleet.Host, now time.Time) {
 	left := h.RecallAt.Sub(now).Seconds()
 	if !mp.noticeLogged[h] {
-		mp.log.Info("machine is being taken back", "host", h.Name, "in", left)
+		mp.log.Info("spot machine is being reclaimed", "machine", h.Name, "remaining_s", left)
 		mp.noticeLogged[h] = true
 	}
 	for _, s := range h.Slots {
--- a/internal/control/planner.go
+++ b/internal/control/planner.go
@@ -157,7 +157,7 @@
 	attempt := pl.attemptFor(j, attempts)
 	waited := now.Sub(j.WaitingSince)
 	if pl.debug {
-		pl.log.Debug("task is placed", "task", job.TaskName(j.ID, task), "host", h.Name, "waited", waited)
+		pl.log.Debug("task placed", "task", job.TaskName(j.ID, task), "machine", h.Name, "waited", waited)
 	}
 	pl.fleet.Assign(h, fleet.Key{Job: j, Task: task, Attempt: attempt}, now)
 	pl.registry.recordPlacement(j, h)
@@ -194,7 +194,7 @@
 func (pl *planner) applyPreemptions(in *planInput, preemptions []place.Preemption) {
 	for _, p := range preemptions {
 		j, h := in.job(p.Demand), in.hosts[p.Machine]
-		pl.log.Info("making room", "job", j.ID, "host", h.Name, "stops", len(p.Victims))
+		pl.log.Info("preempting tasks", "job", j.ID, "machine", h.Name, "tasks", len(p.Victims))
 		pl.reservations[h] = machineReservation{job: j, until: in.now.Add(preemptionHold)}
 		for _, v := range p.Victims {
 			s := in.slots[v]
@@ -262,6 +262,6 @@
 	pl.lastWaitLogAt = now
 	for _, u := range unmet[:min(len(unmet), maxWaitLogJobs)] {
 		j := pl.jobTable.byIndex(u.Demand.ID)
-		pl.log.Info("no machine has room", "job", j.ID, "class", j.Class, "tasks", u.Count, "waited", u.WaitedS)
+		pl.log.Info("no machine has capacity", "job", j.ID, "class", j.Class, "tasks", u.Count, "waited_s", u.WaitedS)
 	}
 }
--- a/internal/control/quotas.go
+++ b/internal/control/quotas.go
@@ -91,7 +91,7 @@
 		name := entry.Key[len(regionGrantPrefix):]
 		var g dynconfig.RegionGrant
 		if err := wire.Unmarshal(entry.Value, &g); err != nil || g.Team != name {
-			tq.log.Error("grant of a team cannot be read, it starts nothing until the home region sends it again", "team", name, "error", err)
+			tq.log.Error("quota grant cannot be read, no task of the team starts until the home region resends it", "team", name, "error", err)
 			g = dynconfig.RegionGrant{Team: name}
 		}
 		grants = append(grants, g)
--- a/internal/control/quotas_follow.go
+++ b/internal/control/quotas_follow.go
@@ -100,7 +100,7 @@
 		key := regionGrantPrefix + g.Team
 		put, err := state.Put(key, g)
 		if err != nil {
-			tq.log.Error("grant does not encode", "team", g.Team, "error", err)
+			tq.log.Error("quota grant cannot be encoded", "team", g.Team, "error", err)
 			return 0, false
 		}
 		conds = append(conds, state.Condition{Key: key, Version: versions[i]})
@@ -108,7 +108,7 @@
 	}
 	version, err := tq.commitUntilSettled(conds[0].Key, conds[0].Version, conds, writes)
 	if err != nil {
-		tq.log.Error("grants cannot be stored", "teams", len(grants), "error", err)
+		tq.log.Error("quota grants cannot be stored", "teams", len(grants), "error", err)
 		return 0, false
 	}
 	return version, true
@@ -120,7 +120,7 @@
 	for _, g := range grants {
 		tq.grantVersions[g.Team] = version
 		added = tq.nameIndex.addTeam(g.Team) || added
-		tq.log.Info("team has changed", "team", g.Team, "revision", g.Revision,
+		tq.log.Info("team quota changed", "team", g.Team, "revision", g.Revision,
 			"cpus_max", g.Limit.CPUs, "gpus_max", g.Limit.GPUs, "removed", g.Removed)
 	}
 	tq.replica.ApplyStored(grants)
@@ -142,7 +142,7 @@
 		conds := []state.Condition{{Key: unconfirmedKey, Version: version}}
 		writes := []state.Write{{Delete: unconfirmedKey}}
 		if _, err := tq.commitUntilSettled(unconfirmedKey, version, conds, writes); err != nil {
-			tq.log.Error("the confirmation of limits cannot be stored", "error", err)
+			tq.log.Error("confirmation of the quota limits cannot be stored", "error", err)
 		}
 	}()
 }
--- a/internal/control/quotas_home.go
+++ b/internal/control/quotas_home.go
@@ -91,7 +91,7 @@
 		return head
 	}
 	if err := wire.Unmarshal(stored.Value, &head); err != nil {
-		hq.log.Error("the position of the configuration cannot be read", "error", err)
+		hq.log.Error("head record of the configuration cannot be read", "error", err)
 		return dynconfig.Head{}
 	}
 	return head
@@ -102,7 +102,7 @@
 	for _, entry := range stored {
 		r := &dynconfig.TeamRecord{}
 		if err := wire.Unmarshal(entry.Value, r); err != nil || teamRecordPrefix+r.Name != entry.Key {
-			hq.log.Error("a team of the configuration cannot be read", "key", entry.Key, "error", err)
+			hq.log.Error("team record of the configuration cannot be read", "key", entry.Key, "error", err)
 			continue
 		}
 		if r.Grants == nil {
@@ -120,7 +120,7 @@
 	for _, entry := range stored {
 		e := &dynconfig.HistoryEntry{}
 		if err := wire.Unmarshal(entry.Value, e); err != nil {
-			hq.log.Error("a stored change cannot be read", "key", entry.Key, "error", err)
+			hq.log.Error("history entry of the configuration cannot be read", "key", entry.Key, "error", err)
 			continue
 		}
 		history = append(history, e)
--- a/internal/control/quotas_home_changes.go
+++ b/internal/control/quotas_home_changes.go
@@ -143,7 +143,7 @@
 	done := func() {
 		hq.home.AddHistory(entry)
 		hq.controller.Meter.Add(metrics.ConfigChanges, "taken", len(accepted))
-		hq.log.Info("the configuration has changed", "revision", u.Head.Revision, "changes", len(accepted), "teams", len(u.Records))
+		hq.log.Info("configuration changed", "revision", u.Head.Revision, "changes", len(accepted), "teams", len(u.Records))
 		for _, p := range accepted {
 			p.respond(reply(http.StatusOK, changeAnswer{Revision: u.Head.Revision}))
 		}
--- a/internal/control/quotas_home_store.go
+++ b/internal/control/quotas_home_store.go
@@ -31,7 +31,7 @@
 			hq.storing = false
 			hq.headVersion = version
 			if err != nil {
-				hq.log.Error("the configuration cannot be stored", "error", err)
+				hq.log.Error("configuration cannot be stored", "error", err)
 				hq.retryAt = time.Now().Add(storeRetryDelay)
 				failed()
 			} else {
--- a/internal/control/records_store.go
+++ b/internal/control/records_store.go
@@ -82,7 +82,7 @@
 		}
 		store, write, err := r.encodePage(p)
 		if err != nil {
-			r.log.Error("page does not encode", "key", p.key, "error", err)
+			r.log.Error("registry page cannot be encoded", "key", p.key, "error", err)
 			continue
 		}
 		store.begin(now)
--- a/internal/control/records_writer.go
+++ b/internal/control/records_writer.go
@@ -25,7 +25,7 @@
 	if errors.Is(err, state.ErrRejected) && (wr.maxBatch > 1 || wr.registry.canShrinkPages()) {
 		wr.maxBatch = max(1, wr.maxBatch/2)
 		wr.registry.shrinkPages()
-		wr.log.Error("state service rejects a transaction, making them smaller", "writes", wr.maxBatch, "error", err)
+		wr.log.Error("key-value store rejected a transaction, reducing the batch size", "max_writes", wr.maxBatch, "error", err)
 	}
 }
 
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -99,7 +99,7 @@
 func (ro *rollouts) addService(s *service) {
 	gate, err := rollout.NewGate(s.rec.Spec.Pass, s.rec.Spec.Fail)
 	if err != nil {
-		ro.log.Error("gate cannot be read", "service", s.rec.Service, "error", err)
+		ro.log.Error("roll-out gate cannot be read", "service", s.rec.Service, "error", err)
 	}
 	s.gate = gate
 	ro.services[s.rec.Service] = s
@@ -215,7 +215,7 @@
 	key := rolloutPrefix + rec.Service
 	put, err := state.Put(key, rec)
 	if err != nil {
-		ro.log.Error("roll-out does not encode", "service", rec.Service, "error", err)
+		ro.log.Error("roll-out cannot be encoded", "service", rec.Service, "error", err)
 		return
 	}
 	s.storing = true
@@ -255,7 +255,7 @@
 // whose requests it contains.
 func (ro *rollouts) stored(s *service, rec *rollout.Record, version uint64, responses []func()) {
 	if rec.State != s.rec.State || rec.BatchIndex != s.rec.BatchIndex {
-		ro.log.Info("roll-out", "service", rec.Service, "state", rec.State, "batch", rec.BatchIndex+1, "of", len(rec.Batches), "version", rec.Next, "reason", rec.Reason)
+		ro.log.Info("roll-out progress", "service", rec.Service, "state", rec.State, "batch", rec.BatchIndex+1, "batches", len(rec.Batches), "version", rec.Next, "reason", rec.Reason)
 	}
 	s.rec = rec
 	s.version = version
--- a/internal/control/rollout_observe.go
+++ b/internal/control/rollout_observe.go
@@ -85,7 +85,7 @@
 func (ro *rollouts) observeInstance(i *rollout.Instance, s *fleet.Slot, now time.Time) {
 	h := s.Host
 	i.Live = true
-	i.Lost = i.Lost || h.Lost || h.Draining || h.Releasing || !h.RecallAt.IsZero() || h.SilentFor(now) > ro.silenceLimit()
+	i.Lost = i.Lost || h.Lost || h.Quarantined || h.Releasing || !h.RecallAt.IsZero() || h.SilentFor(now) > ro.silenceLimit()
 	if s.Phase != wire.TaskRunning || s.Stopping {
 		return
 	}
--- a/internal/control/rollout_requests.go
+++ b/internal/control/rollout_requests.go
@@ -279,6 +279,6 @@
 	}
 	s := &service{rec: rec, version: version}
 	ro.addService(s)
-	ro.log.Info("roll-out is taken in", "service", rec.Service, "from", rec.Current, "to", rec.Next, "batches", len(rec.Batches))
+	ro.log.Info("roll-out accepted", "service", rec.Service, "from", rec.Current, "to", rec.Next, "batches", len(rec.Batches))
 	back(reply(http.StatusCreated, ro.status(s)))
 }
--- a/internal/control/shards.go
+++ b/internal/control/shards.go
@@ -248,8 +248,8 @@
 	sh.movesLoggedAt = now
 	held := sh.assigner.HeldCounts()
 	for key, count := range sh.moves {
-		sh.log.Info("machines changed their controller", "machines", count.machines, "from", key.from, "why", key.reason,
-			"took", count.longest.Round(time.Millisecond), "held", held)
+		sh.log.Info("machines moved to another controller", "machines", count.machines, "from", key.from, "reason", key.reason,
+			"longest", count.longest.Round(time.Millisecond), "machines_by_controller", held)
 	}
 	clear(sh.moves)
 	for member, n := range held {
--- a/internal/control/takeover.go
+++ b/internal/control/takeover.go
@@ -78,7 +78,7 @@
 	if len(tk.inherited) == 0 {
 		tk.allReconciled = true
 		tk.phases.reconciled = now
-		tk.log.Info("every machine is settled", "after", now.Sub(tk.termStart).Round(time.Millisecond))
+		tk.log.Info("all machines reconciled", "duration", now.Sub(tk.termStart).Round(time.Millisecond))
 	}
 	return true
 }
--- a/internal/control/takeover_load.go
+++ b/internal/control/takeover_load.go
@@ -18,7 +18,7 @@
 func (tk *takeover) load() bool {
 	for tk.ctx.Err() == nil {
 		if err := tk.tryLoad(); err != nil {
-			tk.log.Info("loading failed, trying again", "error", err)
+			tk.log.Info("loading the records failed, retrying", "error", err)
 			tk.sleep(loadRetryPause)
 			continue
 		}
@@ -39,7 +39,7 @@
 	for _, j := range jobs {
 		tk.phases.tasks += j.Tasks - j.DoneCount
 	}
-	tk.log.Info("loaded", "jobs", len(jobs), "hosts", len(tk.fleet.Hosts))
+	tk.log.Info("records loaded", "jobs", len(jobs), "machines", len(tk.fleet.Hosts))
 }
 
 // storedRecords is what earlier leaders have left in the key-value store.
@@ -177,7 +177,7 @@
 	for _, e := range entries {
 		var rec job.Record
 		if err := wire.Unmarshal(e.Value, &rec); err != nil {
-			tk.log.Error("a job's record cannot be read, it is kept and the job waits", "key", e.Key, "error", err)
+			tk.log.Error("job record cannot be read: it is retained and the job waits", "key", e.Key, "error", err)
 			unreadable[e.Key[len(job.ActivePrefix):]] = true
 			continue
 		}
--- a/internal/control/takeover_phases.go
+++ b/internal/control/takeover_phases.go
@@ -51,12 +51,12 @@
 	}
 	p.logged = true
 	tk.measurePhases()
-	tk.log.Info("takeover",
-		"lease_ms", tk.leaderlessMS(),
+	tk.log.Info("takeover phases",
+		"leaderless_ms", tk.leaderlessMS(),
 		"loaded_ms", tk.sinceStartMS(p.loaded),
-		"met_ms", tk.sinceStartMS(p.contacted),
-		"launch_ms", tk.sinceStartMS(p.firstLaunch),
-		"settled_ms", tk.sinceStartMS(p.reconciled),
+		"contacted_ms", tk.sinceStartMS(p.contacted),
+		"first_launch_ms", tk.sinceStartMS(p.firstLaunch),
+		"reconciled_ms", tk.sinceStartMS(p.reconciled),
 		"machines", p.machines,
 		"jobs", p.jobs,
 		"tasks", p.tasks)
--- a/internal/control/takeover_silent.go
+++ b/internal/control/takeover_silent.go
@@ -76,7 +76,7 @@
 	}
 	for _, h := range tk.inherited {
 		if tk.unlisted[h.Name] && !h.Releasing {
-			tk.machinePool.release(h, "an earlier leader has returned it")
+			tk.machinePool.release(h, "an earlier leader released it")
 		}
 	}
 }
@@ -88,13 +88,13 @@
 func (tk *takeover) releaseSilent() {
 	jobs := tk.activeJobsOn(tk.inherited)
 	machines := len(tk.fleet.Hosts)
-	tk.log.Info("machines are silent, their jobs wait", "machines", len(tk.inherited), "of", machines, "jobs", jobs)
+	tk.log.Info("machines are silent after a takeover, their jobs are blocked", "machines", len(tk.inherited), "all_machines", machines, "jobs", jobs)
 	if jobs == 0 || len(tk.inherited) > max(1, machines/silentReleaseDivisor) {
 		return
 	}
 	for _, h := range tk.inherited {
 		if !h.Releasing {
-			tk.machinePool.release(h, "it is silent after a change of leader, and jobs wait for it")
+			tk.machinePool.release(h, "it is silent after a takeover and blocks jobs")
 		}
 	}
 }
--- a/internal/control/tasks_heartbeats.go
+++ b/internal/control/tasks_heartbeats.go
@@ -31,14 +31,14 @@
 		tt.nameIndex.describeHost(h, m.Type, m.Zone, m.Spot)
 	}
 	wasBooting := h.Booting
-	wasDeaf := h.InboundCut()
+	wasInboundCut := h.InboundCut()
 	res := tt.fleet.Observe(h, m, isHeartbeat, now, tt.jobTable.findOrAdd)
 	if res.Deposed {
-		tt.log.Info("a worker has seen a later term", "host", h.Name, "seen", m.Token)
+		tt.log.Info("worker has seen a later term", "machine", h.Name, "seen_term", m.Token)
 		tt.controller.Deposed(m.Token)
 		return false, false
 	}
-	tt.reachabilityChanged(h, wasDeaf)
+	tt.reachabilityChanged(h, wasInboundCut)
 	if res.Fresh && wasBooting && !h.Booting {
 		tt.machineUp(h, now)
 	}
@@ -55,12 +55,12 @@
 
 // reachabilityChanged handles a machine that has stopped, or begun again, to receive
 // what is sent to it.
-func (tt *taskTracker) reachabilityChanged(h *fleet.Host, wasDeaf bool) {
+func (tt *taskTracker) reachabilityChanged(h *fleet.Host, wasInboundCut bool) {
 	switch {
-	case h.InboundCut() && !wasDeaf:
-		tt.log.Info("machine reports and takes in nothing that is sent to it, no more work for now", "host", h.Name)
-	case wasDeaf && !h.InboundCut():
-		tt.log.Info("machine hears again", "host", h.Name)
+	case h.InboundCut() && !wasInboundCut:
+		tt.log.Info("machine sends heartbeats but receives nothing, no new tasks are placed on it", "machine", h.Name)
+	case wasInboundCut && !h.InboundCut():
+		tt.log.Info("machine receives messages again", "machine", h.Name)
 		tt.requestPlan()
 	}
 }
@@ -68,7 +68,7 @@
 // machineUp handles the first heartbeat of a machine that was booting.
 func (tt *taskTracker) machineUp(h *fleet.Host, now time.Time) {
 	bootTime := now.Sub(h.AddedAt)
-	tt.log.Info("machine is up", "host", h.Name, "after", bootTime.Round(time.Second))
+	tt.log.Info("machine is up", "machine", h.Name, "boot_time", bootTime.Round(time.Second))
 	h.IdleFrom = now
 	tt.reservationHolds.machineBooted(h, bootTime)
 	tt.requestPlan()
@@ -136,7 +136,7 @@
 	}
 	s.Host.UseImage(j.ImageIdx, j.ImageGB, cacheGB)
 	if tt.debug {
-		tt.log.Debug("task runs", "task", job.TaskName(j.ID, s.Task), "host", s.Host.Name, "after", now.Sub(s.PlacedAt))
+		tt.log.Debug("task running", "task", job.TaskName(j.ID, s.Task), "machine", s.Host.Name, "since_placement", now.Sub(s.PlacedAt))
 	}
 	if j.Shape == job.Gang {
 		j.GangStarted = true
@@ -146,7 +146,7 @@
 // taskEnded handles a task that has exited, by its cause.
 func (tt *taskTracker) taskEnded(s *fleet.Slot, j *job.Job, h *fleet.Host, now time.Time) {
 	if tt.debug {
-		tt.log.Debug("task ended", "task", job.TaskName(j.ID, s.Task), "host", h.Name, "cause", s.Cause)
+		tt.log.Debug("task ended", "task", job.TaskName(j.ID, s.Task), "machine", h.Name, "cause", s.Cause)
 	}
 	s.Settled = true
 	if j.Phase != "" {
--- a/internal/election/campaign.go
+++ b/internal/election/campaign.go
@@ -66,7 +66,7 @@
 	if restored {
 		// A state service that has lost its latest writes names a term below the fencing
 		// tokens that workers have seen. They would ignore a leader of the next one.
-		e.log.Warn("the stored term is behind what workers or siblings have seen, going above it", "stored", stored, "seen", seen)
+		e.log.Warn("stored term is lower than a term that workers or siblings have seen, advancing past it", "stored_term", stored, "seen_term", seen)
 		stored = seen
 	}
 	return stored + 1, restored
@@ -114,7 +114,7 @@
 	leadCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	deposed := e.beginTerm(term.Number, leaseStart)
-	e.log.Info("took the lead", "term", term.Number)
+	e.log.Info("became leader", "term", term.Number)
 	finished := make(chan struct{})
 	go func() {
 		defer close(finished)
@@ -127,7 +127,7 @@
 	if resigned {
 		_ = e.store.RevokeLease(ctx, lease) // if it fails, the lease expires by itself
 	}
-	e.log.Info("left the lead", "term", term.Number)
+	e.log.Info("stepped down as leader", "term", term.Number)
 }
 
 // beginTerm notes that this member leads the term. The channel is closed when a
--- a/internal/election/promise_requests.go
+++ b/internal/election/promise_requests.go
@@ -106,6 +106,6 @@
 	e.onPromisesAlone = onPromises
 	e.mu.Unlock()
 	if onPromises && !was {
-		e.log.Info("the state service answers nobody, going on by the siblings' promises", "term", term)
+		e.log.Info("key-value store is unavailable, leading on the promises of the siblings", "term", term)
 	}
 }
--- a/internal/emulate/cluster.go
+++ b/internal/emulate/cluster.go
@@ -156,7 +156,7 @@
 	cl.servers = append(cl.servers, srv)
 	go func() {
 		if err := srv.Serve(ln); err != nil && !errors.Is(err, http.ErrServerClosed) && cl.log != nil {
-			cl.log.Error("emulation ended", "part", name, "error", err)
+			cl.log.Error("emulation server failed", "server", name, "error", err)
 		}
 	}()
 	return ln.Addr().String(), nil
--- a/internal/emulate/worker_heartbeat.go
+++ b/internal/emulate/worker_heartbeat.go
@@ -59,7 +59,7 @@
 	}
 	ln, err := w.cfg.Network.Listen(worker.addr)
 	if err != nil {
-		w.cfg.Log.Error("worker does not listen", "host", worker.name, "error", err)
+		w.cfg.Log.Error("worker cannot listen", "machine", worker.name, "error", err)
 		return
 	}
 	w.mu.Lock()
@@ -130,7 +130,7 @@
 	w := worker.world
 	b, err := wire.Marshal(heartbeat)
 	if err != nil {
-		w.cfg.Log.Error("heartbeat does not encode", "host", worker.name, "error", err)
+		w.cfg.Log.Error("heartbeat cannot be encoded", "machine", worker.name, "error", err)
 		return
 	}
 	w.mu.Lock()
--- a/internal/fleet/host.go
+++ b/internal/fleet/host.go
@@ -75,11 +75,11 @@
 	CallInFlight bool
 	// NextCallAt is when the next direct command may be sent, after a number of
 	// consecutive Failures.
-	NextCallAt time.Time
-	Failures   int
-	Releasing  bool      // being returned to the cloud
-	Draining   bool      // no more launches, ever
-	IdleFrom   time.Time // when the machine became idle
+	NextCallAt  time.Time
+	Failures    int
+	Releasing   bool      // its release from the cloud is decided
+	Quarantined bool      // faulty: no more launches, ever
+	IdleFrom    time.Time // when the machine became idle
 
 	// Errors counts consecutive unexplained failures of tasks; ErrorJobs are their jobs.
 	Errors    int
@@ -184,6 +184,6 @@
 // cancelled job may not have arrived yet: the worker's session may have to end for that,
 // and with it every task that runs there.
 func (h *Host) Usable() bool {
-	return h.Known && h.Durable && h.Fenced && !h.Lost && !h.Releasing && !h.Draining && h.RecallAt.IsZero() &&
+	return h.Known && h.Durable && h.Fenced && !h.Lost && !h.Releasing && !h.Quarantined && h.RecallAt.IsZero() &&
 		!h.InboundCut() && !h.CallUnanswered && !h.OutboundCut() && !h.RenewalStopped && h.CancelledInFlight == 0
 }
--- a/internal/node/leadership_transfer.go
+++ b/internal/node/leadership_transfer.go
@@ -103,9 +103,9 @@
 		if self.Leader != self.Member || !n.controller.Leading() {
 			continue
 		}
-		if to, ok := n.transfer.due(self, time.Now()); ok {
-			n.log.Info("giving the lead away, this controller is overloaded and a sibling is faster",
-				"term", self.Term, "probe_us", self.ProbeUs, "to", to)
+		if successor, ok := n.transfer.due(self, time.Now()); ok {
+			n.log.Info("transferring leadership: this controller is overloaded and a sibling is faster",
+				"term", self.Term, "probe_us", self.ProbeUs, "successor", successor)
 			n.elector.Resign(self.Term)
 		}
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -237,7 +237,7 @@
 	if n.meter != nil {
 		tasks.Go(func() {
 			if err := n.meter.Serve(ctx, metricsListener); err != nil {
-				n.log.Error("metrics page failed", "error", err)
+				n.log.Error("metrics server failed", "error", err)
 			}
 		})
 	}
--- a/internal/node/shard_holder.go
+++ b/internal/node/shard_holder.go
@@ -106,7 +106,7 @@
 	defer cancel()
 	p, err := sh.node.mesh.SyncShard(syncCtx, leader, q)
 	if err != nil {
-		sh.node.log.Debug("asking the leader for this node's grant failed", "leader", leader, "error", err)
+		sh.node.log.Debug("shard grant request to the leader failed", "leader", leader, "error", err)
 	}
 	if err != nil || p.Term == 0 {
 		sh.requestFailed()
--- a/internal/scale/faults.go
+++ b/internal/scale/faults.go
@@ -91,7 +91,7 @@
 	if !sleep(ctx, seconds(f.AtS)) {
 		return
 	}
-	r.options.Log.Info("fault begins", "kind", f.Kind, "region", f.Region, "other", f.Other, "for_s", f.ForS)
+	r.options.Log.Info("injecting a fault", "kind", f.Kind, "region", f.Region, "other_region", f.Other, "duration_s", f.ForS)
 	region := r.regions[slices.IndexFunc(r.regions, func(x *region) bool { return x.name == f.Region })]
 	wait := func() { sleep(ctx, seconds(f.ForS)) }
 	switch f.Kind {
@@ -123,7 +123,7 @@
 		return
 	}
 	if err := c.start(r.launcher); err != nil {
-		r.options.Log.Error("controller does not start again", "member", c.member, "error", err)
+		r.options.Log.Error("restarting a controller failed", "member", c.member, "error", err)
 	}
 }
 
--- a/internal/scale/region.go
+++ b/internal/scale/region.go
@@ -165,7 +165,7 @@
 	r.servers = append(r.servers, srv)
 	go func() {
 		if err := srv.Serve(ln); err != nil && !errors.Is(err, http.ErrServerClosed) {
-			r.options.Log.Error("emulation ended", "region", r.name, "part", name, "error", err)
+			r.options.Log.Error("emulation server failed", "region", r.name, "server", name, "error", err)
 		}
 	}()
 	return ln.Addr().String(), nil
@@ -337,7 +337,7 @@
 	}
 	for _, s := range r.servers {
 		if err := s.Close(); err != nil {
-			log.Debug("emulation does not close", "region", r.name, "error", err)
+			log.Debug("closing an emulation server failed", "region", r.name, "error", err)
 		}
 	}
 	r.world.Close()
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -239,7 +239,7 @@
 	now := time.Now()
 	own, err := usageOf(os.Getpid())
 	if err != nil {
-		r.options.Log.Error("own usage cannot be read", "error", err)
+		r.options.Log.Error("reading own resource usage failed", "error", err)
 	}
 	totalMB := own.rssMB
 	running := 0
