--- a/internal/control/calendar_drains.go
+++ b/internal/control/calendar_drains.go
@@ -186,7 +186,7 @@
 	}
 }
 
-// logState logs each state of a window once.
+// logState logs the state of a window if it has changed since it was last logged.
 func (md *maintenanceDrains) logState(name string, w *calendar.PlannedWindow, timeOfDay time.Time) {
 	s := calendar.NewWindowStatus(w, timeOfDay)
 	if s.State == calendar.WindowPlanned || md.loggedStates[name] == s.State {
@@ -213,7 +213,7 @@
 	}
 }
 
-// drainTask decides about one task of a machine that has to be empty in so many seconds.
+// drainTask decides about one task of a machine that has to be empty in left seconds.
 func (md *maintenanceDrains) drainTask(s *fleet.Slot, w *calendar.PlannedWindow, left float64, now time.Time) {
 	grace := saveGrace(s.Job)
 	switch {
@@ -233,7 +233,8 @@
 	}
 }
 
-// warn tells the user of a task that maintenance may stop it in so many seconds.
+// warn logs that maintenance may stop a task in left seconds, and sets the notice in the
+// status of its job.
 func (md *maintenanceDrains) warn(s *fleet.Slot, w *calendar.PlannedWindow, left float64) {
 	md.atRisk[s] = true
 	task, host := job.TaskName(s.Job.ID, s.Task), s.Host.Name
@@ -265,7 +266,7 @@
 	return n
 }
 
-// evict stops a task for maintenance, with so many seconds to write a checkpoint.
+// evict stops a task for maintenance; it has grace seconds to write a checkpoint.
 func (md *maintenanceDrains) evict(s *fleet.Slot, grace float64, w *calendar.PlannedWindow) {
 	md.log.Info("evicting a task for maintenance", "task", job.TaskName(s.Job.ID, s.Task), "machine", s.Host.Name, "window", w.Name, "grace_s", grace)
 	md.controller.Meter.Add(metrics.MaintenanceMoves, "", 1)
--- a/internal/control/calendar_requests.go
+++ b/internal/control/calendar_requests.go
@@ -327,7 +327,7 @@
 	s := cs.status(name)
 	cs.deleteRecord(bookingPrefix+name, b.version, func() {
 		cs.removeBooking(name)
-		cs.log.Info("reservation cancelled", "reservation", name, "team", team)
+		cs.log.Info("reservation cancelled", "reservation", name, "cancelled_by", team)
 		s.State = calendar.ReservationCancelled
 		back(reply(http.StatusOK, s))
 	})
--- a/internal/control/commands.go
+++ b/internal/control/commands.go
@@ -101,8 +101,8 @@
 	}()
 }
 
-// finishCall takes in the outcome of a direct command, whoever sent it. sent are
-// the placements that it launched.
+// finishCall handles the outcome of a direct command that the leader or a holder sent.
+// sent are the placements that it launched.
 func (cm *commands) finishCall(h *fleet.Host, result DirectResult, err error, sent []*fleet.Slot) {
 	now := time.Now()
 	h.CallInFlight = false
--- a/internal/control/machine_pool.go
+++ b/internal/control/machine_pool.go
@@ -165,8 +165,8 @@
 	}()
 }
 
-// applyList takes in the machine list. It lags: a machine that it lacks may be up, and one
-// that it has may be gone.
+// applyList applies the cloud's machine list. The list lags: a machine that it lacks may be
+// up, and one that it has may be gone.
 func (mp *machinePool) applyList(list []wire.CloudMachine) {
 	now := time.Now()
 	mp.takeover.compareListing(list)
@@ -178,7 +178,7 @@
 	}
 }
 
-// applyListed takes in one machine of the list.
+// applyListed applies one machine of the list.
 func (mp *machinePool) applyListed(listed *wire.CloudMachine, now time.Time) {
 	h := mp.fleet.Hosts[listed.Name]
 	if h == nil {
@@ -197,7 +197,7 @@
 	}
 }
 
-// adopt adds a machine that nobody expected and that sends heartbeats.
+// adopt adds an unknown machine that sends heartbeats.
 func (mp *machinePool) adopt(m *wire.Heartbeat, now time.Time) *fleet.Host {
 	mp.log.Info("adopting an unknown machine that sends heartbeats", "machine", m.Host, "type", m.Type, "zone", m.Zone)
 	h := mp.fleet.Add(m.Host, now)
--- a/internal/control/machine_scale_out.go
+++ b/internal/control/machine_scale_out.go
@@ -184,7 +184,7 @@
 	return names, err
 }
 
-// provisioned takes in the outcome of a request for machines.
+// provisioned handles the outcome of a request for machines.
 func (mp *machinePool) provisioned(o autoscale.Offer, req wire.RentalRequest, names []string, err error, requestedAt time.Time) {
 	if err != nil {
 		mp.log.Info("provisioning failed", "request", req.Request, "error", err)
--- a/internal/control/machine_spot_notices.go
+++ b/internal/control/machine_spot_notices.go
@@ -7,7 +7,7 @@
 	"vetchstream/internal/wire"
 )
 
-// handleSpotNotice evacuates a machine that the cloud takes back: it stops the tasks that
+// handleSpotNotice drains a spot machine that the cloud reclaims: it stops the tasks that
 // can save a checkpoint in time, and those that are not expected to complete in time.
 func (mp *machinePool) handleSpotNotice(h *fleet.Host, now time.Time) {
 	left := h.RecallAt.Sub(now).Seconds()
--- a/internal/control/planner.go
+++ b/internal/control/planner.go
@@ -254,7 +254,8 @@
 	return unmet
 }
 
-// logUnmetDemand logs the most urgent jobs that found no machine, now and then.
+// logUnmetDemand logs the most urgent jobs that found no machine, at most once in
+// waitLogInterval.
 func (pl *planner) logUnmetDemand(now time.Time, unmet []autoscale.UnmetDemand) {
 	if len(unmet) == 0 || now.Sub(pl.lastWaitLogAt) <= waitLogInterval {
 		return
--- a/internal/control/shards.go
+++ b/internal/control/shards.go
@@ -240,7 +240,8 @@
 // moveLogInterval spaces the log lines about moves.
 const moveLogInterval = time.Second
 
-// logMoves logs the moves since the last call that did, a line for each reason.
+// logMoves logs the moves since it last logged, one line for each previous controller and
+// reason, at most once in moveLogInterval.
 func (sh *shards) logMoves(now time.Time) {
 	if now.Sub(sh.movesLoggedAt) < moveLogInterval || len(sh.moves) == 0 {
 		return
--- a/internal/control/takeover_phases.go
+++ b/internal/control/takeover_phases.go
@@ -85,8 +85,8 @@
 	return at.Sub(tk.termStart).Milliseconds()
 }
 
-// leaderlessMS is the time from the previous leader's last sign to the start of the
-// term, in milliseconds.
+// leaderlessMS is the time from when the previous leader was last heard to the start of
+// the term, in milliseconds.
 func (tk *takeover) leaderlessMS() int64 {
 	if tk.lastLeaderSeen.IsZero() {
 		return notReachedMS
--- a/internal/control/tasks_heartbeats.go
+++ b/internal/control/tasks_heartbeats.go
@@ -23,7 +23,7 @@
 	reservationHolds *reservationHolds
 }
 
-// observe takes in a worker's report, a heartbeat or the answer to a direct command.
+// observe applies a worker's report, a heartbeat or the answer to a direct command.
 // fresh reports whether it is newer than what was known; ok is false if the worker has
 // seen a later term.
 func (tt *taskTracker) observe(h *fleet.Host, m *wire.Heartbeat, isHeartbeat bool, now time.Time) (fresh, ok bool) {
