--- a/internal/control/commands.go
+++ b/internal/control/commands.go
@@ -82,7 +82,7 @@
 	cm.taskTracker.applyEvents(events, now)
 	body, err := wire.Marshal(wire.DirectCommands{Token: cm.term, Session: session, Commands: orders})
 	if err != nil {
-		cm.log.Error("orders do not encode", "error", err)
+		cm.log.Error("commands cannot be encoded", "error", err)
 		return
 	}
 	h.CallInFlight = true
@@ -101,8 +101,8 @@
 	}()
 }
 
-// finishCall takes in the outcome of a direct command, whoever sent it. sent are
-// the placements that it launched.
+// finishCall handles the outcome of a direct command that the leader or a holder sent.
+// sent are the placements that it launched.
 func (cm *commands) finishCall(h *fleet.Host, result DirectResult, err error, sent []*fleet.Slot) {
 	now := time.Now()
 	h.CallInFlight = false
@@ -114,7 +114,7 @@
 		cm.taskTracker.applyEvents(cm.fleet.RemoveNotDelivered(sent), now)
 	}
 	if report == nil {
-		cm.log.Debug("direct command failed", "host", h.Name, "status", result.Status, "error", err)
+		cm.log.Debug("direct command failed", "machine", h.Name, "status", result.Status, "error", err)
 		cm.callFailed(h, now)
 		return
 	}
