--- a/internal/control/machine_quarantine.go
+++ b/internal/control/machine_quarantine.go
@@ -100,5 +100,5 @@
 	}
 	j.Backoff = min(maxJobBackoff, max(minJobBackoff, 2*j.Backoff))
 	j.NotBefore = now.Add(j.Backoff)
-	tt.log.Info("job keeps failing, backing off", "job", j.ID, "backoff", j.Backoff, "machines", len(j.FailedMachines))
+	tt.log.Info("job fails repeatedly, backing off", "job", j.ID, "backoff", j.Backoff, "machines", len(j.FailedMachines))
 }
