--- a/internal/control/shards.go
+++ b/internal/control/shards.go
@@ -240,7 +240,8 @@
 // moveLogInterval spaces the log lines about moves.
 const moveLogInterval = time.Second
 
-// logMoves logs the moves since the last call that did, a line for each reason.
+// logMoves logs the moves since it last logged, one line for each previous controller and
+// reason, at most once in moveLogInterval.
 func (sh *shards) logMoves(now time.Time) {
 	if now.Sub(sh.movesLoggedAt) < moveLogInterval || len(sh.moves) == 0 {
 		return
@@ -248,8 +249,8 @@
 	sh.movesLoggedAt = now
 	held := sh.assigner.HeldCounts()
 	for key, count := range sh.moves {
-		sh.log.Info("machines changed their controller", "machines", count.machines, "from", key.from, "why", key.reason,
-			"took", count.longest.Round(time.Millisecond), "held", held)
+		sh.log.Info("machines moved to another controller", "machines", count.machines, "from", key.from, "reason", key.reason,
+			"longest", count.longest.Round(time.Millisecond), "machines_by_controller", held)
 	}
 	clear(sh.moves)
 	for member, n := range held {
