--- a/internal/control/calendar_store_test.go
+++ b/internal/control/calendar_store_test.go
@@ -120,9 +120,9 @@
 	}
 }
 
-// TestNeeds: the claimer of a slot needs its machines to the slot's end at most, others
+// TestRequiredSeconds: the claimer of a slot needs its machines to the slot's end at most, others
 // for as long as they may run.
-func TestNeeds(t *testing.T) {
+func TestRequiredSeconds(t *testing.T) {
 	r := leaderWithReservations(t, 1)
 	now := r.termStart.Add(time.Hour) // the slot begins, and lasts half an hour
 	add := func(id, booking string) *job.Job {
--- a/internal/control/leader_term_core.go
+++ b/internal/control/leader_term_core.go
@@ -17,7 +17,7 @@
 
 // core is what all parts of a leader term share: the term and its start, the
 // actor's inboxes, and the ledger of what may be on each machine (package fleet,
-// which guards its own state).
+// which only the actor may touch).
 type core struct {
 	controller *Controller
 	ctx        context.Context // ends with the term
--- a/internal/control/machine_pool_test.go
+++ b/internal/control/machine_pool_test.go
@@ -13,9 +13,9 @@
 	"vetchstream/internal/wire"
 )
 
-// TestStray: a late report of a machine that an earlier leader has returned brings it
+// TestStaleAdoptionReleased: a late report of a machine that an earlier leader has returned brings it
 // into the ledger with its jobs; the cloud's list shows that it is gone.
-func TestStray(t *testing.T) {
+func TestStaleAdoptionReleased(t *testing.T) {
 	tests := []struct {
 		name  string
 		lists [][]string
@@ -52,10 +52,10 @@
 	}
 }
 
-// TestChosen: the zone in which a gang gathers is known after a look at what to rent,
+// TestChosenZoneRetained: the zone in which a gang gathers is known after a look at what to rent,
 // beside slots that are looked at too. Without it the idle machines that the gang
 // gathers were returned.
-func TestChosen(t *testing.T) {
+func TestChosenZoneRetained(t *testing.T) {
 	for _, slots := range []int{0, 2} {
 		t.Run(fmt.Sprintf("%d slots", slots), func(t *testing.T) {
 			lt := newTestTerm(t)
--- a/internal/control/machine_quarantine_test.go
+++ b/internal/control/machine_quarantine_test.go
@@ -9,8 +9,8 @@
 	"vetchstream/internal/wire"
 )
 
-// TestBlame: who is at fault when tasks fail, the machine or the job.
-func TestBlame(t *testing.T) {
+// TestAttributeFailure: who is at fault when tasks fail, the machine or the job.
+func TestAttributeFailure(t *testing.T) {
 	type step struct {
 		job, host string
 		done      bool
@@ -64,9 +64,9 @@
 	}
 }
 
-// TestPace: a machine that is far slower than its kind is given up, one that
+// TestCheckSpeed: a machine that is far slower than its kind is given up, one that
 // finishes what an earlier leader began is not.
-func TestPace(t *testing.T) {
+func TestCheckSpeed(t *testing.T) {
 	tests := []struct {
 		name    string
 		ran     time.Duration // on the machine in question; elsewhere 10 s
--- a/internal/control/records_registry_test.go
+++ b/internal/control/records_registry_test.go
@@ -10,7 +10,7 @@
 	"vetchstream/internal/wire"
 )
 
-// registryCase is a case of TestRegistry: do runs against a fresh registryBed.
+// registryCase is a case of TestRegistry: do runs against a fresh registryFixture.
 type registryCase struct {
 	name string
 	do   func(f *registryFixture)
--- a/internal/control/takeover_test.go
+++ b/internal/control/takeover_test.go
@@ -94,9 +94,9 @@
 	}
 }
 
-// TestMissing: a machine of an earlier leader that the cloud does not list any more
+// TestUnlistedMachineReleased: a machine of an earlier leader that the cloud does not list any more
 // is settled by returning it once more; one that may be too new for the list is not.
-func TestMissing(t *testing.T) {
+func TestUnlistedMachineReleased(t *testing.T) {
 	tests := []struct {
 		name  string
 		list  []string
--- a/internal/node/admission_route.go
+++ b/internal/node/admission_route.go
@@ -19,7 +19,7 @@
 	// latencySmoothing is the divisor of the moving average: a new sample has the weight
 	// of one in that many.
 	latencySmoothing = 4
-	// slowLeaderFactor and slowLeaderMin are the lower bounds of a leader's latency that
+	// slowLeaderFactor and minSlowLatency are the lower bounds of a leader's latency that
 	// counts as slow, as a multiple of this node's and as a time. The leader gathers
 	// submissions into batches and knows the jobs, so it may well take a little longer.
 	slowLeaderFactor = 3
--- a/internal/shard/shard_test.go
+++ b/internal/shard/shard_test.go
@@ -245,9 +245,9 @@
 	}
 }
 
-// TestKeep: a machine that the leader retains comes back from its holder, and goes to nobody,
+// TestRetain: a machine that the leader retains comes back from its holder, and goes to nobody,
 // neither by its ranking nor because a member had it before, until it is released.
-func TestKeep(t *testing.T) {
+func TestRetain(t *testing.T) {
 	b := newAssignerFixture(t, 30, nil)
 	b.start("n1", "b")
 	b.advance(5 * time.Second)
