--- a/internal/node/sim_scenario_test.go
+++ b/internal/node/sim_scenario_test.go
@@ -129,9 +129,7 @@
 	if check != nil {
 		check(s)
 	}
-	if violations := s.Violations(); len(violations) > 0 {
-		t.Errorf("rules broken: %s", strings.Join(violations, "\n"))
-	}
+	s.checkViolations(t)
 	if len(unfinished) > 0 {
 		t.Errorf("%d jobs are not over: %v", len(unfinished), unfinished)
 	}
