--- a/internal/control/calendar_drains.go
+++ b/internal/control/calendar_drains.go
@@ -25,7 +25,7 @@
 
 	// windowOf is the first window that is not over of each machine that has one, as of
 	// assignedAt.
-	windowOf   map[*fleet.Host]*calendar.PlannedWindow
+	windowOf   map[*fleet.Machine]*calendar.PlannedWindow
 	assignedAt time.Time
 	// atRisk are tasks that are not expected to end in time and have no checkpoint.
 	atRisk map[*fleet.Slot]bool
@@ -41,7 +41,7 @@
 
 // reset forgets what was derived from the windows.
 func (md *maintenanceDrains) reset() {
-	md.windowOf = map[*fleet.Host]*calendar.PlannedWindow{}
+	md.windowOf = map[*fleet.Machine]*calendar.PlannedWindow{}
 	md.assignedAt = time.Time{}
 	md.atRisk = map[*fleet.Slot]bool{}
 	md.loggedStates = map[string]calendar.WindowState{}
@@ -53,7 +53,7 @@
 }
 
 // covers reports whether a machine is serviced in a window.
-func (md *maintenanceDrains) covers(w *calendar.Window, h *fleet.Host) bool {
+func (md *maintenanceDrains) covers(w *calendar.Window, h *fleet.Machine) bool {
 	t := md.nameIndex.machineType(h)
 	return t != nil && h.Zone >= 0 && w.Covers(h.Name, h.Addr, t.Name, md.nameIndex.zoneNames()[h.Zone])
 }
@@ -104,7 +104,7 @@
 }
 
 // nextWindow is a machine's next window; nil: it has none.
-func (md *maintenanceDrains) nextWindow(h *fleet.Host, now time.Time) *calendar.PlannedWindow {
+func (md *maintenanceDrains) nextWindow(h *fleet.Machine, now time.Time) *calendar.PlannedWindow {
 	if !md.enabled() || !md.calendarStore.hasWindows() {
 		return nil
 	}
@@ -113,7 +113,7 @@
 }
 
 // staysUp reports whether a machine is free of maintenance for a span.
-func (md *maintenanceDrains) staysUp(h *fleet.Host, s calendar.Span) bool {
+func (md *maintenanceDrains) staysUp(h *fleet.Machine, s calendar.Span) bool {
 	w := md.nextWindow(h, time.Now())
 	return w == nil || !w.Span().Overlaps(s)
 }
@@ -126,14 +126,14 @@
 
 // annotate sets in the planner's view of a machine in how many seconds it leaves for
 // maintenance, and whether it is being drained.
-func (md *maintenanceDrains) annotate(m *place.Machine, h *fleet.Host, now time.Time) {
+func (md *maintenanceDrains) annotate(m *place.Machine, h *fleet.Machine, now time.Time) {
 	w := md.nextWindow(h, now)
 	if w == nil {
 		return
 	}
 	timeOfDay := md.calendarStore.timeOfDay(now)
 	m.MaintenanceDue = true
-	m.MaintenanceIn = md.secondsToReturn(w, timeOfDay)
+	m.MaintenanceInS = md.secondsToReturn(w, timeOfDay)
 	m.Draining = timeOfDay.UnixMilli() >= w.DrainAt()
 }
 
@@ -158,7 +158,7 @@
 }
 
 // started reports whether a machine's maintenance has begun.
-func (md *maintenanceDrains) started(h *fleet.Host, now time.Time) bool {
+func (md *maintenanceDrains) started(h *fleet.Machine, now time.Time) bool {
 	w := md.nextWindow(h, now)
 	return w != nil && md.calendarStore.timeOfDay(now).UnixMilli() >= w.Span().From
 }
@@ -171,7 +171,7 @@
 	md.assignWindows(now)
 	timeOfDay := md.calendarStore.timeOfDay(now)
 	for s := range md.atRisk {
-		if !s.Active() || s.Stopping || md.windowOf[s.Host] == nil {
+		if !s.Active() || s.Stopping || md.windowOf[s.Machine] == nil {
 			delete(md.atRisk, s)
 			s.Job.Notice = ""
 		}
@@ -199,13 +199,13 @@
 
 // drainMachine lets a machine's tasks end, evicts them or stops them, as the time that is
 // left demands.
-func (md *maintenanceDrains) drainMachine(h *fleet.Host, w *calendar.PlannedWindow, timeOfDay, now time.Time) {
+func (md *maintenanceDrains) drainMachine(h *fleet.Machine, w *calendar.PlannedWindow, timeOfDay, now time.Time) {
 	left := md.secondsToReturn(w, timeOfDay)
 	for _, s := range h.Slots {
 		if !s.Active() || s.Stopping {
 			continue
 		}
-		if !s.Sent {
+		if !s.LaunchSent {
 			md.taskTracker.applyEvents(md.taskTracker.fleet.Stop(s, 0), now)
 			continue
 		}
@@ -237,7 +237,7 @@
 // status of its job.
 func (md *maintenanceDrains) warn(s *fleet.Slot, w *calendar.PlannedWindow, left float64) {
 	md.atRisk[s] = true
-	task, host := job.TaskName(s.Job.ID, s.Task), s.Host.Name
+	task, host := job.TaskName(s.Job.ID, s.Task), s.Machine.Name
 	start := time.UnixMilli(w.Span().From).UTC().Format(time.RFC3339)
 	s.Job.Notice = "maintenance of " + host + " at " + start + " may stop " + task
 	md.log.Info("maintenance may stop a task", "task", task, "machine", host, "window", w.Name, "remaining_s", left)
@@ -268,7 +268,7 @@
 
 // evict stops a task for maintenance; it has grace seconds to write a checkpoint.
 func (md *maintenanceDrains) evict(s *fleet.Slot, grace float64, w *calendar.PlannedWindow) {
-	md.log.Info("evicting a task for maintenance", "task", job.TaskName(s.Job.ID, s.Task), "machine", s.Host.Name, "window", w.Name, "grace_s", grace)
+	md.log.Info("evicting a task for maintenance", "task", job.TaskName(s.Job.ID, s.Task), "machine", s.Machine.Name, "window", w.Name, "grace_s", grace)
 	md.controller.Meter.Add(metrics.MaintenanceMoves, "", 1)
 	md.taskTracker.stopSlot(s, grace)
 }
--- a/internal/control/calendar_holds.go
+++ b/internal/control/calendar_holds.go
@@ -30,11 +30,11 @@
 	rollouts          *rollouts
 
 	holds  map[string]*occurrenceHold // by reservation
-	holdOf map[*fleet.Host]*occurrenceHold
+	holdOf map[*fleet.Machine]*occurrenceHold
 	// bootTimes are measured boot times in seconds, by index of the machine type.
 	bootTimes map[int]*calendar.Estimator
 	// provisioned are the machines that were provisioned in this term and are not up yet.
-	provisioned map[*fleet.Host]bool
+	provisioned map[*fleet.Machine]bool
 	// runTimeRatios are run times divided by their estimates, by job class.
 	runTimeRatios map[string]*calendar.Estimator
 	// requests are the machines that have to be provisioned, as of the last refresh.
@@ -46,7 +46,7 @@
 	reservation string
 	span        calendar.Span
 	allocations []calendar.Allocation
-	hosts       map[*fleet.Host]bool
+	hosts       map[*fleet.Machine]bool
 	spot        bool
 	// claimer is the job that claims the occurrence; nil: none yet, or it has ended.
 	claimer *job.Job
@@ -69,9 +69,9 @@
 // reset forgets all holds and measurements.
 func (rh *reservationHolds) reset() {
 	rh.holds = map[string]*occurrenceHold{}
-	rh.holdOf = map[*fleet.Host]*occurrenceHold{}
+	rh.holdOf = map[*fleet.Machine]*occurrenceHold{}
 	rh.bootTimes = map[int]*calendar.Estimator{}
-	rh.provisioned = map[*fleet.Host]bool{}
+	rh.provisioned = map[*fleet.Machine]bool{}
 	rh.runTimeRatios = map[string]*calendar.Estimator{}
 	rh.requests = nil
 }
@@ -107,7 +107,7 @@
 			reservation: name,
 			span:        o.span,
 			allocations: o.booking.Allocations,
-			hosts:       map[*fleet.Host]bool{},
+			hosts:       map[*fleet.Machine]bool{},
 			spot:        o.booking.Spot,
 		}
 		rh.holds[name] = hold
@@ -141,19 +141,19 @@
 }
 
 // add holds a machine.
-func (rh *reservationHolds) add(hold *occurrenceHold, h *fleet.Host) {
+func (rh *reservationHolds) add(hold *occurrenceHold, h *fleet.Machine) {
 	hold.hosts[h] = true
 	rh.holdOf[h] = hold
 }
 
 // remove gives up one machine of a hold.
-func (rh *reservationHolds) remove(hold *occurrenceHold, h *fleet.Host) {
+func (rh *reservationHolds) remove(hold *occurrenceHold, h *fleet.Machine) {
 	delete(hold.hosts, h)
 	delete(rh.holdOf, h)
 }
 
 // machineRemoved forgets a machine that has been released.
-func (rh *reservationHolds) machineRemoved(h *fleet.Host) {
+func (rh *reservationHolds) machineRemoved(h *fleet.Machine) {
 	delete(rh.provisioned, h)
 	if hold := rh.holdOf[h]; hold != nil {
 		rh.remove(hold, h)
@@ -217,23 +217,23 @@
 
 // retains reports whether a machine is not to be released although it is idle: it is held
 // for an occurrence that starts soon, or nothing else may run on it.
-func (rh *reservationHolds) retains(h *fleet.Host) bool {
+func (rh *reservationHolds) retains(h *fleet.Machine) bool {
 	return rh.holdOf[h] != nil && (rh.holdOf[h].provisioning || !rh.controller.Tuning.Calendar.Backfill)
 }
 
 // annotate sets in the planner's view of a machine for which job it is held, and in how
 // many seconds the occurrence starts.
-func (rh *reservationHolds) annotate(m *place.Machine, h *fleet.Host, now time.Time) {
+func (rh *reservationHolds) annotate(m *place.Machine, h *fleet.Machine, now time.Time) {
 	hold := rh.holdOf[h]
 	if hold == nil {
 		return
 	}
-	m.HeldFor = place.FutureDemand
+	m.HeldFor = place.FutureDemandID
 	if hold.claimer != nil {
 		m.HeldFor = rh.jobTable.index(hold.claimer)
 	}
 	if rh.controller.Tuning.Calendar.Backfill {
-		m.HeldIn = rh.secondsToStart(hold, now)
+		m.HeldInS = rh.secondsToStart(hold, now)
 	}
 }
 
@@ -264,6 +264,6 @@
 }
 
 // freeCapacity is what a machine of type t has free.
-func freeCapacity(t *wire.MachineType, h *fleet.Host) place.Resources {
-	return place.Resources{CPUs: t.CPUs - h.CPUs, GPUs: t.GPUs - h.GPUs, MemGB: t.MemGB - h.MemGB}
+func freeCapacity(t *wire.MachineType, h *fleet.Machine) place.Resources {
+	return place.Resources{CPUs: t.CPUs - h.UsedCPUs, GPUs: t.GPUs - h.UsedGPUs, MemGB: t.MemGB - h.UsedMemGB}
 }
--- a/internal/control/calendar_holds_estimates.go
+++ b/internal/control/calendar_holds_estimates.go
@@ -31,14 +31,14 @@
 // machineProvisioned notes that a machine's boot can be timed. A machine that was already
 // up when this term began would show a boot that takes no time, and later holds would
 // provision too late.
-func (rh *reservationHolds) machineProvisioned(h *fleet.Host) {
+func (rh *reservationHolds) machineProvisioned(h *fleet.Machine) {
 	if rh.calendarStore.enabled() {
 		rh.provisioned[h] = true
 	}
 }
 
 // machineBooted records how long a machine took to boot.
-func (rh *reservationHolds) machineBooted(h *fleet.Host, took time.Duration) {
+func (rh *reservationHolds) machineBooted(h *fleet.Machine, took time.Duration) {
 	if !rh.provisioned[h] {
 		return
 	}
@@ -113,10 +113,10 @@
 // has run longer than anything known of its class may go on for a while.
 func (rh *reservationHolds) maxRemainingSeconds(s *fleet.Slot, now time.Time) float64 {
 	longest := rh.maxRunSeconds(s.Job)
-	if s.RunAt.IsZero() {
+	if s.RunningSince.IsZero() {
 		return rh.maxSecondsToEnd(s.Job)
 	}
-	return max(longest/overrunDivisor, longest-now.Sub(s.RunAt).Seconds())
+	return max(longest/overrunDivisor, longest-now.Sub(s.RunningSince).Seconds())
 }
 
 // holdLeadTime is how long before its start machines that are up are held for a
--- a/internal/control/calendar_holds_machines.go
+++ b/internal/control/calendar_holds_machines.go
@@ -60,10 +60,10 @@
 // holdRunningMachines holds exactly the machines on which the claimer runs: it may have
 // started on others, and a machine that came up after that is not needed any more.
 func (rh *reservationHolds) holdRunningMachines(hold *occurrenceHold) {
-	running := map[*fleet.Host]bool{}
+	running := map[*fleet.Machine]bool{}
 	for s := range rh.fleet.SlotsOf(hold.claimer) {
-		if s.Active() && (rh.holdOf[s.Host] == nil || rh.holdOf[s.Host] == hold) {
-			running[s.Host] = true
+		if s.Active() && (rh.holdOf[s.Machine] == nil || rh.holdOf[s.Machine] == hold) {
+			running[s.Machine] = true
 		}
 	}
 	for h := range hold.hosts {
@@ -78,13 +78,13 @@
 }
 
 // matches reports whether a machine is of an allocation's type and zone.
-func (rh *reservationHolds) matches(h *fleet.Host, a calendar.Allocation) bool {
+func (rh *reservationHolds) matches(h *fleet.Machine, a calendar.Allocation) bool {
 	t := rh.nameIndex.machineType(h)
 	return t != nil && h.Zone >= 0 && t.Name == a.Type && rh.nameIndex.zoneNames()[h.Zone] == a.Zone
 }
 
 // canServe reports whether a machine can serve an occurrence to its end.
-func (rh *reservationHolds) canServe(h *fleet.Host, hold *occurrenceHold) bool {
+func (rh *reservationHolds) canServe(h *fleet.Machine, hold *occurrenceHold) bool {
 	return h.Usable() && (hold.spot || !h.Spot) && rh.maintenanceDrains.staysUp(h, hold.span)
 }
 
@@ -110,7 +110,7 @@
 // holdCandidate is a machine that could be held, and in how many seconds its work has
 // ended.
 type holdCandidate struct {
-	host        *fleet.Host
+	host        *fleet.Machine
 	freeSeconds float64
 }
 
@@ -141,7 +141,7 @@
 
 // secondsUntilFree is in how many seconds all work on a machine but the claimer's is sure
 // to have ended.
-func (rh *reservationHolds) secondsUntilFree(h *fleet.Host, claimer *job.Job, now time.Time) float64 {
+func (rh *reservationHolds) secondsUntilFree(h *fleet.Machine, claimer *job.Job, now time.Time) float64 {
 	free := 0.0
 	for _, s := range h.Slots {
 		if s.Active() && s.Job != claimer {
@@ -219,7 +219,7 @@
 			continue
 		}
 		zone := rh.nameIndex.zoneNames()[h.Zone]
-		if h.Lost || h.SilentFor(now) > limit {
+		if h.Lost || h.SinceLastReport(now) > limit {
 			silent[zone] = true
 		} else {
 			responsive[zone] = true
--- a/internal/control/commands.go
+++ b/internal/control/commands.go
@@ -65,8 +65,8 @@
 }
 
 // mayCall reports whether a direct command may be sent to a machine now.
-func (cm *commands) mayCall(h *fleet.Host, now time.Time) bool {
-	if h.CallInFlight || h.Lost || h.Addr == "" || !h.Durable || now.Before(h.NextCallAt) {
+func (cm *commands) mayCall(h *fleet.Machine, now time.Time) bool {
+	if h.CallInFlight || h.Lost || h.Addr == "" || !h.Registered || now.Before(h.NextCallAt) {
 		return false
 	}
 	relayed, may := cm.shards.relayable(h)
@@ -75,7 +75,7 @@
 
 // send sends a machine's commands directly: this fences a worker after a takeover,
 // and brings launches and halts without waiting for the next heartbeat.
-func (cm *commands) send(h *fleet.Host, now time.Time) {
+func (cm *commands) send(h *fleet.Machine, now time.Time) {
 	session := max(1, h.Session)
 	orders, sent, events := cm.fleet.ComposeOrders(h, 0, h.Usable(), now, maxOrders)
 	cm.takeover.recordLaunches(len(sent), now)
@@ -103,22 +103,22 @@
 
 // finishCall handles the outcome of a direct command that the leader or a holder sent.
 // sent are the placements that it launched.
-func (cm *commands) finishCall(h *fleet.Host, result DirectResult, err error, sent []*fleet.Slot) {
+func (cm *commands) finishCall(h *fleet.Machine, result DirectResult, err error, sent []*fleet.Slot) {
 	now := time.Now()
 	h.CallInFlight = false
-	if cm.fleet.Hosts[h.Name] != h {
+	if cm.fleet.Machines[h.Name] != h {
 		return
 	}
 	report := decodeReport(result.Body)
 	if result.notExecuted(report) {
-		cm.taskTracker.applyEvents(cm.fleet.RemoveNotDelivered(sent), now)
+		cm.taskTracker.applyEvents(cm.fleet.RemoveUndelivered(sent), now)
 	}
 	if report == nil {
 		cm.log.Debug("direct command failed", "machine", h.Name, "status", result.Status, "error", err)
 		cm.callFailed(h, now)
 		return
 	}
-	h.Failures = 0
+	h.CallFailures = 0
 	if report.Host != "" && report.Host != h.Name {
 		h.NextCallAt = now.Add(wrongHostPause)
 		return
@@ -139,10 +139,10 @@
 }
 
 // callFailed backs off from a machine that did not answer.
-func (cm *commands) callFailed(h *fleet.Host, now time.Time) {
+func (cm *commands) callFailed(h *fleet.Machine, now time.Time) {
 	// Silent machines must not take up the few calls that may be in flight.
-	h.NextCallAt = now.Add(min(maxCallBackoff, time.Second<<min(h.Failures, maxBackoffDoublings)))
-	h.Failures++
+	h.NextCallAt = now.Add(min(maxCallBackoff, time.Second<<min(h.CallFailures, maxBackoffDoublings)))
+	h.CallFailures++
 	// A machine that hangs, or that nothing reaches, has much capacity and would be
 	// chosen again and again.
 	h.CallUnanswered = true
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -41,7 +41,7 @@
 }
 
 // host adds a machine.
-func (lt *leaderTerm) host(name string) *fleet.Host { return lt.fleet.Add(name, testStart) }
+func (lt *leaderTerm) host(name string) *fleet.Machine { return lt.fleet.Add(name, testStart) }
 
 // learn takes in a price list.
 func (lt *leaderTerm) learn(types []wire.MachineType) {
--- a/internal/control/job_table.go
+++ b/internal/control/job_table.go
@@ -73,7 +73,7 @@
 	}
 	for _, h := range jt.fleet.All() {
 		if jt.nameIndex.machineType(h) != nil {
-			h.Known = true
+			h.Described = true
 		}
 	}
 }
--- a/internal/control/leader_fixture_test.go
+++ b/internal/control/leader_fixture_test.go
@@ -161,7 +161,7 @@
 	r := st.currentTerm()
 	r.enqueueForUser(func() {
 		h := r.fleet.Add(host, time.Now())
-		h.Known = true
+		h.Described = true
 		h.Type = 0
 		h.Zone = 0
 		r.taskTracker.observe(h, &wire.Heartbeat{Host: host, Session: 1, Seq: seq, Token: st.term, Tasks: tasks}, true, time.Now())
@@ -170,7 +170,7 @@
 	done := make(chan struct{})
 	r.enqueueForUser(func() {
 		defer close(done)
-		for _, slot := range r.fleet.Hosts[host].Slots {
+		for _, slot := range r.fleet.Machines[host].Slots {
 			slots = append(slots, *slot)
 		}
 	})
--- a/internal/control/leader_term_loop.go
+++ b/internal/control/leader_term_loop.go
@@ -85,7 +85,7 @@
 		back(Unavailable("machine was returned"))
 		return
 	}
-	if h := lt.fleet.Hosts[m.Host]; h != nil && h.Stale(m.Session, m.Seq) {
+	if h := lt.fleet.Machines[m.Host]; h != nil && h.Stale(m.Session, m.Seq) {
 		// A copy, or one that was held back. Commands in its answer would count as sent and
 		// arrive nowhere, and a shard holder would lose the machine as if its worker had
 		// moved to another node. It is refused: a worker that has restarted and counts from
@@ -96,7 +96,7 @@
 	if !lt.shards.routeHeartbeat(m, func() { lt.heartbeat(m, via, back) }, back) {
 		return
 	}
-	h := lt.fleet.Hosts[m.Host]
+	h := lt.fleet.Machines[m.Host]
 	if h == nil {
 		h = lt.machinePool.adopt(m, now)
 	}
@@ -150,7 +150,7 @@
 
 // expireLeases takes in the expiry of machines' leases.
 func (lt *leaderTerm) expireLeases(now time.Time) {
-	events, lost := lt.fleet.Expire(now)
+	events, lost := lt.fleet.ExpireLeases(now)
 	if lost > 0 {
 		lt.log.Info("machine leases expired", "machines", lost, "tasks", len(events))
 	}
@@ -162,7 +162,7 @@
 	lt.rollouts.step(now)
 	lt.calendarStore.step(now)
 	lt.planner.expireReservations(now)
-	lt.controller.Meter.Set(metrics.Machines, len(lt.fleet.Hosts))
+	lt.controller.Meter.Set(metrics.Machines, len(lt.fleet.Machines))
 	lt.controller.Meter.Set(metrics.Jobs, len(lt.jobTable.all()))
 	lt.commands.fenceWorkers(now)
 	lt.jobTable.removeFinished()
--- a/internal/control/machine_pool.go
+++ b/internal/control/machine_pool.go
@@ -43,9 +43,9 @@
 
 	// unlisted are the machines that were adopted from a heartbeat and that no list has had
 	// yet.
-	unlisted map[*fleet.Host]bool
+	unlisted map[*fleet.Machine]bool
 	// noticeLogged are the machines whose spot notice has been logged.
-	noticeLogged map[*fleet.Host]bool
+	noticeLogged map[*fleet.Machine]bool
 
 	// unmetDemand are the jobs for which the last plan found no room, the most urgent first.
 	unmetDemand []autoscale.UnmetDemand
@@ -56,7 +56,7 @@
 	backoff      *autoscale.Backoff
 
 	// pendingReleases are the machines whose release has not been answered yet.
-	pendingReleases []*fleet.Host
+	pendingReleases []*fleet.Machine
 	releaseInFlight bool
 	// releasedNames are the machines that were released in this term.
 	releasedNames map[string]bool
@@ -73,8 +73,8 @@
 func newMachinePool(co *core) *machinePool {
 	return &machinePool{
 		core:          co,
-		unlisted:      map[*fleet.Host]bool{},
-		noticeLogged:  map[*fleet.Host]bool{},
+		unlisted:      map[*fleet.Machine]bool{},
+		noticeLogged:  map[*fleet.Machine]bool{},
 		provisioning:  map[autoscale.Offer]int{},
 		backoff:       autoscale.NewBackoff(),
 		releasedNames: map[string]bool{},
@@ -180,13 +180,13 @@
 
 // applyListed applies one machine of the list.
 func (mp *machinePool) applyListed(listed *wire.CloudMachine, now time.Time) {
-	h := mp.fleet.Hosts[listed.Name]
+	h := mp.fleet.Machines[listed.Name]
 	if h == nil {
 		h = mp.fleet.Add(listed.Name, now)
 		h.AddedAt = now.Add(-config.Seconds(listed.AgeS))
 		mp.log.Info("unknown machine found in the cloud's list", "machine", listed.Name, "phase", listed.Phase)
 	}
-	if !h.Known {
+	if !h.Described {
 		mp.nameIndex.describeHost(h, listed.Type, listed.Zone, listed.Spot)
 	}
 	if h.Addr == "" {
@@ -198,7 +198,7 @@
 }
 
 // adopt adds an unknown machine that sends heartbeats.
-func (mp *machinePool) adopt(m *wire.Heartbeat, now time.Time) *fleet.Host {
+func (mp *machinePool) adopt(m *wire.Heartbeat, now time.Time) *fleet.Machine {
 	mp.log.Info("adopting an unknown machine that sends heartbeats", "machine", m.Host, "type", m.Type, "zone", m.Zone)
 	h := mp.fleet.Add(m.Host, now)
 	mp.unlisted[h] = true
@@ -229,7 +229,7 @@
 }
 
 // bootTime returns the nominal boot time of a machine.
-func (mp *machinePool) bootTime(h *fleet.Host) time.Duration {
+func (mp *machinePool) bootTime(h *fleet.Machine) time.Duration {
 	if t := mp.nameIndex.machineType(h); t != nil {
 		return config.Seconds(t.BootS)
 	}
@@ -238,14 +238,14 @@
 
 // mayRenewLease reports whether an answer may renew the machine's lease. Where it may not,
 // the worker's session has to end, and the tasks there are lost.
-func (mp *machinePool) mayRenewLease(h *fleet.Host, now time.Time) bool {
+func (mp *machinePool) mayRenewLease(h *fleet.Machine, now time.Time) bool {
 	if mp.fleet.Renewable(h, now, maxOrders) {
 		h.RenewalStopped = false
 		return true
 	}
 	if !h.RenewalStopped {
 		mp.log.Info("ending an agent session: a launch of a cancelled job may still be in flight",
-			"machine", h.Name, "tasks", h.Jobs-h.CancelledInFlight)
+			"machine", h.Name, "tasks", h.ActiveTasks-h.CancelledInFlight)
 		mp.controller.Meter.Add(metrics.SessionsExpired, "", 1)
 		mp.taskTracker.applyEvents(mp.fleet.StopRenewal(h), now)
 	}
--- a/internal/control/machine_pool_test.go
+++ b/internal/control/machine_pool_test.go
@@ -96,7 +96,7 @@
 		now := lt.termStart.Add(tt.deaf)
 		h := lt.host("h1")
 		lt.nameIndex.describeHost(h, "x", "a", false)
-		h.Booting, h.Durable, h.Fenced, h.IdleFrom = false, true, !tt.old, now
+		h.Booting, h.Registered, h.Fenced, h.IdleSince = false, true, !tt.old, now
 		if h.Inherited = tt.old; !tt.old {
 			lt.fleet.MarkInboundCut(h, lt.termStart)
 		}
--- a/internal/control/machine_quarantine.go
+++ b/internal/control/machine_quarantine.go
@@ -30,24 +30,24 @@
 // attributeFailure decides whether a failed task is the machine's fault or the job's. A job
 // that has failed on several machines and worked on none is at fault itself; the failures of
 // others count against the machine.
-func (tt *taskTracker) attributeFailure(j *job.Job, h *fleet.Host, now time.Time) {
+func (tt *taskTracker) attributeFailure(j *job.Job, h *fleet.Machine, now time.Time) {
 	j.FailedMachines[h.Name] = true
 	if !j.HasSucceeded && len(j.FailedMachines) >= minFailedMachines {
 		tt.backOffJob(j, now)
 		return
 	}
-	h.Errors++
-	h.ErrorJobs[j] = true
+	h.TaskFailures++
+	h.FailedJobs[j] = true
 	tt.quarantineIfFaulty(h)
 }
 
 // quarantineIfFaulty quarantines a machine on which several jobs keep failing, or one that works
 // elsewhere. One job alone may be at fault itself; until another machine has shown that, the
 // machine is only avoided.
-func (tt *taskTracker) quarantineIfFaulty(h *fleet.Host) {
+func (tt *taskTracker) quarantineIfFaulty(h *fleet.Machine) {
 	worksElsewhere := false
 	jobs := 0
-	for j := range h.ErrorJobs {
+	for j := range h.FailedJobs {
 		if j.HasSucceeded {
 			worksElsewhere = true
 		}
@@ -55,22 +55,22 @@
 			jobs++
 		}
 	}
-	if h.Quarantined || h.Errors < tt.controller.Tuning.Machines.QuarantineErrors || (!worksElsewhere && jobs < minFailedJobs) {
+	if h.Quarantined || h.TaskFailures < tt.controller.Tuning.Machines.QuarantineErrors || (!worksElsewhere && jobs < minFailedJobs) {
 		return
 	}
-	tt.log.Info("quarantining a machine: its tasks keep failing", "machine", h.Name, "failures", h.Errors, "jobs", len(h.ErrorJobs))
+	tt.log.Info("quarantining a machine: its tasks keep failing", "machine", h.Name, "failures", h.TaskFailures, "jobs", len(h.FailedJobs))
 	h.Quarantined = true
 }
 
 // checkSpeed compares a completed task with those of its job on other machines, and quarantines a
 // machine that is far slower.
-func (tt *taskTracker) checkSpeed(s *fleet.Slot, j *job.Job, h *fleet.Host, now time.Time) {
+func (tt *taskTracker) checkSpeed(s *fleet.Slot, j *job.Job, h *fleet.Machine, now time.Time) {
 	// Of a task that an earlier leader launched only the end is known: its short remainder
 	// would make all others look slow.
-	if s.RunAt.IsZero() || s.Adopted {
+	if s.RunningSince.IsZero() || s.Adopted {
 		return
 	}
-	ran := now.Sub(s.RunAt).Seconds()
+	ran := now.Sub(s.RunningSince).Seconds()
 	here := j.RunTimesByMachine[h.Name]
 	if others := j.RunTimeCount - here.Count; others >= minSlowTasks {
 		mean := (j.RunTimeSumS - here.SumS) / float64(others)
@@ -81,13 +81,13 @@
 
 // countSlow counts a task that ran for ran seconds on a machine, against a mean of others on
 // other machines, and quarantines the machine if it is far slower.
-func (tt *taskTracker) countSlow(h *fleet.Host, ran, mean float64) {
+func (tt *taskTracker) countSlow(h *fleet.Machine, ran, mean float64) {
 	if mean > minComparableS && ran > slowFactor*mean {
-		h.Slow++
+		h.SlowTasks++
 	} else {
-		h.Slow = 0
+		h.SlowTasks = 0
 	}
-	if h.Slow >= minSlowTasks && !h.Quarantined {
+	if h.SlowTasks >= minSlowTasks && !h.Quarantined {
 		tt.log.Info("quarantining a machine: it is much slower than others", "machine", h.Name, "run_time_s", ran, "mean_elsewhere_s", mean)
 		h.Quarantined = true
 	}
--- a/internal/control/machine_quarantine_test.go
+++ b/internal/control/machine_quarantine_test.go
@@ -40,7 +40,7 @@
 					j = lt.array(st.job)
 					jobs[st.job] = j
 				}
-				s := &fleet.Slot{Key: fleet.Key{Job: j, Task: int32(i)}, Cause: wire.CauseError}
+				s := &fleet.Slot{PlacementKey: fleet.PlacementKey{Job: j, Task: int32(i)}, Cause: wire.CauseError}
 				if st.done {
 					s.Cause = wire.CauseDone
 				}
@@ -82,7 +82,7 @@
 			lt := newTestTerm(t)
 			j, now := lt.array("run-1"), time.Unix(1000, 0)
 			end := func(task int, host string, ran time.Duration, adopted bool) {
-				s := &fleet.Slot{Key: fleet.Key{Job: j, Task: int32(task)}, Cause: wire.CauseDone, RunAt: now.Add(-ran), Adopted: adopted}
+				s := &fleet.Slot{PlacementKey: fleet.PlacementKey{Job: j, Task: int32(task)}, Cause: wire.CauseDone, RunningSince: now.Add(-ran), Adopted: adopted}
 				lt.taskTracker.taskEnded(s, j, lt.host(host), now)
 			}
 			for i := range 10 {
--- a/internal/control/machine_scale_in.go
+++ b/internal/control/machine_scale_in.go
@@ -39,7 +39,7 @@
 }
 
 // releaseReason returns why a machine is to be released, or "".
-func (mp *machinePool) releaseReason(h *fleet.Host, now time.Time) string {
+func (mp *machinePool) releaseReason(h *fleet.Machine, now time.Time) string {
 	patience := mp.fleet.Lease + lostGrace
 	if h.Inherited {
 		// Its heartbeats prevent its lease from expiring, but it has taken in nothing in this
@@ -51,9 +51,9 @@
 		return ""
 	}
 	switch {
-	case h.InboundCut() && now.Sub(h.InboundCutAt) > patience:
+	case h.InboundCut() && now.Sub(h.InboundCutSince) > patience:
 		return reasonInboundCut
-	case h.OutboundCut() && now.Sub(h.OutboundCutAt) > patience:
+	case h.OutboundCut() && now.Sub(h.OutboundCutSince) > patience:
 		// Its tasks die with each of its leases, and as long as it answers direct commands its
 		// lease does not expire here.
 		return "it answers direct commands but its heartbeats reach no controller"
@@ -69,7 +69,7 @@
 	case h.Busy() || hasUnsettled(h):
 	case h.Quarantined:
 		return "it is quarantined and empty"
-	case !h.RecallAt.IsZero():
+	case !h.ReclaimAt.IsZero():
 		return "its spot capacity is being reclaimed and it is empty"
 	case mp.maintenanceDrains.started(h, now):
 		return "its maintenance window begins"
@@ -81,7 +81,7 @@
 }
 
 // hasUnsettled reports whether it is not known yet whether some task is on the machine.
-func hasUnsettled(h *fleet.Host) bool {
+func hasUnsettled(h *fleet.Machine) bool {
 	for _, s := range h.Slots {
 		if !s.Settled {
 			return true
@@ -92,15 +92,15 @@
 
 // idleTooLong reports whether a machine has been idle for so long that it does not pay to
 // retain it.
-func (mp *machinePool) idleTooLong(h *fleet.Host, now time.Time) bool {
-	return now.Sub(h.IdleFrom) > time.Duration(mp.controller.Tuning.Machines.IdleBoots*float64(mp.bootTime(h)))
+func (mp *machinePool) idleTooLong(h *fleet.Machine, now time.Time) bool {
+	return now.Sub(h.IdleSince) > time.Duration(mp.controller.Tuning.Machines.IdleBoots*float64(mp.bootTime(h)))
 }
 
 // neededForGang reports whether a machine is in the zone that was chosen for a gang whose
 // machines are not together yet, and can run its tasks.
-func (mp *machinePool) neededForGang(h *fleet.Host, now time.Time) bool {
+func (mp *machinePool) neededForGang(h *fleet.Machine, now time.Time) bool {
 	t := mp.nameIndex.machineType(h)
-	if t == nil || now.Sub(h.IdleFrom) > gangIdleBoots*mp.bootTime(h) {
+	if t == nil || now.Sub(h.IdleSince) > gangIdleBoots*mp.bootTime(h) {
 		return false
 	}
 	total := autoscale.MachineResources(t)
@@ -115,7 +115,7 @@
 
 // release releases a machine. That is never taken back: a request that was sent may be
 // executed at any later time.
-func (mp *machinePool) release(h *fleet.Host, reason string) {
+func (mp *machinePool) release(h *fleet.Machine, reason string) {
 	h.Releasing = true
 	mp.log.Info("releasing a machine", "machine", h.Name, "reason", reason)
 	mp.pendingReleases = append(mp.pendingReleases, h)
@@ -151,7 +151,7 @@
 }
 
 // forgetReleased removes a machine that is gone, with all tasks on it.
-func (mp *machinePool) forgetReleased(h *fleet.Host) {
+func (mp *machinePool) forgetReleased(h *fleet.Machine) {
 	mp.taskTracker.applyEvents(mp.fleet.Remove(h), time.Now())
 	mp.releasedNames[h.Name] = true
 	mp.planner.forgetMachine(h)
@@ -160,6 +160,6 @@
 	delete(mp.noticeLogged, h)
 	delete(mp.unlisted, h)
 	if mp.registry.removeHost(h) {
-		mp.fleet.FreeIndex(h.Index)
+		mp.fleet.ReleaseIndex(h.Index)
 	}
 }
--- a/internal/control/machine_scale_out.go
+++ b/internal/control/machine_scale_out.go
@@ -80,14 +80,14 @@
 
 // isPending reports whether a machine is expected to take tasks soon: it boots, or it is up
 // and not in the registry yet.
-func (mp *machinePool) isPending(h *fleet.Host, now time.Time) bool {
-	if h.Releasing || !h.Known {
+func (mp *machinePool) isPending(h *fleet.Machine, now time.Time) bool {
+	if h.Releasing || !h.Described {
 		return false
 	}
 	if h.Booting {
 		return now.Sub(h.AddedAt) < pendingBoots*mp.bootTime(h)
 	}
-	return !h.Lost && !h.Durable
+	return !h.Lost && !h.Registered
 }
 
 // offerOpen reports whether machines of a type in a zone may be had, as far as the cloud's
@@ -136,13 +136,13 @@
 }
 
 // takenFromGang reports whether a machine is reserved or held for others than the gang.
-func (mp *machinePool) takenFromGang(h *fleet.Host, gang *job.Job) bool {
+func (mp *machinePool) takenFromGang(h *fleet.Machine, gang *job.Job) bool {
 	holder := mp.planner.reservedFor(h)
 	return (holder != nil && holder != gang) || mp.reservationHolds.retains(h)
 }
 
 // allowsKind reports whether a demand may run on machines of the type and kind of h.
-func allowsKind(d *place.Demand, h *fleet.Host) bool {
+func allowsKind(d *place.Demand, h *fleet.Machine) bool {
 	return (d.AllowedTypes == nil || d.AllowedTypes[h.Type]) && (d.Spot || !h.Spot)
 }
 
--- a/internal/control/machine_spot_notices.go
+++ b/internal/control/machine_spot_notices.go
@@ -9,8 +9,8 @@
 
 // handleSpotNotice drains a spot machine that the cloud reclaims: it stops the tasks that
 // can save a checkpoint in time, and those that are not expected to complete in time.
-func (mp *machinePool) handleSpotNotice(h *fleet.Host, now time.Time) {
-	left := h.RecallAt.Sub(now).Seconds()
+func (mp *machinePool) handleSpotNotice(h *fleet.Machine, now time.Time) {
+	left := h.ReclaimAt.Sub(now).Seconds()
 	if !mp.noticeLogged[h] {
 		mp.log.Info("spot machine is being reclaimed", "machine", h.Name, "remaining_s", left)
 		mp.noticeLogged[h] = true
@@ -32,8 +32,8 @@
 // remainingEstimate returns the part of a task's estimated run time that it has not run yet,
 // in seconds; negative if it runs longer than estimated.
 func remainingEstimate(s *fleet.Slot, now time.Time) float64 {
-	if s.RunAt.IsZero() {
+	if s.RunningSince.IsZero() {
 		return runTimeEstimate(s.Job)
 	}
-	return runTimeEstimate(s.Job) - now.Sub(s.RunAt).Seconds()
+	return runTimeEstimate(s.Job) - now.Sub(s.RunningSince).Seconds()
 }
--- a/internal/control/name_index.go
+++ b/internal/control/name_index.go
@@ -57,7 +57,7 @@
 func (ni *nameIndex) machineTypes() []wire.MachineType { return ni.types }
 
 // machineType returns a machine's type, or nil if it is not known.
-func (ni *nameIndex) machineType(h *fleet.Host) *wire.MachineType {
+func (ni *nameIndex) machineType(h *fleet.Machine) *wire.MachineType {
 	if h.Type < 0 || h.Type >= len(ni.types) {
 		return nil
 	}
@@ -76,7 +76,7 @@
 }
 
 // describeHost sets a machine's type, zone and kind, unless the type is not known.
-func (ni *nameIndex) describeHost(h *fleet.Host, typeName, zone string, spot bool) {
+func (ni *nameIndex) describeHost(h *fleet.Machine, typeName, zone string, spot bool) {
 	if zone == "" || typeName == "" {
 		return
 	}
@@ -87,7 +87,7 @@
 	h.Type = i
 	h.Zone = ni.zoneIndex(zone)
 	h.Spot = spot
-	h.Known = true
+	h.Described = true
 }
 
 // zoneNames returns the zones, by index.
--- a/internal/control/planner.go
+++ b/internal/control/planner.go
@@ -56,7 +56,7 @@
 	maintenanceDrains *maintenanceDrains
 	teamQuotas        *teamQuotas
 
-	reservations map[*fleet.Host]machineReservation
+	reservations map[*fleet.Machine]machineReservation
 	// attemptCount counts the attempt numbers made in this term.
 	attemptCount uint64
 	// lastPlanAt is when the last plan was begun, lastPlanDuration how long it took.
@@ -70,19 +70,19 @@
 func newPlanner(co *core) *planner {
 	return &planner{
 		core:          co,
-		reservations:  map[*fleet.Host]machineReservation{},
+		reservations:  map[*fleet.Machine]machineReservation{},
 		lastPreemptAt: map[*job.Job]time.Time{},
 	}
 }
 
 // reserved reports whether a machine is reserved for some job.
-func (pl *planner) reserved(h *fleet.Host) bool { return pl.reservations[h].job != nil }
+func (pl *planner) reserved(h *fleet.Machine) bool { return pl.reservations[h].job != nil }
 
 // reservedFor returns the job for which a machine is reserved, or nil.
-func (pl *planner) reservedFor(h *fleet.Host) *job.Job { return pl.reservations[h].job }
+func (pl *planner) reservedFor(h *fleet.Machine) *job.Job { return pl.reservations[h].job }
 
 // forgetMachine forgets a machine that has been released.
-func (pl *planner) forgetMachine(h *fleet.Host) { delete(pl.reservations, h) }
+func (pl *planner) forgetMachine(h *fleet.Machine) { delete(pl.reservations, h) }
 
 // forgetJob forgets a job that is over.
 func (pl *planner) forgetJob(j *job.Job) { delete(pl.lastPreemptAt, j) }
@@ -114,7 +114,7 @@
 		pl.machinePool.setUnmetDemand(nil)
 		return
 	}
-	plan := place.Make(in.input)
+	plan := place.MakePlan(in.input)
 	pl.applyAssignments(in, plan.Assignments)
 	pl.applyPreemptions(in, plan.Preemptions)
 	pl.renewReservations(in, plan.Reservations)
@@ -153,13 +153,13 @@
 
 // assign places a task of a job on a machine. The tasks that a plan places of an array or a
 // service share an attempt number; attempts holds those made so far.
-func (pl *planner) assign(j *job.Job, task int32, h *fleet.Host, attempts map[*job.Job]uint64, now time.Time) {
+func (pl *planner) assign(j *job.Job, task int32, h *fleet.Machine, attempts map[*job.Job]uint64, now time.Time) {
 	attempt := pl.attemptFor(j, attempts)
 	waited := now.Sub(j.WaitingSince)
 	if pl.debug {
 		pl.log.Debug("task placed", "task", job.TaskName(j.ID, task), "machine", h.Name, "waited", waited)
 	}
-	pl.fleet.Assign(h, fleet.Key{Job: j, Task: task, Attempt: attempt}, now)
+	pl.fleet.Assign(h, fleet.PlacementKey{Job: j, Task: task, Attempt: attempt}, now)
 	pl.registry.recordPlacement(j, h)
 	j.LastMachine = h.Index
 	pl.controller.Meter.Observe(metrics.StartWait, j.Class, waited)
@@ -244,7 +244,7 @@
 			Count:   unplaced[i],
 			TaskS:   runTimeEstimate(j),
 			ImageGB: j.ImageGB,
-			WaitedS: d.Waited,
+			WaitedS: d.WaitedS,
 			Urgent:  j.Shape == job.Gang,
 		})
 	}
--- a/internal/control/planner_demands.go
+++ b/internal/control/planner_demands.go
@@ -78,7 +78,7 @@
 		Waiting:      j.CountUnplaced(),
 		TasksByZone:  p.tasksByZone(j),
 		LatestStart:  p.jobTable.latestStart(j),
-		Waited:       p.now.Sub(j.WaitingSince).Seconds(),
+		WaitedS:      p.now.Sub(j.WaitingSince).Seconds(),
 		Overdue:      p.now.Sub(j.Submitted) > overdueAfter && j.DoneCount == 0 && len(j.Live) == 0,
 	}
 	listPending(j, &d)
@@ -86,7 +86,7 @@
 		return d, false
 	}
 	if p.calendarStore.enabled() {
-		d.EndsIn = p.reservationHolds.requiredSeconds(j, p.now)
+		d.EndsInS = p.reservationHolds.requiredSeconds(j, p.now)
 		d.Movable = j.Shape == job.Service || j.CheckpointS > 0
 		d.OnlyHeldMachines = j.Reservation != "" && p.reservationHolds.hasCapacity(j, len(d.Pending))
 	}
@@ -152,8 +152,8 @@
 	}
 	for _, version := range append([]*job.Job{j}, j.Versions...) {
 		for s := range pl.fleet.SlotsOf(version) {
-			if s.Active() && s.Host.Zone >= 0 {
-				tasks[s.Host.Zone]++
+			if s.Active() && s.Machine.Zone >= 0 {
+				tasks[s.Machine.Zone]++
 			}
 		}
 	}
--- a/internal/control/planner_input.go
+++ b/internal/control/planner_input.go
@@ -24,7 +24,7 @@
 	now   time.Time
 	input place.Input
 	// hosts are those of input.Machines, in the same order.
-	hosts []*fleet.Host
+	hosts []*fleet.Machine
 	// slots are those of the victims in input, by Victim.ID.
 	slots []*fleet.Slot
 	// lateJobs remembers the answers of isLate.
@@ -125,7 +125,7 @@
 	for _, h := range p.fleet.All() {
 		// A machine that answers direct commands and sends no heartbeats any more has less than
 		// half of its lease left. What it got now would end with it.
-		if !h.Usable() || h.SilentFor(p.now) > p.fleet.Lease/2 || h.Type >= len(types) {
+		if !h.Usable() || h.SinceLastReport(p.now) > p.fleet.Lease/2 || h.Type >= len(types) {
 			continue
 		}
 		m := p.machine(h, &types[h.Type])
@@ -156,7 +156,7 @@
 }
 
 // machine describes a machine with what is free, cached, reserved and held on it.
-func (p *planInput) machine(h *fleet.Host, t *wire.MachineType) place.Machine {
+func (p *planInput) machine(h *fleet.Machine, t *wire.MachineType) place.Machine {
 	m := place.Machine{
 		ID:             h.Index,
 		Type:           h.Type,
@@ -164,13 +164,13 @@
 		Spot:           h.Spot,
 		Total:          autoscale.MachineResources(t),
 		Free:           freeCapacity(t, h),
-		Queue:          h.Queue,
-		Jobs:           h.Jobs,
+		WaitingTasks:   h.WaitingTasks,
+		Tasks:          h.ActiveTasks,
 		Scale:          p.smallestCPUs / t.CPUs,
 		Price:          pricePerCPU(t, h.Spot) / p.lowestCPUPrice,
 		Images:         imagesOn(h),
-		FetchRate:      t.FetchRate,
-		Unreliable:     h.Errors > 0,
+		FetchGBPerS:    t.FetchRate,
+		Unreliable:     h.TaskFailures > 0,
 		UnclearedExits: p.unclearedExits(h),
 	}
 	if r, ok := p.reservations[h]; ok {
@@ -185,12 +185,12 @@
 
 // imagesOn returns the images that a machine has cached, and those that it fetches: one
 // fetch serves all tasks that wait for it.
-func imagesOn(h *fleet.Host) []int {
+func imagesOn(h *fleet.Machine) []int {
 	var images []int
 	for _, image := range h.Images {
 		images = append(images, image.Index)
 	}
-	if h.Queue == 0 {
+	if h.WaitingTasks == 0 {
 		return images
 	}
 	for _, s := range h.Slots {
@@ -204,20 +204,20 @@
 
 // unclearedExits returns the tasks whose exits the worker still reports and that may be
 // placed again.
-func (pl *planner) unclearedExits(h *fleet.Host) map[place.Task]bool {
+func (pl *planner) unclearedExits(h *fleet.Machine) map[place.TaskKey]bool {
 	if h.ReportedExits == 0 {
 		return nil
 	}
-	var exits map[place.Task]bool
+	var exits map[place.TaskKey]bool
 	for _, s := range h.Slots {
 		if s.Active() || (s.Job.IsDone(s.Task) && s.Job.Shape != job.Service) {
 			continue
 		}
 		if id := pl.jobTable.index(s.Job); id != 0 {
 			if exits == nil {
-				exits = map[place.Task]bool{}
+				exits = map[place.TaskKey]bool{}
 			}
-			exits[place.Task{Job: id, Task: s.Task}] = true
+			exits[place.TaskKey{Demand: id, Task: s.Task}] = true
 		}
 	}
 	return exits
--- a/internal/control/planner_victims.go
+++ b/internal/control/planner_victims.go
@@ -18,20 +18,20 @@
 )
 
 // addVictims adds the tasks on a machine that may be preempted.
-func (p *planInput) addVictims(m *place.Machine, h *fleet.Host) {
+func (p *planInput) addVictims(m *place.Machine, h *fleet.Machine) {
 	for _, s := range h.Slots {
-		if !s.Active() || s.Stopping || !s.Sent || s.Job.Closing != "" || s.Job.Phase != "" {
+		if !s.Active() || s.Stopping || !s.LaunchSent || s.Job.Closing != "" || s.Job.Phase != "" {
 			continue
 		}
 		m.Victims = append(m.Victims, place.Victim{
-			ID:        len(p.slots),
-			Priority:  s.Job.Priority,
-			Team:      s.Job.TeamIdx,
-			Need:      needOf(s.Job),
-			Released:  releasedWith(s.Job),
-			Loss:      preemptionLoss(s, p.now),
-			Remaining: remainingSeconds(s, p.now),
-			Late:      p.isLate(s.Job),
+			ID:             len(p.slots),
+			Priority:       s.Job.Priority,
+			Team:           s.Job.TeamIdx,
+			Need:           needOf(s.Job),
+			Released:       releasedWith(s.Job),
+			LossCPUSeconds: preemptionLoss(s, p.now),
+			RemainingS:     remainingSeconds(s, p.now),
+			Late:           p.isLate(s.Job),
 		})
 		p.slots = append(p.slots, s)
 	}
@@ -57,21 +57,21 @@
 	switch {
 	case s.Job.Shape == job.Gang:
 		return restartS * s.Job.CPUs * float64(s.Job.Tasks)
-	case s.RunAt.IsZero():
+	case s.RunningSince.IsZero():
 		return 0
 	case s.Job.CheckpointS > 0:
-		return min(restartS, now.Sub(s.RunAt).Seconds()) * s.Job.CPUs
+		return min(restartS, now.Sub(s.RunningSince).Seconds()) * s.Job.CPUs
 	}
-	return now.Sub(s.RunAt).Seconds() * s.Job.CPUs
+	return now.Sub(s.RunningSince).Seconds() * s.Job.CPUs
 }
 
 // remainingSeconds returns in how many seconds a task is expected to complete.
 func remainingSeconds(s *fleet.Slot, now time.Time) float64 {
 	run := runTimeEstimate(s.Job)
-	if s.RunAt.IsZero() {
+	if s.RunningSince.IsZero() {
 		return run
 	}
-	return max(run/overrunShare, run-now.Sub(s.RunAt).Seconds())
+	return max(run/overrunShare, run-now.Sub(s.RunningSince).Seconds())
 }
 
 // isLate reports whether a job misses its objective unless it starts very soon.
--- a/internal/control/records_load.go
+++ b/internal/control/records_load.go
@@ -32,7 +32,7 @@
 // load reads the stored pages of earlier leaders: hostPages of machines, jobPages of
 // jobs. The error is a *pageError.
 func (r *registry) load(hostPages, jobPages []state.Entry) error {
-	byIndex := map[int]*fleet.Host{}
+	byIndex := map[int]*fleet.Machine{}
 	for _, e := range hostPages {
 		p, rec, err := r.readPage(hostPrefix, e)
 		if err != nil {
@@ -71,7 +71,7 @@
 }
 
 // loadHosts adds the machines of a stored page to the fleet, under their indexes.
-func (r *registry) loadHosts(p *registryPage, rec *pageRecord, byIndex map[int]*fleet.Host) error {
+func (r *registry) loadHosts(p *registryPage, rec *pageRecord, byIndex map[int]*fleet.Machine) error {
 	for _, hr := range rec.Hosts {
 		known := byIndex[hr.Idx]
 		if known != nil && known.Name == hr.Name {
@@ -82,10 +82,10 @@
 		if known != nil || hr.Idx < 0 {
 			return &pageError{key: p.key, err: &indexReusedError{index: hr.Idx}}
 		}
-		h := r.fleet.AddAt(hr.Name, hr.Idx, r.termStart)
+		h := r.fleet.AddWithIndex(hr.Name, hr.Idx, r.termStart)
 		byIndex[hr.Idx] = h
 		h.Addr = hr.Addr
-		h.Durable = true
+		h.Registered = true
 		h.Inherited = true
 		h.Booting = false
 		r.nameIndex.describeHost(h, hr.Type, hr.Zone, hr.Spot)
@@ -97,7 +97,7 @@
 
 // loadJobHosts reads the jobs of a stored page, and sets which jobs each machine may
 // have inherited.
-func (r *registry) loadJobHosts(p *registryPage, rec *pageRecord, byIndex map[int]*fleet.Host) error {
+func (r *registry) loadJobHosts(p *registryPage, rec *pageRecord, byIndex map[int]*fleet.Machine) error {
 	for _, jr := range rec.Jobs {
 		set, err := job.ParseMachineSet(jr.Hosts)
 		if err != nil {
--- a/internal/control/records_pages.go
+++ b/internal/control/records_pages.go
@@ -77,7 +77,7 @@
 type registryPage struct {
 	key     string
 	version uint64 // of the stored page; 0: it is not stored
-	hosts   []*fleet.Host
+	hosts   []*fleet.Machine
 	jobs    []*jobHosts
 	// removedIndexes are those of removed machines that the stored record may still
 	// name.
@@ -149,7 +149,7 @@
 }
 
 // hostSize estimates the encoded size of a machine's entry.
-func hostSize(h *fleet.Host) int { return hostOverheadBytes + len(h.Name) + len(h.Addr) }
+func hostSize(h *fleet.Machine) int { return hostOverheadBytes + len(h.Name) + len(h.Addr) }
 
 // jobHostsSize estimates the encoded size of a job's entry.
 func jobHostsSize(jh *jobHosts) int {
--- a/internal/control/records_registry.go
+++ b/internal/control/records_registry.go
@@ -19,7 +19,7 @@
 
 	pages        []*registryPage // in the order in which they were made or read
 	nextPage     map[string]int  // number of the next page, by key prefix
-	hostEntries  map[*fleet.Host]hostEntry
+	hostEntries  map[*fleet.Machine]hostEntry
 	hostsByJob   map[string]*jobHosts // by job ID
 	maxPageBytes int                  // limit of the estimated size of a page
 	// commitInFlight: a transaction is under way. There is one at a time.
@@ -40,7 +40,7 @@
 func (r *registry) reset() {
 	r.pages = nil
 	r.nextPage = map[string]int{}
-	r.hostEntries = map[*fleet.Host]hostEntry{}
+	r.hostEntries = map[*fleet.Machine]hostEntry{}
 	r.hostsByJob = map[string]*jobHosts{}
 }
 
@@ -67,7 +67,7 @@
 }
 
 // addHost adds a machine to the registry, unless it has it already.
-func (r *registry) addHost(h *fleet.Host, typ, zone string) {
+func (r *registry) addHost(h *fleet.Machine, typ, zone string) {
 	if _, registered := r.hostEntries[h]; registered {
 		return
 	}
@@ -80,7 +80,7 @@
 
 // removeHost removes a machine and reports whether its index is free at once;
 // otherwise the index is free when the machine's page has been stored.
-func (r *registry) removeHost(h *fleet.Host) bool {
+func (r *registry) removeHost(h *fleet.Machine) bool {
 	for _, jh := range r.hostsByJob {
 		jh.desired.Remove(h.Index)
 	}
@@ -90,7 +90,7 @@
 	}
 	delete(r.hostEntries, h)
 	p := entry.page
-	p.hosts = slices.DeleteFunc(p.hosts, func(x *fleet.Host) bool { return x == h })
+	p.hosts = slices.DeleteFunc(p.hosts, func(x *fleet.Machine) bool { return x == h })
 	p.removedIndexes = append(p.removedIndexes, h.Index)
 	p.stale = true
 	return false
@@ -98,7 +98,7 @@
 
 // recordPlacement has the registry name a machine for a job; the job may be launched
 // there once j.NotedMachines has the machine.
-func (r *registry) recordPlacement(j *job.Job, h *fleet.Host) {
+func (r *registry) recordPlacement(j *job.Job, h *fleet.Machine) {
 	jh := r.hostsByJob[j.ID]
 	if jh == nil {
 		jh = &jobHosts{id: j.ID, team: j.Team, job: j}
@@ -123,7 +123,7 @@
 	}
 	clear(jh.desired)
 	for s := range r.fleet.SlotsOf(jh.job) {
-		jh.desired.Add(s.Host.Index)
+		jh.desired.Add(s.Machine.Index)
 	}
 }
 
--- a/internal/control/records_registry_test.go
+++ b/internal/control/records_registry_test.go
@@ -36,7 +36,7 @@
 		j := f.array("run-1")
 		f.assign(j, 0, f.addHost("h0"))
 		late := f.storeOnce(lostResponse)
-		if j.NotedMachines.Has(0) || f.host("h0").Durable {
+		if j.NotedMachines.Has(0) || f.host("h0").Registered {
 			f.t.Error("launched on the word of an unclear write")
 		}
 		f.assign(j, 1, f.addHost("h1"))
@@ -110,7 +110,7 @@
 		}
 		for i := range 40 {
 			past := map[string]bool{}
-			for _, p := range next.fleet.Hosts[fmt.Sprintf("h%d", i)].InheritedJobs {
+			for _, p := range next.fleet.Machines[fmt.Sprintf("h%d", i)].InheritedJobs {
 				past[p.ID] = true
 			}
 			if !past[fmt.Sprintf("run-%d", i)] || !past[fmt.Sprintf("run-%d", (i+39)%40)] {
--- a/internal/control/records_store.go
+++ b/internal/control/records_store.go
@@ -31,7 +31,7 @@
 // pageStore is one page in a transaction, with what it says there.
 type pageStore struct {
 	page           *registryPage
-	hosts          []*fleet.Host
+	hosts          []*fleet.Machine
 	removedIndexes []int // no longer named by the page once it is stored
 	jobs           []*jobHosts
 	sets           []job.MachineSet // the machines of each of jobs
@@ -219,11 +219,11 @@
 	p.lastStored = p.storesBegun
 	for _, h := range store.hosts {
 		if r.hostEntries[h].page == p {
-			h.Durable = true
+			h.Registered = true
 		}
 	}
 	for _, index := range store.removedIndexes {
-		r.fleet.FreeIndex(index)
+		r.fleet.ReleaseIndex(index)
 	}
 	for i, jh := range store.jobs {
 		jh.setConfirmed(store.sets[i])
--- a/internal/control/registry_fixture_test.go
+++ b/internal/control/registry_fixture_test.go
@@ -78,7 +78,7 @@
 }
 
 // addHost adds a machine to the fleet and to the registry.
-func (f *registryFixture) addHost(name string) *fleet.Host {
+func (f *registryFixture) addHost(name string) *fleet.Machine {
 	h := f.host(name)
 	f.nameIndex.describeHost(h, "small", "a", false)
 	h.Addr = "10.0.0.1:1"
@@ -87,8 +87,8 @@
 }
 
 // assign places a task on a machine, in the fleet and in the registry.
-func (f *registryFixture) assign(j *job.Job, task int32, h *fleet.Host) {
-	f.fleet.Assign(h, fleet.Key{Job: j, Task: task, Attempt: uint64(task) + 1}, f.now)
+func (f *registryFixture) assign(j *job.Job, task int32, h *fleet.Machine) {
+	f.fleet.Assign(h, fleet.PlacementKey{Job: j, Task: task, Attempt: uint64(task) + 1}, f.now)
 	f.registry.recordPlacement(j, h)
 }
 
@@ -118,9 +118,9 @@
 // set that many words long.
 func (f *registryFixture) recordHost(id string, words int) {
 	name := fmt.Sprintf("h%d", words)
-	h := f.fleet.Hosts[name]
+	h := f.fleet.Machines[name]
 	if h == nil {
-		h = f.fleet.AddAt(name, 64*words-1, f.now)
+		h = f.fleet.AddWithIndex(name, 64*words-1, f.now)
 	}
 	f.registry.recordPlacement(f.jobTable.get(id), h)
 }
--- a/internal/control/rollout_checks.go
+++ b/internal/control/rollout_checks.go
@@ -60,7 +60,7 @@
 		if limit == 0 || ro.checker.slots == 0 {
 			return
 		}
-		if !s.Active() || s.Phase != wire.TaskRunning || s.Host.Addr == "" {
+		if !s.Active() || s.Phase != wire.TaskRunning || s.Machine.Addr == "" {
 			continue
 		}
 		limit--
@@ -76,7 +76,7 @@
 // probe makes one check in the background.
 func (ro *rollouts) probe(s *fleet.Slot, path string) {
 	query := url.Values{"piece": {job.TaskName(s.Job.ID, s.Task)}}
-	target := "http://" + s.Host.Addr + path + "?" + query.Encode()
+	target := "http://" + s.Machine.Addr + path + "?" + query.Encode()
 	go func() {
 		result := ro.requestHealth(target)
 		ro.enqueue(func() { ro.checked(s, result) })
@@ -109,12 +109,12 @@
 // checked records the result of a check. A turn from good to bad counts as a failure.
 func (ro *rollouts) checked(s *fleet.Slot, result wire.ReplicaHealth) {
 	ro.checker.slots++
-	if s.Host.Slots[s.Key] != s {
+	if s.Machine.Slots[s.PlacementKey] != s {
 		delete(ro.checker.lastCheck, s)
 		return
 	}
 	if s.ProbeHealth == wire.HealthGood && result == wire.HealthBad {
-		ro.recordFailure(s.Job, s.Task, s.Host.Name)
+		ro.recordFailure(s.Job, s.Task, s.Machine.Name)
 	}
 	s.ProbeHealth = result
 	s.UpdateHealth(time.Now())
--- a/internal/control/rollout_observe.go
+++ b/internal/control/rollout_observe.go
@@ -21,7 +21,7 @@
 			continue
 		}
 		populated[h.Zone] = true
-		available[h.Zone] = available[h.Zone] || (h.Usable() && h.SilentFor(now) < limit)
+		available[h.Zone] = available[h.Zone] || (h.Usable() && h.SinceLastReport(now) < limit)
 	}
 	unavailable := map[string]bool{}
 	for i, zone := range zones {
@@ -83,16 +83,16 @@
 
 // observeInstance adds what is observed of one placement of a replica.
 func (ro *rollouts) observeInstance(i *rollout.Instance, s *fleet.Slot, now time.Time) {
-	h := s.Host
+	h := s.Machine
 	i.Live = true
-	i.Lost = i.Lost || h.Lost || h.Quarantined || h.Releasing || !h.RecallAt.IsZero() || h.SilentFor(now) > ro.silenceLimit()
+	i.Lost = i.Lost || h.Lost || h.Quarantined || h.Releasing || !h.ReclaimAt.IsZero() || h.SinceLastReport(now) > ro.silenceLimit()
 	if s.Phase != wire.TaskRunning || s.Stopping {
 		return
 	}
 	i.Running = true
 	i.Health = health(s)
-	if !s.RunAt.IsZero() {
-		i.SinceS = now.Sub(s.RunAt).Seconds()
+	if !s.RunningSince.IsZero() {
+		i.SinceS = now.Sub(s.RunningSince).Seconds()
 	}
 	if !s.UnhealthySince.IsZero() {
 		i.BadS = now.Sub(s.UnhealthySince).Seconds()
--- a/internal/control/rollout_requests.go
+++ b/internal/control/rollout_requests.go
@@ -183,8 +183,8 @@
 func (ro *rollouts) zonesOf(j *job.Job) []string {
 	zones := make([]string, j.Tasks)
 	for s := range ro.fleet.SlotsOf(j) {
-		if s.Active() && s.Host.Zone >= 0 {
-			zones[s.Task] = ro.nameIndex.zoneNames()[s.Host.Zone]
+		if s.Active() && s.Machine.Zone >= 0 {
+			zones[s.Task] = ro.nameIndex.zoneNames()[s.Machine.Zone]
 		}
 	}
 	return zones
--- a/internal/control/rollout_test.go
+++ b/internal/control/rollout_test.go
@@ -20,12 +20,12 @@
 	r.learn([]wire.MachineType{{Name: "small", CPUs: 64, MemGB: 1000, Zones: []string{"a", "b"}}})
 	now := r.termStart.Add(time.Second)
 	r.takeover.allReconciled = true
-	var hosts []*fleet.Host
+	var hosts []*fleet.Machine
 	for i := range max(2, services*replicas/20) {
 		h := r.host(fmt.Sprintf("h%d", i))
 		r.nameIndex.describeHost(h, "small", []string{"a", "b"}[i%2], false)
 		r.fleet.Observe(h, &wire.Heartbeat{Host: h.Name, Addr: "10.0.0.1:1", Session: 1, Seq: 1, Token: r.term}, true, now, r.jobTable.findOrAdd)
-		h.Durable = true
+		h.Registered = true
 		hosts = append(hosts, h)
 	}
 	for i := range services {
@@ -34,12 +34,12 @@
 		zones := make([]string, replicas)
 		for t := range replicas {
 			h := hosts[(i*replicas+t)%len(hosts)]
-			s := r.fleet.Assign(h, fleet.Key{Job: old, Task: int32(t), Attempt: 1}, now)
-			s.Sent = true
-			s.Seen = true
+			s := r.fleet.Assign(h, fleet.PlacementKey{Job: old, Task: int32(t), Attempt: 1}, now)
+			s.LaunchSent = true
+			s.Observed = true
 			s.Phase = wire.TaskRunning
 			s.Health = wire.HealthGood
-			s.RunAt = now.Add(-time.Minute)
+			s.RunningSince = now.Add(-time.Minute)
 			zones[t] = r.nameIndex.zoneNames()[h.Zone]
 		}
 		spec.ID = fmt.Sprintf("run-%d", 10_000+i)
--- a/internal/control/shards.go
+++ b/internal/control/shards.go
@@ -37,7 +37,7 @@
 	moves         map[moveReason]*moveCount // since movesLoggedAt
 	movesLoggedAt time.Time
 
-	reserved         map[*fleet.Host]struct{} // machines that no holder may answer now
+	reserved         map[*fleet.Machine]struct{} // machines that no holder may answer now
 	reserveCheckedAt time.Time
 }
 
@@ -65,7 +65,7 @@
 		relays:            map[uint64]*relayedCommand{},
 		waitingHeartbeats: map[string][]func(){},
 		moves:             map[moveReason]*moveCount{},
-		reserved:          map[*fleet.Host]struct{}{},
+		reserved:          map[*fleet.Machine]struct{}{},
 	}
 }
 
@@ -137,7 +137,7 @@
 // forwarded the heartbeat. A new machine may go to a holder before it has seen the term and
 // is in the registry, which a launch still waits for: a fleet that boots within a minute
 // would take all sockets of the leader first.
-func (sh *shards) recordAnswered(h *fleet.Host, via string, now time.Time) {
+func (sh *shards) recordAnswered(h *fleet.Machine, via string, now time.Time) {
 	if sh.assigner == nil || h.Releasing {
 		return
 	}
@@ -147,7 +147,7 @@
 }
 
 // bind sets the holder of a machine in the ledger as the assigner has it.
-func (sh *shards) bind(h *fleet.Host) {
+func (sh *shards) bind(h *fleet.Machine) {
 	member, _ := sh.assigner.Holder(h.Name)
 	if member == "" || h.Holder() != nil {
 		return
@@ -161,7 +161,7 @@
 }
 
 // remove forgets a machine that was released.
-func (sh *shards) remove(h *fleet.Host) {
+func (sh *shards) remove(h *fleet.Machine) {
 	if sh.assigner == nil {
 		return
 	}
@@ -172,7 +172,7 @@
 // releaseMachines takes back the machines that their holders no longer serve.
 func (sh *shards) releaseMachines(revoked []shard.Revocation, now time.Time) {
 	for _, r := range revoked {
-		h := sh.fleet.Hosts[r.Name]
+		h := sh.fleet.Machines[r.Name]
 		if h == nil {
 			continue // it was released meanwhile
 		}
--- a/internal/control/shards_reclaim.go
+++ b/internal/control/shards_reclaim.go
@@ -10,7 +10,7 @@
 
 // reserve makes the leader serve a machine itself, or take it back from its holder, in time
 // before the machine's lease may only be renewed by answers that carry halts.
-func (sh *shards) reserve(h *fleet.Host, now time.Time) {
+func (sh *shards) reserve(h *fleet.Machine, now time.Time) {
 	limit, bounded := sh.fleet.RenewalLimit(h)
 	if !bounded || limit.Sub(now) > sh.assigner.RevocationTime()+2*urgentScanInterval {
 		return
@@ -31,7 +31,7 @@
 		sh.reserve(h, now)
 	}
 	for h := range sh.reserved {
-		if _, bounded := sh.fleet.RenewalLimit(h); bounded && sh.fleet.Hosts[h.Name] == h {
+		if _, bounded := sh.fleet.RenewalLimit(h); bounded && sh.fleet.Machines[h.Name] == h {
 			continue
 		}
 		delete(sh.reserved, h)
--- a/internal/control/shards_relay.go
+++ b/internal/control/shards_relay.go
@@ -25,7 +25,7 @@
 
 // relayedCommand is a direct command that a holder sends.
 type relayedCommand struct {
-	host      *fleet.Host
+	host      *fleet.Machine
 	member    string
 	slots     []*fleet.Slot // what the command launches
 	relayedAt time.Time
@@ -33,7 +33,7 @@
 
 // relayable reports whether a direct command to a machine goes through its holder, and
 // whether it may go now.
-func (sh *shards) relayable(h *fleet.Host) (relayed, now bool) {
+func (sh *shards) relayable(h *fleet.Machine) (relayed, now bool) {
 	if sh.assigner == nil || h.Holder() == nil {
 		return false, true
 	}
@@ -46,7 +46,7 @@
 }
 
 // relay passes a direct command to the machine's holder.
-func (sh *shards) relay(h *fleet.Host, body []byte, slots []*fleet.Slot, now time.Time) {
+func (sh *shards) relay(h *fleet.Machine, body []byte, slots []*fleet.Slot, now time.Time) {
 	member, _ := sh.assigner.Holder(h.Name)
 	b := sh.mailboxes[member]
 	sh.lastCallID++
--- a/internal/control/shards_sync.go
+++ b/internal/control/shards_sync.go
@@ -42,7 +42,7 @@
 // pendingHeartbeat is a heartbeat that reported something new: the holder waits for the
 // leader's answer.
 type pendingHeartbeat struct {
-	host    *fleet.Host
+	host    *fleet.Machine
 	session uint64
 	seq     uint64
 	fresh   bool
@@ -102,7 +102,7 @@
 		}
 	} else {
 		for _, name := range r.PreviousHosts {
-			if h := sh.fleet.Hosts[name]; h != nil {
+			if h := sh.fleet.Machines[name]; h != nil {
 				sh.bind(h)
 			}
 		}
@@ -129,7 +129,7 @@
 
 // handleHostReport takes in what a machine has reported to its holder.
 func (sh *shards) handleHostReport(b *mailbox, report *shard.HostReport, now time.Time) {
-	h := sh.fleet.Hosts[report.Host]
+	h := sh.fleet.Machines[report.Host]
 	if h == nil || sh.machinePool.wasReleased(report.Host) {
 		return
 	}
@@ -154,7 +154,7 @@
 	// above was sent before and not acknowledged.
 	wasCut := h.InboundCut()
 	age := time.Duration(max(0, report.AgeMs)) * time.Millisecond
-	events := sh.fleet.Renew(h, report.Session, report.Seq, now.Add(-age))
+	events := sh.fleet.RecordRenewal(h, report.Session, report.Seq, now.Add(-age))
 	sh.taskTracker.reachabilityChanged(h, wasCut)
 	sh.taskTracker.applyEvents(events, now)
 	if clears := h.ClearOrders(maxOrders); clears != nil {
@@ -190,7 +190,7 @@
 func (sh *shards) answerable(member string, hb *pendingHeartbeat) bool {
 	holder := hb.host.Holder()
 	return holder != nil && holder.Name == member &&
-		sh.fleet.Hosts[hb.host.Name] == hb.host &&
+		sh.fleet.Machines[hb.host.Name] == hb.host &&
 		hb.host.Session == hb.session
 }
 
--- a/internal/control/shards_test.go
+++ b/internal/control/shards_test.go
@@ -70,11 +70,11 @@
 	now = now.Add(8 * time.Second)
 	r.shards.handleHostReport(&mailbox{}, &shard.HostReport{Host: "h1", Session: 1, Seq: 11, Report: full}, now)
 	now = now.Add(5 * time.Second)
-	if r.fleet.Expire(now); h.Lost {
+	if r.fleet.ExpireLeases(now); h.Lost {
 		t.Error("lost 5 s after a heartbeat that the holder answered")
 	}
 	now = now.Add(6 * time.Second)
-	if r.fleet.Expire(now); !h.Lost {
+	if r.fleet.ExpireLeases(now); !h.Lost {
 		t.Error("not lost 11 s after it")
 	}
 }
--- a/internal/control/takeover.go
+++ b/internal/control/takeover.go
@@ -31,11 +31,11 @@
 	homeQuotas        *homeQuotas
 
 	recordsLoaded    atomic.Bool
-	allReconciled    bool            // every machine of earlier leaders is reconciled
-	inherited        []*fleet.Host   // machines of earlier leaders that are not reconciled yet
-	unlisted         map[string]bool // machines of earlier leaders that the cloud does not list
-	placementAllowed bool            // see mayPlace
-	silentHandled    bool            // releaseSilent has run
+	allReconciled    bool             // every machine of earlier leaders is reconciled
+	inherited        []*fleet.Machine // machines of earlier leaders that are not reconciled yet
+	unlisted         map[string]bool  // machines of earlier leaders that the cloud does not list
+	placementAllowed bool             // see mayPlace
+	silentHandled    bool             // releaseSilent has run
 	phases           takeoverPhases
 }
 
@@ -88,7 +88,7 @@
 // have not had the time of a round trip.
 func (tk *takeover) mustWaitForMachines(now time.Time) bool {
 	for _, h := range tk.inherited {
-		if !h.Known || now.Sub(tk.contactStart()) < reconcileTimeout {
+		if !h.Described || now.Sub(tk.contactStart()) < reconcileTimeout {
 			return true
 		}
 	}
@@ -117,7 +117,7 @@
 
 // possibleTeams are the indices of the teams that may have work on a machine of an
 // earlier leader, of so many teams.
-func possibleTeams(h *fleet.Host, teams int) map[int]bool {
+func possibleTeams(h *fleet.Machine, teams int) map[int]bool {
 	possible := map[int]bool{}
 	for _, past := range h.InheritedJobs {
 		if past.Team >= 0 {
--- a/internal/control/takeover_load.go
+++ b/internal/control/takeover_load.go
@@ -34,12 +34,12 @@
 func (tk *takeover) recordLoaded() {
 	jobs := tk.jobTable.all()
 	tk.phases.loaded = time.Now()
-	tk.phases.machines = len(tk.fleet.Hosts)
+	tk.phases.machines = len(tk.fleet.Machines)
 	tk.phases.jobs = len(jobs)
 	for _, j := range jobs {
 		tk.phases.tasks += j.Tasks - j.DoneCount
 	}
-	tk.log.Info("records loaded", "jobs", len(jobs), "machines", len(tk.fleet.Hosts))
+	tk.log.Info("records loaded", "jobs", len(jobs), "machines", len(tk.fleet.Machines))
 }
 
 // storedRecords is what earlier leaders have left in the key-value store.
--- a/internal/control/takeover_silent.go
+++ b/internal/control/takeover_silent.go
@@ -87,7 +87,7 @@
 // leader. A few are released: once the cloud has answered, nothing is on them.
 func (tk *takeover) releaseSilent() {
 	jobs := tk.activeJobsOn(tk.inherited)
-	machines := len(tk.fleet.Hosts)
+	machines := len(tk.fleet.Machines)
 	tk.log.Info("machines are silent after a takeover, their jobs are blocked", "machines", len(tk.inherited), "all_machines", machines, "jobs", jobs)
 	if jobs == 0 || len(tk.inherited) > max(1, machines/silentReleaseDivisor) {
 		return
@@ -100,7 +100,7 @@
 }
 
 // activeJobsOn counts the active jobs that earlier leaders have noted for machines.
-func (tk *takeover) activeJobsOn(machines []*fleet.Host) int {
+func (tk *takeover) activeJobsOn(machines []*fleet.Machine) int {
 	jobs := map[string]bool{}
 	for _, h := range machines {
 		for _, past := range h.InheritedJobs {
--- a/internal/control/takeover_test.go
+++ b/internal/control/takeover_test.go
@@ -43,7 +43,7 @@
 				}
 				h.InheritedJobs = append(h.InheritedJobs, fleet.InheritedJob{ID: id, Team: team})
 			}
-			lt.takeover.inherited = []*fleet.Host{h}
+			lt.takeover.inherited = []*fleet.Machine{h}
 			teams := make([]place.Team, 2)
 			got := lt.takeover.blockedJobs(teams)
 			names := ""
--- a/internal/control/tasks_heartbeats.go
+++ b/internal/control/tasks_heartbeats.go
@@ -26,8 +26,8 @@
 // observe applies a worker's report, a heartbeat or the answer to a direct command.
 // fresh reports whether it is newer than what was known; ok is false if the worker has
 // seen a later term.
-func (tt *taskTracker) observe(h *fleet.Host, m *wire.Heartbeat, isHeartbeat bool, now time.Time) (fresh, ok bool) {
-	if !h.Known || h.Type < 0 {
+func (tt *taskTracker) observe(h *fleet.Machine, m *wire.Heartbeat, isHeartbeat bool, now time.Time) (fresh, ok bool) {
+	if !h.Described || h.Type < 0 {
 		tt.nameIndex.describeHost(h, m.Type, m.Zone, m.Spot)
 	}
 	wasBooting := h.Booting
@@ -44,10 +44,10 @@
 	}
 	tt.observeSlots(h, now)
 	tt.applyEvents(res.Events, now)
-	if h.Fenced && !h.Durable && h.Known && h.Addr != "" && !h.Lost && !h.Releasing {
+	if h.Fenced && !h.Registered && h.Described && h.Addr != "" && !h.Lost && !h.Releasing {
 		tt.registry.addHost(h, tt.nameIndex.machineTypes()[h.Type].Name, tt.nameIndex.zoneNames()[h.Zone])
 	}
-	if res.Fresh && !h.RecallAt.IsZero() {
+	if res.Fresh && !h.ReclaimAt.IsZero() {
 		tt.machinePool.handleSpotNotice(h, now)
 	}
 	return res.Fresh, true
@@ -55,7 +55,7 @@
 
 // reachabilityChanged handles a machine that has stopped, or begun again, to receive
 // what is sent to it.
-func (tt *taskTracker) reachabilityChanged(h *fleet.Host, wasInboundCut bool) {
+func (tt *taskTracker) reachabilityChanged(h *fleet.Machine, wasInboundCut bool) {
 	switch {
 	case h.InboundCut() && !wasInboundCut:
 		tt.log.Info("machine sends heartbeats but receives nothing, no new tasks are placed on it", "machine", h.Name)
@@ -66,17 +66,17 @@
 }
 
 // machineUp handles the first heartbeat of a machine that was booting.
-func (tt *taskTracker) machineUp(h *fleet.Host, now time.Time) {
+func (tt *taskTracker) machineUp(h *fleet.Machine, now time.Time) {
 	bootTime := now.Sub(h.AddedAt)
 	tt.log.Info("machine is up", "machine", h.Name, "boot_time", bootTime.Round(time.Second))
-	h.IdleFrom = now
+	h.IdleSince = now
 	tt.reservationHolds.machineBooted(h, bootTime)
 	tt.requestPlan()
 }
 
 // observeSlots stops the tasks on a machine whose jobs are over, and follows the
 // attempts of its gangs.
-func (tt *taskTracker) observeSlots(h *fleet.Host, now time.Time) {
+func (tt *taskTracker) observeSlots(h *fleet.Machine, now time.Time) {
 	for _, s := range h.Slots {
 		// Also tasks of a job that is not known here. All that was active is loaded, so it
 		// is over, or its record cannot be read. Its record is read to know what it takes;
@@ -97,11 +97,11 @@
 		tt.requestPlan()
 		s := e.Slot
 		if tt.jobTable.isUnidentified(s.Job) {
-			s.Settled = e.Kind == fleet.Ended
+			s.Settled = e.Kind == fleet.Exited
 			continue
 		}
-		if !s.Host.Busy() {
-			s.Host.IdleFrom = now
+		if !s.Machine.Busy() {
+			s.Machine.IdleSince = now
 		}
 		tt.applyEvent(e, now)
 		if s.Job.Shape == job.Gang && len(s.Job.Live) == 0 {
@@ -116,11 +116,11 @@
 	switch e.Kind {
 	case fleet.Started:
 		tt.taskStarted(s, now)
-	case fleet.Ended:
-		tt.taskEnded(s, s.Job, s.Host, now)
+	case fleet.Exited:
+		tt.taskEnded(s, s.Job, s.Machine, now)
 	case fleet.TurnedUnhealthy:
-		tt.rollouts.recordFailure(s.Job, s.Task, s.Host.Name)
-	case fleet.Gone, fleet.NeverStarted:
+		tt.rollouts.recordFailure(s.Job, s.Task, s.Machine.Name)
+	case fleet.Lost, fleet.NeverStarted:
 		if s.Job.Shape == job.Gang && s.Job.GangStarted {
 			tt.stopGangAttempt(s.Job)
 		}
@@ -131,12 +131,12 @@
 func (tt *taskTracker) taskStarted(s *fleet.Slot, now time.Time) {
 	j := s.Job
 	cacheGB := 0.0
-	if t := tt.nameIndex.machineType(s.Host); t != nil {
+	if t := tt.nameIndex.machineType(s.Machine); t != nil {
 		cacheGB = t.CacheGB
 	}
-	s.Host.UseImage(j.ImageIdx, j.ImageGB, cacheGB)
+	s.Machine.UseImage(j.ImageIdx, j.ImageGB, cacheGB)
 	if tt.debug {
-		tt.log.Debug("task running", "task", job.TaskName(j.ID, s.Task), "machine", s.Host.Name, "since_placement", now.Sub(s.PlacedAt))
+		tt.log.Debug("task running", "task", job.TaskName(j.ID, s.Task), "machine", s.Machine.Name, "since_placement", now.Sub(s.PlacedAt))
 	}
 	if j.Shape == job.Gang {
 		j.GangStarted = true
@@ -144,7 +144,7 @@
 }
 
 // taskEnded handles a task that has exited, by its cause.
-func (tt *taskTracker) taskEnded(s *fleet.Slot, j *job.Job, h *fleet.Host, now time.Time) {
+func (tt *taskTracker) taskEnded(s *fleet.Slot, j *job.Job, h *fleet.Machine, now time.Time) {
 	if tt.debug {
 		tt.log.Debug("task ended", "task", job.TaskName(j.ID, s.Task), "machine", h.Name, "cause", s.Cause)
 	}
@@ -173,15 +173,15 @@
 
 // taskDone handles a task that has completed. Its exit is settled once its result is
 // stored.
-func (tt *taskTracker) taskDone(s *fleet.Slot, j *job.Job, h *fleet.Host, now time.Time) {
-	h.Errors = 0
-	clear(h.ErrorJobs)
+func (tt *taskTracker) taskDone(s *fleet.Slot, j *job.Job, h *fleet.Machine, now time.Time) {
+	h.TaskFailures = 0
+	clear(h.FailedJobs)
 	if !j.HasSucceeded {
 		tt.firstSuccess(j)
 	}
 	tt.checkSpeed(s, j, h, now)
-	if !s.RunAt.IsZero() && !s.Adopted {
-		tt.reservationHolds.taskCompleted(j, now.Sub(s.RunAt).Seconds())
+	if !s.RunningSince.IsZero() && !s.Adopted {
+		tt.reservationHolds.taskCompleted(j, now.Sub(s.RunningSince).Seconds())
 	}
 	tt.results.addCompleted(s)
 	if j.Shape == job.Service {
@@ -207,7 +207,7 @@
 	j.Backoff = 0
 	j.NotBefore = time.Time{}
 	for _, h := range tt.fleet.All() {
-		if h.ErrorJobs[j] {
+		if h.FailedJobs[j] {
 			tt.quarantineIfFaulty(h)
 		}
 	}
--- a/internal/fleet/compose.go
+++ b/internal/fleet/compose.go
@@ -10,7 +10,7 @@
 // orderComposer collects the orders of one message to a machine.
 type orderComposer struct {
 	fleet    *Fleet
-	host     *Host
+	host     *Machine
 	seq      uint64 // the report that is answered; 0: a direct command
 	launches bool   // launches may be included
 	now      time.Time
@@ -23,7 +23,7 @@
 // sent. seq is the report that is answered; 0 stands for a direct command, which
 // carries no clear. launches is false for a stale report, and while a direct command
 // is in flight that may arrive before or after this message.
-func (f *Fleet) ComposeOrders(h *Host, seq uint64, launches bool, now time.Time, limit int) (orders []wire.Command, sent []*Slot, ev []Event) {
+func (f *Fleet) ComposeOrders(h *Machine, seq uint64, launches bool, now time.Time, limit int) (orders []wire.Command, sent []*Slot, ev []Event) {
 	c := orderComposer{
 		fleet:    f,
 		host:     h,
@@ -54,8 +54,8 @@
 // these halts first, however recently they were sent (renewal.go).
 func (c *orderComposer) haltCancelled(limit int) {
 	for _, s := range c.host.Slots {
-		if s.Seen && s.cancelPending() && len(c.orders) < limit {
-			s.Grace = 0
+		if s.Observed && s.cancelPending() && len(c.orders) < limit {
+			s.GraceS = 0
 			c.orders = append(c.orders, s.halt(c.now))
 		}
 	}
@@ -64,9 +64,9 @@
 // addOrders adds the orders for one slot.
 func (c *orderComposer) addOrders(s *Slot) {
 	switch {
-	case c.isAnswer() && s.Seen && s.cancelPending():
+	case c.isAnswer() && s.Observed && s.cancelPending():
 		// haltCancelled has added the halt.
-	case !s.Sent:
+	case !s.LaunchSent:
 		c.launch(s)
 	case (c.isAnswer() || c.host.holder != nil) && c.launches && c.host.Fenced && s.resendDue(c.now):
 		c.resend(s)
@@ -85,14 +85,14 @@
 		c.events = append(c.events, c.fleet.removeSlot(h, s, NeverStarted)...)
 		return
 	}
-	if !c.launches || !h.Fenced || !h.Durable || h.Lost || !s.Job.NotedMachines.Has(h.Index) {
+	if !c.launches || !h.Fenced || !h.Registered || h.Lost || !s.Job.NotedMachines.Has(h.Index) {
 		return
 	}
-	s.Sent = true
-	s.Direct = !c.isAnswer()
+	s.LaunchSent = true
+	s.DirectLaunch = !c.isAnswer()
 	s.answeredSeq = c.seq
 	s.PlacedAt = c.now
-	if s.Direct {
+	if s.DirectLaunch {
 		h.directLaunchAt = c.now
 	}
 	c.sent = append(c.sent, s)
@@ -118,7 +118,7 @@
 // halt makes the order that stops the slot's task, and notes that it is sent.
 func (s *Slot) halt(now time.Time) wire.Command {
 	s.HaltSentAt = now
-	grace := s.Grace
+	grace := s.GraceS
 	halt := s.order(wire.CommandStop)
 	halt.GraceS = &grace
 	return halt
@@ -143,14 +143,14 @@
 	if s.HaltSentAt.IsZero() {
 		return true
 	}
-	return now.Sub(s.HaltSentAt) >= haltInterval && (s.Phase != wire.TaskCheckpointing || s.Grace == 0)
+	return now.Sub(s.HaltSentAt) >= haltInterval && (s.Phase != wire.TaskCheckpointing || s.GraceS == 0)
 }
 
 // resendDue reports whether a direct launch may have been lost: its call is over, and
 // no report shows the task. Without a second copy, the slot would occupy its resources
 // and its task for as long as the worker's reports go on.
 func (s *Slot) resendDue(now time.Time) bool {
-	unsettled := s.Sent && s.Direct && !s.Seen && s.Active() && !s.Host.CallInFlight
+	unsettled := s.LaunchSent && s.DirectLaunch && !s.Observed && s.Active() && !s.Machine.CallInFlight
 	return unsettled && now.Sub(s.PlacedAt) >= resendAfter && now.Sub(s.resentAt) >= resendAfter &&
 		s.Job.Closing == "" && s.Job.Phase == ""
 }
@@ -160,7 +160,7 @@
 
 // ClearOrders are at most limit orders to forget exits, for the next answer of the
 // machine's holder.
-func (h *Host) ClearOrders(limit int) (orders []wire.Command) {
+func (h *Machine) ClearOrders(limit int) (orders []wire.Command) {
 	if h.ReportedExits == 0 {
 		return nil
 	}
@@ -174,9 +174,9 @@
 
 // NeedsDirectCommand reports whether something is to be sent that is worth a direct
 // command.
-func (h *Host) NeedsDirectCommand(now time.Time) bool {
+func (h *Machine) NeedsDirectCommand(now time.Time) bool {
 	for _, s := range h.Slots {
-		if !s.Sent && h.Usable() && s.Job.NotedMachines.Has(h.Index) {
+		if !s.LaunchSent && h.Usable() && s.Job.NotedMachines.Has(h.Index) {
 			return true
 		}
 		if h.holder != nil && s.resendDue(now) {
@@ -189,14 +189,14 @@
 	return false
 }
 
-// RemoveNotDelivered removes the launches of a direct command that was certainly not
+// RemoveUndelivered removes the launches of a direct command that was certainly not
 // executed.
-func (f *Fleet) RemoveNotDelivered(slots []*Slot) []Event {
+func (f *Fleet) RemoveUndelivered(slots []*Slot) []Event {
 	var ev []Event
 	for _, s := range slots {
-		if s.Host.Slots[s.Key] == s && s.Direct && !s.Seen && s.resentAt.IsZero() {
-			ev = append(ev, f.removeSlot(s.Host, s, NeverStarted)...)
-			s.Host.Recount()
+		if s.Machine.Slots[s.PlacementKey] == s && s.DirectLaunch && !s.Observed && s.resentAt.IsZero() {
+			ev = append(ev, f.removeSlot(s.Machine, s, NeverStarted)...)
+			s.Machine.Recount()
 		}
 	}
 	return ev
--- a/internal/fleet/explore_test.go
+++ b/internal/fleet/explore_test.go
@@ -31,7 +31,7 @@
 			return false
 		}
 		w.launched = true
-		w.fleet.Assign(w.host, Key{w.job, 0, 1}, w.now)
+		w.fleet.Assign(w.host, PlacementKey{w.job, 0, 1}, w.now)
 		return w.sendDirectCommand()
 	}},
 	{Name: "cancel", Count: 1, Do: func(w *world, _ int) bool {
@@ -70,7 +70,7 @@
 	by, asked := w.assigner.Holder("host-1")
 	p.Values(by, asked, w.host.Session, w.host.Fenced, w.host.RenewalStopped, w.host.Lost, w.host.holder != nil, w.host.seq == w.worker.seq, w.host.reportSeq == w.worker.seq, " ")
 	for s := range w.fleet.SlotsOf(w.job) {
-		p.Values(s.Phase, s.Seen, s.Direct, s.Stopping)
+		p.Values(s.Phase, s.Observed, s.DirectLaunch, s.Stopping)
 		p.Times(s.HaltSentAt, s.resentAt, s.PlacedAt)
 	}
 	for _, d := range w.delayedCommands {
--- a/internal/fleet/explore_world_test.go
+++ b/internal/fleet/explore_world_test.go
@@ -53,7 +53,7 @@
 	holder          *shard.Holder
 	grantEnd        time.Time
 	fleetHolder     *Holder
-	host            *Host
+	host            *Machine
 	job             *job.Job
 	retained        bool
 	launched        bool
@@ -89,7 +89,7 @@
 func (w *world) beginTerm(term uint64) {
 	w.fleet = New(term, leaseTime, cancelTime)
 	w.host = w.fleet.Add("host-1", w.now)
-	w.host.Known, w.host.Durable, w.host.Type, w.host.Zone = true, true, 0, 0
+	w.host.Described, w.host.Registered, w.host.Type, w.host.Zone = true, true, 0, 0
 	settings := shard.Settings{
 		GrantDuration:  grantTime,
 		RejoinDelay:    tick,
@@ -289,7 +289,7 @@
 		}
 		w.observe(m, true)
 	}
-	w.fleet.Renew(w.host, e.Session, e.Seq, w.now.Add(-time.Duration(e.AgeMs)*time.Millisecond))
+	w.fleet.RecordRenewal(w.host, e.Session, e.Seq, w.now.Add(-time.Duration(e.AgeMs)*time.Millisecond))
 }
 
 // clearHolder clears the machine's holder in the ledger if it was revoked.
@@ -334,7 +334,7 @@
 			w.worker = worker{session: w.worker.session + 1, token: w.worker.token, leaseFrom: w.now}
 		}
 		w.checkDeadline("is there")
-		w.fleet.Expire(w.now)
+		w.fleet.ExpireLeases(w.now)
 		w.retainBeforeLimit()
 		w.clearHolder(w.assigner.Step(w.now))
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -19,16 +19,16 @@
 	// Lease is how long an answered report holds a worker's placements, with the
 	// margin for clock drift and timer granularity that New adds.
 	Lease time.Duration
-	// CancelTime is how long a task of a cancelled job may still be on a machine after its
+	// CancelTimeout is how long a task of a cancelled job may still be on a machine after its
 	// user was told.
-	CancelTime time.Duration
-	// Hosts are the machines by name.
-	Hosts           map[string]*Host
-	order           []*Host // in the order in which they were added
+	CancelTimeout time.Duration
+	// Machines are the machines by name.
+	Machines        map[string]*Machine
+	order           []*Machine // in the order in which they were added
 	nextIndex       int
 	freeIndexes     []int // those below nextIndex that no machine has
 	slotsByJob      map[*job.Job]map[*Slot]struct{}
-	awaitingCommand []*Host // see AwaitingCommand
+	awaitingCommand []*Machine // see AwaitingCommand
 }
 
 const (
@@ -42,21 +42,21 @@
 // worker's clock and the granularity of its timers.
 func New(term uint64, lease, cancelTime time.Duration) *Fleet {
 	return &Fleet{
-		Term:       term,
-		Lease:      lease + lease/clockDrift + timerMargin,
-		CancelTime: cancelTime,
-		Hosts:      map[string]*Host{},
-		slotsByJob: map[*job.Job]map[*Slot]struct{}{},
+		Term:          term,
+		Lease:         lease + lease/clockDrift + timerMargin,
+		CancelTimeout: cancelTime,
+		Machines:      map[string]*Machine{},
+		slotsByJob:    map[*job.Job]map[*Slot]struct{}{},
 	}
 }
 
 // All returns the machines in the order in which they were added.
-func (f *Fleet) All() []*Host { return f.order }
+func (f *Fleet) All() []*Machine { return f.order }
 
 // Add returns the machine of that name, and adds it if there is none. An earlier leader
 // may have renewed its lease as late as since, the start of this term.
-func (f *Fleet) Add(name string, since time.Time) *Host {
-	if h := f.Hosts[name]; h != nil {
+func (f *Fleet) Add(name string, since time.Time) *Machine {
+	if h := f.Machines[name]; h != nil {
 		return h
 	}
 	idx := f.nextIndex
@@ -68,9 +68,9 @@
 	return f.insert(name, idx, since)
 }
 
-// AddAt is Add for a machine whose index is known from the registry. All calls come
+// AddWithIndex is Add for a machine whose index is known from the registry. All calls come
 // before the first Add, and no index comes twice.
-func (f *Fleet) AddAt(name string, idx int, since time.Time) *Host {
+func (f *Fleet) AddWithIndex(name string, idx int, since time.Time) *Machine {
 	for ; f.nextIndex < idx; f.nextIndex++ {
 		f.freeIndexes = append(f.freeIndexes, f.nextIndex)
 	}
@@ -80,34 +80,34 @@
 }
 
 // insert adds a machine under an index that is free.
-func (f *Fleet) insert(name string, idx int, since time.Time) *Host {
-	h := &Host{
-		Index:     idx,
-		Name:      name,
-		Type:      -1,
-		Zone:      -1,
-		AddedAt:   since,
-		Booting:   true,
-		renewedAt: since,
-		IdleFrom:  since,
-		Slots:     map[Key]*Slot{},
-		ErrorJobs: map[*job.Job]bool{},
+func (f *Fleet) insert(name string, idx int, since time.Time) *Machine {
+	h := &Machine{
+		Index:      idx,
+		Name:       name,
+		Type:       -1,
+		Zone:       -1,
+		AddedAt:    since,
+		Booting:    true,
+		renewedAt:  since,
+		IdleSince:  since,
+		Slots:      map[PlacementKey]*Slot{},
+		FailedJobs: map[*job.Job]bool{},
 	}
-	f.Hosts[name] = h
+	f.Machines[name] = h
 	f.order = append(f.order, h)
 	return h
 }
 
-// FreeIndex returns the index of a machine that is gone, to be used again. The stored
+// ReleaseIndex returns the index of a machine that is gone, to be used again. The stored
 // registry must no longer name the machine: it tells machines apart by their index.
-func (f *Fleet) FreeIndex(idx int) { f.freeIndexes = append(f.freeIndexes, idx) }
+func (f *Fleet) ReleaseIndex(idx int) { f.freeIndexes = append(f.freeIndexes, idx) }
 
 // SlotsOf returns the slots of a job, including exits that are still reported.
 func (f *Fleet) SlotsOf(j *job.Job) map[*Slot]struct{} { return f.slotsByJob[j] }
 
 // addSlot adds a slot to its machine and its job.
-func (f *Fleet) addSlot(h *Host, s *Slot) {
-	h.Slots[s.Key] = s
+func (f *Fleet) addSlot(h *Machine, s *Slot) {
+	h.Slots[s.PlacementKey] = s
 	slots := f.slotsByJob[s.Job]
 	if slots == nil {
 		slots = map[*Slot]struct{}{}
@@ -118,7 +118,7 @@
 }
 
 // markAwaitingCommand adds a machine to the list that AwaitingCommand returns.
-func (f *Fleet) markAwaitingCommand(h *Host) {
+func (f *Fleet) markAwaitingCommand(h *Machine) {
 	if !h.awaitingCommand {
 		h.awaitingCommand = true
 		f.awaitingCommand = append(f.awaitingCommand, h)
@@ -128,8 +128,8 @@
 // AwaitingCommand returns the machines to which a launch or a halt is to be sent. The
 // fleet has a list of them, because a search of all slots of a large fleet after each
 // message would take most of the processor time.
-func (f *Fleet) AwaitingCommand() []*Host {
-	f.awaitingCommand = slices.DeleteFunc(f.awaitingCommand, func(h *Host) bool {
+func (f *Fleet) AwaitingCommand() []*Machine {
+	f.awaitingCommand = slices.DeleteFunc(f.awaitingCommand, func(h *Machine) bool {
 		for _, s := range h.Slots {
 			if s.awaitsCommand() {
 				return false
@@ -143,16 +143,16 @@
 
 // awaitsCommand reports whether a launch or a halt of the slot is to be sent.
 func (s *Slot) awaitsCommand() bool {
-	return !s.Sent || (s.Stopping && s.Active()) || (s.Host.holder != nil && s.inFlight())
+	return !s.LaunchSent || (s.Stopping && s.Active()) || (s.Machine.holder != nil && s.inFlight())
 }
 
 // AnyAwaitingCommand reports whether AwaitingCommand may return any machine.
 func (f *Fleet) AnyAwaitingCommand() bool { return len(f.awaitingCommand) > 0 }
 
 // Remove removes a machine that was returned to the cloud: everything on it is gone.
-func (f *Fleet) Remove(h *Host) []Event {
+func (f *Fleet) Remove(h *Machine) []Event {
 	ev := f.removeSlots(h)
-	delete(f.Hosts, h.Name)
+	delete(f.Machines, h.Name)
 	for i, o := range f.order {
 		if o == h {
 			f.order = append(f.order[:i:i], f.order[i+1:]...)
@@ -163,10 +163,10 @@
 }
 
 // removeSlots removes all slots of a machine on which nothing is left.
-func (f *Fleet) removeSlots(h *Host) []Event {
+func (f *Fleet) removeSlots(h *Machine) []Event {
 	var ev []Event
 	for _, s := range h.Slots {
-		ev = append(ev, f.removeSlot(h, s, Gone)...)
+		ev = append(ev, f.removeSlot(h, s, Lost)...)
 	}
 	h.Recount()
 	return ev
@@ -174,8 +174,8 @@
 
 // removeSlot removes a slot; kind says what has become of its task. There is an event
 // unless the exit was reported before.
-func (f *Fleet) removeSlot(h *Host, s *Slot, kind EventKind) []Event {
-	delete(h.Slots, s.Key)
+func (f *Fleet) removeSlot(h *Machine, s *Slot, kind EventKind) []Event {
+	delete(h.Slots, s.PlacementKey)
 	if slots := f.slotsByJob[s.Job]; slots != nil {
 		delete(slots, s)
 		if len(slots) == 0 {
@@ -192,8 +192,8 @@
 
 // Assign adds a placement to the ledger; the next answer or direct command carries its
 // launch.
-func (f *Fleet) Assign(h *Host, k Key, now time.Time) *Slot {
-	s := &Slot{Key: k, Host: h, PlacedAt: now}
+func (f *Fleet) Assign(h *Machine, k PlacementKey, now time.Time) *Slot {
+	s := &Slot{PlacementKey: k, Machine: h, PlacedAt: now}
 	f.addSlot(h, s)
 	h.Recount()
 	f.markAwaitingCommand(h)
@@ -206,24 +206,24 @@
 	if !s.Active() {
 		return nil
 	}
-	if !s.Sent {
-		ev := f.removeSlot(s.Host, s, NeverStarted)
-		s.Host.Recount()
+	if !s.LaunchSent {
+		ev := f.removeSlot(s.Machine, s, NeverStarted)
+		s.Machine.Recount()
 		return ev
 	}
-	if !s.Stopping || grace < s.Grace {
+	if !s.Stopping || grace < s.GraceS {
 		s.Stopping = true
-		s.Grace = grace
+		s.GraceS = grace
 		s.HaltSentAt = time.Time{}
-		f.markAwaitingCommand(s.Host)
+		f.markAwaitingCommand(s.Machine)
 	}
-	s.Host.Recount()
+	s.Machine.Recount()
 	return nil
 }
 
-// Expire removes what is on machines whose lease has certainly expired. lost counts
+// ExpireLeases removes what is on machines whose lease has certainly expired. lost counts
 // these machines, except those that are booting or being returned.
-func (f *Fleet) Expire(now time.Time) (ev []Event, lost int) {
+func (f *Fleet) ExpireLeases(now time.Time) (ev []Event, lost int) {
 	for _, h := range f.order {
 		if h.Lost || h.knownUntil(now).Sub(h.renewedAt) < f.Lease || now.Sub(h.directLaunchAt) < f.Lease {
 			continue
@@ -243,7 +243,7 @@
 // SettleInherited settles the inherited machines whose worker has sent a message with
 // this term, or whose lease has expired, and returns those that may still run tasks
 // which an earlier leader launched.
-func (f *Fleet) SettleInherited() (unsettled []*Host) {
+func (f *Fleet) SettleInherited() (unsettled []*Machine) {
 	for _, h := range f.order {
 		if h.Inherited && (h.Fenced || h.Lost) {
 			h.Inherited = false
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -17,7 +17,7 @@
 	t     *testing.T
 	now   time.Time
 	fleet *Fleet
-	host  *Host
+	host  *Machine
 	job   *job.Job
 	sent  []*Slot
 }
@@ -32,14 +32,14 @@
 		job:   job.New(&job.Record{Spec: spec}, now),
 	}
 	f.host = f.fleet.Add("host-1", now)
-	f.host.Known, f.host.Durable, f.host.Type, f.host.Zone = true, true, 0, 0
+	f.host.Described, f.host.Registered, f.host.Type, f.host.Zone = true, true, 0, 0
 	f.job.NotedMachines.Add(f.host.Index)
 	return f
 }
 
 // observe has the fleet observe a message of the worker; phases maps attempts of task 0
 // to their phases.
-func (f *ledgerFixture) observe(report bool, session, seq, token uint64, phases map[uint64]wire.TaskPhase) Result {
+func (f *ledgerFixture) observe(report bool, session, seq, token uint64, phases map[uint64]wire.TaskPhase) ObserveResult {
 	m := &wire.Heartbeat{Host: "host-1", Session: session, Seq: seq, Token: token}
 	for a, p := range phases {
 		tr := wire.TaskStatus{Task: "run-1/0", Attempt: a, Phase: p}
@@ -52,7 +52,9 @@
 }
 
 // assign assigns an attempt of task 0 to the machine.
-func (f *ledgerFixture) assign(attempt uint64) { f.fleet.Assign(f.host, Key{f.job, 0, attempt}, f.now) }
+func (f *ledgerFixture) assign(attempt uint64) {
+	f.fleet.Assign(f.host, PlacementKey{f.job, 0, attempt}, f.now)
+}
 
 // compose makes the orders for the machine.
 func (f *ledgerFixture) compose(seq uint64, launches bool) []wire.Command {
@@ -205,16 +207,16 @@
 			f.observe(true, 1, 1, term, run)
 			f.fleet.SetHolder(f.host, by)
 			f.now = f.now.Add(15 * time.Second)
-			f.fleet.Expire(f.now)
+			f.fleet.ExpireLeases(f.now)
 			f.checkLive(1, "its holder may have renewed the lease since")
 			by.KnownUntil = f.now.Add(-10 * time.Second)
-			f.fleet.Renew(f.host, 1, 2, f.now.Add(-4*time.Second))
+			f.fleet.RecordRenewal(f.host, 1, 2, f.now.Add(-4*time.Second))
 			f.host.ClearHolder(f.now.Add(-time.Second))
 			f.now = f.now.Add(9 * time.Second)
-			f.fleet.Expire(f.now)
+			f.fleet.ExpireLeases(f.now)
 			f.checkLive(1, "within a lease of the grant's end")
 			f.now = f.now.Add(time.Second)
-			f.fleet.Expire(f.now)
+			f.fleet.ExpireLeases(f.now)
 			f.checkLive(0, "beyond it")
 		}},
 		{"8: a launch in an answer of the holder's is settled by a report that says nothing new", func(f *ledgerFixture) {
@@ -222,9 +224,9 @@
 			f.fleet.SetHolder(f.host, &Holder{Name: "n1"})
 			f.assign(1)
 			f.compose(1, true)
-			f.fleet.Renew(f.host, 1, 1, f.now)
+			f.fleet.RecordRenewal(f.host, 1, 1, f.now)
 			f.checkLive(1, "the same report once more")
-			f.fleet.Renew(f.host, 1, 2, f.now)
+			f.fleet.RecordRenewal(f.host, 1, 2, f.now)
 			f.checkLive(0, "after the next report")
 		}},
 		{"8, 15: one that has to go is launched to be stopped, one of a cancelled job is not", func(f *ledgerFixture) {
@@ -261,16 +263,16 @@
 			f.observe(true, 1, 1, term, nil)
 			f.assign(1)
 			f.compose(0, true)
-			f.fleet.RemoveNotDelivered(f.sent)
+			f.fleet.RemoveUndelivered(f.sent)
 			f.checkLive(0, "after a refused connection")
 		}},
 		{"9: the lease ends what is on a silent machine, and not a moment earlier", func(f *ledgerFixture) {
 			f.observe(true, 1, 1, term, run)
 			f.now = f.now.Add(10 * time.Second)
-			f.fleet.Expire(f.now)
+			f.fleet.ExpireLeases(f.now)
 			f.checkLive(1, "at the bare lease")
 			f.now = f.now.Add(600 * time.Millisecond)
-			f.fleet.Expire(f.now)
+			f.fleet.ExpireLeases(f.now)
 			f.checkLive(0, "after the margin")
 		}},
 		{"9: an older report renews the lease too, when a direct answer overtook it", func(f *ledgerFixture) {
@@ -279,7 +281,7 @@
 			f.observe(false, 1, 3, term, run)
 			f.observe(true, 1, 2, term, run)
 			f.now = f.now.Add(8 * time.Second)
-			f.fleet.Expire(f.now)
+			f.fleet.ExpireLeases(f.now)
 			f.checkLive(1, "8 s after the overtaken report")
 		}},
 		{"9: direct answers do not renew the lease", func(f *ledgerFixture) {
@@ -287,7 +289,7 @@
 			f.now = f.now.Add(8 * time.Second)
 			f.observe(false, 1, 2, term, run)
 			f.now = f.now.Add(3 * time.Second)
-			f.fleet.Expire(f.now)
+			f.fleet.ExpireLeases(f.now)
 			f.checkLive(0, "11 s after the only report")
 		}},
 	}
@@ -304,16 +306,16 @@
 			f.compose(0, true)
 			f.observe(false, 2, 2, term, run)
 			f.now = f.now.Add(5 * time.Second)
-			f.fleet.Expire(f.now)
+			f.fleet.ExpireLeases(f.now)
 			f.checkLive(1, "14 s after the takeover, 5 s after the session was met")
 			f.now = f.now.Add(6 * time.Second)
-			f.fleet.Expire(f.now)
+			f.fleet.ExpireLeases(f.now)
 			f.checkLive(0, "11 s after the session was met")
 		}},
 		{"9: a held message of a dead session does not come back", func(f *ledgerFixture) {
 			f.observe(true, 1, 1, term, run)
 			f.now = f.now.Add(11 * time.Second)
-			f.fleet.Expire(f.now)
+			f.fleet.ExpireLeases(f.now)
 			if r := f.observe(true, 1, 2, term, run); r.Fresh {
 				f.t.Error("a dead session is fresh")
 			}
@@ -340,7 +342,7 @@
 	return []ledgerCase{
 		{"15: nothing is launched once an abort was sent, halts are repeated", func(f *ledgerFixture) {
 			f.observe(true, 1, 1, term, run)
-			f.fleet.Assign(f.host, Key{f.job, 1, 1}, f.now)
+			f.fleet.Assign(f.host, PlacementKey{f.job, 1, 1}, f.now)
 			f.job.Closing = wire.JobCancelled
 			for _, s := range f.host.Slots {
 				f.fleet.Stop(s, 0)
--- a/internal/fleet/holder.go
+++ b/internal/fleet/holder.go
@@ -14,11 +14,11 @@
 }
 
 // Holder is the controller that answers the machine's reports; nil: the leader.
-func (h *Host) Holder() *Holder { return h.holder }
+func (h *Machine) Holder() *Holder { return h.holder }
 
 // SetHolder notes that a holder may answer the machine's reports from now on. What the
 // leader would have sent again in its own answers needs a direct command.
-func (f *Fleet) SetHolder(h *Host, holder *Holder) {
+func (f *Fleet) SetHolder(h *Machine, holder *Holder) {
 	h.holder = holder
 	for _, s := range h.Slots {
 		if s.awaitsCommand() {
@@ -30,7 +30,7 @@
 
 // ClearHolder notes that the leader answers the machine's reports again. The holder may
 // have answered them until the given time.
-func (h *Host) ClearHolder(until time.Time) {
+func (h *Machine) ClearHolder(until time.Time) {
 	if h.holder == nil {
 		return
 	}
@@ -41,7 +41,7 @@
 }
 
 // knownUntil is the time up to which all answers to the machine's reports are known.
-func (h *Host) knownUntil(now time.Time) time.Time {
+func (h *Machine) knownUntil(now time.Time) time.Time {
 	if h.holder != nil && h.holder.KnownUntil.Before(now) {
 		return h.holder.KnownUntil
 	}
@@ -51,14 +51,14 @@
 // Stale reports whether a report is not newer than the newest one observed: it is a copy
 // or was delayed. The worker no longer waits for its answer, which renews nothing and
 // delivers nothing.
-func (h *Host) Stale(session, seq uint64) bool {
+func (h *Machine) Stale(session, seq uint64) bool {
 	return session < h.Session || (session == h.Session && seq <= h.reportSeq)
 }
 
-// Renew notes that the holder has answered a report at the given time that said the
+// RecordRenewal notes that the holder has answered a report at the given time that said the
 // same as the one before. Launches in answers to earlier reports have not arrived:
 // the report would show them.
-func (f *Fleet) Renew(h *Host, session, seq uint64, at time.Time) (ev []Event) {
+func (f *Fleet) RecordRenewal(h *Machine, session, seq uint64, at time.Time) (ev []Event) {
 	if session != h.Session || h.Lost || h.Stale(session, seq) {
 		return nil
 	}
@@ -71,9 +71,9 @@
 	}
 	h.seq = seq
 	h.CallUnanswered = false
-	h.OutboundCutAt = time.Time{}
+	h.OutboundCutSince = time.Time{}
 	for _, s := range h.Slots {
-		if s.Sent && !s.Seen && !s.Direct && seq > s.answeredSeq {
+		if s.LaunchSent && !s.Observed && !s.DirectLaunch && seq > s.answeredSeq {
 			ev = append(ev, f.removeSlot(h, s, NeverStarted)...)
 		}
 	}
--- a/internal/fleet/observe.go
+++ b/internal/fleet/observe.go
@@ -7,8 +7,8 @@
 	"vetchstream/internal/wire"
 )
 
-// Result is the result of Observe.
-type Result struct {
+// ObserveResult is the result of Observe.
+type ObserveResult struct {
 	// Events are the changes of slots that the message has caused.
 	Events []Event
 	// Fresh: the message is newer than all earlier ones of the worker.
@@ -20,7 +20,7 @@
 // observation is a message that is being processed, with what it has shown so far.
 type observation struct {
 	fleet    *Fleet
-	host     *Host
+	host     *Machine
 	message  *wire.Heartbeat
 	isReport bool
 	now      time.Time
@@ -35,23 +35,23 @@
 // Observe updates the ledger with a message of a machine's worker. isReport is true for
 // reports, whose answers renew the lease, and false for the answers to direct
 // commands. find returns the job of an ID.
-func (f *Fleet) Observe(h *Host, m *wire.Heartbeat, isReport bool, now time.Time, find func(id string) *job.Job) Result {
+func (f *Fleet) Observe(h *Machine, m *wire.Heartbeat, isReport bool, now time.Time, find func(id string) *job.Job) ObserveResult {
 	if m.Token > f.Term {
-		return Result{Deposed: true}
+		return ObserveResult{Deposed: true}
 	}
 	if isReport && h.Stale(m.Session, m.Seq) {
-		return Result{}
+		return ObserveResult{}
 	}
 	if isReport {
 		h.markRenewed(m, now)
 	}
 	if m.Session < h.Session || (m.Session == h.Session && m.Seq <= h.seq) {
-		return Result{}
+		return ObserveResult{}
 	}
 	// A delayed message of a session whose lease has certainly expired would bring back
 	// its tasks, which are gone.
 	if h.Lost && m.Session == h.Session {
-		return Result{}
+		return ObserveResult{}
 	}
 	o := &observation{
 		fleet:    f,
@@ -62,7 +62,7 @@
 		receives: !isReport,
 	}
 	if isReport {
-		h.OutboundCutAt = time.Time{}
+		h.OutboundCutSince = time.Time{}
 	}
 	if m.Session > h.Session {
 		o.beginSession()
@@ -74,18 +74,18 @@
 	o.settleUnreported()
 	switch {
 	case o.receives:
-		h.InboundCutAt = time.Time{}
+		h.InboundCutSince = time.Time{}
 	case o.missedLaunch:
 		o.events = append(o.events, f.MarkInboundCut(h, now)...)
 	}
 	h.Recount()
-	return Result{Fresh: true, Events: o.events}
+	return ObserveResult{Fresh: true, Events: o.events}
 }
 
 // markRenewed notes that the worker may be waiting for the answer to the report m, which
 // renews its lease. That holds also for a report that is older than the answer to a
 // direct command.
-func (h *Host) markRenewed(m *wire.Heartbeat, now time.Time) {
+func (h *Machine) markRenewed(m *wire.Heartbeat, now time.Time) {
 	if h.Lost && m.Session <= h.Session {
 		return
 	}
@@ -103,7 +103,7 @@
 	h := o.host
 	if h.Session != 0 {
 		if !o.isReport && !h.OutboundCut() {
-			h.OutboundCutAt = o.now
+			h.OutboundCutSince = o.now
 		}
 		// The lease has expired although the worker's reports were answered.
 		o.missedLaunch = o.isReport && !h.Lost && !h.RenewalStopped
@@ -141,9 +141,9 @@
 	if m.Addr != "" {
 		h.Addr = m.Addr
 	}
-	h.RecallAt = time.Time{}
+	h.ReclaimAt = time.Time{}
 	if m.NoticeS != nil {
-		h.RecallAt = o.now.Add(time.Duration(max(minNotice, *m.NoticeS) * float64(time.Second)))
+		h.ReclaimAt = o.now.Add(time.Duration(max(minNotice, *m.NoticeS) * float64(time.Second)))
 	}
 	h.messages++
 }
@@ -158,19 +158,19 @@
 	if int(task) >= j.Tasks {
 		return // the job has no such task
 	}
-	s := o.slot(Key{Job: j, Task: task, Attempt: t.Attempt}, t.Phase)
+	s := o.slot(PlacementKey{Job: j, Task: task, Attempt: t.Attempt}, t.Phase)
 	s.lastShownMessage = o.host.messages
-	o.receives = o.receives || (s.Sent && !s.Seen)
-	s.Sent = true
-	s.Seen = true
-	s.Direct = false
+	o.receives = o.receives || (s.LaunchSent && !s.Observed)
+	s.LaunchSent = true
+	s.Observed = true
+	s.DirectLaunch = false
 	previous := s.Phase
 	if previous == wire.TaskExited {
 		return
 	}
 	s.Phase = t.Phase
 	s.Cause = t.Cause
-	s.Saved = t.CheckpointSaved
+	s.CheckpointSaved = t.CheckpointSaved
 	if s.Health == wire.HealthGood && t.Health == wire.HealthBad {
 		o.events = append(o.events, Event{Kind: TurnedUnhealthy, Slot: s})
 	}
@@ -179,20 +179,20 @@
 	switch {
 	case t.Phase == wire.TaskExited:
 		j.AddLive(task, -1)
-		o.events = append(o.events, Event{Kind: Ended, Slot: s})
+		o.events = append(o.events, Event{Kind: Exited, Slot: s})
 	case t.Phase == wire.TaskRunning && previous != wire.TaskRunning:
-		s.RunAt = o.now
+		s.RunningSince = o.now
 		o.events = append(o.events, Event{Kind: Started, Slot: s})
 	}
 }
 
 // slot returns the slot of a placement, and adds one if the ledger has none: an earlier
 // leader has made the placement.
-func (o *observation) slot(k Key, phase wire.TaskPhase) *Slot {
+func (o *observation) slot(k PlacementKey, phase wire.TaskPhase) *Slot {
 	if s := o.host.Slots[k]; s != nil {
 		return s
 	}
-	s := &Slot{Key: k, Host: o.host, Adopted: true, PlacedAt: o.now}
+	s := &Slot{PlacementKey: k, Machine: o.host, Adopted: true, PlacedAt: o.now}
 	if phase == wire.TaskExited {
 		s.Phase = wire.TaskFetching // so that the exit counts as a change
 	}
@@ -204,10 +204,10 @@
 func (o *observation) settleUnreported() {
 	for _, s := range o.host.Slots {
 		switch {
-		case s.lastShownMessage == o.host.messages || !s.Sent:
-		case s.Seen:
-			o.events = append(o.events, o.fleet.removeSlot(o.host, s, Gone)...)
-		case s.Direct:
+		case s.lastShownMessage == o.host.messages || !s.LaunchSent:
+		case s.Observed:
+			o.events = append(o.events, o.fleet.removeSlot(o.host, s, Lost)...)
+		case s.DirectLaunch:
 			// The answer to the command, a new session or the end of the lease settles it; a
 			// report does not.
 		case o.isReport && o.message.Seq > s.answeredSeq:
--- a/internal/fleet/partition.go
+++ b/internal/fleet/partition.go
@@ -8,27 +8,27 @@
 // its reports reach no controller, so its lease is not renewed.
 
 // InboundCut reports whether the worker is known not to receive what is sent to it.
-func (h *Host) InboundCut() bool { return !h.InboundCutAt.IsZero() }
+func (h *Machine) InboundCut() bool { return !h.InboundCutSince.IsZero() }
 
 // OutboundCut reports whether the worker is known to be alive and to reach no
 // controller.
-func (h *Host) OutboundCut() bool { return !h.OutboundCutAt.IsZero() }
+func (h *Machine) OutboundCut() bool { return !h.OutboundCutSince.IsZero() }
 
 // MarkInboundCut notes that the worker has not received what was sent to it. Until a
 // message shows that it receives again, it gets no launches, and those that were not
 // sent are removed. Launches that were sent stay in the ledger: they may have arrived
 // after the worker's last message.
-func (f *Fleet) MarkInboundCut(h *Host, now time.Time) []Event {
-	if h.InboundCutAt.IsZero() {
-		h.InboundCutAt = now
+func (f *Fleet) MarkInboundCut(h *Machine, now time.Time) []Event {
+	if h.InboundCutSince.IsZero() {
+		h.InboundCutSince = now
 	}
 	return f.RemoveUnsent(h)
 }
 
 // RemoveUnsent removes the launches that were not sent to a machine yet.
-func (f *Fleet) RemoveUnsent(h *Host) (ev []Event) {
+func (f *Fleet) RemoveUnsent(h *Machine) (ev []Event) {
 	for _, s := range h.Slots {
-		if !s.Sent {
+		if !s.LaunchSent {
 			ev = append(ev, f.removeSlot(h, s, NeverStarted)...)
 		}
 	}
--- a/internal/fleet/partition_test.go
+++ b/internal/fleet/partition_test.go
@@ -26,7 +26,7 @@
 			f.observe(true, 1, 1, term, nil)
 			f.assign(1)
 			f.compose(1, true)
-			f.fleet.Assign(f.host, Key{f.job, 1, 2}, f.now)
+			f.fleet.Assign(f.host, PlacementKey{f.job, 1, 2}, f.now)
 			f.observe(true, 1, 2, term, nil)
 			f.checkLive(0, "the launch did not arrive")
 			if f.job.Live[1] != 0 {
@@ -48,7 +48,7 @@
 			f.observe(true, 1, 1, term, nil)
 			f.assign(1)
 			f.compose(1, true)
-			f.fleet.Assign(f.host, Key{f.job, 1, 2}, f.now)
+			f.fleet.Assign(f.host, PlacementKey{f.job, 1, 2}, f.now)
 			f.compose(0, true)
 			f.observe(true, 1, 2, term, nil)
 			checkUsable(f, false, "after the lost answer")
@@ -82,7 +82,7 @@
 			f.now = f.now.Add(9 * time.Second)
 			f.observe(true, 1, 2, term, nil)
 			f.now = f.now.Add(9 * time.Second)
-			f.fleet.Expire(f.now)
+			f.fleet.ExpireLeases(f.now)
 			f.checkLive(1, "18 s after the launch, 9 s after a report was answered")
 			f.observe(true, 2, 3, term, nil)
 			f.checkLive(0, "after the session")
@@ -109,16 +109,16 @@
 				f.observe(true, 1, 2, term, run)
 				f.observe(true, 1, 1, term, run)
 			}
-			f.fleet.Expire(f.now)
+			f.fleet.ExpireLeases(f.now)
 			f.checkLive(0, "12 s after the last report, 0 s after its copy")
 		}},
 		{"19: nor do they through a holder", func(f *ledgerFixture) {
 			f.observe(true, 1, 1, term, run)
-			f.fleet.Renew(f.host, 1, 2, f.now)
+			f.fleet.RecordRenewal(f.host, 1, 2, f.now)
 			f.now = f.now.Add(9 * time.Second)
-			f.fleet.Renew(f.host, 1, 2, f.now)
+			f.fleet.RecordRenewal(f.host, 1, 2, f.now)
 			f.now = f.now.Add(4 * time.Second)
-			f.fleet.Expire(f.now)
+			f.fleet.ExpireLeases(f.now)
 			f.checkLive(0, "13 s after the last report, 4 s after its copy")
 		}},
 		{"19: a copy at the next leader is the past once a report has come", func(f *ledgerFixture) {
@@ -135,7 +135,7 @@
 			f.now = f.now.Add(9 * time.Second)
 			f.observe(true, 1, 2, term, run)
 			f.now = f.now.Add(5 * time.Second)
-			f.fleet.Expire(f.now)
+			f.fleet.ExpireLeases(f.now)
 			f.checkLive(1, "14 s after the first report, 5 s after the one that was overtaken")
 		}},
 	}
@@ -152,10 +152,10 @@
 			f.compose(0, true)
 			f.observe(false, 1, 1, term, run) // its answer counts as old
 			f.now = f.now.Add(6 * time.Second)
-			f.fleet.Expire(f.now)
+			f.fleet.ExpireLeases(f.now)
 			f.checkLive(1, "12 s after the last report, 6 s after the launch")
 			f.now = f.now.Add(5 * time.Second)
-			f.fleet.Expire(f.now)
+			f.fleet.ExpireLeases(f.now)
 			f.checkLive(0, "11 s after the launch")
 		}},
 		{"18: a new session that only a direct answer tells of: mute until a report comes", func(f *ledgerFixture) {
@@ -168,7 +168,7 @@
 			f.observe(false, 2, 3, term, nil)
 			f.observe(false, 3, 4, term, nil)
 			checkUsable(f, false, "another lease later")
-			if f.now = f.now.Add(time.Second); !f.host.OutboundCutAt.Equal(f.now.Add(-time.Second)) {
+			if f.now = f.now.Add(time.Second); !f.host.OutboundCutSince.Equal(f.now.Add(-time.Second)) {
 				f.t.Error("counted from its second session")
 			}
 			f.observe(true, 3, 5, term, nil)
@@ -185,7 +185,7 @@
 				f.observe(true, 1, seq+1, 0, nil)
 				f.now = f.now.Add(2 * time.Second)
 			}
-			f.fleet.Expire(f.now)
+			f.fleet.ExpireLeases(f.now)
 			f.checkLive(0, "its tasks are given up with the lease of the session that is known")
 			f.observe(true, 2, 7, 0, nil)
 			if f.host.Lost {
--- a/internal/fleet/renewal.go
+++ b/internal/fleet/renewal.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// The invariant of this file: a cancelled task must be gone within Fleet.CancelTime. While
+// The invariant of this file: a cancelled task must be gone within Fleet.CancelTimeout. While
 // a placement of a cancelled job may be on a machine, or may still start there, the
 // worker's lease is not renewed beyond that deadline, unless the renewal itself halts the
 // task.
@@ -17,19 +17,21 @@
 
 // cancelPending reports whether a task of a cancelled job may be, or may still start, on
 // the machine.
-func (s *Slot) cancelPending() bool { return s.Sent && s.Active() && s.Job.Cancelled() }
+func (s *Slot) cancelPending() bool { return s.LaunchSent && s.Active() && s.Job.Cancelled() }
 
 // inFlight reports whether the launch of the slot may not have arrived yet.
-func (s *Slot) inFlight() bool { return s.Direct && !s.Seen }
+func (s *Slot) inFlight() bool { return s.DirectLaunch && !s.Observed }
 
 // renewalLimit is the latest time at which the lease of a machine with the slot may be
 // renewed: the lease then expires by the deadline. The fleet's lease includes the drift
 // of the clocks and the granularity of timers.
-func (f *Fleet) renewalLimit(s *Slot) time.Time { return s.Job.CancelledAt.Add(f.CancelTime - f.Lease) }
+func (f *Fleet) renewalLimit(s *Slot) time.Time {
+	return s.Job.CancelledAt.Add(f.CancelTimeout - f.Lease)
+}
 
 // RenewalLimit is the latest time at which a controller that sends no halts may answer the
 // machine's reports; bounded is false if there is none.
-func (f *Fleet) RenewalLimit(h *Host) (limit time.Time, bounded bool) {
+func (f *Fleet) RenewalLimit(h *Machine) (limit time.Time, bounded bool) {
 	for _, s := range h.Slots {
 		if !s.cancelPending() {
 			continue
@@ -44,12 +46,12 @@
 // Renewable reports whether the leader may answer a report of the machine with the given
 // limit of orders. The answer halts the tasks of cancelled jobs that the worker has
 // reported, but not launches that have not arrived yet.
-func (f *Fleet) Renewable(h *Host, now time.Time, orders int) bool {
+func (f *Fleet) Renewable(h *Machine, now time.Time, orders int) bool {
 	halts := 0
 	for _, s := range h.Slots {
 		switch {
 		case !s.cancelPending() || now.Before(f.renewalLimit(s)):
-		case !s.Seen:
+		case !s.Observed:
 			return false
 		default:
 			halts++
@@ -60,7 +62,7 @@
 
 // StopRenewal notes that the machine's reports go unanswered until its session has ended,
 // and removes the launches that were not sent to it.
-func (f *Fleet) StopRenewal(h *Host) []Event {
+func (f *Fleet) StopRenewal(h *Machine) []Event {
 	h.RenewalStopped = true
 	return f.RemoveUnsent(h)
 }
--- a/internal/fleet/renewal_test.go
+++ b/internal/fleet/renewal_test.go
@@ -76,7 +76,7 @@
 		}},
 		{"a launch that the answer to a direct command settles", func(f *ledgerFixture) {
 			launchInFlight(f)
-			f.fleet.RemoveNotDelivered(f.sent)
+			f.fleet.RemoveUndelivered(f.sent)
 			f.now = f.now.Add(renewalDeadline)
 			f.checkRenewable(true, "after the refusal")
 		}},
--- a/internal/fleet/slot.go
+++ b/internal/fleet/slot.go
@@ -7,8 +7,8 @@
 	"vetchstream/internal/wire"
 )
 
-// Key identifies one placement: an attempt at a task.
-type Key struct {
+// PlacementKey identifies one placement: an attempt at a task.
+type PlacementKey struct {
 	Job     *job.Job
 	Task    int32
 	Attempt uint64
@@ -16,27 +16,27 @@
 
 // Slot is a placement that may be on a machine.
 type Slot struct {
-	Key
-	Host *Host
+	PlacementKey
+	Machine *Machine
 	// Phase is the phase that the worker has last reported (wire.TaskRunning and others),
 	// empty before the first report; Cause is the cause of an exit, and Saved whether the
 	// task has saved its progress.
-	Phase wire.TaskPhase
-	Cause wire.ExitCause
-	Saved bool
+	Phase           wire.TaskPhase
+	Cause           wire.ExitCause
+	CheckpointSaved bool
 	// Health is the health of a running replica as the worker reports it, ProbeHealth the
 	// result of the controllers' last check of it, in the same words; empty: none.
 	Health, ProbeHealth wire.ReplicaHealth
 	// UnhealthySince is since when either of them is bad; zero: neither is.
 	UnhealthySince time.Time
-	// Sent: the launch was sent, or may have been. Before that the slot only reserves its
+	// LaunchSent: the launch was sent, or may have been. Before that the slot only reserves its
 	// resources.
-	Sent bool
-	// Seen: a message of this session has shown the task.
-	Seen bool
-	// Direct: the launch was sent by a direct command. A report that does not show the
+	LaunchSent bool
+	// Observed: a message of this session has shown the task.
+	Observed bool
+	// DirectLaunch: the launch was sent by a direct command. A report that does not show the
 	// task does not settle such a launch, which can arrive minutes later.
-	Direct bool
+	DirectLaunch bool
 	// answeredSeq is the number of the report whose answer carried the launch.
 	answeredSeq uint64
 	// resentAt is when a direct launch whose outcome is unknown was last sent again. A
@@ -44,19 +44,19 @@
 	resentAt time.Time
 	// PlacedAt is when the placement was made or, once Sent, when its launch was sent.
 	PlacedAt time.Time
-	// RunAt is when a message first showed the task running.
-	RunAt time.Time
+	// RunningSince is when a message first showed the task running.
+	RunningSince time.Time
 	// Adopted: the placement was found in a message, so its start time is not known.
 	Adopted bool
 	// Stopping: the task is to be stopped. Grace is the time in seconds that it has to
 	// save its progress, HaltSentAt when the last halt was sent.
 	Stopping   bool
-	Grace      float64
+	GraceS     float64
 	HaltSentAt time.Time
 	// Settled: the exit has been handled, durably where it matters, so the worker may
 	// forget it.
 	Settled bool
-	// lastShownMessage is the value of Host.messages at the last message that showed the
+	// lastShownMessage is the value of Machine.messages at the last message that showed the
 	// task.
 	lastShownMessage uint64
 }
@@ -80,10 +80,10 @@
 const (
 	// Started means that the slot was first seen running.
 	Started EventKind = iota
-	// Ended means that the worker reports the exit; the slot remains until it is cleared.
-	Ended
-	// Gone means that the task is certainly gone, with no report of its result.
-	Gone
+	// Exited means that the worker reports the exit; the slot remains until it is cleared.
+	Exited
+	// Lost means that the task is certainly gone, with no report of its result.
+	Lost
 	// NeverStarted means that the launch was certainly not executed.
 	NeverStarted
 	// TurnedUnhealthy means that the worker reports a replica as bad that was good.
--- a/internal/place/assign.go
+++ b/internal/place/assign.go
@@ -13,8 +13,8 @@
 		}
 		m.claim(d)
 	}
-	m.Jobs++
-	m.Queue++
+	m.Tasks++
+	m.WaitingTasks++
 	d.TasksByZone[m.Zone]++
 	if d.Team >= 0 {
 		t := &p.Teams[d.Team]
--- a/internal/place/demand.go
+++ b/internal/place/demand.go
@@ -40,14 +40,14 @@
 	LatestStart float64
 	// MayPreempt: the demand may stop others' tasks in this plan.
 	MayPreempt bool
-	// Waited is for how long the demand has waited, in seconds.
-	Waited float64
+	// WaitedS is for how long the demand has waited, in seconds.
+	WaitedS float64
 	// Overdue: nothing of the job has started for so long that it goes first, whatever its
 	// priority.
 	Overdue bool
-	// EndsIn is in how many seconds a task that starts now is sure to have ended. It matters on
+	// EndsInS is in how many seconds a task that starts now is sure to have ended. It matters on
 	// machines that the calendar holds and on those with maintenance due.
-	EndsIn float64
+	EndsInS float64
 	// Movable: a task can be stopped and go on elsewhere.
 	Movable bool
 	// FetchTooSlow: the job would be late if it had to fetch its image, so that preempting
--- a/internal/place/filter.go
+++ b/internal/place/filter.go
@@ -43,9 +43,9 @@
 		if d.OnlyHeldMachines {
 			return false
 		}
-		if m.HeldFor != 0 && d.EndsIn > m.HeldIn {
+		if m.HeldFor != 0 && d.EndsInS > m.HeldInS {
 			return false
 		}
 	}
-	return !m.MaintenanceDue || d.EndsIn <= m.MaintenanceIn || (d.Movable && !m.Draining)
+	return !m.MaintenanceDue || d.EndsInS <= m.MaintenanceInS || (d.Movable && !m.Draining)
 }
--- a/internal/place/gang.go
+++ b/internal/place/gang.go
@@ -175,7 +175,7 @@
 		}
 	}
 	d := &p.Demands[i]
-	if soonest > max(minReservationS, min(d.Waited, maxReservationS)) {
+	if soonest > max(minReservationS, min(d.WaitedS, maxReservationS)) {
 		return
 	}
 	for _, m := range best {
@@ -267,7 +267,7 @@
 		if p.canPreempt(d, v) {
 			return 0
 		}
-		return v.Remaining
+		return v.RemainingS
 	}
 	slices.SortFunc(victims, func(a, b Victim) int {
 		return cmp.Compare(leavesIn(&a), leavesIn(&b))
--- a/internal/place/gang_test.go
+++ b/internal/place/gang_test.go
@@ -13,7 +13,7 @@
 	m := machine(id, zone, 8)
 	m.Free = Resources{MemGB: 30}
 	for i, l := range left {
-		m.Victims = append(m.Victims, Victim{ID: 10*id + i, Priority: job.Standard, Team: 0, Need: Resources{CPUs: 8 / float64(len(left))}, Remaining: l})
+		m.Victims = append(m.Victims, Victim{ID: 10*id + i, Priority: job.Standard, Team: 0, Need: Resources{CPUs: 8 / float64(len(left))}, RemainingS: l})
 	}
 	return m
 }
@@ -38,25 +38,25 @@
 	{"room that comes too late is left to others", func(in *Input) {
 		for i := range in.Machines {
 			for v := range in.Machines[i].Victims {
-				in.Machines[i].Victims[v].Remaining = 500
+				in.Machines[i].Victims[v].RemainingS = 500
 			}
 		}
 	}, nil, 0},
 	{"unless the gang has waited for longer than that", func(in *Input) {
 		for i := range in.Machines {
 			for v := range in.Machines[i].Victims {
-				in.Machines[i].Victims[v].Remaining = 100
+				in.Machines[i].Victims[v].RemainingS = 100
 			}
 		}
-		in.Demands[0].Waited = 110
+		in.Demands[0].WaitedS = 110
 	}, []int{0, 1}, 0},
 	{"but not for ever", func(in *Input) {
 		for i := range in.Machines {
 			for v := range in.Machines[i].Victims {
-				in.Machines[i].Victims[v].Remaining = 500
+				in.Machines[i].Victims[v].RemainingS = 500
 			}
 		}
-		in.Demands[0].Waited = 1000
+		in.Demands[0].WaitedS = 1000
 	}, nil, 0},
 	{"work of a lower priority is stopped at once", func(in *Input) { in.Demands[0].Priority = job.Urgent }, nil, 2},
 	{"only where it is the last that is in the way", func(in *Input) {
@@ -78,7 +78,7 @@
 			in := Input{Machines: []Machine{busyMachine(0, 0, 20, 30), busyMachine(1, 0, 25, 31), busyMachine(2, 1, 5, 10), busyMachine(3, 1, 8, 12)},
 				Demands: []Demand{d, later}, Teams: []Team{{}}, Weights: paperWeights}
 			tt.edit(&in)
-			p := Make(in)
+			p := MakePlan(in)
 			var got []int
 			for _, r := range p.Reservations {
 				got = append(got, r.Machine)
--- a/internal/place/images_test.go
+++ b/internal/place/images_test.go
@@ -11,9 +11,9 @@
 // imageMachine is a machine with so many free CPUs of 8 and the images.
 func imageMachine(id int, free float64, images ...int) Machine {
 	m := machine(id, 0, 8)
-	m.Free.CPUs, m.Images, m.FetchRate = free, images, 0.5
+	m.Free.CPUs, m.Images, m.FetchGBPerS = free, images, 0.5
 	if free < 8 {
-		m.Jobs = 1
+		m.Tasks = 1
 	}
 	return m
 }
@@ -21,7 +21,7 @@
 // fullMachine is a machine that is full with one victim.
 func fullMachine(id int, loss float64, images ...int) Machine {
 	m := imageMachine(id, 0, images...)
-	m.Victims = []Victim{{ID: id, Priority: job.Idle, Team: -1, Need: Resources{CPUs: 8}, Loss: loss, Remaining: 5}}
+	m.Victims = []Victim{{ID: id, Priority: job.Idle, Team: -1, Need: Resources{CPUs: 8}, LossCPUSeconds: loss, RemainingS: 5}}
 	return m
 }
 
@@ -47,7 +47,7 @@
 	want string // demand>machine for a placement, demand!machine for a preemption, demand?machine for a reservation
 }
 
-// imageTests returns the cases anew, because Make changes its input.
+// imageTests returns the cases anew, because MakePlan changes its input.
 func imageTests() []imageTest {
 	return []imageTest{
 		{"an array with time left leaves room to one that has its image there", Input{
@@ -99,7 +99,7 @@
 		for i := range tt.in.Machines {
 			tt.in.Machines[i].ID = i
 		}
-		p := Make(tt.in)
+		p := MakePlan(tt.in)
 		got := ""
 		for _, a := range p.Assignments {
 			got += fmt.Sprintf(" %d>%c", a.Demand, 'a'+a.Machine)
--- a/internal/place/machine.go
+++ b/internal/place/machine.go
@@ -19,19 +19,19 @@
 	// Total is what the machine has, Free what no task uses.
 	Total Resources
 	Free  Resources
-	// Queue counts the tasks that wait for their image, Jobs all tasks on the machine. Both
+	// WaitingTasks counts the tasks that wait for their image, Tasks all tasks on the machine. Both
 	// include placements that no heartbeat has covered yet.
-	Queue int
-	Jobs  int
-	// Scale makes Queue and Jobs of machines of different size comparable: the CPUs of the
+	WaitingTasks int
+	Tasks        int
+	// Scale makes WaitingTasks and Tasks of machines of different size comparable: the CPUs of the
 	// smallest machine type over those of this one.
 	Scale float64
 	// Price is what a CPU costs here, in multiples of the cheapest.
 	Price float64
-	// Images are those cached here or being fetched. FetchRate is the rate of a fetch, in GB
+	// Images are those cached here or being fetched. FetchGBPerS is the rate of a fetch, in GB
 	// per second; 0 if unknown.
-	Images    []int
-	FetchRate float64
+	Images      []int
+	FetchGBPerS float64
 	// Unreliable: a task failed here recently.
 	Unreliable bool
 	// ReservedFor is the id of the demand for which Reserved is set aside; 0 means none.
@@ -41,30 +41,30 @@
 	// preempted for them.
 	AwaitsCompletion bool
 	// HeldFor is the id of the demand for which the calendar holds the whole machine: 0 means
-	// none, FutureDemand that the job is not there yet.
+	// none, FutureDemandID that the job is not there yet.
 	HeldFor int
-	// HeldIn is in how many seconds the holder needs the machine. Until then it may run tasks
+	// HeldInS is in how many seconds the holder needs the machine. Until then it may run tasks
 	// that are sure to have ended by that time.
-	HeldIn float64
-	// MaintenanceDue: maintenance begins in MaintenanceIn seconds. Draining: the machine takes
+	HeldInS float64
+	// MaintenanceDue: maintenance begins in MaintenanceInS seconds. Draining: the machine takes
 	// no more tasks that could be moved.
 	MaintenanceDue bool
 	Draining       bool
-	MaintenanceIn  float64
+	MaintenanceInS float64
 	// Victims are the tasks on the machine that may be preempted.
 	Victims []Victim
 	// UnclearedExits are the tasks whose exits the worker still reports. It would refuse
 	// another attempt of them.
-	UnclearedExits map[Task]bool
+	UnclearedExits map[TaskKey]bool
 }
 
-// FutureDemand is the id of a demand that is not there yet.
-const FutureDemand = -1
+// FutureDemandID is the id of a demand that is not there yet.
+const FutureDemandID = -1
 
-// Task names a task of a demand.
-type Task struct {
-	Job  int // id of the demand
-	Task int32
+// TaskKey names a task of a demand.
+type TaskKey struct {
+	Demand int // id of the demand
+	Task   int32
 }
 
 // Victim is a task that may be preempted.
@@ -78,10 +78,10 @@
 	Need Resources
 	// Released is what is stopped with it: its whole gang, or the task alone.
 	Released Resources
-	// Loss is the work that preempting it throws away, in CPU seconds.
-	Loss float64
-	// Remaining is the time in which it is expected to complete, in seconds.
-	Remaining float64
+	// LossCPUSeconds is the work that preempting it throws away, in CPU seconds.
+	LossCPUSeconds float64
+	// RemainingS is the time in which it is expected to complete, in seconds.
+	RemainingS float64
 	// Late: its job has to start now to be in time, so it would preempt others itself.
 	Late bool
 }
@@ -100,10 +100,10 @@
 
 // fetchSeconds returns how long the machine takes to fetch the demand's image, in seconds.
 func (m *Machine) fetchSeconds(d *Demand) float64 {
-	if m.FetchRate <= 0 || m.hasImage(d) {
+	if m.FetchGBPerS <= 0 || m.hasImage(d) {
 		return 0
 	}
-	return d.ImageGB / m.FetchRate
+	return d.ImageGB / m.FetchGBPerS
 }
 
 // available returns what the demand may use of the machine: what is free, less what is
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -1,7 +1,7 @@
 // Package place decides which tasks run on which machines. It is pure: machines, demands
 // and the time are passed in, and the same input gives the same plan.
 //
-// Filters (eligible) rule machines out; among those with room the score (Length) decides.
+// Filters (eligible) rule machines out; among those with room the score (Cost) decides.
 // It is the one of Hać and Johnson's paper on load balancing: the best machine is the one
 // with the shortest vector of squared, weighted loads and unmet conditions. A demand that
 // finds no room may preempt other tasks.
@@ -9,7 +9,7 @@
 
 import "vetchstream/internal/job"
 
-// Input is all that a plan depends on. Make changes what it refers to.
+// Input is all that a plan depends on. MakePlan changes what it refers to.
 type Input struct {
 	Machines []Machine
 	Demands  []Demand
@@ -17,7 +17,7 @@
 	Weights  Weights
 }
 
-// Plan is what Make decides.
+// Plan is what MakePlan decides.
 type Plan struct {
 	Assignments  []Assignment
 	Preemptions  []Preemption
@@ -50,7 +50,7 @@
 	Machine int // index into Input.Machines
 }
 
-// planner holds the state of one call of Make.
+// planner holds the state of one call of MakePlan.
 type planner struct {
 	Input
 	plan Plan
@@ -72,8 +72,8 @@
 	calendarBound bool
 }
 
-// Make makes a plan.
-func Make(in Input) Plan {
+// MakePlan makes a plan.
+func MakePlan(in Input) Plan {
 	p := &planner{Input: in}
 	p.plan.Unplaced = make([]int, len(in.Demands))
 	p.plan.OverLimit = make([]bool, len(in.Demands))
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -35,20 +35,20 @@
 	short []int
 }
 
-// makeTests returns the cases anew, because Make changes its input.
+// makeTests returns the cases anew, because MakePlan changes its input.
 func makeTests() []makeTest {
 	return []makeTest{
 		{"the least loaded machine", Input{Machines: []Machine{
-			machineWith(machine(0, 0, 8), func(m *Machine) { m.Queue, m.Jobs = 2, 2 }), machine(1, 0, 8)},
+			machineWith(machine(0, 0, 8), func(m *Machine) { m.WaitingTasks, m.Tasks = 2, 2 }), machine(1, 0, 8)},
 			Demands: []Demand{demand(1, job.Array, 1, 0)}}, map[int32]int{0: 1}, []int{0}},
 		{"a cached image outweighs a few jobs", Input{Machines: []Machine{
-			machineWith(machine(0, 0, 8), func(m *Machine) { m.Jobs, m.Images = 3, []int{0} }), machineWith(machine(1, 0, 8), func(m *Machine) { m.Images = []int{5} })},
+			machineWith(machine(0, 0, 8), func(m *Machine) { m.Tasks, m.Images = 3, []int{0} }), machineWith(machine(1, 0, 8), func(m *Machine) { m.Images = []int{5} })},
 			Demands: []Demand{demand(1, job.Array, 1, 0)}}, map[int32]int{0: 0}, []int{0}},
 		{"a burst is spread, because placements are debited", Input{Machines: []Machine{machine(0, 0, 8), machine(1, 0, 8)},
 			Demands: []Demand{demand(1, job.Array, 1, 0, 1)}}, map[int32]int{0: 0, 1: 1}, []int{0}},
 		{"no spot machine for a job that does not allow it", Input{Machines: []Machine{machineWith(machine(0, 0, 8), func(m *Machine) { m.Spot = true })},
 			Demands: []Demand{demandWith(demand(1, job.Array, 1, 0), func(d *Demand) { d.Spot = false })}}, map[int32]int{}, []int{1}},
-		{"only allowed types", Input{Machines: []Machine{machine(0, 0, 8), machineWith(machine(1, 0, 8), func(m *Machine) { m.Type = 1; m.Jobs = 5 })},
+		{"only allowed types", Input{Machines: []Machine{machine(0, 0, 8), machineWith(machine(1, 0, 8), func(m *Machine) { m.Type = 1; m.Tasks = 5 })},
 			Demands: []Demand{demandWith(demand(1, job.Array, 1, 0), func(d *Demand) { d.AllowedTypes = []bool{false, true} })}}, map[int32]int{0: 1}, []int{0}},
 		{"one zone holds for tasks that may still run", Input{Machines: []Machine{machine(0, 0, 8), machine(1, 1, 8)},
 			Demands: []Demand{demandWith(demand(1, job.Array, 1, 1), func(d *Demand) { d.OneZone, d.TasksByZone = true, []int{0, 1, 0} })}}, map[int32]int{1: 1}, []int{0}},
@@ -59,9 +59,9 @@
 			Demands: []Demand{demand(1, job.Gang, 4, 0, 1, 2)}}, map[int32]int{}, []int{3}},
 		{"a gang in one zone takes the zone with room", Input{Machines: []Machine{machine(0, 0, 4), machine(1, 1, 8)},
 			Demands: []Demand{demandWith(demand(1, job.Gang, 4, 0, 1), func(d *Demand) { d.OneZone = true })}}, map[int32]int{0: 1, 1: 1}, []int{0}},
-		{"a gang stays in the only zone that it may use", Input{Machines: []Machine{machine(0, 0, 8), machineWith(machine(1, 1, 8), func(m *Machine) { m.Jobs = 3 })},
+		{"a gang stays in the only zone that it may use", Input{Machines: []Machine{machine(0, 0, 8), machineWith(machine(1, 1, 8), func(m *Machine) { m.Tasks = 3 })},
 			Demands: []Demand{demandWith(demand(1, job.Gang, 4, 0, 1), func(d *Demand) { d.Zone = 1 })}}, map[int32]int{0: 1, 1: 1}, []int{0}},
-		{"an array too", Input{Machines: []Machine{machine(0, 0, 8), machineWith(machine(1, 1, 8), func(m *Machine) { m.Jobs = 3 })},
+		{"an array too", Input{Machines: []Machine{machine(0, 0, 8), machineWith(machine(1, 1, 8), func(m *Machine) { m.Tasks = 3 })},
 			Demands: []Demand{demandWith(demand(1, job.Array, 1, 0), func(d *Demand) { d.Zone = 1 })}}, map[int32]int{0: 1}, []int{0}},
 		{"a team stays below its limit", Input{Machines: []Machine{machine(0, 0, 8)},
 			Teams:   []Team{{Limit: Resources{CPUs: 3}, Used: Resources{CPUs: 1}}},
@@ -72,7 +72,7 @@
 		{"room kept for another job is not taken", Input{Machines: []Machine{machineWith(machine(0, 0, 8), func(m *Machine) { m.ReservedFor, m.Reserved = 9, Resources{CPUs: 7.5} })},
 			Demands: []Demand{demand(1, job.Array, 1, 0)}}, map[int32]int{}, []int{1}},
 		{"a machine that still reports the task's exit is passed over", Input{Machines: []Machine{
-			machineWith(machine(0, 0, 8), func(m *Machine) { m.UnclearedExits = map[Task]bool{{1, 0}: true} })},
+			machineWith(machine(0, 0, 8), func(m *Machine) { m.UnclearedExits = map[TaskKey]bool{{1, 0}: true} })},
 			Demands: []Demand{demand(1, job.Array, 1, 0)}}, map[int32]int{}, []int{1}},
 	}
 }
@@ -85,7 +85,7 @@
 			if tt.in.Teams == nil {
 				tt.in.Teams = []Team{{}}
 			}
-			p := Make(tt.in)
+			p := MakePlan(tt.in)
 			got := map[int32]int{}
 			for _, a := range p.Assignments {
 				got[a.Task] = tt.in.Machines[a.Machine].ID
@@ -117,7 +117,7 @@
 		m.Free = Resources{CPUs: 1, MemGB: 40}
 		a, b := demand(1, job.Array, 1, 0), demand(2, job.Array, 1, 0)
 		a.Team, a.LatestStart, b.Team, b.LatestStart = 0, tt.start, 1, 100
-		p := Make(Input{Machines: []Machine{m}, Demands: []Demand{a, b}, Teams: []Team{{Used: Resources{CPUs: 8}}, {Used: Resources{CPUs: 1}}}, Weights: paperWeights})
+		p := MakePlan(Input{Machines: []Machine{m}, Demands: []Demand{a, b}, Teams: []Team{{Used: Resources{CPUs: 8}}, {Used: Resources{CPUs: 1}}}, Weights: paperWeights})
 		if len(p.Assignments) != 1 || p.Assignments[0].Demand+1 != tt.want {
 			t.Errorf("%s: %v, want demand %d", tt.name, p.Assignments, tt.want)
 		}
@@ -141,7 +141,7 @@
 		m := machine(0, 0, 1)
 		a, b := demand(1, job.Array, 1, 0), demand(2, job.Array, 1, 0)
 		a.Priority, a.Overdue, b.Priority, b.Team = job.Idle, tt.overdue, job.Urgent, 1
-		p := Make(Input{Machines: []Machine{m}, Demands: []Demand{a, b}, Teams: []Team{{Limit: Resources{CPUs: tt.limit}}, {}}, Weights: paperWeights})
+		p := MakePlan(Input{Machines: []Machine{m}, Demands: []Demand{a, b}, Teams: []Team{{Limit: Resources{CPUs: tt.limit}}, {}}, Weights: paperWeights})
 		if len(p.Assignments) != 1 || p.Assignments[0].Demand+1 != tt.want {
 			t.Errorf("%s: %v, want demand %d", tt.name, p.Assignments, tt.want)
 		}
@@ -176,7 +176,7 @@
 	m := Machine{Total: Resources{CPUs: 100, GPUs: 10, MemGB: 10}, Free: Resources{CPUs: 50, GPUs: 1, MemGB: 10}, Scale: 1, Price: 1}
 	a, b := demand(1, job.Array, 1, 0), demand(2, job.Array, 1, 0)
 	a.Need.GPUs, b.Need.GPUs, b.Team = 1, 1, 1
-	p := Make(Input{Machines: []Machine{m}, Demands: []Demand{a, b}, Weights: paperWeights,
+	p := MakePlan(Input{Machines: []Machine{m}, Demands: []Demand{a, b}, Weights: paperWeights,
 		Teams: []Team{{Guarantee: Resources{GPUs: 1}, Used: Resources{CPUs: 8, GPUs: 8}}, {Guarantee: Resources{GPUs: 1}, Used: Resources{CPUs: 40, GPUs: 1}}}})
 	if len(p.Assignments) != 1 || p.Assignments[0].Demand != 1 {
 		t.Errorf("the room went to %v, want the team that borrows nothing", p.Assignments)
--- a/internal/place/plain_test.go
+++ b/internal/place/plain_test.go
@@ -12,7 +12,7 @@
 )
 
 // referencePlanner is the planner as the paper describes it, which scores every machine for
-// every task. The queue of Make must come to the same result, ties included.
+// every task. The queue of MakePlan must come to the same result, ties included.
 type referencePlanner struct {
 	planner
 }
@@ -21,10 +21,10 @@
 	best, length := -1, math.Inf(1)
 	for i := range p.Machines {
 		m := &p.Machines[i]
-		if (zone >= 0 && m.Zone != zone) || !m.available(d).Fits(d.Need) || !p.eligible(m, d) || m.UnclearedExits[Task{d.ID, task}] {
+		if (zone >= 0 && m.Zone != zone) || !m.available(d).Fits(d.Need) || !p.eligible(m, d) || m.UnclearedExits[TaskKey{d.ID, task}] {
 			continue
 		}
-		if l := Length(&p.Weights, m, d); l < length {
+		if l := Cost(&p.Weights, m, d); l < length {
 			best, length = i, l
 		}
 	}
@@ -42,7 +42,7 @@
 		if m < 0 {
 			break
 		}
-		length += Length(&p.Weights, &p.Machines[m], d)
+		length += Cost(&p.Weights, &p.Machines[m], d)
 		p.assign(d, m)
 		set = append(set, Assignment{i, t, m})
 	}
@@ -98,7 +98,7 @@
 		m := machine(i, r.IntN(3), cpus)
 		m.Type, m.Spot, m.Scale, m.Price = int(math.Log2(cpus))-2, r.IntN(2) == 0, 4/cpus, float64(1+r.IntN(3))
 		m.Free.CPUs -= float64(r.IntN(int(cpus) + 1))
-		m.Jobs, m.Queue, m.Unreliable = r.IntN(3), r.IntN(2), r.IntN(9) == 0
+		m.Tasks, m.WaitingTasks, m.Unreliable = r.IntN(3), r.IntN(2), r.IntN(9) == 0
 		for image := range 4 {
 			if r.IntN(3) == 0 {
 				m.Images = append(m.Images, image)
@@ -108,7 +108,7 @@
 			m.ReservedFor, m.Reserved = 1+r.IntN(demands), Resources{CPUs: 2, MemGB: 1}
 		}
 		if r.IntN(4) == 0 {
-			m.UnclearedExits = map[Task]bool{{1 + r.IntN(demands), int32(r.IntN(4))}: true}
+			m.UnclearedExits = map[TaskKey]bool{{1 + r.IntN(demands), int32(r.IntN(4))}: true}
 		}
 		in.Machines = append(in.Machines, m)
 	}
@@ -143,7 +143,7 @@
 		r := rand.New(rand.NewPCG(seed, 2))
 		in := randomFleet(r, 6+r.IntN(60), 1+r.IntN(8))
 		same := (&referencePlanner{planner{Input: in}}).copyOf().Input
-		p := Make(in)
+		p := MakePlan(in)
 		var order []int
 		for _, a := range p.Assignments {
 			if !slices.Contains(order, a.Demand) {
@@ -189,7 +189,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				p := referencePlanner{planner{Input: in}}
-				Make(p.copyOf().Input)
+				MakePlan(p.copyOf().Input)
 			}
 		})
 	}
--- a/internal/place/preempt.go
+++ b/internal/place/preempt.go
@@ -159,7 +159,7 @@
 		}
 		if victim := &m.Victims[v]; p.canPreempt(d, victim) {
 			free = free.addScaled(victim.Need, 1)
-			loss += victim.Loss
+			loss += victim.LossCPUSeconds
 			victims++
 		}
 	}
@@ -201,6 +201,6 @@
 	}
 	p.victimsSorted[i] = true
 	slices.SortStableFunc(p.Machines[i].Victims, func(a, b Victim) int {
-		return cmp.Or(cmp.Compare(a.Priority, b.Priority), cmp.Compare(a.Loss, b.Loss))
+		return cmp.Or(cmp.Compare(a.Priority, b.Priority), cmp.Compare(a.LossCPUSeconds, b.LossCPUSeconds))
 	})
 }
--- a/internal/place/preempt_test.go
+++ b/internal/place/preempt_test.go
@@ -12,8 +12,8 @@
 	m := machine(0, 0, 8)
 	m.Free = Resources{CPUs: 1, MemGB: 30}
 	m.Victims = []Victim{
-		{ID: 0, Priority: job.Standard, Team: 1, Need: Resources{CPUs: 4}, Loss: 40},
-		{ID: 1, Priority: job.Standard, Team: 1, Need: Resources{CPUs: 3}, Loss: 5},
+		{ID: 0, Priority: job.Standard, Team: 1, Need: Resources{CPUs: 4}, LossCPUSeconds: 40},
+		{ID: 1, Priority: job.Standard, Team: 1, Need: Resources{CPUs: 3}, LossCPUSeconds: 5},
 	}
 	d := demand(1, job.Gang, 4, 0)
 	d.Priority, d.MayPreempt = job.Urgent, true
@@ -31,7 +31,7 @@
 	for i := range 3 {
 		m := machine(i, 0, 4)
 		m.Free = Resources{MemGB: 8}
-		m.Victims = []Victim{{ID: i, Priority: job.Standard, Team: 1, Need: Resources{CPUs: 4, MemGB: 1}, Loss: 1}}
+		m.Victims = []Victim{{ID: i, Priority: job.Standard, Team: 1, Need: Resources{CPUs: 4, MemGB: 1}, LossCPUSeconds: 1}}
 		in.Machines = append(in.Machines, m)
 	}
 }
@@ -137,7 +137,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			in := preemptInput()
 			tt.edit(&in)
-			p := Make(in)
+			p := MakePlan(in)
 			var got []int
 			for _, e := range p.Preemptions {
 				got = append(got, e.Victims...)
--- a/internal/place/queue.go
+++ b/internal/place/queue.go
@@ -78,7 +78,7 @@
 
 // sharesQueue reports whether two demands have the same candidates with the same scores.
 func (p *planner) sharesQueue(a, b *Demand) bool {
-	if p.calendarBound && (a.EndsIn != b.EndsIn || a.Movable != b.Movable) {
+	if p.calendarBound && (a.EndsInS != b.EndsInS || a.Movable != b.Movable) {
 		return false
 	}
 	return interchangeable(a, b) && !p.reservedFor[a.ID] && !p.reservedFor[b.ID]
@@ -119,7 +119,7 @@
 }
 
 func (q *candidateQueue) score(m *Machine) float64 {
-	return Length(&q.planner.Weights, m, q.demand)
+	return Cost(&q.planner.Weights, m, q.demand)
 }
 
 // next returns the index of the best machine for a task, or -1 if there is none.
@@ -134,7 +134,7 @@
 			heap.Pop(q) // for good: it is full, or its zone is closed to the demand by now
 			continue
 		}
-		if len(m.UnclearedExits) > 0 && m.UnclearedExits[Task{Job: q.demand.ID, Task: task}] {
+		if len(m.UnclearedExits) > 0 && m.UnclearedExits[TaskKey{Demand: q.demand.ID, Task: task}] {
 			skipped = append(skipped, heap.Pop(q).(candidate))
 			continue
 		}
--- a/internal/place/score.go
+++ b/internal/place/score.go
@@ -2,7 +2,7 @@
 
 import "vetchstream/internal/job"
 
-// Weights scale the dimensions of the vector that Length measures.
+// Weights scale the dimensions of the vector that Cost measures.
 type Weights struct {
 	// Queue, Jobs and CPU weigh the machine's load: tasks that wait for their image, tasks,
 	// and the percentage of CPUs in use.
@@ -23,10 +23,10 @@
 	Empty float64
 }
 
-// Length returns the squared length of the load vector for placing a task of d on m; the
+// Cost returns the squared length of the load vector for placing a task of d on m; the
 // machine with the smallest is the best.
-func Length(w *Weights, m *Machine, d *Demand) float64 {
-	sum := square(w.Queue*m.Scale*float64(m.Queue)) + square(w.Jobs*m.Scale*float64(m.Jobs)) + square(w.Price*m.Price)
+func Cost(w *Weights, m *Machine, d *Demand) float64 {
+	sum := square(w.Queue*m.Scale*float64(m.WaitingTasks)) + square(w.Jobs*m.Scale*float64(m.Tasks)) + square(w.Price*m.Price)
 	if m.Total.CPUs > 0 {
 		sum += square(w.CPU * 100 * (1 - m.Free.CPUs/m.Total.CPUs))
 	}
@@ -41,7 +41,7 @@
 	if m.Unreliable {
 		sum += square(w.Unreliable)
 	}
-	if m.Jobs == 0 {
+	if m.Tasks == 0 {
 		sum += square(w.Empty)
 	}
 	return sum
