--- a/internal/fleet/compose.go
+++ b/internal/fleet/compose.go
@@ -9,51 +9,51 @@
 
 // orderComposer collects the orders of one message to a machine.
 type orderComposer struct {
-	fleet    *Fleet
-	host     *Machine
-	seq      uint64 // the report that is answered; 0: a direct command
-	launches bool   // launches may be included
-	now      time.Time
-	orders   []wire.Command
-	sent     []*Slot // launched by the message
-	events   []Event
+	fleet         *Fleet
+	machine       *Machine
+	reportSeq     uint64 // the report that is answered; 0: a direct command
+	allowLaunches bool   // launches may be included
+	now           time.Time
+	orders        []wire.Command
+	launched      []*Slot // launched by the message
+	events        []Event
 }
 
 // ComposeOrders makes at most limit orders for a machine and marks the launches as
 // sent. seq is the report that is answered; 0 stands for a direct command, which
 // carries no clear. launches is false for a stale report, and while a direct command
 // is in flight that may arrive before or after this message.
-func (f *Fleet) ComposeOrders(h *Machine, seq uint64, launches bool, now time.Time, limit int) (orders []wire.Command, sent []*Slot, ev []Event) {
+func (f *Fleet) ComposeOrders(m *Machine, seq uint64, launches bool, now time.Time, limit int) (orders []wire.Command, sent []*Slot, ev []Event) {
 	c := orderComposer{
-		fleet:    f,
-		host:     h,
-		seq:      seq,
-		launches: launches,
-		now:      now,
-		orders:   []wire.Command{},
+		fleet:         f,
+		machine:       m,
+		reportSeq:     seq,
+		allowLaunches: launches,
+		now:           now,
+		orders:        []wire.Command{},
 	}
 	if c.isAnswer() {
 		c.haltCancelled(limit)
 	}
-	for _, s := range h.Slots {
+	for _, s := range m.Slots {
 		if len(c.orders) >= limit {
 			break
 		}
 		c.addOrders(s)
 	}
-	h.Recount()
-	return c.orders, c.sent, c.events
+	m.Recount()
+	return c.orders, c.launched, c.events
 }
 
 // isAnswer reports whether the message answers a report. Otherwise it is a direct
 // command.
-func (c *orderComposer) isAnswer() bool { return c.seq != 0 }
+func (c *orderComposer) isAnswer() bool { return c.reportSeq != 0 }
 
 // haltCancelled halts, without time to save, the tasks of cancelled jobs that the
 // worker has reported. An answer to a report renews the lease, so each one carries
 // these halts first, however recently they were sent (renewal.go).
 func (c *orderComposer) haltCancelled(limit int) {
-	for _, s := range c.host.Slots {
+	for _, s := range c.machine.Slots {
 		if s.Observed && s.cancelPending() && len(c.orders) < limit {
 			s.GraceS = 0
 			c.orders = append(c.orders, s.halt(c.now))
@@ -68,7 +68,7 @@
 		// haltCancelled has added the halt.
 	case !s.LaunchSent:
 		c.launch(s)
-	case (c.isAnswer() || c.host.holder != nil) && c.launches && c.host.Fenced && s.resendDue(c.now):
+	case (c.isAnswer() || c.machine.holder != nil) && c.allowLaunches && c.machine.Fenced && s.resendDue(c.now):
 		c.resend(s)
 	case s.haltDue(c.now):
 		c.orders = append(c.orders, s.halt(c.now))
@@ -79,23 +79,23 @@
 
 // launch adds the launch of a slot that was not sent, if the machine may get it.
 func (c *orderComposer) launch(s *Slot) {
-	h := c.host
+	m := c.machine
 	if s.Job.Closing != "" || s.Job.Phase != "" {
 		// The job may have been cancelled after the placement.
-		c.events = append(c.events, c.fleet.removeSlot(h, s, NeverStarted)...)
+		c.events = append(c.events, c.fleet.removeSlot(m, s, NeverStarted)...)
 		return
 	}
-	if !c.launches || !h.Fenced || !h.Registered || h.Lost || !s.Job.NotedMachines.Has(h.Index) {
+	if !c.allowLaunches || !m.Fenced || !m.Registered || m.Lost || !s.Job.NotedMachines.Has(m.Index) {
 		return
 	}
 	s.LaunchSent = true
 	s.DirectLaunch = !c.isAnswer()
-	s.answeredSeq = c.seq
+	s.launchReportSeq = c.reportSeq
 	s.PlacedAt = c.now
 	if s.DirectLaunch {
-		h.directLaunchAt = c.now
+		m.directLaunchAt = c.now
 	}
-	c.sent = append(c.sent, s)
+	c.launched = append(c.launched, s)
 	c.orders = append(c.orders, s.order(wire.CommandLaunch))
 }
 
@@ -103,7 +103,7 @@
 // whichever copy comes first, as long as its exit is not cleared. A task that is to be
 // stopped is launched and halted: its exit settles the slot.
 func (c *orderComposer) resend(s *Slot) {
-	s.resentAt = c.now
+	s.launchResentAt = c.now
 	c.orders = append(c.orders, s.order(wire.CommandLaunch))
 	if s.Stopping {
 		c.orders = append(c.orders, s.halt(c.now))
@@ -151,20 +151,20 @@
 // and its task for as long as the worker's reports go on.
 func (s *Slot) resendDue(now time.Time) bool {
 	unsettled := s.LaunchSent && s.DirectLaunch && !s.Observed && s.Active() && !s.Machine.CallInFlight
-	return unsettled && now.Sub(s.PlacedAt) >= resendAfter && now.Sub(s.resentAt) >= resendAfter &&
+	return unsettled && now.Sub(s.PlacedAt) >= resendAfter && now.Sub(s.launchResentAt) >= resendAfter &&
 		s.Job.Closing == "" && s.Job.Phase == ""
 }
 
 // clearable reports whether the worker may forget the exit of the slot.
-func (s *Slot) clearable() bool { return !s.Active() && s.Settled && s.resentAt.IsZero() }
+func (s *Slot) clearable() bool { return !s.Active() && s.Settled && s.launchResentAt.IsZero() }
 
 // ClearOrders are at most limit orders to forget exits, for the next answer of the
 // machine's holder.
-func (h *Machine) ClearOrders(limit int) (orders []wire.Command) {
-	if h.ReportedExits == 0 {
+func (m *Machine) ClearOrders(limit int) (orders []wire.Command) {
+	if m.ReportedExits == 0 {
 		return nil
 	}
-	for _, s := range h.Slots {
+	for _, s := range m.Slots {
 		if s.clearable() && len(orders) < limit {
 			orders = append(orders, s.order(wire.CommandClear))
 		}
@@ -174,12 +174,12 @@
 
 // NeedsDirectCommand reports whether something is to be sent that is worth a direct
 // command.
-func (h *Machine) NeedsDirectCommand(now time.Time) bool {
-	for _, s := range h.Slots {
-		if !s.LaunchSent && h.Usable() && s.Job.NotedMachines.Has(h.Index) {
+func (m *Machine) NeedsDirectCommand(now time.Time) bool {
+	for _, s := range m.Slots {
+		if !s.LaunchSent && m.Usable() && s.Job.NotedMachines.Has(m.Index) {
 			return true
 		}
-		if h.holder != nil && s.resendDue(now) {
+		if m.holder != nil && s.resendDue(now) {
 			return true // the holder's answers carry no launches
 		}
 		if s.haltDue(now) {
@@ -194,7 +194,7 @@
 func (f *Fleet) RemoveUndelivered(slots []*Slot) []Event {
 	var ev []Event
 	for _, s := range slots {
-		if s.Machine.Slots[s.PlacementKey] == s && s.DirectLaunch && !s.Observed && s.resentAt.IsZero() {
+		if s.Machine.Slots[s.PlacementKey] == s && s.DirectLaunch && !s.Observed && s.launchResentAt.IsZero() {
 			ev = append(ev, f.removeSlot(s.Machine, s, NeverStarted)...)
 			s.Machine.Recount()
 		}
--- a/internal/fleet/explore_world_test.go
+++ b/internal/fleet/explore_world_test.go
@@ -17,21 +17,21 @@
 type guard uint8
 
 const (
-	noGuard                  guard = iota
-	leaderStopsAtLimit             // the leader does not renew a lease past the limit while a launch is on its way
-	holderReturnsBeforeLimit       // a holder gives the machine back before the limit
-	returnAllowsForGrant           // by as much before it as its grant may last
-	holderReportsTasksFirst        // a holder does not answer by itself a report with a task that the leader does not know of
-	everyAnswerHalts               // each answer of the leader halts what is cancelled, also what was halted a moment ago
-	cancelTimeFromCommit           // the time counts from when the commit of the cancellation was sent
-	unknownCancelIsPast            // a job that an earlier leader cancelled may have been cancelled at any time before
+	noGuard                   guard = iota
+	leaderStopsAtLimit              // the leader does not renew a lease past the limit while a launch is on its way
+	holderReturnsBeforeLimit        // a holder gives the machine back before the limit
+	returnAllowsForGrantTime        // by as much before it as its grant may last
+	holderReportsTasksFirst         // a holder does not answer by itself a report with a task that the leader does not know of
+	everyAnswerHalts                // each answer of the leader halts what is cancelled, also what was halted a moment ago
+	deadlineFromCommit              // the time counts from when the commit of the cancellation was sent
+	unknownCancelCountsAsPast       // a job that an earlier leader cancelled may have been cancelled at any time before
 )
 
 const (
-	tick       = 4 * time.Second
-	leaseTime  = 9 * time.Second
-	cancelTime = 21 * time.Second
-	grantTime  = 2500 * time.Millisecond
+	reportInterval = 4 * time.Second
+	leaseDuration  = 9 * time.Second
+	cancelTimeout  = 21 * time.Second
+	grantDuration  = 2500 * time.Millisecond
 	// maxDelayedCommands bounds the commands on their way; what is sent beyond never arrives.
 	maxDelayedCommands = 2
 )
@@ -46,28 +46,28 @@
 
 // world is one machine, at most one holder of it, and one job of one task.
 type world struct {
-	disabled        guard
-	now             time.Time
-	fleet           *Fleet
-	assigner        *shard.Assigner
-	holder          *shard.Holder
-	grantEnd        time.Time
-	fleetHolder     *Holder
-	host            *Machine
-	job             *job.Job
-	retained        bool
-	launched        bool
-	cancelled       time.Time // when the user may first have been told; zero: never
-	loadedAsOver    bool      // the job was over when the leader's term began
-	delayedCommands []wire.DirectCommands
-	worker          worker
-	broken          string
+	disabled         guard
+	now              time.Time
+	fleet            *Fleet
+	assigner         *shard.Assigner
+	holder           *shard.Holder
+	grantEnd         time.Time
+	fleetHolder      *Holder
+	machine          *Machine
+	job              *job.Job
+	retainedByLeader bool
+	launched         bool
+	cancelledAt      time.Time // when the user may first have been told; zero: never
+	endedBeforeTerm  bool      // the job was over when the leader's term began
+	delayedCommands  []wire.DirectCommands
+	worker           worker
+	violation        string
 }
 
 // worker is the worker of the machine.
 type worker struct {
 	session, seq, token uint64
-	leaseFrom           time.Time      // when the lease was last renewed
+	leaseRenewedAt      time.Time      // when the lease was last renewed
 	phase               wire.TaskPhase // of the task; empty: the worker has not had it
 }
 
@@ -80,20 +80,20 @@
 		holder:   shard.NewHolder("n1", "", 1),
 		job:      job.New(&job.Record{Spec: spec}, start),
 	}
-	w.worker = worker{session: 1, leaseFrom: w.now}
+	w.worker = worker{session: 1, leaseRenewedAt: w.now}
 	w.beginTerm(1)
 	return w
 }
 
 // beginTerm begins a term.
 func (w *world) beginTerm(term uint64) {
-	w.fleet = New(term, leaseTime, cancelTime)
-	w.host = w.fleet.Add("host-1", w.now)
-	w.host.Described, w.host.Registered, w.host.Type, w.host.Zone = true, true, 0, 0
+	w.fleet = New(term, leaseDuration, cancelTimeout)
+	w.machine = w.fleet.Add("host-1", w.now)
+	w.machine.Described, w.machine.Registered, w.machine.Type, w.machine.Zone = true, true, 0, 0
 	settings := shard.Settings{
-		GrantDuration:  grantTime,
-		RejoinDelay:    tick,
-		MaxRejoinDelay: tick,
+		GrantDuration:  grantDuration,
+		RejoinDelay:    reportInterval,
+		MaxRejoinDelay: reportInterval,
 		MovesPerSecond: 1000,
 		LeaderWeight:   0.01,
 		LeaderCapacity: 1,
@@ -101,13 +101,13 @@
 	w.assigner = shard.NewAssigner(term, "n0", "", settings, w.now)
 	w.assigner.AddMachine("host-1", "")
 	w.fleetHolder = &Holder{Name: "n1"}
-	w.retained = false
-	w.job.NotedMachines.Add(w.host.Index)
-	w.loadedAsOver = !w.cancelled.IsZero()
-	if w.loadedAsOver {
+	w.retainedByLeader = false
+	w.job.NotedMachines.Add(w.machine.Index)
+	w.endedBeforeTerm = !w.cancelledAt.IsZero()
+	if w.endedBeforeTerm {
 		rec := &job.Record{Spec: w.job.Spec, Phase: wire.JobCancelled}
 		w.job.ReplaceRecord(rec, w.now)
-		if w.disabled == unknownCancelIsPast {
+		if w.disabled == unknownCancelCountsAsPast {
 			w.job.CancelledAt = w.now
 		}
 	}
@@ -121,7 +121,7 @@
 
 // observe handles a message of the worker as the leader does.
 func (w *world) observe(m *wire.Heartbeat, isReport bool) (fresh bool) {
-	fresh = w.fleet.Observe(w.host, m, isReport, w.now, w.find).Fresh
+	fresh = w.fleet.Observe(w.machine, m, isReport, w.now, w.find).Fresh
 	for s := range w.fleet.SlotsOf(w.job) {
 		if s.Active() && w.job.Cancelled() && !s.Stopping {
 			w.fleet.Stop(s, 0)
@@ -132,32 +132,32 @@
 
 // retainBeforeLimit has the leader retain the machine when its renewal limit is near.
 func (w *world) retainBeforeLimit() {
-	limit, bounded := w.fleet.RenewalLimit(w.host)
+	limit, bounded := w.fleet.RenewalLimit(w.machine)
 	early := w.assigner.RevocationTime()
-	if w.disabled == returnAllowsForGrant {
+	if w.disabled == returnAllowsForGrantTime {
 		early = 0
 	}
 	switch {
 	case w.disabled == holderReturnsBeforeLimit:
 	case bounded && limit.Sub(w.now) <= early:
-		w.retained = true
+		w.retainedByLeader = true
 		w.assigner.Retain("host-1", "", w.now)
-	case !bounded && w.retained:
-		w.retained = false
+	case !bounded && w.retainedByLeader:
+		w.retainedByLeader = false
 		w.assigner.Release("host-1")
 	}
 }
 
 // answer makes the leader's answer to a report; nil: there is none.
 func (w *world) answer(m *wire.Heartbeat, fresh bool) *wire.HeartbeatResponse {
-	if w.disabled != leaderStopsAtLimit && !w.fleet.Renewable(w.host, w.now, 100) {
+	if w.disabled != leaderStopsAtLimit && !w.fleet.Renewable(w.machine, w.now, 100) {
 		return nil
 	}
 	haltedNow := false
 	for s := range w.fleet.SlotsOf(w.job) {
 		haltedNow = haltedNow || s.HaltSentAt.Equal(w.now)
 	}
-	orders, _, _ := w.fleet.ComposeOrders(w.host, m.Seq, fresh, w.now, 100)
+	orders, _, _ := w.fleet.ComposeOrders(w.machine, m.Seq, fresh, w.now, 100)
 	if w.disabled == everyAnswerHalts && haltedNow {
 		orders = nil
 	}
@@ -180,7 +180,7 @@
 		return
 	}
 	w.worker.token = a.Token
-	w.worker.leaseFrom = w.now
+	w.worker.leaseRenewedAt = w.now
 	w.executeOrders(a.Commands)
 }
 
@@ -200,8 +200,8 @@
 // checkDeadline notes a fault if the task runs after its deadline; what says how it was
 // found.
 func (w *world) checkDeadline(what string) {
-	if w.worker.phase == wire.TaskRunning && !w.cancelled.IsZero() && w.now.Sub(w.cancelled) > cancelTime {
-		w.broken = "ran_cancelled: the task " + what + " " + w.now.Sub(w.cancelled).String() + " after the cancellation"
+	if w.worker.phase == wire.TaskRunning && !w.cancelledAt.IsZero() && w.now.Sub(w.cancelledAt) > cancelTimeout {
+		w.violation = "ran_cancelled: the task " + what + " " + w.now.Sub(w.cancelledAt).String() + " after the cancellation"
 	}
 }
 
@@ -226,7 +226,7 @@
 	case shard.ReportChanged, shard.LeaderRequired:
 		if outcome != reportAnsweredLate && w.holder.Term() == w.fleet.Term {
 			w.syncHolder()
-			if w.host.Holder() != nil {
+			if w.machine.Holder() != nil {
 				receive(w.answer(m, true))
 				return true
 			}
@@ -249,8 +249,8 @@
 
 // setHolder sets the machine's holder in the ledger once it has one.
 func (w *world) setHolder() {
-	if member, _ := w.assigner.Holder("host-1"); member != "" && w.host.Holder() == nil {
-		w.fleet.SetHolder(w.host, w.fleetHolder)
+	if member, _ := w.assigner.Holder("host-1"); member != "" && w.machine.Holder() == nil {
+		w.fleet.SetHolder(w.machine, w.fleetHolder)
 	}
 }
 
@@ -268,7 +268,7 @@
 	w.fleetHolder.KnownUntil = w.assigner.KnownUntil("n1")
 	if r.Term == w.fleet.Term {
 		for i := range r.Reports {
-			w.handleHostReport(&r.Reports[i])
+			w.handleMachineReport(&r.Reports[i])
 		}
 	}
 	w.clearHolder(freed)
@@ -279,8 +279,8 @@
 	w.setHolder()
 }
 
-// handleHostReport handles a report that the holder has answered.
-func (w *world) handleHostReport(e *shard.HostReport) {
+// handleMachineReport handles a report that the holder has answered.
+func (w *world) handleMachineReport(e *shard.HostReport) {
 	w.assigner.ConfirmContact(e.Host)
 	if len(e.Report) > 0 {
 		m := &wire.Heartbeat{}
@@ -289,21 +289,21 @@
 		}
 		w.observe(m, true)
 	}
-	w.fleet.RecordRenewal(w.host, e.Session, e.Seq, w.now.Add(-time.Duration(e.AgeMs)*time.Millisecond))
+	w.fleet.RecordRenewal(w.machine, e.Session, e.Seq, w.now.Add(-time.Duration(e.AgeMs)*time.Millisecond))
 }
 
 // clearHolder clears the machine's holder in the ledger if it was revoked.
 func (w *world) clearHolder(freed []shard.Revocation) {
 	for _, f := range freed {
-		w.host.ClearHolder(f.Until)
+		w.machine.ClearHolder(f.Until)
 	}
 }
 
 // sendDirectCommand sends the machine's next direct command, which is delayed.
 func (w *world) sendDirectCommand() bool {
-	orders, _, _ := w.fleet.ComposeOrders(w.host, 0, w.host.Usable(), w.now, 100)
+	orders, _, _ := w.fleet.ComposeOrders(w.machine, 0, w.machine.Usable(), w.now, 100)
 	if len(orders) > 0 && len(w.delayedCommands) < maxDelayedCommands {
-		w.delayedCommands = append(w.delayedCommands, wire.DirectCommands{Token: w.fleet.Term, Session: max(1, w.host.Session), Commands: orders})
+		w.delayedCommands = append(w.delayedCommands, wire.DirectCommands{Token: w.fleet.Term, Session: max(1, w.machine.Session), Commands: orders})
 	}
 	return len(orders) > 0
 }
@@ -330,8 +330,8 @@
 	const part = 500 * time.Millisecond
 	for ; d > 0; d -= part {
 		w.now = w.now.Add(part)
-		if w.now.Sub(w.worker.leaseFrom) > leaseTime {
-			w.worker = worker{session: w.worker.session + 1, token: w.worker.token, leaseFrom: w.now}
+		if w.now.Sub(w.worker.leaseRenewedAt) > leaseDuration {
+			w.worker = worker{session: w.worker.session + 1, token: w.worker.token, leaseRenewedAt: w.now}
 		}
 		w.checkDeadline("is there")
 		w.fleet.ExpireLeases(w.now)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -32,8 +32,8 @@
 }
 
 const (
-	// clockDrift is how slow a worker's clock may be: one part in that many.
-	clockDrift = 1000
+	// maxClockDriftDivisor is how slow a worker's clock may be: one part in that many.
+	maxClockDriftDivisor = 1000
 	// timerMargin is for the granularity of a worker's timers.
 	timerMargin = 500 * time.Millisecond
 )
@@ -43,7 +43,7 @@
 func New(term uint64, lease, cancelTime time.Duration) *Fleet {
 	return &Fleet{
 		Term:          term,
-		Lease:         lease + lease/clockDrift + timerMargin,
+		Lease:         lease + lease/maxClockDriftDivisor + timerMargin,
 		CancelTimeout: cancelTime,
 		Machines:      map[string]*Machine{},
 		slotsByJob:    map[*job.Job]map[*Slot]struct{}{},
@@ -56,8 +56,8 @@
 // Add returns the machine of that name, and adds it if there is none. An earlier leader
 // may have renewed its lease as late as since, the start of this term.
 func (f *Fleet) Add(name string, since time.Time) *Machine {
-	if h := f.Machines[name]; h != nil {
-		return h
+	if m := f.Machines[name]; m != nil {
+		return m
 	}
 	idx := f.nextIndex
 	if n := len(f.freeIndexes); n > 0 {
@@ -81,21 +81,21 @@
 
 // insert adds a machine under an index that is free.
 func (f *Fleet) insert(name string, idx int, since time.Time) *Machine {
-	h := &Machine{
-		Index:      idx,
-		Name:       name,
-		Type:       -1,
-		Zone:       -1,
-		AddedAt:    since,
-		Booting:    true,
-		renewedAt:  since,
-		IdleSince:  since,
-		Slots:      map[PlacementKey]*Slot{},
-		FailedJobs: map[*job.Job]bool{},
+	m := &Machine{
+		Index:          idx,
+		Name:           name,
+		Type:           -1,
+		Zone:           -1,
+		AddedAt:        since,
+		Booting:        true,
+		leaseRenewedAt: since,
+		IdleSince:      since,
+		Slots:          map[PlacementKey]*Slot{},
+		FailedJobs:     map[*job.Job]bool{},
 	}
-	f.Machines[name] = h
-	f.order = append(f.order, h)
-	return h
+	f.Machines[name] = m
+	f.order = append(f.order, m)
+	return m
 }
 
 // ReleaseIndex returns the index of a machine that is gone, to be used again. The stored
@@ -106,8 +106,8 @@
 func (f *Fleet) SlotsOf(j *job.Job) map[*Slot]struct{} { return f.slotsByJob[j] }
 
 // addSlot adds a slot to its machine and its job.
-func (f *Fleet) addSlot(h *Machine, s *Slot) {
-	h.Slots[s.PlacementKey] = s
+func (f *Fleet) addSlot(m *Machine, s *Slot) {
+	m.Slots[s.PlacementKey] = s
 	slots := f.slotsByJob[s.Job]
 	if slots == nil {
 		slots = map[*Slot]struct{}{}
@@ -118,10 +118,10 @@
 }
 
 // markAwaitingCommand adds a machine to the list that AwaitingCommand returns.
-func (f *Fleet) markAwaitingCommand(h *Machine) {
-	if !h.awaitingCommand {
-		h.awaitingCommand = true
-		f.awaitingCommand = append(f.awaitingCommand, h)
+func (f *Fleet) markAwaitingCommand(m *Machine) {
+	if !m.awaitingCommand {
+		m.awaitingCommand = true
+		f.awaitingCommand = append(f.awaitingCommand, m)
 	}
 }
 
@@ -129,13 +129,13 @@
 // fleet has a list of them, because a search of all slots of a large fleet after each
 // message would take most of the processor time.
 func (f *Fleet) AwaitingCommand() []*Machine {
-	f.awaitingCommand = slices.DeleteFunc(f.awaitingCommand, func(h *Machine) bool {
-		for _, s := range h.Slots {
+	f.awaitingCommand = slices.DeleteFunc(f.awaitingCommand, func(m *Machine) bool {
+		for _, s := range m.Slots {
 			if s.awaitsCommand() {
 				return false
 			}
 		}
-		h.awaitingCommand = false
+		m.awaitingCommand = false
 		return true
 	})
 	return f.awaitingCommand
@@ -143,18 +143,18 @@
 
 // awaitsCommand reports whether a launch or a halt of the slot is to be sent.
 func (s *Slot) awaitsCommand() bool {
-	return !s.LaunchSent || (s.Stopping && s.Active()) || (s.Machine.holder != nil && s.inFlight())
+	return !s.LaunchSent || (s.Stopping && s.Active()) || (s.Machine.holder != nil && s.launchInFlight())
 }
 
 // AnyAwaitingCommand reports whether AwaitingCommand may return any machine.
 func (f *Fleet) AnyAwaitingCommand() bool { return len(f.awaitingCommand) > 0 }
 
 // Remove removes a machine that was returned to the cloud: everything on it is gone.
-func (f *Fleet) Remove(h *Machine) []Event {
-	ev := f.removeSlots(h)
-	delete(f.Machines, h.Name)
+func (f *Fleet) Remove(m *Machine) []Event {
+	ev := f.removeSlots(m)
+	delete(f.Machines, m.Name)
 	for i, o := range f.order {
-		if o == h {
+		if o == m {
 			f.order = append(f.order[:i:i], f.order[i+1:]...)
 			break
 		}
@@ -163,19 +163,19 @@
 }
 
 // removeSlots removes all slots of a machine on which nothing is left.
-func (f *Fleet) removeSlots(h *Machine) []Event {
+func (f *Fleet) removeSlots(m *Machine) []Event {
 	var ev []Event
-	for _, s := range h.Slots {
-		ev = append(ev, f.removeSlot(h, s, Lost)...)
+	for _, s := range m.Slots {
+		ev = append(ev, f.removeSlot(m, s, Lost)...)
 	}
-	h.Recount()
+	m.Recount()
 	return ev
 }
 
 // removeSlot removes a slot; kind says what has become of its task. There is an event
 // unless the exit was reported before.
-func (f *Fleet) removeSlot(h *Machine, s *Slot, kind EventKind) []Event {
-	delete(h.Slots, s.PlacementKey)
+func (f *Fleet) removeSlot(m *Machine, s *Slot, kind EventKind) []Event {
+	delete(m.Slots, s.PlacementKey)
 	if slots := f.slotsByJob[s.Job]; slots != nil {
 		delete(slots, s)
 		if len(slots) == 0 {
@@ -192,11 +192,11 @@
 
 // Assign adds a placement to the ledger; the next answer or direct command carries its
 // launch.
-func (f *Fleet) Assign(h *Machine, k PlacementKey, now time.Time) *Slot {
-	s := &Slot{PlacementKey: k, Machine: h, PlacedAt: now}
-	f.addSlot(h, s)
-	h.Recount()
-	f.markAwaitingCommand(h)
+func (f *Fleet) Assign(m *Machine, k PlacementKey, now time.Time) *Slot {
+	s := &Slot{PlacementKey: k, Machine: m, PlacedAt: now}
+	f.addSlot(m, s)
+	m.Recount()
+	f.markAwaitingCommand(m)
 	return s
 }
 
@@ -224,16 +224,16 @@
 // ExpireLeases removes what is on machines whose lease has certainly expired. lost counts
 // these machines, except those that are booting or being returned.
 func (f *Fleet) ExpireLeases(now time.Time) (ev []Event, lost int) {
-	for _, h := range f.order {
-		if h.Lost || h.knownUntil(now).Sub(h.renewedAt) < f.Lease || now.Sub(h.directLaunchAt) < f.Lease {
+	for _, m := range f.order {
+		if m.Lost || m.answersKnownUntil(now).Sub(m.leaseRenewedAt) < f.Lease || now.Sub(m.directLaunchAt) < f.Lease {
 			continue
 		}
-		h.Lost = true
-		h.LostAt = now
-		h.Fenced = false
-		h.RenewalStopped = false
-		ev = append(ev, f.removeSlots(h)...)
-		if !h.Booting && !h.Releasing {
+		m.Lost = true
+		m.LostAt = now
+		m.Fenced = false
+		m.RenewalStopped = false
+		ev = append(ev, f.removeSlots(m)...)
+		if !m.Booting && !m.Releasing {
 			lost++
 		}
 	}
@@ -244,13 +244,13 @@
 // this term, or whose lease has expired, and returns those that may still run tasks
 // which an earlier leader launched.
 func (f *Fleet) SettleInherited() (unsettled []*Machine) {
-	for _, h := range f.order {
-		if h.Inherited && (h.Fenced || h.Lost) {
-			h.Inherited = false
-			h.InheritedJobs = nil
+	for _, m := range f.order {
+		if m.Inherited && (m.Fenced || m.Lost) {
+			m.Inherited = false
+			m.InheritedJobs = nil
 		}
-		if h.Inherited {
-			unsettled = append(unsettled, h)
+		if m.Inherited {
+			unsettled = append(unsettled, m)
 		}
 	}
 	return unsettled
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -10,16 +10,16 @@
 	"vetchstream/internal/wire"
 )
 
-const term = 7
+const testTerm = 7
 
 // ledgerFixture is a fleet with one machine and one job, driven step by step.
 type ledgerFixture struct {
-	t     *testing.T
-	now   time.Time
-	fleet *Fleet
-	host  *Machine
-	job   *job.Job
-	sent  []*Slot
+	t       *testing.T
+	now     time.Time
+	fleet   *Fleet
+	machine *Machine
+	job     *job.Job
+	sent    []*Slot
 }
 
 func newLedgerFixture(t *testing.T) *ledgerFixture {
@@ -28,12 +28,12 @@
 	f := &ledgerFixture{
 		t:     t,
 		now:   now,
-		fleet: New(term, 10*time.Second, 25*time.Second),
+		fleet: New(testTerm, 10*time.Second, 25*time.Second),
 		job:   job.New(&job.Record{Spec: spec}, now),
 	}
-	f.host = f.fleet.Add("host-1", now)
-	f.host.Described, f.host.Registered, f.host.Type, f.host.Zone = true, true, 0, 0
-	f.job.NotedMachines.Add(f.host.Index)
+	f.machine = f.fleet.Add("host-1", now)
+	f.machine.Described, f.machine.Registered, f.machine.Type, f.machine.Zone = true, true, 0, 0
+	f.job.NotedMachines.Add(f.machine.Index)
 	return f
 }
 
@@ -48,17 +48,17 @@
 		}
 		m.Tasks = append(m.Tasks, tr)
 	}
-	return f.fleet.Observe(f.host, m, report, f.now, find(f))
+	return f.fleet.Observe(f.machine, m, report, f.now, find(f))
 }
 
 // assign assigns an attempt of task 0 to the machine.
 func (f *ledgerFixture) assign(attempt uint64) {
-	f.fleet.Assign(f.host, PlacementKey{f.job, 0, attempt}, f.now)
+	f.fleet.Assign(f.machine, PlacementKey{f.job, 0, attempt}, f.now)
 }
 
 // compose makes the orders for the machine.
 func (f *ledgerFixture) compose(seq uint64, launches bool) []wire.Command {
-	o, sent, _ := f.fleet.ComposeOrders(f.host, seq, launches, f.now, 100)
+	o, sent, _ := f.fleet.ComposeOrders(f.machine, seq, launches, f.now, 100)
 	f.sent = sent
 	return o
 }
@@ -83,8 +83,8 @@
 	}
 }
 
-// ledgerCase is a case of TestLedger and TestOneWayPartitions.
-type ledgerCase struct {
+// ledgerTest is a case of TestLedger and TestOneWayPartitions.
+type ledgerTest struct {
 	name string
 	do   func(f *ledgerFixture)
 }
@@ -92,70 +92,70 @@
 // TestLedger: which placements may be on a machine, up to the message that settles each.
 // The numbers are the points of docs/safety.md.
 func TestLedger(t *testing.T) {
-	tests := slices.Concat(ledgerLaunchCases(), ledgerDirectCases(), ledgerHolderCases(), ledgerLeaseCases(), ledgerSessionCases(), ledgerAbortCases())
+	tests := slices.Concat(ledgerLaunchTests(), ledgerDirectCommandTests(), ledgerHolderTests(), ledgerLeaseTests(), ledgerSessionTests(), ledgerCancelTests())
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) { tt.do(newLedgerFixture(t)) })
 	}
 }
 
-// ledgerLaunchCases: points 5 to 8, what is launched, and when it is settled.
-func ledgerLaunchCases() []ledgerCase {
+// ledgerLaunchTests: points 5 to 8, what is launched, and when it is settled.
+func ledgerLaunchTests() []ledgerTest {
 	run := map[uint64]wire.TaskPhase{1: wire.TaskRunning}
-	return []ledgerCase{
+	return []ledgerTest{
 		{"5: nothing is launched on a machine that is not fenced", func(f *ledgerFixture) {
-			f.observe(true, 1, 1, term-1, nil)
+			f.observe(true, 1, 1, testTerm-1, nil)
 			f.assign(1)
 			f.checkOrders(f.compose(1, true), "")
-			f.observe(true, 1, 2, term, nil)
+			f.observe(true, 1, 2, testTerm, nil)
 			f.checkOrders(f.compose(2, true), "launch 1;")
 		}},
 		{"6: nothing is launched before the job is noted for the machine", func(f *ledgerFixture) {
-			f.observe(true, 1, 1, term, nil)
-			f.job.NotedMachines.Remove(f.host.Index)
+			f.observe(true, 1, 1, testTerm, nil)
+			f.job.NotedMachines.Remove(f.machine.Index)
 			f.assign(1)
 			f.checkOrders(f.compose(1, true), "")
 			f.checkOrders(f.compose(0, true), "")
-			f.job.NotedMachines.Add(f.host.Index)
+			f.job.NotedMachines.Add(f.machine.Index)
 			f.checkOrders(f.compose(0, true), "launch 1;")
 		}},
 		{"6: a machine of an earlier leader is open until it is fenced or lost", func(f *ledgerFixture) {
-			f.host.Inherited = true
-			f.observe(true, 1, 1, term-1, run)
+			f.machine.Inherited = true
+			f.observe(true, 1, 1, testTerm-1, run)
 			if len(f.fleet.SettleInherited()) != 1 {
 				f.t.Error("settled before it has seen the term")
 			}
-			f.observe(true, 1, 2, term, run)
+			f.observe(true, 1, 2, testTerm, run)
 			if len(f.fleet.SettleInherited()) != 0 {
 				f.t.Error("open although it is fenced")
 			}
 		}},
 		{"7: an older message changes nothing and its answer has no launch", func(f *ledgerFixture) {
-			f.observe(true, 1, 5, term, run)
-			if r := f.observe(true, 1, 4, term, nil); r.Fresh {
+			f.observe(true, 1, 5, testTerm, run)
+			if r := f.observe(true, 1, 4, testTerm, nil); r.Fresh {
 				f.t.Error("an older report is fresh")
 			}
 			f.checkLive(1, "after an older report")
 		}},
 		{"8: a launch in an answer is settled by the next report", func(f *ledgerFixture) {
-			f.observe(true, 1, 1, term, nil)
+			f.observe(true, 1, 1, testTerm, nil)
 			f.assign(1)
 			f.compose(1, true)
-			f.observe(true, 1, 2, term, nil)
+			f.observe(true, 1, 2, testTerm, nil)
 			f.checkLive(0, "after the next report")
 		}},
 	}
 }
 
-// ledgerDirectCases: points 8 and 15, halts and direct launches.
-func ledgerDirectCases() []ledgerCase {
+// ledgerDirectCommandTests: points 8 and 15, halts and direct launches.
+func ledgerDirectCommandTests() []ledgerTest {
 	run := map[uint64]wire.TaskPhase{1: wire.TaskRunning}
-	return []ledgerCase{
+	return []ledgerTest{
 		{"15: a halt without grace is repeated also while the task saves, one with grace is not", func(f *ledgerFixture) {
-			f.observe(true, 1, 1, term, run)
+			f.observe(true, 1, 1, testTerm, run)
 			for s := range f.fleet.SlotsOf(f.job) {
 				f.fleet.Stop(s, 5)
 				f.checkOrders(f.compose(1, true), "halt 1;")
-				f.observe(true, 1, 2, term, map[uint64]wire.TaskPhase{1: wire.TaskCheckpointing})
+				f.observe(true, 1, 2, testTerm, map[uint64]wire.TaskPhase{1: wire.TaskCheckpointing})
 				f.now = f.now.Add(haltInterval)
 				f.checkOrders(f.compose(2, true), "")
 				f.fleet.Stop(s, 0) // its job is cancelled
@@ -166,52 +166,52 @@
 			}
 		}},
 		{"8: the answer to a direct command does not settle it", func(f *ledgerFixture) {
-			f.observe(true, 1, 1, term, nil)
+			f.observe(true, 1, 1, testTerm, nil)
 			f.assign(1)
 			f.compose(1, true)
-			f.observe(false, 1, 2, term, nil)
+			f.observe(false, 1, 2, testTerm, nil)
 			f.checkLive(1, "after a direct answer that overtook it")
-			f.observe(true, 1, 3, term, run)
+			f.observe(true, 1, 3, testTerm, run)
 			f.checkLive(1, "once it is seen")
 		}},
 		{"8: a direct launch that was lost is sent once more, and its exit is not cleared", func(f *ledgerFixture) {
-			f.observe(true, 1, 1, term, nil)
+			f.observe(true, 1, 1, testTerm, nil)
 			f.assign(1)
 			f.compose(0, true)
-			f.observe(true, 1, 2, term, nil)
+			f.observe(true, 1, 2, testTerm, nil)
 			f.checkOrders(f.compose(2, true), "")
 			f.now = f.now.Add(resendAfter)
-			f.observe(true, 1, 3, term, nil)
+			f.observe(true, 1, 3, testTerm, nil)
 			f.checkOrders(f.compose(3, true), "launch 1;")
-			f.observe(true, 1, 4, term, nil)
+			f.observe(true, 1, 4, testTerm, nil)
 			f.checkOrders(f.compose(4, true), "")
 			f.checkLive(1, "the second copy may be lost too")
-			f.observe(true, 1, 5, term, map[uint64]wire.TaskPhase{1: wire.TaskExited})
+			f.observe(true, 1, 5, testTerm, map[uint64]wire.TaskPhase{1: wire.TaskExited})
 			f.checkLive(0, "once its exit is seen")
 			for s := range f.fleet.SlotsOf(f.job) {
 				s.Settled = true
 			}
 			f.checkOrders(f.compose(5, true), "")
-			f.observe(true, 2, 1, term, nil)
+			f.observe(true, 2, 1, testTerm, nil)
 			f.checkOrders(f.compose(1, true), "")
 		}},
 	}
 }
 
-// ledgerHolderCases: points 4, 8, 9 and 15, machines under a holder, and launches that have to go.
-func ledgerHolderCases() []ledgerCase {
+// ledgerHolderTests: points 4, 8, 9 and 15, machines under a holder, and launches that have to go.
+func ledgerHolderTests() []ledgerTest {
 	run := map[uint64]wire.TaskPhase{1: wire.TaskRunning}
-	return []ledgerCase{
+	return []ledgerTest{
 		{"4, 9: a held machine is judged as of what its holder has told, and at its end as of the grant", func(f *ledgerFixture) {
 			by := &Holder{Name: "n1", KnownUntil: f.now}
-			f.observe(true, 1, 1, term, run)
-			f.fleet.SetHolder(f.host, by)
+			f.observe(true, 1, 1, testTerm, run)
+			f.fleet.SetHolder(f.machine, by)
 			f.now = f.now.Add(15 * time.Second)
 			f.fleet.ExpireLeases(f.now)
 			f.checkLive(1, "its holder may have renewed the lease since")
 			by.KnownUntil = f.now.Add(-10 * time.Second)
-			f.fleet.RecordRenewal(f.host, 1, 2, f.now.Add(-4*time.Second))
-			f.host.ClearHolder(f.now.Add(-time.Second))
+			f.fleet.RecordRenewal(f.machine, 1, 2, f.now.Add(-4*time.Second))
+			f.machine.ClearHolder(f.now.Add(-time.Second))
 			f.now = f.now.Add(9 * time.Second)
 			f.fleet.ExpireLeases(f.now)
 			f.checkLive(1, "within a lease of the grant's end")
@@ -220,17 +220,17 @@
 			f.checkLive(0, "beyond it")
 		}},
 		{"8: a launch in an answer of the holder's is settled by a report that says nothing new", func(f *ledgerFixture) {
-			f.observe(true, 1, 1, term, nil)
-			f.fleet.SetHolder(f.host, &Holder{Name: "n1"})
+			f.observe(true, 1, 1, testTerm, nil)
+			f.fleet.SetHolder(f.machine, &Holder{Name: "n1"})
 			f.assign(1)
 			f.compose(1, true)
-			f.fleet.RecordRenewal(f.host, 1, 1, f.now)
+			f.fleet.RecordRenewal(f.machine, 1, 1, f.now)
 			f.checkLive(1, "the same report once more")
-			f.fleet.RecordRenewal(f.host, 1, 2, f.now)
+			f.fleet.RecordRenewal(f.machine, 1, 2, f.now)
 			f.checkLive(0, "after the next report")
 		}},
 		{"8, 15: one that has to go is launched to be stopped, one of a cancelled job is not", func(f *ledgerFixture) {
-			f.observe(true, 1, 1, term, nil)
+			f.observe(true, 1, 1, testTerm, nil)
 			f.assign(1)
 			f.compose(0, true)
 			for s := range f.fleet.SlotsOf(f.job) {
@@ -245,29 +245,29 @@
 	}
 }
 
-// ledgerLeaseCases: points 8 and 9, unanswered launches and the lease.
-func ledgerLeaseCases() []ledgerCase {
+// ledgerLeaseTests: points 8 and 9, unanswered launches and the lease.
+func ledgerLeaseTests() []ledgerTest {
 	run := map[uint64]wire.TaskPhase{1: wire.TaskRunning}
-	return []ledgerCase{
+	return []ledgerTest{
 		{"8: an unanswered direct launch outlives reports without it", func(f *ledgerFixture) {
-			f.observe(true, 1, 1, term, nil)
+			f.observe(true, 1, 1, testTerm, nil)
 			f.assign(1)
 			f.checkOrders(f.compose(0, true), "launch 1;")
-			f.observe(true, 1, 2, term, nil)
-			f.observe(true, 1, 3, term, nil)
+			f.observe(true, 1, 2, testTerm, nil)
+			f.observe(true, 1, 3, testTerm, nil)
 			f.checkLive(1, "after two reports")
-			f.observe(true, 2, 1, term, nil)
+			f.observe(true, 2, 1, testTerm, nil)
 			f.checkLive(0, "after a new session")
 		}},
 		{"8: a direct launch that was certainly not sent is gone", func(f *ledgerFixture) {
-			f.observe(true, 1, 1, term, nil)
+			f.observe(true, 1, 1, testTerm, nil)
 			f.assign(1)
 			f.compose(0, true)
 			f.fleet.RemoveUndelivered(f.sent)
 			f.checkLive(0, "after a refused connection")
 		}},
 		{"9: the lease ends what is on a silent machine, and not a moment earlier", func(f *ledgerFixture) {
-			f.observe(true, 1, 1, term, run)
+			f.observe(true, 1, 1, testTerm, run)
 			f.now = f.now.Add(10 * time.Second)
 			f.fleet.ExpireLeases(f.now)
 			f.checkLive(1, "at the bare lease")
@@ -276,18 +276,18 @@
 			f.checkLive(0, "after the margin")
 		}},
 		{"9: an older report renews the lease too, when a direct answer overtook it", func(f *ledgerFixture) {
-			f.observe(true, 1, 1, term, run)
+			f.observe(true, 1, 1, testTerm, run)
 			f.now = f.now.Add(8 * time.Second)
-			f.observe(false, 1, 3, term, run)
-			f.observe(true, 1, 2, term, run)
+			f.observe(false, 1, 3, testTerm, run)
+			f.observe(true, 1, 2, testTerm, run)
 			f.now = f.now.Add(8 * time.Second)
 			f.fleet.ExpireLeases(f.now)
 			f.checkLive(1, "8 s after the overtaken report")
 		}},
 		{"9: direct answers do not renew the lease", func(f *ledgerFixture) {
-			f.observe(true, 1, 1, term, run)
+			f.observe(true, 1, 1, testTerm, run)
 			f.now = f.now.Add(8 * time.Second)
-			f.observe(false, 1, 2, term, run)
+			f.observe(false, 1, 2, testTerm, run)
 			f.now = f.now.Add(3 * time.Second)
 			f.fleet.ExpireLeases(f.now)
 			f.checkLive(0, "11 s after the only report")
@@ -295,16 +295,16 @@
 	}
 }
 
-// ledgerSessionCases: points 9, 11 and 12, sessions, clears and released machines.
-func ledgerSessionCases() []ledgerCase {
+// ledgerSessionTests: points 9, 11 and 12, sessions, clears and released machines.
+func ledgerSessionTests() []ledgerTest {
 	run := map[uint64]wire.TaskPhase{1: wire.TaskRunning}
-	return []ledgerCase{
+	return []ledgerTest{
 		{"9: a new session has its lease from its own begin", func(f *ledgerFixture) {
 			f.now = f.now.Add(9 * time.Second) // after a takeover, by a direct command only
-			f.observe(false, 2, 1, term, nil)
+			f.observe(false, 2, 1, testTerm, nil)
 			f.assign(1)
 			f.compose(0, true)
-			f.observe(false, 2, 2, term, run)
+			f.observe(false, 2, 2, testTerm, run)
 			f.now = f.now.Add(5 * time.Second)
 			f.fleet.ExpireLeases(f.now)
 			f.checkLive(1, "14 s after the takeover, 5 s after the session was met")
@@ -313,38 +313,38 @@
 			f.checkLive(0, "11 s after the session was met")
 		}},
 		{"9: a held message of a dead session does not come back", func(f *ledgerFixture) {
-			f.observe(true, 1, 1, term, run)
+			f.observe(true, 1, 1, testTerm, run)
 			f.now = f.now.Add(11 * time.Second)
 			f.fleet.ExpireLeases(f.now)
-			if r := f.observe(true, 1, 2, term, run); r.Fresh {
+			if r := f.observe(true, 1, 2, testTerm, run); r.Fresh {
 				f.t.Error("a dead session is fresh")
 			}
 			f.checkLive(0, "after a message of the dead session")
 		}},
 		{"11: clear is sent once the exit is settled", func(f *ledgerFixture) {
-			r := f.observe(true, 1, 1, term, map[uint64]wire.TaskPhase{1: wire.TaskExited})
+			r := f.observe(true, 1, 1, testTerm, map[uint64]wire.TaskPhase{1: wire.TaskExited})
 			f.checkOrders(f.compose(1, true), "")
 			r.Events[0].Slot.Settled = true
 			f.checkOrders(f.compose(0, true), "")
 			f.checkOrders(f.compose(1, true), "clear 1;")
 		}},
 		{"12: a released machine takes everything with it", func(f *ledgerFixture) {
-			f.observe(true, 1, 1, term, run)
-			f.fleet.Remove(f.host)
+			f.observe(true, 1, 1, testTerm, run)
+			f.fleet.Remove(f.machine)
 			f.checkLive(0, "after the release")
 		}},
 	}
 }
 
-// ledgerAbortCases: point 15 and terms, aborts and later leaders.
-func ledgerAbortCases() []ledgerCase {
+// ledgerCancelTests: point 15 and terms, aborts and later leaders.
+func ledgerCancelTests() []ledgerTest {
 	run := map[uint64]wire.TaskPhase{1: wire.TaskRunning}
-	return []ledgerCase{
+	return []ledgerTest{
 		{"15: nothing is launched once an abort was sent, halts are repeated", func(f *ledgerFixture) {
-			f.observe(true, 1, 1, term, run)
-			f.fleet.Assign(f.host, PlacementKey{f.job, 1, 1}, f.now)
+			f.observe(true, 1, 1, testTerm, run)
+			f.fleet.Assign(f.machine, PlacementKey{f.job, 1, 1}, f.now)
 			f.job.Closing = wire.JobCancelled
-			for _, s := range f.host.Slots {
+			for _, s := range f.machine.Slots {
 				f.fleet.Stop(s, 0)
 			}
 			f.checkOrders(f.compose(0, true), "halt 1;")
@@ -356,7 +356,7 @@
 			f.checkOrders(f.compose(1, true), "halt 1;")
 		}},
 		{"a worker that has seen a later term deposes the leader", func(f *ledgerFixture) {
-			if r := f.observe(true, 1, 1, term+1, run); !r.Deposed {
+			if r := f.observe(true, 1, 1, testTerm+1, run); !r.Deposed {
 				f.t.Error("not deposed")
 			}
 			f.checkLive(0, "after a message of a later term")
--- a/internal/fleet/holder.go
+++ b/internal/fleet/holder.go
@@ -14,15 +14,15 @@
 }
 
 // Holder is the controller that answers the machine's reports; nil: the leader.
-func (h *Machine) Holder() *Holder { return h.holder }
+func (m *Machine) Holder() *Holder { return m.holder }
 
 // SetHolder notes that a holder may answer the machine's reports from now on. What the
 // leader would have sent again in its own answers needs a direct command.
-func (f *Fleet) SetHolder(h *Machine, holder *Holder) {
-	h.holder = holder
-	for _, s := range h.Slots {
+func (f *Fleet) SetHolder(m *Machine, holder *Holder) {
+	m.holder = holder
+	for _, s := range m.Slots {
 		if s.awaitsCommand() {
-			f.markAwaitingCommand(h)
+			f.markAwaitingCommand(m)
 			return
 		}
 	}
@@ -30,20 +30,20 @@
 
 // ClearHolder notes that the leader answers the machine's reports again. The holder may
 // have answered them until the given time.
-func (h *Machine) ClearHolder(until time.Time) {
-	if h.holder == nil {
+func (m *Machine) ClearHolder(until time.Time) {
+	if m.holder == nil {
 		return
 	}
-	h.holder = nil
-	if !h.Lost && until.After(h.renewedAt) {
-		h.renewedAt = until
+	m.holder = nil
+	if !m.Lost && until.After(m.leaseRenewedAt) {
+		m.leaseRenewedAt = until
 	}
 }
 
-// knownUntil is the time up to which all answers to the machine's reports are known.
-func (h *Machine) knownUntil(now time.Time) time.Time {
-	if h.holder != nil && h.holder.KnownUntil.Before(now) {
-		return h.holder.KnownUntil
+// answersKnownUntil is the time up to which all answers to the machine's reports are known.
+func (m *Machine) answersKnownUntil(now time.Time) time.Time {
+	if m.holder != nil && m.holder.KnownUntil.Before(now) {
+		return m.holder.KnownUntil
 	}
 	return now
 }
@@ -51,35 +51,35 @@
 // Stale reports whether a report is not newer than the newest one observed: it is a copy
 // or was delayed. The worker no longer waits for its answer, which renews nothing and
 // delivers nothing.
-func (h *Machine) Stale(session, seq uint64) bool {
-	return session < h.Session || (session == h.Session && seq <= h.reportSeq)
+func (m *Machine) Stale(session, seq uint64) bool {
+	return session < m.Session || (session == m.Session && seq <= m.lastReportSeq)
 }
 
 // RecordRenewal notes that the holder has answered a report at the given time that said the
 // same as the one before. Launches in answers to earlier reports have not arrived:
 // the report would show them.
-func (f *Fleet) RecordRenewal(h *Machine, session, seq uint64, at time.Time) (ev []Event) {
-	if session != h.Session || h.Lost || h.Stale(session, seq) {
+func (f *Fleet) RecordRenewal(m *Machine, session, seq uint64, at time.Time) (ev []Event) {
+	if session != m.Session || m.Lost || m.Stale(session, seq) {
 		return nil
 	}
-	h.reportSeq = seq
-	if at.After(h.renewedAt) {
-		h.renewedAt = at
+	m.lastReportSeq = seq
+	if at.After(m.leaseRenewedAt) {
+		m.leaseRenewedAt = at
 	}
-	if seq <= h.seq {
+	if seq <= m.lastSeq {
 		return nil
 	}
-	h.seq = seq
-	h.CallUnanswered = false
-	h.OutboundCutSince = time.Time{}
-	for _, s := range h.Slots {
-		if s.LaunchSent && !s.Observed && !s.DirectLaunch && seq > s.answeredSeq {
-			ev = append(ev, f.removeSlot(h, s, NeverStarted)...)
+	m.lastSeq = seq
+	m.CallUnanswered = false
+	m.OutboundCutSince = time.Time{}
+	for _, s := range m.Slots {
+		if s.LaunchSent && !s.Observed && !s.DirectLaunch && seq > s.launchReportSeq {
+			ev = append(ev, f.removeSlot(m, s, NeverStarted)...)
 		}
 	}
 	if ev != nil {
-		ev = append(ev, f.MarkInboundCut(h, at)...)
-		h.Recount()
+		ev = append(ev, f.MarkInboundCut(m, at)...)
+		m.Recount()
 	}
 	return ev
 }
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -34,10 +34,10 @@
 
 	// Session is the newest session of the worker, a number that rises with each start.
 	Session uint64
-	// seq is the number of the newest message of the session, reportSeq that of the
+	// lastSeq is the number of the newest message of the session, reportSeq that of the
 	// newest report.
-	seq       uint64
-	reportSeq uint64
+	lastSeq       uint64
+	lastReportSeq uint64
 	// InboundCutSince is since when the worker is known not to receive what is sent to it;
 	// zero: it is not. Its reports may still come (partition.go).
 	InboundCutSince time.Time
@@ -52,9 +52,9 @@
 	RenewalStopped bool
 	// Fenced: the worker has sent a message with this leader's term.
 	Fenced bool
-	// renewedAt is the latest time at which an answer of this leader, of one of its
+	// leaseRenewedAt is the latest time at which an answer of this leader, of one of its
 	// holders or of an earlier leader may have renewed the worker's lease.
-	renewedAt time.Time
+	leaseRenewedAt time.Time
 	// directLaunchAt is when a launch was last sent by direct command. A worker that was
 	// restarted, and whose messages count as stale, may run the task for a lease from
 	// then.
@@ -101,7 +101,7 @@
 	// yet.
 	CancelledInFlight int
 
-	messages        uint64 // counts the fresh messages of the worker
+	messageCount    uint64 // counts the fresh messages of the worker
 	awaitingCommand bool   // in Fleet.awaitingCommand
 }
 
@@ -119,8 +119,8 @@
 }
 
 // HasImage reports whether the image is thought to be cached.
-func (h *Machine) HasImage(image int) bool {
-	for _, i := range h.Images {
+func (m *Machine) HasImage(image int) bool {
+	for _, i := range m.Images {
 		if i.Index == image {
 			return true
 		}
@@ -129,61 +129,61 @@
 }
 
 // UseImage notes the use of an image of gb gigabytes; cacheGB bounds the cache.
-func (h *Machine) UseImage(image int, gb, cacheGB float64) {
-	for i, im := range h.Images {
+func (m *Machine) UseImage(image int, gb, cacheGB float64) {
+	for i, im := range m.Images {
 		if im.Index == image {
-			h.Images = append(append(h.Images[:i:i], h.Images[i+1:]...), im)
+			m.Images = append(append(m.Images[:i:i], m.Images[i+1:]...), im)
 			return
 		}
 	}
-	h.Images = append(h.Images, CachedImage{Index: image, SizeGB: gb})
+	m.Images = append(m.Images, CachedImage{Index: image, SizeGB: gb})
 	sum := 0.0
-	for _, im := range h.Images {
+	for _, im := range m.Images {
 		sum += im.SizeGB
 	}
-	for len(h.Images) > 1 && sum > cacheGB {
-		sum -= h.Images[0].SizeGB
-		h.Images = h.Images[1:]
+	for len(m.Images) > 1 && sum > cacheGB {
+		sum -= m.Images[0].SizeGB
+		m.Images = m.Images[1:]
 	}
 }
 
 // Recount recomputes the sums over the placements.
-func (h *Machine) Recount() {
-	h.UsedCPUs = 0
-	h.UsedGPUs = 0
-	h.UsedMemGB = 0
-	h.WaitingTasks = 0
-	h.ActiveTasks = 0
-	h.ReportedExits = 0
-	h.CancelledInFlight = 0
-	for _, s := range h.Slots {
+func (m *Machine) Recount() {
+	m.UsedCPUs = 0
+	m.UsedGPUs = 0
+	m.UsedMemGB = 0
+	m.WaitingTasks = 0
+	m.ActiveTasks = 0
+	m.ReportedExits = 0
+	m.CancelledInFlight = 0
+	for _, s := range m.Slots {
 		if !s.Active() {
-			h.ReportedExits++
+			m.ReportedExits++
 			continue
 		}
-		h.UsedCPUs += s.Job.CPUs
-		h.UsedGPUs += s.Job.GPUs
-		h.UsedMemGB += s.Job.MemGB
-		h.ActiveTasks++
+		m.UsedCPUs += s.Job.CPUs
+		m.UsedGPUs += s.Job.GPUs
+		m.UsedMemGB += s.Job.MemGB
+		m.ActiveTasks++
 		if s.Phase != wire.TaskRunning && s.Phase != wire.TaskCheckpointing {
-			h.WaitingTasks++
+			m.WaitingTasks++
 		}
-		if s.cancelPending() && s.inFlight() {
-			h.CancelledInFlight++
+		if s.cancelPending() && s.launchInFlight() {
+			m.CancelledInFlight++
 		}
 	}
 }
 
 // SinceLastReport is how long no report has come from the machine.
-func (h *Machine) SinceLastReport(now time.Time) time.Duration { return now.Sub(h.renewedAt) }
+func (m *Machine) SinceLastReport(now time.Time) time.Duration { return now.Sub(m.leaseRenewedAt) }
 
 // Busy reports whether anything may be on the machine.
-func (h *Machine) Busy() bool { return h.ActiveTasks > 0 }
+func (m *Machine) Busy() bool { return m.ActiveTasks > 0 }
 
 // Usable reports whether the machine may get launches. It may not while a launch of a
 // cancelled job may not have arrived yet: the worker's session may have to end for that,
 // and with it every task that runs there.
-func (h *Machine) Usable() bool {
-	return h.Described && h.Registered && h.Fenced && !h.Lost && !h.Releasing && !h.Quarantined && h.ReclaimAt.IsZero() &&
-		!h.InboundCut() && !h.CallUnanswered && !h.OutboundCut() && !h.RenewalStopped && h.CancelledInFlight == 0
+func (m *Machine) Usable() bool {
+	return m.Described && m.Registered && m.Fenced && !m.Lost && !m.Releasing && !m.Quarantined && m.ReclaimAt.IsZero() &&
+		!m.InboundCut() && !m.CallUnanswered && !m.OutboundCut() && !m.RenewalStopped && m.CancelledInFlight == 0
 }
--- a/internal/fleet/observe.go
+++ b/internal/fleet/observe.go
@@ -20,7 +20,7 @@
 // observation is a message that is being processed, with what it has shown so far.
 type observation struct {
 	fleet    *Fleet
-	host     *Machine
+	machine  *Machine
 	message  *wire.Heartbeat
 	isReport bool
 	now      time.Time
@@ -28,124 +28,124 @@
 	// missedLaunch: the message shows that the worker has not received something that
 	// was sent to it before.
 	missedLaunch bool
-	// receives: the message shows that the worker has received something.
-	receives bool
+	// receivedOrder: the message shows that the worker has received something.
+	receivedOrder bool
 }
 
 // Observe updates the ledger with a message of a machine's worker. isReport is true for
 // reports, whose answers renew the lease, and false for the answers to direct
 // commands. find returns the job of an ID.
-func (f *Fleet) Observe(h *Machine, m *wire.Heartbeat, isReport bool, now time.Time, find func(id string) *job.Job) ObserveResult {
-	if m.Token > f.Term {
+func (f *Fleet) Observe(m *Machine, message *wire.Heartbeat, isReport bool, now time.Time, find func(id string) *job.Job) ObserveResult {
+	if message.Token > f.Term {
 		return ObserveResult{Deposed: true}
 	}
-	if isReport && h.Stale(m.Session, m.Seq) {
+	if isReport && m.Stale(message.Session, message.Seq) {
 		return ObserveResult{}
 	}
 	if isReport {
-		h.markRenewed(m, now)
+		m.markRenewed(message, now)
 	}
-	if m.Session < h.Session || (m.Session == h.Session && m.Seq <= h.seq) {
+	if message.Session < m.Session || (message.Session == m.Session && message.Seq <= m.lastSeq) {
 		return ObserveResult{}
 	}
 	// A delayed message of a session whose lease has certainly expired would bring back
 	// its tasks, which are gone.
-	if h.Lost && m.Session == h.Session {
+	if m.Lost && message.Session == m.Session {
 		return ObserveResult{}
 	}
 	o := &observation{
-		fleet:    f,
-		host:     h,
-		message:  m,
-		isReport: isReport,
-		now:      now,
-		receives: !isReport,
+		fleet:         f,
+		machine:       m,
+		message:       message,
+		isReport:      isReport,
+		now:           now,
+		receivedOrder: !isReport,
 	}
 	if isReport {
-		h.OutboundCutSince = time.Time{}
+		m.OutboundCutSince = time.Time{}
 	}
-	if m.Session > h.Session {
+	if message.Session > m.Session {
 		o.beginSession()
 	}
-	o.observeHost()
-	for i := range m.Tasks {
-		o.observeTask(&m.Tasks[i], find)
+	o.observeMachine()
+	for i := range message.Tasks {
+		o.observeTask(&message.Tasks[i], find)
 	}
 	o.settleUnreported()
 	switch {
-	case o.receives:
-		h.InboundCutSince = time.Time{}
+	case o.receivedOrder:
+		m.InboundCutSince = time.Time{}
 	case o.missedLaunch:
-		o.events = append(o.events, f.MarkInboundCut(h, now)...)
+		o.events = append(o.events, f.MarkInboundCut(m, now)...)
 	}
-	h.Recount()
+	m.Recount()
 	return ObserveResult{Fresh: true, Events: o.events}
 }
 
-// markRenewed notes that the worker may be waiting for the answer to the report m, which
+// markRenewed notes that the worker may be waiting for the answer to the report, which
 // renews its lease. That holds also for a report that is older than the answer to a
 // direct command.
-func (h *Machine) markRenewed(m *wire.Heartbeat, now time.Time) {
-	if h.Lost && m.Session <= h.Session {
+func (m *Machine) markRenewed(message *wire.Heartbeat, now time.Time) {
+	if m.Lost && message.Session <= m.Session {
 		return
 	}
-	if now.After(h.renewedAt) {
-		h.renewedAt = now
+	if now.After(m.leaseRenewedAt) {
+		m.leaseRenewedAt = now
 	}
-	if m.Session == h.Session {
-		h.reportSeq = m.Seq
+	if message.Session == m.Session {
+		m.lastReportSeq = message.Seq
 	}
 }
 
 // beginSession notes that the worker has begun a later session: nothing of the one
 // before is on the machine.
 func (o *observation) beginSession() {
-	h := o.host
-	if h.Session != 0 {
-		if !o.isReport && !h.OutboundCut() {
-			h.OutboundCutSince = o.now
+	m := o.machine
+	if m.Session != 0 {
+		if !o.isReport && !m.OutboundCut() {
+			m.OutboundCutSince = o.now
 		}
 		// The lease has expired although the worker's reports were answered.
-		o.missedLaunch = o.isReport && !h.Lost && !h.RenewalStopped
-		o.events = append(o.events, o.fleet.removeSlots(h)...)
-		h.Images = nil
-	}
-	h.Session = o.message.Session
-	h.Fenced = false
-	h.RenewalStopped = false
-	h.Lost = false
-	h.reportSeq = 0
+		o.missedLaunch = o.isReport && !m.Lost && !m.RenewalStopped
+		o.events = append(o.events, o.fleet.removeSlots(m)...)
+		m.Images = nil
+	}
+	m.Session = o.message.Session
+	m.Fenced = false
+	m.RenewalStopped = false
+	m.Lost = false
+	m.lastReportSeq = 0
 	if o.isReport {
-		h.reportSeq = o.message.Seq
+		m.lastReportSeq = o.message.Seq
 	}
 	// A new session has its full lease from its own begin, which may be as late as this
 	// message, whether or not a report was answered in it. Counted from the last report,
 	// the lease would seem expired while a task runs that a direct command has just
 	// started.
-	h.renewedAt = o.now
+	m.leaseRenewedAt = o.now
 }
 
-// minNotice is the least notice in seconds that is counted for a machine that is to be
+// minNoticeS is the least notice in seconds that is counted for a machine that is to be
 // reclaimed.
-const minNotice = 0.001
+const minNoticeS = 0.001
 
-// observeHost updates the machine itself.
-func (o *observation) observeHost() {
-	h, m := o.host, o.message
-	h.seq = m.Seq
-	h.Booting = false
-	h.CallUnanswered = false
-	if m.Token == o.fleet.Term {
-		h.Fenced = true
-	}
-	if m.Addr != "" {
-		h.Addr = m.Addr
-	}
-	h.ReclaimAt = time.Time{}
-	if m.NoticeS != nil {
-		h.ReclaimAt = o.now.Add(time.Duration(max(minNotice, *m.NoticeS) * float64(time.Second)))
-	}
-	h.messages++
+// observeMachine updates the machine itself.
+func (o *observation) observeMachine() {
+	m, message := o.machine, o.message
+	m.lastSeq = message.Seq
+	m.Booting = false
+	m.CallUnanswered = false
+	if message.Token == o.fleet.Term {
+		m.Fenced = true
+	}
+	if message.Addr != "" {
+		m.Addr = message.Addr
+	}
+	m.ReclaimAt = time.Time{}
+	if message.NoticeS != nil {
+		m.ReclaimAt = o.now.Add(time.Duration(max(minNoticeS, *message.NoticeS) * float64(time.Second)))
+	}
+	m.messageCount++
 }
 
 // observeTask updates the slot of a task that the message shows.
@@ -159,8 +159,8 @@
 		return // the job has no such task
 	}
 	s := o.slot(PlacementKey{Job: j, Task: task, Attempt: t.Attempt}, t.Phase)
-	s.lastShownMessage = o.host.messages
-	o.receives = o.receives || (s.LaunchSent && !s.Observed)
+	s.lastListedIn = o.machine.messageCount
+	o.receivedOrder = o.receivedOrder || (s.LaunchSent && !s.Observed)
 	s.LaunchSent = true
 	s.Observed = true
 	s.DirectLaunch = false
@@ -189,32 +189,32 @@
 // slot returns the slot of a placement, and adds one if the ledger has none: an earlier
 // leader has made the placement.
 func (o *observation) slot(k PlacementKey, phase wire.TaskPhase) *Slot {
-	if s := o.host.Slots[k]; s != nil {
+	if s := o.machine.Slots[k]; s != nil {
 		return s
 	}
-	s := &Slot{PlacementKey: k, Machine: o.host, Adopted: true, PlacedAt: o.now}
+	s := &Slot{PlacementKey: k, Machine: o.machine, Adopted: true, PlacedAt: o.now}
 	if phase == wire.TaskExited {
 		s.Phase = wire.TaskFetching // so that the exit counts as a change
 	}
-	o.fleet.addSlot(o.host, s)
+	o.fleet.addSlot(o.machine, s)
 	return s
 }
 
 // settleUnreported settles the placements that the message does not show.
 func (o *observation) settleUnreported() {
-	for _, s := range o.host.Slots {
+	for _, s := range o.machine.Slots {
 		switch {
-		case s.lastShownMessage == o.host.messages || !s.LaunchSent:
+		case s.lastListedIn == o.machine.messageCount || !s.LaunchSent:
 		case s.Observed:
-			o.events = append(o.events, o.fleet.removeSlot(o.host, s, Lost)...)
+			o.events = append(o.events, o.fleet.removeSlot(o.machine, s, Lost)...)
 		case s.DirectLaunch:
 			// The answer to the command, a new session or the end of the lease settles it; a
 			// report does not.
-		case o.isReport && o.message.Seq > s.answeredSeq:
+		case o.isReport && o.message.Seq > s.launchReportSeq:
 			// The worker has one report in flight at a time and drops late answers, so its
 			// next report settles the launch. The answer to a direct command does not: it
 			// can overtake the answer that carries the launch.
-			o.events = append(o.events, o.fleet.removeSlot(o.host, s, NeverStarted)...)
+			o.events = append(o.events, o.fleet.removeSlot(o.machine, s, NeverStarted)...)
 			o.missedLaunch = true
 		}
 	}
--- a/internal/fleet/renewal.go
+++ b/internal/fleet/renewal.go
@@ -19,8 +19,8 @@
 // the machine.
 func (s *Slot) cancelPending() bool { return s.LaunchSent && s.Active() && s.Job.Cancelled() }
 
-// inFlight reports whether the launch of the slot may not have arrived yet.
-func (s *Slot) inFlight() bool { return s.DirectLaunch && !s.Observed }
+// launchInFlight reports whether the launch of the slot may not have arrived yet.
+func (s *Slot) launchInFlight() bool { return s.DirectLaunch && !s.Observed }
 
 // renewalLimit is the latest time at which the lease of a machine with the slot may be
 // renewed: the lease then expires by the deadline. The fleet's lease includes the drift
@@ -31,8 +31,8 @@
 
 // RenewalLimit is the latest time at which a controller that sends no halts may answer the
 // machine's reports; bounded is false if there is none.
-func (f *Fleet) RenewalLimit(h *Machine) (limit time.Time, bounded bool) {
-	for _, s := range h.Slots {
+func (f *Fleet) RenewalLimit(m *Machine) (limit time.Time, bounded bool) {
+	for _, s := range m.Slots {
 		if !s.cancelPending() {
 			continue
 		}
@@ -46,9 +46,9 @@
 // Renewable reports whether the leader may answer a report of the machine with the given
 // limit of orders. The answer halts the tasks of cancelled jobs that the worker has
 // reported, but not launches that have not arrived yet.
-func (f *Fleet) Renewable(h *Machine, now time.Time, orders int) bool {
+func (f *Fleet) Renewable(m *Machine, now time.Time, orders int) bool {
 	halts := 0
-	for _, s := range h.Slots {
+	for _, s := range m.Slots {
 		switch {
 		case !s.cancelPending() || now.Before(f.renewalLimit(s)):
 		case !s.Observed:
@@ -62,7 +62,7 @@
 
 // StopRenewal notes that the machine's reports go unanswered until its session has ended,
 // and removes the launches that were not sent to it.
-func (f *Fleet) StopRenewal(h *Machine) []Event {
-	h.RenewalStopped = true
-	return f.RemoveUnsent(h)
+func (f *Fleet) StopRenewal(m *Machine) []Event {
+	m.RenewalStopped = true
+	return f.RemoveUnsent(m)
 }
--- a/internal/fleet/slot.go
+++ b/internal/fleet/slot.go
@@ -37,11 +37,11 @@
 	// DirectLaunch: the launch was sent by a direct command. A report that does not show the
 	// task does not settle such a launch, which can arrive minutes later.
 	DirectLaunch bool
-	// answeredSeq is the number of the report whose answer carried the launch.
-	answeredSeq uint64
-	// resentAt is when a direct launch whose outcome is unknown was last sent again. A
+	// launchReportSeq is the number of the report whose answer carried the launch.
+	launchReportSeq uint64
+	// launchResentAt is when a direct launch whose outcome is unknown was last sent again. A
 	// copy may still arrive after the exit, so the exit is not cleared.
-	resentAt time.Time
+	launchResentAt time.Time
 	// PlacedAt is when the placement was made or, once Sent, when its launch was sent.
 	PlacedAt time.Time
 	// RunningSince is when a message first showed the task running.
@@ -56,9 +56,9 @@
 	// Settled: the exit has been handled, durably where it matters, so the worker may
 	// forget it.
 	Settled bool
-	// lastShownMessage is the value of Machine.messages at the last message that showed the
+	// lastListedIn is the value of Machine.messages at the last message that showed the
 	// task.
-	lastShownMessage uint64
+	lastListedIn uint64
 }
 
 // UpdateHealth updates UnhealthySince after a change of Health or ProbeHealth.
--- a/internal/place/assign.go
+++ b/internal/place/assign.go
@@ -31,7 +31,7 @@
 		return
 	}
 	n := len(d.Pending)
-	prepared := min(n, p.preparedMachines(d))
+	prepared := min(n, p.countMachinesBeingFreed(d))
 	if d.MayPreempt {
 		if more := p.preempt(i, -1, n-prepared, 0); more > 0 {
 			prepared += more
@@ -51,7 +51,7 @@
 	d := &p.Demands[i]
 	zone := d.Zone
 	if d.OneZone && zone < 0 {
-		zone = p.roomiestZone(d)
+		zone = p.zoneWithMostRoom(d)
 	}
 	q := p.reuseQueue(d, zone, cachedOnly)
 	p.lastQueue = q
@@ -81,7 +81,7 @@
 func (p *planner) reportUnplaced(i, pending int) {
 	d := &p.Demands[i]
 	p.plan.Unplaced[i] = p.capToTeamLimit(d, max(d.Waiting, pending))
-	if d.MayPreempt && p.preempt(i, -1, p.plan.Unplaced[i]-p.preparedMachines(d), math.Inf(1)) > 0 {
+	if d.MayPreempt && p.preempt(i, -1, p.plan.Unplaced[i]-p.countMachinesBeingFreed(d), math.Inf(1)) > 0 {
 		p.lastQueue = nil
 	}
 }
@@ -102,9 +102,9 @@
 	return min(n, left.FitCount(d.Need))
 }
 
-// roomiestZone returns the zone for a demand that has to be in one: that of its tasks, or
+// zoneWithMostRoom returns the zone for a demand that has to be in one: that of its tasks, or
 // else the one in which most of them fit.
-func (p *planner) roomiestZone(d *Demand) int {
+func (p *planner) zoneWithMostRoom(d *Demand) int {
 	for z, n := range d.TasksByZone {
 		if n > 0 {
 			return z
--- a/internal/place/gang.go
+++ b/internal/place/gang.go
@@ -34,12 +34,12 @@
 		p.plan.Assignments = append(p.plan.Assignments, best...)
 	case waitForCached && p.bestGangPlacement(i, zones, false) != nil:
 		// There is room, but the image would come too late there.
-		p.prepareGang(i, zones, 0)
+		p.makeRoomForGang(i, zones, 0)
 	case !p.withinTeamLimit(d, Resources{}.addScaled(d.Need, float64(len(d.Pending)))):
 		p.plan.OverLimit[i] = true
 	default:
 		p.plan.Unplaced[i] = len(d.Pending)
-		p.prepareGang(i, zones, math.Inf(1))
+		p.makeRoomForGang(i, zones, math.Inf(1))
 	}
 }
 
@@ -139,7 +139,7 @@
 		if m < 0 {
 			return nil, 0, false
 		}
-		length += q.score(&p.Machines[m])
+		length += q.cost(&p.Machines[m])
 		s.record(m)
 		p.assign(d, m)
 		q.placed(m)
@@ -148,11 +148,11 @@
 	return placed, length, true
 }
 
-// prepareGang makes room for a gang that has none, if it may preempt and no room is being
+// makeRoomForGang makes room for a gang that has none, if it may preempt and no room is being
 // made for it yet. Its image takes at most maxFetch seconds on the machines.
-func (p *planner) prepareGang(i int, zones []int, maxFetch float64) {
+func (p *planner) makeRoomForGang(i int, zones []int, maxFetch float64) {
 	d := &p.Demands[i]
-	if d.MayPreempt && p.hasVictims && p.preparedMachines(d) == 0 {
+	if d.MayPreempt && p.hasVictims && p.countMachinesBeingFreed(d) == 0 {
 		p.preemptOrReserve(i, zones, maxFetch)
 	}
 }
@@ -165,7 +165,7 @@
 	var best []int
 	soonest := math.Inf(1)
 	for _, zone := range zones {
-		preempted, machines, after := p.preemptOrReserveIn(i, zone, maxFetch)
+		preempted, machines, after := p.preemptOrReserveInZone(i, zone, maxFetch)
 		if preempted {
 			return
 		}
@@ -184,14 +184,14 @@
 	}
 }
 
-// preemptOrReserveIn makes room for a gang in a zone by preemption. If that does not
+// preemptOrReserveInZone makes room for a gang in a zone by preemption. If that does not
 // suffice, nothing is preempted, and it returns the machines that have room for the gang
 // soonest, and in how many seconds; nil if there are too few.
-func (p *planner) preemptOrReserveIn(i, zone int, maxFetch float64) (preempted bool, machines []int, after float64) {
+func (p *planner) preemptOrReserveInZone(i, zone int, maxFetch float64) (preempted bool, machines []int, after float64) {
 	d := &p.Demands[i]
 	s := p.snapshot(d)
 	planned := len(p.plan.Preemptions)
-	machines = p.useFreeRoom(s, p.newQueue(d, zone, maxFetch == 0))
+	machines = p.debitFreeRoom(s, p.newQueue(d, zone, maxFetch == 0))
 	missing := len(d.Pending) - len(machines)
 	if p.preempt(i, zone, missing, maxFetch) == missing {
 		return true, nil, 0
@@ -203,18 +203,18 @@
 		return false, nil, 0
 	}
 	slices.SortFunc(upcoming, func(a, b upcomingMachine) int {
-		return cmp.Or(cmp.Compare(a.after, b.after), cmp.Compare(a.machine, b.machine))
+		return cmp.Or(cmp.Compare(a.afterS, b.afterS), cmp.Compare(a.machine, b.machine))
 	})
 	for _, r := range upcoming[:missing] {
 		machines = append(machines, r.machine)
-		after = r.after
+		after = r.afterS
 	}
 	return false, machines, after
 }
 
-// useFreeRoom debits members of a gang from the machines that have room for them, one
+// debitFreeRoom debits members of a gang from the machines that have room for them, one
 // element of machines for each member.
-func (p *planner) useFreeRoom(s *snapshot, q *candidateQueue) (machines []int) {
+func (p *planner) debitFreeRoom(s *snapshot, q *candidateQueue) (machines []int) {
 	d := s.demand
 	for len(machines) < len(d.Pending) {
 		m := q.next(-1)
@@ -241,7 +241,7 @@
 // included.
 type upcomingMachine struct {
 	machine int // index into Input.Machines
-	after   float64
+	afterS  float64
 }
 
 // upcomingRoom returns the machines that have room for a task of the demand later and not
@@ -249,11 +249,11 @@
 func (p *planner) upcomingRoom(d *Demand, zone int, maxFetch float64) []upcomingMachine {
 	var upcoming []upcomingMachine
 	p.eachMachine(zone, func(i int, m *Machine) {
-		if !p.canPrepare(m, d, maxFetch) || m.Free.Fits(d.Need) {
+		if !p.canMakeRoom(m, d, maxFetch) || m.Free.Fits(d.Need) {
 			return
 		}
 		if after := p.secondsUntilFit(m, d); !math.IsInf(after, 1) {
-			upcoming = append(upcoming, upcomingMachine{machine: i, after: after + m.fetchSeconds(d)})
+			upcoming = append(upcoming, upcomingMachine{machine: i, afterS: after + m.fetchSeconds(d)})
 		}
 	})
 	return upcoming
--- a/internal/place/gang_test.go
+++ b/internal/place/gang_test.go
@@ -19,10 +19,10 @@
 }
 
 var reserveTests = []struct {
-	name string
-	edit func(*Input)
-	want []int // reserved machines
-	stop int   // machines on which work is stopped
+	name        string
+	change      func(*Input)
+	want        []int // reserved machines
+	preemptions int   // machines on which work is stopped
 }{
 	{"where it ends first", func(*Input) {}, []int{2, 3}, 0},
 	{"all members in one zone", func(in *Input) { in.Machines[3].Zone = 0 }, []int{0, 3}, 0},
@@ -66,9 +66,9 @@
 	}, []int{2, 3}, 0},
 }
 
-// TestReserve: a gang that may stop nothing gets machines kept for it where room
+// TestGangReservation: a gang that may stop nothing gets machines kept for it where room
 // comes soonest, so that arrays of its own priority do not fill it up again.
-func TestReserve(t *testing.T) {
+func TestGangReservation(t *testing.T) {
 	for _, tt := range reserveTests {
 		t.Run(tt.name, func(t *testing.T) {
 			d := demand(1, job.Gang, 8, 0, 1)
@@ -77,15 +77,15 @@
 			later.Priority = job.Idle
 			in := Input{Machines: []Machine{busyMachine(0, 0, 20, 30), busyMachine(1, 0, 25, 31), busyMachine(2, 1, 5, 10), busyMachine(3, 1, 8, 12)},
 				Demands: []Demand{d, later}, Teams: []Team{{}}, Weights: paperWeights}
-			tt.edit(&in)
+			tt.change(&in)
 			p := MakePlan(in)
 			var got []int
 			for _, r := range p.Reservations {
 				got = append(got, r.Machine)
 			}
 			slices.Sort(got)
-			if !reflect.DeepEqual(got, tt.want) || len(p.Preemptions) != tt.stop {
-				t.Errorf("reserved %v, work stopped on %d, want %v and %d", got, len(p.Preemptions), tt.want, tt.stop)
+			if !reflect.DeepEqual(got, tt.want) || len(p.Preemptions) != tt.preemptions {
+				t.Errorf("reserved %v, work stopped on %d, want %v and %d", got, len(p.Preemptions), tt.want, tt.preemptions)
 			}
 		})
 	}
--- a/internal/place/images_test.go
+++ b/internal/place/images_test.go
@@ -35,9 +35,9 @@
 	return d
 }
 
-func canDelay(d *Demand) { d.CanDelay = true }
+func withDelayScheduling(d *Demand) { d.CanDelay = true }
 
-func fetchTooSlow(shape job.Shape) func(*Demand) {
+func withSlowFetch(shape job.Shape) func(*Demand) {
 	return func(d *Demand) { d.Shape, d.FetchTooSlow, d.MayPreempt = shape, true, true }
 }
 
@@ -51,35 +51,35 @@
 func imageTests() []imageTest {
 	return []imageTest{
 		{"an array with time left leaves room to one that has its image there", Input{
-			Machines: []Machine{imageMachine(0, 8, 1)}, Demands: []Demand{imageDemand(1, 0, canDelay), imageDemand(2, 1, canDelay)}}, "1>a"},
+			Machines: []Machine{imageMachine(0, 8, 1)}, Demands: []Demand{imageDemand(1, 0, withDelayScheduling), imageDemand(2, 1, withDelayScheduling)}}, "1>a"},
 		{"and takes what is left", Input{
-			Machines: []Machine{imageMachine(0, 8, 1), imageMachine(1, 8, 1)}, Demands: []Demand{imageDemand(1, 0, canDelay), imageDemand(2, 1, canDelay)}}, "1>a 0>b"},
+			Machines: []Machine{imageMachine(0, 8, 1), imageMachine(1, 8, 1)}, Demands: []Demand{imageDemand(1, 0, withDelayScheduling), imageDemand(2, 1, withDelayScheduling)}}, "1>a 0>b"},
 		{"one without does not wait", Input{
-			Machines: []Machine{imageMachine(0, 8, 1)}, Demands: []Demand{imageDemand(1, 0, nil), imageDemand(2, 1, canDelay)}}, "0>a"},
+			Machines: []Machine{imageMachine(0, 8, 1)}, Demands: []Demand{imageDemand(1, 0, nil), imageDemand(2, 1, withDelayScheduling)}}, "0>a"},
 		{"nor does one inside its guarantee", Input{Teams: []Team{{Guarantee: Resources{CPUs: 8}}}, Machines: []Machine{imageMachine(0, 8, 1)},
-			Demands: []Demand{imageDemand(1, 0, func(d *Demand) { d.CanDelay, d.Team = true, 0 }), imageDemand(2, 1, canDelay)}}, "0>a"},
+			Demands: []Demand{imageDemand(1, 0, func(d *Demand) { d.CanDelay, d.Team = true, 0 }), imageDemand(2, 1, withDelayScheduling)}}, "0>a"},
 		{"a service in a hurry has room made where its image is", Input{
-			Machines: []Machine{imageMachine(0, 8), fullMachine(1, 100, 0)}, Demands: []Demand{imageDemand(1, 0, fetchTooSlow(job.Service))}}, "0!b"},
+			Machines: []Machine{imageMachine(0, 8), fullMachine(1, 100, 0)}, Demands: []Demand{imageDemand(1, 0, withSlowFetch(job.Service))}}, "0!b"},
 		{"and waits for that room", Input{
 			Machines: []Machine{imageMachine(0, 8), func() Machine {
 				m := fullMachine(1, 100, 0)
 				m.ReservedFor, m.Reserved, m.Victims = 1, Resources{CPUs: 8}, nil
 				return m
-			}(), fullMachine(2, 1)}, Demands: []Demand{imageDemand(1, 0, fetchTooSlow(job.Service))}}, ""},
+			}(), fullMachine(2, 1)}, Demands: []Demand{imageDemand(1, 0, withSlowFetch(job.Service))}}, ""},
 		{"without any such machine it takes another", Input{
-			Machines: []Machine{imageMachine(0, 8), fullMachine(1, 100, 1)}, Demands: []Demand{imageDemand(1, 0, fetchTooSlow(job.Service))}}, "0>a"},
+			Machines: []Machine{imageMachine(0, 8), fullMachine(1, 100, 1)}, Demands: []Demand{imageDemand(1, 0, withSlowFetch(job.Service))}}, "0>a"},
 		{"work is stopped where the image is, though more is lost", Input{
 			Machines: []Machine{fullMachine(0, 1), fullMachine(1, 100, 0)}, Demands: []Demand{imageDemand(1, 0, func(d *Demand) { d.Shape, d.MayPreempt = job.Service, true })}}, "0!b"},
 		{"a gang in a hurry waits for one of many machines with its image", Input{
-			Machines: slices.Concat([]Machine{imageMachine(0, 8)}, slices.Repeat([]Machine{imageMachine(1, 0, 0)}, commonImageFactor)), Demands: []Demand{imageDemand(1, 0, fetchTooSlow(job.Gang))}}, ""},
+			Machines: slices.Concat([]Machine{imageMachine(0, 8)}, slices.Repeat([]Machine{imageMachine(1, 0, 0)}, commonImageFactor)), Demands: []Demand{imageDemand(1, 0, withSlowFetch(job.Gang))}}, ""},
 		{"and has the soonest of them kept", Input{
 			Machines: slices.Concat([]Machine{imageMachine(0, 8)}, slices.Repeat([]Machine{imageMachine(1, 0, 0)}, commonImageFactor), []Machine{func() Machine {
 				m := fullMachine(9, 1, 0)
 				m.Victims[0].Priority = job.Standard
 				return m
-			}()}), Demands: []Demand{imageDemand(1, 0, fetchTooSlow(job.Gang))}}, "0?j"},
+			}()}), Demands: []Demand{imageDemand(1, 0, withSlowFetch(job.Gang))}}, "0?j"},
 		{"not if there are few", Input{
-			Machines: []Machine{imageMachine(0, 8), imageMachine(1, 0, 0)}, Demands: []Demand{imageDemand(1, 0, fetchTooSlow(job.Gang))}}, "0>a"},
+			Machines: []Machine{imageMachine(0, 8), imageMachine(1, 0, 0)}, Demands: []Demand{imageDemand(1, 0, withSlowFetch(job.Gang))}}, "0>a"},
 		{"room for replicas that are kept apart is made in each zone", Input{
 			Machines: func() []Machine {
 				ms := []Machine{fullMachine(0, 1), fullMachine(1, 2), fullMachine(2, 100)}
@@ -91,9 +91,9 @@
 	}
 }
 
-// TestImages: delay scheduling, and preemption where an image is cached. "a" to
+// TestImagePlacement: delay scheduling, and preemption where an image is cached. "a" to
 // "d" are machines; image 0 is the first demand's.
-func TestImages(t *testing.T) {
+func TestImagePlacement(t *testing.T) {
 	for _, tt := range imageTests() {
 		tt.in.Weights = paperWeights
 		for i := range tt.in.Machines {
--- a/internal/place/order.go
+++ b/internal/place/order.go
@@ -13,11 +13,11 @@
 	for i := range order {
 		order[i] = i
 	}
-	p.guaranteed = make([]bool, len(p.Demands))
+	p.withinGuarantee = make([]bool, len(p.Demands))
 	start := p.effectiveStarts()
 	for i := range p.Demands {
 		d := &p.Demands[i]
-		p.guaranteed[i] = d.Team >= 0 && p.Teams[d.Team].withinGuarantee(d.Need)
+		p.withinGuarantee[i] = d.Team >= 0 && p.Teams[d.Team].withinGuarantee(d.Need)
 	}
 	sort.SliceStable(order, func(a, b int) bool {
 		return p.precedes(order[a], order[b], start)
@@ -52,8 +52,8 @@
 		return x.Overdue
 	case x.Priority != y.Priority:
 		return x.Priority > y.Priority
-	case p.guaranteed[i] != p.guaranteed[k]:
-		return p.guaranteed[i]
+	case p.withinGuarantee[i] != p.withinGuarantee[k]:
+		return p.withinGuarantee[i]
 	case start[i] != start[k]:
 		return start[i] < start[k]
 	}
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -54,8 +54,8 @@
 type planner struct {
 	Input
 	plan Plan
-	// guaranteed tells, per demand, whether its next task is inside its team's guarantee.
-	guaranteed []bool
+	// withinGuarantee tells, per demand, whether its next task is inside its team's guarantee.
+	withinGuarantee []bool
 	// machinesByZone lists the machines of each zone, in their order.
 	machinesByZone [][]int
 	// victimsSorted tells of which machines the victims are in the order of preemption.
@@ -68,8 +68,8 @@
 	lastQueue *candidateQueue
 	// reservedFor holds the demands for which a machine is reserved, or held by the calendar.
 	reservedFor map[int]bool
-	// calendarBound: the calendar holds some machine, or has maintenance due there.
-	calendarBound bool
+	// usesCalendar: the calendar holds some machine, or has maintenance due there.
+	usesCalendar bool
 }
 
 // MakePlan makes a plan.
@@ -97,7 +97,7 @@
 		p.placeWhereCached(i)
 	default:
 		// What is inside a guarantee need not leave machines to others.
-		d.CanDelay = d.CanDelay && !p.guaranteed[i]
+		d.CanDelay = d.CanDelay && !p.withinGuarantee[i]
 		p.placeTasks(i, d.CanDelay)
 	}
 }
@@ -130,9 +130,9 @@
 		}
 		p.reservedFor[m.ReservedFor] = true
 		p.reservedFor[m.HeldFor] = true
-		p.calendarBound = p.calendarBound || m.HeldFor != 0 || m.MaintenanceDue
+		p.usesCalendar = p.usesCalendar || m.HeldFor != 0 || m.MaintenanceDue
 		p.machinesByZone[m.Zone] = append(p.machinesByZone[m.Zone], i)
-		p.noteVictims(m)
+		p.addVictimPriorities(m)
 	}
 }
 
@@ -148,8 +148,8 @@
 	return zones
 }
 
-// noteVictims updates the lowest priority that may be preempted with a machine's victims.
-func (p *planner) noteVictims(m *Machine) {
+// addVictimPriorities updates the lowest priority that may be preempted with a machine's victims.
+func (p *planner) addVictimPriorities(m *Machine) {
 	for v := range m.Victims {
 		if r := m.Victims[v].Priority; !p.hasVictims || r < p.lowestPriority {
 			p.lowestPriority = r
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -28,16 +28,16 @@
 // machineWith returns a machine that f has changed.
 func machineWith(m Machine, f func(*Machine)) Machine { f(&m); return m }
 
-type makeTest struct {
-	name  string
-	in    Input
-	want  map[int32]int // task of demand 0 -> machine
-	short []int
+type planTest struct {
+	name     string
+	in       Input
+	want     map[int32]int // task of demand 0 -> machine
+	unplaced []int
 }
 
-// makeTests returns the cases anew, because MakePlan changes its input.
-func makeTests() []makeTest {
-	return []makeTest{
+// planTests returns the cases anew, because MakePlan changes its input.
+func planTests() []planTest {
+	return []planTest{
 		{"the least loaded machine", Input{Machines: []Machine{
 			machineWith(machine(0, 0, 8), func(m *Machine) { m.WaitingTasks, m.Tasks = 2, 2 }), machine(1, 0, 8)},
 			Demands: []Demand{demand(1, job.Array, 1, 0)}}, map[int32]int{0: 1}, []int{0}},
@@ -77,9 +77,9 @@
 	}
 }
 
-// TestMake: filters, scores, quotas and reservations.
-func TestMake(t *testing.T) {
-	for _, tt := range makeTests() {
+// TestMakePlan: filters, scores, quotas and reservations.
+func TestMakePlan(t *testing.T) {
+	for _, tt := range planTests() {
 		t.Run(tt.name, func(t *testing.T) {
 			tt.in.Weights = paperWeights
 			if tt.in.Teams == nil {
@@ -93,16 +93,16 @@
 			if !reflect.DeepEqual(got, tt.want) {
 				t.Errorf("assigned %v, want %v", got, tt.want)
 			}
-			if !reflect.DeepEqual(p.Unplaced, tt.short) {
-				t.Errorf("short %v, want %v", p.Unplaced, tt.short)
+			if !reflect.DeepEqual(p.Unplaced, tt.unplaced) {
+				t.Errorf("short %v, want %v", p.Unplaced, tt.unplaced)
 			}
 		})
 	}
 }
 
-// TestFair: of two teams without guarantee, the one that runs less goes first,
+// TestFairness: of two teams without guarantee, the one that runs less goes first,
 // unless the other's work is much more pressing.
-func TestFair(t *testing.T) {
+func TestFairness(t *testing.T) {
 	tests := []struct {
 		name  string
 		start float64 // latest start of the team that runs much; the other's is 100
@@ -148,9 +148,9 @@
 	}
 }
 
-// TestGuarantee: what a team is guaranteed, borrows and yields is counted in the
+// TestTeamGuarantee: what a team is guaranteed, borrows and yields is counted in the
 // resource that is guaranteed; 0 of the other says nothing.
-func TestGuarantee(t *testing.T) {
+func TestTeamGuarantee(t *testing.T) {
 	gpus := func(n float64) Resources { return Resources{CPUs: 6 * n, GPUs: n} }
 	tests := []struct {
 		name           string
--- a/internal/place/preempt.go
+++ b/internal/place/preempt.go
@@ -40,7 +40,7 @@
 // reclaim the room at once, from that very demand, and the two would preempt each other for
 // as long as there is too little room for both.
 func (p *planner) canPreemptByPriority(d *Demand, v *Victim) bool {
-	return !v.Late || v.Team < 0 || v.Team == d.Team || p.insideGuarantee(d) || p.Teams[v.Team].canYield(v.released())
+	return !v.Late || v.Team < 0 || v.Team == d.Team || p.withinTeamGuarantee(d) || p.Teams[v.Team].canYield(v.released())
 }
 
 // canReclaim reports whether the demand is inside its team's guarantee and the victim is
@@ -56,9 +56,9 @@
 	return t.withinGuarantee(d.Need) && p.Teams[v.Team].borrows() && p.Teams[v.Team].canYield(v.released())
 }
 
-// insideGuarantee reports whether all that a gang waits for, or the next task of another
+// withinTeamGuarantee reports whether all that a gang waits for, or the next task of another
 // demand, is within its team's guarantee.
-func (p *planner) insideGuarantee(d *Demand) bool {
+func (p *planner) withinTeamGuarantee(d *Demand) bool {
 	need := d.Need
 	if d.Shape == job.Gang {
 		need = Resources{}.addScaled(need, float64(len(d.Pending)))
@@ -66,9 +66,9 @@
 	return d.Team >= 0 && p.Teams[d.Team].withinGuarantee(need)
 }
 
-// preparedMachines counts the machines on which preemption is making room for the demand.
+// countMachinesBeingFreed counts the machines on which preemption is making room for the demand.
 // Those that have become ineligible meanwhile are of no use.
-func (p *planner) preparedMachines(d *Demand) (n int) {
+func (p *planner) countMachinesBeingFreed(d *Demand) (n int) {
 	for i := range p.Machines {
 		if m := &p.Machines[i]; m.ReservedFor == d.ID && !m.AwaitsCompletion && p.eligible(m, d) {
 			n++
@@ -77,9 +77,9 @@
 	return n
 }
 
-// canPrepare reports whether room may be made on the machine for a task of the demand, whose
+// canMakeRoom reports whether room may be made on the machine for a task of the demand, whose
 // image takes at most maxFetch seconds there.
-func (p *planner) canPrepare(m *Machine, d *Demand, maxFetch float64) bool {
+func (p *planner) canMakeRoom(m *Machine, d *Demand, maxFetch float64) bool {
 	return m.fetchSeconds(d) <= maxFetch && !m.reservationBlocks(d) && !m.Unreliable &&
 		m.Total.Fits(d.Need) && p.eligible(m, d)
 }
@@ -87,10 +87,10 @@
 // preemptionCandidate is a machine on which preemption could make room for a task.
 type preemptionCandidate struct {
 	machine int // index into Input.Machines
-	// fetch is how long the image takes there, in seconds.
-	fetch float64
-	// loss is the work that would be thrown away, in CPU seconds.
-	loss float64
+	// fetchS is how long the image takes there, in seconds.
+	fetchS float64
+	// lossCPUSeconds is the work that would be thrown away, in CPU seconds.
+	lossCPUSeconds float64
 }
 
 // preempt makes room for up to n tasks of demand i, each on another machine, where that
@@ -133,16 +133,16 @@
 func (p *planner) preemptionCandidates(d *Demand, zone int, maxFetch float64) []preemptionCandidate {
 	var all []preemptionCandidate
 	p.eachMachine(zone, func(i int, m *Machine) {
-		if len(m.Victims) == 0 || !p.canPrepare(m, d, maxFetch) {
+		if len(m.Victims) == 0 || !p.canMakeRoom(m, d, maxFetch) {
 			return
 		}
 		p.sortVictims(i)
 		if loss, ok := p.preemptionLoss(m, d); ok {
-			all = append(all, preemptionCandidate{machine: i, fetch: m.fetchSeconds(d), loss: loss})
+			all = append(all, preemptionCandidate{machine: i, fetchS: m.fetchSeconds(d), lossCPUSeconds: loss})
 		}
 	})
 	slices.SortFunc(all, func(a, b preemptionCandidate) int {
-		return cmp.Or(cmp.Compare(a.fetch, b.fetch), cmp.Compare(a.loss, b.loss), cmp.Compare(a.machine, b.machine))
+		return cmp.Or(cmp.Compare(a.fetchS, b.fetchS), cmp.Compare(a.lossCPUSeconds, b.lossCPUSeconds), cmp.Compare(a.machine, b.machine))
 	})
 	return all
 }
--- a/internal/place/preempt_test.go
+++ b/internal/place/preempt_test.go
@@ -20,9 +20,9 @@
 	return Input{Machines: []Machine{m}, Demands: []Demand{d}, Teams: []Team{{}, {Used: Resources{CPUs: 7}}}, Weights: paperWeights}
 }
 
-// claimGuarantee makes an array of four wait whose team uses three CPUs; on each of three machines
+// setGuaranteeClaim makes an array of four wait whose team uses three CPUs; on each of three machines
 // there is a task that the other team borrows for.
-func claimGuarantee(in *Input, guarantee float64) {
+func setGuaranteeClaim(in *Input, guarantee float64) {
 	d := demand(1, job.Array, 1, 0, 1, 2, 3)
 	d.Priority, d.MayPreempt = job.Standard, true
 	in.Demands = []Demand{d}
@@ -44,9 +44,9 @@
 }
 
 var preemptTests = []struct {
-	name string
-	edit func(*Input)
-	want []int
+	name   string
+	change func(*Input)
+	want   []int
 }{
 	{"the cheapest victims that make room", func(*Input) {}, []int{1}},
 	{"not the same priority", func(in *Input) { in.Demands[0].Priority = job.Standard }, nil},
@@ -120,12 +120,12 @@
 			in.Machines[0].Victims[v].Priority = job.Urgent
 		}
 	}, []int{1}},
-	{"no more is claimed than the guarantee holds", func(in *Input) { claimGuarantee(in, 5) }, []int{0, 1}},
+	{"no more is claimed than the guarantee holds", func(in *Input) { setGuaranteeClaim(in, 5) }, []int{0, 1}},
 	{"what is being made counts", func(in *Input) {
-		claimGuarantee(in, 5)
+		setGuaranteeClaim(in, 5)
 		in.Machines[0].ReservedFor, in.Machines[0].Reserved = 1, Resources{CPUs: 1}
 	}, []int{1}},
-	{"all that the guarantee holds", func(in *Input) { claimGuarantee(in, 6) }, []int{0, 1, 2}},
+	{"all that the guarantee holds", func(in *Input) { setGuaranteeClaim(in, 6) }, []int{0, 1, 2}},
 	{"nothing is stopped twice for one demand", func(in *Input) {
 		in.Machines[0].ReservedFor, in.Machines[0].Reserved = 1, Resources{CPUs: 4}
 	}, nil},
@@ -136,7 +136,7 @@
 	for _, tt := range preemptTests {
 		t.Run(tt.name, func(t *testing.T) {
 			in := preemptInput()
-			tt.edit(&in)
+			tt.change(&in)
 			p := MakePlan(in)
 			var got []int
 			for _, e := range p.Preemptions {
--- a/internal/place/queue.go
+++ b/internal/place/queue.go
@@ -26,7 +26,7 @@
 
 // candidate is a machine with its score.
 type candidate struct {
-	length  float64
+	cost    float64
 	machine int // index into Input.Machines
 }
 
@@ -36,7 +36,7 @@
 // Less is part of heap.Interface.
 func (q *candidateQueue) Less(a, b int) bool {
 	x, y := &q.heap[a], &q.heap[b]
-	return x.length < y.length || (x.length == y.length && x.machine < y.machine)
+	return x.cost < y.cost || (x.cost == y.cost && x.machine < y.machine)
 }
 
 // Swap is part of heap.Interface.
@@ -78,7 +78,7 @@
 
 // sharesQueue reports whether two demands have the same candidates with the same scores.
 func (p *planner) sharesQueue(a, b *Demand) bool {
-	if p.calendarBound && (a.EndsInS != b.EndsInS || a.Movable != b.Movable) {
+	if p.usesCalendar && (a.EndsInS != b.EndsInS || a.Movable != b.Movable) {
 		return false
 	}
 	return interchangeable(a, b) && !p.reservedFor[a.ID] && !p.reservedFor[b.ID]
@@ -108,7 +108,7 @@
 			return
 		}
 		q.capacity += m.available(q.demand).FitCount(q.demand.Need)
-		q.heap = append(q.heap, candidate{length: q.score(m), machine: i})
+		q.heap = append(q.heap, candidate{cost: q.cost(m), machine: i})
 	})
 	heap.Init(q)
 }
@@ -118,7 +118,7 @@
 	return m.available(q.demand).Fits(q.demand.Need) && q.planner.eligible(m, q.demand)
 }
 
-func (q *candidateQueue) score(m *Machine) float64 {
+func (q *candidateQueue) cost(m *Machine) float64 {
 	return Cost(&q.planner.Weights, m, q.demand)
 }
 
@@ -155,7 +155,7 @@
 	}
 	for at := range q.heap {
 		if q.heap[at].machine == i {
-			q.heap[at].length = q.score(&q.planner.Machines[i])
+			q.heap[at].cost = q.cost(&q.planner.Machines[i])
 			heap.Fix(q, at)
 			return
 		}
--- a/internal/place/plain_test.go
+++ b/internal/place/reference_test.go
@@ -49,7 +49,7 @@
 	return set, length
 }
 
-func (p *referencePlanner) copyOf() *referencePlanner {
+func (p *referencePlanner) clone() *referencePlanner {
 	q := &referencePlanner{planner{Input: p.Input}}
 	q.Machines, q.Teams, q.Demands = slices.Clone(p.Machines), slices.Clone(p.Teams), slices.Clone(p.Demands)
 	for i := range q.Demands {
@@ -58,14 +58,14 @@
 	return q
 }
 
-func referenceMake(in Input, order []int) (all []Assignment) {
-	p := (&referencePlanner{planner{Input: in}}).copyOf()
+func referencePlan(in Input, order []int) (all []Assignment) {
+	p := (&referencePlanner{planner{Input: in}}).clone()
 	for _, i := range order {
 		d := &p.Demands[i]
 		if d.Shape != job.Gang {
 			zone := d.Zone
 			if d.OneZone && zone < 0 {
-				zone = p.roomiestZone(d)
+				zone = p.zoneWithMostRoom(d)
 			}
 			set, _ := p.place(i, zone)
 			all = append(all, set...)
@@ -78,7 +78,7 @@
 		best, shortest := p, math.Inf(1)
 		var chosen []Assignment
 		for _, z := range zones {
-			q := p.copyOf()
+			q := p.clone()
 			if set, l := q.place(i, z); len(set) == len(d.Pending) && l < shortest {
 				best, shortest, chosen = q, l, set
 			}
@@ -88,7 +88,7 @@
 	return all
 }
 
-func randomFleet(r *rand.Rand, machines, demands int) Input {
+func randomInput(r *rand.Rand, machines, demands int) Input {
 	w := paperWeights
 	w.Price, w.Empty = 30, 300
 	in := Input{Weights: w, Teams: []Team{{}, {Limit: Resources{CPUs: float64(machines)}}, {Guarantee: Resources{CPUs: 20}}}}
@@ -137,12 +137,12 @@
 	return in
 }
 
-// TestPlain: the queue chooses what scoring every machine for every task would.
-func TestPlain(t *testing.T) {
+// TestMakePlanMatchesReference: the queue chooses what scoring every machine for every task would.
+func TestMakePlanMatchesReference(t *testing.T) {
 	for seed := range uint64(60) {
 		r := rand.New(rand.NewPCG(seed, 2))
-		in := randomFleet(r, 6+r.IntN(60), 1+r.IntN(8))
-		same := (&referencePlanner{planner{Input: in}}).copyOf().Input
+		in := randomInput(r, 6+r.IntN(60), 1+r.IntN(8))
+		same := (&referencePlanner{planner{Input: in}}).clone().Input
 		p := MakePlan(in)
 		var order []int
 		for _, a := range p.Assignments {
@@ -156,19 +156,19 @@
 				order = append(order, i)
 			}
 		}
-		if want := referenceMake(same, order); !reflect.DeepEqual(p.Assignments, want) {
+		if want := referencePlan(same, order); !reflect.DeepEqual(p.Assignments, want) {
 			t.Errorf("seed %d: placed\n%v, want\n%v", seed, p.Assignments, want)
 		}
 	}
 }
 
-// BenchmarkMake makes a plan for a large fleet: "full" has no room,
+// BenchmarkMakePlan makes a plan for a large fleet: "full" has no room,
 // the other places large arrays and gangs.
-func BenchmarkMake(b *testing.B) {
+func BenchmarkMakePlan(b *testing.B) {
 	for _, full := range []bool{true, false} {
 		b.Run(fmt.Sprintf("full=%v", full), func(b *testing.B) {
 			r := rand.New(rand.NewPCG(1, 3))
-			in := randomFleet(r, 850, 60)
+			in := randomInput(r, 850, 60)
 			for i := range in.Machines {
 				m := &in.Machines[i]
 				m.ReservedFor, m.UnclearedExits, m.Images = 0, nil, []int{r.IntN(4)}
@@ -189,7 +189,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				p := referencePlanner{planner{Input: in}}
-				MakePlan(p.copyOf().Input)
+				MakePlan(p.clone().Input)
 			}
 		})
 	}
