--- a/internal/fleet/compose.go
+++ b/internal/fleet/compose.go
@@ -11,24 +11,25 @@
 type orderComposer struct {
 	fleet         *Fleet
 	machine       *Machine
-	reportSeq     uint64 // the report that is answered; 0: a direct command
-	allowLaunches bool   // launches may be included
+	reportSeq     uint64 // sequence number of the report being answered; 0 for a direct command
+	allowLaunches bool
 	now           time.Time
 	orders        []wire.Command
-	launched      []*Slot // launched by the message
+	launched      []*Slot // slots whose launch is in the message
 	events        []Event
 }
 
-// ComposeOrders makes at most limit orders for a machine and marks the launches as
-// sent. seq is the report that is answered; 0 stands for a direct command, which
-// carries no clear. launches is false for a stale report, and while a direct command
-// is in flight that may arrive before or after this message.
-func (f *Fleet) ComposeOrders(m *Machine, seq uint64, launches bool, now time.Time, limit int) (orders []wire.Command, sent []*Slot, ev []Event) {
+// ComposeOrders returns at most limit orders for a machine and marks the launches among
+// them as sent. reportSeq is the sequence number of the report being answered, or 0 for a
+// direct command; a direct command carries no clear orders. allowLaunches must be false
+// when the report is stale, and while a direct command is in flight, because that command
+// may arrive before or after this message.
+func (f *Fleet) ComposeOrders(m *Machine, reportSeq uint64, allowLaunches bool, now time.Time, limit int) (orders []wire.Command, launched []*Slot, events []Event) {
 	c := orderComposer{
 		fleet:         f,
 		machine:       m,
-		reportSeq:     seq,
-		allowLaunches: launches,
+		reportSeq:     reportSeq,
+		allowLaunches: allowLaunches,
 		now:           now,
 		orders:        []wire.Command{},
 	}
@@ -45,13 +46,13 @@
 	return c.orders, c.launched, c.events
 }
 
-// isAnswer reports whether the message answers a report. Otherwise it is a direct
+// isAnswer reports whether the message answers a report rather than being a direct
 // command.
 func (c *orderComposer) isAnswer() bool { return c.reportSeq != 0 }
 
-// haltCancelled halts, without time to save, the tasks of cancelled jobs that the
-// worker has reported. An answer to a report renews the lease, so each one carries
-// these halts first, however recently they were sent (renewal.go).
+// haltCancelled adds halts without a grace period for all tasks of cancelled jobs that
+// the worker has reported. Every answer repeats these halts, and puts them first, because
+// the answer also renews the worker's lease (see renewal.go).
 func (c *orderComposer) haltCancelled(limit int) {
 	for _, s := range c.machine.Slots {
 		if s.Observed && s.cancelPending() && len(c.orders) < limit {
@@ -61,11 +62,11 @@
 	}
 }
 
-// addOrders adds the orders for one slot.
+// addOrders adds the orders that one slot needs.
 func (c *orderComposer) addOrders(s *Slot) {
 	switch {
 	case c.isAnswer() && s.Observed && s.cancelPending():
-		// haltCancelled has added the halt.
+		// haltCancelled has already added the halt.
 	case !s.LaunchSent:
 		c.launch(s)
 	case (c.isAnswer() || c.machine.holder != nil) && c.allowLaunches && c.machine.Fenced && s.resendDue(c.now):
@@ -77,11 +78,11 @@
 	}
 }
 
-// launch adds the launch of a slot that was not sent, if the machine may get it.
+// launch adds the first launch of a slot if the machine may receive it now.
 func (c *orderComposer) launch(s *Slot) {
 	m := c.machine
 	if s.Job.Closing != "" || s.Job.Phase != "" {
-		// The job may have been cancelled after the placement.
+		// The job may have been cancelled since the task was placed.
 		c.events = append(c.events, c.fleet.removeSlot(m, s, NeverStarted)...)
 		return
 	}
@@ -99,9 +100,10 @@
 	c.orders = append(c.orders, s.order(wire.CommandLaunch))
 }
 
-// resend adds a second copy of a direct launch. The worker starts the task once,
-// whichever copy comes first, as long as its exit is not cleared. A task that is to be
-// stopped is launched and halted: its exit settles the slot.
+// resend adds a second copy of a direct launch. As long as the exit is not cleared, the
+// worker starts the task only once, whichever copy arrives first. If the task is to be
+// stopped, the message launches and halts it, so that the worker reports an exit, which
+// settles the slot.
 func (c *orderComposer) resend(s *Slot) {
 	s.launchResentAt = c.now
 	c.orders = append(c.orders, s.order(wire.CommandLaunch))
@@ -110,12 +112,12 @@
 	}
 }
 
-// order makes an order about the slot's task.
+// order returns an order for the slot's task.
 func (s *Slot) order(verb wire.Verb) wire.Command {
 	return wire.Command{Verb: verb, Task: job.TaskName(s.Job.ID, s.Task), Attempt: s.Attempt}
 }
 
-// halt makes the order that stops the slot's task, and notes that it is sent.
+// halt returns the order that stops the slot's task and records when it was sent.
 func (s *Slot) halt(now time.Time) wire.Command {
 	s.HaltSentAt = now
 	grace := s.GraceS
@@ -125,17 +127,17 @@
 }
 
 const (
-	// haltInterval is how often a halt is repeated while its task is still there.
+	// haltInterval is the interval between repeated halts of a task that has not exited.
 	haltInterval = 1500 * time.Millisecond
-	// resendAfter is the age from which an unsettled direct launch is sent again. A
-	// direct command ends sooner.
-	resendAfter = 4 * time.Second
+	// launchResendDelay is the time after which an unsettled direct launch is sent again.
+	// It is longer than the timeout of a direct command.
+	launchResendDelay = 4 * time.Second
 )
 
-// haltDue reports whether a halt is to be sent, for the first time or again. It is not
-// repeated while the task saves its progress, unless the task has no time for that:
-// then its job is cancelled, and after a lost halt it would save for as long as it
-// likes.
+// haltDue reports whether a halt has to be sent, for the first time or again. While a
+// task saves a checkpoint, the halt is not repeated, unless its grace period is zero: if
+// that halt was lost, the task of a cancelled job would otherwise keep saving without a
+// time limit.
 func (s *Slot) haltDue(now time.Time) bool {
 	if !s.Stopping || !s.Active() {
 		return false
@@ -146,20 +148,20 @@
 	return now.Sub(s.HaltSentAt) >= haltInterval && (s.Phase != wire.TaskCheckpointing || s.GraceS == 0)
 }
 
-// resendDue reports whether a direct launch may have been lost: its call is over, and
-// no report shows the task. Without a second copy, the slot would occupy its resources
-// and its task for as long as the worker's reports go on.
+// resendDue reports whether a direct launch may have been lost: its call has returned and
+// no report lists the task. Without a second copy, the slot would occupy its resources
+// for as long as the worker keeps reporting.
 func (s *Slot) resendDue(now time.Time) bool {
 	unsettled := s.LaunchSent && s.DirectLaunch && !s.Observed && s.Active() && !s.Machine.CallInFlight
-	return unsettled && now.Sub(s.PlacedAt) >= resendAfter && now.Sub(s.launchResentAt) >= resendAfter &&
+	return unsettled && now.Sub(s.PlacedAt) >= launchResendDelay && now.Sub(s.launchResentAt) >= launchResendDelay &&
 		s.Job.Closing == "" && s.Job.Phase == ""
 }
 
-// clearable reports whether the worker may forget the exit of the slot.
+// clearable reports whether the worker may discard its record of the slot's exit.
 func (s *Slot) clearable() bool { return !s.Active() && s.Settled && s.launchResentAt.IsZero() }
 
-// ClearOrders are at most limit orders to forget exits, for the next answer of the
-// machine's holder.
+// ClearOrders returns at most limit orders to clear exits, which the machine's holder
+// includes in its next answer.
 func (m *Machine) ClearOrders(limit int) (orders []wire.Command) {
 	if m.ReportedExits == 0 {
 		return nil
@@ -172,15 +174,15 @@
 	return orders
 }
 
-// NeedsDirectCommand reports whether something is to be sent that is worth a direct
-// command.
+// NeedsDirectCommand reports whether the machine has a launch or a halt that is due and
+// should not wait for the next report.
 func (m *Machine) NeedsDirectCommand(now time.Time) bool {
 	for _, s := range m.Slots {
 		if !s.LaunchSent && m.Usable() && s.Job.NotedMachines.Has(m.Index) {
 			return true
 		}
 		if m.holder != nil && s.resendDue(now) {
-			return true // the holder's answers carry no launches
+			return true // a holder's answers carry no launches
 		}
 		if s.haltDue(now) {
 			return true
@@ -189,15 +191,15 @@
 	return false
 }
 
-// RemoveUndelivered removes the launches of a direct command that was certainly not
-// executed.
+// RemoveUndelivered removes the launches of a direct command that is known not to have
+// been executed.
 func (f *Fleet) RemoveUndelivered(slots []*Slot) []Event {
-	var ev []Event
+	var events []Event
 	for _, s := range slots {
 		if s.Machine.Slots[s.PlacementKey] == s && s.DirectLaunch && !s.Observed && s.launchResentAt.IsZero() {
-			ev = append(ev, f.removeSlot(s.Machine, s, NeverStarted)...)
+			events = append(events, f.removeSlot(s.Machine, s, NeverStarted)...)
 			s.Machine.Recount()
 		}
 	}
-	return ev
+	return events
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,6 +1,7 @@
-// Package fleet holds the ledger of which task placements may be on each machine,
-// with the workers' sessions, leases and message order. It does no I/O and has no
-// goroutine: the leader's actor owns it and passes the time in.
+// Package fleet keeps the leader's ledger of the machines: which tasks may be on each
+// machine, and the session, the lease and the message order of its worker. The package
+// does no I/O and starts no goroutines. The leader's actor owns the ledger and passes the
+// current time to it.
 package fleet
 
 import (
@@ -11,35 +12,37 @@
 	"vetchstream/internal/wire"
 )
 
-// Fleet is the set of machines and the ledger of the placements that may be on
-// them.
+// Fleet is the set of machines with the placements that may be on them.
 type Fleet struct {
-	// Term is the leader's term; a worker that has seen a later one deposes it.
+	// Term is the leader's term. A message from a worker that has seen a later term
+	// deposes the leader.
 	Term uint64
-	// Lease is how long an answered report holds a worker's placements, with the
-	// margin for clock drift and timer granularity that New adds.
+	// Lease is the time after which a worker whose reports go unanswered has certainly
+	// ended its tasks. It includes the margin for clock drift and timer granularity that
+	// New adds.
 	Lease time.Duration
-	// CancelTimeout is how long a task of a cancelled job may still be on a machine after its
-	// user was told.
+	// CancelTimeout bounds the time from the cancellation of a job, as confirmed to its
+	// user, until none of its tasks is on a machine.
 	CancelTimeout time.Duration
-	// Machines are the machines by name.
+	// Machines holds the machines by name.
 	Machines        map[string]*Machine
-	order           []*Machine // in the order in which they were added
+	order           []*Machine // the machines in the order in which they were added
 	nextIndex       int
-	freeIndexes     []int // those below nextIndex that no machine has
+	freeIndexes     []int // indexes below nextIndex that no machine has
 	slotsByJob      map[*job.Job]map[*Slot]struct{}
 	awaitingCommand []*Machine // see AwaitingCommand
 }
 
 const (
-	// maxClockDriftDivisor is how slow a worker's clock may be: one part in that many.
+	// maxClockDriftDivisor bounds the drift of a worker's clock: the clock may lose at most
+	// 1/maxClockDriftDivisor of the elapsed time.
 	maxClockDriftDivisor = 1000
-	// timerMargin is for the granularity of a worker's timers.
+	// timerMargin allows for the granularity of a worker's timers.
 	timerMargin = 500 * time.Millisecond
 )
 
-// New makes an empty fleet for a term. The lease is extended by the drift of the
-// worker's clock and the granularity of its timers.
+// New returns an empty fleet for a term. It adds a margin for the drift of the worker's
+// clock and the granularity of its timers to the lease.
 func New(term uint64, lease, cancelTime time.Duration) *Fleet {
 	return &Fleet{
 		Term:          term,
@@ -53,8 +56,9 @@
 // All returns the machines in the order in which they were added.
 func (f *Fleet) All() []*Machine { return f.order }
 
-// Add returns the machine of that name, and adds it if there is none. An earlier leader
-// may have renewed its lease as late as since, the start of this term.
+// Add returns the machine with the given name and adds it if there is none. since is the
+// latest time at which an earlier leader may have renewed the machine's lease, that is,
+// the start of this term.
 func (f *Fleet) Add(name string, since time.Time) *Machine {
 	if m := f.Machines[name]; m != nil {
 		return m
@@ -68,8 +72,8 @@
 	return f.insert(name, idx, since)
 }
 
-// AddWithIndex is Add for a machine whose index is known from the registry. All calls come
-// before the first Add, and no index comes twice.
+// AddWithIndex adds a machine whose index was read from the registry. All calls must
+// precede the first call of Add, each with a different index.
 func (f *Fleet) AddWithIndex(name string, idx int, since time.Time) *Machine {
 	for ; f.nextIndex < idx; f.nextIndex++ {
 		f.freeIndexes = append(f.freeIndexes, f.nextIndex)
@@ -79,7 +83,7 @@
 	return f.insert(name, idx, since)
 }
 
-// insert adds a machine under an index that is free.
+// insert adds a machine with an unused index.
 func (f *Fleet) insert(name string, idx int, since time.Time) *Machine {
 	m := &Machine{
 		Index:          idx,
@@ -98,14 +102,15 @@
 	return m
 }
 
-// ReleaseIndex returns the index of a machine that is gone, to be used again. The stored
-// registry must no longer name the machine: it tells machines apart by their index.
+// ReleaseIndex makes the index of a removed machine available to other machines. The
+// stored registry identifies machines by index, so it must no longer contain the machine.
 func (f *Fleet) ReleaseIndex(idx int) { f.freeIndexes = append(f.freeIndexes, idx) }
 
-// SlotsOf returns the slots of a job, including exits that are still reported.
+// SlotsOf returns the slots of a job, including those of exited tasks that the worker
+// still reports.
 func (f *Fleet) SlotsOf(j *job.Job) map[*Slot]struct{} { return f.slotsByJob[j] }
 
-// addSlot adds a slot to its machine and its job.
+// addSlot adds a slot to the index by machine and the index by job.
 func (f *Fleet) addSlot(m *Machine, s *Slot) {
 	m.Slots[s.PlacementKey] = s
 	slots := f.slotsByJob[s.Job]
@@ -117,7 +122,7 @@
 	s.Job.AddLive(s.Task, 1)
 }
 
-// markAwaitingCommand adds a machine to the list that AwaitingCommand returns.
+// markAwaitingCommand adds a machine to the list behind AwaitingCommand.
 func (f *Fleet) markAwaitingCommand(m *Machine) {
 	if !m.awaitingCommand {
 		m.awaitingCommand = true
@@ -125,9 +130,9 @@
 	}
 }
 
-// AwaitingCommand returns the machines to which a launch or a halt is to be sent. The
-// fleet has a list of them, because a search of all slots of a large fleet after each
-// message would take most of the processor time.
+// AwaitingCommand returns the machines to which a launch or a halt has to be sent. The
+// fleet keeps a list of them, because searching all slots of a large fleet after each
+// message would take most of the leader's CPU time.
 func (f *Fleet) AwaitingCommand() []*Machine {
 	f.awaitingCommand = slices.DeleteFunc(f.awaitingCommand, func(m *Machine) bool {
 		for _, s := range m.Slots {
@@ -141,7 +146,7 @@
 	return f.awaitingCommand
 }
 
-// awaitsCommand reports whether a launch or a halt of the slot is to be sent.
+// awaitsCommand reports whether a launch or a halt has to be sent for the slot.
 func (s *Slot) awaitsCommand() bool {
 	return !s.LaunchSent || (s.Stopping && s.Active()) || (s.Machine.holder != nil && s.launchInFlight())
 }
@@ -149,31 +154,31 @@
 // AnyAwaitingCommand reports whether AwaitingCommand may return any machine.
 func (f *Fleet) AnyAwaitingCommand() bool { return len(f.awaitingCommand) > 0 }
 
-// Remove removes a machine that was returned to the cloud: everything on it is gone.
+// Remove removes a machine that was returned to the cloud, with all its slots.
 func (f *Fleet) Remove(m *Machine) []Event {
-	ev := f.removeSlots(m)
+	events := f.removeSlots(m)
 	delete(f.Machines, m.Name)
-	for i, o := range f.order {
-		if o == m {
+	for i, other := range f.order {
+		if other == m {
 			f.order = append(f.order[:i:i], f.order[i+1:]...)
 			break
 		}
 	}
-	return ev
+	return events
 }
 
-// removeSlots removes all slots of a machine on which nothing is left.
+// removeSlots removes all slots of a machine that certainly runs no task any more.
 func (f *Fleet) removeSlots(m *Machine) []Event {
-	var ev []Event
+	var events []Event
 	for _, s := range m.Slots {
-		ev = append(ev, f.removeSlot(m, s, Lost)...)
+		events = append(events, f.removeSlot(m, s, Lost)...)
 	}
 	m.Recount()
-	return ev
+	return events
 }
 
-// removeSlot removes a slot; kind says what has become of its task. There is an event
-// unless the exit was reported before.
+// removeSlot removes a slot and returns an event of the given kind, or none if the exit
+// of the task was already reported.
 func (f *Fleet) removeSlot(m *Machine, s *Slot, kind EventKind) []Event {
 	delete(m.Slots, s.PlacementKey)
 	if slots := f.slotsByJob[s.Job]; slots != nil {
@@ -190,8 +195,8 @@
 	return []Event{{Kind: kind, Slot: s}}
 }
 
-// Assign adds a placement to the ledger; the next answer or direct command carries its
-// launch.
+// Assign adds a placement to the ledger. The next answer or direct command to the machine
+// carries its launch.
 func (f *Fleet) Assign(m *Machine, k PlacementKey, now time.Time) *Slot {
 	s := &Slot{PlacementKey: k, Machine: m, PlacedAt: now}
 	f.addSlot(m, s)
@@ -200,20 +205,21 @@
 	return s
 }
 
-// Stop has a placement stopped, with grace seconds to save its progress. A placement
-// that was not sent is removed at once. A second call can only shorten the grace.
-func (f *Fleet) Stop(s *Slot, grace float64) []Event {
+// Stop requests that a task be stopped, with graceS seconds to save its progress. If its
+// launch was not sent yet, the slot is removed at once. A second call can only shorten
+// the grace period.
+func (f *Fleet) Stop(s *Slot, graceS float64) []Event {
 	if !s.Active() {
 		return nil
 	}
 	if !s.LaunchSent {
-		ev := f.removeSlot(s.Machine, s, NeverStarted)
+		events := f.removeSlot(s.Machine, s, NeverStarted)
 		s.Machine.Recount()
-		return ev
+		return events
 	}
-	if !s.Stopping || grace < s.GraceS {
+	if !s.Stopping || graceS < s.GraceS {
 		s.Stopping = true
-		s.GraceS = grace
+		s.GraceS = graceS
 		s.HaltSentAt = time.Time{}
 		f.markAwaitingCommand(s.Machine)
 	}
@@ -221,9 +227,10 @@
 	return nil
 }
 
-// ExpireLeases removes what is on machines whose lease has certainly expired. lost counts
-// these machines, except those that are booting or being returned.
-func (f *Fleet) ExpireLeases(now time.Time) (ev []Event, lost int) {
+// ExpireLeases removes the slots of all machines whose lease has certainly expired. lost
+// is the number of these machines, not counting those that are booting or being returned
+// to the cloud.
+func (f *Fleet) ExpireLeases(now time.Time) (events []Event, lost int) {
 	for _, m := range f.order {
 		if m.Lost || m.answersKnownUntil(now).Sub(m.leaseRenewedAt) < f.Lease || now.Sub(m.directLaunchAt) < f.Lease {
 			continue
@@ -232,17 +239,17 @@
 		m.LostAt = now
 		m.Fenced = false
 		m.RenewalStopped = false
-		ev = append(ev, f.removeSlots(m)...)
+		events = append(events, f.removeSlots(m)...)
 		if !m.Booting && !m.Releasing {
 			lost++
 		}
 	}
-	return ev, lost
+	return events, lost
 }
 
 // SettleInherited settles the inherited machines whose worker has sent a message with
-// this term, or whose lease has expired, and returns those that may still run tasks
-// which an earlier leader launched.
+// this term or whose lease has expired. It returns the unsettled ones, which may still
+// run tasks that an earlier leader launched.
 func (f *Fleet) SettleInherited() (unsettled []*Machine) {
 	for _, m := range f.order {
 		if m.Inherited && (m.Fenced || m.Lost) {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -180,7 +180,7 @@
 			f.compose(0, true)
 			f.observe(true, 1, 2, testTerm, nil)
 			f.checkOrders(f.compose(2, true), "")
-			f.now = f.now.Add(resendAfter)
+			f.now = f.now.Add(launchResendDelay)
 			f.observe(true, 1, 3, testTerm, nil)
 			f.checkOrders(f.compose(3, true), "launch 1;")
 			f.observe(true, 1, 4, testTerm, nil)
@@ -236,9 +236,9 @@
 			for s := range f.fleet.SlotsOf(f.job) {
 				f.fleet.Stop(s, 0)
 			}
-			f.now = f.now.Add(resendAfter)
+			f.now = f.now.Add(launchResendDelay)
 			f.checkOrders(f.compose(1, true), "launch 1;halt 1;")
-			f.now = f.now.Add(resendAfter)
+			f.now = f.now.Add(launchResendDelay)
 			f.job.Closing = wire.JobCancelled
 			f.checkOrders(f.compose(1, true), "halt 1;")
 		}},
--- a/internal/fleet/holder.go
+++ b/internal/fleet/holder.go
@@ -2,22 +2,23 @@
 
 import "time"
 
-// Holder is a controller that answers the reports of machines in the leader's
-// place (package shard).
+// Holder is a controller that answers the reports of machines on the leader's behalf (see
+// package shard).
 type Holder struct {
 	// Name is the holder's member name.
 	Name string
 	// KnownUntil is the time up to which the leader knows all of the holder's answers.
-	// The lease of its machines can only be judged as of then: a later answer may have
-	// renewed it.
+	// The leader judges the leases of the holder's machines as of this time, because a
+	// later answer may have renewed them.
 	KnownUntil time.Time
 }
 
-// Holder is the controller that answers the machine's reports; nil: the leader.
+// Holder returns the controller that answers the machine's reports, or nil if the leader
+// answers them.
 func (m *Machine) Holder() *Holder { return m.holder }
 
-// SetHolder notes that a holder may answer the machine's reports from now on. What the
-// leader would have sent again in its own answers needs a direct command.
+// SetHolder records that a holder may answer the machine's reports from now on. Orders
+// that the leader would have repeated in its own answers now need a direct command.
 func (f *Fleet) SetHolder(m *Machine, holder *Holder) {
 	m.holder = holder
 	for _, s := range m.Slots {
@@ -28,8 +29,8 @@
 	}
 }
 
-// ClearHolder notes that the leader answers the machine's reports again. The holder may
-// have answered them until the given time.
+// ClearHolder records that the leader answers the machine's reports again. until is the
+// latest time at which the holder may have answered one.
 func (m *Machine) ClearHolder(until time.Time) {
 	if m.holder == nil {
 		return
@@ -40,7 +41,8 @@
 	}
 }
 
-// answersKnownUntil is the time up to which all answers to the machine's reports are known.
+// answersKnownUntil returns the time up to which the leader knows all answers to the
+// machine's reports.
 func (m *Machine) answersKnownUntil(now time.Time) time.Time {
 	if m.holder != nil && m.holder.KnownUntil.Before(now) {
 		return m.holder.KnownUntil
@@ -48,17 +50,17 @@
 	return now
 }
 
-// Stale reports whether a report is not newer than the newest one observed: it is a copy
-// or was delayed. The worker no longer waits for its answer, which renews nothing and
-// delivers nothing.
+// Stale reports whether a report is a duplicate or was delayed, that is, not newer than
+// the newest one observed. The worker no longer waits for the answer to a stale report, so
+// the answer neither renews the lease nor delivers orders.
 func (m *Machine) Stale(session, seq uint64) bool {
 	return session < m.Session || (session == m.Session && seq <= m.lastReportSeq)
 }
 
-// RecordRenewal notes that the holder has answered a report at the given time that said the
-// same as the one before. Launches in answers to earlier reports have not arrived:
-// the report would show them.
-func (f *Fleet) RecordRenewal(m *Machine, session, seq uint64, at time.Time) (ev []Event) {
+// RecordRenewal records that the holder answered, at the given time, a report with the same
+// content as the one before. Launches in answers to earlier reports were not received,
+// because the report would list their tasks; RecordRenewal removes them.
+func (f *Fleet) RecordRenewal(m *Machine, session, seq uint64, at time.Time) (events []Event) {
 	if session != m.Session || m.Lost || m.Stale(session, seq) {
 		return nil
 	}
@@ -74,12 +76,12 @@
 	m.OutboundCutSince = time.Time{}
 	for _, s := range m.Slots {
 		if s.LaunchSent && !s.Observed && !s.DirectLaunch && seq > s.launchReportSeq {
-			ev = append(ev, f.removeSlot(m, s, NeverStarted)...)
+			events = append(events, f.removeSlot(m, s, NeverStarted)...)
 		}
 	}
-	if ev != nil {
-		ev = append(ev, f.MarkInboundCut(m, at)...)
+	if events != nil {
+		events = append(events, f.MarkInboundCut(m, at)...)
 		m.Recount()
 	}
-	return ev
+	return events
 }
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -7,147 +7,152 @@
 	"vetchstream/internal/wire"
 )
 
-// Machine is a machine.
+// Machine is a rented machine, its worker's session and the placements that may be on it.
 type Machine struct {
-	// Index identifies the machine in sets. Indexes are dense: one is used again once its
-	// machine and the record of it are gone.
+	// Index identifies the machine in sets. Indexes are dense: an index is reused once its
+	// machine and the machine's stored record are removed.
 	Index int
-	// Name is the machine's name, Addr the address of its worker for direct commands.
-	Name string
+	Name  string
+	// Addr is the address at which the worker accepts direct commands.
 	Addr string
-	// Type and Zone are indices of the machine type and zone; -1 until Described.
+	// Type and Zone are indexes of the machine type and the zone, or -1 until Described.
 	Type int
 	Zone int
-	// Spot: a spot (preemptible) instance.
+	// Spot reports whether the machine is a spot instance, which the cloud may reclaim.
 	Spot       bool
-	Described  bool // type and zone are known
-	Registered bool // in the registry
-	// Inherited: registered by an earlier leader and not settled since.
+	Described  bool // Type and Zone are known
+	Registered bool // the stored registry contains the machine
+	// Inherited reports whether an earlier leader registered the machine and this leader has
+	// not settled it yet (see SettleInherited).
 	Inherited bool
-	// InheritedJobs are the jobs that the registry named for the machine when this term
-	// began, until the machine is settled.
+	// InheritedJobs lists the jobs that the registry contained for the machine at the start
+	// of this term. It is nil once the machine is settled.
 	InheritedJobs []InheritedJob
-	// AddedAt is the time that was passed to Add or AddWithIndex when the machine entered the
-	// ledger.
+	// AddedAt is the time passed to Add or AddWithIndex when the machine was added.
 	AddedAt time.Time
-	Booting bool // no message has come yet
+	Booting bool // no message of the worker has been observed yet
 
-	// Session is the newest session of the worker, a number that rises with each start.
+	// Session is the newest session of the worker, a number that increases with each session.
 	Session uint64
-	// lastSeq is the number of the newest message of the session, reportSeq that of the
-	// newest report.
+	// lastSeq is the sequence number of the newest message of the session, lastReportSeq that
+	// of its newest report.
 	lastSeq       uint64
 	lastReportSeq uint64
-	// InboundCutSince is since when the worker is known not to receive what is sent to it;
-	// zero: it is not. Its reports may still come (partition.go).
+	// InboundCutSince is the time since which the worker is known not to receive messages,
+	// although its reports may still arrive (see partition.go). It is zero if the worker
+	// receives messages.
 	InboundCutSince time.Time
-	// CallUnanswered: a direct command had no answer, and no message has come since.
+	// CallUnanswered reports whether a direct command was not answered and no message has
+	// been observed since.
 	CallUnanswered bool
-	// OutboundCutSince is since when the worker is known to be alive and to reach no
-	// controller: its answer to a direct command has shown a new session, and no report
-	// has come since. A task that is launched there ends with its lease. Zero: it is not.
+	// OutboundCutSince is the time since which the worker is known to be alive but unable to
+	// reach a controller: its answer to a direct command showed a new session, and no report
+	// has arrived since. A task launched there would end when the lease expires. The time is
+	// zero if the worker reaches the controllers.
 	OutboundCutSince time.Time
-	// RenewalStopped: the worker's reports go unanswered until its session has ended
-	// (renewal.go).
+	// RenewalStopped reports whether the controllers leave the worker's reports unanswered
+	// until its session has ended (see renewal.go).
 	RenewalStopped bool
-	// Fenced: the worker has sent a message with this leader's term.
+	// Fenced reports whether the worker has sent a message with this leader's term, and thus
+	// refuses orders of earlier leaders.
 	Fenced bool
-	// leaseRenewedAt is the latest time at which an answer of this leader, of one of its
-	// holders or of an earlier leader may have renewed the worker's lease.
+	// leaseRenewedAt is the latest time at which an answer of this leader, one of its holders
+	// or an earlier leader may have renewed the worker's lease.
 	leaseRenewedAt time.Time
-	// directLaunchAt is when a launch was last sent by direct command. A worker that was
-	// restarted, and whose messages count as stale, may run the task for a lease from
-	// then.
+	// directLaunchAt is when a direct launch was last sent. A worker that has restarted, and
+	// whose messages count as stale, may run the launched task for one lease from then on.
 	directLaunchAt time.Time
-	// holder is the controller that answers the machine's reports; nil: the leader.
+	// holder is the controller that answers the machine's reports, or nil for the leader.
 	holder *Holder
-	// Lost: the lease has expired without a message; nothing is on the machine.
-	Lost bool
-	// LostAt is when the machine was found Lost.
+	// Lost reports whether the lease has certainly expired, so that no task is left on the
+	// machine. LostAt is when the leader found that out.
+	Lost   bool
 	LostAt time.Time
-	// ReclaimAt is when the cloud reclaims the machine, according to the notice in the
-	// worker's last message; zero: no notice.
+	// ReclaimAt is when the cloud will reclaim the machine, according to the notice in the
+	// worker's last message. It is zero without a notice.
 	ReclaimAt time.Time
 
-	// Slots are the placements that may be on the machine.
-	Slots map[PlacementKey]*Slot
-	// CallInFlight: a direct command is under way.
-	CallInFlight bool
-	// NextCallAt is when the next direct command may be sent, after a number of
-	// consecutive CallFailures.
+	// Slots holds the placements that may be on the machine.
+	Slots        map[PlacementKey]*Slot
+	CallInFlight bool // a direct command has been sent and its call has not returned
+	// NextCallAt is the earliest time for the next direct command. CallFailures counts the
+	// consecutive direct commands that failed.
 	NextCallAt   time.Time
 	CallFailures int
-	Releasing    bool      // its release from the cloud is decided
-	Quarantined  bool      // faulty: no more launches, ever
+	Releasing    bool      // the leader has decided to return it to the cloud
+	Quarantined  bool      // considered faulty; it gets no launches again
 	IdleSince    time.Time // when the machine became idle
 
-	// TaskFailures counts consecutive unexplained failures of tasks; FailedJobs are their jobs.
+	// TaskFailures counts consecutive task failures without a known cause. FailedJobs is the
+	// set of jobs of these tasks.
 	TaskFailures int
 	FailedJobs   map[*job.Job]bool
-	// SlowTasks counts consecutive tasks that ran far longer than elsewhere.
+	// SlowTasks counts consecutive tasks that ran much longer here than on other machines.
 	SlowTasks int
-	// Images is the estimated content of the image cache, most recently used last.
+	// Images is the estimated content of the image cache, ordered by last use, the most
+	// recently used image last.
 	Images []CachedImage
 
-	// The sums over the placements, updated by Recount.
+	// Recount updates the following totals over the placements.
 
-	// UsedCPUs, UsedGPUs and UsedMemGB are the resources that the placements take.
+	// UsedCPUs, UsedGPUs and UsedMemGB are the resources reserved by active placements.
 	UsedCPUs, UsedGPUs, UsedMemGB float64
-	// ActiveTasks counts the active placements, WaitingTasks those of them that do not run yet.
+	// ActiveTasks counts the active placements, WaitingTasks those among them whose task does
+	// not run yet.
 	WaitingTasks, ActiveTasks int
 	// ReportedExits counts the exits that the worker still reports.
 	ReportedExits int
-	// CancelledInFlight counts the launches of cancelled jobs that may not have arrived
-	// yet.
+	// CancelledInFlight counts the direct launches of cancelled jobs that may still be on
+	// their way.
 	CancelledInFlight int
 
-	messageCount    uint64 // counts the fresh messages of the worker
-	awaitingCommand bool   // in Fleet.awaitingCommand
+	messageCount    uint64 // number of fresh messages observed
+	awaitingCommand bool   // Fleet.awaitingCommand contains the machine
 }
 
 // InheritedJob is a job that an earlier leader may have launched on a machine.
 type InheritedJob struct {
 	ID   string
-	Team int // index of the team; -1: not known
+	Team int // index of the team, or -1 if unknown
 }
 
-// CachedImage is a cached image.
+// CachedImage is an image in a machine's cache.
 type CachedImage struct {
-	// Index is the image's index, SizeGB its size in gigabytes.
 	Index  int
 	SizeGB float64
 }
 
-// HasImage reports whether the image is thought to be cached.
+// HasImage reports whether the image is probably cached on the machine.
 func (m *Machine) HasImage(image int) bool {
-	for _, i := range m.Images {
-		if i.Index == image {
+	for _, cached := range m.Images {
+		if cached.Index == image {
 			return true
 		}
 	}
 	return false
 }
 
-// UseImage notes the use of an image of gb gigabytes; cacheGB bounds the cache.
-func (m *Machine) UseImage(image int, gb, cacheGB float64) {
-	for i, im := range m.Images {
-		if im.Index == image {
-			m.Images = append(append(m.Images[:i:i], m.Images[i+1:]...), im)
+// UseImage records the use of an image. It evicts the least recently used other images
+// until the rest fits into cacheGB.
+func (m *Machine) UseImage(image int, sizeGB, cacheGB float64) {
+	for i, cached := range m.Images {
+		if cached.Index == image {
+			m.Images = append(append(m.Images[:i:i], m.Images[i+1:]...), cached)
 			return
 		}
 	}
-	m.Images = append(m.Images, CachedImage{Index: image, SizeGB: gb})
-	sum := 0.0
-	for _, im := range m.Images {
-		sum += im.SizeGB
+	m.Images = append(m.Images, CachedImage{Index: image, SizeGB: sizeGB})
+	totalGB := 0.0
+	for _, cached := range m.Images {
+		totalGB += cached.SizeGB
 	}
-	for len(m.Images) > 1 && sum > cacheGB {
-		sum -= m.Images[0].SizeGB
+	for len(m.Images) > 1 && totalGB > cacheGB {
+		totalGB -= m.Images[0].SizeGB
 		m.Images = m.Images[1:]
 	}
 }
 
-// Recount recomputes the sums over the placements.
+// Recount recomputes the totals over the placements.
 func (m *Machine) Recount() {
 	m.UsedCPUs = 0
 	m.UsedGPUs = 0
@@ -174,15 +179,16 @@
 	}
 }
 
-// SinceLastReport is how long no report has come from the machine.
+// SinceLastReport returns the time since the machine's last report, as far as the leader
+// knows it from the renewals of the lease.
 func (m *Machine) SinceLastReport(now time.Time) time.Duration { return now.Sub(m.leaseRenewedAt) }
 
-// Busy reports whether anything may be on the machine.
+// Busy reports whether any task may be on the machine.
 func (m *Machine) Busy() bool { return m.ActiveTasks > 0 }
 
-// Usable reports whether the machine may get launches. It may not while a launch of a
-// cancelled job may not have arrived yet: the worker's session may have to end for that,
-// and with it every task that runs there.
+// Usable reports whether the machine may get launches. A machine with a launch of a
+// cancelled job in flight may not: the controllers may have to let its session end, which
+// ends every task that runs there.
 func (m *Machine) Usable() bool {
 	return m.Described && m.Registered && m.Fenced && !m.Lost && !m.Releasing && !m.Quarantined && m.ReclaimAt.IsZero() &&
 		!m.InboundCut() && !m.CallUnanswered && !m.OutboundCut() && !m.RenewalStopped && m.CancelledInFlight == 0
--- a/internal/fleet/observe.go
+++ b/internal/fleet/observe.go
@@ -9,15 +9,15 @@
 
 // ObserveResult is the result of Observe.
 type ObserveResult struct {
-	// Events are the changes of slots that the message has caused.
+	// Events lists the changes to slots that the message caused.
 	Events []Event
-	// Fresh: the message is newer than all earlier ones of the worker.
+	// Fresh reports whether the message is newer than all previous ones of the worker.
 	Fresh bool
-	// Deposed: the worker has seen a later term than this leader's.
+	// Deposed reports whether the worker has seen a later term than this leader's.
 	Deposed bool
 }
 
-// observation is a message that is being processed, with what it has shown so far.
+// observation is the state of processing one message.
 type observation struct {
 	fleet    *Fleet
 	machine  *Machine
@@ -25,16 +25,17 @@
 	isReport bool
 	now      time.Time
 	events   []Event
-	// missedLaunch: the message shows that the worker has not received something that
-	// was sent to it before.
-	missedLaunch bool
-	// receivedOrder: the message shows that the worker has received something.
-	receivedOrder bool
+	// missedMessage reports whether the message shows that the worker did not receive an
+	// earlier answer or launch.
+	missedMessage bool
+	// receivedMessage reports whether the message shows that the worker received an answer
+	// or a direct command.
+	receivedMessage bool
 }
 
-// Observe updates the ledger with a message of a machine's worker. isReport is true for
-// reports, whose answers renew the lease, and false for the answers to direct
-// commands. find returns the job of an ID.
+// Observe updates the ledger with a message of a machine's worker. isReport is true for a
+// report, whose answer renews the lease, and false for the answer to a direct command. find
+// returns the job with a given ID.
 func (f *Fleet) Observe(m *Machine, message *wire.Heartbeat, isReport bool, now time.Time, find func(id string) *job.Job) ObserveResult {
 	if message.Token > f.Term {
 		return ObserveResult{Deposed: true}
@@ -48,18 +49,18 @@
 	if message.Session < m.Session || (message.Session == m.Session && message.Seq <= m.lastSeq) {
 		return ObserveResult{}
 	}
-	// A delayed message of a session whose lease has certainly expired would bring back
-	// its tasks, which are gone.
+	// A delayed message of a session whose lease has certainly expired must not restore the
+	// slots of its tasks, which have ended.
 	if m.Lost && message.Session == m.Session {
 		return ObserveResult{}
 	}
 	o := &observation{
-		fleet:         f,
-		machine:       m,
-		message:       message,
-		isReport:      isReport,
-		now:           now,
-		receivedOrder: !isReport,
+		fleet:           f,
+		machine:         m,
+		message:         message,
+		isReport:        isReport,
+		now:             now,
+		receivedMessage: !isReport,
 	}
 	if isReport {
 		m.OutboundCutSince = time.Time{}
@@ -73,18 +74,18 @@
 	}
 	o.settleUnreported()
 	switch {
-	case o.receivedOrder:
+	case o.receivedMessage:
 		m.InboundCutSince = time.Time{}
-	case o.missedLaunch:
+	case o.missedMessage:
 		o.events = append(o.events, f.MarkInboundCut(m, now)...)
 	}
 	m.Recount()
 	return ObserveResult{Fresh: true, Events: o.events}
 }
 
-// markRenewed notes that the worker may be waiting for the answer to the report, which
-// renews its lease. That holds also for a report that is older than the answer to a
-// direct command.
+// markRenewed records that an answer to the given report may renew the worker's lease. This
+// also holds for a report that is older than an answer to a direct command that has already
+// been observed.
 func (m *Machine) markRenewed(message *wire.Heartbeat, now time.Time) {
 	if m.Lost && message.Session <= m.Session {
 		return
@@ -97,16 +98,17 @@
 	}
 }
 
-// beginSession notes that the worker has begun a later session: nothing of the one
-// before is on the machine.
+// beginSession records that the worker has begun a new session, and removes the slots of
+// the previous one, whose tasks have all ended.
 func (o *observation) beginSession() {
 	m := o.machine
 	if m.Session != 0 {
 		if !o.isReport && !m.OutboundCut() {
 			m.OutboundCutSince = o.now
 		}
-		// The lease has expired although the worker's reports were answered.
-		o.missedLaunch = o.isReport && !m.Lost && !m.RenewalStopped
+		// The lease expired although the leader answered the worker's reports, so the worker
+		// did not receive the answers.
+		o.missedMessage = o.isReport && !m.Lost && !m.RenewalStopped
 		o.events = append(o.events, o.fleet.removeSlots(m)...)
 		m.Images = nil
 	}
@@ -118,18 +120,16 @@
 	if o.isReport {
 		m.lastReportSeq = o.message.Seq
 	}
-	// A new session has its full lease from its own begin, which may be as late as this
-	// message, whether or not a report was answered in it. Counted from the last report,
-	// the lease would seem expired while a task runs that a direct command has just
-	// started.
+	// A new session begins with a full lease, whether or not a report was answered in it,
+	// and may have begun as late as this message. If the lease were counted from the last
+	// report, it would appear expired while a task runs that a direct command just started.
 	m.leaseRenewedAt = o.now
 }
 
-// minNoticeS is the least notice in seconds that is counted for a machine that is to be
-// reclaimed.
+// minNoticeS is the lower bound in seconds for the notice of a reclaimed machine.
 const minNoticeS = 0.001
 
-// observeMachine updates the machine itself.
+// observeMachine updates the state of the machine that does not concern its tasks.
 func (o *observation) observeMachine() {
 	m, message := o.machine, o.message
 	m.lastSeq = message.Seq
@@ -148,7 +148,7 @@
 	m.messageCount++
 }
 
-// observeTask updates the slot of a task that the message shows.
+// observeTask updates the slot of a task that the message lists.
 func (o *observation) observeTask(t *wire.TaskStatus, find func(id string) *job.Job) {
 	id, task, ok := job.SplitTask(t.Task)
 	if !ok {
@@ -160,7 +160,7 @@
 	}
 	s := o.slot(PlacementKey{Job: j, Task: task, Attempt: t.Attempt}, t.Phase)
 	s.lastListedIn = o.machine.messageCount
-	o.receivedOrder = o.receivedOrder || (s.LaunchSent && !s.Observed)
+	o.receivedMessage = o.receivedMessage || (s.LaunchSent && !s.Observed)
 	s.LaunchSent = true
 	s.Observed = true
 	s.DirectLaunch = false
@@ -186,21 +186,21 @@
 	}
 }
 
-// slot returns the slot of a placement, and adds one if the ledger has none: an earlier
-// leader has made the placement.
-func (o *observation) slot(k PlacementKey, phase wire.TaskPhase) *Slot {
-	if s := o.machine.Slots[k]; s != nil {
+// slot returns the slot of a placement. If there is none, an earlier leader placed the
+// task, and slot adds it to the ledger.
+func (o *observation) slot(key PlacementKey, phase wire.TaskPhase) *Slot {
+	if s := o.machine.Slots[key]; s != nil {
 		return s
 	}
-	s := &Slot{PlacementKey: k, Machine: o.machine, Adopted: true, PlacedAt: o.now}
+	s := &Slot{PlacementKey: key, Machine: o.machine, Adopted: true, PlacedAt: o.now}
 	if phase == wire.TaskExited {
-		s.Phase = wire.TaskFetching // so that the exit counts as a change
+		s.Phase = wire.TaskFetching // so that observeTask handles the exit as a change
 	}
 	o.fleet.addSlot(o.machine, s)
 	return s
 }
 
-// settleUnreported settles the placements that the message does not show.
+// settleUnreported settles the placements that the message does not list.
 func (o *observation) settleUnreported() {
 	for _, s := range o.machine.Slots {
 		switch {
@@ -208,14 +208,14 @@
 		case s.Observed:
 			o.events = append(o.events, o.fleet.removeSlot(o.machine, s, Lost)...)
 		case s.DirectLaunch:
-			// The answer to the command, a new session or the end of the lease settles it; a
-			// report does not.
+			// Only the answer to the command, a new session or the end of the lease settles a
+			// direct launch. A report does not, because the launch may arrive after it was sent.
 		case o.isReport && o.message.Seq > s.launchReportSeq:
-			// The worker has one report in flight at a time and drops late answers, so its
-			// next report settles the launch. The answer to a direct command does not: it
-			// can overtake the answer that carries the launch.
+			// The worker has one report in flight at a time and drops late answers, so its next
+			// report settles the launch. The answer to a direct command does not, because it can
+			// overtake the answer that carries the launch.
 			o.events = append(o.events, o.fleet.removeSlot(o.machine, s, NeverStarted)...)
-			o.missedLaunch = true
+			o.missedMessage = true
 		}
 	}
 }
--- a/internal/fleet/renewal.go
+++ b/internal/fleet/renewal.go
@@ -2,35 +2,36 @@
 
 import "time"
 
-// The invariant of this file: a cancelled task must be gone within Fleet.CancelTimeout. While
-// a placement of a cancelled job may be on a machine, or may still start there, the
-// worker's lease is not renewed beyond that deadline, unless the renewal itself halts the
-// task.
+// This file keeps the invariant that no task of a cancelled job is on a machine after
+// Fleet.CancelTimeout. While such a task may be on a machine, or may still start there, the
+// controllers do not renew the worker's lease beyond that deadline, unless the renewing
+// answer itself halts the task.
 //
-// A halt stops a task that the worker has. It does not stop a launch by direct command
-// that is still on its way: as long as its session and fencing token stay the same, the
-// worker executes such a launch even minutes later. Only the end of the session makes
-// certain that it is refused. A worker whose reports go unanswered ends its session by
-// itself within a lease. So the leader answers the reports of such a machine until the
-// renewal limit and not after it, and a holder, whose answers carry no halts, returns the
-// machine before the limit.
+// A halt stops a task that the worker has started. It has no effect on a direct launch that
+// is still in flight: as long as the session and the fencing token stay the same, the
+// worker executes such a launch even minutes later. The worker only refuses it once its
+// session has ended, and a worker whose reports go unanswered ends its session within a
+// lease. The leader therefore stops answering the reports of such a machine at the renewal
+// limit. A holder's answers carry no halts, so the holder gives the machine back to the
+// leader before that limit.
 
-// cancelPending reports whether a task of a cancelled job may be, or may still start, on
-// the machine.
+// cancelPending reports whether the slot belongs to a cancelled job and its task may be on
+// the machine or may still start there.
 func (s *Slot) cancelPending() bool { return s.LaunchSent && s.Active() && s.Job.Cancelled() }
 
-// launchInFlight reports whether the launch of the slot may not have arrived yet.
+// launchInFlight reports whether the slot's direct launch may still be on its way to the
+// worker.
 func (s *Slot) launchInFlight() bool { return s.DirectLaunch && !s.Observed }
 
-// renewalLimit is the latest time at which the lease of a machine with the slot may be
-// renewed: the lease then expires by the deadline. The fleet's lease includes the drift
-// of the clocks and the granularity of timers.
+// renewalLimit returns the time up to which the lease of the slot's machine may be renewed
+// so that it expires by the deadline. The fleet's lease already includes the margin for
+// clock drift and timer granularity.
 func (f *Fleet) renewalLimit(s *Slot) time.Time {
 	return s.Job.CancelledAt.Add(f.CancelTimeout - f.Lease)
 }
 
-// RenewalLimit is the latest time at which a controller that sends no halts may answer the
-// machine's reports; bounded is false if there is none.
+// RenewalLimit returns the time up to which a controller that sends no halts may answer the
+// machine's reports. bounded is false if there is no limit.
 func (f *Fleet) RenewalLimit(m *Machine) (limit time.Time, bounded bool) {
 	for _, s := range m.Slots {
 		if !s.cancelPending() {
@@ -43,10 +44,10 @@
 	return limit, bounded
 }
 
-// Renewable reports whether the leader may answer a report of the machine with the given
-// limit of orders. The answer halts the tasks of cancelled jobs that the worker has
-// reported, but not launches that have not arrived yet.
-func (f *Fleet) Renewable(m *Machine, now time.Time, orders int) bool {
+// Renewable reports whether the leader may answer a report of the machine, where maxOrders
+// bounds the number of orders in the answer. The answer halts the tasks of cancelled jobs
+// that the worker has reported, but it cannot stop launches that are in flight.
+func (f *Fleet) Renewable(m *Machine, now time.Time, maxOrders int) bool {
 	halts := 0
 	for _, s := range m.Slots {
 		switch {
@@ -57,11 +58,11 @@
 			halts++
 		}
 	}
-	return halts <= orders
+	return halts <= maxOrders
 }
 
-// StopRenewal notes that the machine's reports go unanswered until its session has ended,
-// and removes the launches that were not sent to it.
+// StopRenewal records that the machine's reports go unanswered until its worker's session
+// has ended, and removes the slots whose launch was not sent yet.
 func (f *Fleet) StopRenewal(m *Machine) []Event {
 	m.RenewalStopped = true
 	return f.RemoveUnsent(m)
--- a/internal/fleet/slot.go
+++ b/internal/fleet/slot.go
@@ -7,7 +7,7 @@
 	"vetchstream/internal/wire"
 )
 
-// PlacementKey identifies one placement: an attempt at a task.
+// PlacementKey identifies a placement, that is, one attempt at a task.
 type PlacementKey struct {
 	Job     *job.Job
 	Task    int32
@@ -18,45 +18,49 @@
 type Slot struct {
 	PlacementKey
 	Machine *Machine
-	// Phase is the phase that the worker has last reported (wire.TaskRunning and others),
-	// empty before the first report; Cause is the cause of an exit, and Saved whether the
-	// task has saved its progress.
+	// Phase is the phase in the worker's last message that listed the task, or empty if
+	// none has. Cause is the cause of an exit. CheckpointSaved reports whether the task has
+	// saved its progress.
 	Phase           wire.TaskPhase
 	Cause           wire.ExitCause
 	CheckpointSaved bool
-	// Health is the health of a running replica as the worker reports it, ProbeHealth the
-	// result of the controllers' last check of it, in the same words; empty: none.
+	// Health is the health of a running replica as reported by the worker. ProbeHealth is
+	// the result of the controllers' last probe of it. Either is empty if unknown.
 	Health, ProbeHealth wire.ReplicaHealth
-	// UnhealthySince is since when either of them is bad; zero: neither is.
+	// UnhealthySince is the time since which Health or ProbeHealth has been bad. It is zero
+	// if neither is.
 	UnhealthySince time.Time
-	// LaunchSent: the launch was sent, or may have been. Before that the slot only reserves its
-	// resources.
+	// LaunchSent reports whether the launch was, or may have been, sent. Before that, the
+	// slot only reserves resources.
 	LaunchSent bool
-	// Observed: a message of this session has shown the task.
+	// Observed reports whether a message of the current session has listed the task.
 	Observed bool
-	// DirectLaunch: the launch was sent by a direct command. A report that does not show the
-	// task does not settle such a launch, which can arrive minutes later.
+	// DirectLaunch reports whether the launch was sent by a direct command and no message
+	// has listed the task since. A report without the task does not settle such a launch,
+	// because it can arrive minutes later.
 	DirectLaunch bool
-	// launchReportSeq is the number of the report whose answer carried the launch.
+	// launchReportSeq is the sequence number of the report whose answer carried the launch.
 	launchReportSeq uint64
-	// launchResentAt is when a direct launch whose outcome is unknown was last sent again. A
-	// copy may still arrive after the exit, so the exit is not cleared.
+	// launchResentAt is when a direct launch with an unknown outcome was last sent again. The
+	// exit of such a task is not cleared, because a copy of the launch may arrive after it.
 	launchResentAt time.Time
-	// PlacedAt is when the placement was made or, once Sent, when its launch was sent.
+	// PlacedAt is when the task was placed or, once LaunchSent is set, when its launch was
+	// first sent.
 	PlacedAt time.Time
-	// RunningSince is when a message first showed the task running.
+	// RunningSince is when a message first listed the task as running.
 	RunningSince time.Time
-	// Adopted: the placement was found in a message, so its start time is not known.
+	// Adopted reports whether the leader learned of the placement from a message, so that
+	// its start time is unknown.
 	Adopted bool
-	// Stopping: the task is to be stopped. Grace is the time in seconds that it has to
-	// save its progress, HaltSentAt when the last halt was sent.
+	// Stopping reports whether the task has to be stopped. GraceS is the time in seconds
+	// that the task gets to save its progress. HaltSentAt is when the last halt was sent.
 	Stopping   bool
 	GraceS     float64
 	HaltSentAt time.Time
-	// Settled: the exit has been handled, durably where it matters, so the worker may
-	// forget it.
+	// Settled reports whether the leader has processed the exit and stored its result where
+	// one is needed, so that the worker may discard its record of the exit.
 	Settled bool
-	// lastListedIn is the value of Machine.messages at the last message that showed the
+	// lastListedIn is the value of Machine.messageCount at the last message that listed the
 	// task.
 	lastListedIn uint64
 }
@@ -71,28 +75,29 @@
 	}
 }
 
-// Active reports whether the task may use resources of its machine.
+// Active reports whether the task may be using resources of its machine.
 func (s *Slot) Active() bool { return s.Phase != wire.TaskExited }
 
-// EventKind is the kind of a change of a slot.
+// EventKind is the kind of a change to a slot.
 type EventKind uint8
 
 const (
-	// Started means that the slot was first seen running.
+	// Started means that a message lists the task as running for the first time.
 	Started EventKind = iota
-	// Exited means that the worker reports the exit; the slot remains until it is cleared.
+	// Exited means that the worker reports the exit of the task. The slot remains until the
+	// exit is cleared.
 	Exited
-	// Lost means that the task is certainly gone, with no report of its result.
+	// Lost means that the task certainly no longer runs but its result is unknown.
 	Lost
 	// NeverStarted means that the launch was certainly not executed.
 	NeverStarted
-	// TurnedUnhealthy means that the worker reports a replica as bad that was good.
+	// TurnedUnhealthy means that the worker reports a replica as bad that it had reported as
+	// good.
 	TurnedUnhealthy
 )
 
-// Event is a change of a slot that the leader has to handle.
+// Event is a change to a slot that the leader has to handle.
 type Event struct {
-	// Kind is what has happened to Slot.
 	Kind EventKind
 	Slot *Slot
 }
