--- a/internal/control/machine_pool.go
+++ b/internal/control/machine_pool.go
@@ -187,7 +187,7 @@
 		mp.log.Info("unknown machine found in the cloud's list", "machine", listed.Name, "phase", listed.Phase)
 	}
 	if !h.Described {
-		mp.nameIndex.describeHost(h, listed.Type, listed.Zone, listed.Spot)
+		mp.nameIndex.describeMachine(h, listed.Type, listed.Zone, listed.Spot)
 	}
 	if h.Addr == "" {
 		h.Addr = listed.Addr
--- a/internal/control/machine_pool_test.go
+++ b/internal/control/machine_pool_test.go
@@ -95,7 +95,7 @@
 		lt.learn([]wire.MachineType{{Name: "x", CPUs: 8, BootS: 1000, Zones: []string{"a"}}})
 		now := lt.termStart.Add(tt.deaf)
 		h := lt.host("h1")
-		lt.nameIndex.describeHost(h, "x", "a", false)
+		lt.nameIndex.describeMachine(h, "x", "a", false)
 		h.Booting, h.Registered, h.Fenced, h.IdleSince = false, true, !tt.old, now
 		if h.Inherited = tt.old; !tt.old {
 			lt.fleet.MarkInboundCut(h, lt.termStart)
--- a/internal/control/machine_scale_out.go
+++ b/internal/control/machine_scale_out.go
@@ -202,7 +202,7 @@
 			continue
 		}
 		h := mp.fleet.Add(name, requestedAt)
-		mp.nameIndex.describeHost(h, req.Type, req.Zone, o.Spot)
+		mp.nameIndex.describeMachine(h, req.Type, req.Zone, o.Spot)
 		mp.reservationHolds.machineProvisioned(h)
 	}
 }
--- a/internal/control/name_index.go
+++ b/internal/control/name_index.go
@@ -75,8 +75,8 @@
 	return allowed
 }
 
-// describeHost sets a machine's type, zone and kind, unless the type is not known.
-func (ni *nameIndex) describeHost(h *fleet.Machine, typeName, zone string, spot bool) {
+// describeMachine sets a machine's type, zone and kind, unless the type is not known.
+func (ni *nameIndex) describeMachine(h *fleet.Machine, typeName, zone string, spot bool) {
 	if zone == "" || typeName == "" {
 		return
 	}
--- a/internal/control/records_load.go
+++ b/internal/control/records_load.go
@@ -88,7 +88,7 @@
 		h.Registered = true
 		h.Inherited = true
 		h.Booting = false
-		r.nameIndex.describeHost(h, hr.Type, hr.Zone, hr.Spot)
+		r.nameIndex.describeMachine(h, hr.Type, hr.Zone, hr.Spot)
 		p.hosts = append(p.hosts, h)
 		r.hostEntries[h] = hostEntry{hostRecord: hr, page: p}
 	}
--- a/internal/control/registry_fixture_test.go
+++ b/internal/control/registry_fixture_test.go
@@ -80,7 +80,7 @@
 // addHost adds a machine to the fleet and to the registry.
 func (f *registryFixture) addHost(name string) *fleet.Machine {
 	h := f.host(name)
-	f.nameIndex.describeHost(h, "small", "a", false)
+	f.nameIndex.describeMachine(h, "small", "a", false)
 	h.Addr = "10.0.0.1:1"
 	f.registry.addHost(h, "small", "a")
 	return h
--- a/internal/control/rollout_test.go
+++ b/internal/control/rollout_test.go
@@ -23,7 +23,7 @@
 	var hosts []*fleet.Machine
 	for i := range max(2, services*replicas/20) {
 		h := r.host(fmt.Sprintf("h%d", i))
-		r.nameIndex.describeHost(h, "small", []string{"a", "b"}[i%2], false)
+		r.nameIndex.describeMachine(h, "small", []string{"a", "b"}[i%2], false)
 		r.fleet.Observe(h, &wire.Heartbeat{Host: h.Name, Addr: "10.0.0.1:1", Session: 1, Seq: 1, Token: r.term}, true, now, r.jobTable.findOrAdd)
 		h.Registered = true
 		hosts = append(hosts, h)
--- a/internal/control/takeover_test.go
+++ b/internal/control/takeover_test.go
@@ -35,7 +35,7 @@
 				lt.jobTable.add(&job.Record{Spec: job.Spec{ID: id, Team: team, ShapeName: "array", PriorityName: "idle", Tasks: 1, CPUs: 1}}, 1, time.Unix(1000, 0))
 			}
 			h := lt.host("h1")
-			lt.nameIndex.describeHost(h, "small", "a", false)
+			lt.nameIndex.describeMachine(h, "small", "a", false)
 			for _, id := range tt.old {
 				team := -1
 				if lt.jobTable.get(id) != nil {
@@ -115,7 +115,7 @@
 			lt.learn([]wire.MachineType{{Name: "small", CPUs: 8, MemGB: 16, Zones: []string{"a"}}})
 			for _, n := range []string{"h1", "h2", "h3"} {
 				h := lt.host(n)
-				lt.nameIndex.describeHost(h, "small", "a", false)
+				lt.nameIndex.describeMachine(h, "small", "a", false)
 				h.Inherited = true
 			}
 			var list []wire.CloudMachine
--- a/internal/control/tasks_heartbeats.go
+++ b/internal/control/tasks_heartbeats.go
@@ -28,7 +28,7 @@
 // seen a later term.
 func (tt *taskTracker) observe(h *fleet.Machine, m *wire.Heartbeat, isHeartbeat bool, now time.Time) (fresh, ok bool) {
 	if !h.Described || h.Type < 0 {
-		tt.nameIndex.describeHost(h, m.Type, m.Zone, m.Spot)
+		tt.nameIndex.describeMachine(h, m.Type, m.Zone, m.Spot)
 	}
 	wasBooting := h.Booting
 	wasInboundCut := h.InboundCut()
