--- a/internal/control/commands.go
+++ b/internal/control/commands.go
@@ -77,7 +77,7 @@
 // and brings launches and halts without waiting for the next heartbeat.
 func (cm *commands) send(h *fleet.Machine, now time.Time) {
 	session := max(1, h.Session)
-	orders, sent, events := cm.fleet.ComposeOrders(h, 0, h.Usable(), now, maxOrders)
+	orders, sent, events := cm.fleet.ComposeOrders(h, 0, h.Usable(), now, maxCommands)
 	cm.takeover.recordLaunches(len(sent), now)
 	cm.taskTracker.applyEvents(events, now)
 	body, err := wire.Marshal(wire.DirectCommands{Token: cm.term, Session: session, Commands: orders})
--- a/internal/control/leader_term_loop.go
+++ b/internal/control/leader_term_loop.go
@@ -20,9 +20,9 @@
 	// maxBurst bounds the messages that the actor takes between two steps.
 	maxBurst = 64
 
-	// maxOrders bounds the commands in one response, well below the limit for
+	// maxCommands bounds the commands in one response, well below the limit for
 	// bodies.
-	maxOrders = 400
+	maxCommands = 400
 )
 
 // run is the actor's loop: it loads what earlier leaders have stored and handles
@@ -110,7 +110,7 @@
 		return
 	}
 	lt.planner.place(now)
-	orders, sent, events := lt.fleet.ComposeOrders(h, m.Seq, fresh, now, maxOrders)
+	orders, sent, events := lt.fleet.ComposeOrders(h, m.Seq, fresh, now, maxCommands)
 	lt.takeover.recordLaunches(len(sent), now)
 	lt.taskTracker.applyEvents(events, now)
 	p := reply(http.StatusOK, wire.HeartbeatResponse{Token: lt.term, Commands: orders})
--- a/internal/control/machine_pool.go
+++ b/internal/control/machine_pool.go
@@ -239,7 +239,7 @@
 // mayRenewLease reports whether an answer may renew the machine's lease. Where it may not,
 // the worker's session has to end, and the tasks there are lost.
 func (mp *machinePool) mayRenewLease(h *fleet.Machine, now time.Time) bool {
-	if mp.fleet.Renewable(h, now, maxOrders) {
+	if mp.fleet.Renewable(h, now, maxCommands) {
 		h.RenewalStopped = false
 		return true
 	}
--- a/internal/control/shards_sync.go
+++ b/internal/control/shards_sync.go
@@ -157,7 +157,7 @@
 	events := sh.fleet.RecordRenewal(h, report.Session, report.Seq, now.Add(-age))
 	sh.taskTracker.reachabilityChanged(h, wasCut)
 	sh.taskTracker.applyEvents(events, now)
-	if clears := h.ClearOrders(maxOrders); clears != nil {
+	if clears := h.ClearOrders(maxCommands); clears != nil {
 		b.clearances = append(b.clearances, shard.ExitClearance{Host: report.Host, Clears: clears})
 	}
 }
@@ -171,7 +171,7 @@
 			if !sh.answerable(member, &hb) || !sh.machinePool.mayRenewLease(hb.host, now) {
 				continue
 			}
-			orders, sent, events := sh.fleet.ComposeOrders(hb.host, hb.seq, hb.fresh, now, maxOrders)
+			orders, sent, events := sh.fleet.ComposeOrders(hb.host, hb.seq, hb.fresh, now, maxCommands)
 			sh.takeover.recordLaunches(len(sent), now)
 			sh.taskTracker.applyEvents(events, now)
 			b.answers = append(b.answers, shard.Answer{
