--- a/internal/control/job_table.go
+++ b/internal/control/job_table.go
@@ -188,7 +188,7 @@
 	for id, j := range jt.jobs {
 		if (j.Phase != "" || jt.unidentified[j]) && len(jt.fleet.SlotsOf(j)) == 0 {
 			jt.registry.detachJob(id)
-			jt.planner.forgetJob(j)
+			jt.planner.removeJob(j)
 			delete(jt.jobs, id)
 			delete(jt.jobsByIndex, jt.indexes[j])
 			delete(jt.indexes, j)
--- a/internal/control/planner.go
+++ b/internal/control/planner.go
@@ -84,8 +84,8 @@
 // forgetMachine forgets a machine that has been released.
 func (pl *planner) forgetMachine(h *fleet.Machine) { delete(pl.reservations, h) }
 
-// forgetJob forgets a job that is over.
-func (pl *planner) forgetJob(j *job.Job) { delete(pl.lastPreemptAt, j) }
+// removeJob forgets a job that is over.
+func (pl *planner) removeJob(j *job.Job) { delete(pl.lastPreemptAt, j) }
 
 // expireReservations ends the reservations that were not used in time, and those of jobs
 // that are over. It is not left to the next plan: while no job waits there is none.
