--- a/internal/control/machine_scale_in.go
+++ b/internal/control/machine_scale_in.go
@@ -154,7 +154,7 @@
 func (mp *machinePool) forgetReleased(h *fleet.Machine) {
 	mp.taskTracker.applyEvents(mp.fleet.Remove(h), time.Now())
 	mp.releasedNames[h.Name] = true
-	mp.planner.forgetMachine(h)
+	mp.planner.removeMachine(h)
 	mp.reservationHolds.machineRemoved(h)
 	mp.shards.remove(h)
 	delete(mp.noticeLogged, h)
--- a/internal/control/planner.go
+++ b/internal/control/planner.go
@@ -81,8 +81,8 @@
 // reservedFor returns the job for which a machine is reserved, or nil.
 func (pl *planner) reservedFor(h *fleet.Machine) *job.Job { return pl.reservations[h].job }
 
-// forgetMachine forgets a machine that has been released.
-func (pl *planner) forgetMachine(h *fleet.Machine) { delete(pl.reservations, h) }
+// removeMachine forgets a machine that has been released.
+func (pl *planner) removeMachine(h *fleet.Machine) { delete(pl.reservations, h) }
 
 // removeJob forgets a job that is over.
 func (pl *planner) removeJob(j *job.Job) { delete(pl.lastPreemptAt, j) }
