--- a/internal/control/machine_scale_in.go
+++ b/internal/control/machine_scale_in.go
@@ -144,14 +144,14 @@
 			}
 			mp.pendingReleases = mp.pendingReleases[len(hosts):]
 			for _, h := range hosts {
-				mp.forgetReleased(h)
+				mp.removeReleased(h)
 			}
 		})
 	}()
 }
 
-// forgetReleased removes a machine that is gone, with all tasks on it.
-func (mp *machinePool) forgetReleased(h *fleet.Machine) {
+// removeReleased removes a machine that is gone, with all tasks on it.
+func (mp *machinePool) removeReleased(h *fleet.Machine) {
 	mp.taskTracker.applyEvents(mp.fleet.Remove(h), time.Now())
 	mp.releasedNames[h.Name] = true
 	mp.planner.removeMachine(h)
