--- a/internal/control/planner.go
+++ b/internal/control/planner.go
@@ -17,9 +17,9 @@
 	// maxPlanInterval is after what time a plan is made although nothing is known to have
 	// changed.
 	maxPlanInterval = time.Second
-	// planTimeShare bounds the part of the time that plans take to one in planTimeShare, so
+	// minPlanIntervalFactor bounds the part of the time that plans take to one in minPlanIntervalFactor, so
 	// that heartbeats, cancellations and the lease are served while a large fleet is full.
-	planTimeShare = 4
+	minPlanIntervalFactor = 4
 	// preemptionHold is for how long a machine stays reserved for the job for which work was
 	// preempted there.
 	preemptionHold = 15 * time.Second
@@ -126,7 +126,7 @@
 // due reports whether it is time for a plan.
 func (pl *planner) due(now time.Time) bool {
 	sinceLast := now.Sub(pl.lastPlanAt)
-	if sinceLast < max(minPlanInterval, planTimeShare*pl.lastPlanDuration) {
+	if sinceLast < max(minPlanInterval, minPlanIntervalFactor*pl.lastPlanDuration) {
 		return false
 	}
 	return pl.planRequested || sinceLast >= maxPlanInterval
