--- a/internal/control/planner.go
+++ b/internal/control/planner.go
@@ -20,9 +20,9 @@
 	// minPlanIntervalFactor bounds the part of the time that plans take to one in minPlanIntervalFactor, so
 	// that heartbeats, cancellations and the lease are served while a large fleet is full.
 	minPlanIntervalFactor = 4
-	// preemptionHold is for how long a machine stays reserved for the job for which work was
+	// preemptionReservationTime is for how long a machine stays reserved for the job for which work was
 	// preempted there.
-	preemptionHold = 15 * time.Second
+	preemptionReservationTime = 15 * time.Second
 	// completionHold is for how long a machine stays reserved for a gang that waits for room;
 	// each plan in which the gang may preempt renews or ends it.
 	completionHold = 4 * preemptInterval
@@ -195,7 +195,7 @@
 	for _, p := range preemptions {
 		j, h := in.job(p.Demand), in.hosts[p.Machine]
 		pl.log.Info("preempting tasks", "job", j.ID, "machine", h.Name, "tasks", len(p.Victims))
-		pl.reservations[h] = machineReservation{job: j, until: in.now.Add(preemptionHold)}
+		pl.reservations[h] = machineReservation{job: j, until: in.now.Add(preemptionReservationTime)}
 		for _, v := range p.Victims {
 			s := in.slots[v]
 			pl.taskTracker.stopSlot(s, saveGrace(s.Job))
