--- a/internal/control/planner.go
+++ b/internal/control/planner.go
@@ -23,9 +23,9 @@
 	// preemptionReservationTime is for how long a machine stays reserved for the job for which work was
 	// preempted there.
 	preemptionReservationTime = 15 * time.Second
-	// completionHold is for how long a machine stays reserved for a gang that waits for room;
+	// gangReservationTime is for how long a machine stays reserved for a gang that waits for room;
 	// each plan in which the gang may preempt renews or ends it.
-	completionHold = 4 * preemptInterval
+	gangReservationTime = 4 * preemptInterval
 	// waitLogInterval and maxWaitLogJobs bound the log of jobs that find no machine.
 	waitLogInterval = 5 * time.Second
 	maxWaitLogJobs  = 5
@@ -220,7 +220,7 @@
 	for _, c := range chosen {
 		pl.reservations[in.hosts[c.Machine]] = machineReservation{
 			job:              in.job(c.Demand),
-			until:            in.now.Add(completionHold),
+			until:            in.now.Add(gangReservationTime),
 			awaitsCompletion: true,
 		}
 	}
