--- a/internal/control/planner.go
+++ b/internal/control/planner.go
@@ -99,7 +99,7 @@
 
 // place makes a plan and carries it out, if one is due.
 func (pl *planner) place(now time.Time) {
-	if !pl.due(now) || !pl.takeover.reconcile(now) || pl.hasUncountedTasks() {
+	if !pl.due(now) || !pl.takeover.reconcile(now) || pl.hasUnidentifiedTasks() {
 		return
 	}
 	pl.lastPlanAt = now
@@ -132,9 +132,9 @@
 	return pl.planRequested || sinceLast >= maxPlanInterval
 }
 
-// hasUncountedTasks reports whether there are tasks of jobs whose records have not been
+// hasUnidentifiedTasks reports whether there are tasks of jobs whose records have not been
 // read: what these use is not counted for any team yet.
-func (pl *planner) hasUncountedTasks() bool {
+func (pl *planner) hasUnidentifiedTasks() bool {
 	for j := range pl.jobTable.unidentifiedJobs() {
 		if len(j.Live) > 0 {
 			return true
