--- a/internal/control/planner_demands.go
+++ b/internal/control/planner_demands.go
@@ -17,9 +17,9 @@
 	// users expect the largest jobs to start within four minutes, also beside a steady stream
 	// of small jobs or of those of a higher priority.
 	overdueAfter = 2 * time.Minute
-	// overdueShare: an overdue array goes first with one in overdueShare of its tasks. That
+	// overdueDivisor: an overdue array goes first with one in overdueDivisor of its tasks. That
 	// starts it, and does not let all of it pass the other jobs.
-	overdueShare = 20
+	overdueDivisor = 20
 	// lateMarginS is how much time a job has left when it counts as late, in seconds.
 	lateMarginS = 5
 	// delayMarginS is how much time an array must have left for delay scheduling, in seconds.
@@ -138,7 +138,7 @@
 	case !j.HasSucceeded && j.Backoff > 0:
 		return backoffPending
 	case overdue:
-		return 1 + j.Tasks/overdueShare
+		return 1 + j.Tasks/overdueDivisor
 	}
 	return maxPending
 }
