--- a/internal/control/planner_demands.go
+++ b/internal/control/planner_demands.go
@@ -94,7 +94,7 @@
 	isArray := j.Shape == job.Array
 	d.FetchTooSlow = !isArray && left > 0 && left < j.ImageGB/p.slowestFetchRate
 	d.CanDelay = isArray && left > delayMarginS
-	if p.looksForVictims(j, &d, left) {
+	if p.shouldPreempt(j, &d, left) {
 		d.MayPreempt = true
 		p.mayPreempt = true
 		p.lastPreemptAt[j] = p.now
@@ -102,9 +102,9 @@
 	return d, true
 }
 
-// looksForVictims reports whether a job that has left seconds until its latest start may
+// shouldPreempt reports whether a job that has left seconds until its latest start may
 // preempt tasks in this plan. Arrays do so only when they are late.
-func (p *planInput) looksForVictims(j *job.Job, d *place.Demand, left float64) bool {
+func (p *planInput) shouldPreempt(j *job.Job, d *place.Demand, left float64) bool {
 	hasWaited := p.now.Sub(j.WaitingSince) > preemptDelay || (d.FetchTooSlow && j.Shape == job.Service)
 	isPressing := j.Shape != job.Array || left < lateMarginS
 	return hasWaited && isPressing && p.now.Sub(p.lastPreemptAt[j]) >= preemptInterval
