--- a/internal/control/planner.go
+++ b/internal/control/planner.go
@@ -147,7 +147,7 @@
 func (pl *planner) applyAssignments(in *planInput, assignments []place.Assignment) {
 	attempts := map[*job.Job]uint64{} // of this plan
 	for _, a := range assignments {
-		pl.assign(in.job(a.Demand), a.Task, in.hosts[a.Machine], attempts, in.now)
+		pl.assign(in.job(a.Demand), a.Task, in.machines[a.Machine], attempts, in.now)
 	}
 }
 
@@ -193,7 +193,7 @@
 // applyPreemptions stops the victims of a plan and reserves the machines.
 func (pl *planner) applyPreemptions(in *planInput, preemptions []place.Preemption) {
 	for _, p := range preemptions {
-		j, h := in.job(p.Demand), in.hosts[p.Machine]
+		j, h := in.job(p.Demand), in.machines[p.Machine]
 		pl.log.Info("preempting tasks", "job", j.ID, "machine", h.Name, "tasks", len(p.Victims))
 		pl.reservations[h] = machineReservation{job: j, until: in.now.Add(preemptionReservationTime)}
 		for _, v := range p.Victims {
@@ -218,7 +218,7 @@
 		}
 	}
 	for _, c := range chosen {
-		pl.reservations[in.hosts[c.Machine]] = machineReservation{
+		pl.reservations[in.machines[c.Machine]] = machineReservation{
 			job:              in.job(c.Demand),
 			until:            in.now.Add(gangReservationTime),
 			awaitsCompletion: true,
--- a/internal/control/planner_input.go
+++ b/internal/control/planner_input.go
@@ -23,8 +23,8 @@
 	*planner
 	now   time.Time
 	input place.Input
-	// hosts are those of input.Machines, in the same order.
-	hosts []*fleet.Machine
+	// machines are those of input.Machines, in the same order.
+	machines []*fleet.Machine
 	// slots are those of the victims in input, by Victim.ID.
 	slots []*fleet.Slot
 	// lateJobs remembers the answers of isLate.
@@ -133,7 +133,7 @@
 			p.addVictims(&m, h)
 		}
 		p.input.Machines = append(p.input.Machines, m)
-		p.hosts = append(p.hosts, h)
+		p.machines = append(p.machines, h)
 	}
 }
 
