--- a/internal/control/planner.go
+++ b/internal/control/planner.go
@@ -197,7 +197,7 @@
 		pl.log.Info("preempting tasks", "job", j.ID, "machine", h.Name, "tasks", len(p.Victims))
 		pl.reservations[h] = machineReservation{job: j, until: in.now.Add(preemptionReservationTime)}
 		for _, v := range p.Victims {
-			s := in.slots[v]
+			s := in.victimSlots[v]
 			pl.taskTracker.stopSlot(s, saveGrace(s.Job))
 		}
 	}
--- a/internal/control/planner_input.go
+++ b/internal/control/planner_input.go
@@ -25,8 +25,8 @@
 	input place.Input
 	// machines are those of input.Machines, in the same order.
 	machines []*fleet.Machine
-	// slots are those of the victims in input, by Victim.ID.
-	slots []*fleet.Slot
+	// victimSlots are those of the victims in input, by Victim.ID.
+	victimSlots []*fleet.Slot
 	// lateJobs remembers the answers of isLate.
 	lateJobs map[*job.Job]bool
 	// mayPreempt: some demand may preempt tasks.
--- a/internal/control/planner_victims.go
+++ b/internal/control/planner_victims.go
@@ -24,7 +24,7 @@
 			continue
 		}
 		m.Victims = append(m.Victims, place.Victim{
-			ID:             len(p.slots),
+			ID:             len(p.victimSlots),
 			Priority:       s.Job.Priority,
 			Team:           s.Job.TeamIdx,
 			Need:           needOf(s.Job),
@@ -33,7 +33,7 @@
 			RemainingS:     remainingSeconds(s, p.now),
 			Late:           p.isLate(s.Job),
 		})
-		p.slots = append(p.slots, s)
+		p.victimSlots = append(p.victimSlots, s)
 	}
 }
 
