--- a/internal/control/planner_input.go
+++ b/internal/control/planner_input.go
@@ -94,13 +94,13 @@
 	}
 	for _, j := range p.jobTable.all() {
 		if j.TeamIdx >= 0 {
-			p.addUse(&p.input.Teams[j.TeamIdx], j)
+			p.addUsage(&p.input.Teams[j.TeamIdx], j)
 		}
 	}
 }
 
-// addUse adds what a job's tasks use to its team. Memory has no quota.
-func (p *planInput) addUse(t *place.Team, j *job.Job) {
+// addUsage adds what a job's tasks use to its team. Memory has no quota.
+func (p *planInput) addUsage(t *place.Team, j *job.Job) {
 	tasks, stopping := 0.0, 0.0
 	for s := range p.fleet.SlotsOf(j) {
 		if !s.Active() {
