--- a/internal/control/planner_input.go
+++ b/internal/control/planner_input.go
@@ -121,7 +121,7 @@
 // preempt.
 func (p *planInput) addMachines() {
 	types := p.nameIndex.machineTypes()
-	p.smallestCPUs, p.lowestCPUPrice = smallestAndCheapest(types)
+	p.smallestCPUs, p.lowestCPUPrice = smallestCPUsAndPrice(types)
 	for _, h := range p.fleet.All() {
 		// A machine that answers direct commands and sends no heartbeats any more has less than
 		// half of its lease left. What it got now would end with it.
@@ -137,9 +137,9 @@
 	}
 }
 
-// smallestAndCheapest returns the number of CPUs of the smallest machine type and the lowest
+// smallestCPUsAndPrice returns the number of CPUs of the smallest machine type and the lowest
 // hourly price of a CPU.
-func smallestAndCheapest(types []wire.MachineType) (cpus, cpuPrice float64) {
+func smallestCPUsAndPrice(types []wire.MachineType) (cpus, cpuPrice float64) {
 	cpus, cpuPrice = math.Inf(1), math.Inf(1)
 	for i := range types {
 		t := &types[i]
