--- a/internal/control/planner_input.go
+++ b/internal/control/planner_input.go
@@ -128,7 +128,7 @@
 		if !h.Usable() || h.SinceLastReport(p.now) > p.fleet.Lease/2 || h.Type >= len(types) {
 			continue
 		}
-		m := p.machine(h, &types[h.Type])
+		m := p.candidate(h, &types[h.Type])
 		if p.mayPreempt {
 			p.addVictims(&m, h)
 		}
@@ -155,8 +155,8 @@
 	return max(autoscale.HourlyPrice(t, spot), minPrice) / max(t.CPUs, minCPUs)
 }
 
-// machine describes a machine with what is free, cached, reserved and held on it.
-func (p *planInput) machine(h *fleet.Machine, t *wire.MachineType) place.Machine {
+// candidate describes a candidate with what is free, cached, reserved and held on it.
+func (p *planInput) candidate(h *fleet.Machine, t *wire.MachineType) place.Machine {
 	m := place.Machine{
 		ID:             h.Index,
 		Type:           h.Type,
