--- a/internal/control/planner_victims.go
+++ b/internal/control/planner_victims.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// restartS is what a task with checkpoints loses when it is stopped, and a gang for each of
+	// restartCostS is what a task with checkpoints loses when it is stopped, and a gang for each of
 	// its members: saving, a new placement, the image and a common start, in seconds.
-	restartS = 15
+	restartCostS = 15
 	// overrunShare: a task that runs longer than expected is expected to go on for one in
 	// overrunShare of its estimate.
 	overrunShare = 5
@@ -56,11 +56,11 @@
 func preemptionLoss(s *fleet.Slot, now time.Time) float64 {
 	switch {
 	case s.Job.Shape == job.Gang:
-		return restartS * s.Job.CPUs * float64(s.Job.Tasks)
+		return restartCostS * s.Job.CPUs * float64(s.Job.Tasks)
 	case s.RunningSince.IsZero():
 		return 0
 	case s.Job.CheckpointS > 0:
-		return min(restartS, now.Sub(s.RunningSince).Seconds()) * s.Job.CPUs
+		return min(restartCostS, now.Sub(s.RunningSince).Seconds()) * s.Job.CPUs
 	}
 	return now.Sub(s.RunningSince).Seconds() * s.Job.CPUs
 }
