--- a/internal/control/planner_victims.go
+++ b/internal/control/planner_victims.go
@@ -28,7 +28,7 @@
 			Priority:       s.Job.Priority,
 			Team:           s.Job.TeamIdx,
 			Need:           needOf(s.Job),
-			Released:       releasedWith(s.Job),
+			Released:       releasedByPreemption(s.Job),
 			LossCPUSeconds: preemptionLoss(s, p.now),
 			RemainingS:     remainingSeconds(s, p.now),
 			Late:           p.isLate(s.Job),
@@ -37,8 +37,8 @@
 	}
 }
 
-// releasedWith returns what is stopped with a task of a job: a gang stops whole.
-func releasedWith(j *job.Job) place.Resources {
+// releasedByPreemption returns what is stopped with a task of a job: a gang stops whole.
+func releasedByPreemption(j *job.Job) place.Resources {
 	need := needOf(j)
 	if j.Shape != job.Gang {
 		return need
