--- a/internal/control/machine_scale_in.go
+++ b/internal/control/machine_scale_in.go
@@ -66,7 +66,7 @@
 		if now.Sub(h.LostAt) > lostGrace {
 			return "its lease expired and it sends no heartbeats"
 		}
-	case h.Busy() || hasUnsettled(h):
+	case h.Busy() || hasUnsettledSlot(h):
 	case h.Quarantined:
 		return "it is quarantined and empty"
 	case !h.ReclaimAt.IsZero():
@@ -80,8 +80,8 @@
 	return ""
 }
 
-// hasUnsettled reports whether it is not known yet whether some task is on the machine.
-func hasUnsettled(h *fleet.Machine) bool {
+// hasUnsettledSlot reports whether it is not known yet whether some task is on the machine.
+func hasUnsettledSlot(h *fleet.Machine) bool {
 	for _, s := range h.Slots {
 		if !s.Settled {
 			return true
