--- a/internal/control/machine_scale_out.go
+++ b/internal/control/machine_scale_out.go
@@ -19,8 +19,8 @@
 	// provisionTries is how often a request is sent, provisionRetryInterval the time between.
 	provisionTries         = 4
 	provisionRetryInterval = time.Second
-	// maxGatheringGangs is for how many gangs the room is counted, zone by zone.
-	maxGatheringGangs = 20
+	// maxZoneCountGangs is for how many gangs the room is counted, zone by zone.
+	maxZoneCountGangs = 20
 	// pendingBoots is for how many boot times a machine that boots is expected to come up.
 	pendingBoots = 2
 )
@@ -114,7 +114,7 @@
 		if !d.OneZone || d.Zone >= 0 || slices.Max(d.TasksByZone) > 0 {
 			continue
 		}
-		if gangs == maxGatheringGangs {
+		if gangs == maxZoneCountGangs {
 			return
 		}
 		gangs++
