--- a/internal/control/machine_scale_out.go
+++ b/internal/control/machine_scale_out.go
@@ -128,15 +128,15 @@
 	fits := make([]int, len(mp.nameIndex.zoneNames()))
 	for _, h := range mp.fleet.All() {
 		t := mp.nameIndex.machineType(h)
-		if h.Usable() && t != nil && allowsKind(d, h) && !mp.takenFromGang(h, j) {
+		if h.Usable() && t != nil && allowsKind(d, h) && !mp.unavailableToGang(h, j) {
 			fits[h.Zone] += freeCapacity(t, h).FitCount(d.Need)
 		}
 	}
 	return fits
 }
 
-// takenFromGang reports whether a machine is reserved or held for others than the gang.
-func (mp *machinePool) takenFromGang(h *fleet.Machine, gang *job.Job) bool {
+// unavailableToGang reports whether a machine is reserved or held for others than the gang.
+func (mp *machinePool) unavailableToGang(h *fleet.Machine, gang *job.Job) bool {
 	holder := mp.planner.reservedFor(h)
 	return (holder != nil && holder != gang) || mp.reservationHolds.retains(h)
 }
