--- a/internal/control/machine_scale_in.go
+++ b/internal/control/machine_scale_in.go
@@ -106,7 +106,7 @@
 	total := autoscale.MachineResources(t)
 	for i := range mp.unmetDemand {
 		u := &mp.unmetDemand[i]
-		if u.FitsByZone != nil && u.ChosenZone == h.Zone && allowsKind(u.Demand, h) && total.Fits(u.Demand.Need) {
+		if u.FitsByZone != nil && u.ChosenZone == h.Zone && allowsMachine(u.Demand, h) && total.Fits(u.Demand.Need) {
 			return true
 		}
 	}
--- a/internal/control/machine_scale_out.go
+++ b/internal/control/machine_scale_out.go
@@ -128,7 +128,7 @@
 	fits := make([]int, len(mp.nameIndex.zoneNames()))
 	for _, h := range mp.fleet.All() {
 		t := mp.nameIndex.machineType(h)
-		if h.Usable() && t != nil && allowsKind(d, h) && !mp.unavailableToGang(h, j) {
+		if h.Usable() && t != nil && allowsMachine(d, h) && !mp.unavailableToGang(h, j) {
 			fits[h.Zone] += freeCapacity(t, h).FitCount(d.Need)
 		}
 	}
@@ -141,8 +141,8 @@
 	return (holder != nil && holder != gang) || mp.reservationHolds.retains(h)
 }
 
-// allowsKind reports whether a demand may run on machines of the type and kind of h.
-func allowsKind(d *place.Demand, h *fleet.Machine) bool {
+// allowsMachine reports whether a demand may run on machines of the type and kind of h.
+func allowsMachine(d *place.Demand, h *fleet.Machine) bool {
 	return (d.AllowedTypes == nil || d.AllowedTypes[h.Type]) && (d.Spot || !h.Spot)
 }
 
