--- a/internal/control/tasks_heartbeats.go
+++ b/internal/control/tasks_heartbeats.go
@@ -177,7 +177,7 @@
 	h.TaskFailures = 0
 	clear(h.FailedJobs)
 	if !j.HasSucceeded {
-		tt.firstSuccess(j)
+		tt.recordFirstSuccess(j)
 	}
 	tt.checkSpeed(s, j, h, now)
 	if !s.RunningSince.IsZero() && !s.Adopted {
@@ -200,9 +200,9 @@
 	}
 }
 
-// firstSuccess notes that a job's own work is not at fault: it is no longer held back,
+// recordFirstSuccess notes that a job's own work is not at fault: it is no longer held back,
 // and its errors count against the machines on which it failed.
-func (tt *taskTracker) firstSuccess(j *job.Job) {
+func (tt *taskTracker) recordFirstSuccess(j *job.Job) {
 	j.HasSucceeded = true
 	j.Backoff = 0
 	j.NotBefore = time.Time{}
