--- a/internal/control/tasks_heartbeats.go
+++ b/internal/control/tasks_heartbeats.go
@@ -165,7 +165,7 @@
 	if j.Shape != job.Gang || s.Cause == wire.CauseNoResources {
 		return
 	}
-	if s.Cause == wire.CauseGangIncomplete && tt.waitsForImages(j) {
+	if s.Cause == wire.CauseGangIncomplete && tt.waitsOnlyForImages(j) {
 		return
 	}
 	tt.stopGangAttempt(j)
--- a/internal/control/tasks_stops.go
+++ b/internal/control/tasks_stops.go
@@ -71,13 +71,13 @@
 	return j.SaveS + saveMarginS
 }
 
-// waitsForImages reports whether a gang of which one member has just left waits for
+// waitsOnlyForImages reports whether a gang of which one member has just left waits for
 // nothing but images. That member comes back with the same attempt: if all were
 // stopped, the fetches would be given up, and a gang one of whose images takes longer
 // than members wait would restart again and again. With another member without a
 // placement the attempt is stopped, so that two halves of gangs do not hold each
 // other's capacity.
-func (tt *taskTracker) waitsForImages(j *job.Job) bool {
+func (tt *taskTracker) waitsOnlyForImages(j *job.Job) bool {
 	if j.GangStopping || j.GangStarted || len(j.Live) != j.Tasks-1 {
 		return false
 	}
