--- a/internal/control/tasks_stops_test.go
+++ b/internal/control/tasks_stops_test.go
@@ -9,9 +9,9 @@
 	"vetchstream/internal/wire"
 )
 
-// TestIncomplete: a gang's member that has waited in vain comes back with the same
+// TestIncompleteGang: a gang's member that has waited in vain comes back with the same
 // attempt while others fetch their images, and otherwise the gang begins anew.
-func TestIncomplete(t *testing.T) {
+func TestIncompleteGang(t *testing.T) {
 	tests := []struct {
 		name   string
 		phases []wire.TaskPhase // of the members but the first, which leaves
