--- a/internal/control/machine_pool_test.go
+++ b/internal/control/machine_pool_test.go
@@ -75,9 +75,9 @@
 	}
 }
 
-// TestPartitionedMachinesReturned: machines that report and take in nothing are left in time, and
+// TestPartitionedMachinesReleased: machines that report and take in nothing are left in time, and
 // returned after their lease and a while.
-func TestPartitionedMachinesReturned(t *testing.T) {
+func TestPartitionedMachinesReleased(t *testing.T) {
 	patience := 11*time.Second + lostGrace
 	tests := []struct {
 		name     string
