--- a/internal/control/late_transactions_test.go
+++ b/internal/control/late_transactions_test.go
@@ -73,8 +73,8 @@
 	spec map[string]any
 }
 
-// simDay is hour h of day d of the simulated time, which begins in 2000.
-func simDay(d, h int) string {
+// simulatedTime is hour h of day d of the simulated time, which begins in 2000.
+func simulatedTime(d, h int) string {
 	return time.Date(2000, 1, 1+d, h, 0, 0, 0, time.UTC).Format(time.RFC3339)
 }
 
@@ -100,14 +100,14 @@
 		{rpc.Operation{Verb: rpc.VerbStart}, map[string]any{"service": "x", "from": "run-1", "to": map[string]any{"uid": "run-2", "reel": "n"}}},
 		namedOp(rpc.VerbPause, false)}, "paused"},
 	{"a reservation is made", rpc.KindCalendar, "c", []lateOp{
-		{rpc.Operation{Verb: rpc.VerbStart}, map[string]any{"name": "x", "team": "red", "parts": 1, "cpus": 1.0, "mem_gb": 1.0, "start": simDay(2, 1), "end": simDay(2, 2)}}}, "booked"},
+		{rpc.Operation{Verb: rpc.VerbStart}, map[string]any{"name": "x", "team": "red", "parts": 1, "cpus": 1.0, "mem_gb": 1.0, "start": simulatedTime(2, 1), "end": simulatedTime(2, 2)}}}, "booked"},
 	{"a reservation is made and cancelled", rpc.KindCalendar, "c", []lateOp{
-		{rpc.Operation{Verb: rpc.VerbStart}, map[string]any{"name": "x", "team": "red", "parts": 1, "cpus": 1.0, "mem_gb": 1.0, "start": simDay(2, 1), "end": simDay(2, 2)}},
+		{rpc.Operation{Verb: rpc.VerbStart}, map[string]any{"name": "x", "team": "red", "parts": 1, "cpus": 1.0, "mem_gb": 1.0, "start": simulatedTime(2, 1), "end": simulatedTime(2, 2)}},
 		namedOp(rpc.VerbCancel, false)}, ""},
 	{"a window is planned", rpc.KindCalendar, "c", []lateOp{
-		{rpc.Operation{Verb: rpc.VerbStart, Window: true}, map[string]any{"name": "x", "yard": "a", "start": simDay(3, 1), "end": simDay(3, 2), "force": true}}}, "2000-01-04"},
+		{rpc.Operation{Verb: rpc.VerbStart, Window: true}, map[string]any{"name": "x", "yard": "a", "start": simulatedTime(3, 1), "end": simulatedTime(3, 2), "force": true}}}, "2000-01-04"},
 	{"a window is planned and cancelled", rpc.KindCalendar, "c", []lateOp{
-		{rpc.Operation{Verb: rpc.VerbStart, Window: true}, map[string]any{"name": "x", "yard": "a", "start": simDay(3, 1), "end": simDay(3, 2), "force": true}},
+		{rpc.Operation{Verb: rpc.VerbStart, Window: true}, map[string]any{"name": "x", "yard": "a", "start": simulatedTime(3, 1), "end": simulatedTime(3, 2), "force": true}},
 		namedOp(rpc.VerbCancel, true)}, ""},
 }
 
