--- a/internal/control/late_transactions_test.go
+++ b/internal/control/late_transactions_test.go
@@ -120,7 +120,7 @@
 	st := startLeaderWith(t, s, 7, on)
 	s.setOutcomes(rec.prefix, outcomes...)
 	for _, o := range rec.ops {
-		if p := askUntilAnswered(t, st, rec.kind, o); p.Status/100 != 2 {
+		if p := requestUntilAnswered(t, st, rec.kind, o); p.Status/100 != 2 {
 			t.Fatalf("%s: %d %s", o.Verb, p.Status, p.Body)
 		}
 	}
@@ -129,7 +129,7 @@
 	}
 	look := namedOp(rpc.VerbStatus, strings.Contains(rec.name, "window"))
 	told := func(st *testLeader, who string) {
-		p := askUntilAnswered(t, st, rec.kind, look)
+		p := requestUntilAnswered(t, st, rec.kind, look)
 		if (rec.want == "") != (p.Status == http.StatusNotFound) || !strings.Contains(string(p.Body), rec.want) {
 			t.Errorf("%s: %d %q, want %q", who, p.Status, p.Body, rec.want)
 		}
@@ -141,9 +141,9 @@
 	told(startLeaderWith(t, s, 8, on), "the next one")
 }
 
-// askUntilAnswered asks st to carry out o, and asks again while the answer is a
+// requestUntilAnswered asks st to carry out o, and asks again while the answer is a
 // server error, 30 times at most, a second apart.
-func askUntilAnswered(t *testing.T, st *testLeader, kind rpc.RequestKind, o lateOp) *rpc.Reply {
+func requestUntilAnswered(t *testing.T, st *testLeader, kind rpc.RequestKind, o lateOp) *rpc.Reply {
 	if o.spec != nil {
 		b, err := wire.Marshal(o.spec)
 		if err != nil {
