--- a/internal/control/fake_state_service_test.go
+++ b/internal/control/fake_state_service_test.go
@@ -170,7 +170,7 @@
 
 // ServeHTTP answers a request to the state service.
 func (s *fakeStateService) ServeHTTP(rw http.ResponseWriter, q *http.Request) {
-	answer := func(status int, v any) { writeAnswer(rw, status, v) }
+	answer := func(status int, v any) { writeResponse(rw, status, v) }
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	path := q.URL.Path
@@ -199,8 +199,8 @@
 	}
 }
 
-// writeAnswer writes an encoded response.
-func writeAnswer(rw http.ResponseWriter, status int, v any) {
+// writeResponse writes an encoded response.
+func writeResponse(rw http.ResponseWriter, status int, v any) {
 	b, err := wire.Marshal(v)
 	if err != nil {
 		panic(err)
