--- a/internal/control/fake_state_service_test.go
+++ b/internal/control/fake_state_service_test.go
@@ -217,11 +217,11 @@
 		answer(400, wire.Error{Error: "malformed"})
 		return
 	}
-	if writesPrefix(t, "jgf") {
+	if writesFirstLetter(t, "jgf") {
 		s.jobTxns++
 	}
 	outcome := applied
-	if writesPrefix(t, s.outcomePrefixes) && len(s.outcomes) > 0 {
+	if writesFirstLetter(t, s.outcomePrefixes) && len(s.outcomes) > 0 {
 		outcome = s.outcomes[0]
 		s.outcomes = s.outcomes[1:]
 	}
@@ -239,9 +239,9 @@
 	panic(http.ErrAbortHandler)
 }
 
-// writesPrefix reports whether a transaction writes a key whose first letter is in
+// writesFirstLetter reports whether a transaction writes a key whose first letter is in
 // prefixes.
-func writesPrefix(t state.Txn, prefixes string) bool {
+func writesFirstLetter(t state.Txn, prefixes string) bool {
 	return slices.ContainsFunc(t.Writes, func(w state.Write) bool {
 		return strings.ContainsAny((w.Put + w.Delete)[:1], prefixes)
 	})
