--- a/internal/control/fake_state_service_test.go
+++ b/internal/control/fake_state_service_test.go
@@ -47,24 +47,24 @@
 	kv  map[string]state.Entry
 	// outcomes are those of the next transactions that write keys whose first letter is
 	// in outcomePrefixes; later ones are applied.
-	outcomes        []commitOutcome
-	outcomePrefixes string
-	maxWrites       int  // in a transaction
-	jobTxns         int  // transactions that wrote jobs
-	watchesSilent   bool // watches report no event
-	unavailable     bool // an outage: nothing is executed
-	accepted        chan net.Conn
-	closed          chan struct{} // closed with the listener: a dial may still come
+	outcomes       []commitOutcome
+	outcomeLetters string
+	maxWrites      int  // in a transaction
+	jobTxns        int  // transactions that wrote jobs
+	watchesSilent  bool // watches report no event
+	unavailable    bool // an outage: nothing is executed
+	accepted       chan net.Conn
+	closed         chan struct{} // closed with the listener: a dial may still come
 }
 
 // newFakeStateService starts a service that runs until the test ends.
 func newFakeStateService(t *testing.T) *fakeStateService {
 	s := &fakeStateService{
-		kv:              map[string]state.Entry{},
-		maxWrites:       12,
-		outcomePrefixes: job.GroupPrefix[:1],
-		accepted:        make(chan net.Conn),
-		closed:          make(chan struct{}),
+		kv:             map[string]state.Entry{},
+		maxWrites:      12,
+		outcomeLetters: job.GroupPrefix[:1],
+		accepted:       make(chan net.Conn),
+		closed:         make(chan struct{}),
 	}
 	srv := &http.Server{Handler: s}
 	go func() { _ = srv.Serve(s) }()
@@ -125,7 +125,7 @@
 func (s *fakeStateService) setOutcomes(prefixes string, outcomes ...commitOutcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.outcomePrefixes = prefixes
+	s.outcomeLetters = prefixes
 	s.outcomes = outcomes
 	s.jobTxns = 0
 }
@@ -221,7 +221,7 @@
 		s.jobTxns++
 	}
 	outcome := applied
-	if writesFirstLetter(t, s.outcomePrefixes) && len(s.outcomes) > 0 {
+	if writesFirstLetter(t, s.outcomeLetters) && len(s.outcomes) > 0 {
 		outcome = s.outcomes[0]
 		s.outcomes = s.outcomes[1:]
 	}
