--- a/internal/control/planner_victims.go
+++ b/internal/control/planner_victims.go
@@ -12,9 +12,9 @@
 	// restartCostS is what a task with checkpoints loses when it is stopped, and a gang for each of
 	// its members: saving, a new placement, the image and a common start, in seconds.
 	restartCostS = 15
-	// overrunShare: a task that runs longer than expected is expected to go on for one in
-	// overrunShare of its estimate.
-	overrunShare = 5
+	// taskOverrunDivisor: a task that runs longer than expected is expected to go on for one in
+	// taskOverrunDivisor of its estimate.
+	taskOverrunDivisor = 5
 )
 
 // addVictims adds the tasks on a machine that may be preempted.
@@ -71,7 +71,7 @@
 	if s.RunningSince.IsZero() {
 		return run
 	}
-	return max(run/overrunShare, run-now.Sub(s.RunningSince).Seconds())
+	return max(run/taskOverrunDivisor, run-now.Sub(s.RunningSince).Seconds())
 }
 
 // isLate reports whether a job misses its objective unless it starts very soon.
