--- a/internal/control/doc.go
+++ b/internal/control/doc.go
@@ -5,7 +5,7 @@
 // Controller is the way in. While its node leads, it runs a leaderTerm: one goroutine that
 // owns all state of the term, takes messages from two inboxes and composes parts, each of
 // which owns the state of one duty. A part calls another through its methods and never
-// touches its fields (TestParts). I/O runs in goroutines of its own, which enqueue their
+// touches its fields (TestPartFieldAccess). I/O runs in goroutines of its own, which enqueue their
 // results. Nothing in memory outlives the term: the next leader reads the stored records
 // and reconciles them with the workers' heartbeats.
 //
--- a/internal/control/leader_term.go
+++ b/internal/control/leader_term.go
@@ -12,7 +12,7 @@
 // leaderTerm is the actor of one leader term. It composes the parts, each of which
 // owns the state of one duty. All of it is touched by the actor's goroutine alone;
 // I/O runs in goroutines of its own, which enqueue their results. A part calls
-// another through its methods and never touches its fields (TestParts).
+// another through its methods and never touches its fields (TestPartFieldAccess).
 type leaderTerm struct {
 	*core
 	nameIndex         *nameIndex
--- a/internal/control/parts_test.go
+++ b/internal/control/parts_test.go
@@ -9,9 +9,9 @@
 	"testing"
 )
 
-// TestParts: a part's fields are touched by its own methods alone. Each part has
+// TestPartFieldAccess: a part's fields are touched by its own methods alone. Each part has
 // one owner of its state, and a reader finds every change of it in one place.
-func TestParts(t *testing.T) {
+func TestPartFieldAccess(t *testing.T) {
 	files, err := os.ReadDir(".")
 	if err != nil {
 		t.Fatal(err)
