--- a/internal/control/admission.go
+++ b/internal/control/admission.go
@@ -88,7 +88,7 @@
 // knows reports whether the leader has the job: over, being stored, or in the job
 // table.
 func (ad *admission) knows(id string) bool {
-	return ad.completions.isOver(id) || ad.pending[id] != nil || ad.jobTable.get(id) != nil
+	return ad.completions.isFinished(id) || ad.pending[id] != nil || ad.jobTable.get(id) != nil
 }
 
 // status answers a status request.
--- a/internal/control/admission_groups.go
+++ b/internal/control/admission_groups.go
@@ -39,9 +39,9 @@
 	key          string
 	version      uint64
 	jobs         []job.Record // as stored
-	endings      []ending     // not stored yet
+	pendingCompletions      []jobCompletion     // not stored yet
 	writing      bool         // a transaction is under way
-	awaitingTurn bool         // the endings wait for the rate limit
+	awaitingRateLimit bool         // the endings wait for the rate limit
 	noMoveBefore time.Time
 }
 
@@ -50,8 +50,8 @@
 	return slices.IndexFunc(g.jobs, func(r job.Record) bool { return r.Spec.ID == id })
 }
 
-// ending is the end of a job that is not durable yet.
-type ending struct {
+// jobCompletion is the end of a job that is not durable yet.
+type jobCompletion struct {
 	rec      *job.Record
 	onStored func() // called on the actor once the end is durable
 }
@@ -121,12 +121,12 @@
 	return &g.jobs[g.index(id)]
 }
 
-// recordEnd has the end of a job in a group stored; onStored is called once it is
+// recordCompletion has the end of a job in a group stored; onStored is called once it is
 // durable. A user waits for the end of a cancelled job, so that is stored at once.
 // Other ends wait for the rate limit, and are stored together.
-func (gs *admissionGroups) recordEnd(rec *job.Record, onStored func()) {
+func (gs *admissionGroups) recordCompletion(rec *job.Record, onStored func()) {
 	g := gs.groupByJob[rec.Spec.ID]
-	g.endings = append(g.endings, ending{rec: rec, onStored: onStored})
+	g.pendingCompletions = append(g.pendingCompletions, jobCompletion{rec: rec, onStored: onStored})
 	gs.active[g] = true
 }
 
@@ -137,9 +137,9 @@
 		switch {
 		case g.writing:
 		case g.hasCancelled():
-			gs.storeEndings(g)
-		case len(g.endings) > 0:
-			gs.storeInTurn(g)
+			gs.storeCompletions(g)
+		case len(g.pendingCompletions) > 0:
+			gs.storeCompletionsRateLimited(g)
 		case !gs.moving && gs.controller.State.Idle(gs.recordWriter.maxWrites()) && !now.Before(g.noMoveBefore):
 			gs.moveFinished(g)
 		}
@@ -149,32 +149,32 @@
 // hasCancelled reports whether the end of a job that is not simply done is to be
 // stored.
 func (g *admissionGroup) hasCancelled() bool {
-	return slices.ContainsFunc(g.endings, func(e ending) bool { return e.rec.Phase != wire.JobDone })
+	return slices.ContainsFunc(g.pendingCompletions, func(e jobCompletion) bool { return e.rec.Phase != wire.JobDone })
 }
 
-// storeInTurn stores a group's ends when the rate limit allows it.
-func (gs *admissionGroups) storeInTurn(g *admissionGroup) {
-	if g.awaitingTurn {
+// storeCompletionsRateLimited stores a group's ends when the rate limit allows it.
+func (gs *admissionGroups) storeCompletionsRateLimited(g *admissionGroup) {
+	if g.awaitingRateLimit {
 		return
 	}
-	g.awaitingTurn = true
+	g.awaitingRateLimit = true
 	go func() {
 		if gs.limit.Wait(gs.ctx) != nil {
 			return // the term has ended
 		}
 		gs.enqueueForUser(func() {
-			g.awaitingTurn = false
-			if !g.writing && len(g.endings) > 0 {
-				gs.storeEndings(g)
+			g.awaitingRateLimit = false
+			if !g.writing && len(g.pendingCompletions) > 0 {
+				gs.storeCompletions(g)
 			}
 		})
 	}()
 }
 
-// storeEndings writes the record of a group with the ends that have come.
-func (gs *admissionGroups) storeEndings(g *admissionGroup) {
-	endings := g.endings
-	g.endings = nil
+// storeCompletions writes the record of a group with the ends that have come.
+func (gs *admissionGroups) storeCompletions(g *admissionGroup) {
+	endings := g.pendingCompletions
+	g.pendingCompletions = nil
 	jobs := slices.Clone(g.jobs)
 	for _, e := range endings {
 		jobs[g.index(e.rec.Spec.ID)] = *e.rec
--- a/internal/control/admission_store.go
+++ b/internal/control/admission_store.go
@@ -214,10 +214,10 @@
 		return
 	case found.Phase != "":
 		ad.completions.cacheFinalStatus(found)
-	case ad.completions.isOver(id):
+	case ad.completions.isFinished(id):
 		// The job has ended since the read. Adopted from that record it would run again,
 		// and its user would be told that it is pending.
-		ad.finish(ps, ad.completions.answerIfOver(id))
+		ad.finish(ps, ad.completions.answerIfFinished(id))
 		return
 	case ad.jobTable.identified(id) == nil:
 		ad.jobTable.add(found, version, time.Now())
--- a/internal/control/completions.go
+++ b/internal/control/completions.go
@@ -63,8 +63,8 @@
 // cacheFinalStatus remembers the final status of a job.
 func (cp *completions) cacheFinalStatus(rec *job.Record) { cp.finalStatuses.put(recordStatus(rec)) }
 
-// isOver reports whether a job is remembered as over.
-func (cp *completions) isOver(id string) bool {
+// isFinished reports whether a job is remembered as over.
+func (cp *completions) isFinished(id string) bool {
 	_, ok := cp.finalStatuses.get(id)
 	return ok
 }
@@ -85,7 +85,7 @@
 		SubmittedMS: j.SubmittedMS,
 	}
 	if cp.admissionGroups.has(j.ID) {
-		cp.admissionGroups.recordEnd(rec, func() { cp.finished(j, rec) })
+		cp.admissionGroups.recordCompletion(rec, func() { cp.completionStored(j, rec) })
 		return
 	}
 	final, err := cp.newFinalCommit(j, rec)
@@ -152,7 +152,7 @@
 			cp.sleep(finalRetryPause)
 			continue
 		}
-		cp.enqueueForUser(func() { cp.finished(final.job, rec) })
+		cp.enqueueForUser(func() { cp.completionStored(final.job, rec) })
 		return
 	}
 }
@@ -167,8 +167,8 @@
 	return rec
 }
 
-// finished takes in that a job's final record is stored, and notifies its user.
-func (cp *completions) finished(j *job.Job, rec *job.Record) {
+// completionStored takes in that a job's final record is stored, and notifies its user.
+func (cp *completions) completionStored(j *job.Job, rec *job.Record) {
 	j.Phase = rec.Phase
 	cp.controller.Meter.Add(metrics.JobsEnded, string(j.Phase), 1)
 	status := recordStatus(rec)
@@ -188,8 +188,8 @@
 	version uint64
 }
 
-// addUnmoved takes in a record of a job that is over and still under its active key.
-func (cp *completions) addUnmoved(rec *job.Record, version uint64) {
+// addPendingMove takes in a record of a job that is over and still under its active key.
+func (cp *completions) addPendingMove(rec *job.Record, version uint64) {
 	cp.cacheFinalStatus(rec)
 	cp.pendingMoves = append(cp.pendingMoves, finalRecordMove{rec, version})
 }
--- a/internal/control/completions_answers.go
+++ b/internal/control/completions_answers.go
@@ -24,12 +24,12 @@
 		}
 		return reply(http.StatusOK, j.Status(cp.jobTable.runningTasks(j)))
 	}
-	return cp.answerIfOver(id)
+	return cp.answerIfFinished(id)
 }
 
-// answerIfOver answers for a job that is over; nil: it is not, or it is no longer
+// answerIfFinished answers for a job that is over; nil: it is not, or it is no longer
 // remembered.
-func (cp *completions) answerIfOver(id string) *rpc.Reply {
+func (cp *completions) answerIfFinished(id string) *rpc.Reply {
 	if status, ok := cp.finalStatuses.get(id); ok {
 		return reply(http.StatusOK, status)
 	}
@@ -72,8 +72,8 @@
 // recordReply answers with the status of the job of a record.
 func recordReply(rec *job.Record) *rpc.Reply { return reply(http.StatusOK, recordStatus(rec)) }
 
-// abort cancels a job for its user and answers once that is stored.
-func (cp *completions) abort(id string, back func(*rpc.Reply)) {
+// cancel cancels a job for its user and answers once that is stored.
+func (cp *completions) cancel(id string, back func(*rpc.Reply)) {
 	absent := reply(http.StatusNotFound, wire.Error{Error: "no such job"})
 	if !job.ValidID(id) {
 		back(absent)
@@ -81,7 +81,7 @@
 	}
 	j := cp.jobTable.identified(id)
 	if j == nil {
-		cp.abortUnknown(id, absent, back)
+		cp.cancelUnknown(id, absent, back)
 		return
 	}
 	if j.Phase != "" {
@@ -94,11 +94,11 @@
 	}
 }
 
-// abortUnknown answers for a job that is over and no longer remembered, that was
+// cancelUnknown answers for a job that is over and no longer remembered, that was
 // never accepted, or that another node admitted a moment ago: that one is taken in,
 // and the user's next try finds it.
-func (cp *completions) abortUnknown(id string, absent *rpc.Reply, back func(*rpc.Reply)) {
-	if p := cp.answerIfOver(id); p != nil {
+func (cp *completions) cancelUnknown(id string, absent *rpc.Reply, back func(*rpc.Reply)) {
+	if p := cp.answerIfFinished(id); p != nil {
 		back(p)
 		return
 	}
--- a/internal/control/control_requests.go
+++ b/internal/control/control_requests.go
@@ -71,7 +71,7 @@
 	case rpc.KindStatus:
 		request.run = func(back func(*rpc.Reply)) { lt.admission.status(q.ID, back) }
 	case rpc.KindCancel:
-		request.run = func(back func(*rpc.Reply)) { lt.completions.abort(q.ID, back) }
+		request.run = func(back func(*rpc.Reply)) { lt.completions.cancel(q.ID, back) }
 	case rpc.KindRollout, rpc.KindCalendar, rpc.KindConfig:
 		request.run, refusal = lt.decodeOperation(q)
 	case rpc.KindHeartbeat:
--- a/internal/control/takeover_load.go
+++ b/internal/control/takeover_load.go
@@ -187,7 +187,7 @@
 			continue
 		}
 		if rec.Phase != "" {
-			tk.completions.addUnmoved(&rec, e.Version)
+			tk.completions.addPendingMove(&rec, e.Version)
 			continue
 		}
 		if tk.jobTable.get(rec.Spec.ID) == nil {
