--- a/internal/control/admission.go
+++ b/internal/control/admission.go
@@ -15,8 +15,8 @@
 	// maxQueueTime is the backlog of submissions that may wait to be stored. A user
 	// who would wait longer is told to retry later.
 	maxQueueTime = time.Second
-	// minQueued is the least length of the queue.
-	minQueued = 8
+	// minQueueLength is the least length of the queue.
+	minQueueLength = 8
 	// maxCallbacks bounds the requests that wait for one submission.
 	maxCallbacks = 8
 )
@@ -37,7 +37,7 @@
 	pending         map[string]*pendingSubmission // by job ID
 	queue           []*pendingSubmission          // those of pending that no commit has yet
 	commitsInFlight int
-	maxQueued       int // submissions in the queue
+	maxQueueLength       int // submissions in the queue
 	maxGroupBytes   int // estimated bytes of a group record
 	retryPacer      retryPacer
 }
@@ -70,7 +70,7 @@
 		core:          co,
 		limit:         limit,
 		pending:       map[string]*pendingSubmission{},
-		maxQueued:     max(minQueued, min(int(backlog), sockets/2)),
+		maxQueueLength:     max(minQueueLength, min(int(backlog), sockets/2)),
 		maxGroupBytes: int(valueKB * 1024 * valueFillFraction),
 	}
 }
@@ -85,9 +85,9 @@
 	return false
 }
 
-// knows reports whether the leader has the job: over, being stored, or in the job
+// hasJob reports whether the leader has the job: over, being stored, or in the job
 // table.
-func (ad *admission) knows(id string) bool {
+func (ad *admission) hasJob(id string) bool {
 	return ad.completions.isFinished(id) || ad.pending[id] != nil || ad.jobTable.get(id) != nil
 }
 
@@ -112,7 +112,7 @@
 // submit answers a submission. id may be set even if the submission is invalid; a
 // job that exists is answered with its status before any check.
 func (ad *admission) submit(id string, spec *job.Spec, invalid error, back func(*rpc.Reply)) {
-	if id != "" && ad.answerKnown(id, back) {
+	if id != "" && ad.answerIfKnown(id, back) {
 		return
 	}
 	if invalid != nil {
@@ -134,9 +134,9 @@
 	ad.enqueue(id, spec, back)
 }
 
-// answerKnown answers a submission whose job the leader has already, and reports
+// answerIfKnown answers a submission whose job the leader has already, and reports
 // whether it did.
-func (ad *admission) answerKnown(id string, back func(*rpc.Reply)) bool {
+func (ad *admission) answerIfKnown(id string, back func(*rpc.Reply)) bool {
 	if p := ad.completions.answerFromMemory(id); p != nil {
 		back(p)
 		return true
@@ -172,7 +172,7 @@
 // user when to retry if the queue is full.
 func (ad *admission) enqueue(id string, spec *job.Spec, back func(*rpc.Reply)) {
 	now := time.Now()
-	if len(ad.queue) >= ad.maxQueued {
+	if len(ad.queue) >= ad.maxQueueLength {
 		ad.retryPacer.perSecond = ad.submissionRate()
 		back(tooManySubmissions(ad.retryPacer.retryAfter(now)))
 		return
--- a/internal/control/admission_group_reader.go
+++ b/internal/control/admission_group_reader.go
@@ -81,7 +81,7 @@
 // find returns a job's entry, or nil if no group has it. With errUnreadable, no group
 // that can be read has it.
 func (gr *groupReader) find(ctx context.Context, id string) (*job.Record, error) {
-	listing := gr.joinNext()
+	listing := gr.joinNextListing()
 	select {
 	case <-listing.done:
 		if rec := listing.jobs[id]; rec != nil {
@@ -93,8 +93,8 @@
 	}
 }
 
-// joinNext returns the next listing, and starts it unless one is under way.
-func (gr *groupReader) joinNext() *groupListing {
+// joinNextListing returns the next listing, and starts it unless one is under way.
+func (gr *groupReader) joinNextListing() *groupListing {
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
 	if gr.next == nil {
@@ -112,7 +112,7 @@
 // for one.
 func (gr *groupReader) serveListings() {
 	for {
-		listing := gr.takeNext()
+		listing := gr.takeNextListing()
 		if listing == nil {
 			return
 		}
@@ -121,8 +121,8 @@
 	}
 }
 
-// takeNext returns the listing to be made now, or nil if nobody waits for one.
-func (gr *groupReader) takeNext() *groupListing {
+// takeNextListing returns the listing to be made now, or nil if nobody waits for one.
+func (gr *groupReader) takeNextListing() *groupListing {
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
 	listing := gr.next
--- a/internal/control/admission_groups_test.go
+++ b/internal/control/admission_groups_test.go
@@ -125,7 +125,7 @@
 		wg.Wait()
 		time.Sleep(3 * time.Second)
 		for _, b := range smallJobs(20, 20) { // as it would be if the group had come between its look and its commit
-			_, spec, _ := submission(b)
+			_, spec, _ := parseSubmission(b)
 			if key := job.ActivePrefix + spec.ID; s.absent(key) {
 				s.put(key, &job.Record{Spec: *spec})
 			}
--- a/internal/control/admission_records_test.go
+++ b/internal/control/admission_records_test.go
@@ -25,11 +25,11 @@
 			r.enqueueForUser(func() { has <- r.jobTable.get("run-5") != nil })
 			return <-has
 		}
-		time.Sleep(auditInterval / 2)
+		time.Sleep(relistInterval / 2)
 		if adopted() {
 			t.Error("the event was not lost")
 		}
-		time.Sleep(auditInterval)
+		time.Sleep(relistInterval)
 		if !adopted() {
 			t.Error("nobody looks after the job")
 		}
@@ -53,7 +53,7 @@
 		if p := st.request(rpc.KindSubmit, "run-6", submissionBody("run-6", nil)); p.Status/100 != 2 {
 			t.Errorf("a new job: %d", p.Status)
 		}
-		time.Sleep(2 * auditInterval)
+		time.Sleep(2 * relistInterval)
 		if s.absent(job.ActivePrefix+"run-4") || s.absent(job.DonePrefix+"run-4/0") {
 			t.Error("the record, or a result, is gone")
 		}
@@ -97,7 +97,7 @@
 		if p := st.AdmitWithoutLeader(context.Background(), submissionBody("run-4", nil)); p.Status != 503 {
 			t.Errorf("admitted by another controller: %d", p.Status)
 		}
-		time.Sleep(2 * auditInterval)
+		time.Sleep(2 * relistInterval)
 		if s.absent(job.GroupPrefix+"6-1") || s.absent(job.DonePrefix+"run-4/0") {
 			t.Error("the record, or a result, is gone")
 		}
--- a/internal/control/admission_watch.go
+++ b/internal/control/admission_watch.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// auditInterval is the time between full listings of the active jobs. A job whose
+	// relistInterval is the time between full listings of the active jobs. A job whose
 	// watch event was lost would otherwise be known to its user alone.
-	auditInterval = time.Minute
+	relistInterval = time.Minute
 	// watchTimeout bounds one watch of the active jobs.
 	watchTimeout = 10 * time.Second
 	// readRetryPause is the wait after a failed read or watch.
@@ -26,7 +26,7 @@
 	for ad.ctx.Err() == nil {
 		events, next, err := ad.controller.State.Watch(ad.ctx, job.ActivePrefix, revision, watchTimeout)
 		switch {
-		case errors.Is(err, state.ErrGone) || time.Since(listedAt) > auditInterval:
+		case errors.Is(err, state.ErrGone) || time.Since(listedAt) > relistInterval:
 			entries, listed, err := ad.controller.State.List(ad.ctx, job.ActivePrefix)
 			if err != nil {
 				ad.sleep(readRetryPause)
@@ -34,7 +34,7 @@
 			}
 			listedAt = time.Now()
 			for _, e := range entries {
-				ad.postAdopt(e.Key)
+				ad.enqueueAdoption(e.Key)
 			}
 			revision = listed
 		case err != nil:
@@ -42,7 +42,7 @@
 		default:
 			for _, e := range events {
 				if e.Put != "" {
-					ad.postAdopt(e.Put)
+					ad.enqueueAdoption(e.Put)
 				}
 			}
 			revision = max(revision, next)
@@ -50,8 +50,8 @@
 	}
 }
 
-// postAdopt has the actor adopt the job whose record has the key.
-func (ad *admission) postAdopt(key string) {
+// enqueueAdoption has the actor adopt the job whose record has the key.
+func (ad *admission) enqueueAdoption(key string) {
 	ad.enqueueForUser(func() { ad.adopt(key[len(job.ActivePrefix):]) })
 }
 
@@ -63,7 +63,7 @@
 		ad.results.deleteLater(job.ActivePrefix + id)
 		return
 	}
-	if ad.knows(id) {
+	if ad.hasJob(id) {
 		return
 	}
 	go ad.readAndAdopt(id)
@@ -85,7 +85,7 @@
 			return
 		}
 		ad.enqueueForUser(func() {
-			if !ad.knows(id) {
+			if !ad.hasJob(id) {
 				ad.jobTable.add(rec, version, time.Now())
 			}
 		})
--- a/internal/control/admission_without_leader.go
+++ b/internal/control/admission_without_leader.go
@@ -19,7 +19,7 @@
 // it loads. The record is not fenced by a term, since it holds no decision of a
 // leader.
 func (c *Controller) AdmitWithoutLeader(ctx context.Context, body []byte) *rpc.Reply {
-	id, spec, invalid := submission(body)
+	id, spec, invalid := parseSubmission(body)
 	refusal, unchanged, err := c.admissionCheck(ctx, spec, invalid)
 	if err != nil {
 		return noLeaderReply()
@@ -53,7 +53,7 @@
 	if invalid != nil {
 		return reply(http.StatusBadRequest, wire.Error{Error: invalid.Error()}), nil, nil
 	}
-	types, err := c.knownTypes(ctx)
+	types, err := c.loadMachineTypes(ctx)
 	if err != nil {
 		return nil, nil, err
 	}
--- a/internal/control/control_feasibility.go
+++ b/internal/control/control_feasibility.go
@@ -17,9 +17,9 @@
 // admissionRefusal refuses a job that can never run, or that cannot be judged yet;
 // nil: it may be admitted.
 func (c *Controller) admissionRefusal(spec *job.Spec, types []wire.MachineType, team quota) *rpc.Reply {
-	reason, known := neverSchedulable(spec, types, team.current)
+	reason, known := unschedulableReason(spec, types, team.current)
 	if reason != "" && team.target != nil {
-		if later, _ := neverSchedulable(spec, types, team.target); later == "" {
+		if later, _ := unschedulableReason(spec, types, team.target); later == "" {
 			return Unavailable("the team's quota is about to change")
 		}
 	}
@@ -37,9 +37,9 @@
 	Types []wire.MachineType `codec:"types"`
 }
 
-// knownTypes is the last price list that this node, or a leader, has read; nil:
+// loadMachineTypes is the last price list that this node, or a leader, has read; nil:
 // there is none yet.
-func (c *Controller) knownTypes(ctx context.Context) ([]wire.MachineType, error) {
+func (c *Controller) loadMachineTypes(ctx context.Context) ([]wire.MachineType, error) {
 	if types := c.cachedTypes(); types != nil {
 		return types, nil
 	}
@@ -73,9 +73,9 @@
 // quotaTolerance absorbs rounding where amounts are compared with a limit.
 const quotaTolerance = 1e-6
 
-// neverSchedulable gives the reason why a job can never run, empty if it can;
+// unschedulableReason gives the reason why a job can never run, empty if it can;
 // known is false where that cannot be decided yet.
-func neverSchedulable(s *job.Spec, types []wire.MachineType, team *config.Team) (reason string, known bool) {
+func unschedulableReason(s *job.Spec, types []wire.MachineType, team *config.Team) (reason string, known bool) {
 	if team == nil {
 		return "unknown team", true
 	}
--- a/internal/control/control_feasibility_test.go
+++ b/internal/control/control_feasibility_test.go
@@ -49,7 +49,7 @@
 			}
 			s := &job.Spec{ID: "run-1", Team: "red", ShapeName: "array", Tasks: 1, CPUs: 1, MemGB: 1}
 			tt.edit(s)
-			why, known := neverSchedulable(s, lt.nameIndex.machineTypes(), lt.teamQuotas.find(s.Team).current)
+			why, known := unschedulableReason(s, lt.nameIndex.machineTypes(), lt.teamQuotas.find(s.Team).current)
 			if (why != "") != tt.never || known != tt.known {
 				t.Errorf("%q, known %v", why, known)
 			}
--- a/internal/control/control_requests.go
+++ b/internal/control/control_requests.go
@@ -66,7 +66,7 @@
 	request = actorRequest{inbox: lt.userInbox}
 	switch q.Kind {
 	case rpc.KindSubmit:
-		id, spec, err := submission(q.Body)
+		id, spec, err := parseSubmission(q.Body)
 		request.run = func(back func(*rpc.Reply)) { lt.admission.submit(id, spec, err, back) }
 	case rpc.KindStatus:
 		request.run = func(back func(*rpc.Reply)) { lt.admission.status(q.ID, back) }
@@ -140,8 +140,8 @@
 	}
 }
 
-// submission reads a submission, and its id even where the rest is malformed.
-func submission(body []byte) (id string, spec *job.Spec, invalid error) {
+// parseSubmission reads a parseSubmission, and its id even where the rest is malformed.
+func parseSubmission(body []byte) (id string, spec *job.Spec, invalid error) {
 	spec, invalid = job.ParseSpec(body)
 	if invalid != nil {
 		return job.PeekID(body), nil, invalid
--- a/internal/control/takeover_load.go
+++ b/internal/control/takeover_load.go
@@ -67,7 +67,7 @@
 		return nil, err
 	}
 	var err error
-	if st.types, err = tk.controller.knownTypes(tk.ctx); err != nil {
+	if st.types, err = tk.controller.loadMachineTypes(tk.ctx); err != nil {
 		return nil, err
 	}
 	if st.rollouts, err = tk.rollouts.readRecords(); err != nil {
