--- a/internal/control/admission.go
+++ b/internal/control/admission.go
@@ -37,7 +37,7 @@
 	pending         map[string]*pendingSubmission // by job ID
 	queue           []*pendingSubmission          // those of pending that no commit has yet
 	commitsInFlight int
-	maxQueueLength       int // submissions in the queue
+	maxQueueLength  int // submissions in the queue
 	maxGroupBytes   int // estimated bytes of a group record
 	retryPacer      retryPacer
 }
@@ -67,11 +67,11 @@
 func newAdmission(co *core, limit *rate.Limiter, txnOps int, valueKB float64, sockets int) *admission {
 	backlog := maxQueueTime.Seconds() * float64(limit.Limit()) * float64(2*txnOps)
 	return &admission{
-		core:          co,
-		limit:         limit,
-		pending:       map[string]*pendingSubmission{},
-		maxQueueLength:     max(minQueueLength, min(int(backlog), sockets/2)),
-		maxGroupBytes: int(valueKB * 1024 * valueFillFraction),
+		core:           co,
+		limit:          limit,
+		pending:        map[string]*pendingSubmission{},
+		maxQueueLength: max(minQueueLength, min(int(backlog), sockets/2)),
+		maxGroupBytes:  int(valueKB * 1024 * valueFillFraction),
 	}
 }
 
--- a/internal/control/admission_groups.go
+++ b/internal/control/admission_groups.go
@@ -36,13 +36,13 @@
 
 // admissionGroup is the record of a group of jobs.
 type admissionGroup struct {
-	key          string
-	version      uint64
-	jobs         []job.Record // as stored
-	pendingCompletions      []jobCompletion     // not stored yet
-	writing      bool         // a transaction is under way
-	awaitingRateLimit bool         // the endings wait for the rate limit
-	noMoveBefore time.Time
+	key                string
+	version            uint64
+	jobs               []job.Record    // as stored
+	pendingCompletions []jobCompletion // not stored yet
+	writing            bool            // a transaction is under way
+	awaitingRateLimit  bool            // the endings wait for the rate limit
+	noMoveBefore       time.Time
 }
 
 // index is the position of a job in the group.
--- a/internal/control/calendar_store_test.go
+++ b/internal/control/calendar_store_test.go
@@ -20,7 +20,7 @@
 	tb.Helper()
 	lt := newTestTerm(tb, config.Team{Name: "red"})
 	lt.controller.Tuning.Calendar.Enabled = true
-	lt.learn([]wire.MachineType{{Name: "small", CPUs: 4, MemGB: 16, BootS: 60, Zones: []string{"a", "b"}}})
+	lt.updatePriceList([]wire.MachineType{{Name: "small", CPUs: 4, MemGB: 16, BootS: 60, Zones: []string{"a", "b"}}})
 	lt.takeover.allReconciled = true
 	unreadable := wire.Raw{0xa0}
 	// A record that cannot be read must not prevent the cluster from having a leader.
--- a/internal/control/commands.go
+++ b/internal/control/commands.go
@@ -37,8 +37,8 @@
 	// maxBackoffDoublings prevents an overflow of the doubled backoff.
 	maxBackoffDoublings = 8
 
-	// wrongHostPause is the pause after another machine has answered at an address.
-	wrongHostPause = 10 * time.Second
+	// wrongMachineBackoff is the pause after another machine has answered at an address.
+	wrongMachineBackoff = 10 * time.Second
 )
 
 // sendUrgent sends the commands that cannot wait for the next heartbeats.
@@ -120,7 +120,7 @@
 	}
 	h.CallFailures = 0
 	if report.Host != "" && report.Host != h.Name {
-		h.NextCallAt = now.Add(wrongHostPause)
+		h.NextCallAt = now.Add(wrongMachineBackoff)
 		return
 	}
 	cm.taskTracker.observe(h, report, false, now)
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -60,19 +60,19 @@
 // limits, so that a storm of users at all nodes does not get the leader's own
 // requests refused. What is left is the election's.
 const (
-	leaderReads    = 0.55
-	leaderWrites   = 0.75
-	followerReads  = 0.18
-	followerWrites = 0.1
+	leaderReadShare    = 0.55
+	leaderWriteShare   = 0.75
+	followerReadShare  = 0.18
+	followerWriteShare = 0.1
 )
 
 // StateBudget is a node's share of the state service's limits.
 func StateBudget(set *config.Settings, leads bool) state.Budget {
-	reads := followerReads
-	writes := followerWrites
+	reads := followerReadShare
+	writes := followerWriteShare
 	if leads {
-		reads = leaderReads
-		writes = leaderWrites
+		reads = leaderReadShare
+		writes = leaderWriteShare
 	}
 	return state.Budget{RPS: reads * set.Facts.State.RPS, WriteRPS: writes * set.Facts.State.WriteRPS}
 }
--- a/internal/control/control_feasibility_test.go
+++ b/internal/control/control_feasibility_test.go
@@ -45,7 +45,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			lt := newTestTerm(t, config.Team{Name: "red", CPUsMax: 10, GPUsMax: 6})
 			if !tt.bare {
-				lt.learn(types)
+				lt.updatePriceList(types)
 			}
 			s := &job.Spec{ID: "run-1", Team: "red", ShapeName: "array", Tasks: 1, CPUs: 1, MemGB: 1}
 			tt.edit(s)
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -40,17 +40,17 @@
 	return newLeaderTerm(ctx, c, election.Term{Number: 7, Since: testStart})
 }
 
-// host adds a machine.
-func (lt *leaderTerm) host(name string) *fleet.Machine { return lt.fleet.Add(name, testStart) }
+// addMachine adds a machine.
+func (lt *leaderTerm) addMachine(name string) *fleet.Machine { return lt.fleet.Add(name, testStart) }
 
-// learn takes in a price list.
-func (lt *leaderTerm) learn(types []wire.MachineType) {
+// updatePriceList takes in a price list.
+func (lt *leaderTerm) updatePriceList(types []wire.MachineType) {
 	lt.nameIndex.updateTypes(types)
 	lt.jobTable.rebindNames()
 }
 
-// array adds a large array job.
-func (lt *leaderTerm) array(id string) *job.Job {
+// addArrayJob adds a large addArrayJob job.
+func (lt *leaderTerm) addArrayJob(id string) *job.Job {
 	spec := job.Spec{ID: id, ShapeName: "array", PriorityName: "idle", Tasks: 100, CPUs: 1}
 	return lt.jobTable.add(&job.Record{Spec: spec}, 1, testStart)
 }
--- a/internal/control/job_table_deadlines.go
+++ b/internal/control/job_table_deadlines.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// defaultStartS is when a job without objectives has to start, in seconds from its
+	// defaultStartWithinS is when a job without objectives has to start, in seconds from its
 	// submission.
-	defaultStartS = 60
+	defaultStartWithinS = 60
 
 	// defaultRunTimeS is the run time of a task without an estimate, in seconds.
 	defaultRunTimeS = 60
@@ -30,7 +30,7 @@
 		}
 	}
 	if math.IsInf(latest, 1) {
-		return submitted + defaultStartS
+		return submitted + defaultStartWithinS
 	}
 	return latest
 }
--- a/internal/control/job_table_test.go
+++ b/internal/control/job_table_test.go
@@ -18,12 +18,12 @@
 		due        *float64
 		want       float64 // seconds from the submission
 	}{
-		{"nothing is asked", nil, nil, defaultStartS},
+		{"nothing is asked", nil, nil, defaultStartWithinS},
 		{"a deadline", nil, &due, 400},
 		{"to start", []config.Objective{{Kind: config.ObjectiveWait, Class: "batch", WithinS: 90}}, &due, 90},
 		{"to finish", []config.Objective{{Kind: config.ObjectiveFinished, Class: "batch", WithinS: 150}}, &due, 50},
 		{"to finish sooner than it can", []config.Objective{{Kind: config.ObjectiveFinished, Class: "batch", WithinS: 99}}, &due, 400},
-		{"of another class", []config.Objective{{Kind: config.ObjectiveWait, Class: "train", WithinS: 9}}, nil, defaultStartS},
+		{"of another class", []config.Objective{{Kind: config.ObjectiveWait, Class: "train", WithinS: 9}}, nil, defaultStartWithinS},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/control/machine_pool_test.go
+++ b/internal/control/machine_pool_test.go
@@ -59,7 +59,7 @@
 	for _, slots := range []int{0, 2} {
 		t.Run(fmt.Sprintf("%d slots", slots), func(t *testing.T) {
 			lt := newTestTerm(t)
-			lt.learn([]wire.MachineType{{Name: "small", CPUs: 4, MemGB: 16, Zones: []string{"a", "b"}}})
+			lt.updatePriceList([]wire.MachineType{{Name: "small", CPUs: 4, MemGB: 16, Zones: []string{"a", "b"}}})
 			lt.nameIndex.zoneIndex("a")
 			need := place.Resources{CPUs: 4}
 			gang := lt.jobTable.add(&job.Record{Spec: job.Spec{ID: "run-1", ShapeName: "ensemble", PriorityName: "idle", Tasks: 2, CPUs: 4, OneZone: true}}, 1, lt.termStart)
@@ -92,9 +92,9 @@
 	}
 	for _, tt := range tests {
 		lt := newTestTerm(t, config.Team{Name: "red"})
-		lt.learn([]wire.MachineType{{Name: "x", CPUs: 8, BootS: 1000, Zones: []string{"a"}}})
+		lt.updatePriceList([]wire.MachineType{{Name: "x", CPUs: 8, BootS: 1000, Zones: []string{"a"}}})
 		now := lt.termStart.Add(tt.deaf)
-		h := lt.host("h1")
+		h := lt.addMachine("h1")
 		lt.nameIndex.describeHost(h, "x", "a", false)
 		h.Booting, h.Registered, h.Fenced, h.IdleSince = false, true, !tt.old, now
 		if h.Inherited = tt.old; !tt.old {
--- a/internal/control/machine_quarantine_test.go
+++ b/internal/control/machine_quarantine_test.go
@@ -37,14 +37,14 @@
 			for i, st := range tt.steps {
 				j := jobs[st.job]
 				if j == nil {
-					j = lt.array(st.job)
+					j = lt.addArrayJob(st.job)
 					jobs[st.job] = j
 				}
 				s := &fleet.Slot{PlacementKey: fleet.PlacementKey{Job: j, Task: int32(i)}, Cause: wire.CauseError}
 				if st.done {
 					s.Cause = wire.CauseDone
 				}
-				lt.taskTracker.taskEnded(s, j, lt.host(st.host), now)
+				lt.taskTracker.taskEnded(s, j, lt.addMachine(st.host), now)
 			}
 			sick, held := "", ""
 			for _, h := range lt.fleet.All() {
@@ -80,10 +80,10 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			lt := newTestTerm(t)
-			j, now := lt.array("run-1"), time.Unix(1000, 0)
+			j, now := lt.addArrayJob("run-1"), time.Unix(1000, 0)
 			end := func(task int, host string, ran time.Duration, adopted bool) {
 				s := &fleet.Slot{PlacementKey: fleet.PlacementKey{Job: j, Task: int32(task)}, Cause: wire.CauseDone, RunningSince: now.Add(-ran), Adopted: adopted}
-				lt.taskTracker.taskEnded(s, j, lt.host(host), now)
+				lt.taskTracker.taskEnded(s, j, lt.addMachine(host), now)
 			}
 			for i := range 10 {
 				if tt.adopted {
@@ -95,7 +95,7 @@
 			for i := range 10 {
 				end(20+i, "h2", tt.ran, false)
 			}
-			if got := lt.host("h2").Quarantined; got != tt.want {
+			if got := lt.addMachine("h2").Quarantined; got != tt.want {
 				t.Errorf("given up: %v, want %v", got, tt.want)
 			}
 		})
--- a/internal/control/records_registry_test.go
+++ b/internal/control/records_registry_test.go
@@ -19,7 +19,7 @@
 // registryCases are the cases of TestRegistry.
 var registryCases = []registryCase{
 	{"an array over many machines is one write", func(f *registryFixture) {
-		j := f.array("run-1")
+		j := f.addArrayJob("run-1")
 		for i := range 60 {
 			f.assign(j, int32(i), f.addHost(fmt.Sprintf("h%d", i)))
 		}
@@ -33,10 +33,10 @@
 		}
 	}},
 	{"an unclear write names nothing, one applied late takes no newer one's place", func(f *registryFixture) {
-		j := f.array("run-1")
+		j := f.addArrayJob("run-1")
 		f.assign(j, 0, f.addHost("h0"))
 		late := f.storeOnce(lostResponse)
-		if j.NotedMachines.Has(0) || f.host("h0").Registered {
+		if j.NotedMachines.Has(0) || f.addMachine("h0").Registered {
 			f.t.Error("launched on the word of an unclear write")
 		}
 		f.assign(j, 1, f.addHost("h1"))
@@ -47,7 +47,7 @@
 		f.checkRecordedHosts()
 	}},
 	{"an unclear write that was applied is found out", func(f *registryFixture) {
-		j := f.array("run-1")
+		j := f.addArrayJob("run-1")
 		f.assign(j, 0, f.addHost("h0"))
 		late := f.storeOnce(lostResponse)
 		if _, err := f.store.apply(late); err != nil {
@@ -78,12 +78,12 @@
 	}},
 	{"pages that outgrow the limit are split, and a new leader finds all", func(f *registryFixture) {
 		for i := range 40 {
-			f.assign(f.array(fmt.Sprintf("run-%d", i)), 0, f.addHost(fmt.Sprintf("h%d", i)))
+			f.assign(f.addArrayJob(fmt.Sprintf("run-%d", i)), 0, f.addHost(fmt.Sprintf("h%d", i)))
 		}
 		f.storeOnce(f.store.apply)
 		f.registry.maxPageBytes = 1000
 		for i := range 40 {
-			f.assign(f.jobTable.get(fmt.Sprintf("run-%d", i)), 1, f.host(fmt.Sprintf("h%d", (i+1)%40)))
+			f.assign(f.jobTable.get(fmt.Sprintf("run-%d", i)), 1, f.addMachine(fmt.Sprintf("h%d", (i+1)%40)))
 		}
 		for _, p := range f.registry.pages {
 			p.urgent = true
@@ -194,7 +194,7 @@
 		}
 	}},
 	{"the note of a job that is over goes when the takeover is settled", func(f *registryFixture) {
-		j := f.array("run-1")
+		j := f.addArrayJob("run-1")
 		f.assign(j, 0, f.addHost("h0"))
 		f.storeOnce(f.store.apply)
 		delete(f.jobTable.jobs, "run-1")
--- a/internal/control/registry_fixture_test.go
+++ b/internal/control/registry_fixture_test.go
@@ -71,7 +71,7 @@
 		store:      &fakeStore{kv: map[string]state.Entry{}},
 		now:        time.Unix(1000, 0),
 	}
-	f.learn([]wire.MachineType{{Name: "small", CPUs: 8, MemGB: 16, Zones: []string{"a"}}})
+	f.updatePriceList([]wire.MachineType{{Name: "small", CPUs: 8, MemGB: 16, Zones: []string{"a"}}})
 	f.registry.maxPageBytes = newRegistry(f.core, 16).maxPageBytes
 	f.takeover.allReconciled = true
 	return f
@@ -79,7 +79,7 @@
 
 // addHost adds a machine to the fleet and to the registry.
 func (f *registryFixture) addHost(name string) *fleet.Machine {
-	h := f.host(name)
+	h := f.addMachine(name)
 	f.nameIndex.describeHost(h, "small", "a", false)
 	h.Addr = "10.0.0.1:1"
 	f.registry.addHost(h, "small", "a")
@@ -127,7 +127,7 @@
 
 // addJobToPage adds a new job to a page, with a set of that many words.
 func (f *registryFixture) addJobToPage(p *registryPage, id string, words int) {
-	jh := &jobHosts{id: id, job: f.array(id), page: p}
+	jh := &jobHosts{id: id, job: f.addArrayJob(id), page: p}
 	p.jobs = append(p.jobs, jh)
 	f.registry.hostsByJob[id] = jh
 	f.recordHost(id, words)
--- a/internal/control/rollout_test.go
+++ b/internal/control/rollout_test.go
@@ -17,12 +17,12 @@
 	tb.Helper()
 	r := newTestTerm(tb)
 	r.controller.Tuning.Rollouts.Enabled = true
-	r.learn([]wire.MachineType{{Name: "small", CPUs: 64, MemGB: 1000, Zones: []string{"a", "b"}}})
+	r.updatePriceList([]wire.MachineType{{Name: "small", CPUs: 64, MemGB: 1000, Zones: []string{"a", "b"}}})
 	now := r.termStart.Add(time.Second)
 	r.takeover.allReconciled = true
 	var hosts []*fleet.Machine
 	for i := range max(2, services*replicas/20) {
-		h := r.host(fmt.Sprintf("h%d", i))
+		h := r.addMachine(fmt.Sprintf("h%d", i))
 		r.nameIndex.describeHost(h, "small", []string{"a", "b"}[i%2], false)
 		r.fleet.Observe(h, &wire.Heartbeat{Host: h.Name, Addr: "10.0.0.1:1", Session: 1, Seq: 1, Token: r.term}, true, now, r.jobTable.findOrAdd)
 		h.Registered = true
--- a/internal/control/shards_test.go
+++ b/internal/control/shards_test.go
@@ -60,7 +60,7 @@
 	r.controller.Tuning.Sharding.Enabled = true
 	now := r.termStart
 	r.shards.begin(now)
-	h := r.host("h1")
+	h := r.addMachine("h1")
 	m := &wire.Heartbeat{Host: "h1", Type: "x", Zone: "a", Session: 1, Seq: 10, Token: 7}
 	full, err := wire.Marshal(m)
 	if err != nil {
--- a/internal/control/takeover_test.go
+++ b/internal/control/takeover_test.go
@@ -30,11 +30,11 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			lt := newTestTerm(t, config.Team{Name: "red"}, config.Team{Name: "blue"})
-			lt.learn([]wire.MachineType{{Name: "small", CPUs: 8, MemGB: 16, Zones: []string{"a"}}})
+			lt.updatePriceList([]wire.MachineType{{Name: "small", CPUs: 8, MemGB: 16, Zones: []string{"a"}}})
 			for id, team := range map[string]string{"run-1": "red", "run-2": "blue", "run-3": "red"} {
 				lt.jobTable.add(&job.Record{Spec: job.Spec{ID: id, Team: team, ShapeName: "array", PriorityName: "idle", Tasks: 1, CPUs: 1}}, 1, time.Unix(1000, 0))
 			}
-			h := lt.host("h1")
+			h := lt.addMachine("h1")
 			lt.nameIndex.describeHost(h, "small", "a", false)
 			for _, id := range tt.old {
 				team := -1
@@ -76,9 +76,9 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			lt := newTestTerm(t)
-			lt.array("run-1")
+			lt.addArrayJob("run-1")
 			for i := range tt.fleet {
-				h := lt.host(fmt.Sprintf("h%d", i))
+				h := lt.addMachine(fmt.Sprintf("h%d", i))
 				if i < tt.silent {
 					lt.takeover.inherited = append(lt.takeover.inherited, h)
 					if tt.jobs {
@@ -112,9 +112,9 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			lt := newTestTerm(t)
-			lt.learn([]wire.MachineType{{Name: "small", CPUs: 8, MemGB: 16, Zones: []string{"a"}}})
+			lt.updatePriceList([]wire.MachineType{{Name: "small", CPUs: 8, MemGB: 16, Zones: []string{"a"}}})
 			for _, n := range []string{"h1", "h2", "h3"} {
-				h := lt.host(n)
+				h := lt.addMachine(n)
 				lt.nameIndex.describeHost(h, "small", "a", false)
 				h.Inherited = true
 			}
--- a/internal/control/tasks_stops_test.go
+++ b/internal/control/tasks_stops_test.go
@@ -28,10 +28,10 @@
 		j := lt.jobTable.add(&job.Record{Spec: job.Spec{ID: "run-1", ShapeName: "ensemble", PriorityName: "standard", Tasks: 3, CPUs: 1}}, 1, now)
 		j.GangAttempt = 5
 		for i, phase := range tt.phases {
-			s := lt.fleet.Assign(lt.host("h1"), fleet.PlacementKey{Job: j, Task: int32(i + 1), Attempt: 5}, now)
+			s := lt.fleet.Assign(lt.addMachine("h1"), fleet.PlacementKey{Job: j, Task: int32(i + 1), Attempt: 5}, now)
 			s.Phase, s.LaunchSent = phase, true
 		}
-		lt.taskTracker.taskEnded(&fleet.Slot{PlacementKey: fleet.PlacementKey{Job: j, Attempt: 5}, Phase: wire.TaskExited, Cause: wire.CauseGangIncomplete}, j, lt.host("h2"), now)
+		lt.taskTracker.taskEnded(&fleet.Slot{PlacementKey: fleet.PlacementKey{Job: j, Attempt: 5}, Phase: wire.TaskExited, Cause: wire.CauseGangIncomplete}, j, lt.addMachine("h2"), now)
 		if j.GangStopping != tt.broken || (!tt.broken && j.GangAttempt != 5) {
 			t.Errorf("%s: begins anew %v, want %v", tt.name, j.GangStopping, tt.broken)
 		}
