--- a/internal/control/admission.go
+++ b/internal/control/admission.go
@@ -53,9 +53,9 @@
 func (ps *pendingSubmission) id() string { return ps.rec.Spec.ID }
 
 // answer replies to the requests that wait so far.
-func (ps *pendingSubmission) answer(p *rpc.Reply) {
-	for _, back := range ps.callbacks {
-		back(p)
+func (ps *pendingSubmission) answer(response *rpc.Reply) {
+	for _, respond := range ps.callbacks {
+		respond(response)
 	}
 	ps.callbacks = nil
 }
@@ -64,13 +64,13 @@
 // txnOps the writes in one, valueKB the limit for a value in KiB and sockets the
 // node's limit of connections. The queue holds what can be stored within
 // maxQueueTime, on at most half of the connections.
-func newAdmission(co *core, limit *rate.Limiter, txnOps int, valueKB float64, sockets int) *admission {
+func newAdmission(co *core, limit *rate.Limiter, txnOps int, valueKB float64, maxSockets int) *admission {
 	backlog := maxQueueTime.Seconds() * float64(limit.Limit()) * float64(2*txnOps)
 	return &admission{
 		core:           co,
 		limit:          limit,
 		pending:        map[string]*pendingSubmission{},
-		maxQueueLength: max(minQueueLength, min(int(backlog), sockets/2)),
+		maxQueueLength: max(minQueueLength, min(int(backlog), maxSockets/2)),
 		maxGroupBytes:  int(valueKB * 1024 * valueFillFraction),
 	}
 }
@@ -92,57 +92,57 @@
 }
 
 // status answers a status request.
-func (ad *admission) status(id string, back func(*rpc.Reply)) {
-	absent := reply(http.StatusNotFound, wire.Error{Error: "no such job"})
+func (ad *admission) status(id string, respond func(*rpc.Reply)) {
+	notFound := reply(http.StatusNotFound, wire.Error{Error: "no such job"})
 	if !job.ValidID(id) {
-		back(absent)
+		respond(notFound)
 		return
 	}
-	if p := ad.completions.answerFromMemory(id); p != nil {
-		back(p)
+	if response := ad.completions.answerFromMemory(id); response != nil {
+		respond(response)
 		return
 	}
 	if ad.pending[id] != nil {
-		back(Unavailable("submission is being stored"))
+		respond(Unavailable("submission is being stored"))
 		return
 	}
-	ad.completions.answerFromStore(id, absent, recordReply, back)
+	ad.completions.answerFromStore(id, notFound, recordReply, respond)
 }
 
 // submit answers a submission. id may be set even if the submission is invalid; a
 // job that exists is answered with its status before any check.
-func (ad *admission) submit(id string, spec *job.Spec, invalid error, back func(*rpc.Reply)) {
-	if id != "" && ad.answerIfKnown(id, back) {
+func (ad *admission) submit(id string, spec *job.Spec, invalid error, respond func(*rpc.Reply)) {
+	if id != "" && ad.answerIfKnown(id, respond) {
 		return
 	}
 	if invalid != nil {
-		ad.rejectInvalid(id, invalid, back)
+		ad.rejectInvalid(id, invalid, respond)
 		return
 	}
 	if refusal := ad.controller.admissionRefusal(spec, ad.nameIndex.machineTypes(), ad.teamQuotas.find(spec.Team)); refusal != nil {
 		if refusal.Status == http.StatusServiceUnavailable {
-			back(refusal)
+			respond(refusal)
 			return
 		}
-		ad.completions.answerFromStore(id, refusal, recordReply, back)
+		ad.completions.answerFromStore(id, refusal, recordReply, respond)
 		return
 	}
 	if ad.admissionGroups.hasUnreadable() {
-		ad.completions.answerFromStore(id, Unavailable("a record cannot be read"), recordReply, back)
+		ad.completions.answerFromStore(id, Unavailable("a record cannot be read"), recordReply, respond)
 		return
 	}
-	ad.enqueue(id, spec, back)
+	ad.enqueue(id, spec, respond)
 }
 
 // answerIfKnown answers a submission whose job the leader has already, and reports
 // whether it did.
-func (ad *admission) answerIfKnown(id string, back func(*rpc.Reply)) bool {
-	if p := ad.completions.answerFromMemory(id); p != nil {
-		back(p)
+func (ad *admission) answerIfKnown(id string, respond func(*rpc.Reply)) bool {
+	if response := ad.completions.answerFromMemory(id); response != nil {
+		respond(response)
 		return true
 	}
 	if ad.jobTable.identified(id) != nil {
-		ad.completions.answerFromStore(id, finalRefusal(Unavailable("job is ending")), recordReply, back)
+		ad.completions.answerFromStore(id, finalRefusal(Unavailable("job is ending")), recordReply, respond)
 		return true
 	}
 	ps := ad.pending[id]
@@ -150,36 +150,36 @@
 		return false
 	}
 	if len(ps.callbacks) >= maxCallbacks {
-		back(finalRefusal(Unavailable("submission is being stored")))
+		respond(finalRefusal(Unavailable("submission is being stored")))
 		return true
 	}
-	ps.callbacks = append(ps.callbacks, back)
+	ps.callbacks = append(ps.callbacks, respond)
 	return true
 }
 
 // rejectInvalid answers a malformed submission. If it names a job that exists, that
 // job's status is the answer.
-func (ad *admission) rejectInvalid(id string, invalid error, back func(*rpc.Reply)) {
-	bad := reply(http.StatusBadRequest, wire.Error{Error: invalid.Error()})
+func (ad *admission) rejectInvalid(id string, invalid error, respond func(*rpc.Reply)) {
+	badRequest := reply(http.StatusBadRequest, wire.Error{Error: invalid.Error()})
 	if id == "" {
-		back(bad)
+		respond(badRequest)
 		return
 	}
-	ad.completions.answerFromStore(id, bad, recordReply, back)
+	ad.completions.answerFromStore(id, badRequest, recordReply, respond)
 }
 
 // enqueue adds a submission that has passed the checks to the queue, or tells its
 // user when to retry if the queue is full.
-func (ad *admission) enqueue(id string, spec *job.Spec, back func(*rpc.Reply)) {
+func (ad *admission) enqueue(id string, spec *job.Spec, respond func(*rpc.Reply)) {
 	now := time.Now()
 	if len(ad.queue) >= ad.maxQueueLength {
 		ad.retryPacer.perSecond = ad.submissionRate()
-		back(tooManySubmissions(ad.retryPacer.retryAfter(now)))
+		respond(tooManySubmissions(ad.retryPacer.retryAfter(now)))
 		return
 	}
 	ps := &pendingSubmission{
 		rec:       &job.Record{Spec: *spec, SubmittedMS: now.UnixMilli()},
-		callbacks: []func(*rpc.Reply){back},
+		callbacks: []func(*rpc.Reply){respond},
 	}
 	ad.pending[id] = ps
 	ad.queue = append(ad.queue, ps)
@@ -194,7 +194,7 @@
 }
 
 // finish answers all requests that wait for a submission, and ends it.
-func (ad *admission) finish(ps *pendingSubmission, p *rpc.Reply) {
+func (ad *admission) finish(ps *pendingSubmission, response *rpc.Reply) {
 	delete(ad.pending, ps.id())
-	ps.answer(p)
+	ps.answer(response)
 }
--- a/internal/control/admission_group_commit.go
+++ b/internal/control/admission_group_commit.go
@@ -53,7 +53,7 @@
 // run tries the transaction until its outcome is known or the term ends.
 func (gc *groupCommit) run() {
 	gs := gc.gs
-	unclear := false // an earlier try may have been applied
+	outcomeUnknown := false // an earlier try may have been applied
 	for gs.ctx.Err() == nil {
 		version, err := gs.controller.State.Commit(gs.ctx, gc.txn)
 		var conflict *state.ConflictError
@@ -62,17 +62,17 @@
 			gc.finish(version)
 			return
 		case errors.As(err, &conflict):
-			if gc.resolveConflict(conflict, unclear) {
+			if gc.resolveConflict(conflict, outcomeUnknown) {
 				return
 			}
 		case errors.Is(err, state.ErrRejected):
 			gs.enqueueForUser(func() { gs.recordWriter.shrinkIfRejected(err) })
-			if gc.isMove() && !unclear {
+			if gc.isMove() && !outcomeUnknown {
 				gs.enqueueForUser(gc.postponeMove)
 				return
 			}
 		case !errors.Is(err, state.ErrRefused):
-			unclear = true
+			outcomeUnknown = true
 		}
 		gs.sleep(commitRetryPause)
 	}
@@ -80,22 +80,22 @@
 
 // resolveConflict finds out why a condition failed, and reports whether the
 // transaction needs no other try. unclear: an earlier try may have been applied.
-func (gc *groupCommit) resolveConflict(conflict *state.ConflictError, unclear bool) (resolved bool) {
+func (gc *groupCommit) resolveConflict(conflict *state.ConflictError, outcomeUnknown bool) (resolved bool) {
 	gs := gc.gs
-	stored, err := gs.controller.State.Get(gs.ctx, gc.group.key)
+	entry, err := gs.controller.State.Get(gs.ctx, gc.group.key)
 	switch {
-	case err == nil && stored.Version != gc.version:
-		gc.finish(stored.Version)
+	case err == nil && entry.Version != gc.version:
+		gc.finish(entry.Version)
 		return true
-	case errors.Is(err, state.ErrNotFound) && gc.deletes && unclear:
+	case errors.Is(err, state.ErrNotFound) && gc.deletes && outcomeUnknown:
 		gc.finish(0)
 		return true
 	case err == nil && gc.isMove():
 		// A job was admitted twice: its active record is deleted before the move.
 		gs.enqueueForUser(func() {
-			for _, c := range gc.moveConds {
-				if slices.Contains(conflict.Failed, c.Key) {
-					gs.results.deleteLater(c.Key)
+			for _, cond := range gc.moveConds {
+				if slices.Contains(conflict.Failed, cond.Key) {
+					gs.results.deleteLater(cond.Key)
 				}
 			}
 			gc.postponeMove()
--- a/internal/control/admission_groups.go
+++ b/internal/control/admission_groups.go
@@ -47,7 +47,7 @@
 
 // index is the position of a job in the group.
 func (g *admissionGroup) index(id string) int {
-	return slices.IndexFunc(g.jobs, func(r job.Record) bool { return r.Spec.ID == id })
+	return slices.IndexFunc(g.jobs, func(rec job.Record) bool { return rec.Spec.ID == id })
 }
 
 // jobCompletion is the end of a job that is not durable yet.
@@ -74,16 +74,16 @@
 // load adds the group records of earlier leaders, and calls add for each entry. A
 // record that cannot be read is left as it is and does not delay the others.
 func (gs *admissionGroups) load(entries []state.Entry, add func(*job.Record)) {
-	for _, e := range entries {
-		var rec job.Group
-		if err := wire.Unmarshal(e.Value, &rec); err != nil {
-			gs.log.Error("group record cannot be read: it is retained, its jobs wait and no new ones are admitted", "key", e.Key, "error", err)
+	for _, entry := range entries {
+		var group job.Group
+		if err := wire.Unmarshal(entry.Value, &group); err != nil {
+			gs.log.Error("group record cannot be read: it is retained, its jobs wait and no new ones are admitted", "key", entry.Key, "error", err)
 			gs.unreadable = true
 			continue
 		}
-		gs.add(e.Key, e.Version, rec.Jobs)
-		for i := range rec.Jobs {
-			add(&rec.Jobs[i])
+		gs.add(entry.Key, entry.Version, group.Jobs)
+		for i := range group.Jobs {
+			add(&group.Jobs[i])
 		}
 	}
 }
@@ -149,7 +149,7 @@
 // hasCancelled reports whether the end of a job that is not simply done is to be
 // stored.
 func (g *admissionGroup) hasCancelled() bool {
-	return slices.ContainsFunc(g.pendingCompletions, func(e jobCompletion) bool { return e.rec.Phase != wire.JobDone })
+	return slices.ContainsFunc(g.pendingCompletions, func(completion jobCompletion) bool { return completion.rec.Phase != wire.JobDone })
 }
 
 // storeCompletionsRateLimited stores a group's ends when the rate limit allows it.
@@ -173,11 +173,11 @@
 
 // storeCompletions writes the record of a group with the ends that have come.
 func (gs *admissionGroups) storeCompletions(g *admissionGroup) {
-	endings := g.pendingCompletions
+	pending := g.pendingCompletions
 	g.pendingCompletions = nil
 	jobs := slices.Clone(g.jobs)
-	for _, e := range endings {
-		jobs[g.index(e.rec.Spec.ID)] = *e.rec
+	for _, completion := range pending {
+		jobs[g.index(completion.rec.Spec.ID)] = *completion.rec
 	}
 	put, err := state.Put(g.key, job.Group{Jobs: jobs})
 	if err != nil {
@@ -186,8 +186,8 @@
 	}
 	gs.commitGroup(g, nil, []state.Write{put}, func() {
 		g.jobs = jobs
-		for _, e := range endings {
-			e.onStored()
+		for _, completion := range pending {
+			completion.onStored()
 		}
 	})
 }
--- a/internal/control/admission_retry.go
+++ b/internal/control/admission_retry.go
@@ -35,7 +35,7 @@
 
 // tooManySubmissions refuses a submission until the wait is over.
 func tooManySubmissions(wait time.Duration) *rpc.Reply {
-	p := finalRefusal(Unavailable("too many submissions at once"))
-	p.RetryAfter = int(math.Ceil(wait.Seconds()))
-	return p
+	refusal := finalRefusal(Unavailable("too many submissions at once"))
+	refusal.RetryAfter = int(math.Ceil(wait.Seconds()))
+	return refusal
 }
--- a/internal/control/admission_store.go
+++ b/internal/control/admission_store.go
@@ -70,11 +70,11 @@
 	n := 0
 	bytes := 0
 	for n < len(ad.queue) && n < ad.jobsPerTxn() {
-		b, err := wire.Marshal(ad.queue[n].rec)
+		encoded, err := wire.Marshal(ad.queue[n].rec)
 		if err != nil {
 			ad.log.Error("job record cannot be encoded", "job", ad.queue[n].id(), "error", err)
 		}
-		bytes += recordSize(b)
+		bytes += recordSize(encoded)
 		if n > 0 && bytes > ad.maxGroupBytes {
 			break
 		}
@@ -92,7 +92,7 @@
 // again: either it was applied, which the conditions of the next one reveal, or the
 // next one takes its place.
 func (ad *admission) storeBatch(groupKey string, batch []*pendingSubmission) {
-	unclear := false // an earlier commit may have been applied
+	outcomeUnknown := false // an earlier commit may have been applied
 	for ad.ctx.Err() == nil {
 		txn, err := admissionTxn(groupKey, batch)
 		if err != nil {
@@ -110,21 +110,21 @@
 			ad.answerExisting(batch[0])
 			return
 		case errors.As(err, &conflict):
-			rest, stillUnclear := ad.handleConflict(groupKey, batch, conflict)
-			if len(rest) == 0 {
+			remaining, stillUnknown := ad.handleConflict(groupKey, batch, conflict)
+			if len(remaining) == 0 {
 				return
 			}
-			batch = rest
-			unclear = unclear || stillUnclear
-		case errors.Is(err, state.ErrRefused) && !unclear:
+			batch = remaining
+			outcomeUnknown = outcomeUnknown || stillUnknown
+		case errors.Is(err, state.ErrRefused) && !outcomeUnknown:
 			// Certainly not stored: the users are told at once to retry.
 			ad.finishAll(batch, Unavailable("state service refuses writes"))
 			return
-		case errors.Is(err, state.ErrRejected) && !unclear:
+		case errors.Is(err, state.ErrRejected) && !outcomeUnknown:
 			ad.requeueRejected(batch, err)
 			return
 		default:
-			unclear = true
+			outcomeUnknown = true
 			ad.answerUnclear(batch)
 			ad.sleep(storeRetryPause)
 		}
@@ -132,10 +132,10 @@
 }
 
 // finishAll has the actor give all submissions of a batch the same answer.
-func (ad *admission) finishAll(batch []*pendingSubmission, p *rpc.Reply) {
+func (ad *admission) finishAll(batch []*pendingSubmission, response *rpc.Reply) {
 	ad.enqueueForUser(func() {
 		for _, ps := range batch {
-			ad.finish(ps, p)
+			ad.finish(ps, response)
 		}
 	})
 }
@@ -229,7 +229,7 @@
 // commit before it may have been applied, the leadership may have changed, or some of
 // the jobs exist already. It returns the submissions to try again, none if all are
 // answered; unclear reports that the last commit may still have been applied.
-func (ad *admission) handleConflict(groupKey string, batch []*pendingSubmission, conflict *state.ConflictError) (rest []*pendingSubmission, unclear bool) {
+func (ad *admission) handleConflict(groupKey string, batch []*pendingSubmission, conflict *state.ConflictError) (remaining []*pendingSubmission, outcomeUnknown bool) {
 	stored, err := ad.controller.State.Get(ad.ctx, groupKey)
 	switch {
 	case err == nil: // the unclear commit was applied
@@ -244,14 +244,14 @@
 	}
 	// Jobs that exist already must not keep out the others. An unclear commit of the
 	// whole batch can no longer be applied: a job's record moves, but is never removed.
-	existing, rest := partitionByKey(batch, conflict.Failed)
+	existing, remaining := partitionByKey(batch, conflict.Failed)
 	for _, ps := range existing {
 		ad.answerExisting(ps)
 	}
 	if len(existing) == 0 {
 		ad.sleep(storeRetryPause) // the service did not name the keys
 	}
-	return rest, false
+	return remaining, false
 }
 
 // partitionByKey parts the submissions of whose job one of the keys is the active or
--- a/internal/control/admission_watch.go
+++ b/internal/control/admission_watch.go
@@ -33,16 +33,16 @@
 				continue
 			}
 			listedAt = time.Now()
-			for _, e := range entries {
-				ad.enqueueAdoption(e.Key)
+			for _, entry := range entries {
+				ad.enqueueAdoption(entry.Key)
 			}
 			revision = listed
 		case err != nil:
 			ad.sleep(readRetryPause)
 		default:
-			for _, e := range events {
-				if e.Put != "" {
-					ad.enqueueAdoption(e.Put)
+			for _, event := range events {
+				if event.Put != "" {
+					ad.enqueueAdoption(event.Put)
 				}
 			}
 			revision = max(revision, next)
--- a/internal/control/admission_without_leader.go
+++ b/internal/control/admission_without_leader.go
@@ -20,14 +20,14 @@
 // leader.
 func (c *Controller) AdmitWithoutLeader(ctx context.Context, body []byte) *rpc.Reply {
 	id, spec, invalid := parseSubmission(body)
-	refusal, unchanged, err := c.admissionCheck(ctx, spec, invalid)
+	refusal, preconditions, err := c.admissionCheck(ctx, spec, invalid)
 	if err != nil {
 		return noLeaderReply()
 	}
 	if refusal != nil {
 		return c.refuseUnlessRecorded(ctx, id, refusal)
 	}
-	return c.commitWithoutLeader(ctx, id, spec, unchanged)
+	return c.commitWithoutLeader(ctx, id, spec, preconditions)
 }
 
 // StatusWithoutLeader answers a status request from the state service, for a node
@@ -49,7 +49,7 @@
 // admissionCheck returns the refusal of a submission, or nil with the conditions on
 // the state service under which it may be admitted. The error means that what the
 // checks need could not be read.
-func (c *Controller) admissionCheck(ctx context.Context, spec *job.Spec, invalid error) (refusal *rpc.Reply, unchanged []state.Condition, err error) {
+func (c *Controller) admissionCheck(ctx context.Context, spec *job.Spec, invalid error) (refusal *rpc.Reply, preconditions []state.Condition, err error) {
 	if invalid != nil {
 		return reply(http.StatusBadRequest, wire.Error{Error: invalid.Error()}), nil, nil
 	}
@@ -82,7 +82,7 @@
 
 // commitWithoutLeader commits the record of a job that has passed the checks, on the
 // condition that what the checks read is unchanged.
-func (c *Controller) commitWithoutLeader(ctx context.Context, id string, spec *job.Spec, unchanged []state.Condition) *rpc.Reply {
+func (c *Controller) commitWithoutLeader(ctx context.Context, id string, spec *job.Spec, preconditions []state.Condition) *rpc.Reply {
 	// Only groups are read: whether the job has a record of its own, the conditions of
 	// the commit tell.
 	inGroup, err := c.groups.find(ctx, id)
@@ -97,7 +97,7 @@
 	if err != nil {
 		return noLeaderReply()
 	}
-	txn.If = append(txn.If, unchanged...)
+	txn.If = append(txn.If, preconditions...)
 	// A write that the budget has no room for is refused at once: to wait for it would
 	// delay every later request of this node.
 	if c.State.SpareWrites() < 1 {
--- a/internal/control/commands.go
+++ b/internal/control/commands.go
@@ -47,9 +47,9 @@
 		return
 	}
 	cm.nextUrgentScan = now.Add(urgentScanInterval)
-	for _, h := range cm.fleet.AwaitingCommand() {
-		if cm.mayCall(h, now) && h.NeedsDirectCommand(now) {
-			cm.send(h, now)
+	for _, machine := range cm.fleet.AwaitingCommand() {
+		if cm.mayCall(machine, now) && machine.NeedsDirectCommand(now) {
+			cm.send(machine, now)
 		}
 	}
 }
@@ -57,27 +57,27 @@
 // fenceWorkers calls the workers that have not shown this term's token yet, and
 // those that seem unreachable: an answer brings them back into use.
 func (cm *commands) fenceWorkers(now time.Time) {
-	for _, h := range cm.fleet.All() {
-		if (!h.Fenced || h.InboundCut() || h.CallUnanswered) && cm.mayCall(h, now) {
-			cm.send(h, now)
+	for _, machine := range cm.fleet.All() {
+		if (!machine.Fenced || machine.InboundCut() || machine.CallUnanswered) && cm.mayCall(machine, now) {
+			cm.send(machine, now)
 		}
 	}
 }
 
 // mayCall reports whether a direct command may be sent to a machine now.
-func (cm *commands) mayCall(h *fleet.Machine, now time.Time) bool {
-	if h.CallInFlight || h.Lost || h.Addr == "" || !h.Registered || now.Before(h.NextCallAt) {
+func (cm *commands) mayCall(machine *fleet.Machine, now time.Time) bool {
+	if machine.CallInFlight || machine.Lost || machine.Addr == "" || !machine.Registered || now.Before(machine.NextCallAt) {
 		return false
 	}
-	relayed, may := cm.shards.relayable(h)
+	relayed, may := cm.shards.relayable(machine)
 	return may && (relayed || cm.callsInFlight < cm.maxCalls)
 }
 
 // send sends a machine's commands directly: this fences a worker after a takeover,
 // and brings launches and halts without waiting for the next heartbeat.
-func (cm *commands) send(h *fleet.Machine, now time.Time) {
-	session := max(1, h.Session)
-	orders, sent, events := cm.fleet.ComposeOrders(h, 0, h.Usable(), now, maxOrders)
+func (cm *commands) send(machine *fleet.Machine, now time.Time) {
+	session := max(1, machine.Session)
+	orders, sent, events := cm.fleet.ComposeOrders(machine, 0, machine.Usable(), now, maxOrders)
 	cm.takeover.recordLaunches(len(sent), now)
 	cm.taskTracker.applyEvents(events, now)
 	body, err := wire.Marshal(wire.DirectCommands{Token: cm.term, Session: session, Commands: orders})
@@ -85,28 +85,28 @@
 		cm.log.Error("commands cannot be encoded", "error", err)
 		return
 	}
-	h.CallInFlight = true
-	if relayed, _ := cm.shards.relayable(h); relayed {
-		cm.shards.relay(h, body, sent, now)
+	machine.CallInFlight = true
+	if relayed, _ := cm.shards.relayable(machine); relayed {
+		cm.shards.relay(machine, body, sent, now)
 		return
 	}
 	cm.callsInFlight++
-	addr := h.Addr
+	addr := machine.Addr
 	go func() {
 		result, err := SendDirect(cm.ctx, cm.controller.directClient, addr, body, func() bool { return cm.controller.Entitled(cm.term) })
 		cm.enqueue(func() {
 			cm.callsInFlight--
-			cm.finishCall(h, result, err, sent)
+			cm.finishCall(machine, result, err, sent)
 		})
 	}()
 }
 
 // finishCall handles the outcome of a direct command that the leader or a holder sent.
 // sent are the placements that it launched.
-func (cm *commands) finishCall(h *fleet.Machine, result DirectResult, err error, sent []*fleet.Slot) {
+func (cm *commands) finishCall(machine *fleet.Machine, result DirectResult, err error, sent []*fleet.Slot) {
 	now := time.Now()
-	h.CallInFlight = false
-	if cm.fleet.Machines[h.Name] != h {
+	machine.CallInFlight = false
+	if cm.fleet.Machines[machine.Name] != machine {
 		return
 	}
 	report := decodeReport(result.Body)
@@ -114,16 +114,16 @@
 		cm.taskTracker.applyEvents(cm.fleet.RemoveUndelivered(sent), now)
 	}
 	if report == nil {
-		cm.log.Debug("direct command failed", "machine", h.Name, "status", result.Status, "error", err)
-		cm.callFailed(h, now)
+		cm.log.Debug("direct command failed", "machine", machine.Name, "status", result.Status, "error", err)
+		cm.callFailed(machine, now)
 		return
 	}
-	h.CallFailures = 0
-	if report.Host != "" && report.Host != h.Name {
-		h.NextCallAt = now.Add(wrongMachineBackoff)
+	machine.CallFailures = 0
+	if report.Host != "" && report.Host != machine.Name {
+		machine.NextCallAt = now.Add(wrongMachineBackoff)
 		return
 	}
-	cm.taskTracker.observe(h, report, false, now)
+	cm.taskTracker.observe(machine, report, false, now)
 }
 
 // decodeReport reads the report in a worker's answer; nil: there is none.
@@ -139,12 +139,12 @@
 }
 
 // callFailed backs off from a machine that did not answer.
-func (cm *commands) callFailed(h *fleet.Machine, now time.Time) {
+func (cm *commands) callFailed(machine *fleet.Machine, now time.Time) {
 	// Silent machines must not take up the few calls that may be in flight.
-	h.NextCallAt = now.Add(min(maxCallBackoff, time.Second<<min(h.CallFailures, maxBackoffDoublings)))
-	h.CallFailures++
+	machine.NextCallAt = now.Add(min(maxCallBackoff, time.Second<<min(machine.CallFailures, maxBackoffDoublings)))
+	machine.CallFailures++
 	// A machine that hangs, or that nothing reaches, has much capacity and would be
 	// chosen again and again.
-	h.CallUnanswered = true
-	cm.taskTracker.applyEvents(cm.fleet.RemoveUnsent(h), now)
+	machine.CallUnanswered = true
+	cm.taskTracker.applyEvents(cm.fleet.RemoveUnsent(machine), now)
 }
--- a/internal/control/commands_direct.go
+++ b/internal/control/commands_direct.go
@@ -34,12 +34,12 @@
 
 // DirectClient returns the HTTP client for direct commands; it holds at most idle
 // connections open between them.
-func DirectClient(dial state.DialFunc, idle int) *http.Client {
+func DirectClient(dial state.DialFunc, maxIdle int) *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DialContext:         dial,
 		MaxConnsPerHost:     2,
 		MaxIdleConnsPerHost: 1,
-		MaxIdleConns:        idle,
+		MaxIdleConns:        maxIdle,
 		IdleConnTimeout:     directIdleTimeout,
 		DisableCompression:  true,
 	}}
@@ -55,14 +55,14 @@
 
 // notExecuted reports whether the worker has certainly not executed the command,
 // and never will.
-func (d DirectResult) notExecuted(report *wire.Heartbeat) bool {
-	refused := d.Status != http.StatusOK && report != nil
-	return !d.Reached || refused || d.Status == http.StatusBadRequest
+func (r DirectResult) notExecuted(report *wire.Heartbeat) bool {
+	refused := r.Status != http.StatusOK && report != nil
+	return !r.Reached || refused || r.Status == http.StatusBadRequest
 }
 
 // SendDirect sends a direct command and returns the worker's answer. It asks
 // entitled as late as possible whether the sender may act for the leader.
-func SendDirect(ctx context.Context, hc *http.Client, addr string, body []byte, entitled func() bool) (DirectResult, error) {
+func SendDirect(ctx context.Context, client *http.Client, addr string, body []byte, entitled func() bool) (DirectResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, directTimeout)
 	defer cancel()
 	var connected atomic.Bool
@@ -78,7 +78,7 @@
 	if !entitled() {
 		return DirectResult{}, errNotEntitled
 	}
-	res, err := hc.Do(req)
+	res, err := client.Do(req)
 	if err != nil {
 		return DirectResult{Reached: connected.Load()}, err
 	}
--- a/internal/control/completions.go
+++ b/internal/control/completions.go
@@ -173,8 +173,8 @@
 	cp.controller.Meter.Add(metrics.JobsEnded, string(j.Phase), 1)
 	status := recordStatus(rec)
 	cp.finalStatuses.put(status)
-	for _, back := range cp.cancelWaiters[j] {
-		back(reply(http.StatusOK, status))
+	for _, respond := range cp.cancelWaiters[j] {
+		respond(reply(http.StatusOK, status))
 	}
 	delete(cp.cancelWaiters, j)
 	cp.results.discard(j)
@@ -200,8 +200,8 @@
 	if cp.moveInFlight || len(cp.pendingMoves) == 0 || !cp.controller.State.Idle(cp.recordWriter.maxWrites()) {
 		return
 	}
-	n := min(len(cp.pendingMoves), max(1, cp.recordWriter.maxWrites()/2))
-	txn := cp.moveTxn(cp.pendingMoves[:n])
+	batchSize := min(len(cp.pendingMoves), max(1, cp.recordWriter.maxWrites()/2))
+	txn := cp.moveTxn(cp.pendingMoves[:batchSize])
 	cp.moveInFlight = true
 	go func() {
 		_, err := cp.controller.State.Commit(cp.ctx, txn)
@@ -214,7 +214,7 @@
 			// On a conflict an unclear commit of before was applied; what is left of the
 			// batch is found by the next leader.
 			if err == nil || errors.Is(err, state.ErrConflict) {
-				cp.pendingMoves = cp.pendingMoves[n:]
+				cp.pendingMoves = cp.pendingMoves[batchSize:]
 			}
 		})
 	}()
@@ -223,15 +223,15 @@
 // moveTxn is the transaction that moves final records to their own keys.
 func (cp *completions) moveTxn(moves []finalRecordMove) state.Txn {
 	txn := state.Txn{If: []state.Condition{cp.fence}}
-	for _, m := range moves {
-		id := m.rec.Spec.ID
-		put, err := state.Put(job.FinalPrefix+id, m.rec)
+	for _, move := range moves {
+		id := move.rec.Spec.ID
+		put, err := state.Put(job.FinalPrefix+id, move.rec)
 		if err != nil {
 			cp.log.Error("job record cannot be encoded", "job", id, "error", err)
 			continue
 		}
 		activeKey := job.ActivePrefix + id
-		txn.If = append(txn.If, state.Condition{Key: activeKey, Version: m.version})
+		txn.If = append(txn.If, state.Condition{Key: activeKey, Version: move.version})
 		txn.Writes = append(txn.Writes, state.Write{Delete: activeKey}, put)
 	}
 	return txn
--- a/internal/control/completions_answers.go
+++ b/internal/control/completions_answers.go
@@ -41,54 +41,54 @@
 
 // answerFromStore answers from a fresh read; absent is the answer for a job that was
 // never accepted, active makes the answer for a job that is not over.
-func (cp *completions) answerFromStore(id string, absent *rpc.Reply, active func(*job.Record) *rpc.Reply, back func(*rpc.Reply)) {
+func (cp *completions) answerFromStore(id string, notFound *rpc.Reply, answerActive func(*job.Record) *rpc.Reply, respond func(*rpc.Reply)) {
 	go func() {
 		ctx, cancel := context.WithTimeout(cp.ctx, freshReadTimeout)
 		defer cancel()
 		rec, err := cp.controller.findRecord(ctx, id)
 		switch {
 		case err != nil:
-			back(Unavailable("the job's record cannot be read now"))
+			respond(Unavailable("job record cannot be read at the moment"))
 		case rec == nil:
-			back(absent)
+			respond(notFound)
 		case rec.Phase == "":
-			back(active(rec))
+			respond(answerActive(rec))
 		default:
 			cp.enqueueForUser(func() { cp.cacheFinalStatus(rec) })
-			back(recordReply(rec))
+			respond(recordReply(rec))
 		}
 	}()
 }
 
 // recordStatus is the status of the job of a record.
 func recordStatus(rec *job.Record) wire.JobStatus {
-	s := wire.JobStatus{ID: rec.Spec.ID, Phase: rec.Phase, Done: rec.Done}
-	if s.Phase == "" {
-		s.Phase = wire.JobPending
+	status := wire.JobStatus{ID: rec.Spec.ID, Phase: rec.Phase, Done: rec.Done}
+	if status.Phase == "" {
+		status.Phase = wire.JobPending
 	}
-	return s
+	return status
 }
 
 // recordReply answers with the status of the job of a record.
 func recordReply(rec *job.Record) *rpc.Reply { return reply(http.StatusOK, recordStatus(rec)) }
 
 // cancel cancels a job for its user and answers once that is stored.
-func (cp *completions) cancel(id string, back func(*rpc.Reply)) {
-	absent := reply(http.StatusNotFound, wire.Error{Error: "no such job"})
+func (cp *completions) cancel(id string, respond func(*rpc.Reply)) {
+	notFound := reply(http.StatusNotFound, wire.Error{Error: "no such job"})
 	if !job.ValidID(id) {
-		back(absent)
+		respond(notFound)
 		return
 	}
 	j := cp.jobTable.identified(id)
 	if j == nil {
-		cp.cancelUnknown(id, absent, back)
+		cp.cancelUnknown(id, notFound, respond)
 		return
 	}
 	if j.Phase != "" {
-		cp.admission.status(id, back)
+		cp.admission.status(id, respond)
 		return
 	}
-	cp.cancelWaiters[j] = append(cp.cancelWaiters[j], back)
+	cp.cancelWaiters[j] = append(cp.cancelWaiters[j], respond)
 	if j.Closing == "" {
 		cp.finish(j, wire.JobCancelled)
 	}
@@ -97,14 +97,14 @@
 // cancelUnknown answers for a job that is over and no longer remembered, that was
 // never accepted, or that another node admitted a moment ago: that one is taken in,
 // and the user's next try finds it.
-func (cp *completions) cancelUnknown(id string, absent *rpc.Reply, back func(*rpc.Reply)) {
-	if p := cp.answerIfFinished(id); p != nil {
-		back(p)
+func (cp *completions) cancelUnknown(id string, notFound *rpc.Reply, respond func(*rpc.Reply)) {
+	if response := cp.answerIfFinished(id); response != nil {
+		respond(response)
 		return
 	}
-	takeIn := func(*job.Record) *rpc.Reply {
+	adopt := func(*job.Record) *rpc.Reply {
 		cp.enqueueForUser(func() { cp.admission.adopt(id) })
 		return Unavailable("job is being taken in")
 	}
-	cp.answerFromStore(id, absent, takeIn, back)
+	cp.answerFromStore(id, notFound, adopt, respond)
 }
--- a/internal/control/completions_cache.go
+++ b/internal/control/completions_cache.go
@@ -19,17 +19,17 @@
 }
 
 // put remembers a status, in place of the oldest one if the cache is full.
-func (f *finalStatusCache) put(s wire.JobStatus) {
-	if _, ok := f.byID[s.ID]; !ok {
-		delete(f.byID, f.ring[f.next])
-		f.ring[f.next] = s.ID
-		f.next = (f.next + 1) % len(f.ring)
+func (fc *finalStatusCache) put(status wire.JobStatus) {
+	if _, ok := fc.byID[status.ID]; !ok {
+		delete(fc.byID, fc.ring[fc.next])
+		fc.ring[fc.next] = status.ID
+		fc.next = (fc.next + 1) % len(fc.ring)
 	}
-	f.byID[s.ID] = s
+	fc.byID[status.ID] = status
 }
 
 // get returns the status of a job; ok is false if it is not remembered.
-func (f *finalStatusCache) get(id string) (s wire.JobStatus, ok bool) {
-	s, ok = f.byID[id]
-	return s, ok
+func (fc *finalStatusCache) get(id string) (status wire.JobStatus, ok bool) {
+	status, ok = fc.byID[id]
+	return status, ok
 }
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -46,12 +46,12 @@
 }
 
 // New makes a controller that does not lead yet.
-func New(d Deps) *Controller {
-	maxCalls := MaxDirectCalls(d.Settings.Facts.Resources.MaxSockets)
+func New(deps Deps) *Controller {
+	maxCalls := MaxDirectCalls(deps.Settings.Facts.Resources.MaxSockets)
 	return &Controller{
-		Deps:         d,
-		groups:       groupReader{state: d.State},
-		directClient: DirectClient(d.Dial, maxCalls),
+		Deps:         deps,
+		groups:       groupReader{state: deps.State},
+		directClient: DirectClient(deps.Dial, maxCalls),
 	}
 }
 
@@ -67,14 +67,14 @@
 )
 
 // StateBudget is a node's share of the state service's limits.
-func StateBudget(set *config.Settings, leads bool) state.Budget {
+func StateBudget(settings *config.Settings, leads bool) state.Budget {
 	reads := followerReadShare
 	writes := followerWriteShare
 	if leads {
 		reads = leaderReadShare
 		writes = leaderWriteShare
 	}
-	return state.Budget{RPS: reads * set.Facts.State.RPS, WriteRPS: writes * set.Facts.State.WriteRPS}
+	return state.Budget{RPS: reads * settings.Facts.State.RPS, WriteRPS: writes * settings.Facts.State.WriteRPS}
 }
 
 // Lead runs one leader term until its context ends.
--- a/internal/control/control_feasibility.go
+++ b/internal/control/control_feasibility.go
@@ -17,13 +17,13 @@
 // admissionRefusal refuses a job that can never run, or that cannot be judged yet;
 // nil: it may be admitted.
 func (c *Controller) admissionRefusal(spec *job.Spec, types []wire.MachineType, team quota) *rpc.Reply {
-	reason, known := unschedulableReason(spec, types, team.current)
+	reason, decidable := unschedulableReason(spec, types, team.current)
 	if reason != "" && team.target != nil {
 		if later, _ := unschedulableReason(spec, types, team.target); later == "" {
-			return Unavailable("the team's quota is about to change")
+			return Unavailable("a quota change of the team is in progress")
 		}
 	}
-	if !known {
+	if !decidable {
 		return Unavailable("machine types are not known yet")
 	}
 	if reason != "" {
@@ -43,7 +43,7 @@
 	if types := c.cachedTypes(); types != nil {
 		return types, nil
 	}
-	e, err := c.State.Get(ctx, typesKey)
+	entry, err := c.State.Get(ctx, typesKey)
 	if errors.Is(err, state.ErrNotFound) {
 		return nil, nil
 	}
@@ -51,7 +51,7 @@
 		return nil, err
 	}
 	var rec typesRecord
-	if err := wire.Unmarshal(e.Value, &rec); err != nil {
+	if err := wire.Unmarshal(entry.Value, &rec); err != nil {
 		return nil, err
 	}
 	c.cacheTypes(rec.Types)
@@ -75,22 +75,22 @@
 
 // unschedulableReason gives the reason why a job can never run, empty if it can;
 // known is false where that cannot be decided yet.
-func unschedulableReason(s *job.Spec, types []wire.MachineType, team *config.Team) (reason string, known bool) {
+func unschedulableReason(spec *job.Spec, types []wire.MachineType, team *config.Team) (reason string, decidable bool) {
 	if team == nil {
 		return "unknown team", true
 	}
 	if len(types) == 0 {
 		return "", false
 	}
-	zones := feasibleZones(s, types)
+	zones := feasibleZones(spec, types)
 	if len(zones) == 0 {
 		return "a task fits no allowed machine type", true
 	}
 	// A gang runs whole, and at most half of it may be in one zone.
-	if s.ParsedShape() == job.Gang && s.Tasks > 1 && s.Spread && (s.OneZone || len(zones) == 1) {
+	if spec.ParsedShape() == job.Gang && spec.Tasks > 1 && spec.Spread && (spec.OneZone || len(zones) == 1) {
 		return "its tasks have to be apart and fit in one zone only", true
 	}
-	if exceedsQuota(s, team) {
+	if exceedsQuota(spec, team) {
 		return "more than the team's limit", true
 	}
 	return "", true
@@ -98,18 +98,18 @@
 
 // feasibleZones are the zones in which a task of a job fits a machine type that the
 // job allows.
-func feasibleZones(s *job.Spec, types []wire.MachineType) map[string]bool {
-	need := place.Resources{CPUs: s.CPUs, GPUs: s.GPUs, MemGB: s.MemGB}
+func feasibleZones(spec *job.Spec, types []wire.MachineType) map[string]bool {
+	need := place.Resources{CPUs: spec.CPUs, GPUs: spec.GPUs, MemGB: spec.MemGB}
 	zones := map[string]bool{}
 	for i := range types {
-		mt := &types[i]
-		capacity := place.Resources{CPUs: mt.CPUs, GPUs: mt.GPUs, MemGB: mt.MemGB}
-		if !capacity.Fits(need) || (s.Types != nil && !slices.Contains(s.Types, mt.Name)) {
+		machineType := &types[i]
+		capacity := place.Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs, MemGB: machineType.MemGB}
+		if !capacity.Fits(need) || (spec.Types != nil && !slices.Contains(spec.Types, machineType.Name)) {
 			continue
 		}
-		for _, z := range mt.Zones {
-			if s.Zone == "" || z == s.Zone {
-				zones[z] = true
+		for _, zone := range machineType.Zones {
+			if spec.Zone == "" || zone == spec.Zone {
+				zones[zone] = true
 			}
 		}
 	}
@@ -118,12 +118,12 @@
 
 // exceedsQuota reports whether a job can never run within a team's limit. An array
 // can run one task at a time, all other jobs run whole.
-func exceedsQuota(s *job.Spec, team *config.Team) bool {
+func exceedsQuota(spec *job.Spec, team *config.Team) bool {
 	concurrent := 1.0
-	if s.ParsedShape() != job.Array {
-		concurrent = float64(s.Tasks)
+	if spec.ParsedShape() != job.Array {
+		concurrent = float64(spec.Tasks)
 	}
-	tooManyCPUs := team.CPUsMax > 0 && s.CPUs*concurrent > team.CPUsMax+quotaTolerance
-	tooManyGPUs := team.GPUsMax > 0 && s.GPUs*concurrent > team.GPUsMax+quotaTolerance
+	tooManyCPUs := team.CPUsMax > 0 && spec.CPUs*concurrent > team.CPUsMax+quotaTolerance
+	tooManyGPUs := team.GPUsMax > 0 && spec.GPUs*concurrent > team.GPUsMax+quotaTolerance
 	return tooManyCPUs || tooManyGPUs
 }
--- a/internal/control/control_requests.go
+++ b/internal/control/control_requests.go
@@ -24,17 +24,17 @@
 
 // Unavailable refuses a request for now; the client retries it.
 func Unavailable(reason string) *rpc.Reply {
-	r := reply(http.StatusServiceUnavailable, wire.Error{Error: reason})
-	r.RetryAfter = retryAfterS
-	return r
+	refusal := reply(http.StatusServiceUnavailable, wire.Error{Error: reason})
+	refusal.RetryAfter = retryAfterS
+	return refusal
 }
 
 // finalRefusal marks a refusal as the leader's own decision: the node that
 // forwarded the request must not serve it by itself, which would double the load
 // that the leader sheds.
-func finalRefusal(p *rpc.Reply) *rpc.Reply {
-	p.Final = true
-	return p
+func finalRefusal(response *rpc.Reply) *rpc.Reply {
+	response.Final = true
+	return response
 }
 
 // actorRequest is a request in the form in which the leader's actor takes it.
@@ -42,97 +42,97 @@
 	inbox chan func() // the queue that it waits in
 	// run handles the request on the actor's goroutine and answers through back,
 	// at once or later.
-	run func(back func(*rpc.Reply))
+	run func(respond func(*rpc.Reply))
 }
 
 // Answer answers a request as leader; nil means that this node does not lead.
-func (c *Controller) Answer(ctx context.Context, q *rpc.Request) *rpc.Reply {
+func (c *Controller) Answer(ctx context.Context, req *rpc.Request) *rpc.Reply {
 	lt := c.currentTerm()
 	if lt == nil || !c.Entitled(lt.term) {
 		return nil
 	}
-	if (q.Kind == rpc.KindSubmit || q.Kind == rpc.KindStatus) && !lt.takeover.loaded() {
+	if (req.Kind == rpc.KindSubmit || req.Kind == rpc.KindStatus) && !lt.takeover.loaded() {
 		return nil // any node can answer that from the state service, sooner
 	}
-	request, refusal := lt.decodeRequest(q)
+	actorReq, refusal := lt.decodeRequest(req)
 	if refusal != nil {
 		return refusal
 	}
-	return c.awaitActor(ctx, lt, request)
+	return c.awaitActor(ctx, lt, actorReq)
 }
 
 // decodeRequest reads a request; refusal is set where it cannot be read.
-func (lt *leaderTerm) decodeRequest(q *rpc.Request) (request actorRequest, refusal *rpc.Reply) {
-	request = actorRequest{inbox: lt.userInbox}
-	switch q.Kind {
+func (lt *leaderTerm) decodeRequest(req *rpc.Request) (actorReq actorRequest, refusal *rpc.Reply) {
+	actorReq = actorRequest{inbox: lt.userInbox}
+	switch req.Kind {
 	case rpc.KindSubmit:
-		id, spec, err := parseSubmission(q.Body)
-		request.run = func(back func(*rpc.Reply)) { lt.admission.submit(id, spec, err, back) }
+		id, spec, err := parseSubmission(req.Body)
+		actorReq.run = func(respond func(*rpc.Reply)) { lt.admission.submit(id, spec, err, respond) }
 	case rpc.KindStatus:
-		request.run = func(back func(*rpc.Reply)) { lt.admission.status(q.ID, back) }
+		actorReq.run = func(respond func(*rpc.Reply)) { lt.admission.status(req.ID, respond) }
 	case rpc.KindCancel:
-		request.run = func(back func(*rpc.Reply)) { lt.completions.cancel(q.ID, back) }
+		actorReq.run = func(respond func(*rpc.Reply)) { lt.completions.cancel(req.ID, respond) }
 	case rpc.KindRollout, rpc.KindCalendar, rpc.KindConfig:
-		request.run, refusal = lt.decodeOperation(q)
+		actorReq.run, refusal = lt.decodeOperation(req)
 	case rpc.KindHeartbeat:
-		request.inbox = lt.inbox
-		request.run, refusal = lt.decodeHeartbeat(q)
+		actorReq.inbox = lt.inbox
+		actorReq.run, refusal = lt.decodeHeartbeat(req)
 	default:
-		refusal = reply(http.StatusBadRequest, wire.Error{Error: "unknown request"})
+		refusal = reply(http.StatusBadRequest, wire.Error{Error: "unknown request kind"})
 	}
-	return request, refusal
+	return actorReq, refusal
 }
 
 // decodeOperation reads a roll-out, calendar or configuration request.
-func (lt *leaderTerm) decodeOperation(q *rpc.Request) (run func(back func(*rpc.Reply)), refusal *rpc.Reply) {
+func (lt *leaderTerm) decodeOperation(req *rpc.Request) (run func(respond func(*rpc.Reply)), refusal *rpc.Reply) {
 	op := &rpc.Operation{}
-	if err := wire.Unmarshal(q.Body, op); err != nil {
+	if err := wire.Unmarshal(req.Body, op); err != nil {
 		return nil, reply(http.StatusBadRequest, wire.Error{Error: "malformed request"})
 	}
-	operate := lt.homeQuotas.handleOperation
-	switch q.Kind {
+	handle := lt.homeQuotas.handleOperation
+	switch req.Kind {
 	case rpc.KindRollout:
-		operate = lt.rollouts.handleOperation
+		handle = lt.rollouts.handleOperation
 	case rpc.KindCalendar:
-		operate = lt.calendarStore.handleOperation
+		handle = lt.calendarStore.handleOperation
 	}
-	return func(back func(*rpc.Reply)) { operate(op, back) }, nil
+	return func(respond func(*rpc.Reply)) { handle(op, respond) }, nil
 }
 
 // decodeHeartbeat reads a worker's heartbeat.
-func (lt *leaderTerm) decodeHeartbeat(q *rpc.Request) (run func(back func(*rpc.Reply)), refusal *rpc.Reply) {
-	m := &wire.Heartbeat{}
-	if err := wire.Unmarshal(q.Body, m); err != nil || m.Host == "" || m.Session == 0 {
-		return nil, reply(http.StatusBadRequest, wire.Error{Error: "malformed report"})
+func (lt *leaderTerm) decodeHeartbeat(req *rpc.Request) (run func(respond func(*rpc.Reply)), refusal *rpc.Reply) {
+	heartbeat := &wire.Heartbeat{}
+	if err := wire.Unmarshal(req.Body, heartbeat); err != nil || heartbeat.Host == "" || heartbeat.Session == 0 {
+		return nil, reply(http.StatusBadRequest, wire.Error{Error: "malformed heartbeat"})
 	}
-	return func(back func(*rpc.Reply)) { lt.heartbeat(m, q.ForwardedBy, back) }, nil
+	return func(respond func(*rpc.Reply)) { lt.heartbeat(heartbeat, req.ForwardedBy, respond) }, nil
 }
 
 // awaitActor hands a request to the leader's actor and waits for its answer; nil
 // means that the term has ended or the node is no longer entitled.
-func (c *Controller) awaitActor(ctx context.Context, lt *leaderTerm, request actorRequest) *rpc.Reply {
-	answer := make(chan *rpc.Reply, 1)
-	back := func(p *rpc.Reply) {
+func (c *Controller) awaitActor(ctx context.Context, lt *leaderTerm, actorReq actorRequest) *rpc.Reply {
+	responses := make(chan *rpc.Reply, 1)
+	respond := func(response *rpc.Reply) {
 		select {
-		case answer <- p:
+		case responses <- response:
 		default:
 		}
 	}
 	select {
-	case request.inbox <- func() { request.run(back) }:
+	case actorReq.inbox <- func() { actorReq.run(respond) }:
 	case <-lt.ctx.Done():
 		return nil
 	case <-ctx.Done():
 		return Unavailable("busy")
 	}
 	select {
-	case p := <-answer:
+	case response := <-responses:
 		// As late as possible: the actor's decision may have waited here for longer
 		// than the lease.
 		if !c.Entitled(lt.term) {
 			return nil
 		}
-		return p
+		return response
 	case <-lt.ctx.Done():
 		return nil
 	case <-ctx.Done():
--- a/internal/control/job_table.go
+++ b/internal/control/job_table.go
@@ -71,9 +71,9 @@
 	for _, j := range jt.jobs {
 		jt.bindNames(j)
 	}
-	for _, h := range jt.fleet.All() {
-		if jt.nameIndex.machineType(h) != nil {
-			h.Described = true
+	for _, machine := range jt.fleet.All() {
+		if jt.nameIndex.machineType(machine) != nil {
+			machine.Described = true
 		}
 	}
 }
@@ -159,8 +159,8 @@
 	j.ReplaceRecord(rec, time.Now())
 	j.Version = version
 	jt.bindNames(j)
-	for _, h := range jt.fleet.All() {
-		h.Recount()
+	for _, machine := range jt.fleet.All() {
+		machine.Recount()
 	}
 	jt.requestPlan()
 }
@@ -168,18 +168,18 @@
 // runningTasks counts the tasks of a job that run, those of all versions if it is a
 // service that is rolled out.
 func (jt *jobTable) runningTasks(j *job.Job) int {
-	n := 0
-	for s := range jt.fleet.SlotsOf(j) {
-		if s.Phase == wire.TaskRunning || s.Phase == wire.TaskCheckpointing {
-			n++
+	count := 0
+	for slot := range jt.fleet.SlotsOf(j) {
+		if slot.Phase == wire.TaskRunning || slot.Phase == wire.TaskCheckpointing {
+			count++
 		}
 	}
 	if j.IsVersionGroup {
-		for _, v := range j.Versions {
-			n += jt.runningTasks(v)
+		for _, version := range j.Versions {
+			count += jt.runningTasks(version)
 		}
 	}
-	return n
+	return count
 }
 
 // removeFinished removes the jobs that are over once none of their tasks is on any
--- a/internal/control/job_table_deadlines.go
+++ b/internal/control/job_table_deadlines.go
@@ -24,9 +24,9 @@
 	if j.DeadlineS != nil {
 		latest = submitted + *j.DeadlineS - runTimeEstimate(j)
 	}
-	for _, o := range jt.controller.Settings.Facts.Objectives {
-		if o.Class == j.Class && o.WithinS > 0 {
-			latest = min(latest, latestStartFor(&o, j, submitted))
+	for _, objective := range jt.controller.Settings.Facts.Objectives {
+		if objective.Class == j.Class && objective.WithinS > 0 {
+			latest = min(latest, latestStartFor(&objective, j, submitted))
 		}
 	}
 	if math.IsInf(latest, 1) {
@@ -37,14 +37,14 @@
 
 // latestStartFor is when a job that was submitted at a time has to start to meet an
 // objective, in seconds; infinite if the objective does not say.
-func latestStartFor(o *config.Objective, j *job.Job, submitted float64) float64 {
-	switch o.Kind {
+func latestStartFor(objective *config.Objective, j *job.Job, submitted float64) float64 {
+	switch objective.Kind {
 	case config.ObjectiveWait:
-		return submitted + o.WithinS
+		return submitted + objective.WithinS
 	case config.ObjectiveFinished:
 		// An objective that the job's own run time rules out gives no reason to hurry.
-		if run := runTimeEstimate(j); o.WithinS > run {
-			return submitted + o.WithinS - run
+		if runTime := runTimeEstimate(j); objective.WithinS > runTime {
+			return submitted + objective.WithinS - runTime
 		}
 	}
 	return math.Inf(1)
