--- a/internal/control/admission.go
+++ b/internal/control/admission.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// maxQueueTime is the backlog of submissions that may wait to be stored. A user
-	// who would wait longer is told to retry later.
+	// maxQueueTime bounds the backlog of submissions, measured by the time needed to
+	// store them. Submissions beyond it are refused with a retry time.
 	maxQueueTime = time.Second
-	// minQueueLength is the least length of the queue.
+	// minQueueLength is the lower bound of the queue's capacity.
 	minQueueLength = 8
-	// maxCallbacks bounds the requests that wait for one submission.
+	// maxCallbacks bounds the number of requests waiting for one submission.
 	maxCallbacks = 8
 )
 
-// admission handles submissions: it checks and stores those of users, and adopts the
-// jobs that other nodes have admitted while they could not reach the leader.
+// admission validates and stores users' submissions, and adopts the jobs that other
+// nodes admitted while they could not reach the leader.
 type admission struct {
 	*core
 	nameIndex       *nameIndex
@@ -33,26 +33,26 @@
 	admissionGroups *admissionGroups
 	teamQuotas      *teamQuotas
 
-	limit           *rate.Limiter                 // of admission's transactions
+	limit           *rate.Limiter                 // limits admission transactions
 	pending         map[string]*pendingSubmission // by job ID
-	queue           []*pendingSubmission          // those of pending that no commit has yet
+	queue           []*pendingSubmission          // pending submissions that are not part of a commit yet
 	commitsInFlight int
-	maxQueueLength  int // submissions in the queue
-	maxGroupBytes   int // estimated bytes of a group record
+	maxQueueLength  int
+	maxGroupBytes   int // bounds the estimated size of a group record
 	retryPacer      retryPacer
 }
 
-// pendingSubmission is a submission that is not durable yet, with the requests that
-// wait for it.
+// pendingSubmission is a submission that is not durable yet, with the callbacks of the
+// requests waiting for it.
 type pendingSubmission struct {
 	rec       *job.Record
 	callbacks []func(*rpc.Reply)
 }
 
-// id is the ID of the job.
+// id returns the ID of the job.
 func (ps *pendingSubmission) id() string { return ps.rec.Spec.ID }
 
-// answer replies to the requests that wait so far.
+// answer sends the response to all waiting requests.
 func (ps *pendingSubmission) answer(response *rpc.Reply) {
 	for _, respond := range ps.callbacks {
 		respond(response)
@@ -60,10 +60,11 @@
 	ps.callbacks = nil
 }
 
-// newAdmission makes the admission of a term. limit is the rate of its transactions,
-// txnOps the writes in one, valueKB the limit for a value in KiB and sockets the
-// node's limit of connections. The queue holds what can be stored within
-// maxQueueTime, on at most half of the connections.
+// newAdmission creates the admission part of a term. limit limits the rate of its
+// transactions, txnOps is the maximum number of writes per transaction, valueKB the
+// maximum size of a value in KiB and maxSockets the node's connection limit. The queue
+// holds as many submissions as can be stored within maxQueueTime, but occupies at most
+// half of the connections.
 func newAdmission(co *core, limit *rate.Limiter, txnOps int, valueKB float64, maxSockets int) *admission {
 	backlog := maxQueueTime.Seconds() * float64(limit.Limit()) * float64(2*txnOps)
 	return &admission{
@@ -75,7 +76,7 @@
 	}
 }
 
-// hasPending reports whether a submission of the team is not durable yet.
+// hasPending reports whether the team has a submission that is not durable yet.
 func (ad *admission) hasPending(team string) bool {
 	for _, ps := range ad.pending {
 		if ps.rec.Spec.Team == team {
@@ -85,13 +86,13 @@
 	return false
 }
 
-// hasJob reports whether the leader has the job: over, being stored, or in the job
-// table.
+// hasJob reports whether the job is in the leader's memory: cached as finished, pending,
+// or in the job table.
 func (ad *admission) hasJob(id string) bool {
 	return ad.completions.isFinished(id) || ad.pending[id] != nil || ad.jobTable.get(id) != nil
 }
 
-// status answers a status request.
+// status answers a request for a job's status.
 func (ad *admission) status(id string, respond func(*rpc.Reply)) {
 	notFound := reply(http.StatusNotFound, wire.Error{Error: "no such job"})
 	if !job.ValidID(id) {
@@ -103,14 +104,14 @@
 		return
 	}
 	if ad.pending[id] != nil {
-		respond(Unavailable("submission is being stored"))
+		respond(Unavailable("the submission is still being stored"))
 		return
 	}
 	ad.completions.answerFromStore(id, notFound, recordReply, respond)
 }
 
-// submit answers a submission. id may be set even if the submission is invalid; a
-// job that exists is answered with its status before any check.
+// submit answers a submission. id may be set even if the submission is invalid. If the
+// job already exists, the response is its status, whatever the checks would yield.
 func (ad *admission) submit(id string, spec *job.Spec, invalid error, respond func(*rpc.Reply)) {
 	if id != "" && ad.answerIfKnown(id, respond) {
 		return
@@ -128,21 +129,21 @@
 		return
 	}
 	if ad.admissionGroups.hasUnreadable() {
-		ad.completions.answerFromStore(id, Unavailable("a record cannot be read"), recordReply, respond)
+		ad.completions.answerFromStore(id, Unavailable("a stored group record cannot be decoded and may contain the job"), recordReply, respond)
 		return
 	}
 	ad.enqueue(id, spec, respond)
 }
 
-// answerIfKnown answers a submission whose job the leader has already, and reports
-// whether it did.
+// answerIfKnown answers a submission whose job is already in the leader's memory, and
+// reports whether it did so.
 func (ad *admission) answerIfKnown(id string, respond func(*rpc.Reply)) bool {
 	if response := ad.completions.answerFromMemory(id); response != nil {
 		respond(response)
 		return true
 	}
 	if ad.jobTable.identified(id) != nil {
-		ad.completions.answerFromStore(id, finalRefusal(Unavailable("job is ending")), recordReply, respond)
+		ad.completions.answerFromStore(id, finalRefusal(Unavailable("the job's final phase is being stored")), recordReply, respond)
 		return true
 	}
 	ps := ad.pending[id]
@@ -150,15 +151,15 @@
 		return false
 	}
 	if len(ps.callbacks) >= maxCallbacks {
-		respond(finalRefusal(Unavailable("submission is being stored")))
+		respond(finalRefusal(Unavailable("the submission is still being stored")))
 		return true
 	}
 	ps.callbacks = append(ps.callbacks, respond)
 	return true
 }
 
-// rejectInvalid answers a malformed submission. If it names a job that exists, that
-// job's status is the answer.
+// rejectInvalid answers an invalid submission: with the job's status if the named job
+// exists, otherwise with an error.
 func (ad *admission) rejectInvalid(id string, invalid error, respond func(*rpc.Reply)) {
 	badRequest := reply(http.StatusBadRequest, wire.Error{Error: invalid.Error()})
 	if id == "" {
@@ -168,8 +169,8 @@
 	ad.completions.answerFromStore(id, badRequest, recordReply, respond)
 }
 
-// enqueue adds a submission that has passed the checks to the queue, or tells its
-// user when to retry if the queue is full.
+// enqueue adds a validated submission to the queue, or refuses it with a retry time if
+// the queue is full.
 func (ad *admission) enqueue(id string, spec *job.Spec, respond func(*rpc.Reply)) {
 	now := time.Now()
 	if len(ad.queue) >= ad.maxQueueLength {
@@ -185,15 +186,16 @@
 	ad.queue = append(ad.queue, ps)
 }
 
-// refuseQueued answers the queued submissions when this node may not act as leader.
+// refuseQueued refuses all queued submissions because this node is not entitled to act
+// as leader.
 func (ad *admission) refuseQueued() {
 	for _, ps := range ad.queue {
-		ad.finish(ps, Unavailable("leadership is not certain"))
+		ad.finish(ps, Unavailable("the node cannot confirm its leadership"))
 	}
 	ad.queue = nil
 }
 
-// finish answers all requests that wait for a submission, and ends it.
+// finish answers all requests waiting for a submission and removes it.
 func (ad *admission) finish(ps *pendingSubmission, response *rpc.Reply) {
 	delete(ad.pending, ps.id())
 	ps.answer(response)
--- a/internal/control/admission_group_commit.go
+++ b/internal/control/admission_group_commit.go
@@ -8,30 +8,30 @@
 	"vetchstream/internal/state"
 )
 
-// moveRetryDelay is the wait before finished entries of a group are moved again after
-// a conflict.
+// moveRetryDelay is the delay after a failed move before a group's finished entries are
+// moved again.
 const moveRetryDelay = time.Second
 
-// groupCommit is a transaction that writes a group's record on its version. Each group
-// has one at a time, and only an entitled leader writes groups: a version that has
-// changed is the work of an earlier, unclear try of this very transaction.
+// groupCommit is a transaction that updates a group's record, conditional on the
+// record's version. Each group has at most one in flight, and only an entitled leader
+// writes groups. A changed version therefore means that an earlier try of the same
+// transaction, whose outcome was unknown, has been applied.
 type groupCommit struct {
 	gs    *admissionGroups
 	group *admissionGroup
 	txn   state.Txn
-	// version is that of the group before the transaction.
+	// version is the version of the group's record before the transaction.
 	version uint64
-	// moveConds are the conditions of a move: no active record of the moved jobs; none
-	// for a transaction that stores ends.
+	// moveConds are the additional conditions of a move: the moved jobs have no active
+	// records. Empty for a transaction that stores completions.
 	moveConds []state.Condition
-	// deletes: the transaction deletes the group's record.
-	deletes  bool
-	onStored func()
+	deletes   bool // the transaction deletes the group's record
+	onStored  func()
 }
 
-// commitGroup writes a group's record; the last of writes is that of the record
-// itself. It tries until the outcome is known and then calls onStored on the actor. A
-// move that cannot be made as it is is given up, and made anew later.
+// commitGroup commits writes, the last of which updates or deletes the group's own
+// record. It retries until the outcome is known and then calls onStored on the actor. A
+// move that cannot succeed in its current form is abandoned; a new one is composed later.
 func (gs *admissionGroups) commitGroup(g *admissionGroup, moveConds []state.Condition, writes []state.Write, onStored func()) {
 	g.writing = true
 	conds := append([]state.Condition{gs.fence, {Key: g.key, Version: g.version}}, moveConds...)
@@ -50,10 +50,10 @@
 // isMove reports whether the transaction moves finished entries.
 func (gc *groupCommit) isMove() bool { return len(gc.moveConds) > 0 }
 
-// run tries the transaction until its outcome is known or the term ends.
+// run retries the transaction until its outcome is known or the term ends.
 func (gc *groupCommit) run() {
 	gs := gc.gs
-	outcomeUnknown := false // an earlier try may have been applied
+	outcomeUnknown := false // whether an earlier try may have been applied
 	for gs.ctx.Err() == nil {
 		version, err := gs.controller.State.Commit(gs.ctx, gc.txn)
 		var conflict *state.ConflictError
@@ -78,8 +78,9 @@
 	}
 }
 
-// resolveConflict finds out why a condition failed, and reports whether the
-// transaction needs no other try. unclear: an earlier try may have been applied.
+// resolveConflict determines why a condition failed, and reports whether the transaction
+// is settled, so that run stops retrying it. outcomeUnknown tells whether an earlier try
+// may have been applied.
 func (gc *groupCommit) resolveConflict(conflict *state.ConflictError, outcomeUnknown bool) (resolved bool) {
 	gs := gc.gs
 	entry, err := gs.controller.State.Get(gs.ctx, gc.group.key)
@@ -91,7 +92,7 @@
 		gc.finish(0)
 		return true
 	case err == nil && gc.isMove():
-		// A job was admitted twice: its active record is deleted before the move.
+		// A job was admitted twice. Its active record has to be deleted before the move.
 		gs.enqueueForUser(func() {
 			for _, cond := range gc.moveConds {
 				if slices.Contains(conflict.Failed, cond.Key) {
@@ -105,7 +106,8 @@
 	return false
 }
 
-// finish has the actor apply a transaction that was stored at the version.
+// finish makes the actor update the group after the transaction was applied at the given
+// version.
 func (gc *groupCommit) finish(version uint64) {
 	gs, g := gc.gs, gc.group
 	gs.enqueueForUser(func() {
@@ -121,8 +123,8 @@
 	})
 }
 
-// postponeMove gives up a move that cannot be made as it is. It is called on the
-// actor.
+// postponeMove abandons a move that cannot succeed in its current form, and delays the
+// group's next one. It must be called on the actor.
 func (gc *groupCommit) postponeMove() {
 	gc.group.writing = false
 	gc.gs.moving = false
--- a/internal/control/admission_group_reader.go
+++ b/internal/control/admission_group_reader.go
@@ -12,16 +12,17 @@
 	"vetchstream/internal/wire"
 )
 
-// errUnreadable is the error of a stored record that does not decode. The record is
-// left as it is and affects its own job only. Nothing is said about that job: the
-// record may say that it is over.
-var errUnreadable = errors.New("record cannot be read")
+// errUnreadable marks a stored record that cannot be decoded. The record is left
+// unchanged and affects only its own job. Requests about that job are refused, because
+// the record may contain a final phase.
+var errUnreadable = errors.New("record cannot be decoded")
 
-// readJobRecord reads a job's own record, active or final, from the state service,
-// with its version; it is nil if the job was never accepted, or only in a group.
+// readJobRecord reads a job's own record, active or final, and its version from the
+// key-value store. The record is nil if the job was never accepted or is stored in a
+// group record.
 func readJobRecord(ctx context.Context, st *state.Client, id string) (*job.Record, uint64, error) {
-	// Active first: a job whose record moves between the two reads is found by the
-	// second.
+	// The active key is read first: a record that moves to its final key between the two
+	// reads is found by the second one.
 	for _, prefix := range []string{job.ActivePrefix, job.FinalPrefix} {
 		entry, err := st.Get(ctx, prefix+id)
 		if errors.Is(err, state.ErrNotFound) {
@@ -39,9 +40,9 @@
 	return nil, 0, nil
 }
 
-// findRecord reads a job's record from the state service for a node that does not
-// lead; it is nil if there is none. Groups are read first: an entry moves from its
-// group to the job's own key, never back.
+// findRecord reads a job's record from the key-value store without the leader's memory;
+// the record is nil if there is none. Groups are read first, because an entry moves from
+// its group to the job's own key but never back.
 func (c *Controller) findRecord(ctx context.Context, id string) (*job.Record, error) {
 	rec, groupErr := c.groups.find(ctx, id)
 	if rec != nil || (groupErr != nil && !errors.Is(groupErr, errUnreadable)) {
@@ -49,37 +50,37 @@
 	}
 	rec, _, err := readJobRecord(ctx, c.State, id)
 	if rec == nil && err == nil {
-		return nil, groupErr // the job may be in the group that cannot be read
+		return nil, groupErr // the unreadable group may contain the job
 	}
 	return rec, err
 }
 
-// groupReader reads the records of groups for a node that does not lead. A job's ID
-// does not tell which group has it, so one listing of all groups serves everyone who
-// waits. A caller that comes while a listing is under way waits for the next one:
-// what the current one reads may be older than what another node has told the user
-// before this request.
+// groupReader finds jobs in group records without the leader's memory. A job's ID does
+// not identify its group, so a single listing of all groups serves all waiting callers. A
+// caller that arrives during a listing waits for the next one: the current listing may
+// return data older than a response that the user has already received from another
+// node.
 type groupReader struct {
 	state *state.Client
 
 	mu      sync.Mutex
-	listing bool          // a listing is under way
-	next    *groupListing // nil: nobody waits for another listing
+	listing bool          // whether a listing is in progress
+	next    *groupListing // nil if no caller waits for another listing
 }
 
-// groupListing is one listing of all groups, for the callers that came before it
-// began. The results are valid once done is closed.
+// groupListing is a listing of all groups for the callers that arrived before it
+// started. jobs and err are valid once done is closed.
 type groupListing struct {
 	done chan struct{}
 	jobs map[string]*job.Record // by job ID
-	err  error                  // errUnreadable: the other groups are in jobs
+	err  error                  // with errUnreadable, jobs holds the entries of the readable groups
 }
 
-// listTimeout bounds a listing; its callers have given up by then.
+// listTimeout bounds a listing; its callers time out earlier.
 const listTimeout = 3 * time.Second
 
-// find returns a job's entry, or nil if no group has it. With errUnreadable, no group
-// that can be read has it.
+// find returns a job's entry, or nil if no group contains it. An errUnreadable error
+// means that no readable group contains it.
 func (gr *groupReader) find(ctx context.Context, id string) (*job.Record, error) {
 	listing := gr.joinNextListing()
 	select {
@@ -93,7 +94,8 @@
 	}
 }
 
-// joinNextListing returns the next listing, and starts it unless one is under way.
+// joinNextListing returns the next listing, and starts it unless another one is in
+// progress.
 func (gr *groupReader) joinNextListing() *groupListing {
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
@@ -108,8 +110,7 @@
 	return listing
 }
 
-// serveListings makes listings, one after the other, for as long as somebody waits
-// for one.
+// serveListings runs listings one after the other until no caller waits for another.
 func (gr *groupReader) serveListings() {
 	for {
 		listing := gr.takeNextListing()
@@ -121,7 +122,7 @@
 	}
 }
 
-// takeNextListing returns the listing to be made now, or nil if nobody waits for one.
+// takeNextListing returns the listing to run now, or nil if no caller waits for one.
 func (gr *groupReader) takeNextListing() *groupListing {
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
@@ -131,8 +132,8 @@
 	return listing
 }
 
-// list reads all groups, and returns their entries by job ID. With errUnreadable,
-// the entries are those of the groups that can be read.
+// list reads all groups and returns their entries by job ID. With an errUnreadable
+// error, the entries of the readable groups are returned.
 func (gr *groupReader) list() (map[string]*job.Record, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), listTimeout)
 	defer cancel()
--- a/internal/control/admission_groups.go
+++ b/internal/control/admission_groups.go
@@ -12,72 +12,73 @@
 	"vetchstream/internal/wire"
 )
 
-// admissionGroups holds the records of jobs that were accepted together. Bursts of
-// small jobs arrive faster than a record each can be written: the state service
-// limits writes, not bytes. The ends of the jobs are stored in the group's record,
-// and finished entries move to their own final keys while the budget is idle.
+// admissionGroups holds the records of jobs that were accepted together. The key-value
+// store limits the rate of writes rather than bytes, so bursts of small jobs arrive
+// faster than individual records could be written. The completions of such jobs are
+// stored in the group's record, and finished entries move to their own final keys while
+// the request budget is idle.
 type admissionGroups struct {
 	*core
 	recordWriter *recordWriter
 	results      *results
 
-	limit      *rate.Limiter // of the storing of job ends, shared with jobs of their own records
-	lastNumber uint64        // of the last group of this term
+	limit      *rate.Limiter // limits writes of completions; shared with jobs that have their own records
+	lastNumber uint64        // number of the last group created in this term
 	groupByJob map[string]*admissionGroup
-	// active are the groups that have ends to store or finished entries to move.
+	// active contains the groups with completions to store or finished entries to move.
 	active map[*admissionGroup]bool
-	// moving: entries of some group are being moved. One group's are at a time.
+	// moving tells whether a move is in flight. Only one group's entries move at a time.
 	moving bool
-	// unreadable: a group's record cannot be read. A job that is found nowhere else may
-	// be in it, and may be over: nothing is said about such a job, and none is accepted
-	// as new.
+	// unreadable tells whether a group's record cannot be decoded. It may contain any job
+	// that is found nowhere else, possibly in a final phase: requests about such a job are
+	// refused, and no new job is accepted.
 	unreadable bool
 }
 
-// admissionGroup is the record of a group of jobs.
+// admissionGroup mirrors the stored record of a group of jobs.
 type admissionGroup struct {
 	key                string
 	version            uint64
 	jobs               []job.Record    // as stored
 	pendingCompletions []jobCompletion // not stored yet
-	writing            bool            // a transaction is under way
-	awaitingRateLimit  bool            // the endings wait for the rate limit
+	writing            bool            // a transaction is in flight
+	awaitingRateLimit  bool            // pendingCompletions wait for the rate limit
 	noMoveBefore       time.Time
 }
 
-// index is the position of a job in the group.
+// index returns the position of a job in the group.
 func (g *admissionGroup) index(id string) int {
 	return slices.IndexFunc(g.jobs, func(rec job.Record) bool { return rec.Spec.ID == id })
 }
 
-// jobCompletion is the end of a job that is not durable yet.
+// jobCompletion is a job's final record that is not durable yet.
 type jobCompletion struct {
 	rec      *job.Record
-	onStored func() // called on the actor once the end is durable
+	onStored func() // called on the actor once the record is durable
 }
 
-// newAdmissionGroups makes a term's groups; limit is the rate of the transactions
-// that store job ends.
+// newAdmissionGroups creates the admission groups of a term. limit limits the rate of
+// transactions that store completions.
 func newAdmissionGroups(co *core, limit *rate.Limiter) *admissionGroups {
 	gs := &admissionGroups{core: co, limit: limit}
 	gs.reset()
 	return gs
 }
 
-// reset forgets the groups of a load that failed half-way.
+// reset discards the groups of an incomplete load.
 func (gs *admissionGroups) reset() {
 	gs.groupByJob = map[string]*admissionGroup{}
 	gs.active = map[*admissionGroup]bool{}
 	gs.unreadable = false
 }
 
-// load adds the group records of earlier leaders, and calls add for each entry. A
-// record that cannot be read is left as it is and does not delay the others.
+// load adds the group records of earlier leaders, and calls add for each entry. A record
+// that cannot be decoded is left unchanged and does not affect the others.
 func (gs *admissionGroups) load(entries []state.Entry, add func(*job.Record)) {
 	for _, entry := range entries {
 		var group job.Group
 		if err := wire.Unmarshal(entry.Value, &group); err != nil {
-			gs.log.Error("group record cannot be read: it is retained, its jobs wait and no new ones are admitted", "key", entry.Key, "error", err)
+			gs.log.Error("cannot decode a group record; it is retained, its jobs wait and no new jobs are admitted", "key", entry.Key, "error", err)
 			gs.unreadable = true
 			continue
 		}
@@ -88,17 +89,18 @@
 	}
 }
 
-// hasUnreadable reports whether a job that is not known may be in a record that
-// cannot be read.
+// hasUnreadable reports whether a group record cannot be decoded, so that it may contain
+// a job that is found nowhere else.
 func (gs *admissionGroups) hasUnreadable() bool { return gs.unreadable }
 
-// nextKey makes the key of a new group; no other term makes the same.
+// nextKey returns the key of a new group. It contains the term, so that keys are unique
+// across terms.
 func (gs *admissionGroups) nextKey() string {
 	gs.lastNumber++
 	return fmt.Sprintf("%s%d-%d", job.GroupPrefix, gs.term, gs.lastNumber)
 }
 
-// add adds a group whose record is stored at the version.
+// add adds a group whose record is stored with the given version.
 func (gs *admissionGroups) add(key string, version uint64, recs []job.Record) {
 	g := &admissionGroup{key: key, version: version, jobs: recs}
 	for i := range recs {
@@ -109,10 +111,10 @@
 	}
 }
 
-// has reports whether a group has the job.
+// has reports whether a group contains the job.
 func (gs *admissionGroups) has(id string) bool { return gs.groupByJob[id] != nil }
 
-// find returns a job's entry as it is stored, or nil if no group has the job.
+// find returns a job's entry as stored, or nil if no group contains the job.
 func (gs *admissionGroups) find(id string) *job.Record {
 	g := gs.groupByJob[id]
 	if g == nil {
@@ -121,17 +123,16 @@
 	return &g.jobs[g.index(id)]
 }
 
-// recordCompletion has the end of a job in a group stored; onStored is called once it is
-// durable. A user waits for the end of a cancelled job, so that is stored at once.
-// Other ends wait for the rate limit, and are stored together.
+// recordCompletion schedules the write of the final record of a job in a group; onStored
+// is called once it is durable. A cancellation is stored immediately, because its user
+// waits for it. Other completions wait for the rate limit and are stored together.
 func (gs *admissionGroups) recordCompletion(rec *job.Record, onStored func()) {
 	g := gs.groupByJob[rec.Spec.ID]
 	g.pendingCompletions = append(g.pendingCompletions, jobCompletion{rec: rec, onStored: onStored})
 	gs.active[g] = true
 }
 
-// storeAndCompact stores ends and moves finished entries, for each group that has
-// any.
+// storeAndCompact stores completions and moves finished entries of the active groups.
 func (gs *admissionGroups) storeAndCompact(now time.Time) {
 	for g := range gs.active {
 		switch {
@@ -146,13 +147,13 @@
 	}
 }
 
-// hasCancelled reports whether the end of a job that is not simply done is to be
-// stored.
+// hasCancelled reports whether a pending completion has another phase than done.
 func (g *admissionGroup) hasCancelled() bool {
 	return slices.ContainsFunc(g.pendingCompletions, func(completion jobCompletion) bool { return completion.rec.Phase != wire.JobDone })
 }
 
-// storeCompletionsRateLimited stores a group's ends when the rate limit allows it.
+// storeCompletionsRateLimited stores a group's pending completions as soon as the rate
+// limit allows it.
 func (gs *admissionGroups) storeCompletionsRateLimited(g *admissionGroup) {
 	if g.awaitingRateLimit {
 		return
@@ -171,7 +172,7 @@
 	}()
 }
 
-// storeCompletions writes the record of a group with the ends that have come.
+// storeCompletions writes a group's record with all pending completions.
 func (gs *admissionGroups) storeCompletions(g *admissionGroup) {
 	pending := g.pendingCompletions
 	g.pendingCompletions = nil
@@ -181,7 +182,7 @@
 	}
 	put, err := state.Put(g.key, job.Group{Jobs: jobs})
 	if err != nil {
-		gs.log.Error("group record cannot be encoded", "key", g.key, "error", err)
+		gs.log.Error("cannot encode a group record; its completions are not stored", "key", g.key, "error", err)
 		return
 	}
 	gs.commitGroup(g, nil, []state.Write{put}, func() {
@@ -192,21 +193,22 @@
 	})
 }
 
-// moveFinished moves finished entries of a group to their own final keys, in one
-// transaction: after a crash at any step each entry is in one of the two places.
+// moveFinished moves finished entries of a group to their own final keys. A single
+// transaction ensures that each entry is in exactly one of the two places, whenever the
+// leader crashes.
 func (gs *admissionGroups) moveFinished(g *admissionGroup) {
 	conds, writes, remaining := gs.finalWrites(g)
 	if len(writes) == 0 {
 		delete(gs.active, g)
 		return
 	}
-	// The write of the group's own record comes last (commitGroup).
+	// commitGroup requires that the write of the group's own record comes last.
 	if len(remaining) == 0 {
 		writes = append(writes, state.Write{Delete: g.key})
 	} else {
 		put, err := state.Put(g.key, job.Group{Jobs: remaining})
 		if err != nil {
-			gs.log.Error("group record cannot be encoded", "key", g.key, "error", err)
+			gs.log.Error("cannot encode a group record; its finished entries are not moved", "key", g.key, "error", err)
 			return
 		}
 		writes = append(writes, put)
@@ -223,8 +225,8 @@
 	})
 }
 
-// finalWrites are the writes of the final records of a group's finished entries, as
-// many as fit into one transaction, with their conditions, and the entries that
+// finalWrites returns the conditions and writes that move a group's finished entries to
+// their final keys, limited to what fits into one transaction, and the entries that
 // remain in the group.
 func (gs *admissionGroups) finalWrites(g *admissionGroup) (conds []state.Condition, writes []state.Write, remaining []job.Record) {
 	for i := range g.jobs {
@@ -235,12 +237,12 @@
 		}
 		put, err := state.Put(job.FinalPrefix+rec.Spec.ID, rec)
 		if err != nil {
-			gs.log.Error("job record cannot be encoded", "job", rec.Spec.ID, "error", err)
+			gs.log.Error("cannot encode a job record; the job stays in its group", "job", rec.Spec.ID, "error", err)
 			remaining = append(remaining, *rec)
 			continue
 		}
-		// Another node that reached no leader may have admitted the same job, with an active
-		// record. That record has to be deleted first, or the job would start again.
+		// A node that could not reach the leader may have admitted the same job with an
+		// active record. That record has to be deleted first, or the job would start again.
 		conds = append(conds, state.Condition{Key: job.ActivePrefix + rec.Spec.ID})
 		writes = append(writes, put)
 	}
--- a/internal/control/admission_retry.go
+++ b/internal/control/admission_retry.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	// minRetryAfter is the shortest wait that a refused user is given.
+	// minRetryAfter is the shortest retry delay sent to a client.
 	minRetryAfter = time.Second
-	// maxRetryAfter is the longest wait that users respect (protocol).
+	// maxRetryAfter is the longest retry delay that clients honor according to the protocol.
 	maxRetryAfter = 30 * time.Second
 )
 
-// retryPacer gives refused users distinct times to retry, so that they do not all
-// come back at once.
+// retryPacer assigns staggered retry times to refused clients, so that they do not all
+// retry at the same moment.
 type retryPacer struct {
-	perSecond float64   // submissions that can be stored in a second
-	nextAt    time.Time // when the user refused last is expected
+	perSecond float64   // submissions that can be stored per second
+	nextAt    time.Time // retry time of the client refused last
 }
 
-// retryAfter is how long the user who is refused now should wait before a retry.
+// retryAfter returns the retry delay for a client that is refused now.
 func (rp *retryPacer) retryAfter(now time.Time) time.Duration {
 	rp.nextAt = rp.nextAt.Add(time.Duration(float64(time.Second) / rp.perSecond))
 	if earliest := now.Add(minRetryAfter); rp.nextAt.Before(earliest) {
@@ -33,7 +33,7 @@
 	return rp.nextAt.Sub(now)
 }
 
-// tooManySubmissions refuses a submission until the wait is over.
+// tooManySubmissions returns a refusal that asks the client to retry after wait.
 func tooManySubmissions(wait time.Duration) *rpc.Reply {
 	refusal := finalRefusal(Unavailable("too many submissions at once"))
 	refusal.RetryAfter = int(math.Ceil(wait.Seconds()))
--- a/internal/control/admission_store.go
+++ b/internal/control/admission_store.go
@@ -14,35 +14,35 @@
 )
 
 const (
-	// maxCommitsInFlight bounds the concurrent transactions of admission. Now and then
-	// one takes a few hundred milliseconds, and later ones must not wait for it.
+	// maxCommitsInFlight bounds the concurrent admission transactions. Occasionally a
+	// transaction takes a few hundred milliseconds, and it must not block later ones.
 	maxCommitsInFlight = 8
-	// storeRetryPause is the wait before admission tries the state service again:
-	// after an unclear commit, a conflict that did not name its keys, or a failed read.
+	// storeRetryPause is the delay before admission accesses the key-value store again
+	// after a commit with unknown outcome, a conflict without key names or a failed read.
 	storeRetryPause = 200 * time.Millisecond
-	// conditionsPerWrite is how many conditions a transaction may have for each of the
-	// writes that it may have (protocol).
+	// conditionsPerWrite is the ratio of the protocol's limits for conditions and writes
+	// in a transaction.
 	conditionsPerWrite = 4
-	// conditionsPerJob is how many conditions the admission of a job takes: it has
-	// neither an active nor a final record. conditionsPerGroup is how many a group's
-	// transaction has besides: the fence and the group's key.
+	// conditionsPerJob is the number of conditions for the admission of a job: the job has
+	// neither an active nor a final record. conditionsPerGroup is the number of additional
+	// conditions in a group's transaction: the fence and the group's key.
 	conditionsPerJob   = 2
 	conditionsPerGroup = 2
 )
 
-// submissionRate is how many submissions can be stored in a second.
+// submissionRate returns the number of submissions that can be stored per second.
 func (ad *admission) submissionRate() float64 {
 	return float64(ad.limit.Limit()) * float64(ad.jobsPerTxn())
 }
 
-// jobsPerTxn is how many jobs one transaction may admit.
+// jobsPerTxn returns the maximum number of jobs that one transaction may admit.
 func (ad *admission) jobsPerTxn() int {
 	conditions := conditionsPerWrite * ad.recordWriter.maxWrites()
 	return max(1, (conditions-conditionsPerGroup)/conditionsPerJob)
 }
 
-// storeQueued stores the queued submissions, as many together as fit into a
-// transaction. Beyond its rate limit, admission uses the budget only while it is
+// storeQueued stores the queued submissions in batches, each as large as a transaction
+// permits. Beyond its rate limit, admission commits only while the request budget is
 // idle.
 func (ad *admission) storeQueued(now time.Time) {
 	for len(ad.queue) > 0 && ad.commitsInFlight < maxCommitsInFlight {
@@ -52,7 +52,7 @@
 		n := ad.nextBatchSize()
 		batch := slices.Clone(ad.queue[:n])
 		ad.queue = slices.Delete(ad.queue, 0, n)
-		groupKey := "" // one submission has a record of its own
+		groupKey := "" // a single submission gets its own record
 		if n > 1 {
 			groupKey = ad.admissionGroups.nextKey()
 		}
@@ -64,15 +64,15 @@
 	}
 }
 
-// nextBatchSize is how many of the queued submissions fit into one transaction, at
-// least one.
+// nextBatchSize returns how many of the queued submissions fit into one transaction, but
+// at least one.
 func (ad *admission) nextBatchSize() int {
 	n := 0
 	bytes := 0
 	for n < len(ad.queue) && n < ad.jobsPerTxn() {
 		encoded, err := wire.Marshal(ad.queue[n].rec)
 		if err != nil {
-			ad.log.Error("job record cannot be encoded", "job", ad.queue[n].id(), "error", err)
+			ad.log.Error("cannot encode the job record of a submission", "job", ad.queue[n].id(), "error", err)
 		}
 		bytes += recordSize(encoded)
 		if n > 0 && bytes > ad.maxGroupBytes {
@@ -83,16 +83,16 @@
 	return n
 }
 
-// recordSize estimates the size of an encoded record in the form in which the state
-// service counts it, with room for how the job ends.
+// recordSize estimates the size of an encoded record as the key-value store counts it,
+// including space for the final phase and counters.
 func recordSize(encoded []byte) int { return len(encoded)*5/4 + 40 }
 
-// storeBatch makes submissions durable and then answers them: one under the job's own
-// key (groupKey is empty), several in a group record. An unclear commit is tried
-// again: either it was applied, which the conditions of the next one reveal, or the
-// next one takes its place.
+// storeBatch makes submissions durable and then answers them. A single submission is
+// stored under the job's own key (groupKey is empty), several ones in a group record. A
+// commit with unknown outcome is retried: if it was applied, the conditions of the retry
+// fail; otherwise the retry replaces it.
 func (ad *admission) storeBatch(groupKey string, batch []*pendingSubmission) {
-	outcomeUnknown := false // an earlier commit may have been applied
+	outcomeUnknown := false // whether an earlier commit may have been applied
 	for ad.ctx.Err() == nil {
 		txn, err := admissionTxn(groupKey, batch)
 		if err != nil {
@@ -117,8 +117,8 @@
 			batch = remaining
 			outcomeUnknown = outcomeUnknown || stillUnknown
 		case errors.Is(err, state.ErrRefused) && !outcomeUnknown:
-			// Certainly not stored: the users are told at once to retry.
-			ad.finishAll(batch, Unavailable("state service refuses writes"))
+			// The batch is certainly not stored, so the users can retry immediately.
+			ad.finishAll(batch, Unavailable("the key-value store refuses writes"))
 			return
 		case errors.Is(err, state.ErrRejected) && !outcomeUnknown:
 			ad.requeueRejected(batch, err)
@@ -131,7 +131,7 @@
 	}
 }
 
-// finishAll has the actor give all submissions of a batch the same answer.
+// finishAll makes the actor finish all submissions of a batch with the same response.
 func (ad *admission) finishAll(batch []*pendingSubmission, response *rpc.Reply) {
 	ad.enqueueForUser(func() {
 		for _, ps := range batch {
@@ -140,30 +140,30 @@
 	})
 }
 
-// answerUnclear has the actor tell the users who wait for a batch to ask again later.
-// The submissions stay pending.
+// answerUnclear makes the actor ask the users waiting for a batch to retry, because the
+// outcome of its commit is unknown. The submissions stay pending.
 func (ad *admission) answerUnclear(batch []*pendingSubmission) {
 	ad.enqueueForUser(func() {
 		for _, ps := range batch {
-			ps.answer(Unavailable("submission is not settled yet"))
+			ps.answer(Unavailable("the outcome of storing the submission is not known yet"))
 		}
 	})
 }
 
-// requeueRejected has the actor make transactions smaller and queue a batch again
-// that the state service has rejected as too large. A single submission is refused.
+// requeueRejected makes the actor reduce the transaction size and requeue a batch that
+// the key-value store rejected as too large. A single submission is refused instead.
 func (ad *admission) requeueRejected(batch []*pendingSubmission, err error) {
 	ad.enqueueForUser(func() {
 		ad.recordWriter.shrinkIfRejected(err)
 		if len(batch) == 1 {
-			ad.finish(batch[0], Unavailable("state service rejects the submission"))
+			ad.finish(batch[0], Unavailable("the key-value store rejects the submission"))
 			return
 		}
 		ad.queue = append(ad.queue, batch...)
 	})
 }
 
-// recordAccepted has the actor add the jobs of a batch that was stored at the
+// recordAccepted makes the actor add the jobs of a batch that was stored with the given
 // version, and answer their users.
 func (ad *admission) recordAccepted(groupKey string, version uint64, batch []*pendingSubmission) {
 	kind := "own"
@@ -178,7 +178,7 @@
 				recs[i] = *ps.rec
 			}
 			ad.admissionGroups.add(groupKey, version, recs)
-			version = 0 // the jobs have no records of their own
+			version = 0 // the jobs have no individual records
 		}
 		for _, ps := range batch {
 			if ad.jobTable.identified(ps.id()) == nil {
@@ -189,8 +189,8 @@
 	})
 }
 
-// answerExisting answers a submission whose job exists already, after a fresh read of
-// the job's record.
+// answerExisting answers a submission whose job already exists, after reading the job's
+// record from the key-value store.
 func (ad *admission) answerExisting(ps *pendingSubmission) {
 	for ad.ctx.Err() == nil {
 		found, version, err := readJobRecord(ad.ctx, ad.controller.State, ps.id())
@@ -203,20 +203,20 @@
 	}
 }
 
-// finishExisting answers a submission with the record of its job that was found at
-// the version, and adopts the job if it is active and not known.
+// finishExisting answers a submission with the job's record, which was read at the given
+// version, and adopts the job if it is active and not in the job table.
 func (ad *admission) finishExisting(ps *pendingSubmission, found *job.Record, version uint64) {
 	id := ps.id()
 	switch {
 	case found == nil:
-		// The conflict was with the fence: a later term has begun.
-		ad.finish(ps, Unavailable("leadership has changed"))
+		// The failed condition was the fence: a later term has begun.
+		ad.finish(ps, Unavailable("the leader has changed"))
 		return
 	case found.Phase != "":
 		ad.completions.cacheFinalStatus(found)
 	case ad.completions.isFinished(id):
-		// The job has ended since the read. Adopted from that record it would run again,
-		// and its user would be told that it is pending.
+		// The job finished after the read. Adopting it from the outdated record would run
+		// it again and report it as pending to its user.
 		ad.finish(ps, ad.completions.answerIfFinished(id))
 		return
 	case ad.jobTable.identified(id) == nil:
@@ -225,37 +225,38 @@
 	ad.finish(ps, recordReply(found))
 }
 
-// handleConflict handles a commit of a group whose conditions failed: the unclear
-// commit before it may have been applied, the leadership may have changed, or some of
-// the jobs exist already. It returns the submissions to try again, none if all are
-// answered; unclear reports that the last commit may still have been applied.
+// handleConflict handles a group commit whose conditions failed. Either an earlier commit
+// with unknown outcome was applied, the leader has changed, or some of the jobs already
+// exist. It returns the submissions to retry, or none if all are answered.
+// outcomeUnknown reports that an earlier commit may still have been applied.
 func (ad *admission) handleConflict(groupKey string, batch []*pendingSubmission, conflict *state.ConflictError) (remaining []*pendingSubmission, outcomeUnknown bool) {
 	stored, err := ad.controller.State.Get(ad.ctx, groupKey)
 	switch {
-	case err == nil: // the unclear commit was applied
+	case err == nil: // the commit with unknown outcome was applied
 		ad.recordAccepted(groupKey, stored.Version, batch)
 		return nil, false
 	case !errors.Is(err, state.ErrNotFound):
 		ad.sleep(storeRetryPause)
 		return batch, true
 	case slices.Contains(conflict.Failed, ad.fence.Key):
-		ad.finishAll(batch, Unavailable("leadership has changed"))
+		ad.finishAll(batch, Unavailable("the leader has changed"))
 		return nil, false
 	}
-	// Jobs that exist already must not keep out the others. An unclear commit of the
-	// whole batch can no longer be applied: a job's record moves, but is never removed.
+	// Existing jobs must not prevent the admission of the others. An earlier commit of the
+	// whole batch with unknown outcome can no longer be applied: records of jobs move but
+	// are never removed, so its conditions will fail.
 	existing, remaining := partitionByKey(batch, conflict.Failed)
 	for _, ps := range existing {
 		ad.answerExisting(ps)
 	}
 	if len(existing) == 0 {
-		ad.sleep(storeRetryPause) // the service did not name the keys
+		ad.sleep(storeRetryPause) // the store did not name the keys of the failed conditions
 	}
 	return remaining, false
 }
 
-// partitionByKey parts the submissions of whose job one of the keys is the active or
-// final record from the others.
+// partitionByKey separates the submissions whose active or final key is among the keys
+// from the others.
 func partitionByKey(batch []*pendingSubmission, keys []string) (named, others []*pendingSubmission) {
 	for _, ps := range batch {
 		id := ps.id()
@@ -268,8 +269,9 @@
 	return named, others
 }
 
-// admissionTxn is the transaction that makes jobs durable that have no record yet:
-// one under its own key if groupKey is empty, otherwise all in the group's record.
+// admissionTxn composes the transaction that creates the records of jobs without one: a
+// single job's record under its own key if groupKey is empty, otherwise a group record
+// of all jobs.
 func admissionTxn(groupKey string, batch []*pendingSubmission) (txn state.Txn, err error) {
 	var put state.Write
 	if groupKey == "" {
--- a/internal/control/admission_watch.go
+++ b/internal/control/admission_watch.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	// relistInterval is the time between full listings of the active jobs. A job whose
-	// watch event was lost would otherwise be known to its user alone.
+	// relistInterval is the interval between full listings of the active jobs. Without
+	// them, a job whose watch event was lost would never be adopted.
 	relistInterval = time.Minute
-	// watchTimeout bounds one watch of the active jobs.
+	// watchTimeout bounds a single watch request.
 	watchTimeout = 10 * time.Second
-	// readRetryPause is the wait after a failed read or watch.
+	// readRetryPause is the delay after a failed read or watch.
 	readRetryPause = 300 * time.Millisecond
 )
 
-// watchActiveJobs adopts jobs that other nodes admit while they cannot reach the
-// leader. It watches their records from the revision on, and lists them all every
-// auditInterval, until the term ends.
+// watchActiveJobs adopts jobs that other nodes admit while they cannot reach the leader.
+// Until the term ends, it watches the active records from the given revision on and
+// lists all of them every relistInterval.
 func (ad *admission) watchActiveJobs(revision uint64) {
 	listedAt := time.Now()
 	for ad.ctx.Err() == nil {
@@ -50,16 +50,16 @@
 	}
 }
 
-// enqueueAdoption has the actor adopt the job whose record has the key.
+// enqueueAdoption makes the actor adopt the job whose active record has the given key.
 func (ad *admission) enqueueAdoption(key string) {
 	ad.enqueueForUser(func() { ad.adopt(key[len(job.ActivePrefix):]) })
 }
 
-// adopt takes over a job that has a record of its own, unless this term made that
-// record or knows the job.
+// adopt starts the adoption of a job that has its own record, unless the job is already
+// in the leader's memory.
 func (ad *admission) adopt(id string) {
 	if ad.admissionGroups.has(id) {
-		// Admitted by another node as well: the entry in the group is enough.
+		// Another node admitted the job as well. The entry in the group suffices.
 		ad.results.deleteLater(job.ActivePrefix + id)
 		return
 	}
@@ -69,13 +69,13 @@
 	go ad.readAndAdopt(id)
 }
 
-// readAndAdopt reads a job's record and adds the job if it is active. The event that
-// named it may be old: a job that is over by now is under its final key.
+// readAndAdopt reads a job's record and adds the job if it is active. The watch event may
+// be outdated: the record of a job that has finished since is under its final key.
 func (ad *admission) readAndAdopt(id string) {
 	for ad.ctx.Err() == nil {
 		rec, version, err := readJobRecord(ad.ctx, ad.controller.State, id)
 		if errors.Is(err, errUnreadable) {
-			return // the next listing tries again
+			return // the next listing retries
 		}
 		if err != nil {
 			ad.sleep(readRetryPause)
--- a/internal/control/admission_without_leader.go
+++ b/internal/control/admission_without_leader.go
@@ -13,11 +13,11 @@
 	"vetchstream/internal/wire"
 )
 
-// AdmitWithoutLeader answers a submission on a node that neither leads nor reaches
-// the leader, through the state service alone. The job's record is all that an
-// acceptance needs: the leader adopts the job through its watch, a later leader when
-// it loads. The record is not fenced by a term, since it holds no decision of a
-// leader.
+// AdmitWithoutLeader answers a submission on a node that neither leads nor reaches the
+// leader. It uses only the key-value store. Storing the job's record suffices to accept
+// the job: the current leader adopts it through its watch, a later leader when it loads
+// the records. The write is not fenced by a term, because the record contains no decision
+// of a leader.
 func (c *Controller) AdmitWithoutLeader(ctx context.Context, body []byte) *rpc.Reply {
 	id, spec, invalid := parseSubmission(body)
 	refusal, preconditions, err := c.admissionCheck(ctx, spec, invalid)
@@ -30,25 +30,25 @@
 	return c.commitWithoutLeader(ctx, id, spec, preconditions)
 }
 
-// StatusWithoutLeader answers a status request from the state service, for a node
-// that neither leads nor reaches the leader.
+// StatusWithoutLeader answers a status request from the key-value store on a node that
+// neither leads nor reaches the leader.
 func (c *Controller) StatusWithoutLeader(ctx context.Context, id string) *rpc.Reply {
 	rec, err := c.findRecord(ctx, id)
 	switch {
 	case err != nil:
-		return Unavailable("no leader and no state service")
+		return Unavailable("neither a leader nor the key-value store can be reached")
 	case rec == nil:
 		return reply(http.StatusNotFound, wire.Error{Error: "no such job"})
 	}
 	return reply(http.StatusOK, recordStatus(rec))
 }
 
-// noLeaderReply tells the client to retry because no leader can be reached.
-func noLeaderReply() *rpc.Reply { return Unavailable("no leader is to be reached") }
+// noLeaderReply asks the client to retry because no leader can be reached.
+func noLeaderReply() *rpc.Reply { return Unavailable("no leader can be reached") }
 
-// admissionCheck returns the refusal of a submission, or nil with the conditions on
-// the state service under which it may be admitted. The error means that what the
-// checks need could not be read.
+// admissionCheck returns the refusal of a submission, or nil and the preconditions for
+// its transaction: the records that the checks have read must be unchanged. An error
+// means that the input of the checks could not be read.
 func (c *Controller) admissionCheck(ctx context.Context, spec *job.Spec, invalid error) (refusal *rpc.Reply, preconditions []state.Condition, err error) {
 	if invalid != nil {
 		return reply(http.StatusBadRequest, wire.Error{Error: invalid.Error()}), nil, nil
@@ -64,8 +64,8 @@
 	return c.admissionRefusal(spec, types, team), conds, nil
 }
 
-// refuseUnlessRecorded answers a refused submission. A job that exists is answered
-// with its status, since that precedes every check.
+// refuseUnlessRecorded answers a refused submission. If the job already exists, the
+// response is its status, because the status takes precedence over every check.
 func (c *Controller) refuseUnlessRecorded(ctx context.Context, id string, refusal *rpc.Reply) *rpc.Reply {
 	if id == "" || refusal.Status == http.StatusServiceUnavailable {
 		return refusal
@@ -80,11 +80,11 @@
 	return refusal
 }
 
-// commitWithoutLeader commits the record of a job that has passed the checks, on the
-// condition that what the checks read is unchanged.
+// commitWithoutLeader commits the record of a job that has passed the checks, subject to
+// the preconditions of those checks.
 func (c *Controller) commitWithoutLeader(ctx context.Context, id string, spec *job.Spec, preconditions []state.Condition) *rpc.Reply {
-	// Only groups are read: whether the job has a record of its own, the conditions of
-	// the commit tell.
+	// Only groups have to be read: the conditions of the commit detect an individual
+	// record of the job.
 	inGroup, err := c.groups.find(ctx, id)
 	switch {
 	case err != nil:
@@ -98,8 +98,8 @@
 		return noLeaderReply()
 	}
 	txn.If = append(txn.If, preconditions...)
-	// A write that the budget has no room for is refused at once: to wait for it would
-	// delay every later request of this node.
+	// A write beyond the budget is refused immediately: waiting for the budget would delay
+	// every later request of this node.
 	if c.State.SpareWrites() < 1 {
 		return noLeaderReply()
 	}
@@ -112,7 +112,7 @@
 		return recordReply(existing)
 	}
 	if err != nil {
-		// The commit may have been applied: the user's next try will tell.
+		// The commit may have been applied. The user's next try determines that.
 		return noLeaderReply()
 	}
 	c.Meter.Add(metrics.JobsAccepted, "without the leader", 1)
