--- a/internal/control/commands.go
+++ b/internal/control/commands.go
@@ -7,7 +7,7 @@
 	"vetchstream/internal/wire"
 )
 
-// commands sends direct commands to workers, a bounded number at a time.
+// commands sends direct commands to workers, with a bounded number in flight.
 type commands struct {
 	*core
 	taskTracker *taskTracker
@@ -19,29 +19,29 @@
 	nextUrgentScan time.Time
 }
 
-// newCommands makes the sender of a term.
+// newCommands creates the commands part of a term.
 func newCommands(co *core, maxSockets int) *commands {
 	return &commands{core: co, maxCalls: MaxDirectCalls(maxSockets)}
 }
 
 const (
-	// urgentScanInterval spaces the scans of the machines that wait for a command:
-	// in a large fleet they are hundreds, and a scan after each message took a fifth
-	// of the leader's time.
+	// urgentScanInterval is the minimum interval between scans of the machines awaiting a
+	// command. In a large fleet there are hundreds of them, and a scan after each message
+	// took a fifth of the leader's processor time.
 	urgentScanInterval = 20 * time.Millisecond
 
-	// maxCallBackoff is the longest pause between the calls of a machine that does
-	// not answer.
+	// maxCallBackoff bounds the backoff between calls to an unresponsive machine.
 	maxCallBackoff = 4 * time.Second
 
-	// maxBackoffDoublings prevents an overflow of the doubled backoff.
+	// maxBackoffDoublings prevents an overflow of the exponential backoff.
 	maxBackoffDoublings = 8
 
-	// wrongMachineBackoff is the pause after another machine has answered at an address.
+	// wrongMachineBackoff is the delay after a different machine has answered at the
+	// machine's address.
 	wrongMachineBackoff = 10 * time.Second
 )
 
-// sendUrgent sends the commands that cannot wait for the next heartbeats.
+// sendUrgent sends the commands that cannot wait for the machines' next heartbeats.
 func (cm *commands) sendUrgent(now time.Time) {
 	if now.Before(cm.nextUrgentScan) {
 		return
@@ -54,8 +54,8 @@
 	}
 }
 
-// fenceWorkers calls the workers that have not shown this term's token yet, and
-// those that seem unreachable: an answer brings them back into use.
+// fenceWorkers calls the workers that have not reported this term's token yet, and those
+// that seem unreachable. An answer makes an unreachable machine usable again.
 func (cm *commands) fenceWorkers(now time.Time) {
 	for _, machine := range cm.fleet.All() {
 		if (!machine.Fenced || machine.InboundCut() || machine.CallUnanswered) && cm.mayCall(machine, now) {
@@ -64,7 +64,7 @@
 	}
 }
 
-// mayCall reports whether a direct command may be sent to a machine now.
+// mayCall reports whether a direct command to the machine may be sent now.
 func (cm *commands) mayCall(machine *fleet.Machine, now time.Time) bool {
 	if machine.CallInFlight || machine.Lost || machine.Addr == "" || !machine.Registered || now.Before(machine.NextCallAt) {
 		return false
@@ -73,8 +73,8 @@
 	return may && (relayed || cm.callsInFlight < cm.maxCalls)
 }
 
-// send sends a machine's commands directly: this fences a worker after a takeover,
-// and brings launches and halts without waiting for the next heartbeat.
+// send sends a machine's commands directly. This fences the worker after a takeover, and
+// delivers launches and stops without waiting for the next heartbeat.
 func (cm *commands) send(machine *fleet.Machine, now time.Time) {
 	session := max(1, machine.Session)
 	orders, sent, events := cm.fleet.ComposeOrders(machine, 0, machine.Usable(), now, maxOrders)
@@ -82,7 +82,7 @@
 	cm.taskTracker.applyEvents(events, now)
 	body, err := wire.Marshal(wire.DirectCommands{Token: cm.term, Session: session, Commands: orders})
 	if err != nil {
-		cm.log.Error("commands cannot be encoded", "error", err)
+		cm.log.Error("cannot encode direct commands; they are not sent", "error", err)
 		return
 	}
 	machine.CallInFlight = true
@@ -102,7 +102,7 @@
 }
 
 // finishCall handles the outcome of a direct command that the leader or a holder sent.
-// sent are the placements that it launched.
+// sent contains the slots whose launches were part of the command.
 func (cm *commands) finishCall(machine *fleet.Machine, result DirectResult, err error, sent []*fleet.Slot) {
 	now := time.Now()
 	machine.CallInFlight = false
@@ -126,7 +126,7 @@
 	cm.taskTracker.observe(machine, report, false, now)
 }
 
-// decodeReport reads the report in a worker's answer; nil: there is none.
+// decodeReport decodes the report in a worker's answer; it returns nil if there is none.
 func decodeReport(body []byte) *wire.Heartbeat {
 	if len(body) == 0 {
 		return nil
@@ -138,13 +138,14 @@
 	return report
 }
 
-// callFailed backs off from a machine that did not answer.
+// callFailed delays the next call to a machine that did not answer, and withdraws its
+// unsent launches.
 func (cm *commands) callFailed(machine *fleet.Machine, now time.Time) {
-	// Silent machines must not take up the few calls that may be in flight.
+	// Unresponsive machines must not occupy the limited number of calls in flight.
 	machine.NextCallAt = now.Add(min(maxCallBackoff, time.Second<<min(machine.CallFailures, maxBackoffDoublings)))
 	machine.CallFailures++
-	// A machine that hangs, or that nothing reaches, has much capacity and would be
-	// chosen again and again.
+	// A hanging or unreachable machine has much free capacity, so placement would choose it
+	// repeatedly.
 	machine.CallUnanswered = true
 	cm.taskTracker.applyEvents(cm.fleet.RemoveUnsent(machine), now)
 }
--- a/internal/control/commands_direct.go
+++ b/internal/control/commands_direct.go
@@ -15,25 +15,25 @@
 )
 
 const (
-	// directTimeout bounds a direct command.
+	// directTimeout bounds a direct command, from connecting to reading the answer.
 	directTimeout = 2500 * time.Millisecond
 
-	// directIdleTimeout is how long an unused connection to a worker stays open.
+	// directIdleTimeout is how long an idle connection to a worker stays open.
 	directIdleTimeout = 30 * time.Second
 
 	// maxDirectAnswer bounds the body of a worker's answer, in bytes.
 	maxDirectAnswer = 4 * wire.MaxBody
 )
 
-// errNotEntitled: the sender may not act for the leader any more.
-var errNotEntitled = errors.New("not entitled")
+// errNotEntitled means that the sender may no longer act on behalf of the leader.
+var errNotEntitled = errors.New("direct command not sent: sender is no longer entitled to act for the leader")
 
-// MaxDirectCalls is how many direct commands may be in flight at a time: a whole
-// fleet at once would use up the sockets and the processor.
+// MaxDirectCalls returns how many direct commands may be in flight at a time. Commands to
+// the whole fleet at once would exhaust the sockets and the processor.
 func MaxDirectCalls(maxSockets int) int { return max(8, maxSockets/16) }
 
-// DirectClient returns the HTTP client for direct commands; it holds at most idle
-// connections open between them.
+// DirectClient returns the HTTP client for direct commands; it keeps at most maxIdle idle
+// connections open.
 func DirectClient(dial state.DialFunc, maxIdle int) *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DialContext:         dial,
@@ -47,21 +47,22 @@
 
 // DirectResult is the outcome of a direct command.
 type DirectResult struct {
-	Status int    // HTTP status; 0: no complete answer
+	Status int    // HTTP status; 0 without a complete answer
 	Body   []byte // the worker's report
-	// Reached tells whether anything can have been sent to the worker.
+	// Reached tells whether a connection was established, so that the worker may have
+	// received the command.
 	Reached bool
 }
 
-// notExecuted reports whether the worker has certainly not executed the command,
-// and never will.
+// notExecuted reports whether the worker has certainly not executed the command and never
+// will.
 func (r DirectResult) notExecuted(report *wire.Heartbeat) bool {
 	refused := r.Status != http.StatusOK && report != nil
 	return !r.Reached || refused || r.Status == http.StatusBadRequest
 }
 
-// SendDirect sends a direct command and returns the worker's answer. It asks
-// entitled as late as possible whether the sender may act for the leader.
+// SendDirect sends a direct command and returns the worker's answer. It calls entitled
+// immediately before sending, to check whether the sender may act for the leader.
 func SendDirect(ctx context.Context, client *http.Client, addr string, body []byte, entitled func() bool) (DirectResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, directTimeout)
 	defer cancel()
--- a/internal/control/completions.go
+++ b/internal/control/completions.go
@@ -14,24 +14,24 @@
 	"vetchstream/internal/wire"
 )
 
-// Shares of the leader's write budget. A burst of small jobs comes faster than their
-// records can be stored; without shares of their own, admissions and completions
-// would leave nothing for the registry, and no task would start.
+// Shares of the leader's write budget. Bursts of small jobs arrive faster than their
+// records can be stored. Without these limits, admissions and completions would leave no
+// budget for the registry, and no task could start.
 const (
 	admissionShare  = 0.5
 	completionShare = 0.35
 )
 
 const (
-	// finalStatusCacheSize is how many jobs that are over are kept in memory.
+	// finalStatusCacheSize is the number of finished jobs whose status is cached.
 	finalStatusCacheSize = 4096
 
-	// finalRetryPause is the pause after a failed commit of final records.
+	// finalRetryPause is the delay after a failed commit of final records.
 	finalRetryPause = 200 * time.Millisecond
 )
 
-// completions moves jobs to their final phase, which never changes again, and
-// answers users from what is known of their jobs.
+// completions moves jobs to their final phase, which never changes afterwards, and
+// answers users' requests for the status or cancellation of jobs.
 type completions struct {
 	*core
 	jobTable        *jobTable
@@ -42,7 +42,7 @@
 	admissionGroups *admissionGroups
 
 	finalStatuses *finalStatusCache
-	cancelWaiters map[*job.Job][]func(*rpc.Reply) // users that wait for a cancellation
+	cancelWaiters map[*job.Job][]func(*rpc.Reply) // callbacks of requests waiting for a cancellation
 	writeLimit    *rate.Limiter
 	pendingMoves  []finalRecordMove
 	moveInFlight  bool
@@ -57,21 +57,21 @@
 	}
 }
 
-// reset discards what a load that failed half-way has found.
+// reset discards the pending moves of an incomplete load.
 func (cp *completions) reset() { cp.pendingMoves = nil }
 
-// cacheFinalStatus remembers the final status of a job.
+// cacheFinalStatus caches the final status of a job.
 func (cp *completions) cacheFinalStatus(rec *job.Record) { cp.finalStatuses.put(recordStatus(rec)) }
 
-// isFinished reports whether a job is remembered as over.
+// isFinished reports whether the cache contains a final status of the job.
 func (cp *completions) isFinished(id string) bool {
 	_, ok := cp.finalStatuses.get(id)
 	return ok
 }
 
-// finish moves a job to its final phase. From here on nothing of it is launched,
-// whatever becomes of the commit. Done and aborted race on the version of the active
-// record; the first to commit is final.
+// finish moves a job to its final phase. None of its tasks is launched afterwards,
+// whatever the outcome of the commit. Completion and cancellation compete on the version
+// of the active record; the first commit wins.
 func (cp *completions) finish(j *job.Job, phase wire.JobPhase) {
 	j.Closing = phase
 	if phase == wire.JobCancelled {
@@ -90,23 +90,24 @@
 	}
 	final, err := cp.newFinalCommit(j, rec)
 	if err != nil {
-		cp.log.Error("job record cannot be encoded", "job", j.ID, "error", err)
+		cp.log.Error("cannot encode the final record of a job; its final phase is not stored", "job", j.ID, "error", err)
 		return
 	}
 	go cp.commitFinal(final)
 }
 
-// finalCommit is the transaction that stores the final record of a job. Its
-// goroutine must not touch the job itself, which is the actor's.
+// finalCommit is the transaction that stores the final record of a job. The goroutine
+// that commits it must not access the job, which belongs to the actor.
 type finalCommit struct {
 	job     *job.Job
 	rec     *job.Record
 	txn     state.Txn
-	inPlace bool // the record stays under the active key and has to be moved later
+	inPlace bool // the final record stays under the active key and is moved later
 }
 
-// newFinalCommit makes the transaction. The final record moves to its own key at
-// once, or later where many jobs end together: the phase alone takes half the writes.
+// newFinalCommit composes the transaction. If the request budget is idle, the record
+// moves to its final key immediately. Otherwise only the active record is updated, which
+// takes half the writes, and the move follows later.
 func (cp *completions) newFinalCommit(j *job.Job, rec *job.Record) (finalCommit, error) {
 	activeKey := job.ActivePrefix + j.ID
 	inPlace := !cp.controller.State.Idle(cp.recordWriter.maxWrites())
@@ -127,11 +128,11 @@
 	return finalCommit{job: j, rec: rec, txn: txn, inPlace: inPlace}, nil
 }
 
-// commitFinal commits until the job's end is stored, its own or that of an earlier
-// try, or the term ends.
+// commitFinal retries the transaction until a final record of the job is stored, by this
+// or a competing commit, or the term ends.
 func (cp *completions) commitFinal(final finalCommit) {
 	for cp.ctx.Err() == nil {
-		// A user waits for the end of a cancelled job; the others take turns.
+		// Only completions wait for the rate limit. The user of a cancelled job is waiting.
 		if final.rec.Phase == wire.JobDone && cp.writeLimit.WaitN(cp.ctx, len(final.txn.Writes)) != nil {
 			return
 		}
@@ -142,8 +143,8 @@
 			cp.enqueueForUser(func() { cp.pendingMoves = append(cp.pendingMoves, finalRecordMove{rec, version}) })
 		case err == nil:
 		case errors.Is(err, state.ErrConflict):
-			// An unclear commit of our own that left the record in its place is found
-			// and moved by the next leader.
+			// An earlier try with unknown outcome may have been applied. If it left the
+			// record under the active key, the next leader finds and moves it.
 			rec = cp.storedFinalRecord(rec.Spec.ID)
 		default:
 			rec = nil
@@ -157,8 +158,8 @@
 	}
 }
 
-// storedFinalRecord reads the record of a job that is over; nil: it is not over, or
-// that cannot be decided now, or the leader is deposed.
+// storedFinalRecord reads the final record of a job. It returns nil if the record is not
+// final or cannot be read, or if the term has ended.
 func (cp *completions) storedFinalRecord(id string) *job.Record {
 	rec, _, err := readJobRecord(cp.ctx, cp.controller.State, id)
 	if err != nil || rec == nil || rec.Phase == "" {
@@ -167,7 +168,8 @@
 	return rec
 }
 
-// completionStored takes in that a job's final record is stored, and notifies its user.
+// completionStored updates a job whose final record has been stored, and answers the
+// users waiting for its cancellation.
 func (cp *completions) completionStored(j *job.Job, rec *job.Record) {
 	j.Phase = rec.Phase
 	cp.controller.Meter.Add(metrics.JobsEnded, string(j.Phase), 1)
@@ -182,20 +184,21 @@
 	cp.requestPlan()
 }
 
-// finalRecordMove is the record of a job that is over and still under its active key.
+// finalRecordMove is a final record that is still stored under the job's active key.
 type finalRecordMove struct {
 	rec     *job.Record
 	version uint64
 }
 
-// addPendingMove takes in a record of a job that is over and still under its active key.
+// addPendingMove queues the move of a final record that is still stored under the job's
+// active key.
 func (cp *completions) addPendingMove(rec *job.Record, version uint64) {
 	cp.cacheFinalStatus(rec)
 	cp.pendingMoves = append(cp.pendingMoves, finalRecordMove{rec, version})
 }
 
-// moveFinalRecords moves records of jobs that are over to their own keys, when the
-// budget is idle: the next leader has to read the list of active jobs.
+// moveFinalRecords moves final records to their own keys while the request budget is
+// idle. This keeps the list of active jobs short, which the next leader has to read.
 func (cp *completions) moveFinalRecords() {
 	if cp.moveInFlight || len(cp.pendingMoves) == 0 || !cp.controller.State.Idle(cp.recordWriter.maxWrites()) {
 		return
@@ -211,8 +214,8 @@
 		cp.enqueueForUser(func() {
 			cp.moveInFlight = false
 			cp.recordWriter.shrinkIfRejected(err)
-			// On a conflict an unclear commit of before was applied; what is left of the
-			// batch is found by the next leader.
+			// On a conflict, an earlier commit with unknown outcome was applied. The next
+			// leader finds the rest of the batch.
 			if err == nil || errors.Is(err, state.ErrConflict) {
 				cp.pendingMoves = cp.pendingMoves[batchSize:]
 			}
@@ -220,14 +223,14 @@
 	}()
 }
 
-// moveTxn is the transaction that moves final records to their own keys.
+// moveTxn composes the transaction that moves final records to their own keys.
 func (cp *completions) moveTxn(moves []finalRecordMove) state.Txn {
 	txn := state.Txn{If: []state.Condition{cp.fence}}
 	for _, move := range moves {
 		id := move.rec.Spec.ID
 		put, err := state.Put(job.FinalPrefix+id, move.rec)
 		if err != nil {
-			cp.log.Error("job record cannot be encoded", "job", id, "error", err)
+			cp.log.Error("cannot encode the final record of a job; it stays under the active key", "job", id, "error", err)
 			continue
 		}
 		activeKey := job.ActivePrefix + id
--- a/internal/control/completions_answers.go
+++ b/internal/control/completions_answers.go
@@ -10,13 +10,14 @@
 	"vetchstream/internal/wire"
 )
 
-// freshReadTimeout bounds a read of a job's record for an answer.
+// freshReadTimeout bounds the read of a job's record for a response.
 const freshReadTimeout = 3 * time.Second
 
-// answerFromMemory answers from memory; nil if the job is not there, or is about to
-// be over. From the moment the commit of its end is sent another node may have read
-// that end and answered with it, while this one does not know of it yet: only a fresh
-// read can say.
+// answerFromMemory returns a job's status from memory, or nil if the job is not in memory
+// or its final record is being committed. Once that commit has been sent, another node
+// may already have read the final record and reported it to the user, while this node
+// does not have the outcome yet. Only a read of the key-value store gives a consistent
+// answer then.
 func (cp *completions) answerFromMemory(id string) *rpc.Reply {
 	if j := cp.jobTable.identified(id); j != nil {
 		if j.Closing != "" && j.Phase == "" {
@@ -27,8 +28,8 @@
 	return cp.answerIfFinished(id)
 }
 
-// answerIfFinished answers for a job that is over; nil: it is not, or it is no longer
-// remembered.
+// answerIfFinished returns the status of a finished job from memory, or nil if the job is
+// not finished or its status is no longer cached.
 func (cp *completions) answerIfFinished(id string) *rpc.Reply {
 	if status, ok := cp.finalStatuses.get(id); ok {
 		return reply(http.StatusOK, status)
@@ -39,8 +40,9 @@
 	return nil
 }
 
-// answerFromStore answers from a fresh read; absent is the answer for a job that was
-// never accepted, active makes the answer for a job that is not over.
+// answerFromStore answers after reading the job's record from the key-value store.
+// notFound is the response for a job that was never accepted, answerActive composes the
+// response for a job that is not finished.
 func (cp *completions) answerFromStore(id string, notFound *rpc.Reply, answerActive func(*job.Record) *rpc.Reply, respond func(*rpc.Reply)) {
 	go func() {
 		ctx, cancel := context.WithTimeout(cp.ctx, freshReadTimeout)
@@ -48,7 +50,7 @@
 		rec, err := cp.controller.findRecord(ctx, id)
 		switch {
 		case err != nil:
-			respond(Unavailable("job record cannot be read at the moment"))
+			respond(Unavailable("the job's record cannot be read at the moment"))
 		case rec == nil:
 			respond(notFound)
 		case rec.Phase == "":
@@ -60,7 +62,7 @@
 	}()
 }
 
-// recordStatus is the status of the job of a record.
+// recordStatus returns the job status that a record describes.
 func recordStatus(rec *job.Record) wire.JobStatus {
 	status := wire.JobStatus{ID: rec.Spec.ID, Phase: rec.Phase, Done: rec.Done}
 	if status.Phase == "" {
@@ -69,10 +71,11 @@
 	return status
 }
 
-// recordReply answers with the status of the job of a record.
+// recordReply returns a response with the job status that a record describes.
 func recordReply(rec *job.Record) *rpc.Reply { return reply(http.StatusOK, recordStatus(rec)) }
 
-// cancel cancels a job for its user and answers once that is stored.
+// cancel cancels a job at its user's request, and responds once the cancellation is
+// stored.
 func (cp *completions) cancel(id string, respond func(*rpc.Reply)) {
 	notFound := reply(http.StatusNotFound, wire.Error{Error: "no such job"})
 	if !job.ValidID(id) {
@@ -94,9 +97,9 @@
 	}
 }
 
-// cancelUnknown answers for a job that is over and no longer remembered, that was
-// never accepted, or that another node admitted a moment ago: that one is taken in,
-// and the user's next try finds it.
+// cancelUnknown answers the cancellation of a job that is not in the job table: it is
+// finished, was never accepted, or was recently admitted by another node. In the last
+// case the job is adopted, so that the user's next try finds it.
 func (cp *completions) cancelUnknown(id string, notFound *rpc.Reply, respond func(*rpc.Reply)) {
 	if response := cp.answerIfFinished(id); response != nil {
 		respond(response)
@@ -104,7 +107,7 @@
 	}
 	adopt := func(*job.Record) *rpc.Reply {
 		cp.enqueueForUser(func() { cp.admission.adopt(id) })
-		return Unavailable("job is being taken in")
+		return Unavailable("the job was admitted by another node and is being adopted")
 	}
 	cp.answerFromStore(id, notFound, adopt, respond)
 }
--- a/internal/control/completions_cache.go
+++ b/internal/control/completions_cache.go
@@ -2,13 +2,13 @@
 
 import "vetchstream/internal/wire"
 
-// finalStatusCache remembers the status of the jobs that were over last, within a
-// bound: a long day must not fill the memory. Older ones are read from the key-value
-// store.
+// finalStatusCache caches the status of the jobs that finished most recently. Its size is
+// fixed, so that memory use does not grow with the number of jobs; the status of older
+// jobs is read from the key-value store.
 type finalStatusCache struct {
 	byID map[string]wire.JobStatus
-	ring []string // the remembered ids, overwritten from the oldest on
-	next int      // index in ring
+	ring []string // cached job IDs; the oldest is overwritten first
+	next int      // index in ring of the next ID to overwrite
 }
 
 func newFinalStatusCache(size int) *finalStatusCache {
@@ -18,7 +18,7 @@
 	}
 }
 
-// put remembers a status, in place of the oldest one if the cache is full.
+// put caches a status, replacing the oldest one if the cache is full.
 func (fc *finalStatusCache) put(status wire.JobStatus) {
 	if _, ok := fc.byID[status.ID]; !ok {
 		delete(fc.byID, fc.ring[fc.next])
@@ -28,7 +28,7 @@
 	fc.byID[status.ID] = status
 }
 
-// get returns the status of a job; ok is false if it is not remembered.
+// get returns the status of a job; ok is false if it is not cached.
 func (fc *finalStatusCache) get(id string) (status wire.JobStatus, ok bool) {
 	status, ok = fc.byID[id]
 	return status, ok
