--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -15,7 +15,7 @@
 	"vetchstream/internal/wire"
 )
 
-// Deps are a controller's dependencies.
+// Deps contains the dependencies of a Controller.
 type Deps struct {
 	Settings *config.Settings
 	Tuning   *config.Tuning
@@ -23,18 +23,18 @@
 	Cloud    *autoscale.Cloud
 	Dial     state.DialFunc
 	Log      *slog.Logger
-	Meter    *metrics.Meter // nil: off
+	Meter    *metrics.Meter // nil disables metrics
 	// Entitled reports whether this node may act for the term now.
 	Entitled func(term uint64) bool
-	// Remaining is how long the node stays entitled without another renewal.
+	// Remaining returns how long the node stays entitled without another lease renewal.
 	Remaining func(term uint64) time.Duration
-	// Deposed is called with a later term that a worker has seen.
+	// Deposed is called when a worker reports a later term.
 	Deposed func(term uint64)
-	// Follow asks the leader of the home region from another region.
+	// Follow sends a request to the leader of the home region.
 	Follow FollowFunc
 }
 
-// Controller answers for the cluster while its node leads.
+// Controller handles the cluster's requests. While its node leads, it runs a leader term.
 type Controller struct {
 	Deps
 	directClient *http.Client
@@ -42,10 +42,10 @@
 
 	mu         sync.Mutex
 	leaderTerm *leaderTerm
-	types      []wire.MachineType // the last price list, kept over terms
+	types      []wire.MachineType // the latest price list, retained across terms
 }
 
-// New makes a controller that does not lead yet.
+// New creates a controller that does not lead yet.
 func New(deps Deps) *Controller {
 	maxCalls := MaxDirectCalls(deps.Settings.Facts.Resources.MaxSockets)
 	return &Controller{
@@ -55,10 +55,10 @@
 	}
 }
 
-// Shares of the state service's limits, by role: nearly all requests are the
-// leader's, the other nodes read for users and watch. Together they stay below the
-// limits, so that a storm of users at all nodes does not get the leader's own
-// requests refused. What is left is the election's.
+// Shares of the key-value store's rate limits by role. The leader sends nearly all
+// requests; followers read for users and watch. The sum stays below the limits, so that a
+// surge of user requests at all nodes does not cause the leader's requests to be refused.
+// The rest is reserved for the election.
 const (
 	leaderReadShare    = 0.55
 	leaderWriteShare   = 0.75
@@ -66,7 +66,7 @@
 	followerWriteShare = 0.1
 )
 
-// StateBudget is a node's share of the state service's limits.
+// StateBudget returns a node's share of the key-value store's rate limits.
 func StateBudget(settings *config.Settings, leads bool) state.Budget {
 	reads := followerReadShare
 	writes := followerWriteShare
@@ -77,7 +77,7 @@
 	return state.Budget{RPS: reads * settings.Facts.State.RPS, WriteRPS: writes * settings.Facts.State.WriteRPS}
 }
 
-// Lead runs one leader term until its context ends.
+// Lead runs a leader term until ctx is cancelled.
 func (c *Controller) Lead(ctx context.Context, term election.Term) {
 	c.State.SetBudget(StateBudget(c.Settings, true))
 	defer c.State.SetBudget(StateBudget(c.Settings, false))
@@ -89,21 +89,21 @@
 	c.setCurrentTerm(nil)
 }
 
-// setCurrentTerm publishes the term that the node leads; nil: none.
+// setCurrentTerm publishes the term that the node leads, or nil if it does not lead.
 func (c *Controller) setCurrentTerm(lt *leaderTerm) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.leaderTerm = lt
 }
 
-// currentTerm is the term that the node leads; nil: it does not lead.
+// currentTerm returns the term that the node leads, or nil if it does not lead.
 func (c *Controller) currentTerm() *leaderTerm {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.leaderTerm
 }
 
-// Leading reports whether the node leads and is entitled to.
+// Leading reports whether the node leads and is entitled to act as leader.
 func (c *Controller) Leading() bool {
 	lt := c.currentTerm()
 	return lt != nil && c.Entitled(lt.term)
--- a/internal/control/control_feasibility.go
+++ b/internal/control/control_feasibility.go
@@ -14,8 +14,8 @@
 	"vetchstream/internal/wire"
 )
 
-// admissionRefusal refuses a job that can never run, or that cannot be judged yet;
-// nil: it may be admitted.
+// admissionRefusal returns the refusal of a job that can never run or whose feasibility
+// cannot be decided yet, or nil if the job may be admitted.
 func (c *Controller) admissionRefusal(spec *job.Spec, types []wire.MachineType, team quota) *rpc.Reply {
 	reason, decidable := unschedulableReason(spec, types, team.current)
 	if reason != "" && team.target != nil {
@@ -37,8 +37,8 @@
 	Types []wire.MachineType `codec:"types"`
 }
 
-// loadMachineTypes is the last price list that this node, or a leader, has read; nil:
-// there is none yet.
+// loadMachineTypes returns the latest price list that this node has cached or a leader
+// has stored, or nil if there is none yet.
 func (c *Controller) loadMachineTypes(ctx context.Context) ([]wire.MachineType, error) {
 	if types := c.cachedTypes(); types != nil {
 		return types, nil
@@ -70,11 +70,11 @@
 	c.types = types
 }
 
-// quotaTolerance absorbs rounding where amounts are compared with a limit.
+// quotaTolerance absorbs rounding errors in comparisons with a limit.
 const quotaTolerance = 1e-6
 
-// unschedulableReason gives the reason why a job can never run, empty if it can;
-// known is false where that cannot be decided yet.
+// unschedulableReason returns the reason why a job can never run, or an empty string if
+// it can. decidable is false if the machine types are not known yet.
 func unschedulableReason(spec *job.Spec, types []wire.MachineType, team *config.Team) (reason string, decidable bool) {
 	if team == nil {
 		return "unknown team", true
@@ -84,20 +84,21 @@
 	}
 	zones := feasibleZones(spec, types)
 	if len(zones) == 0 {
-		return "a task fits no allowed machine type", true
+		return "its tasks fit no allowed machine type in an allowed zone", true
 	}
-	// A gang runs whole, and at most half of it may be in one zone.
+	// All tasks of a gang run at the same time, and at most half of those of a spread gang
+	// may be in one zone.
 	if spec.ParsedShape() == job.Gang && spec.Tasks > 1 && spec.Spread && (spec.OneZone || len(zones) == 1) {
-		return "its tasks have to be apart and fit in one zone only", true
+		return "its tasks have to be spread over zones, but may run in one zone only", true
 	}
 	if exceedsQuota(spec, team) {
-		return "more than the team's limit", true
+		return "it exceeds the team's limit", true
 	}
 	return "", true
 }
 
-// feasibleZones are the zones in which a task of a job fits a machine type that the
-// job allows.
+// feasibleZones returns the allowed zones in which a task of the job fits an allowed
+// machine type.
 func feasibleZones(spec *job.Spec, types []wire.MachineType) map[string]bool {
 	need := place.Resources{CPUs: spec.CPUs, GPUs: spec.GPUs, MemGB: spec.MemGB}
 	zones := map[string]bool{}
@@ -116,8 +117,8 @@
 	return zones
 }
 
-// exceedsQuota reports whether a job can never run within a team's limit. An array
-// can run one task at a time, all other jobs run whole.
+// exceedsQuota reports whether a job can never run within the team's limit. An array can
+// run one task at a time; other jobs run all their tasks at the same time.
 func exceedsQuota(spec *job.Spec, team *config.Team) bool {
 	concurrent := 1.0
 	if spec.ParsedShape() != job.Array {
--- a/internal/control/control_requests.go
+++ b/internal/control/control_requests.go
@@ -9,7 +9,7 @@
 	"vetchstream/internal/wire"
 )
 
-// reply encodes a response body.
+// reply returns a response with the encoded body.
 func reply(status int, v any) *rpc.Reply {
 	b, err := wire.Marshal(v)
 	if err != nil {
@@ -18,41 +18,42 @@
 	return &rpc.Reply{Status: status, Body: b}
 }
 
-// retryAfterS is when a client may retry a request that could not be served, in
+// retryAfterS is the retry delay for requests that cannot be served at the moment, in
 // seconds.
 const retryAfterS = 1
 
-// Unavailable refuses a request for now; the client retries it.
+// Unavailable returns a temporary refusal (status 503) with a retry delay.
 func Unavailable(reason string) *rpc.Reply {
 	refusal := reply(http.StatusServiceUnavailable, wire.Error{Error: reason})
 	refusal.RetryAfter = retryAfterS
 	return refusal
 }
 
-// finalRefusal marks a refusal as the leader's own decision: the node that
-// forwarded the request must not serve it by itself, which would double the load
-// that the leader sheds.
+// finalRefusal marks a refusal as the leader's own decision. The node that forwarded the
+// request must not serve it itself, which would double the load that the leader sheds.
 func finalRefusal(response *rpc.Reply) *rpc.Reply {
 	response.Final = true
 	return response
 }
 
-// actorRequest is a request in the form in which the leader's actor takes it.
+// actorRequest is a decoded request for the leader's actor.
 type actorRequest struct {
-	inbox chan func() // the queue that it waits in
-	// run handles the request on the actor's goroutine and answers through back,
-	// at once or later.
+	inbox chan func() // the inbox to enqueue it in
+	// run handles the request on the actor's goroutine and answers through respond,
+	// immediately or later.
 	run func(respond func(*rpc.Reply))
 }
 
-// Answer answers a request as leader; nil means that this node does not lead.
+// Answer answers a request as leader. It returns nil if this node cannot answer as
+// leader: it does not lead, or is still loading the records and any node can answer the
+// request.
 func (c *Controller) Answer(ctx context.Context, req *rpc.Request) *rpc.Reply {
 	lt := c.currentTerm()
 	if lt == nil || !c.Entitled(lt.term) {
 		return nil
 	}
 	if (req.Kind == rpc.KindSubmit || req.Kind == rpc.KindStatus) && !lt.takeover.loaded() {
-		return nil // any node can answer that from the state service, sooner
+		return nil // any node can answer these from the key-value store, and sooner
 	}
 	actorReq, refusal := lt.decodeRequest(req)
 	if refusal != nil {
@@ -61,7 +62,7 @@
 	return c.awaitActor(ctx, lt, actorReq)
 }
 
-// decodeRequest reads a request; refusal is set where it cannot be read.
+// decodeRequest decodes a request; refusal is set if it is malformed.
 func (lt *leaderTerm) decodeRequest(req *rpc.Request) (actorReq actorRequest, refusal *rpc.Reply) {
 	actorReq = actorRequest{inbox: lt.userInbox}
 	switch req.Kind {
@@ -83,7 +84,7 @@
 	return actorReq, refusal
 }
 
-// decodeOperation reads a roll-out, calendar or configuration request.
+// decodeOperation decodes a roll-out, calendar or configuration request.
 func (lt *leaderTerm) decodeOperation(req *rpc.Request) (run func(respond func(*rpc.Reply)), refusal *rpc.Reply) {
 	op := &rpc.Operation{}
 	if err := wire.Unmarshal(req.Body, op); err != nil {
@@ -99,7 +100,7 @@
 	return func(respond func(*rpc.Reply)) { handle(op, respond) }, nil
 }
 
-// decodeHeartbeat reads a worker's heartbeat.
+// decodeHeartbeat decodes a worker's heartbeat.
 func (lt *leaderTerm) decodeHeartbeat(req *rpc.Request) (run func(respond func(*rpc.Reply)), refusal *rpc.Reply) {
 	heartbeat := &wire.Heartbeat{}
 	if err := wire.Unmarshal(req.Body, heartbeat); err != nil || heartbeat.Host == "" || heartbeat.Session == 0 {
@@ -108,8 +109,8 @@
 	return func(respond func(*rpc.Reply)) { lt.heartbeat(heartbeat, req.ForwardedBy, respond) }, nil
 }
 
-// awaitActor hands a request to the leader's actor and waits for its answer; nil
-// means that the term has ended or the node is no longer entitled.
+// awaitActor passes a request to the leader's actor and waits for the response. It
+// returns nil if the term has ended or the node is no longer entitled to lead.
 func (c *Controller) awaitActor(ctx context.Context, lt *leaderTerm, actorReq actorRequest) *rpc.Reply {
 	responses := make(chan *rpc.Reply, 1)
 	respond := func(response *rpc.Reply) {
@@ -123,12 +124,12 @@
 	case <-lt.ctx.Done():
 		return nil
 	case <-ctx.Done():
-		return Unavailable("busy")
+		return Unavailable("the leader is busy")
 	}
 	select {
 	case response := <-responses:
-		// As late as possible: the actor's decision may have waited here for longer
-		// than the lease.
+		// Entitlement is checked as late as possible: the response may have waited here for
+		// longer than the lease.
 		if !c.Entitled(lt.term) {
 			return nil
 		}
@@ -136,7 +137,7 @@
 	case <-lt.ctx.Done():
 		return nil
 	case <-ctx.Done():
-		return Unavailable("not settled yet")
+		return Unavailable("the request is still being processed")
 	}
 }
 
--- a/internal/control/job_table.go
+++ b/internal/control/job_table.go
@@ -8,8 +8,8 @@
 	"vetchstream/internal/wire"
 )
 
-// jobTable holds the leader's jobs: the active ones, and those whose tasks may still
-// be on machines. Each has a dense index.
+// jobTable contains the active jobs and the jobs whose tasks may still be on machines.
+// Each job has an index, which is never reused within a term.
 type jobTable struct {
 	*core
 	nameIndex       *nameIndex
@@ -22,8 +22,8 @@
 	indexes     map[*job.Job]int
 	jobsByIndex map[int]*job.Job
 	lastIndex   int
-	// unidentified are jobs that a report named and no record was loaded for: what
-	// they take of a machine is not known until their record is read.
+	// unidentified contains the jobs that a report named but for which no record was
+	// loaded. The resources of their tasks are unknown until the record is read.
 	unidentified map[*job.Job]bool
 }
 
@@ -33,17 +33,17 @@
 	return jt
 }
 
-// reset discards the jobs of a load that failed half-way.
+// reset discards the jobs of an incomplete load.
 func (jt *jobTable) reset() {
 	jt.jobs = map[string]*job.Job{}
 	jt.indexes = map[*job.Job]int{}
 	jt.jobsByIndex = map[int]*job.Job{}
 }
 
-// get returns the job of that id, also an unidentified one; nil: there is none.
+// get returns the job with the ID, even if it is unidentified, or nil if there is none.
 func (jt *jobTable) get(id string) *job.Job { return jt.jobs[id] }
 
-// identified returns the job of that id if its record is known; nil: it is not.
+// identified returns the job with the ID if its record is known, otherwise nil.
 func (jt *jobTable) identified(id string) *job.Job {
 	if j := jt.jobs[id]; j != nil && !jt.unidentified[j] {
 		return j
@@ -51,22 +51,22 @@
 	return nil
 }
 
-// all are the jobs by their ids.
+// all returns all jobs by ID.
 func (jt *jobTable) all() map[string]*job.Job { return jt.jobs }
 
-// index is a job's dense index, from 1; 0: it is not in the table.
+// index returns a job's index, starting at 1, or 0 if the job is not in the table.
 func (jt *jobTable) index(j *job.Job) int { return jt.indexes[j] }
 
-// byIndex is the job of an index.
+// byIndex returns the job with the index, or nil if there is none.
 func (jt *jobTable) byIndex(index int) *job.Job { return jt.jobsByIndex[index] }
 
-// isUnidentified reports whether a job's record is not known yet.
+// isUnidentified reports whether the job's record is not known yet.
 func (jt *jobTable) isUnidentified(j *job.Job) bool { return jt.unidentified[j] }
 
-// unidentifiedJobs are the jobs whose records are not known yet.
+// unidentifiedJobs returns the jobs whose records are not known yet.
 func (jt *jobTable) unidentifiedJobs() map[*job.Job]bool { return jt.unidentified }
 
-// rebindNames maps the names of all jobs to indices anew, after a price list.
+// rebindNames updates the name indices of all jobs after a change of the price list.
 func (jt *jobTable) rebindNames() {
 	for _, j := range jt.jobs {
 		jt.bindNames(j)
@@ -78,7 +78,7 @@
 	}
 }
 
-// bindNames maps a job's names to indices.
+// bindNames sets a job's indices for its team, image, zone and machine types.
 func (jt *jobTable) bindNames(j *job.Job) {
 	if t := jt.nameIndex.teamIndex(j.Team); t >= 0 {
 		j.TeamIdx = t
@@ -93,8 +93,8 @@
 	}
 }
 
-// add takes in the job of a record; version is that of the record's key, 0 if the
-// record is part of another.
+// add adds the job that a record describes. version is the version of the record's key,
+// or 0 if the record is part of a group record.
 func (jt *jobTable) add(rec *job.Record, version uint64, submitted time.Time) *job.Job {
 	j := job.New(rec, submitted)
 	j.Version = version
@@ -109,9 +109,9 @@
 	return j
 }
 
-// findOrAdd returns the job of a task that a report names. One that is not in the
-// table is over, or unknown: its record is read, because what its tasks take still
-// counts against its team. None of its tasks may go on.
+// findOrAdd returns the job of a task that a report names. A job that is not in the table
+// is finished or unknown. Its tasks have to be stopped, but their resources count against
+// the team's limit until then, so the job is added and its record is read.
 func (jt *jobTable) findOrAdd(id string) *job.Job {
 	if j := jt.jobs[id]; j != nil {
 		return j
@@ -125,18 +125,18 @@
 	return j
 }
 
-// identifyRetryPause is the pause after a failed read of an unknown job's record.
+// identifyRetryPause is the delay after a failed read of an unidentified job's record.
 const identifyRetryPause = 300 * time.Millisecond
 
-// identify reads the record of an unknown job, and retries until that succeeds or
-// the term ends.
+// identify reads the record of an unidentified job, and retries until the read succeeds
+// or the term ends.
 func (jt *jobTable) identify(j *job.Job, id string) {
 	for jt.ctx.Err() == nil {
 		rec, version, err := readJobRecord(jt.ctx, jt.controller.State, id)
 		if errors.Is(err, errUnreadable) {
-			// What its tasks take of a team's limit will not be known: nothing is placed
-			// until they are gone.
-			jt.log.Error("a machine runs a task of a job whose record cannot be read", "job", id, "error", err)
+			// The tasks' share of a team's limit stays unknown, so no task is placed until
+			// these tasks are off their machines.
+			jt.log.Error("a machine runs a task of a job whose record cannot be decoded", "job", id, "error", err)
 			return
 		}
 		if err != nil {
@@ -148,12 +148,12 @@
 	}
 }
 
-// setRecord replaces the placeholder of an unknown job by its record; nil: there is
-// none.
+// setRecord replaces the placeholder of an unidentified job by its record; rec is nil if
+// the job has none.
 func (jt *jobTable) setRecord(j *job.Job, id string, rec *job.Record, version uint64) {
 	delete(jt.unidentified, j)
 	if rec == nil {
-		jt.log.Error("a machine runs a task of a job without a record", "job", id)
+		jt.log.Error("a machine runs a task of a job that has no record", "job", id)
 		return
 	}
 	j.ReplaceRecord(rec, time.Now())
@@ -165,8 +165,8 @@
 	jt.requestPlan()
 }
 
-// runningTasks counts the tasks of a job that run, those of all versions if it is a
-// service that is rolled out.
+// runningTasks returns the number of running tasks of a job. For a service during a
+// roll-out, it includes the tasks of all versions.
 func (jt *jobTable) runningTasks(j *job.Job) int {
 	count := 0
 	for slot := range jt.fleet.SlotsOf(j) {
@@ -182,7 +182,7 @@
 	return count
 }
 
-// removeFinished removes the jobs that are over once none of their tasks is on any
+// removeFinished removes finished and unidentified jobs that have no tasks left on any
 // machine.
 func (jt *jobTable) removeFinished() {
 	for id, j := range jt.jobs {
--- a/internal/control/job_table_deadlines.go
+++ b/internal/control/job_table_deadlines.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// defaultStartWithinS is when a job without objectives has to start, in seconds from its
-	// submission.
+	// defaultStartWithinS is the time from submission within which a job without
+	// objectives has to start, in seconds.
 	defaultStartWithinS = 60
 
-	// defaultRunTimeS is the run time of a task without an estimate, in seconds.
+	// defaultRunTimeS is the assumed run time of a task without an estimate, in seconds.
 	defaultRunTimeS = 60
 )
 
-// latestStart is when a job has to start to meet its objectives, in seconds from the
-// start of the term.
+// latestStart returns the latest start time at which a job still meets its deadline and
+// objectives, in seconds since the start of the term.
 func (jt *jobTable) latestStart(j *job.Job) float64 {
 	submitted := j.Submitted.Sub(jt.termStart).Seconds()
 	latest := math.Inf(1)
@@ -35,14 +35,16 @@
 	return latest
 }
 
-// latestStartFor is when a job that was submitted at a time has to start to meet an
-// objective, in seconds; infinite if the objective does not say.
+// latestStartFor returns the latest start time at which a job still meets an objective.
+// submitted and the result are in seconds since the start of the term. The result is
+// infinite if the objective sets no bound.
 func latestStartFor(objective *config.Objective, j *job.Job, submitted float64) float64 {
 	switch objective.Kind {
 	case config.ObjectiveWait:
 		return submitted + objective.WithinS
 	case config.ObjectiveFinished:
-		// An objective that the job's own run time rules out gives no reason to hurry.
+		// An objective that is shorter than the run time cannot be met, so it must not
+		// advance the latest start.
 		if runTime := runTimeEstimate(j); objective.WithinS > runTime {
 			return submitted + objective.WithinS - runTime
 		}
@@ -50,7 +52,7 @@
 	return math.Inf(1)
 }
 
-// runTimeEstimate is the expected run time of a task, in seconds.
+// runTimeEstimate returns the estimated run time of a task of the job, in seconds.
 func runTimeEstimate(j *job.Job) float64 {
 	if j.EstimateS <= 0 {
 		return defaultRunTimeS
