--- a/internal/control/admission_store.go
+++ b/internal/control/admission_store.go
@@ -125,7 +125,7 @@
 			return
 		default:
 			outcomeUnknown = true
-			ad.answerUnclear(batch)
+			ad.answerOutcomeUnknown(batch)
 			ad.sleep(storeRetryPause)
 		}
 	}
@@ -140,9 +140,9 @@
 	})
 }
 
-// answerUnclear makes the actor ask the users waiting for a batch to retry, because the
+// answerOutcomeUnknown makes the actor ask the users waiting for a batch to retry, because the
 // outcome of its commit is unknown. The submissions stay pending.
-func (ad *admission) answerUnclear(batch []*pendingSubmission) {
+func (ad *admission) answerOutcomeUnknown(batch []*pendingSubmission) {
 	ad.enqueueForUser(func() {
 		for _, ps := range batch {
 			ps.answer(Unavailable("the outcome of storing the submission is not known yet"))
