--- a/internal/control/admission_records_test.go
+++ b/internal/control/admission_records_test.go
@@ -15,14 +15,14 @@
 // is lost, is adopted all the same.
 func TestMissedWatchEvent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newFakeStateService(t)
-		s.watchesSilent = true
-		st := startLeader(t, s, 7)
-		s.put(job.ActivePrefix+"run-5", &job.Record{Spec: job.Spec{ID: "run-5", Team: "red", ShapeName: "array", PriorityName: "idle", Tasks: 1, CPUs: 1}})
+		service := newFakeStateService(t)
+		service.watchesSilent = true
+		leader := startLeader(t, service, 7)
+		service.put(job.ActivePrefix+"run-5", &job.Record{Spec: job.Spec{ID: "run-5", Team: "red", ShapeName: "array", PriorityName: "idle", Tasks: 1, CPUs: 1}})
 		adopted := func() bool {
 			has := make(chan bool, 1)
-			r := st.currentTerm()
-			r.enqueueForUser(func() { has <- r.jobTable.get("run-5") != nil })
+			lt := leader.currentTerm()
+			lt.enqueueForUser(func() { has <- lt.jobTable.get("run-5") != nil })
 			return <-has
 		}
 		time.Sleep(relistInterval / 2)
@@ -39,27 +39,27 @@
 // TestUnreadable: a record that does not decode affects its own job only.
 func TestUnreadable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newFakeStateService(t)
-		s.put(job.ActivePrefix+"run-4", "no record")
-		s.put(job.DonePrefix+"run-4/0", job.Chunk{})
-		s.put(job.ActivePrefix+"run-5", &job.Record{Spec: job.Spec{ID: "run-5", Team: "red", ShapeName: "array", PriorityName: "idle", Tasks: 1, CPUs: 1}})
-		st := startLeader(t, s, 7)
-		if p := st.request(rpc.KindStatus, "run-5", nil); p.Status != 200 {
-			t.Errorf("another job's status: %d", p.Status)
+		service := newFakeStateService(t)
+		service.put(job.ActivePrefix+"run-4", "no record")
+		service.put(job.DonePrefix+"run-4/0", job.Chunk{})
+		service.put(job.ActivePrefix+"run-5", &job.Record{Spec: job.Spec{ID: "run-5", Team: "red", ShapeName: "array", PriorityName: "idle", Tasks: 1, CPUs: 1}})
+		leader := startLeader(t, service, 7)
+		if response := leader.request(rpc.KindStatus, "run-5", nil); response.Status != 200 {
+			t.Errorf("another job's status: %d", response.Status)
 		}
-		if p := st.request(rpc.KindStatus, "run-4", nil); p.Status != 503 {
-			t.Errorf("its own: %d, want 503", p.Status)
+		if response := leader.request(rpc.KindStatus, "run-4", nil); response.Status != 503 {
+			t.Errorf("its own: %d, want 503", response.Status)
 		}
-		if p := st.request(rpc.KindSubmit, "run-6", submissionBody("run-6", nil)); p.Status/100 != 2 {
-			t.Errorf("a new job: %d", p.Status)
+		if response := leader.request(rpc.KindSubmit, "run-6", submissionBody("run-6", nil)); response.Status/100 != 2 {
+			t.Errorf("a new job: %d", response.Status)
 		}
 		time.Sleep(2 * relistInterval)
-		if s.absent(job.ActivePrefix+"run-4") || s.absent(job.DonePrefix+"run-4/0") {
+		if service.absent(job.ActivePrefix+"run-4") || service.absent(job.DonePrefix+"run-4/0") {
 			t.Error("the record, or a result, is gone")
 		}
 		// A task of it is stopped, and so is one that another machine shows later.
 		for _, host := range []string{"host-1", "host-2"} {
-			if !st.stops(host, "run-4/0") {
+			if !leader.stops(host, "run-4/0") {
 				t.Errorf("its task on %s goes on", host)
 			}
 		}
@@ -71,13 +71,13 @@
 // as new.
 func TestUnreadableGroup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newFakeStateService(t)
-		s.put(job.GroupPrefix+"6-1", "no record")
-		s.put(job.DonePrefix+"run-4/0", job.Chunk{})
-		s.put(job.GroupPrefix+"6-2", job.Group{Jobs: []job.Record{{Spec: job.Spec{ID: "run-6", Team: "red", ShapeName: "array", PriorityName: "idle", Tasks: 1, CPUs: 1}}}})
-		s.put(job.ActivePrefix+"run-5", &job.Record{Spec: job.Spec{ID: "run-5", Team: "red", ShapeName: "array", PriorityName: "idle", Tasks: 1, CPUs: 1}})
-		s.put(job.FinalPrefix+"run-7", &job.Record{Spec: job.Spec{ID: "run-7", Team: "red", ShapeName: "array", PriorityName: "idle", Tasks: 1, CPUs: 1}, Phase: wire.JobDone})
-		st := startLeader(t, s, 7)
+		service := newFakeStateService(t)
+		service.put(job.GroupPrefix+"6-1", "no record")
+		service.put(job.DonePrefix+"run-4/0", job.Chunk{})
+		service.put(job.GroupPrefix+"6-2", job.Group{Jobs: []job.Record{{Spec: job.Spec{ID: "run-6", Team: "red", ShapeName: "array", PriorityName: "idle", Tasks: 1, CPUs: 1}}}})
+		service.put(job.ActivePrefix+"run-5", &job.Record{Spec: job.Spec{ID: "run-5", Team: "red", ShapeName: "array", PriorityName: "idle", Tasks: 1, CPUs: 1}})
+		service.put(job.FinalPrefix+"run-7", &job.Record{Spec: job.Spec{ID: "run-7", Team: "red", ShapeName: "array", PriorityName: "idle", Tasks: 1, CPUs: 1}, Phase: wire.JobDone})
+		leader := startLeader(t, service, 7)
 		for _, tt := range []struct {
 			kind rpc.RequestKind
 			id   string
@@ -87,21 +87,21 @@
 			{rpc.KindSubmit, "run-5", 200}, {rpc.KindSubmit, "run-6", 200}, {rpc.KindSubmit, "run-7", 200}, {rpc.KindSubmit, "run-4", 503},
 			{rpc.KindCancel, "run-4", 503}, {rpc.KindCancel, "run-6", 200},
 		} {
-			if p := st.request(tt.kind, tt.id, submissionBody(tt.id, nil)); p.Status != tt.want {
-				t.Errorf("%s %s: %d, want %d", tt.kind, tt.id, p.Status, tt.want)
+			if response := leader.request(tt.kind, tt.id, submissionBody(tt.id, nil)); response.Status != tt.want {
+				t.Errorf("%s %s: %d, want %d", tt.kind, tt.id, response.Status, tt.want)
 			}
-			if p := st.StatusWithoutLeader(context.Background(), tt.id); tt.kind == rpc.KindStatus && p.Status != tt.want {
-				t.Errorf("%s at another controller: %d, want %d", tt.id, p.Status, tt.want)
+			if response := leader.StatusWithoutLeader(context.Background(), tt.id); tt.kind == rpc.KindStatus && response.Status != tt.want {
+				t.Errorf("%s at another controller: %d, want %d", tt.id, response.Status, tt.want)
 			}
 		}
-		if p := st.AdmitWithoutLeader(context.Background(), submissionBody("run-4", nil)); p.Status != 503 {
-			t.Errorf("admitted by another controller: %d", p.Status)
+		if response := leader.AdmitWithoutLeader(context.Background(), submissionBody("run-4", nil)); response.Status != 503 {
+			t.Errorf("admitted by another controller: %d", response.Status)
 		}
 		time.Sleep(2 * relistInterval)
-		if s.absent(job.GroupPrefix+"6-1") || s.absent(job.DonePrefix+"run-4/0") {
+		if service.absent(job.GroupPrefix+"6-1") || service.absent(job.DonePrefix+"run-4/0") {
 			t.Error("the record, or a result, is gone")
 		}
-		if !st.stops("host-1", "run-4/0") {
+		if !leader.stops("host-1", "run-4/0") {
 			t.Error("a task that may be of it goes on")
 		}
 	})
@@ -123,15 +123,15 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newFakeStateService(t)
+				service := newFakeStateService(t)
 				if tt.phase != "" {
-					s.put(job.FinalPrefix+"run-4", &job.Record{Spec: job.Spec{ID: "run-4", Team: "red", ShapeName: "array", PriorityName: "idle", Tasks: 1, CPUs: 1}, Phase: tt.phase})
+					service.put(job.FinalPrefix+"run-4", &job.Record{Spec: job.Spec{ID: "run-4", Team: "red", ShapeName: "array", PriorityName: "idle", Tasks: 1, CPUs: 1}, Phase: tt.phase})
 				}
-				st := startLeader(t, s, 7)
-				s.mu.Lock()
-				s.unavailable = true
-				s.mu.Unlock()
-				if !st.stops("host-1", "run-4/0") {
+				leader := startLeader(t, service, 7)
+				service.mu.Lock()
+				service.unavailable = true
+				service.mu.Unlock()
+				if !leader.stops("host-1", "run-4/0") {
 					t.Error("the task goes on, and its machine's lease is renewed")
 				}
 			})
@@ -146,26 +146,26 @@
 	for _, phase := range []wire.JobPhase{"", wire.JobDone, wire.JobCancelled} {
 		t.Run("ended: "+string(phase), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newFakeStateService(t)
-				s.watchesSilent = true
-				st := startLeader(t, s, 7)
+				service := newFakeStateService(t)
+				service.watchesSilent = true
+				leader := startLeader(t, service, 7)
 				rec := &job.Record{Spec: job.Spec{ID: "run-5", Team: "red", ShapeName: "array", PriorityName: "idle", Tasks: 1, CPUs: 1}}
-				s.put(job.ActivePrefix+"run-5", rec)
-				r, got := st.currentTerm(), make(chan *rpc.Reply, 1)
-				r.enqueueForUser(func() {
+				service.put(job.ActivePrefix+"run-5", rec)
+				lt, responses := leader.currentTerm(), make(chan *rpc.Reply, 1)
+				lt.enqueueForUser(func() {
 					if phase != "" {
-						r.completions.cacheFinalStatus(&job.Record{Spec: rec.Spec, Phase: phase})
+						lt.completions.cacheFinalStatus(&job.Record{Spec: rec.Spec, Phase: phase})
 					}
-					in := &pendingSubmission{rec: rec, callbacks: []func(*rpc.Reply){func(p *rpc.Reply) { got <- p }}}
-					r.admission.pending["run-5"] = in
-					go r.admission.answerExisting(in)
+					ps := &pendingSubmission{rec: rec, callbacks: []func(*rpc.Reply){func(response *rpc.Reply) { responses <- response }}}
+					lt.admission.pending["run-5"] = ps
+					go lt.admission.answerExisting(ps)
 				})
-				var told wire.JobStatus
-				if p := <-got; p.Status != 200 || wire.Unmarshal(p.Body, &told) != nil || (phase != "" && told.Phase != phase) {
-					t.Errorf("answer %d %s", p.Status, told.Phase)
+				var status wire.JobStatus
+				if response := <-responses; response.Status != 200 || wire.Unmarshal(response.Body, &status) != nil || (phase != "" && status.Phase != phase) {
+					t.Errorf("answer %d %s", response.Status, status.Phase)
 				}
 				adopted := make(chan bool, 1)
-				r.enqueueForUser(func() { adopted <- r.jobTable.get("run-5") != nil })
+				lt.enqueueForUser(func() { adopted <- lt.jobTable.get("run-5") != nil })
 				if has := <-adopted; has != (phase == "") {
 					t.Errorf("looked after: %v", has)
 				}
@@ -181,18 +181,18 @@
 	for _, kind := range []rpc.RequestKind{rpc.KindStatus, rpc.KindSubmit, rpc.KindCancel} {
 		t.Run(string(kind), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				st := startLeader(t, newFakeStateService(t), 7)
-				if out := st.submit(submissionBody("run-5", nil)); out[0] != 201 {
-					t.Fatalf("submission: %d", out[0])
+				leader := startLeader(t, newFakeStateService(t), 7)
+				if statuses := leader.submit(submissionBody("run-5", nil)); statuses[0] != 201 {
+					t.Fatalf("submission: %d", statuses[0])
 				}
-				busy, got := make(chan struct{}), make(chan *rpc.Reply, 1)
-				st.currentTerm().enqueueForUser(func() { <-busy })
-				go func() { got <- st.request(kind, "run-5", submissionBody("run-5", nil)) }()
+				busy, responses := make(chan struct{}), make(chan *rpc.Reply, 1)
+				leader.currentTerm().enqueueForUser(func() { <-busy })
+				go func() { responses <- leader.request(kind, "run-5", submissionBody("run-5", nil)) }()
 				time.Sleep(time.Second)
-				st.entitlementLapsed.Store(true)
+				leader.entitlementLapsed.Store(true)
 				close(busy)
-				if p := <-got; p.Status != 503 {
-					t.Errorf("answered %d after the lapse", p.Status)
+				if response := <-responses; response.Status != 503 {
+					t.Errorf("answered %d after the lapse", response.Status)
 				}
 			})
 		})
--- a/internal/control/control_requests.go
+++ b/internal/control/control_requests.go
@@ -141,7 +141,8 @@
 	}
 }
 
-// parseSubmission reads a parseSubmission, and its id even where the rest is malformed.
+// parseSubmission decodes a submission. The job's ID is returned even if the rest is
+// invalid, as far as it can be decoded.
 func parseSubmission(body []byte) (id string, spec *job.Spec, invalid error) {
 	spec, invalid = job.ParseSpec(body)
 	if invalid != nil {
