--- a/internal/control/admission_records_test.go
+++ b/internal/control/admission_records_test.go
@@ -11,9 +11,9 @@
 	"vetchstream/internal/wire"
 )
 
-// TestMissedWatchEvent: a job that another node has admitted, and whose watch event
-// is lost, is adopted all the same.
-func TestMissedWatchEvent(t *testing.T) {
+// TestAdoptionAfterLostWatchEvent checks that the periodic listing adopts a job that
+// another node has admitted if its watch event is lost.
+func TestAdoptionAfterLostWatchEvent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		service := newFakeStateService(t)
 		service.watchesSilent = true
@@ -27,17 +27,18 @@
 		}
 		time.Sleep(relistInterval / 2)
 		if adopted() {
-			t.Error("the event was not lost")
+			t.Error("the job was adopted before the listing, although the watch reported no event")
 		}
 		time.Sleep(relistInterval)
 		if !adopted() {
-			t.Error("nobody looks after the job")
+			t.Error("the job was not adopted by the listing")
 		}
 	})
 }
 
-// TestUnreadable: a record that does not decode affects its own job only.
-func TestUnreadable(t *testing.T) {
+// TestUndecodableRecord checks that a job record that cannot be decoded affects only its
+// own job.
+func TestUndecodableRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		service := newFakeStateService(t)
 		service.put(job.ActivePrefix+"run-4", "no record")
@@ -45,31 +46,31 @@
 		service.put(job.ActivePrefix+"run-5", &job.Record{Spec: job.Spec{ID: "run-5", Team: "red", ShapeName: "array", PriorityName: "idle", Tasks: 1, CPUs: 1}})
 		leader := startLeader(t, service, 7)
 		if response := leader.request(rpc.KindStatus, "run-5", nil); response.Status != 200 {
-			t.Errorf("another job's status: %d", response.Status)
+			t.Errorf("status request for another job: status %d, want 200", response.Status)
 		}
 		if response := leader.request(rpc.KindStatus, "run-4", nil); response.Status != 503 {
-			t.Errorf("its own: %d, want 503", response.Status)
+			t.Errorf("status request for the job of the undecodable record: status %d, want 503", response.Status)
 		}
 		if response := leader.request(rpc.KindSubmit, "run-6", submissionBody("run-6", nil)); response.Status/100 != 2 {
-			t.Errorf("a new job: %d", response.Status)
+			t.Errorf("submission of a new job: status %d, want 2xx", response.Status)
 		}
 		time.Sleep(2 * relistInterval)
 		if service.absent(job.ActivePrefix+"run-4") || service.absent(job.DonePrefix+"run-4/0") {
-			t.Error("the record, or a result, is gone")
+			t.Error("the undecodable record or the result of the job was deleted")
 		}
-		// A task of it is stopped, and so is one that another machine shows later.
+		// Its task is stopped on the first machine, and on another one that reports it later.
 		for _, host := range []string{"host-1", "host-2"} {
 			if !leader.stops(host, "run-4/0") {
-				t.Errorf("its task on %s goes on", host)
+				t.Errorf("the job's task on %s is not stopped", host)
 			}
 		}
 	})
 }
 
-// TestUnreadableGroup: a group's record that does not decode delays neither loading
-// nor the jobs that are known. A job that may be in it is neither denied nor accepted
-// as new.
-func TestUnreadableGroup(t *testing.T) {
+// TestUndecodableGroupRecord checks that a group record that cannot be decoded delays
+// neither the load nor the jobs of other records. Requests for a job that the group may
+// contain are refused: it is neither reported as absent nor accepted as new.
+func TestUndecodableGroupRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		service := newFakeStateService(t)
 		service.put(job.GroupPrefix+"6-1", "no record")
@@ -88,37 +89,38 @@
 			{rpc.KindCancel, "run-4", 503}, {rpc.KindCancel, "run-6", 200},
 		} {
 			if response := leader.request(tt.kind, tt.id, submissionBody(tt.id, nil)); response.Status != tt.want {
-				t.Errorf("%s %s: %d, want %d", tt.kind, tt.id, response.Status, tt.want)
+				t.Errorf("%s request for %s: status %d, want %d", tt.kind, tt.id, response.Status, tt.want)
 			}
 			if response := leader.StatusWithoutLeader(context.Background(), tt.id); tt.kind == rpc.KindStatus && response.Status != tt.want {
-				t.Errorf("%s at another controller: %d, want %d", tt.id, response.Status, tt.want)
+				t.Errorf("status request for %s without the leader: status %d, want %d", tt.id, response.Status, tt.want)
 			}
 		}
 		if response := leader.AdmitWithoutLeader(context.Background(), submissionBody("run-4", nil)); response.Status != 503 {
-			t.Errorf("admitted by another controller: %d", response.Status)
+			t.Errorf("admission without the leader of a job that the group may contain: status %d, want 503", response.Status)
 		}
 		time.Sleep(2 * relistInterval)
 		if service.absent(job.GroupPrefix+"6-1") || service.absent(job.DonePrefix+"run-4/0") {
-			t.Error("the record, or a result, is gone")
+			t.Error("the undecodable group record or the result of a job was deleted")
 		}
 		if !leader.stops("host-1", "run-4/0") {
-			t.Error("a task that may be of it goes on")
+			t.Error("the task of a job that the group may contain is not stopped")
 		}
 	})
 }
 
-// TestUnknownTaskStopped: while the state service is unavailable, a machine reports a
-// task of a job that this leader does not know: the job is over, and was not loaded or
-// is already forgotten. The task is stopped all the same: its user may have been told
-// that the job is cancelled, and each answer renews the machine's lease.
-func TestUnknownTaskStopped(t *testing.T) {
+// TestTaskOfUnknownJobIsStopped: while the key-value store is unavailable, a machine
+// reports a task of a job that is not in the leader's memory. The job is finished and was
+// not loaded or no longer cached, or it has no record. The task must be stopped
+// nevertheless: the user may have been told that the job is cancelled, and each heartbeat
+// answer renews the machine's lease.
+func TestTaskOfUnknownJobIsStopped(t *testing.T) {
 	tests := []struct {
 		name  string
-		phase wire.JobPhase // of its record; empty: there is none
+		phase wire.JobPhase // of the stored record; empty if there is none
 	}{
-		{"cancelled through the leader before", wire.JobCancelled},
-		{"done", wire.JobDone},
-		{"never heard of", ""},
+		{"stored record is cancelled", wire.JobCancelled},
+		{"stored record is done", wire.JobDone},
+		{"no record is stored", ""},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -132,19 +134,19 @@
 				service.unavailable = true
 				service.mu.Unlock()
 				if !leader.stops("host-1", "run-4/0") {
-					t.Error("the task goes on, and its machine's lease is renewed")
+					t.Error("the task is not stopped, although heartbeat answers renew the machine's lease")
 				}
 			})
 		})
 	}
 }
 
-// TestResolve: the record that answers a submission, of a job that another node has
-// admitted, was read before the job ended. The job is not adopted again, and its user
-// is told its end.
-func TestResolve(t *testing.T) {
+// TestAnswerExistingWithOutdatedRecord: the record that answers the submission of a job
+// admitted by another node was read before the job finished. The finished job must not be
+// adopted again, and the response must contain its final phase.
+func TestAnswerExistingWithOutdatedRecord(t *testing.T) {
 	for _, phase := range []wire.JobPhase{"", wire.JobDone, wire.JobCancelled} {
-		t.Run("ended: "+string(phase), func(t *testing.T) {
+		t.Run("final phase after the read: "+string(phase), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				service := newFakeStateService(t)
 				service.watchesSilent = true
@@ -160,30 +162,30 @@
 					lt.admission.pending["run-5"] = ps
 					go lt.admission.answerExisting(ps)
 				})
-				var status wire.JobStatus
-				if response := <-responses; response.Status != 200 || wire.Unmarshal(response.Body, &status) != nil || (phase != "" && status.Phase != phase) {
-					t.Errorf("answer %d %s", response.Status, status.Phase)
+				var reported wire.JobStatus
+				if response := <-responses; response.Status != 200 || wire.Unmarshal(response.Body, &reported) != nil || (phase != "" && reported.Phase != phase) {
+					t.Errorf("response: status %d and phase %s, want 200 and the final phase, if any", response.Status, reported.Phase)
 				}
 				adopted := make(chan bool, 1)
 				lt.enqueueForUser(func() { adopted <- lt.jobTable.get("run-5") != nil })
 				if has := <-adopted; has != (phase == "") {
-					t.Errorf("looked after: %v", has)
+					t.Errorf("job adopted: %v, want true only without a final phase", has)
 				}
 			})
 		})
 	}
 }
 
-// TestLapsed: an answer that has waited for a busy actor until the entitlement has
-// lapsed is not given: another member may lead by then, and have told the user
-// something newer.
-func TestLapsed(t *testing.T) {
+// TestNoResponseAfterEntitlementLapse checks that a response is withheld if it waited for
+// a busy actor until the leader's entitlement lapsed. Another controller may lead by then
+// and may already have given the user a newer response.
+func TestNoResponseAfterEntitlementLapse(t *testing.T) {
 	for _, kind := range []rpc.RequestKind{rpc.KindStatus, rpc.KindSubmit, rpc.KindCancel} {
 		t.Run(string(kind), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				leader := startLeader(t, newFakeStateService(t), 7)
 				if statuses := leader.submit(submissionBody("run-5", nil)); statuses[0] != 201 {
-					t.Fatalf("submission: %d", statuses[0])
+					t.Fatalf("submission: status %d, want 201", statuses[0])
 				}
 				busy, responses := make(chan struct{}), make(chan *rpc.Reply, 1)
 				leader.currentTerm().enqueueForUser(func() { <-busy })
@@ -192,7 +194,7 @@
 				leader.entitlementLapsed.Store(true)
 				close(busy)
 				if response := <-responses; response.Status != 503 {
-					t.Errorf("answered %d after the lapse", response.Status)
+					t.Errorf("response after the entitlement lapsed: status %d, want 503", response.Status)
 				}
 			})
 		})
