--- a/internal/control/admission_retry_test.go
+++ b/internal/control/admission_retry_test.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// TestRetryPacer: submissions beyond what can be stored are given times to retry, each
-// one of its own, and none later than users respect.
+// TestRetryPacer checks that refused submissions get staggered retry times, that no more
+// of them are due per second than can be stored, and that no delay exceeds maxRetryAfter.
 func TestRetryPacer(t *testing.T) {
-	ts := retryPacer{perSecond: 10}
+	pacer := retryPacer{perSecond: 10}
 	now := time.Unix(1000, 0)
 	last := time.Duration(0)
-	at := map[int]int{} // second -> submissions that are told to come then
+	retriesInSecond := map[int]int{} // number of refused submissions by the second of their retry
 	for range 600 {
-		d := ts.retryAfter(now)
-		if d < time.Second || d < last || d > maxRetryAfter {
-			t.Fatalf("told to come back after %v, the one before after %v", d, last)
+		delay := pacer.retryAfter(now)
+		if delay < time.Second || delay < last || delay > maxRetryAfter {
+			t.Fatalf("retry delay %v after a delay of %v, want no shorter one, within the bounds", delay, last)
 		}
-		last = d
-		at[int(d/time.Second)]++
+		last = delay
+		retriesInSecond[int(delay/time.Second)]++
 	}
 	if last != maxRetryAfter {
-		t.Errorf("the last is told to come after %v", last)
+		t.Errorf("last retry delay %v, want maxRetryAfter", last)
 	}
-	for s := 2; s < 29; s++ {
-		if at[s] > 11 {
-			t.Errorf("%d come back after %d s, more than can be stored", at[s], s)
+	for second := 2; second < 29; second++ {
+		if retriesInSecond[second] > 11 {
+			t.Errorf("%d retries in second %d, more than can be stored", retriesInSecond[second], second)
 		}
 	}
-	if d := ts.retryAfter(now.Add(time.Minute)); d != time.Second {
-		t.Errorf("a minute later one is turned away for %v", d)
+	if delay := pacer.retryAfter(now.Add(time.Minute)); delay != time.Second {
+		t.Errorf("retry delay %v a minute later, want the minimum of 1 s", delay)
 	}
 }
