--- a/internal/control/admission.go
+++ b/internal/control/admission.go
@@ -111,7 +111,7 @@
 }
 
 // submit answers a submission. id may be set even if the submission is invalid. If the
-// job already exists, the response is its status, whatever the checks would yield.
+// job already exists, the response is its status, regardless of the checks.
 func (ad *admission) submit(id string, spec *job.Spec, invalid error, respond func(*rpc.Reply)) {
 	if id != "" && ad.answerIfKnown(id, respond) {
 		return
--- a/internal/control/admission_groups.go
+++ b/internal/control/admission_groups.go
@@ -147,7 +147,7 @@
 	}
 }
 
-// hasCancelled reports whether a pending completion has another phase than done.
+// hasCancelled reports whether a pending completion has a phase other than done.
 func (g *admissionGroup) hasCancelled() bool {
 	return slices.ContainsFunc(g.pendingCompletions, func(completion jobCompletion) bool { return completion.rec.Phase != wire.JobDone })
 }
--- a/internal/control/admission_store.go
+++ b/internal/control/admission_store.go
@@ -88,9 +88,9 @@
 func recordSize(encoded []byte) int { return len(encoded)*5/4 + 40 }
 
 // storeBatch makes submissions durable and then answers them. A single submission is
-// stored under the job's own key (groupKey is empty), several ones in a group record. A
-// commit with unknown outcome is retried: if it was applied, the conditions of the retry
-// fail; otherwise the retry replaces it.
+// stored under the job's own key (groupKey is empty), several submissions in a group
+// record. A commit with unknown outcome is retried: if it was applied, the conditions of
+// the retry fail; otherwise the retry replaces it.
 func (ad *admission) storeBatch(groupKey string, batch []*pendingSubmission) {
 	outcomeUnknown := false // whether an earlier commit may have been applied
 	for ad.ctx.Err() == nil {
@@ -140,8 +140,8 @@
 	})
 }
 
-// answerOutcomeUnknown makes the actor ask the users waiting for a batch to retry, because the
-// outcome of its commit is unknown. The submissions stay pending.
+// answerOutcomeUnknown makes the actor ask the users waiting for a batch to retry, because
+// the outcome of its commit is unknown. The submissions stay pending.
 func (ad *admission) answerOutcomeUnknown(batch []*pendingSubmission) {
 	ad.enqueueForUser(func() {
 		for _, ps := range batch {
--- a/internal/control/commands_direct.go
+++ b/internal/control/commands_direct.go
@@ -21,8 +21,8 @@
 	// directIdleTimeout is how long an idle connection to a worker stays open.
 	directIdleTimeout = 30 * time.Second
 
-	// maxDirectAnswer bounds the body of a worker's answer, in bytes.
-	maxDirectAnswer = 4 * wire.MaxBody
+	// maxDirectAnswerBytes bounds the body of a worker's answer, in bytes.
+	maxDirectAnswerBytes = 4 * wire.MaxBody
 )
 
 // errNotEntitled means that the sender may no longer act on behalf of the leader.
@@ -84,7 +84,7 @@
 		return DirectResult{Reached: connected.Load()}, err
 	}
 	defer res.Body.Close()
-	answer, err := io.ReadAll(io.LimitReader(res.Body, maxDirectAnswer))
+	answer, err := io.ReadAll(io.LimitReader(res.Body, maxDirectAnswerBytes))
 	if err != nil {
 		return DirectResult{Reached: true}, err
 	}
--- a/internal/control/completions.go
+++ b/internal/control/completions.go
@@ -18,15 +18,15 @@
 // records can be stored. Without these limits, admissions and completions would leave no
 // budget for the registry, and no task could start.
 const (
-	admissionShare  = 0.5
-	completionShare = 0.35
+	admissionWriteShare  = 0.5
+	completionWriteShare = 0.35
 )
 
 const (
 	// finalStatusCacheSize is the number of finished jobs whose status is cached.
 	finalStatusCacheSize = 4096
 
-	// finalRetryPause is the delay after a failed commit of final records.
+	// finalRetryPause is the delay before a failed commit of final records is retried.
 	finalRetryPause = 200 * time.Millisecond
 )
 
--- a/internal/control/leader_term.go
+++ b/internal/control/leader_term.go
@@ -43,12 +43,12 @@
 func newLeaderTerm(ctx context.Context, c *Controller, term election.Term) *leaderTerm {
 	facts := &c.Settings.Facts
 	co := newCore(ctx, c, term)
-	completionLimit := newWriteLimiter(c, completionShare)
+	completionLimit := newWriteLimiter(c, completionWriteShare)
 	lt := &leaderTerm{
 		core:              co,
 		nameIndex:         newNameIndex(facts.Zones, facts.Teams),
 		jobTable:          newJobTable(co),
-		admission:         newAdmission(co, newWriteLimiter(c, admissionShare), facts.State.TxnOps, facts.State.ValueKB, facts.Resources.MaxSockets),
+		admission:         newAdmission(co, newWriteLimiter(c, admissionWriteShare), facts.State.TxnOps, facts.State.ValueKB, facts.Resources.MaxSockets),
 		completions:       newCompletions(co, completionLimit),
 		results:           newResults(co),
 		registry:          newRegistry(co, facts.State.ValueKB),
