--- a/internal/control/admission_groups_test.go
+++ b/internal/control/admission_groups_test.go
@@ -102,7 +102,7 @@
 			}
 		}
 		if response := leader.request(rpc.KindCancel, "run-1", nil); response.Status != 200 || leader.phase("run-1") != wire.JobCancelled {
-			t.Errorf("cancellation: status %d, want 200; phase %s afterwards, want the cancelled one", response.Status, leader.phase("run-1"))
+			t.Errorf("cancellation: status %d, want 200; phase %s afterwards, want cancelled", response.Status, leader.phase("run-1"))
 		}
 	}},
 	{"jobs already admitted by a follower do not prevent the admission of the other jobs of a batch", func(t *testing.T, service *fakeStateService) {
@@ -158,7 +158,7 @@
 		}
 		wg.Wait()
 		if txns, remaining := service.outcomeCounts(); remaining > 0 || txns-individual > (100-individual)/2 {
-			t.Errorf("%d transactions for 100 cancellations, of which %d jobs have individual records; or the unanswered commit did not occur", txns, individual)
+			t.Errorf("%d transactions for 100 cancellations, %d of them of jobs with individual records, or the unanswered commit did not occur", txns, individual)
 		}
 	}},
 	{"the leader does not report a job as active once a follower can read its cancellation", func(t *testing.T, service *fakeStateService) {
@@ -174,7 +174,7 @@
 				continue // the cancellation is not committed yet
 			}
 			if got := leader.phase(id); got != wire.JobCancelled {
-				t.Errorf("%s: phase %s at the leader, want the cancelled one", id, got)
+				t.Errorf("%s: phase %s at the leader, want cancelled", id, got)
 			}
 			if statuses := leader.submit(submissionBody(id, nil)); statuses[0] != 200 {
 				t.Errorf("resubmission of %s: status %d, want 200", id, statuses[0])
@@ -274,7 +274,7 @@
 					}
 					for i := range cancelled {
 						if got := next.phase(fmt.Sprintf("run-%d", i)); got != wire.JobCancelled {
-							t.Errorf("run-%d: phase %s after compaction, want the cancelled one", i, got)
+							t.Errorf("run-%d: phase %s after compaction, want cancelled", i, got)
 						}
 					}
 				})
--- a/internal/control/commands.go
+++ b/internal/control/commands.go
@@ -69,8 +69,8 @@
 	if machine.CallInFlight || machine.Lost || machine.Addr == "" || !machine.Registered || now.Before(machine.NextCallAt) {
 		return false
 	}
-	relayed, may := cm.shards.relayable(machine)
-	return may && (relayed || cm.callsInFlight < cm.maxCalls)
+	relayed, ready := cm.shards.relayable(machine)
+	return ready && (relayed || cm.callsInFlight < cm.maxCalls)
 }
 
 // send sends a machine's commands directly. This fences the worker after a takeover, and
--- a/internal/control/commands_direct.go
+++ b/internal/control/commands_direct.go
@@ -21,7 +21,7 @@
 	// directIdleTimeout is how long an idle connection to a worker stays open.
 	directIdleTimeout = 30 * time.Second
 
-	// maxDirectAnswerBytes bounds the body of a worker's answer, in bytes.
+	// maxDirectAnswerBytes bounds the body of a worker's answer.
 	maxDirectAnswerBytes = 4 * wire.MaxBody
 )
 
--- a/internal/control/completions_answers.go
+++ b/internal/control/completions_answers.go
@@ -41,9 +41,9 @@
 }
 
 // answerFromStore answers after reading the job's record from the key-value store.
-// notFound is the response for a job that was never accepted, answerActive composes the
-// response for a job that is not finished.
-func (cp *completions) answerFromStore(id string, notFound *rpc.Reply, answerActive func(*job.Record) *rpc.Reply, respond func(*rpc.Reply)) {
+// ifAbsent is the response if there is no record, ifActive composes the response if the
+// job is not finished.
+func (cp *completions) answerFromStore(id string, ifAbsent *rpc.Reply, ifActive func(*job.Record) *rpc.Reply, respond func(*rpc.Reply)) {
 	go func() {
 		ctx, cancel := context.WithTimeout(cp.ctx, freshReadTimeout)
 		defer cancel()
@@ -52,9 +52,9 @@
 		case err != nil:
 			respond(Unavailable("the job's record cannot be read at the moment"))
 		case rec == nil:
-			respond(notFound)
+			respond(ifAbsent)
 		case rec.Phase == "":
-			respond(answerActive(rec))
+			respond(ifActive(rec))
 		default:
 			cp.enqueueForUser(func() { cp.cacheFinalStatus(rec) })
 			respond(recordReply(rec))
--- a/internal/control/job_table.go
+++ b/internal/control/job_table.go
@@ -80,8 +80,8 @@
 
 // bindNames sets a job's indices for its team, image, zone and machine types.
 func (jt *jobTable) bindNames(j *job.Job) {
-	if t := jt.nameIndex.teamIndex(j.Team); t >= 0 {
-		j.TeamIdx = t
+	if teamIdx := jt.nameIndex.teamIndex(j.Team); teamIdx >= 0 {
+		j.TeamIdx = teamIdx
 	}
 	j.ImageIdx = jt.nameIndex.imageIndex(j.Image)
 	if j.Zone != "" {
