--- a/internal/control/commands.go
+++ b/internal/control/commands.go
@@ -7,7 +7,7 @@
 	"vetchstream/internal/wire"
 )
 
-// commands sends direct commands to workers, a bounded number at a time.
+// commands sends direct commands to workers, with a bounded number in flight.
 type commands struct {
 	*core
 	taskTracker *taskTracker
@@ -19,94 +19,94 @@
 	nextUrgentScan time.Time
 }
 
-// newCommands makes the sender of a term.
+// newCommands creates the commands part of a term.
 func newCommands(co *core, maxSockets int) *commands {
 	return &commands{core: co, maxCalls: MaxDirectCalls(maxSockets)}
 }
 
 const (
-	// urgentScanInterval spaces the scans of the machines that wait for a command:
-	// in a large fleet they are hundreds, and a scan after each message took a fifth
-	// of the leader's time.
+	// urgentScanInterval is the minimum interval between scans of the machines awaiting a
+	// command. In a large fleet there are hundreds of them, and a scan after each message
+	// took a fifth of the leader's processor time.
 	urgentScanInterval = 20 * time.Millisecond
 
-	// maxCallBackoff is the longest pause between the calls of a machine that does
-	// not answer.
+	// maxCallBackoff bounds the backoff between calls to an unresponsive machine.
 	maxCallBackoff = 4 * time.Second
 
-	// maxBackoffDoublings prevents an overflow of the doubled backoff.
+	// maxBackoffDoublings prevents an overflow of the exponential backoff.
 	maxBackoffDoublings = 8
 
-	// wrongHostPause is the pause after another machine has answered at an address.
-	wrongHostPause = 10 * time.Second
+	// wrongMachineBackoff is the delay after a different machine has answered at the
+	// machine's address.
+	wrongMachineBackoff = 10 * time.Second
 )
 
-// sendUrgent sends the commands that cannot wait for the next heartbeats.
+// sendUrgent sends the commands that cannot wait for the machines' next heartbeats.
 func (cm *commands) sendUrgent(now time.Time) {
 	if now.Before(cm.nextUrgentScan) {
 		return
 	}
 	cm.nextUrgentScan = now.Add(urgentScanInterval)
-	for _, h := range cm.fleet.AwaitingCommand() {
-		if cm.mayCall(h, now) && h.NeedsDirectCommand(now) {
-			cm.send(h, now)
+	for _, machine := range cm.fleet.AwaitingCommand() {
+		if cm.mayCall(machine, now) && machine.NeedsDirectCommand(now) {
+			cm.send(machine, now)
 		}
 	}
 }
 
-// fenceWorkers calls the workers that have not shown this term's token yet, and
-// those that seem unreachable: an answer brings them back into use.
+// fenceWorkers calls the workers that have not reported this term's token yet, and those
+// that seem unreachable. An answer makes an unreachable machine usable again.
 func (cm *commands) fenceWorkers(now time.Time) {
-	for _, h := range cm.fleet.All() {
-		if (!h.Fenced || h.InboundCut() || h.CallUnanswered) && cm.mayCall(h, now) {
-			cm.send(h, now)
+	for _, machine := range cm.fleet.All() {
+		if (!machine.Fenced || machine.InboundCut() || machine.CallUnanswered) && cm.mayCall(machine, now) {
+			cm.send(machine, now)
 		}
 	}
 }
 
-// mayCall reports whether a direct command may be sent to a machine now.
-func (cm *commands) mayCall(h *fleet.Machine, now time.Time) bool {
-	if h.CallInFlight || h.Lost || h.Addr == "" || !h.Registered || now.Before(h.NextCallAt) {
+// mayCall reports whether a direct command to the machine may be sent now.
+func (cm *commands) mayCall(machine *fleet.Machine, now time.Time) bool {
+	if machine.CallInFlight || machine.Lost || machine.Addr == "" || !machine.Registered || now.Before(machine.NextCallAt) {
 		return false
 	}
-	relayed, may := cm.shards.relayable(h)
-	return may && (relayed || cm.callsInFlight < cm.maxCalls)
+	relayed, ready := cm.shards.relayable(machine)
+	return ready && (relayed || cm.callsInFlight < cm.maxCalls)
 }
 
-// send sends a machine's commands directly: this fences a worker after a takeover,
-// and brings launches and halts without waiting for the next heartbeat.
-func (cm *commands) send(h *fleet.Machine, now time.Time) {
-	session := max(1, h.Session)
-	orders, sent, events := cm.fleet.ComposeOrders(h, 0, h.Usable(), now, maxCommands)
+// send sends a machine's commands directly. This fences the worker after a takeover, and
+// delivers launches and stops without waiting for the next heartbeat.
+func (cm *commands) send(machine *fleet.Machine, now time.Time) {
+	session := max(1, machine.Session)
+	orders, sent, events := cm.fleet.ComposeOrders(machine, 0, machine.Usable(), now, maxCommands)
 	cm.takeover.recordLaunches(len(sent), now)
 	cm.taskTracker.applyEvents(events, now)
 	body, err := wire.Marshal(wire.DirectCommands{Token: cm.term, Session: session, Commands: orders})
 	if err != nil {
-		cm.log.Error("commands cannot be encoded", "error", err)
+		cm.log.Error("cannot encode direct commands; they are not sent", "error", err)
 		return
 	}
-	h.CallInFlight = true
-	if relayed, _ := cm.shards.relayable(h); relayed {
-		cm.shards.relay(h, body, sent, now)
+	machine.CallInFlight = true
+	if relayed, _ := cm.shards.relayable(machine); relayed {
+		cm.shards.relay(machine, body, sent, now)
 		return
 	}
 	cm.callsInFlight++
-	addr := h.Addr
+	addr := machine.Addr
 	go func() {
 		result, err := SendDirect(cm.ctx, cm.controller.directClient, addr, body, func() bool { return cm.controller.Entitled(cm.term) })
 		cm.enqueue(func() {
 			cm.callsInFlight--
-			cm.finishCall(h, result, err, sent)
+			cm.finishCall(machine, result, err, sent)
 		})
 	}()
 }
 
 // finishCall handles the outcome of a direct command that the leader or a holder sent.
-// sent are the placements that it launched.
-func (cm *commands) finishCall(h *fleet.Machine, result DirectResult, err error, sent []*fleet.Slot) {
+// sent contains the slots whose launches were part of the command.
+func (cm *commands) finishCall(machine *fleet.Machine, result DirectResult, err error, sent []*fleet.Slot) {
 	now := time.Now()
-	h.CallInFlight = false
-	if cm.fleet.Machines[h.Name] != h {
+	machine.CallInFlight = false
+	if cm.fleet.Machines[machine.Name] != machine {
 		return
 	}
 	report := decodeReport(result.Body)
@@ -114,19 +114,19 @@
 		cm.taskTracker.applyEvents(cm.fleet.RemoveUndelivered(sent), now)
 	}
 	if report == nil {
-		cm.log.Debug("direct command failed", "machine", h.Name, "status", result.Status, "error", err)
-		cm.callFailed(h, now)
+		cm.log.Debug("direct command failed", "machine", machine.Name, "status", result.Status, "error", err)
+		cm.callFailed(machine, now)
 		return
 	}
-	h.CallFailures = 0
-	if report.Host != "" && report.Host != h.Name {
-		h.NextCallAt = now.Add(wrongHostPause)
+	machine.CallFailures = 0
+	if report.Host != "" && report.Host != machine.Name {
+		machine.NextCallAt = now.Add(wrongMachineBackoff)
 		return
 	}
-	cm.taskTracker.observe(h, report, false, now)
+	cm.taskTracker.observe(machine, report, false, now)
 }
 
-// decodeReport reads the report in a worker's answer; nil: there is none.
+// decodeReport decodes the report in a worker's answer; it returns nil if there is none.
 func decodeReport(body []byte) *wire.Heartbeat {
 	if len(body) == 0 {
 		return nil
@@ -138,13 +138,14 @@
 	return report
 }
 
-// callFailed backs off from a machine that did not answer.
-func (cm *commands) callFailed(h *fleet.Machine, now time.Time) {
-	// Silent machines must not take up the few calls that may be in flight.
-	h.NextCallAt = now.Add(min(maxCallBackoff, time.Second<<min(h.CallFailures, maxBackoffDoublings)))
-	h.CallFailures++
-	// A machine that hangs, or that nothing reaches, has much capacity and would be
-	// chosen again and again.
-	h.CallUnanswered = true
-	cm.taskTracker.applyEvents(cm.fleet.RemoveUnsent(h), now)
+// callFailed delays the next call to a machine that did not answer, and withdraws its
+// unsent launches.
+func (cm *commands) callFailed(machine *fleet.Machine, now time.Time) {
+	// Unresponsive machines must not occupy the limited number of calls in flight.
+	machine.NextCallAt = now.Add(min(maxCallBackoff, time.Second<<min(machine.CallFailures, maxBackoffDoublings)))
+	machine.CallFailures++
+	// A hanging or unreachable machine has much free capacity, so placement would choose it
+	// repeatedly.
+	machine.CallUnanswered = true
+	cm.taskTracker.applyEvents(cm.fleet.RemoveUnsent(machine), now)
 }
--- a/internal/control/job_table_deadlines.go
+++ b/internal/control/job_table_deadlines.go
@@ -8,49 +8,51 @@
 )
 
 const (
-	// defaultStartS is when a job without objectives has to start, in seconds from its
-	// submission.
-	defaultStartS = 60
+	// defaultStartWithinS is the time from submission within which a job without
+	// objectives has to start, in seconds.
+	defaultStartWithinS = 60
 
-	// defaultRunTimeS is the run time of a task without an estimate, in seconds.
+	// defaultRunTimeS is the assumed run time of a task without an estimate, in seconds.
 	defaultRunTimeS = 60
 )
 
-// latestStart is when a job has to start to meet its objectives, in seconds from the
-// start of the term.
+// latestStart returns the latest start time at which a job still meets its deadline and
+// objectives, in seconds since the start of the term.
 func (jt *jobTable) latestStart(j *job.Job) float64 {
 	submitted := j.Submitted.Sub(jt.termStart).Seconds()
 	latest := math.Inf(1)
 	if j.DeadlineS != nil {
 		latest = submitted + *j.DeadlineS - runTimeEstimate(j)
 	}
-	for _, o := range jt.controller.Settings.Facts.Objectives {
-		if o.Class == j.Class && o.WithinS > 0 {
-			latest = min(latest, latestStartFor(&o, j, submitted))
+	for _, objective := range jt.controller.Settings.Facts.Objectives {
+		if objective.Class == j.Class && objective.WithinS > 0 {
+			latest = min(latest, latestStartFor(&objective, j, submitted))
 		}
 	}
 	if math.IsInf(latest, 1) {
-		return submitted + defaultStartS
+		return submitted + defaultStartWithinS
 	}
 	return latest
 }
 
-// latestStartFor is when a job that was submitted at a time has to start to meet an
-// objective, in seconds; infinite if the objective does not say.
-func latestStartFor(o *config.Objective, j *job.Job, submitted float64) float64 {
-	switch o.Kind {
+// latestStartFor returns the latest start time at which a job still meets an objective.
+// submitted and the result are in seconds since the start of the term. The result is
+// infinite if the objective sets no bound.
+func latestStartFor(objective *config.Objective, j *job.Job, submitted float64) float64 {
+	switch objective.Kind {
 	case config.ObjectiveWait:
-		return submitted + o.WithinS
+		return submitted + objective.WithinS
 	case config.ObjectiveFinished:
-		// An objective that the job's own run time rules out gives no reason to hurry.
-		if run := runTimeEstimate(j); o.WithinS > run {
-			return submitted + o.WithinS - run
+		// An objective that is shorter than the run time cannot be met, so it must not
+		// advance the latest start.
+		if runTime := runTimeEstimate(j); objective.WithinS > runTime {
+			return submitted + objective.WithinS - runTime
 		}
 	}
 	return math.Inf(1)
 }
 
-// runTimeEstimate is the expected run time of a task, in seconds.
+// runTimeEstimate returns the estimated run time of a task of the job, in seconds.
 func runTimeEstimate(j *job.Job) float64 {
 	if j.EstimateS <= 0 {
 		return defaultRunTimeS
--- a/internal/control/machine_pool_test.go
+++ b/internal/control/machine_pool_test.go
@@ -60,7 +60,7 @@
 	for _, requests := range []int{0, 2} {
 		t.Run(fmt.Sprintf("with %d reservation requests", requests), func(t *testing.T) {
 			lt := newTestTerm(t)
-			lt.learn([]wire.MachineType{{Name: "small", CPUs: 4, MemGB: 16, Zones: []string{"a", "b"}}})
+			lt.updatePriceList([]wire.MachineType{{Name: "small", CPUs: 4, MemGB: 16, Zones: []string{"a", "b"}}})
 			lt.nameIndex.zoneIndex("a")
 			need := place.Resources{CPUs: 4}
 			gang := lt.jobTable.add(&job.Record{Spec: job.Spec{ID: "run-1", ShapeName: "ensemble", PriorityName: "idle", Tasks: 2, CPUs: 4, OneZone: true}}, 1, lt.termStart)
@@ -94,9 +94,9 @@
 	}
 	for _, tt := range tests {
 		lt := newTestTerm(t, config.Team{Name: "red"})
-		lt.learn([]wire.MachineType{{Name: "x", CPUs: 8, BootS: 1000, Zones: []string{"a"}}})
+		lt.updatePriceList([]wire.MachineType{{Name: "x", CPUs: 8, BootS: 1000, Zones: []string{"a"}}})
 		now := lt.termStart.Add(tt.cutFor)
-		machine := lt.host("h1")
+		machine := lt.addMachine("h1")
 		lt.nameIndex.describeMachine(machine, "x", "a", false)
 		machine.Booting, machine.Registered, machine.Fenced, machine.IdleSince = false, true, !tt.inherited, now
 		if machine.Inherited = tt.inherited; !tt.inherited {
--- a/internal/control/machine_quarantine_test.go
+++ b/internal/control/machine_quarantine_test.go
@@ -38,14 +38,14 @@
 			for i, st := range tt.steps {
 				j := jobs[st.job]
 				if j == nil {
-					j = lt.array(st.job)
+					j = lt.addArrayJob(st.job)
 					jobs[st.job] = j
 				}
 				slot := &fleet.Slot{PlacementKey: fleet.PlacementKey{Job: j, Task: int32(i)}, Cause: wire.CauseError}
 				if st.done {
 					slot.Cause = wire.CauseDone
 				}
-				lt.taskTracker.taskEnded(slot, j, lt.host(st.machine), now)
+				lt.taskTracker.taskEnded(slot, j, lt.addMachine(st.machine), now)
 			}
 			quarantined, delayed := "", ""
 			for _, machine := range lt.fleet.All() {
@@ -82,10 +82,10 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			lt := newTestTerm(t)
-			j, now := lt.array("run-1"), time.Unix(1000, 0)
+			j, now := lt.addArrayJob("run-1"), time.Unix(1000, 0)
 			endTask := func(task int, machine string, runTime time.Duration, adopted bool) {
 				slot := &fleet.Slot{PlacementKey: fleet.PlacementKey{Job: j, Task: int32(task)}, Cause: wire.CauseDone, RunningSince: now.Add(-runTime), Adopted: adopted}
-				lt.taskTracker.taskEnded(slot, j, lt.host(machine), now)
+				lt.taskTracker.taskEnded(slot, j, lt.addMachine(machine), now)
 			}
 			for i := range 10 {
 				if tt.adopted {
@@ -97,7 +97,7 @@
 			for i := range 10 {
 				endTask(20+i, "h2", tt.runTime, false)
 			}
-			if got := lt.host("h2").Quarantined; got != tt.quarantined {
+			if got := lt.addMachine("h2").Quarantined; got != tt.quarantined {
 				t.Errorf("quarantined: got %v, want %v", got, tt.quarantined)
 			}
 		})
--- a/internal/control/takeover_load.go
+++ b/internal/control/takeover_load.go
@@ -67,7 +67,7 @@
 		return nil, err
 	}
 	var err error
-	if st.types, err = tk.controller.knownTypes(tk.ctx); err != nil {
+	if st.types, err = tk.controller.loadMachineTypes(tk.ctx); err != nil {
 		return nil, err
 	}
 	if st.rollouts, err = tk.rollouts.readRecords(); err != nil {
@@ -187,7 +187,7 @@
 			continue
 		}
 		if rec.Phase != "" {
-			tk.completions.addUnmoved(&rec, e.Version)
+			tk.completions.addPendingMove(&rec, e.Version)
 			continue
 		}
 		if tk.jobTable.get(rec.Spec.ID) == nil {
--- a/internal/control/tasks_stops_test.go
+++ b/internal/control/tasks_stops_test.go
@@ -29,10 +29,10 @@
 		j := lt.jobTable.add(&job.Record{Spec: job.Spec{ID: "run-1", ShapeName: "ensemble", PriorityName: "standard", Tasks: 3, CPUs: 1}}, 1, now)
 		j.GangAttempt = 5
 		for i, phase := range tt.phases {
-			slot := lt.fleet.Assign(lt.host("h1"), fleet.PlacementKey{Job: j, Task: int32(i + 1), Attempt: 5}, now)
+			slot := lt.fleet.Assign(lt.addMachine("h1"), fleet.PlacementKey{Job: j, Task: int32(i + 1), Attempt: 5}, now)
 			slot.Phase, slot.LaunchSent = phase, true
 		}
-		lt.taskTracker.taskEnded(&fleet.Slot{PlacementKey: fleet.PlacementKey{Job: j, Attempt: 5}, Phase: wire.TaskExited, Cause: wire.CauseGangIncomplete}, j, lt.host("h2"), now)
+		lt.taskTracker.taskEnded(&fleet.Slot{PlacementKey: fleet.PlacementKey{Job: j, Attempt: 5}, Phase: wire.TaskExited, Cause: wire.CauseGangIncomplete}, j, lt.addMachine("h2"), now)
 		if j.GangStopping != tt.stopped || (!tt.stopped && j.GangAttempt != 5) {
 			t.Errorf("%s: attempt stopped %v, want %v", tt.name, j.GangStopping, tt.stopped)
 		}
