--- a/internal/control/records_load.go
+++ b/internal/control/records_load.go
@@ -10,127 +10,129 @@
 	"vetchstream/internal/wire"
 )
 
-// pageError is the error of a stored page of the registry that cannot be loaded: a
-// leader must not take over from incomplete records.
+// pageError reports a stored registry page that cannot be loaded. A leader must not
+// take over from incomplete records, so the whole load fails.
 type pageError struct {
 	key string
 	err error
 }
 
-func (e *pageError) Error() string { return "page " + e.key + ": " + e.err.Error() }
+func (e *pageError) Error() string { return "registry page " + e.key + ": " + e.err.Error() }
 
 func (e *pageError) Unwrap() error { return e.err }
 
-// indexReusedError is the error of a stored page that gives one index to two
-// machines.
+// indexReusedError reports that the stored pages give one index to two machines.
 type indexReusedError struct {
 	index int
 }
 
-func (e *indexReusedError) Error() string { return fmt.Sprintf("index %d is used twice", e.index) }
+func (e *indexReusedError) Error() string {
+	return fmt.Sprintf("machine index %d is used twice", e.index)
+}
 
-// load reads the stored pages of earlier leaders: hostPages of machines, jobPages of
-// jobs. The error is a *pageError.
-func (r *registry) load(hostPages, jobPages []state.Entry) error {
+// load loads the pages that earlier leaders stored: machinePages hold the machines,
+// jobPages hold the jobs with the machines that each may run on. Its errors are of type
+// *pageError.
+func (r *registry) load(machinePages, jobPages []state.Entry) error {
 	byIndex := map[int]*fleet.Machine{}
-	for _, e := range hostPages {
-		p, rec, err := r.readPage(hostPrefix, e)
+	for _, entry := range machinePages {
+		page, record, err := r.readPage(hostPrefix, entry)
 		if err != nil {
 			return err
 		}
-		if err := r.loadHosts(p, rec, byIndex); err != nil {
+		if err := r.loadHosts(page, record, byIndex); err != nil {
 			return err
 		}
 	}
-	for _, e := range jobPages {
-		p, rec, err := r.readPage(jobHostsPrefix, e)
+	for _, entry := range jobPages {
+		page, record, err := r.readPage(jobHostsPrefix, entry)
 		if err != nil {
 			return err
 		}
-		if err := r.loadJobHosts(p, rec, byIndex); err != nil {
+		if err := r.loadJobHosts(page, record, byIndex); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// readPage decodes a stored page and adds it, stale, to the registry.
-func (r *registry) readPage(prefix string, e state.Entry) (*registryPage, *pageRecord, error) {
-	var rec pageRecord
-	if err := wire.Unmarshal(e.Value, &rec); err != nil {
-		return nil, nil, &pageError{key: e.Key, err: err}
+// readPage decodes a stored page and adds it to the registry, marked as stale.
+func (r *registry) readPage(prefix string, entry state.Entry) (*registryPage, *pageRecord, error) {
+	var record pageRecord
+	if err := wire.Unmarshal(entry.Value, &record); err != nil {
+		return nil, nil, &pageError{key: entry.Key, err: err}
 	}
 	var number int
-	if _, err := fmt.Sscanf(e.Key[len(prefix):], "%d", &number); err != nil {
-		return nil, nil, &pageError{key: e.Key, err: err}
+	if _, err := fmt.Sscanf(entry.Key[len(prefix):], "%d", &number); err != nil {
+		return nil, nil, &pageError{key: entry.Key, err: err}
 	}
 	r.nextPage[prefix] = max(r.nextPage[prefix], number+1)
-	p := &registryPage{key: e.Key, version: e.Version, stale: true}
-	r.pages = append(r.pages, p)
-	return p, &rec, nil
+	page := &registryPage{key: entry.Key, version: entry.Version, stale: true}
+	r.pages = append(r.pages, page)
+	return page, &record, nil
 }
 
 // loadHosts adds the machines of a stored page to the fleet, under their indexes.
-func (r *registry) loadHosts(p *registryPage, rec *pageRecord, byIndex map[int]*fleet.Machine) error {
-	for _, hr := range rec.Hosts {
-		known := byIndex[hr.Idx]
-		if known != nil && known.Name == hr.Name {
+func (r *registry) loadHosts(page *registryPage, record *pageRecord, byIndex map[int]*fleet.Machine) error {
+	for _, stored := range record.Hosts {
+		known := byIndex[stored.Idx]
+		if known != nil && known.Name == stored.Name {
 			// The earlier leader was moving the machine between two pages.
-			r.storeInOrder(p, r.hostEntries[known].page)
+			r.storeInOrder(page, r.hostEntries[known].page)
 			continue
 		}
-		if known != nil || hr.Idx < 0 {
-			return &pageError{key: p.key, err: &indexReusedError{index: hr.Idx}}
+		if known != nil || stored.Idx < 0 {
+			return &pageError{key: page.key, err: &indexReusedError{index: stored.Idx}}
 		}
-		h := r.fleet.AddWithIndex(hr.Name, hr.Idx, r.termStart)
-		byIndex[hr.Idx] = h
-		h.Addr = hr.Addr
-		h.Registered = true
-		h.Inherited = true
-		h.Booting = false
-		r.nameIndex.describeHost(h, hr.Type, hr.Zone, hr.Spot)
-		p.hosts = append(p.hosts, h)
-		r.hostEntries[h] = hostEntry{hostRecord: hr, page: p}
+		machine := r.fleet.AddWithIndex(stored.Name, stored.Idx, r.termStart)
+		byIndex[stored.Idx] = machine
+		machine.Addr = stored.Addr
+		machine.Registered = true
+		machine.Inherited = true
+		machine.Booting = false
+		r.nameIndex.describeHost(machine, stored.Type, stored.Zone, stored.Spot)
+		page.hosts = append(page.hosts, machine)
+		r.hostEntries[machine] = hostEntry{hostRecord: stored, page: page}
 	}
 	return nil
 }
 
-// loadJobHosts reads the jobs of a stored page, and sets which jobs each machine may
-// have inherited.
-func (r *registry) loadJobHosts(p *registryPage, rec *pageRecord, byIndex map[int]*fleet.Machine) error {
-	for _, jr := range rec.Jobs {
-		set, err := job.ParseMachineSet(jr.Hosts)
+// loadJobHosts loads the jobs of a stored page and records for each machine which jobs
+// it may have inherited.
+func (r *registry) loadJobHosts(page *registryPage, record *pageRecord, byIndex map[int]*fleet.Machine) error {
+	for _, stored := range record.Jobs {
+		set, err := job.ParseMachineSet(stored.Hosts)
 		if err != nil {
-			return &pageError{key: p.key, err: err}
+			return &pageError{key: page.key, err: err}
 		}
-		r.mergeJobHosts(p, jr, set)
-		team := r.nameIndex.teamIndex(jr.Team)
-		for index, h := range byIndex {
+		r.mergeJobHosts(page, stored, set)
+		team := r.nameIndex.teamIndex(stored.Team)
+		for index, machine := range byIndex {
 			if set.Has(index) {
-				h.InheritedJobs = append(h.InheritedJobs, fleet.InheritedJob{ID: jr.Job, Team: team})
+				machine.InheritedJobs = append(machine.InheritedJobs, fleet.InheritedJob{ID: stored.Job, Team: team})
 			}
 		}
 	}
 	return nil
 }
 
-// mergeJobHosts adds the stored entry of a job, or merges it into the one that
-// another page has.
-func (r *registry) mergeJobHosts(p *registryPage, jr jobHostsRecord, set job.MachineSet) {
-	known := r.hostsByJob[jr.Job]
+// mergeJobHosts adds the stored entry of a job, or merges it into the entry that
+// another page already has for the job.
+func (r *registry) mergeJobHosts(page *registryPage, stored jobHostsRecord, set job.MachineSet) {
+	known := r.hostsByJob[stored.Job]
 	if known == nil {
-		added := &jobHosts{id: jr.Job, team: jr.Team, confirmed: set, desired: slices.Clone(set), page: p}
-		p.jobs = append(p.jobs, added)
-		r.hostsByJob[jr.Job] = added
+		added := &jobHosts{id: stored.Job, team: stored.Team, confirmed: set, desired: slices.Clone(set), page: page}
+		page.jobs = append(page.jobs, added)
+		r.hostsByJob[stored.Job] = added
 		return
 	}
-	// The earlier leader was moving the job between two pages. It may be on the machines
-	// of either, and is not launched again until one page names them all.
+	// The earlier leader was moving the job between two pages. The job may run on the
+	// machines of both, so it is not launched again until one page names them all.
 	for i := range setWordBits * len(set) {
 		if set.Has(i) {
 			known.desired.Add(i)
 		}
 	}
 	known.confirmed = nil
-	r.storeInOrder(p, known.page)
+	r.storeInOrder(page, known.page)
 }
--- a/internal/control/records_pages.go
+++ b/internal/control/records_pages.go
@@ -9,16 +9,16 @@
 	"vetchstream/internal/job"
 )
 
-// The registry is the durable record of which machines there are and which jobs
-// may be on them. A launch waits for it, so it has to take few writes whatever
-// the size of the fleet: an array that starts on hundreds of machines costs one.
-// Machines and jobs are stored in pages, many to a key; a job names its machines
-// by the set of their indexes.
+// The registry is the durable record of the machines and of the jobs that may run on
+// each of them. A launch waits until the registry is stored, so the number of writes
+// must stay small at any fleet size: an array that starts on hundreds of machines costs
+// one write. For this reason a key holds a page with many machines or many jobs, and
+// the entry of a job lists its machines as a set of indexes.
 
-// Keys of the registry in the state service.
+// Keys of the registry in the key-value store.
 const (
 	hostPrefix     = "m/"      // pages of machines
-	jobHostsPrefix = "p/"      // pages of jobs with the machines that they may be on
+	jobHostsPrefix = "p/"      // pages of jobs with the machines that they may run on
 	typesKey       = "c/types" // the cloud's price list
 )
 
@@ -32,12 +32,13 @@
 	Spot bool   `codec:"spot"`
 }
 
-// jobHostsRecord is a job's entry in a stored page: the machines that it may be on.
-// It names the team because the job may be over when the next leader reads it.
+// jobHostsRecord is a job's entry in a stored page: the machines that the job may run
+// on. It includes the team because the job may have ended before the next leader reads
+// the entry.
 type jobHostsRecord struct {
 	Job   string `codec:"job"`
 	Team  string `codec:"team"`
-	Hosts string `codec:"hosts"` // a job.MachineSet as text
+	Hosts string `codec:"hosts"` // a job.MachineSet, encoded as text
 }
 
 // pageRecord is a stored page, either of machines or of jobs.
@@ -46,88 +47,90 @@
 	Jobs  []jobHostsRecord `codec:"notes,omitempty"`
 }
 
-// hostEntry is a machine's entry in the registry, with its page.
+// hostEntry is a machine's entry in the registry, with the page that holds it.
 type hostEntry struct {
 	hostRecord
 	page *registryPage
 }
 
-// jobHosts is a job's entry in the registry: the machines that it may be on.
+// jobHosts is a job's entry in the registry: the machines that the job may run on.
 type jobHosts struct {
-	id   string // of the job
+	id   string // job ID
 	team string
-	job  *job.Job // nil: not known to this term, or over
+	job  *job.Job // nil if the job has ended or is unknown to this term
 	page *registryPage
-	// confirmed are the machines that the stored record names whatever became of the
-	// last write; desired are those that it has to name.
+	// confirmed are the machines that the stored record names regardless of the outcome
+	// of the last write; desired are those that it has to name.
 	confirmed job.MachineSet
 	desired   job.MachineSet
 }
 
-// setConfirmed sets the machines that the stored record certainly names: these are
-// the ones on which the job may be launched.
-func (jh *jobHosts) setConfirmed(s job.MachineSet) {
-	jh.confirmed = s
+// setConfirmed sets the machines that the stored record is certain to name. The job may
+// be launched on these machines only.
+func (jh *jobHosts) setConfirmed(machines job.MachineSet) {
+	jh.confirmed = machines
 	if jh.job != nil {
-		jh.job.NotedMachines = s
+		jh.job.NotedMachines = machines
 	}
 }
 
-// registryPage is a page of the registry as the leader knows it.
+// registryPage is the leader's copy of a page of the registry.
 type registryPage struct {
 	key     string
-	version uint64 // of the stored page; 0: it is not stored
+	version uint64 // version of the stored page; 0 if it is not stored
 	hosts   []*fleet.Machine
 	jobs    []*jobHosts
-	// removedIndexes are those of removed machines that the stored record may still
+	// removedIndexes are the indexes of removed machines that the stored page may still
 	// name.
 	removedIndexes []int
-	// urgent: a launch waits for the page to be stored.
+	// urgent is set while a launch waits for the page to be stored.
 	urgent bool
-	// stale: the stored page names more than it has to.
+	// stale is set while the stored page names machines or jobs that it no longer has
+	// to name.
 	stale bool
 	// storesBegun counts the transactions that included the page; lastStored is the
-	// number of the last of them that was applied.
+	// number of the latest one that was applied.
 	storesBegun int
 	lastStored  int
-	lastBegunAt time.Time // when the last such transaction was begun
-	// dependencies are the stores of other pages that took over entries of this one.
-	// This page is stored with them or after them.
+	lastBegunAt time.Time // start of the latest transaction that included the page
+	// dependencies are the stores of other pages to which entries of this page have
+	// moved. This page is stored in the same transaction or later.
 	dependencies []storeDependency
 }
 
-// storeDependency is the first store of a page that includes entries which it took
-// over. Later stores are not waited for: a page that is always in demand would
-// delay the other one forever.
+// storeDependency is the first store of a page that includes the entries moved to it.
+// Later stores are not waited for: a page that is stored again and again would delay
+// the dependent page forever.
 type storeDependency struct {
 	page        *registryPage
 	storeNumber int // as counted by storesBegun
 }
 
-// storeAfter makes the next store of p wait for the next store of q, or go with it.
-func (p *registryPage) storeAfter(q *registryPage) {
+// storeAfter makes the next store of p wait for the next store of other, or share its
+// transaction.
+func (p *registryPage) storeAfter(other *registryPage) {
 	for i := range p.dependencies {
-		if p.dependencies[i].page == q {
-			p.dependencies[i].storeNumber = q.storesBegun + 1
+		if p.dependencies[i].page == other {
+			p.dependencies[i].storeNumber = other.storesBegun + 1
 			return
 		}
 	}
-	p.dependencies = append(p.dependencies, storeDependency{page: q, storeNumber: q.storesBegun + 1})
+	p.dependencies = append(p.dependencies, storeDependency{page: other, storeNumber: other.storesBegun + 1})
 }
 
-// hasPrefix reports whether the page is of the kind that the key prefix stands for.
+// hasPrefix reports whether the page is of the kind that the key prefix denotes.
 func (p *registryPage) hasPrefix(prefix string) bool { return strings.HasPrefix(p.key, prefix) }
 
 const (
-	// valueFillFraction is the fraction of the state service's limit for values that
-	// a page may fill: sizes are estimated.
+	// valueFillFraction is the fraction of the key-value store's value size limit that
+	// a page may fill. The rest is a margin, because page sizes are estimated.
 	valueFillFraction = 0.7
-	// minPageBytes is how small the size limit of pages may become.
+	// minPageBytes is the lower bound of the size limit of pages.
 	minPageBytes = 512
 )
 
-// Estimates of encoded sizes in bytes, in the form in which the state service counts
-// them: of what is fixed in a page and in its entries, and of one word of a set.
+// Estimated encoded sizes, in bytes as the key-value store counts them: the fixed part
+// of a page, the fixed part of an entry, and one word of a machine set.
 const (
 	pageOverheadBytes     = 40
 	hostOverheadBytes     = 120
@@ -137,77 +140,80 @@
 )
 
 // pageSize estimates the encoded size of a page.
-func (r *registry) pageSize(p *registryPage) int {
-	n := pageOverheadBytes
-	for _, h := range p.hosts {
-		n += hostSize(h)
+func (r *registry) pageSize(page *registryPage) int {
+	size := pageOverheadBytes
+	for _, machine := range page.hosts {
+		size += hostSize(machine)
 	}
-	for _, jh := range p.jobs {
-		n += jobHostsSize(jh)
+	for _, jobEntry := range page.jobs {
+		size += jobHostsSize(jobEntry)
 	}
-	return n
+	return size
 }
 
 // hostSize estimates the encoded size of a machine's entry.
-func hostSize(h *fleet.Machine) int { return hostOverheadBytes + len(h.Name) + len(h.Addr) }
+func hostSize(machine *fleet.Machine) int {
+	return hostOverheadBytes + len(machine.Name) + len(machine.Addr)
+}
 
 // jobHostsSize estimates the encoded size of a job's entry.
-func jobHostsSize(jh *jobHosts) int {
-	return jobHostsOverheadBytes + len(jh.id) + len(jh.team) + setWordBytes*len(jh.desired)
-}
-
-// pageWithRoom returns a page of that kind that has room for n more bytes, a new one
-// if there is none. A page that takes over entries of another one (takesOver) must
-// have no dependencies itself: two pages that waited for each other would never be
-// stored, and nothing that they name would ever be launched.
-func (r *registry) pageWithRoom(prefix string, n int, takesOver bool) *registryPage {
-	for _, p := range r.pages {
-		if p.hasPrefix(prefix) && (!takesOver || len(p.dependencies) == 0) && r.pageSize(p)+n <= r.maxPageBytes {
-			return p
+func jobHostsSize(jobEntry *jobHosts) int {
+	return jobHostsOverheadBytes + len(jobEntry.id) + len(jobEntry.team) + setWordBytes*len(jobEntry.desired)
+}
+
+// pageWithRoom returns a page with that key prefix that has room for size more bytes,
+// or a new page if there is none. If takesOver is set, the page is to receive entries
+// of another page and must have no dependencies itself: two pages that wait for each
+// other would never be stored, and the jobs that they name would never be launched.
+func (r *registry) pageWithRoom(prefix string, size int, takesOver bool) *registryPage {
+	for _, page := range r.pages {
+		if page.hasPrefix(prefix) && (!takesOver || len(page.dependencies) == 0) && r.pageSize(page)+size <= r.maxPageBytes {
+			return page
 		}
 	}
-	p := &registryPage{key: fmt.Sprintf("%s%d", prefix, r.nextPage[prefix])}
+	page := &registryPage{key: fmt.Sprintf("%s%d", prefix, r.nextPage[prefix])}
 	r.nextPage[prefix]++
-	r.pages = append(r.pages, p)
-	return p
+	r.pages = append(r.pages, page)
+	return page
 }
 
-// splitUrgentPages splits the pages that are to be stored next where they have
-// grown too large.
+// splitUrgentPages splits those of the pages to be stored next that have outgrown the
+// size limit.
 func (r *registry) splitUrgentPages() {
 	for i := 0; i < len(r.pages); i++ { // splitPage appends
-		if p := r.pages[i]; p.urgent {
-			r.splitPage(p)
+		if page := r.pages[i]; page.urgent {
+			r.splitPage(page)
 		}
 	}
 }
 
-// splitPage moves entries of a page that is larger than the limit to other pages.
-func (r *registry) splitPage(p *registryPage) {
-	for len(p.jobs) > 1 && r.pageSize(p) > r.maxPageBytes {
-		last := len(p.jobs) - 1
-		jh := p.jobs[last]
-		p.jobs = p.jobs[:last]
-		to := r.pageWithRoom(jobHostsPrefix, jobHostsSize(jh), true)
-		r.storeInOrder(p, to)
-		to.jobs = append(to.jobs, jh)
-		jh.page = to
+// splitPage moves entries of a page that exceeds the size limit to other pages.
+func (r *registry) splitPage(page *registryPage) {
+	for len(page.jobs) > 1 && r.pageSize(page) > r.maxPageBytes {
+		last := len(page.jobs) - 1
+		jobEntry := page.jobs[last]
+		page.jobs = page.jobs[:last]
+		target := r.pageWithRoom(jobHostsPrefix, jobHostsSize(jobEntry), true)
+		r.storeInOrder(page, target)
+		target.jobs = append(target.jobs, jobEntry)
+		jobEntry.page = target
 	}
-	for len(p.hosts) > 1 && r.pageSize(p) > r.maxPageBytes {
-		last := len(p.hosts) - 1
-		h := p.hosts[last]
-		p.hosts = p.hosts[:last]
-		to := r.pageWithRoom(hostPrefix, hostSize(h), true)
-		r.storeInOrder(p, to)
-		to.hosts = append(to.hosts, h)
-		entry := r.hostEntries[h]
-		entry.page = to
-		r.hostEntries[h] = entry
+	for len(page.hosts) > 1 && r.pageSize(page) > r.maxPageBytes {
+		last := len(page.hosts) - 1
+		machine := page.hosts[last]
+		page.hosts = page.hosts[:last]
+		target := r.pageWithRoom(hostPrefix, hostSize(machine), true)
+		r.storeInOrder(page, target)
+		target.hosts = append(target.hosts, machine)
+		entry := r.hostEntries[machine]
+		entry.page = target
+		r.hostEntries[machine] = entry
 	}
 }
 
-// storeInOrder makes sure that an entry which moves from one page to another is
-// stored in the new page before, or together with, its removal from the old one.
+// storeInOrder ensures that an entry that moves from one page to another is stored in
+// the new page before its removal from the old one is stored, or in the same
+// transaction.
 func (r *registry) storeInOrder(from, to *registryPage) {
 	to.urgent = true
 	from.storeAfter(to)
--- a/internal/control/records_registry.go
+++ b/internal/control/records_registry.go
@@ -8,8 +8,8 @@
 	"vetchstream/internal/job"
 )
 
-// registry is the leader's copy of the stored pages of machines and jobs, and what
-// they have to say next (records_pages.go).
+// registry is the leader's copy of the stored pages of machines and jobs, with the
+// changes that are still to be stored (see records_pages.go).
 type registry struct {
 	*core
 	nameIndex    *nameIndex
@@ -17,26 +17,26 @@
 	takeover     *takeover
 	recordWriter *recordWriter
 
-	pages        []*registryPage // in the order in which they were made or read
-	nextPage     map[string]int  // number of the next page, by key prefix
+	pages        []*registryPage // in the order in which they were created or loaded
+	nextPage     map[string]int  // number of the next new page, by key prefix
 	hostEntries  map[*fleet.Machine]hostEntry
 	hostsByJob   map[string]*jobHosts // by job ID
 	maxPageBytes int                  // limit of the estimated size of a page
-	// commitInFlight: a transaction is under way. There is one at a time.
+	// commitInFlight is set while a transaction is in progress; there is at most one.
 	commitInFlight bool
-	nextStoreAt    time.Time // no transaction before
-	staleDueAt     time.Time // stale pages are not stored before
+	nextStoreAt    time.Time // earliest start of the next transaction
+	staleDueAt     time.Time // earliest time at which stale pages are stored
 }
 
-// newRegistry makes a registry whose pages fit the state service's limit for values,
-// in KiB.
+// newRegistry creates a registry whose pages fit the key-value store's value size
+// limit, which is given in KiB.
 func newRegistry(co *core, valueKB float64) *registry {
 	r := &registry{core: co, maxPageBytes: max(minPageBytes, int(valueKB*1024*valueFillFraction))}
 	r.reset()
 	return r
 }
 
-// reset forgets the pages of a load that failed half-way.
+// reset discards the pages of a load that failed halfway.
 func (r *registry) reset() {
 	r.pages = nil
 	r.nextPage = map[string]int{}
@@ -47,102 +47,102 @@
 // canShrinkPages reports whether the size limit of pages may still be lowered.
 func (r *registry) canShrinkPages() bool { return r.maxPageBytes > minPageBytes }
 
-// shrinkPages halves the size limit of pages: the state service accepts less than
-// its settings say.
+// shrinkPages halves the size limit of pages. It is called when the key-value store
+// accepts less than its settings state.
 func (r *registry) shrinkPages() { r.maxPageBytes = max(minPageBytes, r.maxPageBytes/2) }
 
-// attachJob connects a job with the entry that an earlier leader has stored for it.
+// attachJob links a job to the entry that an earlier leader stored for it.
 func (r *registry) attachJob(j *job.Job) {
-	if jh := r.hostsByJob[j.ID]; jh != nil {
-		jh.job = j
-		j.NotedMachines = jh.confirmed
+	if jobEntry := r.hostsByJob[j.ID]; jobEntry != nil {
+		jobEntry.job = j
+		j.NotedMachines = jobEntry.confirmed
 	}
 }
 
-// detachJob disconnects a job that is over from its entry.
+// detachJob unlinks a job that has ended from its entry.
 func (r *registry) detachJob(id string) {
-	if jh := r.hostsByJob[id]; jh != nil {
-		jh.job = nil
+	if jobEntry := r.hostsByJob[id]; jobEntry != nil {
+		jobEntry.job = nil
 	}
 }
 
-// addHost adds a machine to the registry, unless it has it already.
-func (r *registry) addHost(h *fleet.Machine, typ, zone string) {
-	if _, registered := r.hostEntries[h]; registered {
+// addHost adds a machine to the registry unless it is already registered.
+func (r *registry) addHost(machine *fleet.Machine, typeName, zone string) {
+	if _, registered := r.hostEntries[machine]; registered {
 		return
 	}
-	p := r.pageWithRoom(hostPrefix, hostSize(h), false)
-	p.hosts = append(p.hosts, h)
-	p.urgent = true
-	record := hostRecord{Idx: h.Index, Name: h.Name, Addr: h.Addr, Type: typ, Zone: zone, Spot: h.Spot}
-	r.hostEntries[h] = hostEntry{hostRecord: record, page: p}
+	page := r.pageWithRoom(hostPrefix, hostSize(machine), false)
+	page.hosts = append(page.hosts, machine)
+	page.urgent = true
+	record := hostRecord{Idx: machine.Index, Name: machine.Name, Addr: machine.Addr, Type: typeName, Zone: zone, Spot: machine.Spot}
+	r.hostEntries[machine] = hostEntry{hostRecord: record, page: page}
 }
 
-// removeHost removes a machine and reports whether its index is free at once;
-// otherwise the index is free when the machine's page has been stored.
-func (r *registry) removeHost(h *fleet.Machine) bool {
-	for _, jh := range r.hostsByJob {
-		jh.desired.Remove(h.Index)
+// removeHost removes a machine and reports whether its index can be reused immediately.
+// Otherwise the index is freed when the machine's page has been stored.
+func (r *registry) removeHost(machine *fleet.Machine) bool {
+	for _, jobEntry := range r.hostsByJob {
+		jobEntry.desired.Remove(machine.Index)
 	}
-	entry, registered := r.hostEntries[h]
+	entry, registered := r.hostEntries[machine]
 	if !registered {
 		return true
 	}
-	delete(r.hostEntries, h)
-	p := entry.page
-	p.hosts = slices.DeleteFunc(p.hosts, func(x *fleet.Machine) bool { return x == h })
-	p.removedIndexes = append(p.removedIndexes, h.Index)
-	p.stale = true
+	delete(r.hostEntries, machine)
+	page := entry.page
+	page.hosts = slices.DeleteFunc(page.hosts, func(other *fleet.Machine) bool { return other == machine })
+	page.removedIndexes = append(page.removedIndexes, machine.Index)
+	page.stale = true
 	return false
 }
 
-// recordPlacement has the registry name a machine for a job; the job may be launched
-// there once j.NotedMachines has the machine.
-func (r *registry) recordPlacement(j *job.Job, h *fleet.Machine) {
-	jh := r.hostsByJob[j.ID]
-	if jh == nil {
-		jh = &jobHosts{id: j.ID, team: j.Team, job: j}
-		size := jobHostsSize(jh) + setWordBytes*(h.Index/setWordBits+2)
-		jh.page = r.pageWithRoom(jobHostsPrefix, size, false)
-		jh.page.jobs = append(jh.page.jobs, jh)
-		r.hostsByJob[j.ID] = jh
+// recordPlacement adds a machine to the entry of a job. The job may be launched there
+// once j.NotedMachines contains the machine.
+func (r *registry) recordPlacement(j *job.Job, machine *fleet.Machine) {
+	jobEntry := r.hostsByJob[j.ID]
+	if jobEntry == nil {
+		jobEntry = &jobHosts{id: j.ID, team: j.Team, job: j}
+		size := jobHostsSize(jobEntry) + setWordBytes*(machine.Index/setWordBits+2)
+		jobEntry.page = r.pageWithRoom(jobHostsPrefix, size, false)
+		jobEntry.page.jobs = append(jobEntry.page.jobs, jobEntry)
+		r.hostsByJob[j.ID] = jobEntry
 	}
-	jh.desired.Add(h.Index)
-	if !j.NotedMachines.Has(h.Index) {
-		jh.page.urgent = true
+	jobEntry.desired.Add(machine.Index)
+	if !j.NotedMachines.Has(machine.Index) {
+		jobEntry.page.urgent = true
 	}
 }
 
-// pruneGangHosts narrows the entry of a gang to the machines that its members may be
-// on now: the gang restarts elsewhere, and an unreachable machine of an attempt that
-// is over must not delay it. An array comes back to the machines that it has used,
-// so its entry only grows, which saves most writes.
-func (r *registry) pruneGangHosts(jh *jobHosts) {
-	if jh.job == nil || jh.job.Shape != job.Gang || !r.takeover.reconciled() {
+// pruneGangHosts reduces the entry of a gang to the machines that its members may run
+// on now: the gang restarts on other machines, and an unreachable machine of an ended
+// attempt must not delay it. The entry of an array only grows, which saves most writes,
+// because an array returns to the machines that it has used.
+func (r *registry) pruneGangHosts(jobEntry *jobHosts) {
+	if jobEntry.job == nil || jobEntry.job.Shape != job.Gang || !r.takeover.reconciled() {
 		return
 	}
-	clear(jh.desired)
-	for s := range r.fleet.SlotsOf(jh.job) {
-		jh.desired.Add(s.Machine.Index)
+	clear(jobEntry.desired)
+	for slot := range r.fleet.SlotsOf(jobEntry.job) {
+		jobEntry.desired.Add(slot.Machine.Index)
 	}
 }
 
-// removeFinishedJobs removes the entries of jobs that are over, once every machine
+// removeFinishedJobs removes the entries of jobs that have ended, once every machine
 // that they name is settled.
 func (r *registry) removeFinishedJobs() {
 	if !r.takeover.reconciled() {
 		return
 	}
-	for id, jh := range r.hostsByJob {
+	for id, jobEntry := range r.hostsByJob {
 		if r.jobTable.get(id) == nil {
-			r.removeJob(jh)
+			r.removeJob(jobEntry)
 		}
 	}
 }
 
-// removeJob removes the entry of a job that is over and on no machine.
-func (r *registry) removeJob(jh *jobHosts) {
-	delete(r.hostsByJob, jh.id)
-	jh.page.jobs = slices.DeleteFunc(jh.page.jobs, func(x *jobHosts) bool { return x == jh })
-	jh.page.stale = true
+// removeJob removes the entry of a job that has ended and runs on no machine.
+func (r *registry) removeJob(jobEntry *jobHosts) {
+	delete(r.hostsByJob, jobEntry.id)
+	jobEntry.page.jobs = slices.DeleteFunc(jobEntry.page.jobs, func(other *jobHosts) bool { return other == jobEntry })
+	jobEntry.page.stale = true
 }
--- a/internal/control/records_results.go
+++ b/internal/control/records_results.go
@@ -9,22 +9,22 @@
 	"vetchstream/internal/state"
 )
 
-// resultsInterval is the least time between transactions of results.
+// resultsInterval is the minimum time between transactions of results.
 const resultsInterval = time.Second
 
-// results stores the results of completed tasks, and deletes them when their job is
-// over.
+// results stores the results of completed tasks and deletes them when their job has
+// ended.
 type results struct {
 	*core
 	recordWriter *recordWriter
 
-	unstored map[*job.Job][]*fleet.Slot // completed, and not durable yet
-	// storing: a transaction of results is under way.
+	unstored map[*job.Job][]*fleet.Slot // placements of completed tasks whose results are not durable yet
+	// storing is set while a transaction of results is in progress.
 	storing     bool
 	nextStoreAt time.Time
-	// obsoleteKeys are stored keys that are of no use any more.
+	// obsoleteKeys are stored keys that are no longer needed.
 	obsoleteKeys []string
-	// deleting: a transaction that deletes obsolete keys is under way.
+	// deleting is set while a transaction that deletes obsolete keys is in progress.
 	deleting bool
 }
 
@@ -32,21 +32,21 @@
 	return &results{core: co, unstored: map[*job.Job][]*fleet.Slot{}}
 }
 
-// reset forgets the obsolete keys that a load which failed half-way has found.
+// reset discards the obsolete keys found by a load that failed halfway.
 func (rs *results) reset() { rs.obsoleteKeys = nil }
 
-// addCompleted records a placement whose task is done; its exit is settled once the
-// result is durable.
-func (rs *results) addCompleted(s *fleet.Slot) {
-	s.Settled = false
-	rs.unstored[s.Job] = append(rs.unstored[s.Job], s)
+// addCompleted records a placement whose task has completed. Its exit is settled once
+// the result is durable.
+func (rs *results) addCompleted(slot *fleet.Slot) {
+	slot.Settled = false
+	rs.unstored[slot.Job] = append(rs.unstored[slot.Job], slot)
 }
 
-// discard settles the exits of a job that is durably over, and has its results
-// deleted.
+// discard settles the exits of a job whose end is durable, and schedules the deletion
+// of its results.
 func (rs *results) discard(j *job.Job) {
-	for _, s := range rs.unstored[j] {
-		s.Settled = true
+	for _, slot := range rs.unstored[j] {
+		slot.Settled = true
 	}
 	delete(rs.unstored, j)
 	for _, index := range j.SavedChunks() {
@@ -54,11 +54,12 @@
 	}
 }
 
-// deleteLater has a key deleted when the budget is idle.
+// deleteLater schedules a key for deletion while the write budget is idle.
 func (rs *results) deleteLater(key string) { rs.obsoleteKeys = append(rs.obsoleteKeys, key) }
 
-// deleteObsolete deletes obsolete keys while the budget is idle. The results of a job
-// are not deleted with the write of its final record, to keep that transaction small.
+// deleteObsolete deletes obsolete keys while the write budget is idle. A job's results
+// are not deleted in the transaction that writes its final record, to keep that
+// transaction small.
 func (rs *results) deleteObsolete() {
 	if rs.deleting || len(rs.obsoleteKeys) == 0 || !rs.controller.State.Idle(rs.recordWriter.maxWrites()) {
 		return
@@ -78,13 +79,13 @@
 	})
 }
 
-// chunkID names one chunk of a job's results.
+// chunkID identifies one chunk of a job's results.
 type chunkID struct {
 	job   *job.Job
 	index int
 }
 
-// key is where the chunk is stored.
+// key returns the key under which the chunk is stored.
 func (id chunkID) key() string { return id.job.ChunkKey(id.index) }
 
 // resultsTxn is a transaction of results, with the placements whose exits it
@@ -95,29 +96,29 @@
 	slots  map[*job.Job][]*fleet.Slot
 }
 
-// storeCompleted stores results, so that the workers may forget the exits. The
-// transaction is conditional on each chunk's version: if one that had no response
+// storeCompleted stores results, so that the workers may discard the exits. The
+// transaction is conditional on the version of each chunk: if one without a response
 // were executed after a newer one, results would be lost and their tasks would run
 // again under the next leader.
 func (rs *results) storeCompleted(now time.Time) {
 	if rs.storing || now.Before(rs.nextStoreAt) || rs.controller.State.SpareWrites() < rs.recordWriter.maxWrites() {
 		return
 	}
-	t := rs.nextTransaction()
-	if len(t.chunks) == 0 {
+	transaction := rs.nextTransaction()
+	if len(transaction.chunks) == 0 {
 		return
 	}
 	rs.storing = true
 	rs.nextStoreAt = now.Add(resultsInterval)
 	go func() {
-		found, err := rs.commit(t)
-		rs.enqueue(func() { rs.handleStored(t, found, err) })
+		versions, err := rs.commit(transaction)
+		rs.enqueue(func() { rs.handleStored(transaction, versions, err) })
 	}()
 }
 
-// nextTransaction makes a transaction of as many jobs' results as fit into one.
+// nextTransaction builds a transaction with the results of as many jobs as fit into it.
 func (rs *results) nextTransaction() *resultsTxn {
-	t := &resultsTxn{
+	transaction := &resultsTxn{
 		txn:   state.Txn{If: []state.Condition{rs.fence}},
 		slots: map[*job.Job][]*fleet.Slot{},
 	}
@@ -126,72 +127,72 @@
 			continue
 		}
 		dirty := j.DirtyChunks()
-		if n := len(t.txn.Writes); len(dirty) == 0 || (n > 0 && n+len(dirty) > rs.recordWriter.maxWrites()) {
+		if n := len(transaction.txn.Writes); len(dirty) == 0 || (n > 0 && n+len(dirty) > rs.recordWriter.maxWrites()) {
 			continue
 		}
 		for _, index := range dirty {
-			t.addChunk(chunkID{job: j, index: index})
+			transaction.addChunk(chunkID{job: j, index: index})
 		}
-		t.slots[j] = rs.unstored[j]
+		transaction.slots[j] = rs.unstored[j]
 		delete(rs.unstored, j)
 	}
-	return t
+	return transaction
 }
 
-// addChunk adds the write of a chunk. One that does not encode is left out.
+// addChunk adds the write of a chunk. It skips a chunk that cannot be encoded.
 func (t *resultsTxn) addChunk(id chunkID) {
 	write, err := state.Put(id.key(), id.job.TakeChunk(id.index))
 	if err != nil {
 		return
 	}
 	version := id.job.ChunkVersion(id.index)
-	id.job.MarkChunkSaved(id.index, version) // it may be stored from the moment the commit is sent
+	id.job.MarkChunkSaved(id.index, version) // the chunk may be stored from the moment the commit is sent
 	t.chunks = append(t.chunks, id)
 	t.txn.Writes = append(t.txn.Writes, write)
 	t.txn.If = append(t.txn.If, state.Condition{Key: write.Put, Version: version})
 }
 
-// commit runs the transaction once, and returns the versions that the chunks then
-// have, as far as they are known.
-func (rs *results) commit(t *resultsTxn) (found map[chunkID]uint64, err error) {
-	version, err := rs.controller.State.Commit(rs.ctx, t.txn)
+// commit runs the transaction once. It returns the versions that the chunks have
+// afterwards, as far as they are known.
+func (rs *results) commit(transaction *resultsTxn) (versions map[chunkID]uint64, err error) {
+	version, err := rs.controller.State.Commit(rs.ctx, transaction.txn)
 	if err != nil {
 		rs.sleep(commitRetryPause)
 	}
-	found = map[chunkID]uint64{}
-	for _, id := range t.chunks {
+	versions = map[chunkID]uint64{}
+	for _, id := range transaction.chunks {
 		switch {
 		case err == nil:
-			found[id] = version
+			versions[id] = version
 		case errors.Is(err, state.ErrConflict):
 			if current, known := rs.recordWriter.readVersion(id.key()); known {
-				found[id] = current
+				versions[id] = current
 			}
 		}
 	}
-	return found, err
+	return versions, err
 }
 
-// handleStored applies the outcome of a transaction: exits whose results are stored
-// are settled, results that are not are stored again.
-func (rs *results) handleStored(t *resultsTxn, found map[chunkID]uint64, err error) {
+// handleStored applies the outcome of a transaction: it settles the exits whose results
+// are stored, and has the other results stored again.
+func (rs *results) handleStored(transaction *resultsTxn, versions map[chunkID]uint64, err error) {
 	rs.storing = false
 	rs.recordWriter.shrinkIfRejected(err)
-	for id, version := range found {
+	for id, version := range versions {
 		id.job.MarkChunkSaved(id.index, version)
 	}
 	if err == nil {
-		for _, slots := range t.slots {
-			for _, s := range slots {
-				s.Settled = true
+		for _, slots := range transaction.slots {
+			for _, slot := range slots {
+				slot.Settled = true
 			}
 		}
 		return
 	}
-	for _, id := range t.chunks {
+	for _, id := range transaction.chunks {
 		id.job.MarkChunkDirty(id.index)
 	}
-	for j, slots := range t.slots {
+	for j, slots := range transaction.slots {
 		rs.unstored[j] = append(rs.unstored[j], slots...)
 	}
 }
--- a/internal/control/records_store.go
+++ b/internal/control/records_store.go
@@ -10,35 +10,37 @@
 	"vetchstream/internal/state"
 )
 
-// The write budget is shared with admission, results and job ends, so stores of the
-// registry are spaced.
+// The registry shares the write budget with admission, results and ends of jobs, so its
+// transactions are spaced.
 const (
-	// storeInterval is the least time between transactions of the registry.
+	// storeInterval is the minimum time between transactions of the registry.
 	storeInterval = 60 * time.Millisecond
-	// staleInterval is the time between stores of pages that are merely stale.
+	// staleInterval is the time between stores of pages that are stale but not urgent.
 	staleInterval = 2 * time.Second
-	// staleRetryInterval is the time until the next store of stale pages when some did
-	// not fit into one transaction: while it is under way, launches wait.
+	// staleRetryInterval is the time until the next store of stale pages if some did
+	// not fit into one transaction. Launches wait while a transaction is in progress,
+	// so the next one does not follow immediately.
 	staleRetryInterval = 300 * time.Millisecond
-	// storeFailurePause is the wait after a transaction that failed.
+	// storeFailurePause is the pause after a failed transaction.
 	storeFailurePause = 100 * time.Millisecond
-	// reservedWrites of the budget are left to users' requests.
+	// reservedWrites is the part of the write budget that is left to users' requests.
 	reservedWrites = 2
-	// maxTxnPageBytes bounds the pages of one transaction, below the protocol's 64 KiB.
+	// maxTxnPageBytes limits the total size of the pages in one transaction. It is
+	// below the protocol's limit of 64 KiB.
 	maxTxnPageBytes = 44 << 10
 )
 
-// pageStore is one page in a transaction, with what it says there.
+// pageStore is a page in a transaction, with the content that the transaction writes.
 type pageStore struct {
 	page           *registryPage
 	hosts          []*fleet.Machine
-	removedIndexes []int // no longer named by the page once it is stored
+	removedIndexes []int // indexes that the page no longer names once it is stored
 	jobs           []*jobHosts
-	sets           []job.MachineSet // the machines of each of jobs
+	sets           []job.MachineSet // the machines of each job in jobs
 }
 
-// storePages stores the pages that launches wait for, and stale ones if the budget
-// is idle.
+// storePages stores the pages that launches wait for, and also stale pages if the write
+// budget is idle.
 func (r *registry) storePages(now time.Time) {
 	if r.commitInFlight || now.Before(r.nextStoreAt) {
 		return
@@ -54,16 +56,16 @@
 	r.commitInFlight = true
 	r.nextStoreAt = now.Add(storeInterval)
 	go func() {
-		version, found, err := r.commitPages(stores, txn)
-		r.enqueue(func() { r.handleStored(stores, version, found, err) })
+		version, currentVersions, err := r.commitPages(stores, txn)
+		r.enqueue(func() { r.handleStored(stores, version, currentVersions, err) })
 	}()
 }
 
-// nextTransaction chooses the pages of the next transaction, at most maxPages, and
-// encodes them. From here on the stored record of each may be the old one or the new
-// one: a job may be launched only on machines that both name. The transaction is
-// conditional on each page's version, so that one that is executed late cannot
-// overwrite a newer one.
+// nextTransaction chooses at most maxPages pages for the next transaction and encodes
+// them. From this point until the outcome is known, the stored record of each page may
+// be the old one or the new one, and a job may be launched only on machines that both
+// name. The transaction is conditional on the version of each page, so that a delayed
+// transaction cannot overwrite a newer one.
 func (r *registry) nextTransaction(now time.Time, maxPages int, idle bool) (stores []pageStore, txn state.Txn) {
 	staleDue := !now.Before(r.staleDueAt)
 	r.splitUrgentPages()
@@ -71,26 +73,26 @@
 	included := map[*registryPage]bool{}
 	txn.If = []state.Condition{r.fence}
 	complete := true
-	for _, p := range r.storeOrder(staleDue, idle) {
-		if !p.storable(included) {
+	for _, page := range r.storeOrder(staleDue, idle) {
+		if !page.storable(included) {
 			continue
 		}
-		size := r.pageSize(p)
+		size := r.pageSize(page)
 		if len(stores) >= maxPages || (bytes > 0 && bytes+size > maxTxnPageBytes) {
 			complete = false
 			break
 		}
-		store, write, err := r.encodePage(p)
+		store, write, err := r.encodePage(page)
 		if err != nil {
-			r.log.Error("registry page cannot be encoded", "key", p.key, "error", err)
+			r.log.Error("registry page cannot be encoded", "key", page.key, "error", err)
 			continue
 		}
 		store.begin(now)
-		included[p] = true
+		included[page] = true
 		bytes += size
 		stores = append(stores, store)
 		txn.Writes = append(txn.Writes, write)
-		txn.If = append(txn.If, state.Condition{Key: p.key, Version: p.version})
+		txn.If = append(txn.If, state.Condition{Key: page.key, Version: page.version})
 	}
 	switch {
 	case staleDue && idle && complete:
@@ -101,79 +103,80 @@
 	return stores, txn
 }
 
-// storeOrder is the order in which pages are stored: first the urgent ones, then, if
-// they are due and the budget is idle, the stale ones.
+// storeOrder returns the pages in the order in which they are to be stored: first the
+// urgent pages, then the stale ones if they are due and the write budget is idle.
 func (r *registry) storeOrder(staleDue, idle bool) []*registryPage {
 	var order []*registryPage
-	for _, p := range r.pages {
-		if p.urgent {
-			order = append(order, p)
+	for _, page := range r.pages {
+		if page.urgent {
+			order = append(order, page)
 		}
 	}
-	urgent := len(order)
+	urgentCount := len(order)
 	if !staleDue || !idle {
 		return order
 	}
-	for _, p := range r.pages {
-		if p.stale && !p.urgent {
-			order = append(order, p)
+	for _, page := range r.pages {
+		if page.stale && !page.urgent {
+			order = append(order, page)
 		}
 	}
-	// The page that was stored least recently comes first. In the order of the pages,
-	// the last ones of a large fleet would never be reached, and a successor would wait
-	// a full lease for machines that were returned long before.
-	slices.SortStableFunc(order[urgent:], func(a, b *registryPage) int { return a.lastBegunAt.Compare(b.lastBegunAt) })
+	// The least recently stored page comes first. In the order of r.pages, the last pages
+	// of a large fleet would never be stored, and the next leader would wait a full lease
+	// for machines that were released long before.
+	slices.SortStableFunc(order[urgentCount:], func(a, b *registryPage) int { return a.lastBegunAt.Compare(b.lastBegunAt) })
 	return order
 }
 
-// storable reports whether every page that p depends on is stored, or included in
-// the same transaction: that is applied as a whole or not at all.
+// storable reports whether every page that p depends on is stored, or is included in
+// the same transaction, which is applied as a whole or not at all.
 func (p *registryPage) storable(included map[*registryPage]bool) bool {
-	p.dependencies = slices.DeleteFunc(p.dependencies, func(d storeDependency) bool {
-		return d.page.lastStored >= d.storeNumber
+	p.dependencies = slices.DeleteFunc(p.dependencies, func(dependency storeDependency) bool {
+		return dependency.page.lastStored >= dependency.storeNumber
 	})
-	return !slices.ContainsFunc(p.dependencies, func(d storeDependency) bool { return !included[d.page] })
+	return !slices.ContainsFunc(p.dependencies, func(dependency storeDependency) bool { return !included[dependency.page] })
 }
 
-// encodePage makes the write of a page, and what it says of its machines and jobs.
-func (r *registry) encodePage(p *registryPage) (pageStore, state.Write, error) {
+// encodePage encodes a page. It returns the write and the content that the write
+// stores.
+func (r *registry) encodePage(page *registryPage) (pageStore, state.Write, error) {
 	store := pageStore{
-		page:           p,
-		hosts:          slices.Clone(p.hosts),
-		removedIndexes: p.removedIndexes,
-		jobs:           slices.Clone(p.jobs),
+		page:           page,
+		hosts:          slices.Clone(page.hosts),
+		removedIndexes: page.removedIndexes,
+		jobs:           slices.Clone(page.jobs),
 	}
 	record := pageRecord{}
-	for _, h := range p.hosts {
-		record.Hosts = append(record.Hosts, r.hostEntries[h].hostRecord)
+	for _, machine := range page.hosts {
+		record.Hosts = append(record.Hosts, r.hostEntries[machine].hostRecord)
 	}
-	for _, jh := range p.jobs {
-		r.pruneGangHosts(jh)
-		set := slices.Clone(jh.desired)
+	for _, jobEntry := range page.jobs {
+		r.pruneGangHosts(jobEntry)
+		set := slices.Clone(jobEntry.desired)
 		store.sets = append(store.sets, set)
-		record.Jobs = append(record.Jobs, jobHostsRecord{Job: jh.id, Team: jh.team, Hosts: set.Encode()})
+		record.Jobs = append(record.Jobs, jobHostsRecord{Job: jobEntry.id, Team: jobEntry.team, Hosts: set.Encode()})
 	}
-	write, err := state.Put(p.key, record)
+	write, err := state.Put(page.key, record)
 	return store, write, err
 }
 
-// begin notes that the page goes into a transaction. Until its outcome is known,
-// only the machines that the old and the new record both name are confirmed.
+// begin records that a transaction includes the page. Until the outcome is known, only
+// the machines that both the old and the new record name are confirmed.
 func (ps *pageStore) begin(now time.Time) {
-	for i, jh := range ps.jobs {
-		jh.setConfirmed(jh.confirmed.Intersect(ps.sets[i]))
-	}
-	p := ps.page
-	p.urgent = false
-	p.stale = false
-	p.removedIndexes = nil
-	p.storesBegun++
-	p.lastBegunAt = now
+	for i, jobEntry := range ps.jobs {
+		jobEntry.setConfirmed(jobEntry.confirmed.Intersect(ps.sets[i]))
+	}
+	page := ps.page
+	page.urgent = false
+	page.stale = false
+	page.removedIndexes = nil
+	page.storesBegun++
+	page.lastBegunAt = now
 }
 
-// commitPages runs the transaction. After a conflict it also returns the versions
-// that the pages have now, as far as they can be read.
-func (r *registry) commitPages(stores []pageStore, txn state.Txn) (version uint64, found map[*registryPage]uint64, err error) {
+// commitPages runs the transaction. After a conflict it also returns the current
+// versions of the pages, as far as they can be read.
+func (r *registry) commitPages(stores []pageStore, txn state.Txn) (version uint64, currentVersions map[*registryPage]uint64, err error) {
 	version, err = r.controller.State.Commit(r.ctx, txn)
 	if err != nil {
 		r.sleep(storeFailurePause)
@@ -181,21 +184,21 @@
 	if !errors.Is(err, state.ErrConflict) {
 		return version, nil, err
 	}
-	found = map[*registryPage]uint64{}
+	currentVersions = map[*registryPage]uint64{}
 	for _, store := range stores {
 		if current, known := r.recordWriter.readVersion(store.page.key); known {
-			found[store.page] = current
+			currentVersions[store.page] = current
 		}
 	}
-	return version, found, err
+	return version, currentVersions, err
 }
 
-// handleStored applies the outcome of a transaction: what it has stored is confirmed;
-// if it failed, its pages are to be stored again.
-func (r *registry) handleStored(stores []pageStore, version uint64, found map[*registryPage]uint64, err error) {
+// handleStored applies the outcome of a transaction: it confirms the pages if they were
+// stored, and marks them as urgent again if the transaction failed.
+func (r *registry) handleStored(stores []pageStore, version uint64, currentVersions map[*registryPage]uint64, err error) {
 	r.commitInFlight = false
-	for p, current := range found {
-		p.version = current
+	for page, current := range currentVersions {
+		page.version = current
 	}
 	if err != nil {
 		for _, store := range stores {
@@ -211,21 +214,21 @@
 	r.requestPlan()
 }
 
-// confirm notes that a page was stored at the version: its machines are durable, and
-// its jobs may be launched on the machines that it names.
+// confirm records that a page was stored at the version: its machines are registered,
+// and its jobs may be launched on the machines that the page names.
 func (r *registry) confirm(store *pageStore, version uint64) {
-	p := store.page
-	p.version = version
-	p.lastStored = p.storesBegun
-	for _, h := range store.hosts {
-		if r.hostEntries[h].page == p {
-			h.Registered = true
+	page := store.page
+	page.version = version
+	page.lastStored = page.storesBegun
+	for _, machine := range store.hosts {
+		if r.hostEntries[machine].page == page {
+			machine.Registered = true
 		}
 	}
 	for _, index := range store.removedIndexes {
 		r.fleet.ReleaseIndex(index)
 	}
-	for i, jh := range store.jobs {
-		jh.setConfirmed(store.sets[i])
+	for i, jobEntry := range store.jobs {
+		jobEntry.setConfirmed(store.sets[i])
 	}
 }
--- a/internal/control/records_writer.go
+++ b/internal/control/records_writer.go
@@ -6,21 +6,21 @@
 	"vetchstream/internal/state"
 )
 
-// recordWriter runs the leader's transactions, and adapts their size to what the
-// state service accepts.
+// recordWriter runs the leader's transactions and adapts their size to what the
+// key-value store accepts.
 type recordWriter struct {
 	*core
 	registry *registry
 
-	maxBatch int // most writes in one transaction
+	maxBatch int // maximum number of writes in a transaction
 }
 
-// maxWrites is the most writes that a transaction may have.
+// maxWrites returns the maximum number of writes in a transaction.
 func (wr *recordWriter) maxWrites() int { return wr.maxBatch }
 
-// shrinkIfRejected halves the size of transactions if the state service has rejected
-// one: its limits may be tighter than the settings say, and sending the same
-// transaction again would stop all placement.
+// shrinkIfRejected halves the size limits of transactions and pages if the key-value
+// store has rejected one. Its limits may be tighter than the settings state, and
+// sending the same transaction again would stop all placement.
 func (wr *recordWriter) shrinkIfRejected(err error) {
 	if errors.Is(err, state.ErrRejected) && (wr.maxBatch > 1 || wr.registry.canShrinkPages()) {
 		wr.maxBatch = max(1, wr.maxBatch/2)
@@ -29,20 +29,20 @@
 	}
 }
 
-// write runs a fenced transaction once and calls then with its outcome on the actor.
-// The writes may be repeated safely: only this term can make them.
-func (wr *recordWriter) write(writes []state.Write, then func(error)) {
+// write runs a fenced transaction once and calls onDone with its outcome in the actor.
+// The writes can be repeated safely, because only this term can make them.
+func (wr *recordWriter) write(writes []state.Write, onDone func(error)) {
 	go func() {
 		_, err := wr.controller.State.Commit(wr.ctx, state.Txn{If: []state.Condition{wr.fence}, Writes: writes})
 		if err != nil {
 			wr.sleep(commitRetryPause)
 		}
-		wr.enqueue(func() { then(err) })
+		wr.enqueue(func() { onDone(err) })
 	}()
 }
 
-// readVersion reads the version of a key, 0 if it is absent; known is false if the
-// state service does not answer.
+// readVersion reads the version of a key; it is 0 if the key does not exist. The result
+// known is false if the key-value store did not answer.
 func (wr *recordWriter) readVersion(key string) (version uint64, known bool) {
 	entry, err := wr.controller.State.Get(wr.ctx, key)
 	return entry.Version, err == nil || errors.Is(err, state.ErrNotFound)
--- a/internal/control/registry_fixture_test.go
+++ b/internal/control/registry_fixture_test.go
@@ -12,51 +12,53 @@
 	"vetchstream/internal/wire"
 )
 
-// fakeStore is the state service as the registry sees it.
+// fakeStore is an in-memory key-value store for the registry's transactions.
 type fakeStore struct {
 	rev uint64
 	kv  map[string]state.Entry
 }
 
-// apply runs a transaction, or reports that a condition fails.
+// apply executes a transaction, or returns state.ErrConflict if a condition does not
+// hold.
 func (s *fakeStore) apply(txn state.Txn) (uint64, error) {
-	for _, c := range txn.If[1:] {
-		if s.kv[c.Key].Version != c.Version {
+	for _, condition := range txn.If[1:] {
+		if s.kv[condition.Key].Version != condition.Version {
 			return 0, state.ErrConflict
 		}
 	}
 	s.rev++
-	for _, w := range txn.Writes {
-		s.kv[w.Put] = state.Entry{Key: w.Put, Value: w.Value, Version: s.rev}
+	for _, write := range txn.Writes {
+		s.kv[write.Put] = state.Entry{Key: write.Put, Value: write.Value, Version: s.rev}
 	}
 	return s.rev, nil
 }
 
-// names reads which machines the stored records name for a job.
+// names returns the indexes of the machines that the stored records name for a job.
 func (s *fakeStore) names(t *testing.T, id string) map[int]bool {
 	t.Helper()
-	out := map[int]bool{}
-	for _, e := range s.kv {
-		var rec pageRecord
-		if err := wire.Unmarshal(e.Value, &rec); err != nil {
+	machines := map[int]bool{}
+	for _, entry := range s.kv {
+		var record pageRecord
+		if err := wire.Unmarshal(entry.Value, &record); err != nil {
 			t.Fatal(err)
 		}
-		for _, n := range rec.Jobs {
-			set, err := job.ParseMachineSet(n.Hosts)
+		for _, jobRecord := range record.Jobs {
+			set, err := job.ParseMachineSet(jobRecord.Hosts)
 			if err != nil {
 				t.Fatal(err)
 			}
 			for i := range 64 * len(set) {
-				if n.Job == id && set.Has(i) {
-					out[i] = true
+				if jobRecord.Job == id && set.Has(i) {
+					machines[i] = true
 				}
 			}
 		}
 	}
-	return out
+	return machines
 }
 
-// registryFixture is a leader's registry on a fake store, driven step by step.
+// registryFixture is a leader's registry on a fakeStore. The test triggers each
+// transaction.
 type registryFixture struct {
 	*leaderTerm
 	t     *testing.T
@@ -79,35 +81,36 @@
 
 // addHost adds a machine to the fleet and to the registry.
 func (f *registryFixture) addHost(name string) *fleet.Machine {
-	h := f.host(name)
-	f.nameIndex.describeHost(h, "small", "a", false)
-	h.Addr = "10.0.0.1:1"
-	f.registry.addHost(h, "small", "a")
-	return h
+	machine := f.host(name)
+	f.nameIndex.describeHost(machine, "small", "a", false)
+	machine.Addr = "10.0.0.1:1"
+	f.registry.addHost(machine, "small", "a")
+	return machine
 }
 
 // assign places a task on a machine, in the fleet and in the registry.
-func (f *registryFixture) assign(j *job.Job, task int32, h *fleet.Machine) {
-	f.fleet.Assign(h, fleet.PlacementKey{Job: j, Task: task, Attempt: uint64(task) + 1}, f.now)
-	f.registry.recordPlacement(j, h)
+func (f *registryFixture) assign(j *job.Job, task int32, machine *fleet.Machine) {
+	f.fleet.Assign(machine, fleet.PlacementKey{Job: j, Task: task, Attempt: uint64(task) + 1}, f.now)
+	f.registry.recordPlacement(j, machine)
 }
 
-// storeOnce makes one transaction and has commit decide its outcome.
+// storeOnce builds one transaction and applies the outcome that commit returns for it.
 func (f *registryFixture) storeOnce(commit func(state.Txn) (uint64, error)) (txn state.Txn) {
 	stores, txn := f.registry.nextTransaction(f.now, 12, true)
 	version, err := commit(txn)
-	found := map[*registryPage]uint64{}
+	currentVersions := map[*registryPage]uint64{}
 	if errors.Is(err, state.ErrConflict) {
-		for _, s := range stores {
-			found[s.page] = f.store.kv[s.page.key].Version
+		for _, store := range stores {
+			currentVersions[store.page] = f.store.kv[store.page.key].Version
 		}
 	}
-	f.registry.handleStored(stores, version, found, err)
+	f.registry.handleStored(stores, version, currentVersions, err)
 	f.checkRecordedHosts()
 	return txn
 }
 
-// usePages gives the registry these pages of jobs, with a small size limit.
+// usePages replaces the registry's pages by these pages of jobs and sets a small size
+// limit.
 func (f *registryFixture) usePages(pages ...*registryPage) {
 	f.registry.maxPageBytes = 1000
 	f.registry.pages = pages
@@ -115,42 +118,43 @@
 }
 
 // recordHost records a placement of a job on a machine whose index makes the job's
-// set that many words long.
+// machine set words words long.
 func (f *registryFixture) recordHost(id string, words int) {
 	name := fmt.Sprintf("h%d", words)
-	h := f.fleet.Machines[name]
-	if h == nil {
-		h = f.fleet.AddWithIndex(name, 64*words-1, f.now)
+	machine := f.fleet.Machines[name]
+	if machine == nil {
+		machine = f.fleet.AddWithIndex(name, 64*words-1, f.now)
 	}
-	f.registry.recordPlacement(f.jobTable.get(id), h)
+	f.registry.recordPlacement(f.jobTable.get(id), machine)
 }
 
-// addJobToPage adds a new job to a page, with a set of that many words.
-func (f *registryFixture) addJobToPage(p *registryPage, id string, words int) {
-	jh := &jobHosts{id: id, job: f.array(id), page: p}
-	p.jobs = append(p.jobs, jh)
-	f.registry.hostsByJob[id] = jh
+// addJobToPage adds a new job to a page, with a machine set of that many words.
+func (f *registryFixture) addJobToPage(page *registryPage, id string, words int) {
+	jobEntry := &jobHosts{id: id, job: f.array(id), page: page}
+	page.jobs = append(page.jobs, jobEntry)
+	f.registry.hostsByJob[id] = jobEntry
 	f.recordHost(id, words)
 }
 
-// lostResponse is a commit that is not executed, and whose response is lost.
+// lostResponse is a commit that is not executed and whose outcome is unknown to the
+// leader.
 func lostResponse(state.Txn) (uint64, error) { return 0, state.ErrUnknown }
 
-// checkRecordedHosts checks that the stored records name every machine on which a
-// job may be launched.
+// checkRecordedHosts checks that the stored records name every machine on which a job
+// may be launched.
 func (f *registryFixture) checkRecordedHosts() {
 	f.t.Helper()
 	for id, j := range f.jobTable.all() {
 		named := f.store.names(f.t, id)
 		for i := range 64 * len(j.NotedMachines) {
 			if j.NotedMachines.Has(i) && !named[i] {
-				f.t.Errorf("job %s may be launched on machine %d, which no record names", id, i)
+				f.t.Errorf("job %s may be launched on machine %d, but no stored record names that machine for it", id, i)
 			}
 		}
 	}
 }
 
-// newGangJob adds a gang of two tasks to the job table of f.
+// newGangJob adds a gang of two tasks to the job table.
 func newGangJob(f *registryFixture, id string) *job.Job {
 	return f.jobTable.add(&job.Record{Spec: job.Spec{ID: id, ShapeName: "ensemble", PriorityName: "idle", Tasks: 2, CPUs: 1}}, 1, f.now)
 }
