--- a/internal/control/takeover.go
+++ b/internal/control/takeover.go
@@ -9,9 +9,9 @@
 	"vetchstream/internal/place"
 )
 
-// takeover loads what earlier leaders have stored, and reconciles it with the
-// machines: until a machine has answered or its lease has expired, it may still run
-// tasks that this term has not seen.
+// takeover loads the records of earlier leaders and reconciles them with the machines.
+// Until a machine has answered or its lease has expired, it may still run tasks that
+// this term does not know.
 type takeover struct {
 	*core
 	nameIndex         *nameIndex
@@ -33,38 +33,38 @@
 	recordsLoaded    atomic.Bool
 	allReconciled    bool             // every machine of earlier leaders is reconciled
 	inherited        []*fleet.Machine // machines of earlier leaders that are not reconciled yet
-	unlisted         map[string]bool  // machines of earlier leaders that the cloud does not list
+	unlisted         map[string]bool  // machines of earlier leaders that are missing in the cloud's list, by name
 	placementAllowed bool             // see mayPlace
 	silentHandled    bool             // releaseSilent has run
 	phases           takeoverPhases
 }
 
-// loaded reports whether the records of earlier leaders are read. It may be called
-// from any goroutine.
+// loaded reports whether the records of earlier leaders have been loaded. It may be
+// called from any goroutine.
 func (tk *takeover) loaded() bool { return tk.recordsLoaded.Load() }
 
-// reconciled reports whether every machine of earlier leaders is reconciled: nothing
-// runs on them that this term has not seen.
+// reconciled reports whether every machine of earlier leaders is reconciled, so that
+// none of them runs a task that this term does not know.
 func (tk *takeover) reconciled() bool { return tk.allReconciled }
 
-// mayPlace reports whether work may be placed although some machines have not
-// answered: what they may run is known.
+// mayPlace reports whether tasks may be placed although some machines have not
+// answered, because it is known what those may run.
 func (tk *takeover) mayPlace() bool { return tk.placementAllowed }
 
-// reconcileTimeout is how long a takeover waits for all machines before work is
+// reconcileTimeout is how long a takeover waits for all machines before tasks are
 // placed without the silent ones.
 const reconcileTimeout = 700 * time.Millisecond
 
-// reconcile looks at the machines of earlier leaders and reports whether work may
-// be placed although some have not answered.
+// reconcile updates the state of the machines of earlier leaders and reports whether
+// tasks may be placed although some of these machines have not answered.
 func (tk *takeover) reconcile(now time.Time) bool {
 	tk.logPhases(now)
 	if tk.allReconciled {
 		return true
 	}
 	tk.inherited = tk.fleet.SettleInherited()
-	if p := &tk.phases; p.contacted.IsZero() && 100*len(tk.inherited) <= (100-contactedPercent)*p.machines {
-		p.contacted = now
+	if phases := &tk.phases; phases.contacted.IsZero() && 100*len(tk.inherited) <= (100-contactedPercent)*phases.machines {
+		phases.contacted = now
 	}
 	if tk.mustWaitForMachines(now) {
 		return false
@@ -83,31 +83,31 @@
 	return true
 }
 
-// mustWaitForMachines reports whether nothing may be placed yet: a silent machine's
-// type is not known, and so not what it may take of a team's limit, or the machines
-// have not had the time of a round trip.
+// mustWaitForMachines reports whether no task may be placed yet. This is the case until
+// all machines have had the time of a round trip, and while the type of a silent
+// machine is unknown: its tasks may use an unknown part of a team's limit.
 func (tk *takeover) mustWaitForMachines(now time.Time) bool {
-	for _, h := range tk.inherited {
-		if !h.Described || now.Sub(tk.contactStart()) < reconcileTimeout {
+	for _, machine := range tk.inherited {
+		if !machine.Described || now.Sub(tk.contactStart()) < reconcileTimeout {
 			return true
 		}
 	}
 	return false
 }
 
-// blockedJobs are the jobs that a machine of an earlier leader may still run, and
-// that must wait until it is reconciled. What such a machine may run is added in
-// full to the usage of every team that may have work there.
+// blockedJobs returns the jobs that an unreconciled machine of an earlier leader may
+// still run, and that must wait until the machine is reconciled. The full capacity of
+// such a machine is added to the usage of every team that may have tasks there.
 func (tk *takeover) blockedJobs(teams []place.Team) map[*job.Job]bool {
 	blocked := map[*job.Job]bool{}
-	for _, h := range tk.inherited {
-		for _, past := range h.InheritedJobs {
-			if j := tk.jobTable.get(past.ID); j != nil {
+	for _, machine := range tk.inherited {
+		for _, inheritedJob := range machine.InheritedJobs {
+			if j := tk.jobTable.get(inheritedJob.ID); j != nil {
 				blocked[j] = true
 			}
 		}
-		capacity := &tk.nameIndex.machineTypes()[h.Type]
-		for i := range possibleTeams(h, len(teams)) {
+		capacity := &tk.nameIndex.machineTypes()[machine.Type]
+		for i := range possibleTeams(machine, len(teams)) {
 			teams[i].Used.CPUs += capacity.CPUs
 			teams[i].Used.GPUs += capacity.GPUs
 		}
@@ -115,17 +115,17 @@
 	return blocked
 }
 
-// possibleTeams are the indices of the teams that may have work on a machine of an
-// earlier leader, of so many teams.
-func possibleTeams(h *fleet.Machine, teams int) map[int]bool {
+// possibleTeams returns the indices of the teams that may have tasks on a machine of an
+// earlier leader, out of teamCount teams.
+func possibleTeams(machine *fleet.Machine, teamCount int) map[int]bool {
 	possible := map[int]bool{}
-	for _, past := range h.InheritedJobs {
-		if past.Team >= 0 {
-			possible[past.Team] = true
+	for _, inheritedJob := range machine.InheritedJobs {
+		if inheritedJob.Team >= 0 {
+			possible[inheritedJob.Team] = true
 			continue
 		}
-		for t := range teams {
-			possible[t] = true // its team is not known here: it may be any
+		for team := range teamCount {
+			possible[team] = true // the team of the job is unknown here, so it may be any team
 		}
 	}
 	return possible
--- a/internal/control/takeover_load.go
+++ b/internal/control/takeover_load.go
@@ -12,9 +12,9 @@
 // loadRetryPause is the pause after a failed load.
 const loadRetryPause = 200 * time.Millisecond
 
-// load reads what earlier leaders have stored, and retries until that succeeds;
-// false: the term has ended. Nothing is answered before: an answer about a job must
-// come from all records.
+// load loads what earlier leaders have stored and retries until that succeeds. It
+// returns false if the term has ended. The leader does not answer requests before,
+// because an answer about a job must take all records into account.
 func (tk *takeover) load() bool {
 	for tk.ctx.Err() == nil {
 		if err := tk.tryLoad(); err != nil {
@@ -30,7 +30,7 @@
 	return false
 }
 
-// recordLoaded notes and logs how much was loaded.
+// recordLoaded records and logs how much was loaded.
 func (tk *takeover) recordLoaded() {
 	jobs := tk.jobTable.all()
 	tk.phases.loaded = time.Now()
@@ -42,14 +42,15 @@
 	tk.log.Info("records loaded", "jobs", len(jobs), "machines", len(tk.fleet.Machines))
 }
 
-// storedRecords is what earlier leaders have left in the key-value store.
+// storedRecords are the records that earlier leaders have stored in the key-value
+// store.
 type storedRecords struct {
 	types       []wire.MachineType
 	hosts       []state.Entry
 	notes       []state.Entry
 	groups      []state.Entry
 	jobs        []state.Entry
-	jobsEpoch   uint64 // of the listing of jobs
+	jobsEpoch   uint64 // epoch of the listing of active jobs
 	results     []state.Entry
 	rollouts    []state.Entry
 	bookings    []state.Entry
@@ -62,53 +63,53 @@
 
 // readStored reads all stored records.
 func (tk *takeover) readStored() (*storedRecords, error) {
-	st := &storedRecords{}
-	if err := tk.listRecords(st); err != nil {
+	stored := &storedRecords{}
+	if err := tk.listRecords(stored); err != nil {
 		return nil, err
 	}
 	var err error
-	if st.types, err = tk.controller.knownTypes(tk.ctx); err != nil {
+	if stored.types, err = tk.controller.knownTypes(tk.ctx); err != nil {
 		return nil, err
 	}
-	if st.rollouts, err = tk.rollouts.readRecords(); err != nil {
+	if stored.rollouts, err = tk.rollouts.readRecords(); err != nil {
 		return nil, err
 	}
-	if st.bookings, st.windows, err = tk.calendarStore.readRecords(); err != nil {
+	if stored.bookings, stored.windows, err = tk.calendarStore.readRecords(); err != nil {
 		return nil, err
 	}
-	if st.teams, err = tk.teamQuotas.readStored(); err != nil {
+	if stored.teams, err = tk.teamQuotas.readStored(); err != nil {
 		return nil, err
 	}
-	st.homeHead, st.homeTeams, st.homeHistory, err = tk.homeQuotas.readStored()
-	return st, err
+	stored.homeHead, stored.homeTeams, stored.homeHistory, err = tk.homeQuotas.readStored()
+	return stored, err
 }
 
 // listRecords reads the records of machines and jobs.
-func (tk *takeover) listRecords(st *storedRecords) error {
+func (tk *takeover) listRecords(stored *storedRecords) error {
 	listings := []struct {
 		prefix  string
 		entries *[]state.Entry
 	}{
-		{hostPrefix, &st.hosts},
-		{jobHostsPrefix, &st.notes},
-		{job.GroupPrefix, &st.groups},
-		{job.ActivePrefix, &st.jobs},
-		{job.DonePrefix, &st.results},
-	}
-	for _, l := range listings {
-		entries, epoch, err := tk.controller.State.List(tk.ctx, l.prefix)
+		{hostPrefix, &stored.hosts},
+		{jobHostsPrefix, &stored.notes},
+		{job.GroupPrefix, &stored.groups},
+		{job.ActivePrefix, &stored.jobs},
+		{job.DonePrefix, &stored.results},
+	}
+	for _, listing := range listings {
+		entries, epoch, err := tk.controller.State.List(tk.ctx, listing.prefix)
 		if err != nil {
 			return err
 		}
-		*l.entries = entries
-		if l.prefix == job.ActivePrefix {
-			st.jobsEpoch = epoch
+		*listing.entries = entries
+		if listing.prefix == job.ActivePrefix {
+			stored.jobsEpoch = epoch
 		}
 	}
 	return nil
 }
 
-// reset discards what a load that failed half-way has taken in.
+// reset discards what a load that failed halfway has added.
 func (tk *takeover) reset() {
 	tk.fleet = newFleet(tk.term, tk.controller.Settings)
 	tk.registry.reset()
@@ -120,88 +121,88 @@
 	tk.maintenanceDrains.reset()
 }
 
-// tryLoad reads all stored records and takes them in, in the order in which they
-// depend on each other.
+// tryLoad reads all stored records and loads them in the order of their dependencies.
 func (tk *takeover) tryLoad() error {
-	st, err := tk.readStored()
+	stored, err := tk.readStored()
 	if err != nil {
 		return err
 	}
 	tk.reset()
-	tk.nameIndex.updateTypes(st.types)
-	tk.teamQuotas.load(st.teams)
-	tk.homeQuotas.load(st.homeHead, st.homeTeams, st.homeHistory)
-	if err := tk.registry.load(st.hosts, st.notes); err != nil {
+	tk.nameIndex.updateTypes(stored.types)
+	tk.teamQuotas.load(stored.teams)
+	tk.homeQuotas.load(stored.homeHead, stored.homeTeams, stored.homeHistory)
+	if err := tk.registry.load(stored.hosts, stored.notes); err != nil {
 		return err
 	}
 	now := time.Now()
-	tk.admissionGroups.load(st.groups, func(rec *job.Record) { tk.loadGroupedJob(rec, now) })
-	unreadable := tk.loadJobs(st.jobs, now)
-	if err := tk.loadResults(st.results, unreadable); err != nil {
+	tk.admissionGroups.load(stored.groups, func(record *job.Record) { tk.loadGroupedJob(record, now) })
+	unreadable := tk.loadJobs(stored.jobs, now)
+	if err := tk.loadResults(stored.results, unreadable); err != nil {
 		return err
 	}
-	if err := tk.rollouts.load(st.rollouts); err != nil {
+	if err := tk.rollouts.load(stored.rollouts); err != nil {
 		return err
 	}
-	tk.calendarStore.load(st.bookings, st.windows)
+	tk.calendarStore.load(stored.bookings, stored.windows)
 	for _, j := range tk.jobTable.all() {
 		if j.Complete() {
 			tk.completions.finish(j, wire.JobDone)
 		}
 	}
-	go tk.admission.watchActiveJobs(st.jobsEpoch)
+	go tk.admission.watchActiveJobs(stored.jobsEpoch)
 	go tk.teamQuotas.follow()
 	return nil
 }
 
-// submittedAt is the time of a job's submission on this node's steady clock. A time
-// of day that lies ahead counts as now.
-func submittedAt(rec *job.Record, now time.Time) time.Time {
-	age := max(0, now.UnixMilli()-rec.SubmittedMS)
+// submittedAt converts the wall-clock time of a job's submission to this node's
+// monotonic clock. A time in the future counts as now.
+func submittedAt(record *job.Record, now time.Time) time.Time {
+	age := max(0, now.UnixMilli()-record.SubmittedMS)
 	return now.Add(-time.Duration(age) * time.Millisecond)
 }
 
-// loadGroupedJob takes in a job of a group record.
-func (tk *takeover) loadGroupedJob(rec *job.Record, now time.Time) {
-	if rec.Phase != "" {
-		tk.completions.cacheFinalStatus(rec)
+// loadGroupedJob loads a job from a group record.
+func (tk *takeover) loadGroupedJob(record *job.Record, now time.Time) {
+	if record.Phase != "" {
+		tk.completions.cacheFinalStatus(record)
 		return
 	}
-	tk.jobTable.add(rec, 0, submittedAt(rec, now))
+	tk.jobTable.add(record, 0, submittedAt(record, now))
 }
 
-// loadJobs takes in the records of single jobs, and returns the ids of those that
-// cannot be read.
+// loadJobs loads the jobs that have records of their own, and returns the IDs of those
+// whose records cannot be decoded.
 func (tk *takeover) loadJobs(entries []state.Entry, now time.Time) (unreadable map[string]bool) {
 	unreadable = map[string]bool{}
-	for _, e := range entries {
-		var rec job.Record
-		if err := wire.Unmarshal(e.Value, &rec); err != nil {
-			tk.log.Error("job record cannot be read: it is retained and the job waits", "key", e.Key, "error", err)
-			unreadable[e.Key[len(job.ActivePrefix):]] = true
+	for _, entry := range entries {
+		var record job.Record
+		if err := wire.Unmarshal(entry.Value, &record); err != nil {
+			tk.log.Error("job record cannot be decoded; it is retained and the job is not scheduled", "key", entry.Key, "error", err)
+			unreadable[entry.Key[len(job.ActivePrefix):]] = true
 			continue
 		}
-		if tk.admissionGroups.has(rec.Spec.ID) {
-			// Another node has admitted the job once more: one record is enough.
-			tk.results.deleteLater(e.Key)
+		if tk.admissionGroups.has(record.Spec.ID) {
+			// Another node has admitted the job a second time. The group record is enough.
+			tk.results.deleteLater(entry.Key)
 			continue
 		}
-		if rec.Phase != "" {
-			tk.completions.addUnmoved(&rec, e.Version)
+		if record.Phase != "" {
+			tk.completions.addUnmoved(&record, entry.Version)
 			continue
 		}
-		if tk.jobTable.get(rec.Spec.ID) == nil {
-			tk.jobTable.add(&rec, e.Version, submittedAt(&rec, now))
+		if tk.jobTable.get(record.Spec.ID) == nil {
+			tk.jobTable.add(&record, entry.Version, submittedAt(&record, now))
 		}
 	}
 	return unreadable
 }
 
-// loadResults takes in the stored chunks of completed tasks of active jobs. Chunks
-// of other jobs are deleted, unless their job may be in a record that cannot be read.
+// loadResults loads the stored chunks of results of active jobs. It schedules the
+// chunks of other jobs for deletion, unless their job may be in a record that cannot be
+// decoded.
 func (tk *takeover) loadResults(entries []state.Entry, unreadable map[string]bool) error {
-	for _, e := range entries {
-		id, chunk, err := job.SplitChunkKey(e.Key)
+	for _, entry := range entries {
+		id, index, err := job.SplitChunkKey(entry.Key)
 		if err != nil {
 			return err
 		}
@@ -210,14 +211,14 @@
 			continue
 		}
 		if j == nil {
-			tk.results.deleteLater(e.Key)
+			tk.results.deleteLater(entry.Key)
 			continue
 		}
-		var ch job.Chunk
-		if err := wire.Unmarshal(e.Value, &ch); err != nil {
-			return fmt.Errorf("key %s: %w", e.Key, err)
+		var chunk job.Chunk
+		if err := wire.Unmarshal(entry.Value, &chunk); err != nil {
+			return fmt.Errorf("key %s: %w", entry.Key, err)
 		}
-		if err := j.LoadChunk(chunk, ch, e.Version); err != nil {
+		if err := j.LoadChunk(index, chunk, entry.Version); err != nil {
 			return err
 		}
 	}
--- a/internal/control/takeover_phases.go
+++ b/internal/control/takeover_phases.go
@@ -7,34 +7,36 @@
 )
 
 const (
-	// contactedPercent is the share of the machines, in percent, that must have
-	// answered for the fleet to count as contacted: a few are always gone.
+	// contactedPercent is the percentage of the machines that must have answered for
+	// the fleet to count as contacted. It is below 100 because a few machines are
+	// always down.
 	contactedPercent = 95
 
-	// firstLaunchTimeout is how long the summary of a takeover waits for a first
-	// launch: there may be no work.
+	// firstLaunchTimeout is how long the summary of a takeover waits for the first
+	// launch, as there may be no task to launch.
 	firstLaunchTimeout = 30 * time.Second
 
-	// notReachedMS stands in the summary for a phase that was not reached.
+	// notReachedMS is logged for a phase that was not reached.
 	notReachedMS = -1
 )
 
-// takeoverPhases are the times at which a takeover reached each phase; zero: not
-// yet. They are logged in one line, once the takeover is over.
+// takeoverPhases holds the times at which a takeover reached each phase. A time is zero
+// until its phase is reached. All are logged in one line at the end of the takeover.
 type takeoverPhases struct {
-	loaded      time.Time // the stored records are read
+	loaded      time.Time // the stored records are loaded
 	contacted   time.Time // nearly all workers have answered
-	reconciled  time.Time // no machine may run what is not known here
+	reconciled  time.Time // no machine can run a task that this term does not know
 	firstLaunch time.Time
 
-	machines int // that were loaded, as are jobs and tasks
+	machines int // numbers of loaded machines, jobs and unfinished tasks
 	jobs     int
 	tasks    int
 
 	logged bool
 }
 
-// recordLaunches notes that n launches have been sent.
+// recordLaunches counts n launches that were sent, and records the time of the first
+// launch of the term.
 func (tk *takeover) recordLaunches(n int, now time.Time) {
 	tk.controller.Meter.Add(metrics.TaskLaunches, "", n)
 	if n > 0 && tk.phases.firstLaunch.IsZero() {
@@ -42,34 +44,35 @@
 	}
 }
 
-// logPhases logs once how long the phases of the takeover took: without a leader,
-// reading the records, contacting the workers, the first launch, the last machine.
+// logPhases logs once how long each phase of the takeover took: the time without a
+// leader, loading the records, contacting the workers, the first launch, and
+// reconciling the last machine.
 func (tk *takeover) logPhases(now time.Time) {
-	p := &tk.phases
-	if p.logged || p.reconciled.IsZero() || (p.firstLaunch.IsZero() && now.Sub(tk.termStart) < firstLaunchTimeout) {
+	phases := &tk.phases
+	if phases.logged || phases.reconciled.IsZero() || (phases.firstLaunch.IsZero() && now.Sub(tk.termStart) < firstLaunchTimeout) {
 		return
 	}
-	p.logged = true
+	phases.logged = true
 	tk.measurePhases()
 	tk.log.Info("takeover phases",
 		"leaderless_ms", tk.leaderlessMS(),
-		"loaded_ms", tk.sinceStartMS(p.loaded),
-		"contacted_ms", tk.sinceStartMS(p.contacted),
-		"first_launch_ms", tk.sinceStartMS(p.firstLaunch),
-		"reconciled_ms", tk.sinceStartMS(p.reconciled),
-		"machines", p.machines,
-		"jobs", p.jobs,
-		"tasks", p.tasks)
+		"loaded_ms", tk.sinceStartMS(phases.loaded),
+		"contacted_ms", tk.sinceStartMS(phases.contacted),
+		"first_launch_ms", tk.sinceStartMS(phases.firstLaunch),
+		"reconciled_ms", tk.sinceStartMS(phases.reconciled),
+		"machines", phases.machines,
+		"jobs", phases.jobs,
+		"tasks", phases.tasks)
 }
 
-// measurePhases feeds the phases that were reached into the metrics.
+// measurePhases adds the times of the phases that were reached to the metrics.
 func (tk *takeover) measurePhases() {
-	p := &tk.phases
+	phases := &tk.phases
 	for phase, at := range map[string]time.Time{
-		"loaded":  p.loaded,
-		"met":     p.contacted,
-		"launch":  p.firstLaunch,
-		"settled": p.reconciled,
+		"loaded":  phases.loaded,
+		"met":     phases.contacted,
+		"launch":  phases.firstLaunch,
+		"settled": phases.reconciled,
 	} {
 		if !at.IsZero() {
 			tk.controller.Meter.Observe(metrics.TakeoverTime, phase, at.Sub(tk.termStart))
@@ -77,7 +80,8 @@
 	}
 }
 
-// sinceStartMS is the time from the start of the term, in milliseconds.
+// sinceStartMS returns the time from the start of the term in milliseconds, or
+// notReachedMS if at is zero.
 func (tk *takeover) sinceStartMS(at time.Time) int64 {
 	if at.IsZero() {
 		return notReachedMS
@@ -85,8 +89,8 @@
 	return at.Sub(tk.termStart).Milliseconds()
 }
 
-// leaderlessMS is the time from when the previous leader was last heard to the start of
-// the term, in milliseconds.
+// leaderlessMS returns the time in milliseconds between the last sign of the previous
+// leader and the start of the term, or notReachedMS if there was no such sign.
 func (tk *takeover) leaderlessMS() int64 {
 	if tk.lastLeaderSeen.IsZero() {
 		return notReachedMS
--- a/internal/control/takeover_silent.go
+++ b/internal/control/takeover_silent.go
@@ -7,27 +7,28 @@
 	"vetchstream/internal/wire"
 )
 
-// A machine of an earlier leader counts as silent after twice the time in which
-// nearly all others have answered, within these bounds: that time grows with the
-// fleet, and where the controller is slow.
+// A machine of an earlier leader counts as silent after twice the time in which nearly
+// all others have answered, within these bounds. The timeout follows that time because
+// it is longer for a large fleet and on a slow controller.
 const (
 	minSilentTimeout = 1200 * time.Millisecond
 	maxSilentTimeout = 3 * time.Second
 )
 
 const (
-	// answerTimeout is how long a machine that is up takes at most to answer after a
+	// answerTimeout is the maximum time that a running machine takes to answer after a
 	// takeover.
 	answerTimeout = time.Second
 
-	// silentReleaseDivisor bounds the machines that a takeover releases for being
-	// silent to one in so many. A network partition or a hang takes more at a time,
-	// and its machines come back with their work.
+	// silentReleaseDivisor limits the silent machines that a takeover releases to
+	// 1/silentReleaseDivisor of the fleet. A network partition or a hang affects more
+	// machines at a time, and those machines resume with their tasks.
 	silentReleaseDivisor = 40
 )
 
-// contactStart is when the workers could first be called: an outage of the state
-// service can delay the loading for longer than every timeout of the takeover.
+// contactStart returns the time from which the workers could be contacted. This is when
+// the records were loaded, because an outage of the key-value store can delay the load
+// for longer than every timeout of the takeover.
 func (tk *takeover) contactStart() time.Time {
 	if tk.phases.loaded.IsZero() {
 		return tk.termStart
@@ -35,8 +36,8 @@
 	return tk.phases.loaded
 }
 
-// silentTimeout is the time from contactStart after which a machine counts as
-// silent.
+// silentTimeout returns the time after contactStart from which a machine without an
+// answer counts as silent.
 func (tk *takeover) silentTimeout() time.Duration {
 	if tk.phases.contacted.IsZero() {
 		return maxSilentTimeout
@@ -45,12 +46,12 @@
 	return min(max(minSilentTimeout, 2*contactTime), maxSilentTimeout)
 }
 
-// compareListing compares the machines of earlier leaders with the cloud's list. One
-// that is not listed, although later ones are, was gone when the list was made:
-// machines are listed in the order in which they were created, and stay listed until
-// they are gone. An earlier leader has released it and could not remove it from the
-// registry any more. It is released once more, which reconciles it; if the list were
-// wrong, work would be lost and no rule broken.
+// compareListing compares the machines of earlier leaders with the cloud's list. The
+// list is in the order of creation, and a machine stays on it until it has ended. A
+// machine that is missing although a later one is listed had therefore ended before the
+// list was made: an earlier leader released it and could not remove it from the
+// registry. Releasing it again reconciles it. If the list were wrong, tasks would be
+// lost, but no safety invariant would be violated.
 func (tk *takeover) compareListing(list []wire.CloudMachine) {
 	if tk.allReconciled || len(list) == 0 {
 		return
@@ -61,30 +62,31 @@
 	}
 	last := list[len(list)-1].Name
 	tk.unlisted = map[string]bool{}
-	for _, h := range tk.fleet.All() {
-		if h.Inherited && !listed[h.Name] && h.Name < last {
-			tk.unlisted[h.Name] = true
+	for _, machine := range tk.fleet.All() {
+		if machine.Inherited && !listed[machine.Name] && machine.Name < last {
+			tk.unlisted[machine.Name] = true
 		}
 	}
 }
 
-// releaseUnlisted releases the machines that the cloud does not list, once they have
-// had the time to answer.
+// releaseUnlisted releases the machines that the cloud does not list, after the time in
+// which a running machine would have answered.
 func (tk *takeover) releaseUnlisted(now time.Time) {
 	if now.Sub(tk.contactStart()) <= answerTimeout {
 		return
 	}
-	for _, h := range tk.inherited {
-		if tk.unlisted[h.Name] && !h.Releasing {
-			tk.machinePool.release(h, "an earlier leader released it")
+	for _, machine := range tk.inherited {
+		if tk.unlisted[machine.Name] && !machine.Releasing {
+			tk.machinePool.release(machine, "an earlier leader released it")
 		}
 	}
 }
 
-// releaseSilent handles the machines that a takeover still waits for. In a large
-// fleet some spot machines are always gone without notice, and the jobs noted for
-// them, which are the large ones, would wait for a full lease after each change of
-// leader. A few are released: once the cloud has answered, nothing is on them.
+// releaseSilent handles the machines that have not answered the takeover in time. In a
+// large fleet some spot machines have always disappeared without notice, and the jobs
+// recorded for them, which are the large ones, would wait for a full lease after each
+// change of leader. A small number of silent machines is released: once the cloud has
+// confirmed the release, no task runs there.
 func (tk *takeover) releaseSilent() {
 	jobs := tk.activeJobsOn(tk.inherited)
 	machines := len(tk.fleet.Machines)
@@ -92,20 +94,21 @@
 	if jobs == 0 || len(tk.inherited) > max(1, machines/silentReleaseDivisor) {
 		return
 	}
-	for _, h := range tk.inherited {
-		if !h.Releasing {
-			tk.machinePool.release(h, "it is silent after a takeover and blocks jobs")
+	for _, machine := range tk.inherited {
+		if !machine.Releasing {
+			tk.machinePool.release(machine, "it is silent after a takeover and blocks jobs")
 		}
 	}
 }
 
-// activeJobsOn counts the active jobs that earlier leaders have noted for machines.
+// activeJobsOn counts the active jobs that earlier leaders have recorded for the
+// machines.
 func (tk *takeover) activeJobsOn(machines []*fleet.Machine) int {
 	jobs := map[string]bool{}
-	for _, h := range machines {
-		for _, past := range h.InheritedJobs {
-			if j := tk.jobTable.get(past.ID); j != nil && j.Phase == "" {
-				jobs[past.ID] = true
+	for _, machine := range machines {
+		for _, inheritedJob := range machine.InheritedJobs {
+			if j := tk.jobTable.get(inheritedJob.ID); j != nil && j.Phase == "" {
+				jobs[inheritedJob.ID] = true
 			}
 		}
 	}
