--- a/internal/control/quotas.go
+++ b/internal/control/quotas.go
@@ -15,16 +15,17 @@
 const (
 	// regionGrantPrefix is followed by a team's name; the value is a dynconfig.RegionGrant.
 	regionGrantPrefix = "t/r/"
-	// unconfirmedKey exists while the region's limits have to be confirmed by the home
-	// region, because the store had lost its last writes.
+	// unconfirmedKey exists while the home region still has to confirm the region's limits,
+	// because the region's store lost its last writes.
 	unconfirmedKey = "t/unconfirmed"
 )
 
 // FollowFunc sends a request to the leader of the home region.
 type FollowFunc func(ctx context.Context, q *dynconfig.Request) (*dynconfig.Reply, error)
 
-// teamQuotas has the teams and their quotas in this region: those of the platform's file,
-// and over them what the home region has granted. It follows the home region.
+// teamQuotas holds the teams and their quotas in this region: those of the platform's file,
+// overridden by the grants of the home region. It follows the home region to receive new
+// grants.
 type teamQuotas struct {
 	*core
 	nameIndex  *nameIndex
@@ -33,28 +34,28 @@
 	admission  *admission
 	homeQuotas *homeQuotas
 
-	replica            *dynconfig.Replica // nil: no regions are named
-	restored           bool               // the store had lost its last writes when this term began
+	replica            *dynconfig.Replica // nil if the settings name no regions
+	restored           bool               // whether the store had lost its last writes when this term began
 	grantVersions      map[string]uint64  // versions of the stored grants, by team
-	unconfirmedVersion uint64             // version of unconfirmedKey; 0: it does not exist
+	unconfirmedVersion uint64             // version of unconfirmedKey; 0 if the key does not exist
 }
 
 func newTeamQuotas(co *core, restored bool) *teamQuotas {
 	return &teamQuotas{core: co, restored: restored}
 }
 
-// enabled reports whether regions are named in the operators' settings.
+// enabled reports whether the operators' settings name regions.
 func (tq *teamQuotas) enabled() bool { return tq.controller.Tuning.Regions.Name != "" }
 
-// readStored reads the stored grants; none while no regions are named.
+// readStored reads the stored grants. There are none if the settings name no regions.
 func (tq *teamQuotas) readStored() ([]state.Entry, error) {
 	if !tq.enabled() {
 		return nil, nil
 	}
-	e, err := tq.controller.State.Get(tq.ctx, unconfirmedKey)
+	entry, err := tq.controller.State.Get(tq.ctx, unconfirmedKey)
 	switch {
 	case err == nil:
-		tq.unconfirmedVersion = e.Version
+		tq.unconfirmedVersion = entry.Version
 	case !errors.Is(err, state.ErrNotFound):
 		return nil, err
 	case tq.restored:
@@ -66,7 +67,8 @@
 	return entries, err
 }
 
-// storeUnconfirmed stores, for later leaders too, that the limits have to be confirmed.
+// storeUnconfirmed stores that the limits have to be confirmed, so that later leaders know it
+// too.
 func (tq *teamQuotas) storeUnconfirmed() (version uint64, err error) {
 	put, err := state.Put(unconfirmedKey, struct{}{})
 	if err != nil {
@@ -78,9 +80,9 @@
 	})
 }
 
-// load takes in the grants that earlier leaders have stored, before any job is bound to its
-// team. If a grant cannot be read its limit is not known: the team starts nothing until the
-// home region has sent the grant again.
+// load loads the grants that earlier leaders have stored. It must run before any job is bound
+// to its team. If a grant cannot be decoded, the limit of the team is unknown, and no task of
+// the team is started until the home region has sent the grant again.
 func (tq *teamQuotas) load(stored []state.Entry) {
 	if !tq.enabled() {
 		return
@@ -89,20 +91,20 @@
 	var grants []dynconfig.RegionGrant
 	for _, entry := range stored {
 		name := entry.Key[len(regionGrantPrefix):]
-		var g dynconfig.RegionGrant
-		if err := wire.Unmarshal(entry.Value, &g); err != nil || g.Team != name {
+		var grant dynconfig.RegionGrant
+		if err := wire.Unmarshal(entry.Value, &grant); err != nil || grant.Team != name {
 			tq.log.Error("quota grant cannot be read, no task of the team starts until the home region resends it", "team", name, "error", err)
-			g = dynconfig.RegionGrant{Team: name}
+			grant = dynconfig.RegionGrant{Team: name}
 		}
-		grants = append(grants, g)
-		tq.grantVersions[g.Team] = entry.Version
-		tq.nameIndex.addTeam(g.Team)
+		grants = append(grants, grant)
+		tq.grantVersions[grant.Team] = entry.Version
+		tq.nameIndex.addTeam(grant.Team)
 	}
 	unconfirmed := tq.unconfirmedVersion != 0
 	tq.replica = dynconfig.NewReplica(tq.controller.Tuning.Regions.Name, tq.term, tq.controller.fileShares(), grants, unconfirmed)
 }
 
-// teams lists the teams, by index.
+// teams returns the teams with their quotas, by index.
 func (tq *teamQuotas) teams() []config.Team {
 	if tq.replica == nil {
 		return tq.controller.Settings.Facts.Teams
@@ -111,19 +113,20 @@
 	if tq.replica.Unconfirmed() {
 		usage = tq.usage()
 	}
-	out := make([]config.Team, 0, len(tq.nameIndex.teamNames()))
+	configured := make([]config.Team, 0, len(tq.nameIndex.teamNames()))
 	for _, name := range tq.nameIndex.teamNames() {
 		share, _ := tq.replica.Share(name, usage)
-		out = append(out, configTeam(name, share))
+		configured = append(configured, configTeam(name, share))
 	}
-	return out
+	return configured
 }
 
-// noUsage is the dynconfig.UsageFunc for calls whose result does not depend on usage, because
+// noUsage is the dynconfig.UsageFunc for calls whose result does not depend on usage because
 // the limits are confirmed.
 func (tq *teamQuotas) noUsage(string) (dynconfig.Amount, bool) { return dynconfig.Amount{}, false }
 
-// find is the quota of a team that accepts jobs.
+// find returns the quota of a team for the admission of its jobs. The quota is zero if the team
+// does not exist.
 func (tq *teamQuotas) find(name string) quota {
 	if tq.replica == nil {
 		return quota{current: tq.controller.fileTeam(name)}
@@ -135,7 +138,7 @@
 	return quotaOf(name, share, tq.replica.Target(name))
 }
 
-// sequence changes whenever a team does.
+// sequence returns a number that changes whenever a team changes.
 func (tq *teamQuotas) sequence() uint64 {
 	if tq.replica == nil {
 		return 0
@@ -143,8 +146,9 @@
 	return tq.replica.LastSeq()
 }
 
-// usage adds up what each team uses now, including everything that may still be on a machine,
-// and which teams have jobs that are not over. The returned function reads that snapshot.
+// usage takes a snapshot of what each team uses, including everything that may still run on a
+// machine, and of which teams have jobs that have not ended. The returned function reads the
+// snapshot.
 func (tq *teamQuotas) usage() dynconfig.UsageFunc {
 	teams := make([]place.Team, len(tq.nameIndex.teamNames()))
 	busy := make([]bool, len(teams))
@@ -174,9 +178,9 @@
 	}
 }
 
-// usageKnown reports whether it is known what the teams use: not before the machines of
-// earlier leaders have sent heartbeats, nor while a machine runs a task of a job whose record
-// has not been read.
+// usageKnown reports whether the usage of the teams is known. It is unknown until the machines
+// of earlier leaders have sent heartbeats, and while a machine runs a task of a job whose
+// record has not been loaded.
 func (tq *teamQuotas) usageKnown() bool {
 	return tq.takeover.mayPlace() && len(tq.jobTable.unidentifiedJobs()) == 0
 }
--- a/internal/control/quotas_follow.go
+++ b/internal/control/quotas_follow.go
@@ -10,46 +10,48 @@
 	"vetchstream/internal/state"
 )
 
-// How a region's leader follows the home region: it asks for grants, stores them, and puts
-// them into effect.
+// The leader of a region follows the home region: it requests grants, stores them, and then
+// applies them.
 
 const (
-	// followTimeout bounds a request to the home region, which holds it for a while.
+	// followTimeout limits a request to the home region, which holds the request while it has
+	// nothing to send.
 	followTimeout = 4 * time.Second
-	// minFollowRetry and maxFollowRetry are the first and the longest wait after a request
-	// that failed.
+	// minFollowRetry and maxFollowRetry are the first and the longest pause after a failed
+	// request.
 	minFollowRetry = 200 * time.Millisecond
 	maxFollowRetry = 3 * time.Second
-	// usagePollInterval is the wait while it is not known what the teams use.
+	// usagePollInterval is the pause between checks of whether the usage of the teams is known.
 	usagePollInterval = 200 * time.Millisecond
 )
 
-// follow follows the home region until the term ends.
+// follow requests and applies grants of the home region until the term ends.
 func (tq *teamQuotas) follow() {
 	if !tq.enabled() {
 		return
 	}
 	retry := minFollowRetry
 	for tq.ctx.Err() == nil {
-		q := callActor(tq.core, tq.nextRequest)
-		if q == nil {
+		request := callActor(tq.core, tq.nextRequest)
+		if request == nil {
 			tq.sleep(usagePollInterval)
 			continue
 		}
-		p, err := tq.sendRequest(q)
-		if err != nil || p.Refused != "" {
+		reply, err := tq.sendRequest(request)
+		if err != nil || reply.Refused != "" {
 			tq.sleep(retry/2 + rand.N(retry))
 			retry = min(2*retry, maxFollowRetry)
 			continue
 		}
 		retry = minFollowRetry
-		grants := callActor(tq.core, func() []dynconfig.RegionGrant { return tq.replica.HandleReply(q, p) })
+		grants := callActor(tq.core, func() []dynconfig.RegionGrant { return tq.replica.HandleReply(request, reply) })
 		tq.storeGrants(grants)
 		tq.runInActor(tq.clearUnconfirmed)
 	}
 }
 
-// nextRequest is the next request to the home region; nil: it is not known yet what to report.
+// nextRequest returns the next request to the home region, or nil while the usage to report is
+// unknown.
 func (tq *teamQuotas) nextRequest() *dynconfig.Request {
 	if !tq.usageKnown() {
 		return nil
@@ -57,18 +59,18 @@
 	return tq.replica.Request(tq.usage())
 }
 
-// sendRequest sends a request to the home region's leader, which may be this one.
-func (tq *teamQuotas) sendRequest(q *dynconfig.Request) (*dynconfig.Reply, error) {
+// sendRequest sends a request to the home region's leader, which may be this controller.
+func (tq *teamQuotas) sendRequest(request *dynconfig.Request) (*dynconfig.Reply, error) {
 	ctx, cancel := context.WithTimeout(tq.ctx, followTimeout)
 	defer cancel()
 	if tq.homeQuotas.enabled() {
-		return tq.controller.HandleFollow(ctx, q), nil
+		return tq.controller.HandleFollow(ctx, request), nil
 	}
-	return tq.controller.Follow(ctx, q)
+	return tq.controller.Follow(ctx, request)
 }
 
-// storeGrants stores grants, in as many transactions as it takes, and puts each batch into
-// effect once it is stored.
+// storeGrants stores grants, in several transactions if necessary, and applies each batch once
+// it is stored.
 func (tq *teamQuotas) storeGrants(grants []dynconfig.RegionGrant) {
 	maxBatch := max(1, tq.controller.Settings.Facts.State.TxnOps)
 	for len(grants) > 0 && tq.ctx.Err() == nil {
@@ -85,28 +87,28 @@
 // storeBatch stores grants in one transaction and waits for its outcome.
 func (tq *teamQuotas) storeBatch(grants []dynconfig.RegionGrant) (version uint64, ok bool) {
 	versions := callActor(tq.core, func() []uint64 {
-		out := make([]uint64, len(grants))
-		for i, g := range grants {
-			out[i] = tq.grantVersions[g.Team]
+		current := make([]uint64, len(grants))
+		for i, grant := range grants {
+			current[i] = tq.grantVersions[grant.Team]
 		}
-		return out
+		return current
 	})
 	if versions == nil {
 		return 0, false
 	}
-	var conds []state.Condition
+	var conditions []state.Condition
 	var writes []state.Write
-	for i, g := range grants {
-		key := regionGrantPrefix + g.Team
-		put, err := state.Put(key, g)
+	for i, grant := range grants {
+		key := regionGrantPrefix + grant.Team
+		put, err := state.Put(key, grant)
 		if err != nil {
-			tq.log.Error("quota grant cannot be encoded", "team", g.Team, "error", err)
+			tq.log.Error("quota grant cannot be encoded", "team", grant.Team, "error", err)
 			return 0, false
 		}
-		conds = append(conds, state.Condition{Key: key, Version: versions[i]})
+		conditions = append(conditions, state.Condition{Key: key, Version: versions[i]})
 		writes = append(writes, put)
 	}
-	version, err := tq.commitUntilSettled(conds[0].Key, conds[0].Version, conds, writes)
+	version, err := tq.commitUntilSettled(conditions[0].Key, conditions[0].Version, conditions, writes)
 	if err != nil {
 		tq.log.Error("quota grants cannot be stored", "teams", len(grants), "error", err)
 		return 0, false
@@ -114,14 +116,14 @@
 	return version, true
 }
 
-// applyStored puts stored grants into effect.
+// applyStored applies grants that have been stored.
 func (tq *teamQuotas) applyStored(grants []dynconfig.RegionGrant, version uint64) {
 	added := false
-	for _, g := range grants {
-		tq.grantVersions[g.Team] = version
-		added = tq.nameIndex.addTeam(g.Team) || added
-		tq.log.Info("team quota changed", "team", g.Team, "revision", g.Revision,
-			"cpus_max", g.Limit.CPUs, "gpus_max", g.Limit.GPUs, "removed", g.Removed)
+	for _, grant := range grants {
+		tq.grantVersions[grant.Team] = version
+		added = tq.nameIndex.addTeam(grant.Team) || added
+		tq.log.Info("team quota changed", "team", grant.Team, "revision", grant.Revision,
+			"cpus_max", grant.Limit.CPUs, "gpus_max", grant.Limit.GPUs, "removed", grant.Removed)
 	}
 	tq.replica.ApplyStored(grants)
 	if added {
@@ -139,9 +141,9 @@
 	version := tq.unconfirmedVersion
 	tq.unconfirmedVersion = 0
 	go func() {
-		conds := []state.Condition{{Key: unconfirmedKey, Version: version}}
+		conditions := []state.Condition{{Key: unconfirmedKey, Version: version}}
 		writes := []state.Write{{Delete: unconfirmedKey}}
-		if _, err := tq.commitUntilSettled(unconfirmedKey, version, conds, writes); err != nil {
+		if _, err := tq.commitUntilSettled(unconfirmedKey, version, conditions, writes); err != nil {
 			tq.log.Error("confirmation of the quota limits cannot be stored", "error", err)
 		}
 	}()
--- a/internal/control/quotas_home.go
+++ b/internal/control/quotas_home.go
@@ -19,21 +19,21 @@
 	historyPrefix = "t/c/"
 )
 
-// homeQuotas decides how teams and their quotas change in all regions. Only the leader of the
-// home region has something to do here.
+// homeQuotas decides how teams and their quotas change in all regions. It is active only at the
+// leader of the home region.
 type homeQuotas struct {
 	*core
 
 	home           *dynconfig.Home
 	headVersion    uint64    // version of headKey
-	storing        bool      // an update is being stored
-	retryAt        time.Time // when an update may be stored again after one was rejected
+	storing        bool      // whether an update is being stored
+	retryAt        time.Time // earliest time to store the next update after a rejected one
 	pendingChanges []*pendingChange
 	heldRequests   []*heldRequest
 }
 
-// heldRequest is a region's request that is held until there is something to send, or until
-// its deadline.
+// heldRequest is a region's request that is held until there is something to send or its
+// deadline has passed.
 type heldRequest struct {
 	request  *dynconfig.Request
 	deadline time.Time
@@ -41,22 +41,22 @@
 }
 
 const (
-	// maxHeldRequests bounds the requests that are held at a time.
+	// maxHeldRequests limits the requests that are held at a time.
 	maxHeldRequests = 64
-	// requestHoldTime is how long a region's request is held. Meanwhile the region reports
-	// nothing of what it releases.
+	// requestHoldTime is how long a region's request is held. During this time the region
+	// cannot report what it releases.
 	requestHoldTime = 500 * time.Millisecond
 )
 
 func newHomeQuotas(co *core) *homeQuotas { return &homeQuotas{core: co} }
 
-// enabled reports whether this is the home region.
+// enabled reports whether this controller belongs to the home region.
 func (hq *homeQuotas) enabled() bool {
-	r := &hq.controller.Tuning.Regions
-	return r.Name != "" && r.Name == r.Home
+	regions := &hq.controller.Tuning.Regions
+	return regions.Name != "" && regions.Name == regions.Home
 }
 
-// readStored reads the stored records; none outside the home region.
+// readStored reads the stored records. There are none outside the home region.
 func (hq *homeQuotas) readStored() (head state.Entry, records, history []state.Entry, err error) {
 	if !hq.enabled() {
 		return head, nil, nil, nil
@@ -71,8 +71,8 @@
 	return head, records, history, err
 }
 
-// load takes in what earlier leaders have stored. A record that cannot be read is rebuilt
-// from what the regions report.
+// load loads the records that earlier leaders have stored. A team record that cannot be decoded
+// is rebuilt from the reports of the regions.
 func (hq *homeQuotas) load(storedHead state.Entry, storedRecords, storedHistory []state.Entry) {
 	if !hq.enabled() {
 		return
@@ -84,8 +84,8 @@
 	hq.loadHistory(storedHistory)
 }
 
-// decodeHead decodes the stored position; the zero value if there is none, or if it cannot be
-// read.
+// decodeHead decodes the stored head record. It returns the zero value if there is none or if
+// it cannot be decoded.
 func (hq *homeQuotas) decodeHead(stored state.Entry) (head dynconfig.Head) {
 	if stored.Version == 0 {
 		return head
@@ -97,39 +97,39 @@
 	return head
 }
 
-// decodeRecords decodes the stored team records, without those that cannot be read.
+// decodeRecords decodes the stored team records. It omits those that cannot be decoded.
 func (hq *homeQuotas) decodeRecords(stored []state.Entry) (records []*dynconfig.TeamRecord) {
 	for _, entry := range stored {
-		r := &dynconfig.TeamRecord{}
-		if err := wire.Unmarshal(entry.Value, r); err != nil || teamRecordPrefix+r.Name != entry.Key {
+		record := &dynconfig.TeamRecord{}
+		if err := wire.Unmarshal(entry.Value, record); err != nil || teamRecordPrefix+record.Name != entry.Key {
 			hq.log.Error("team record of the configuration cannot be read", "key", entry.Key, "error", err)
 			continue
 		}
-		if r.Grants == nil {
-			r.Grants = map[string]dynconfig.Grant{}
+		if record.Grants == nil {
+			record.Grants = map[string]dynconfig.Grant{}
 		}
-		records = append(records, r)
+		records = append(records, record)
 	}
 	return records
 }
 
-// loadHistory takes in the changes that earlier leaders have stored. One that cannot be read
-// is left out.
+// loadHistory loads the changes that earlier leaders have stored. It omits those that cannot be
+// decoded.
 func (hq *homeQuotas) loadHistory(stored []state.Entry) {
 	var history []*dynconfig.HistoryEntry
 	for _, entry := range stored {
-		e := &dynconfig.HistoryEntry{}
-		if err := wire.Unmarshal(entry.Value, e); err != nil {
+		historyEntry := &dynconfig.HistoryEntry{}
+		if err := wire.Unmarshal(entry.Value, historyEntry); err != nil {
 			hq.log.Error("history entry of the configuration cannot be read", "key", entry.Key, "error", err)
 			continue
 		}
-		history = append(history, e)
+		history = append(history, historyEntry)
 	}
 	hq.home.LoadHistory(history)
 }
 
-// step answers held requests, and starts to store the next update: pending changes first,
-// then what follows from the regions' reports.
+// step answers the held requests that are due and starts to store the next update: pending
+// changes first, then the updates that follow from the regions' reports.
 func (hq *homeQuotas) step(now time.Time) {
 	if hq.home == nil {
 		return
@@ -142,57 +142,58 @@
 		hq.storeChanges()
 		return
 	}
-	if u := hq.home.Step(hq.maxBatchRecords()); !u.Empty() {
-		hq.storeUpdate(u, nil, func() { hq.home.Requeue(u) }, func() {})
+	if update := hq.home.Step(hq.maxBatchRecords()); !update.Empty() {
+		hq.storeUpdate(update, nil, func() { hq.home.Requeue(update) }, func() {})
 	}
 }
 
-// handleRequest takes in a region's request.
-func (hq *homeQuotas) handleRequest(q *dynconfig.Request, respond func(*dynconfig.Reply)) {
+// handleRequest handles a region's request. It holds the request if it cannot be answered at
+// once.
+func (hq *homeQuotas) handleRequest(request *dynconfig.Request, respond func(*dynconfig.Reply)) {
 	now := time.Now()
-	if p := hq.home.HandleRequest(q, now); p != nil {
-		respond(p)
+	if reply := hq.home.HandleRequest(request, now); reply != nil {
+		respond(reply)
 		return
 	}
 	if len(hq.heldRequests) >= maxHeldRequests {
-		respond(hq.home.Reply(q))
+		respond(hq.home.Reply(request))
 		return
 	}
 	hq.heldRequests = append(hq.heldRequests, &heldRequest{
-		request:  q,
+		request:  request,
 		deadline: now.Add(requestHoldTime),
 		respond:  respond,
 	})
 	hq.step(now)
 }
 
-// answerHeld answers the held requests for which there are grants, that are full, or whose
-// deadline has passed.
+// answerHeld answers the held requests for which there are grants, that report all teams, or
+// whose deadline has passed.
 func (hq *homeQuotas) answerHeld(now time.Time) {
 	held := hq.heldRequests[:0]
-	for _, r := range hq.heldRequests {
-		if now.Before(r.deadline) && !r.request.Full && !hq.home.HasGrants(r.request.Region, r.request.After) {
-			held = append(held, r)
+	for _, waiting := range hq.heldRequests {
+		if now.Before(waiting.deadline) && !waiting.request.Full && !hq.home.HasGrants(waiting.request.Region, waiting.request.After) {
+			held = append(held, waiting)
 			continue
 		}
-		r.respond(hq.home.Reply(r.request))
+		waiting.respond(hq.home.Reply(waiting.request))
 	}
 	hq.heldRequests = held
 }
 
-// HandleFollow answers a request of a region's leader if this node is the leader of the home
-// region, and refuses it otherwise.
-func (c *Controller) HandleFollow(ctx context.Context, q *dynconfig.Request) *dynconfig.Reply {
+// HandleFollow answers a request of a region's leader if this controller is the leader of the
+// home region, and refuses it otherwise.
+func (c *Controller) HandleFollow(ctx context.Context, request *dynconfig.Request) *dynconfig.Reply {
 	refused := &dynconfig.Reply{Refused: "not the leader of the home region"}
-	r := c.currentTerm()
-	if r == nil || !c.Entitled(r.term) || !r.takeover.loaded() || !r.homeQuotas.enabled() {
+	lt := c.currentTerm()
+	if lt == nil || !c.Entitled(lt.term) || !lt.takeover.loaded() || !lt.homeQuotas.enabled() {
 		return refused
 	}
-	p := queryActor(ctx, r.core, r.userInbox, func(respond func(*dynconfig.Reply)) {
-		r.homeQuotas.handleRequest(q, respond)
+	reply := queryActor(ctx, lt.core, lt.userInbox, func(respond func(*dynconfig.Reply)) {
+		lt.homeQuotas.handleRequest(request, respond)
 	})
-	if p == nil || !c.Entitled(r.term) {
+	if reply == nil || !c.Entitled(lt.term) {
 		return refused
 	}
-	return p
+	return reply
 }
--- a/internal/control/quotas_home_changes.go
+++ b/internal/control/quotas_home_changes.go
@@ -14,15 +14,17 @@
 	"vetchstream/internal/wire"
 )
 
-// Operators' requests at the home region's leader: changes, roll-backs and queries.
+// The leader of the home region handles the requests of operators: changes, roll-backs and
+// queries.
 
 const (
-	// maxPendingChanges bounds the changes that wait to be stored.
+	// maxPendingChanges limits the changes that wait to be stored.
 	maxPendingChanges = 256
-	// teamsPerPage bounds a page of teams.
+	// teamsPerPage is the maximum number of teams in one page of the list of teams.
 	teamsPerPage = 50
-	// maxHistoryValueFraction is the part of the largest value that a history entry may take:
-	// the store counts the size in an encoding that is larger than ours.
+	// maxHistoryValueFraction is the fraction of the store's value size limit that a history
+	// entry may use. The store measures values in an encoding that is larger than the one used
+	// here.
 	maxHistoryValueFraction = 0.5
 )
 
@@ -33,10 +35,11 @@
 	respond func(*rpc.Reply)
 }
 
-// changeAnswer is the answer to a change that is accepted.
+// changeAnswer is the answer to an accepted change.
 type changeAnswer struct {
 	Revision uint64 `codec:"revision" json:"revision"`
-	// DryRun: nothing was changed, the revision is what it would have been.
+	// DryRun is set if nothing was changed. Revision is then the one that the change would have
+	// had.
 	DryRun bool `codec:"dry_run,omitempty" json:"dry_run,omitempty"`
 }
 
@@ -49,32 +52,32 @@
 type teamsAnswer struct {
 	Revision uint64                 `codec:"revision"`
 	Teams    []dynconfig.TeamStatus `codec:"teams"`
-	// More: there are teams after the last one.
+	// More is set if there are teams after the last one of the page.
 	More bool `codec:"more"`
 }
 
 // handleOperation answers an operator's request.
-func (hq *homeQuotas) handleOperation(op *rpc.Operation, respond func(*rpc.Reply)) {
+func (hq *homeQuotas) handleOperation(operation *rpc.Operation, respond func(*rpc.Reply)) {
 	if !hq.enabled() {
-		respond(reply(http.StatusNotFound, wire.Error{Error: "no regions are named in the settings of this controller"}))
+		respond(reply(http.StatusNotFound, wire.Error{Error: "the settings of this controller name no regions"}))
 		return
 	}
-	switch op.Verb {
+	switch operation.Verb {
 	case rpc.VerbStart:
-		c, err := dynconfig.ParseChange(op.Spec)
+		change, err := dynconfig.ParseChange(operation.Spec)
 		if err != nil {
 			respond(reply(http.StatusBadRequest, wire.Error{Error: err.Error()}))
 			return
 		}
-		hq.enqueueChange(c, op.DryRun, respond)
+		hq.enqueueChange(change, operation.DryRun, respond)
 	case rpc.VerbRollback:
-		hq.rollback(op, respond)
+		hq.rollback(operation, respond)
 	case rpc.VerbHistory:
 		respond(reply(http.StatusOK, historyAnswer{Changes: hq.home.History()}))
 	case rpc.VerbStatus:
 		respond(reply(http.StatusOK, hq.home.Status(time.Now())))
 	case rpc.VerbList:
-		teams, more := hq.home.Teams(op.Name, teamsPerPage)
+		teams, more := hq.home.Teams(operation.Name, teamsPerPage)
 		respond(reply(http.StatusOK, teamsAnswer{
 			Revision: hq.home.Head().Revision,
 			Teams:    teams,
@@ -85,80 +88,80 @@
 	}
 }
 
-// rollback undoes what came after a revision by a change of its own.
-func (hq *homeQuotas) rollback(op *rpc.Operation, respond func(*rpc.Reply)) {
-	revision, err := strconv.ParseUint(op.Name, 10, 64)
+// rollback undoes all changes after a revision by a new change.
+func (hq *homeQuotas) rollback(operation *rpc.Operation, respond func(*rpc.Reply)) {
+	revision, err := strconv.ParseUint(operation.Name, 10, 64)
 	if err != nil {
 		respond(reply(http.StatusBadRequest, wire.Error{Error: "revision: not a number"}))
 		return
 	}
-	c, refusal := hq.home.Rollback(revision)
+	change, refusal := hq.home.Rollback(revision)
 	if refusal != nil {
 		respond(reply(refusal.Status, wire.Error{Error: refusal.Error()}))
 		return
 	}
-	c.Base = hq.home.Head().Revision // no other change may come in between
-	hq.enqueueChange(c, op.DryRun, respond)
+	change.Base = hq.home.Head().Revision // the change is refused if another one is stored before it
+	hq.enqueueChange(change, operation.DryRun, respond)
 }
 
-// enqueueChange lets a change wait until it can be stored.
-func (hq *homeQuotas) enqueueChange(c *dynconfig.Change, dryRun bool, respond func(*rpc.Reply)) {
+// enqueueChange queues a change until it can be stored.
+func (hq *homeQuotas) enqueueChange(change *dynconfig.Change, dryRun bool, respond func(*rpc.Reply)) {
 	if len(hq.pendingChanges) >= maxPendingChanges {
-		respond(finalRefusal(Unavailable("many changes of the configuration are being stored")))
+		respond(finalRefusal(Unavailable("too many configuration changes are waiting to be stored")))
 		return
 	}
 	hq.pendingChanges = append(hq.pendingChanges, &pendingChange{
-		change:  c,
+		change:  change,
 		dryRun:  dryRun,
 		respond: respond,
 	})
 	hq.step(time.Now())
 }
 
-// storeChanges stores pending changes under one revision, as many as can be joined.
+// storeChanges stores as many pending changes as can be joined, under one revision.
 func (hq *homeQuotas) storeChanges() {
 	joined, accepted := hq.joinChanges()
 	if len(accepted) == 0 {
 		return
 	}
-	u, refusal := hq.home.Propose(joined)
-	if refusal != nil { // together they are too many teams
-		for _, p := range accepted {
-			hq.refuse(p, refusal)
+	update, refusal := hq.home.Propose(joined)
+	if refusal != nil { // the joined changes exceed the limit of teams
+		for _, pending := range accepted {
+			hq.refuse(pending, refusal)
 		}
 		return
 	}
-	entry, put, err := hq.encodeHistory(hq.home.NewHistoryEntry(u, time.Now()))
+	entry, write, err := hq.encodeHistory(hq.home.NewHistoryEntry(update, time.Now()))
 	if err != nil {
-		for _, p := range accepted {
-			p.respond(reply(http.StatusInternalServerError, wire.Error{Error: err.Error()}))
+		for _, pending := range accepted {
+			pending.respond(reply(http.StatusInternalServerError, wire.Error{Error: err.Error()}))
 		}
 		return
 	}
 	failed := func() {
-		for _, p := range accepted {
-			p.respond(finalRefusal(Unavailable("the change could not be stored")))
+		for _, pending := range accepted {
+			pending.respond(finalRefusal(Unavailable("the change could not be stored")))
 		}
 	}
 	done := func() {
 		hq.home.AddHistory(entry)
 		hq.controller.Meter.Add(metrics.ConfigChanges, "taken", len(accepted))
-		hq.log.Info("configuration changed", "revision", u.Head.Revision, "changes", len(accepted), "teams", len(u.Records))
-		for _, p := range accepted {
-			p.respond(reply(http.StatusOK, changeAnswer{Revision: u.Head.Revision}))
+		hq.log.Info("configuration changed", "revision", update.Head.Revision, "changes", len(accepted), "teams", len(update.Records))
+		for _, pending := range accepted {
+			pending.respond(reply(http.StatusOK, changeAnswer{Revision: update.Head.Revision}))
 		}
 	}
-	hq.storeUpdate(u, []state.Write{put}, failed, done)
+	hq.storeUpdate(update, []state.Write{write}, failed, done)
 }
 
-// joinChanges takes pending changes off the queue as far as they name different teams and fit
-// one transaction. It answers dry runs and refused changes, and joins the others.
+// joinChanges removes pending changes from the queue for as long as they name different teams
+// and fit into one transaction. It answers dry runs and refused changes, and joins the others.
 func (hq *homeQuotas) joinChanges() (joined *dynconfig.Change, accepted []*pendingChange) {
 	joined = &dynconfig.Change{}
 	named := map[string]bool{}
 	for len(hq.pendingChanges) > 0 {
-		p := hq.pendingChanges[0]
-		names := changedTeams(p.change)
+		pending := hq.pendingChanges[0]
+		names := changedTeams(pending.change)
 		if slices.ContainsFunc(names, func(name string) bool { return named[name] }) {
 			break
 		}
@@ -169,51 +172,51 @@
 			named[name] = true
 		}
 		hq.pendingChanges = hq.pendingChanges[1:]
-		u, refusal := hq.home.Propose(p.change)
+		update, refusal := hq.home.Propose(pending.change)
 		if refusal != nil {
-			hq.refuse(p, refusal)
+			hq.refuse(pending, refusal)
 			continue
 		}
-		if p.dryRun {
-			p.respond(reply(http.StatusOK, changeAnswer{Revision: u.Head.Revision, DryRun: true}))
+		if pending.dryRun {
+			pending.respond(reply(http.StatusOK, changeAnswer{Revision: update.Head.Revision, DryRun: true}))
 			continue
 		}
-		joined.Teams = append(joined.Teams, p.change.Teams...)
-		joined.Remove = append(joined.Remove, p.change.Remove...)
-		accepted = append(accepted, p)
+		joined.Teams = append(joined.Teams, pending.change.Teams...)
+		joined.Remove = append(joined.Remove, pending.change.Remove...)
+		accepted = append(accepted, pending)
 	}
 	return joined, accepted
 }
 
-// changedTeams are the names of the teams that a change changes or removes.
-func changedTeams(c *dynconfig.Change) []string {
-	names := make([]string, 0, len(c.Teams)+len(c.Remove))
-	for i := range c.Teams {
-		names = append(names, c.Teams[i].Name)
+// changedTeams returns the names of the teams that a change modifies or removes.
+func changedTeams(change *dynconfig.Change) []string {
+	names := make([]string, 0, len(change.Teams)+len(change.Remove))
+	for i := range change.Teams {
+		names = append(names, change.Teams[i].Name)
 	}
-	return append(names, c.Remove...)
+	return append(names, change.Remove...)
 }
 
-// refuse answers a change with the reason why it is refused.
-func (hq *homeQuotas) refuse(p *pendingChange, refusal *dynconfig.Refusal) {
+// refuse answers a change with the reason for its refusal.
+func (hq *homeQuotas) refuse(pending *pendingChange, refusal *dynconfig.Refusal) {
 	hq.controller.Meter.Add(metrics.ConfigChanges, "refused", 1)
 	answer := reply(refusal.Status, wire.Error{Error: refusal.Error()})
 	if refusal.Status == http.StatusServiceUnavailable {
 		answer.RetryAfter = 1
 	}
-	p.respond(finalRefusal(answer))
+	pending.respond(finalRefusal(answer))
 }
 
-// encodeHistory returns the write that stores a history entry, and the entry as it is stored:
-// without the earlier configuration if that is too large for a value.
-func (hq *homeQuotas) encodeHistory(e *dynconfig.HistoryEntry) (*dynconfig.HistoryEntry, state.Write, error) {
-	key := fmt.Sprintf("%s%03d", historyPrefix, e.Slot())
+// encodeHistory returns the write that stores a history entry, and the entry as stored. It
+// omits the earlier configuration if the entry is too large for a value otherwise.
+func (hq *homeQuotas) encodeHistory(entry *dynconfig.HistoryEntry) (*dynconfig.HistoryEntry, state.Write, error) {
+	key := fmt.Sprintf("%s%03d", historyPrefix, entry.Slot())
 	maxBytes := hq.controller.Settings.Facts.State.ValueKB * 1024 * maxHistoryValueFraction
-	put, err := state.Put(key, e)
-	if err != nil || float64(len(put.Value)) < maxBytes {
-		return e, put, err
+	write, err := state.Put(key, entry)
+	if err != nil || float64(len(write.Value)) < maxBytes {
+		return entry, write, err
 	}
-	e = e.WithoutBefore()
-	put, err = state.Put(key, e)
-	return e, put, err
+	entry = entry.WithoutBefore()
+	write, err = state.Put(key, entry)
+	return entry, write, err
 }
--- a/internal/control/quotas_home_store.go
+++ b/internal/control/quotas_home_store.go
@@ -7,26 +7,26 @@
 	"vetchstream/internal/state"
 )
 
-// How the home region's leader stores updates of the configuration.
+// The leader of the home region stores updates of the configuration in batches.
 
-// storeRetryDelay is the wait after an update that the key-value store rejects.
+// storeRetryDelay is the pause after an update that the key-value store has rejected.
 const storeRetryDelay = time.Second
 
-// maxBatchRecords is how many team records fit a transaction besides the head and a history
-// entry.
+// maxBatchRecords returns how many team records fit into a transaction besides the head record
+// and a history entry.
 func (hq *homeQuotas) maxBatchRecords() int {
 	return max(1, hq.controller.Settings.Facts.State.TxnOps-2)
 }
 
-// storeUpdate stores an update, in as many transactions as it takes, with further writes in
-// the last one, and applies it. Then it calls done in the actor, or failed if the store has
-// rejected a transaction. One update is stored at a time.
-func (hq *homeQuotas) storeUpdate(u dynconfig.Update, lastWrites []state.Write, failed, done func()) {
+// storeUpdate stores an update in one or more transactions, adds lastWrites to the last one,
+// and then applies the update. It calls done in the actor afterwards, or failed if the store
+// has rejected a transaction. Only one update is stored at a time.
+func (hq *homeQuotas) storeUpdate(update dynconfig.Update, lastWrites []state.Write, failed, done func()) {
 	hq.storing = true
 	head := hq.headVersion
 	maxBatch := hq.maxBatchRecords()
 	go func() {
-		version, err := hq.storeRecords(u, lastWrites, head, maxBatch)
+		version, err := hq.storeRecords(update, lastWrites, head, maxBatch)
 		hq.enqueueForUser(func() {
 			hq.storing = false
 			hq.headVersion = version
@@ -35,7 +35,7 @@
 				hq.retryAt = time.Now().Add(storeRetryDelay)
 				failed()
 			} else {
-				hq.home.Apply(u)
+				hq.home.Apply(update)
 				done()
 			}
 			hq.step(time.Now())
@@ -43,40 +43,40 @@
 	}()
 }
 
-// storeRecords stores an update in batches, and returns the version of headKey after the last
-// one that was stored.
-func (hq *homeQuotas) storeRecords(u dynconfig.Update, lastWrites []state.Write, version uint64, maxBatch int) (uint64, error) {
-	for rest := u.Records; len(rest) > 0; {
-		batch := rest[:min(maxBatch, len(rest))]
-		rest = rest[len(batch):]
+// storeRecords stores an update in batches. It returns the version of headKey after the last
+// batch that was stored.
+func (hq *homeQuotas) storeRecords(update dynconfig.Update, lastWrites []state.Write, version uint64, maxBatch int) (uint64, error) {
+	for remaining := update.Records; len(remaining) > 0; {
+		batch := remaining[:min(maxBatch, len(remaining))]
+		remaining = remaining[len(batch):]
 		var further []state.Write
-		if len(rest) == 0 {
+		if len(remaining) == 0 {
 			further = lastWrites
 		}
 		var err error
-		if version, err = hq.storeBatch(u.Head, batch, further, version); err != nil {
+		if version, err = hq.storeBatch(update.Head, batch, further, version); err != nil {
 			return version, err
 		}
 	}
 	return version, nil
 }
 
-// storeBatch stores some records with the head, and further writes, in one transaction. It
-// returns the new version of headKey, or the one before if nothing was stored.
+// storeBatch stores the head record, team records and further writes in one transaction. It
+// returns the new version of headKey, or the previous one if nothing was stored.
 func (hq *homeQuotas) storeBatch(head dynconfig.Head, records []*dynconfig.TeamRecord, further []state.Write, headVersion uint64) (version uint64, err error) {
-	put, err := state.Put(headKey, head)
+	write, err := state.Put(headKey, head)
 	if err != nil {
 		return headVersion, err
 	}
-	writes := append([]state.Write{put}, further...)
-	for _, r := range records {
-		if put, err = state.Put(teamRecordPrefix+r.Name, r); err != nil {
+	writes := append([]state.Write{write}, further...)
+	for _, record := range records {
+		if write, err = state.Put(teamRecordPrefix+record.Name, record); err != nil {
 			return headVersion, err
 		}
-		writes = append(writes, put)
+		writes = append(writes, write)
 	}
-	conds := []state.Condition{{Key: headKey, Version: headVersion}}
-	version, err = hq.commitUntilSettled(headKey, headVersion, conds, writes)
+	conditions := []state.Condition{{Key: headKey, Version: headVersion}}
+	version, err = hq.commitUntilSettled(headKey, headVersion, conditions, writes)
 	if err != nil {
 		return headVersion, err
 	}
--- a/internal/control/quotas_teams.go
+++ b/internal/control/quotas_teams.go
@@ -12,45 +12,47 @@
 	"vetchstream/internal/wire"
 )
 
-// Teams as the platform's file and the planner have them, and as a node that does not lead
-// reads them from the key-value store.
+// The functions below convert teams between the form of the platform's file, which the planner
+// uses as well, and the shares of package dynconfig. Followers use them to read a team's quota
+// from the key-value store.
 
-// quota is the quota of a team that accepts jobs.
+// quota is the quota against which the jobs of a team are admitted.
 type quota struct {
-	current *config.Team // nil: there is no such team
-	target  *config.Team // what it will be once a change is complete; nil: none is under way
+	current *config.Team // nil if the team does not exist
+	target  *config.Team // quota after the change in progress is complete; nil if there is no such change
 }
 
-// quotaOf is the quota of a team with this share, whose limit is to become the target.
+// quotaOf returns the quota of a team that has this share and whose limit is changing to
+// target.
 func quotaOf(name string, share dynconfig.Share, target dynconfig.Amount) quota {
 	current := configTeam(name, share)
 	future := configTeam(name, dynconfig.Share{Limit: target})
 	return quota{current: &current, target: &future}
 }
 
-// fileShares are the teams of the platform's file, by name.
+// fileShares returns the shares of the teams in the platform's file, by name.
 func (c *Controller) fileShares() map[string]dynconfig.Share {
-	out := map[string]dynconfig.Share{}
-	for _, t := range c.Settings.Facts.Teams {
-		out[t.Name] = dynconfig.Share{
-			Limit:     dynconfig.Amount{CPUs: limitAmount(t.CPUsMax), GPUs: limitAmount(t.GPUsMax)},
-			Guarantee: dynconfig.Amount{CPUs: t.CPUs, GPUs: t.GPUs},
+	shares := map[string]dynconfig.Share{}
+	for _, team := range c.Settings.Facts.Teams {
+		shares[team.Name] = dynconfig.Share{
+			Limit:     dynconfig.Amount{CPUs: limitAmount(team.CPUsMax), GPUs: limitAmount(team.GPUsMax)},
+			Guarantee: dynconfig.Amount{CPUs: team.CPUs, GPUs: team.GPUs},
 		}
 	}
-	return out
+	return shares
 }
 
-// fileTeam is a team of the platform's file; nil: there is none of that name.
+// fileTeam returns a team of the platform's file, or nil if the file has no team of that name.
 func (c *Controller) fileTeam(name string) *config.Team {
 	for i := range c.Settings.Facts.Teams {
-		if t := &c.Settings.Facts.Teams[i]; t.Name == name {
-			return t
+		if team := &c.Settings.Facts.Teams[i]; team.Name == name {
+			return team
 		}
 	}
 	return nil
 }
 
-// limitAmount converts a limit of the platform's file, in which 0 means that there is none.
+// limitAmount converts a limit of the platform's file, where 0 means that there is no limit.
 func limitAmount(limit float64) float64 {
 	if limit == 0 {
 		return dynconfig.Unlimited
@@ -58,11 +60,11 @@
 	return limit
 }
 
-// zeroLimit is a limit under which no task fits, for the platform's file, in which 0 means
-// that there is no limit.
+// zeroLimit is a limit under which no task fits. It replaces 0 in the form of the platform's
+// file, where 0 means that there is no limit.
 const zeroLimit = 1e-9
 
-// fileLimit converts an amount to a limit as the platform's file has it.
+// fileLimit converts an amount to a limit in the form of the platform's file.
 func fileLimit(amount float64) float64 {
 	if math.IsInf(amount, 1) {
 		return 0
@@ -70,7 +72,7 @@
 	return max(amount, zeroLimit)
 }
 
-// configTeam converts a share to a team as the platform's file has it.
+// configTeam converts a share to a team in the form of the platform's file.
 func configTeam(name string, share dynconfig.Share) config.Team {
 	return config.Team{
 		Name:    name,
@@ -81,47 +83,48 @@
 	}
 }
 
-// storedTeam is a team's quota as the region's leader has last stored it, for a node that
-// does not lead, with the conditions under which it still holds.
+// storedTeam returns, at a follower, a team's quota as the region's leader stored it last, and
+// the conditions under which this quota still holds.
 func (c *Controller) storedTeam(ctx context.Context, name string) (quota, []state.Condition, error) {
 	if c.Tuning.Regions.Name == "" || !job.ValidTeam(name) {
 		return quota{current: c.fileTeam(name)}, nil, nil
 	}
-	e, err := c.State.Get(ctx, regionGrantPrefix+name)
+	entry, err := c.State.Get(ctx, regionGrantPrefix+name)
 	if errors.Is(err, state.ErrNotFound) {
 		return c.ungrantedTeam(ctx, name)
 	}
 	if err != nil {
 		return quota{}, nil, err
 	}
-	conds := []state.Condition{{Key: regionGrantPrefix + name, Version: e.Version}}
-	var g dynconfig.RegionGrant
-	if err := wire.Unmarshal(e.Value, &g); err != nil {
+	conditions := []state.Condition{{Key: regionGrantPrefix + name, Version: entry.Version}}
+	var grant dynconfig.RegionGrant
+	if err := wire.Unmarshal(entry.Value, &grant); err != nil {
 		return quota{}, nil, err
 	}
-	if g.Removed {
-		return quota{}, conds, nil
+	if grant.Removed {
+		return quota{}, conditions, nil
 	}
-	share := dynconfig.Share{Limit: g.Limit, Guarantee: g.Guarantee}
-	return quotaOf(name, share, g.Target), conds, nil
+	share := dynconfig.Share{Limit: grant.Limit, Guarantee: grant.Guarantee}
+	return quotaOf(name, share, grant.Target), conditions, nil
 }
 
 // errUnconfirmed is returned for a team whose grants the region's store may have lost.
 var errUnconfirmed = errors.New("the region's quotas are not confirmed yet")
 
-// ungrantedTeam is the quota of a team that has no grant here. That there is no such team is
-// certain only if the region's quotas are confirmed; the error is errUnconfirmed otherwise.
+// ungrantedTeam returns the quota of a team that has no grant in this region. Only if the
+// region's quotas are confirmed is it certain that such a team does not exist; otherwise the
+// error is errUnconfirmed.
 func (c *Controller) ungrantedTeam(ctx context.Context, name string) (quota, []state.Condition, error) {
-	conds := []state.Condition{{Key: regionGrantPrefix + name}}
-	if t := c.fileTeam(name); t != nil {
-		return quota{current: t}, conds, nil
+	conditions := []state.Condition{{Key: regionGrantPrefix + name}}
+	if team := c.fileTeam(name); team != nil {
+		return quota{current: team}, conditions, nil
 	}
 	_, err := c.State.Get(ctx, unconfirmedKey)
 	switch {
 	case err == nil:
 		return quota{}, nil, errUnconfirmed
 	case errors.Is(err, state.ErrNotFound):
-		return quota{}, conds, nil
+		return quota{}, conditions, nil
 	}
 	return quota{}, nil, err
 }
