--- a/internal/control/shards.go
+++ b/internal/control/shards.go
@@ -12,9 +12,9 @@
 	"vetchstream/internal/wire"
 )
 
-// shards divides the machines among the controllers, and is the leader's end of the protocol
-// with the holders of the shards. Package shard decides who holds which machine; what may be
-// on a machine stays in the ledger (package fleet).
+// shards divides the machines among the controllers and is the leader's side of the protocol
+// with the holders of the shards. Package shard decides which controller holds which machine.
+// The ledger (package fleet) still tracks what may run on each machine.
 type shards struct {
 	*core
 	nameIndex   *nameIndex
@@ -23,38 +23,38 @@
 	taskTracker *taskTracker
 	commands    *commands
 
-	assigner  *shard.Assigner          // nil: sharding is off
+	assigner  *shard.Assigner          // nil if sharding is off
 	holders   map[string]*fleet.Holder // by member
 	mailboxes map[string]*mailbox      // by member
 
 	relays     map[uint64]*relayedCommand // by call ID
 	lastCallID uint64
 
-	// waitingHeartbeats handle heartbeats once more, by machine, when the change of the
-	// machine's holder is complete.
+	// waitingHeartbeats are functions that handle a deferred heartbeat again, by machine. They
+	// are called when the change of the machine's holder is complete.
 	waitingHeartbeats map[string][]func()
 
 	moves         map[moveReason]*moveCount // since movesLoggedAt
 	movesLoggedAt time.Time
 
-	reserved         map[*fleet.Machine]struct{} // machines that no holder may answer now
+	reserved         map[*fleet.Machine]struct{} // machines that only the leader may answer now
 	reserveCheckedAt time.Time
 }
 
 // moveReason groups the moves of machines back to the leader for the log.
 type moveReason struct {
-	from   string // the member that held them
+	from   string // member that held the machines
 	reason string
 }
 
-// moveCount sums up the moves of one reason since the last log line.
+// moveCount summarizes the moves for one reason since the last log line.
 type moveCount struct {
 	machines int
-	longest  time.Duration // that a move has taken
+	longest  time.Duration // duration of the longest move
 }
 
-// maxWaitingHeartbeats bounds the heartbeats of a machine that wait for its holder to change.
-// A worker has one under way at a time, and may have given up an earlier one.
+// maxWaitingHeartbeats limits the heartbeats of a machine that wait for its holder to change. A
+// worker sends one heartbeat at a time, but may have abandoned an earlier one.
 const maxWaitingHeartbeats = 2
 
 func newShards(co *core) *shards {
@@ -69,17 +69,19 @@
 	}
 }
 
-// ownSockets are the sockets that a controller needs besides those to workers and users.
+// ownSockets is the number of sockets that a controller needs besides those for workers and
+// users.
 const ownSockets = 40
 
-// ShardCapacity is how many machines a controller with that many sockets can serve: each
-// machine takes a connection, and a sixth is left for users.
+// ShardCapacity returns how many machines a controller with that many sockets can serve. Each
+// machine uses one connection, and a sixth of the connections is left for users.
 func ShardCapacity(maxSockets int) int {
 	free := maxSockets - 2*MaxDirectCalls(maxSockets) - ownSockets
 	return max(0, free*5/6)
 }
 
-// begin starts with the machines in the registry, all of which the leader serves at first.
+// begin starts sharding with the machines in the registry if it is enabled. The leader serves
+// all machines at first.
 func (sh *shards) begin(now time.Time) {
 	tuning := sh.controller.Tuning.Sharding
 	resources := &sh.controller.Settings.Facts.Resources
@@ -101,32 +103,32 @@
 		LeaderCapacity: ShardCapacity(resources.MaxSockets),
 	}
 	sh.assigner = shard.NewAssigner(sh.term, sh.controller.Settings.Member, sh.controller.Settings.Site, settings, now)
-	for _, h := range sh.fleet.All() {
+	for _, machine := range sh.fleet.All() {
 		zone := ""
-		if h.Zone >= 0 {
-			zone = sh.nameIndex.zoneNames()[h.Zone]
+		if machine.Zone >= 0 {
+			zone = sh.nameIndex.zoneNames()[machine.Zone]
 		}
-		sh.assigner.AddMachine(h.Name, zone)
+		sh.assigner.AddMachine(machine.Name, zone)
 	}
 }
 
-// routeHeartbeat reports whether the leader answers a heartbeat that has come to it. If not,
-// the worker is redirected to the holder, or the heartbeat waits until the machine has none
-// and is then handled again.
-func (sh *shards) routeHeartbeat(m *wire.Heartbeat, again func(), respond func(*rpc.Reply)) bool {
+// routeHeartbeat reports whether the leader answers a heartbeat that it received. Otherwise the
+// worker is redirected to the holder of the machine, or the heartbeat is deferred until the
+// machine has no holder and is then handled by retry.
+func (sh *shards) routeHeartbeat(heartbeat *wire.Heartbeat, retry func(), respond func(*rpc.Reply)) bool {
 	if sh.assigner == nil {
 		return true
 	}
-	route, member := sh.assigner.RouteReport(m.Host, m.Zone, time.Now())
+	route, member := sh.assigner.RouteReport(heartbeat.Host, heartbeat.Zone, time.Now())
 	switch route {
 	case shard.Send:
 		respond(reply(http.StatusMisdirectedRequest, wire.Redirect{ReportTo: member}))
 		return false
 	case shard.Wait:
-		if len(sh.waitingHeartbeats[m.Host]) < maxWaitingHeartbeats {
-			sh.waitingHeartbeats[m.Host] = append(sh.waitingHeartbeats[m.Host], again)
+		if len(sh.waitingHeartbeats[heartbeat.Host]) < maxWaitingHeartbeats {
+			sh.waitingHeartbeats[heartbeat.Host] = append(sh.waitingHeartbeats[heartbeat.Host], retry)
 		} else {
-			respond(Unavailable("the machine is changing its controller"))
+			respond(Unavailable("the machine is being moved to another controller"))
 		}
 		return false
 	}
@@ -134,22 +136,22 @@
 }
 
 // recordAnswered records that the leader has answered a machine; via is the member that
-// forwarded the heartbeat. A new machine may go to a holder before it has seen the term and
-// is in the registry, which a launch still waits for: a fleet that boots within a minute
-// would take all sockets of the leader first.
-func (sh *shards) recordAnswered(h *fleet.Machine, via string, now time.Time) {
-	if sh.assigner == nil || h.Releasing {
+// forwarded the heartbeat. A new machine may be assigned to a holder before it has seen the
+// term and is in the registry, although a launch still waits for both. Otherwise a fleet that
+// boots within a minute would first use all sockets of the leader.
+func (sh *shards) recordAnswered(machine *fleet.Machine, via string, now time.Time) {
+	if sh.assigner == nil || machine.Releasing {
 		return
 	}
-	sh.reserve(h, now)
-	sh.assigner.ReportServed(h.Name, via, now)
-	sh.bind(h)
+	sh.reserve(machine, now)
+	sh.assigner.ReportServed(machine.Name, via, now)
+	sh.bind(machine)
 }
 
-// bind sets the holder of a machine in the ledger as the assigner has it.
-func (sh *shards) bind(h *fleet.Machine) {
-	member, _ := sh.assigner.Holder(h.Name)
-	if member == "" || h.Holder() != nil {
+// bind sets the holder of a machine in the ledger to the holder that the assigner has chosen.
+func (sh *shards) bind(machine *fleet.Machine) {
+	member, _ := sh.assigner.Holder(machine.Name)
+	if member == "" || machine.Holder() != nil {
 		return
 	}
 	holder := sh.holders[member]
@@ -157,42 +159,42 @@
 		holder = &fleet.Holder{Name: member}
 		sh.holders[member] = holder
 	}
-	sh.fleet.SetHolder(h, holder)
+	sh.fleet.SetHolder(machine, holder)
 }
 
-// remove forgets a machine that was released.
-func (sh *shards) remove(h *fleet.Machine) {
+// remove removes a machine that was released.
+func (sh *shards) remove(machine *fleet.Machine) {
 	if sh.assigner == nil {
 		return
 	}
-	h.ClearHolder(time.Time{})
-	sh.assigner.RemoveMachine(h.Name, time.Now())
+	machine.ClearHolder(time.Time{})
+	sh.assigner.RemoveMachine(machine.Name, time.Now())
 }
 
-// releaseMachines takes back the machines that their holders no longer serve.
+// releaseMachines returns machines that their holders no longer serve to the leader.
 func (sh *shards) releaseMachines(revoked []shard.Revocation, now time.Time) {
-	for _, r := range revoked {
-		h := sh.fleet.Machines[r.Name]
-		if h == nil {
-			continue // it was released meanwhile
+	for _, revocation := range revoked {
+		machine := sh.fleet.Machines[revocation.Name]
+		if machine == nil {
+			continue // the machine was released in the meantime
 		}
-		h.ClearHolder(r.Until)
-		sh.countMove(&r, now)
-		sh.retryHeartbeats(r.Name)
+		machine.ClearHolder(revocation.Until)
+		sh.countMove(&revocation, now)
+		sh.retryHeartbeats(revocation.Name)
 	}
 }
 
 // countMove counts the move of a machine back to the leader for the log and the metrics.
-func (sh *shards) countMove(r *shard.Revocation, now time.Time) {
-	key := moveReason{from: r.From, reason: r.Reason}
+func (sh *shards) countMove(revocation *shard.Revocation, now time.Time) {
+	key := moveReason{from: revocation.From, reason: revocation.Reason}
 	count := sh.moves[key]
 	if count == nil {
 		count = &moveCount{}
 		sh.moves[key] = count
 	}
 	count.machines++
-	count.longest = max(count.longest, now.Sub(r.Since))
-	sh.controller.Meter.Add(metrics.ShardReturns, r.Reason, 1)
+	count.longest = max(count.longest, now.Sub(revocation.Since))
+	sh.controller.Meter.Add(metrics.ShardReturns, revocation.Reason, 1)
 }
 
 // retryHeartbeats handles the heartbeats of a machine that have waited for its holder to
@@ -200,13 +202,13 @@
 func (sh *shards) retryHeartbeats(name string) {
 	waiting := sh.waitingHeartbeats[name]
 	delete(sh.waitingHeartbeats, name)
-	for _, again := range waiting {
-		again()
+	for _, retry := range waiting {
+		retry()
 	}
 }
 
-// redirectWaiting handles the waiting heartbeats of machines that the member has come to
-// hold: their workers are redirected to it.
+// redirectWaiting handles the waiting heartbeats of the machines that the member now holds,
+// which redirects their workers to it.
 func (sh *shards) redirectWaiting(member string) {
 	var names []string
 	for name := range sh.waitingHeartbeats {
@@ -220,9 +222,9 @@
 	}
 }
 
-// step does what is due by time, and answers the holders' requests that have waited long
-// enough or for which there is something to send. Scan is true for some of the calls: it
-// includes what looks at all machines.
+// step performs the periodic work, and answers the holders' requests that have waited long
+// enough or for which there is something to send. If scan is set, as it is in some of the
+// calls, step also does the work that visits all machines.
 func (sh *shards) step(now time.Time, scan bool) {
 	if sh.assigner == nil {
 		return
@@ -232,16 +234,16 @@
 		sh.expireRelays(now)
 		sh.logMoves(now)
 	}
-	// Before any reply, since a reply prolongs the holder's grant.
+	// This precedes every reply, because a reply extends the holder's grant.
 	sh.updateReserved(now)
 	sh.answerRequests(now)
 }
 
-// moveLogInterval spaces the log lines about moves.
+// moveLogInterval is the minimum time between log lines about moves.
 const moveLogInterval = time.Second
 
-// logMoves logs the moves since it last logged, one line for each previous controller and
-// reason, at most once in moveLogInterval.
+// logMoves logs the moves since the last time, in one line for each previous controller and
+// reason, at most once per moveLogInterval.
 func (sh *shards) logMoves(now time.Time) {
 	if now.Sub(sh.movesLoggedAt) < moveLogInterval || len(sh.moves) == 0 {
 		return
@@ -253,7 +255,7 @@
 			"longest", count.longest.Round(time.Millisecond), "machines_by_controller", held)
 	}
 	clear(sh.moves)
-	for member, n := range held {
-		sh.controller.Meter.SetLabeled(metrics.ShardMachines, member, n)
+	for member, machineCount := range held {
+		sh.controller.Meter.SetLabeled(metrics.ShardMachines, member, machineCount)
 	}
 }
--- a/internal/control/shards_reclaim.go
+++ b/internal/control/shards_reclaim.go
@@ -6,35 +6,36 @@
 	"vetchstream/internal/fleet"
 )
 
-// Machines that no holder may answer, because a task of a cancelled job may be on them.
+// The leader itself answers machines that may run a task of a cancelled job.
 
-// reserve makes the leader serve a machine itself, or take it back from its holder, in time
-// before the machine's lease may only be renewed by answers that carry halts.
-func (sh *shards) reserve(h *fleet.Machine, now time.Time) {
-	limit, bounded := sh.fleet.RenewalLimit(h)
+// reserve makes the leader serve a machine itself, and takes it back from its holder if it has
+// one. This happens in time before the machine's lease may only be renewed by answers that
+// carry halts.
+func (sh *shards) reserve(machine *fleet.Machine, now time.Time) {
+	limit, bounded := sh.fleet.RenewalLimit(machine)
 	if !bounded || limit.Sub(now) > sh.assigner.RevocationTime()+2*urgentScanInterval {
 		return
 	}
-	sh.reserved[h] = struct{}{}
-	sh.assigner.Retain(h.Name, "a cancelled task may be on it", now)
+	sh.reserved[machine] = struct{}{}
+	sh.assigner.Retain(machine.Name, "a cancelled task may be on it", now)
 }
 
-// updateReserved reserves the machines that have to be, among those that wait for a command,
-// and lets holders have those again that need not be any more. It has to run before each reply
-// to a holder, since a reply prolongs its grant.
+// updateReserved reserves those machines awaiting a command that require it, and lets holders
+// serve the machines again that no longer do. It must run before each reply to a holder,
+// because a reply extends the holder's grant.
 func (sh *shards) updateReserved(now time.Time) {
 	if now.Sub(sh.reserveCheckedAt) < urgentScanInterval {
 		return
 	}
 	sh.reserveCheckedAt = now
-	for _, h := range sh.fleet.AwaitingCommand() {
-		sh.reserve(h, now)
+	for _, machine := range sh.fleet.AwaitingCommand() {
+		sh.reserve(machine, now)
 	}
-	for h := range sh.reserved {
-		if _, bounded := sh.fleet.RenewalLimit(h); bounded && sh.fleet.Machines[h.Name] == h {
+	for machine := range sh.reserved {
+		if _, bounded := sh.fleet.RenewalLimit(machine); bounded && sh.fleet.Machines[machine.Name] == machine {
 			continue
 		}
-		delete(sh.reserved, h)
-		sh.assigner.Release(h.Name)
+		delete(sh.reserved, machine)
+		sh.assigner.Release(machine.Name)
 	}
 }
--- a/internal/control/shards_relay.go
+++ b/internal/control/shards_relay.go
@@ -9,90 +9,91 @@
 	"vetchstream/internal/shard"
 )
 
-// Direct commands that are sent through the holder of a machine.
+// The leader sends direct commands to a machine through the machine's holder.
 
 const (
-	// relayTimeout is how long a holder may take with a direct command. After that it is not
-	// known whether the command was executed, and the ledger sends it again.
+	// relayTimeout is how long a holder may take to execute a direct command. After that it is
+	// unknown whether the command was executed, and the ledger sends it again.
 	relayTimeout = 3500 * time.Millisecond
-	// holderAbsentAfter is the time without a request after which a holder gets no commands:
-	// they are sent directly.
+	// holderAbsentAfter is the time without a request after which a holder counts as absent.
+	// Commands to its machines are then sent directly.
 	holderAbsentAfter = 600 * time.Millisecond
 )
 
-// errNoRelayResult is the outcome of a command of which the holder has reported no result.
-var errNoRelayResult = errors.New("the holder has reported no result of the command")
+// errNoRelayResult is the error of a relayed command for which the holder has not reported a
+// result.
+var errNoRelayResult = errors.New("the holder did not report the result of the command in time")
 
-// relayedCommand is a direct command that a holder sends.
+// relayedCommand is a direct command that a holder sends for the leader.
 type relayedCommand struct {
 	host      *fleet.Machine
 	member    string
-	slots     []*fleet.Slot // what the command launches
+	slots     []*fleet.Slot // placements that the command launches
 	relayedAt time.Time
 }
 
-// relayable reports whether a direct command to a machine goes through its holder, and
-// whether it may go now.
-func (sh *shards) relayable(h *fleet.Machine) (relayed, now bool) {
-	if sh.assigner == nil || h.Holder() == nil {
+// relayable reports whether a direct command to a machine is sent through its holder, and
+// whether it can be sent now.
+func (sh *shards) relayable(machine *fleet.Machine) (relayed, now bool) {
+	if sh.assigner == nil || machine.Holder() == nil {
 		return false, true
 	}
-	member, reachable := sh.assigner.Holder(h.Name)
-	b := sh.mailboxes[member]
-	if !reachable || b == nil || (b.respond == nil && time.Since(b.since) > holderAbsentAfter) {
+	member, reachable := sh.assigner.Holder(machine.Name)
+	box := sh.mailboxes[member]
+	if !reachable || box == nil || (box.respond == nil && time.Since(box.since) > holderAbsentAfter) {
 		return false, true // the holder is absent, and the command must not wait for its grant to end
 	}
-	return true, b.inFlight < b.maxInFlight
+	return true, box.inFlight < box.maxInFlight
 }
 
-// relay passes a direct command to the machine's holder.
-func (sh *shards) relay(h *fleet.Machine, body []byte, slots []*fleet.Slot, now time.Time) {
-	member, _ := sh.assigner.Holder(h.Name)
-	b := sh.mailboxes[member]
+// relay queues a direct command for the machine's holder.
+func (sh *shards) relay(machine *fleet.Machine, body []byte, slots []*fleet.Slot, now time.Time) {
+	member, _ := sh.assigner.Holder(machine.Name)
+	box := sh.mailboxes[member]
 	sh.lastCallID++
-	b.inFlight++
-	b.calls = append(b.calls, shard.Call{
+	box.inFlight++
+	box.calls = append(box.calls, shard.Call{
 		ID:   sh.lastCallID,
-		Addr: h.Addr,
+		Addr: machine.Addr,
 		Body: body,
 	})
 	sh.relays[sh.lastCallID] = &relayedCommand{
-		host:      h,
+		host:      machine,
 		member:    member,
 		slots:     slots,
 		relayedAt: now,
 	}
 }
 
-// finishRelay takes in the result of a command.
-func (sh *shards) finishRelay(d *shard.CallResult) {
-	r := sh.relays[d.ID]
-	if r == nil {
-		return // it has timed out, or the result was reported twice
+// finishRelay handles the result of a relayed command.
+func (sh *shards) finishRelay(callResult *shard.CallResult) {
+	command := sh.relays[callResult.ID]
+	if command == nil {
+		return // the command has timed out, or its result was reported twice
 	}
-	delete(sh.relays, d.ID)
-	sh.mailboxes[r.member].inFlight--
+	delete(sh.relays, callResult.ID)
+	sh.mailboxes[command.member].inFlight--
 	result := DirectResult{
-		Status:  d.Status,
-		Body:    d.Report,
-		Reached: d.Reached,
+		Status:  callResult.Status,
+		Body:    callResult.Report,
+		Reached: callResult.Reached,
 	}
-	sh.commands.finishCall(r.host, result, nil, r.slots)
+	sh.commands.finishCall(command.host, result, nil, command.slots)
 }
 
-// expireRelays ends the commands that have taken longer than relayTimeout.
+// expireRelays ends the relayed commands that have exceeded relayTimeout.
 func (sh *shards) expireRelays(now time.Time) {
-	for id, r := range sh.relays {
-		if now.Sub(r.relayedAt) <= relayTimeout {
+	for id, command := range sh.relays {
+		if now.Sub(command.relayedAt) <= relayTimeout {
 			continue
 		}
 		delete(sh.relays, id)
-		b := sh.mailboxes[r.member]
-		b.inFlight--
-		before := len(b.calls)
-		b.calls = slices.DeleteFunc(b.calls, func(c shard.Call) bool { return c.ID == id })
+		box := sh.mailboxes[command.member]
+		box.inFlight--
+		before := len(box.calls)
+		box.calls = slices.DeleteFunc(box.calls, func(call shard.Call) bool { return call.ID == id })
 		// A command that was still in the mailbox was certainly not sent.
-		sent := len(b.calls) == before
-		sh.commands.finishCall(r.host, DirectResult{Reached: sent}, errNoRelayResult, r.slots)
+		sent := len(box.calls) == before
+		sh.commands.finishCall(command.host, DirectResult{Reached: sent}, errNoRelayResult, command.slots)
 	}
 }
--- a/internal/control/shards_sync.go
+++ b/internal/control/shards_sync.go
@@ -9,15 +9,16 @@
 	"vetchstream/internal/wire"
 )
 
-// The requests of shard holders and the leader's replies.
+// The leader answers the requests of shard holders.
 
 const (
-	// syncHoldTime is how long a holder's request waits for something to send: requests that
-	// come as often as they can would take the processor of both sides.
+	// syncHoldTime is how long a holder's request is held while there is nothing to send.
+	// Holders that send their requests without any pause would use up the processors of both
+	// sides.
 	syncHoldTime = 50 * time.Millisecond
-	// maxReplyBytes bounds what a reply carries besides the names of machines, as holders
-	// refuse larger messages: a burst of launches on hundreds of machines would be lost whole.
-	// One item may come on top; the others are in the next reply.
+	// maxReplyBytes limits the content of a reply, apart from the names of machines. Holders
+	// refuse larger messages, so a burst of launches on hundreds of machines would be lost as a
+	// whole. One item may exceed the limit; the remaining items are sent in the next reply.
 	maxReplyBytes = 128 << 10
 	// itemBytes and orderBytes are the approximate encoded sizes of an item of a reply without
 	// its content, and of an order.
@@ -25,13 +26,13 @@
 	orderBytes = 80
 )
 
-// mailbox is a holder's pending request, and what waits for the reply to it.
+// mailbox holds a holder's pending request and the items that wait for the reply to it.
 type mailbox struct {
-	respond func(*shard.Reply) // answers the pending request; nil: there is none
-	since   time.Time          // of the pending request, or of the last reply
+	respond func(*shard.Reply) // answers the pending request; nil if there is none
+	since   time.Time          // time of the pending request, or of the last reply
 
-	maxInFlight int // direct commands that the holder can have in flight
-	inFlight    int // those that it has
+	maxInFlight int // maximum number of direct commands that the holder can have in flight
+	inFlight    int // direct commands that the holder has in flight
 
 	calls      []shard.Call
 	clearances []shard.ExitClearance
@@ -39,8 +40,8 @@
 	answers    []shard.Answer
 }
 
-// pendingHeartbeat is a heartbeat that reported something new: the holder waits for the
-// leader's answer.
+// pendingHeartbeat is a forwarded heartbeat that reported something new, so that the holder
+// waits for the leader's answer.
 type pendingHeartbeat struct {
 	host    *fleet.Machine
 	session uint64
@@ -48,13 +49,14 @@
 	fresh   bool
 }
 
-// empty reports whether nothing waits for the next reply.
+// empty reports whether no item waits for the next reply.
 func (b *mailbox) empty() bool {
 	return len(b.calls) == 0 && len(b.answers) == 0 && len(b.clearances) == 0
 }
 
-// fillReply moves what waits into a reply, answers first: workers wait for them.
-func (b *mailbox) fillReply(r *shard.Reply) {
+// fillReply moves waiting items into a reply. Answers come first, because workers wait for
+// them.
+func (b *mailbox) fillReply(reply *shard.Reply) {
 	size := 0
 	fits := func(n int) bool {
 		ok := size < maxReplyBytes
@@ -62,173 +64,174 @@
 		return ok
 	}
 	for len(b.answers) > 0 && fits(itemBytes+orderBytes*len(b.answers[0].Orders)) {
-		r.Answers = append(r.Answers, b.answers[0])
+		reply.Answers = append(reply.Answers, b.answers[0])
 		b.answers = b.answers[1:]
 	}
 	for len(b.calls) > 0 && fits(itemBytes+len(b.calls[0].Body)) {
-		r.Calls = append(r.Calls, b.calls[0])
+		reply.Calls = append(reply.Calls, b.calls[0])
 		b.calls = b.calls[1:]
 	}
 	for len(b.clearances) > 0 && fits(itemBytes+orderBytes*len(b.clearances[0].Clears)) {
-		r.Clearances = append(r.Clearances, b.clearances[0])
+		reply.Clearances = append(reply.Clearances, b.clearances[0])
 		b.clearances = b.clearances[1:]
 	}
 }
 
-// handleSync takes in a holder's request. It is answered once there is something to send, and
-// after syncHoldTime in any case.
-func (sh *shards) handleSync(r *shard.Request, respond func(*shard.Reply)) {
+// handleSync handles a holder's request. The request is answered once there is something to
+// send, and after syncHoldTime at the latest.
+func (sh *shards) handleSync(request *shard.Request, respond func(*shard.Reply)) {
 	now := time.Now()
 	if sh.assigner == nil {
 		respond(&shard.Reply{})
 		return
 	}
-	revoked, ok := sh.assigner.HandleRequest(r, now)
+	revoked, ok := sh.assigner.HandleRequest(request, now)
 	if !ok {
 		sh.releaseMachines(revoked, now)
 		respond(&shard.Reply{})
 		return
 	}
-	b := sh.openMailbox(r, respond, now)
-	if holder := sh.holders[r.Member]; holder != nil {
-		holder.KnownUntil = sh.assigner.KnownUntil(r.Member)
+	box := sh.openMailbox(request, respond, now)
+	if holder := sh.holders[request.Member]; holder != nil {
+		holder.KnownUntil = sh.assigner.KnownUntil(request.Member)
 	}
-	if r.Term == sh.term {
-		for i := range r.Reports {
-			sh.handleHostReport(b, &r.Reports[i], now)
+	if request.Term == sh.term {
+		for i := range request.Reports {
+			sh.handleHostReport(box, &request.Reports[i], now)
 		}
-		for i := range r.CallResults {
-			sh.finishRelay(&r.CallResults[i])
+		for i := range request.CallResults {
+			sh.finishRelay(&request.CallResults[i])
 		}
 	} else {
-		for _, name := range r.PreviousHosts {
-			if h := sh.fleet.Machines[name]; h != nil {
-				sh.bind(h)
+		for _, name := range request.PreviousHosts {
+			if machine := sh.fleet.Machines[name]; machine != nil {
+				sh.bind(machine)
 			}
 		}
 	}
 	sh.releaseMachines(revoked, now)
-	sh.redirectWaiting(r.Member)
+	sh.redirectWaiting(request.Member)
 }
 
 // openMailbox makes a request the pending one of its member.
-func (sh *shards) openMailbox(r *shard.Request, respond func(*shard.Reply), now time.Time) *mailbox {
-	b := sh.mailboxes[r.Member]
-	if b == nil {
-		b = &mailbox{}
-		sh.mailboxes[r.Member] = b
-	}
-	if b.respond != nil {
-		b.respond(&shard.Reply{}) // the member has given up the earlier request
-	}
-	b.respond = respond
-	b.since = now
-	b.maxInFlight = r.Calls
-	return b
+func (sh *shards) openMailbox(request *shard.Request, respond func(*shard.Reply), now time.Time) *mailbox {
+	box := sh.mailboxes[request.Member]
+	if box == nil {
+		box = &mailbox{}
+		sh.mailboxes[request.Member] = box
+	}
+	if box.respond != nil {
+		box.respond(&shard.Reply{}) // the member has abandoned the earlier request
+	}
+	box.respond = respond
+	box.since = now
+	box.maxInFlight = request.Calls
+	return box
 }
 
-// handleHostReport takes in what a machine has reported to its holder.
-func (sh *shards) handleHostReport(b *mailbox, report *shard.HostReport, now time.Time) {
-	h := sh.fleet.Machines[report.Host]
-	if h == nil || sh.machinePool.wasReleased(report.Host) {
+// handleHostReport handles what a machine has reported to its holder.
+func (sh *shards) handleHostReport(box *mailbox, report *shard.HostReport, now time.Time) {
+	machine := sh.fleet.Machines[report.Host]
+	if machine == nil || sh.machinePool.wasReleased(report.Host) {
 		return
 	}
 	sh.assigner.ConfirmContact(report.Host)
 	if len(report.Report) > 0 {
-		m := &wire.Heartbeat{}
-		if err := wire.Unmarshal(report.Report, m); err != nil || m.Host != report.Host {
-			return // the holder has decoded it before
+		heartbeat := &wire.Heartbeat{}
+		if err := wire.Unmarshal(report.Report, heartbeat); err != nil || heartbeat.Host != report.Host {
+			return // not expected: the holder has already decoded the heartbeat
 		}
-		fresh, ok := sh.taskTracker.observe(h, m, true, now)
+		fresh, ok := sh.taskTracker.observe(machine, heartbeat, true, now)
 		if !ok {
 			return
 		}
-		b.heartbeats = append(b.heartbeats, pendingHeartbeat{
-			host:    h,
-			session: m.Session,
-			seq:     m.Seq,
+		box.heartbeats = append(box.heartbeats, pendingHeartbeat{
+			host:    machine,
+			session: heartbeat.Session,
+			seq:     heartbeat.Seq,
 			fresh:   fresh,
 		})
 	}
-	// The holder may have answered a later heartbeat that reported the same, also if the one
-	// above was sent before and not acknowledged.
-	wasCut := h.InboundCut()
+	// The holder may have answered a later heartbeat with the same content. This can also be
+	// the case if it sent the heartbeat above before and received no acknowledgement.
+	wasCut := machine.InboundCut()
 	age := time.Duration(max(0, report.AgeMs)) * time.Millisecond
-	events := sh.fleet.RecordRenewal(h, report.Session, report.Seq, now.Add(-age))
-	sh.taskTracker.reachabilityChanged(h, wasCut)
+	events := sh.fleet.RecordRenewal(machine, report.Session, report.Seq, now.Add(-age))
+	sh.taskTracker.reachabilityChanged(machine, wasCut)
 	sh.taskTracker.applyEvents(events, now)
-	if clears := h.ClearOrders(maxOrders); clears != nil {
-		b.clearances = append(b.clearances, shard.ExitClearance{Host: report.Host, Clears: clears})
+	if clears := machine.ClearOrders(maxOrders); clears != nil {
+		box.clearances = append(box.clearances, shard.ExitClearance{Host: report.Host, Clears: clears})
 	}
 }
 
-// answerHeartbeats answers the heartbeats that holders have passed on, as the leader answers
-// those that come to it. It runs before direct commands are sent: what an answer carries needs
-// none.
+// answerHeartbeats answers the heartbeats that holders have forwarded, in the same way as those
+// that the leader receives itself. It runs before direct commands are sent, because what an
+// answer carries needs no direct command.
 func (sh *shards) answerHeartbeats(now time.Time) {
-	for member, b := range sh.mailboxes {
-		for _, hb := range b.heartbeats {
-			if !sh.answerable(member, &hb) || !sh.machinePool.mayRenewLease(hb.host, now) {
+	for member, box := range sh.mailboxes {
+		for _, heartbeat := range box.heartbeats {
+			if !sh.answerable(member, &heartbeat) || !sh.machinePool.mayRenewLease(heartbeat.host, now) {
 				continue
 			}
-			orders, sent, events := sh.fleet.ComposeOrders(hb.host, hb.seq, hb.fresh, now, maxOrders)
+			orders, sent, events := sh.fleet.ComposeOrders(heartbeat.host, heartbeat.seq, heartbeat.fresh, now, maxOrders)
 			sh.takeover.recordLaunches(len(sent), now)
 			sh.taskTracker.applyEvents(events, now)
-			b.answers = append(b.answers, shard.Answer{
-				Host:    hb.host.Name,
-				Session: hb.session,
-				Seq:     hb.seq,
+			box.answers = append(box.answers, shard.Answer{
+				Host:    heartbeat.host.Name,
+				Session: heartbeat.session,
+				Seq:     heartbeat.seq,
 				Orders:  orders,
 			})
 		}
-		b.heartbeats = nil
+		box.heartbeats = nil
 	}
 }
 
-// answerable reports whether the member still holds the machine and the agent's session is
-// still the one of the heartbeat.
-func (sh *shards) answerable(member string, hb *pendingHeartbeat) bool {
-	holder := hb.host.Holder()
+// answerable reports whether the member still holds the machine, and whether the worker still
+// has the session of the heartbeat.
+func (sh *shards) answerable(member string, heartbeat *pendingHeartbeat) bool {
+	holder := heartbeat.host.Holder()
 	return holder != nil && holder.Name == member &&
-		sh.fleet.Machines[hb.host.Name] == hb.host &&
-		hb.host.Session == hb.session
+		sh.fleet.Machines[heartbeat.host.Name] == heartbeat.host &&
+		heartbeat.host.Session == heartbeat.session
 }
 
-// answerRequests answers the pending requests for which there is something to send, or that
-// have waited for syncHoldTime.
+// answerRequests answers the pending requests for which there is something to send, and those
+// that have waited for syncHoldTime.
 func (sh *shards) answerRequests(now time.Time) {
-	for member, b := range sh.mailboxes {
-		if b.respond == nil {
+	for member, box := range sh.mailboxes {
+		if box.respond == nil {
 			continue
 		}
-		if b.empty() && !sh.assigner.ReplyDue(member) && now.Sub(b.since) < syncHoldTime {
+		if box.empty() && !sh.assigner.ReplyDue(member) && now.Sub(box.since) < syncHoldTime {
 			continue
 		}
-		r := sh.assigner.Reply(member, now)
-		b.fillReply(r)
-		respond := b.respond
-		b.respond = nil
-		b.since = now
-		respond(r)
+		reply := sh.assigner.Reply(member, now)
+		box.fillReply(reply)
+		respond := box.respond
+		box.respond = nil
+		box.since = now
+		respond(reply)
 	}
 }
 
-// Sync answers a holder's request if this node is the leader; a reply of term 0 otherwise.
-func (c *Controller) Sync(ctx context.Context, q *shard.Request) *shard.Reply {
-	r := c.currentTerm()
-	if r == nil || !c.Entitled(r.term) || !r.takeover.loaded() {
+// Sync answers a holder's request if this controller is the leader. Otherwise it returns a
+// reply of term 0.
+func (c *Controller) Sync(ctx context.Context, request *shard.Request) *shard.Reply {
+	lt := c.currentTerm()
+	if lt == nil || !c.Entitled(lt.term) || !lt.takeover.loaded() {
 		return &shard.Reply{}
 	}
-	p := queryActor(ctx, r.core, r.inbox, func(respond func(*shard.Reply)) { r.shards.handleSync(q, respond) })
-	if p == nil {
+	reply := queryActor(ctx, lt.core, lt.inbox, func(respond func(*shard.Reply)) { lt.shards.handleSync(request, respond) })
+	if reply == nil {
 		return &shard.Reply{}
 	}
-	// The grant ends no later than this node's own lease, and the holder counts it from before
-	// it sent the request.
-	left := c.Remaining(r.term).Milliseconds()
+	// The grant must end no later than this controller's own lease. The holder counts the
+	// grant from before it sent the request.
+	left := c.Remaining(lt.term).Milliseconds()
 	if left <= 0 {
 		return &shard.Reply{}
 	}
-	p.ForMs = min(p.ForMs, left)
-	return p
+	reply.ForMs = min(reply.ForMs, left)
+	return reply
 }
--- a/internal/control/shards_test.go
+++ b/internal/control/shards_test.go
@@ -10,18 +10,18 @@
 	"vetchstream/internal/wire"
 )
 
-// TestReplySize: a reply stays below what a holder takes, whatever waits, and nothing
-// of it is lost.
+// TestReplySize checks that a reply stays below the size that a holder accepts, however many
+// items wait, and that all items are delivered eventually.
 func TestReplySize(t *testing.T) {
 	tests := []struct {
 		name                   string
 		calls, answers, clears int
 		body                   int // bytes of a call
 	}{
-		{"nothing", 0, 0, 0, 0},
-		{"a burst of launches on hundreds of machines", 700, 0, 0, 2 << 10},
-		{"a few that are as large as can be", 9, 0, 0, 30 << 10},
-		{"everything at once", 300, 500, 400, 1 << 10},
+		{"an empty mailbox yields empty replies", 0, 0, 0, 0},
+		{"launches on hundreds of machines are split into several replies", 700, 0, 0, 2 << 10},
+		{"a few calls of maximum size are split into several replies", 9, 0, 0, 30 << 10},
+		{"calls, answers and clearances together are split into several replies", 300, 500, 400, 1 << 10},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -29,52 +29,53 @@
 			call := shard.Call{Addr: "10.0.0.1:9000", Body: make([]byte, tt.body)}
 			answer := shard.Answer{Host: "host-000001", Orders: orders}
 			clearance := shard.ExitClearance{Host: "host-000001", Clears: orders}
-			b := &mailbox{
+			box := &mailbox{
 				calls:      slices.Repeat([]shard.Call{call}, tt.calls),
 				answers:    slices.Repeat([]shard.Answer{answer}, tt.answers),
 				clearances: slices.Repeat([]shard.ExitClearance{clearance}, tt.clears),
 			}
 			calls, answers, clears := 0, 0, 0
 			for range 100 {
-				r := &shard.Reply{Term: 1}
-				b.fillReply(r)
-				calls += len(r.Calls)
-				answers += len(r.Answers)
-				clears += len(r.Clearances)
-				if enc, err := wire.Marshal(r); err != nil || len(enc) > 4*wire.MaxBody {
-					t.Fatalf("a reply of %d bytes: %v", len(enc), err)
+				reply := &shard.Reply{Term: 1}
+				box.fillReply(reply)
+				calls += len(reply.Calls)
+				answers += len(reply.Answers)
+				clears += len(reply.Clearances)
+				if encoded, err := wire.Marshal(reply); err != nil || len(encoded) > 4*wire.MaxBody {
+					t.Fatalf("the encoded reply has %d bytes, want at most four times wire.MaxBody (encoding error: %v)", len(encoded), err)
 				}
 			}
 			if calls != tt.calls || answers != tt.answers || clears != tt.clears {
-				t.Errorf("%d calls, %d answers, %d clears came", calls, answers, clears)
+				t.Errorf("%d calls, %d answers and %d clearances were delivered, want as many as were queued", calls, answers, clears)
 			}
 		})
 	}
 }
 
-// TestRepeatedHostReport: a report that a holder sends again, because its request was not answered, may
-// name a later heartbeat that it has answered meanwhile. That one renewed the lease.
+// TestRepeatedHostReport checks that a report that a holder repeats, because its request was
+// not answered, renews the lease from the heartbeat that it names. This may be a later
+// heartbeat that the holder has answered in the meantime.
 func TestRepeatedHostReport(t *testing.T) {
-	r := newTestTerm(t)
-	r.controller.Settings.Siblings = []config.Sibling{{Member: "n1"}}
-	r.controller.Tuning.Sharding.Enabled = true
-	now := r.termStart
-	r.shards.begin(now)
-	h := r.host("h1")
-	m := &wire.Heartbeat{Host: "h1", Type: "x", Zone: "a", Session: 1, Seq: 10, Token: 7}
-	full, err := wire.Marshal(m)
+	lt := newTestTerm(t)
+	lt.controller.Settings.Siblings = []config.Sibling{{Member: "n1"}}
+	lt.controller.Tuning.Sharding.Enabled = true
+	now := lt.termStart
+	lt.shards.begin(now)
+	machine := lt.host("h1")
+	heartbeat := &wire.Heartbeat{Host: "h1", Type: "x", Zone: "a", Session: 1, Seq: 10, Token: 7}
+	encoded, err := wire.Marshal(heartbeat)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.shards.handleHostReport(&mailbox{}, &shard.HostReport{Host: "h1", Session: 1, Seq: 10, Report: full}, now)
+	lt.shards.handleHostReport(&mailbox{}, &shard.HostReport{Host: "h1", Session: 1, Seq: 10, Report: encoded}, now)
 	now = now.Add(8 * time.Second)
-	r.shards.handleHostReport(&mailbox{}, &shard.HostReport{Host: "h1", Session: 1, Seq: 11, Report: full}, now)
+	lt.shards.handleHostReport(&mailbox{}, &shard.HostReport{Host: "h1", Session: 1, Seq: 11, Report: encoded}, now)
 	now = now.Add(5 * time.Second)
-	if r.fleet.ExpireLeases(now); h.Lost {
-		t.Error("lost 5 s after a heartbeat that the holder answered")
+	if lt.fleet.ExpireLeases(now); machine.Lost {
+		t.Error("the machine is lost 5 s after a heartbeat that the holder answered")
 	}
 	now = now.Add(6 * time.Second)
-	if r.fleet.ExpireLeases(now); !h.Lost {
-		t.Error("not lost 11 s after it")
+	if lt.fleet.ExpireLeases(now); !machine.Lost {
+		t.Error("the machine is not lost 11 s after the last heartbeat that the holder answered")
 	}
 }
