--- a/internal/control/records_load.go
+++ b/internal/control/records_load.go
@@ -36,7 +36,7 @@
 func (r *registry) load(machinePages, jobPages []state.Entry) error {
 	byIndex := map[int]*fleet.Machine{}
 	for _, entry := range machinePages {
-		page, record, err := r.readPage(hostPrefix, entry)
+		page, record, err := r.readPage(machinePrefix, entry)
 		if err != nil {
 			return err
 		}
--- a/internal/control/records_pages.go
+++ b/internal/control/records_pages.go
@@ -17,7 +17,7 @@
 
 // Keys of the registry in the key-value store.
 const (
-	hostPrefix     = "m/"      // pages of machines
+	machinePrefix  = "m/"      // pages of machines
 	jobHostsPrefix = "p/"      // pages of jobs with the machines that they may run on
 	typesKey       = "c/types" // the cloud's price list
 )
@@ -202,7 +202,7 @@
 		last := len(page.hosts) - 1
 		machine := page.hosts[last]
 		page.hosts = page.hosts[:last]
-		target := r.pageWithRoom(hostPrefix, hostSize(machine), true)
+		target := r.pageWithRoom(machinePrefix, hostSize(machine), true)
 		r.storeInOrder(page, target)
 		target.hosts = append(target.hosts, machine)
 		entry := r.hostEntries[machine]
--- a/internal/control/records_registry.go
+++ b/internal/control/records_registry.go
@@ -71,7 +71,7 @@
 	if _, registered := r.hostEntries[machine]; registered {
 		return
 	}
-	page := r.pageWithRoom(hostPrefix, hostSize(machine), false)
+	page := r.pageWithRoom(machinePrefix, hostSize(machine), false)
 	page.hosts = append(page.hosts, machine)
 	page.urgent = true
 	record := hostRecord{Idx: machine.Index, Name: machine.Name, Addr: machine.Addr, Type: typeName, Zone: zone, Spot: machine.Spot}
--- a/internal/control/records_registry_test.go
+++ b/internal/control/records_registry_test.go
@@ -98,7 +98,7 @@
 		next := newRegistryFixture(f.t)
 		var machinePages, jobPages []state.Entry
 		for pageKey, entry := range f.store.kv {
-			if pageKey[0] == hostPrefix[0] {
+			if pageKey[0] == machinePrefix[0] {
 				machinePages = append(machinePages, entry)
 			} else {
 				jobPages = append(jobPages, entry)
@@ -236,9 +236,9 @@
 		key, text    string
 		reused       bool // the cause is an indexReusedError
 	}{
-		{"a page that cannot be decoded is reported", []state.Entry{{Key: hostPrefix + "0", Value: []byte{0xff}}}, nil, hostPrefix + "0", "", false},
-		{"a page whose key has no number is reported", []state.Entry{{Key: hostPrefix + "x", Value: encode(pageRecord{})}}, nil, hostPrefix + "x", "", false},
-		{"an index that two machines share is reported as reused", []state.Entry{{Key: hostPrefix + "0", Value: encode(sharedIndex)}}, nil, hostPrefix + "0", "registry page m/0: machine index 3 is used twice", true},
+		{"a page that cannot be decoded is reported", []state.Entry{{Key: machinePrefix + "0", Value: []byte{0xff}}}, nil, machinePrefix + "0", "", false},
+		{"a page whose key has no number is reported", []state.Entry{{Key: machinePrefix + "x", Value: encode(pageRecord{})}}, nil, machinePrefix + "x", "", false},
+		{"an index that two machines share is reported as reused", []state.Entry{{Key: machinePrefix + "0", Value: encode(sharedIndex)}}, nil, machinePrefix + "0", "registry page m/0: machine index 3 is used twice", true},
 		{"a job's machine set that cannot be parsed is reported", nil, []state.Entry{{Key: jobHostsPrefix + "0", Value: encode(pageRecord{Jobs: []jobHostsRecord{{Job: "run-1", Team: "red", Hosts: "?"}}})}}, jobHostsPrefix + "0", "", false},
 	}
 	for _, tt := range tests {
--- a/internal/control/takeover_load.go
+++ b/internal/control/takeover_load.go
@@ -90,7 +90,7 @@
 		prefix  string
 		entries *[]state.Entry
 	}{
-		{hostPrefix, &stored.hosts},
+		{machinePrefix, &stored.hosts},
 		{jobHostsPrefix, &stored.notes},
 		{job.GroupPrefix, &stored.groups},
 		{job.ActivePrefix, &stored.jobs},
