--- a/internal/control/records_load.go
+++ b/internal/control/records_load.go
@@ -45,7 +45,7 @@
 		}
 	}
 	for _, entry := range jobPages {
-		page, record, err := r.readPage(jobHostsPrefix, entry)
+		page, record, err := r.readPage(jobMachinesPrefix, entry)
 		if err != nil {
 			return err
 		}
--- a/internal/control/records_pages.go
+++ b/internal/control/records_pages.go
@@ -17,9 +17,9 @@
 
 // Keys of the registry in the key-value store.
 const (
-	machinePrefix  = "m/"      // pages of machines
-	jobHostsPrefix = "p/"      // pages of jobs with the machines that they may run on
-	typesKey       = "c/types" // the cloud's price list
+	machinePrefix     = "m/"      // pages of machines
+	jobMachinesPrefix = "p/"      // pages of jobs with the machines that they may run on
+	typesKey          = "c/types" // the cloud's price list
 )
 
 // hostRecord is a machine's entry in a stored page.
@@ -193,7 +193,7 @@
 		last := len(page.jobs) - 1
 		jobEntry := page.jobs[last]
 		page.jobs = page.jobs[:last]
-		target := r.pageWithRoom(jobHostsPrefix, jobHostsSize(jobEntry), true)
+		target := r.pageWithRoom(jobMachinesPrefix, jobHostsSize(jobEntry), true)
 		r.storeInOrder(page, target)
 		target.jobs = append(target.jobs, jobEntry)
 		jobEntry.page = target
--- a/internal/control/records_registry.go
+++ b/internal/control/records_registry.go
@@ -103,7 +103,7 @@
 	if jobEntry == nil {
 		jobEntry = &jobHosts{id: j.ID, team: j.Team, job: j}
 		size := jobHostsSize(jobEntry) + setWordBytes*(machine.Index/setWordBits+2)
-		jobEntry.page = r.pageWithRoom(jobHostsPrefix, size, false)
+		jobEntry.page = r.pageWithRoom(jobMachinesPrefix, size, false)
 		jobEntry.page.jobs = append(jobEntry.page.jobs, jobEntry)
 		r.hostsByJob[j.ID] = jobEntry
 	}
--- a/internal/control/registry_fixture_test.go
+++ b/internal/control/registry_fixture_test.go
@@ -114,7 +114,7 @@
 func (f *registryFixture) usePages(pages ...*registryPage) {
 	f.registry.maxPageBytes = 1000
 	f.registry.pages = pages
-	f.registry.nextPage[jobHostsPrefix] = len(pages)
+	f.registry.nextPage[jobMachinesPrefix] = len(pages)
 }
 
 // recordHost records a placement of a job on a machine whose index makes the job's
--- a/internal/control/takeover_load.go
+++ b/internal/control/takeover_load.go
@@ -91,7 +91,7 @@
 		entries *[]state.Entry
 	}{
 		{machinePrefix, &stored.hosts},
-		{jobHostsPrefix, &stored.notes},
+		{jobMachinesPrefix, &stored.notes},
 		{job.GroupPrefix, &stored.groups},
 		{job.ActivePrefix, &stored.jobs},
 		{job.DonePrefix, &stored.results},
