--- a/internal/control/fixtures_test.go
+++ b/internal/control/fixtures_test.go
@@ -11,7 +11,7 @@
 // other packages define are in their own fixtures.
 var fixtures = []fixture.Row{
 	{File: "registry-page-record.cbor", Value: fixture.Filled[pageRecord]()},
-	{File: "registry-host-record.cbor", Value: fixture.Filled[hostRecord]()},
+	{File: "registry-host-record.cbor", Value: fixture.Filled[machineRecord]()},
 	{File: "registry-note-record.cbor", Value: fixture.Filled[jobHostsRecord]()},
 	{File: "machine-types-record.cbor", Value: fixture.Filled[typesRecord]()},
 	{File: "config-change-answer.cbor", Value: fixture.Filled[changeAnswer]()},
--- a/internal/control/records_pages.go
+++ b/internal/control/records_pages.go
@@ -22,8 +22,8 @@
 	typesKey          = "c/types" // the cloud's price list
 )
 
-// hostRecord is a machine's entry in a stored page.
-type hostRecord struct {
+// machineRecord is a machine's entry in a stored page.
+type machineRecord struct {
 	Idx  int    `codec:"idx"`
 	Name string `codec:"name"`
 	Addr string `codec:"addr"`
@@ -43,13 +43,13 @@
 
 // pageRecord is a stored page, either of machines or of jobs.
 type pageRecord struct {
-	Hosts []hostRecord     `codec:"hosts,omitempty"`
+	Hosts []machineRecord  `codec:"hosts,omitempty"`
 	Jobs  []jobHostsRecord `codec:"notes,omitempty"`
 }
 
 // hostEntry is a machine's entry in the registry, with the page that holds it.
 type hostEntry struct {
-	hostRecord
+	machineRecord
 	page *registryPage
 }
 
--- a/internal/control/records_registry.go
+++ b/internal/control/records_registry.go
@@ -74,8 +74,8 @@
 	page := r.pageWithRoom(machinePrefix, hostSize(machine), false)
 	page.hosts = append(page.hosts, machine)
 	page.urgent = true
-	record := hostRecord{Idx: machine.Index, Name: machine.Name, Addr: machine.Addr, Type: typeName, Zone: zone, Spot: machine.Spot}
-	r.hostEntries[machine] = hostEntry{hostRecord: record, page: page}
+	record := machineRecord{Idx: machine.Index, Name: machine.Name, Addr: machine.Addr, Type: typeName, Zone: zone, Spot: machine.Spot}
+	r.hostEntries[machine] = hostEntry{machineRecord: record, page: page}
 }
 
 // removeHost removes a machine and reports whether its index can be reused immediately.
