--- a/internal/control/fixtures_test.go
+++ b/internal/control/fixtures_test.go
@@ -12,7 +12,7 @@
 var fixtures = []fixture.Row{
 	{File: "registry-page-record.cbor", Value: fixture.Filled[pageRecord]()},
 	{File: "registry-host-record.cbor", Value: fixture.Filled[machineRecord]()},
-	{File: "registry-note-record.cbor", Value: fixture.Filled[jobHostsRecord]()},
+	{File: "registry-note-record.cbor", Value: fixture.Filled[jobMachinesRecord]()},
 	{File: "machine-types-record.cbor", Value: fixture.Filled[typesRecord]()},
 	{File: "config-change-answer.cbor", Value: fixture.Filled[changeAnswer]()},
 }
--- a/internal/control/records_load.go
+++ b/internal/control/records_load.go
@@ -118,7 +118,7 @@
 
 // mergeJobHosts adds the stored entry of a job, or merges it into the entry that
 // another page already has for the job.
-func (r *registry) mergeJobHosts(page *registryPage, stored jobHostsRecord, set job.MachineSet) {
+func (r *registry) mergeJobHosts(page *registryPage, stored jobMachinesRecord, set job.MachineSet) {
 	known := r.hostsByJob[stored.Job]
 	if known == nil {
 		added := &jobHosts{id: stored.Job, team: stored.Team, confirmed: set, desired: slices.Clone(set), page: page}
--- a/internal/control/records_pages.go
+++ b/internal/control/records_pages.go
@@ -32,10 +32,10 @@
 	Spot bool   `codec:"spot"`
 }
 
-// jobHostsRecord is a job's entry in a stored page: the machines that the job may run
+// jobMachinesRecord is a job's entry in a stored page: the machines that the job may run
 // on. It includes the team because the job may have ended before the next leader reads
 // the entry.
-type jobHostsRecord struct {
+type jobMachinesRecord struct {
 	Job   string `codec:"job"`
 	Team  string `codec:"team"`
 	Hosts string `codec:"hosts"` // a job.MachineSet, encoded as text
@@ -43,8 +43,8 @@
 
 // pageRecord is a stored page, either of machines or of jobs.
 type pageRecord struct {
-	Hosts []machineRecord  `codec:"hosts,omitempty"`
-	Jobs  []jobHostsRecord `codec:"notes,omitempty"`
+	Hosts []machineRecord     `codec:"hosts,omitempty"`
+	Jobs  []jobMachinesRecord `codec:"notes,omitempty"`
 }
 
 // hostEntry is a machine's entry in the registry, with the page that holds it.
