--- a/internal/control/records_load.go
+++ b/internal/control/records_load.go
@@ -92,7 +92,7 @@
 		machine.Booting = false
 		r.nameIndex.describeHost(machine, stored.Type, stored.Zone, stored.Spot)
 		page.hosts = append(page.hosts, machine)
-		r.hostEntries[machine] = hostEntry{machineRecord: stored, page: page}
+		r.hostEntries[machine] = machineEntry{machineRecord: stored, page: page}
 	}
 	return nil
 }
--- a/internal/control/records_pages.go
+++ b/internal/control/records_pages.go
@@ -47,8 +47,8 @@
 	Jobs  []jobMachinesRecord `codec:"notes,omitempty"`
 }
 
-// hostEntry is a machine's entry in the registry, with the page that holds it.
-type hostEntry struct {
+// machineEntry is a machine's entry in the registry, with the page that holds it.
+type machineEntry struct {
 	machineRecord
 	page *registryPage
 }
--- a/internal/control/records_registry.go
+++ b/internal/control/records_registry.go
@@ -19,7 +19,7 @@
 
 	pages        []*registryPage // in the order in which they were created or loaded
 	nextPage     map[string]int  // number of the next new page, by key prefix
-	hostEntries  map[*fleet.Machine]hostEntry
+	hostEntries  map[*fleet.Machine]machineEntry
 	hostsByJob   map[string]*jobHosts // by job ID
 	maxPageBytes int                  // limit of the estimated size of a page
 	// commitInFlight is set while a transaction is in progress; there is at most one.
@@ -40,7 +40,7 @@
 func (r *registry) reset() {
 	r.pages = nil
 	r.nextPage = map[string]int{}
-	r.hostEntries = map[*fleet.Machine]hostEntry{}
+	r.hostEntries = map[*fleet.Machine]machineEntry{}
 	r.hostsByJob = map[string]*jobHosts{}
 }
 
@@ -75,7 +75,7 @@
 	page.hosts = append(page.hosts, machine)
 	page.urgent = true
 	record := machineRecord{Idx: machine.Index, Name: machine.Name, Addr: machine.Addr, Type: typeName, Zone: zone, Spot: machine.Spot}
-	r.hostEntries[machine] = hostEntry{machineRecord: record, page: page}
+	r.hostEntries[machine] = machineEntry{machineRecord: record, page: page}
 }
 
 // removeHost removes a machine and reports whether its index can be reused immediately.
