--- a/internal/control/records_load.go
+++ b/internal/control/records_load.go
@@ -121,7 +121,7 @@
 func (r *registry) mergeJobHosts(page *registryPage, stored jobMachinesRecord, set job.MachineSet) {
 	known := r.hostsByJob[stored.Job]
 	if known == nil {
-		added := &jobHosts{id: stored.Job, team: stored.Team, confirmed: set, desired: slices.Clone(set), page: page}
+		added := &jobMachines{id: stored.Job, team: stored.Team, confirmed: set, desired: slices.Clone(set), page: page}
 		page.jobs = append(page.jobs, added)
 		r.hostsByJob[stored.Job] = added
 		return
--- a/internal/control/records_pages.go
+++ b/internal/control/records_pages.go
@@ -53,8 +53,8 @@
 	page *registryPage
 }
 
-// jobHosts is a job's entry in the registry: the machines that the job may run on.
-type jobHosts struct {
+// jobMachines is a job's entry in the registry: the machines that the job may run on.
+type jobMachines struct {
 	id   string // job ID
 	team string
 	job  *job.Job // nil if the job has ended or is unknown to this term
@@ -67,7 +67,7 @@
 
 // setConfirmed sets the machines that the stored record is certain to name. The job may
 // be launched on these machines only.
-func (jh *jobHosts) setConfirmed(machines job.MachineSet) {
+func (jh *jobMachines) setConfirmed(machines job.MachineSet) {
 	jh.confirmed = machines
 	if jh.job != nil {
 		jh.job.NotedMachines = machines
@@ -79,7 +79,7 @@
 	key     string
 	version uint64 // version of the stored page; 0 if it is not stored
 	hosts   []*fleet.Machine
-	jobs    []*jobHosts
+	jobs    []*jobMachines
 	// removedIndexes are the indexes of removed machines that the stored page may still
 	// name.
 	removedIndexes []int
@@ -157,7 +157,7 @@
 }
 
 // jobHostsSize estimates the encoded size of a job's entry.
-func jobHostsSize(jobEntry *jobHosts) int {
+func jobHostsSize(jobEntry *jobMachines) int {
 	return jobHostsOverheadBytes + len(jobEntry.id) + len(jobEntry.team) + setWordBytes*len(jobEntry.desired)
 }
 
--- a/internal/control/records_registry.go
+++ b/internal/control/records_registry.go
@@ -20,8 +20,8 @@
 	pages        []*registryPage // in the order in which they were created or loaded
 	nextPage     map[string]int  // number of the next new page, by key prefix
 	hostEntries  map[*fleet.Machine]machineEntry
-	hostsByJob   map[string]*jobHosts // by job ID
-	maxPageBytes int                  // limit of the estimated size of a page
+	hostsByJob   map[string]*jobMachines // by job ID
+	maxPageBytes int                     // limit of the estimated size of a page
 	// commitInFlight is set while a transaction is in progress; there is at most one.
 	commitInFlight bool
 	nextStoreAt    time.Time // earliest start of the next transaction
@@ -41,7 +41,7 @@
 	r.pages = nil
 	r.nextPage = map[string]int{}
 	r.hostEntries = map[*fleet.Machine]machineEntry{}
-	r.hostsByJob = map[string]*jobHosts{}
+	r.hostsByJob = map[string]*jobMachines{}
 }
 
 // canShrinkPages reports whether the size limit of pages may still be lowered.
@@ -101,7 +101,7 @@
 func (r *registry) recordPlacement(j *job.Job, machine *fleet.Machine) {
 	jobEntry := r.hostsByJob[j.ID]
 	if jobEntry == nil {
-		jobEntry = &jobHosts{id: j.ID, team: j.Team, job: j}
+		jobEntry = &jobMachines{id: j.ID, team: j.Team, job: j}
 		size := jobHostsSize(jobEntry) + setWordBytes*(machine.Index/setWordBits+2)
 		jobEntry.page = r.pageWithRoom(jobMachinesPrefix, size, false)
 		jobEntry.page.jobs = append(jobEntry.page.jobs, jobEntry)
@@ -117,7 +117,7 @@
 // on now: the gang restarts on other machines, and an unreachable machine of an ended
 // attempt must not delay it. The entry of an array only grows, which saves most writes,
 // because an array returns to the machines that it has used.
-func (r *registry) pruneGangHosts(jobEntry *jobHosts) {
+func (r *registry) pruneGangHosts(jobEntry *jobMachines) {
 	if jobEntry.job == nil || jobEntry.job.Shape != job.Gang || !r.takeover.reconciled() {
 		return
 	}
@@ -141,8 +141,8 @@
 }
 
 // removeJob removes the entry of a job that has ended and runs on no machine.
-func (r *registry) removeJob(jobEntry *jobHosts) {
+func (r *registry) removeJob(jobEntry *jobMachines) {
 	delete(r.hostsByJob, jobEntry.id)
-	jobEntry.page.jobs = slices.DeleteFunc(jobEntry.page.jobs, func(other *jobHosts) bool { return other == jobEntry })
+	jobEntry.page.jobs = slices.DeleteFunc(jobEntry.page.jobs, func(other *jobMachines) bool { return other == jobEntry })
 	jobEntry.page.stale = true
 }
--- a/internal/control/records_store.go
+++ b/internal/control/records_store.go
@@ -35,7 +35,7 @@
 	page           *registryPage
 	hosts          []*fleet.Machine
 	removedIndexes []int // indexes that the page no longer names once it is stored
-	jobs           []*jobHosts
+	jobs           []*jobMachines
 	sets           []job.MachineSet // the machines of each job in jobs
 }
 
--- a/internal/control/registry_fixture_test.go
+++ b/internal/control/registry_fixture_test.go
@@ -130,7 +130,7 @@
 
 // addJobToPage adds a new job to a page, with a machine set of that many words.
 func (f *registryFixture) addJobToPage(page *registryPage, id string, words int) {
-	jobEntry := &jobHosts{id: id, job: f.array(id), page: page}
+	jobEntry := &jobMachines{id: id, job: f.array(id), page: page}
 	page.jobs = append(page.jobs, jobEntry)
 	f.registry.hostsByJob[id] = jobEntry
 	f.recordHost(id, words)
