--- a/internal/control/records_load.go
+++ b/internal/control/records_load.go
@@ -101,7 +101,7 @@
 // it may have inherited.
 func (r *registry) loadJobHosts(page *registryPage, record *pageRecord, byIndex map[int]*fleet.Machine) error {
 	for _, stored := range record.Jobs {
-		set, err := job.ParseMachineSet(stored.Hosts)
+		set, err := job.ParseMachineSet(stored.Machines)
 		if err != nil {
 			return &pageError{key: page.key, err: err}
 		}
--- a/internal/control/records_pages.go
+++ b/internal/control/records_pages.go
@@ -36,9 +36,9 @@
 // on. It includes the team because the job may have ended before the next leader reads
 // the entry.
 type jobMachinesRecord struct {
-	Job   string `codec:"job"`
-	Team  string `codec:"team"`
-	Hosts string `codec:"hosts"` // a job.MachineSet, encoded as text
+	Job      string `codec:"job"`
+	Team     string `codec:"team"`
+	Machines string `codec:"hosts"` // a job.MachineSet, encoded as text
 }
 
 // pageRecord is a stored page, either of machines or of jobs.
--- a/internal/control/records_registry_test.go
+++ b/internal/control/records_registry_test.go
@@ -239,7 +239,7 @@
 		{"a page that cannot be decoded is reported", []state.Entry{{Key: machinePrefix + "0", Value: []byte{0xff}}}, nil, machinePrefix + "0", "", false},
 		{"a page whose key has no number is reported", []state.Entry{{Key: machinePrefix + "x", Value: encode(pageRecord{})}}, nil, machinePrefix + "x", "", false},
 		{"an index that two machines share is reported as reused", []state.Entry{{Key: machinePrefix + "0", Value: encode(sharedIndex)}}, nil, machinePrefix + "0", "registry page m/0: machine index 3 is used twice", true},
-		{"a job's machine set that cannot be parsed is reported", nil, []state.Entry{{Key: jobMachinesPrefix + "0", Value: encode(pageRecord{Jobs: []jobMachinesRecord{{Job: "run-1", Team: "red", Hosts: "?"}}})}}, jobMachinesPrefix + "0", "", false},
+		{"a job's machine set that cannot be parsed is reported", nil, []state.Entry{{Key: jobMachinesPrefix + "0", Value: encode(pageRecord{Jobs: []jobMachinesRecord{{Job: "run-1", Team: "red", Machines: "?"}}})}}, jobMachinesPrefix + "0", "", false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/control/records_store.go
+++ b/internal/control/records_store.go
@@ -154,7 +154,7 @@
 		r.pruneGangHosts(jobEntry)
 		set := slices.Clone(jobEntry.desired)
 		store.sets = append(store.sets, set)
-		record.Jobs = append(record.Jobs, jobMachinesRecord{Job: jobEntry.id, Team: jobEntry.team, Hosts: set.Encode()})
+		record.Jobs = append(record.Jobs, jobMachinesRecord{Job: jobEntry.id, Team: jobEntry.team, Machines: set.Encode()})
 	}
 	write, err := state.Put(page.key, record)
 	return store, write, err
--- a/internal/control/registry_fixture_test.go
+++ b/internal/control/registry_fixture_test.go
@@ -43,7 +43,7 @@
 			t.Fatal(err)
 		}
 		for _, jobRecord := range record.Jobs {
-			set, err := job.ParseMachineSet(jobRecord.Hosts)
+			set, err := job.ParseMachineSet(jobRecord.Machines)
 			if err != nil {
 				t.Fatal(err)
 			}
