--- a/internal/control/records_load.go
+++ b/internal/control/records_load.go
@@ -74,7 +74,7 @@
 
 // loadHosts adds the machines of a stored page to the fleet, under their indexes.
 func (r *registry) loadHosts(page *registryPage, record *pageRecord, byIndex map[int]*fleet.Machine) error {
-	for _, stored := range record.Hosts {
+	for _, stored := range record.Machines {
 		known := byIndex[stored.Idx]
 		if known != nil && known.Name == stored.Name {
 			// The earlier leader was moving the machine between two pages.
--- a/internal/control/records_pages.go
+++ b/internal/control/records_pages.go
@@ -43,8 +43,8 @@
 
 // pageRecord is a stored page, either of machines or of jobs.
 type pageRecord struct {
-	Hosts []machineRecord     `codec:"hosts,omitempty"`
-	Jobs  []jobMachinesRecord `codec:"notes,omitempty"`
+	Machines []machineRecord     `codec:"hosts,omitempty"`
+	Jobs     []jobMachinesRecord `codec:"notes,omitempty"`
 }
 
 // machineEntry is a machine's entry in the registry, with the page that holds it.
--- a/internal/control/records_registry_test.go
+++ b/internal/control/records_registry_test.go
@@ -229,7 +229,7 @@
 		}
 		return encoded
 	}
-	sharedIndex := pageRecord{Hosts: []machineRecord{{Idx: 3, Name: "h3", Addr: "10.0.0.1:1", Type: "small", Zone: "a"}, {Idx: 3, Name: "h4", Addr: "10.0.0.1:1", Type: "small", Zone: "a"}}}
+	sharedIndex := pageRecord{Machines: []machineRecord{{Idx: 3, Name: "h3", Addr: "10.0.0.1:1", Type: "small", Zone: "a"}, {Idx: 3, Name: "h4", Addr: "10.0.0.1:1", Type: "small", Zone: "a"}}}
 	tests := []struct {
 		name         string
 		hosts, notes []state.Entry
--- a/internal/control/records_store.go
+++ b/internal/control/records_store.go
@@ -148,7 +148,7 @@
 	}
 	record := pageRecord{}
 	for _, machine := range page.hosts {
-		record.Hosts = append(record.Hosts, r.hostEntries[machine].machineRecord)
+		record.Machines = append(record.Machines, r.hostEntries[machine].machineRecord)
 	}
 	for _, jobEntry := range page.jobs {
 		r.pruneGangHosts(jobEntry)
