--- a/internal/control/records_load.go
+++ b/internal/control/records_load.go
@@ -91,7 +91,7 @@
 		machine.Inherited = true
 		machine.Booting = false
 		r.nameIndex.describeHost(machine, stored.Type, stored.Zone, stored.Spot)
-		page.hosts = append(page.hosts, machine)
+		page.machines = append(page.machines, machine)
 		r.hostEntries[machine] = machineEntry{machineRecord: stored, page: page}
 	}
 	return nil
--- a/internal/control/records_pages.go
+++ b/internal/control/records_pages.go
@@ -76,10 +76,10 @@
 
 // registryPage is the leader's copy of a page of the registry.
 type registryPage struct {
-	key     string
-	version uint64 // version of the stored page; 0 if it is not stored
-	hosts   []*fleet.Machine
-	jobs    []*jobMachines
+	key      string
+	version  uint64 // version of the stored page; 0 if it is not stored
+	machines []*fleet.Machine
+	jobs     []*jobMachines
 	// removedIndexes are the indexes of removed machines that the stored page may still
 	// name.
 	removedIndexes []int
@@ -142,7 +142,7 @@
 // pageSize estimates the encoded size of a page.
 func (r *registry) pageSize(page *registryPage) int {
 	size := pageOverheadBytes
-	for _, machine := range page.hosts {
+	for _, machine := range page.machines {
 		size += hostSize(machine)
 	}
 	for _, jobEntry := range page.jobs {
@@ -198,13 +198,13 @@
 		target.jobs = append(target.jobs, jobEntry)
 		jobEntry.page = target
 	}
-	for len(page.hosts) > 1 && r.pageSize(page) > r.maxPageBytes {
-		last := len(page.hosts) - 1
-		machine := page.hosts[last]
-		page.hosts = page.hosts[:last]
+	for len(page.machines) > 1 && r.pageSize(page) > r.maxPageBytes {
+		last := len(page.machines) - 1
+		machine := page.machines[last]
+		page.machines = page.machines[:last]
 		target := r.pageWithRoom(machinePrefix, hostSize(machine), true)
 		r.storeInOrder(page, target)
-		target.hosts = append(target.hosts, machine)
+		target.machines = append(target.machines, machine)
 		entry := r.hostEntries[machine]
 		entry.page = target
 		r.hostEntries[machine] = entry
--- a/internal/control/records_registry.go
+++ b/internal/control/records_registry.go
@@ -72,7 +72,7 @@
 		return
 	}
 	page := r.pageWithRoom(machinePrefix, hostSize(machine), false)
-	page.hosts = append(page.hosts, machine)
+	page.machines = append(page.machines, machine)
 	page.urgent = true
 	record := machineRecord{Idx: machine.Index, Name: machine.Name, Addr: machine.Addr, Type: typeName, Zone: zone, Spot: machine.Spot}
 	r.hostEntries[machine] = machineEntry{machineRecord: record, page: page}
@@ -90,7 +90,7 @@
 	}
 	delete(r.hostEntries, machine)
 	page := entry.page
-	page.hosts = slices.DeleteFunc(page.hosts, func(other *fleet.Machine) bool { return other == machine })
+	page.machines = slices.DeleteFunc(page.machines, func(other *fleet.Machine) bool { return other == machine })
 	page.removedIndexes = append(page.removedIndexes, machine.Index)
 	page.stale = true
 	return false
--- a/internal/control/records_registry_test.go
+++ b/internal/control/records_registry_test.go
@@ -159,7 +159,7 @@
 			f.storeOnce(f.store.apply)
 		}
 		first, last := f.registry.pages[0], f.registry.pages[len(f.registry.pages)-1]
-		f.registry.removeHost(last.hosts[0])
+		f.registry.removeHost(last.machines[0])
 		for i := range 6 {
 			for _, page := range f.registry.pages[:len(f.registry.pages)-1] {
 				page.stale = true // as in a fleet with a steady turnover of machines
--- a/internal/control/records_store.go
+++ b/internal/control/records_store.go
@@ -142,12 +142,12 @@
 func (r *registry) encodePage(page *registryPage) (pageStore, state.Write, error) {
 	store := pageStore{
 		page:           page,
-		hosts:          slices.Clone(page.hosts),
+		hosts:          slices.Clone(page.machines),
 		removedIndexes: page.removedIndexes,
 		jobs:           slices.Clone(page.jobs),
 	}
 	record := pageRecord{}
-	for _, machine := range page.hosts {
+	for _, machine := range page.machines {
 		record.Machines = append(record.Machines, r.hostEntries[machine].machineRecord)
 	}
 	for _, jobEntry := range page.jobs {
