--- a/internal/control/records_store.go
+++ b/internal/control/records_store.go
@@ -33,7 +33,7 @@
 // pageStore is a page in a transaction, with the content that the transaction writes.
 type pageStore struct {
 	page           *registryPage
-	hosts          []*fleet.Machine
+	machines       []*fleet.Machine
 	removedIndexes []int // indexes that the page no longer names once it is stored
 	jobs           []*jobMachines
 	sets           []job.MachineSet // the machines of each job in jobs
@@ -142,7 +142,7 @@
 func (r *registry) encodePage(page *registryPage) (pageStore, state.Write, error) {
 	store := pageStore{
 		page:           page,
-		hosts:          slices.Clone(page.machines),
+		machines:       slices.Clone(page.machines),
 		removedIndexes: page.removedIndexes,
 		jobs:           slices.Clone(page.jobs),
 	}
@@ -220,7 +220,7 @@
 	page := store.page
 	page.version = version
 	page.lastStored = page.storesBegun
-	for _, machine := range store.hosts {
+	for _, machine := range store.machines {
 		if r.hostEntries[machine].page == page {
 			machine.Registered = true
 		}
