--- a/internal/control/records_pages.go
+++ b/internal/control/records_pages.go
@@ -133,7 +133,7 @@
 // of a page, the fixed part of an entry, and one word of a machine set.
 const (
 	pageOverheadBytes     = 40
-	hostOverheadBytes     = 120
+	machineOverheadBytes  = 120
 	jobHostsOverheadBytes = 60
 	setWordBytes          = 11
 	setWordBits           = 64
@@ -153,7 +153,7 @@
 
 // hostSize estimates the encoded size of a machine's entry.
 func hostSize(machine *fleet.Machine) int {
-	return hostOverheadBytes + len(machine.Name) + len(machine.Addr)
+	return machineOverheadBytes + len(machine.Name) + len(machine.Addr)
 }
 
 // jobHostsSize estimates the encoded size of a job's entry.
