--- a/internal/control/records_pages.go
+++ b/internal/control/records_pages.go
@@ -132,11 +132,11 @@
 // Estimated encoded sizes, in bytes as the key-value store counts them: the fixed part
 // of a page, the fixed part of an entry, and one word of a machine set.
 const (
-	pageOverheadBytes     = 40
-	machineOverheadBytes  = 120
-	jobHostsOverheadBytes = 60
-	setWordBytes          = 11
-	setWordBits           = 64
+	pageOverheadBytes        = 40
+	machineOverheadBytes     = 120
+	jobMachinesOverheadBytes = 60
+	setWordBytes             = 11
+	setWordBits              = 64
 )
 
 // pageSize estimates the encoded size of a page.
@@ -158,7 +158,7 @@
 
 // jobHostsSize estimates the encoded size of a job's entry.
 func jobHostsSize(jobEntry *jobMachines) int {
-	return jobHostsOverheadBytes + len(jobEntry.id) + len(jobEntry.team) + setWordBytes*len(jobEntry.desired)
+	return jobMachinesOverheadBytes + len(jobEntry.id) + len(jobEntry.team) + setWordBytes*len(jobEntry.desired)
 }
 
 // pageWithRoom returns a page with that key prefix that has room for size more bytes,
