--- a/internal/control/records_pages.go
+++ b/internal/control/records_pages.go
@@ -143,7 +143,7 @@
 func (r *registry) pageSize(page *registryPage) int {
 	size := pageOverheadBytes
 	for _, machine := range page.machines {
-		size += hostSize(machine)
+		size += machineEntrySize(machine)
 	}
 	for _, jobEntry := range page.jobs {
 		size += jobHostsSize(jobEntry)
@@ -151,8 +151,8 @@
 	return size
 }
 
-// hostSize estimates the encoded size of a machine's entry.
-func hostSize(machine *fleet.Machine) int {
+// machineEntrySize estimates the encoded size of a machine's entry.
+func machineEntrySize(machine *fleet.Machine) int {
 	return machineOverheadBytes + len(machine.Name) + len(machine.Addr)
 }
 
@@ -202,7 +202,7 @@
 		last := len(page.machines) - 1
 		machine := page.machines[last]
 		page.machines = page.machines[:last]
-		target := r.pageWithRoom(machinePrefix, hostSize(machine), true)
+		target := r.pageWithRoom(machinePrefix, machineEntrySize(machine), true)
 		r.storeInOrder(page, target)
 		target.machines = append(target.machines, machine)
 		entry := r.hostEntries[machine]
--- a/internal/control/records_registry.go
+++ b/internal/control/records_registry.go
@@ -71,7 +71,7 @@
 	if _, registered := r.hostEntries[machine]; registered {
 		return
 	}
-	page := r.pageWithRoom(machinePrefix, hostSize(machine), false)
+	page := r.pageWithRoom(machinePrefix, machineEntrySize(machine), false)
 	page.machines = append(page.machines, machine)
 	page.urgent = true
 	record := machineRecord{Idx: machine.Index, Name: machine.Name, Addr: machine.Addr, Type: typeName, Zone: zone, Spot: machine.Spot}
