--- a/internal/control/records_pages.go
+++ b/internal/control/records_pages.go
@@ -146,7 +146,7 @@
 		size += machineEntrySize(machine)
 	}
 	for _, jobEntry := range page.jobs {
-		size += jobHostsSize(jobEntry)
+		size += jobEntrySize(jobEntry)
 	}
 	return size
 }
@@ -156,8 +156,8 @@
 	return machineOverheadBytes + len(machine.Name) + len(machine.Addr)
 }
 
-// jobHostsSize estimates the encoded size of a job's entry.
-func jobHostsSize(jobEntry *jobMachines) int {
+// jobEntrySize estimates the encoded size of a job's entry.
+func jobEntrySize(jobEntry *jobMachines) int {
 	return jobMachinesOverheadBytes + len(jobEntry.id) + len(jobEntry.team) + setWordBytes*len(jobEntry.desired)
 }
 
@@ -193,7 +193,7 @@
 		last := len(page.jobs) - 1
 		jobEntry := page.jobs[last]
 		page.jobs = page.jobs[:last]
-		target := r.pageWithRoom(jobMachinesPrefix, jobHostsSize(jobEntry), true)
+		target := r.pageWithRoom(jobMachinesPrefix, jobEntrySize(jobEntry), true)
 		r.storeInOrder(page, target)
 		target.jobs = append(target.jobs, jobEntry)
 		jobEntry.page = target
--- a/internal/control/records_registry.go
+++ b/internal/control/records_registry.go
@@ -102,7 +102,7 @@
 	jobEntry := r.hostsByJob[j.ID]
 	if jobEntry == nil {
 		jobEntry = &jobMachines{id: j.ID, team: j.Team, job: j}
-		size := jobHostsSize(jobEntry) + setWordBytes*(machine.Index/setWordBits+2)
+		size := jobEntrySize(jobEntry) + setWordBytes*(machine.Index/setWordBits+2)
 		jobEntry.page = r.pageWithRoom(jobMachinesPrefix, size, false)
 		jobEntry.page.jobs = append(jobEntry.page.jobs, jobEntry)
 		r.hostsByJob[j.ID] = jobEntry
