--- a/internal/control/records_load.go
+++ b/internal/control/records_load.go
@@ -78,7 +78,7 @@
 		known := byIndex[stored.Idx]
 		if known != nil && known.Name == stored.Name {
 			// The earlier leader was moving the machine between two pages.
-			r.storeInOrder(page, r.hostEntries[known].page)
+			r.storeInOrder(page, r.machineEntries[known].page)
 			continue
 		}
 		if known != nil || stored.Idx < 0 {
@@ -92,7 +92,7 @@
 		machine.Booting = false
 		r.nameIndex.describeHost(machine, stored.Type, stored.Zone, stored.Spot)
 		page.machines = append(page.machines, machine)
-		r.hostEntries[machine] = machineEntry{machineRecord: stored, page: page}
+		r.machineEntries[machine] = machineEntry{machineRecord: stored, page: page}
 	}
 	return nil
 }
--- a/internal/control/records_pages.go
+++ b/internal/control/records_pages.go
@@ -205,9 +205,9 @@
 		target := r.pageWithRoom(machinePrefix, machineEntrySize(machine), true)
 		r.storeInOrder(page, target)
 		target.machines = append(target.machines, machine)
-		entry := r.hostEntries[machine]
+		entry := r.machineEntries[machine]
 		entry.page = target
-		r.hostEntries[machine] = entry
+		r.machineEntries[machine] = entry
 	}
 }
 
--- a/internal/control/records_registry.go
+++ b/internal/control/records_registry.go
@@ -17,11 +17,11 @@
 	takeover     *takeover
 	recordWriter *recordWriter
 
-	pages        []*registryPage // in the order in which they were created or loaded
-	nextPage     map[string]int  // number of the next new page, by key prefix
-	hostEntries  map[*fleet.Machine]machineEntry
-	hostsByJob   map[string]*jobMachines // by job ID
-	maxPageBytes int                     // limit of the estimated size of a page
+	pages          []*registryPage // in the order in which they were created or loaded
+	nextPage       map[string]int  // number of the next new page, by key prefix
+	machineEntries map[*fleet.Machine]machineEntry
+	hostsByJob     map[string]*jobMachines // by job ID
+	maxPageBytes   int                     // limit of the estimated size of a page
 	// commitInFlight is set while a transaction is in progress; there is at most one.
 	commitInFlight bool
 	nextStoreAt    time.Time // earliest start of the next transaction
@@ -40,7 +40,7 @@
 func (r *registry) reset() {
 	r.pages = nil
 	r.nextPage = map[string]int{}
-	r.hostEntries = map[*fleet.Machine]machineEntry{}
+	r.machineEntries = map[*fleet.Machine]machineEntry{}
 	r.hostsByJob = map[string]*jobMachines{}
 }
 
@@ -68,14 +68,14 @@
 
 // addHost adds a machine to the registry unless it is already registered.
 func (r *registry) addHost(machine *fleet.Machine, typeName, zone string) {
-	if _, registered := r.hostEntries[machine]; registered {
+	if _, registered := r.machineEntries[machine]; registered {
 		return
 	}
 	page := r.pageWithRoom(machinePrefix, machineEntrySize(machine), false)
 	page.machines = append(page.machines, machine)
 	page.urgent = true
 	record := machineRecord{Idx: machine.Index, Name: machine.Name, Addr: machine.Addr, Type: typeName, Zone: zone, Spot: machine.Spot}
-	r.hostEntries[machine] = machineEntry{machineRecord: record, page: page}
+	r.machineEntries[machine] = machineEntry{machineRecord: record, page: page}
 }
 
 // removeHost removes a machine and reports whether its index can be reused immediately.
@@ -84,11 +84,11 @@
 	for _, jobEntry := range r.hostsByJob {
 		jobEntry.desired.Remove(machine.Index)
 	}
-	entry, registered := r.hostEntries[machine]
+	entry, registered := r.machineEntries[machine]
 	if !registered {
 		return true
 	}
-	delete(r.hostEntries, machine)
+	delete(r.machineEntries, machine)
 	page := entry.page
 	page.machines = slices.DeleteFunc(page.machines, func(other *fleet.Machine) bool { return other == machine })
 	page.removedIndexes = append(page.removedIndexes, machine.Index)
--- a/internal/control/records_store.go
+++ b/internal/control/records_store.go
@@ -148,7 +148,7 @@
 	}
 	record := pageRecord{}
 	for _, machine := range page.machines {
-		record.Machines = append(record.Machines, r.hostEntries[machine].machineRecord)
+		record.Machines = append(record.Machines, r.machineEntries[machine].machineRecord)
 	}
 	for _, jobEntry := range page.jobs {
 		r.pruneGangHosts(jobEntry)
@@ -221,7 +221,7 @@
 	page.version = version
 	page.lastStored = page.storesBegun
 	for _, machine := range store.machines {
-		if r.hostEntries[machine].page == page {
+		if r.machineEntries[machine].page == page {
 			machine.Registered = true
 		}
 	}
