--- a/internal/control/records_load.go
+++ b/internal/control/records_load.go
@@ -119,11 +119,11 @@
 // mergeJobHosts adds the stored entry of a job, or merges it into the entry that
 // another page already has for the job.
 func (r *registry) mergeJobHosts(page *registryPage, stored jobMachinesRecord, set job.MachineSet) {
-	known := r.hostsByJob[stored.Job]
+	known := r.machinesByJob[stored.Job]
 	if known == nil {
 		added := &jobMachines{id: stored.Job, team: stored.Team, confirmed: set, desired: slices.Clone(set), page: page}
 		page.jobs = append(page.jobs, added)
-		r.hostsByJob[stored.Job] = added
+		r.machinesByJob[stored.Job] = added
 		return
 	}
 	// The earlier leader was moving the job between two pages. The job may run on the
--- a/internal/control/records_registry.go
+++ b/internal/control/records_registry.go
@@ -20,7 +20,7 @@
 	pages          []*registryPage // in the order in which they were created or loaded
 	nextPage       map[string]int  // number of the next new page, by key prefix
 	machineEntries map[*fleet.Machine]machineEntry
-	hostsByJob     map[string]*jobMachines // by job ID
+	machinesByJob  map[string]*jobMachines // by job ID
 	maxPageBytes   int                     // limit of the estimated size of a page
 	// commitInFlight is set while a transaction is in progress; there is at most one.
 	commitInFlight bool
@@ -41,7 +41,7 @@
 	r.pages = nil
 	r.nextPage = map[string]int{}
 	r.machineEntries = map[*fleet.Machine]machineEntry{}
-	r.hostsByJob = map[string]*jobMachines{}
+	r.machinesByJob = map[string]*jobMachines{}
 }
 
 // canShrinkPages reports whether the size limit of pages may still be lowered.
@@ -53,7 +53,7 @@
 
 // attachJob links a job to the entry that an earlier leader stored for it.
 func (r *registry) attachJob(j *job.Job) {
-	if jobEntry := r.hostsByJob[j.ID]; jobEntry != nil {
+	if jobEntry := r.machinesByJob[j.ID]; jobEntry != nil {
 		jobEntry.job = j
 		j.NotedMachines = jobEntry.confirmed
 	}
@@ -61,7 +61,7 @@
 
 // detachJob unlinks a job that has ended from its entry.
 func (r *registry) detachJob(id string) {
-	if jobEntry := r.hostsByJob[id]; jobEntry != nil {
+	if jobEntry := r.machinesByJob[id]; jobEntry != nil {
 		jobEntry.job = nil
 	}
 }
@@ -81,7 +81,7 @@
 // removeHost removes a machine and reports whether its index can be reused immediately.
 // Otherwise the index is freed when the machine's page has been stored.
 func (r *registry) removeHost(machine *fleet.Machine) bool {
-	for _, jobEntry := range r.hostsByJob {
+	for _, jobEntry := range r.machinesByJob {
 		jobEntry.desired.Remove(machine.Index)
 	}
 	entry, registered := r.machineEntries[machine]
@@ -99,13 +99,13 @@
 // recordPlacement adds a machine to the entry of a job. The job may be launched there
 // once j.NotedMachines contains the machine.
 func (r *registry) recordPlacement(j *job.Job, machine *fleet.Machine) {
-	jobEntry := r.hostsByJob[j.ID]
+	jobEntry := r.machinesByJob[j.ID]
 	if jobEntry == nil {
 		jobEntry = &jobMachines{id: j.ID, team: j.Team, job: j}
 		size := jobEntrySize(jobEntry) + setWordBytes*(machine.Index/setWordBits+2)
 		jobEntry.page = r.pageWithRoom(jobMachinesPrefix, size, false)
 		jobEntry.page.jobs = append(jobEntry.page.jobs, jobEntry)
-		r.hostsByJob[j.ID] = jobEntry
+		r.machinesByJob[j.ID] = jobEntry
 	}
 	jobEntry.desired.Add(machine.Index)
 	if !j.NotedMachines.Has(machine.Index) {
@@ -133,7 +133,7 @@
 	if !r.takeover.reconciled() {
 		return
 	}
-	for id, jobEntry := range r.hostsByJob {
+	for id, jobEntry := range r.machinesByJob {
 		if r.jobTable.get(id) == nil {
 			r.removeJob(jobEntry)
 		}
@@ -142,7 +142,7 @@
 
 // removeJob removes the entry of a job that has ended and runs on no machine.
 func (r *registry) removeJob(jobEntry *jobMachines) {
-	delete(r.hostsByJob, jobEntry.id)
+	delete(r.machinesByJob, jobEntry.id)
 	jobEntry.page.jobs = slices.DeleteFunc(jobEntry.page.jobs, func(other *jobMachines) bool { return other == jobEntry })
 	jobEntry.page.stale = true
 }
--- a/internal/control/records_registry_test.go
+++ b/internal/control/records_registry_test.go
@@ -199,7 +199,7 @@
 		delete(f.jobTable.jobs, "run-1")
 		f.takeover.allReconciled = false
 		f.registry.removeFinishedJobs()
-		if f.registry.hostsByJob["run-1"] == nil {
+		if f.registry.machinesByJob["run-1"] == nil {
 			f.t.Fatal("the entry was removed before all machines were reconciled")
 		}
 		f.takeover.allReconciled = true
--- a/internal/control/registry_fixture_test.go
+++ b/internal/control/registry_fixture_test.go
@@ -132,7 +132,7 @@
 func (f *registryFixture) addJobToPage(page *registryPage, id string, words int) {
 	jobEntry := &jobMachines{id: id, job: f.array(id), page: page}
 	page.jobs = append(page.jobs, jobEntry)
-	f.registry.hostsByJob[id] = jobEntry
+	f.registry.machinesByJob[id] = jobEntry
 	f.recordHost(id, words)
 }
 
