--- a/internal/control/records_load.go
+++ b/internal/control/records_load.go
@@ -40,7 +40,7 @@
 		if err != nil {
 			return err
 		}
-		if err := r.loadHosts(page, record, byIndex); err != nil {
+		if err := r.loadMachines(page, record, byIndex); err != nil {
 			return err
 		}
 	}
@@ -72,8 +72,8 @@
 	return page, &record, nil
 }
 
-// loadHosts adds the machines of a stored page to the fleet, under their indexes.
-func (r *registry) loadHosts(page *registryPage, record *pageRecord, byIndex map[int]*fleet.Machine) error {
+// loadMachines adds the machines of a stored page to the fleet, under their indexes.
+func (r *registry) loadMachines(page *registryPage, record *pageRecord, byIndex map[int]*fleet.Machine) error {
 	for _, stored := range record.Machines {
 		known := byIndex[stored.Idx]
 		if known != nil && known.Name == stored.Name {
