--- a/internal/control/records_load.go
+++ b/internal/control/records_load.go
@@ -49,7 +49,7 @@
 		if err != nil {
 			return err
 		}
-		if err := r.loadJobHosts(page, record, byIndex); err != nil {
+		if err := r.loadJobMachines(page, record, byIndex); err != nil {
 			return err
 		}
 	}
@@ -97,9 +97,9 @@
 	return nil
 }
 
-// loadJobHosts loads the jobs of a stored page and records for each machine which jobs
+// loadJobMachines loads the jobs of a stored page and records for each machine which jobs
 // it may have inherited.
-func (r *registry) loadJobHosts(page *registryPage, record *pageRecord, byIndex map[int]*fleet.Machine) error {
+func (r *registry) loadJobMachines(page *registryPage, record *pageRecord, byIndex map[int]*fleet.Machine) error {
 	for _, stored := range record.Jobs {
 		set, err := job.ParseMachineSet(stored.Machines)
 		if err != nil {
