--- a/internal/control/records_load.go
+++ b/internal/control/records_load.go
@@ -105,7 +105,7 @@
 		if err != nil {
 			return &pageError{key: page.key, err: err}
 		}
-		r.mergeJobHosts(page, stored, set)
+		r.mergeJobMachines(page, stored, set)
 		team := r.nameIndex.teamIndex(stored.Team)
 		for index, machine := range byIndex {
 			if set.Has(index) {
@@ -116,9 +116,9 @@
 	return nil
 }
 
-// mergeJobHosts adds the stored entry of a job, or merges it into the entry that
+// mergeJobMachines adds the stored entry of a job, or merges it into the entry that
 // another page already has for the job.
-func (r *registry) mergeJobHosts(page *registryPage, stored jobMachinesRecord, set job.MachineSet) {
+func (r *registry) mergeJobMachines(page *registryPage, stored jobMachinesRecord, set job.MachineSet) {
 	known := r.machinesByJob[stored.Job]
 	if known == nil {
 		added := &jobMachines{id: stored.Job, team: stored.Team, confirmed: set, desired: slices.Clone(set), page: page}
