--- a/internal/control/records_registry.go
+++ b/internal/control/records_registry.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// addHost adds a machine to the registry unless it is already registered.
-func (r *registry) addHost(machine *fleet.Machine, typeName, zone string) {
+// addMachine adds a machine to the registry unless it is already registered.
+func (r *registry) addMachine(machine *fleet.Machine, typeName, zone string) {
 	if _, registered := r.machineEntries[machine]; registered {
 		return
 	}
--- a/internal/control/registry_fixture_test.go
+++ b/internal/control/registry_fixture_test.go
@@ -84,7 +84,7 @@
 	machine := f.host(name)
 	f.nameIndex.describeHost(machine, "small", "a", false)
 	machine.Addr = "10.0.0.1:1"
-	f.registry.addHost(machine, "small", "a")
+	f.registry.addMachine(machine, "small", "a")
 	return machine
 }
 
--- a/internal/control/tasks_heartbeats.go
+++ b/internal/control/tasks_heartbeats.go
@@ -45,7 +45,7 @@
 	tt.observeSlots(h, now)
 	tt.applyEvents(res.Events, now)
 	if h.Fenced && !h.Registered && h.Described && h.Addr != "" && !h.Lost && !h.Releasing {
-		tt.registry.addHost(h, tt.nameIndex.machineTypes()[h.Type].Name, tt.nameIndex.zoneNames()[h.Zone])
+		tt.registry.addMachine(h, tt.nameIndex.machineTypes()[h.Type].Name, tt.nameIndex.zoneNames()[h.Zone])
 	}
 	if res.Fresh && !h.ReclaimAt.IsZero() {
 		tt.machinePool.handleSpotNotice(h, now)
