--- a/internal/control/machine_scale_in.go
+++ b/internal/control/machine_scale_in.go
@@ -159,7 +159,7 @@
 	mp.shards.remove(h)
 	delete(mp.noticeLogged, h)
 	delete(mp.unlisted, h)
-	if mp.registry.removeHost(h) {
+	if mp.registry.removeMachine(h) {
 		mp.fleet.ReleaseIndex(h.Index)
 	}
 }
--- a/internal/control/records_registry.go
+++ b/internal/control/records_registry.go
@@ -78,9 +78,9 @@
 	r.machineEntries[machine] = machineEntry{machineRecord: record, page: page}
 }
 
-// removeHost removes a machine and reports whether its index can be reused immediately.
+// removeMachine removes a machine and reports whether its index can be reused immediately.
 // Otherwise the index is freed when the machine's page has been stored.
-func (r *registry) removeHost(machine *fleet.Machine) bool {
+func (r *registry) removeMachine(machine *fleet.Machine) bool {
 	for _, jobEntry := range r.machinesByJob {
 		jobEntry.desired.Remove(machine.Index)
 	}
--- a/internal/control/records_registry_test.go
+++ b/internal/control/records_registry_test.go
@@ -159,7 +159,7 @@
 			f.storeOnce(f.store.apply)
 		}
 		first, last := f.registry.pages[0], f.registry.pages[len(f.registry.pages)-1]
-		f.registry.removeHost(last.machines[0])
+		f.registry.removeMachine(last.machines[0])
 		for i := range 6 {
 			for _, page := range f.registry.pages[:len(f.registry.pages)-1] {
 				page.stale = true // as in a fleet with a steady turnover of machines
@@ -181,7 +181,7 @@
 		machine := f.addHost("h0")
 		f.storeOnce(f.store.apply)
 		f.fleet.Remove(machine)
-		if f.registry.removeHost(machine) {
+		if f.registry.removeMachine(machine) {
 			f.t.Fatal("the index is free while the stored record still names the machine")
 		}
 		if f.addHost("h1").Index == machine.Index {
