--- a/internal/control/records_registry.go
+++ b/internal/control/records_registry.go
@@ -113,11 +113,11 @@
 	}
 }
 
-// pruneGangHosts reduces the entry of a gang to the machines that its members may run
+// pruneGangMachines reduces the entry of a gang to the machines that its members may run
 // on now: the gang restarts on other machines, and an unreachable machine of an ended
 // attempt must not delay it. The entry of an array only grows, which saves most writes,
 // because an array returns to the machines that it has used.
-func (r *registry) pruneGangHosts(jobEntry *jobMachines) {
+func (r *registry) pruneGangMachines(jobEntry *jobMachines) {
 	if jobEntry.job == nil || jobEntry.job.Shape != job.Gang || !r.takeover.reconciled() {
 		return
 	}
--- a/internal/control/records_store.go
+++ b/internal/control/records_store.go
@@ -151,7 +151,7 @@
 		record.Machines = append(record.Machines, r.machineEntries[machine].machineRecord)
 	}
 	for _, jobEntry := range page.jobs {
-		r.pruneGangHosts(jobEntry)
+		r.pruneGangMachines(jobEntry)
 		set := slices.Clone(jobEntry.desired)
 		store.sets = append(store.sets, set)
 		record.Jobs = append(record.Jobs, jobMachinesRecord{Job: jobEntry.id, Team: jobEntry.team, Machines: set.Encode()})
