--- a/internal/control/takeover_load.go
+++ b/internal/control/takeover_load.go
@@ -45,20 +45,20 @@
 // storedRecords are the records that earlier leaders have stored in the key-value
 // store.
 type storedRecords struct {
-	types       []wire.MachineType
-	hosts       []state.Entry
-	notes       []state.Entry
-	groups      []state.Entry
-	jobs        []state.Entry
-	jobsEpoch   uint64 // epoch of the listing of active jobs
-	results     []state.Entry
-	rollouts    []state.Entry
-	bookings    []state.Entry
-	windows     []state.Entry
-	teams       []state.Entry
-	homeHead    state.Entry
-	homeTeams   []state.Entry
-	homeHistory []state.Entry
+	types        []wire.MachineType
+	machinePages []state.Entry
+	notes        []state.Entry
+	groups       []state.Entry
+	jobs         []state.Entry
+	jobsEpoch    uint64 // epoch of the listing of active jobs
+	results      []state.Entry
+	rollouts     []state.Entry
+	bookings     []state.Entry
+	windows      []state.Entry
+	teams        []state.Entry
+	homeHead     state.Entry
+	homeTeams    []state.Entry
+	homeHistory  []state.Entry
 }
 
 // readStored reads all stored records.
@@ -90,7 +90,7 @@
 		prefix  string
 		entries *[]state.Entry
 	}{
-		{machinePrefix, &stored.hosts},
+		{machinePrefix, &stored.machinePages},
 		{jobMachinesPrefix, &stored.notes},
 		{job.GroupPrefix, &stored.groups},
 		{job.ActivePrefix, &stored.jobs},
@@ -131,7 +131,7 @@
 	tk.nameIndex.updateTypes(stored.types)
 	tk.teamQuotas.load(stored.teams)
 	tk.homeQuotas.load(stored.homeHead, stored.homeTeams, stored.homeHistory)
-	if err := tk.registry.load(stored.hosts, stored.notes); err != nil {
+	if err := tk.registry.load(stored.machinePages, stored.notes); err != nil {
 		return err
 	}
 	now := time.Now()
