--- a/internal/control/takeover_load.go
+++ b/internal/control/takeover_load.go
@@ -47,7 +47,7 @@
 type storedRecords struct {
 	types        []wire.MachineType
 	machinePages []state.Entry
-	notes        []state.Entry
+	jobPages     []state.Entry
 	groups       []state.Entry
 	jobs         []state.Entry
 	jobsEpoch    uint64 // epoch of the listing of active jobs
@@ -91,7 +91,7 @@
 		entries *[]state.Entry
 	}{
 		{machinePrefix, &stored.machinePages},
-		{jobMachinesPrefix, &stored.notes},
+		{jobMachinesPrefix, &stored.jobPages},
 		{job.GroupPrefix, &stored.groups},
 		{job.ActivePrefix, &stored.jobs},
 		{job.DonePrefix, &stored.results},
@@ -131,7 +131,7 @@
 	tk.nameIndex.updateTypes(stored.types)
 	tk.teamQuotas.load(stored.teams)
 	tk.homeQuotas.load(stored.homeHead, stored.homeTeams, stored.homeHistory)
-	if err := tk.registry.load(stored.machinePages, stored.notes); err != nil {
+	if err := tk.registry.load(stored.machinePages, stored.jobPages); err != nil {
 		return err
 	}
 	now := time.Now()
