--- a/internal/control/registry_fixture_test.go
+++ b/internal/control/registry_fixture_test.go
@@ -79,8 +79,8 @@
 	return f
 }
 
-// addHost adds a machine to the fleet and to the registry.
-func (f *registryFixture) addHost(name string) *fleet.Machine {
+// addMachine adds a machine to the fleet and to the registry.
+func (f *registryFixture) addMachine(name string) *fleet.Machine {
 	machine := f.host(name)
 	f.nameIndex.describeHost(machine, "small", "a", false)
 	machine.Addr = "10.0.0.1:1"
