--- a/internal/control/records_registry_test.go
+++ b/internal/control/records_registry_test.go
@@ -125,7 +125,7 @@
 		f.addJobToPage(secondPage, "run-3", 20)
 		f.addJobToPage(secondPage, "run-4", 15)
 		f.storeOnce(lostResponse) // run-2 moves to the second page
-		f.recordHost("run-3", 70)
+		f.recordMachine("run-3", 70)
 		f.storeOnce(lostResponse) // run-4 moves to the room that run-2 has left
 		for range 6 {
 			f.storeOnce(f.store.apply)
@@ -144,7 +144,7 @@
 		f.addJobToPage(page, "run-3", 30) // moves to a page of its own
 		for i := range 9 {
 			f.storeOnce(f.store.apply)
-			f.recordHost("run-3", 29-i) // changes again before each transaction
+			f.recordMachine("run-3", 29-i) // changes again before each transaction
 		}
 		if !f.jobTable.jobs["run-1"].NotedMachines.Has(64*60 - 1) {
 			f.t.Error("run-1 cannot be launched after nine transactions")
--- a/internal/control/registry_fixture_test.go
+++ b/internal/control/registry_fixture_test.go
@@ -117,9 +117,9 @@
 	f.registry.nextPage[jobMachinesPrefix] = len(pages)
 }
 
-// recordHost records a placement of a job on a machine whose index makes the job's
+// recordMachine records a placement of a job on a machine whose index makes the job's
 // machine set words words long.
-func (f *registryFixture) recordHost(id string, words int) {
+func (f *registryFixture) recordMachine(id string, words int) {
 	name := fmt.Sprintf("h%d", words)
 	machine := f.fleet.Machines[name]
 	if machine == nil {
@@ -133,7 +133,7 @@
 	jobEntry := &jobMachines{id: id, job: f.array(id), page: page}
 	page.jobs = append(page.jobs, jobEntry)
 	f.registry.machinesByJob[id] = jobEntry
-	f.recordHost(id, words)
+	f.recordMachine(id, words)
 }
 
 // lostResponse is a commit that is not executed and whose outcome is unknown to the
