--- a/internal/control/records_registry_test.go
+++ b/internal/control/records_registry_test.go
@@ -43,7 +43,7 @@
 		if _, err := f.store.apply(delayed); err == nil {
 			f.t.Error("the delayed write was applied after a newer one")
 		}
-		f.checkRecordedHosts()
+		f.checkRecordedMachines()
 	}},
 	{"a write with unknown outcome that was applied is detected by the next conflict", func(f *registryFixture) {
 		j := f.array("run-1")
--- a/internal/control/registry_fixture_test.go
+++ b/internal/control/registry_fixture_test.go
@@ -105,7 +105,7 @@
 		}
 	}
 	f.registry.handleStored(stores, version, currentVersions, err)
-	f.checkRecordedHosts()
+	f.checkRecordedMachines()
 	return txn
 }
 
@@ -140,9 +140,9 @@
 // leader.
 func lostResponse(state.Txn) (uint64, error) { return 0, state.ErrUnknown }
 
-// checkRecordedHosts checks that the stored records name every machine on which a job
+// checkRecordedMachines checks that the stored records name every machine on which a job
 // may be launched.
-func (f *registryFixture) checkRecordedHosts() {
+func (f *registryFixture) checkRecordedMachines() {
 	f.t.Helper()
 	for id, j := range f.jobTable.all() {
 		named := f.store.names(f.t, id)
