--- a/internal/control/records_registry_test.go
+++ b/internal/control/records_registry_test.go
@@ -206,7 +206,7 @@
 		f.registry.removeFinishedJobs()
 		f.now = f.now.Add(time.Minute)
 		f.storeOnce(f.store.apply)
-		if len(f.store.names(f.t, "run-1")) != 0 {
+		if len(f.store.recordedMachines(f.t, "run-1")) != 0 {
 			f.t.Error("a stored record still names machines for the ended job")
 		}
 	}},
--- a/internal/control/registry_fixture_test.go
+++ b/internal/control/registry_fixture_test.go
@@ -33,8 +33,8 @@
 	return s.rev, nil
 }
 
-// names returns the indexes of the machines that the stored records name for a job.
-func (s *fakeStore) names(t *testing.T, id string) map[int]bool {
+// recordedMachines returns the indexes of the machines that the stored records name for a job.
+func (s *fakeStore) recordedMachines(t *testing.T, id string) map[int]bool {
 	t.Helper()
 	machines := map[int]bool{}
 	for _, entry := range s.kv {
@@ -145,7 +145,7 @@
 func (f *registryFixture) checkRecordedMachines() {
 	f.t.Helper()
 	for id, j := range f.jobTable.all() {
-		named := f.store.names(f.t, id)
+		named := f.store.recordedMachines(f.t, id)
 		for i := range 64 * len(j.NotedMachines) {
 			if j.NotedMachines.Has(i) && !named[i] {
 				f.t.Errorf("job %s may be launched on machine %d, but no stored record names that machine for it", id, i)
