--- a/internal/control/registry_fixture_test.go
+++ b/internal/control/registry_fixture_test.go
@@ -14,8 +14,8 @@
 
 // fakeStore is an in-memory key-value store for the registry's transactions.
 type fakeStore struct {
-	rev uint64
-	kv  map[string]state.Entry
+	revision uint64
+	kv       map[string]state.Entry
 }
 
 // apply executes a transaction, or returns state.ErrConflict if a condition does not
@@ -26,11 +26,11 @@
 			return 0, state.ErrConflict
 		}
 	}
-	s.rev++
+	s.revision++
 	for _, write := range txn.Writes {
-		s.kv[write.Put] = state.Entry{Key: write.Put, Value: write.Value, Version: s.rev}
+		s.kv[write.Put] = state.Entry{Key: write.Put, Value: write.Value, Version: s.revision}
 	}
-	return s.rev, nil
+	return s.revision, nil
 }
 
 // recordedMachines returns the indexes of the machines that the stored records name for a job.
