--- a/internal/control/records_registry_test.go
+++ b/internal/control/records_registry_test.go
@@ -13,7 +13,7 @@
 // registryCase is a case of TestRegistry, which calls do with a new registryFixture.
 type registryCase struct {
 	name string
-	do   func(f *registryFixture)
+	run  func(f *registryFixture)
 }
 
 var registryCases = []registryCase{
@@ -215,7 +215,7 @@
 // TestRegistry checks point 6 of docs/safety.md for records that cover many machines.
 func TestRegistry(t *testing.T) {
 	for _, tt := range registryCases {
-		t.Run(tt.name, func(t *testing.T) { tt.do(newRegistryFixture(t)) })
+		t.Run(tt.name, func(t *testing.T) { tt.run(newRegistryFixture(t)) })
 	}
 }
 
