--- a/internal/control/records_registry_test.go
+++ b/internal/control/records_registry_test.go
@@ -231,10 +231,10 @@
 	}
 	sharedIndex := pageRecord{Machines: []machineRecord{{Idx: 3, Name: "h3", Addr: "10.0.0.1:1", Type: "small", Zone: "a"}, {Idx: 3, Name: "h4", Addr: "10.0.0.1:1", Type: "small", Zone: "a"}}}
 	tests := []struct {
-		name                string
-		machinePages, notes []state.Entry
-		key, text           string
-		reused              bool // the cause is an indexReusedError
+		name                   string
+		machinePages, jobPages []state.Entry
+		key, text              string
+		reused                 bool // the cause is an indexReusedError
 	}{
 		{"a page that cannot be decoded is reported", []state.Entry{{Key: machinePrefix + "0", Value: []byte{0xff}}}, nil, machinePrefix + "0", "", false},
 		{"a page whose key has no number is reported", []state.Entry{{Key: machinePrefix + "x", Value: encode(pageRecord{})}}, nil, machinePrefix + "x", "", false},
@@ -243,7 +243,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			err := newRegistryFixture(t).registry.load(tt.machinePages, tt.notes)
+			err := newRegistryFixture(t).registry.load(tt.machinePages, tt.jobPages)
 			var pageErr *pageError
 			if !errors.As(err, &pageErr) || pageErr.key != tt.key {
 				t.Fatalf("load returned error %v, want a pageError for %s", err, tt.key)
