--- a/internal/control/shards_relay.go
+++ b/internal/control/shards_relay.go
@@ -26,7 +26,7 @@
 
 // relayedCommand is a direct command that a holder sends for the leader.
 type relayedCommand struct {
-	host      *fleet.Machine
+	machine   *fleet.Machine
 	member    string
 	slots     []*fleet.Slot // placements that the command launches
 	relayedAt time.Time
@@ -58,7 +58,7 @@
 		Body: body,
 	})
 	sh.relays[sh.lastCallID] = &relayedCommand{
-		host:      machine,
+		machine:   machine,
 		member:    member,
 		slots:     slots,
 		relayedAt: now,
@@ -78,7 +78,7 @@
 		Body:    callResult.Report,
 		Reached: callResult.Reached,
 	}
-	sh.commands.finishCall(command.host, result, nil, command.slots)
+	sh.commands.finishCall(command.machine, result, nil, command.slots)
 }
 
 // expireRelays ends the relayed commands that have exceeded relayTimeout.
@@ -94,6 +94,6 @@
 		box.calls = slices.DeleteFunc(box.calls, func(call shard.Call) bool { return call.ID == id })
 		// A command that was still in the mailbox was certainly not sent.
 		sent := len(box.calls) == before
-		sh.commands.finishCall(command.host, DirectResult{Reached: sent}, errNoRelayResult, command.slots)
+		sh.commands.finishCall(command.machine, DirectResult{Reached: sent}, errNoRelayResult, command.slots)
 	}
 }
