--- a/internal/control/shards_sync.go
+++ b/internal/control/shards_sync.go
@@ -43,7 +43,7 @@
 // pendingHeartbeat is a forwarded heartbeat that reported something new, so that the holder
 // waits for the leader's answer.
 type pendingHeartbeat struct {
-	host    *fleet.Machine
+	machine *fleet.Machine
 	session uint64
 	seq     uint64
 	fresh   bool
@@ -146,7 +146,7 @@
 			return
 		}
 		box.heartbeats = append(box.heartbeats, pendingHeartbeat{
-			host:    machine,
+			machine: machine,
 			session: heartbeat.Session,
 			seq:     heartbeat.Seq,
 			fresh:   fresh,
@@ -170,14 +170,14 @@
 func (sh *shards) answerHeartbeats(now time.Time) {
 	for member, box := range sh.mailboxes {
 		for _, heartbeat := range box.heartbeats {
-			if !sh.answerable(member, &heartbeat) || !sh.machinePool.mayRenewLease(heartbeat.host, now) {
+			if !sh.answerable(member, &heartbeat) || !sh.machinePool.mayRenewLease(heartbeat.machine, now) {
 				continue
 			}
-			orders, sent, events := sh.fleet.ComposeOrders(heartbeat.host, heartbeat.seq, heartbeat.fresh, now, maxOrders)
+			orders, sent, events := sh.fleet.ComposeOrders(heartbeat.machine, heartbeat.seq, heartbeat.fresh, now, maxOrders)
 			sh.takeover.recordLaunches(len(sent), now)
 			sh.taskTracker.applyEvents(events, now)
 			box.answers = append(box.answers, shard.Answer{
-				Host:    heartbeat.host.Name,
+				Host:    heartbeat.machine.Name,
 				Session: heartbeat.session,
 				Seq:     heartbeat.seq,
 				Orders:  orders,
@@ -190,10 +190,10 @@
 // answerable reports whether the member still holds the machine, and whether the worker still
 // has the session of the heartbeat.
 func (sh *shards) answerable(member string, heartbeat *pendingHeartbeat) bool {
-	holder := heartbeat.host.Holder()
+	holder := heartbeat.machine.Holder()
 	return holder != nil && holder.Name == member &&
-		sh.fleet.Machines[heartbeat.host.Name] == heartbeat.host &&
-		heartbeat.host.Session == heartbeat.session
+		sh.fleet.Machines[heartbeat.machine.Name] == heartbeat.machine &&
+		heartbeat.machine.Session == heartbeat.session
 }
 
 // answerRequests answers the pending requests for which there is something to send, and those
