--- a/internal/control/shards_sync.go
+++ b/internal/control/shards_sync.go
@@ -97,7 +97,7 @@
 	}
 	if request.Term == sh.term {
 		for i := range request.Reports {
-			sh.handleHostReport(box, &request.Reports[i], now)
+			sh.handleMachineReport(box, &request.Reports[i], now)
 		}
 		for i := range request.CallResults {
 			sh.finishRelay(&request.CallResults[i])
@@ -129,8 +129,8 @@
 	return box
 }
 
-// handleHostReport handles what a machine has reported to its holder.
-func (sh *shards) handleHostReport(box *mailbox, report *shard.HostReport, now time.Time) {
+// handleMachineReport handles what a machine has reported to its holder.
+func (sh *shards) handleMachineReport(box *mailbox, report *shard.HostReport, now time.Time) {
 	machine := sh.fleet.Machines[report.Host]
 	if machine == nil || sh.machinePool.wasReleased(report.Host) {
 		return
