--- a/internal/control/shards.go
+++ b/internal/control/shards.go
@@ -143,7 +143,7 @@
 	if sh.assigner == nil || machine.Releasing {
 		return
 	}
-	sh.reserve(machine, now)
+	sh.retain(machine, now)
 	sh.assigner.ReportServed(machine.Name, via, now)
 	sh.bind(machine)
 }
--- a/internal/control/shards_reclaim.go
+++ b/internal/control/shards_reclaim.go
@@ -8,10 +8,10 @@
 
 // The leader itself answers machines that may run a task of a cancelled job.
 
-// reserve makes the leader serve a machine itself, and takes it back from its holder if it has
+// retain makes the leader serve a machine itself, and takes it back from its holder if it has
 // one. This happens in time before the machine's lease may only be renewed by answers that
 // carry halts.
-func (sh *shards) reserve(machine *fleet.Machine, now time.Time) {
+func (sh *shards) retain(machine *fleet.Machine, now time.Time) {
 	limit, bounded := sh.fleet.RenewalLimit(machine)
 	if !bounded || limit.Sub(now) > sh.assigner.RevocationTime()+2*urgentScanInterval {
 		return
@@ -29,7 +29,7 @@
 	}
 	sh.reserveCheckedAt = now
 	for _, machine := range sh.fleet.AwaitingCommand() {
-		sh.reserve(machine, now)
+		sh.retain(machine, now)
 	}
 	for machine := range sh.reserved {
 		if _, bounded := sh.fleet.RenewalLimit(machine); bounded && sh.fleet.Machines[machine.Name] == machine {
