--- a/internal/control/shards.go
+++ b/internal/control/shards.go
@@ -37,7 +37,7 @@
 	moves         map[moveReason]*moveCount // since movesLoggedAt
 	movesLoggedAt time.Time
 
-	reserved         map[*fleet.Machine]struct{} // machines that only the leader may answer now
+	retained         map[*fleet.Machine]struct{} // machines that only the leader may answer now
 	reserveCheckedAt time.Time
 }
 
@@ -65,7 +65,7 @@
 		relays:            map[uint64]*relayedCommand{},
 		waitingHeartbeats: map[string][]func(){},
 		moves:             map[moveReason]*moveCount{},
-		reserved:          map[*fleet.Machine]struct{}{},
+		retained:          map[*fleet.Machine]struct{}{},
 	}
 }
 
--- a/internal/control/shards_reclaim.go
+++ b/internal/control/shards_reclaim.go
@@ -16,7 +16,7 @@
 	if !bounded || limit.Sub(now) > sh.assigner.RevocationTime()+2*urgentScanInterval {
 		return
 	}
-	sh.reserved[machine] = struct{}{}
+	sh.retained[machine] = struct{}{}
 	sh.assigner.Retain(machine.Name, "a cancelled task may be on it", now)
 }
 
@@ -31,11 +31,11 @@
 	for _, machine := range sh.fleet.AwaitingCommand() {
 		sh.retain(machine, now)
 	}
-	for machine := range sh.reserved {
+	for machine := range sh.retained {
 		if _, bounded := sh.fleet.RenewalLimit(machine); bounded && sh.fleet.Machines[machine.Name] == machine {
 			continue
 		}
-		delete(sh.reserved, machine)
+		delete(sh.retained, machine)
 		sh.assigner.Release(machine.Name)
 	}
 }
