--- a/internal/control/shards.go
+++ b/internal/control/shards.go
@@ -235,7 +235,7 @@
 		sh.logMoves(now)
 	}
 	// This precedes every reply, because a reply extends the holder's grant.
-	sh.updateReserved(now)
+	sh.updateRetained(now)
 	sh.answerRequests(now)
 }
 
--- a/internal/control/shards_reclaim.go
+++ b/internal/control/shards_reclaim.go
@@ -20,10 +20,10 @@
 	sh.assigner.Retain(machine.Name, "a cancelled task may be on it", now)
 }
 
-// updateReserved reserves those machines awaiting a command that require it, and lets holders
+// updateRetained reserves those machines awaiting a command that require it, and lets holders
 // serve the machines again that no longer do. It must run before each reply to a holder,
 // because a reply extends the holder's grant.
-func (sh *shards) updateReserved(now time.Time) {
+func (sh *shards) updateRetained(now time.Time) {
 	if now.Sub(sh.reserveCheckedAt) < urgentScanInterval {
 		return
 	}
