--- a/internal/control/shards.go
+++ b/internal/control/shards.go
@@ -37,8 +37,8 @@
 	moves         map[moveReason]*moveCount // since movesLoggedAt
 	movesLoggedAt time.Time
 
-	retained         map[*fleet.Machine]struct{} // machines that only the leader may answer now
-	reserveCheckedAt time.Time
+	retained          map[*fleet.Machine]struct{} // machines that only the leader may answer now
+	retainedCheckedAt time.Time
 }
 
 // moveReason groups the moves of machines back to the leader for the log.
--- a/internal/control/shards_reclaim.go
+++ b/internal/control/shards_reclaim.go
@@ -24,10 +24,10 @@
 // serve the machines again that no longer do. It must run before each reply to a holder,
 // because a reply extends the holder's grant.
 func (sh *shards) updateRetained(now time.Time) {
-	if now.Sub(sh.reserveCheckedAt) < urgentScanInterval {
+	if now.Sub(sh.retainedCheckedAt) < urgentScanInterval {
 		return
 	}
-	sh.reserveCheckedAt = now
+	sh.retainedCheckedAt = now
 	for _, machine := range sh.fleet.AwaitingCommand() {
 		sh.retain(machine, now)
 	}
