--- a/internal/control/shards.go
+++ b/internal/control/shards.go
@@ -171,8 +171,8 @@
 	sh.assigner.RemoveMachine(machine.Name, time.Now())
 }
 
-// releaseMachines returns machines that their holders no longer serve to the leader.
-func (sh *shards) releaseMachines(revoked []shard.Revocation, now time.Time) {
+// reclaimMachines returns machines that their holders no longer serve to the leader.
+func (sh *shards) reclaimMachines(revoked []shard.Revocation, now time.Time) {
 	for _, revocation := range revoked {
 		machine := sh.fleet.Machines[revocation.Name]
 		if machine == nil {
@@ -230,7 +230,7 @@
 		return
 	}
 	if scan {
-		sh.releaseMachines(sh.assigner.Step(now), now)
+		sh.reclaimMachines(sh.assigner.Step(now), now)
 		sh.expireRelays(now)
 		sh.logMoves(now)
 	}
--- a/internal/control/shards_sync.go
+++ b/internal/control/shards_sync.go
@@ -87,7 +87,7 @@
 	}
 	revoked, ok := sh.assigner.HandleRequest(request, now)
 	if !ok {
-		sh.releaseMachines(revoked, now)
+		sh.reclaimMachines(revoked, now)
 		respond(&shard.Reply{})
 		return
 	}
@@ -109,7 +109,7 @@
 			}
 		}
 	}
-	sh.releaseMachines(revoked, now)
+	sh.reclaimMachines(revoked, now)
 	sh.redirectWaiting(request.Member)
 }
 
