--- a/internal/control/shards.go
+++ b/internal/control/shards.go
@@ -145,11 +145,11 @@
 	}
 	sh.retain(machine, now)
 	sh.assigner.ReportServed(machine.Name, via, now)
-	sh.bind(machine)
+	sh.bindHolder(machine)
 }
 
-// bind sets the holder of a machine in the ledger to the holder that the assigner has chosen.
-func (sh *shards) bind(machine *fleet.Machine) {
+// bindHolder sets the holder of a machine in the ledger to the holder that the assigner has chosen.
+func (sh *shards) bindHolder(machine *fleet.Machine) {
 	member, _ := sh.assigner.Holder(machine.Name)
 	if member == "" || machine.Holder() != nil {
 		return
--- a/internal/control/shards_sync.go
+++ b/internal/control/shards_sync.go
@@ -105,7 +105,7 @@
 	} else {
 		for _, name := range request.PreviousHosts {
 			if machine := sh.fleet.Machines[name]; machine != nil {
-				sh.bind(machine)
+				sh.bindHolder(machine)
 			}
 		}
 	}
