--- a/internal/control/machine_scale_in.go
+++ b/internal/control/machine_scale_in.go
@@ -156,7 +156,7 @@
 	mp.releasedNames[h.Name] = true
 	mp.planner.forgetMachine(h)
 	mp.reservationHolds.machineRemoved(h)
-	mp.shards.remove(h)
+	mp.shards.removeMachine(h)
 	delete(mp.noticeLogged, h)
 	delete(mp.unlisted, h)
 	if mp.registry.removeMachine(h) {
--- a/internal/control/shards.go
+++ b/internal/control/shards.go
@@ -162,8 +162,8 @@
 	sh.fleet.SetHolder(machine, holder)
 }
 
-// remove removes a machine that was released.
-func (sh *shards) remove(machine *fleet.Machine) {
+// removeMachine removes a machine that was released.
+func (sh *shards) removeMachine(machine *fleet.Machine) {
 	if sh.assigner == nil {
 		return
 	}
