--- a/internal/control/takeover_phases.go
+++ b/internal/control/takeover_phases.go
@@ -53,7 +53,7 @@
 		return
 	}
 	phases.logged = true
-	tk.measurePhases()
+	tk.observePhases()
 	tk.log.Info("takeover phases",
 		"leaderless_ms", tk.leaderlessMS(),
 		"loaded_ms", tk.sinceStartMS(phases.loaded),
@@ -65,8 +65,8 @@
 		"tasks", phases.tasks)
 }
 
-// measurePhases adds the times of the phases that were reached to the metrics.
-func (tk *takeover) measurePhases() {
+// observePhases adds the times of the phases that were reached to the metrics.
+func (tk *takeover) observePhases() {
 	phases := &tk.phases
 	for phase, at := range map[string]time.Time{
 		"loaded":  phases.loaded,
