--- a/internal/control/admission.go
+++ b/internal/control/admission.go
@@ -119,7 +119,7 @@
 		ad.rejectInvalid(id, invalid, back)
 		return
 	}
-	if refusal := ad.controller.admissionRefusal(spec, ad.nameIndex.machineTypes(), ad.teamQuotas.find(spec.Team)); refusal != nil {
+	if refusal := ad.controller.admissionRefusal(spec, ad.nameIndex.machineTypes(), ad.teamQuotas.teamQuota(spec.Team)); refusal != nil {
 		if refusal.Status == http.StatusServiceUnavailable {
 			back(refusal)
 			return
--- a/internal/control/control_feasibility_test.go
+++ b/internal/control/control_feasibility_test.go
@@ -49,7 +49,7 @@
 			}
 			s := &job.Spec{ID: "run-1", Team: "red", ShapeName: "array", Tasks: 1, CPUs: 1, MemGB: 1}
 			tt.edit(s)
-			why, known := neverSchedulable(s, lt.nameIndex.machineTypes(), lt.teamQuotas.find(s.Team).current)
+			why, known := neverSchedulable(s, lt.nameIndex.machineTypes(), lt.teamQuotas.teamQuota(s.Team).current)
 			if (why != "") != tt.never || known != tt.known {
 				t.Errorf("%q, known %v", why, known)
 			}
@@ -92,13 +92,13 @@
 		s := job.Spec{ID: "run-1", Team: "red", ShapeName: "array", PriorityName: "idle", Tasks: 2, CPUs: 1, MemGB: 1}
 		tt.edit(&s)
 		got := 0
-		if p := lt.controller.admissionRefusal(&s, types, lt.teamQuotas.find(s.Team)); p != nil {
+		if p := lt.controller.admissionRefusal(&s, types, lt.teamQuotas.teamQuota(s.Team)); p != nil {
 			got = p.Status
 		}
 		if got != tt.want {
 			t.Errorf("%s: %d, want %d", tt.name, got, tt.want)
 		}
-		if p := lt.controller.admissionRefusal(&s, nil, lt.teamQuotas.find(s.Team)); s.Team != "green" && (p == nil || p.Status != 503) {
+		if p := lt.controller.admissionRefusal(&s, nil, lt.teamQuotas.teamQuota(s.Team)); s.Team != "green" && (p == nil || p.Status != 503) {
 			t.Errorf("%s, types not known: %v, want 503", tt.name, p)
 		}
 	}
--- a/internal/control/rollout_requests.go
+++ b/internal/control/rollout_requests.go
@@ -170,7 +170,7 @@
 // nextRefusal refuses a next version that admission would refuse, or whose job exists
 // already.
 func (ro *rollouts) nextRefusal(next *job.Spec) *rpc.Reply {
-	if refused := ro.controller.admissionRefusal(next, ro.nameIndex.machineTypes(), ro.teamQuotas.find(next.Team)); refused != nil {
+	if refused := ro.controller.admissionRefusal(next, ro.nameIndex.machineTypes(), ro.teamQuotas.teamQuota(next.Team)); refused != nil {
 		return refused
 	}
 	if ro.completions.answerFromMemory(next.ID) != nil || ro.admissionGroups.has(next.ID) {
