--- a/internal/control/records_pages.go
+++ b/internal/control/records_pages.go
@@ -88,11 +88,11 @@
 	// stale is set while the stored page names machines or jobs that it no longer has
 	// to name.
 	stale bool
-	// storesBegun counts the transactions that included the page; lastStored is the
+	// storesStarted counts the transactions that included the page; lastStored is the
 	// number of the latest one that was applied.
-	storesBegun int
-	lastStored  int
-	lastBegunAt time.Time // start of the latest transaction that included the page
+	storesStarted int
+	lastStored    int
+	lastBegunAt   time.Time // start of the latest transaction that included the page
 	// dependencies are the stores of other pages to which entries of this page have
 	// moved. This page is stored in the same transaction or later.
 	dependencies []storeDependency
@@ -111,11 +111,11 @@
 func (p *registryPage) storeAfter(other *registryPage) {
 	for i := range p.dependencies {
 		if p.dependencies[i].page == other {
-			p.dependencies[i].storeNumber = other.storesBegun + 1
+			p.dependencies[i].storeNumber = other.storesStarted + 1
 			return
 		}
 	}
-	p.dependencies = append(p.dependencies, storeDependency{page: other, storeNumber: other.storesBegun + 1})
+	p.dependencies = append(p.dependencies, storeDependency{page: other, storeNumber: other.storesStarted + 1})
 }
 
 // hasPrefix reports whether the page is of the kind that the key prefix denotes.
--- a/internal/control/records_store.go
+++ b/internal/control/records_store.go
@@ -170,7 +170,7 @@
 	page.urgent = false
 	page.stale = false
 	page.removedIndexes = nil
-	page.storesBegun++
+	page.storesStarted++
 	page.lastBegunAt = now
 }
 
@@ -219,7 +219,7 @@
 func (r *registry) confirm(store *pageStore, version uint64) {
 	page := store.page
 	page.version = version
-	page.lastStored = page.storesBegun
+	page.lastStored = page.storesStarted
 	for _, machine := range store.machines {
 		if r.machineEntries[machine].page == page {
 			machine.Registered = true
