--- a/internal/control/records_pages.go
+++ b/internal/control/records_pages.go
@@ -92,7 +92,7 @@
 	// number of the latest one that was applied.
 	storesStarted int
 	lastStored    int
-	lastBegunAt   time.Time // start of the latest transaction that included the page
+	lastStoreAt   time.Time // start of the latest transaction that included the page
 	// dependencies are the stores of other pages to which entries of this page have
 	// moved. This page is stored in the same transaction or later.
 	dependencies []storeDependency
--- a/internal/control/records_store.go
+++ b/internal/control/records_store.go
@@ -124,7 +124,7 @@
 	// The least recently stored page comes first. In the order of r.pages, the last pages
 	// of a large fleet would never be stored, and the next leader would wait a full lease
 	// for machines that were released long before.
-	slices.SortStableFunc(order[urgentCount:], func(a, b *registryPage) int { return a.lastBegunAt.Compare(b.lastBegunAt) })
+	slices.SortStableFunc(order[urgentCount:], func(a, b *registryPage) int { return a.lastStoreAt.Compare(b.lastStoreAt) })
 	return order
 }
 
@@ -171,7 +171,7 @@
 	page.stale = false
 	page.removedIndexes = nil
 	page.storesStarted++
-	page.lastBegunAt = now
+	page.lastStoreAt = now
 }
 
 // commitPages runs the transaction. After a conflict it also returns the current
