--- a/internal/control/records_store.go
+++ b/internal/control/records_store.go
@@ -87,7 +87,7 @@
 			r.log.Error("registry page cannot be encoded", "key", page.key, "error", err)
 			continue
 		}
-		store.begin(now)
+		store.start(now)
 		included[page] = true
 		bytes += size
 		stores = append(stores, store)
@@ -160,9 +160,9 @@
 	return store, write, err
 }
 
-// begin records that a transaction includes the page. Until the outcome is known, only
+// start records that a transaction includes the page. Until the outcome is known, only
 // the machines that both the old and the new record name are confirmed.
-func (ps *pageStore) begin(now time.Time) {
+func (ps *pageStore) start(now time.Time) {
 	for i, jobEntry := range ps.jobs {
 		jobEntry.setConfirmed(jobEntry.confirmed.Intersect(ps.sets[i]))
 	}
