--- a/internal/control/takeover_test.go
+++ b/internal/control/takeover_test.go
@@ -12,9 +12,9 @@
 	"vetchstream/internal/wire"
 )
 
-// TestBlocked checks that the jobs that a silent machine of an earlier leader may run
+// TestBlockedJobs checks that the jobs that a silent machine of an earlier leader may run
 // are blocked, and that the machine counts against the limits of their teams.
-func TestBlocked(t *testing.T) {
+func TestBlockedJobs(t *testing.T) {
 	tests := []struct {
 		name string
 		old  []string
