--- a/internal/control/takeover_test.go
+++ b/internal/control/takeover_test.go
@@ -59,10 +59,10 @@
 	}
 }
 
-// TestSilent checks that a takeover releases a few silent machines that block jobs, but
+// TestSilentMachinesReleased checks that a takeover releases a few silent machines that block jobs, but
 // not many of them: a network partition may have cut those off, and they resume with
 // their tasks.
-func TestSilent(t *testing.T) {
+func TestSilentMachinesReleased(t *testing.T) {
 	tests := []struct {
 		name          string
 		fleet, silent int
