--- a/internal/control/takeover_test.go
+++ b/internal/control/takeover_test.go
@@ -137,10 +137,10 @@
 	}
 }
 
-// TestSilentTime checks that the silent timeout follows from the time in which the
+// TestSilentTimeout checks that the silent timeout follows from the time in which the
 // other machines answered. It counts from the end of the load, which an outage of the
 // key-value store can delay.
-func TestSilentTime(t *testing.T) {
+func TestSilentTimeout(t *testing.T) {
 	tests := []struct {
 		name       string
 		load, meet time.Duration // after the start of the term; 0 if not reached yet
