--- a/internal/control/shards_test.go
+++ b/internal/control/shards_test.go
@@ -10,9 +10,9 @@
 	"vetchstream/internal/wire"
 )
 
-// TestReplySize checks that a reply stays below the size that a holder accepts, however many
+// TestReplySizeLimit checks that a reply stays below the size that a holder accepts, however many
 // items wait, and that all items are delivered eventually.
-func TestReplySize(t *testing.T) {
+func TestReplySizeLimit(t *testing.T) {
 	tests := []struct {
 		name                   string
 		calls, answers, clears int
