--- a/internal/control/shards_test.go
+++ b/internal/control/shards_test.go
@@ -52,10 +52,10 @@
 	}
 }
 
-// TestRepeatedHostReport checks that a report that a holder repeats, because its request was
+// TestRepeatedMachineReport checks that a report that a holder repeats, because its request was
 // not answered, renews the lease from the heartbeat that it names. This may be a later
 // heartbeat that the holder has answered in the meantime.
-func TestRepeatedHostReport(t *testing.T) {
+func TestRepeatedMachineReport(t *testing.T) {
 	lt := newTestTerm(t)
 	lt.controller.Settings.Siblings = []config.Sibling{{Member: "n1"}}
 	lt.controller.Tuning.Sharding.Enabled = true
