--- a/internal/control/takeover_test.go
+++ b/internal/control/takeover_test.go
@@ -16,10 +16,10 @@
 // are blocked, and that the machine counts against the limits of their teams.
 func TestBlockedJobs(t *testing.T) {
 	tests := []struct {
-		name string
-		old  []string
-		jobs string // blocked jobs
-		used []float64
+		name          string
+		inheritedJobs []string
+		jobs          string // blocked jobs
+		used          []float64
 	}{
 		{"a machine without recorded jobs blocks nothing", nil, "", []float64{0, 0}},
 		{"one job is blocked and its team charged", []string{"run-1"}, "run-1", []float64{8, 0}},
@@ -36,7 +36,7 @@
 			}
 			machine := lt.host("h1")
 			lt.nameIndex.describeHost(machine, "small", "a", false)
-			for _, id := range tt.old {
+			for _, id := range tt.inheritedJobs {
 				team := -1
 				if lt.jobTable.get(id) != nil {
 					team = lt.jobTable.get(id).TeamIdx
