--- a/internal/control/takeover_test.go
+++ b/internal/control/takeover_test.go
@@ -19,7 +19,7 @@
 		name          string
 		inheritedJobs []string
 		jobs          string // blocked jobs
-		used          []float64
+		wantUsedCPUs  []float64
 	}{
 		{"a machine without recorded jobs blocks nothing", nil, "", []float64{0, 0}},
 		{"one job is blocked and its team charged", []string{"run-1"}, "run-1", []float64{8, 0}},
@@ -52,7 +52,7 @@
 					blockedIDs += id
 				}
 			}
-			if blockedIDs != tt.jobs || teams[0].Used.CPUs != tt.used[0] || teams[1].Used.CPUs != tt.used[1] {
+			if blockedIDs != tt.jobs || teams[0].Used.CPUs != tt.wantUsedCPUs[0] || teams[1].Used.CPUs != tt.wantUsedCPUs[1] {
 				t.Errorf("blocked jobs %q, CPUs charged to the teams %v and %v", blockedIDs, teams[0].Used.CPUs, teams[1].Used.CPUs)
 			}
 		})
