--- a/internal/control/takeover_test.go
+++ b/internal/control/takeover_test.go
@@ -64,9 +64,9 @@
 // their tasks.
 func TestSilentMachinesReleased(t *testing.T) {
 	tests := []struct {
-		name          string
-		fleet, silent int
-		jobs, want    bool
+		name             string
+		machines, silent int
+		jobs, want       bool
 	}{
 		{"3 of 120 silent machines that block jobs are released", 120, 3, true, true},
 		{"4 of 120 silent machines are too many and retained", 120, 4, true, false},
@@ -78,7 +78,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			lt := newTestTerm(t)
 			lt.array("run-1")
-			for i := range tt.fleet {
+			for i := range tt.machines {
 				machine := lt.host(fmt.Sprintf("h%d", i))
 				if i < tt.silent {
 					lt.takeover.inherited = append(lt.takeover.inherited, machine)
