--- a/internal/control/takeover_test.go
+++ b/internal/control/takeover_test.go
@@ -66,7 +66,7 @@
 	tests := []struct {
 		name             string
 		machines, silent int
-		jobs, want       bool
+		haveJobs, want   bool
 	}{
 		{"3 of 120 silent machines that block jobs are released", 120, 3, true, true},
 		{"4 of 120 silent machines are too many and retained", 120, 4, true, false},
@@ -82,7 +82,7 @@
 				machine := lt.host(fmt.Sprintf("h%d", i))
 				if i < tt.silent {
 					lt.takeover.inherited = append(lt.takeover.inherited, machine)
-					if tt.jobs {
+					if tt.haveJobs {
 						machine.InheritedJobs = []fleet.InheritedJob{{ID: "run-1", Team: -1}}
 					}
 				}
