--- a/internal/control/takeover_test.go
+++ b/internal/control/takeover_test.go
@@ -64,9 +64,9 @@
 // their tasks.
 func TestSilentMachinesReleased(t *testing.T) {
 	tests := []struct {
-		name             string
-		machines, silent int
-		haveJobs, want   bool
+		name                   string
+		machines, silent       int
+		haveJobs, wantReleased bool
 	}{
 		{"3 of 120 silent machines that block jobs are released", 120, 3, true, true},
 		{"4 of 120 silent machines are too many and retained", 120, 4, true, false},
@@ -88,8 +88,8 @@
 				}
 			}
 			lt.takeover.releaseSilent()
-			if got := len(lt.machinePool.pendingReleases) == tt.silent; got != tt.want {
-				t.Errorf("%d silent machines were released; want all of them released: %v", len(lt.machinePool.pendingReleases), tt.want)
+			if got := len(lt.machinePool.pendingReleases) == tt.silent; got != tt.wantReleased {
+				t.Errorf("%d silent machines were released; want all of them released: %v", len(lt.machinePool.pendingReleases), tt.wantReleased)
 			}
 		})
 	}
