--- a/internal/control/takeover_test.go
+++ b/internal/control/takeover_test.go
@@ -142,9 +142,9 @@
 // key-value store can delay.
 func TestSilentTimeout(t *testing.T) {
 	tests := []struct {
-		name       string
-		load, meet time.Duration // after the start of the term; 0 if not reached yet
-		want       time.Duration // after the start of the term
+		name          string
+		load, contact time.Duration // after the start of the term; 0 if not reached yet
+		want          time.Duration // after the start of the term
 	}{
 		{"maximum timeout while the machines have not answered", 50 * time.Millisecond, 0, 3050 * time.Millisecond},
 		{"minimum timeout if the machines answered at once", 50 * time.Millisecond, 100 * time.Millisecond, 1250 * time.Millisecond},
@@ -156,8 +156,8 @@
 		t.Run(tt.name, func(t *testing.T) {
 			lt := newTestTerm(t)
 			lt.takeover.phases.loaded = lt.termStart.Add(tt.load)
-			if tt.meet > 0 {
-				lt.takeover.phases.contacted = lt.termStart.Add(tt.meet)
+			if tt.contact > 0 {
+				lt.takeover.phases.contacted = lt.termStart.Add(tt.contact)
 			}
 			if got := lt.takeover.contactStart().Add(lt.takeover.silentTimeout()).Sub(lt.termStart); got != tt.want {
 				t.Errorf("machines count as silent %v after the start of the term, want %v", got, tt.want)
