--- a/internal/control/takeover_test.go
+++ b/internal/control/takeover_test.go
@@ -100,10 +100,10 @@
 // be too new for the list is not.
 func TestUnlistedMachineReleased(t *testing.T) {
 	tests := []struct {
-		name  string
-		list  []string
-		after time.Duration
-		want  string // released machines, of h1 to h3
+		name         string
+		list         []string
+		after        time.Duration
+		wantReleased string // released machines, of h1 to h3
 	}{
 		{"no machine is released if all are listed", []string{"h1", "h2", "h3"}, 2 * time.Second, ""},
 		{"a machine missing before a later one is released", []string{"h1", "h3"}, 2 * time.Second, "h2"},
@@ -130,8 +130,8 @@
 			for _, machine := range lt.machinePool.pendingReleases {
 				got += machine.Name
 			}
-			if got != tt.want {
-				t.Errorf("released machines %q, want %q", got, tt.want)
+			if got != tt.wantReleased {
+				t.Errorf("released machines %q, want %q", got, tt.wantReleased)
 			}
 		})
 	}
