--- a/internal/control/takeover_test.go
+++ b/internal/control/takeover_test.go
@@ -18,7 +18,7 @@
 	tests := []struct {
 		name          string
 		inheritedJobs []string
-		jobs          string // blocked jobs
+		wantBlocked   string // blocked jobs
 		wantUsedCPUs  []float64
 	}{
 		{"a machine without recorded jobs blocks nothing", nil, "", []float64{0, 0}},
@@ -52,7 +52,7 @@
 					blockedIDs += id
 				}
 			}
-			if blockedIDs != tt.jobs || teams[0].Used.CPUs != tt.wantUsedCPUs[0] || teams[1].Used.CPUs != tt.wantUsedCPUs[1] {
+			if blockedIDs != tt.wantBlocked || teams[0].Used.CPUs != tt.wantUsedCPUs[0] || teams[1].Used.CPUs != tt.wantUsedCPUs[1] {
 				t.Errorf("blocked jobs %q, CPUs charged to the teams %v and %v", blockedIDs, teams[0].Used.CPUs, teams[1].Used.CPUs)
 			}
 		})
