--- a/internal/control/quotas.go
+++ b/internal/control/quotas.go
@@ -125,8 +125,8 @@
 // the limits are confirmed.
 func (tq *teamQuotas) noUsage(string) (dynconfig.Amount, bool) { return dynconfig.Amount{}, false }
 
-// teamQuota returns the quota of a team for the admission of its jobs. The quota is zero if the team
-// does not exist.
+// teamQuota returns the quota of a team for the admission of its jobs. The quota is zero if the
+// team does not exist.
 func (tq *teamQuotas) teamQuota(name string) quota {
 	if tq.replica == nil {
 		return quota{current: tq.controller.fileTeam(name)}
--- a/internal/control/records_load.go
+++ b/internal/control/records_load.go
@@ -97,8 +97,8 @@
 	return nil
 }
 
-// loadJobMachines loads the jobs of a stored page and records for each machine which jobs
-// it may have inherited.
+// loadJobMachines loads the jobs of a stored page and records for each machine which
+// jobs it may have inherited.
 func (r *registry) loadJobMachines(page *registryPage, record *pageRecord, byIndex map[int]*fleet.Machine) error {
 	for _, stored := range record.Jobs {
 		set, err := job.ParseMachineSet(stored.Machines)
--- a/internal/control/records_pages.go
+++ b/internal/control/records_pages.go
@@ -32,9 +32,9 @@
 	Spot bool   `codec:"spot"`
 }
 
-// jobMachinesRecord is a job's entry in a stored page: the machines that the job may run
-// on. It includes the team because the job may have ended before the next leader reads
-// the entry.
+// jobMachinesRecord is a job's entry in a stored page: the machines that the job may
+// run on. It includes the team because the job may have ended before the next leader
+// reads the entry.
 type jobMachinesRecord struct {
 	Job      string `codec:"job"`
 	Team     string `codec:"team"`
@@ -67,10 +67,10 @@
 
 // setConfirmed sets the machines that the stored record is certain to name. The job may
 // be launched on these machines only.
-func (jh *jobMachines) setConfirmed(machines job.MachineSet) {
-	jh.confirmed = machines
-	if jh.job != nil {
-		jh.job.NotedMachines = machines
+func (jm *jobMachines) setConfirmed(machines job.MachineSet) {
+	jm.confirmed = machines
+	if jm.job != nil {
+		jm.job.NotedMachines = machines
 	}
 }
 
@@ -103,7 +103,7 @@
 // the dependent page forever.
 type storeDependency struct {
 	page        *registryPage
-	storeNumber int // as counted by storesBegun
+	storeNumber int // as counted by storesStarted
 }
 
 // storeAfter makes the next store of p wait for the next store of other, or share its
@@ -180,7 +180,7 @@
 // splitUrgentPages splits those of the pages to be stored next that have outgrown the
 // size limit.
 func (r *registry) splitUrgentPages() {
-	for i := 0; i < len(r.pages); i++ { // splitPage appends
+	for i := 0; i < len(r.pages); i++ { // splitPage may append pages
 		if page := r.pages[i]; page.urgent {
 			r.splitPage(page)
 		}
--- a/internal/control/records_registry.go
+++ b/internal/control/records_registry.go
@@ -78,8 +78,8 @@
 	r.machineEntries[machine] = machineEntry{machineRecord: record, page: page}
 }
 
-// removeMachine removes a machine and reports whether its index can be reused immediately.
-// Otherwise the index is freed when the machine's page has been stored.
+// removeMachine removes a machine and reports whether its index can be reused
+// immediately. Otherwise the index is freed when the machine's page has been stored.
 func (r *registry) removeMachine(machine *fleet.Machine) bool {
 	for _, jobEntry := range r.machinesByJob {
 		jobEntry.desired.Remove(machine.Index)
@@ -113,10 +113,10 @@
 	}
 }
 
-// pruneGangMachines reduces the entry of a gang to the machines that its members may run
-// on now: the gang restarts on other machines, and an unreachable machine of an ended
-// attempt must not delay it. The entry of an array only grows, which saves most writes,
-// because an array returns to the machines that it has used.
+// pruneGangMachines reduces the entry of a gang to the machines that its members may
+// run on now: the gang restarts on other machines, and an unreachable machine of an
+// ended attempt must not delay it. The entry of an array only grows, which saves most
+// writes, because an array returns to the machines that it has used.
 func (r *registry) pruneGangMachines(jobEntry *jobMachines) {
 	if jobEntry.job == nil || jobEntry.job.Shape != job.Gang || !r.takeover.reconciled() {
 		return
@@ -127,8 +127,9 @@
 	}
 }
 
-// removeFinishedJobs removes the entries of jobs that have ended, once every machine
-// that they name is settled.
+// removeFinishedJobs removes the entries of jobs that have ended. It waits until every
+// machine of earlier leaders is reconciled, because such a machine may still run a task
+// of the job.
 func (r *registry) removeFinishedJobs() {
 	if !r.takeover.reconciled() {
 		return
--- a/internal/control/records_registry_test.go
+++ b/internal/control/records_registry_test.go
@@ -10,7 +10,7 @@
 	"vetchstream/internal/wire"
 )
 
-// registryCase is a case of TestRegistry, which calls do with a new registryFixture.
+// registryCase is a case of TestRegistry, which calls run with a new registryFixture.
 type registryCase struct {
 	name string
 	run  func(f *registryFixture)
@@ -52,7 +52,7 @@
 		if _, err := f.store.apply(delayed); err != nil {
 			f.t.Fatal(err)
 		}
-		f.storeOnce(f.store.apply) // conflicts
+		f.storeOnce(f.store.apply) // this transaction conflicts with the stored pages
 		f.storeOnce(f.store.apply)
 		if !j.NotedMachines.Has(0) {
 			f.t.Error("the job cannot be launched on machine 0 although the write after the conflict was stored")
--- a/internal/control/records_store.go
+++ b/internal/control/records_store.go
@@ -121,9 +121,9 @@
 			order = append(order, page)
 		}
 	}
-	// The least recently stored page comes first. In the order of r.pages, the last pages
-	// of a large fleet would never be stored, and the next leader would wait a full lease
-	// for machines that were released long before.
+	// The least recently stored page comes first. In the order of r.pages, the last
+	// pages of a large fleet would never be stored, and the next leader would wait a
+	// full lease for machines that were released long before.
 	slices.SortStableFunc(order[urgentCount:], func(a, b *registryPage) int { return a.lastStoreAt.Compare(b.lastStoreAt) })
 	return order
 }
--- a/internal/control/registry_fixture_test.go
+++ b/internal/control/registry_fixture_test.go
@@ -33,7 +33,8 @@
 	return s.revision, nil
 }
 
-// recordedMachines returns the indexes of the machines that the stored records name for a job.
+// recordedMachines returns the indexes of the machines that the stored records name for
+// a job.
 func (s *fakeStore) recordedMachines(t *testing.T, id string) map[int]bool {
 	t.Helper()
 	machines := map[int]bool{}
@@ -140,8 +141,8 @@
 // leader.
 func lostResponse(state.Txn) (uint64, error) { return 0, state.ErrUnknown }
 
-// checkRecordedMachines checks that the stored records name every machine on which a job
-// may be launched.
+// checkRecordedMachines checks that the stored records name every machine on which a
+// job may be launched.
 func (f *registryFixture) checkRecordedMachines() {
 	f.t.Helper()
 	for id, j := range f.jobTable.all() {
--- a/internal/control/shards.go
+++ b/internal/control/shards.go
@@ -73,7 +73,7 @@
 // users.
 const ownSockets = 40
 
-// ShardCapacity returns how many machines a controller with that many sockets can serve. Each
+// ShardCapacity returns how many machines a controller with maxSockets sockets can serve. Each
 // machine uses one connection, and a sixth of the connections is left for users.
 func ShardCapacity(maxSockets int) int {
 	free := maxSockets - 2*MaxDirectCalls(maxSockets) - ownSockets
@@ -148,7 +148,8 @@
 	sh.bindHolder(machine)
 }
 
-// bindHolder sets the holder of a machine in the ledger to the holder that the assigner has chosen.
+// bindHolder sets the holder of a machine in the ledger to the holder that the assigner has
+// chosen.
 func (sh *shards) bindHolder(machine *fleet.Machine) {
 	member, _ := sh.assigner.Holder(machine.Name)
 	if member == "" || machine.Holder() != nil {
--- a/internal/control/shards_reclaim.go
+++ b/internal/control/shards_reclaim.go
@@ -20,7 +20,7 @@
 	sh.assigner.Retain(machine.Name, "a cancelled task may be on it", now)
 }
 
-// updateRetained reserves those machines awaiting a command that require it, and lets holders
+// updateRetained retains those machines awaiting a command that require it, and lets holders
 // serve the machines again that no longer do. It must run before each reply to a holder,
 // because a reply extends the holder's grant.
 func (sh *shards) updateRetained(now time.Time) {
--- a/internal/control/shards_relay.go
+++ b/internal/control/shards_relay.go
@@ -34,7 +34,7 @@
 
 // relayable reports whether a direct command to a machine is sent through its holder, and
 // whether it can be sent now.
-func (sh *shards) relayable(machine *fleet.Machine) (relayed, now bool) {
+func (sh *shards) relayable(machine *fleet.Machine) (viaHolder, ready bool) {
 	if sh.assigner == nil || machine.Holder() == nil {
 		return false, true
 	}
--- a/internal/control/shards_sync.go
+++ b/internal/control/shards_sync.go
@@ -154,10 +154,10 @@
 	}
 	// The holder may have answered a later heartbeat with the same content. This can also be
 	// the case if it sent the heartbeat above before and received no acknowledgement.
-	wasCut := machine.InboundCut()
+	wasInboundCut := machine.InboundCut()
 	age := time.Duration(max(0, report.AgeMs)) * time.Millisecond
 	events := sh.fleet.RecordRenewal(machine, report.Session, report.Seq, now.Add(-age))
-	sh.taskTracker.reachabilityChanged(machine, wasCut)
+	sh.taskTracker.reachabilityChanged(machine, wasInboundCut)
 	sh.taskTracker.applyEvents(events, now)
 	if clears := machine.ClearOrders(maxOrders); clears != nil {
 		box.clearances = append(box.clearances, shard.ExitClearance{Host: report.Host, Clears: clears})
--- a/internal/control/shards_test.go
+++ b/internal/control/shards_test.go
@@ -10,8 +10,8 @@
 	"vetchstream/internal/wire"
 )
 
-// TestReplySizeLimit checks that a reply stays below the size that a holder accepts, however many
-// items wait, and that all items are delivered eventually.
+// TestReplySizeLimit checks that a reply stays below the size that a holder accepts, however
+// many items wait, and that all items are delivered eventually.
 func TestReplySizeLimit(t *testing.T) {
 	tests := []struct {
 		name                   string
--- a/internal/control/takeover_load.go
+++ b/internal/control/takeover_load.go
@@ -182,7 +182,8 @@
 			continue
 		}
 		if tk.admissionGroups.has(record.Spec.ID) {
-			// Another node has admitted the job a second time. The group record is enough.
+			// Another node has admitted the job a second time. The group record is
+			// enough.
 			tk.results.deleteLater(entry.Key)
 			continue
 		}
--- a/internal/control/takeover_test.go
+++ b/internal/control/takeover_test.go
@@ -12,8 +12,8 @@
 	"vetchstream/internal/wire"
 )
 
-// TestBlockedJobs checks that the jobs that a silent machine of an earlier leader may run
-// are blocked, and that the machine counts against the limits of their teams.
+// TestBlockedJobs checks that the jobs that a silent machine of an earlier leader may
+// run are blocked, and that the machine counts against the limits of their teams.
 func TestBlockedJobs(t *testing.T) {
 	tests := []struct {
 		name          string
@@ -59,9 +59,9 @@
 	}
 }
 
-// TestSilentMachinesReleased checks that a takeover releases a few silent machines that block jobs, but
-// not many of them: a network partition may have cut those off, and they resume with
-// their tasks.
+// TestSilentMachinesReleased checks that a takeover releases a few silent machines that
+// block jobs, but not many of them: a network partition may have cut those off, and
+// they resume with their tasks.
 func TestSilentMachinesReleased(t *testing.T) {
 	tests := []struct {
 		name                   string
