--- a/internal/control/shards.go
+++ b/internal/control/shards.go
@@ -80,9 +80,9 @@
 	return max(0, free*5/6)
 }
 
-// begin starts sharding with the machines in the registry if it is enabled. The leader serves
+// start starts sharding with the machines in the registry if it is enabled. The leader serves
 // all machines at first.
-func (sh *shards) begin(now time.Time) {
+func (sh *shards) start(now time.Time) {
 	tuning := sh.controller.Tuning.Sharding
 	resources := &sh.controller.Settings.Facts.Resources
 	if !tuning.Enabled || len(sh.controller.Settings.Siblings) == 0 {
--- a/internal/control/shards_test.go
+++ b/internal/control/shards_test.go
@@ -60,7 +60,7 @@
 	lt.controller.Settings.Siblings = []config.Sibling{{Member: "n1"}}
 	lt.controller.Tuning.Sharding.Enabled = true
 	now := lt.termStart
-	lt.shards.begin(now)
+	lt.shards.start(now)
 	machine := lt.host("h1")
 	heartbeat := &wire.Heartbeat{Host: "h1", Type: "x", Zone: "a", Session: 1, Seq: 10, Token: 7}
 	encoded, err := wire.Marshal(heartbeat)
--- a/internal/control/takeover_load.go
+++ b/internal/control/takeover_load.go
@@ -22,7 +22,7 @@
 			tk.sleep(loadRetryPause)
 			continue
 		}
-		tk.shards.begin(time.Now())
+		tk.shards.start(time.Now())
 		tk.recordsLoaded.Store(true)
 		tk.recordLoaded()
 		return true
