--- a/internal/control/admission.go
+++ b/internal/control/admission.go
@@ -120,7 +120,7 @@
 		ad.rejectInvalid(id, invalid, respond)
 		return
 	}
-	if refusal := ad.controller.admissionRefusal(spec, ad.nameIndex.machineTypes(), ad.teamQuotas.find(spec.Team)); refusal != nil {
+	if refusal := ad.controller.admissionRefusal(spec, ad.nameIndex.machineTypes(), ad.teamQuotas.teamQuota(spec.Team)); refusal != nil {
 		if refusal.Status == http.StatusServiceUnavailable {
 			respond(refusal)
 			return
--- a/internal/control/control_feasibility_test.go
+++ b/internal/control/control_feasibility_test.go
@@ -50,7 +50,7 @@
 			}
 			spec := &job.Spec{ID: "run-1", Team: "red", ShapeName: "array", Tasks: 1, CPUs: 1, MemGB: 1}
 			tt.edit(spec)
-			reason, decidable := unschedulableReason(spec, lt.nameIndex.machineTypes(), lt.teamQuotas.find(spec.Team).current)
+			reason, decidable := unschedulableReason(spec, lt.nameIndex.machineTypes(), lt.teamQuotas.teamQuota(spec.Team).current)
 			if (reason != "") != tt.unschedulable || decidable != tt.decidable {
 				t.Errorf("got reason %q and decidable %v", reason, decidable)
 			}
@@ -94,13 +94,13 @@
 		spec := job.Spec{ID: "run-1", Team: "red", ShapeName: "array", PriorityName: "idle", Tasks: 2, CPUs: 1, MemGB: 1}
 		tt.edit(&spec)
 		got := 0
-		if refusal := lt.controller.admissionRefusal(&spec, types, lt.teamQuotas.find(spec.Team)); refusal != nil {
+		if refusal := lt.controller.admissionRefusal(&spec, types, lt.teamQuotas.teamQuota(spec.Team)); refusal != nil {
 			got = refusal.Status
 		}
 		if got != tt.want {
 			t.Errorf("%s: refusal status %d, want %d", tt.name, got, tt.want)
 		}
-		if refusal := lt.controller.admissionRefusal(&spec, nil, lt.teamQuotas.find(spec.Team)); spec.Team != "green" && (refusal == nil || refusal.Status != 503) {
+		if refusal := lt.controller.admissionRefusal(&spec, nil, lt.teamQuotas.teamQuota(spec.Team)); spec.Team != "green" && (refusal == nil || refusal.Status != 503) {
 			t.Errorf("%s, without a price list: refusal %v, want status 503", tt.name, refusal)
 		}
 	}
--- a/internal/control/machine_scale_in.go
+++ b/internal/control/machine_scale_in.go
@@ -160,10 +160,10 @@
 	mp.releasedNames[machine.Name] = true
 	mp.planner.removeMachine(machine)
 	mp.reservationHolds.machineRemoved(machine)
-	mp.shards.remove(machine)
+	mp.shards.removeMachine(machine)
 	delete(mp.noticeLogged, machine)
 	delete(mp.unlisted, machine)
-	if mp.registry.removeHost(machine) {
+	if mp.registry.removeMachine(machine) {
 		mp.fleet.ReleaseIndex(machine.Index)
 	}
 }
--- a/internal/control/tasks_heartbeats.go
+++ b/internal/control/tasks_heartbeats.go
@@ -44,7 +44,7 @@
 	tt.observeSlots(machine, now)
 	tt.applyEvents(result.Events, now)
 	if machine.Fenced && !machine.Registered && machine.Described && machine.Addr != "" && !machine.Lost && !machine.Releasing {
-		tt.registry.addHost(machine, tt.nameIndex.machineTypes()[machine.Type].Name, tt.nameIndex.zoneNames()[machine.Zone])
+		tt.registry.addMachine(machine, tt.nameIndex.machineTypes()[machine.Type].Name, tt.nameIndex.zoneNames()[machine.Zone])
 	}
 	if result.Fresh && !machine.ReclaimAt.IsZero() {
 		tt.machinePool.handleSpotNotice(machine, now)
