--- a/internal/control/calendar_drains.go
+++ b/internal/control/calendar_drains.go
@@ -112,8 +112,8 @@
 	return md.windowOf[h]
 }
 
-// staysUp reports whether a machine is free of maintenance for a span.
-func (md *maintenanceDrains) staysUp(h *fleet.Machine, s calendar.Span) bool {
+// freeOfMaintenance reports whether a machine is free of maintenance for a span.
+func (md *maintenanceDrains) freeOfMaintenance(h *fleet.Machine, s calendar.Span) bool {
 	w := md.nextWindow(h, time.Now())
 	return w == nil || !w.Span().Overlaps(s)
 }
--- a/internal/control/calendar_holds_machines.go
+++ b/internal/control/calendar_holds_machines.go
@@ -85,7 +85,7 @@
 
 // canServe reports whether a machine can serve an occurrence to its end.
 func (rh *reservationHolds) canServe(h *fleet.Machine, hold *occurrenceHold) bool {
-	return h.Usable() && (hold.spot || !h.Spot) && rh.maintenanceDrains.staysUp(h, hold.span)
+	return h.Usable() && (hold.spot || !h.Spot) && rh.maintenanceDrains.freeOfMaintenance(h, hold.span)
 }
 
 // fillAllocations holds machines until each allocation is complete, those that are free
