--- a/internal/control/calendar_drains.go
+++ b/internal/control/calendar_drains.go
@@ -229,13 +229,13 @@
 	case left <= 0:
 		md.evict(s, 0, w)
 	case !md.atRisk[s]:
-		md.warn(s, w, left)
+		md.warnAtRisk(s, w, left)
 	}
 }
 
-// warn logs that maintenance may stop a task in left seconds, and sets the notice in the
+// warnAtRisk logs that maintenance may stop a task in left seconds, and sets the notice in the
 // status of its job.
-func (md *maintenanceDrains) warn(s *fleet.Slot, w *calendar.PlannedWindow, left float64) {
+func (md *maintenanceDrains) warnAtRisk(s *fleet.Slot, w *calendar.PlannedWindow, left float64) {
 	md.atRisk[s] = true
 	task, host := job.TaskName(s.Job.ID, s.Task), s.Machine.Name
 	start := time.UnixMilli(w.Span().From).UTC().Format(time.RFC3339)
