--- a/internal/control/calendar_drains.go
+++ b/internal/control/calendar_drains.go
@@ -193,7 +193,7 @@
 		return
 	}
 	md.loggedStates[name] = s.State
-	md.addMachines(&s, w)
+	md.addMachineStatus(&s, w)
 	md.log.Info("maintenance window state", "window", name, "state", s.State, "machines", s.Machines, "busy_machines", s.Busy, "late_tasks", len(s.Late))
 }
 
@@ -276,9 +276,9 @@
 // maxListedTasks bounds the tasks that a status names.
 const maxListedTasks = 20
 
-// addMachines completes the status of a window: how many machines it takes, how many of
+// addMachineStatus completes the status of a window: how many machines it takes, how many of
 // them are busy, and the tasks that it may cut off.
-func (md *maintenanceDrains) addMachines(status *calendar.WindowStatus, w *calendar.PlannedWindow) {
+func (md *maintenanceDrains) addMachineStatus(status *calendar.WindowStatus, w *calendar.PlannedWindow) {
 	for _, h := range md.fleet.All() {
 		if h.Releasing || !md.covers(w.Window, h) {
 			continue
--- a/internal/control/calendar_requests.go
+++ b/internal/control/calendar_requests.go
@@ -118,7 +118,7 @@
 func (cs *calendarStore) windowStatus(name string) calendar.WindowStatus {
 	w := cs.calendar.Windows()[name]
 	s := calendar.NewWindowStatus(w, cs.timeOfDay(time.Now()))
-	cs.maintenanceDrains.addMachines(&s, w)
+	cs.maintenanceDrains.addMachineStatus(&s, w)
 	return s
 }
 
@@ -280,7 +280,7 @@
 		cs.addBooking(txn.records[b.Name], b, version)
 	}
 	s := plan.Status(timeOfDay)
-	cs.maintenanceDrains.addMachines(&s, w)
+	cs.maintenanceDrains.addMachineStatus(&s, w)
 	cs.log.Info("maintenance window accepted", "window", w.Name, "start", time.UnixMilli(w.Span().From).UTC(), "machines", s.Machines,
 		"moved_reservations", strings.Join(s.Moved, " "), "retired_reservations", strings.Join(s.Retired, " "))
 	return s
