--- a/internal/control/calendar_holds.go
+++ b/internal/control/calendar_holds.go
@@ -86,7 +86,7 @@
 	upcoming := rh.calendarStore.upcomingOccurrences(now, rh.holdLeadTime)
 	for name, hold := range rh.holds {
 		if o, ok := upcoming[name]; !ok || o.span != hold.span {
-			rh.drop(hold)
+			rh.deleteHold(hold)
 		}
 	}
 	defer func() { rh.controller.Meter.Set(metrics.ReservedMachines, len(rh.holdOf)) }()
@@ -123,8 +123,8 @@
 	}
 }
 
-// drop releases a hold's machines and forgets it.
-func (rh *reservationHolds) drop(hold *occurrenceHold) {
+// deleteHold releases a hold's machines and forgets it.
+func (rh *reservationHolds) deleteHold(hold *occurrenceHold) {
 	rh.release(hold)
 	delete(rh.holds, hold.reservation)
 }
