--- a/internal/control/calendar_holds.go
+++ b/internal/control/calendar_holds.go
@@ -115,7 +115,7 @@
 	hold.claimer = o.claimer
 	rh.noteStart(hold, now)
 	if o.decided && hold.claimer == nil {
-		rh.release(hold) // its job has ended
+		rh.releaseMachines(hold) // its job has ended
 		return
 	}
 	if rh.controller.Tuning.Calendar.Hold {
@@ -125,12 +125,12 @@
 
 // deleteHold releases a hold's machines and forgets it.
 func (rh *reservationHolds) deleteHold(hold *occurrenceHold) {
-	rh.release(hold)
+	rh.releaseMachines(hold)
 	delete(rh.holds, hold.reservation)
 }
 
-// release gives up the machines of a hold.
-func (rh *reservationHolds) release(hold *occurrenceHold) {
+// releaseMachines gives up the machines of a hold.
+func (rh *reservationHolds) releaseMachines(hold *occurrenceHold) {
 	for h := range hold.hosts {
 		delete(rh.holdOf, h)
 	}
--- a/internal/control/calendar_holds_machines.go
+++ b/internal/control/calendar_holds_machines.go
@@ -31,7 +31,7 @@
 		relocation = rh.relocate(hold, short, now)
 	}
 	if relocation == relocated {
-		rh.release(hold)
+		rh.releaseMachines(hold)
 		short = rh.fillAllocations(hold, untilStart, now)
 	}
 	// Some time after the start a complete hold no longer answers for what its claimer needs.
