--- a/internal/control/calendar_holds.go
+++ b/internal/control/calendar_holds.go
@@ -140,8 +140,8 @@
 	clear(hold.hosts)
 }
 
-// add holds a machine.
-func (rh *reservationHolds) add(hold *occurrenceHold, h *fleet.Machine) {
+// addMachine holds a machine.
+func (rh *reservationHolds) addMachine(hold *occurrenceHold, h *fleet.Machine) {
 	hold.hosts[h] = true
 	rh.holdOf[h] = hold
 }
--- a/internal/control/calendar_holds_machines.go
+++ b/internal/control/calendar_holds_machines.go
@@ -73,7 +73,7 @@
 		}
 	}
 	for h := range running {
-		rh.add(hold, h)
+		rh.addMachine(hold, h)
 	}
 }
 
@@ -95,7 +95,7 @@
 		held, candidates := rh.candidates(hold, a, untilStart, now)
 		missing := a.Machines - held
 		for _, c := range candidates[:min(max(0, missing), len(candidates))] {
-			rh.add(hold, c.host)
+			rh.addMachine(hold, c.host)
 			missing--
 			rh.requestPlan()
 		}
