--- a/internal/control/calendar_holds.go
+++ b/internal/control/calendar_holds.go
@@ -146,8 +146,8 @@
 	rh.holdOf[h] = hold
 }
 
-// remove gives up one machine of a hold.
-func (rh *reservationHolds) remove(hold *occurrenceHold, h *fleet.Machine) {
+// removeMachine gives up one machine of a hold.
+func (rh *reservationHolds) removeMachine(hold *occurrenceHold, h *fleet.Machine) {
 	delete(hold.hosts, h)
 	delete(rh.holdOf, h)
 }
@@ -156,7 +156,7 @@
 func (rh *reservationHolds) machineRemoved(h *fleet.Machine) {
 	delete(rh.provisioned, h)
 	if hold := rh.holdOf[h]; hold != nil {
-		rh.remove(hold, h)
+		rh.removeMachine(hold, h)
 	}
 }
 
--- a/internal/control/calendar_holds_machines.go
+++ b/internal/control/calendar_holds_machines.go
@@ -51,7 +51,7 @@
 	for h := range hold.hosts {
 		allocated := func(a calendar.Allocation) bool { return rh.matches(h, a) }
 		if !rh.canServe(h, hold) || !slices.ContainsFunc(hold.allocations, allocated) {
-			rh.remove(hold, h)
+			rh.removeMachine(hold, h)
 			rh.requestPlan()
 		}
 	}
@@ -68,7 +68,7 @@
 	}
 	for h := range hold.hosts {
 		if !running[h] {
-			rh.remove(hold, h)
+			rh.removeMachine(hold, h)
 			rh.requestPlan()
 		}
 	}
