--- a/internal/control/calendar_holds.go
+++ b/internal/control/calendar_holds.go
@@ -113,7 +113,7 @@
 		rh.holds[name] = hold
 	}
 	hold.claimer = o.claimer
-	rh.noteStart(hold, now)
+	rh.recordStart(hold, now)
 	if o.decided && hold.claimer == nil {
 		rh.releaseMachines(hold) // its job has ended
 		return
@@ -160,8 +160,8 @@
 	}
 }
 
-// noteStart records when all tasks of the claimer were first observed running.
-func (rh *reservationHolds) noteStart(hold *occurrenceHold, now time.Time) {
+// recordStart records when all tasks of the claimer were first observed running.
+func (rh *reservationHolds) recordStart(hold *occurrenceHold, now time.Time) {
 	if hold.claimer != nil && hold.startedJob != hold.claimer.ID && rh.fullyRunning(hold.claimer) {
 		hold.startedJob = hold.claimer.ID
 		hold.startedAt = rh.calendarStore.timeOfDay(now)
