--- a/internal/control/calendar_holds.go
+++ b/internal/control/calendar_holds.go
@@ -46,7 +46,7 @@
 	reservation string
 	span        calendar.Span
 	allocations []calendar.Allocation
-	hosts       map[*fleet.Machine]bool
+	machines    map[*fleet.Machine]bool
 	spot        bool
 	// claimer is the job that claims the occurrence; nil: none yet, or it has ended.
 	claimer *job.Job
@@ -107,7 +107,7 @@
 			reservation: name,
 			span:        o.span,
 			allocations: o.booking.Allocations,
-			hosts:       map[*fleet.Machine]bool{},
+			machines:    map[*fleet.Machine]bool{},
 			spot:        o.booking.Spot,
 		}
 		rh.holds[name] = hold
@@ -131,24 +131,24 @@
 
 // releaseMachines gives up the machines of a hold.
 func (rh *reservationHolds) releaseMachines(hold *occurrenceHold) {
-	for h := range hold.hosts {
+	for h := range hold.machines {
 		delete(rh.holdOf, h)
 	}
-	if len(hold.hosts) > 0 {
+	if len(hold.machines) > 0 {
 		rh.requestPlan()
 	}
-	clear(hold.hosts)
+	clear(hold.machines)
 }
 
 // addMachine holds a machine.
 func (rh *reservationHolds) addMachine(hold *occurrenceHold, h *fleet.Machine) {
-	hold.hosts[h] = true
+	hold.machines[h] = true
 	rh.holdOf[h] = hold
 }
 
 // removeMachine gives up one machine of a hold.
 func (rh *reservationHolds) removeMachine(hold *occurrenceHold, h *fleet.Machine) {
-	delete(hold.hosts, h)
+	delete(hold.machines, h)
 	delete(rh.holdOf, h)
 }
 
@@ -196,7 +196,7 @@
 // heldMachines is the number of machines that are held for a reservation.
 func (rh *reservationHolds) heldMachines(reservation string) int {
 	if hold := rh.holds[reservation]; hold != nil {
-		return len(hold.hosts)
+		return len(hold.machines)
 	}
 	return 0
 }
@@ -250,7 +250,7 @@
 	if hold == nil || hold.claimer != j {
 		return false
 	}
-	for h := range hold.hosts {
+	for h := range hold.machines {
 		if t := rh.nameIndex.machineType(h); t != nil && h.Usable() {
 			n -= freeCapacity(t, h).FitCount(needOf(j))
 		}
--- a/internal/control/calendar_holds_machines.go
+++ b/internal/control/calendar_holds_machines.go
@@ -48,7 +48,7 @@
 // removeUnsuitable gives up machines that cannot serve the occurrence or are of none of
 // its allocations.
 func (rh *reservationHolds) removeUnsuitable(hold *occurrenceHold) {
-	for h := range hold.hosts {
+	for h := range hold.machines {
 		allocated := func(a calendar.Allocation) bool { return rh.matches(h, a) }
 		if !rh.canServe(h, hold) || !slices.ContainsFunc(hold.allocations, allocated) {
 			rh.removeMachine(hold, h)
@@ -66,7 +66,7 @@
 			running[s.Machine] = true
 		}
 	}
-	for h := range hold.hosts {
+	for h := range hold.machines {
 		if !running[h] {
 			rh.removeMachine(hold, h)
 			rh.requestPlan()
