--- a/internal/control/calendar_claims.go
+++ b/internal/control/calendar_claims.go
@@ -40,7 +40,7 @@
 		return errOtherTeam
 	case j.Tasks > b.Parts:
 		return claimError(fmt.Sprintf("has %d parts", b.Parts))
-	case !b.PartSize().Fits(needOf(j)):
+	case !b.PartSize().Fits(taskRequirements(j)):
 		return errPartsTooSmall
 	}
 	return nil
--- a/internal/control/calendar_holds.go
+++ b/internal/control/calendar_holds.go
@@ -252,14 +252,14 @@
 	}
 	for h := range hold.machines {
 		if t := rh.nameIndex.machineType(h); t != nil && h.Usable() {
-			n -= freeCapacity(t, h).FitCount(needOf(j))
+			n -= freeCapacity(t, h).FitCount(taskRequirements(j))
 		}
 	}
 	return n <= 0
 }
 
-// needOf is the resource requirement of one task of a job.
-func needOf(j *job.Job) place.Resources {
+// taskRequirements is the resource requirement of one task of a job.
+func taskRequirements(j *job.Job) place.Resources {
 	return place.Resources{CPUs: j.CPUs, GPUs: j.GPUs, MemGB: j.MemGB}
 }
 
--- a/internal/control/planner_demands.go
+++ b/internal/control/planner_demands.go
@@ -65,7 +65,7 @@
 		Shape:        j.Shape,
 		Priority:     j.Priority,
 		Team:         j.TeamIdx,
-		Need:         needOf(j),
+		Need:         taskRequirements(j),
 		AllowedTypes: j.TypeAllowed,
 		Zone:         j.ZoneIdx,
 		OneZone:      j.OneZone,
--- a/internal/control/planner_input.go
+++ b/internal/control/planner_input.go
@@ -175,7 +175,7 @@
 	}
 	if r, ok := p.reservations[h]; ok {
 		m.ReservedFor = p.jobTable.index(r.job)
-		m.Reserved = needOf(r.job)
+		m.Reserved = taskRequirements(r.job)
 		m.AwaitsCompletion = r.awaitsCompletion
 	}
 	p.reservationHolds.annotate(&m, h, p.now)
--- a/internal/control/planner_victims.go
+++ b/internal/control/planner_victims.go
@@ -27,7 +27,7 @@
 			ID:             len(p.slots),
 			Priority:       s.Job.Priority,
 			Team:           s.Job.TeamIdx,
-			Need:           needOf(s.Job),
+			Need:           taskRequirements(s.Job),
 			Released:       releasedWith(s.Job),
 			LossCPUSeconds: preemptionLoss(s, p.now),
 			RemainingS:     remainingSeconds(s, p.now),
@@ -39,7 +39,7 @@
 
 // releasedWith returns what is stopped with a task of a job: a gang stops whole.
 func releasedWith(j *job.Job) place.Resources {
-	need := needOf(j)
+	need := taskRequirements(j)
 	if j.Shape != job.Gang {
 		return need
 	}
