--- a/internal/control/calendar_holds_estimates.go
+++ b/internal/control/calendar_holds_estimates.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// maxClasses bounds the job classes whose estimates are judged: users choose their names.
-	maxClasses = 1000
+	// maxJobClasses bounds the job classes whose estimates are judged: users choose their names.
+	maxJobClasses = 1000
 	// defaultOverrunRatio is by how much run times may exceed their estimates until a class
 	// has shown otherwise: estimates are wrong by half or more.
 	defaultOverrunRatio = 2.0
@@ -59,7 +59,7 @@
 	}
 	ratios := rh.runTimeRatios[j.Class]
 	if ratios == nil {
-		if len(rh.runTimeRatios) >= maxClasses {
+		if len(rh.runTimeRatios) >= maxJobClasses {
 			return
 		}
 		ratios = &calendar.Estimator{}
