--- a/internal/control/calendar_holds_estimates.go
+++ b/internal/control/calendar_holds_estimates.go
@@ -19,9 +19,9 @@
 	defaultOverrunRatio = 2.0
 	// minJobsPerClass is how many jobs of a class show how accurate its estimates are.
 	minJobsPerClass = 10
-	// overrunDivisor gives the part of the longest expected run time for which a task that has exceeded
+	// overrunAllowanceDivisor gives the part of the longest expected run time for which a task that has exceeded
 	// it may still go on.
-	overrunDivisor = 5
+	overrunAllowanceDivisor = 5
 	// heartbeatsToEnd and heartbeatsToStart are how many heartbeat intervals pass until the
 	// leader knows that a task has ended, and that a new machine is up.
 	heartbeatsToEnd   = 2
@@ -116,7 +116,7 @@
 	if s.RunningSince.IsZero() {
 		return rh.maxSecondsToEnd(s.Job)
 	}
-	return max(longest/overrunDivisor, longest-now.Sub(s.RunningSince).Seconds())
+	return max(longest/overrunAllowanceDivisor, longest-now.Sub(s.RunningSince).Seconds())
 }
 
 // holdLeadTime is how long before its start machines that are up are held for a
