--- a/internal/control/calendar_drains.go
+++ b/internal/control/calendar_drains.go
@@ -121,7 +121,7 @@
 // returnMargin is how long before the start of its maintenance a machine has to be empty:
 // its worker has to confirm that in a heartbeat.
 func (md *maintenanceDrains) returnMargin() time.Duration {
-	return heartbeatsToEnd*md.heartbeatInterval() + time.Second
+	return heartbeatsToDetectEnd*md.heartbeatInterval() + time.Second
 }
 
 // annotate sets in the planner's view of a machine in how many seconds it leaves for
--- a/internal/control/calendar_holds_estimates.go
+++ b/internal/control/calendar_holds_estimates.go
@@ -22,10 +22,10 @@
 	// overrunAllowanceDivisor gives the part of the longest expected run time for which a task that has exceeded
 	// it may still go on.
 	overrunAllowanceDivisor = 5
-	// heartbeatsToEnd and heartbeatsToStart are how many heartbeat intervals pass until the
+	// heartbeatsToDetectEnd and heartbeatsToStart are how many heartbeat intervals pass until the
 	// leader knows that a task has ended, and that a new machine is up.
-	heartbeatsToEnd   = 2
-	heartbeatsToStart = 3
+	heartbeatsToDetectEnd = 2
+	heartbeatsToStart     = 3
 )
 
 // machineProvisioned notes that a machine's boot can be timed. A machine that was already
@@ -93,7 +93,7 @@
 			fetch = max(fetch, j.ImageGB/rate)
 		}
 	}
-	return fetch + heartbeatsToEnd*rh.heartbeatInterval().Seconds() + rh.maxRunSeconds(j)
+	return fetch + heartbeatsToDetectEnd*rh.heartbeatInterval().Seconds() + rh.maxRunSeconds(j)
 }
 
 // requiredSeconds is for how many seconds a task of the job that is placed now needs its
