--- a/internal/control/calendar_holds_machines.go
+++ b/internal/control/calendar_holds_machines.go
@@ -95,7 +95,7 @@
 		held, candidates := rh.candidates(hold, a, untilStart, now)
 		missing := a.Machines - held
 		for _, c := range candidates[:min(max(0, missing), len(candidates))] {
-			rh.addMachine(hold, c.host)
+			rh.addMachine(hold, c.machine)
 			missing--
 			rh.requestPlan()
 		}
@@ -110,7 +110,7 @@
 // holdCandidate is a machine that could be held, and in how many seconds its work has
 // ended.
 type holdCandidate struct {
-	host        *fleet.Machine
+	machine     *fleet.Machine
 	freeSeconds float64
 }
 
@@ -130,11 +130,11 @@
 			continue
 		}
 		if free := rh.secondsUntilFree(h, hold.claimer, now); free <= max(0, untilStart) {
-			list = append(list, holdCandidate{host: h, freeSeconds: free})
+			list = append(list, holdCandidate{machine: h, freeSeconds: free})
 		}
 	}
 	slices.SortFunc(list, func(a, b holdCandidate) int {
-		return cmp.Or(cmp.Compare(a.freeSeconds, b.freeSeconds), cmp.Compare(a.host.Index, b.host.Index))
+		return cmp.Or(cmp.Compare(a.freeSeconds, b.freeSeconds), cmp.Compare(a.machine.Index, b.machine.Index))
 	})
 	return held, list
 }
