--- a/internal/control/calendar_holds_machines.go
+++ b/internal/control/calendar_holds_machines.go
@@ -151,13 +151,13 @@
 	return free
 }
 
-// relocation is the outcome of the search for other machines.
-type relocation int
+// relocationOutcome is the outcome of the search for other machines.
+type relocationOutcome int
 
 const (
-	relocationNotNeeded  relocation = iota // the missing machines can be provisioned
-	relocated                              // the hold has new allocations
-	relocationImpossible                   // the missing machines cannot be had, and there are no others
+	relocationNotNeeded  relocationOutcome = iota // the missing machines can be provisioned
+	relocated                                     // the hold has new allocations
+	relocationImpossible                          // the missing machines cannot be had, and there are no others
 )
 
 // pool names the machines of one type in one zone.
@@ -165,7 +165,7 @@
 
 // relocate chooses other machines for a hold if those that it lacks cannot be had: their
 // zone is silent, or the cloud has refused them lately.
-func (rh *reservationHolds) relocate(hold *occurrenceHold, short []calendar.Allocation, now time.Time) relocation {
+func (rh *reservationHolds) relocate(hold *occurrenceHold, short []calendar.Allocation, now time.Time) relocationOutcome {
 	silent := rh.silentZones(now)
 	unobtainable := func(typ, zone string) bool {
 		return silent[zone] || !rh.machinePool.offerOpen(typ, zone, hold.spot, now)
