--- a/internal/control/calendar_requests.go
+++ b/internal/control/calendar_requests.go
@@ -135,7 +135,7 @@
 		return
 	}
 	if b := cs.bookings[r.Name]; b != nil {
-		back(cs.repeatedReservation(r, b))
+		back(cs.existingReservationReply(r, b))
 		return
 	}
 	cs.rebuild()
@@ -163,9 +163,9 @@
 	})
 }
 
-// repeatedReservation answers a reservation whose name is taken: the same reservation once
+// existingReservationReply answers a reservation whose name is taken: the same reservation once
 // more is an idempotent request, another one of that name a conflict.
-func (cs *calendarStore) repeatedReservation(r *calendar.Reservation, existing *storedBooking) *rpc.Reply {
+func (cs *calendarStore) existingReservationReply(r *calendar.Reservation, existing *storedBooking) *rpc.Reply {
 	if calendar.SameReservation(r, existing.booking.Reservation) {
 		return reply(http.StatusOK, cs.status(r.Name))
 	}
