--- a/internal/control/calendar_requests.go
+++ b/internal/control/calendar_requests.go
@@ -194,7 +194,7 @@
 		return
 	}
 	if existing := cs.calendar.Windows()[w.Name]; existing != nil {
-		back(cs.repeatedWindow(w, existing))
+		back(cs.existingWindowReply(w, existing))
 		return
 	}
 	cs.rebuild()
@@ -217,9 +217,9 @@
 	})
 }
 
-// repeatedWindow answers a window whose name is taken: the same window once more is an
+// existingWindowReply answers a window whose name is taken: the same window once more is an
 // idempotent request, another one of that name a conflict.
-func (cs *calendarStore) repeatedWindow(w *calendar.Window, existing *calendar.PlannedWindow) *rpc.Reply {
+func (cs *calendarStore) existingWindowReply(w *calendar.Window, existing *calendar.PlannedWindow) *rpc.Reply {
 	if calendar.SameWindow(w, existing.Window) {
 		return reply(http.StatusOK, cs.windowStatus(w.Name))
 	}
