--- a/internal/control/calendar_requests.go
+++ b/internal/control/calendar_requests.go
@@ -179,9 +179,9 @@
 
 const (
 	bytesPerKB = 1024
-	// calendarOps are the operations of a transaction that planning a window needs besides
+	// windowTxnBaseOps are the operations of a transaction that planning a window needs besides
 	// one for each reservation that moves: the window's record and changesKey.
-	calendarOps = 2
+	windowTxnBaseOps = 2
 )
 
 // planWindow accepts and stores a maintenance window, and moves the reservations on its
@@ -250,7 +250,7 @@
 		changed: slices.Concat(plan.Moved, plan.Revoked),
 		records: map[string]*calendar.Record{},
 	}
-	if limit := cs.controller.Settings.Facts.State.TxnOps - calendarOps; len(txn.changed) > limit {
+	if limit := cs.controller.Settings.Facts.State.TxnOps - windowTxnBaseOps; len(txn.changed) > limit {
 		return nil, errorReply(http.StatusConflict, fmt.Sprintf("%d reservations would have to move, and at most %d can at once; plan smaller windows", len(txn.changed), limit))
 	}
 	for _, b := range txn.changed {
