--- a/internal/control/calendar_requests.go
+++ b/internal/control/calendar_requests.go
@@ -213,7 +213,7 @@
 			back(errorReply(http.StatusRequestEntityTooLarge, err.Error()))
 			return
 		}
-		back(reply(http.StatusCreated, cs.windowStored(plan, txn, version, timeOfDay)))
+		back(reply(http.StatusCreated, cs.addStoredWindow(plan, txn, version, timeOfDay)))
 	})
 }
 
@@ -270,9 +270,9 @@
 	return txn, nil
 }
 
-// windowStored adds a stored window to the calendar, with the reservations that it moved,
+// addStoredWindow adds a stored window to the calendar, with the reservations that it moved,
 // and returns its status.
-func (cs *calendarStore) windowStored(plan *calendar.WindowPlan, txn *windowTxn, version uint64, timeOfDay time.Time) calendar.WindowStatus {
+func (cs *calendarStore) addStoredWindow(plan *calendar.WindowPlan, txn *windowTxn, version uint64, timeOfDay time.Time) calendar.WindowStatus {
 	w := plan.Window
 	cs.calendar.AddWindow(w)
 	cs.windows[w.Name] = version
