--- a/internal/control/calendar_store.go
+++ b/internal/control/calendar_store.go
@@ -309,7 +309,7 @@
 			cs.changesVersion = version
 		}
 		then(version, err)
-		cs.changeStored()
+		cs.finishChange()
 	})
 }
 
@@ -329,8 +329,8 @@
 // maxQueuedChanges bounds the queued changes.
 const maxQueuedChanges = 64
 
-// changeStored runs the queued changes after one has been stored or refused.
-func (cs *calendarStore) changeStored() {
+// finishChange runs the queued changes after one has been stored or refused.
+func (cs *calendarStore) finishChange() {
 	cs.storing = false
 	cs.lastStep = time.Time{}
 	cs.requestPlan()
