--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -55,7 +55,7 @@
 // instanceFailure is a failure of a replica's new instance on a machine.
 type instanceFailure struct {
 	replica int32
-	host    string
+	machine string
 }
 
 func newRollouts(co *core) *rollouts {
@@ -191,7 +191,7 @@
 // addFailures moves the new failures into a record, and reports whether it has changed.
 func (s *service) addFailures(rec *rollout.Record) (changed bool) {
 	for _, f := range s.newFailures {
-		changed = rec.AddFailure(f.replica, f.host) || changed
+		changed = rec.AddFailure(f.replica, f.machine) || changed
 	}
 	s.newFailures = nil
 	return changed
