--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -226,7 +226,7 @@
 	}
 	go func() {
 		if version, ok := ro.commitRecord(txn, key, before); ok {
-			ro.enqueueForUser(func() { ro.stored(s, rec, version, responses) })
+			ro.enqueueForUser(func() { ro.recordStored(s, rec, version, responses) })
 		}
 	}()
 }
@@ -251,9 +251,9 @@
 	return 0, false
 }
 
-// stored replaces a service's record by the one that is stored, and answers the operators
+// recordStored replaces a service's record by the one that is recordStored, and answers the operators
 // whose requests it contains.
-func (ro *rollouts) stored(s *service, rec *rollout.Record, version uint64, responses []func()) {
+func (ro *rollouts) recordStored(s *service, rec *rollout.Record, version uint64, responses []func()) {
 	if rec.State != s.rec.State || rec.BatchIndex != s.rec.BatchIndex {
 		ro.log.Info("roll-out progress", "service", rec.Service, "state", rec.State, "batch", rec.BatchIndex+1, "batches", len(rec.Batches), "version", rec.Next, "reason", rec.Reason)
 	}
