--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -152,7 +152,7 @@
 	}
 	ro.lastStep = now
 	for _, s := range ro.services {
-		ro.endCancelled(s)
+		ro.endCancelledVersions(s)
 	}
 	if !ro.takeover.reconciled() {
 		return // what runs where is not known yet: nothing new starts, nothing is stopped
--- a/internal/control/rollout_apply.go
+++ b/internal/control/rollout_apply.go
@@ -44,11 +44,11 @@
 	}
 }
 
-// endCancelled ends the jobs of all versions of a service that its user has cancelled. It
+// endCancelledVersions ends the jobs of all versions of a service that its user has cancelled. It
 // waits neither for the roll-out's record, which an outage of the key-value store holds up,
 // nor until the machines of earlier leaders are reconciled: the tasks have as long to stop
 // as those of any cancelled job.
-func (ro *rollouts) endCancelled(s *service) {
+func (ro *rollouts) endCancelledVersions(s *service) {
 	handle := ro.jobTable.identified(s.rec.Handle)
 	if !jobEnded(handle) {
 		return
