--- a/internal/control/rollout_apply.go
+++ b/internal/control/rollout_apply.go
@@ -37,10 +37,10 @@
 	s.idle = v.Cancelled || next == nil || replaced
 	switch {
 	case v.Cancelled:
-		ro.abortVersion(old, s.rec.Handle)
-		ro.abortVersion(next, s.rec.Handle)
+		ro.cancelVersion(old, s.rec.Handle)
+		ro.cancelVersion(next, s.rec.Handle)
 	case replaced:
-		ro.abortVersion(next, s.rec.Handle)
+		ro.cancelVersion(next, s.rec.Handle)
 	}
 }
 
@@ -59,15 +59,15 @@
 	}
 	for _, id := range []string{s.rec.Current, s.rec.Next} {
 		if j := ro.jobTable.identified(id); !jobEnded(j) {
-			ro.abortVersion(j, s.rec.Handle)
+			ro.cancelVersion(j, s.rec.Handle)
 			j.CancelledAt = since
 		}
 	}
 }
 
-// abortVersion ends the job of a version that is not wanted any more. The handle belongs to
+// cancelVersion ends the job of a version that is not wanted any more. The handle belongs to
 // its user, and stays until they cancel it.
-func (ro *rollouts) abortVersion(j *job.Job, handle string) {
+func (ro *rollouts) cancelVersion(j *job.Job, handle string) {
 	if !jobEnded(j) && j.ID != handle {
 		ro.completions.finish(j, wire.JobCancelled)
 	}
