--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -59,7 +59,7 @@
 }
 
 func newRollouts(co *core) *rollouts {
-	ro := &rollouts{core: co, checker: checker{slots: co.controller.Tuning.Rollouts.MaxChecks}}
+	ro := &rollouts{core: co, checker: checker{availableChecks: co.controller.Tuning.Rollouts.MaxChecks}}
 	ro.reset()
 	return ro
 }
--- a/internal/control/rollout_checks.go
+++ b/internal/control/rollout_checks.go
@@ -17,8 +17,8 @@
 // checker makes the health checks of roll-outs, a bounded number at a time over all
 // services: they must not take the sockets that heartbeats and users need.
 type checker struct {
-	slots     int // checks that may be started now
-	lastCheck map[*fleet.Slot]time.Time
+	availableChecks int // checks that may be started now
+	lastCheck       map[*fleet.Slot]time.Time
 }
 
 const (
@@ -57,7 +57,7 @@
 func (ro *rollouts) checkInstances(j *job.Job, limit int, spec *rollout.Spec, now time.Time) {
 	interval := time.Duration(spec.CheckIntervalS() * float64(time.Second))
 	for s := range ro.fleet.SlotsOf(j) {
-		if limit == 0 || ro.checker.slots == 0 {
+		if limit == 0 || ro.checker.availableChecks == 0 {
 			return
 		}
 		if !s.Active() || s.Phase != wire.TaskRunning || s.Machine.Addr == "" {
@@ -68,7 +68,7 @@
 			continue
 		}
 		ro.checker.lastCheck[s] = now
-		ro.checker.slots--
+		ro.checker.availableChecks--
 		ro.probe(s, spec.Check.Path)
 	}
 }
@@ -108,7 +108,7 @@
 
 // checked records the result of a check. A turn from good to bad counts as a failure.
 func (ro *rollouts) checked(s *fleet.Slot, result wire.ReplicaHealth) {
-	ro.checker.slots++
+	ro.checker.availableChecks++
 	if s.Machine.Slots[s.PlacementKey] != s {
 		delete(ro.checker.lastCheck, s)
 		return
