--- a/internal/control/rollout_checks.go
+++ b/internal/control/rollout_checks.go
@@ -79,7 +79,7 @@
 	target := "http://" + s.Machine.Addr + path + "?" + query.Encode()
 	go func() {
 		result := ro.requestHealth(target)
-		ro.enqueue(func() { ro.checked(s, result) })
+		ro.enqueue(func() { ro.recordCheck(s, result) })
 	}()
 }
 
@@ -106,8 +106,8 @@
 	return wire.HealthBad
 }
 
-// checked records the result of a check. A turn from good to bad counts as a failure.
-func (ro *rollouts) checked(s *fleet.Slot, result wire.ReplicaHealth) {
+// recordCheck records the result of a check. A turn from good to bad counts as a failure.
+func (ro *rollouts) recordCheck(s *fleet.Slot, result wire.ReplicaHealth) {
 	ro.checker.availableChecks++
 	if s.Machine.Slots[s.PlacementKey] != s {
 		delete(ro.checker.lastCheck, s)
