--- a/internal/control/rollout_checks.go
+++ b/internal/control/rollout_checks.go
@@ -24,9 +24,9 @@
 const (
 	// checkTimeout bounds one check.
 	checkTimeout = 2 * time.Second
-	// maxCheckedOld is how many instances of the old version are checked beside the new
+	// maxCheckedOldInstances is how many instances of the old version are checked beside the new
 	// ones: they tell a bad build from a checker that reaches nobody.
-	maxCheckedOld = 3
+	maxCheckedOldInstances = 3
 	// maxLastChecks bounds the instances whose last check is remembered.
 	maxLastChecks = 100_000
 	// maxDrainedBytes is how much of a response's body is read, so that its connection can be
@@ -49,7 +49,7 @@
 		ro.checkInstances(next, math.MaxInt, &s.rec.Spec, now)
 	}
 	if old != nil {
-		ro.checkInstances(old, maxCheckedOld, &s.rec.Spec, now)
+		ro.checkInstances(old, maxCheckedOldInstances, &s.rec.Spec, now)
 	}
 }
 
