--- a/internal/control/rollout_observe.go
+++ b/internal/control/rollout_observe.go
@@ -32,14 +32,14 @@
 	return unavailable
 }
 
-// silentHeartbeats is how many heartbeat intervals a machine may be silent before its
+// maxSilentHeartbeats is how many heartbeat intervals a machine may be silent before its
 // instances count as lost, if that is longer than half of the workers' lease.
-const silentHeartbeats = 2.5
+const maxSilentHeartbeats = 2.5
 
 // silenceLimit is how long a machine may be silent before its instances count as lost.
 func (ro *rollouts) silenceLimit() time.Duration {
 	w := ro.controller.Settings.Facts.Workers
-	return config.Seconds(max(silentHeartbeats*w.ReportS, w.LeaseS/2))
+	return config.Seconds(max(maxSilentHeartbeats*w.ReportS, w.LeaseS/2))
 }
 
 // observe is what is observed of a service.
