--- a/internal/control/rollout_requests.go
+++ b/internal/control/rollout_requests.go
@@ -225,7 +225,7 @@
 				back(refused)
 				return
 			}
-			ro.created(rec, next, stored, back)
+			ro.addCreated(rec, next, stored, back)
 		})
 	}()
 }
@@ -272,8 +272,8 @@
 	return 0, true
 }
 
-// created adds a stored roll-out and the job of its next version, and answers its operator.
-func (ro *rollouts) created(rec *rollout.Record, next *job.Record, version uint64, back func(*rpc.Reply)) {
+// addCreated adds a stored roll-out and the job of its next version, and answers its operator.
+func (ro *rollouts) addCreated(rec *rollout.Record, next *job.Record, version uint64, back func(*rpc.Reply)) {
 	if ro.jobTable.identified(next.Spec.ID) == nil {
 		ro.jobTable.add(next, version, time.Now())
 	}
