--- a/internal/control/rollout_requests.go
+++ b/internal/control/rollout_requests.go
@@ -240,7 +240,7 @@
 		case err == nil:
 			return version, nil
 		case errors.Is(err, state.ErrConflict):
-			stored, answered := ro.storedCreation(key, rec)
+			stored, answered := ro.findStoredCreation(key, rec)
 			switch {
 			case stored != 0:
 				return stored, nil
@@ -258,9 +258,9 @@
 	return 0, nil
 }
 
-// storedCreation is the version of the stored record after a conflict if an earlier attempt
+// findStoredCreation is the version of the stored record after a conflict if an earlier attempt
 // of the same transaction has stored it, else 0. Answered: the key-value store has answered.
-func (ro *rollouts) storedCreation(key string, rec *rollout.Record) (version uint64, answered bool) {
+func (ro *rollouts) findStoredCreation(key string, rec *rollout.Record) (version uint64, answered bool) {
 	entry, err := ro.controller.State.Get(ro.ctx, key)
 	if err != nil {
 		return 0, errors.Is(err, state.ErrNotFound)
