--- a/internal/control/rollout_test.go
+++ b/internal/control/rollout_test.go
@@ -52,9 +52,9 @@
 	return r, now
 }
 
-// TestQuota: what a stored roll-out requires is what may be placed, and nothing new before the
+// TestRolloutReplicaQuota: what a stored roll-out requires is what may be placed, and nothing new before the
 // machines of earlier leaders are reconciled.
-func TestQuota(t *testing.T) {
+func TestRolloutReplicaQuota(t *testing.T) {
 	tests := []struct {
 		name    string
 		settled bool
