--- a/internal/control/calendar_store_test.go
+++ b/internal/control/calendar_store_test.go
@@ -69,9 +69,9 @@
 	return state.Entry{Key: put.Put, Value: put.Value, Version: 1}
 }
 
-// TestClaims: which job has an occurrence, which jobs wait for its start, and which notice the
+// TestClaimsOfOccurrences: which job has an occurrence, which jobs wait for its start, and which notice the
 // others get.
-func TestClaims(t *testing.T) {
+func TestClaimsOfOccurrences(t *testing.T) {
 	type submission struct {
 		team, reservation string
 		tasks             int
