--- a/internal/control/calendar_claims.go
+++ b/internal/control/calendar_claims.go
@@ -28,7 +28,7 @@
 	errUnknownReservation claimError = "does not exist"
 	errOtherTeam          claimError = "is another team's"
 	errPartsTooSmall      claimError = "has smaller parts"
-	errReservationOver    claimError = "is over"
+	errReservationEnded   claimError = "is over"
 	errCapacityRevoked    claimError = "has lost its room to maintenance"
 )
 
@@ -80,7 +80,7 @@
 	span, ok := b.booking.OccurrenceAt(j.SubmittedMS)
 	switch {
 	case !ok:
-		return occurrence{}, errReservationOver
+		return occurrence{}, errReservationEnded
 	case b.booking.Revoked[span.From]:
 		return occurrence{}, errCapacityRevoked
 	}
