--- a/internal/control/calendar_holds_estimates.go
+++ b/internal/control/calendar_holds_estimates.go
@@ -22,10 +22,10 @@
 	// overrunAllowanceDivisor gives the part of the longest expected run time for which a task that has exceeded
 	// it may still go on.
 	overrunAllowanceDivisor = 5
-	// heartbeatsToDetectEnd and heartbeatsToStart are how many heartbeat intervals pass until the
+	// heartbeatsToDetectEnd and heartbeatsToDetectBoot are how many heartbeat intervals pass until the
 	// leader knows that a task has ended, and that a new machine is up.
-	heartbeatsToDetectEnd = 2
-	heartbeatsToStart     = 3
+	heartbeatsToDetectEnd  = 2
+	heartbeatsToDetectBoot = 3
 )
 
 // machineProvisioned notes that a machine's boot can be timed. A machine that was already
@@ -146,5 +146,5 @@
 		}
 		boot = max(boot, bootTime.UpperBound(t.BootS))
 	}
-	return config.Seconds(boot) + heartbeatsToStart*rh.heartbeatInterval() + 2*calendarInterval
+	return config.Seconds(boot) + heartbeatsToDetectBoot*rh.heartbeatInterval() + 2*calendarInterval
 }
