--- a/internal/control/calendar_claims.go
+++ b/internal/control/calendar_claims.go
@@ -10,20 +10,21 @@
 	"vetchstream/internal/state"
 )
 
-// occurrence identifies an occurrence of a reservation by its start, in milliseconds of the
-// time of day.
+// occurrence identifies an occurrence of a reservation by its start, in milliseconds since
+// the Unix epoch.
 type occurrence struct {
 	reservation string
 	start       int64
 }
 
-// claimError says why a job's claim matches no occurrence, as its user is shown it.
+// claimError is the reason why a job's claim matches no occurrence. It is part of the
+// notice in the job's status.
 type claimError string
 
 // Error implements error.
 func (e claimError) Error() string { return string(e) }
 
-// Claims that match no occurrence, whatever the job's size.
+// Reasons with a fixed text.
 const (
 	errUnknownReservation claimError = "does not exist"
 	errOtherTeam          claimError = "is another team's"
@@ -32,142 +33,146 @@
 	errCapacityRevoked    claimError = "has lost its room to maintenance"
 )
 
-// checkClaim returns a claimError unless a reservation is for a job: it is of the job's
-// team, and the job is no larger than its parts.
-func checkClaim(b *calendar.Booking, j *job.Job) error {
+// checkClaim returns a claimError unless the job may use the reservation: both belong to
+// the same team, and the job's tasks fit into the reservation's parts.
+func checkClaim(booking *calendar.Booking, j *job.Job) error {
 	switch {
-	case j.Team != b.Team:
+	case j.Team != booking.Team:
 		return errOtherTeam
-	case j.Tasks > b.Parts:
-		return claimError(fmt.Sprintf("has %d parts", b.Parts))
-	case !b.PartSize().Fits(taskRequirements(j)):
+	case j.Tasks > booking.Parts:
+		return claimError(fmt.Sprintf("has %d parts", booking.Parts))
+	case !booking.PartSize().Fits(taskRequirements(j)):
 		return errPartsTooSmall
 	}
 	return nil
 }
 
-// assignClaims determines which job claims which occurrence: the first that was submitted.
+// assignClaims assigns each occurrence to the job that was submitted first among those that
+// claim it.
 func (cs *calendarStore) assignClaims() {
 	clear(cs.claims)
 	for _, j := range cs.jobTable.all() {
 		if j.Reservation == "" || j.Phase+j.Closing != "" || cs.jobTable.isUnidentified(j) {
 			continue
 		}
-		o, err := cs.claimedOccurrence(j)
+		claimed, err := cs.claimedOccurrence(j)
 		if err != nil {
 			if j.Notice == "" {
 				j.Notice = "reservation " + j.Reservation + " " + err.Error() + ": the job runs without it"
-				cs.log.Info("job cannot use the reservation that it claims", "job", j.ID, "reservation", j.Reservation, "reason", err.Error())
+				cs.log.Info("job cannot use the claimed reservation", "job", j.ID, "reservation", j.Reservation, "reason", err.Error())
 			}
 			continue
 		}
-		if first := cs.claims[o]; first == nil || j.SubmittedMS < first.SubmittedMS || (j.SubmittedMS == first.SubmittedMS && j.ID < first.ID) {
-			cs.claims[o] = j
+		if first := cs.claims[claimed]; first == nil || j.SubmittedMS < first.SubmittedMS || (j.SubmittedMS == first.SubmittedMS && j.ID < first.ID) {
+			cs.claims[claimed] = j
 		}
 	}
 }
 
-// claimedOccurrence is the occurrence that a job claims. A claim that matches none is not
-// an invalid job: it competes like any other, and its user is shown the claimError.
+// claimedOccurrence returns the occurrence that a job claims. A job whose claim matches no
+// occurrence remains valid: it is scheduled like a job without a reservation, and its status
+// shows the claimError.
 func (cs *calendarStore) claimedOccurrence(j *job.Job) (occurrence, error) {
-	b := cs.bookings[j.Reservation]
-	if b == nil {
+	stored := cs.bookings[j.Reservation]
+	if stored == nil {
 		return occurrence{}, errUnknownReservation
 	}
-	if err := checkClaim(b.booking, j); err != nil {
+	if err := checkClaim(stored.booking, j); err != nil {
 		return occurrence{}, err
 	}
-	span, ok := b.booking.OccurrenceAt(j.SubmittedMS)
+	span, ok := stored.booking.OccurrenceAt(j.SubmittedMS)
 	switch {
 	case !ok:
 		return occurrence{}, errReservationEnded
-	case b.booking.Revoked[span.From]:
+	case stored.booking.Revoked[span.From]:
 		return occurrence{}, errCapacityRevoked
 	}
 	return occurrence{j.Reservation, span.From}, nil
 }
 
-// waitsForStart reports whether a job has to wait for the start of the occurrence that it
-// claims.
+// waitsForStart reports whether a job must not be placed yet because the occurrence that it
+// claims has not started.
 func (cs *calendarStore) waitsForStart(j *job.Job, now time.Time) bool {
 	if j.Reservation == "" || !cs.enabled() {
 		return false
 	}
-	o, err := cs.claimedOccurrence(j)
-	if err != nil || (cs.claims[o] != nil && cs.claims[o] != j) {
+	claimed, err := cs.claimedOccurrence(j)
+	if err != nil || (cs.claims[claimed] != nil && cs.claims[claimed] != j) {
 		return false
 	}
-	return cs.timeOfDay(now).UnixMilli() < o.start
+	return cs.timeOfDay(now).UnixMilli() < claimed.start
 }
 
-// upcomingOccurrence is an occurrence that machines are held for.
+// upcomingOccurrence is an occurrence for which machines are held.
 type upcomingOccurrence struct {
 	booking *calendar.Booking
 	span    calendar.Span
-	decided bool     // its outcome is stored
-	claimer *job.Job // nil: none
+	decided bool     // the outcome is stored
+	claimer *job.Job // nil if no job claims the occurrence
 }
 
-// upcomingOccurrences lists the occurrences that machines are held for, by reservation.
-// Lead is how long before its start that begins.
+// upcomingOccurrences returns, by reservation, the occurrences for which machines are held.
+// Lead returns how long before the start of an occurrence its hold begins.
 func (cs *calendarStore) upcomingOccurrences(now time.Time, lead func(*calendar.Booking) time.Duration) map[string]upcomingOccurrence {
 	if cs.upcoming == nil || now.Sub(cs.upcomingAt) >= calendarInterval {
 		cs.upcoming = map[string]upcomingOccurrence{}
 		cs.upcomingAt = now
 		timeOfDay := cs.timeOfDay(now)
-		for name, b := range cs.bookings {
-			if span, decided, ok := b.rec.ActiveOccurrence(b.booking, timeOfDay, lead(b.booking)); ok {
-				cs.upcoming[name] = upcomingOccurrence{booking: b.booking, span: span, decided: decided}
+		for name, stored := range cs.bookings {
+			if span, decided, ok := stored.rec.ActiveOccurrence(stored.booking, timeOfDay, lead(stored.booking)); ok {
+				cs.upcoming[name] = upcomingOccurrence{booking: stored.booking, span: span, decided: decided}
 			}
 		}
 	}
-	for name, o := range cs.upcoming {
-		o.claimer = cs.claims[occurrence{name, o.span.From}]
-		cs.upcoming[name] = o
+	for name, upcoming := range cs.upcoming {
+		upcoming.claimer = cs.claims[occurrence{name, upcoming.span.From}]
+		cs.upcoming[name] = upcoming
 	}
 	return cs.upcoming
 }
 
-// decideOutcome stores the outcome of a reservation's next occurrence once it is clear.
-func (cs *calendarStore) decideOutcome(b *storedBooking, timeOfDay time.Time) {
-	if b.storing || cs.storing || b.rec.NextStart > timeOfDay.UnixMilli() {
+// decideOutcome stores the outcome of a reservation's next occurrence as soon as it can be
+// determined.
+func (cs *calendarStore) decideOutcome(stored *storedBooking, timeOfDay time.Time) {
+	if stored.storing || cs.storing || stored.rec.NextStart > timeOfDay.UnixMilli() {
 		return
 	}
-	f := &cs.controller.Settings.Facts
-	tolerance := calendar.Tolerance(f.Workers.ReportS, f.SkewMs)
-	next, changed := calendar.DecideOutcome(b.rec, b.booking, cs.observeNext(b, timeOfDay), tolerance)
+	facts := &cs.controller.Settings.Facts
+	tolerance := calendar.Tolerance(facts.Workers.ReportS, facts.SkewMs)
+	next, changed := calendar.DecideOutcome(stored.rec, stored.booking, cs.observeNext(stored, timeOfDay), tolerance)
 	if !changed {
 		return
 	}
-	name := b.rec.Spec.Name
+	name := stored.rec.Spec.Name
 	key := bookingPrefix + name
 	put, err := state.Put(key, next)
 	if err != nil {
-		cs.log.Error("reservation cannot be encoded", "reservation", name, "error", err)
+		cs.log.Error("cannot encode reservation record", "reservation", name, "error", err)
 		return
 	}
-	b.storing = true
-	unchanged := []state.Condition{{Key: key, Version: b.version}}
-	cs.commitInBackground(key, b.version, unchanged, []state.Write{put}, func(version uint64, err error) {
-		b.storing = false
+	stored.storing = true
+	unchanged := []state.Condition{{Key: key, Version: stored.version}}
+	cs.commitInBackground(key, stored.version, unchanged, []state.Write{put}, func(version uint64, err error) {
+		stored.storing = false
 		if err != nil {
-			cs.log.Error("outcome of a reservation cannot be stored", "reservation", name, "error", err)
+			cs.log.Error("cannot store reservation outcome", "reservation", name, "error", err)
 			return
 		}
-		o := next.Outcomes[len(next.Outcomes)-1]
-		cs.controller.Meter.Add(metrics.ReservationSlots, string(o.Kind), 1)
-		cs.log.Info("reservation outcome recorded", "reservation", name, "start", time.UnixMilli(o.Start).UTC(), "outcome", o.Kind, "job", o.Job, "late_s", o.LateS)
-		b.rec = next
-		b.version = version
+		outcome := next.Outcomes[len(next.Outcomes)-1]
+		cs.controller.Meter.Add(metrics.ReservationSlots, string(outcome.Kind), 1)
+		cs.log.Info("reservation outcome recorded", "reservation", name, "start", time.UnixMilli(outcome.Start).UTC(), "outcome", outcome.Kind, "job", outcome.Job, "late_s", outcome.LateS)
+		stored.rec = next
+		stored.version = version
 		cs.upcoming = nil
 		cs.requestPlan()
 	})
 }
 
-// observeNext is what is observed of the next occurrence of a reservation.
-func (cs *calendarStore) observeNext(b *storedBooking, timeOfDay time.Time) calendar.Observation {
+// observeNext returns the current observation of a reservation's next occurrence: the job
+// that claims it and when that job started.
+func (cs *calendarStore) observeNext(stored *storedBooking, timeOfDay time.Time) calendar.Observation {
 	observed := calendar.Observation{Now: timeOfDay}
-	next := occurrence{b.rec.Spec.Name, b.rec.NextStart}
+	next := occurrence{stored.rec.Spec.Name, stored.rec.NextStart}
 	if j := cs.claims[next]; j != nil {
 		observed.Claimer = j.ID
 		observed.RunAt = cs.reservationHolds.startTime(next)
