--- a/internal/control/calendar_drains.go
+++ b/internal/control/calendar_drains.go
@@ -12,9 +12,10 @@
 	"vetchstream/internal/wire"
 )
 
-// maintenanceDrains drains machines before their maintenance and returns them at its start.
-// What is to be done follows from the windows and the time of day: a leader that takes over
-// late does what is left of it, and nothing once the window is over.
+// maintenanceDrains drains machines before their maintenance, so that they can be returned
+// when it starts. It derives every action from the windows and the time of day: a leader
+// that takes over within a window performs the remaining actions, and none once the window
+// has ended.
 type maintenanceDrains struct {
 	*core
 	nameIndex        *nameIndex
@@ -23,13 +24,14 @@
 	reservationHolds *reservationHolds
 	taskTracker      *taskTracker
 
-	// windowOf is the first window that is not over of each machine that has one, as of
-	// assignedAt.
+	// windowOf maps each machine with pending maintenance to the earliest window that had
+	// not ended at assignedAt.
 	windowOf   map[*fleet.Machine]*calendar.PlannedWindow
 	assignedAt time.Time
-	// atRisk are tasks that are not expected to end in time and have no checkpoint.
+	// atRisk are the tasks that are not expected to end before the maintenance and cannot
+	// write a checkpoint.
 	atRisk map[*fleet.Slot]bool
-	// loggedStates are the states of the windows that were logged last, by name.
+	// loggedStates are the last logged states of the windows, by name.
 	loggedStates map[string]calendar.WindowState
 }
 
@@ -39,7 +41,7 @@
 	return md
 }
 
-// reset forgets what was derived from the windows.
+// reset discards all state that was derived from the windows.
 func (md *maintenanceDrains) reset() {
 	md.windowOf = map[*fleet.Machine]*calendar.PlannedWindow{}
 	md.assignedAt = time.Time{}
@@ -52,24 +54,24 @@
 	return md.calendarStore.enabled() && md.controller.Tuning.Calendar.Drain
 }
 
-// covers reports whether a machine is serviced in a window.
-func (md *maintenanceDrains) covers(w *calendar.Window, h *fleet.Machine) bool {
-	t := md.nameIndex.machineType(h)
-	return t != nil && h.Zone >= 0 && w.Covers(h.Name, h.Addr, t.Name, md.nameIndex.zoneNames()[h.Zone])
+// covers reports whether a window includes a machine.
+func (md *maintenanceDrains) covers(window *calendar.Window, machine *fleet.Machine) bool {
+	t := md.nameIndex.machineType(machine)
+	return t != nil && machine.Zone >= 0 && window.Covers(machine.Name, machine.Addr, t.Name, md.nameIndex.zoneNames()[machine.Zone])
 }
 
-// machinesByPool counts the machines that a window names, by type and zone; nil for a
-// window that closes whole pools.
-func (md *maintenanceDrains) machinesByPool(w *calendar.Window) []calendar.Allocation {
-	if !w.NamesMachines() {
+// machinesByPool returns the number of machines that a window names, by type and zone. It
+// returns nil for a window that closes whole pools.
+func (md *maintenanceDrains) machinesByPool(window *calendar.Window) []calendar.Allocation {
+	if !window.NamesMachines() {
 		return nil
 	}
 	var pools []calendar.Allocation
-	for _, h := range md.fleet.All() {
-		if h.Releasing || !md.covers(w, h) {
+	for _, machine := range md.fleet.All() {
+		if machine.Releasing || !md.covers(window, machine) {
 			continue
 		}
-		typ, zone := md.nameIndex.machineType(h).Name, md.nameIndex.zoneNames()[h.Zone]
+		typ, zone := md.nameIndex.machineType(machine).Name, md.nameIndex.zoneNames()[machine.Zone]
 		i := slices.IndexFunc(pools, func(a calendar.Allocation) bool { return a.Type == typ && a.Zone == zone })
 		if i < 0 {
 			i = len(pools)
@@ -80,10 +82,10 @@
 	return pools
 }
 
-// windowAssignmentInterval is how often the machines' windows are determined.
+// windowAssignmentInterval is the interval at which windows are assigned to machines.
 const windowAssignmentInterval = time.Second
 
-// assignWindows determines the next window of each machine.
+// assignWindows assigns each machine its next window.
 func (md *maintenanceDrains) assignWindows(now time.Time) {
 	if now.Sub(md.assignedAt) < windowAssignmentInterval {
 		return
@@ -91,161 +93,163 @@
 	md.assignedAt = now
 	clear(md.windowOf)
 	timeOfDay := md.calendarStore.timeOfDay(now).UnixMilli()
-	for _, w := range md.calendarStore.windowsByName() {
-		if w.Span().To <= timeOfDay {
+	for _, window := range md.calendarStore.windowsByName() {
+		if window.Span().To <= timeOfDay {
 			continue
 		}
-		for _, h := range md.fleet.All() {
-			if first := md.windowOf[h]; (first == nil || w.Span().From < first.Span().From) && md.covers(w.Window, h) {
-				md.windowOf[h] = w
+		for _, machine := range md.fleet.All() {
+			if first := md.windowOf[machine]; (first == nil || window.Span().From < first.Span().From) && md.covers(window.Window, machine) {
+				md.windowOf[machine] = window
 			}
 		}
 	}
 }
 
-// nextWindow is a machine's next window; nil: it has none.
-func (md *maintenanceDrains) nextWindow(h *fleet.Machine, now time.Time) *calendar.PlannedWindow {
+// nextWindow returns a machine's next window, or nil if there is none.
+func (md *maintenanceDrains) nextWindow(machine *fleet.Machine, now time.Time) *calendar.PlannedWindow {
 	if !md.enabled() || !md.calendarStore.hasWindows() {
 		return nil
 	}
 	md.assignWindows(now)
-	return md.windowOf[h]
+	return md.windowOf[machine]
 }
 
-// freeOfMaintenance reports whether a machine is free of maintenance for a span.
-func (md *maintenanceDrains) freeOfMaintenance(h *fleet.Machine, s calendar.Span) bool {
-	w := md.nextWindow(h, time.Now())
-	return w == nil || !w.Span().Overlaps(s)
+// freeOfMaintenance reports whether a machine's next window does not overlap a span.
+func (md *maintenanceDrains) freeOfMaintenance(machine *fleet.Machine, span calendar.Span) bool {
+	window := md.nextWindow(machine, time.Now())
+	return window == nil || !window.Span().Overlaps(span)
 }
 
-// returnMargin is how long before the start of its maintenance a machine has to be empty:
-// its worker has to confirm that in a heartbeat.
+// returnMargin is how long before the start of its maintenance a machine must be empty. The
+// leader learns from the worker's heartbeats that the last task has ended.
 func (md *maintenanceDrains) returnMargin() time.Duration {
 	return heartbeatsToDetectEnd*md.heartbeatInterval() + time.Second
 }
 
-// annotate sets in the planner's view of a machine in how many seconds it leaves for
-// maintenance, and whether it is being drained.
-func (md *maintenanceDrains) annotate(m *place.Machine, h *fleet.Machine, now time.Time) {
-	w := md.nextWindow(h, now)
-	if w == nil {
+// annotate sets the maintenance fields in the planner's view of a machine: whether
+// maintenance is due, in how many seconds the machine must be empty, and whether it is being
+// drained.
+func (md *maintenanceDrains) annotate(view *place.Machine, machine *fleet.Machine, now time.Time) {
+	window := md.nextWindow(machine, now)
+	if window == nil {
 		return
 	}
 	timeOfDay := md.calendarStore.timeOfDay(now)
-	m.MaintenanceDue = true
-	m.MaintenanceInS = md.secondsToReturn(w, timeOfDay)
-	m.Draining = timeOfDay.UnixMilli() >= w.DrainAt()
+	view.MaintenanceDue = true
+	view.MaintenanceInS = md.secondsToReturn(window, timeOfDay)
+	view.Draining = timeOfDay.UnixMilli() >= window.DrainAt()
 }
 
-// secondsToReturn is in how many seconds the machines of a window have to be empty.
-func (md *maintenanceDrains) secondsToReturn(w *calendar.PlannedWindow, timeOfDay time.Time) float64 {
-	return time.UnixMilli(w.Span().From).Add(-md.returnMargin()).Sub(timeOfDay).Seconds()
+// secondsToReturn returns the seconds until the machines of a window must be empty.
+func (md *maintenanceDrains) secondsToReturn(window *calendar.PlannedWindow, timeOfDay time.Time) float64 {
+	return time.UnixMilli(window.Span().From).Add(-md.returnMargin()).Sub(timeOfDay).Seconds()
 }
 
-// poolClosed reports whether new machines of a type in a zone would have to be returned at
-// once, since a window closes all of them.
+// poolClosed reports whether an active window closes all machines of a type in a zone. A new
+// machine would have to be returned at once.
 func (md *maintenanceDrains) poolClosed(typ, zone string, now time.Time) bool {
 	if !md.enabled() {
 		return false
 	}
 	timeOfDay := md.calendarStore.timeOfDay(now).UnixMilli()
-	for _, w := range md.calendarStore.windowsByName() {
-		if w.ClosesPool(typ, zone) && timeOfDay >= w.DrainAt() && timeOfDay < w.Span().To {
+	for _, window := range md.calendarStore.windowsByName() {
+		if window.ClosesPool(typ, zone) && timeOfDay >= window.DrainAt() && timeOfDay < window.Span().To {
 			return true
 		}
 	}
 	return false
 }
 
-// started reports whether a machine's maintenance has begun.
-func (md *maintenanceDrains) started(h *fleet.Machine, now time.Time) bool {
-	w := md.nextWindow(h, now)
-	return w != nil && md.calendarStore.timeOfDay(now).UnixMilli() >= w.Span().From
+// started reports whether a machine's maintenance has started.
+func (md *maintenanceDrains) started(machine *fleet.Machine, now time.Time) bool {
+	window := md.nextWindow(machine, now)
+	return window != nil && md.calendarStore.timeOfDay(now).UnixMilli() >= window.Span().From
 }
 
-// step evicts what can go on elsewhere, and finally stops what has not ended.
+// step evicts tasks that can continue on other machines, and stops the remaining ones before
+// the maintenance starts.
 func (md *maintenanceDrains) step(now time.Time) {
 	if !md.enabled() || !md.calendarStore.hasWindows() {
 		return
 	}
 	md.assignWindows(now)
 	timeOfDay := md.calendarStore.timeOfDay(now)
-	for s := range md.atRisk {
-		if !s.Active() || s.Stopping || md.windowOf[s.Machine] == nil {
-			delete(md.atRisk, s)
-			s.Job.Notice = ""
+	for slot := range md.atRisk {
+		if !slot.Active() || slot.Stopping || md.windowOf[slot.Machine] == nil {
+			delete(md.atRisk, slot)
+			slot.Job.Notice = ""
 		}
 	}
-	for h, w := range md.windowOf {
-		if timeOfDay.UnixMilli() >= w.DrainAt() && !h.Lost {
-			md.drainMachine(h, w, timeOfDay, now)
+	for machine, window := range md.windowOf {
+		if timeOfDay.UnixMilli() >= window.DrainAt() && !machine.Lost {
+			md.drainMachine(machine, window, timeOfDay, now)
 		}
 	}
-	for name, w := range md.calendarStore.windowsByName() {
-		md.logState(name, w, timeOfDay)
+	for name, window := range md.calendarStore.windowsByName() {
+		md.logState(name, window, timeOfDay)
 	}
 }
 
 // logState logs the state of a window if it has changed since it was last logged.
-func (md *maintenanceDrains) logState(name string, w *calendar.PlannedWindow, timeOfDay time.Time) {
-	s := calendar.NewWindowStatus(w, timeOfDay)
-	if s.State == calendar.WindowPlanned || md.loggedStates[name] == s.State {
+func (md *maintenanceDrains) logState(name string, window *calendar.PlannedWindow, timeOfDay time.Time) {
+	status := calendar.NewWindowStatus(window, timeOfDay)
+	if status.State == calendar.WindowPlanned || md.loggedStates[name] == status.State {
 		return
 	}
-	md.loggedStates[name] = s.State
-	md.addMachineStatus(&s, w)
-	md.log.Info("maintenance window state", "window", name, "state", s.State, "machines", s.Machines, "busy_machines", s.Busy, "late_tasks", len(s.Late))
+	md.loggedStates[name] = status.State
+	md.addMachineStatus(&status, window)
+	md.log.Info("maintenance window changed state", "window", name, "state", status.State, "machines", status.Machines, "busy_machines", status.Busy, "late_tasks", len(status.Late))
 }
 
-// drainMachine lets a machine's tasks end, evicts them or stops them, as the time that is
-// left demands.
-func (md *maintenanceDrains) drainMachine(h *fleet.Machine, w *calendar.PlannedWindow, timeOfDay, now time.Time) {
-	left := md.secondsToReturn(w, timeOfDay)
-	for _, s := range h.Slots {
-		if !s.Active() || s.Stopping {
+// drainMachine lets a machine's tasks run to their end, or evicts or stops them, depending
+// on the remaining time.
+func (md *maintenanceDrains) drainMachine(machine *fleet.Machine, window *calendar.PlannedWindow, timeOfDay, now time.Time) {
+	left := md.secondsToReturn(window, timeOfDay)
+	for _, slot := range machine.Slots {
+		if !slot.Active() || slot.Stopping {
 			continue
 		}
-		if !s.LaunchSent {
-			md.taskTracker.applyEvents(md.taskTracker.fleet.Stop(s, 0), now)
+		if !slot.LaunchSent {
+			md.taskTracker.applyEvents(md.taskTracker.fleet.Stop(slot, 0), now)
 			continue
 		}
-		md.drainTask(s, w, left, now)
+		md.drainTask(slot, window, left, now)
 	}
 }
 
-// drainTask decides about one task of a machine that has to be empty in left seconds.
-func (md *maintenanceDrains) drainTask(s *fleet.Slot, w *calendar.PlannedWindow, left float64, now time.Time) {
-	grace := saveGrace(s.Job)
+// drainTask drains one task of a machine that must be empty in left seconds.
+func (md *maintenanceDrains) drainTask(slot *fleet.Slot, window *calendar.PlannedWindow, left float64, now time.Time) {
+	grace := saveGrace(slot.Job)
 	switch {
-	case s.Job.Shape == job.Service:
-		// One replica of a service at a time, so that the others continue to serve.
-		if left <= grace+md.returnMargin().Seconds() || md.servingReplicas(s.Job) >= desiredReplicas(s.Job) {
-			md.evict(s, grace, w)
+	case slot.Job.Shape == job.Service:
+		// Replicas are evicted one at a time, so that the others continue to serve.
+		if left <= grace+md.returnMargin().Seconds() || md.servingReplicas(slot.Job) >= desiredReplicas(slot.Job) {
+			md.evict(slot, grace, window)
 		}
-	case md.reservationHolds.maxRemainingSeconds(s, now) <= left:
-		// It ends in time.
+	case md.reservationHolds.maxRemainingSeconds(slot, now) <= left:
+		// The task ends in time.
 	case grace > 0:
-		md.evict(s, grace, w) // early: it goes on elsewhere from its checkpoint
+		md.evict(slot, grace, window) // the task resumes on another machine from its checkpoint
 	case left <= 0:
-		md.evict(s, 0, w)
-	case !md.atRisk[s]:
-		md.warnAtRisk(s, w, left)
+		md.evict(slot, 0, window)
+	case !md.atRisk[slot]:
+		md.warnAtRisk(slot, window, left)
 	}
 }
 
-// warnAtRisk logs that maintenance may stop a task in left seconds, and sets the notice in the
-// status of its job.
-func (md *maintenanceDrains) warnAtRisk(s *fleet.Slot, w *calendar.PlannedWindow, left float64) {
-	md.atRisk[s] = true
-	task, host := job.TaskName(s.Job.ID, s.Task), s.Machine.Name
-	start := time.UnixMilli(w.Span().From).UTC().Format(time.RFC3339)
-	s.Job.Notice = "maintenance of " + host + " at " + start + " may stop " + task
-	md.log.Info("maintenance may stop a task", "task", task, "machine", host, "window", w.Name, "remaining_s", left)
+// warnAtRisk logs that maintenance may stop a task in left seconds, and sets the notice in
+// the status of its job.
+func (md *maintenanceDrains) warnAtRisk(slot *fleet.Slot, window *calendar.PlannedWindow, left float64) {
+	md.atRisk[slot] = true
+	task, machine := job.TaskName(slot.Job.ID, slot.Task), slot.Machine.Name
+	start := time.UnixMilli(window.Span().From).UTC().Format(time.RFC3339)
+	slot.Job.Notice = "maintenance of " + machine + " at " + start + " may stop " + task
+	md.log.Info("maintenance may stop task before it ends", "task", task, "machine", machine, "window", window.Name, "remaining_s", left)
 }
 
-// servingReplicas counts the replicas that run and are not being stopped. Those that are
-// being stopped run until their worker confirms the stop: if they were counted, all replicas
-// on a machine would be evicted at once.
+// servingReplicas returns the number of replicas that run and are not being stopped. A
+// replica that is being stopped stays in phase running until its worker confirms the stop;
+// if it were counted, all replicas on a machine would be evicted at once.
 func (md *maintenanceDrains) servingReplicas(j *job.Job) (n int) {
 	for s := range md.fleet.SlotsOf(j) {
 		if s.Phase == wire.TaskRunning && !s.Stopping {
@@ -255,7 +259,7 @@
 	return n
 }
 
-// desiredReplicas is how many replicas of a service should run.
+// desiredReplicas returns how many replicas of a service should run.
 func desiredReplicas(j *job.Job) int {
 	n := 0
 	for t := range int32(j.Tasks) {
@@ -266,30 +270,31 @@
 	return n
 }
 
-// evict stops a task for maintenance; it has grace seconds to write a checkpoint.
-func (md *maintenanceDrains) evict(s *fleet.Slot, grace float64, w *calendar.PlannedWindow) {
-	md.log.Info("evicting a task for maintenance", "task", job.TaskName(s.Job.ID, s.Task), "machine", s.Machine.Name, "window", w.Name, "grace_s", grace)
+// evict stops a task because of maintenance. The task has grace seconds to write a
+// checkpoint.
+func (md *maintenanceDrains) evict(slot *fleet.Slot, grace float64, window *calendar.PlannedWindow) {
+	md.log.Info("evicting task for maintenance", "task", job.TaskName(slot.Job.ID, slot.Task), "machine", slot.Machine.Name, "window", window.Name, "grace_s", grace)
 	md.controller.Meter.Add(metrics.MaintenanceMoves, "", 1)
-	md.taskTracker.stopSlot(s, grace)
+	md.taskTracker.stopSlot(slot, grace)
 }
 
-// maxListedTasks bounds the tasks that a status names.
+// maxListedTasks bounds the tasks that are listed in a window's status.
 const maxListedTasks = 20
 
-// addMachineStatus completes the status of a window: how many machines it takes, how many of
-// them are busy, and the tasks that it may cut off.
-func (md *maintenanceDrains) addMachineStatus(status *calendar.WindowStatus, w *calendar.PlannedWindow) {
-	for _, h := range md.fleet.All() {
-		if h.Releasing || !md.covers(w.Window, h) {
+// addMachineStatus adds to the status of a window the number of its machines, the number of
+// busy ones, and the tasks that the maintenance may stop.
+func (md *maintenanceDrains) addMachineStatus(status *calendar.WindowStatus, window *calendar.PlannedWindow) {
+	for _, machine := range md.fleet.All() {
+		if machine.Releasing || !md.covers(window.Window, machine) {
 			continue
 		}
 		status.Machines++
-		if h.Busy() {
+		if machine.Busy() {
 			status.Busy++
 		}
-		for _, s := range h.Slots {
-			if md.atRisk[s] && len(status.Late) < maxListedTasks {
-				status.Late = append(status.Late, job.TaskName(s.Job.ID, s.Task))
+		for _, slot := range machine.Slots {
+			if md.atRisk[slot] && len(status.Late) < maxListedTasks {
+				status.Late = append(status.Late, job.TaskName(slot.Job.ID, slot.Task))
 			}
 		}
 	}
