--- a/internal/control/calendar_holds.go
+++ b/internal/control/calendar_holds.go
@@ -15,10 +15,10 @@
 	"vetchstream/internal/wire"
 )
 
-// reservationHolds collects the capacity of reservations before their start: machines that
-// will be free are held, the others are provisioned ahead by the boot times that were
-// measured in this term. Holds follow from the calendar and from the observed state of the
-// machines, so they are not stored: a successor computes them again.
+// reservationHolds provides the capacity of reservations before they start. It holds
+// machines that will be free in time and provisions the missing ones early enough for the
+// boot times measured in this term. Holds are derived from the calendar and the observed
+// state of the machines, so they are not stored; the next leader computes them again.
 type reservationHolds struct {
 	*core
 	nameIndex         *nameIndex
@@ -33,30 +33,33 @@
 	holdOf map[*fleet.Machine]*occurrenceHold
 	// bootTimes are measured boot times in seconds, by index of the machine type.
 	bootTimes map[int]*calendar.Estimator
-	// provisioned are the machines that were provisioned in this term and are not up yet.
+	// provisioned are the machines that were provisioned in this term and have not booted
+	// yet.
 	provisioned map[*fleet.Machine]bool
-	// runTimeRatios are run times divided by their estimates, by job class.
+	// runTimeRatios are the ratios of run times to their estimates, by job class.
 	runTimeRatios map[string]*calendar.Estimator
-	// requests are the machines that have to be provisioned, as of the last refresh.
+	// requests are the machines to provision, as of the last refresh.
 	requests []autoscale.UnmetDemand
 }
 
-// occurrenceHold is the capacity that is collected for one occurrence of a reservation.
+// occurrenceHold is the capacity that is held for one occurrence of a reservation.
 type occurrenceHold struct {
 	reservation string
 	span        calendar.Span
 	allocations []calendar.Allocation
 	machines    map[*fleet.Machine]bool
 	spot        bool
-	// claimer is the job that claims the occurrence; nil: none yet, or it has ended.
+	// claimer is the job that claims the occurrence. It is nil if there is no such job yet, or
+	// if the job has ended.
 	claimer *job.Job
-	// startedJob is the first claimer that was observed to run with all its tasks, and
-	// startedAt when that was.
+	// startedJob is the ID of the claimer whose tasks were all observed running, and startedAt
+	// the time of day of that observation.
 	startedJob string
 	startedAt  time.Time
-	// provisioning: missing machines are provisioned, and idle ones are not released.
+	// provisioning is set once missing machines are provisioned. From then on, idle machines
+	// of the hold are not released.
 	provisioning bool
-	// covered: what the claimer needs is held or is being provisioned for the occurrence.
+	// covered is set if the capacity that the claimer needs is held or being provisioned.
 	covered bool
 }
 
@@ -66,7 +69,7 @@
 	return rh
 }
 
-// reset forgets all holds and measurements.
+// reset discards all holds and measurements.
 func (rh *reservationHolds) reset() {
 	rh.holds = map[string]*occurrenceHold{}
 	rh.holdOf = map[*fleet.Machine]*occurrenceHold{}
@@ -76,8 +79,7 @@
 	rh.requests = nil
 }
 
-// refresh brings the holds up to date: which there are, which machines are held for
-// them, and which have to be provisioned.
+// refresh updates the holds, the machines that they hold and the machines to provision.
 func (rh *reservationHolds) refresh(now time.Time) {
 	if !rh.calendarStore.enabled() {
 		return
@@ -85,12 +87,13 @@
 	rh.requests = nil
 	upcoming := rh.calendarStore.upcomingOccurrences(now, rh.holdLeadTime)
 	for name, hold := range rh.holds {
-		if o, ok := upcoming[name]; !ok || o.span != hold.span {
+		if current, ok := upcoming[name]; !ok || current.span != hold.span {
 			rh.deleteHold(hold)
 		}
 	}
 	defer func() { rh.controller.Meter.Set(metrics.ReservedMachines, len(rh.holdOf)) }()
-	// The earliest start chooses first, so that two leaders choose alike.
+	// Occurrences choose machines in the order of their starts, so that successive leaders
+	// choose the same machines.
 	order := slices.SortedFunc(maps.Keys(upcoming), func(a, b string) int {
 		return cmp.Or(cmp.Compare(upcoming[a].span.From, upcoming[b].span.From), cmp.Compare(a, b))
 	})
@@ -99,40 +102,40 @@
 	}
 }
 
-// refreshHold brings the hold of one upcoming occurrence up to date.
-func (rh *reservationHolds) refreshHold(name string, o upcomingOccurrence, now time.Time) {
+// refreshHold updates the hold of one upcoming occurrence, or creates it.
+func (rh *reservationHolds) refreshHold(name string, upcoming upcomingOccurrence, now time.Time) {
 	hold := rh.holds[name]
 	if hold == nil {
 		hold = &occurrenceHold{
 			reservation: name,
-			span:        o.span,
-			allocations: o.booking.Allocations,
+			span:        upcoming.span,
+			allocations: upcoming.booking.Allocations,
 			machines:    map[*fleet.Machine]bool{},
-			spot:        o.booking.Spot,
+			spot:        upcoming.booking.Spot,
 		}
 		rh.holds[name] = hold
 	}
-	hold.claimer = o.claimer
+	hold.claimer = upcoming.claimer
 	rh.recordStart(hold, now)
-	if o.decided && hold.claimer == nil {
-		rh.releaseMachines(hold) // its job has ended
+	if upcoming.decided && hold.claimer == nil {
+		rh.releaseMachines(hold) // the claimer has ended, or there was none
 		return
 	}
 	if rh.controller.Tuning.Calendar.Hold {
-		rh.holdMachines(hold, o.booking, now)
+		rh.holdMachines(hold, upcoming.booking, now)
 	}
 }
 
-// deleteHold releases a hold's machines and forgets it.
+// deleteHold releases a hold's machines and deletes the hold.
 func (rh *reservationHolds) deleteHold(hold *occurrenceHold) {
 	rh.releaseMachines(hold)
 	delete(rh.holds, hold.reservation)
 }
 
-// releaseMachines gives up the machines of a hold.
+// releaseMachines releases all machines of a hold.
 func (rh *reservationHolds) releaseMachines(hold *occurrenceHold) {
-	for h := range hold.machines {
-		delete(rh.holdOf, h)
+	for machine := range hold.machines {
+		delete(rh.holdOf, machine)
 	}
 	if len(hold.machines) > 0 {
 		rh.requestPlan()
@@ -140,27 +143,27 @@
 	clear(hold.machines)
 }
 
-// addMachine holds a machine.
-func (rh *reservationHolds) addMachine(hold *occurrenceHold, h *fleet.Machine) {
-	hold.machines[h] = true
-	rh.holdOf[h] = hold
+// addMachine adds a machine to a hold.
+func (rh *reservationHolds) addMachine(hold *occurrenceHold, machine *fleet.Machine) {
+	hold.machines[machine] = true
+	rh.holdOf[machine] = hold
 }
 
-// removeMachine gives up one machine of a hold.
-func (rh *reservationHolds) removeMachine(hold *occurrenceHold, h *fleet.Machine) {
-	delete(hold.machines, h)
-	delete(rh.holdOf, h)
+// removeMachine removes a machine from a hold.
+func (rh *reservationHolds) removeMachine(hold *occurrenceHold, machine *fleet.Machine) {
+	delete(hold.machines, machine)
+	delete(rh.holdOf, machine)
 }
 
-// machineRemoved forgets a machine that has been released.
-func (rh *reservationHolds) machineRemoved(h *fleet.Machine) {
-	delete(rh.provisioned, h)
-	if hold := rh.holdOf[h]; hold != nil {
-		rh.removeMachine(hold, h)
+// machineRemoved discards the state of a machine that was removed from the fleet.
+func (rh *reservationHolds) machineRemoved(machine *fleet.Machine) {
+	delete(rh.provisioned, machine)
+	if hold := rh.holdOf[machine]; hold != nil {
+		rh.removeMachine(hold, machine)
 	}
 }
 
-// recordStart records when all tasks of the claimer were first observed running.
+// recordStart records when all tasks of the claimer are first observed running.
 func (rh *reservationHolds) recordStart(hold *occurrenceHold, now time.Time) {
 	if hold.claimer != nil && hold.startedJob != hold.claimer.ID && rh.fullyRunning(hold.claimer) {
 		hold.startedJob = hold.claimer.ID
@@ -168,14 +171,15 @@
 	}
 }
 
-// fullyRunning reports whether all tasks of a job that have not ended are running.
+// fullyRunning reports whether tasks of a job are running and none waits for a placement. Of
+// a gang, all tasks must be running.
 func (rh *reservationHolds) fullyRunning(j *job.Job) bool {
-	n := rh.jobTable.runningTasks(j)
-	return n > 0 && (j.CountUnplaced() == 0 || j.Complete()) && (j.Shape != job.Gang || n == j.Tasks)
+	running := rh.jobTable.runningTasks(j)
+	return running > 0 && (j.CountUnplaced() == 0 || j.Complete()) && (j.Shape != job.Gang || running == j.Tasks)
 }
 
-// startTime is when all tasks of an occurrence's claimer were first observed running;
-// zero: not yet.
+// startTime returns when all tasks of an occurrence's claimer were first observed running,
+// or the zero time if they were not.
 func (rh *reservationHolds) startTime(o occurrence) time.Time {
 	hold := rh.holds[o.reservation]
 	if hold != nil && hold.span.From == o.start && hold.claimer != nil && hold.startedJob == hold.claimer.ID {
@@ -184,8 +188,8 @@
 	return time.Time{}
 }
 
-// startedJob is the job that was observed running in an occurrence, which may have ended
-// since, and when it started; empty: none.
+// startedJob returns the ID of the job that was observed running in an occurrence, and its
+// start time. The job may have ended since. The ID is empty if there was no such job.
 func (rh *reservationHolds) startedJob(o occurrence) (id string, at time.Time) {
 	if hold := rh.holds[o.reservation]; hold != nil && hold.span.From == o.start && hold.startedJob != "" {
 		return hold.startedJob, hold.startedAt
@@ -193,7 +197,7 @@
 	return "", time.Time{}
 }
 
-// heldMachines is the number of machines that are held for a reservation.
+// heldMachines returns the number of machines that are held for a reservation.
 func (rh *reservationHolds) heldMachines(reservation string) int {
 	if hold := rh.holds[reservation]; hold != nil {
 		return len(hold.machines)
@@ -201,69 +205,69 @@
 	return 0
 }
 
-// providesFor reports whether the hold of a job's occurrence already provides what the
-// job needs: the autoscaler must not provision it a second time.
+// providesFor reports whether a hold already covers a job's capacity, so that the autoscaler
+// must not provision it a second time.
 func (rh *reservationHolds) providesFor(j *job.Job) bool {
 	hold := rh.holds[j.Reservation]
 	return hold != nil && hold.claimer == j && hold.covered
 }
 
-// machineRequests lists what has to be provisioned for the holds. It refreshes them
-// first: a machine that has come up since the last refresh would be provisioned again.
+// machineRequests returns the machines to provision for the holds. It refreshes the holds
+// first; otherwise a machine that booted after the last refresh would be provisioned again.
 func (rh *reservationHolds) machineRequests(now time.Time) []autoscale.UnmetDemand {
 	rh.refresh(now)
 	return rh.requests
 }
 
-// retains reports whether a machine is not to be released although it is idle: it is held
-// for an occurrence that starts soon, or nothing else may run on it.
-func (rh *reservationHolds) retains(h *fleet.Machine) bool {
-	return rh.holdOf[h] != nil && (rh.holdOf[h].provisioning || !rh.controller.Tuning.Calendar.Backfill)
+// retains reports whether a machine must not be released when it is idle. This applies to
+// held machines if their occurrence starts soon or backfilling is switched off.
+func (rh *reservationHolds) retains(machine *fleet.Machine) bool {
+	return rh.holdOf[machine] != nil && (rh.holdOf[machine].provisioning || !rh.controller.Tuning.Calendar.Backfill)
 }
 
-// annotate sets in the planner's view of a machine for which job it is held, and in how
-// many seconds the occurrence starts.
-func (rh *reservationHolds) annotate(m *place.Machine, h *fleet.Machine, now time.Time) {
-	hold := rh.holdOf[h]
+// annotate sets the hold fields in the planner's view of a machine: the job for which it is
+// held, and the seconds until the occurrence starts.
+func (rh *reservationHolds) annotate(view *place.Machine, machine *fleet.Machine, now time.Time) {
+	hold := rh.holdOf[machine]
 	if hold == nil {
 		return
 	}
-	m.HeldFor = place.FutureDemandID
+	view.HeldFor = place.FutureDemandID
 	if hold.claimer != nil {
-		m.HeldFor = rh.jobTable.index(hold.claimer)
+		view.HeldFor = rh.jobTable.index(hold.claimer)
 	}
 	if rh.controller.Tuning.Calendar.Backfill {
-		m.HeldInS = rh.secondsToStart(hold, now)
+		view.HeldInS = rh.secondsToStart(hold, now)
 	}
 }
 
-// secondsToStart is in how many seconds a hold's occurrence starts; negative: it has
-// started.
+// secondsToStart returns the seconds until a hold's occurrence starts. The value is negative
+// once the occurrence has started.
 func (rh *reservationHolds) secondsToStart(hold *occurrenceHold, now time.Time) float64 {
 	return time.UnixMilli(hold.span.From).Sub(rh.calendarStore.timeOfDay(now)).Seconds()
 }
 
-// hasCapacity reports whether the machines that are held for a job have free capacity for
-// n of its tasks now.
-func (rh *reservationHolds) hasCapacity(j *job.Job, n int) bool {
+// hasCapacity reports whether the machines held for a job currently have free capacity for
+// the given number of its tasks.
+func (rh *reservationHolds) hasCapacity(j *job.Job, tasks int) bool {
 	hold := rh.holds[j.Reservation]
 	if hold == nil || hold.claimer != j {
 		return false
 	}
-	for h := range hold.machines {
-		if t := rh.nameIndex.machineType(h); t != nil && h.Usable() {
-			n -= freeCapacity(t, h).FitCount(taskRequirements(j))
+	for machine := range hold.machines {
+		if t := rh.nameIndex.machineType(machine); t != nil && machine.Usable() {
+			tasks -= freeCapacity(t, machine).FitCount(taskRequirements(j))
 		}
 	}
-	return n <= 0
+	return tasks <= 0
 }
 
-// taskRequirements is the resource requirement of one task of a job.
+// taskRequirements returns the resource requirements of one task of a job.
 func taskRequirements(j *job.Job) place.Resources {
 	return place.Resources{CPUs: j.CPUs, GPUs: j.GPUs, MemGB: j.MemGB}
 }
 
-// freeCapacity is what a machine of type t has free.
-func freeCapacity(t *wire.MachineType, h *fleet.Machine) place.Resources {
-	return place.Resources{CPUs: t.CPUs - h.UsedCPUs, GPUs: t.GPUs - h.UsedGPUs, MemGB: t.MemGB - h.UsedMemGB}
+// freeCapacity returns the unused resources of a machine of type t.
+func freeCapacity(t *wire.MachineType, machine *fleet.Machine) place.Resources {
+	return place.Resources{CPUs: t.CPUs - machine.UsedCPUs, GPUs: t.GPUs - machine.UsedGPUs, MemGB: t.MemGB - machine.UsedMemGB}
 }
--- a/internal/control/calendar_holds_estimates.go
+++ b/internal/control/calendar_holds_estimates.go
@@ -12,47 +12,49 @@
 )
 
 const (
-	// maxJobClasses bounds the job classes whose estimates are judged: users choose their names.
+	// maxJobClasses bounds the job classes with recorded run times, since users choose the
+	// names of classes.
 	maxJobClasses = 1000
-	// defaultOverrunRatio is by how much run times may exceed their estimates until a class
-	// has shown otherwise: estimates are wrong by half or more.
+	// defaultOverrunRatio is the assumed upper bound on the ratio of a run time to its
+	// estimate until enough jobs of a class have run. Estimates are wrong by half or more.
 	defaultOverrunRatio = 2.0
-	// minJobsPerClass is how many jobs of a class show how accurate its estimates are.
+	// minJobsPerClass is the number of jobs of a class from which on the measured ratio
+	// replaces the default.
 	minJobsPerClass = 10
-	// overrunAllowanceDivisor gives the part of the longest expected run time for which a task that has exceeded
-	// it may still go on.
+	// overrunAllowanceDivisor determines the allowance for a task that has exceeded its
+	// longest expected run time: that run time divided by the divisor.
 	overrunAllowanceDivisor = 5
-	// heartbeatsToDetectEnd and heartbeatsToDetectBoot are how many heartbeat intervals pass until the
-	// leader knows that a task has ended, and that a new machine is up.
+	// heartbeatsToDetectEnd and heartbeatsToDetectBoot are the heartbeat intervals until the
+	// leader detects the end of a task and the boot of a new machine.
 	heartbeatsToDetectEnd  = 2
 	heartbeatsToDetectBoot = 3
 )
 
-// machineProvisioned notes that a machine's boot can be timed. A machine that was already
-// up when this term began would show a boot that takes no time, and later holds would
-// provision too late.
-func (rh *reservationHolds) machineProvisioned(h *fleet.Machine) {
+// machineProvisioned marks a machine as provisioned in this term, so that its boot time is
+// measured. A machine that was already running when the term began would yield a boot time
+// of zero, and later holds would provision too late.
+func (rh *reservationHolds) machineProvisioned(machine *fleet.Machine) {
 	if rh.calendarStore.enabled() {
-		rh.provisioned[h] = true
+		rh.provisioned[machine] = true
 	}
 }
 
-// machineBooted records how long a machine took to boot.
-func (rh *reservationHolds) machineBooted(h *fleet.Machine, took time.Duration) {
-	if !rh.provisioned[h] {
+// machineBooted records the boot time of a machine.
+func (rh *reservationHolds) machineBooted(machine *fleet.Machine, took time.Duration) {
+	if !rh.provisioned[machine] {
 		return
 	}
-	delete(rh.provisioned, h)
-	if rh.bootTimes[h.Type] == nil {
-		rh.bootTimes[h.Type] = &calendar.Estimator{}
+	delete(rh.provisioned, machine)
+	if rh.bootTimes[machine.Type] == nil {
+		rh.bootTimes[machine.Type] = &calendar.Estimator{}
 	}
-	rh.bootTimes[h.Type].Add(took.Seconds())
+	rh.bootTimes[machine.Type].Add(took.Seconds())
 }
 
-// taskCompleted records how many seconds a job's first task ran, against its estimate. The
-// tasks of one job are alike: to count them all would make the estimates of a class look
-// more accurate than they are, and the next job's tasks would overrun the start of an
-// occurrence.
+// taskCompleted records the ratio of a run time to its estimate for the first completed task
+// of a job. The tasks of a job have similar run times; counting all of them would make the estimates of a
+// class seem more accurate than they are, and tasks of the next job would run past the start
+// of an occurrence.
 func (rh *reservationHolds) taskCompleted(j *job.Job, seconds float64) {
 	if !rh.calendarStore.enabled() || j.RunTimeCount != 1 {
 		return
@@ -68,8 +70,8 @@
 	ratios.Add(seconds / runTimeEstimate(j))
 }
 
-// maxRunSeconds is how long a task of the job runs at most, as far as the estimates of its
-// class have proved right, in seconds.
+// maxRunSeconds returns an upper bound on the run time of a job's tasks in seconds, based on
+// the accuracy of the estimates of its class. The bound is infinite for a service.
 func (rh *reservationHolds) maxRunSeconds(j *job.Job) float64 {
 	if j.Shape == job.Service {
 		return math.Inf(1)
@@ -84,8 +86,8 @@
 	return runTimeEstimate(j) * overrun
 }
 
-// maxSecondsToEnd is in how many seconds a task of the job that is placed now is sure to
-// have ended: with the fetch of its image and the heartbeat that says so.
+// maxSecondsToEnd returns an upper bound on the seconds until the leader detects the end of
+// a task that is placed now. It includes the time to fetch the image.
 func (rh *reservationHolds) maxSecondsToEnd(j *job.Job) float64 {
 	fetch := 0.0
 	for i := range rh.nameIndex.machineTypes() {
@@ -96,10 +98,11 @@
 	return fetch + heartbeatsToDetectEnd*rh.heartbeatInterval().Seconds() + rh.maxRunSeconds(j)
 }
 
-// requiredSeconds is for how many seconds a task of the job that is placed now needs its
-// machine. The claimer of an occurrence needs it at most until the occurrence ends, which
-// the calendar has kept free of maintenance: by twice its estimate it would be refused its
-// own machines when maintenance follows soon after.
+// requiredSeconds returns for how many seconds a task of the job needs its machine if it is
+// placed now. For the claimer of an occurrence, the time is limited to the end of the
+// occurrence, until which the calendar keeps the machines free of maintenance. Without this
+// limit, the claimer could not use its held machines if maintenance follows the occurrence
+// within twice its estimate.
 func (rh *reservationHolds) requiredSeconds(j *job.Job, now time.Time) float64 {
 	required := rh.maxSecondsToEnd(j)
 	if hold := rh.holds[j.Reservation]; hold != nil && hold.claimer == j {
@@ -109,34 +112,35 @@
 	return required
 }
 
-// maxRemainingSeconds is in how many seconds a placed task is sure to have ended. One that
-// has run longer than anything known of its class may go on for a while.
-func (rh *reservationHolds) maxRemainingSeconds(s *fleet.Slot, now time.Time) float64 {
-	longest := rh.maxRunSeconds(s.Job)
-	if s.RunningSince.IsZero() {
-		return rh.maxSecondsToEnd(s.Job)
+// maxRemainingSeconds returns an upper bound on the seconds until a placed task ends. For a
+// task close to or beyond the longest expected run time of its class, it returns the overrun
+// allowance.
+func (rh *reservationHolds) maxRemainingSeconds(slot *fleet.Slot, now time.Time) float64 {
+	longest := rh.maxRunSeconds(slot.Job)
+	if slot.RunningSince.IsZero() {
+		return rh.maxSecondsToEnd(slot.Job)
 	}
-	return max(longest/overrunAllowanceDivisor, longest-now.Sub(s.RunningSince).Seconds())
+	return max(longest/overrunAllowanceDivisor, longest-now.Sub(slot.RunningSince).Seconds())
 }
 
-// holdLeadTime is how long before its start machines that are up are held for a
-// reservation. It is no shorter than the lead time of provisioning: where nothing can be
-// provisioned the machines are full of work that takes longer to end than a machine to boot.
-func (rh *reservationHolds) holdLeadTime(b *calendar.Booking) time.Duration {
-	return max(rh.provisionLeadTime(b), config.Seconds(rh.controller.Tuning.Calendar.HoldS))
+// holdLeadTime returns how long before the start of a reservation running machines are held
+// for it. It is at least the lead time of provisioning: if no machine can be provisioned,
+// the running ones are busy with tasks that take longer to end than a machine takes to boot.
+func (rh *reservationHolds) holdLeadTime(booking *calendar.Booking) time.Duration {
+	return max(rh.provisionLeadTime(booking), config.Seconds(rh.controller.Tuning.Calendar.HoldS))
 }
 
-// provisionLeadTime is how long before its start a reservation's missing machines are
-// provisioned: the upper bound of their boot times, and the time until the leader knows
-// that they are up.
-func (rh *reservationHolds) provisionLeadTime(b *calendar.Booking) time.Duration {
-	if b.LeadS != nil {
-		return config.Seconds(*b.LeadS)
+// provisionLeadTime returns how long before the start of a reservation its missing machines
+// are provisioned: the upper bound of their boot times plus the time until the leader
+// detects that they have booted.
+func (rh *reservationHolds) provisionLeadTime(booking *calendar.Booking) time.Duration {
+	if booking.LeadS != nil {
+		return config.Seconds(*booking.LeadS)
 	}
 	boot := 0.0
 	for i := range rh.nameIndex.machineTypes() {
-		t := &rh.nameIndex.machineTypes()[i]
-		if !slices.ContainsFunc(b.Allocations, func(a calendar.Allocation) bool { return a.Type == t.Name }) {
+		machineType := &rh.nameIndex.machineTypes()[i]
+		if !slices.ContainsFunc(booking.Allocations, func(a calendar.Allocation) bool { return a.Type == machineType.Name }) {
 			continue
 		}
 		var unmeasured calendar.Estimator
@@ -144,7 +148,7 @@
 		if bootTime == nil {
 			bootTime = &unmeasured
 		}
-		boot = max(boot, bootTime.UpperBound(t.BootS))
+		boot = max(boot, bootTime.UpperBound(machineType.BootS))
 	}
 	return config.Seconds(boot) + heartbeatsToDetectBoot*rh.heartbeatInterval() + 2*calendarInterval
 }
--- a/internal/control/calendar_holds_machines.go
+++ b/internal/control/calendar_holds_machines.go
@@ -13,10 +13,10 @@
 	"vetchstream/internal/place"
 )
 
-// holdMachines chooses the machines of a hold and requests those that are missing.
-func (rh *reservationHolds) holdMachines(hold *occurrenceHold, b *calendar.Booking, now time.Time) {
+// holdMachines chooses the machines of a hold and requests the missing ones.
+func (rh *reservationHolds) holdMachines(hold *occurrenceHold, booking *calendar.Booking, now time.Time) {
 	untilStart := rh.secondsToStart(hold, now)
-	if !hold.provisioning && untilStart <= rh.provisionLeadTime(b).Seconds() {
+	if !hold.provisioning && untilStart <= rh.provisionLeadTime(booking).Seconds() {
 		hold.provisioning = true
 		rh.log.Info("provisioning machines for a reservation", "reservation", hold.reservation, "start", time.UnixMilli(hold.span.From).UTC(), "allocations", hold.allocations)
 	}
@@ -25,72 +25,74 @@
 		return
 	}
 	rh.removeUnsuitable(hold)
-	short := rh.fillAllocations(hold, untilStart, now)
-	relocation := relocationNotNeeded
-	if len(short) > 0 {
-		relocation = rh.relocate(hold, short, now)
+	unfilled := rh.fillAllocations(hold, untilStart, now)
+	outcome := relocationNotNeeded
+	if len(unfilled) > 0 {
+		outcome = rh.relocate(hold, unfilled, now)
 	}
-	if relocation == relocated {
+	if outcome == relocated {
 		rh.releaseMachines(hold)
-		short = rh.fillAllocations(hold, untilStart, now)
+		unfilled = rh.fillAllocations(hold, untilStart, now)
 	}
-	// Some time after the start a complete hold no longer answers for what its claimer needs.
-	recent := len(short) > 0 || untilStart > -rh.provisionLeadTime(b).Seconds()
-	hold.covered = hold.provisioning && relocation != relocationImpossible && recent
+	// A complete hold covers the claimer's needs only until one provisioning lead time after
+	// the start. If the claimer still waits then, the autoscaler provisions for it as for any
+	// other job.
+	stillCovers := len(unfilled) > 0 || untilStart > -rh.provisionLeadTime(booking).Seconds()
+	hold.covered = hold.provisioning && outcome != relocationImpossible && stillCovers
 	if !hold.provisioning {
 		return
 	}
-	for _, a := range short {
+	for _, a := range unfilled {
 		rh.requestMachines(hold, a)
 	}
 }
 
-// removeUnsuitable gives up machines that cannot serve the occurrence or are of none of
-// its allocations.
+// removeUnsuitable removes machines that cannot serve the occurrence or do not match any of
+// the hold's allocations.
 func (rh *reservationHolds) removeUnsuitable(hold *occurrenceHold) {
-	for h := range hold.machines {
-		allocated := func(a calendar.Allocation) bool { return rh.matches(h, a) }
-		if !rh.canServe(h, hold) || !slices.ContainsFunc(hold.allocations, allocated) {
-			rh.removeMachine(hold, h)
+	for machine := range hold.machines {
+		allocated := func(a calendar.Allocation) bool { return rh.matches(machine, a) }
+		if !rh.canServe(machine, hold) || !slices.ContainsFunc(hold.allocations, allocated) {
+			rh.removeMachine(hold, machine)
 			rh.requestPlan()
 		}
 	}
 }
 
-// holdRunningMachines holds exactly the machines on which the claimer runs: it may have
-// started on others, and a machine that came up after that is not needed any more.
+// holdRunningMachines holds exactly the machines on which the claimer runs. The claimer may
+// have started on machines outside the hold, and a machine that booted later is not needed.
 func (rh *reservationHolds) holdRunningMachines(hold *occurrenceHold) {
 	running := map[*fleet.Machine]bool{}
-	for s := range rh.fleet.SlotsOf(hold.claimer) {
-		if s.Active() && (rh.holdOf[s.Machine] == nil || rh.holdOf[s.Machine] == hold) {
-			running[s.Machine] = true
+	for slot := range rh.fleet.SlotsOf(hold.claimer) {
+		if slot.Active() && (rh.holdOf[slot.Machine] == nil || rh.holdOf[slot.Machine] == hold) {
+			running[slot.Machine] = true
 		}
 	}
-	for h := range hold.machines {
-		if !running[h] {
-			rh.removeMachine(hold, h)
+	for machine := range hold.machines {
+		if !running[machine] {
+			rh.removeMachine(hold, machine)
 			rh.requestPlan()
 		}
 	}
-	for h := range running {
-		rh.addMachine(hold, h)
+	for machine := range running {
+		rh.addMachine(hold, machine)
 	}
 }
 
-// matches reports whether a machine is of an allocation's type and zone.
-func (rh *reservationHolds) matches(h *fleet.Machine, a calendar.Allocation) bool {
-	t := rh.nameIndex.machineType(h)
-	return t != nil && h.Zone >= 0 && t.Name == a.Type && rh.nameIndex.zoneNames()[h.Zone] == a.Zone
+// matches reports whether a machine has the type and the zone of an allocation.
+func (rh *reservationHolds) matches(machine *fleet.Machine, a calendar.Allocation) bool {
+	t := rh.nameIndex.machineType(machine)
+	return t != nil && machine.Zone >= 0 && t.Name == a.Type && rh.nameIndex.zoneNames()[machine.Zone] == a.Zone
 }
 
-// canServe reports whether a machine can serve an occurrence to its end.
-func (rh *reservationHolds) canServe(h *fleet.Machine, hold *occurrenceHold) bool {
-	return h.Usable() && (hold.spot || !h.Spot) && rh.maintenanceDrains.freeOfMaintenance(h, hold.span)
+// canServe reports whether a machine can serve an occurrence until its end.
+func (rh *reservationHolds) canServe(machine *fleet.Machine, hold *occurrenceHold) bool {
+	return machine.Usable() && (hold.spot || !machine.Spot) && rh.maintenanceDrains.freeOfMaintenance(machine, hold.span)
 }
 
-// fillAllocations holds machines until each allocation is complete, those that are free
-// soonest first, and returns what is missing.
-func (rh *reservationHolds) fillAllocations(hold *occurrenceHold, untilStart float64, now time.Time) (short []calendar.Allocation) {
+// fillAllocations adds machines to a hold until each allocation is complete, starting with
+// those that are free soonest. It returns the missing machines as allocations.
+func (rh *reservationHolds) fillAllocations(hold *occurrenceHold, untilStart float64, now time.Time) (unfilled []calendar.Allocation) {
 	for _, a := range hold.allocations {
 		held, candidates := rh.candidates(hold, a, untilStart, now)
 		missing := a.Machines - held
@@ -101,36 +103,37 @@
 		}
 		if missing > 0 {
 			a.Machines = missing
-			short = append(short, a)
+			unfilled = append(unfilled, a)
 		}
 	}
-	return short
+	return unfilled
 }
 
-// holdCandidate is a machine that could be held, and in how many seconds its work has
-// ended.
+// holdCandidate is a machine that could be held, with an upper bound on the seconds until
+// its tasks have ended.
 type holdCandidate struct {
 	machine     *fleet.Machine
 	freeSeconds float64
 }
 
-// candidates counts the machines of an allocation that are held already and lists those
-// that could be, free soonest first. A machine whose work is not sure to end in time is not
-// held before the start: it would be held in vain.
+// candidates returns the number of machines that are already held for an allocation, and the
+// machines that could be held, in the order in which they become free. Machines whose tasks
+// may still run at the start of the occurrence are excluded, since holding them would be of
+// no use; after the start only free machines qualify.
 func (rh *reservationHolds) candidates(hold *occurrenceHold, a calendar.Allocation, untilStart float64, now time.Time) (held int, list []holdCandidate) {
-	for _, h := range rh.fleet.All() {
-		if !rh.matches(h, a) {
+	for _, machine := range rh.fleet.All() {
+		if !rh.matches(machine, a) {
 			continue
 		}
-		if rh.holdOf[h] == hold {
+		if rh.holdOf[machine] == hold {
 			held++
 			continue
 		}
-		if rh.holdOf[h] != nil || !rh.canServe(h, hold) || rh.planner.reserved(h) {
+		if rh.holdOf[machine] != nil || !rh.canServe(machine, hold) || rh.planner.reserved(machine) {
 			continue
 		}
-		if free := rh.secondsUntilFree(h, hold.claimer, now); free <= max(0, untilStart) {
-			list = append(list, holdCandidate{machine: h, freeSeconds: free})
+		if free := rh.secondsUntilFree(machine, hold.claimer, now); free <= max(0, untilStart) {
+			list = append(list, holdCandidate{machine: machine, freeSeconds: free})
 		}
 	}
 	slices.SortFunc(list, func(a, b holdCandidate) int {
@@ -139,38 +142,38 @@
 	return held, list
 }
 
-// secondsUntilFree is in how many seconds all work on a machine but the claimer's is sure
-// to have ended.
-func (rh *reservationHolds) secondsUntilFree(h *fleet.Machine, claimer *job.Job, now time.Time) float64 {
+// secondsUntilFree returns an upper bound on the seconds until all tasks on a machine, except
+// the claimer's, have ended.
+func (rh *reservationHolds) secondsUntilFree(machine *fleet.Machine, claimer *job.Job, now time.Time) float64 {
 	free := 0.0
-	for _, s := range h.Slots {
-		if s.Active() && s.Job != claimer {
-			free = max(free, rh.maxRemainingSeconds(s, now))
+	for _, slot := range machine.Slots {
+		if slot.Active() && slot.Job != claimer {
+			free = max(free, rh.maxRemainingSeconds(slot, now))
 		}
 	}
 	return free
 }
 
-// relocationOutcome is the outcome of the search for other machines.
+// relocationOutcome is the outcome of an attempt to relocate a hold to other machines.
 type relocationOutcome int
 
 const (
-	relocationNotNeeded  relocationOutcome = iota // the missing machines can be provisioned
+	relocationNotNeeded  relocationOutcome = iota // no machine is missing, or the missing ones are obtainable
 	relocated                                     // the hold has new allocations
-	relocationImpossible                          // the missing machines cannot be had, and there are no others
+	relocationImpossible                          // the missing machines are not obtainable, and there are no better ones
 )
 
-// pool names the machines of one type in one zone.
+// pool identifies the machines of one type in one zone.
 type pool struct{ typ, zone string }
 
-// relocate chooses other machines for a hold if those that it lacks cannot be had: their
-// zone is silent, or the cloud has refused them lately.
-func (rh *reservationHolds) relocate(hold *occurrenceHold, short []calendar.Allocation, now time.Time) relocationOutcome {
+// relocate chooses other allocations for a hold if its missing machines are not obtainable
+// because their zone is silent or the cloud has recently refused to provide them.
+func (rh *reservationHolds) relocate(hold *occurrenceHold, unfilled []calendar.Allocation, now time.Time) relocationOutcome {
 	silent := rh.silentZones(now)
 	unobtainable := func(typ, zone string) bool {
 		return silent[zone] || !rh.machinePool.offerOpen(typ, zone, hold.spot, now)
 	}
-	if !slices.ContainsFunc(short, func(a calendar.Allocation) bool { return unobtainable(a.Type, a.Zone) }) {
+	if !slices.ContainsFunc(unfilled, func(a calendar.Allocation) bool { return unobtainable(a.Type, a.Zone) }) {
 		return relocationNotNeeded
 	}
 	available := rh.availableMachines(hold)
@@ -188,38 +191,39 @@
 	}
 	other := rh.calendarStore.reallocate(hold, limit)
 	if other == nil || missing(other) >= missing(hold.allocations) {
-		return relocationImpossible // no better: a hold must not move back and forth
+		return relocationImpossible // without an improvement the hold stays, so that it does not alternate between pools
 	}
 	rh.log.Info("reservation relocated", "reservation", hold.reservation, "allocations", other, "previous", hold.allocations)
 	hold.allocations = other
 	return relocated
 }
 
-// availableMachines counts the machines that exist and that a hold may use.
+// availableMachines returns, by pool, the number of existing machines that a hold may use.
 func (rh *reservationHolds) availableMachines(hold *occurrenceHold) map[pool]int {
 	available := map[pool]int{}
-	for _, h := range rh.fleet.All() {
-		t := rh.nameIndex.machineType(h)
-		if t == nil || h.Zone < 0 || (!rh.canServe(h, hold) && !h.Booting) {
+	for _, machine := range rh.fleet.All() {
+		t := rh.nameIndex.machineType(machine)
+		if t == nil || machine.Zone < 0 || (!rh.canServe(machine, hold) && !machine.Booting) {
 			continue
 		}
-		if rh.holdOf[h] == nil || rh.holdOf[h] == hold {
-			available[pool{t.Name, rh.nameIndex.zoneNames()[h.Zone]}]++
+		if rh.holdOf[machine] == nil || rh.holdOf[machine] == hold {
+			available[pool{t.Name, rh.nameIndex.zoneNames()[machine.Zone]}]++
 		}
 	}
 	return available
 }
 
-// silentZones are the zones in which no machine has sent a heartbeat lately.
+// silentZones returns the zones whose booted machines are all lost or have sent no heartbeat
+// within the silence limit.
 func (rh *reservationHolds) silentZones(now time.Time) map[string]bool {
 	limit := rh.rollouts.silenceLimit()
 	silent, responsive := map[string]bool{}, map[string]bool{}
-	for _, h := range rh.fleet.All() {
-		if h.Zone < 0 || h.Booting {
+	for _, machine := range rh.fleet.All() {
+		if machine.Zone < 0 || machine.Booting {
 			continue
 		}
-		zone := rh.nameIndex.zoneNames()[h.Zone]
-		if h.Lost || h.SinceLastReport(now) > limit {
+		zone := rh.nameIndex.zoneNames()[machine.Zone]
+		if machine.Lost || machine.SinceLastReport(now) > limit {
 			silent[zone] = true
 		} else {
 			responsive[zone] = true
@@ -231,7 +235,8 @@
 	return silent
 }
 
-// requestMachines requests the whole machines of an allocation that a hold is short of.
+// requestMachines requests missing machines of an allocation. The demand is for whole
+// machines.
 func (rh *reservationHolds) requestMachines(hold *occurrenceHold, a calendar.Allocation) {
 	types := rh.nameIndex.machineTypes()
 	allowed := make([]bool, len(types))
@@ -258,5 +263,5 @@
 	})
 }
 
-// millisPerSecond converts times of day of the calendar, which are in milliseconds.
+// millisPerSecond converts the calendar's timestamps, which are in milliseconds.
 const millisPerSecond = 1000
