--- a/internal/control/calendar_requests.go
+++ b/internal/control/calendar_requests.go
@@ -14,47 +14,47 @@
 	"vetchstream/internal/wire"
 )
 
-// errorReply is the reply to a request that is refused.
+// errorReply returns the reply to a request that is refused for a reason.
 func errorReply(status int, reason string) *rpc.Reply {
 	return reply(status, wire.Error{Error: reason})
 }
 
-// handleOperation answers a request about the calendar.
-func (cs *calendarStore) handleOperation(op *rpc.Operation, back func(*rpc.Reply)) {
+// handleOperation handles a request for the calendar and passes the reply to respond.
+func (cs *calendarStore) handleOperation(op *rpc.Operation, respond func(*rpc.Reply)) {
 	switch {
 	case !cs.enabled():
-		back(errorReply(http.StatusNotFound, "the calendar is switched off here"))
+		respond(errorReply(http.StatusNotFound, "the calendar is switched off"))
 	case len(cs.nameIndex.machineTypes()) == 0:
-		back(Unavailable("machine types are not known yet"))
+		respond(Unavailable("the machine types are not loaded yet"))
 	case op.Window && op.Team != "" && (op.Verb == rpc.VerbStart || op.Verb == rpc.VerbCancel):
-		back(errorReply(http.StatusForbidden, "maintenance is an operator's"))
+		respond(errorReply(http.StatusForbidden, "only operators can plan or cancel maintenance windows"))
 	case op.Verb == rpc.VerbList:
-		back(reply(http.StatusOK, cs.listPage(op)))
+		respond(reply(http.StatusOK, cs.listPage(op)))
 	case op.Verb == rpc.VerbStart && op.Window:
-		cs.queueChange(func() { cs.planWindow(op.Spec, back) }, back)
+		cs.queueChange(func() { cs.planWindow(op.Spec, respond) }, respond)
 	case op.Verb == rpc.VerbStart:
-		cs.queueChange(func() { cs.reserve(op.Spec, op.Team, back) }, back)
+		cs.queueChange(func() { cs.reserve(op.Spec, op.Team, respond) }, respond)
 	case op.Window && cs.windows[op.Name] == 0:
-		back(errorReply(http.StatusNotFound, "no maintenance window of that name"))
+		respond(errorReply(http.StatusNotFound, "no maintenance window with this name"))
 	case !op.Window && !cs.visible(op.Team, op.Name):
-		back(errorReply(http.StatusNotFound, "no reservation of that name"))
+		respond(errorReply(http.StatusNotFound, "no reservation with this name"))
 	case op.Verb == rpc.VerbCancel:
-		cs.queueChange(func() { cs.cancel(op, back) }, back)
+		cs.queueChange(func() { cs.cancel(op, respond) }, respond)
 	case op.Window:
-		back(reply(http.StatusOK, cs.windowStatus(op.Name)))
+		respond(reply(http.StatusOK, cs.windowStatus(op.Name)))
 	default:
-		back(reply(http.StatusOK, cs.status(op.Name)))
+		respond(reply(http.StatusOK, cs.status(op.Name)))
 	}
 }
 
-// visible reports whether there is a reservation of that name that a team may see; empty:
-// an operator, who sees all.
+// visible reports whether a reservation with the given name exists and the team may see it.
+// An empty team stands for an operator, who may see all reservations.
 func (cs *calendarStore) visible(team, name string) bool {
-	b := cs.bookings[name]
-	return b != nil && (team == "" || team == b.booking.Team)
+	stored := cs.bookings[name]
+	return stored != nil && (team == "" || team == stored.booking.Team)
 }
 
-// pageSize bounds the reservations or windows of one reply.
+// pageSize is the maximum number of reservations or windows in one reply.
 const pageSize = 50
 
 // reservationPage is a page of the list of reservations.
@@ -69,7 +69,7 @@
 	Windows []calendar.WindowStatus `codec:"windows"`
 }
 
-// listPage lists reservations or windows by name, those after the name in the request.
+// listPage returns the page of reservations or windows that follow the name in the request.
 func (cs *calendarStore) listPage(op *rpc.Operation) any {
 	if op.Window {
 		names, more := nextPage(slices.Collect(maps.Keys(cs.windows)), op.Name)
@@ -93,156 +93,160 @@
 	return page
 }
 
-// nextPage returns the first names after the given one, in order, and whether there are
-// more of them.
+// nextPage returns the first names that sort after the given one, and whether more follow
+// them. It modifies names.
 func nextPage(names []string, after string) (page []string, more bool) {
 	names = slices.DeleteFunc(names, func(n string) bool { return n <= after })
 	slices.Sort(names)
 	return names[:min(len(names), pageSize)], len(names) > pageSize
 }
 
-// status is what a team is shown of a reservation.
+// status returns the status of a reservation.
 func (cs *calendarStore) status(name string) calendar.Status {
-	b := cs.bookings[name]
-	s := calendar.NewStatus(b.rec, b.booking, cs.timeOfDay(time.Now()))
-	s.Held = cs.reservationHolds.heldMachines(name)
-	if len(s.Occurrences) > 0 {
-		if j := cs.claims[occurrence{name, s.Occurrences[0].From}]; j != nil {
-			s.Claimer = j.ID
+	stored := cs.bookings[name]
+	status := calendar.NewStatus(stored.rec, stored.booking, cs.timeOfDay(time.Now()))
+	status.Held = cs.reservationHolds.heldMachines(name)
+	if len(status.Occurrences) > 0 {
+		if j := cs.claims[occurrence{name, status.Occurrences[0].From}]; j != nil {
+			status.Claimer = j.ID
 		}
 	}
-	return s
+	return status
 }
 
-// windowStatus is what an operator is shown of a maintenance window.
+// windowStatus returns the status of a maintenance window.
 func (cs *calendarStore) windowStatus(name string) calendar.WindowStatus {
-	w := cs.calendar.Windows()[name]
-	s := calendar.NewWindowStatus(w, cs.timeOfDay(time.Now()))
-	cs.maintenanceDrains.addMachineStatus(&s, w)
-	return s
+	window := cs.calendar.Windows()[name]
+	status := calendar.NewWindowStatus(window, cs.timeOfDay(time.Now()))
+	cs.maintenanceDrains.addMachineStatus(&status, window)
+	return status
 }
 
-// reserve accepts and stores a reservation if it fits.
-func (cs *calendarStore) reserve(body []byte, team string, back func(*rpc.Reply)) {
+// reserve accepts and stores a reservation if the calendar has capacity for it.
+func (cs *calendarStore) reserve(body []byte, team string, respond func(*rpc.Reply)) {
 	timeOfDay := cs.timeOfDay(time.Now())
-	r, err := calendar.ParseReservation(body, cs.limits(), timeOfDay)
+	reservation, err := calendar.ParseReservation(body, cs.limits(), timeOfDay)
 	if err != nil {
-		back(errorReply(http.StatusBadRequest, err.Error()))
+		respond(errorReply(http.StatusBadRequest, err.Error()))
 		return
 	}
-	if team != "" && team != r.Team {
-		back(errorReply(http.StatusForbidden, "team: a reservation is made by its own team"))
+	if team != "" && team != reservation.Team {
+		respond(errorReply(http.StatusForbidden, "team: a team can only make reservations for itself"))
 		return
 	}
-	if b := cs.bookings[r.Name]; b != nil {
-		back(cs.existingReservationReply(r, b))
+	if existing := cs.bookings[reservation.Name]; existing != nil {
+		respond(cs.existingReservationReply(reservation, existing))
 		return
 	}
 	cs.rebuild()
-	b, err := cs.calendar.Fit(r, timeOfDay)
+	booking, err := cs.calendar.Fit(reservation, timeOfDay)
 	if err != nil {
-		back(errorReply(http.StatusConflict, err.Error()))
+		respond(errorReply(http.StatusConflict, err.Error()))
 		return
 	}
-	key := bookingPrefix + r.Name
-	rec := calendar.NewRecord(b, timeOfDay)
+	key := bookingPrefix + reservation.Name
+	rec := calendar.NewRecord(booking, timeOfDay)
 	put, err := state.Put(key, rec)
 	if err != nil || cs.tooLarge(put) {
-		back(errorReply(http.StatusRequestEntityTooLarge, "the reservation is too large to be stored"))
+		respond(errorReply(http.StatusRequestEntityTooLarge, "the reservation exceeds the record size limit of the key-value store"))
 		return
 	}
 	absent := []state.Condition{{Key: key}}
 	cs.storeChange(absent, []state.Write{put}, func(version uint64, err error) {
 		if err != nil {
-			back(errorReply(http.StatusRequestEntityTooLarge, err.Error()))
+			respond(errorReply(http.StatusRequestEntityTooLarge, err.Error()))
 			return
 		}
-		cs.addBooking(rec, b, version)
-		cs.log.Info("reservation accepted", "reservation", r.Name, "team", r.Team, "parts", r.Parts, "occurrences", len(r.Spans()), "allocations", b.Allocations)
-		back(reply(http.StatusCreated, cs.status(r.Name)))
+		cs.addBooking(rec, booking, version)
+		cs.log.Info("reservation accepted", "reservation", reservation.Name, "team", reservation.Team, "parts", reservation.Parts,
+			"occurrences", len(reservation.Spans()), "allocations", booking.Allocations)
+		respond(reply(http.StatusCreated, cs.status(reservation.Name)))
 	})
 }
 
-// existingReservationReply answers a reservation whose name is taken: the same reservation once
-// more is an idempotent request, another one of that name a conflict.
-func (cs *calendarStore) existingReservationReply(r *calendar.Reservation, existing *storedBooking) *rpc.Reply {
-	if calendar.SameReservation(r, existing.booking.Reservation) {
-		return reply(http.StatusOK, cs.status(r.Name))
+// existingReservationReply returns the reply to a request whose reservation name is already
+// in use. Repeating the request for the same reservation succeeds; a different reservation
+// with this name is a conflict.
+func (cs *calendarStore) existingReservationReply(reservation *calendar.Reservation, existing *storedBooking) *rpc.Reply {
+	if calendar.SameReservation(reservation, existing.booking.Reservation) {
+		return reply(http.StatusOK, cs.status(reservation.Name))
 	}
-	return errorReply(http.StatusConflict, "name: there is another reservation of that name; cancel it first")
+	return errorReply(http.StatusConflict, "name: a different reservation with this name exists; cancel it first")
 }
 
-// tooLarge reports whether a record exceeds what the key-value store accepts.
-func (cs *calendarStore) tooLarge(w state.Write) bool {
-	return float64(recordSize(w.Value)) > cs.controller.Settings.Facts.State.ValueKB*bytesPerKB*valueFillFraction
+// tooLarge reports whether a record exceeds the size limit of the key-value store.
+func (cs *calendarStore) tooLarge(write state.Write) bool {
+	return float64(recordSize(write.Value)) > cs.controller.Settings.Facts.State.ValueKB*bytesPerKB*valueFillFraction
 }
 
 const (
 	bytesPerKB = 1024
-	// windowTxnBaseOps are the operations of a transaction that planning a window needs besides
-	// one for each reservation that moves: the window's record and changesKey.
+	// windowTxnBaseOps is the number of operations in a window's transaction besides one for
+	// each changed reservation: the window's record and changesKey.
 	windowTxnBaseOps = 2
 )
 
-// planWindow accepts and stores a maintenance window, and moves the reservations on its
-// machines.
-func (cs *calendarStore) planWindow(body []byte, back func(*rpc.Reply)) {
+// planWindow accepts and stores a maintenance window, and moves the reservations that are
+// allocated to its machines.
+func (cs *calendarStore) planWindow(body []byte, respond func(*rpc.Reply)) {
 	timeOfDay := cs.timeOfDay(time.Now())
-	w, err := calendar.ParseWindow(body, cs.limits(), timeOfDay)
+	window, err := calendar.ParseWindow(body, cs.limits(), timeOfDay)
 	if err != nil {
-		back(errorReply(http.StatusBadRequest, err.Error()))
+		respond(errorReply(http.StatusBadRequest, err.Error()))
 		return
 	}
-	if existing := cs.calendar.Windows()[w.Name]; existing != nil {
-		back(cs.existingWindowReply(w, existing))
+	if existing := cs.calendar.Windows()[window.Name]; existing != nil {
+		respond(cs.existingWindowReply(window, existing))
 		return
 	}
 	cs.rebuild()
-	plan, err := cs.calendar.PlanWindow(w, cs.maintenanceDrains.machinesByPool(w), timeOfDay)
+	plan, err := cs.calendar.PlanWindow(window, cs.maintenanceDrains.machinesByPool(window), timeOfDay)
 	if err != nil {
-		back(errorReply(http.StatusConflict, err.Error()))
+		respond(errorReply(http.StatusConflict, err.Error()))
 		return
 	}
-	txn, refused := cs.buildWindowTxn(w, plan)
+	txn, refused := cs.buildWindowTxn(window, plan)
 	if refused != nil {
-		back(refused)
+		respond(refused)
 		return
 	}
 	cs.storeChange(txn.conds, txn.writes, func(version uint64, err error) {
 		if err != nil {
-			back(errorReply(http.StatusRequestEntityTooLarge, err.Error()))
+			respond(errorReply(http.StatusRequestEntityTooLarge, err.Error()))
 			return
 		}
-		back(reply(http.StatusCreated, cs.addStoredWindow(plan, txn, version, timeOfDay)))
+		respond(reply(http.StatusCreated, cs.addStoredWindow(plan, txn, version, timeOfDay)))
 	})
 }
 
-// existingWindowReply answers a window whose name is taken: the same window once more is an
-// idempotent request, another one of that name a conflict.
-func (cs *calendarStore) existingWindowReply(w *calendar.Window, existing *calendar.PlannedWindow) *rpc.Reply {
-	if calendar.SameWindow(w, existing.Window) {
-		return reply(http.StatusOK, cs.windowStatus(w.Name))
+// existingWindowReply returns the reply to a request whose window name is already in use.
+// Repeating the request for the same window succeeds; a different window with this name is a
+// conflict.
+func (cs *calendarStore) existingWindowReply(window *calendar.Window, existing *calendar.PlannedWindow) *rpc.Reply {
+	if calendar.SameWindow(window, existing.Window) {
+		return reply(http.StatusOK, cs.windowStatus(window.Name))
 	}
-	return errorReply(http.StatusConflict, "name: there is another window of that name; cancel it first")
+	return errorReply(http.StatusConflict, "name: a different window with this name exists; cancel it first")
 }
 
 // windowTxn is the transaction that stores a maintenance window together with the
-// reservations that it moves.
+// reservations that it changes.
 type windowTxn struct {
 	conds   []state.Condition
 	writes  []state.Write
-	changed []*calendar.Booking         // reservations that move or lose occurrences
+	changed []*calendar.Booking         // reservations that are moved or lose occurrences
 	records map[string]*calendar.Record // their changed records, by name
 }
 
-// buildWindowTxn builds the one transaction of a window and of the reservations that it moves: a
-// leader that ends in between must not leave a window over reservations that never moved.
-// Refused is the reply if it cannot be stored.
-func (cs *calendarStore) buildWindowTxn(w *calendar.Window, plan *calendar.WindowPlan) (txn *windowTxn, refused *rpc.Reply) {
-	key := windowPrefix + w.Name
-	put, err := state.Put(key, calendar.WindowRecord{Spec: *w, Closed: plan.Window.Closed})
+// buildWindowTxn builds a single transaction for a window and the reservations that it
+// changes. With separate transactions, a leader that fails between them would leave a window
+// on machines whose reservations were not moved. If the window cannot be stored,
+// buildWindowTxn returns the reply that refuses it.
+func (cs *calendarStore) buildWindowTxn(window *calendar.Window, plan *calendar.WindowPlan) (txn *windowTxn, refused *rpc.Reply) {
+	key := windowPrefix + window.Name
+	put, err := state.Put(key, calendar.WindowRecord{Spec: *window, Closed: plan.Window.Closed})
 	if err != nil || cs.tooLarge(put) {
-		return nil, errorReply(http.StatusRequestEntityTooLarge, "the window is too large to be stored; name fewer machines")
+		return nil, errorReply(http.StatusRequestEntityTooLarge, "the window exceeds the record size limit of the key-value store; name fewer machines")
 	}
 	txn = &windowTxn{
 		conds:   []state.Condition{{Key: key}},
@@ -251,84 +255,87 @@
 		records: map[string]*calendar.Record{},
 	}
 	if limit := cs.controller.Settings.Facts.State.TxnOps - windowTxnBaseOps; len(txn.changed) > limit {
-		return nil, errorReply(http.StatusConflict, fmt.Sprintf("%d reservations would have to move, and at most %d can at once; plan smaller windows", len(txn.changed), limit))
+		return nil, errorReply(http.StatusConflict, fmt.Sprintf("the window would move %d reservations, but at most %d can be moved at once; plan smaller windows", len(txn.changed), limit))
 	}
-	for _, b := range txn.changed {
-		stored := cs.bookings[b.Name]
+	for _, booking := range txn.changed {
+		stored := cs.bookings[booking.Name]
 		if stored.storing {
-			return nil, finalRefusal(Unavailable("a reservation is being stored"))
+			return nil, finalRefusal(Unavailable("the outcome of an affected reservation is being stored"))
 		}
-		rec := stored.rec.WithBooking(b)
-		put, err := state.Put(bookingPrefix+b.Name, rec)
+		rec := stored.rec.WithBooking(booking)
+		put, err := state.Put(bookingPrefix+booking.Name, rec)
 		if err != nil {
 			return nil, errorReply(http.StatusInternalServerError, err.Error())
 		}
-		txn.records[b.Name] = rec
+		txn.records[booking.Name] = rec
 		txn.conds = append(txn.conds, state.Condition{Key: put.Put, Version: stored.version})
 		txn.writes = append(txn.writes, put)
 	}
 	return txn, nil
 }
 
-// addStoredWindow adds a stored window to the calendar, with the reservations that it moved,
-// and returns its status.
+// addStoredWindow adds a stored window to the calendar, updates the reservations that it
+// changed, and returns its status.
 func (cs *calendarStore) addStoredWindow(plan *calendar.WindowPlan, txn *windowTxn, version uint64, timeOfDay time.Time) calendar.WindowStatus {
-	w := plan.Window
-	cs.calendar.AddWindow(w)
-	cs.windows[w.Name] = version
-	for _, b := range txn.changed {
-		cs.addBooking(txn.records[b.Name], b, version)
+	window := plan.Window
+	cs.calendar.AddWindow(window)
+	cs.windows[window.Name] = version
+	for _, booking := range txn.changed {
+		cs.addBooking(txn.records[booking.Name], booking, version)
 	}
-	s := plan.Status(timeOfDay)
-	cs.maintenanceDrains.addMachineStatus(&s, w)
-	cs.log.Info("maintenance window accepted", "window", w.Name, "start", time.UnixMilli(w.Span().From).UTC(), "machines", s.Machines,
-		"moved_reservations", strings.Join(s.Moved, " "), "retired_reservations", strings.Join(s.Retired, " "))
-	return s
+	status := plan.Status(timeOfDay)
+	cs.maintenanceDrains.addMachineStatus(&status, window)
+	cs.log.Info("maintenance window accepted", "window", window.Name, "start", time.UnixMilli(window.Span().From).UTC(), "machines", status.Machines,
+		"moved_reservations", strings.Join(status.Moved, " "), "retired_reservations", strings.Join(status.Retired, " "))
+	return status
 }
 
-// cancel cancels a reservation or a window. Running jobs go on as ordinary work.
-func (cs *calendarStore) cancel(op *rpc.Operation, back func(*rpc.Reply)) {
+// cancel cancels a reservation or a window. A running job that claimed the reservation
+// continues as a job without one.
+func (cs *calendarStore) cancel(op *rpc.Operation, respond func(*rpc.Reply)) {
 	if op.Window {
-		cs.cancelWindow(op.Name, back)
+		cs.cancelWindow(op.Name, respond)
 		return
 	}
-	cs.cancelReservation(op.Name, op.Team, back)
+	cs.cancelReservation(op.Name, op.Team, respond)
 }
 
-// noSuchEntry answers a cancellation that was queued behind another one of the same entry.
-const noSuchEntry = "no entry of that name"
+// noSuchEntry is the error for a cancellation whose entry was deleted while the request was
+// queued.
+const noSuchEntry = "no reservation or window with this name"
 
-// cancelWindow deletes a maintenance window. Machines that were drained take work again.
-func (cs *calendarStore) cancelWindow(name string, back func(*rpc.Reply)) {
+// cancelWindow deletes a maintenance window. Drained machines accept tasks again.
+func (cs *calendarStore) cancelWindow(name string, respond func(*rpc.Reply)) {
 	if cs.windows[name] == 0 {
-		back(errorReply(http.StatusNotFound, noSuchEntry))
+		respond(errorReply(http.StatusNotFound, noSuchEntry))
 		return
 	}
-	s := cs.windowStatus(name)
+	status := cs.windowStatus(name)
 	cs.deleteRecord(windowPrefix+name, cs.windows[name], func() {
 		cs.removeWindow(name)
 		cs.log.Info("maintenance window cancelled", "window", name)
-		s.State = calendar.WindowCancelled
-		back(reply(http.StatusOK, s))
+		status.State = calendar.WindowCancelled
+		respond(reply(http.StatusOK, status))
 	})
 }
 
-// cancelReservation deletes a reservation for a team; empty: an operator.
-func (cs *calendarStore) cancelReservation(name, team string, back func(*rpc.Reply)) {
-	b := cs.bookings[name]
+// cancelReservation deletes a reservation on behalf of a team, or of an operator if team is
+// empty.
+func (cs *calendarStore) cancelReservation(name, team string, respond func(*rpc.Reply)) {
+	stored := cs.bookings[name]
 	switch {
-	case b == nil:
-		back(errorReply(http.StatusNotFound, noSuchEntry))
+	case stored == nil:
+		respond(errorReply(http.StatusNotFound, noSuchEntry))
 		return
-	case b.storing:
-		back(finalRefusal(Unavailable("the reservation is being stored")))
+	case stored.storing:
+		respond(finalRefusal(Unavailable("the outcome of the reservation is being stored")))
 		return
 	}
-	s := cs.status(name)
-	cs.deleteRecord(bookingPrefix+name, b.version, func() {
+	status := cs.status(name)
+	cs.deleteRecord(bookingPrefix+name, stored.version, func() {
 		cs.removeBooking(name)
 		cs.log.Info("reservation cancelled", "reservation", name, "cancelled_by", team)
-		s.State = calendar.ReservationCancelled
-		back(reply(http.StatusOK, s))
+		status.State = calendar.ReservationCancelled
+		respond(reply(http.StatusOK, status))
 	})
 }
--- a/internal/control/calendar_store.go
+++ b/internal/control/calendar_store.go
@@ -15,15 +15,15 @@
 const (
 	bookingPrefix = "c/r/"
 	windowPrefix  = "c/w/"
-	// changesKey is written by every change of the calendar. The record of a cancelled
-	// reservation or window is deleted: without this key a delayed retry of the transaction
-	// that made it would make it again, since no record of its name exists any more.
+	// changesKey is written by every change of the calendar. Without this key, a delayed retry
+	// of the transaction that created a reservation or window could create it again after its
+	// cancellation, since the cancellation deletes the record.
 	changesKey = "c/changes"
 )
 
-// calendarStore holds the calendar: it accepts reservations and maintenance windows, stores
-// them under the term before anybody is answered, and decides the outcome of each
-// occurrence. Acting on the machines is up to reservationHolds and maintenanceDrains.
+// calendarStore owns the calendar. It accepts reservations and maintenance windows, stores
+// them in transactions fenced by the term before it replies, and determines the outcome of
+// each occurrence. reservationHolds and maintenanceDrains act on the machines.
 type calendarStore struct {
 	*core
 	nameIndex         *nameIndex
@@ -37,31 +37,31 @@
 	builtFor calendarInputs
 	bookings map[string]*storedBooking
 	windows  map[string]uint64 // versions of the windows' records
-	// claims are the jobs that have each claimed an occurrence first.
+	// claims maps each claimed occurrence to its claimer, the first job that claimed it.
 	claims         map[occurrence]*job.Job
 	storing        bool     // a change of the calendar is being stored
-	queuedChanges  []func() // changes that wait until it is stored
+	queuedChanges  []func() // changes that wait until the current one is stored
 	changesVersion uint64   // of changesKey
 	lastStep       time.Time
-	// upcoming are the occurrences that machines are held for, as of upcomingAt: the planner
-	// asks for them many times a second, and there can be thousands of reservations.
+	// upcoming caches the occurrences for which machines are held, as of upcomingAt. The
+	// planner requests them many times a second, and there can be thousands of reservations.
 	upcoming   map[string]upcomingOccurrence
 	upcomingAt time.Time
 }
 
-// calendarInputs is what a calendar was built for: how many machine types and zones, and
-// the version of the teams' settings.
+// calendarInputs are the inputs from which a calendar was built: the numbers of machine
+// types and zones, and the version of the teams' settings.
 type calendarInputs struct {
 	types, zones int
 	teams        uint64
 }
 
-// storedBooking is a reservation's record as stored.
+// storedBooking is a reservation with its stored record.
 type storedBooking struct {
 	rec     *calendar.Record
 	booking *calendar.Booking
 	version uint64
-	storing bool // an outcome is being stored
+	storing bool // the outcome of an occurrence is being stored
 }
 
 func newCalendarStore(co *core) *calendarStore {
@@ -84,29 +84,31 @@
 // empty reports whether there are neither reservations nor windows.
 func (cs *calendarStore) empty() bool { return len(cs.bookings) == 0 && len(cs.windows) == 0 }
 
-// timeOfDay is the time of day, continued from the begin of the term: a jump of the
-// machine's clock must not let all occurrences of a year lapse at once.
+// timeOfDay returns the time of day, extrapolated from the start of the term by the monotonic
+// clock. A jump of the controller's wall clock must not let all occurrences of a year lapse
+// at once.
 func (cs *calendarStore) timeOfDay(now time.Time) time.Time {
 	return cs.termStart.Round(0).Add(now.Sub(cs.termStart))
 }
 
-// limits are the operators' bounds on the calendar.
+// limits returns the configured limits of the calendar.
 func (cs *calendarStore) limits() calendar.Limits {
-	t := &cs.controller.Tuning.Calendar
+	tuning := &cs.controller.Tuning.Calendar
 	return calendar.Limits{
-		HorizonDays:         t.HorizonDays,
-		Reservations:        t.MaxReservations,
-		ReservationsPerTeam: t.MaxPerTeam,
-		Windows:             t.MaxWindows,
-		Occurrences:         t.MaxOccurrences,
+		HorizonDays:         tuning.HorizonDays,
+		Reservations:        tuning.MaxReservations,
+		ReservationsPerTeam: tuning.MaxPerTeam,
+		Windows:             tuning.MaxWindows,
+		Occurrences:         tuning.MaxOccurrences,
 	}
 }
 
-// calendarConfig is the configuration of a calendar for these machine types and zones.
+// calendarConfig returns the configuration of a calendar for the given machine types and
+// zones.
 func (cs *calendarStore) calendarConfig(types []wire.MachineType, zones []string) calendar.Config {
 	machines := func(typ, _ string) int {
-		if n, ok := cs.controller.Tuning.Calendar.AssumedCapacity[typ]; ok {
-			return n
+		if count, ok := cs.controller.Tuning.Calendar.AssumedCapacity[typ]; ok {
+			return count
 		}
 		return calendar.UnlimitedMachines
 	}
@@ -119,7 +121,7 @@
 	}
 }
 
-// readRecords reads the stored records; none while the calendar is switched off.
+// readRecords reads the stored records. It returns none if the calendar is switched off.
 func (cs *calendarStore) readRecords() (bookings, windows []state.Entry, err error) {
 	if !cs.enabled() {
 		return nil, nil, nil
@@ -136,73 +138,74 @@
 	return bookings, windows, err
 }
 
-// load builds the calendar from the records of earlier leaders. A record that cannot be
-// read is left as it is: it must not prevent the cluster from having a leader.
+// load builds the calendar from the records of earlier leaders. It skips records that cannot
+// be decoded, since they must not prevent a controller from becoming the leader.
 func (cs *calendarStore) load(bookings, windows []state.Entry) {
 	cs.reset()
 	cs.rebuild()
-	for _, e := range windows {
-		if err := cs.loadWindow(e); err != nil {
-			cs.log.Error("maintenance window cannot be read", "key", e.Key, "error", err)
+	for _, entry := range windows {
+		if err := cs.loadWindow(entry); err != nil {
+			cs.log.Error("cannot decode maintenance window; skipping it", "key", entry.Key, "error", err)
 		}
 	}
-	for _, e := range bookings {
-		if err := cs.loadBooking(e); err != nil {
-			cs.log.Error("reservation cannot be read", "key", e.Key, "error", err)
+	for _, entry := range bookings {
+		if err := cs.loadBooking(entry); err != nil {
+			cs.log.Error("cannot decode reservation; skipping it", "key", entry.Key, "error", err)
 		}
 	}
 }
 
 // loadWindow adds the maintenance window of a stored record.
-func (cs *calendarStore) loadWindow(e state.Entry) error {
+func (cs *calendarStore) loadWindow(entry state.Entry) error {
 	rec := &calendar.WindowRecord{}
-	if err := wire.Unmarshal(e.Value, rec); err != nil {
+	if err := wire.Unmarshal(entry.Value, rec); err != nil {
 		return err
 	}
-	w, err := rec.Window()
+	window, err := rec.Window()
 	if err != nil {
 		return err
 	}
-	cs.calendar.AddWindow(w)
-	cs.windows[rec.Spec.Name] = e.Version
+	cs.calendar.AddWindow(window)
+	cs.windows[rec.Spec.Name] = entry.Version
 	return nil
 }
 
 // loadBooking adds the reservation of a stored record.
-func (cs *calendarStore) loadBooking(e state.Entry) error {
+func (cs *calendarStore) loadBooking(entry state.Entry) error {
 	rec := &calendar.Record{}
-	if err := wire.Unmarshal(e.Value, rec); err != nil {
+	if err := wire.Unmarshal(entry.Value, rec); err != nil {
 		return err
 	}
-	b, err := rec.Booking()
+	booking, err := rec.Booking()
 	if err != nil {
 		return err
 	}
-	cs.addBooking(rec, b, e.Version)
+	cs.addBooking(rec, booking, entry.Version)
 	return nil
 }
 
 // addBooking adds a stored reservation to the calendar, or replaces it.
-func (cs *calendarStore) addBooking(rec *calendar.Record, b *calendar.Booking, version uint64) {
+func (cs *calendarStore) addBooking(rec *calendar.Record, booking *calendar.Booking, version uint64) {
 	cs.upcoming = nil
-	cs.calendar.Add(b)
-	cs.bookings[rec.Spec.Name] = &storedBooking{rec: rec, booking: b, version: version}
+	cs.calendar.Add(booking)
+	cs.bookings[rec.Spec.Name] = &storedBooking{rec: rec, booking: booking, version: version}
 }
 
-// removeBooking removes a reservation whose record is deleted.
+// removeBooking removes a reservation after its record was deleted.
 func (cs *calendarStore) removeBooking(name string) {
 	cs.upcoming = nil
 	cs.calendar.Remove(name)
 	delete(cs.bookings, name)
 }
 
-// removeWindow removes a maintenance window whose record is deleted.
+// removeWindow removes a maintenance window after its record was deleted.
 func (cs *calendarStore) removeWindow(name string) {
 	cs.calendar.RemoveWindow(name)
 	delete(cs.windows, name)
 }
 
-// rebuild makes the calendar anew when machine types, zones or teams have changed.
+// rebuild builds a new calendar with the same entries if the machine types, zones or teams
+// have changed.
 func (cs *calendarStore) rebuild() {
 	types, zones := cs.nameIndex.machineTypes(), cs.nameIndex.zoneNames()
 	inputs := calendarInputs{types: len(types), zones: len(zones), teams: cs.teamQuotas.sequence()}
@@ -212,32 +215,32 @@
 	cs.builtFor = inputs
 	before := cs.calendar
 	cs.calendar = calendar.New(cs.calendarConfig(types, zones))
-	for _, w := range before.Windows() {
-		cs.calendar.AddWindow(w)
+	for _, window := range before.Windows() {
+		cs.calendar.AddWindow(window)
 	}
-	for _, b := range before.Bookings() {
-		cs.calendar.Add(b)
+	for _, booking := range before.Bookings() {
+		cs.calendar.Add(booking)
 	}
 }
 
-// reallocate finds other machines for the occurrence of a hold. Limit is how many machines
-// of a type can be had in a zone.
+// reallocate returns new allocations for the occurrence of a hold. Limit returns how many
+// machines of a type are obtainable in a zone.
 func (cs *calendarStore) reallocate(hold *occurrenceHold, limit func(typ, zone string) int) []calendar.Allocation {
 	return cs.calendar.Reallocate(hold.reservation, hold.span, limit)
 }
 
-// windowsByName are the maintenance windows.
+// windowsByName returns the maintenance windows by name.
 func (cs *calendarStore) windowsByName() map[string]*calendar.PlannedWindow {
 	return cs.calendar.Windows()
 }
 
-// hasWindows reports whether there are maintenance windows.
+// hasWindows reports whether any maintenance window exists.
 func (cs *calendarStore) hasWindows() bool { return len(cs.windows) > 0 }
 
-// calendarInterval is how often the calendar is evaluated.
+// calendarInterval is the interval at which the calendar is evaluated.
 const calendarInterval = 250 * time.Millisecond
 
-// step decides the outcomes of occurrences and lets holds and drains follow.
+// step determines the outcomes of occurrences, and updates the holds and drains.
 func (cs *calendarStore) step(now time.Time) {
 	if !cs.enabled() || now.Sub(cs.lastStep) < calendarInterval {
 		return
@@ -250,7 +253,7 @@
 	cs.rebuild()
 	cs.reservationHolds.refresh(now)
 	if !cs.takeover.reconciled() {
-		return // what runs where is not known yet: nothing is decided, nothing is stopped
+		return // the running tasks are not all known yet, so no outcome is decided and no task is stopped
 	}
 	timeOfDay := cs.timeOfDay(now)
 	for _, b := range cs.bookings {
@@ -260,7 +263,7 @@
 	cs.removeExpired(timeOfDay)
 }
 
-// retentionDays is how long reservations and windows that are over can still be shown.
+// retentionDays is how long the records of reservations and windows are kept after their end.
 const retentionDays = 7
 
 // removeExpired deletes one reservation or window whose retention has ended.
@@ -269,36 +272,38 @@
 	if cs.storing {
 		return
 	}
-	for name, w := range cs.calendar.Windows() {
-		if w.Span().To < before {
+	for name, window := range cs.calendar.Windows() {
+		if window.Span().To < before {
 			cs.deleteRecord(windowPrefix+name, cs.windows[name], func() { cs.removeWindow(name) })
 			return
 		}
 	}
-	for name, b := range cs.bookings {
-		if spans := b.booking.Spans(); spans[len(spans)-1].To < before && !b.storing {
-			cs.deleteRecord(bookingPrefix+name, b.version, func() { cs.removeBooking(name) })
+	for name, stored := range cs.bookings {
+		if spans := stored.booking.Spans(); spans[len(spans)-1].To < before && !stored.storing {
+			cs.deleteRecord(bookingPrefix+name, stored.version, func() { cs.removeBooking(name) })
 			return
 		}
 	}
 }
 
-// commitInBackground runs a fenced transaction until its outcome is clear, and calls then
-// on the leader's goroutine. Version is that of key before the transaction.
-func (cs *calendarStore) commitInBackground(key string, version uint64, conds []state.Condition, writes []state.Write, then func(version uint64, err error)) {
+// commitInBackground commits a fenced transaction, retries it until its outcome is known, and
+// then calls onDone on the leader's goroutine. Version is the version of key before the
+// transaction.
+func (cs *calendarStore) commitInBackground(key string, version uint64, conds []state.Condition, writes []state.Write, onDone func(version uint64, err error)) {
 	go func() {
 		committed, err := cs.commitUntilSettled(key, version, conds, writes)
 		if cs.ctx.Err() == nil {
-			cs.enqueueForUser(func() { then(committed, err) })
+			cs.enqueueForUser(func() { onDone(committed, err) })
 		}
 	}()
 }
 
-// storeChange stores a change of the calendar, one at a time.
-func (cs *calendarStore) storeChange(conds []state.Condition, writes []state.Write, then func(version uint64, err error)) {
+// storeChange stores a change of the calendar and then calls onDone. Only one change may be
+// in progress at a time.
+func (cs *calendarStore) storeChange(conds []state.Condition, writes []state.Write, onDone func(version uint64, err error)) {
 	put, err := state.Put(changesKey, struct{}{})
 	if err != nil {
-		then(0, err)
+		onDone(0, err)
 		return
 	}
 	cs.storing = true
@@ -308,28 +313,28 @@
 		if err == nil {
 			cs.changesVersion = version
 		}
-		then(version, err)
+		onDone(version, err)
 		cs.finishChange()
 	})
 }
 
-// queueChange runs a change of the calendar, or queues it until the one before is stored:
-// whether an entry fits is decided against the stored ones.
-func (cs *calendarStore) queueChange(change func(), back func(*rpc.Reply)) {
+// queueChange runs a change of the calendar, or queues it while another one is being stored.
+// Whether a new entry fits depends on the entries that are already stored.
+func (cs *calendarStore) queueChange(change func(), respond func(*rpc.Reply)) {
 	switch {
 	case !cs.storing:
 		change()
 	case len(cs.queuedChanges) >= maxQueuedChanges:
-		back(finalRefusal(Unavailable("many changes of the calendar are being stored")))
+		respond(finalRefusal(Unavailable("too many changes of the calendar are queued")))
 	default:
 		cs.queuedChanges = append(cs.queuedChanges, change)
 	}
 }
 
-// maxQueuedChanges bounds the queued changes.
+// maxQueuedChanges is the maximum number of queued changes.
 const maxQueuedChanges = 64
 
-// finishChange runs the queued changes after one has been stored or refused.
+// finishChange runs the queued changes after the current one was stored or rejected.
 func (cs *calendarStore) finishChange() {
 	cs.storing = false
 	cs.lastStep = time.Time{}
@@ -341,12 +346,12 @@
 	}
 }
 
-// deleteRecord deletes a record of the given version, and calls then once it is deleted.
-func (cs *calendarStore) deleteRecord(key string, version uint64, then func()) {
+// deleteRecord deletes the given version of a record, and calls onDeleted if that succeeds.
+func (cs *calendarStore) deleteRecord(key string, version uint64, onDeleted func()) {
 	unchanged := []state.Condition{{Key: key, Version: version}}
 	cs.storeChange(unchanged, []state.Write{{Delete: key}}, func(_ uint64, err error) {
 		if err == nil {
-			then()
+			onDeleted()
 		}
 	})
 }
