--- a/internal/control/calendar_holds.go
+++ b/internal/control/calendar_holds.go
@@ -220,7 +220,7 @@
 }
 
 // retains reports whether a machine must not be released when it is idle. This applies to
-// held machines if their occurrence starts soon or backfilling is switched off.
+// held machines if their occurrence starts soon or backfilling is disabled.
 func (rh *reservationHolds) retains(machine *fleet.Machine) bool {
 	return rh.holdOf[machine] != nil && (rh.holdOf[machine].provisioning || !rh.controller.Tuning.Calendar.Backfill)
 }
--- a/internal/control/calendar_requests.go
+++ b/internal/control/calendar_requests.go
@@ -23,7 +23,7 @@
 func (cs *calendarStore) handleOperation(op *rpc.Operation, respond func(*rpc.Reply)) {
 	switch {
 	case !cs.enabled():
-		respond(errorReply(http.StatusNotFound, "the calendar is switched off"))
+		respond(errorReply(http.StatusNotFound, "the calendar is disabled"))
 	case len(cs.nameIndex.machineTypes()) == 0:
 		respond(Unavailable("the machine types are not loaded yet"))
 	case op.Window && op.Team != "" && (op.Verb == rpc.VerbStart || op.Verb == rpc.VerbCancel):
--- a/internal/control/calendar_store.go
+++ b/internal/control/calendar_store.go
@@ -78,7 +78,7 @@
 	cs.upcoming = nil
 }
 
-// enabled reports whether the calendar is switched on.
+// enabled reports whether the calendar is enabled.
 func (cs *calendarStore) enabled() bool { return cs.controller.Tuning.Calendar.Enabled }
 
 // empty reports whether there are neither reservations nor windows.
@@ -121,7 +121,7 @@
 	}
 }
 
-// readRecords reads the stored records. It returns none if the calendar is switched off.
+// readRecords reads the stored records. It returns none if the calendar is disabled.
 func (cs *calendarStore) readRecords() (bookings, windows []state.Entry, err error) {
 	if !cs.enabled() {
 		return nil, nil, nil
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -15,9 +15,10 @@
 // rolloutPrefix is the key prefix of the records of services and their roll-outs.
 const rolloutPrefix = "r/"
 
-// rollouts carries out what the records of roll-outs require. It compares a record with what
-// is observed, stores the next step under the term, and only then lets the planner and the
-// commands follow it, so that a successor can repeat every step.
+// rollouts executes the roll-outs of services. It compares the record of a roll-out with the
+// observed instances, stores the next step in a transaction fenced by the term, and only then
+// updates the quotas that the planner and the commands to workers follow. The next leader can
+// therefore repeat every step.
 type rollouts struct {
 	*core
 	nameIndex       *nameIndex
@@ -29,30 +30,32 @@
 	teamQuotas      *teamQuotas
 
 	services  map[string]*service
-	serviceOf map[string]*service // by job id of the versions
+	serviceOf map[string]*service // by job ID of the handle and of the versions
 	lastStep  time.Time
 	checker   checker
 }
 
-// service is one service's record as stored, and what has happened since.
+// service is the stored record of a service together with the changes that are not stored
+// yet.
 type service struct {
 	rec     *rollout.Record
-	gate    *rollout.Gate // of its specification; nil: it cannot be read
+	gate    *rollout.Gate // parsed from the specification; nil if that failed
 	version uint64
-	// idle: the roll-out is over and what it requires is done.
+	// idle is set once the roll-out has ended and its final state is in effect.
 	idle    bool
 	storing bool
-	// newFailures are failures of new instances that are not stored yet.
+	// newFailures are the failures of new instances that are not stored yet.
 	newFailures []instanceFailure
-	// requests are operators' requests for the next step.
+	// requests are the operators' requests that the next step applies.
 	requests []operatorRequest
 }
 
 // operatorRequest applies an operator's request to a record, and reports whether it has
-// changed. Respond answers the operator; it is called once the record is stored.
-type operatorRequest func(*rollout.Record) (changed bool, respond func())
+// changed the record. The returned function sends the reply to the operator; it is called
+// once a changed record is stored.
+type operatorRequest func(*rollout.Record) (changed bool, sendReply func())
 
-// instanceFailure is a failure of a replica's new instance on a machine.
+// instanceFailure is the failure of a replica's instance of the new version on a machine.
 type instanceFailure struct {
 	replica int32
 	machine string
@@ -64,16 +67,16 @@
 	return ro
 }
 
-// reset forgets all services.
+// reset discards all services.
 func (ro *rollouts) reset() {
 	ro.services = map[string]*service{}
 	ro.serviceOf = map[string]*service{}
 }
 
-// enabled reports whether roll-outs are switched on.
+// enabled reports whether roll-outs are enabled.
 func (ro *rollouts) enabled() bool { return ro.controller.Tuning.Rollouts.Enabled }
 
-// readRecords reads the stored records; none while roll-outs are switched off.
+// readRecords reads the stored records. It returns none if roll-outs are disabled.
 func (ro *rollouts) readRecords() ([]state.Entry, error) {
 	if !ro.enabled() {
 		return nil, nil
@@ -82,52 +85,52 @@
 	return entries, err
 }
 
-// load adds the services in the records of earlier leaders.
+// load adds the services from the records of earlier leaders.
 func (ro *rollouts) load(entries []state.Entry) error {
 	ro.reset()
-	for _, e := range entries {
+	for _, entry := range entries {
 		rec := &rollout.Record{}
-		if err := wire.Unmarshal(e.Value, rec); err != nil {
-			return fmt.Errorf("roll-out %s: %w", e.Key, err)
+		if err := wire.Unmarshal(entry.Value, rec); err != nil {
+			return fmt.Errorf("decode roll-out %s: %w", entry.Key, err)
 		}
-		ro.addService(&service{rec: rec, version: e.Version})
+		ro.addService(&service{rec: rec, version: entry.Version})
 	}
 	return nil
 }
 
-// addService adds the service of a stored record, or replaces it.
-func (ro *rollouts) addService(s *service) {
-	gate, err := rollout.NewGate(s.rec.Spec.Pass, s.rec.Spec.Fail)
+// addService adds the service of a stored record, or replaces the existing one.
+func (ro *rollouts) addService(svc *service) {
+	gate, err := rollout.NewGate(svc.rec.Spec.Pass, svc.rec.Spec.Fail)
 	if err != nil {
-		ro.log.Error("roll-out gate cannot be read", "service", s.rec.Service, "error", err)
+		ro.log.Error("cannot parse roll-out gate", "service", svc.rec.Service, "error", err)
 	}
-	s.gate = gate
-	ro.services[s.rec.Service] = s
-	for _, id := range s.jobIDs() {
+	svc.gate = gate
+	ro.services[svc.rec.Service] = svc
+	for _, id := range svc.jobIDs() {
 		if id != "" {
-			ro.serviceOf[id] = s
+			ro.serviceOf[id] = svc
 		}
 	}
-	ro.linkVersions(s)
+	ro.linkVersions(svc)
 }
 
-// jobIDs are the ids of a service's jobs: its handle and its versions. They may be equal or
-// empty.
+// jobIDs returns the job IDs of a service: its handle and its two versions. IDs may be equal
+// or empty.
 func (s *service) jobIDs() [3]string {
 	return [...]string{s.rec.Handle, s.rec.Current, s.rec.Next}
 }
 
-// linkVersions links the jobs of a service's versions with each other. A job without a quota
-// gets one that allows no replica, until the next step says which may be placed.
-func (ro *rollouts) linkVersions(s *service) {
+// linkVersions links the jobs of a service's versions with each other. A job without a
+// replica quota gets one that allows no replica until the next step sets it.
+func (ro *rollouts) linkVersions(svc *service) {
 	var jobs []*job.Job
-	for _, id := range s.jobIDs() {
+	for _, id := range svc.jobIDs() {
 		if j := ro.jobTable.identified(id); j != nil && !slices.Contains(jobs, j) {
 			jobs = append(jobs, j)
 		}
 	}
 	for _, j := range jobs {
-		j.IsVersionGroup = j.ID == s.rec.Handle
+		j.IsVersionGroup = j.ID == svc.rec.Handle
 		j.Versions = slices.DeleteFunc(slices.Clone(jobs), func(o *job.Job) bool { return o == j })
 		if j.Replicas == nil {
 			j.Replicas = &job.ReplicaPlan{Allowed: make([]bool, j.Tasks)}
@@ -135,60 +138,61 @@
 	}
 }
 
-// recordFailure notes that an instance of a version that is being rolled out has failed.
+// recordFailure records the failure of an instance if its version is being rolled out.
 func (ro *rollouts) recordFailure(j *job.Job, replica int32, host string) {
-	if s := ro.serviceOf[j.ID]; s != nil && j.ID == s.rec.Next && !s.rec.State.Over() {
-		s.newFailures = append(s.newFailures, instanceFailure{replica, host})
+	if svc := ro.serviceOf[j.ID]; svc != nil && j.ID == svc.rec.Next && !svc.rec.State.Over() {
+		svc.newFailures = append(svc.newFailures, instanceFailure{replica, host})
 	}
 }
 
-// rolloutInterval is how often the roll-outs are evaluated.
+// rolloutInterval is the interval at which the roll-outs are evaluated.
 const rolloutInterval = 250 * time.Millisecond
 
-// step evaluates each service once.
+// step evaluates each service.
 func (ro *rollouts) step(now time.Time) {
 	if len(ro.services) == 0 || now.Sub(ro.lastStep) < rolloutInterval {
 		return
 	}
 	ro.lastStep = now
-	for _, s := range ro.services {
-		ro.endCancelledVersions(s)
+	for _, svc := range ro.services {
+		ro.endCancelledVersions(svc)
 	}
 	if !ro.takeover.reconciled() {
-		return // what runs where is not known yet: nothing new starts, nothing is stopped
+		return // the running instances are not all known yet, so none is started or stopped
 	}
 	unavailable := ro.unavailableZones(now)
-	for _, s := range ro.services {
-		ro.advanceService(s, unavailable, now)
+	for _, svc := range ro.services {
+		ro.advanceService(svc, unavailable, now)
 	}
 }
 
-// advanceService stores a service's next step, or carries out the one that is stored.
-func (ro *rollouts) advanceService(s *service, unavailable map[string]bool, now time.Time) {
-	if s.storing || (s.idle && len(s.requests) == 0 && !jobEnded(ro.jobTable.identified(s.rec.Handle))) {
+// advanceService stores the next step of a service's roll-out, or applies the stored one.
+func (ro *rollouts) advanceService(svc *service, unavailable map[string]bool, now time.Time) {
+	if svc.storing || (svc.idle && len(svc.requests) == 0 && !jobEnded(ro.jobTable.identified(svc.rec.Handle))) {
 		return
 	}
-	ro.linkVersions(s)
-	view := ro.observe(s, unavailable, now)
-	next := *s.rec
-	changed := s.addFailures(&next)
-	requested, responses := s.applyRequests(&next)
+	ro.linkVersions(svc)
+	view := ro.observe(svc, unavailable, now)
+	next := *svc.rec
+	changed := svc.addFailures(&next)
+	requested, replies := svc.applyRequests(&next)
 	changed = requested || changed
 	if next.State != rollout.Failed && ro.jobTable.identified(next.Next) == nil && !next.State.Over() {
-		changed = rollout.RollBack(&next, now) || changed // the next version's job was cancelled
+		changed = rollout.RollBack(&next, now) || changed // the job of the next version was cancelled
 	}
-	changed = rollout.Step(&next, view, s.gate) || changed
+	changed = rollout.Step(&next, view, svc.gate) || changed
 	if changed {
-		ro.store(s, &next, responses)
+		ro.store(svc, &next, replies)
 		return
 	}
-	for _, respond := range responses {
-		respond()
+	for _, sendReply := range replies {
+		sendReply()
 	}
-	ro.applyRecord(s, view)
+	ro.applyRecord(svc, view)
 }
 
-// addFailures moves the new failures into a record, and reports whether it has changed.
+// addFailures moves the new failures into a record, and reports whether that has changed the
+// record.
 func (s *service) addFailures(rec *rollout.Record) (changed bool) {
 	for _, f := range s.newFailures {
 		changed = rec.AddFailure(f.replica, f.machine) || changed
@@ -197,42 +201,43 @@
 	return changed
 }
 
-// applyRequests applies the operators' requests to a record, and reports whether it has
-// changed. The responses are called once the record is stored.
-func (s *service) applyRequests(rec *rollout.Record) (changed bool, responses []func()) {
+// applyRequests applies the operators' requests to a record, and reports whether they have
+// changed the record. The returned functions send the replies; they are called once a changed
+// record is stored.
+func (s *service) applyRequests(rec *rollout.Record) (changed bool, replies []func()) {
 	for _, apply := range s.requests {
-		did, respond := apply(rec)
-		changed = changed || did
-		responses = append(responses, respond)
+		recChanged, sendReply := apply(rec)
+		changed = changed || recChanged
+		replies = append(replies, sendReply)
 	}
 	s.requests = nil
-	return changed, responses
+	return changed, replies
 }
 
-// store stores a service's changed record in the background. What it requires is done once it
-// is durable.
-func (ro *rollouts) store(s *service, rec *rollout.Record, responses []func()) {
+// store stores a service's changed record in the background. The record takes effect only
+// once it is stored.
+func (ro *rollouts) store(svc *service, rec *rollout.Record, replies []func()) {
 	key := rolloutPrefix + rec.Service
 	put, err := state.Put(key, rec)
 	if err != nil {
-		ro.log.Error("roll-out cannot be encoded", "service", rec.Service, "error", err)
+		ro.log.Error("cannot encode roll-out record", "service", rec.Service, "error", err)
 		return
 	}
-	s.storing = true
-	before := s.version
+	svc.storing = true
+	before := svc.version
 	txn := state.Txn{
 		If:     []state.Condition{ro.fence, {Key: key, Version: before}},
 		Writes: []state.Write{put},
 	}
 	go func() {
 		if version, ok := ro.commitRecord(txn, key, before); ok {
-			ro.enqueueForUser(func() { ro.recordStored(s, rec, version, responses) })
+			ro.enqueueForUser(func() { ro.recordStored(svc, rec, version, replies) })
 		}
 	}()
 }
 
-// commitRecord commits the transaction of a changed record until it succeeds, and returns the
-// record's version; not ok: the term has ended.
+// commitRecord retries the transaction of a changed record until it succeeds, and returns the
+// new version of the record. Ok is false if the term has ended.
 func (ro *rollouts) commitRecord(txn state.Txn, key string, before uint64) (version uint64, ok bool) {
 	for ro.ctx.Err() == nil {
 		version, err := ro.controller.State.Commit(ro.ctx, txn)
@@ -240,8 +245,8 @@
 			return version, true
 		}
 		if errors.Is(err, state.ErrConflict) {
-			// Only the leader writes the record: a version that has moved on is the work of an
-			// earlier attempt of this very transaction whose outcome was not clear.
+			// Only the leader writes the record. If its version has changed, an earlier attempt
+			// of this transaction with an unknown outcome was committed.
 			if entry, err := ro.controller.State.Get(ro.ctx, key); err == nil && entry.Version != before {
 				return entry.Version, true
 			}
@@ -251,17 +256,17 @@
 	return 0, false
 }
 
-// recordStored replaces a service's record by the one that is recordStored, and answers the operators
-// whose requests it contains.
-func (ro *rollouts) recordStored(s *service, rec *rollout.Record, version uint64, responses []func()) {
-	if rec.State != s.rec.State || rec.BatchIndex != s.rec.BatchIndex {
+// recordStored replaces a service's record with the stored one, and replies to the operators
+// whose requests it includes.
+func (ro *rollouts) recordStored(svc *service, rec *rollout.Record, version uint64, replies []func()) {
+	if rec.State != svc.rec.State || rec.BatchIndex != svc.rec.BatchIndex {
 		ro.log.Info("roll-out progress", "service", rec.Service, "state", rec.State, "batch", rec.BatchIndex+1, "batches", len(rec.Batches), "version", rec.Next, "reason", rec.Reason)
 	}
-	s.rec = rec
-	s.version = version
-	s.storing = false
+	svc.rec = rec
+	svc.version = version
+	svc.storing = false
 	ro.requestPlan()
-	for _, respond := range responses {
-		respond()
+	for _, sendReply := range replies {
+		sendReply()
 	}
 }
--- a/internal/control/rollout_observe.go
+++ b/internal/control/rollout_observe.go
@@ -10,18 +10,18 @@
 	"vetchstream/internal/wire"
 )
 
-// unavailableZones are the zones that have machines, but none that can take work.
+// unavailableZones returns the zones that have machines, but none that can accept tasks.
 func (ro *rollouts) unavailableZones(now time.Time) map[string]bool {
 	zones := ro.nameIndex.zoneNames()
 	populated := make([]bool, len(zones))
 	available := make([]bool, len(zones))
 	limit := ro.silenceLimit()
-	for _, h := range ro.fleet.All() {
-		if h.Zone < 0 || h.Booting {
+	for _, machine := range ro.fleet.All() {
+		if machine.Zone < 0 || machine.Booting {
 			continue
 		}
-		populated[h.Zone] = true
-		available[h.Zone] = available[h.Zone] || (h.Usable() && h.SinceLastReport(now) < limit)
+		populated[machine.Zone] = true
+		available[machine.Zone] = available[machine.Zone] || (machine.Usable() && machine.SinceLastReport(now) < limit)
 	}
 	unavailable := map[string]bool{}
 	for i, zone := range zones {
@@ -32,80 +32,83 @@
 	return unavailable
 }
 
-// maxSilentHeartbeats is how many heartbeat intervals a machine may be silent before its
-// instances count as lost, if that is longer than half of the workers' lease.
+// maxSilentHeartbeats is the silence limit in heartbeat intervals. It applies if it is longer
+// than half of the workers' lease.
 const maxSilentHeartbeats = 2.5
 
-// silenceLimit is how long a machine may be silent before its instances count as lost.
+// silenceLimit returns the time without heartbeats after which the instances on a machine
+// count as lost.
 func (ro *rollouts) silenceLimit() time.Duration {
-	w := ro.controller.Settings.Facts.Workers
-	return config.Seconds(max(maxSilentHeartbeats*w.ReportS, w.LeaseS/2))
+	workers := ro.controller.Settings.Facts.Workers
+	return config.Seconds(max(maxSilentHeartbeats*workers.ReportS, workers.LeaseS/2))
 }
 
-// observe is what is observed of a service.
-func (ro *rollouts) observe(s *service, unavailable map[string]bool, now time.Time) *rollout.View {
-	old, next := ro.versions(s)
-	v := &rollout.View{
+// observe returns the current view of a service's instances.
+func (ro *rollouts) observe(svc *service, unavailable map[string]bool, now time.Time) *rollout.View {
+	old, next := ro.versions(svc)
+	view := &rollout.View{
 		Now:              now,
 		UnavailableZones: unavailable,
 		Old:              ro.instances(old, now),
 		New:              ro.instances(next, now),
 	}
-	v.Cancelled = jobEnded(ro.jobTable.identified(s.rec.Handle)) || jobEnded(old)
-	v.ChecksUnreachable = s.rec.Spec.Check != nil && ro.checksUnreachable(old, next)
-	if missing := len(v.Old) - len(v.New); missing > 0 {
-		v.New = append(v.New, make([]rollout.Instance, missing)...)
+	view.Cancelled = jobEnded(ro.jobTable.identified(svc.rec.Handle)) || jobEnded(old)
+	view.ChecksUnreachable = svc.rec.Spec.Check != nil && ro.checksUnreachable(old, next)
+	if missing := len(view.Old) - len(view.New); missing > 0 {
+		view.New = append(view.New, make([]rollout.Instance, missing)...)
 	}
-	return v
+	return view
 }
 
-// versions are the jobs of a service's current and next version; nil: unknown.
-func (ro *rollouts) versions(s *service) (old, next *job.Job) {
-	return ro.jobTable.identified(s.rec.Current), ro.jobTable.identified(s.rec.Next)
+// versions returns the jobs of a service's current and next version. A job is nil if it is
+// unknown.
+func (ro *rollouts) versions(svc *service) (old, next *job.Job) {
+	return ro.jobTable.identified(svc.rec.Current), ro.jobTable.identified(svc.rec.Next)
 }
 
 // jobEnded reports whether a job has ended, is ending, or is unknown.
 func jobEnded(j *job.Job) bool { return j == nil || j.Phase+j.Closing != "" }
 
-// instances are the instances of a version, by replica.
+// instances returns the instances of a version, indexed by replica.
 func (ro *rollouts) instances(j *job.Job, now time.Time) []rollout.Instance {
 	if j == nil {
 		return nil
 	}
 	instances := make([]rollout.Instance, j.Tasks)
-	for s := range ro.fleet.SlotsOf(j) {
-		if s.Active() {
-			ro.observeInstance(&instances[s.Task], s, now)
+	for slot := range ro.fleet.SlotsOf(j) {
+		if slot.Active() {
+			ro.observeInstance(&instances[slot.Task], slot, now)
 		}
 	}
 	return instances
 }
 
-// observeInstance adds what is observed of one placement of a replica.
-func (ro *rollouts) observeInstance(i *rollout.Instance, s *fleet.Slot, now time.Time) {
-	h := s.Machine
-	i.Live = true
-	i.Lost = i.Lost || h.Lost || h.Quarantined || h.Releasing || !h.ReclaimAt.IsZero() || h.SinceLastReport(now) > ro.silenceLimit()
-	if s.Phase != wire.TaskRunning || s.Stopping {
+// observeInstance adds the observed state of one placement to a replica's instance.
+func (ro *rollouts) observeInstance(instance *rollout.Instance, slot *fleet.Slot, now time.Time) {
+	machine := slot.Machine
+	instance.Live = true
+	instance.Lost = instance.Lost || machine.Lost || machine.Quarantined || machine.Releasing || !machine.ReclaimAt.IsZero() || machine.SinceLastReport(now) > ro.silenceLimit()
+	if slot.Phase != wire.TaskRunning || slot.Stopping {
 		return
 	}
-	i.Running = true
-	i.Health = health(s)
-	if !s.RunningSince.IsZero() {
-		i.SinceS = now.Sub(s.RunningSince).Seconds()
+	instance.Running = true
+	instance.Health = health(slot)
+	if !slot.RunningSince.IsZero() {
+		instance.SinceS = now.Sub(slot.RunningSince).Seconds()
 	}
-	if !s.UnhealthySince.IsZero() {
-		i.BadS = now.Sub(s.UnhealthySince).Seconds()
+	if !slot.UnhealthySince.IsZero() {
+		instance.BadS = now.Sub(slot.UnhealthySince).Seconds()
 	}
 }
 
-// health combines the worker's word on an instance with the last check: unhealthy if either
-// says so, healthy if one says so and the other does not object.
-func health(s *fleet.Slot) rollout.Health {
+// health combines the health that the worker reports with the result of the last check. An
+// instance is unhealthy if either of them is bad, and healthy if one is good and the other
+// is not bad.
+func health(slot *fleet.Slot) rollout.Health {
 	switch {
-	case s.Health == wire.HealthBad || s.ProbeHealth == wire.HealthBad:
+	case slot.Health == wire.HealthBad || slot.ProbeHealth == wire.HealthBad:
 		return rollout.Unhealthy
-	case s.Health == wire.HealthGood || s.ProbeHealth == wire.HealthGood:
+	case slot.Health == wire.HealthGood || slot.ProbeHealth == wire.HealthGood:
 		return rollout.Healthy
 	}
 	return rollout.Unknown
