--- a/internal/control/planner_demands.go
+++ b/internal/control/planner_demands.go
@@ -68,7 +68,7 @@
 		Shape:        j.Shape,
 		Priority:     j.Priority,
 		Team:         j.TeamIdx,
-		Need:         needOf(j),
+		Need:         taskRequirements(j),
 		AllowedTypes: j.TypeAllowed,
 		Zone:         j.ZoneIdx,
 		OneZone:      j.OneZone,
--- a/internal/control/planner_input.go
+++ b/internal/control/planner_input.go
@@ -179,7 +179,7 @@
 	}
 	if r, ok := p.reservations[machine]; ok {
 		candidate.ReservedFor = p.jobTable.index(r.job)
-		candidate.Reserved = needOf(r.job)
+		candidate.Reserved = taskRequirements(r.job)
 		candidate.AwaitsCompletion = r.awaitsCompletion
 	}
 	p.reservationHolds.annotate(&candidate, machine, p.now)
--- a/internal/control/planner_victims.go
+++ b/internal/control/planner_victims.go
@@ -28,7 +28,7 @@
 			ID:             len(p.victimSlots),
 			Priority:       slot.Job.Priority,
 			Team:           slot.Job.TeamIdx,
-			Need:           needOf(slot.Job),
+			Need:           taskRequirements(slot.Job),
 			Released:       releasedByPreemption(slot.Job),
 			LossCPUSeconds: preemptionLoss(slot, p.now),
 			RemainingS:     remainingSeconds(slot, p.now),
@@ -41,7 +41,7 @@
 // releasedByPreemption returns the resources that preempting one task of a job releases.
 // A gang is stopped as a whole.
 func releasedByPreemption(j *job.Job) place.Resources {
-	need := needOf(j)
+	need := taskRequirements(j)
 	if j.Shape != job.Gang {
 		return need
 	}
