--- a/internal/control/records_registry_test.go
+++ b/internal/control/records_registry_test.go
@@ -20,7 +20,7 @@
 	{"an array on 60 machines is stored with one write per kind of page", func(f *registryFixture) {
 		j := f.addArrayJob("run-1")
 		for i := range 60 {
-			f.assign(j, int32(i), f.addMachine(fmt.Sprintf("h%d", i)))
+			f.assign(j, int32(i), f.addRegisteredMachine(fmt.Sprintf("h%d", i)))
 		}
 		if n := len(f.storeOnce(f.store.apply).Writes); n != 2 {
 			f.t.Errorf("the transaction has %d writes, want 2: a page of machines and a page of jobs", n)
@@ -33,12 +33,12 @@
 	}},
 	{"a write with unknown outcome confirms nothing, and a delayed write does not overwrite a newer one", func(f *registryFixture) {
 		j := f.addArrayJob("run-1")
-		f.assign(j, 0, f.addMachine("h0"))
+		f.assign(j, 0, f.addRegisteredMachine("h0"))
 		delayed := f.storeOnce(lostResponse)
 		if j.NotedMachines.Has(0) || f.addMachine("h0").Registered {
 			f.t.Error("the job may be launched, or the machine is registered, after a write with unknown outcome")
 		}
-		f.assign(j, 1, f.addMachine("h1"))
+		f.assign(j, 1, f.addRegisteredMachine("h1"))
 		f.storeOnce(f.store.apply)
 		if _, err := f.store.apply(delayed); err == nil {
 			f.t.Error("the delayed write was applied after a newer one")
@@ -47,7 +47,7 @@
 	}},
 	{"a write with unknown outcome that was applied is detected by the next conflict", func(f *registryFixture) {
 		j := f.addArrayJob("run-1")
-		f.assign(j, 0, f.addMachine("h0"))
+		f.assign(j, 0, f.addRegisteredMachine("h0"))
 		delayed := f.storeOnce(lostResponse)
 		if _, err := f.store.apply(delayed); err != nil {
 			f.t.Fatal(err)
@@ -60,12 +60,12 @@
 	}},
 	{"a gang's entry shrinks to its current machines once that write is confirmed", func(f *registryFixture) {
 		j := newGangJob(f, "run-1")
-		f.assign(j, 0, f.addMachine("h0"))
+		f.assign(j, 0, f.addRegisteredMachine("h0"))
 		f.storeOnce(f.store.apply)
 		for slot := range f.fleet.SlotsOf(j) {
 			f.fleet.Stop(slot, 0)
 		}
-		f.assign(j, 1, f.addMachine("h1"))
+		f.assign(j, 1, f.addRegisteredMachine("h1"))
 		f.storeOnce(lostResponse)
 		if j.NotedMachines.Has(0) || j.NotedMachines.Has(1) {
 			f.t.Error("the gang may be launched on a machine that only the old or only the new record names")
@@ -77,7 +77,7 @@
 	}},
 	{"pages that outgrow the size limit are split, and the next leader loads all entries", func(f *registryFixture) {
 		for i := range 40 {
-			f.assign(f.addArrayJob(fmt.Sprintf("run-%d", i)), 0, f.addMachine(fmt.Sprintf("h%d", i)))
+			f.assign(f.addArrayJob(fmt.Sprintf("run-%d", i)), 0, f.addRegisteredMachine(fmt.Sprintf("h%d", i)))
 		}
 		f.storeOnce(f.store.apply)
 		f.registry.maxPageBytes = 1000
@@ -153,7 +153,7 @@
 	{"every stale page is stored in turn while other pages become stale again", func(f *registryFixture) {
 		f.registry.maxPageBytes = 1000
 		for i := range 60 {
-			f.addMachine(fmt.Sprintf("h%d", i))
+			f.addRegisteredMachine(fmt.Sprintf("h%d", i))
 		}
 		for range 10 {
 			f.storeOnce(f.store.apply)
@@ -178,23 +178,23 @@
 		}
 	}},
 	{"an index is reused only after no stored record names its machine", func(f *registryFixture) {
-		machine := f.addMachine("h0")
+		machine := f.addRegisteredMachine("h0")
 		f.storeOnce(f.store.apply)
 		f.fleet.Remove(machine)
 		if f.registry.removeMachine(machine) {
 			f.t.Fatal("the index is free while the stored record still names the machine")
 		}
-		if f.addMachine("h1").Index == machine.Index {
+		if f.addRegisteredMachine("h1").Index == machine.Index {
 			f.t.Error("the index was reused before the page was stored without the machine")
 		}
 		f.storeOnce(f.store.apply)
-		if got := f.addMachine("h2").Index; got != machine.Index {
+		if got := f.addRegisteredMachine("h2").Index; got != machine.Index {
 			f.t.Errorf("the new machine has index %d, want the freed index %d", got, machine.Index)
 		}
 	}},
 	{"the entry of a job that has ended is removed once all machines are reconciled", func(f *registryFixture) {
 		j := f.addArrayJob("run-1")
-		f.assign(j, 0, f.addMachine("h0"))
+		f.assign(j, 0, f.addRegisteredMachine("h0"))
 		f.storeOnce(f.store.apply)
 		delete(f.jobTable.jobs, "run-1")
 		f.takeover.allReconciled = false
--- a/internal/control/registry_fixture_test.go
+++ b/internal/control/registry_fixture_test.go
@@ -80,8 +80,8 @@
 	return f
 }
 
-// addMachine adds a machine to the fleet and to the registry.
-func (f *registryFixture) addMachine(name string) *fleet.Machine {
+// addRegisteredMachine adds a machine to the fleet and to the registry.
+func (f *registryFixture) addRegisteredMachine(name string) *fleet.Machine {
 	machine := f.addMachine(name)
 	f.nameIndex.describeMachine(machine, "small", "a", false)
 	machine.Addr = "10.0.0.1:1"
