--- a/internal/control/planner.go
+++ b/internal/control/planner.go
@@ -12,37 +12,43 @@
 )
 
 const (
-	// minPlanInterval prevents a plan for each message of a burst.
+	// minPlanInterval is the shortest interval between two plans. It keeps a burst of
+	// messages from causing a plan for each of them.
 	minPlanInterval = 50 * time.Millisecond
-	// maxPlanInterval is after what time a plan is made although nothing is known to have
-	// changed.
+	// maxPlanInterval is the longest interval between two plans, even if no change has
+	// been reported.
 	maxPlanInterval = time.Second
-	// minPlanIntervalFactor bounds the part of the time that plans take to one in minPlanIntervalFactor, so
-	// that heartbeats, cancellations and the lease are served while a large fleet is full.
+	// minPlanIntervalFactor times the duration of a plan is the shortest interval to the
+	// start of the next one. It limits planning to a quarter of the time, so that
+	// heartbeats, cancellations and the lease are handled in time while a large fleet is
+	// fully used.
 	minPlanIntervalFactor = 4
-	// preemptionReservationTime is for how long a machine stays reserved for the job for which work was
-	// preempted there.
+	// preemptionReservationTime is how long a machine stays reserved for the job that
+	// preempted tasks on it.
 	preemptionReservationTime = 15 * time.Second
-	// gangReservationTime is for how long a machine stays reserved for a gang that waits for room;
-	// each plan in which the gang may preempt renews or ends it.
+	// gangReservationTime is how long a machine stays reserved for a gang that waits for
+	// running tasks to complete. Each plan in which the gang may preempt renews or ends
+	// the reservation.
 	gangReservationTime = 4 * preemptInterval
-	// waitLogInterval and maxWaitLogJobs bound the log of jobs that find no machine.
+	// waitLogInterval and maxWaitLogJobs limit how often, and for how many jobs, the lack
+	// of capacity is logged.
 	waitLogInterval = 5 * time.Second
 	maxWaitLogJobs  = 5
-	// attemptTermShift is the position of the term in an attempt number.
+	// attemptTermShift is the bit position of the term in an attempt number.
 	attemptTermShift = 24
 )
 
-// machineReservation reserves room on a machine for a job.
+// machineReservation reserves capacity on a machine for a job.
 type machineReservation struct {
 	job   *job.Job
 	until time.Time
-	// awaitsCompletion: the room becomes free as tasks complete; nothing was preempted for it.
+	// awaitsCompletion is set if the capacity becomes free as tasks complete, without
+	// preemption.
 	awaitsCompletion bool
 }
 
-// planner makes plans and carries them out: which tasks are placed and preempted, and which
-// machines are reserved.
+// planner makes plans and applies them: it places tasks, preempts others and reserves
+// machines.
 type planner struct {
 	*core
 	nameIndex         *nameIndex
@@ -57,12 +63,13 @@
 	teamQuotas        *teamQuotas
 
 	reservations map[*fleet.Machine]machineReservation
-	// attemptCount counts the attempt numbers made in this term.
+	// attemptCount is the number of attempt numbers assigned in this term.
 	attemptCount uint64
-	// lastPlanAt is when the last plan was begun, lastPlanDuration how long it took.
+	// lastPlanAt is the start of the last plan, lastPlanDuration its duration.
 	lastPlanAt       time.Time
 	lastPlanDuration time.Duration
-	// lastPreemptAt is when a job last looked for tasks to preempt.
+	// lastPreemptAt is the time of each job's last plan in which it was allowed to
+	// preempt.
 	lastPreemptAt map[*job.Job]time.Time
 	lastWaitLogAt time.Time
 }
@@ -75,36 +82,36 @@
 	}
 }
 
-// reserved reports whether a machine is reserved for some job.
-func (pl *planner) reserved(h *fleet.Machine) bool { return pl.reservations[h].job != nil }
+// reserved reports whether a machine is reserved for any job.
+func (pl *planner) reserved(machine *fleet.Machine) bool { return pl.reservations[machine].job != nil }
 
-// reservedFor returns the job for which a machine is reserved, or nil.
-func (pl *planner) reservedFor(h *fleet.Machine) *job.Job { return pl.reservations[h].job }
+// reservedFor returns the job that a machine is reserved for, or nil.
+func (pl *planner) reservedFor(machine *fleet.Machine) *job.Job { return pl.reservations[machine].job }
 
-// removeMachine forgets a machine that has been released.
-func (pl *planner) removeMachine(h *fleet.Machine) { delete(pl.reservations, h) }
+// removeMachine drops the reservation of a machine that has been released.
+func (pl *planner) removeMachine(machine *fleet.Machine) { delete(pl.reservations, machine) }
 
-// removeJob forgets a job that is over.
+// removeJob drops the planner's state of a job that has ended.
 func (pl *planner) removeJob(j *job.Job) { delete(pl.lastPreemptAt, j) }
 
-// expireReservations ends the reservations that were not used in time, and those of jobs
-// that are over. It is not left to the next plan: while no job waits there is none.
+// expireReservations deletes reservations that have expired or whose job has ended. It
+// runs apart from the plans, because no plan is made while no job waits.
 func (pl *planner) expireReservations(now time.Time) {
-	for h, r := range pl.reservations {
+	for machine, r := range pl.reservations {
 		if now.After(r.until) || r.job.Phase+r.job.Closing != "" {
-			delete(pl.reservations, h)
+			delete(pl.reservations, machine)
 		}
 	}
 }
 
-// place makes a plan and carries it out, if one is due.
+// place makes a plan and applies it, if a plan is due.
 func (pl *planner) place(now time.Time) {
 	if !pl.due(now) || !pl.takeover.reconcile(now) || pl.hasUnidentifiedTasks() {
 		return
 	}
 	pl.lastPlanAt = now
 	pl.planRequested = false
-	pl.reservationHolds.refresh(now) // a machine that has just come up for a reservation must not be filled
+	pl.reservationHolds.refresh(now) // before planning: a machine that has just booted for a reservation must stay free
 	defer func() {
 		pl.lastPlanDuration = time.Since(now)
 		pl.controller.Meter.Observe(metrics.PlanTime, "", pl.lastPlanDuration)
@@ -123,7 +130,7 @@
 	pl.logUnmetDemand(now, unmet)
 }
 
-// due reports whether it is time for a plan.
+// due reports whether a plan is due.
 func (pl *planner) due(now time.Time) bool {
 	sinceLast := now.Sub(pl.lastPlanAt)
 	if sinceLast < max(minPlanInterval, minPlanIntervalFactor*pl.lastPlanDuration) {
@@ -132,8 +139,8 @@
 	return pl.planRequested || sinceLast >= maxPlanInterval
 }
 
-// hasUnidentifiedTasks reports whether there are tasks of jobs whose records have not been
-// read: what these use is not counted for any team yet.
+// hasUnidentifiedTasks reports whether any task belongs to a job whose record has not
+// been read. The usage of such tasks is not attributed to a team yet.
 func (pl *planner) hasUnidentifiedTasks() bool {
 	for j := range pl.jobTable.unidentifiedJobs() {
 		if len(j.Live) > 0 {
@@ -143,34 +150,35 @@
 	return false
 }
 
-// applyAssignments enters the placements of a plan into the ledger.
+// applyAssignments records the assignments of a plan in the fleet.
 func (pl *planner) applyAssignments(in *planInput, assignments []place.Assignment) {
-	attempts := map[*job.Job]uint64{} // of this plan
-	for _, a := range assignments {
-		pl.assign(in.job(a.Demand), a.Task, in.machines[a.Machine], attempts, in.now)
+	attempts := map[*job.Job]uint64{} // in this plan, by job
+	for _, assignment := range assignments {
+		pl.assign(in.job(assignment.Demand), assignment.Task, in.machines[assignment.Machine], attempts, in.now)
 	}
 }
 
-// assign places a task of a job on a machine. The tasks that a plan places of an array or a
-// service share an attempt number; attempts holds those made so far.
-func (pl *planner) assign(j *job.Job, task int32, h *fleet.Machine, attempts map[*job.Job]uint64, now time.Time) {
+// assign places a task of a job on a machine. All tasks of an array or a service that one
+// plan places share an attempt number; attempts maps the jobs of the plan to these
+// numbers.
+func (pl *planner) assign(j *job.Job, task int32, machine *fleet.Machine, attempts map[*job.Job]uint64, now time.Time) {
 	attempt := pl.attemptFor(j, attempts)
 	waited := now.Sub(j.WaitingSince)
 	if pl.debug {
-		pl.log.Debug("task placed", "task", job.TaskName(j.ID, task), "machine", h.Name, "waited", waited)
+		pl.log.Debug("task placed", "task", job.TaskName(j.ID, task), "machine", machine.Name, "waited", waited)
 	}
-	pl.fleet.Assign(h, fleet.PlacementKey{Job: j, Task: task, Attempt: attempt}, now)
-	pl.registry.recordPlacement(j, h)
-	j.LastMachine = h.Index
+	pl.fleet.Assign(machine, fleet.PlacementKey{Job: j, Task: task, Attempt: attempt}, now)
+	pl.registry.recordPlacement(j, machine)
+	j.LastMachine = machine.Index
 	pl.controller.Meter.Observe(metrics.StartWait, j.Class, waited)
 	j.WaitingSince = now
-	if pl.reservedFor(h) == j {
-		delete(pl.reservations, h)
+	if pl.reservedFor(machine) == j {
+		delete(pl.reservations, machine)
 	}
 }
 
-// attemptFor returns the attempt number for the next task of a job: that of its gang, or
-// that of the job in this plan.
+// attemptFor returns the attempt number of a job's next task: that of the current attempt
+// for a gang, otherwise one per job and plan.
 func (pl *planner) attemptFor(j *job.Job, attempts map[*job.Job]uint64) uint64 {
 	if j.Shape == job.Gang {
 		if j.GangAttempt == 0 {
@@ -184,50 +192,51 @@
 	return attempts[j]
 }
 
-// nextAttempt returns an attempt number that no other term can make.
+// nextAttempt returns an attempt number that is unique across terms.
 func (pl *planner) nextAttempt() uint64 {
 	pl.attemptCount++
 	return pl.term<<attemptTermShift | pl.attemptCount
 }
 
-// applyPreemptions stops the victims of a plan and reserves the machines.
+// applyPreemptions stops the victims of a plan and reserves their machines for the
+// preempting jobs.
 func (pl *planner) applyPreemptions(in *planInput, preemptions []place.Preemption) {
-	for _, p := range preemptions {
-		j, h := in.job(p.Demand), in.machines[p.Machine]
-		pl.log.Info("preempting tasks", "job", j.ID, "machine", h.Name, "tasks", len(p.Victims))
-		pl.reservations[h] = machineReservation{job: j, until: in.now.Add(preemptionReservationTime)}
-		for _, v := range p.Victims {
-			s := in.victimSlots[v]
-			pl.taskTracker.stopSlot(s, saveGrace(s.Job))
+	for _, preemption := range preemptions {
+		j, machine := in.job(preemption.Demand), in.machines[preemption.Machine]
+		pl.log.Info("preempting tasks", "job", j.ID, "machine", machine.Name, "tasks", len(preemption.Victims))
+		pl.reservations[machine] = machineReservation{job: j, until: in.now.Add(preemptionReservationTime)}
+		for _, victim := range preemption.Victims {
+			slot := in.victimSlots[victim]
+			pl.taskTracker.stopSlot(slot, saveGrace(slot.Job))
 		}
 	}
 }
 
-// renewReservations reserves the machines that a plan has chosen for gangs, and ends the
-// earlier reservations of the gangs that looked for machines in this plan.
+// renewReservations reserves the machines that a plan has chosen for gangs, and deletes
+// the earlier reservations of the gangs that were allowed to preempt in this plan.
 func (pl *planner) renewReservations(in *planInput, chosen []place.Reservation) {
-	looked := map[*job.Job]bool{}
+	preempting := map[*job.Job]bool{}
 	for i := range in.input.Demands {
 		if in.input.Demands[i].MayPreempt {
-			looked[in.job(i)] = true
+			preempting[in.job(i)] = true
 		}
 	}
-	for h, r := range pl.reservations {
-		if r.awaitsCompletion && looked[r.job] {
-			delete(pl.reservations, h)
+	for machine, r := range pl.reservations {
+		if r.awaitsCompletion && preempting[r.job] {
+			delete(pl.reservations, machine)
 		}
 	}
-	for _, c := range chosen {
-		pl.reservations[in.machines[c.Machine]] = machineReservation{
-			job:              in.job(c.Demand),
+	for _, reservation := range chosen {
+		pl.reservations[in.machines[reservation.Machine]] = machineReservation{
+			job:              in.job(reservation.Demand),
 			until:            in.now.Add(gangReservationTime),
 			awaitsCompletion: true,
 		}
 	}
 }
 
-// unmetDemand returns the jobs for whose tasks a plan has found no machine, the most urgent
-// first; unplaced counts those tasks, by demand.
+// unmetDemand returns the jobs with tasks that a plan could not place, the most urgent
+// first. unplaced is the number of these tasks per demand.
 func (pl *planner) unmetDemand(in *planInput, unplaced []int) []autoscale.UnmetDemand {
 	var unmet []autoscale.UnmetDemand
 	for i := range in.input.Demands {
@@ -238,13 +247,13 @@
 		if pl.reservationHolds.providesFor(j) {
 			continue
 		}
-		d := &in.input.Demands[i]
+		demand := &in.input.Demands[i]
 		unmet = append(unmet, autoscale.UnmetDemand{
-			Demand:  d,
+			Demand:  demand,
 			Count:   unplaced[i],
 			TaskS:   runTimeEstimate(j),
 			ImageGB: j.ImageGB,
-			WaitedS: d.WaitedS,
+			WaitedS: demand.WaitedS,
 			Urgent:  j.Shape == job.Gang,
 		})
 	}
@@ -254,8 +263,8 @@
 	return unmet
 }
 
-// logUnmetDemand logs the most urgent jobs that found no machine, at most once in
-// waitLogInterval.
+// logUnmetDemand logs the most urgent jobs that no machine has capacity for, at most once
+// per waitLogInterval.
 func (pl *planner) logUnmetDemand(now time.Time, unmet []autoscale.UnmetDemand) {
 	if len(unmet) == 0 || now.Sub(pl.lastWaitLogAt) <= waitLogInterval {
 		return
--- a/internal/control/planner_demands.go
+++ b/internal/control/planner_demands.go
@@ -9,25 +9,27 @@
 )
 
 const (
-	// maxPending bounds the tasks of one job that one plan looks at.
+	// maxPending is the most tasks of one job that a plan considers.
 	maxPending = 600
-	// backoffPending bounds them for a job of which every task has failed so far.
+	// backoffPending replaces maxPending for a job of which every task has failed so far.
 	backoffPending = 2
-	// overdueAfter is for how long nothing of a job may have started before it goes first:
-	// users expect the largest jobs to start within four minutes, also beside a steady stream
-	// of small jobs or of those of a higher priority.
+	// overdueAfter is the time after which a job without a started task takes precedence.
+	// Users expect the largest jobs to start within four minutes, even while small jobs
+	// or jobs of a higher priority keep arriving.
 	overdueAfter = 2 * time.Minute
-	// overdueDivisor: an overdue array goes first with one in overdueDivisor of its tasks. That
-	// starts it, and does not let all of it pass the other jobs.
+	// overdueDivisor limits the precedence of an overdue array to 1/overdueDivisor of its
+	// tasks, so that it starts but does not overtake the other jobs as a whole.
 	overdueDivisor = 20
-	// lateMarginS is how much time a job has left when it counts as late, in seconds.
+	// lateMarginS is the time until its latest start, in seconds, below which a job
+	// counts as late.
 	lateMarginS = 5
-	// delayMarginS is how much time an array must have left for delay scheduling, in seconds.
+	// delayMarginS is the time until its latest start, in seconds, that an array needs
+	// for delay scheduling.
 	delayMarginS = 15
-	// preemptDelay is for how long a job waits before it looks for tasks to preempt.
+	// preemptDelay is how long a job waits before it may preempt tasks.
 	preemptDelay = 300 * time.Millisecond
-	// preemptInterval is how often a job looks for them: that takes a look at every task of the
-	// fleet.
+	// preemptInterval is the shortest interval between two plans in which a job may
+	// preempt. Such a plan examines every task of the fleet.
 	preemptInterval = 500 * time.Millisecond
 )
 
@@ -38,8 +40,8 @@
 		if blocked[j] || !p.placeable(j) {
 			continue
 		}
-		if d, waits := p.demand(j); waits {
-			p.input.Demands = append(p.input.Demands, d)
+		if demand, waits := p.demand(j); waits {
+			p.input.Demands = append(p.input.Demands, demand)
 		}
 	}
 	sort.Slice(p.input.Demands, func(a, b int) bool {
@@ -49,18 +51,19 @@
 
 // placeable reports whether a job has tasks to place and may have them placed now.
 func (p *planInput) placeable(j *job.Job) bool {
-	over := j.Phase != "" || j.Closing != ""
-	if over || p.jobTable.isUnidentified(j) || p.now.Before(j.NotBefore) || j.TeamIdx < 0 || p.calendarStore.waitsForStart(j, p.now) {
+	ended := j.Phase != "" || j.Closing != ""
+	if ended || p.jobTable.isUnidentified(j) || p.now.Before(j.NotBefore) || j.TeamIdx < 0 || p.calendarStore.waitsForStart(j, p.now) {
 		return false
 	}
-	// A gang that has broken or has run gets its next attempt when all of this one is gone.
+	// A gang that is being stopped or has run is placed again only after all members of
+	// its current attempt have ended.
 	gangInAttempt := j.Shape == job.Gang && (j.GangStopping || j.GangStarted)
 	return j.CountUnplaced() > 0 && !gangInAttempt
 }
 
-// demand describes a job that waits; waits is false if nothing of it is to be placed now.
-func (p *planInput) demand(j *job.Job) (d place.Demand, waits bool) {
-	d = place.Demand{
+// demand describes a waiting job. waits is false if the plan may place none of its tasks.
+func (p *planInput) demand(j *job.Job) (demand place.Demand, waits bool) {
+	demand = place.Demand{
 		ID:           p.jobTable.index(j),
 		Shape:        j.Shape,
 		Priority:     j.Priority,
@@ -81,56 +84,57 @@
 		WaitedS:      p.now.Sub(j.WaitingSince).Seconds(),
 		Overdue:      p.now.Sub(j.Submitted) > overdueAfter && j.DoneCount == 0 && len(j.Live) == 0,
 	}
-	listPending(j, &d)
-	if len(d.Pending) == 0 {
-		return d, false
+	listPending(j, &demand)
+	if len(demand.Pending) == 0 {
+		return demand, false
 	}
 	if p.calendarStore.enabled() {
-		d.EndsInS = p.reservationHolds.requiredSeconds(j, p.now)
-		d.Movable = j.Shape == job.Service || j.CheckpointS > 0
-		d.OnlyHeldMachines = j.Reservation != "" && p.reservationHolds.hasCapacity(j, len(d.Pending))
+		demand.EndsInS = p.reservationHolds.requiredSeconds(j, p.now)
+		demand.Movable = j.Shape == job.Service || j.CheckpointS > 0
+		demand.OnlyHeldMachines = j.Reservation != "" && p.reservationHolds.hasCapacity(j, len(demand.Pending))
 	}
-	left := d.LatestStart - p.now.Sub(p.termStart).Seconds()
+	slackS := demand.LatestStart - p.now.Sub(p.termStart).Seconds()
 	isArray := j.Shape == job.Array
-	d.FetchTooSlow = !isArray && left > 0 && left < j.ImageGB/p.slowestFetchRate
-	d.CanDelay = isArray && left > delayMarginS
-	if p.shouldPreempt(j, &d, left) {
-		d.MayPreempt = true
+	demand.FetchTooSlow = !isArray && slackS > 0 && slackS < j.ImageGB/p.slowestFetchRate
+	demand.CanDelay = isArray && slackS > delayMarginS
+	if p.shouldPreempt(j, &demand, slackS) {
+		demand.MayPreempt = true
 		p.mayPreempt = true
 		p.lastPreemptAt[j] = p.now
 	}
-	return d, true
+	return demand, true
 }
 
-// shouldPreempt reports whether a job that has left seconds until its latest start may
-// preempt tasks in this plan. Arrays do so only when they are late.
-func (p *planInput) shouldPreempt(j *job.Job, d *place.Demand, left float64) bool {
-	hasWaited := p.now.Sub(j.WaitingSince) > preemptDelay || (d.FetchTooSlow && j.Shape == job.Service)
-	isPressing := j.Shape != job.Array || left < lateMarginS
-	return hasWaited && isPressing && p.now.Sub(p.lastPreemptAt[j]) >= preemptInterval
+// shouldPreempt reports whether a job may preempt tasks in this plan. slackS is the time
+// until its latest start, in seconds. Arrays preempt only when they are late.
+func (p *planInput) shouldPreempt(j *job.Job, demand *place.Demand, slackS float64) bool {
+	hasWaited := p.now.Sub(j.WaitingSince) > preemptDelay || (demand.FetchTooSlow && j.Shape == job.Service)
+	isUrgent := j.Shape != job.Array || slackS < lateMarginS
+	return hasWaited && isUrgent && p.now.Sub(p.lastPreemptAt[j]) >= preemptInterval
 }
 
-// listPending lists the tasks of a job that a plan may place.
-func listPending(j *job.Job, d *place.Demand) {
-	limit := pendingLimit(j, d.Overdue)
+// listPending adds to a demand the tasks of its job that the plan may place.
+func listPending(j *job.Job, demand *place.Demand) {
+	limit := pendingLimit(j, demand.Overdue)
 	for task := range j.Unplaced {
 		if j.Replicas != nil {
-			// The replicas of a roll-out's batch have their zones: one zone a plan.
+			// Each replica of a roll-out's batch has its zone; a plan places the replicas
+			// of one zone.
 			zone := j.ZoneOf(task)
-			if len(d.Pending) == 0 {
-				d.Zone = zone
-			} else if d.Zone != zone {
+			if len(demand.Pending) == 0 {
+				demand.Zone = zone
+			} else if demand.Zone != zone {
 				continue
 			}
 		}
-		d.Pending = append(d.Pending, task)
-		if len(d.Pending) >= limit {
+		demand.Pending = append(demand.Pending, task)
+		if len(demand.Pending) >= limit {
 			return
 		}
 	}
 }
 
-// pendingLimit returns how many tasks of a job one plan may place.
+// pendingLimit returns the most tasks of a job that one plan may place.
 func pendingLimit(j *job.Job, overdue bool) int {
 	switch {
 	case j.Shape == job.Gang:
@@ -143,17 +147,17 @@
 	return maxPending
 }
 
-// tasksByZone counts, per zone, the tasks of a job that may be running, those of its other
-// versions included.
+// tasksByZone counts a job's active tasks per zone, including those of its other
+// versions.
 func (pl *planner) tasksByZone(j *job.Job) []int {
 	tasks := make([]int, len(pl.nameIndex.zoneNames()))
 	if j.Shape == job.Array && !j.OneZone && !j.Spread {
-		return tasks // nothing depends on it
+		return tasks // the zones do not affect its placement
 	}
 	for _, version := range append([]*job.Job{j}, j.Versions...) {
-		for s := range pl.fleet.SlotsOf(version) {
-			if s.Active() && s.Machine.Zone >= 0 {
-				tasks[s.Machine.Zone]++
+		for slot := range pl.fleet.SlotsOf(version) {
+			if slot.Active() && slot.Machine.Zone >= 0 {
+				tasks[slot.Machine.Zone]++
 			}
 		}
 	}
--- a/internal/control/planner_input.go
+++ b/internal/control/planner_input.go
@@ -13,34 +13,36 @@
 )
 
 const (
-	// minPrice and minCPUs make a price per CPU comparable also where a type has none.
+	// minPrice and minCPUs are lower bounds that keep the price per CPU positive and
+	// finite for machine types without a price or CPUs.
 	minPrice = 1e-6
 	minCPUs  = 1e-6
 )
 
-// planInput is the fleet and the waiting jobs as one plan sees them.
+// planInput is the input of one plan, with the machines and slots that its indices refer
+// to.
 type planInput struct {
 	*planner
 	now   time.Time
 	input place.Input
-	// machines are those of input.Machines, in the same order.
+	// machines are the fleet's machines of input.Machines, in the same order.
 	machines []*fleet.Machine
-	// victimSlots are those of the victims in input, by Victim.ID.
+	// victimSlots are the slots of the victims in input, indexed by Victim.ID.
 	victimSlots []*fleet.Slot
-	// lateJobs remembers the answers of isLate.
+	// lateJobs caches the results of isLate.
 	lateJobs map[*job.Job]bool
-	// mayPreempt: some demand may preempt tasks.
+	// mayPreempt is set if any demand may preempt tasks.
 	mayPreempt bool
-	// slowestFetchRate is the lowest fetch rate of all machine types, in GB per second.
+	// slowestFetchRate is the lowest image fetch rate of all machine types, in GB per
+	// second.
 	slowestFetchRate float64
-	// smallestCPUs is the number of CPUs of the smallest machine type, lowestCPUPrice the lowest
-	// hourly price of a CPU.
+	// smallestCPUs is the lowest number of CPUs of any machine type, lowestCPUPrice the
+	// lowest hourly price per CPU.
 	smallestCPUs   float64
 	lowestCPUPrice float64
 }
 
-// input describes the fleet and the waiting jobs. Without waiting jobs the machines are left
-// out.
+// input makes the input of a plan. Without waiting jobs it contains no machines.
 func (pl *planner) input(now time.Time) *planInput {
 	p := &planInput{
 		planner:          pl,
@@ -48,17 +50,17 @@
 		lateJobs:         map[*job.Job]bool{},
 		slowestFetchRate: pl.slowestFetchRate(),
 	}
-	w := &pl.controller.Tuning.Weights
+	weights := &pl.controller.Tuning.Weights
 	p.input.Weights = place.Weights{
-		Queue:      w.Queue,
-		Jobs:       w.Jobs,
-		CPU:        w.CPU,
-		Price:      w.Price,
-		Image:      w.Image,
-		Sticky:     w.Sticky,
-		SameZone:   w.SameZone,
-		Unreliable: w.Unreliable,
-		Empty:      w.Empty,
+		Queue:      weights.Queue,
+		Jobs:       weights.Jobs,
+		CPU:        weights.CPU,
+		Price:      weights.Price,
+		Image:      weights.Image,
+		Sticky:     weights.Sticky,
+		SameZone:   weights.SameZone,
+		Unreliable: weights.Unreliable,
+		Empty:      weights.Empty,
 	}
 	p.addTeams()
 	p.addDemands()
@@ -68,11 +70,11 @@
 	return p
 }
 
-// job returns the job of a demand, given its index.
+// job returns the job of the demand with the given index.
 func (p *planInput) job(demand int) *job.Job { return p.jobTable.byIndex(p.input.Demands[demand].ID) }
 
 // slowestFetchRate returns the lowest known fetch rate of all machine types, in GB per
-// second; infinity if none is known.
+// second, or infinity if none is known.
 func (pl *planner) slowestFetchRate() float64 {
 	slowest := math.Inf(1)
 	types := pl.nameIndex.machineTypes()
@@ -84,7 +86,7 @@
 	return slowest
 }
 
-// addTeams adds the teams with what their tasks use.
+// addTeams adds the teams with their quotas and usage.
 func (p *planInput) addTeams() {
 	for _, t := range p.teamQuotas.teams() {
 		p.input.Teams = append(p.input.Teams, place.Team{
@@ -99,46 +101,48 @@
 	}
 }
 
-// addUsage adds what a job's tasks use to its team. Memory has no quota.
-func (p *planInput) addUsage(t *place.Team, j *job.Job) {
+// addUsage adds the resources of a job's active tasks to its team's usage. Memory has no
+// quota.
+func (p *planInput) addUsage(team *place.Team, j *job.Job) {
 	tasks, stopping := 0.0, 0.0
-	for s := range p.fleet.SlotsOf(j) {
-		if !s.Active() {
+	for slot := range p.fleet.SlotsOf(j) {
+		if !slot.Active() {
 			continue
 		}
 		tasks++
-		if s.Stopping {
+		if slot.Stopping {
 			stopping++
 		}
 	}
-	t.Used.CPUs += tasks * j.CPUs
-	t.Used.GPUs += tasks * j.GPUs
-	t.Stopping.CPUs += stopping * j.CPUs
-	t.Stopping.GPUs += stopping * j.GPUs
+	team.Used.CPUs += tasks * j.CPUs
+	team.Used.GPUs += tasks * j.GPUs
+	team.Stopping.CPUs += stopping * j.CPUs
+	team.Stopping.GPUs += stopping * j.GPUs
 }
 
-// addMachines adds the machines that may take tasks, with their victims if some demand may
+// addMachines adds the machines that may take tasks, and their victims if any demand may
 // preempt.
 func (p *planInput) addMachines() {
 	types := p.nameIndex.machineTypes()
 	p.smallestCPUs, p.lowestCPUPrice = smallestCPUsAndPrice(types)
-	for _, h := range p.fleet.All() {
-		// A machine that answers direct commands and sends no heartbeats any more has less than
-		// half of its lease left. What it got now would end with it.
-		if !h.Usable() || h.SinceLastReport(p.now) > p.fleet.Lease/2 || h.Type >= len(types) {
+	for _, machine := range p.fleet.All() {
+		// A machine with less than half of its lease left may answer direct commands but
+		// no longer send heartbeats. A task placed on it now would be lost with the
+		// lease.
+		if !machine.Usable() || machine.SinceLastReport(p.now) > p.fleet.Lease/2 || machine.Type >= len(types) {
 			continue
 		}
-		m := p.candidate(h, &types[h.Type])
+		candidate := p.candidate(machine, &types[machine.Type])
 		if p.mayPreempt {
-			p.addVictims(&m, h)
+			p.addVictims(&candidate, machine)
 		}
-		p.input.Machines = append(p.input.Machines, m)
-		p.machines = append(p.machines, h)
+		p.input.Machines = append(p.input.Machines, candidate)
+		p.machines = append(p.machines, machine)
 	}
 }
 
-// smallestCPUsAndPrice returns the number of CPUs of the smallest machine type and the lowest
-// hourly price of a CPU.
+// smallestCPUsAndPrice returns the lowest number of CPUs of any machine type and the
+// lowest hourly price per CPU.
 func smallestCPUsAndPrice(types []wire.MachineType) (cpus, cpuPrice float64) {
 	cpus, cpuPrice = math.Inf(1), math.Inf(1)
 	for i := range types {
@@ -149,75 +153,75 @@
 	return cpus, cpuPrice
 }
 
-// pricePerCPU returns the hourly price of a CPU of a machine type. It is never 0, so that it
-// can be divided by.
+// pricePerCPU returns the hourly price per CPU of a machine type. It is always positive,
+// because it serves as a divisor.
 func pricePerCPU(t *wire.MachineType, spot bool) float64 {
 	return max(autoscale.HourlyPrice(t, spot), minPrice) / max(t.CPUs, minCPUs)
 }
 
-// candidate describes a candidate with what is free, cached, reserved and held on it.
-func (p *planInput) candidate(h *fleet.Machine, t *wire.MachineType) place.Machine {
-	m := place.Machine{
-		ID:             h.Index,
-		Type:           h.Type,
-		Zone:           h.Zone,
-		Spot:           h.Spot,
-		Total:          autoscale.MachineResources(t),
-		Free:           freeCapacity(t, h),
-		WaitingTasks:   h.WaitingTasks,
-		Tasks:          h.ActiveTasks,
-		Scale:          p.smallestCPUs / t.CPUs,
-		Price:          pricePerCPU(t, h.Spot) / p.lowestCPUPrice,
-		Images:         imagesOn(h),
-		FetchGBPerS:    t.FetchRate,
-		Unreliable:     h.TaskFailures > 0,
-		UnclearedExits: p.unclearedExits(h),
-	}
-	if r, ok := p.reservations[h]; ok {
-		m.ReservedFor = p.jobTable.index(r.job)
-		m.Reserved = needOf(r.job)
-		m.AwaitsCompletion = r.awaitsCompletion
-	}
-	p.reservationHolds.annotate(&m, h, p.now)
-	p.maintenanceDrains.annotate(&m, h, p.now)
-	return m
+// candidate describes a machine with its free capacity, images and reservations.
+func (p *planInput) candidate(machine *fleet.Machine, machineType *wire.MachineType) place.Machine {
+	candidate := place.Machine{
+		ID:             machine.Index,
+		Type:           machine.Type,
+		Zone:           machine.Zone,
+		Spot:           machine.Spot,
+		Total:          autoscale.MachineResources(machineType),
+		Free:           freeCapacity(machineType, machine),
+		WaitingTasks:   machine.WaitingTasks,
+		Tasks:          machine.ActiveTasks,
+		Scale:          p.smallestCPUs / machineType.CPUs,
+		Price:          pricePerCPU(machineType, machine.Spot) / p.lowestCPUPrice,
+		Images:         imagesOn(machine),
+		FetchGBPerS:    machineType.FetchRate,
+		Unreliable:     machine.TaskFailures > 0,
+		UnclearedExits: p.unclearedExits(machine),
+	}
+	if r, ok := p.reservations[machine]; ok {
+		candidate.ReservedFor = p.jobTable.index(r.job)
+		candidate.Reserved = needOf(r.job)
+		candidate.AwaitsCompletion = r.awaitsCompletion
+	}
+	p.reservationHolds.annotate(&candidate, machine, p.now)
+	p.maintenanceDrains.annotate(&candidate, machine, p.now)
+	return candidate
 }
 
-// imagesOn returns the images that a machine has cached, and those that it fetches: one
-// fetch serves all tasks that wait for it.
-func imagesOn(h *fleet.Machine) []int {
+// imagesOn returns the images that a machine has cached or is fetching. One fetch serves
+// all tasks that wait for the image.
+func imagesOn(machine *fleet.Machine) []int {
 	var images []int
-	for _, image := range h.Images {
+	for _, image := range machine.Images {
 		images = append(images, image.Index)
 	}
-	if h.WaitingTasks == 0 {
+	if machine.WaitingTasks == 0 {
 		return images
 	}
-	for _, s := range h.Slots {
-		fetches := s.Active() && (s.Phase == "" || s.Phase == wire.TaskFetching)
-		if fetches && !slices.Contains(images, s.Job.ImageIdx) {
-			images = append(images, s.Job.ImageIdx)
+	for _, slot := range machine.Slots {
+		fetches := slot.Active() && (slot.Phase == "" || slot.Phase == wire.TaskFetching)
+		if fetches && !slices.Contains(images, slot.Job.ImageIdx) {
+			images = append(images, slot.Job.ImageIdx)
 		}
 	}
 	return images
 }
 
-// unclearedExits returns the tasks whose exits the worker still reports and that may be
-// placed again.
-func (pl *planner) unclearedExits(h *fleet.Machine) map[place.TaskKey]bool {
-	if h.ReportedExits == 0 {
+// unclearedExits returns the tasks that may be placed again although the worker still
+// reports the exit of an earlier attempt.
+func (pl *planner) unclearedExits(machine *fleet.Machine) map[place.TaskKey]bool {
+	if machine.ReportedExits == 0 {
 		return nil
 	}
 	var exits map[place.TaskKey]bool
-	for _, s := range h.Slots {
-		if s.Active() || (s.Job.IsDone(s.Task) && s.Job.Shape != job.Service) {
+	for _, slot := range machine.Slots {
+		if slot.Active() || (slot.Job.IsDone(slot.Task) && slot.Job.Shape != job.Service) {
 			continue
 		}
-		if id := pl.jobTable.index(s.Job); id != 0 {
+		if jobIndex := pl.jobTable.index(slot.Job); jobIndex != 0 {
 			if exits == nil {
 				exits = map[place.TaskKey]bool{}
 			}
-			exits[place.TaskKey{Demand: id, Task: s.Task}] = true
+			exits[place.TaskKey{Demand: jobIndex, Task: slot.Task}] = true
 		}
 	}
 	return exits
--- a/internal/control/planner_victims.go
+++ b/internal/control/planner_victims.go
@@ -9,35 +9,37 @@
 )
 
 const (
-	// restartCostS is what a task with checkpoints loses when it is stopped, and a gang for each of
-	// its members: saving, a new placement, the image and a common start, in seconds.
+	// restartCostS is the time, in seconds, that a preempted task with checkpoints loses,
+	// and that each member of a preempted gang loses: saving a checkpoint, a new
+	// placement, fetching the image and, for a gang, waiting for a common start.
 	restartCostS = 15
-	// taskOverrunDivisor: a task that runs longer than expected is expected to go on for one in
-	// taskOverrunDivisor of its estimate.
+	// taskOverrunDivisor: a task that exceeds its estimated run time is expected to run
+	// for another 1/taskOverrunDivisor of the estimate.
 	taskOverrunDivisor = 5
 )
 
-// addVictims adds the tasks on a machine that may be preempted.
-func (p *planInput) addVictims(m *place.Machine, h *fleet.Machine) {
-	for _, s := range h.Slots {
-		if !s.Active() || s.Stopping || !s.LaunchSent || s.Job.Closing != "" || s.Job.Phase != "" {
+// addVictims adds a machine's tasks that may be preempted.
+func (p *planInput) addVictims(candidate *place.Machine, machine *fleet.Machine) {
+	for _, slot := range machine.Slots {
+		if !slot.Active() || slot.Stopping || !slot.LaunchSent || slot.Job.Closing != "" || slot.Job.Phase != "" {
 			continue
 		}
-		m.Victims = append(m.Victims, place.Victim{
+		candidate.Victims = append(candidate.Victims, place.Victim{
 			ID:             len(p.victimSlots),
-			Priority:       s.Job.Priority,
-			Team:           s.Job.TeamIdx,
-			Need:           needOf(s.Job),
-			Released:       releasedByPreemption(s.Job),
-			LossCPUSeconds: preemptionLoss(s, p.now),
-			RemainingS:     remainingSeconds(s, p.now),
-			Late:           p.isLate(s.Job),
+			Priority:       slot.Job.Priority,
+			Team:           slot.Job.TeamIdx,
+			Need:           needOf(slot.Job),
+			Released:       releasedByPreemption(slot.Job),
+			LossCPUSeconds: preemptionLoss(slot, p.now),
+			RemainingS:     remainingSeconds(slot, p.now),
+			Late:           p.isLate(slot.Job),
 		})
-		p.victimSlots = append(p.victimSlots, s)
+		p.victimSlots = append(p.victimSlots, slot)
 	}
 }
 
-// releasedByPreemption returns what is stopped with a task of a job: a gang stops whole.
+// releasedByPreemption returns the resources that preempting one task of a job releases.
+// A gang is stopped as a whole.
 func releasedByPreemption(j *job.Job) place.Resources {
 	need := needOf(j)
 	if j.Shape != job.Gang {
@@ -51,30 +53,32 @@
 	}
 }
 
-// preemptionLoss returns the work that stopping a task throws away, in CPU seconds. A gang
-// stops whole: even where a member itself has not run yet, all members lose their time.
-func preemptionLoss(s *fleet.Slot, now time.Time) float64 {
+// preemptionLoss returns the work that is lost if a task is preempted, in CPU seconds. A
+// gang is stopped as a whole, so all members lose their time even if this member has not
+// run yet.
+func preemptionLoss(slot *fleet.Slot, now time.Time) float64 {
 	switch {
-	case s.Job.Shape == job.Gang:
-		return restartCostS * s.Job.CPUs * float64(s.Job.Tasks)
-	case s.RunningSince.IsZero():
+	case slot.Job.Shape == job.Gang:
+		return restartCostS * slot.Job.CPUs * float64(slot.Job.Tasks)
+	case slot.RunningSince.IsZero():
 		return 0
-	case s.Job.CheckpointS > 0:
-		return min(restartCostS, now.Sub(s.RunningSince).Seconds()) * s.Job.CPUs
+	case slot.Job.CheckpointS > 0:
+		return min(restartCostS, now.Sub(slot.RunningSince).Seconds()) * slot.Job.CPUs
 	}
-	return now.Sub(s.RunningSince).Seconds() * s.Job.CPUs
+	return now.Sub(slot.RunningSince).Seconds() * slot.Job.CPUs
 }
 
-// remainingSeconds returns in how many seconds a task is expected to complete.
-func remainingSeconds(s *fleet.Slot, now time.Time) float64 {
-	run := runTimeEstimate(s.Job)
-	if s.RunningSince.IsZero() {
-		return run
+// remainingSeconds returns the expected time until a task completes, in seconds.
+func remainingSeconds(slot *fleet.Slot, now time.Time) float64 {
+	estimate := runTimeEstimate(slot.Job)
+	if slot.RunningSince.IsZero() {
+		return estimate
 	}
-	return max(run/taskOverrunDivisor, run-now.Sub(s.RunningSince).Seconds())
+	return max(estimate/taskOverrunDivisor, estimate-now.Sub(slot.RunningSince).Seconds())
 }
 
-// isLate reports whether a job misses its objective unless it starts very soon.
+// isLate reports whether a job will miss its objective unless it starts within
+// lateMarginS.
 func (p *planInput) isLate(j *job.Job) bool {
 	late, known := p.lateJobs[j]
 	if !known {
