--- a/internal/control/machine_pool.go
+++ b/internal/control/machine_pool.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	// typesInterval is how often the machine types are read, typesRetryInterval after what time
-	// that is tried again.
+	// typesInterval is the interval at which the machine types are read,
+	// typesRetryInterval the interval after a failed read.
 	typesInterval      = time.Minute
 	typesRetryInterval = 2 * time.Second
-	// minListInterval is how often the machine list is read at most.
+	// minListInterval is the shortest interval between two reads of the machine list.
 	minListInterval = 3 * time.Second
-	// scalingInterval is how often the pool decides what to provision and release.
+	// scalingInterval is the interval between two scaling decisions.
 	scalingInterval = 500 * time.Millisecond
-	// defaultBootTime is assumed for a machine whose type is not known.
+	// defaultBootTime is the boot time assumed for a machine of unknown type.
 	defaultBootTime = time.Minute
-	// phaseFailed is the phase of a listed machine that has stopped on its own.
+	// phaseFailed is the phase of a listed machine that has failed at the cloud.
 	phaseFailed = "failed"
 )
 
 // machinePool scales the fleet: it reads the cloud's machine types and machine list,
-// provisions and releases machines, and evacuates those with a spot notice.
+// provisions and releases machines, and evacuates machines with a spot notice.
 type machinePool struct {
 	*core
 	nameIndex         *nameIndex
@@ -41,27 +41,30 @@
 	maintenanceDrains *maintenanceDrains
 	shards            *shards
 
-	// unlisted are the machines that were adopted from a heartbeat and that no list has had
-	// yet.
+	// unlisted holds the machines that were adopted from a heartbeat and have not
+	// appeared in a machine list yet.
 	unlisted map[*fleet.Machine]bool
-	// noticeLogged are the machines whose spot notice has been logged.
+	// noticeLogged holds the machines whose spot notice has been logged.
 	noticeLogged map[*fleet.Machine]bool
 
-	// unmetDemand are the jobs for which the last plan found no room, the most urgent first.
+	// unmetDemand holds the jobs that the last plan found no capacity for, the most
+	// urgent first.
 	unmetDemand []autoscale.UnmetDemand
-	// provisioning counts the machines of the requests that are not answered yet.
+	// provisioning is the number of requested machines, per offer, in requests without a
+	// response yet.
 	provisioning map[autoscale.Offer]int
-	// requestCount counts the requests for machines made in this term.
+	// requestCount is the number of provisioning requests made in this term.
 	requestCount uint64
 	backoff      *autoscale.Backoff
 
-	// pendingReleases are the machines whose release has not been answered yet.
+	// pendingReleases holds the machines whose release the cloud has not confirmed yet.
 	pendingReleases []*fleet.Machine
 	releaseInFlight bool
-	// releasedNames are the machines that were released in this term.
+	// releasedNames holds the names of the machines released in this term.
 	releasedNames map[string]bool
 
-	// The times at which the next list, types, release and decision are due.
+	// The times at which the next read of the list or the types, release request and
+	// scaling decision are due.
 	nextListAt    time.Time
 	nextTypesAt   time.Time
 	nextReleaseAt time.Time
@@ -81,13 +84,14 @@
 	}
 }
 
-// setUnmetDemand sets the jobs for which the last plan found no room, the most urgent first.
+// setUnmetDemand sets the jobs that the last plan found no capacity for, the most urgent
+// first.
 func (mp *machinePool) setUnmetDemand(unmet []autoscale.UnmetDemand) { mp.unmetDemand = unmet }
 
-// wasReleased reports whether a machine of that name has been released.
+// wasReleased reports whether a machine of this name has been released in this term.
 func (mp *machinePool) wasReleased(name string) bool { return mp.releasedNames[name] }
 
-// reconcile starts the reads and the decisions that are due.
+// reconcile starts the reads that are due and makes the scaling decisions that are due.
 func (mp *machinePool) reconcile(now time.Time) {
 	mp.readTypes(now)
 	mp.readList(now)
@@ -100,7 +104,7 @@
 	mp.scaleOut(now)
 }
 
-// readTypes reads the machine types if that is due.
+// readTypes starts a read of the machine types if one is due.
 func (mp *machinePool) readTypes(now time.Time) {
 	if mp.typesInFlight || !now.After(mp.nextTypesAt) {
 		return
@@ -120,7 +124,7 @@
 	}()
 }
 
-// applyTypes takes in the machine types.
+// applyTypes updates the machine types and the indices that jobs derive from them.
 func (mp *machinePool) applyTypes(types []wire.MachineType) {
 	first := len(mp.nameIndex.machineTypes()) == 0
 	mp.nameIndex.updateTypes(types)
@@ -134,8 +138,8 @@
 	}
 }
 
-// storeTypes stores the machine types for a later leader that cannot reach the cloud. It may
-// fail: that leader then waits for the cloud.
+// storeTypes stores the machine types for a later leader that cannot reach the cloud. A
+// failure is ignored: that leader waits for the cloud instead.
 func (mp *machinePool) storeTypes(types []wire.MachineType) {
 	w, err := state.Put(typesKey, typesRecord{Types: types})
 	if err != nil {
@@ -144,20 +148,20 @@
 	mp.recordWriter.write([]state.Write{w}, func(error) {})
 }
 
-// readList reads the machine list if that is due.
+// readList starts a read of the machine list if one is due.
 func (mp *machinePool) readList(now time.Time) {
 	if mp.listInFlight || !now.After(mp.nextListAt) {
 		return
 	}
 	mp.listInFlight = true
-	lag := config.Seconds(mp.controller.Settings.Facts.Cloud.ListLagS)
+	listLag := config.Seconds(mp.controller.Settings.Facts.Cloud.ListLagS)
 	go func() {
 		list, err := mp.controller.Cloud.ListMachines(mp.ctx)
 		mp.enqueue(func() {
 			mp.listInFlight = false
-			mp.nextListAt = time.Now().Add(max(minListInterval, lag/2))
+			mp.nextListAt = time.Now().Add(max(minListInterval, listLag/2))
 			if err != nil {
-				mp.log.Debug("listing the machines failed", "error", err)
+				mp.log.Debug("listing machines failed", "error", err)
 				return
 			}
 			mp.applyList(list)
@@ -165,8 +169,8 @@
 	}()
 }
 
-// applyList applies the cloud's machine list. The list lags: a machine that it lacks may be
-// up, and one that it has may be gone.
+// applyList applies the cloud's machine list. The list lags: it may lack a running
+// machine and contain one that no longer exists.
 func (mp *machinePool) applyList(list []wire.CloudMachine) {
 	now := time.Now()
 	mp.takeover.compareListing(list)
@@ -178,37 +182,38 @@
 	}
 }
 
-// applyListed applies one machine of the list.
+// applyListed applies one entry of the machine list.
 func (mp *machinePool) applyListed(listed *wire.CloudMachine, now time.Time) {
-	h := mp.fleet.Machines[listed.Name]
-	if h == nil {
-		h = mp.fleet.Add(listed.Name, now)
-		h.AddedAt = now.Add(-config.Seconds(listed.AgeS))
+	machine := mp.fleet.Machines[listed.Name]
+	if machine == nil {
+		machine = mp.fleet.Add(listed.Name, now)
+		machine.AddedAt = now.Add(-config.Seconds(listed.AgeS))
 		mp.log.Info("unknown machine found in the cloud's list", "machine", listed.Name, "phase", listed.Phase)
 	}
-	if !h.Described {
-		mp.nameIndex.describeMachine(h, listed.Type, listed.Zone, listed.Spot)
+	if !machine.Described {
+		mp.nameIndex.describeMachine(machine, listed.Type, listed.Zone, listed.Spot)
 	}
-	if h.Addr == "" {
-		h.Addr = listed.Addr
+	if machine.Addr == "" {
+		machine.Addr = listed.Addr
 	}
-	if listed.Phase == phaseFailed && !h.Releasing {
-		mp.release(h, "the cloud reports it as failed")
+	if listed.Phase == phaseFailed && !machine.Releasing {
+		mp.release(machine, "the cloud reports it as failed")
 	}
 }
 
 // adopt adds an unknown machine that sends heartbeats.
-func (mp *machinePool) adopt(m *wire.Heartbeat, now time.Time) *fleet.Machine {
-	mp.log.Info("adopting an unknown machine that sends heartbeats", "machine", m.Host, "type", m.Type, "zone", m.Zone)
-	h := mp.fleet.Add(m.Host, now)
-	mp.unlisted[h] = true
-	return h
+func (mp *machinePool) adopt(heartbeat *wire.Heartbeat, now time.Time) *fleet.Machine {
+	mp.log.Info("adopting unknown machine that sends heartbeats", "machine", heartbeat.Host, "type", heartbeat.Type, "zone", heartbeat.Zone)
+	machine := mp.fleet.Add(heartbeat.Host, now)
+	mp.unlisted[machine] = true
+	return machine
 }
 
-// releaseStaleAdoptions releases the adopted machines that the list lacks although it has
-// later ones: they were gone when it was made (takeover.compareListing says why). A late copy of a
-// heartbeat has brought back a machine that an earlier leader has released; until it is
-// settled, the jobs that it names would wait for a lease.
+// releaseStaleAdoptions releases the adopted machines that the list lacks although it
+// contains later ones: they no longer existed when the list was made (see
+// takeover.compareListing). A delayed copy of a heartbeat has re-added such a machine
+// after an earlier leader released it. Until it is removed, the jobs that the heartbeat
+// names would wait for its lease to expire.
 func (mp *machinePool) releaseStaleAdoptions(list []wire.CloudMachine) {
 	if len(list) == 0 || len(mp.unlisted) == 0 {
 		return
@@ -217,37 +222,37 @@
 	for i := range list {
 		listed[list[i].Name] = true
 	}
-	last := list[len(list)-1].Name
-	for h := range mp.unlisted {
+	lastName := list[len(list)-1].Name
+	for machine := range mp.unlisted {
 		switch {
-		case listed[h.Name]:
-			delete(mp.unlisted, h)
-		case h.Name < last && !h.Releasing:
-			mp.release(h, "a delayed heartbeat added it after its release")
+		case listed[machine.Name]:
+			delete(mp.unlisted, machine)
+		case machine.Name < lastName && !machine.Releasing:
+			mp.release(machine, "a delayed heartbeat added it after its release")
 		}
 	}
 }
 
 // bootTime returns the nominal boot time of a machine.
-func (mp *machinePool) bootTime(h *fleet.Machine) time.Duration {
-	if t := mp.nameIndex.machineType(h); t != nil {
+func (mp *machinePool) bootTime(machine *fleet.Machine) time.Duration {
+	if t := mp.nameIndex.machineType(machine); t != nil {
 		return config.Seconds(t.BootS)
 	}
 	return defaultBootTime
 }
 
-// mayRenewLease reports whether an answer may renew the machine's lease. Where it may not,
-// the worker's session has to end, and the tasks there are lost.
-func (mp *machinePool) mayRenewLease(h *fleet.Machine, now time.Time) bool {
-	if mp.fleet.Renewable(h, now, maxCommands) {
-		h.RenewalStopped = false
+// mayRenewLease reports whether a heartbeat response may renew the machine's lease. If
+// not, the worker's session must end, and the tasks on the machine are lost.
+func (mp *machinePool) mayRenewLease(machine *fleet.Machine, now time.Time) bool {
+	if mp.fleet.Renewable(machine, now, maxCommands) {
+		machine.RenewalStopped = false
 		return true
 	}
-	if !h.RenewalStopped {
-		mp.log.Info("ending an agent session: a launch of a cancelled job may still be in flight",
-			"machine", h.Name, "tasks", h.ActiveTasks-h.CancelledInFlight)
+	if !machine.RenewalStopped {
+		mp.log.Info("ending worker session: a launch command of a cancelled job may still be in flight",
+			"machine", machine.Name, "tasks", machine.ActiveTasks-machine.CancelledInFlight)
 		mp.controller.Meter.Add(metrics.SessionsExpired, "", 1)
-		mp.taskTracker.applyEvents(mp.fleet.StopRenewal(h), now)
+		mp.taskTracker.applyEvents(mp.fleet.StopRenewal(machine), now)
 	}
 	return false
 }
--- a/internal/control/machine_pool_test.go
+++ b/internal/control/machine_pool_test.go
@@ -13,21 +13,22 @@
 	"vetchstream/internal/wire"
 )
 
-// TestStaleAdoptionReleased: a late report of a machine that an earlier leader has returned brings it
-// into the ledger with its jobs; the cloud's list shows that it is gone.
+// TestStaleAdoptionReleased checks that a machine which a delayed heartbeat has re-added
+// after an earlier leader released it is released once the cloud's list shows that it no
+// longer exists.
 func TestStaleAdoptionReleased(t *testing.T) {
 	tests := []struct {
 		name  string
-		lists [][]string
-		want  string // returned, of h2 alone
+		lists [][]string // the machine lists received one after the other, as machine names
+		want  string     // the released machines; only h2 has sent a heartbeat
 	}{
-		{"listed", [][]string{{"h1", "h2", "h3"}}, ""},
-		{"missing behind later ones", [][]string{{"h1", "h3"}}, "h2"},
-		{"twice", [][]string{{"h1", "h3"}, {"h3"}}, "h2"},
-		{"it may be too new for the list", [][]string{{"h1"}}, ""},
-		{"first too new, then missing", [][]string{{"h1"}, {"h1", "h3"}}, "h2"},
-		{"once listed it is left to its lease", [][]string{{"h2"}, {"h1", "h3"}}, ""},
-		{"an empty list says nothing", [][]string{nil}, ""},
+		{"a listed machine is kept", [][]string{{"h1", "h2", "h3"}}, ""},
+		{"a machine missing from a list with later machines is released", [][]string{{"h1", "h3"}}, "h2"},
+		{"a machine missing from two lists is released once", [][]string{{"h1", "h3"}, {"h3"}}, "h2"},
+		{"a machine later than the last listed one is kept", [][]string{{"h1"}}, ""},
+		{"a machine is released when a later machine is listed without it", [][]string{{"h1"}, {"h1", "h3"}}, "h2"},
+		{"a machine that was listed once is kept until its lease expires", [][]string{{"h2"}, {"h1", "h3"}}, ""},
+		{"an empty list releases no machine", [][]string{nil}, ""},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -36,73 +37,74 @@
 				"", func(*rpc.Reply) {})
 			for _, names := range tt.lists {
 				var list []wire.CloudMachine
-				for _, n := range names {
-					list = append(list, wire.CloudMachine{Name: n})
+				for _, name := range names {
+					list = append(list, wire.CloudMachine{Name: name})
 				}
 				lt.machinePool.applyList(list)
 			}
 			got := ""
-			for _, h := range lt.machinePool.pendingReleases {
-				got += h.Name
+			for _, machine := range lt.machinePool.pendingReleases {
+				got += machine.Name
 			}
 			if got != tt.want {
-				t.Errorf("returned %q, want %q", got, tt.want)
+				t.Errorf("released %q, want %q", got, tt.want)
 			}
 		})
 	}
 }
 
-// TestChosenZoneRetained: the zone in which a gang gathers is known after a look at what to rent,
-// beside slots that are looked at too. Without it the idle machines that the gang
-// gathers were returned.
+// TestChosenZoneRetained checks that scaling out records the zone chosen for a gang, with
+// and without machine requests of calendar reservations in the same pass. If the zone
+// were lost, the idle machines provisioned for the gang would be released.
 func TestChosenZoneRetained(t *testing.T) {
-	for _, slots := range []int{0, 2} {
-		t.Run(fmt.Sprintf("%d slots", slots), func(t *testing.T) {
+	for _, requests := range []int{0, 2} {
+		t.Run(fmt.Sprintf("with %d reservation requests", requests), func(t *testing.T) {
 			lt := newTestTerm(t)
 			lt.learn([]wire.MachineType{{Name: "small", CPUs: 4, MemGB: 16, Zones: []string{"a", "b"}}})
 			lt.nameIndex.zoneIndex("a")
 			need := place.Resources{CPUs: 4}
 			gang := lt.jobTable.add(&job.Record{Spec: job.Spec{ID: "run-1", ShapeName: "ensemble", PriorityName: "idle", Tasks: 2, CPUs: 4, OneZone: true}}, 1, lt.termStart)
 			lt.machinePool.setUnmetDemand([]autoscale.UnmetDemand{{Demand: &place.Demand{ID: lt.jobTable.index(gang), Shape: job.Gang, Need: need, Zone: -1, OneZone: true, TasksByZone: make([]int, 2)}, Count: 2, ChosenZone: -7}})
-			for range slots {
+			for range requests {
 				lt.reservationHolds.requests = append(lt.reservationHolds.requests, autoscale.UnmetDemand{Demand: &place.Demand{Shape: job.Gang, Need: need, Zone: 0, TasksByZone: make([]int, 2)}, Count: 1})
 			}
 			lt.machinePool.scaleOut(lt.termStart)
 			if got := lt.machinePool.unmetDemand[0].ChosenZone; got < 0 {
-				t.Errorf("chosen zone %d", got)
+				t.Errorf("chosen zone of the gang: got %d, want the index of a zone", got)
 			}
 		})
 	}
 }
 
-// TestPartitionedMachinesReleased: machines that report and take in nothing are left in time, and
-// returned after their lease and a while.
+// TestPartitionedMachinesReleased checks that a machine which sends heartbeats but
+// receives no messages is released after its lease and lostGrace, even if it was
+// inherited from an earlier leader.
 func TestPartitionedMachinesReleased(t *testing.T) {
-	patience := 11*time.Second + lostGrace
+	longCut := 11*time.Second + lostGrace // longer than the lease and lostGrace
 	tests := []struct {
-		name     string
-		deaf     time.Duration // since when
-		old      bool          // of an earlier leader, which it has not been fenced from
-		returned bool
+		name      string
+		cutFor    time.Duration // how long it has received no messages
+		inherited bool          // from an earlier leader, and not fenced yet
+		released  bool
 	}{
-		{"for a short while", 15 * time.Second, false, false},
-		{"for longer than its lease and a while", patience, false, true},
-		{"of an earlier leader, soon after the takeover", 15 * time.Second, true, false},
-		{"of an earlier leader, for long", patience, true, true},
+		{"a short inbound partition keeps the machine", 15 * time.Second, false, false},
+		{"an inbound partition longer than lease and grace releases the machine", longCut, false, true},
+		{"an inherited machine is kept shortly after the takeover", 15 * time.Second, true, false},
+		{"an inherited machine is released after lease and grace", longCut, true, true},
 	}
 	for _, tt := range tests {
 		lt := newTestTerm(t, config.Team{Name: "red"})
 		lt.learn([]wire.MachineType{{Name: "x", CPUs: 8, BootS: 1000, Zones: []string{"a"}}})
-		now := lt.termStart.Add(tt.deaf)
-		h := lt.host("h1")
-		lt.nameIndex.describeMachine(h, "x", "a", false)
-		h.Booting, h.Registered, h.Fenced, h.IdleSince = false, true, !tt.old, now
-		if h.Inherited = tt.old; !tt.old {
-			lt.fleet.MarkInboundCut(h, lt.termStart)
+		now := lt.termStart.Add(tt.cutFor)
+		machine := lt.host("h1")
+		lt.nameIndex.describeMachine(machine, "x", "a", false)
+		machine.Booting, machine.Registered, machine.Fenced, machine.IdleSince = false, true, !tt.inherited, now
+		if machine.Inherited = tt.inherited; !tt.inherited {
+			lt.fleet.MarkInboundCut(machine, lt.termStart)
 		}
 		lt.machinePool.scaleIn(now)
-		if h.Releasing != tt.returned {
-			t.Errorf("%s: returned %v, want %v", tt.name, h.Releasing, tt.returned)
+		if machine.Releasing != tt.released {
+			t.Errorf("%s: released %v, want %v", tt.name, machine.Releasing, tt.released)
 		}
 	}
 }
--- a/internal/control/machine_spot_notices.go
+++ b/internal/control/machine_spot_notices.go
@@ -7,33 +7,34 @@
 	"vetchstream/internal/wire"
 )
 
-// handleSpotNotice drains a spot machine that the cloud reclaims: it stops the tasks that
-// can save a checkpoint in time, and those that are not expected to complete in time.
-func (mp *machinePool) handleSpotNotice(h *fleet.Machine, now time.Time) {
-	left := h.ReclaimAt.Sub(now).Seconds()
-	if !mp.noticeLogged[h] {
-		mp.log.Info("spot machine is being reclaimed", "machine", h.Name, "remaining_s", left)
-		mp.noticeLogged[h] = true
+// handleSpotNotice drains a spot machine that the cloud reclaims. It stops the tasks that
+// can save a checkpoint before the deadline, and those that are not expected to complete
+// before it.
+func (mp *machinePool) handleSpotNotice(machine *fleet.Machine, now time.Time) {
+	remainingS := machine.ReclaimAt.Sub(now).Seconds()
+	if !mp.noticeLogged[machine] {
+		mp.log.Info("spot machine is being reclaimed", "machine", machine.Name, "remaining_s", remainingS)
+		mp.noticeLogged[machine] = true
 	}
-	for _, s := range h.Slots {
-		if !s.Active() || s.Stopping {
+	for _, slot := range machine.Slots {
+		if !slot.Active() || slot.Stopping {
 			continue
 		}
-		if grace := saveGrace(s.Job); grace > 0 && left > s.Job.SaveS {
-			mp.taskTracker.stopSlot(s, grace)
+		if grace := saveGrace(slot.Job); grace > 0 && remainingS > slot.Job.SaveS {
+			mp.taskTracker.stopSlot(slot, grace)
 			continue
 		}
-		if s.Phase != wire.TaskRunning || remainingEstimate(s, now) > left {
-			mp.taskTracker.stopSlot(s, 0)
+		if slot.Phase != wire.TaskRunning || remainingEstimate(slot, now) > remainingS {
+			mp.taskTracker.stopSlot(slot, 0)
 		}
 	}
 }
 
-// remainingEstimate returns the part of a task's estimated run time that it has not run yet,
-// in seconds; negative if it runs longer than estimated.
-func remainingEstimate(s *fleet.Slot, now time.Time) float64 {
-	if s.RunningSince.IsZero() {
-		return runTimeEstimate(s.Job)
+// remainingEstimate returns the estimated run time that a task has left, in seconds. It
+// is negative if the task exceeds its estimate.
+func remainingEstimate(slot *fleet.Slot, now time.Time) float64 {
+	if slot.RunningSince.IsZero() {
+		return runTimeEstimate(slot.Job)
 	}
-	return runTimeEstimate(s.Job) - now.Sub(s.RunningSince).Seconds()
+	return runTimeEstimate(slot.Job) - now.Sub(slot.RunningSince).Seconds()
 }
