--- a/internal/control/machine_scale_in.go
+++ b/internal/control/machine_scale_in.go
@@ -9,128 +9,132 @@
 )
 
 const (
-	// lostGrace is how long a silent machine is retained after its lease: a partition that ends
-	// soon gives it back without a new boot.
+	// lostGrace is how long a silent machine is kept after its lease has expired. If a
+	// network partition ends in this time, the machine is available again without a boot.
 	lostGrace = 20 * time.Second
-	// bootGrace is added to the boot time that is granted to a machine.
+	// bootGrace is added to the boot time that a machine is allowed.
 	bootGrace = 10 * time.Second
-	// gangIdleBoots is for how many boot times an idle machine is retained for a gang that
-	// gathers in its zone: one machine of several can come late.
+	// gangIdleBoots is how long, in boot times, an idle machine is kept for a gang whose
+	// other machines are still being provisioned in the same zone: single machines can
+	// boot late.
 	gangIdleBoots = 4
-	// maxReleaseBatch is the protocol's limit for one release request.
+	// maxReleaseBatch is the protocol's limit on the machines in one release request.
 	maxReleaseBatch = 100
 	// reasonInboundCut is the reason to release a machine that sends heartbeats but
-	// receives nothing.
-	reasonInboundCut = "it sends heartbeats but receives nothing"
-	// releaseInterval is the least time between a release's answer and the next request.
+	// receives no messages.
+	reasonInboundCut = "it sends heartbeats but receives no messages"
+	// releaseInterval is the shortest time between the response to a release request and
+	// the next request.
 	releaseInterval = time.Second
 )
 
-// scaleIn releases machines that are idle, silent, faulty or never came up.
+// scaleIn releases machines that are idle, silent or faulty, or that did not boot in
+// time.
 func (mp *machinePool) scaleIn(now time.Time) {
-	for _, h := range mp.fleet.All() {
-		if h.Releasing {
+	for _, machine := range mp.fleet.All() {
+		if machine.Releasing {
 			continue
 		}
-		if reason := mp.releaseReason(h, now); reason != "" {
-			mp.release(h, reason)
+		if reason := mp.releaseReason(machine, now); reason != "" {
+			mp.release(machine, reason)
 		}
 	}
 }
 
-// releaseReason returns why a machine is to be released, or "".
-func (mp *machinePool) releaseReason(h *fleet.Machine, now time.Time) string {
-	patience := mp.fleet.Lease + lostGrace
-	if h.Inherited {
-		// Its heartbeats prevent its lease from expiring, but it has taken in nothing in this
-		// term: its jobs would be blocked for as long as it goes on. After a failover the
-		// machines that have answered need not wait for those that have not.
-		if now.Sub(mp.takeover.contactStart()) > patience {
+// releaseReason returns why a machine should be released, or "" if it should be kept.
+func (mp *machinePool) releaseReason(machine *fleet.Machine, now time.Time) string {
+	cutLimit := mp.fleet.Lease + lostGrace
+	if machine.Inherited {
+		// Its heartbeats keep its lease from expiring, but it has not received a message
+		// in this term: its jobs would be blocked indefinitely. After a failover the
+		// machines that have responded must not wait for those that have not.
+		if now.Sub(mp.takeover.contactStart()) > cutLimit {
 			return reasonInboundCut
 		}
 		return ""
 	}
 	switch {
-	case h.InboundCut() && now.Sub(h.InboundCutSince) > patience:
+	case machine.InboundCut() && now.Sub(machine.InboundCutSince) > cutLimit:
 		return reasonInboundCut
-	case h.OutboundCut() && now.Sub(h.OutboundCutSince) > patience:
-		// Its tasks die with each of its leases, and as long as it answers direct commands its
-		// lease does not expire here.
+	case machine.OutboundCut() && now.Sub(machine.OutboundCutSince) > cutLimit:
+		// The worker ends its tasks with each lease, while its responses to direct
+		// commands keep the lease from expiring at the leader.
 		return "it answers direct commands but its heartbeats reach no controller"
-	case h.Booting:
-		granted := time.Duration(mp.controller.Tuning.Machines.GiveUpBoots * float64(mp.bootTime(h)))
-		if now.Sub(h.AddedAt) > granted+bootGrace {
+	case machine.Booting:
+		bootLimit := time.Duration(mp.controller.Tuning.Machines.GiveUpBoots * float64(mp.bootTime(machine)))
+		if now.Sub(machine.AddedAt) > bootLimit+bootGrace {
 			return "it did not boot in time"
 		}
-	case h.Lost:
-		if now.Sub(h.LostAt) > lostGrace {
+	case machine.Lost:
+		if now.Sub(machine.LostAt) > lostGrace {
 			return "its lease expired and it sends no heartbeats"
 		}
-	case h.Busy() || hasUnsettledSlot(h):
-	case h.Quarantined:
+	case machine.Busy() || hasUnsettledSlot(machine):
+	case machine.Quarantined:
 		return "it is quarantined and empty"
-	case !h.ReclaimAt.IsZero():
+	case !machine.ReclaimAt.IsZero():
 		return "its spot capacity is being reclaimed and it is empty"
-	case mp.maintenanceDrains.started(h, now):
+	case mp.maintenanceDrains.started(machine, now):
 		return "its maintenance window begins"
-	case mp.planner.reserved(h) || mp.reservationHolds.retains(h):
-	case mp.idleTooLong(h, now) && !mp.neededForGang(h, now):
+	case mp.planner.reserved(machine) || mp.reservationHolds.retains(machine):
+	case mp.idleTooLong(machine, now) && !mp.neededForGang(machine, now):
 		return "it is idle"
 	}
 	return ""
 }
 
-// hasUnsettledSlot reports whether it is not known yet whether some task is on the machine.
-func hasUnsettledSlot(h *fleet.Machine) bool {
-	for _, s := range h.Slots {
-		if !s.Settled {
+// hasUnsettledSlot reports whether it is still unknown for some task whether it runs on
+// the machine.
+func hasUnsettledSlot(machine *fleet.Machine) bool {
+	for _, slot := range machine.Slots {
+		if !slot.Settled {
 			return true
 		}
 	}
 	return false
 }
 
-// idleTooLong reports whether a machine has been idle for so long that it does not pay to
-// retain it.
-func (mp *machinePool) idleTooLong(h *fleet.Machine, now time.Time) bool {
-	return now.Sub(h.IdleSince) > time.Duration(mp.controller.Tuning.Machines.IdleBoots*float64(mp.bootTime(h)))
+// idleTooLong reports whether a machine has been idle for longer than it is worth
+// keeping.
+func (mp *machinePool) idleTooLong(machine *fleet.Machine, now time.Time) bool {
+	return now.Sub(machine.IdleSince) > time.Duration(mp.controller.Tuning.Machines.IdleBoots*float64(mp.bootTime(machine)))
 }
 
-// neededForGang reports whether a machine is in the zone that was chosen for a gang whose
-// machines are not together yet, and can run its tasks.
-func (mp *machinePool) neededForGang(h *fleet.Machine, now time.Time) bool {
-	t := mp.nameIndex.machineType(h)
-	if t == nil || now.Sub(h.IdleSince) > gangIdleBoots*mp.bootTime(h) {
+// neededForGang reports whether a machine can run tasks of a gang that still lacks
+// machines, and is in the zone chosen for that gang.
+func (mp *machinePool) neededForGang(machine *fleet.Machine, now time.Time) bool {
+	machineType := mp.nameIndex.machineType(machine)
+	if machineType == nil || now.Sub(machine.IdleSince) > gangIdleBoots*mp.bootTime(machine) {
 		return false
 	}
-	total := autoscale.MachineResources(t)
+	capacity := autoscale.MachineResources(machineType)
 	for i := range mp.unmetDemand {
-		u := &mp.unmetDemand[i]
-		if u.FitsByZone != nil && u.ChosenZone == h.Zone && allowsMachine(u.Demand, h) && total.Fits(u.Demand.Need) {
+		unmet := &mp.unmetDemand[i]
+		if unmet.FitsByZone != nil && unmet.ChosenZone == machine.Zone && allowsMachine(unmet.Demand, machine) && capacity.Fits(unmet.Demand.Need) {
 			return true
 		}
 	}
 	return false
 }
 
-// release releases a machine. That is never taken back: a request that was sent may be
-// executed at any later time.
-func (mp *machinePool) release(h *fleet.Machine, reason string) {
-	h.Releasing = true
-	mp.log.Info("releasing a machine", "machine", h.Name, "reason", reason)
-	mp.pendingReleases = append(mp.pendingReleases, h)
+// release marks a machine for release. This cannot be undone: a release request that was
+// sent may be executed at any later time.
+func (mp *machinePool) release(machine *fleet.Machine, reason string) {
+	machine.Releasing = true
+	mp.log.Info("releasing machine", "machine", machine.Name, "reason", reason)
+	mp.pendingReleases = append(mp.pendingReleases, machine)
 }
 
-// sendReleases sends the pending releases, many in one request: the cloud takes a few
-// requests a second, and provisioning needs them too.
+// sendReleases requests the pending releases, many per request: the cloud accepts only a
+// few requests per second, and provisioning needs some of them.
 func (mp *machinePool) sendReleases(now time.Time) {
 	if mp.releaseInFlight || len(mp.pendingReleases) == 0 || now.Before(mp.nextReleaseAt) || !mp.controller.Entitled(mp.term) {
 		return
 	}
-	hosts := slices.Clone(mp.pendingReleases[:min(len(mp.pendingReleases), maxReleaseBatch)])
-	names := make([]string, len(hosts))
-	for i, h := range hosts {
-		names[i] = h.Name
+	batch := slices.Clone(mp.pendingReleases[:min(len(mp.pendingReleases), maxReleaseBatch)])
+	names := make([]string, len(batch))
+	for i, machine := range batch {
+		names[i] = machine.Name
 	}
 	mp.releaseInFlight = true
 	go func() {
@@ -142,24 +146,24 @@
 				mp.log.Info("releasing machines failed, retrying", "machines", len(names), "error", err)
 				return
 			}
-			mp.pendingReleases = mp.pendingReleases[len(hosts):]
-			for _, h := range hosts {
-				mp.removeReleased(h)
+			mp.pendingReleases = mp.pendingReleases[len(batch):]
+			for _, machine := range batch {
+				mp.removeReleased(machine)
 			}
 		})
 	}()
 }
 
-// removeReleased removes a machine that is gone, with all tasks on it.
-func (mp *machinePool) removeReleased(h *fleet.Machine) {
-	mp.taskTracker.applyEvents(mp.fleet.Remove(h), time.Now())
-	mp.releasedNames[h.Name] = true
-	mp.planner.removeMachine(h)
-	mp.reservationHolds.machineRemoved(h)
-	mp.shards.remove(h)
-	delete(mp.noticeLogged, h)
-	delete(mp.unlisted, h)
-	if mp.registry.removeHost(h) {
-		mp.fleet.ReleaseIndex(h.Index)
+// removeReleased removes a released machine with all slots on it.
+func (mp *machinePool) removeReleased(machine *fleet.Machine) {
+	mp.taskTracker.applyEvents(mp.fleet.Remove(machine), time.Now())
+	mp.releasedNames[machine.Name] = true
+	mp.planner.removeMachine(machine)
+	mp.reservationHolds.machineRemoved(machine)
+	mp.shards.remove(machine)
+	delete(mp.noticeLogged, machine)
+	delete(mp.unlisted, machine)
+	if mp.registry.removeHost(machine) {
+		mp.fleet.ReleaseIndex(machine.Index)
 	}
 }
--- a/internal/control/machine_scale_out.go
+++ b/internal/control/machine_scale_out.go
@@ -14,18 +14,20 @@
 )
 
 const (
-	// maxRequestMachines is the protocol's limit for one request for machines.
+	// maxRequestMachines is the protocol's limit on the machines in one provisioning
+	// request.
 	maxRequestMachines = 50
-	// provisionTries is how often a request is sent, provisionRetryInterval the time between.
+	// provisionTries is how often a provisioning request is sent at most,
+	// provisionRetryInterval the time between two tries.
 	provisionTries         = 4
 	provisionRetryInterval = time.Second
-	// maxZoneCountGangs is for how many gangs the room is counted, zone by zone.
+	// maxZoneCountGangs is the most gangs for which the capacity of each zone is counted.
 	maxZoneCountGangs = 20
-	// pendingBoots is for how many boot times a machine that boots is expected to come up.
+	// pendingBoots is how long, in boot times, a booting machine counts as pending.
 	pendingBoots = 2
 )
 
-// scaleOut requests machines for calendar reservations and unmet demand.
+// scaleOut provisions machines for calendar reservations and unmet demand.
 func (mp *machinePool) scaleOut(now time.Time) {
 	reserved := mp.reservationHolds.machineRequests(now)
 	if len(mp.unmetDemand)+len(reserved) == 0 {
@@ -37,11 +39,11 @@
 	for offer, count := range autoscale.ScaleOut(in, unmet) {
 		mp.provision(offer, min(count, maxRequestMachines))
 	}
-	// The zone that was chosen for a gang prevents the release of its idle machines.
+	// The zones chosen for gangs keep scaleIn from releasing their idle machines.
 	copy(mp.unmetDemand, unmet[len(reserved):])
 }
 
-// scaleOutInput describes the cloud's offers and the machines.
+// scaleOutInput describes the cloud's offers and the pending machines.
 func (mp *machinePool) scaleOutInput(now time.Time) autoscale.Input {
 	types, zones := mp.nameIndex.machineTypes(), mp.nameIndex.zoneNames()
 	in := autoscale.Input{
@@ -62,12 +64,12 @@
 			Free:  autoscale.MachineResources(&types[o.Type]),
 		})
 	}
-	for _, h := range mp.fleet.All() {
-		if h.Zone >= 0 {
-			in.MachinesByZone[h.Zone]++
+	for _, machine := range mp.fleet.All() {
+		if machine.Zone >= 0 {
+			in.MachinesByZone[machine.Zone]++
 		}
-		if mp.isPending(h, now) {
-			addPending(autoscale.Offer{Type: h.Type, Zone: h.Zone, Spot: h.Spot})
+		if mp.isPending(machine, now) {
+			addPending(autoscale.Offer{Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot})
 		}
 	}
 	for offer, count := range mp.provisioning {
@@ -78,98 +80,100 @@
 	return in
 }
 
-// isPending reports whether a machine is expected to take tasks soon: it boots, or it is up
-// and not in the registry yet.
-func (mp *machinePool) isPending(h *fleet.Machine, now time.Time) bool {
-	if h.Releasing || !h.Described {
+// isPending reports whether a machine is expected to take tasks soon: it boots, or it has
+// booted and is not in the registry yet.
+func (mp *machinePool) isPending(machine *fleet.Machine, now time.Time) bool {
+	if machine.Releasing || !machine.Described {
 		return false
 	}
-	if h.Booting {
-		return now.Sub(h.AddedAt) < pendingBoots*mp.bootTime(h)
+	if machine.Booting {
+		return now.Sub(machine.AddedAt) < pendingBoots*mp.bootTime(machine)
 	}
-	return !h.Lost && !h.Registered
+	return !machine.Lost && !machine.Registered
 }
 
-// offerOpen reports whether machines of a type in a zone may be had, as far as the cloud's
-// last answers have shown.
-func (mp *machinePool) offerOpen(typ, zone string, spot bool, now time.Time) bool {
-	t, z, known := mp.nameIndex.offerIndices(typ, zone)
-	if !known || mp.maintenanceDrains.poolClosed(typ, zone, now) {
+// offerOpen reports whether machines of a type in a zone may be available, judging by the
+// cloud's last responses.
+func (mp *machinePool) offerOpen(typeName, zoneName string, spot bool, now time.Time) bool {
+	typeIdx, zoneIdx, known := mp.nameIndex.offerIndices(typeName, zoneName)
+	if !known || mp.maintenanceDrains.poolClosed(typeName, zoneName, now) {
 		return false
 	}
-	onDemand := autoscale.Offer{Type: t, Zone: z}
+	onDemand := autoscale.Offer{Type: typeIdx, Zone: zoneIdx}
 	if mp.backoff.Open(onDemand, now) {
 		return true
 	}
-	return spot && mp.backoff.Open(autoscale.Offer{Type: t, Zone: z, Spot: true}, now)
+	return spot && mp.backoff.Open(autoscale.Offer{Type: typeIdx, Zone: zoneIdx, Spot: true}, now)
 }
 
-// countZoneCapacity sets, for the first gangs that have to be in one zone and are in none
-// yet, how many of their tasks fit in each.
+// countZoneCapacity sets how many of its tasks fit in each zone, for the first gangs that
+// must run in one zone and have no active task in any.
 func (mp *machinePool) countZoneCapacity() {
 	gangs := 0
 	for i := range mp.unmetDemand {
-		u := &mp.unmetDemand[i]
-		d := u.Demand
-		if !d.OneZone || d.Zone >= 0 || slices.Max(d.TasksByZone) > 0 {
+		unmet := &mp.unmetDemand[i]
+		demand := unmet.Demand
+		if !demand.OneZone || demand.Zone >= 0 || slices.Max(demand.TasksByZone) > 0 {
 			continue
 		}
 		if gangs == maxZoneCountGangs {
 			return
 		}
 		gangs++
-		u.FitsByZone = mp.fitsByZone(d)
+		unmet.FitsByZone = mp.fitsByZone(demand)
 	}
 }
 
-// fitsByZone counts, per zone, the tasks of a demand that fit on the machines that are up.
-func (mp *machinePool) fitsByZone(d *place.Demand) []int {
-	j := mp.jobTable.byIndex(d.ID)
+// fitsByZone returns, per zone, how many tasks of a demand fit on the usable machines.
+func (mp *machinePool) fitsByZone(demand *place.Demand) []int {
+	j := mp.jobTable.byIndex(demand.ID)
 	fits := make([]int, len(mp.nameIndex.zoneNames()))
-	for _, h := range mp.fleet.All() {
-		t := mp.nameIndex.machineType(h)
-		if h.Usable() && t != nil && allowsMachine(d, h) && !mp.unavailableToGang(h, j) {
-			fits[h.Zone] += freeCapacity(t, h).FitCount(d.Need)
+	for _, machine := range mp.fleet.All() {
+		machineType := mp.nameIndex.machineType(machine)
+		if machine.Usable() && machineType != nil && allowsMachine(demand, machine) && !mp.unavailableToGang(machine, j) {
+			fits[machine.Zone] += freeCapacity(machineType, machine).FitCount(demand.Need)
 		}
 	}
 	return fits
 }
 
-// unavailableToGang reports whether a machine is reserved or held for others than the gang.
-func (mp *machinePool) unavailableToGang(h *fleet.Machine, gang *job.Job) bool {
-	holder := mp.planner.reservedFor(h)
-	return (holder != nil && holder != gang) || mp.reservationHolds.retains(h)
+// unavailableToGang reports whether a machine is reserved or held for anything but the
+// gang.
+func (mp *machinePool) unavailableToGang(machine *fleet.Machine, gang *job.Job) bool {
+	holder := mp.planner.reservedFor(machine)
+	return (holder != nil && holder != gang) || mp.reservationHolds.retains(machine)
 }
 
-// allowsMachine reports whether a demand may run on machines of the type and kind of h.
-func allowsMachine(d *place.Demand, h *fleet.Machine) bool {
-	return (d.AllowedTypes == nil || d.AllowedTypes[h.Type]) && (d.Spot || !h.Spot)
+// allowsMachine reports whether a demand allows a machine's type, and spot machines if it
+// is one.
+func allowsMachine(demand *place.Demand, machine *fleet.Machine) bool {
+	return (demand.AllowedTypes == nil || demand.AllowedTypes[machine.Type]) && (demand.Spot || !machine.Spot)
 }
 
 // provision requests machines of an offer.
-func (mp *machinePool) provision(o autoscale.Offer, count int) {
+func (mp *machinePool) provision(offer autoscale.Offer, count int) {
 	mp.requestCount++
 	req := wire.RentalRequest{
 		Request: fmt.Sprintf("r-%d-%d", mp.term, mp.requestCount),
-		Type:    mp.nameIndex.machineTypes()[o.Type].Name,
-		Zone:    mp.nameIndex.zoneNames()[o.Zone],
-		Spot:    o.Spot,
+		Type:    mp.nameIndex.machineTypes()[offer.Type].Name,
+		Zone:    mp.nameIndex.zoneNames()[offer.Zone],
+		Spot:    offer.Spot,
 		Count:   count,
 	}
-	mp.provisioning[o] += count
+	mp.provisioning[offer] += count
 	mp.log.Info("provisioning machines", "request", req.Request, "type", req.Type, "zone", req.Zone, "spot", req.Spot, "count", count)
 	requestedAt := time.Now()
 	go func() {
 		names, err := mp.sendRequest(req)
 		mp.enqueue(func() {
-			mp.provisioning[o] -= count
-			mp.provisioned(o, req, names, err, requestedAt)
+			mp.provisioning[offer] -= count
+			mp.provisioned(offer, req, names, err, requestedAt)
 		})
 	}()
 }
 
-// sendRequest sends a request for machines until it succeeds or is refused, a few times at
-// most. The name of the request makes repeating it safe: it provisions nothing twice.
+// sendRequest sends a provisioning request until it succeeds or is refused, at most
+// provisionTries times. The name of the request makes it idempotent.
 func (mp *machinePool) sendRequest(req wire.RentalRequest) (names []string, err error) {
 	err = errNotEntitled
 	for try := 0; try < provisionTries && mp.ctx.Err() == nil; try++ {
@@ -184,25 +188,25 @@
 	return names, err
 }
 
-// provisioned handles the outcome of a request for machines.
-func (mp *machinePool) provisioned(o autoscale.Offer, req wire.RentalRequest, names []string, err error, requestedAt time.Time) {
+// provisioned handles the result of a provisioning request.
+func (mp *machinePool) provisioned(offer autoscale.Offer, req wire.RentalRequest, names []string, err error, requestedAt time.Time) {
 	if err != nil {
 		mp.log.Info("provisioning failed", "request", req.Request, "error", err)
-		mp.backoff.Refused(o, time.Now())
+		mp.backoff.Refused(offer, time.Now())
 		return
 	}
 	mp.log.Info("machines provisioned", "request", req.Request, "machines", names)
 	if len(names) < req.Count {
-		mp.backoff.Refused(o, time.Now())
+		mp.backoff.Refused(offer, time.Now())
 	} else {
-		mp.backoff.Succeeded(o)
+		mp.backoff.Succeeded(offer)
 	}
 	for _, name := range names {
 		if mp.wasReleased(name) {
 			continue
 		}
-		h := mp.fleet.Add(name, requestedAt)
-		mp.nameIndex.describeMachine(h, req.Type, req.Zone, o.Spot)
-		mp.reservationHolds.machineProvisioned(h)
+		machine := mp.fleet.Add(name, requestedAt)
+		mp.nameIndex.describeMachine(machine, req.Type, req.Zone, offer.Spot)
+		mp.reservationHolds.machineProvisioned(machine)
 	}
 }
