--- a/internal/control/machine_quarantine_test.go
+++ b/internal/control/machine_quarantine_test.go
@@ -9,25 +9,26 @@
 	"vetchstream/internal/wire"
 )
 
-// TestAttributeFailure: who is at fault when tasks fail, the machine or the job.
+// TestAttributeFailure checks whether failing tasks are attributed to the machine, which
+// is quarantined, or to the job, which is delayed.
 func TestAttributeFailure(t *testing.T) {
 	type step struct {
-		job, host string
-		done      bool
+		job, machine string
+		done         bool
 	}
-	fail := func(j, h string) step { return step{j, h, false} }
-	done := func(j, h string) step { return step{j, h, true} }
+	fail := func(j, machine string) step { return step{j, machine, false} }
+	done := func(j, machine string) step { return step{j, machine, true} }
 	tests := []struct {
-		name  string
-		steps []step
-		sick  string // machines that are given up
-		held  string // jobs that are held back
+		name        string
+		steps       []step
+		quarantined string // names of the quarantined machines
+		delayed     string // IDs of the jobs with backoff
 	}{
-		{"several jobs fail on one machine", []step{fail("run-1", "h1"), fail("run-2", "h1"), fail("run-2", "h1")}, "h1", ""},
-		{"one job alone proves nothing", []step{fail("run-1", "h1"), fail("run-1", "h1"), fail("run-1", "h1"), fail("run-1", "h1")}, "", ""},
-		{"until it works elsewhere", []step{fail("run-1", "h1"), fail("run-1", "h1"), fail("run-1", "h1"), done("run-1", "h2")}, "h1", ""},
-		{"a job that fails everywhere is at fault itself", []step{fail("run-1", "h1"), fail("run-1", "h1"), fail("run-1", "h2"), fail("run-1", "h3"), fail("run-1", "h1")}, "", "run-1"},
-		{"a success clears the machine", []step{fail("run-1", "h1"), fail("run-2", "h1"), done("run-3", "h1"), fail("run-2", "h1")}, "", ""},
+		{"several jobs failing on one machine quarantine it", []step{fail("run-1", "h1"), fail("run-2", "h1"), fail("run-2", "h1")}, "h1", ""},
+		{"a single job failing on one machine does not quarantine it", []step{fail("run-1", "h1"), fail("run-1", "h1"), fail("run-1", "h1"), fail("run-1", "h1")}, "", ""},
+		{"a single job that succeeds elsewhere quarantines the machine it failed on", []step{fail("run-1", "h1"), fail("run-1", "h1"), fail("run-1", "h1"), done("run-1", "h2")}, "h1", ""},
+		{"a job failing on every machine is delayed", []step{fail("run-1", "h1"), fail("run-1", "h1"), fail("run-1", "h2"), fail("run-1", "h3"), fail("run-1", "h1")}, "", "run-1"},
+		{"a success resets the failures of the machine", []step{fail("run-1", "h1"), fail("run-2", "h1"), done("run-3", "h1"), fail("run-2", "h1")}, "", ""},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -40,63 +41,64 @@
 					j = lt.array(st.job)
 					jobs[st.job] = j
 				}
-				s := &fleet.Slot{PlacementKey: fleet.PlacementKey{Job: j, Task: int32(i)}, Cause: wire.CauseError}
+				slot := &fleet.Slot{PlacementKey: fleet.PlacementKey{Job: j, Task: int32(i)}, Cause: wire.CauseError}
 				if st.done {
-					s.Cause = wire.CauseDone
+					slot.Cause = wire.CauseDone
 				}
-				lt.taskTracker.taskEnded(s, j, lt.host(st.host), now)
+				lt.taskTracker.taskEnded(slot, j, lt.host(st.machine), now)
 			}
-			sick, held := "", ""
-			for _, h := range lt.fleet.All() {
-				if h.Quarantined {
-					sick += h.Name
+			quarantined, delayed := "", ""
+			for _, machine := range lt.fleet.All() {
+				if machine.Quarantined {
+					quarantined += machine.Name
 				}
 			}
 			for id, j := range jobs {
 				if now.Before(j.NotBefore) {
-					held += id
+					delayed += id
 				}
 			}
-			if sick != tt.sick || held != tt.held {
-				t.Errorf("given up %q, held back %q, want %q and %q", sick, held, tt.sick, tt.held)
+			if quarantined != tt.quarantined || delayed != tt.delayed {
+				t.Errorf("quarantined machines %q, delayed jobs %q, want %q and %q", quarantined, delayed, tt.quarantined, tt.delayed)
 			}
 		})
 	}
 }
 
-// TestCheckSpeed: a machine that is far slower than its kind is given up, one that
-// finishes what an earlier leader began is not.
+// TestCheckSpeed checks that a machine is quarantined if its tasks run much slower than
+// on other machines, but not because the others' run times are only partly known after a
+// takeover.
 func TestCheckSpeed(t *testing.T) {
 	tests := []struct {
-		name    string
-		ran     time.Duration // on the machine in question; elsewhere 10 s
-		adopted bool          // the others' tasks were met in reports, 2 s before their end
-		want    bool
+		name        string
+		runTime     time.Duration // run time on the tested machine; 10 s on the other
+		adopted     bool          // the other machine's tasks were adopted from reports 2 s before their exit
+		quarantined bool
 	}{
-		{"as fast as others", 11 * time.Second, false, false},
-		{"far slower", 25 * time.Second, false, true},
-		{"after a takeover", 11 * time.Second, true, false},
+		{"a machine nearly as fast as others is not quarantined", 11 * time.Second, false, false},
+		{"a much slower machine is quarantined", 25 * time.Second, false, true},
+		{"adopted tasks on another machine do not make it slow", 11 * time.Second, true, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			lt := newTestTerm(t)
 			j, now := lt.array("run-1"), time.Unix(1000, 0)
-			end := func(task int, host string, ran time.Duration, adopted bool) {
-				s := &fleet.Slot{PlacementKey: fleet.PlacementKey{Job: j, Task: int32(task)}, Cause: wire.CauseDone, RunningSince: now.Add(-ran), Adopted: adopted}
-				lt.taskTracker.taskEnded(s, j, lt.host(host), now)
+			endTask := func(task int, machine string, runTime time.Duration, adopted bool) {
+				slot := &fleet.Slot{PlacementKey: fleet.PlacementKey{Job: j, Task: int32(task)}, Cause: wire.CauseDone, RunningSince: now.Add(-runTime), Adopted: adopted}
+				lt.taskTracker.taskEnded(slot, j, lt.host(machine), now)
 			}
 			for i := range 10 {
 				if tt.adopted {
-					end(i, "h1", 2*time.Second, true)
+					endTask(i, "h1", 2*time.Second, true)
 				} else {
-					end(i, "h1", 10*time.Second, false)
+					endTask(i, "h1", 10*time.Second, false)
 				}
 			}
 			for i := range 10 {
-				end(20+i, "h2", tt.ran, false)
+				endTask(20+i, "h2", tt.runTime, false)
 			}
-			if got := lt.host("h2").Quarantined; got != tt.want {
-				t.Errorf("given up: %v, want %v", got, tt.want)
+			if got := lt.host("h2").Quarantined; got != tt.quarantined {
+				t.Errorf("quarantined: got %v, want %v", got, tt.quarantined)
 			}
 		})
 	}
