--- a/internal/control/tasks_heartbeats.go
+++ b/internal/control/tasks_heartbeats.go
@@ -8,9 +8,8 @@
 	"vetchstream/internal/wire"
 )
 
-// taskTracker follows the tasks on the machines: heartbeats, exits and gangs. What is
-// on the machines is in the ledger (core.fleet), and what is known of a job in the
-// job, so it has no state of its own.
+// taskTracker handles heartbeats, task exits and gang attempts. It has no state of its
+// own: the slots are in core.fleet, the progress of a job is in job.Job.
 type taskTracker struct {
 	*core
 	nameIndex        *nameIndex
@@ -23,176 +22,176 @@
 	reservationHolds *reservationHolds
 }
 
-// observe applies a worker's report, a heartbeat or the answer to a direct command.
-// fresh reports whether it is newer than what was known; ok is false if the worker has
-// seen a later term.
-func (tt *taskTracker) observe(h *fleet.Machine, m *wire.Heartbeat, isHeartbeat bool, now time.Time) (fresh, ok bool) {
-	if !h.Described || h.Type < 0 {
-		tt.nameIndex.describeMachine(h, m.Type, m.Zone, m.Spot)
-	}
-	wasBooting := h.Booting
-	wasInboundCut := h.InboundCut()
-	res := tt.fleet.Observe(h, m, isHeartbeat, now, tt.jobTable.findOrAdd)
-	if res.Deposed {
-		tt.log.Info("worker has seen a later term", "machine", h.Name, "seen_term", m.Token)
-		tt.controller.Deposed(m.Token)
+// observe applies a worker's report, which is a heartbeat or the response to a direct
+// command. fresh reports whether it is newer than the last one applied. ok is false if
+// the worker has seen a later term.
+func (tt *taskTracker) observe(machine *fleet.Machine, heartbeat *wire.Heartbeat, isHeartbeat bool, now time.Time) (fresh, ok bool) {
+	if !machine.Described || machine.Type < 0 {
+		tt.nameIndex.describeMachine(machine, heartbeat.Type, heartbeat.Zone, heartbeat.Spot)
+	}
+	wasBooting := machine.Booting
+	wasInboundCut := machine.InboundCut()
+	result := tt.fleet.Observe(machine, heartbeat, isHeartbeat, now, tt.jobTable.findOrAdd)
+	if result.Deposed {
+		tt.log.Info("worker has seen a later term", "machine", machine.Name, "seen_term", heartbeat.Token)
+		tt.controller.Deposed(heartbeat.Token)
 		return false, false
 	}
-	tt.reachabilityChanged(h, wasInboundCut)
-	if res.Fresh && wasBooting && !h.Booting {
-		tt.machineUp(h, now)
+	tt.reachabilityChanged(machine, wasInboundCut)
+	if result.Fresh && wasBooting && !machine.Booting {
+		tt.machineUp(machine, now)
 	}
-	tt.observeSlots(h, now)
-	tt.applyEvents(res.Events, now)
-	if h.Fenced && !h.Registered && h.Described && h.Addr != "" && !h.Lost && !h.Releasing {
-		tt.registry.addHost(h, tt.nameIndex.machineTypes()[h.Type].Name, tt.nameIndex.zoneNames()[h.Zone])
+	tt.observeSlots(machine, now)
+	tt.applyEvents(result.Events, now)
+	if machine.Fenced && !machine.Registered && machine.Described && machine.Addr != "" && !machine.Lost && !machine.Releasing {
+		tt.registry.addHost(machine, tt.nameIndex.machineTypes()[machine.Type].Name, tt.nameIndex.zoneNames()[machine.Zone])
 	}
-	if res.Fresh && !h.ReclaimAt.IsZero() {
-		tt.machinePool.handleSpotNotice(h, now)
+	if result.Fresh && !machine.ReclaimAt.IsZero() {
+		tt.machinePool.handleSpotNotice(machine, now)
 	}
-	return res.Fresh, true
+	return result.Fresh, true
 }
 
-// reachabilityChanged handles a machine that has stopped, or begun again, to receive
-// what is sent to it.
-func (tt *taskTracker) reachabilityChanged(h *fleet.Machine, wasInboundCut bool) {
+// reachabilityChanged handles a machine that has stopped or resumed receiving messages.
+func (tt *taskTracker) reachabilityChanged(machine *fleet.Machine, wasInboundCut bool) {
 	switch {
-	case h.InboundCut() && !wasInboundCut:
-		tt.log.Info("machine sends heartbeats but receives nothing, no new tasks are placed on it", "machine", h.Name)
-	case wasInboundCut && !h.InboundCut():
-		tt.log.Info("machine receives messages again", "machine", h.Name)
+	case machine.InboundCut() && !wasInboundCut:
+		tt.log.Info("machine sends heartbeats but receives no messages, no new tasks are placed on it", "machine", machine.Name)
+	case wasInboundCut && !machine.InboundCut():
+		tt.log.Info("machine receives messages again", "machine", machine.Name)
 		tt.requestPlan()
 	}
 }
 
-// machineUp handles the first heartbeat of a machine that was booting.
-func (tt *taskTracker) machineUp(h *fleet.Machine, now time.Time) {
-	bootTime := now.Sub(h.AddedAt)
-	tt.log.Info("machine is up", "machine", h.Name, "boot_time", bootTime.Round(time.Second))
-	h.IdleSince = now
-	tt.reservationHolds.machineBooted(h, bootTime)
+// machineUp handles the first heartbeat of a booting machine.
+func (tt *taskTracker) machineUp(machine *fleet.Machine, now time.Time) {
+	bootTime := now.Sub(machine.AddedAt)
+	tt.log.Info("machine is up", "machine", machine.Name, "boot_time", bootTime.Round(time.Second))
+	machine.IdleSince = now
+	tt.reservationHolds.machineBooted(machine, bootTime)
 	tt.requestPlan()
 }
 
-// observeSlots stops the tasks on a machine whose jobs are over, and follows the
+// observeSlots stops the tasks on a machine whose jobs have ended, and updates the
 // attempts of its gangs.
-func (tt *taskTracker) observeSlots(h *fleet.Machine, now time.Time) {
-	for _, s := range h.Slots {
-		// Also tasks of a job that is not known here. All that was active is loaded, so it
-		// is over, or its record cannot be read. Its record is read to know what it takes;
-		// in an outage that takes long, and its lease must not be renewed meanwhile for a
-		// task whose user may have been notified that it is cancelled.
-		if s.Active() && s.Job.Phase+s.Job.Closing != "" && !s.Stopping {
-			tt.applyEvents(tt.fleet.Stop(s, 0), now)
+func (tt *taskTracker) observeSlots(machine *fleet.Machine, now time.Time) {
+	for _, slot := range machine.Slots {
+		// This includes tasks of a job that is not in the job table. As all active jobs
+		// are loaded, such a job has ended or its record cannot be read. The record is
+		// read to learn the job's resource usage, which takes long in an outage of the
+		// key-value store. Meanwhile the lease must not be renewed for a task whose user
+		// may already have been notified of the cancellation.
+		if slot.Active() && slot.Job.Phase+slot.Job.Closing != "" && !slot.Stopping {
+			tt.applyEvents(tt.fleet.Stop(slot, 0), now)
 		}
-		if s.Job.Shape == job.Gang && s.Active() {
-			tt.observeGang(s)
+		if slot.Job.Shape == job.Gang && slot.Active() {
+			tt.observeGang(slot)
 		}
 	}
 }
 
-// applyEvents handles what has become of placements.
+// applyEvents handles changes of slots.
 func (tt *taskTracker) applyEvents(events []fleet.Event, now time.Time) {
-	for _, e := range events {
+	for _, event := range events {
 		tt.requestPlan()
-		s := e.Slot
-		if tt.jobTable.isUnidentified(s.Job) {
-			s.Settled = e.Kind == fleet.Exited
+		slot := event.Slot
+		if tt.jobTable.isUnidentified(slot.Job) {
+			slot.Settled = event.Kind == fleet.Exited
 			continue
 		}
-		if !s.Machine.Busy() {
-			s.Machine.IdleSince = now
+		if !slot.Machine.Busy() {
+			slot.Machine.IdleSince = now
 		}
-		tt.applyEvent(e, now)
-		if s.Job.Shape == job.Gang && len(s.Job.Live) == 0 {
-			resetGang(s.Job)
+		tt.applyEvent(event, now)
+		if slot.Job.Shape == job.Gang && len(slot.Job.Live) == 0 {
+			resetGang(slot.Job)
 		}
 	}
 }
 
-// applyEvent handles one event of a job whose record is known.
-func (tt *taskTracker) applyEvent(e fleet.Event, now time.Time) {
-	s := e.Slot
-	switch e.Kind {
+// applyEvent handles one change of a slot whose job's record is known.
+func (tt *taskTracker) applyEvent(event fleet.Event, now time.Time) {
+	slot := event.Slot
+	switch event.Kind {
 	case fleet.Started:
-		tt.taskStarted(s, now)
+		tt.taskStarted(slot, now)
 	case fleet.Exited:
-		tt.taskEnded(s, s.Job, s.Machine, now)
+		tt.taskEnded(slot, slot.Job, slot.Machine, now)
 	case fleet.TurnedUnhealthy:
-		tt.rollouts.recordFailure(s.Job, s.Task, s.Machine.Name)
+		tt.rollouts.recordFailure(slot.Job, slot.Task, slot.Machine.Name)
 	case fleet.Lost, fleet.NeverStarted:
-		if s.Job.Shape == job.Gang && s.Job.GangStarted {
-			tt.stopGangAttempt(s.Job)
+		if slot.Job.Shape == job.Gang && slot.Job.GangStarted {
+			tt.stopGangAttempt(slot.Job)
 		}
 	}
 }
 
-// taskStarted handles a task that runs: its machine has the image.
-func (tt *taskTracker) taskStarted(s *fleet.Slot, now time.Time) {
-	j := s.Job
+// taskStarted handles a task that has started: its machine now has the image.
+func (tt *taskTracker) taskStarted(slot *fleet.Slot, now time.Time) {
+	j := slot.Job
 	cacheGB := 0.0
-	if t := tt.nameIndex.machineType(s.Machine); t != nil {
-		cacheGB = t.CacheGB
+	if machineType := tt.nameIndex.machineType(slot.Machine); machineType != nil {
+		cacheGB = machineType.CacheGB
 	}
-	s.Machine.UseImage(j.ImageIdx, j.ImageGB, cacheGB)
+	slot.Machine.UseImage(j.ImageIdx, j.ImageGB, cacheGB)
 	if tt.debug {
-		tt.log.Debug("task running", "task", job.TaskName(j.ID, s.Task), "machine", s.Machine.Name, "since_placement", now.Sub(s.PlacedAt))
+		tt.log.Debug("task running", "task", job.TaskName(j.ID, slot.Task), "machine", slot.Machine.Name, "since_placement", now.Sub(slot.PlacedAt))
 	}
 	if j.Shape == job.Gang {
 		j.GangStarted = true
 	}
 }
 
-// taskEnded handles a task that has exited, by its cause.
-func (tt *taskTracker) taskEnded(s *fleet.Slot, j *job.Job, h *fleet.Machine, now time.Time) {
+// taskEnded handles a task that has exited, depending on the cause.
+func (tt *taskTracker) taskEnded(slot *fleet.Slot, j *job.Job, machine *fleet.Machine, now time.Time) {
 	if tt.debug {
-		tt.log.Debug("task ended", "task", job.TaskName(j.ID, s.Task), "machine", h.Name, "cause", s.Cause)
+		tt.log.Debug("task ended", "task", job.TaskName(j.ID, slot.Task), "machine", machine.Name, "cause", slot.Cause)
 	}
-	s.Settled = true
+	slot.Settled = true
 	if j.Phase != "" {
 		return
 	}
-	switch s.Cause {
+	switch slot.Cause {
 	case wire.CauseDone:
-		tt.taskDone(s, j, h, now)
+		tt.taskDone(slot, j, machine, now)
 		return
 	case wire.CauseError:
-		tt.attributeFailure(j, h, now)
-		tt.rollouts.recordFailure(j, s.Task, h.Name)
+		tt.attributeFailure(j, machine, now)
+		tt.rollouts.recordFailure(j, slot.Task, machine.Name)
 	case wire.CauseUnknownTask:
 		tt.backOffJob(j, now)
 	}
-	if j.Shape != job.Gang || s.Cause == wire.CauseNoResources {
+	if j.Shape != job.Gang || slot.Cause == wire.CauseNoResources {
 		return
 	}
-	if s.Cause == wire.CauseGangIncomplete && tt.waitsOnlyForImages(j) {
+	if slot.Cause == wire.CauseGangIncomplete && tt.waitsOnlyForImages(j) {
 		return
 	}
 	tt.stopGangAttempt(j)
 }
 
-// taskDone handles a task that has completed. Its exit is settled once its result is
-// stored.
-func (tt *taskTracker) taskDone(s *fleet.Slot, j *job.Job, h *fleet.Machine, now time.Time) {
-	h.TaskFailures = 0
-	clear(h.FailedJobs)
+// taskDone handles a task that has completed. Its exit is settled once its result has
+// been stored.
+func (tt *taskTracker) taskDone(slot *fleet.Slot, j *job.Job, machine *fleet.Machine, now time.Time) {
+	machine.TaskFailures = 0
+	clear(machine.FailedJobs)
 	if !j.HasSucceeded {
 		tt.recordFirstSuccess(j)
 	}
-	tt.checkSpeed(s, j, h, now)
-	if !s.RunningSince.IsZero() && !s.Adopted {
-		tt.reservationHolds.taskCompleted(j, now.Sub(s.RunningSince).Seconds())
+	tt.checkSpeed(slot, j, machine, now)
+	if !slot.RunningSince.IsZero() && !slot.Adopted {
+		tt.reservationHolds.taskCompleted(j, now.Sub(slot.RunningSince).Seconds())
 	}
-	tt.results.addCompleted(s)
+	tt.results.addCompleted(slot)
 	if j.Shape == job.Service {
-		s.Settled = true // a replica that ends is started again
+		slot.Settled = true // a replica that exits is restarted
 		return
 	}
-	j.MarkDone(s.Task)
+	j.MarkDone(slot.Task)
 	if j.Shape == job.Gang {
-		// The members complete together: one that is done shows it for all.
-		for t := range j.Tasks {
-			j.MarkDone(int32(t))
+		// The members of a gang complete together, so one exit marks all of them as done.
+		for task := range j.Tasks {
+			j.MarkDone(int32(task))
 		}
 	}
 	if j.Complete() && j.Closing == "" {
@@ -200,15 +199,15 @@
 	}
 }
 
-// recordFirstSuccess notes that a job's own work is not at fault: it is no longer held back,
-// and its errors count against the machines on which it failed.
+// recordFirstSuccess records that a job can succeed. Its backoff ends, and its earlier
+// failures now count against the machines on which they occurred.
 func (tt *taskTracker) recordFirstSuccess(j *job.Job) {
 	j.HasSucceeded = true
 	j.Backoff = 0
 	j.NotBefore = time.Time{}
-	for _, h := range tt.fleet.All() {
-		if h.FailedJobs[j] {
-			tt.quarantineIfFaulty(h)
+	for _, machine := range tt.fleet.All() {
+		if machine.FailedJobs[j] {
+			tt.quarantineIfFaulty(machine)
 		}
 	}
 }
--- a/internal/control/tasks_stops.go
+++ b/internal/control/tasks_stops.go
@@ -8,17 +8,18 @@
 	"vetchstream/internal/wire"
 )
 
-// observeGang ties a gang to the attempt that a report shows: the number survives a
-// change of leader this way. A second attempt beside it must not go on.
-func (tt *taskTracker) observeGang(s *fleet.Slot) {
-	j := s.Job
+// observeGang binds a gang to the attempt in a worker's report, so that the attempt
+// number survives a change of leader. If tasks of two attempts are reported, the gang is
+// stopped.
+func (tt *taskTracker) observeGang(slot *fleet.Slot) {
+	j := slot.Job
 	switch {
 	case j.GangAttempt == 0:
-		j.GangAttempt = s.Attempt
-	case j.GangAttempt != s.Attempt:
+		j.GangAttempt = slot.Attempt
+	case j.GangAttempt != slot.Attempt:
 		tt.stopGangAttempt(j)
 	}
-	if s.Phase == wire.TaskRunning || s.Phase == wire.TaskCheckpointing {
+	if slot.Phase == wire.TaskRunning || slot.Phase == wire.TaskCheckpointing {
 		j.GangStarted = true
 	}
 }
@@ -31,39 +32,40 @@
 	}
 }
 
-// resetGang allows a gang's next attempt: every member has certainly left.
+// resetGang allows the next attempt of a gang. No member may be active.
 func resetGang(j *job.Job) {
 	j.GangAttempt = 0
 	j.GangStopping = false
 	j.GangStarted = false
 }
 
-// killJob stops every placement of a job without grace.
+// killJob stops all tasks of a job without grace.
 func (tt *taskTracker) killJob(j *job.Job) { tt.stopJob(j, 0) }
 
-// stopJob stops every placement of a job; grace is the time to save, in seconds.
+// stopJob stops all tasks of a job. grace is the time to save a checkpoint, in seconds.
 func (tt *taskTracker) stopJob(j *job.Job, grace float64) {
 	now := time.Now()
-	for s := range tt.fleet.SlotsOf(j) {
-		tt.applyEvents(tt.fleet.Stop(s, grace), now)
+	for slot := range tt.fleet.SlotsOf(j) {
+		tt.applyEvents(tt.fleet.Stop(slot, grace), now)
 	}
 }
 
-// stopSlot stops one placement in good order: a gang is stopped whole, because a
-// save needs all its members.
-func (tt *taskTracker) stopSlot(s *fleet.Slot, grace float64) {
-	if s.Job.Shape == job.Gang {
-		s.Job.GangStopping = true
-		tt.stopJob(s.Job, grace)
+// stopSlot stops a task with the given grace, in seconds. A gang is stopped as a whole,
+// because a checkpoint needs all its members.
+func (tt *taskTracker) stopSlot(slot *fleet.Slot, grace float64) {
+	if slot.Job.Shape == job.Gang {
+		slot.Job.GangStopping = true
+		tt.stopJob(slot.Job, grace)
 		return
 	}
-	tt.applyEvents(tt.fleet.Stop(s, grace), time.Now())
+	tt.applyEvents(tt.fleet.Stop(slot, grace), time.Now())
 }
 
-// saveMarginS is added to the time that a task needs to save, in seconds.
+// saveMarginS is added to the time that a task needs to save a checkpoint, in seconds.
 const saveMarginS = 1
 
-// saveGrace is the time that a placement gets to save, in seconds.
+// saveGrace returns the time that a task of a job is given to save a checkpoint, in
+// seconds.
 func saveGrace(j *job.Job) float64 {
 	if j.CheckpointS <= 0 {
 		return 0
@@ -71,18 +73,18 @@
 	return j.SaveS + saveMarginS
 }
 
-// waitsOnlyForImages reports whether a gang of which one member has just left waits for
-// nothing but images. That member comes back with the same attempt: if all were
-// stopped, the fetches would be given up, and a gang one of whose images takes longer
-// than members wait would restart again and again. With another member without a
-// placement the attempt is stopped, so that two halves of gangs do not hold each
+// waitsOnlyForImages reports whether a gang of which one member has just exited is only
+// waiting for images. Then that member is restarted in the same attempt. Stopping all
+// members would abort the image fetches, and a gang with an image that takes longer to
+// fetch than members wait for each other would restart forever. If another member has no
+// slot either, the attempt is stopped, so that two partly placed gangs do not hold each
 // other's capacity.
 func (tt *taskTracker) waitsOnlyForImages(j *job.Job) bool {
 	if j.GangStopping || j.GangStarted || len(j.Live) != j.Tasks-1 {
 		return false
 	}
-	for s := range tt.fleet.SlotsOf(j) {
-		if s.Active() && !s.Stopping && (s.Phase == "" || s.Phase == wire.TaskFetching) {
+	for slot := range tt.fleet.SlotsOf(j) {
+		if slot.Active() && !slot.Stopping && (slot.Phase == "" || slot.Phase == wire.TaskFetching) {
 			return true
 		}
 	}
--- a/internal/control/tasks_stops_test.go
+++ b/internal/control/tasks_stops_test.go
@@ -9,18 +9,19 @@
 	"vetchstream/internal/wire"
 )
 
-// TestIncompleteGang: a gang's member that has waited in vain comes back with the same
-// attempt while others fetch their images, and otherwise the gang begins anew.
+// TestIncompleteGang checks what happens when a gang's member exits because it waited for
+// the others in vain: it is restarted in the same attempt while others fetch their
+// images, otherwise the attempt is stopped.
 func TestIncompleteGang(t *testing.T) {
 	tests := []struct {
-		name   string
-		phases []wire.TaskPhase // of the members but the first, which leaves
-		broken bool
+		name    string
+		phases  []wire.TaskPhase // of the placed members other than the first, which exits
+		stopped bool             // the gang's attempt
 	}{
-		{"another fetches", []wire.TaskPhase{wire.TaskWaiting, wire.TaskFetching}, false},
-		{"another's launch has not been shown yet", []wire.TaskPhase{wire.TaskWaiting, ""}, false},
-		{"nobody fetches any more", []wire.TaskPhase{wire.TaskWaiting, wire.TaskWaiting}, true},
-		{"another has no place", []wire.TaskPhase{wire.TaskFetching}, true},
+		{"the attempt continues while another member fetches its image", []wire.TaskPhase{wire.TaskWaiting, wire.TaskFetching}, false},
+		{"the attempt continues while another member's launch is unconfirmed", []wire.TaskPhase{wire.TaskWaiting, ""}, false},
+		{"the attempt is stopped if no member fetches its image", []wire.TaskPhase{wire.TaskWaiting, wire.TaskWaiting}, true},
+		{"the attempt is stopped if another member has no slot", []wire.TaskPhase{wire.TaskFetching}, true},
 	}
 	for _, tt := range tests {
 		lt := newTestTerm(t)
@@ -28,12 +29,12 @@
 		j := lt.jobTable.add(&job.Record{Spec: job.Spec{ID: "run-1", ShapeName: "ensemble", PriorityName: "standard", Tasks: 3, CPUs: 1}}, 1, now)
 		j.GangAttempt = 5
 		for i, phase := range tt.phases {
-			s := lt.fleet.Assign(lt.host("h1"), fleet.PlacementKey{Job: j, Task: int32(i + 1), Attempt: 5}, now)
-			s.Phase, s.LaunchSent = phase, true
+			slot := lt.fleet.Assign(lt.host("h1"), fleet.PlacementKey{Job: j, Task: int32(i + 1), Attempt: 5}, now)
+			slot.Phase, slot.LaunchSent = phase, true
 		}
 		lt.taskTracker.taskEnded(&fleet.Slot{PlacementKey: fleet.PlacementKey{Job: j, Attempt: 5}, Phase: wire.TaskExited, Cause: wire.CauseGangIncomplete}, j, lt.host("h2"), now)
-		if j.GangStopping != tt.broken || (!tt.broken && j.GangAttempt != 5) {
-			t.Errorf("%s: begins anew %v, want %v", tt.name, j.GangStopping, tt.broken)
+		if j.GangStopping != tt.stopped || (!tt.stopped && j.GangAttempt != 5) {
+			t.Errorf("%s: attempt stopped %v, want %v", tt.name, j.GangStopping, tt.stopped)
 		}
 	}
 }
