--- a/internal/control/leader_term.go
+++ b/internal/control/leader_term.go
@@ -9,10 +9,10 @@
 	"vetchstream/internal/election"
 )
 
-// leaderTerm is the actor of one leader term. It composes the parts, each of which
-// owns the state of one duty. All of it is touched by the actor's goroutine alone;
-// I/O runs in goroutines of its own, which enqueue their results. A part calls
-// another through its methods and never touches its fields (TestPartFieldAccess).
+// leaderTerm is the actor of one leader term. It is composed of parts, each of
+// which owns the state of one duty. Only the actor's goroutine accesses this state;
+// I/O runs in separate goroutines, which enqueue their results. A part calls
+// another through its methods and never accesses its fields (TestPartFieldAccess).
 type leaderTerm struct {
 	*core
 	nameIndex         *nameIndex
@@ -36,10 +36,10 @@
 	teamQuotas        *teamQuotas
 	homeQuotas        *homeQuotas
 
-	lastScan time.Time // of every machine and every job
+	lastScan time.Time // last run of the duties that examine every machine or every job
 }
 
-// newLeaderTerm makes the parts of a term and connects them; run starts it.
+// newLeaderTerm makes the parts of a term and connects them. run starts it.
 func newLeaderTerm(ctx context.Context, c *Controller, term election.Term) *leaderTerm {
 	facts := &c.Settings.Facts
 	co := newCore(ctx, c, term)
@@ -72,7 +72,7 @@
 	return lt
 }
 
-// newWriteLimiter limits writes to a share of the leader's budget.
+// newWriteLimiter makes a limiter for a share of the leader's write budget.
 func newWriteLimiter(c *Controller, share float64) *rate.Limiter {
 	writesPerS := share * StateBudget(c.Settings, true).WriteRPS
 	return rate.NewLimiter(rate.Limit(writesPerS), max(2, int(writesPerS)))
--- a/internal/control/leader_term_calls.go
+++ b/internal/control/leader_term_calls.go
@@ -4,33 +4,35 @@
 
 // Calls into the leader's actor from other goroutines.
 
-// callActor runs f in the actor and returns its result; the zero value: the term has ended.
-func callActor[T any](co *core, f func() T) (out T) {
+// callActor runs f in the actor and returns its result, or the zero value if the term
+// ends first.
+func callActor[T any](co *core, f func() T) (result T) {
 	done := make(chan T, 1)
 	co.enqueueForUser(func() { done <- f() })
 	select {
-	case out = <-done:
+	case result = <-done:
 	case <-co.ctx.Done():
 	}
-	return out
+	return result
 }
 
-// runInActor runs f in the actor and waits for it, or for the end of the term.
-func (co *core) runInActor(f func()) {
-	callActor(co, func() struct{} {
+// runInActor runs f in the actor and waits until it has returned or the term has ended.
+func (c *core) runInActor(f func()) {
+	callActor(c, func() struct{} {
 		f()
 		return struct{}{}
 	})
 }
 
-// queryActor runs query in the actor, by one of its queues, and waits until it responds,
-// which may be later. The result is nil if the term or the context ends first.
+// queryActor passes query to the actor through one of its inboxes and waits for its
+// response, which may come after query has returned. It returns nil if the term or ctx
+// ends first.
 func queryActor[T any](ctx context.Context, co *core, queue chan<- func(), query func(respond func(*T))) *T {
-	answer := make(chan *T, 1)
+	response := make(chan *T, 1)
 	respond := func(v *T) {
 		select {
-		case answer <- v:
-		default: // only the first answer counts
+		case response <- v:
+		default: // only the first response counts
 		}
 	}
 	select {
@@ -41,7 +43,7 @@
 		return nil
 	}
 	select {
-	case v := <-answer:
+	case v := <-response:
 		return v
 	case <-co.ctx.Done():
 		return nil
--- a/internal/control/leader_term_calls_test.go
+++ b/internal/control/leader_term_calls_test.go
@@ -5,11 +5,11 @@
 	"testing"
 )
 
-// TestQueryActor: the first answer is returned, whether the query gives it at once or later;
-// none comes once the term or the caller's context has ended.
+// TestQueryActor checks that queryActor returns the first response, whether it comes at
+// once or later, and nil if the term or the caller's context ends first.
 func TestQueryActor(t *testing.T) {
 	first, second := 1, 2
-	answer := func(respond func(*int)) {
+	respondTwice := func(respond func(*int)) {
 		respond(&first)
 		respond(&second)
 	}
@@ -20,10 +20,10 @@
 		query     func(respond func(*int))
 		want      *int
 	}{
-		{name: "answered", query: answer, want: &first},
-		{name: "answered later", query: func(respond func(*int)) { go answer(respond) }, want: &first},
-		{name: "term ended", endTerm: true, query: func(func(*int)) {}},
-		{name: "caller gave up", endCaller: true, query: func(func(*int)) {}},
+		{name: "an immediate response is returned", query: respondTwice, want: &first},
+		{name: "a later response is returned", query: func(respond func(*int)) { go respondTwice(respond) }, want: &first},
+		{name: "nil is returned when the term ends", endTerm: true, query: func(func(*int)) {}},
+		{name: "nil is returned when the caller's context ends", endCaller: true, query: func(func(*int)) {}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -43,7 +43,7 @@
 				}
 			}
 			if got := queryActor(caller, &core{ctx: term}, queue, query); got != tt.want {
-				t.Errorf("got %v, want %v", got, tt.want)
+				t.Errorf("response: got %v, want %v", got, tt.want)
 			}
 		})
 	}
--- a/internal/control/leader_term_connect.go
+++ b/internal/control/leader_term_connect.go
@@ -1,6 +1,6 @@
 package control
 
-// connect tells each part of the term which other parts it may call.
+// connect gives each part references to the other parts that it calls.
 func (lt *leaderTerm) connect() {
 	lt.connectJobTable()
 	lt.connectAdmission()
--- a/internal/control/leader_term_core.go
+++ b/internal/control/leader_term_core.go
@@ -15,30 +15,30 @@
 // inboxSize is the capacity of each of the actor's inboxes.
 const inboxSize = 256
 
-// core is what all parts of a leader term share: the term and its start, the
-// actor's inboxes, and the ledger of what may be on each machine (package fleet,
-// which only the actor may touch).
+// core is the state that all parts of a leader term share: the term, the actor's
+// inboxes, and the ledger of the tasks that may be on each machine (package fleet,
+// which only the actor may access).
 type core struct {
 	controller *Controller
 	ctx        context.Context // ends with the term
 	log        *slog.Logger
-	debug      bool // whether debug lines are logged; building them costs time
+	debug      bool // debug level is enabled; checked because building the arguments is expensive
 	term       uint64
-	// fence is the condition of every transaction of this leader: no later term
-	// has begun.
+	// fence is a condition of every transaction of this leader: no later term has
+	// begun.
 	fence          state.Condition
 	termStart      time.Time
-	lastLeaderSeen time.Time // last sign of the previous leader; zero: unknown
+	lastLeaderSeen time.Time // last time the previous leader was known to be active; zero if unknown
 	// inbox queues heartbeats and the results of background work.
 	inbox chan func()
-	// userInbox queues requests that users wait for. It is served first: hundreds
-	// of heartbeats can be queued where the processor is short.
+	// userInbox queues requests that users wait for. The actor prefers it, because
+	// hundreds of heartbeats can be queued when CPU time is scarce.
 	userInbox     chan func()
 	fleet         *fleet.Fleet
-	planRequested bool // something has changed that the planner may use
+	planRequested bool // something has changed that may allow a placement
 }
 
-// newCore makes the shared part of a term.
+// newCore makes the shared state of a term.
 func newCore(ctx context.Context, controller *Controller, term election.Term) *core {
 	return &core{
 		controller:     controller,
@@ -56,13 +56,12 @@
 }
 
 // newFleet makes the ledger of a term.
-func newFleet(term uint64, set *config.Settings) *fleet.Fleet {
-	w := &set.Facts.Workers
-	return fleet.New(term, config.Seconds(w.LeaseS), config.Seconds(w.CancelS))
+func newFleet(term uint64, settings *config.Settings) *fleet.Fleet {
+	workers := &settings.Facts.Workers
+	return fleet.New(term, config.Seconds(workers.LeaseS), config.Seconds(workers.CancelS))
 }
 
-// enqueue hands a function to the actor's goroutine; it is dropped when the term
-// ends.
+// enqueue queues f for the actor. It drops f if the term has ended.
 func (c *core) enqueue(f func()) {
 	select {
 	case c.inbox <- f:
@@ -70,7 +69,7 @@
 	}
 }
 
-// enqueueForUser is enqueue for results that a user waits for.
+// enqueueForUser is like enqueue, for work that a user waits for.
 func (c *core) enqueueForUser(f func()) {
 	select {
 	case c.userInbox <- f:
@@ -78,31 +77,32 @@
 	}
 }
 
-// sleep waits for d, or until the term ends.
+// sleep waits for d or until the term ends.
 func (c *core) sleep(d time.Duration) {
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
 	case <-c.ctx.Done():
-	case <-t.C:
+	case <-timer.C:
 	}
 }
 
-// commitRetryPause spaces the retries of a transaction whose outcome is unclear.
+// commitRetryPause is the pause before a transaction with an unknown outcome is
+// retried.
 const commitRetryPause = 200 * time.Millisecond
 
-// commitUntilSettled commits a transaction under the term and retries until its
-// outcome is clear. It returns the new version of key; was is the version before.
-// Only an entitled leader writes the key, so a version of it that has changed is
-// the work of an unclear try of this very transaction. The error is
-// state.ErrRejected or the context's error at the end of the term.
-func (c *core) commitUntilSettled(key string, was uint64, conds []state.Condition, writes []state.Write) (version uint64, err error) {
+// commitUntilSettled commits a transaction of the term, retrying until its outcome
+// is known, and returns the new version of key. oldVersion is the version of key
+// before the transaction. As only an entitled leader writes key, a changed version
+// shows that an earlier try of this transaction was applied. The error is
+// state.ErrRejected or, at the end of the term, the context's error.
+func (c *core) commitUntilSettled(key string, oldVersion uint64, conds []state.Condition, writes []state.Write) (version uint64, err error) {
 	txn := state.Txn{If: append([]state.Condition{c.fence}, conds...), Writes: writes}
 	for c.ctx.Err() == nil {
 		version, err = c.controller.State.Commit(c.ctx, txn)
 		if errors.Is(err, state.ErrConflict) {
-			if e, gerr := c.controller.State.Get(c.ctx, key); gerr == nil && e.Version != was {
-				version, err = e.Version, nil
+			if entry, getErr := c.controller.State.Get(c.ctx, key); getErr == nil && entry.Version != oldVersion {
+				version, err = entry.Version, nil
 			}
 		}
 		if err == nil || errors.Is(err, state.ErrRejected) {
@@ -113,10 +113,10 @@
 	return 0, c.ctx.Err()
 }
 
-// heartbeatInterval is the interval of the workers' heartbeats.
+// heartbeatInterval returns the interval of the workers' heartbeats.
 func (c *core) heartbeatInterval() time.Duration {
 	return config.Seconds(c.controller.Settings.Facts.Workers.ReportS)
 }
 
-// requestPlan asks the planner for a new plan.
+// requestPlan requests a new plan from the planner.
 func (c *core) requestPlan() { c.planRequested = true }
--- a/internal/control/leader_term_loop.go
+++ b/internal/control/leader_term_loop.go
@@ -10,31 +10,31 @@
 )
 
 const (
-	// tickInterval is how often the actor takes a step without a message.
+	// tickInterval is the longest time between two steps of the actor.
 	tickInterval = 100 * time.Millisecond
 
-	// scanInterval spaces the scans of every machine and every job: in a large
-	// fleet a scan after each message would take most of the processor.
+	// scanInterval is the shortest time between two scans of all machines and jobs.
+	// In a large fleet, a scan after each message would take most of the CPU time.
 	scanInterval = 100 * time.Millisecond
 
-	// maxBurst bounds the messages that the actor takes between two steps.
+	// maxBurst is the most messages that the actor handles between two steps.
 	maxBurst = 64
 
-	// maxCommands bounds the commands in one response, well below the limit for
-	// bodies.
+	// maxCommands is the most commands in one response, well below the limit on the
+	// size of a body.
 	maxCommands = 400
 )
 
-// run is the actor's loop: it loads what earlier leaders have stored and handles
-// messages until the term ends.
+// run is the actor's loop. It loads the records that earlier leaders have stored,
+// then handles messages until the term ends.
 func (lt *leaderTerm) run() {
 	if !lt.takeover.load() {
 		return
 	}
-	tick := time.NewTicker(tickInterval)
-	defer tick.Stop()
-	urgent := time.NewTimer(tickInterval)
-	defer urgent.Stop()
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
+	urgentTimer := time.NewTimer(tickInterval)
+	defer urgentTimer.Stop()
 	for {
 		select {
 		case <-lt.ctx.Done():
@@ -43,18 +43,19 @@
 			f()
 		case f := <-lt.inbox:
 			f()
-		case <-tick.C:
-		case <-urgent.C:
+		case <-ticker.C:
+		case <-urgentTimer.C:
 		}
 		lt.drainInboxes()
 		lt.step(time.Now())
 		if lt.fleet.AnyAwaitingCommand() {
-			urgent.Reset(urgentScanInterval)
+			urgentTimer.Reset(urgentScanInterval)
 		}
 	}
 }
 
-// drainInboxes handles what else has arrived, so that a burst costs one plan.
+// drainInboxes handles the messages that are already queued, so that a burst causes
+// one plan only.
 func (lt *leaderTerm) drainInboxes() {
 	for range maxBurst {
 		lt.serveUsers()
@@ -67,7 +68,8 @@
 	}
 }
 
-// serveUsers handles the requests that users wait for, and stores submitted jobs.
+// serveUsers handles the queued requests that users wait for, and stores submitted
+// jobs.
 func (lt *leaderTerm) serveUsers() {
 	for n := len(lt.userInbox); n > 0; n-- {
 		f := <-lt.userInbox
@@ -76,54 +78,56 @@
 	lt.admission.storeQueued(time.Now())
 }
 
-// heartbeat takes in a worker's heartbeat and answers it with commands; via is the
-// controller node that forwarded it.
-func (lt *leaderTerm) heartbeat(m *wire.Heartbeat, via string, back func(*rpc.Reply)) {
+// heartbeat handles a worker's heartbeat and responds with commands. forwarder is
+// the controller node that forwarded it.
+func (lt *leaderTerm) heartbeat(heartbeat *wire.Heartbeat, forwarder string, respond func(*rpc.Reply)) {
 	now := time.Now()
-	if lt.machinePool.wasReleased(m.Host) {
-		// A late message of a machine that is gone must not bring it back.
-		back(Unavailable("machine was returned"))
+	if lt.machinePool.wasReleased(heartbeat.Host) {
+		// A delayed message of a released machine must not add it again.
+		respond(Unavailable("the machine was released"))
 		return
 	}
-	if h := lt.fleet.Machines[m.Host]; h != nil && h.Stale(m.Session, m.Seq) {
-		// A copy, or one that was held back. Commands in its answer would count as sent and
-		// arrive nowhere, and a shard holder would lose the machine as if its worker had
-		// moved to another node. It is refused: a worker that has restarted and counts from
-		// the start would take an answer, and keep a lease that the ledger does not know of.
-		back(Unavailable("a newer report was answered"))
+	if machine := lt.fleet.Machines[heartbeat.Host]; machine != nil && machine.Stale(heartbeat.Session, heartbeat.Seq) {
+		// The heartbeat is a duplicate or was delayed. Commands in a response to it
+		// would count as sent but reach no worker, and a shard holder would give up
+		// the machine as if its worker had moved to another node. It is refused
+		// with an error, because a worker that has restarted, and numbers its
+		// heartbeats from the start, would accept a response and keep a lease that
+		// the ledger does not contain.
+		respond(Unavailable("a newer heartbeat was answered"))
 		return
 	}
-	if !lt.shards.routeHeartbeat(m, func() { lt.heartbeat(m, via, back) }, back) {
+	if !lt.shards.routeHeartbeat(heartbeat, func() { lt.heartbeat(heartbeat, forwarder, respond) }, respond) {
 		return
 	}
-	h := lt.fleet.Machines[m.Host]
-	if h == nil {
-		h = lt.machinePool.adopt(m, now)
+	machine := lt.fleet.Machines[heartbeat.Host]
+	if machine == nil {
+		machine = lt.machinePool.adopt(heartbeat, now)
 	}
-	fresh, ok := lt.taskTracker.observe(h, m, true, now)
+	fresh, ok := lt.taskTracker.observe(machine, heartbeat, true, now)
 	if !ok {
-		back(Unavailable("a later term is known"))
+		respond(Unavailable("the worker has seen a later term"))
 		return
 	}
-	if !lt.machinePool.mayRenewLease(h, now) {
-		back(Unavailable("a launch of a cancelled job may be on its way to the machine"))
+	if !lt.machinePool.mayRenewLease(machine, now) {
+		respond(Unavailable("a launch command of a cancelled job may still be in flight to the machine"))
 		return
 	}
 	lt.planner.place(now)
-	orders, sent, events := lt.fleet.ComposeOrders(h, m.Seq, fresh, now, maxCommands)
+	commands, sent, events := lt.fleet.ComposeOrders(machine, heartbeat.Seq, fresh, now, maxCommands)
 	lt.takeover.recordLaunches(len(sent), now)
 	lt.taskTracker.applyEvents(events, now)
-	p := reply(http.StatusOK, wire.HeartbeatResponse{Token: lt.term, Commands: orders})
-	p.HasTasks = h.Busy()
-	back(p)
-	lt.shards.recordAnswered(h, via, now)
+	response := reply(http.StatusOK, wire.HeartbeatResponse{Token: lt.term, Commands: commands})
+	response.HasTasks = machine.Busy()
+	respond(response)
+	lt.shards.recordAnswered(machine, forwarder, now)
 }
 
-// step runs every part's duties after a batch of messages; the slower ones only
-// once per scanInterval.
+// step runs the duties of all parts after a batch of messages. Duties that scan all
+// machines or jobs run at most once per scanInterval.
 func (lt *leaderTerm) step(now time.Time) {
-	scan := now.Sub(lt.lastScan) >= scanInterval
-	if scan {
+	scanDue := now.Sub(lt.lastScan) >= scanInterval
+	if scanDue {
 		lt.lastScan = now
 		lt.expireLeases(now)
 	}
@@ -141,14 +145,14 @@
 	lt.registry.storePages(now)
 	lt.shards.answerHeartbeats(now)
 	lt.commands.sendUrgent(now)
-	lt.shards.step(now, scan)
+	lt.shards.step(now, scanDue)
 	lt.homeQuotas.step(now)
-	if scan {
+	if scanDue {
 		lt.stepScan(now)
 	}
 }
 
-// expireLeases takes in the expiry of machines' leases.
+// expireLeases applies the expiry of machines' leases.
 func (lt *leaderTerm) expireLeases(now time.Time) {
 	events, lost := lt.fleet.ExpireLeases(now)
 	if lost > 0 {
@@ -157,7 +161,7 @@
 	lt.taskTracker.applyEvents(events, now)
 }
 
-// stepScan runs the duties that look at every machine or every job.
+// stepScan runs the duties that scan all machines or all jobs.
 func (lt *leaderTerm) stepScan(now time.Time) {
 	lt.rollouts.step(now)
 	lt.calendarStore.step(now)
