--- a/internal/control/fake_state_service_test.go
+++ b/internal/control/fake_state_service_test.go
@@ -17,20 +17,20 @@
 	"vetchstream/internal/wire"
 )
 
-// commitOutcome says what the fake service does with a transaction.
+// commitOutcome is how the fake service handles a transaction.
 type commitOutcome int
 
 const (
-	// applied: it is applied and answered.
+	// applied: the transaction is applied and answered.
 	applied commitOutcome = iota
-	// appliedUnanswered: it is applied, but has no response.
+	// appliedUnanswered: it is applied, but not answered.
 	appliedUnanswered
-	// appliedLate: it has no response, and is applied after lateDelay.
+	// appliedLate: it is not answered, and is applied after lateDelay.
 	appliedLate
-	// appliedAfterNewer: it has no response, and is applied after newerDelay, when newer
-	// ones have been.
+	// appliedAfterNewer: it is not answered, and is applied after newerDelay, when later
+	// transactions have been applied.
 	appliedAfterNewer
-	// neverApplied: it has no response and is not applied.
+	// neverApplied: it is neither answered nor applied.
 	neverApplied
 )
 
@@ -39,22 +39,22 @@
 	newerDelay = 8 * time.Second
 )
 
-// fakeStateService is the state service in memory. It is a net.Listener for the HTTP
-// server that it runs on, whose connections are pipes.
+// fakeStateService is an in-memory state service. It is the net.Listener of its own HTTP
+// server, whose connections are pipes.
 type fakeStateService struct {
 	mu  sync.Mutex
 	rev uint64
 	kv  map[string]state.Entry
-	// outcomes are those of the next transactions that write keys whose first letter is
-	// in outcomePrefixes; later ones are applied.
+	// outcomes are those of the next transactions that write a key with a first letter in
+	// outcomeLetters. Later transactions are applied.
 	outcomes       []commitOutcome
 	outcomeLetters string
-	maxWrites      int  // in a transaction
-	jobTxns        int  // transactions that wrote jobs
+	maxWrites      int  // limit on the writes of a transaction
+	jobTxns        int  // number of transactions that wrote job records
 	watchesSilent  bool // watches report no event
-	unavailable    bool // an outage: nothing is executed
+	unavailable    bool // every request fails with status 503
 	accepted       chan net.Conn
-	closed         chan struct{} // closed with the listener: a dial may still come
+	closed         chan struct{} // closed with the listener, to fail later dials
 }
 
 // newFakeStateService starts a service that runs until the test ends.
@@ -66,16 +66,16 @@
 		accepted:       make(chan net.Conn),
 		closed:         make(chan struct{}),
 	}
-	srv := &http.Server{Handler: s}
-	go func() { _ = srv.Serve(s) }()
+	server := &http.Server{Handler: s}
+	go func() { _ = server.Serve(s) }()
 	t.Cleanup(func() {
-		_ = srv.Close()
-		time.Sleep(5 * time.Second) // requests in flight end
+		_ = server.Close()
+		time.Sleep(5 * time.Second) // lets requests in flight end
 	})
 	return s
 }
 
-// Accept returns the next connection, as net.Listener does.
+// Accept implements net.Listener.
 func (s *fakeStateService) Accept() (net.Conn, error) {
 	select {
 	case c := <-s.accepted:
@@ -85,24 +85,24 @@
 	}
 }
 
-// Close ends the listener.
+// Close implements net.Listener.
 func (s *fakeStateService) Close() error {
 	close(s.closed)
 	return nil
 }
 
-// Addr is required by net.Listener.
+// Addr implements net.Listener.
 func (s *fakeStateService) Addr() net.Addr { return &net.TCPAddr{} }
 
-// dial connects to the service; there is nothing at any other address.
+// dial connects to the service. It fails for any other address.
 func (s *fakeStateService) dial(_ context.Context, _, addr string) (net.Conn, error) {
 	if addr != "state:1" {
 		return nil, net.ErrClosed
 	}
-	a, b := net.Pipe()
+	client, server := net.Pipe()
 	select {
-	case s.accepted <- b:
-		return a, nil
+	case s.accepted <- server:
+		return client, nil
 	case <-s.closed:
 		return nil, net.ErrClosed
 	}
@@ -120,25 +120,25 @@
 	s.kv[key] = state.Entry{Key: key, Value: w.Value, Version: s.rev}
 }
 
-// setOutcomes sets the outcomes of the next transactions that write keys whose first
-// letter is in prefixes, and resets the counts.
-func (s *fakeStateService) setOutcomes(prefixes string, outcomes ...commitOutcome) {
+// setOutcomes sets the outcomes of the next transactions that write a key with a first
+// letter in letters, and resets the transaction count.
+func (s *fakeStateService) setOutcomes(letters string, outcomes ...commitOutcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.outcomeLetters = prefixes
+	s.outcomeLetters = letters
 	s.outcomes = outcomes
 	s.jobTxns = 0
 }
 
-// outcomeCounts returns how many transactions have written jobs since setOutcomes,
-// and how many of the outcomes are left.
+// outcomeCounts returns the number of transactions that have written job records since
+// setOutcomes, and the number of unused outcomes.
 func (s *fakeStateService) outcomeCounts() (txns, left int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.jobTxns, len(s.outcomes)
 }
 
-// absent reports whether there is no such key.
+// absent reports whether the key does not exist.
 func (s *fakeStateService) absent(key string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -146,119 +146,119 @@
 	return !ok
 }
 
-// apply runs a transaction, with s.mu held, and returns the response.
-func (s *fakeStateService) apply(t state.Txn) (status int, body any) {
+// apply runs a transaction and returns the response. The caller holds s.mu.
+func (s *fakeStateService) apply(txn state.Txn) (status int, body any) {
 	var failed []string
-	for _, c := range t.If {
-		if s.kv[c.Key].Version != c.Version {
-			failed = append(failed, c.Key)
+	for _, cond := range txn.If {
+		if s.kv[cond.Key].Version != cond.Version {
+			failed = append(failed, cond.Key)
 		}
 	}
 	if failed != nil {
 		return 409, map[string]any{"failed": failed}
 	}
 	s.rev++
-	for _, w := range t.Writes {
-		if w.Delete != "" {
-			delete(s.kv, w.Delete)
+	for _, write := range txn.Writes {
+		if write.Delete != "" {
+			delete(s.kv, write.Delete)
 		} else {
-			s.kv[w.Put] = state.Entry{Key: w.Put, Value: w.Value, Version: s.rev}
+			s.kv[write.Put] = state.Entry{Key: write.Put, Value: write.Value, Version: s.rev}
 		}
 	}
 	return 200, map[string]any{"epoch": s.rev}
 }
 
-// ServeHTTP answers a request to the state service.
-func (s *fakeStateService) ServeHTTP(rw http.ResponseWriter, q *http.Request) {
-	answer := func(status int, v any) { writeResponse(rw, status, v) }
+// ServeHTTP serves a request to the state service.
+func (s *fakeStateService) ServeHTTP(rw http.ResponseWriter, req *http.Request) {
+	respond := func(status int, v any) { writeResponse(rw, status, v) }
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	path := q.URL.Path
+	path := req.URL.Path
 	switch {
 	case s.unavailable:
-		answer(503, map[string]any{})
+		respond(503, map[string]any{})
 	case path == "/commit":
-		s.serveCommit(q, answer)
+		s.serveCommit(req, respond)
 	case path == "/kv":
-		out := []state.Entry{}
+		entries := []state.Entry{}
 		for _, k := range slices.Sorted(maps.Keys(s.kv)) {
-			if strings.HasPrefix(k, q.URL.Query().Get("under")) {
-				out = append(out, s.kv[k])
+			if strings.HasPrefix(k, req.URL.Query().Get("under")) {
+				entries = append(entries, s.kv[k])
 			}
 		}
-		answer(200, map[string]any{"entries": out, "epoch": s.rev})
+		respond(200, map[string]any{"entries": entries, "epoch": s.rev})
 	case strings.HasPrefix(path, "/kv/"):
 		e, ok := s.kv[path[4:]]
 		if !ok {
-			answer(404, map[string]any{})
+			respond(404, map[string]any{})
 			return
 		}
-		answer(200, e)
+		respond(200, e)
 	default:
-		s.serveWatch(answer)
+		s.serveWatch(respond)
 	}
 }
 
 // writeResponse writes an encoded response.
-func writeResponse(rw http.ResponseWriter, status int, v any) {
-	b, err := wire.Marshal(v)
+func writeResponse(rw http.ResponseWriter, status int, value any) {
+	body, err := wire.Marshal(value)
 	if err != nil {
 		panic(err)
 	}
 	rw.WriteHeader(status)
-	_, _ = rw.Write(b)
+	_, _ = rw.Write(body)
 }
 
-// serveCommit handles a transaction as the next outcome says, with s.mu held.
-func (s *fakeStateService) serveCommit(q *http.Request, answer func(int, any)) {
-	b, _ := io.ReadAll(q.Body)
-	var t state.Txn
-	if err := wire.Unmarshal(b, &t); err != nil || len(t.Writes) > s.maxWrites || len(t.If) > 4*s.maxWrites {
-		answer(400, wire.Error{Error: "malformed"})
+// serveCommit handles a transaction according to the next outcome. The caller holds s.mu.
+func (s *fakeStateService) serveCommit(req *http.Request, respond func(int, any)) {
+	body, _ := io.ReadAll(req.Body)
+	var txn state.Txn
+	if err := wire.Unmarshal(body, &txn); err != nil || len(txn.Writes) > s.maxWrites || len(txn.If) > 4*s.maxWrites {
+		respond(400, wire.Error{Error: "malformed"})
 		return
 	}
-	if writesFirstLetter(t, "jgf") {
+	if writesFirstLetter(txn, "jgf") {
 		s.jobTxns++
 	}
 	outcome := applied
-	if writesFirstLetter(t, s.outcomeLetters) && len(s.outcomes) > 0 {
+	if writesFirstLetter(txn, s.outcomeLetters) && len(s.outcomes) > 0 {
 		outcome = s.outcomes[0]
 		s.outcomes = s.outcomes[1:]
 	}
 	switch outcome {
 	case applied:
-		answer(s.apply(t))
+		respond(s.apply(txn))
 		return
 	case appliedUnanswered:
-		s.apply(t)
+		s.apply(txn)
 	case appliedLate:
-		s.applyAfter(lateDelay, t)
+		s.applyAfter(lateDelay, txn)
 	case appliedAfterNewer:
-		s.applyAfter(newerDelay, t)
+		s.applyAfter(newerDelay, txn)
 	}
 	panic(http.ErrAbortHandler)
 }
 
-// writesFirstLetter reports whether a transaction writes a key whose first letter is in
-// prefixes.
-func writesFirstLetter(t state.Txn, prefixes string) bool {
-	return slices.ContainsFunc(t.Writes, func(w state.Write) bool {
-		return strings.ContainsAny((w.Put + w.Delete)[:1], prefixes)
+// writesFirstLetter reports whether a transaction writes a key with a first letter in
+// letters.
+func writesFirstLetter(txn state.Txn, letters string) bool {
+	return slices.ContainsFunc(txn.Writes, func(w state.Write) bool {
+		return strings.ContainsAny((w.Put + w.Delete)[:1], letters)
 	})
 }
 
 // applyAfter applies a transaction after a delay.
-func (s *fakeStateService) applyAfter(delay time.Duration, t state.Txn) {
+func (s *fakeStateService) applyAfter(delay time.Duration, txn state.Txn) {
 	time.AfterFunc(delay, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.apply(t)
+		s.apply(txn)
 	})
 }
 
-// serveWatch answers a watch with the active jobs, after a pause. It is called
-// with s.mu held, which it releases while it waits.
-func (s *fakeStateService) serveWatch(answer func(int, any)) {
+// serveWatch answers a watch with the active jobs after a pause. The caller holds s.mu,
+// which is released during the pause.
+func (s *fakeStateService) serveWatch(respond func(int, any)) {
 	s.mu.Unlock()
 	time.Sleep(100 * time.Millisecond)
 	s.mu.Lock()
@@ -268,31 +268,32 @@
 			events = append(events, state.Event{Put: k})
 		}
 	}
-	answer(200, map[string]any{"epoch": s.rev, "events": events})
+	respond(200, map[string]any{"epoch": s.rev, "events": events})
 }
 
-// jobs counts the entries of jobs in groups and the active records.
+// jobs returns the number of stored jobs: those in groups and those with an active
+// record.
 func (s *fakeStateService) jobs() (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for k, e := range s.kv {
-		var g job.Group
+	for key, entry := range s.kv {
+		var group job.Group
 		switch {
-		case strings.HasPrefix(k, job.ActivePrefix):
+		case strings.HasPrefix(key, job.ActivePrefix):
 			n++
-		case strings.HasPrefix(k, job.GroupPrefix) && wire.Unmarshal(e.Value, &g) == nil:
-			n += len(g.Jobs)
+		case strings.HasPrefix(key, job.GroupPrefix) && wire.Unmarshal(entry.Value, &group) == nil:
+			n += len(group.Jobs)
 		}
 	}
 	return n
 }
 
-// keys counts the keys whose first letter is in prefixes.
-func (s *fakeStateService) keys(prefixes string) (n int) {
+// keys returns the number of keys with a first letter in letters.
+func (s *fakeStateService) keys(letters string) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for k := range s.kv {
-		if strings.ContainsAny(k[:1], prefixes) {
+		if strings.ContainsAny(k[:1], letters) {
 			n++
 		}
 	}
--- a/internal/control/fixtures_test.go
+++ b/internal/control/fixtures_test.go
@@ -6,9 +6,9 @@
 	"vetchstream/internal/fixture"
 )
 
-// fixtures are the records of the controller stored in the consensus-backed
-// key-value store and its answer to a configuration change; the records that
-// other packages define are in their own fixtures.
+// fixtures are the controller's records in the key-value store and its response to
+// a configuration change. Records that other packages define are in the fixtures of
+// those packages.
 var fixtures = []fixture.Row{
 	{File: "registry-page-record.cbor", Value: fixture.Filled[pageRecord]()},
 	{File: "registry-host-record.cbor", Value: fixture.Filled[hostRecord]()},
--- a/internal/control/late_transactions_test.go
+++ b/internal/control/late_transactions_test.go
@@ -14,71 +14,76 @@
 	"vetchstream/internal/wire"
 )
 
-// TestLateResults: a write of results has no response and is applied after a newer
-// one. What the newer one says is retained, also by the next leader.
+// TestLateResults checks that results are kept when an earlier write of results is not
+// answered and is applied after a newer one. The next leader must read all of them as
+// well.
 func TestLateResults(t *testing.T) {
 	tests := []struct {
 		name     string
-		outcomes []commitOutcome // of the writes of results
+		outcomes []commitOutcome // of the first writes of results
 	}{
-		{"the first", []commitOutcome{appliedAfterNewer}},
-		{"the second", []commitOutcome{applied, appliedAfterNewer}},
-		{"two in a row", []commitOutcome{applied, appliedAfterNewer, appliedAfterNewer}},
-		{"applied, its answer lost", []commitOutcome{applied, appliedUnanswered}},
+		{"first write applied after a newer one", []commitOutcome{appliedAfterNewer}},
+		{"second write applied after a newer one", []commitOutcome{applied, appliedAfterNewer}},
+		{"second and third write applied after newer ones", []commitOutcome{applied, appliedAfterNewer, appliedAfterNewer}},
+		{"second write applied but not answered", []commitOutcome{applied, appliedUnanswered}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newFakeStateService(t)
-				s.put(job.ActivePrefix+"run-4", &job.Record{Spec: job.Spec{ID: "run-4", Team: "red", ShapeName: "array", PriorityName: "idle", Tasks: 5, CPUs: 1}})
-				st := startLeader(t, s, 7)
-				s.setOutcomes(job.DonePrefix[:1], tt.outcomes...)
+				service := newFakeStateService(t)
+				service.put(job.ActivePrefix+"run-4", &job.Record{Spec: job.Spec{ID: "run-4", Team: "red", ShapeName: "array", PriorityName: "idle", Tasks: 5, CPUs: 1}})
+				leader := startLeader(t, service, 7)
+				service.setOutcomes(job.DonePrefix[:1], tt.outcomes...)
 				for i := range 4 {
-					st.reportTasks("host-1", uint64(1+i), wire.TaskStatus{Task: fmt.Sprintf("run-4/%d", i), Attempt: 1, Phase: wire.TaskExited, Cause: wire.CauseDone})
+					leader.reportTasks("host-1", uint64(1+i), wire.TaskStatus{Task: fmt.Sprintf("run-4/%d", i), Attempt: 1, Phase: wire.TaskExited, Cause: wire.CauseDone})
 					time.Sleep(2 * time.Second)
 				}
 				time.Sleep(20 * time.Second)
-				if _, left := s.outcomeCounts(); left > 0 {
-					t.Errorf("%d writes did not come", left)
+				if _, left := service.outcomeCounts(); left > 0 {
+					t.Errorf("%d outcomes unused: too few writes of results", left)
 				}
-				st.stop()
-				next := startLeader(t, s, 8)
+				leader.stop()
+				nextLeader := startLeader(t, service, 8)
 				var got wire.JobStatus
-				if p := next.request(rpc.KindStatus, "run-4", nil); wire.Unmarshal(p.Body, &got) != nil || got.Done != 4 {
-					t.Errorf("the next leader knows %d results of 4", got.Done)
+				if response := nextLeader.request(rpc.KindStatus, "run-4", nil); wire.Unmarshal(response.Body, &got) != nil || got.Done != 4 {
+					t.Errorf("done tasks at the next leader: got %d, want 4", got.Done)
 				}
 			})
 		})
 	}
 }
 
-// TestLateRecords: a change of a roll-out or of the calendar has no response, and is
-// applied at once or after newer ones. What operators were told last remains true,
-// also at the next leader.
+// TestLateRecords checks operations on roll-outs and the calendar whose transactions are
+// not answered, and are applied at once or after newer ones. The state last reported to
+// the operator must stay in effect, even at the next leader.
 func TestLateRecords(t *testing.T) {
-	for _, rec := range lateRecordCases {
-		for name, outcomes := range map[string][]commitOutcome{"carried out at once": {appliedUnanswered}, "late": {appliedLate}, "after newer ones": {appliedAfterNewer}, "twice": {appliedAfterNewer, appliedAfterNewer},
-			"the second at once": {applied, appliedUnanswered}, "the second late": {applied, appliedAfterNewer}} {
-			t.Run(rec.name+", "+name, func(t *testing.T) {
+	for _, record := range lateRecordCases {
+		for name, outcomes := range map[string][]commitOutcome{"first transaction applied but not answered": {appliedUnanswered}, "first transaction applied late": {appliedLate},
+			"first transaction applied after newer ones": {appliedAfterNewer}, "first two transactions applied after newer ones": {appliedAfterNewer, appliedAfterNewer},
+			"second transaction applied but not answered": {applied, appliedUnanswered}, "second transaction applied after newer ones": {applied, appliedAfterNewer}} {
+			t.Run(record.name+", "+name, func(t *testing.T) {
 				t.Parallel()
-				synctest.Test(t, func(t *testing.T) { checkLateRecord(t, rec, outcomes) })
+				synctest.Test(t, func(t *testing.T) { checkLateRecord(t, record, outcomes) })
 			})
 		}
 	}
 }
 
-// lateOp is an operation of TestLateRecords, with the spec that goes into its body.
+// lateOp is an operation of TestLateRecords. spec, if set, is encoded as the spec of the
+// operation.
 type lateOp struct {
 	rpc.Operation
 	spec map[string]any
 }
 
-// simulatedTime is hour h of day d of the simulated time, which begins in 2000.
-func simulatedTime(d, h int) string {
-	return time.Date(2000, 1, 1+d, h, 0, 0, 0, time.UTC).Format(time.RFC3339)
+// simulatedTime returns the given hour of a day of the test's simulated time as text; day
+// 0 is 2000-01-01.
+func simulatedTime(day, hour int) string {
+	return time.Date(2000, 1, 1+day, hour, 0, 0, 0, time.UTC).Format(time.RFC3339)
 }
 
-// namedOp is an operation on the roll-out of service x, or the calendar entry x.
+// namedOp returns an operation on x, which is a service with a roll-out, a reservation
+// or, if window is set, a maintenance window.
 func namedOp(verb rpc.Verb, window bool) lateOp {
 	return lateOp{rpc.Operation{Verb: verb, Name: "x", Window: window}, nil}
 }
@@ -89,79 +94,79 @@
 	kind   rpc.RequestKind
 	prefix string
 	ops    []lateOp
-	want   string // in the state after the last of them; empty: it is not there
+	want   string // part of the status after the last operation; empty if the entry must not exist
 }
 
 // lateRecordCases are the cases of TestLateRecords.
 var lateRecordCases = []lateRecordCase{
-	{"a roll-out is started", rpc.KindRollout, "r", []lateOp{
+	{"start of a roll-out", rpc.KindRollout, "r", []lateOp{
 		{rpc.Operation{Verb: rpc.VerbStart}, map[string]any{"service": "x", "from": "run-1", "to": map[string]any{"uid": "run-2", "reel": "n"}}}}, "run-2"},
-	{"a roll-out is started and paused", rpc.KindRollout, "r", []lateOp{
+	{"start and pause of a roll-out", rpc.KindRollout, "r", []lateOp{
 		{rpc.Operation{Verb: rpc.VerbStart}, map[string]any{"service": "x", "from": "run-1", "to": map[string]any{"uid": "run-2", "reel": "n"}}},
 		namedOp(rpc.VerbPause, false)}, "paused"},
-	{"a reservation is made", rpc.KindCalendar, "c", []lateOp{
+	{"start of a reservation", rpc.KindCalendar, "c", []lateOp{
 		{rpc.Operation{Verb: rpc.VerbStart}, map[string]any{"name": "x", "team": "red", "parts": 1, "cpus": 1.0, "mem_gb": 1.0, "start": simulatedTime(2, 1), "end": simulatedTime(2, 2)}}}, "booked"},
-	{"a reservation is made and cancelled", rpc.KindCalendar, "c", []lateOp{
+	{"start and cancellation of a reservation", rpc.KindCalendar, "c", []lateOp{
 		{rpc.Operation{Verb: rpc.VerbStart}, map[string]any{"name": "x", "team": "red", "parts": 1, "cpus": 1.0, "mem_gb": 1.0, "start": simulatedTime(2, 1), "end": simulatedTime(2, 2)}},
 		namedOp(rpc.VerbCancel, false)}, ""},
-	{"a window is planned", rpc.KindCalendar, "c", []lateOp{
+	{"start of a maintenance window", rpc.KindCalendar, "c", []lateOp{
 		{rpc.Operation{Verb: rpc.VerbStart, Window: true}, map[string]any{"name": "x", "yard": "a", "start": simulatedTime(3, 1), "end": simulatedTime(3, 2), "force": true}}}, "2000-01-04"},
-	{"a window is planned and cancelled", rpc.KindCalendar, "c", []lateOp{
+	{"start and cancellation of a maintenance window", rpc.KindCalendar, "c", []lateOp{
 		{rpc.Operation{Verb: rpc.VerbStart, Window: true}, map[string]any{"name": "x", "yard": "a", "start": simulatedTime(3, 1), "end": simulatedTime(3, 2), "force": true}},
 		namedOp(rpc.VerbCancel, true)}, ""},
 }
 
-// checkLateRecord carries out the operations of rec while its transactions have the
-// given outcomes, and checks what this leader and the next one say of it.
-func checkLateRecord(t *testing.T, rec lateRecordCase, outcomes []commitOutcome) {
-	s := newFakeStateService(t)
-	s.put(job.ActivePrefix+"run-1", &job.Record{Spec: job.Spec{ID: "run-1", Team: "red", ShapeName: "daemon", PriorityName: "idle", Tasks: 1, CPUs: 1, Image: "o"}})
-	on := func(tun *config.Tuning) { tun.Rollouts.Enabled, tun.Calendar.Enabled = true, true }
-	st := startLeaderWith(t, s, 7, on)
-	s.setOutcomes(rec.prefix, outcomes...)
-	for _, o := range rec.ops {
-		if p := requestUntilAnswered(t, st, rec.kind, o); p.Status/100 != 2 {
-			t.Fatalf("%s: %d %s", o.Verb, p.Status, p.Body)
+// checkLateRecord executes the operations of record while its transactions have the given
+// outcomes, and checks the status that this leader and the next one report.
+func checkLateRecord(t *testing.T, record lateRecordCase, outcomes []commitOutcome) {
+	service := newFakeStateService(t)
+	service.put(job.ActivePrefix+"run-1", &job.Record{Spec: job.Spec{ID: "run-1", Team: "red", ShapeName: "daemon", PriorityName: "idle", Tasks: 1, CPUs: 1, Image: "o"}})
+	enable := func(tuning *config.Tuning) { tuning.Rollouts.Enabled, tuning.Calendar.Enabled = true, true }
+	leader := startLeaderWith(t, service, 7, enable)
+	service.setOutcomes(record.prefix, outcomes...)
+	for _, op := range record.ops {
+		if response := requestUntilAnswered(t, leader, record.kind, op); response.Status/100 != 2 {
+			t.Fatalf("operation %s: got status %d %q, want success", op.Verb, response.Status, response.Body)
 		}
 	}
-	if _, left := s.outcomeCounts(); left == len(outcomes) {
-		t.Error("no transaction met its outcome")
+	if _, left := service.outcomeCounts(); left == len(outcomes) {
+		t.Error("no outcome was used: no transaction wrote the record")
 	}
-	look := namedOp(rpc.VerbStatus, strings.Contains(rec.name, "window"))
-	told := func(st *testLeader, who string) {
-		p := requestUntilAnswered(t, st, rec.kind, look)
-		if (rec.want == "") != (p.Status == http.StatusNotFound) || !strings.Contains(string(p.Body), rec.want) {
-			t.Errorf("%s: %d %q, want %q", who, p.Status, p.Body, rec.want)
+	statusOp := namedOp(rpc.VerbStatus, strings.Contains(record.name, "window"))
+	checkStatus := func(leader *testLeader, who string) {
+		response := requestUntilAnswered(t, leader, record.kind, statusOp)
+		if (record.want == "") != (response.Status == http.StatusNotFound) || !strings.Contains(string(response.Body), record.want) {
+			t.Errorf("status at %s: got %d %q, want %q", who, response.Status, response.Body, record.want)
 		}
 	}
-	told(st, "the leader")
+	checkStatus(leader, "the leader")
 	time.Sleep(20 * time.Second)
-	told(st, "the leader, later")
-	st.stop()
-	told(startLeaderWith(t, s, 8, on), "the next one")
+	checkStatus(leader, "the leader 20 s later")
+	leader.stop()
+	checkStatus(startLeaderWith(t, service, 8, enable), "the next leader")
 }
 
-// requestUntilAnswered asks st to carry out o, and asks again while the answer is a
-// server error, 30 times at most, a second apart.
-func requestUntilAnswered(t *testing.T, st *testLeader, kind rpc.RequestKind, o lateOp) *rpc.Reply {
-	if o.spec != nil {
-		b, err := wire.Marshal(o.spec)
+// requestUntilAnswered sends an operation, and repeats it while the reply is a server
+// error, at most 30 times at intervals of one second.
+func requestUntilAnswered(t *testing.T, leader *testLeader, kind rpc.RequestKind, op lateOp) *rpc.Reply {
+	if op.spec != nil {
+		body, err := wire.Marshal(op.spec)
 		if err != nil {
 			t.Fatal(err)
 		}
-		o.Spec = b
+		op.Spec = body
 	}
-	b, err := wire.Marshal(o.Operation)
+	body, err := wire.Marshal(op.Operation)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := st.request(kind, "", b)
+	response := leader.request(kind, "", body)
 	for range 30 {
-		if p.Status < 500 {
+		if response.Status < 500 {
 			break
 		}
 		time.Sleep(time.Second)
-		p = st.request(kind, "", b)
+		response = leader.request(kind, "", body)
 	}
-	return p
+	return response
 }
--- a/internal/control/name_index.go
+++ b/internal/control/name_index.go
@@ -6,8 +6,8 @@
 	"vetchstream/internal/wire"
 )
 
-// nameIndex maps the names of machine types, zones, teams and images to dense indices. A
-// name retains its index for as long as the term lasts.
+// nameIndex maps the names of machine types, zones, teams and images to dense indices. An
+// index stays valid until the end of the term.
 type nameIndex struct {
 	types   []wire.MachineType
 	typeIdx map[string]int
@@ -37,8 +37,7 @@
 	return ni
 }
 
-// updateTypes adds the machine types that are new, with their zones, and replaces those that
-// are known.
+// updateTypes adds new machine types and their zones, and replaces known types.
 func (ni *nameIndex) updateTypes(types []wire.MachineType) {
 	for _, t := range types {
 		for _, zone := range t.Zones {
@@ -56,15 +55,15 @@
 // machineTypes returns the machine types, by index.
 func (ni *nameIndex) machineTypes() []wire.MachineType { return ni.types }
 
-// machineType returns a machine's type, or nil if it is not known.
-func (ni *nameIndex) machineType(h *fleet.Machine) *wire.MachineType {
-	if h.Type < 0 || h.Type >= len(ni.types) {
+// machineType returns a machine's type, or nil if it is unknown.
+func (ni *nameIndex) machineType(machine *fleet.Machine) *wire.MachineType {
+	if machine.Type < 0 || machine.Type >= len(ni.types) {
 		return nil
 	}
-	return &ni.types[h.Type]
+	return &ni.types[machine.Type]
 }
 
-// allowedTypes tells, by index, which of the machine types are named.
+// allowedTypes reports, by index, which machine types are in names.
 func (ni *nameIndex) allowedTypes(names []string) []bool {
 	allowed := make([]bool, len(ni.types))
 	for _, name := range names {
@@ -75,8 +74,9 @@
 	return allowed
 }
 
-// describeMachine sets a machine's type, zone and kind, unless the type is not known.
-func (ni *nameIndex) describeMachine(h *fleet.Machine, typeName, zone string, spot bool) {
+// describeMachine sets a machine's type and zone and whether it is a spot machine. It
+// does nothing if the type is unknown or either name is empty.
+func (ni *nameIndex) describeMachine(machine *fleet.Machine, typeName, zone string, spot bool) {
 	if zone == "" || typeName == "" {
 		return
 	}
@@ -84,10 +84,10 @@
 	if !ok {
 		return
 	}
-	h.Type = i
-	h.Zone = ni.zoneIndex(zone)
-	h.Spot = spot
-	h.Described = true
+	machine.Type = i
+	machine.Zone = ni.zoneIndex(zone)
+	machine.Spot = spot
+	machine.Described = true
 }
 
 // zoneNames returns the zones, by index.
@@ -96,7 +96,7 @@
 // zoneIndices returns the indices of the zones, by name.
 func (ni *nameIndex) zoneIndices() map[string]int { return ni.zoneIdx }
 
-// zoneIndex returns the index of a zone, which it adds if it is new.
+// zoneIndex returns the index of a zone, adding the zone if it is new.
 func (ni *nameIndex) zoneIndex(name string) int {
 	if i, ok := ni.zoneIdx[name]; ok {
 		return i
@@ -106,18 +106,18 @@
 	return len(ni.zones) - 1
 }
 
-// offerIndices returns the indices of a machine type and a zone; known is false if either
-// has none.
+// offerIndices returns the indices of a machine type and a zone. known is false if either
+// is unknown.
 func (ni *nameIndex) offerIndices(typeName, zone string) (typeIdx, zoneIdx int, known bool) {
 	typeIdx, typeKnown := ni.typeIdx[typeName]
 	zoneIdx, zoneKnown := ni.zoneIdx[zone]
 	return typeIdx, zoneIdx, typeKnown && zoneKnown
 }
 
-// teamNames returns the teams, by index, those that have been removed included.
+// teamNames returns the teams, by index, including removed ones.
 func (ni *nameIndex) teamNames() []string { return ni.teams }
 
-// teamIndex returns the index of a team, or -1 if there is none of that name.
+// teamIndex returns the index of a team, or -1 if it is unknown.
 func (ni *nameIndex) teamIndex(name string) int {
 	if i, ok := ni.teamIdx[name]; ok {
 		return i
@@ -125,7 +125,7 @@
 	return -1
 }
 
-// addTeam gives a team an index, and reports whether it had none.
+// addTeam adds a team if it is new, and reports whether it was.
 func (ni *nameIndex) addTeam(name string) bool {
 	if _, ok := ni.teamIdx[name]; ok {
 		return false
@@ -135,7 +135,7 @@
 	return true
 }
 
-// imageIndex returns the index of an image, which it adds if it is new.
+// imageIndex returns the index of an image, adding the image if it is new.
 func (ni *nameIndex) imageIndex(name string) int {
 	if i, ok := ni.imageIdx[name]; ok {
 		return i
--- a/internal/control/parts_test.go
+++ b/internal/control/parts_test.go
@@ -9,34 +9,34 @@
 	"testing"
 )
 
-// TestPartFieldAccess: a part's fields are touched by its own methods alone. Each part has
-// one owner of its state, and a reader finds every change of it in one place.
+// TestPartFieldAccess checks that a part's fields are accessed by its own methods only.
+// So the state of a part has one owner, and all its changes are found in one place.
 func TestPartFieldAccess(t *testing.T) {
 	files, err := os.ReadDir(".")
 	if err != nil {
 		t.Fatal(err)
 	}
-	set := token.NewFileSet()
-	var all []*ast.File
+	fileSet := token.NewFileSet()
+	var parsedFiles []*ast.File
 	for _, f := range files {
 		if !strings.HasSuffix(f.Name(), ".go") || strings.HasSuffix(f.Name(), "_test.go") {
 			continue
 		}
-		parsed, err := parser.ParseFile(set, f.Name(), nil, 0)
+		parsed, err := parser.ParseFile(fileSet, f.Name(), nil, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
-		all = append(all, parsed)
+		parsedFiles = append(parsedFiles, parsed)
 	}
-	fields := structFields(all)
-	parts := map[string]bool{} // a part is held by the term under the name of its type
+	fields := structFields(parsedFiles)
+	parts := map[string]bool{} // the fields of leaderTerm; true for a part, which is named like its type
 	for name, typ := range fields["leaderTerm"] {
 		parts[name] = typ == name
 	}
 	if len(parts) < 10 {
-		t.Fatalf("only %d parts found", len(parts))
+		t.Fatalf("found %d parts of leaderTerm, want at least 10", len(parts))
 	}
-	for _, f := range all {
+	for _, f := range parsedFiles {
 		for _, d := range f.Decls {
 			fn, ok := d.(*ast.FuncDecl)
 			if !ok {
@@ -55,9 +55,9 @@
 				if !ok || !parts[inner.Sel.Name] || inner.Sel.Name == owner {
 					return true
 				}
-				// The composition itself may tie a part to another.
-				if to, has := fields[inner.Sel.Name][outer.Sel.Name]; has && !(owner == "leaderTerm" && parts[to]) {
-					t.Errorf("%s: %s reaches into %s.%s", set.Position(outer.Pos()), fn.Name.Name, inner.Sel.Name, outer.Sel.Name)
+				// Only leaderTerm may set the references between parts.
+				if fieldType, isField := fields[inner.Sel.Name][outer.Sel.Name]; isField && !(owner == "leaderTerm" && parts[fieldType]) {
+					t.Errorf("%s: %s accesses the field %s.%s of another part", fileSet.Position(outer.Pos()), fn.Name.Name, inner.Sel.Name, outer.Sel.Name)
 				}
 				return true
 			})
@@ -65,33 +65,33 @@
 	}
 }
 
-// structFields lists the fields of each struct with the names of their types.
+// structFields returns, per struct, the type names of its fields by field name.
 func structFields(files []*ast.File) map[string]map[string]string {
-	out := map[string]map[string]string{}
+	structs := map[string]map[string]string{}
 	for _, f := range files {
 		ast.Inspect(f, func(n ast.Node) bool {
 			spec, ok := n.(*ast.TypeSpec)
 			if !ok {
 				return true
 			}
-			st, ok := spec.Type.(*ast.StructType)
+			structType, ok := spec.Type.(*ast.StructType)
 			if !ok {
 				return true
 			}
-			of := map[string]string{}
-			for _, fl := range st.Fields.List {
-				for _, n := range fl.Names {
-					of[n.Name] = typeName(fl.Type)
+			fieldTypes := map[string]string{}
+			for _, field := range structType.Fields.List {
+				for _, n := range field.Names {
+					fieldTypes[n.Name] = typeName(field.Type)
 				}
 			}
-			out[spec.Name.Name] = of
+			structs[spec.Name.Name] = fieldTypes
 			return true
 		})
 	}
-	return out
+	return structs
 }
 
-// typeName is the name of a type or of what it points to.
+// typeName returns the name of a type or of the type it points to, or "" for other types.
 func typeName(e ast.Expr) string {
 	if s, ok := e.(*ast.StarExpr); ok {
 		e = s.X
