--- a/internal/control/control_requests.go
+++ b/internal/control/control_requests.go
@@ -105,7 +105,7 @@
 	if err := wire.Unmarshal(q.Body, m); err != nil || m.Host == "" || m.Session == 0 {
 		return nil, reply(http.StatusBadRequest, wire.Error{Error: "malformed report"})
 	}
-	return func(back func(*rpc.Reply)) { lt.heartbeat(m, q.ForwardedBy, back) }, nil
+	return func(back func(*rpc.Reply)) { lt.handleHeartbeat(m, q.ForwardedBy, back) }, nil
 }
 
 // awaitActor hands a request to the leader's actor and waits for its answer; nil
--- a/internal/control/leader_term_loop.go
+++ b/internal/control/leader_term_loop.go
@@ -78,9 +78,9 @@
 	lt.admission.storeQueued(time.Now())
 }
 
-// heartbeat handles a worker's heartbeat and responds with commands. forwarder is
+// handleHeartbeat handles a worker's handleHeartbeat and responds with commands. forwarder is
 // the controller node that forwarded it.
-func (lt *leaderTerm) heartbeat(heartbeat *wire.Heartbeat, forwarder string, respond func(*rpc.Reply)) {
+func (lt *leaderTerm) handleHeartbeat(heartbeat *wire.Heartbeat, forwarder string, respond func(*rpc.Reply)) {
 	now := time.Now()
 	if lt.machinePool.wasReleased(heartbeat.Host) {
 		// A delayed message of a released machine must not add it again.
@@ -97,7 +97,7 @@
 		respond(Unavailable("a newer heartbeat was answered"))
 		return
 	}
-	if !lt.shards.routeHeartbeat(heartbeat, func() { lt.heartbeat(heartbeat, forwarder, respond) }, respond) {
+	if !lt.shards.routeHeartbeat(heartbeat, func() { lt.handleHeartbeat(heartbeat, forwarder, respond) }, respond) {
 		return
 	}
 	machine := lt.fleet.Machines[heartbeat.Host]
