--- a/internal/control/machine_pool_test.go
+++ b/internal/control/machine_pool_test.go
@@ -13,9 +13,9 @@
 	"vetchstream/internal/wire"
 )
 
-// TestStaleAdoptionReleased checks that a machine which a delayed heartbeat has re-added
-// after an earlier leader released it is released once the cloud's list shows that it no
-// longer exists.
+// TestStaleAdoptionReleased checks that the cloud's list leads to the release of a
+// machine that no longer exists: an earlier leader has released it, and a delayed
+// heartbeat has added it again.
 func TestStaleAdoptionReleased(t *testing.T) {
 	tests := []struct {
 		name  string
--- a/internal/control/machine_quarantine_test.go
+++ b/internal/control/machine_quarantine_test.go
@@ -35,17 +35,17 @@
 			lt := newTestTerm(t)
 			now := time.Unix(1000, 0)
 			jobs := map[string]*job.Job{}
-			for i, st := range tt.steps {
-				j := jobs[st.job]
+			for i, taskStep := range tt.steps {
+				j := jobs[taskStep.job]
 				if j == nil {
-					j = lt.array(st.job)
-					jobs[st.job] = j
+					j = lt.array(taskStep.job)
+					jobs[taskStep.job] = j
 				}
 				slot := &fleet.Slot{PlacementKey: fleet.PlacementKey{Job: j, Task: int32(i)}, Cause: wire.CauseError}
-				if st.done {
+				if taskStep.done {
 					slot.Cause = wire.CauseDone
 				}
-				lt.taskTracker.taskEnded(slot, j, lt.host(st.machine), now)
+				lt.taskTracker.taskEnded(slot, j, lt.host(taskStep.machine), now)
 			}
 			quarantined, delayed := "", ""
 			for _, machine := range lt.fleet.All() {
--- a/internal/control/machine_scale_out.go
+++ b/internal/control/machine_scale_out.go
@@ -29,18 +29,18 @@
 
 // scaleOut provisions machines for calendar reservations and unmet demand.
 func (mp *machinePool) scaleOut(now time.Time) {
-	reserved := mp.reservationHolds.machineRequests(now)
-	if len(mp.unmetDemand)+len(reserved) == 0 {
+	calendarRequests := mp.reservationHolds.machineRequests(now)
+	if len(mp.unmetDemand)+len(calendarRequests) == 0 {
 		return
 	}
 	in := mp.scaleOutInput(now)
 	mp.countZoneCapacity()
-	unmet := slices.Concat(reserved, mp.unmetDemand)
+	unmet := slices.Concat(calendarRequests, mp.unmetDemand)
 	for offer, count := range autoscale.ScaleOut(in, unmet) {
 		mp.provision(offer, min(count, maxRequestMachines))
 	}
 	// The zones chosen for gangs keep scaleIn from releasing their idle machines.
-	copy(mp.unmetDemand, unmet[len(reserved):])
+	copy(mp.unmetDemand, unmet[len(calendarRequests):])
 }
 
 // scaleOutInput describes the cloud's offers and the pending machines.
--- a/internal/control/tasks_heartbeats.go
+++ b/internal/control/tasks_heartbeats.go
@@ -142,7 +142,7 @@
 	}
 }
 
-// taskEnded handles a task that has exited, depending on the cause.
+// taskEnded handles a task that has exited, according to the cause.
 func (tt *taskTracker) taskEnded(slot *fleet.Slot, j *job.Job, machine *fleet.Machine, now time.Time) {
 	if tt.debug {
 		tt.log.Debug("task ended", "task", job.TaskName(j.ID, slot.Task), "machine", machine.Name, "cause", slot.Cause)
--- a/internal/control/tasks_stops_test.go
+++ b/internal/control/tasks_stops_test.go
@@ -9,9 +9,9 @@
 	"vetchstream/internal/wire"
 )
 
-// TestIncompleteGang checks what happens when a gang's member exits because it waited for
-// the others in vain: it is restarted in the same attempt while others fetch their
-// images, otherwise the attempt is stopped.
+// TestIncompleteGang checks what happens when a gang's member exits because the other
+// members did not become ready in time: it is restarted in the same attempt while others
+// fetch their images, otherwise the attempt is stopped.
 func TestIncompleteGang(t *testing.T) {
 	tests := []struct {
 		name    string
