--- a/internal/control/leader_term_loop.go
+++ b/internal/control/leader_term_loop.go
@@ -78,7 +78,7 @@
 	lt.admission.storeQueued(time.Now())
 }
 
-// handleHeartbeat handles a worker's handleHeartbeat and responds with commands. forwarder is
+// handleHeartbeat handles a worker's heartbeat and responds with commands. forwarder is
 // the controller node that forwarded it.
 func (lt *leaderTerm) handleHeartbeat(heartbeat *wire.Heartbeat, forwarder string, respond func(*rpc.Reply)) {
 	now := time.Now()
