--- a/internal/control/control_requests.go
+++ b/internal/control/control_requests.go
@@ -106,7 +106,7 @@
 	if err := wire.Unmarshal(req.Body, heartbeat); err != nil || heartbeat.Host == "" || heartbeat.Session == 0 {
 		return nil, reply(http.StatusBadRequest, wire.Error{Error: "malformed heartbeat"})
 	}
-	return func(respond func(*rpc.Reply)) { lt.heartbeat(heartbeat, req.ForwardedBy, respond) }, nil
+	return func(respond func(*rpc.Reply)) { lt.handleHeartbeat(heartbeat, req.ForwardedBy, respond) }, nil
 }
 
 // awaitActor passes a request to the leader's actor and waits for the response. It
--- a/internal/control/machine_pool_test.go
+++ b/internal/control/machine_pool_test.go
@@ -13,9 +13,9 @@
 	"vetchstream/internal/wire"
 )
 
-// TestStaleAdoptionReleased checks that a machine which a delayed heartbeat has re-added
-// after an earlier leader released it is released once the cloud's list shows that it no
-// longer exists.
+// TestStaleAdoptionReleased checks that the cloud's list leads to the release of a
+// machine that no longer exists: an earlier leader has released it, and a delayed
+// heartbeat has added it again.
 func TestStaleAdoptionReleased(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -33,7 +33,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			lt := newTestTerm(t)
-			lt.heartbeat(&wire.Heartbeat{Host: "h2", Type: "small", Zone: "a", Session: 1, Seq: 4, Tasks: []wire.TaskStatus{{Task: "run-1/0", Attempt: 1, Phase: wire.TaskRunning}}},
+			lt.handleHeartbeat(&wire.Heartbeat{Host: "h2", Type: "small", Zone: "a", Session: 1, Seq: 4, Tasks: []wire.TaskStatus{{Task: "run-1/0", Attempt: 1, Phase: wire.TaskRunning}}},
 				"", func(*rpc.Reply) {})
 			for _, names := range tt.lists {
 				var list []wire.CloudMachine
