--- a/internal/control/calendar_claims.go
+++ b/internal/control/calendar_claims.go
@@ -100,7 +100,7 @@
 	if err != nil || (cs.claims[claimed] != nil && cs.claims[claimed] != j) {
 		return false
 	}
-	return cs.timeOfDay(now).UnixMilli() < claimed.start
+	return cs.wallTime(now).UnixMilli() < claimed.start
 }
 
 // upcomingOccurrence is an occurrence for which machines are held.
@@ -117,9 +117,9 @@
 	if cs.upcoming == nil || now.Sub(cs.upcomingAt) >= calendarInterval {
 		cs.upcoming = map[string]upcomingOccurrence{}
 		cs.upcomingAt = now
-		timeOfDay := cs.timeOfDay(now)
+		wallTime := cs.wallTime(now)
 		for name, stored := range cs.bookings {
-			if span, decided, ok := stored.rec.ActiveOccurrence(stored.booking, timeOfDay, lead(stored.booking)); ok {
+			if span, decided, ok := stored.rec.ActiveOccurrence(stored.booking, wallTime, lead(stored.booking)); ok {
 				cs.upcoming[name] = upcomingOccurrence{booking: stored.booking, span: span, decided: decided}
 			}
 		}
@@ -133,13 +133,13 @@
 
 // decideOutcome stores the outcome of a reservation's next occurrence as soon as it can be
 // determined.
-func (cs *calendarStore) decideOutcome(stored *storedBooking, timeOfDay time.Time) {
-	if stored.storing || cs.storing || stored.rec.NextStart > timeOfDay.UnixMilli() {
+func (cs *calendarStore) decideOutcome(stored *storedBooking, wallTime time.Time) {
+	if stored.storing || cs.storing || stored.rec.NextStart > wallTime.UnixMilli() {
 		return
 	}
 	facts := &cs.controller.Settings.Facts
 	tolerance := calendar.Tolerance(facts.Workers.ReportS, facts.SkewMs)
-	next, changed := calendar.DecideOutcome(stored.rec, stored.booking, cs.observeNext(stored, timeOfDay), tolerance)
+	next, changed := calendar.DecideOutcome(stored.rec, stored.booking, cs.observeNext(stored, wallTime), tolerance)
 	if !changed {
 		return
 	}
@@ -170,8 +170,8 @@
 
 // observeNext returns the current observation of a reservation's next occurrence: the job
 // that claims it and when that job started.
-func (cs *calendarStore) observeNext(stored *storedBooking, timeOfDay time.Time) calendar.Observation {
-	observed := calendar.Observation{Now: timeOfDay}
+func (cs *calendarStore) observeNext(stored *storedBooking, wallTime time.Time) calendar.Observation {
+	observed := calendar.Observation{Now: wallTime}
 	next := occurrence{stored.rec.Spec.Name, stored.rec.NextStart}
 	if j := cs.claims[next]; j != nil {
 		observed.Claimer = j.ID
--- a/internal/control/calendar_drains.go
+++ b/internal/control/calendar_drains.go
@@ -92,9 +92,9 @@
 	}
 	md.assignedAt = now
 	clear(md.windowOf)
-	timeOfDay := md.calendarStore.timeOfDay(now).UnixMilli()
+	wallTime := md.calendarStore.wallTime(now).UnixMilli()
 	for _, window := range md.calendarStore.windowsByName() {
-		if window.Span().To <= timeOfDay {
+		if window.Span().To <= wallTime {
 			continue
 		}
 		for _, machine := range md.fleet.All() {
@@ -134,15 +134,15 @@
 	if window == nil {
 		return
 	}
-	timeOfDay := md.calendarStore.timeOfDay(now)
+	wallTime := md.calendarStore.wallTime(now)
 	view.MaintenanceDue = true
-	view.MaintenanceInS = md.secondsToReturn(window, timeOfDay)
-	view.Draining = timeOfDay.UnixMilli() >= window.DrainAt()
+	view.MaintenanceInS = md.secondsToReturn(window, wallTime)
+	view.Draining = wallTime.UnixMilli() >= window.DrainAt()
 }
 
 // secondsToReturn returns the seconds until the machines of a window must be empty.
-func (md *maintenanceDrains) secondsToReturn(window *calendar.PlannedWindow, timeOfDay time.Time) float64 {
-	return time.UnixMilli(window.Span().From).Add(-md.returnMargin()).Sub(timeOfDay).Seconds()
+func (md *maintenanceDrains) secondsToReturn(window *calendar.PlannedWindow, wallTime time.Time) float64 {
+	return time.UnixMilli(window.Span().From).Add(-md.returnMargin()).Sub(wallTime).Seconds()
 }
 
 // poolClosed reports whether an active window closes all machines of a type in a zone. A new
@@ -151,9 +151,9 @@
 	if !md.enabled() {
 		return false
 	}
-	timeOfDay := md.calendarStore.timeOfDay(now).UnixMilli()
+	wallTime := md.calendarStore.wallTime(now).UnixMilli()
 	for _, window := range md.calendarStore.windowsByName() {
-		if window.ClosesPool(typ, zone) && timeOfDay >= window.DrainAt() && timeOfDay < window.Span().To {
+		if window.ClosesPool(typ, zone) && wallTime >= window.DrainAt() && wallTime < window.Span().To {
 			return true
 		}
 	}
@@ -163,7 +163,7 @@
 // started reports whether a machine's maintenance has started.
 func (md *maintenanceDrains) started(machine *fleet.Machine, now time.Time) bool {
 	window := md.nextWindow(machine, now)
-	return window != nil && md.calendarStore.timeOfDay(now).UnixMilli() >= window.Span().From
+	return window != nil && md.calendarStore.wallTime(now).UnixMilli() >= window.Span().From
 }
 
 // step evicts tasks that can continue on other machines, and stops the remaining ones before
@@ -173,7 +173,7 @@
 		return
 	}
 	md.assignWindows(now)
-	timeOfDay := md.calendarStore.timeOfDay(now)
+	wallTime := md.calendarStore.wallTime(now)
 	for slot := range md.atRisk {
 		if !slot.Active() || slot.Stopping || md.windowOf[slot.Machine] == nil {
 			delete(md.atRisk, slot)
@@ -181,18 +181,18 @@
 		}
 	}
 	for machine, window := range md.windowOf {
-		if timeOfDay.UnixMilli() >= window.DrainAt() && !machine.Lost {
-			md.drainMachine(machine, window, timeOfDay, now)
+		if wallTime.UnixMilli() >= window.DrainAt() && !machine.Lost {
+			md.drainMachine(machine, window, wallTime, now)
 		}
 	}
 	for name, window := range md.calendarStore.windowsByName() {
-		md.logState(name, window, timeOfDay)
+		md.logState(name, window, wallTime)
 	}
 }
 
 // logState logs the state of a window if it has changed since it was last logged.
-func (md *maintenanceDrains) logState(name string, window *calendar.PlannedWindow, timeOfDay time.Time) {
-	status := calendar.NewWindowStatus(window, timeOfDay)
+func (md *maintenanceDrains) logState(name string, window *calendar.PlannedWindow, wallTime time.Time) {
+	status := calendar.NewWindowStatus(window, wallTime)
 	if status.State == calendar.WindowPlanned || md.loggedStates[name] == status.State {
 		return
 	}
@@ -203,8 +203,8 @@
 
 // drainMachine lets a machine's tasks run to their end, or evicts or stops them, depending
 // on the remaining time.
-func (md *maintenanceDrains) drainMachine(machine *fleet.Machine, window *calendar.PlannedWindow, timeOfDay, now time.Time) {
-	left := md.secondsToReturn(window, timeOfDay)
+func (md *maintenanceDrains) drainMachine(machine *fleet.Machine, window *calendar.PlannedWindow, wallTime, now time.Time) {
+	left := md.secondsToReturn(window, wallTime)
 	for _, slot := range machine.Slots {
 		if !slot.Active() || slot.Stopping {
 			continue
--- a/internal/control/calendar_holds.go
+++ b/internal/control/calendar_holds.go
@@ -167,7 +167,7 @@
 func (rh *reservationHolds) recordStart(hold *occurrenceHold, now time.Time) {
 	if hold.claimer != nil && hold.startedJob != hold.claimer.ID && rh.fullyRunning(hold.claimer) {
 		hold.startedJob = hold.claimer.ID
-		hold.startedAt = rh.calendarStore.timeOfDay(now)
+		hold.startedAt = rh.calendarStore.wallTime(now)
 	}
 }
 
@@ -244,7 +244,7 @@
 // secondsToStart returns the seconds until a hold's occurrence starts. The value is negative
 // once the occurrence has started.
 func (rh *reservationHolds) secondsToStart(hold *occurrenceHold, now time.Time) float64 {
-	return time.UnixMilli(hold.span.From).Sub(rh.calendarStore.timeOfDay(now)).Seconds()
+	return time.UnixMilli(hold.span.From).Sub(rh.calendarStore.wallTime(now)).Seconds()
 }
 
 // hasCapacity reports whether the machines held for a job currently have free capacity for
--- a/internal/control/calendar_holds_estimates.go
+++ b/internal/control/calendar_holds_estimates.go
@@ -106,7 +106,7 @@
 func (rh *reservationHolds) requiredSeconds(j *job.Job, now time.Time) float64 {
 	required := rh.maxSecondsToEnd(j)
 	if hold := rh.holds[j.Reservation]; hold != nil && hold.claimer == j {
-		left := time.UnixMilli(hold.span.To).Sub(rh.calendarStore.timeOfDay(now)) - rh.maintenanceDrains.returnMargin()
+		left := time.UnixMilli(hold.span.To).Sub(rh.calendarStore.wallTime(now)) - rh.maintenanceDrains.returnMargin()
 		required = min(required, max(0, left.Seconds()))
 	}
 	return required
--- a/internal/control/calendar_requests.go
+++ b/internal/control/calendar_requests.go
@@ -104,7 +104,7 @@
 // status returns the status of a reservation.
 func (cs *calendarStore) status(name string) calendar.Status {
 	stored := cs.bookings[name]
-	status := calendar.NewStatus(stored.rec, stored.booking, cs.timeOfDay(time.Now()))
+	status := calendar.NewStatus(stored.rec, stored.booking, cs.wallTime(time.Now()))
 	status.Held = cs.reservationHolds.heldMachines(name)
 	if len(status.Occurrences) > 0 {
 		if j := cs.claims[occurrence{name, status.Occurrences[0].From}]; j != nil {
@@ -117,15 +117,15 @@
 // windowStatus returns the status of a maintenance window.
 func (cs *calendarStore) windowStatus(name string) calendar.WindowStatus {
 	window := cs.calendar.Windows()[name]
-	status := calendar.NewWindowStatus(window, cs.timeOfDay(time.Now()))
+	status := calendar.NewWindowStatus(window, cs.wallTime(time.Now()))
 	cs.maintenanceDrains.addMachineStatus(&status, window)
 	return status
 }
 
 // reserve accepts and stores a reservation if the calendar has capacity for it.
 func (cs *calendarStore) reserve(body []byte, team string, respond func(*rpc.Reply)) {
-	timeOfDay := cs.timeOfDay(time.Now())
-	reservation, err := calendar.ParseReservation(body, cs.limits(), timeOfDay)
+	wallTime := cs.wallTime(time.Now())
+	reservation, err := calendar.ParseReservation(body, cs.limits(), wallTime)
 	if err != nil {
 		respond(errorReply(http.StatusBadRequest, err.Error()))
 		return
@@ -139,13 +139,13 @@
 		return
 	}
 	cs.rebuild()
-	booking, err := cs.calendar.Fit(reservation, timeOfDay)
+	booking, err := cs.calendar.Fit(reservation, wallTime)
 	if err != nil {
 		respond(errorReply(http.StatusConflict, err.Error()))
 		return
 	}
 	key := bookingPrefix + reservation.Name
-	rec := calendar.NewRecord(booking, timeOfDay)
+	rec := calendar.NewRecord(booking, wallTime)
 	put, err := state.Put(key, rec)
 	if err != nil || cs.tooLarge(put) {
 		respond(errorReply(http.StatusRequestEntityTooLarge, "the reservation exceeds the record size limit of the key-value store"))
@@ -189,8 +189,8 @@
 // planWindow accepts and stores a maintenance window, and moves the reservations that are
 // allocated to its machines.
 func (cs *calendarStore) planWindow(body []byte, respond func(*rpc.Reply)) {
-	timeOfDay := cs.timeOfDay(time.Now())
-	window, err := calendar.ParseWindow(body, cs.limits(), timeOfDay)
+	wallTime := cs.wallTime(time.Now())
+	window, err := calendar.ParseWindow(body, cs.limits(), wallTime)
 	if err != nil {
 		respond(errorReply(http.StatusBadRequest, err.Error()))
 		return
@@ -200,7 +200,7 @@
 		return
 	}
 	cs.rebuild()
-	plan, err := cs.calendar.PlanWindow(window, cs.maintenanceDrains.machinesByPool(window), timeOfDay)
+	plan, err := cs.calendar.PlanWindow(window, cs.maintenanceDrains.machinesByPool(window), wallTime)
 	if err != nil {
 		respond(errorReply(http.StatusConflict, err.Error()))
 		return
@@ -215,7 +215,7 @@
 			respond(errorReply(http.StatusRequestEntityTooLarge, err.Error()))
 			return
 		}
-		respond(reply(http.StatusCreated, cs.addStoredWindow(plan, txn, version, timeOfDay)))
+		respond(reply(http.StatusCreated, cs.addStoredWindow(plan, txn, version, wallTime)))
 	})
 }
 
@@ -276,14 +276,14 @@
 
 // addStoredWindow adds a stored window to the calendar, updates the reservations that it
 // changed, and returns its status.
-func (cs *calendarStore) addStoredWindow(plan *calendar.WindowPlan, txn *windowTxn, version uint64, timeOfDay time.Time) calendar.WindowStatus {
+func (cs *calendarStore) addStoredWindow(plan *calendar.WindowPlan, txn *windowTxn, version uint64, wallTime time.Time) calendar.WindowStatus {
 	window := plan.Window
 	cs.calendar.AddWindow(window)
 	cs.windows[window.Name] = version
 	for _, booking := range txn.changed {
 		cs.addBooking(txn.records[booking.Name], booking, version)
 	}
-	status := plan.Status(timeOfDay)
+	status := plan.Status(wallTime)
 	cs.maintenanceDrains.addMachineStatus(&status, window)
 	cs.log.Info("maintenance window accepted", "window", window.Name, "start", time.UnixMilli(window.Span().From).UTC(), "machines", status.Machines,
 		"moved_reservations", strings.Join(status.Moved, " "), "retired_reservations", strings.Join(status.Retired, " "))
--- a/internal/control/calendar_store.go
+++ b/internal/control/calendar_store.go
@@ -84,10 +84,10 @@
 // empty reports whether there are neither reservations nor windows.
 func (cs *calendarStore) empty() bool { return len(cs.bookings) == 0 && len(cs.windows) == 0 }
 
-// timeOfDay returns the time of day, extrapolated from the start of the term by the monotonic
+// wallTime returns the time of day, extrapolated from the start of the term by the monotonic
 // clock. A jump of the controller's wall clock must not let all occurrences of a year lapse
 // at once.
-func (cs *calendarStore) timeOfDay(now time.Time) time.Time {
+func (cs *calendarStore) wallTime(now time.Time) time.Time {
 	return cs.termStart.Round(0).Add(now.Sub(cs.termStart))
 }
 
@@ -255,20 +255,20 @@
 	if !cs.takeover.reconciled() {
 		return // the running tasks are not all known yet, so no outcome is decided and no task is stopped
 	}
-	timeOfDay := cs.timeOfDay(now)
+	wallTime := cs.wallTime(now)
 	for _, b := range cs.bookings {
-		cs.decideOutcome(b, timeOfDay)
+		cs.decideOutcome(b, wallTime)
 	}
 	cs.maintenanceDrains.step(now)
-	cs.removeExpired(timeOfDay)
+	cs.removeExpired(wallTime)
 }
 
 // retentionDays is how long the records of reservations and windows are kept after their end.
 const retentionDays = 7
 
 // removeExpired deletes one reservation or window whose retention has ended.
-func (cs *calendarStore) removeExpired(timeOfDay time.Time) {
-	before := timeOfDay.AddDate(0, 0, -retentionDays).UnixMilli()
+func (cs *calendarStore) removeExpired(wallTime time.Time) {
+	before := wallTime.AddDate(0, 0, -retentionDays).UnixMilli()
 	if cs.storing {
 		return
 	}
