--- a/internal/fleet/explore_test.go
+++ b/internal/fleet/explore_test.go
@@ -11,21 +11,21 @@
 	"vetchstream/internal/wire"
 )
 
-// actions are the steps of the explorer.
+// actions are the steps that the explorer combines.
 var actions = []explorer.Action[*world]{
-	{Name: "tick", Count: 1, Do: func(w *world, _ int) bool { w.advance(reportInterval); return true }},
-	{Name: "second", Count: 1, Do: func(w *world, _ int) bool { w.advance(time.Second); return true }},
-	{Name: "sync", Count: 1, Do: func(w *world, _ int) bool { w.syncHolder(); return true }},
+	{Name: "wait interval", Count: 1, Do: func(w *world, _ int) bool { w.advance(reportInterval); return true }},
+	{Name: "wait 1 s", Count: 1, Do: func(w *world, _ int) bool { w.advance(time.Second); return true }},
+	{Name: "sync holder", Count: 1, Do: func(w *world, _ int) bool { w.syncHolder(); return true }},
 	{Name: "report", Count: reportOutcomes, Do: func(w *world, outcome int) bool { return w.sendReport(outcome) }},
-	{Name: "tick, report", Count: reportOutcomes, Do: func(w *world, outcome int) bool { w.advance(reportInterval); return w.sendReport(outcome) }},
-	{Name: "tick in touch, report", Count: reportOutcomes, Do: func(w *world, outcome int) bool {
+	{Name: "wait interval, report", Count: reportOutcomes, Do: func(w *world, outcome int) bool { w.advance(reportInterval); return w.sendReport(outcome) }},
+	{Name: "wait interval with syncs, report", Count: reportOutcomes, Do: func(w *world, outcome int) bool {
 		for d := time.Duration(0); d < reportInterval; d += time.Second {
 			w.advance(time.Second)
 			w.syncHolder()
 		}
 		return w.sendReport(outcome)
 	}},
-	{Name: "tick, halt, report", Count: reportOutcomes, Do: func(w *world, outcome int) bool {
+	{Name: "wait interval, halt, report", Count: reportOutcomes, Do: func(w *world, outcome int) bool {
 		w.advance(reportInterval)
 		w.sendDirectCommand()
 		return w.sendReport(outcome)
@@ -52,8 +52,8 @@
 		return true
 	}},
 	{Name: "halt", Count: 1, Do: func(w *world, _ int) bool { return !w.cancelledAt.IsZero() && w.sendDirectCommand() }},
-	{Name: "deliver", Count: 2, Do: func(w *world, answered int) bool { return w.deliverCommand(answered == 1) }},
-	{Name: "succeed", Count: 1, Do: func(w *world, _ int) bool {
+	{Name: "deliver command", Count: 2, Do: func(w *world, answered int) bool { return w.deliverCommand(answered == 1) }},
+	{Name: "new leader", Count: 1, Do: func(w *world, _ int) bool {
 		if w.fleet.Term > 1 || w.now.Before(w.grantEnd) || !w.launched {
 			return false
 		}
@@ -83,51 +83,51 @@
 	return p.String()
 }
 
-// walks is how many random walks a case makes, each of stepsEach steps after those that it
-// begins with. A fault takes some twenty steps, too many to try every order of them.
+// walks is the number of random walks of each test case. A walk takes stepsPerWalk steps after
+// one of the case's starts. Most faults need about twenty steps, too many to try all orders.
 var walks = flag.Int("walks", 4000, "random walks of each case of TestExplore")
 
 const stepsPerWalk = 24
 
-// TestExplore: no task of a cancelled job is on a machine, or starts there, after its
-// deadline, whatever is delayed. With a guard disabled the explorer finds the fault that it
-// prevents.
+// TestExplore checks that no task of a cancelled job is on a machine, or starts there, after
+// its deadline, whichever messages are delayed or lost. With one guard disabled, the explorer
+// has to find the fault that the guard prevents.
 func TestExplore(t *testing.T) {
-	met, held := []string{"report", "report"}, []string{"sync", "second", "sync", "report", "report", "sync", "sync", "report"}
-	runs := []string{"launch", "deliver", "report", "cancel"}
-	answered := []string{"tick in touch, report", "tick in touch, report"}
-	nearLimit := []string{"second", "sync", "second", "sync", "second", "sync", "second", "second"}
+	withLeader, withHolder := []string{"report", "report"}, []string{"sync holder", "wait 1 s", "sync holder", "report", "report", "sync holder", "sync holder", "report"}
+	runAndCancel := []string{"launch", "deliver command", "report", "cancel"}
+	syncedReports := []string{"wait interval with syncs, report", "wait interval with syncs, report"}
+	nearLimit := []string{"wait 1 s", "sync holder", "wait 1 s", "sync holder", "wait 1 s", "sync holder", "wait 1 s", "wait 1 s"}
 	tests := []struct {
 		name     string
 		disabled guard
 		starts   [][]string
 	}{
-		{"as it is", noGuard, [][]string{met, held, slices.Concat(met, runs), slices.Concat(held, runs), slices.Concat(held, runs, answered),
-			slices.Concat(held, []string{"launch", "cancel"}, answered), slices.Concat(held, runs, answered, nearLimit)}},
-		{"the leader renews while a launch is on its way", leaderStopsAtLimit, [][]string{met}},
-		{"a holder retains the machine", holderReturnsBeforeLimit, [][]string{slices.Concat(held, runs)}},
-		{"a holder gives the machine back at the limit", returnAllowsForGrantTime, [][]string{slices.Concat(held, runs, answered, nearLimit)}},
-		{"a holder answers for tasks that the leader does not know of", holderReportsTasksFirst, [][]string{slices.Concat(held, []string{"launch", "cancel"}, answered)}},
-		{"the leader halts once in a while", everyAnswerHalts, [][]string{slices.Concat(met, runs)}},
-		{"the time counts from the answer to the user", deadlineFromCommit, [][]string{met}},
-		{"a new leader counts from its own begin", unknownCancelCountsAsPast, [][]string{slices.Concat(held, runs)}},
+		{"all guards enabled: no task runs after its deadline", noGuard, [][]string{withLeader, withHolder, slices.Concat(withLeader, runAndCancel), slices.Concat(withHolder, runAndCancel), slices.Concat(withHolder, runAndCancel, syncedReports),
+			slices.Concat(withHolder, []string{"launch", "cancel"}, syncedReports), slices.Concat(withHolder, runAndCancel, syncedReports, nearLimit)}},
+		{"fault found: the leader renews past the limit while a launch is in flight", leaderStopsAtLimit, [][]string{withLeader}},
+		{"fault found: a holder keeps the machine past the limit", holderReturnsBeforeLimit, [][]string{slices.Concat(withHolder, runAndCancel)}},
+		{"fault found: a holder gives the machine back at the limit, not its grant time earlier", returnAllowsForGrantTime, [][]string{slices.Concat(withHolder, runAndCancel, syncedReports, nearLimit)}},
+		{"fault found: a holder answers reports of tasks unknown to the leader", holderReportsTasksFirst, [][]string{slices.Concat(withHolder, []string{"launch", "cancel"}, syncedReports)}},
+		{"fault found: not every answer of the leader repeats the halts", everyAnswerHalts, [][]string{slices.Concat(withLeader, runAndCancel)}},
+		{"fault found: the deadline counts from a later time than the commit of the cancellation", deadlineFromCommit, [][]string{withLeader}},
+		{"fault found: a new leader counts the deadline from the start of its term", unknownCancelCountsAsPast, [][]string{slices.Concat(withHolder, runAndCancel)}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			g := &explorer.Explorer[*world]{New: func() *world { return newWorld(tt.disabled) }, Actions: actions}
-			steps, broken := 0, ""
+			x := &explorer.Explorer[*world]{New: func() *world { return newWorld(tt.disabled) }, Actions: actions}
+			steps, violation := 0, ""
 			for i, start := range tt.starts {
-				if broken != "" {
+				if violation != "" {
 					break
 				}
-				g.Start = g.Steps(1, start...)
+				x.Start = x.Steps(1, start...)
 				var n int
-				n, broken = g.RandomWalk(rand.New(rand.NewPCG(1, uint64(i))), *walks/len(tt.starts), stepsPerWalk)
+				n, violation = x.RandomWalk(rand.New(rand.NewPCG(1, uint64(i))), *walks/len(tt.starts), stepsPerWalk)
 				steps += n
 			}
-			t.Logf("%d steps: %s", steps, broken)
-			if (broken != "") != (tt.disabled != noGuard) {
-				t.Errorf("after %d steps: %q", steps, broken)
+			t.Logf("%d steps: %s", steps, violation)
+			if (violation != "") != (tt.disabled != noGuard) {
+				t.Errorf("after %d steps: violation %q, want one only with a guard disabled", steps, violation)
 			}
 		})
 	}
--- a/internal/fleet/explore_world_test.go
+++ b/internal/fleet/explore_world_test.go
@@ -8,23 +8,33 @@
 	"vetchstream/internal/wire"
 )
 
-// The explorer tries every order of a few steps of a leader, a holder, a worker and
-// delayed direct commands, and looks for a task of a cancelled job that is still on its
-// machine after the deadline.
+// The explorer combines steps of a leader, a holder, a worker and delayed direct commands,
+// and looks for a task of a cancelled job that is on its machine after the deadline.
 
-// guard is a rule that a world can disable, to check that the explorer finds the fault
-// that the rule prevents.
+// guard is a rule of the system. A world can disable one, to check that the explorer finds
+// the fault that the rule prevents.
 type guard uint8
 
 const (
-	noGuard                   guard = iota
-	leaderStopsAtLimit              // the leader does not renew a lease past the limit while a launch is on its way
-	holderReturnsBeforeLimit        // a holder gives the machine back before the limit
-	returnAllowsForGrantTime        // by as much before it as its grant may last
-	holderReportsTasksFirst         // a holder does not answer by itself a report with a task that the leader does not know of
-	everyAnswerHalts                // each answer of the leader halts what is cancelled, also what was halted a moment ago
-	deadlineFromCommit              // the time counts from when the commit of the cancellation was sent
-	unknownCancelCountsAsPast       // a job that an earlier leader cancelled may have been cancelled at any time before
+	noGuard guard = iota
+	// leaderStopsAtLimit: the leader does not renew a lease past the limit while a launch is
+	// in flight.
+	leaderStopsAtLimit
+	// holderReturnsBeforeLimit: a holder gives the machine back before the limit.
+	holderReturnsBeforeLimit
+	// returnAllowsForGrantTime: it does so by the remaining time of its grant earlier.
+	returnAllowsForGrantTime
+	// holderReportsTasksFirst: a holder does not answer a report that lists a task unknown to
+	// the leader before the leader has seen it.
+	holderReportsTasksFirst
+	// everyAnswerHalts: each answer of the leader halts the tasks of cancelled jobs, including
+	// those that it has just halted.
+	everyAnswerHalts
+	// deadlineFromCommit: the deadline counts from when the commit of the cancellation was sent.
+	deadlineFromCommit
+	// unknownCancelCountsAsPast: if an earlier leader cancelled the job, it may have been
+	// cancelled at any time before the term.
+	unknownCancelCountsAsPast
 )
 
 const (
@@ -32,19 +42,19 @@
 	leaseDuration  = 9 * time.Second
 	cancelTimeout  = 21 * time.Second
 	grantDuration  = 2500 * time.Millisecond
-	// maxDelayedCommands bounds the commands on their way; what is sent beyond never arrives.
+	// maxDelayedCommands bounds the direct commands in flight. Further commands are lost.
 	maxDelayedCommands = 2
 )
 
 // Outcomes of a report.
 const (
-	reportAnswered     = iota // it is answered
-	reportAnsweredLate        // the leader's answer comes too late for a worker that waits at a holder
-	reportAnswerLost          // it arrives, but the answer does not
-	reportOutcomes            // the number of outcomes
+	reportAnswered     = iota
+	reportAnsweredLate // the leader's answer does not reach the holder before its timeout
+	reportAnswerLost   // the report arrives, but its answer is lost
+	reportOutcomes     // number of outcomes
 )
 
-// world is one machine, at most one holder of it, and one job of one task.
+// world is a cluster with one machine, at most one holder of it, and one job with one task.
 type world struct {
 	disabled         guard
 	now              time.Time
@@ -57,8 +67,8 @@
 	job              *job.Job
 	retainedByLeader bool
 	launched         bool
-	cancelledAt      time.Time // when the user may first have been told; zero: never
-	endedBeforeTerm  bool      // the job was over when the leader's term began
+	cancelledAt      time.Time // earliest time at which the user may have got the confirmation; zero: not cancelled
+	endedBeforeTerm  bool      // the job had ended when the leader's term began
 	delayedCommands  []wire.DirectCommands
 	worker           worker
 	violation        string
@@ -68,7 +78,7 @@
 type worker struct {
 	session, seq, token uint64
 	leaseRenewedAt      time.Time      // when the lease was last renewed
-	phase               wire.TaskPhase // of the task; empty: the worker has not had it
+	phase               wire.TaskPhase // phase of the task; empty if the worker has not received it
 }
 
 func newWorld(disabled guard) *world {
@@ -85,7 +95,7 @@
 	return w
 }
 
-// beginTerm begins a term.
+// beginTerm starts a term with a new leader that has loaded the records.
 func (w *world) beginTerm(term uint64) {
 	w.fleet = New(term, leaseDuration, cancelTimeout)
 	w.machine = w.fleet.Add("host-1", w.now)
@@ -116,10 +126,11 @@
 	}
 }
 
-// find returns the only job.
+// find returns the only job for any ID.
 func (w *world) find(string) *job.Job { return w.job }
 
-// observe handles a message of the worker as the leader does.
+// observe handles a message of the worker like the leader: it also stops the tasks of a
+// cancelled job.
 func (w *world) observe(m *wire.Heartbeat, isReport bool) (fresh bool) {
 	fresh = w.fleet.Observe(w.machine, m, isReport, w.now, w.find).Fresh
 	for s := range w.fleet.SlotsOf(w.job) {
@@ -130,16 +141,16 @@
 	return fresh
 }
 
-// retainBeforeLimit has the leader retain the machine when its renewal limit is near.
+// retainBeforeLimit takes the machine back from its holder when its renewal limit is near.
 func (w *world) retainBeforeLimit() {
 	limit, bounded := w.fleet.RenewalLimit(w.machine)
-	early := w.assigner.RevocationTime()
+	margin := w.assigner.RevocationTime()
 	if w.disabled == returnAllowsForGrantTime {
-		early = 0
+		margin = 0
 	}
 	switch {
 	case w.disabled == holderReturnsBeforeLimit:
-	case bounded && limit.Sub(w.now) <= early:
+	case bounded && limit.Sub(w.now) <= margin:
 		w.retainedByLeader = true
 		w.assigner.Retain("host-1", "", w.now)
 	case !bounded && w.retainedByLeader:
@@ -148,7 +159,7 @@
 	}
 }
 
-// answer makes the leader's answer to a report; nil: there is none.
+// answer returns the leader's answer to a report, or nil if it leaves the report unanswered.
 func (w *world) answer(m *wire.Heartbeat, fresh bool) *wire.HeartbeatResponse {
 	if w.disabled != leaderStopsAtLimit && !w.fleet.Renewable(w.machine, w.now, 100) {
 		return nil
@@ -164,7 +175,7 @@
 	return &wire.HeartbeatResponse{Token: w.fleet.Term, Commands: orders}
 }
 
-// nextReport is the worker's next report.
+// nextReport returns the worker's next report.
 func (w *world) nextReport() *wire.Heartbeat {
 	w.worker.seq++
 	m := &wire.Heartbeat{Host: "host-1", Session: w.worker.session, Seq: w.worker.seq, Token: w.worker.token}
@@ -174,7 +185,7 @@
 	return m
 }
 
-// receiveAnswer has the worker handle an answer to its report; nil: there is none.
+// receiveAnswer handles an answer to a report in the worker; nil means that none came.
 func (w *world) receiveAnswer(a *wire.HeartbeatResponse) {
 	if a == nil || a.Token < w.worker.token {
 		return
@@ -184,7 +195,7 @@
 	w.executeOrders(a.Commands)
 }
 
-// executeOrders has the worker execute orders.
+// executeOrders executes orders in the worker.
 func (w *world) executeOrders(orders []wire.Command) {
 	for _, o := range orders {
 		switch {
@@ -197,15 +208,15 @@
 	}
 }
 
-// checkDeadline notes a fault if the task runs after its deadline; what says how it was
-// found.
-func (w *world) checkDeadline(what string) {
+// checkDeadline records a violation if the task runs after its deadline. verb says whether
+// the task starts or is already running.
+func (w *world) checkDeadline(verb string) {
 	if w.worker.phase == wire.TaskRunning && !w.cancelledAt.IsZero() && w.now.Sub(w.cancelledAt) > cancelTimeout {
-		w.violation = "ran_cancelled: the task " + what + " " + w.now.Sub(w.cancelledAt).String() + " after the cancellation"
+		w.violation = "ran_cancelled: the task " + verb + " " + w.now.Sub(w.cancelledAt).String() + " after the cancellation"
 	}
 }
 
-// sendReport has the worker report to the holder or the leader.
+// sendReport sends a report of the worker to the holder or the leader.
 func (w *world) sendReport(outcome int) bool {
 	receive := w.receiveAnswer
 	if outcome == reportAnswerLost {
@@ -247,59 +258,59 @@
 	return true
 }
 
-// setHolder sets the machine's holder in the ledger once it has one.
+// setHolder sets the machine's holder in the ledger once the assigner has chosen one.
 func (w *world) setHolder() {
 	if member, _ := w.assigner.Holder("host-1"); member != "" && w.machine.Holder() == nil {
 		w.fleet.SetHolder(w.machine, w.fleetHolder)
 	}
 }
 
-// syncHolder exchanges a request of the holder and its reply.
+// syncHolder exchanges one request and reply between the holder and the leader.
 func (w *world) syncHolder() {
 	if w.fleet.Term > w.holder.Term() {
 		w.holder.EndTerm()
 	}
-	r := w.holder.Request(10, 1, false, w.now)
-	freed, ok := w.assigner.HandleRequest(r, w.now)
+	request := w.holder.Request(10, 1, false, w.now)
+	revoked, ok := w.assigner.HandleRequest(request, w.now)
 	if !ok {
 		w.holder.RequestFailed()
 		return
 	}
 	w.fleetHolder.KnownUntil = w.assigner.KnownUntil("n1")
-	if r.Term == w.fleet.Term {
-		for i := range r.Reports {
-			w.handleMachineReport(&r.Reports[i])
+	if request.Term == w.fleet.Term {
+		for i := range request.Reports {
+			w.handleMachineReport(&request.Reports[i])
 		}
 	}
-	w.clearHolder(freed)
+	w.clearHolder(revoked)
 	w.retainBeforeLimit()
-	p := w.assigner.Reply("n1", w.now)
-	w.holder.HandleReply(p, w.now)
-	w.grantEnd = w.now.Add(time.Duration(p.ForMs) * time.Millisecond)
+	reply := w.assigner.Reply("n1", w.now)
+	w.holder.HandleReply(reply, w.now)
+	w.grantEnd = w.now.Add(time.Duration(reply.ForMs) * time.Millisecond)
 	w.setHolder()
 }
 
-// handleMachineReport handles a report that the holder has answered.
-func (w *world) handleMachineReport(e *shard.HostReport) {
-	w.assigner.ConfirmContact(e.Host)
-	if len(e.Report) > 0 {
-		m := &wire.Heartbeat{}
-		if err := wire.Unmarshal(e.Report, m); err != nil {
+// handleMachineReport handles a report that the holder has answered, in the leader.
+func (w *world) handleMachineReport(report *shard.HostReport) {
+	w.assigner.ConfirmContact(report.Host)
+	if len(report.Report) > 0 {
+		message := &wire.Heartbeat{}
+		if err := wire.Unmarshal(report.Report, message); err != nil {
 			panic(err)
 		}
-		w.observe(m, true)
+		w.observe(message, true)
 	}
-	w.fleet.RecordRenewal(w.machine, e.Session, e.Seq, w.now.Add(-time.Duration(e.AgeMs)*time.Millisecond))
+	w.fleet.RecordRenewal(w.machine, report.Session, report.Seq, w.now.Add(-time.Duration(report.AgeMs)*time.Millisecond))
 }
 
-// clearHolder clears the machine's holder in the ledger if it was revoked.
-func (w *world) clearHolder(freed []shard.Revocation) {
-	for _, f := range freed {
+// clearHolder clears the machine's holder in the ledger after its revocation.
+func (w *world) clearHolder(revoked []shard.Revocation) {
+	for _, f := range revoked {
 		w.machine.ClearHolder(f.Until)
 	}
 }
 
-// sendDirectCommand sends the machine's next direct command, which is delayed.
+// sendDirectCommand adds the machine's next direct command to the delayed ones.
 func (w *world) sendDirectCommand() bool {
 	orders, _, _ := w.fleet.ComposeOrders(w.machine, 0, w.machine.Usable(), w.now, 100)
 	if len(orders) > 0 && len(w.delayedCommands) < maxDelayedCommands {
@@ -308,7 +319,8 @@
 	return len(orders) > 0
 }
 
-// deliverCommand delivers the first delayed command; its answer may be lost.
+// deliverCommand delivers the oldest delayed command. answered is false if its answer is
+// lost.
 func (w *world) deliverCommand(answered bool) bool {
 	if len(w.delayedCommands) == 0 {
 		return false
@@ -325,15 +337,15 @@
 	return true
 }
 
-// advance advances the time for the worker and the leader.
+// advance advances the clock of the worker and the leader by d.
 func (w *world) advance(d time.Duration) {
-	const part = 500 * time.Millisecond
-	for ; d > 0; d -= part {
-		w.now = w.now.Add(part)
+	const step = 500 * time.Millisecond
+	for ; d > 0; d -= step {
+		w.now = w.now.Add(step)
 		if w.now.Sub(w.worker.leaseRenewedAt) > leaseDuration {
 			w.worker = worker{session: w.worker.session + 1, token: w.worker.token, leaseRenewedAt: w.now}
 		}
-		w.checkDeadline("is there")
+		w.checkDeadline("is running")
 		w.fleet.ExpireLeases(w.now)
 		w.retainBeforeLimit()
 		w.clearHolder(w.assigner.Step(w.now))
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -12,7 +12,7 @@
 
 const testTerm = 7
 
-// ledgerFixture is a fleet with one machine and one job, driven step by step.
+// ledgerFixture is a fleet with one machine and one job, which a test drives step by step.
 type ledgerFixture struct {
 	t       *testing.T
 	now     time.Time
@@ -37,33 +37,33 @@
 	return f
 }
 
-// observe has the fleet observe a message of the worker; phases maps attempts of task 0
-// to their phases.
-func (f *ledgerFixture) observe(report bool, session, seq, token uint64, phases map[uint64]wire.TaskPhase) ObserveResult {
-	m := &wire.Heartbeat{Host: "host-1", Session: session, Seq: seq, Token: token}
-	for a, p := range phases {
-		tr := wire.TaskStatus{Task: "run-1/0", Attempt: a, Phase: p}
-		if p == wire.TaskExited {
-			tr.Cause = wire.CauseDone
+// observe passes a message of the worker to the fleet. phases maps attempts of task 0 to
+// their phases.
+func (f *ledgerFixture) observe(isReport bool, session, seq, token uint64, phases map[uint64]wire.TaskPhase) ObserveResult {
+	message := &wire.Heartbeat{Host: "host-1", Session: session, Seq: seq, Token: token}
+	for attempt, phase := range phases {
+		status := wire.TaskStatus{Task: "run-1/0", Attempt: attempt, Phase: phase}
+		if phase == wire.TaskExited {
+			status.Cause = wire.CauseDone
 		}
-		m.Tasks = append(m.Tasks, tr)
+		message.Tasks = append(message.Tasks, status)
 	}
-	return f.fleet.Observe(f.machine, m, report, f.now, find(f))
+	return f.fleet.Observe(f.machine, message, isReport, f.now, find(f))
 }
 
-// assign assigns an attempt of task 0 to the machine.
+// assign places an attempt of task 0 on the machine.
 func (f *ledgerFixture) assign(attempt uint64) {
 	f.fleet.Assign(f.machine, PlacementKey{f.job, 0, attempt}, f.now)
 }
 
-// compose makes the orders for the machine.
-func (f *ledgerFixture) compose(seq uint64, launches bool) []wire.Command {
-	o, sent, _ := f.fleet.ComposeOrders(f.machine, seq, launches, f.now, 100)
+// compose returns the next orders for the machine and keeps the launched slots in f.sent.
+func (f *ledgerFixture) compose(reportSeq uint64, allowLaunches bool) []wire.Command {
+	orders, sent, _ := f.fleet.ComposeOrders(f.machine, reportSeq, allowLaunches, f.now, 100)
 	f.sent = sent
-	return o
+	return orders
 }
 
-// checkLive checks how many placements of task 0 may be on a machine.
+// checkLive checks the number of placements of task 0 that may be on a machine.
 func (f *ledgerFixture) checkLive(want int, when string) {
 	f.t.Helper()
 	if got := f.job.Live[0]; got != want {
@@ -71,26 +71,26 @@
 	}
 }
 
-// checkOrders checks orders, written as "launch 1;halt 2;" with the attempts.
-func (f *ledgerFixture) checkOrders(o []wire.Command, want string) {
+// checkOrders checks orders, written as verbs with attempt numbers: "launch 1;halt 2;".
+func (f *ledgerFixture) checkOrders(orders []wire.Command, want string) {
 	f.t.Helper()
 	got := ""
-	for _, x := range o {
-		got += fmt.Sprintf("%s %d;", x.Verb, x.Attempt)
+	for _, order := range orders {
+		got += fmt.Sprintf("%s %d;", order.Verb, order.Attempt)
 	}
 	if got != want {
 		f.t.Errorf("orders %q, want %q", got, want)
 	}
 }
 
-// ledgerTest is a case of TestLedger and TestOneWayPartitions.
+// ledgerTest is a test case of TestLedger and TestOneWayPartitions.
 type ledgerTest struct {
 	name string
 	do   func(f *ledgerFixture)
 }
 
-// TestLedger: which placements may be on a machine, up to the message that settles each.
-// The numbers are the points of docs/safety.md.
+// TestLedger checks which placements the ledger keeps for a machine until a message settles
+// them. The numbers in the names are the points of docs/safety.md.
 func TestLedger(t *testing.T) {
 	tests := slices.Concat(ledgerLaunchTests(), ledgerDirectCommandTests(), ledgerHolderTests(), ledgerLeaseTests(), ledgerSessionTests(), ledgerCancelTests())
 	for _, tt := range tests {
@@ -98,18 +98,19 @@
 	}
 }
 
-// ledgerLaunchTests: points 5 to 8, what is launched, and when it is settled.
+// ledgerLaunchTests returns tests of points 5 to 8: when a task is launched, and when its
+// launch is settled.
 func ledgerLaunchTests() []ledgerTest {
-	run := map[uint64]wire.TaskPhase{1: wire.TaskRunning}
+	runningTask := map[uint64]wire.TaskPhase{1: wire.TaskRunning}
 	return []ledgerTest{
-		{"5: nothing is launched on a machine that is not fenced", func(f *ledgerFixture) {
+		{"5: a machine gets no launch until it is fenced", func(f *ledgerFixture) {
 			f.observe(true, 1, 1, testTerm-1, nil)
 			f.assign(1)
 			f.checkOrders(f.compose(1, true), "")
 			f.observe(true, 1, 2, testTerm, nil)
 			f.checkOrders(f.compose(2, true), "launch 1;")
 		}},
-		{"6: nothing is launched before the job is noted for the machine", func(f *ledgerFixture) {
+		{"6: a machine gets no launch until its record names the job", func(f *ledgerFixture) {
 			f.observe(true, 1, 1, testTerm, nil)
 			f.job.NotedMachines.Remove(f.machine.Index)
 			f.assign(1)
@@ -118,25 +119,25 @@
 			f.job.NotedMachines.Add(f.machine.Index)
 			f.checkOrders(f.compose(0, true), "launch 1;")
 		}},
-		{"6: a machine of an earlier leader is open until it is fenced or lost", func(f *ledgerFixture) {
+		{"6: an inherited machine is unsettled until it is fenced", func(f *ledgerFixture) {
 			f.machine.Inherited = true
-			f.observe(true, 1, 1, testTerm-1, run)
+			f.observe(true, 1, 1, testTerm-1, runningTask)
 			if len(f.fleet.SettleInherited()) != 1 {
-				f.t.Error("settled before it has seen the term")
+				f.t.Error("SettleInherited settled a machine whose worker has not sent the current term")
 			}
-			f.observe(true, 1, 2, testTerm, run)
+			f.observe(true, 1, 2, testTerm, runningTask)
 			if len(f.fleet.SettleInherited()) != 0 {
-				f.t.Error("open although it is fenced")
+				f.t.Error("SettleInherited left a fenced machine unsettled")
 			}
 		}},
-		{"7: an older message changes nothing and its answer has no launch", func(f *ledgerFixture) {
-			f.observe(true, 1, 5, testTerm, run)
+		{"7: an older report changes nothing", func(f *ledgerFixture) {
+			f.observe(true, 1, 5, testTerm, runningTask)
 			if r := f.observe(true, 1, 4, testTerm, nil); r.Fresh {
-				f.t.Error("an older report is fresh")
+				f.t.Error("Observe reports an older report as fresh")
 			}
 			f.checkLive(1, "after an older report")
 		}},
-		{"8: a launch in an answer is settled by the next report", func(f *ledgerFixture) {
+		{"8: the next report settles a launch that an answer carried", func(f *ledgerFixture) {
 			f.observe(true, 1, 1, testTerm, nil)
 			f.assign(1)
 			f.compose(1, true)
@@ -146,12 +147,12 @@
 	}
 }
 
-// ledgerDirectCommandTests: points 8 and 15, halts and direct launches.
+// ledgerDirectCommandTests returns tests of points 8 and 15: halts and direct launches.
 func ledgerDirectCommandTests() []ledgerTest {
-	run := map[uint64]wire.TaskPhase{1: wire.TaskRunning}
+	runningTask := map[uint64]wire.TaskPhase{1: wire.TaskRunning}
 	return []ledgerTest{
-		{"15: a halt without grace is repeated also while the task saves, one with grace is not", func(f *ledgerFixture) {
-			f.observe(true, 1, 1, testTerm, run)
+		{"15: while the task saves, only a halt without a grace period is repeated", func(f *ledgerFixture) {
+			f.observe(true, 1, 1, testTerm, runningTask)
 			for s := range f.fleet.SlotsOf(f.job) {
 				f.fleet.Stop(s, 5)
 				f.checkOrders(f.compose(1, true), "halt 1;")
@@ -165,16 +166,16 @@
 				f.now = f.now.Add(haltInterval)
 			}
 		}},
-		{"8: the answer to a direct command does not settle it", func(f *ledgerFixture) {
+		{"8: the answer to a direct command does not settle a launch that an answer carried", func(f *ledgerFixture) {
 			f.observe(true, 1, 1, testTerm, nil)
 			f.assign(1)
 			f.compose(1, true)
 			f.observe(false, 1, 2, testTerm, nil)
-			f.checkLive(1, "after a direct answer that overtook it")
-			f.observe(true, 1, 3, testTerm, run)
-			f.checkLive(1, "once it is seen")
+			f.checkLive(1, "after the answer to a direct command overtook the launch")
+			f.observe(true, 1, 3, testTerm, runningTask)
+			f.checkLive(1, "after a report lists the task")
 		}},
-		{"8: a direct launch that was lost is sent once more, and its exit is not cleared", func(f *ledgerFixture) {
+		{"8: a lost direct launch is sent again and its exit is not cleared", func(f *ledgerFixture) {
 			f.observe(true, 1, 1, testTerm, nil)
 			f.assign(1)
 			f.compose(0, true)
@@ -185,9 +186,9 @@
 			f.checkOrders(f.compose(3, true), "launch 1;")
 			f.observe(true, 1, 4, testTerm, nil)
 			f.checkOrders(f.compose(4, true), "")
-			f.checkLive(1, "the second copy may be lost too")
+			f.checkLive(1, "after a report without the task, because the second copy may be lost too")
 			f.observe(true, 1, 5, testTerm, map[uint64]wire.TaskPhase{1: wire.TaskExited})
-			f.checkLive(0, "once its exit is seen")
+			f.checkLive(0, "after a report lists the exit")
 			for s := range f.fleet.SlotsOf(f.job) {
 				s.Settled = true
 			}
@@ -198,38 +199,39 @@
 	}
 }
 
-// ledgerHolderTests: points 4, 8, 9 and 15, machines under a holder, and launches that have to go.
+// ledgerHolderTests returns tests of points 4, 8, 9 and 15: machines with a holder, and
+// direct launches of tasks that have to be stopped.
 func ledgerHolderTests() []ledgerTest {
-	run := map[uint64]wire.TaskPhase{1: wire.TaskRunning}
+	runningTask := map[uint64]wire.TaskPhase{1: wire.TaskRunning}
 	return []ledgerTest{
-		{"4, 9: a held machine is judged as of what its holder has told, and at its end as of the grant", func(f *ledgerFixture) {
-			by := &Holder{Name: "n1", KnownUntil: f.now}
-			f.observe(true, 1, 1, testTerm, run)
-			f.fleet.SetHolder(f.machine, by)
+		{"4, 9: a lease under a holder is judged as of its known answers, and afterwards as of its last possible answer", func(f *ledgerFixture) {
+			holder := &Holder{Name: "n1", KnownUntil: f.now}
+			f.observe(true, 1, 1, testTerm, runningTask)
+			f.fleet.SetHolder(f.machine, holder)
 			f.now = f.now.Add(15 * time.Second)
 			f.fleet.ExpireLeases(f.now)
-			f.checkLive(1, "its holder may have renewed the lease since")
-			by.KnownUntil = f.now.Add(-10 * time.Second)
+			f.checkLive(1, "15 s after the report, while the holder may have renewed the lease")
+			holder.KnownUntil = f.now.Add(-10 * time.Second)
 			f.fleet.RecordRenewal(f.machine, 1, 2, f.now.Add(-4*time.Second))
 			f.machine.ClearHolder(f.now.Add(-time.Second))
 			f.now = f.now.Add(9 * time.Second)
 			f.fleet.ExpireLeases(f.now)
-			f.checkLive(1, "within a lease of the grant's end")
+			f.checkLive(1, "10 s after the last answer that the holder may have sent")
 			f.now = f.now.Add(time.Second)
 			f.fleet.ExpireLeases(f.now)
-			f.checkLive(0, "beyond it")
+			f.checkLive(0, "11 s after the last answer that the holder may have sent")
 		}},
-		{"8: a launch in an answer of the holder's is settled by a report that says nothing new", func(f *ledgerFixture) {
+		{"8: an unchanged report to the holder settles a launch that an answer carried", func(f *ledgerFixture) {
 			f.observe(true, 1, 1, testTerm, nil)
 			f.fleet.SetHolder(f.machine, &Holder{Name: "n1"})
 			f.assign(1)
 			f.compose(1, true)
 			f.fleet.RecordRenewal(f.machine, 1, 1, f.now)
-			f.checkLive(1, "the same report once more")
+			f.checkLive(1, "after a duplicate of the answered report")
 			f.fleet.RecordRenewal(f.machine, 1, 2, f.now)
 			f.checkLive(0, "after the next report")
 		}},
-		{"8, 15: one that has to go is launched to be stopped, one of a cancelled job is not", func(f *ledgerFixture) {
+		{"8, 15: a lost launch of a task to be stopped is sent again with a halt, unless its job is cancelled", func(f *ledgerFixture) {
 			f.observe(true, 1, 1, testTerm, nil)
 			f.assign(1)
 			f.compose(0, true)
@@ -245,11 +247,11 @@
 	}
 }
 
-// ledgerLeaseTests: points 8 and 9, unanswered launches and the lease.
+// ledgerLeaseTests returns tests of points 8 and 9: unanswered launches and the lease.
 func ledgerLeaseTests() []ledgerTest {
-	run := map[uint64]wire.TaskPhase{1: wire.TaskRunning}
+	runningTask := map[uint64]wire.TaskPhase{1: wire.TaskRunning}
 	return []ledgerTest{
-		{"8: an unanswered direct launch outlives reports without it", func(f *ledgerFixture) {
+		{"8: reports without the task do not settle an unanswered direct launch", func(f *ledgerFixture) {
 			f.observe(true, 1, 1, testTerm, nil)
 			f.assign(1)
 			f.checkOrders(f.compose(0, true), "launch 1;")
@@ -259,35 +261,35 @@
 			f.observe(true, 2, 1, testTerm, nil)
 			f.checkLive(0, "after a new session")
 		}},
-		{"8: a direct launch that was certainly not sent is gone", func(f *ledgerFixture) {
+		{"8: a direct launch that was certainly not executed is removed", func(f *ledgerFixture) {
 			f.observe(true, 1, 1, testTerm, nil)
 			f.assign(1)
 			f.compose(0, true)
 			f.fleet.RemoveUndelivered(f.sent)
 			f.checkLive(0, "after a refused connection")
 		}},
-		{"9: the lease ends what is on a silent machine, and not a moment earlier", func(f *ledgerFixture) {
-			f.observe(true, 1, 1, testTerm, run)
+		{"9: the placements of a silent machine are removed when the lease with its margin expires, not earlier", func(f *ledgerFixture) {
+			f.observe(true, 1, 1, testTerm, runningTask)
 			f.now = f.now.Add(10 * time.Second)
 			f.fleet.ExpireLeases(f.now)
-			f.checkLive(1, "at the bare lease")
+			f.checkLive(1, "after the lease without its margin")
 			f.now = f.now.Add(600 * time.Millisecond)
 			f.fleet.ExpireLeases(f.now)
-			f.checkLive(0, "after the margin")
+			f.checkLive(0, "after the lease with its margin")
 		}},
-		{"9: an older report renews the lease too, when a direct answer overtook it", func(f *ledgerFixture) {
-			f.observe(true, 1, 1, testTerm, run)
+		{"9: a report that the answer to a direct command overtook renews the lease", func(f *ledgerFixture) {
+			f.observe(true, 1, 1, testTerm, runningTask)
 			f.now = f.now.Add(8 * time.Second)
-			f.observe(false, 1, 3, testTerm, run)
-			f.observe(true, 1, 2, testTerm, run)
+			f.observe(false, 1, 3, testTerm, runningTask)
+			f.observe(true, 1, 2, testTerm, runningTask)
 			f.now = f.now.Add(8 * time.Second)
 			f.fleet.ExpireLeases(f.now)
 			f.checkLive(1, "8 s after the overtaken report")
 		}},
-		{"9: direct answers do not renew the lease", func(f *ledgerFixture) {
-			f.observe(true, 1, 1, testTerm, run)
+		{"9: an answer to a direct command does not renew the lease", func(f *ledgerFixture) {
+			f.observe(true, 1, 1, testTerm, runningTask)
 			f.now = f.now.Add(8 * time.Second)
-			f.observe(false, 1, 2, testTerm, run)
+			f.observe(false, 1, 2, testTerm, runningTask)
 			f.now = f.now.Add(3 * time.Second)
 			f.fleet.ExpireLeases(f.now)
 			f.checkLive(0, "11 s after the only report")
@@ -295,53 +297,54 @@
 	}
 }
 
-// ledgerSessionTests: points 9, 11 and 12, sessions, clears and released machines.
+// ledgerSessionTests returns tests of points 9, 11 and 12: sessions, clear orders and
+// machines that are returned to the cloud.
 func ledgerSessionTests() []ledgerTest {
-	run := map[uint64]wire.TaskPhase{1: wire.TaskRunning}
+	runningTask := map[uint64]wire.TaskPhase{1: wire.TaskRunning}
 	return []ledgerTest{
-		{"9: a new session has its lease from its own begin", func(f *ledgerFixture) {
-			f.now = f.now.Add(9 * time.Second) // after a takeover, by a direct command only
+		{"9: the lease of a new session counts from its first message", func(f *ledgerFixture) {
+			f.now = f.now.Add(9 * time.Second) // after a takeover, with direct commands only
 			f.observe(false, 2, 1, testTerm, nil)
 			f.assign(1)
 			f.compose(0, true)
-			f.observe(false, 2, 2, testTerm, run)
+			f.observe(false, 2, 2, testTerm, runningTask)
 			f.now = f.now.Add(5 * time.Second)
 			f.fleet.ExpireLeases(f.now)
-			f.checkLive(1, "14 s after the takeover, 5 s after the session was met")
+			f.checkLive(1, "14 s after the takeover, 5 s after the first message of the session")
 			f.now = f.now.Add(6 * time.Second)
 			f.fleet.ExpireLeases(f.now)
-			f.checkLive(0, "11 s after the session was met")
+			f.checkLive(0, "11 s after the first message of the session")
 		}},
-		{"9: a held message of a dead session does not come back", func(f *ledgerFixture) {
-			f.observe(true, 1, 1, testTerm, run)
+		{"9: a delayed message of an expired session restores no placement", func(f *ledgerFixture) {
+			f.observe(true, 1, 1, testTerm, runningTask)
 			f.now = f.now.Add(11 * time.Second)
 			f.fleet.ExpireLeases(f.now)
-			if r := f.observe(true, 1, 2, testTerm, run); r.Fresh {
-				f.t.Error("a dead session is fresh")
+			if r := f.observe(true, 1, 2, testTerm, runningTask); r.Fresh {
+				f.t.Error("Observe reports a message of an expired session as fresh")
 			}
-			f.checkLive(0, "after a message of the dead session")
+			f.checkLive(0, "after a message of the expired session")
 		}},
-		{"11: clear is sent once the exit is settled", func(f *ledgerFixture) {
+		{"11: only an answer to a report clears an exit, and only once it is settled", func(f *ledgerFixture) {
 			r := f.observe(true, 1, 1, testTerm, map[uint64]wire.TaskPhase{1: wire.TaskExited})
 			f.checkOrders(f.compose(1, true), "")
 			r.Events[0].Slot.Settled = true
 			f.checkOrders(f.compose(0, true), "")
 			f.checkOrders(f.compose(1, true), "clear 1;")
 		}},
-		{"12: a released machine takes everything with it", func(f *ledgerFixture) {
-			f.observe(true, 1, 1, testTerm, run)
+		{"12: removing a machine removes its placements", func(f *ledgerFixture) {
+			f.observe(true, 1, 1, testTerm, runningTask)
 			f.fleet.Remove(f.machine)
-			f.checkLive(0, "after the release")
+			f.checkLive(0, "after the removal")
 		}},
 	}
 }
 
-// ledgerCancelTests: point 15 and terms, aborts and later leaders.
+// ledgerCancelTests returns tests of point 15, cancelled jobs, and of later terms.
 func ledgerCancelTests() []ledgerTest {
-	run := map[uint64]wire.TaskPhase{1: wire.TaskRunning}
+	runningTask := map[uint64]wire.TaskPhase{1: wire.TaskRunning}
 	return []ledgerTest{
-		{"15: nothing is launched once an abort was sent, halts are repeated", func(f *ledgerFixture) {
-			f.observe(true, 1, 1, testTerm, run)
+		{"15: a cancelled job gets no launch, and its halts are repeated", func(f *ledgerFixture) {
+			f.observe(true, 1, 1, testTerm, runningTask)
 			f.fleet.Assign(f.machine, PlacementKey{f.job, 1, 1}, f.now)
 			f.job.Closing = wire.JobCancelled
 			for _, s := range f.machine.Slots {
@@ -351,17 +354,18 @@
 			f.checkOrders(f.compose(0, true), "")
 			f.now = f.now.Add(2 * time.Second)
 			f.checkOrders(f.compose(0, true), "halt 1;")
-			// What renews the lease halts each time.
+			// An answer to a report renews the lease, so each one repeats the halt.
 			f.checkOrders(f.compose(1, true), "halt 1;")
 			f.checkOrders(f.compose(1, true), "halt 1;")
 		}},
 		{"a worker that has seen a later term deposes the leader", func(f *ledgerFixture) {
-			if r := f.observe(true, 1, 1, testTerm+1, run); !r.Deposed {
-				f.t.Error("not deposed")
+			if r := f.observe(true, 1, 1, testTerm+1, runningTask); !r.Deposed {
+				f.t.Error("a report with a later term did not depose the leader")
 			}
-			f.checkLive(0, "after a message of a later term")
+			f.checkLive(0, "after a report with a later term")
 		}},
 	}
 }
 
+// find returns a lookup function that finds the fixture's job for any ID.
 func find(f *ledgerFixture) func(string) *job.Job { return func(string) *job.Job { return f.job } }
--- a/internal/fleet/partition_test.go
+++ b/internal/fleet/partition_test.go
@@ -8,10 +8,10 @@
 	"vetchstream/internal/wire"
 )
 
-// TestOneWayPartitions: a worker whose reports arrive while it receives nothing, and
-// copies of its reports that come late. What may be on the machine, and whether it
-// can be used, are different questions. The numbers are the points of
-// docs/safety.md.
+// TestOneWayPartitions checks the ledger when only one direction between worker and
+// controllers works, and when delayed duplicates of reports arrive. Which placements may be
+// on the machine and whether it may get launches are checked separately. The numbers in the
+// names are the points of docs/safety.md.
 func TestOneWayPartitions(t *testing.T) {
 	tests := slices.Concat(inboundCutLaunchTests(), inboundCutSessionTests(), duplicateReportTests(), newSessionTests())
 	for _, tt := range tests {
@@ -19,75 +19,76 @@
 	}
 }
 
-// inboundCutLaunchTests: point 18, launches to a worker that receives nothing.
+// inboundCutLaunchTests returns tests of point 18: launches to a worker that receives no
+// messages.
 func inboundCutLaunchTests() []ledgerTest {
 	return []ledgerTest{
-		{"18: an answer that was not taken in: no more launches, the rest goes elsewhere", func(f *ledgerFixture) {
+		{"18: after an answer that the worker did not receive, the machine gets no launches and unsent ones are removed", func(f *ledgerFixture) {
 			f.observe(true, 1, 1, testTerm, nil)
 			f.assign(1)
 			f.compose(1, true)
 			f.fleet.Assign(f.machine, PlacementKey{f.job, 1, 2}, f.now)
 			f.observe(true, 1, 2, testTerm, nil)
-			f.checkLive(0, "the launch did not arrive")
+			f.checkLive(0, "after a report without the launched task")
 			if f.job.Live[1] != 0 {
-				f.t.Error("what waited to be sent still waits for the unreachable machine")
+				f.t.Error("the unsent launch was not removed from the unreachable machine")
 			}
-			checkUsable(f, false, "after the lost launch")
+			checkUsable(f, false, "after a report without the launched task")
 		}},
-		{"18: it is used again once it has taken something in", func(f *ledgerFixture) {
+		{"18: the answer to a direct command makes the machine usable again, a report does not", func(f *ledgerFixture) {
 			f.observe(true, 1, 1, testTerm, nil)
 			f.assign(1)
 			f.compose(1, true)
 			f.observe(true, 1, 2, testTerm, nil)
 			f.observe(true, 1, 3, testTerm, nil)
-			checkUsable(f, false, "a report alone shows nothing")
+			checkUsable(f, false, "after a report, which does not show that the worker receives messages")
 			f.observe(false, 1, 4, testTerm, nil)
-			checkUsable(f, true, "after its answer to a direct command")
+			checkUsable(f, true, "after the answer to a direct command")
 		}},
-		{"18: so does a launch that was thought lost", func(f *ledgerFixture) {
+		{"18: a report that lists a direct launch makes the machine usable again", func(f *ledgerFixture) {
 			f.observe(true, 1, 1, testTerm, nil)
 			f.assign(1)
 			f.compose(1, true)
 			f.fleet.Assign(f.machine, PlacementKey{f.job, 1, 2}, f.now)
 			f.compose(0, true)
 			f.observe(true, 1, 2, testTerm, nil)
-			checkUsable(f, false, "after the lost answer")
-			m := &wire.Heartbeat{Host: "host-1", Session: 1, Seq: 3, Token: testTerm, Tasks: []wire.TaskStatus{{Task: "run-1/1", Attempt: 2, Phase: wire.TaskRunning}}}
-			f.fleet.Observe(f.machine, m, true, f.now, find(f))
-			checkUsable(f, true, "its report shows the direct launch")
+			checkUsable(f, false, "after the worker did not receive an answer")
+			message := &wire.Heartbeat{Host: "host-1", Session: 1, Seq: 3, Token: testTerm, Tasks: []wire.TaskStatus{{Task: "run-1/1", Attempt: 2, Phase: wire.TaskRunning}}}
+			f.fleet.Observe(f.machine, message, true, f.now, find(f))
+			checkUsable(f, true, "after a report that lists the direct launch")
 		}},
 	}
 }
 
-// inboundCutSessionTests: point 18, what may be on a machine whose inbound direction is
-// cut, across sessions.
+// inboundCutSessionTests returns tests of point 18: the placements of a machine whose
+// inbound direction is cut, across sessions of its worker.
 func inboundCutSessionTests() []ledgerTest {
-	run := map[uint64]wire.TaskPhase{1: wire.TaskRunning}
+	runningTask := map[uint64]wire.TaskPhase{1: wire.TaskRunning}
 	return []ledgerTest{
-		{"18: a session that ends although its reports were answered", func(f *ledgerFixture) {
-			f.observe(true, 1, 1, testTerm, run)
+		{"18: a session that ends although its reports were answered makes the machine unusable", func(f *ledgerFixture) {
+			f.observe(true, 1, 1, testTerm, runningTask)
 			f.now = f.now.Add(8 * time.Second)
-			f.observe(true, 1, 2, testTerm, run)
+			f.observe(true, 1, 2, testTerm, runningTask)
 			f.now = f.now.Add(5 * time.Second)
 			f.observe(true, 2, 3, testTerm, nil)
-			f.checkLive(0, "the session is over")
-			checkUsable(f, false, "in the new session")
+			f.checkLive(0, "after a report of the next session")
+			checkUsable(f, false, "after a report of the next session")
 		}},
-		{"18: what may be on it goes by the answers, not by what it hears", func(f *ledgerFixture) {
+		{"18: while its reports are answered, a machine with a cut inbound direction keeps a direct launch until the session ends", func(f *ledgerFixture) {
 			f.observe(true, 1, 1, testTerm, nil)
 			f.assign(1)
 			f.compose(0, true)
 			f.fleet.MarkInboundCut(f.machine, f.now)
-			f.checkLive(1, "a direct launch without an answer")
+			f.checkLive(1, "after a direct launch without an answer")
 			f.now = f.now.Add(9 * time.Second)
 			f.observe(true, 1, 2, testTerm, nil)
 			f.now = f.now.Add(9 * time.Second)
 			f.fleet.ExpireLeases(f.now)
 			f.checkLive(1, "18 s after the launch, 9 s after a report was answered")
 			f.observe(true, 2, 3, testTerm, nil)
-			f.checkLive(0, "after the session")
+			f.checkLive(0, "after a report of the next session")
 		}},
-		{"18: a machine that hangs gets nothing until it is heard", func(f *ledgerFixture) {
+		{"18: an unanswered direct command makes the machine unusable until its next report", func(f *ledgerFixture) {
 			f.observe(true, 1, 1, testTerm, nil)
 			f.machine.CallUnanswered = true
 			checkUsable(f, false, "after a direct command without an answer")
@@ -97,60 +98,60 @@
 	}
 }
 
-// duplicateReportTests: points 9 and 19, copies of reports that come late.
+// duplicateReportTests returns tests of points 9 and 19: delayed duplicates of reports.
 func duplicateReportTests() []ledgerTest {
-	run := map[uint64]wire.TaskPhase{1: wire.TaskRunning}
+	runningTask := map[uint64]wire.TaskPhase{1: wire.TaskRunning}
 	return []ledgerTest{
-		{"19: copies renew no lease", func(f *ledgerFixture) {
-			f.observe(true, 1, 1, testTerm, run)
-			f.observe(true, 1, 2, testTerm, run)
+		{"19: a duplicate of a report does not renew the lease", func(f *ledgerFixture) {
+			f.observe(true, 1, 1, testTerm, runningTask)
+			f.observe(true, 1, 2, testTerm, runningTask)
 			for range 3 {
 				f.now = f.now.Add(4 * time.Second)
-				f.observe(true, 1, 2, testTerm, run)
-				f.observe(true, 1, 1, testTerm, run)
+				f.observe(true, 1, 2, testTerm, runningTask)
+				f.observe(true, 1, 1, testTerm, runningTask)
 			}
 			f.fleet.ExpireLeases(f.now)
-			f.checkLive(0, "12 s after the last report, 0 s after its copy")
+			f.checkLive(0, "12 s after the last report, 0 s after its duplicate")
 		}},
-		{"19: nor do they through a holder", func(f *ledgerFixture) {
-			f.observe(true, 1, 1, testTerm, run)
+		{"19: a duplicate of a report to the holder does not renew the lease", func(f *ledgerFixture) {
+			f.observe(true, 1, 1, testTerm, runningTask)
 			f.fleet.RecordRenewal(f.machine, 1, 2, f.now)
 			f.now = f.now.Add(9 * time.Second)
 			f.fleet.RecordRenewal(f.machine, 1, 2, f.now)
 			f.now = f.now.Add(4 * time.Second)
 			f.fleet.ExpireLeases(f.now)
-			f.checkLive(0, "13 s after the last report, 4 s after its copy")
+			f.checkLive(0, "13 s after the last report, 4 s after its duplicate")
 		}},
-		{"19: a copy at the next leader is the past once a report has come", func(f *ledgerFixture) {
+		{"19: a new leader treats a duplicate as stale once it has received a newer report", func(f *ledgerFixture) {
 			f.observe(true, 1, 9, testTerm, nil)
 			if !f.machine.Stale(1, 8) || f.machine.Stale(1, 10) || f.machine.Stale(2, 1) {
-				f.t.Error("the past is what is older than the newest report")
+				f.t.Error("Stale misjudges an older report, a newer report or a report of a newer session")
 			}
-			f.observe(true, 1, 8, testTerm, run)
-			f.checkLive(0, "after a copy that shows the task")
+			f.observe(true, 1, 8, testTerm, runningTask)
+			f.checkLive(0, "after a duplicate that lists the task")
 		}},
-		{"9, 19: a report that a direct answer overtook is no copy", func(f *ledgerFixture) {
-			f.observe(true, 1, 1, testTerm, run)
-			f.observe(false, 1, 3, testTerm, run)
+		{"9, 19: a report that the answer to a direct command overtook is not a duplicate", func(f *ledgerFixture) {
+			f.observe(true, 1, 1, testTerm, runningTask)
+			f.observe(false, 1, 3, testTerm, runningTask)
 			f.now = f.now.Add(9 * time.Second)
-			f.observe(true, 1, 2, testTerm, run)
+			f.observe(true, 1, 2, testTerm, runningTask)
 			f.now = f.now.Add(5 * time.Second)
 			f.fleet.ExpireLeases(f.now)
-			f.checkLive(1, "14 s after the first report, 5 s after the one that was overtaken")
+			f.checkLive(1, "14 s after the first report, 5 s after the overtaken one")
 		}},
 	}
 }
 
-// newSessionTests: points 18, 19 and 21, a worker that began anew.
+// newSessionTests returns tests of points 18, 19 and 21: a worker that has restarted.
 func newSessionTests() []ledgerTest {
-	run := map[uint64]wire.TaskPhase{1: wire.TaskRunning}
+	runningTask := map[uint64]wire.TaskPhase{1: wire.TaskRunning}
 	return []ledgerTest{
-		{"21: what was sent directly to a machine that began anew is on it for a lease", func(f *ledgerFixture) {
+		{"21: a direct launch to a restarted worker may be on the machine for one lease", func(f *ledgerFixture) {
 			f.observe(true, 1, 40, testTerm, nil)
 			f.now = f.now.Add(6 * time.Second)
 			f.assign(1)
 			f.compose(0, true)
-			f.observe(false, 1, 1, testTerm, run) // its answer counts as old
+			f.observe(false, 1, 1, testTerm, runningTask) // the restarted worker counts from 1 again, so this is stale
 			f.now = f.now.Add(6 * time.Second)
 			f.fleet.ExpireLeases(f.now)
 			f.checkLive(1, "12 s after the last report, 6 s after the launch")
@@ -158,44 +159,44 @@
 			f.fleet.ExpireLeases(f.now)
 			f.checkLive(0, "11 s after the launch")
 		}},
-		{"18: a new session that only a direct answer tells of: mute until a report comes", func(f *ledgerFixture) {
+		{"18: a new session that only answers to direct commands show makes the machine unusable until a report arrives", func(f *ledgerFixture) {
 			f.observe(true, 1, 1, testTerm, nil)
 			f.assign(1)
 			f.compose(0, true)
 			f.observe(false, 2, 2, testTerm, nil)
-			f.checkLive(0, "its lease has run out")
-			checkUsable(f, false, "it lives and reaches nobody")
+			f.checkLive(0, "after a direct command is answered in a new session")
+			checkUsable(f, false, "after a direct command is answered in a new session")
 			f.observe(false, 2, 3, testTerm, nil)
 			f.observe(false, 3, 4, testTerm, nil)
-			checkUsable(f, false, "another lease later")
+			checkUsable(f, false, "after a direct command is answered in a third session")
 			if f.now = f.now.Add(time.Second); !f.machine.OutboundCutSince.Equal(f.now.Add(-time.Second)) {
-				f.t.Error("counted from its second session")
+				f.t.Error("OutboundCutSince is not the time of the first answer in a new session")
 			}
 			f.observe(true, 3, 5, testTerm, nil)
-			checkUsable(f, true, "a report came")
+			checkUsable(f, true, "after a report")
 		}},
-		{"18: at a new leader that meets it by a direct answer it is used at once", func(f *ledgerFixture) {
+		{"18: a machine whose first message to a new leader answers a direct command is usable", func(f *ledgerFixture) {
 			f.observe(false, 4, 9, testTerm, nil)
-			checkUsable(f, true, "its first message")
+			checkUsable(f, true, "after the first message")
 		}},
-		{"19: a copy takes nothing of a machine that began anew", func(f *ledgerFixture) {
-			f.observe(true, 1, 40, testTerm, run)
+		{"19: stale reports of a restarted worker do not renew the lease, and its next session is accepted", func(f *ledgerFixture) {
+			f.observe(true, 1, 40, testTerm, runningTask)
 			f.now = f.now.Add(time.Second)
-			for seq := range uint64(6) { // it counts from the start, with nothing on it
+			for seq := range uint64(6) { // the restarted worker counts from 1 and has no tasks
 				f.observe(true, 1, seq+1, 0, nil)
 				f.now = f.now.Add(2 * time.Second)
 			}
 			f.fleet.ExpireLeases(f.now)
-			f.checkLive(0, "its tasks are given up with the lease of the session that is known")
+			f.checkLive(0, "after the lease of the known session")
 			f.observe(true, 2, 7, 0, nil)
 			if f.machine.Lost {
-				f.t.Error("shut out for good")
+				f.t.Error("the machine is still lost after a report of a newer session")
 			}
 		}},
 	}
 }
 
-// checkUsable checks whether the machine can be given work.
+// checkUsable checks whether the machine may get launches.
 func checkUsable(f *ledgerFixture, want bool, when string) {
 	f.t.Helper()
 	if got := f.machine.Usable(); got != want {
--- a/internal/fleet/renewal_test.go
+++ b/internal/fleet/renewal_test.go
@@ -7,7 +7,7 @@
 	"vetchstream/internal/wire"
 )
 
-// cancelJob cancels the job: its user may be told from now on.
+// cancelJob cancels the job, which may be confirmed to its user from now on.
 func (f *ledgerFixture) cancelJob() {
 	f.job.Closing = wire.JobCancelled
 	f.job.CancelledAt = f.now
@@ -20,17 +20,17 @@
 func (f *ledgerFixture) checkRenewable(want bool, when string) {
 	f.t.Helper()
 	if got := f.fleet.Renewable(f.machine, f.now, 100); got != want {
-		f.t.Errorf("%s: the lease may be renewed: %v, want %v", when, got, want)
+		f.t.Errorf("%s: renewable %v, want %v", when, got, want)
 	}
 }
 
-// renewalTest is a case of the tests below.
+// renewalTest is a test case of TestRenewal and TestRenewalLimitScope.
 type renewalTest struct {
 	name string
 	do   func(f *ledgerFixture)
 }
 
-// cancelWithLaunchInFlight cancels the job while its launch by direct command is in flight.
+// cancelWithLaunchInFlight cancels the job while its direct launch is in flight.
 func cancelWithLaunchInFlight(f *ledgerFixture) {
 	f.observe(true, 1, 1, testTerm, nil)
 	f.assign(1)
@@ -40,52 +40,52 @@
 
 var running = map[uint64]wire.TaskPhase{1: wire.TaskRunning}
 
-// renewalWindow is how long after the cancellation the lease may still be renewed:
-// cancel_s is 25 s, the lease with its margin 10.51 s.
+// renewalWindow is the time from the cancellation up to the renewal limit: the cancel
+// timeout of 25 s less the lease, which is 10.51 s with its margin.
 const renewalWindow = 14490 * time.Millisecond
 
-// TestRenewal: the lease of a machine where a task of a cancelled job may be, or may still
-// start, is not renewed beyond the time that the job's user was told.
+// TestRenewal checks that while a task of a cancelled job may be on a machine, or may still
+// start there, the lease is not renewed beyond the deadline of the cancellation.
 func TestRenewal(t *testing.T) {
 	tests := []renewalTest{
-		{"a launch on its way: until the limit, not from it on", func(f *ledgerFixture) {
+		{"with a direct launch in flight, the lease is renewable before the limit only", func(f *ledgerFixture) {
 			cancelWithLaunchInFlight(f)
 			f.now = f.now.Add(renewalWindow - time.Millisecond)
 			f.observe(true, 1, 2, testTerm, nil)
-			f.checkRenewable(true, "before the limit")
+			f.checkRenewable(true, "1 ms before the limit")
 			f.now = f.now.Add(time.Millisecond)
 			f.observe(true, 1, 3, testTerm, nil)
 			f.checkRenewable(false, "at the limit")
 			f.observe(true, 2, 1, testTerm, nil)
-			f.checkRenewable(true, "once the session has ended")
-			f.checkLive(0, "once the session has ended")
+			f.checkRenewable(true, "after a report of the next session")
+			f.checkLive(0, "after a report of the next session")
 		}},
-		{"a launch that arrives late is halted, and what halts it renews", func(f *ledgerFixture) {
+		{"the answer that halts a task which started late renews the lease", func(f *ledgerFixture) {
 			cancelWithLaunchInFlight(f)
 			f.now = f.now.Add(renewalWindow + time.Second)
 			f.observe(true, 1, 2, testTerm, running)
-			f.checkRenewable(true, "shown by the report")
+			f.checkRenewable(true, "after a report that lists the task")
 			f.checkOrders(f.compose(2, true), "halt 1;")
 			if _, bounded := f.fleet.RenewalLimit(f.machine); !bounded {
-				f.t.Error("who answers without halts may renew")
+				f.t.Error("RenewalLimit sets no limit for a holder while the task runs")
 			}
 			f.observe(true, 1, 3, testTerm, map[uint64]wire.TaskPhase{1: wire.TaskExited})
 			if _, bounded := f.fleet.RenewalLimit(f.machine); bounded {
-				f.t.Error("bounded after the exit")
+				f.t.Error("RenewalLimit sets a limit after the exit")
 			}
 		}},
-		{"a launch that the answer to a direct command settles", func(f *ledgerFixture) {
+		{"a launch that was certainly not executed does not limit the renewal", func(f *ledgerFixture) {
 			cancelWithLaunchInFlight(f)
 			f.fleet.RemoveUndelivered(f.sent)
 			f.now = f.now.Add(renewalWindow)
-			f.checkRenewable(true, "after the refusal")
+			f.checkRenewable(true, "after the launch was removed")
 		}},
-		{"cancelled by an earlier leader: nobody knows when", func(f *ledgerFixture) {
+		{"a job cancelled by an earlier leader at an unknown time lets only answers with halts renew the lease", func(f *ledgerFixture) {
 			f.job.Phase = wire.JobCancelled
 			f.observe(true, 1, 1, testTerm-1, running)
-			f.checkRenewable(true, "by an answer with halts")
-			if at, bounded := f.fleet.RenewalLimit(f.machine); !bounded || at.After(f.now) {
-				f.t.Error("a holder may renew")
+			f.checkRenewable(true, "for an answer with halts")
+			if limit, bounded := f.fleet.RenewalLimit(f.machine); !bounded || limit.After(f.now) {
+				f.t.Error("RenewalLimit lets a holder renew the lease")
 			}
 		}},
 	}
@@ -94,50 +94,51 @@
 	}
 }
 
-// TestRenewalLimitScope: what else the bound concerns, and what it does not.
+// TestRenewalLimitScope checks to which answers, jobs and machines the renewal limit
+// applies.
 func TestRenewalLimitScope(t *testing.T) {
 	tests := []renewalTest{
-		{"more to halt than an answer holds", func(f *ledgerFixture) {
+		{"an answer that cannot hold all halts does not renew the lease", func(f *ledgerFixture) {
 			f.observe(true, 1, 1, testTerm, map[uint64]wire.TaskPhase{1: wire.TaskRunning, 2: wire.TaskRunning})
 			f.cancelJob()
 			f.now = f.now.Add(renewalWindow)
 			if f.fleet.Renewable(f.machine, f.now, 1) || !f.fleet.Renewable(f.machine, f.now, 2) {
-				f.t.Error("an answer that cannot halt everything renews")
+				f.t.Error("for two halts, the lease is renewable with one order or not renewable with two")
 			}
 		}},
-		{"a job that is done, or goes on, bounds nothing", func(f *ledgerFixture) {
+		{"a job that was done before its cancellation does not limit the renewal", func(f *ledgerFixture) {
 			cancelWithLaunchInFlight(f)
 			f.job.Phase = wire.JobDone
 			f.now = f.now.Add(time.Minute)
-			f.checkRenewable(true, "its end came first")
+			f.checkRenewable(true, "1 min after the cancellation of a job that was done")
 		}},
-		{"no work for a machine whose session may have to end", func(f *ledgerFixture) {
+		{"a machine with a launch of a cancelled job in flight is unusable until its session ends", func(f *ledgerFixture) {
 			f.observe(true, 1, 1, testTerm, nil)
 			f.assign(1)
 			f.compose(0, true)
 			if !f.machine.Usable() {
-				f.t.Error("not usable before the cancellation")
+				f.t.Error("the machine is unusable before the cancellation")
 			}
 			f.cancelJob()
 			if f.machine.Usable() {
-				f.t.Error("usable after it")
+				f.t.Error("the machine is usable after the cancellation")
 			}
 			f.fleet.StopRenewal(f.machine)
 			f.observe(true, 2, 1, testTerm, nil)
 			if !f.machine.Usable() || f.machine.InboundCut() {
-				f.t.Error("not usable in the next session")
+				f.t.Error("the machine is unusable, or its inbound direction is marked as cut, in the next session")
 			}
 		}},
-		{"8: a launch on its way is sent once more when its machine goes to a holder", func(f *ledgerFixture) {
+		{"8: a direct launch in flight awaits a command only once its machine has a holder", func(f *ledgerFixture) {
 			f.observe(true, 1, 1, testTerm, nil)
 			f.assign(1)
 			f.compose(0, true)
 			if len(f.fleet.AwaitingCommand()) != 0 {
-				f.t.Error("the leader sends it in an answer")
+				f.t.Error("the machine awaits a command although the leader repeats the launch in an answer")
 			}
 			f.fleet.SetHolder(f.machine, &Holder{Name: "n1"})
 			if len(f.fleet.AwaitingCommand()) != 1 {
-				f.t.Error("nobody sends it")
+				f.t.Error("the machine of the holder awaits no command for the launch")
 			}
 		}},
 	}
