--- a/internal/place/assign.go
+++ b/internal/place/assign.go
@@ -2,7 +2,8 @@
 
 import "math"
 
-// assign debits the placement of a task on machine i, so that the next task sees the load.
+// assign debits a task of the demand from machine i and its team, so that the next placement
+// takes the load into account.
 func (p *planner) assign(d *Demand, i int) {
 	m := &p.Machines[i]
 	m.Free = m.Free.addScaled(d.Need, -1)
@@ -22,31 +23,32 @@
 	}
 }
 
-// placeWhereCached places a demand that a fetch would make late: where its image is
-// cached, also by preemption there, and only the rest on other machines.
+// placeWhereCached places a demand that would be late if it had to fetch its image. It prefers
+// machines that have the image, where it also preempts tasks, and places only the remaining
+// tasks on other machines.
 func (p *planner) placeWhereCached(i int) {
 	d := &p.Demands[i]
 	p.placeTasks(i, true)
 	if len(d.Pending) == 0 || p.plan.OverLimit[i] {
 		return
 	}
-	n := len(d.Pending)
-	prepared := min(n, p.countMachinesBeingFreed(d))
+	pending := len(d.Pending)
+	beingFreed := min(pending, p.countMachinesBeingFreed(d))
 	if d.MayPreempt {
-		if more := p.preempt(i, -1, n-prepared, 0); more > 0 {
-			prepared += more
+		if more := p.preempt(i, -1, pending-beingFreed, 0); more > 0 {
+			beingFreed += more
 			p.lastQueue = nil
 		}
 	}
-	d.Pending = d.Pending[:n-prepared]
-	d.Waiting -= prepared
-	if prepared < n {
+	d.Pending = d.Pending[:pending-beingFreed]
+	d.Waiting -= beingFreed
+	if beingFreed < pending {
 		p.placeTasks(i, false)
 	}
 }
 
-// placeTasks places the tasks of an array or a service that fit; with cachedOnly only where
-// the image is cached.
+// placeTasks places as many tasks of an array or a service as fit. With cachedOnly it uses
+// only machines that have the image.
 func (p *planner) placeTasks(i int, cachedOnly bool) {
 	d := &p.Demands[i]
 	zone := d.Zone
@@ -56,7 +58,7 @@
 	q := p.reuseQueue(d, zone, cachedOnly)
 	p.lastQueue = q
 	pending := d.Pending
-	for n, task := range pending {
+	for placed, task := range pending {
 		if !p.withinTeamLimit(d, d.Need) {
 			p.plan.OverLimit[i] = true
 			return
@@ -64,20 +66,20 @@
 		m := q.next(task)
 		if m < 0 {
 			if !cachedOnly {
-				p.reportUnplaced(i, len(pending)-n)
+				p.reportUnplaced(i, len(pending)-placed)
 			}
 			return
 		}
 		p.assign(d, m)
 		q.placed(m)
 		p.plan.Assignments = append(p.plan.Assignments, Assignment{Demand: i, Task: task, Machine: m})
-		d.Pending = pending[n+1:]
+		d.Pending = pending[placed+1:]
 		d.Waiting--
 	}
 }
 
-// reportUnplaced notes that no machine has room for the rest of a demand, of which pending
-// tasks were to be placed now, and preempts for them if the demand may.
+// reportUnplaced records that no machine has room for the rest of a demand, of which pending
+// tasks should have been placed now, and preempts other tasks if the demand may.
 func (p *planner) reportUnplaced(i, pending int) {
 	d := &p.Demands[i]
 	p.plan.Unplaced[i] = p.capToTeamLimit(d, max(d.Waiting, pending))
@@ -86,7 +88,7 @@
 	}
 }
 
-// capToTeamLimit returns how many of n tasks of the demand its team's limit lets run.
+// capToTeamLimit returns how many of n further tasks of the demand fit into its team's limit.
 func (p *planner) capToTeamLimit(d *Demand, n int) int {
 	if d.Team < 0 {
 		return n
@@ -102,24 +104,24 @@
 	return min(n, left.FitCount(d.Need))
 }
 
-// zoneWithMostRoom returns the zone for a demand that has to be in one: that of its tasks, or
-// else the one in which most of them fit.
+// zoneWithMostRoom returns the zone for a demand whose tasks must share a zone: the zone of
+// its running tasks, or else the zone in which most of its tasks fit.
 func (p *planner) zoneWithMostRoom(d *Demand) int {
 	for z, n := range d.TasksByZone {
 		if n > 0 {
 			return z
 		}
 	}
-	fit := make([]int, len(d.TasksByZone))
+	fitByZone := make([]int, len(d.TasksByZone))
 	for i := range p.Machines {
 		m := &p.Machines[i]
 		if p.eligible(m, d) {
-			fit[m.Zone] += m.available(d).FitCount(d.Need)
+			fitByZone[m.Zone] += m.available(d).FitCount(d.Need)
 		}
 	}
 	best := 0
-	for z, n := range fit {
-		if n > fit[best] {
+	for z, n := range fitByZone {
+		if n > fitByZone[best] {
 			best = z
 		}
 	}
--- a/internal/place/cost.go
+++ b/internal/place/cost.go
@@ -2,29 +2,30 @@
 
 import "vetchstream/internal/job"
 
-// Weights scale the dimensions of the vector that Cost measures.
+// Weights scales the dimensions of the load vector behind Cost.
 type Weights struct {
-	// Queue, Jobs and CPU weigh the machine's load: tasks that wait for their image, tasks,
-	// and the percentage of CPUs in use.
+	// Queue weighs the tasks that wait for their image, Jobs all tasks on the machine, and CPU
+	// the percentage of CPUs in use.
 	Queue float64
 	Jobs  float64
 	CPU   float64
-	// Price weighs the price of a CPU.
+	// Price weighs the relative price of a CPU.
 	Price float64
-	// Image is the cost of a fetch.
+	// Image is the cost of fetching the image.
 	Image float64
-	// Sticky is the cost of leaving the machine of the job's last placement.
+	// Sticky is the cost of using another machine than the job's last placement.
 	Sticky float64
-	// SameZone is the cost of another replica of a service in the zone.
+	// SameZone is the cost per replica that the service already has in the zone.
 	SameZone float64
-	// Unreliable is the cost of a machine on which tasks have failed.
+	// Unreliable is the cost of a machine on which a task failed recently.
 	Unreliable float64
-	// Empty is the cost of a machine without tasks, which could be released.
+	// Empty is the cost of a machine without tasks, which could otherwise be returned to the
+	// cloud.
 	Empty float64
 }
 
-// Cost returns the squared length of the load vector for placing a task of d on m; the
-// machine with the smallest is the best.
+// Cost returns the cost of placing a task of d on m, which is the squared length of the
+// weighted load vector. The machine with the lowest cost is the best.
 func Cost(w *Weights, m *Machine, d *Demand) float64 {
 	sum := square(w.Queue*m.Scale*float64(m.WaitingTasks)) + square(w.Jobs*m.Scale*float64(m.Tasks)) + square(w.Price*m.Price)
 	if m.Total.CPUs > 0 {
--- a/internal/place/demand.go
+++ b/internal/place/demand.go
@@ -2,61 +2,61 @@
 
 import "vetchstream/internal/job"
 
-// Demand is a job with tasks that wait for machines.
+// Demand is a job with tasks that have to be placed.
 type Demand struct {
-	// ID identifies the demand; it is above 0.
+	// ID identifies the demand. It is positive.
 	ID       int
 	Shape    job.Shape
 	Priority job.Priority
-	// Team indexes Input.Teams; -1 means none.
+	// Team is an index into Input.Teams, or -1 for none.
 	Team int
-	// Need is what each task takes.
+	// Need is the resources of each task.
 	Need Resources
-	// AllowedTypes tells, by Machine.Type, which machine types are allowed; nil means all.
+	// AllowedTypes reports, by Machine.Type, which machine types are allowed. Nil allows all.
 	AllowedTypes []bool
-	// Zone is the only allowed zone; -1 means any.
+	// Zone is the only allowed zone, or -1 for any.
 	Zone int
-	// OneZone: all tasks must be in the same zone.
+	// OneZone requires all tasks to be in the same zone.
 	OneZone bool
-	// Spread: at most half of the tasks, rounded up, may be in one zone.
+	// Spread allows at most half of the tasks, rounded up, in one zone.
 	Spread bool
-	// Spot: spot machines are allowed.
+	// Spot allows spot machines.
 	Spot bool
-	// Image is the image that the tasks need, ImageGB its size.
+	// Image is the index of the image that the tasks need, ImageGB its size.
 	Image   int
 	ImageGB float64
-	// LastMachine is the Machine.ID of the job's last placement; -1 means none.
+	// LastMachine is the Machine.ID of the job's last placement, or -1 for none.
 	LastMachine int
-	// Total counts all tasks of the job.
+	// Total is the number of all tasks of the job.
 	Total int
-	// Pending are the tasks that this plan may place.
+	// Pending lists the tasks that this plan may place.
 	Pending []int32
-	// Waiting counts all tasks that wait for a machine; Pending may be a part of them.
+	// Waiting is the number of all tasks without a machine, which may be more than Pending.
 	Waiting int
-	// TasksByZone counts, per zone, the tasks of the job that may be running.
+	// TasksByZone is the number of tasks of the job that may be running, by zone.
 	TasksByZone []int
-	// LatestStart is when the job has to start to be in time, in seconds since an origin that
-	// all demands share. It orders demands of the same priority.
+	// LatestStart is the latest time at which the job may start to meet its deadline, in
+	// seconds since an origin that all demands share. It orders demands of equal priority.
 	LatestStart float64
-	// MayPreempt: the demand may stop others' tasks in this plan.
+	// MayPreempt allows the plan to preempt tasks of other jobs for the demand.
 	MayPreempt bool
-	// WaitedS is for how long the demand has waited, in seconds.
+	// WaitedS is the time in seconds since the demand began to wait.
 	WaitedS float64
-	// Overdue: nothing of the job has started for so long that it goes first, whatever its
-	// priority.
+	// Overdue reports whether the job has waited for its first task for so long that it
+	// precedes all other demands, regardless of priority.
 	Overdue bool
-	// EndsInS is in how many seconds a task that starts now is sure to have ended. It matters on
-	// machines that the calendar holds and on those with maintenance due.
+	// EndsInS is the time in seconds within which a task that starts now has certainly ended.
+	// It matters on machines that the calendar holds or on which maintenance is due.
 	EndsInS float64
-	// Movable: a task can be stopped and go on elsewhere.
+	// Movable reports whether a task can be stopped and continued on another machine.
 	Movable bool
-	// FetchTooSlow: the job would be late if it had to fetch its image, so that preempting
-	// tasks where the image is cached is better than a free machine without it.
+	// FetchTooSlow reports whether the job would be late if it had to fetch its image. Such a
+	// job rather preempts tasks on machines that have the image than use free ones without it.
 	FetchTooSlow bool
-	// CanDelay: the job has time for delay scheduling, leaving machines without its image to
-	// demands that find theirs there.
+	// CanDelay reports whether the job has time for delay scheduling, that is, for leaving
+	// machines without its image to demands whose image they have.
 	CanDelay bool
-	// OnlyHeldMachines: the machines that the calendar holds for the demand are enough for it,
-	// and it uses no others.
+	// OnlyHeldMachines restricts the demand to the machines that the calendar holds for it,
+	// because these suffice.
 	OnlyHeldMachines bool
 }
--- a/internal/place/gang.go
+++ b/internal/place/gang.go
@@ -6,21 +6,21 @@
 	"slices"
 )
 
-// commonImageFactor is for how many gangs of the same size the machines with a gang's image
-// must suffice for it to wait until some of them have room.
+// commonImageFactor is the number of gangs of the same size that the machines with a gang's
+// image must be able to hold, when empty, for the gang to wait until some of them have room.
 const commonImageFactor = 8
 
-// minReservationS and maxReservationS bound for how long machines may be reserved for a
-// gang before all have room, in seconds. Room that takes longer is better used by others
-// until then. A wide gang beside long tasks finds no such machines, so that the bound grows
-// with the time it has waited, up to the maximum: a gang that cannot be placed now does not
-// reserve machines for ever.
+// minReservationS and maxReservationS bound the time, in seconds, for which machines may be
+// reserved for a gang until all of them have room. If room takes longer to become free, other
+// tasks use it better until then. Among long tasks, no set of machines for a wide gang has
+// room that soon, so the bound grows with the time that the gang has waited. The maximum keeps
+// a gang that cannot be placed from reserving machines for ever.
 const (
 	minReservationS = 60
 	maxReservationS = 180
 )
 
-// placeGang places all pending members of a gang or none.
+// placeGang places either all pending members of a gang or none.
 func (p *planner) placeGang(i int) {
 	d := &p.Demands[i]
 	zones := gangZones(d)
@@ -33,7 +33,7 @@
 		}
 		p.plan.Assignments = append(p.plan.Assignments, best...)
 	case waitForCached && p.bestGangPlacement(i, zones, false) != nil:
-		// There is room, but the image would come too late there.
+		// Machines without the image have room, but fetching it would make the gang late.
 		p.makeRoomForGang(i, zones, 0)
 	case !p.withinTeamLimit(d, Resources{}.addScaled(d.Need, float64(len(d.Pending)))):
 		p.plan.OverLimit[i] = true
@@ -43,7 +43,8 @@
 	}
 }
 
-// gangZones returns the zones in which a gang may be placed whole; -1 means any.
+// gangZones returns the zones in which the whole gang may be placed, or only -1 if the members
+// need not share a zone.
 func gangZones(d *Demand) []int {
 	if !d.OneZone {
 		return []int{-1}
@@ -55,43 +56,44 @@
 	return zones
 }
 
-// bestGangPlacement returns the placement of a gang in one of the zones with the best total
-// score, or nil if there is none.
+// bestGangPlacement returns the placement of a gang in one of the zones with the lowest total
+// cost, or nil if there is none.
 func (p *planner) bestGangPlacement(i int, zones []int, cachedOnly bool) (best []Assignment) {
-	bestLength := math.Inf(1)
+	lowestCost := math.Inf(1)
 	for _, zone := range zones {
-		if placed, length, ok := p.tryGang(i, zone, cachedOnly); ok && length < bestLength {
+		if placed, cost, ok := p.tryGang(i, zone, cachedOnly); ok && cost < lowestCost {
 			best = placed
-			bestLength = length
+			lowestCost = cost
 		}
 	}
 	return best
 }
 
-// imageIsCommon reports whether a gang's image is on so many machines that room on some of
-// them comes soon.
+// imageIsCommon reports whether so many machines have a gang's image that some of them should
+// have room soon.
 func (p *planner) imageIsCommon(d *Demand) bool {
-	n := 0
+	capacity := 0
 	for i := range p.Machines {
 		if m := &p.Machines[i]; m.hasImage(d) && p.eligible(m, d) {
-			n += m.Total.FitCount(d.Need)
+			capacity += m.Total.FitCount(d.Need)
 		}
 	}
-	return n >= commonImageFactor*len(d.Pending)
+	return capacity >= commonImageFactor*len(d.Pending)
 }
 
-// snapshot records what placing tasks of a demand changes, to restore it.
+// snapshot records the state that placing tasks of a demand changes, so that it can be
+// restored.
 type snapshot struct {
 	planner     *planner
 	demand      *Demand
 	tasksByZone []int
 	team        Team
-	// machines are copies of the machines at indices, in the order of their changes.
+	// machines holds copies of the machines at indices, in the order in which they were changed.
 	machines []Machine
 	indices  []int
 }
 
-// snapshot starts a record for a demand.
+// snapshot returns a snapshot for a demand that contains no machines yet.
 func (p *planner) snapshot(d *Demand) *snapshot {
 	s := &snapshot{
 		planner:     p,
@@ -104,13 +106,13 @@
 	return s
 }
 
-// record has to be called before machine i is changed.
+// record saves machine i. It has to be called before the machine is changed.
 func (s *snapshot) record(i int) {
 	s.machines = append(s.machines, s.planner.Machines[i])
 	s.indices = append(s.indices, i)
 }
 
-// restore takes the changes back.
+// restore undoes the changes since the snapshot was taken.
 func (s *snapshot) restore() {
 	for n, i := range slices.Backward(s.indices) {
 		s.planner.Machines[i] = s.machines[n]
@@ -121,9 +123,9 @@
 	}
 }
 
-// tryGang returns a placement of a gang in a zone and its total score, without carrying it
-// out; ok is false if there is none.
-func (p *planner) tryGang(i, zone int, cachedOnly bool) (placed []Assignment, length float64, ok bool) {
+// tryGang returns a placement of a gang in a zone and its total cost, without changing the
+// state. ok is false if there is no such placement.
+func (p *planner) tryGang(i, zone int, cachedOnly bool) (placed []Assignment, cost float64, ok bool) {
 	d := &p.Demands[i]
 	q := p.newQueue(d, zone, cachedOnly)
 	if q.capacity < len(d.Pending) {
@@ -139,43 +141,44 @@
 		if m < 0 {
 			return nil, 0, false
 		}
-		length += q.cost(&p.Machines[m])
+		cost += q.cost(&p.Machines[m])
 		s.record(m)
 		p.assign(d, m)
 		q.placed(m)
 		placed = append(placed, Assignment{Demand: i, Task: task, Machine: m})
 	}
-	return placed, length, true
+	return placed, cost, true
 }
 
-// makeRoomForGang makes room for a gang that has none, if it may preempt and no room is being
-// made for it yet. Its image takes at most maxFetch seconds on the machines.
-func (p *planner) makeRoomForGang(i int, zones []int, maxFetch float64) {
+// makeRoomForGang preempts tasks or reserves machines for a gang, if it may preempt and no tasks
+// are already being preempted for it. It uses only machines that fetch the image within maxFetchS
+// seconds.
+func (p *planner) makeRoomForGang(i int, zones []int, maxFetchS float64) {
 	d := &p.Demands[i]
 	if d.MayPreempt && p.hasVictims && p.countMachinesBeingFreed(d) == 0 {
-		p.preemptOrReserve(i, zones, maxFetch)
+		p.preemptOrReserve(i, zones, maxFetchS)
 	}
 }
 
-// preemptOrReserve makes room for a whole gang in one of the zones: at once by preemption
-// where that suffices, and otherwise by reserving the machines where its room comes soonest
-// by itself. Without a reservation arrays would use each CPU as it becomes free, and the
-// gang would wait for as long as they come.
-func (p *planner) preemptOrReserve(i int, zones []int, maxFetch float64) {
+// preemptOrReserve makes room for a whole gang in one of the zones. It preempts tasks where
+// that suffices, and otherwise reserves the machines that will have room soonest as tasks
+// complete. Without a reservation, arrays would use each CPU as it becomes free, and the gang
+// would starve as long as arrays are submitted.
+func (p *planner) preemptOrReserve(i int, zones []int, maxFetchS float64) {
 	var best []int
-	soonest := math.Inf(1)
+	soonestS := math.Inf(1)
 	for _, zone := range zones {
-		preempted, machines, after := p.preemptOrReserveInZone(i, zone, maxFetch)
+		preempted, machines, afterS := p.preemptOrReserveInZone(i, zone, maxFetchS)
 		if preempted {
 			return
 		}
-		if machines != nil && after < soonest {
+		if machines != nil && afterS < soonestS {
 			best = machines
-			soonest = after
+			soonestS = afterS
 		}
 	}
 	d := &p.Demands[i]
-	if soonest > max(minReservationS, min(d.WaitedS, maxReservationS)) {
+	if soonestS > max(minReservationS, min(d.WaitedS, maxReservationS)) {
 		return
 	}
 	for _, m := range best {
@@ -185,19 +188,19 @@
 }
 
 // preemptOrReserveInZone makes room for a gang in a zone by preemption. If that does not
-// suffice, nothing is preempted, and it returns the machines that have room for the gang
-// soonest, and in how many seconds; nil if there are too few.
-func (p *planner) preemptOrReserveInZone(i, zone int, maxFetch float64) (preempted bool, machines []int, after float64) {
+// suffice, it preempts nothing and returns the machines that will have room for the gang
+// soonest, and the time in seconds until then. machines is nil if there are too few.
+func (p *planner) preemptOrReserveInZone(i, zone int, maxFetchS float64) (preempted bool, machines []int, afterS float64) {
 	d := &p.Demands[i]
 	s := p.snapshot(d)
 	planned := len(p.plan.Preemptions)
-	machines = p.debitFreeRoom(s, p.newQueue(d, zone, maxFetch == 0))
+	machines = p.debitFreeRoom(s, p.newQueue(d, zone, maxFetchS == 0))
 	missing := len(d.Pending) - len(machines)
-	if p.preempt(i, zone, missing, maxFetch) == missing {
+	if p.preempt(i, zone, missing, maxFetchS) == missing {
 		return true, nil, 0
 	}
 	p.cancelPreemptions(planned)
-	upcoming := p.upcomingRoom(d, zone, maxFetch)
+	upcoming := p.upcomingRoom(d, zone, maxFetchS)
 	s.restore()
 	if len(upcoming) < missing {
 		return false, nil, 0
@@ -205,15 +208,15 @@
 	slices.SortFunc(upcoming, func(a, b upcomingMachine) int {
 		return cmp.Or(cmp.Compare(a.afterS, b.afterS), cmp.Compare(a.machine, b.machine))
 	})
-	for _, r := range upcoming[:missing] {
-		machines = append(machines, r.machine)
-		after = r.afterS
+	for _, u := range upcoming[:missing] {
+		machines = append(machines, u.machine)
+		afterS = u.afterS
 	}
-	return false, machines, after
+	return false, machines, afterS
 }
 
-// debitFreeRoom debits members of a gang from the machines that have room for them, one
-// element of machines for each member.
+// debitFreeRoom debits members of a gang from the machines that have room now. It returns one
+// machine for each such member.
 func (p *planner) debitFreeRoom(s *snapshot, q *candidateQueue) (machines []int) {
 	d := s.demand
 	for len(machines) < len(d.Pending) {
@@ -229,54 +232,54 @@
 	return machines
 }
 
-// cancelPreemptions takes back the preemptions from index planned on.
+// cancelPreemptions removes the preemptions from index planned on from the plan.
 func (p *planner) cancelPreemptions(planned int) {
-	for _, e := range p.plan.Preemptions[planned:] {
-		p.Machines[e.Machine].endReservation()
+	for _, preemption := range p.plan.Preemptions[planned:] {
+		p.Machines[preemption.Machine].endReservation()
 	}
 	p.plan.Preemptions = p.plan.Preemptions[:planned]
 }
 
-// upcomingMachine is a machine that has room for a member of a gang later, its fetch
-// included.
+// upcomingMachine is a machine that will have room and the image for a member of a gang.
 type upcomingMachine struct {
-	machine int // index into Input.Machines
-	afterS  float64
+	machine int     // index into Input.Machines
+	afterS  float64 // time in seconds until then
 }
 
-// upcomingRoom returns the machines that have room for a task of the demand later and not
-// now.
-func (p *planner) upcomingRoom(d *Demand, zone int, maxFetch float64) []upcomingMachine {
+// upcomingRoom returns the machines that have no room for a task of the demand now but will
+// have later.
+func (p *planner) upcomingRoom(d *Demand, zone int, maxFetchS float64) []upcomingMachine {
 	var upcoming []upcomingMachine
 	p.eachMachine(zone, func(i int, m *Machine) {
-		if !p.canMakeRoom(m, d, maxFetch) || m.Free.Fits(d.Need) {
+		if !p.canMakeRoom(m, d, maxFetchS) || m.Free.Fits(d.Need) {
 			return
 		}
-		if after := p.secondsUntilFit(m, d); !math.IsInf(after, 1) {
-			upcoming = append(upcoming, upcomingMachine{machine: i, afterS: after + m.fetchSeconds(d)})
+		if fitS := p.secondsUntilFit(m, d); !math.IsInf(fitS, 1) {
+			upcoming = append(upcoming, upcomingMachine{machine: i, afterS: fitS + m.fetchSeconds(d)})
 		}
 	})
 	return upcoming
 }
 
-// secondsUntilFit returns in how many seconds a machine has room for a task of the demand,
-// infinity if never: what the demand may preempt goes at once, the rest when it completes.
+// secondsUntilFit returns the time in seconds until a machine has room for a task of the
+// demand, or infinity if it never will. Tasks that the demand may preempt count as leaving at
+// once, the others when they complete.
 func (p *planner) secondsUntilFit(m *Machine, d *Demand) float64 {
 	victims := slices.Clone(m.Victims)
-	leavesIn := func(v *Victim) float64 {
+	remainingS := func(v *Victim) float64 {
 		if p.canPreempt(d, v) {
 			return 0
 		}
 		return v.RemainingS
 	}
 	slices.SortFunc(victims, func(a, b Victim) int {
-		return cmp.Compare(leavesIn(&a), leavesIn(&b))
+		return cmp.Compare(remainingS(&a), remainingS(&b))
 	})
 	free := m.Free
 	for i := range victims {
 		free = free.addScaled(victims[i].Need, 1)
 		if free.Fits(d.Need) {
-			return leavesIn(&victims[i])
+			return remainingS(&victims[i])
 		}
 	}
 	return math.Inf(1)
--- a/internal/place/machine.go
+++ b/internal/place/machine.go
@@ -6,87 +6,90 @@
 	"vetchstream/internal/job"
 )
 
-// Machine is a machine that may get tasks.
+// Machine is a machine on which the plan may place tasks.
 type Machine struct {
 	// ID identifies the machine for Demand.LastMachine.
 	ID int
-	// Type indexes Demand.AllowedTypes.
+	// Type is an index into Demand.AllowedTypes.
 	Type int
 	// Zone is the index of the machine's zone.
 	Zone int
-	// Spot: the cloud may take the machine back at any time.
+	// Spot reports whether the cloud may reclaim the machine at any time.
 	Spot bool
-	// Total is what the machine has, Free what no task uses.
+	// Total is the machine's resources, Free the part that no task uses.
 	Total Resources
 	Free  Resources
-	// WaitingTasks counts the tasks that wait for their image, Tasks all tasks on the machine. Both
-	// include placements that no heartbeat has covered yet.
+	// WaitingTasks is the number of tasks that wait for their image, Tasks that of all tasks on
+	// the machine. Both include placements that no heartbeat has confirmed yet.
 	WaitingTasks int
 	Tasks        int
-	// Scale makes WaitingTasks and Tasks of machines of different size comparable: the CPUs of the
-	// smallest machine type over those of this one.
+	// Scale makes the task counts of machines of different sizes comparable. It is the number
+	// of CPUs of the smallest machine type divided by that of this type.
 	Scale float64
-	// Price is what a CPU costs here, in multiples of the cheapest.
+	// Price is the price of a CPU as a multiple of the lowest price.
 	Price float64
-	// Images are those cached here or being fetched. FetchGBPerS is the rate of a fetch, in GB
-	// per second; 0 if unknown.
+	// Images lists the images that are cached or being fetched. FetchGBPerS is the rate at which
+	// the machine fetches images, or 0 if unknown.
 	Images      []int
 	FetchGBPerS float64
-	// Unreliable: a task failed here recently.
+	// Unreliable reports whether a task failed on the machine recently.
 	Unreliable bool
-	// ReservedFor is the id of the demand for which Reserved is set aside; 0 means none.
+	// ReservedFor is the ID of the demand for which the plan reserves Reserved, or 0 for none.
 	ReservedFor int
 	Reserved    Resources
-	// AwaitsCompletion: the reserved resources become free as tasks complete; nothing was
-	// preempted for them.
+	// AwaitsCompletion reports whether the reserved resources become free because tasks
+	// complete, rather than by preemption.
 	AwaitsCompletion bool
-	// HeldFor is the id of the demand for which the calendar holds the whole machine: 0 means
-	// none, FutureDemandID that the job is not there yet.
+	// HeldFor is the ID of the demand for which the calendar holds the whole machine, 0 for
+	// none, or FutureDemandID if the job was not submitted yet.
 	HeldFor int
-	// HeldInS is in how many seconds the holder needs the machine. Until then it may run tasks
-	// that are sure to have ended by that time.
+	// HeldInS is the time in seconds until that demand needs the machine. Until then, the
+	// machine may run other tasks that have certainly ended by that time.
 	HeldInS float64
-	// MaintenanceDue: maintenance begins in MaintenanceInS seconds. Draining: the machine takes
-	// no more tasks that could be moved.
+	// MaintenanceDue reports whether maintenance is due, which begins in MaintenanceInS seconds.
+	// Draining reports whether the machine no longer accepts tasks that would have to be moved.
 	MaintenanceDue bool
 	Draining       bool
 	MaintenanceInS float64
-	// Victims are the tasks on the machine that may be preempted.
+	// Victims lists the tasks on the machine that may be preempted.
 	Victims []Victim
-	// UnclearedExits are the tasks whose exits the worker still reports. It would refuse
-	// another attempt of them.
+	// UnclearedExits is the set of tasks whose exit the worker still reports. The worker would
+	// refuse another attempt at them.
 	UnclearedExits map[TaskKey]bool
 }
 
-// FutureDemandID is the id of a demand that is not there yet.
+// FutureDemandID stands for a demand whose job was not submitted yet.
 const FutureDemandID = -1
 
-// TaskKey names a task of a demand.
+// TaskKey identifies a task of a demand.
 type TaskKey struct {
-	Demand int // id of the demand
+	Demand int // ID of the demand
 	Task   int32
 }
 
 // Victim is a task that may be preempted.
 type Victim struct {
-	// ID names the victim in Preemption.Victims.
+	// ID identifies the victim in Preemption.Victims.
 	ID       int
 	Priority job.Priority
-	// Team indexes Input.Teams; -1 means none.
+	// Team is an index into Input.Teams, or -1 for none.
 	Team int
-	// Need is what the task uses.
+	// Need is the resources that the task uses.
 	Need Resources
-	// Released is what is stopped with it: its whole gang, or the task alone.
+	// Released is the resources of all tasks that are stopped with it: its whole gang, or the
+	// task alone.
 	Released Resources
-	// LossCPUSeconds is the work that preempting it throws away, in CPU seconds.
+	// LossCPUSeconds is the work, in CPU seconds, that preempting the task discards.
 	LossCPUSeconds float64
-	// RemainingS is the time in which it is expected to complete, in seconds.
+	// RemainingS is the time in seconds until the task is expected to complete.
 	RemainingS float64
-	// Late: its job has to start now to be in time, so it would preempt others itself.
+	// Late reports whether the job has to start now to meet its deadline, so that it would
+	// preempt other tasks itself if it were stopped.
 	Late bool
 }
 
-// released returns what becomes free, here and elsewhere, when the victim is preempted.
+// released returns the resources that become free, on this and other machines, when the
+// victim is preempted.
 func (v *Victim) released() Resources {
 	return Resources{
 		CPUs:  max(v.Need.CPUs, v.Released.CPUs),
@@ -95,10 +98,10 @@
 	}
 }
 
-// hasImage reports whether the demand's image is cached on the machine or being fetched.
+// hasImage reports whether the machine has the demand's image in its cache or is fetching it.
 func (m *Machine) hasImage(d *Demand) bool { return slices.Contains(m.Images, d.Image) }
 
-// fetchSeconds returns how long the machine takes to fetch the demand's image, in seconds.
+// fetchSeconds returns the time in seconds that the machine takes to fetch the demand's image.
 func (m *Machine) fetchSeconds(d *Demand) float64 {
 	if m.FetchGBPerS <= 0 || m.hasImage(d) {
 		return 0
@@ -106,8 +109,8 @@
 	return d.ImageGB / m.FetchGBPerS
 }
 
-// available returns what the demand may use of the machine: what is free, less what is
-// reserved for other demands.
+// available returns the resources of the machine that the demand may use: the free ones less
+// those reserved for another demand.
 func (m *Machine) available(d *Demand) Resources {
 	if m.ReservedFor != 0 && m.ReservedFor != d.ID {
 		return m.Free.addScaled(m.Reserved, -1)
@@ -115,14 +118,14 @@
 	return m.Free
 }
 
-// reservationBlocks reports whether the machine has a reservation that stands in the way of
-// making another one for the demand: another demand's, or the demand's own for which tasks
-// are being stopped already.
+// reservationBlocks reports whether an existing reservation keeps the machine from being
+// reserved for the demand. A reservation for another demand does, and so does the demand's
+// own if tasks are being preempted for it.
 func (m *Machine) reservationBlocks(d *Demand) bool {
 	return m.ReservedFor != 0 && (m.ReservedFor != d.ID || !m.AwaitsCompletion)
 }
 
-// reserve sets resources of the machine aside for a task of the demand.
+// reserve reserves resources of the machine for a task of the demand.
 func (m *Machine) reserve(d *Demand, awaitsCompletion bool) {
 	m.ReservedFor = d.ID
 	m.Reserved = d.Need
@@ -135,7 +138,7 @@
 	m.Reserved = Resources{}
 }
 
-// claim takes what a task of the demand needs out of the demand's reservation.
+// claim deducts the resources of a task of the demand from the demand's reservation.
 func (m *Machine) claim(d *Demand) {
 	m.Reserved = m.Reserved.addScaled(d.Need, -1)
 	if m.Reserved.CPUs < slack && m.Reserved.GPUs < slack && m.Reserved.MemGB < slack {
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -1,15 +1,15 @@
-// Package place decides which tasks run on which machines. It is pure: machines, demands
-// and the time are passed in, and the same input gives the same plan.
+// Package place decides which tasks run on which machines. It is pure: machines, demands and
+// the time are passed in, and the same input gives the same plan.
 //
-// Filters (eligible) rule machines out; among those with room the score (Cost) decides.
-// It is the one of Hać and Johnson's paper on load balancing: the best machine is the one
-// with the shortest vector of squared, weighted loads and unmet conditions. A demand that
-// finds no room may preempt other tasks.
+// Hard constraints (eligible) rule machines out. Among the remaining machines with room, the
+// one with the lowest cost (Cost) is chosen. The cost function follows Hać and Johnson's paper
+// on load balancing: the best machine has the shortest vector of weighted loads and unmet
+// preferences. A demand that finds no room may preempt other tasks.
 package place
 
 import "vetchstream/internal/job"
 
-// Input is all that a plan depends on. MakePlan changes what it refers to.
+// Input is the input of MakePlan, which modifies the slices and maps in it.
 type Input struct {
 	Machines []Machine
 	Demands  []Demand
@@ -17,15 +17,15 @@
 	Weights  Weights
 }
 
-// Plan is what MakePlan decides.
+// Plan is the result of MakePlan.
 type Plan struct {
 	Assignments  []Assignment
 	Preemptions  []Preemption
 	Reservations []Reservation
-	// Unplaced counts, per demand, the tasks that found no machine although their team's
-	// limit has room for them.
+	// Unplaced is, for each demand, the number of tasks for which no machine has room, counting
+	// only tasks that fit into their team's limit.
 	Unplaced []int
-	// OverLimit tells, per demand, whether its team's limit kept tasks from being placed.
+	// OverLimit reports, for each demand, whether its team's limit kept tasks from being placed.
 	OverLimit []bool
 }
 
@@ -36,14 +36,14 @@
 	Machine int // index into Input.Machines
 }
 
-// Preemption stops tasks on a machine and reserves the room for a task of a demand.
+// Preemption stops tasks on a machine and reserves their resources for a task of a demand.
 type Preemption struct {
 	Demand  int   // index into Input.Demands
 	Machine int   // index into Input.Machines
-	Victims []int // ids of the victims
+	Victims []int // IDs of the victims
 }
 
-// Reservation reserves room on a machine for a member of a gang, which becomes free as
+// Reservation reserves resources of a machine for a member of a gang. They become free as
 // other tasks complete.
 type Reservation struct {
 	Demand  int // index into Input.Demands
@@ -54,25 +54,28 @@
 type planner struct {
 	Input
 	plan Plan
-	// withinGuarantee tells, per demand, whether its next task is inside its team's guarantee.
+	// withinGuarantee reports, for each demand, whether its next task is within its team's
+	// guarantee.
 	withinGuarantee []bool
-	// machinesByZone lists the machines of each zone, in their order.
+	// machinesByZone lists the indexes of the machines of each zone in ascending order.
 	machinesByZone [][]int
-	// victimsSorted tells of which machines the victims are in the order of preemption.
+	// victimsSorted reports, for each machine, whether sortVictims has sorted its victims.
 	victimsSorted []bool
-	// hasVictims: there are tasks that may be preempted; lowestPriority is the lowest of their
-	// priorities.
+	// hasVictims reports whether any machine has victims, and lowestPriority is the lowest
+	// priority among them.
 	hasVictims     bool
 	lowestPriority job.Priority
-	// lastQueue is the queue of the previous demand, for one that is interchangeable with it.
+	// lastQueue is the queue of the previous demand, which the next demand reuses if the two
+	// are interchangeable.
 	lastQueue *candidateQueue
-	// reservedFor holds the demands for which a machine is reserved, or held by the calendar.
+	// reservedFor is the set of IDs of demands for which a machine is reserved or held by the
+	// calendar.
 	reservedFor map[int]bool
-	// usesCalendar: the calendar holds some machine, or has maintenance due there.
+	// usesCalendar reports whether the calendar holds any machine or has maintenance due on one.
 	usesCalendar bool
 }
 
-// MakePlan makes a plan.
+// MakePlan decides where the tasks of the demands run.
 func MakePlan(in Input) Plan {
 	p := &planner{Input: in}
 	p.plan.Unplaced = make([]int, len(in.Demands))
@@ -86,24 +89,24 @@
 	return p.plan
 }
 
-// placeDemand places what fits of a demand.
+// placeDemand places as many tasks of a demand as fit.
 func (p *planner) placeDemand(i int) {
 	d := &p.Demands[i]
 	switch {
 	case d.Shape == job.Gang:
 		p.placeGang(i)
-		p.lastQueue = nil // it may have reserved machines
+		p.lastQueue = nil // placeGang may have reserved machines
 	case d.FetchTooSlow && p.canPreemptAny(d):
 		p.placeWhereCached(i)
 	default:
-		// What is inside a guarantee need not leave machines to others.
+		// A demand within its guarantee need not leave machines to others.
 		d.CanDelay = d.CanDelay && !p.withinGuarantee[i]
 		p.placeTasks(i, d.CanDelay)
 	}
 }
 
-// placeDelayed gives the room that is left to the demands that left machines without their
-// image to others.
+// placeDelayed places the remaining tasks of demands with delay scheduling, which until then
+// left machines without their image to others.
 func (p *planner) placeDelayed(order []int) {
 	for _, i := range order {
 		if d := &p.Demands[i]; d.CanDelay && len(d.Pending) > 0 {
@@ -112,19 +115,19 @@
 	}
 }
 
-// buildIndex prepares what the demands share.
+// buildIndex builds the indexes of machines, victims and reservations that all demands share.
 func (p *planner) buildIndex() {
 	p.machinesByZone = make([][]int, p.zoneCount())
 	p.victimsSorted = make([]bool, len(p.Machines))
 	p.reservedFor = map[int]bool{}
-	teams := map[int]int{}
+	teamByDemand := map[int]int{}
 	for i := range p.Demands {
-		teams[p.Demands[i].ID] = p.Demands[i].Team
+		teamByDemand[p.Demands[i].ID] = p.Demands[i].Team
 	}
 	for i := range p.Machines {
 		m := &p.Machines[i]
 		if m.ReservedFor > 0 && !m.AwaitsCompletion {
-			if t, waits := teams[m.ReservedFor]; waits && t >= 0 {
+			if t, ok := teamByDemand[m.ReservedFor]; ok && t >= 0 {
 				p.Teams[t].Claimed = p.Teams[t].Claimed.addScaled(m.Reserved, 1)
 			}
 		}
@@ -136,7 +139,7 @@
 	}
 }
 
-// zoneCount returns how many zones the machines and the demands know of.
+// zoneCount returns the number of zones that occur in the machines and the demands.
 func (p *planner) zoneCount() int {
 	zones := 0
 	for i := range p.Machines {
@@ -148,18 +151,18 @@
 	return zones
 }
 
-// addVictimPriorities updates the lowest priority that may be preempted with a machine's victims.
+// addVictimPriorities updates hasVictims and lowestPriority with a machine's victims.
 func (p *planner) addVictimPriorities(m *Machine) {
 	for v := range m.Victims {
-		if r := m.Victims[v].Priority; !p.hasVictims || r < p.lowestPriority {
-			p.lowestPriority = r
+		if priority := m.Victims[v].Priority; !p.hasVictims || priority < p.lowestPriority {
+			p.lowestPriority = priority
 			p.hasVictims = true
 		}
 	}
 }
 
 // eachMachine calls f for the machines of a zone, or of all zones if zone is negative, in
-// their order.
+// ascending order of their indexes.
 func (p *planner) eachMachine(zone int, f func(i int, m *Machine)) {
 	if zone >= 0 {
 		for _, i := range p.machinesByZone[zone] {
--- a/internal/place/queue.go
+++ b/internal/place/queue.go
@@ -7,53 +7,53 @@
 	"vetchstream/internal/job"
 )
 
-// candidateQueue is a heap of the machines that have room for a task of a demand: the best
-// score first, and the first machine among equals. It gives what scoring every machine for
-// every task would, but scores them once for all tasks of the demand, because a placement
-// changes the score of its own machine alone. (For a service it changes the whole zone's,
-// so that the queue is built anew for each replica.)
+// candidateQueue is a heap of the machines that have room for a task of a demand, ordered by
+// cost and then by index. It gives the same result as computing the cost of every machine for
+// every task, but computes it only once for all tasks of the demand, because a placement
+// changes the cost of its own machine only. For a service, a placement changes the cost of
+// the whole zone, so the queue is rebuilt after each replica.
 type candidateQueue struct {
 	planner *planner
 	demand  *Demand
-	// zone is the only zone of the candidates; -1 means any.
+	// zone is the only zone of the candidates, or -1 for any.
 	zone int
-	// cachedOnly: only machines that have the image, or fetch it.
+	// cachedOnly restricts the candidates to machines that have the image or are fetching it.
 	cachedOnly bool
 	heap       []candidate
-	// capacity is how many tasks fit when the queue is built.
+	// capacity is the number of tasks that fit when the queue is built.
 	capacity int
 }
 
-// candidate is a machine with its score.
+// candidate is a machine with its cost.
 type candidate struct {
 	cost    float64
 	machine int // index into Input.Machines
 }
 
-// Len is part of heap.Interface.
+// Len implements heap.Interface.
 func (q *candidateQueue) Len() int { return len(q.heap) }
 
-// Less is part of heap.Interface.
+// Less implements heap.Interface.
 func (q *candidateQueue) Less(a, b int) bool {
 	x, y := &q.heap[a], &q.heap[b]
 	return x.cost < y.cost || (x.cost == y.cost && x.machine < y.machine)
 }
 
-// Swap is part of heap.Interface.
+// Swap implements heap.Interface.
 func (q *candidateQueue) Swap(a, b int) { q.heap[a], q.heap[b] = q.heap[b], q.heap[a] }
 
-// Push is part of heap.Interface.
+// Push implements heap.Interface.
 func (q *candidateQueue) Push(x any) { q.heap = append(q.heap, x.(candidate)) }
 
-// Pop is part of heap.Interface.
+// Pop implements heap.Interface.
 func (q *candidateQueue) Pop() any {
 	last := len(q.heap) - 1
-	c := q.heap[last]
+	popped := q.heap[last]
 	q.heap = q.heap[:last]
-	return c
+	return popped
 }
 
-// newQueue builds a queue for a demand.
+// newQueue returns a new queue for a demand.
 func (p *planner) newQueue(d *Demand, zone int, cachedOnly bool) *candidateQueue {
 	q := &candidateQueue{
 		planner:    p,
@@ -65,8 +65,9 @@
 	return q
 }
 
-// reuseQueue returns the previous demand's queue if it serves this demand too, and builds
-// one otherwise. Thousands of small jobs that are alike need not score every machine each.
+// reuseQueue returns the previous demand's queue if it has the same candidates and costs, and
+// a new one otherwise. This saves computing the cost of every machine for each of thousands
+// of similar small jobs.
 func (p *planner) reuseQueue(d *Demand, zone int, cachedOnly bool) *candidateQueue {
 	q := p.lastQueue
 	if q == nil || q.zone != zone || q.cachedOnly != cachedOnly || !p.sharesQueue(q.demand, d) {
@@ -76,7 +77,7 @@
 	return q
 }
 
-// sharesQueue reports whether two demands have the same candidates with the same scores.
+// sharesQueue reports whether two demands have the same candidates with the same costs.
 func (p *planner) sharesQueue(a, b *Demand) bool {
 	if p.usesCalendar && (a.EndsInS != b.EndsInS || a.Movable != b.Movable) {
 		return false
@@ -84,8 +85,8 @@
 	return interchangeable(a, b) && !p.reservedFor[a.ID] && !p.reservedFor[b.ID]
 }
 
-// interchangeable reports whether two demands see the same score on every machine, and may
-// use the same ones, whatever has been placed of either.
+// interchangeable reports whether two demands may use the same machines at the same costs,
+// regardless of which of their tasks have been placed.
 func interchangeable(a, b *Demand) bool {
 	return a.Shape == job.Array && b.Shape == job.Array &&
 		a.Need == b.Need &&
@@ -103,7 +104,7 @@
 	q.heap = q.heap[:0]
 	q.capacity = 0
 	q.planner.eachMachine(q.zone, func(i int, m *Machine) {
-		// The first condition is implied by the second, and cheap.
+		// The first condition is a cheap check that hasRoom would also make.
 		if m.Free.CPUs+slack < q.demand.Need.CPUs || !q.hasRoom(m) || (q.cachedOnly && !m.hasImage(q.demand)) {
 			return
 		}
@@ -124,14 +125,14 @@
 
 // next returns the index of the best machine for a task, or -1 if there is none.
 func (q *candidateQueue) next(task int32) int {
-	// skipped are machines that would refuse this task; they stay candidates for others.
+	// skipped holds machines that would refuse this task but remain candidates for others.
 	var skipped []candidate
 	best := -1
 	for len(q.heap) > 0 {
 		c := q.heap[0]
 		m := &q.planner.Machines[c.machine]
 		if !q.hasRoom(m) {
-			heap.Pop(q) // for good: it is full, or its zone is closed to the demand by now
+			heap.Pop(q) // permanently: the machine is full, or the demand may no longer use its zone
 			continue
 		}
 		if len(m.UnclearedExits) > 0 && m.UnclearedExits[TaskKey{Demand: q.demand.ID, Task: task}] {
@@ -147,7 +148,7 @@
 	return best
 }
 
-// placed updates the queue after a placement on machine i.
+// placed updates the queue after a task was placed on machine i.
 func (q *candidateQueue) placed(i int) {
 	if q.demand.Shape == job.Service {
 		q.fill()
--- a/internal/place/quota.go
+++ b/internal/place/quota.go
@@ -1,35 +1,36 @@
 package place
 
-// Team holds a team's quota and what its tasks use.
+// Team holds the quota of a team and the resources that its tasks use.
 type Team struct {
-	// Guarantee is the team's guaranteed share. A resource of which 0 is guaranteed is not
-	// part of it.
+	// Guarantee is the team's guaranteed share. A resource with the value 0 is not part of the
+	// guarantee.
 	Guarantee Resources
-	// Limit bounds what the team's tasks may use at any time; 0 means no limit.
+	// Limit bounds the resources that the team's tasks may use at any time. 0 means no limit.
 	Limit Resources
-	// Used is what the team's tasks use, those that are being stopped included.
+	// Used is the resources that the team's tasks use, including tasks that are being stopped.
 	Used Resources
-	// Stopping is the part of Used whose tasks are being stopped.
+	// Stopping is the part of Used that belongs to tasks that are being stopped.
 	Stopping Resources
-	// Claimed is what preemption is freeing for the team and its tasks do not use yet.
+	// Claimed is the resources that preemption is freeing for the team and that its tasks do
+	// not use yet.
 	Claimed Resources
 }
 
-// canYield reports whether the team still has its guarantee when tasks that use r are
-// stopped. Only what it borrows may be stopped for another team's guarantee: a team pushed
-// below its own guarantee would claim the resources back, and the two would preempt each
-// other for ever.
+// canYield reports whether the team still uses its guaranteed share after tasks that use r
+// are stopped. Only borrowed resources may be reclaimed for another team's guarantee: a team
+// pushed below its own guarantee would reclaim them in turn, and the two teams would preempt
+// each other for ever.
 func (t *Team) canYield(r Resources) bool {
 	left := t.Used.addScaled(t.Stopping, -1).addScaled(r, -1)
 	return left.CPUs >= t.Guarantee.CPUs-slack && left.GPUs >= t.Guarantee.GPUs-slack
 }
 
-// withinGuarantee reports whether need, on top of what the team uses, is inside its
-// guarantee. Resources that are not guaranteed are not looked at, but need must include at
-// least one that is.
+// withinGuarantee reports whether need, added to the resources that the team uses, stays
+// within its guarantee. It ignores resources without a guarantee, but need must include at
+// least one with a guarantee.
 func (t *Team) withinGuarantee(need Resources) bool {
 	used := t.Used.addScaled(need, 1)
-	inside := false
+	includesGuaranteed := false
 	for _, r := range [...]struct{ guaranteed, used, need float64 }{
 		{t.Guarantee.CPUs, used.CPUs, need.CPUs},
 		{t.Guarantee.GPUs, used.GPUs, need.GPUs},
@@ -40,20 +41,22 @@
 		if r.used > r.guaranteed+slack {
 			return false
 		}
-		inside = inside || r.need > 0
+		includesGuaranteed = includesGuaranteed || r.need > 0
 	}
-	return inside
+	return includesGuaranteed
 }
 
-// withinLimit reports whether need, on top of what the team uses, is inside its limit.
+// withinLimit reports whether need, added to the resources that the team uses, stays within
+// its limit.
 func (t *Team) withinLimit(need Resources) bool {
 	used := t.Used.addScaled(need, 1)
 	return (t.Limit.CPUs == 0 || used.CPUs <= t.Limit.CPUs+slack) &&
 		(t.Limit.GPUs == 0 || used.GPUs <= t.Limit.GPUs+slack)
 }
 
-// borrowed returns what the team uses beyond its guarantee. Where only GPUs are guaranteed,
-// the CPUs that come with them are not borrowed; without any guarantee everything is.
+// borrowed returns the resources that the team uses beyond its guarantee. If only GPUs are
+// guaranteed, CPUs do not count as borrowed, because GPU tasks need CPUs too. Without any
+// guarantee, everything is borrowed.
 func (t *Team) borrowed() (r Resources) {
 	if t.Guarantee.CPUs == 0 && t.Guarantee.GPUs == 0 {
 		return t.Used
@@ -69,11 +72,11 @@
 
 // borrows reports whether the team uses CPUs or GPUs beyond its guarantee.
 func (t *Team) borrows() bool {
-	b := t.borrowed()
-	return b.CPUs > slack || b.GPUs > slack
+	extra := t.borrowed()
+	return extra.CPUs > slack || extra.GPUs > slack
 }
 
-// withinTeamLimit reports whether the limit of the demand's team has room for need.
+// withinTeamLimit reports whether need fits into the limit of the demand's team.
 func (p *planner) withinTeamLimit(d *Demand, need Resources) bool {
 	return d.Team < 0 || p.Teams[d.Team].withinLimit(need)
 }
--- a/internal/place/resources.go
+++ b/internal/place/resources.go
@@ -6,14 +6,14 @@
 	"vetchstream/internal/job"
 )
 
-// Resources is what a task takes, or what a machine or a team has.
+// Resources is an amount of resources, such as those of a machine, a task or a team.
 type Resources struct {
 	CPUs  float64
 	GPUs  float64
 	MemGB float64
 }
 
-// slack absorbs the rounding of sums of decimal amounts.
+// slack absorbs rounding errors in sums of resource amounts.
 const slack = 1e-6
 
 // Fits reports whether b fits into a.
@@ -45,8 +45,8 @@
 	return int(max(0, min(n, job.MaxTasks)))
 }
 
-// dominantShare returns the larger of the shares that a has of the CPUs and of the GPUs of
-// total.
+// dominantShare returns the larger of two shares: that of a's CPUs in the total CPUs and that
+// of a's GPUs in the total GPUs.
 func (a Resources) dominantShare(total Resources) (share float64) {
 	if total.CPUs > 0 {
 		share = a.CPUs / total.CPUs
