--- a/internal/place/preempt_test.go
+++ b/internal/place/preempt_test.go
@@ -7,7 +7,8 @@
 	"vetchstream/internal/job"
 )
 
-// preemptInput is a machine with two victims and a gang of a higher priority that lacks room.
+// preemptInput returns an input with one machine that runs two victims, and a gang of a higher
+// priority that lacks room.
 func preemptInput() Input {
 	m := machine(0, 0, 8)
 	m.Free = Resources{CPUs: 1, MemGB: 30}
@@ -20,8 +21,9 @@
 	return Input{Machines: []Machine{m}, Demands: []Demand{d}, Teams: []Team{{}, {Used: Resources{CPUs: 7}}}, Weights: paperWeights}
 }
 
-// setGuaranteeClaim makes an array of four wait whose team uses three CPUs; on each of three machines
-// there is a task that the other team borrows for.
+// setGuaranteeClaim replaces the input by an array of four tasks whose team has the given
+// guarantee of CPUs and uses three, and by three machines that each run a task on CPUs which the
+// other team borrows.
 func setGuaranteeClaim(in *Input, guarantee float64) {
 	d := demand(1, job.Array, 1, 0, 1, 2, 3)
 	d.Priority, d.MayPreempt = job.Standard, true
@@ -36,7 +38,7 @@
 	}
 }
 
-// makeVictimsLate makes all victims of the first machine late.
+// makeVictimsLate marks all victims of the first machine as late.
 func makeVictimsLate(in *Input) {
 	for v := range in.Machines[0].Victims {
 		in.Machines[0].Victims[v].Late = true
@@ -46,32 +48,32 @@
 var preemptTests = []struct {
 	name   string
 	change func(*Input)
-	want   []int
+	want   []int // IDs of the preempted victims
 }{
-	{"the cheapest victims that make room", func(*Input) {}, []int{1}},
-	{"not the same priority", func(in *Input) { in.Demands[0].Priority = job.Standard }, nil},
-	{"borrowed work yields to a guarantee", func(in *Input) {
+	{"the victim that makes room with the least loss is preempted", func(*Input) {}, []int{1}},
+	{"a demand of the same priority preempts nothing", func(in *Input) { in.Demands[0].Priority = job.Standard }, nil},
+	{"a demand within its guarantee preempts a task on borrowed CPUs", func(in *Input) {
 		in.Demands[0].Priority = job.Standard
 		in.Teams[0].Guarantee = Resources{CPUs: 10}
 		in.Teams[1].Guarantee = Resources{CPUs: 2}
 	}, []int{1}},
-	{"no more than the other team has beyond its guarantee", func(in *Input) {
+	{"nothing is preempted if the other team would fall below its guarantee", func(in *Input) {
 		in.Demands[0].Priority = job.Standard
 		in.Teams[0].Guarantee = Resources{CPUs: 10}
 		in.Teams[1].Guarantee = Resources{CPUs: 5}
 	}, nil},
-	{"a gang that would leave whole counts whole", func(in *Input) {
+	{"a victim whose whole gang would push its team below the guarantee is skipped", func(in *Input) {
 		in.Demands[0].Priority = job.Standard
 		in.Teams[0].Guarantee = Resources{CPUs: 10}
 		in.Teams[1].Guarantee = Resources{CPUs: 2}
 		in.Machines[0].Victims[1].Released = Resources{CPUs: 6}
 	}, []int{0}},
-	{"what is leaving already is not beyond it", func(in *Input) {
+	{"nothing is preempted if the other team, without its tasks being stopped, would fall below its guarantee", func(in *Input) {
 		in.Demands[0].Priority = job.Standard
 		in.Teams[0].Guarantee = Resources{CPUs: 10}
 		in.Teams[1].Guarantee, in.Teams[1].Stopping = Resources{CPUs: 2}, Resources{CPUs: 3}
 	}, nil},
-	{"borrowed accelerators yield to a guarantee of accelerators", func(in *Input) {
+	{"a demand within its GPU guarantee preempts tasks on borrowed GPUs", func(in *Input) {
 		in.Demands[0].Priority = job.Standard
 		in.Demands[0].Need = Resources{CPUs: 4, GPUs: 4}
 		in.Machines[0].Total.GPUs = 4
@@ -81,38 +83,38 @@
 		in.Teams[0].Guarantee = Resources{GPUs: 10}
 		in.Teams[1] = Team{Guarantee: Resources{GPUs: 1}, Used: Resources{CPUs: 7, GPUs: 6}}
 	}, []int{1, 0}},
-	{"guaranteed work does not yield to a guarantee", func(in *Input) {
+	{"a demand within its guarantee does not preempt tasks within another guarantee", func(in *Input) {
 		in.Demands[0].Priority = job.Standard
 		in.Teams[0].Guarantee = Resources{CPUs: 10}
 		in.Teams[1].Guarantee = Resources{CPUs: 7}
 	}, nil},
-	{"late work inside its guarantee does not yield to a higher priority that borrows", func(in *Input) {
+	{"a higher priority outside its guarantee does not preempt late tasks within theirs", func(in *Input) {
 		in.Teams[0] = Team{Guarantee: Resources{CPUs: 2}, Used: Resources{CPUs: 5}}
 		in.Teams[1].Guarantee = Resources{CPUs: 10}
 		makeVictimsLate(in)
 	}, nil},
-	{"nor to a gang that would borrow a part of it", func(in *Input) {
+	{"a gang of higher priority partly outside its guarantee does not preempt late tasks within theirs", func(in *Input) {
 		in.Teams[0].Guarantee = Resources{CPUs: 6}
 		in.Teams[1].Guarantee = Resources{CPUs: 10}
 		in.Demands[0].Pending, in.Demands[0].Total = []int32{0, 1}, 2
 		in.Machines = append(in.Machines, machine(1, 0, 4))
 		makeVictimsLate(in)
 	}, nil},
-	{"it does while it has time, and does not claim the room back", func(in *Input) {
+	{"a higher priority outside its guarantee preempts tasks within theirs that are not late", func(in *Input) {
 		in.Teams[0] = Team{Guarantee: Resources{CPUs: 2}, Used: Resources{CPUs: 5}}
 		in.Teams[1].Guarantee = Resources{CPUs: 10}
 	}, []int{1}},
-	{"it does to a higher priority inside its own guarantee", func(in *Input) {
+	{"a higher priority within its guarantee preempts late tasks within theirs", func(in *Input) {
 		in.Teams[0].Guarantee = Resources{CPUs: 10}
 		in.Teams[1].Guarantee = Resources{CPUs: 10}
 		makeVictimsLate(in)
 	}, []int{1}},
-	{"late work beyond its guarantee yields", func(in *Input) {
+	{"a higher priority outside its guarantee preempts late tasks outside theirs", func(in *Input) {
 		in.Teams[0] = Team{Guarantee: Resources{CPUs: 2}, Used: Resources{CPUs: 5}}
 		in.Teams[1].Guarantee = Resources{CPUs: 4}
 		makeVictimsLate(in)
 	}, []int{1}},
-	{"and the other way round: late work takes the room that a higher priority borrows", func(in *Input) {
+	{"a lower priority within its guarantee preempts a higher priority on borrowed CPUs", func(in *Input) {
 		in.Demands[0].Priority = job.Standard
 		in.Teams[0].Guarantee = Resources{CPUs: 10}
 		in.Teams[1].Guarantee = Resources{CPUs: 2}
@@ -120,18 +122,18 @@
 			in.Machines[0].Victims[v].Priority = job.Urgent
 		}
 	}, []int{1}},
-	{"no more is claimed than the guarantee holds", func(in *Input) { setGuaranteeClaim(in, 5) }, []int{0, 1}},
-	{"what is being made counts", func(in *Input) {
+	{"an array preempts for two of four tasks if its guarantee has room for two", func(in *Input) { setGuaranteeClaim(in, 5) }, []int{0, 1}},
+	{"resources already reserved by preemption count against the guarantee", func(in *Input) {
 		setGuaranteeClaim(in, 5)
 		in.Machines[0].ReservedFor, in.Machines[0].Reserved = 1, Resources{CPUs: 1}
 	}, []int{1}},
-	{"all that the guarantee holds", func(in *Input) { setGuaranteeClaim(in, 6) }, []int{0, 1, 2}},
-	{"nothing is stopped twice for one demand", func(in *Input) {
+	{"an array preempts for three of four tasks if its guarantee has room for three", func(in *Input) { setGuaranteeClaim(in, 6) }, []int{0, 1, 2}},
+	{"nothing is preempted if a machine is already being freed for the gang", func(in *Input) {
 		in.Machines[0].ReservedFor, in.Machines[0].Reserved = 1, Resources{CPUs: 4}
 	}, nil},
 }
 
-// TestPreempt: which victims a gang or an array may preempt, by priority and by guarantee.
+// TestPreempt checks which victims a gang or an array preempts, by priority and by guarantee.
 func TestPreempt(t *testing.T) {
 	for _, tt := range preemptTests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -139,11 +141,11 @@
 			tt.change(&in)
 			p := MakePlan(in)
 			var got []int
-			for _, e := range p.Preemptions {
-				got = append(got, e.Victims...)
+			for _, preemption := range p.Preemptions {
+				got = append(got, preemption.Victims...)
 			}
 			if !reflect.DeepEqual(got, tt.want) {
-				t.Errorf("stopped %v, want %v", got, tt.want)
+				t.Errorf("preempted victims %v, want %v", got, tt.want)
 			}
 		})
 	}
--- a/internal/place/reference_test.go
+++ b/internal/place/reference_test.go
@@ -11,44 +11,47 @@
 	"vetchstream/internal/job"
 )
 
-// referencePlanner is the planner as the paper describes it, which scores every machine for
-// every task. The queue of MakePlan must come to the same result, ties included.
+// referencePlanner is a simple planner that computes the cost of every machine for every task, as
+// the paper describes it. MakePlan with its queue must give the same result, including ties.
 type referencePlanner struct {
 	planner
 }
 
+// best returns the index of the machine with the lowest cost for a task, or -1 if none has room.
 func (p *referencePlanner) best(d *Demand, task int32, zone int) int {
-	best, length := -1, math.Inf(1)
+	best, lowest := -1, math.Inf(1)
 	for i := range p.Machines {
 		m := &p.Machines[i]
 		if (zone >= 0 && m.Zone != zone) || !m.available(d).Fits(d.Need) || !p.eligible(m, d) || m.UnclearedExits[TaskKey{d.ID, task}] {
 			continue
 		}
-		if l := Cost(&p.Weights, m, d); l < length {
-			best, length = i, l
+		if cost := Cost(&p.Weights, m, d); cost < lowest {
+			best, lowest = i, cost
 		}
 	}
 	return best
 }
 
-// place places the tasks of demand i that fit in a zone, or in any if zone is -1.
-func (p *referencePlanner) place(i, zone int) (set []Assignment, length float64) {
+// place places the tasks of demand i that fit in a zone, or in any zone if zone is -1. It returns
+// the assignments and their total cost.
+func (p *referencePlanner) place(i, zone int) (assignments []Assignment, cost float64) {
 	d := &p.Demands[i]
-	for _, t := range d.Pending {
+	for _, task := range d.Pending {
 		if d.Team >= 0 && !p.Teams[d.Team].withinLimit(d.Need) {
 			break
 		}
-		m := p.best(d, t, zone)
+		m := p.best(d, task, zone)
 		if m < 0 {
 			break
 		}
-		length += Cost(&p.Weights, &p.Machines[m], d)
+		cost += Cost(&p.Weights, &p.Machines[m], d)
 		p.assign(d, m)
-		set = append(set, Assignment{i, t, m})
+		assignments = append(assignments, Assignment{i, task, m})
 	}
-	return set, length
+	return assignments, cost
 }
 
+// clone returns a copy of the planner that shares no state with it that place changes.
 func (p *referencePlanner) clone() *referencePlanner {
 	q := &referencePlanner{planner{Input: p.Input}}
 	q.Machines, q.Teams, q.Demands = slices.Clone(p.Machines), slices.Clone(p.Teams), slices.Clone(p.Demands)
@@ -58,6 +61,7 @@
 	return q
 }
 
+// referencePlan returns the assignments of the demands, which it places in the given order.
 func referencePlan(in Input, order []int) (all []Assignment) {
 	p := (&referencePlanner{planner{Input: in}}).clone()
 	for _, i := range order {
@@ -67,20 +71,20 @@
 			if d.OneZone && zone < 0 {
 				zone = p.zoneWithMostRoom(d)
 			}
-			set, _ := p.place(i, zone)
-			all = append(all, set...)
+			assignments, _ := p.place(i, zone)
+			all = append(all, assignments...)
 			continue
 		}
 		zones := []int{-1}
 		if d.OneZone {
 			zones = []int{0, 1, 2}
 		}
-		best, shortest := p, math.Inf(1)
+		best, lowest := p, math.Inf(1)
 		var chosen []Assignment
-		for _, z := range zones {
+		for _, zone := range zones {
 			q := p.clone()
-			if set, l := q.place(i, z); len(set) == len(d.Pending) && l < shortest {
-				best, shortest, chosen = q, l, set
+			if assignments, cost := q.place(i, zone); len(assignments) == len(d.Pending) && cost < lowest {
+				best, lowest, chosen = q, cost, assignments
 			}
 		}
 		p, all = best, append(all, chosen...)
@@ -88,12 +92,13 @@
 	return all
 }
 
+// randomInput returns a random input with the given numbers of machines and demands.
 func randomInput(r *rand.Rand, machines, demands int) Input {
 	w := paperWeights
 	w.Price, w.Empty = 30, 300
 	in := Input{Weights: w, Teams: []Team{{}, {Limit: Resources{CPUs: float64(machines)}}, {Guarantee: Resources{CPUs: 20}}}}
 	for i := range machines {
-		// Few different values give many ties.
+		// The few different values lead to many ties.
 		cpus := float64(int(4) << r.IntN(3))
 		m := machine(i, r.IntN(3), cpus)
 		m.Type, m.Spot, m.Scale, m.Price = int(math.Log2(cpus))-2, r.IntN(2) == 0, 4/cpus, float64(1+r.IntN(3))
@@ -127,22 +132,23 @@
 			d.Zone = r.IntN(3)
 		}
 		if i > 0 && d.ID%3 == 0 {
-			// Interchangeable with the one before, and next to it in the order.
-			like := in.Demands[i-1]
-			like.ID, like.TasksByZone = d.ID, d.TasksByZone
-			d = like
+			// A demand that is interchangeable with the previous one, and next to it in the order.
+			similar := in.Demands[i-1]
+			similar.ID, similar.TasksByZone = d.ID, d.TasksByZone
+			d = similar
 		}
 		in.Demands = append(in.Demands, d)
 	}
 	return in
 }
 
-// TestMakePlanMatchesReference: the queue chooses what scoring every machine for every task would.
+// TestMakePlanMatchesReference checks that MakePlan makes the same assignments as the reference
+// planner, which computes the cost of every machine for every task.
 func TestMakePlanMatchesReference(t *testing.T) {
 	for seed := range uint64(60) {
 		r := rand.New(rand.NewPCG(seed, 2))
 		in := randomInput(r, 6+r.IntN(60), 1+r.IntN(8))
-		same := (&referencePlanner{planner{Input: in}}).clone().Input
+		inputCopy := (&referencePlanner{planner{Input: in}}).clone().Input
 		p := MakePlan(in)
 		var order []int
 		for _, a := range p.Assignments {
@@ -150,20 +156,21 @@
 				order = append(order, a.Demand)
 			}
 		}
-		// Demands that got nothing take nothing either, so that their turn does not matter.
+		// The position of demands without assignments does not matter, because they use no
+		// resources.
 		for i := range in.Demands {
 			if !slices.Contains(order, i) {
 				order = append(order, i)
 			}
 		}
-		if want := referencePlan(same, order); !reflect.DeepEqual(p.Assignments, want) {
-			t.Errorf("seed %d: placed\n%v, want\n%v", seed, p.Assignments, want)
+		if want := referencePlan(inputCopy, order); !reflect.DeepEqual(p.Assignments, want) {
+			t.Errorf("seed %d: assignments\n%v, want\n%v", seed, p.Assignments, want)
 		}
 	}
 }
 
-// BenchmarkMakePlan makes a plan for a large fleet: "full" has no room,
-// the other places large arrays and gangs.
+// BenchmarkMakePlan measures MakePlan for a large fleet: without any room (full=true), and with
+// large arrays and gangs to place in an empty fleet (full=false).
 func BenchmarkMakePlan(b *testing.B) {
 	for _, full := range []bool{true, false} {
 		b.Run(fmt.Sprintf("full=%v", full), func(b *testing.B) {
