--- a/internal/fleet/explore_test.go
+++ b/internal/fleet/explore_test.go
@@ -93,8 +93,7 @@
 // its deadline, whichever messages are delayed or lost. With one guard disabled, the explorer
 // has to find the fault that the guard prevents.
 func TestExplore(t *testing.T) {
-	withLeader := []string{"report", "report"}
-	withHolder := []string{"sync holder", "wait 1 s", "sync holder", "report", "report", "sync holder", "sync holder", "report"}
+	withLeader, withHolder := []string{"report", "report"}, []string{"sync holder", "wait 1 s", "sync holder", "report", "report", "sync holder", "sync holder", "report"}
 	runAndCancel := []string{"launch", "deliver command", "report", "cancel"}
 	syncedReports := []string{"wait interval with syncs, report", "wait interval with syncs, report"}
 	nearLimit := []string{"wait 1 s", "sync holder", "wait 1 s", "sync holder", "wait 1 s", "sync holder", "wait 1 s", "wait 1 s"}
--- a/internal/fleet/explore_world_test.go
+++ b/internal/fleet/explore_world_test.go
@@ -270,37 +270,37 @@
 	if w.fleet.Term > w.holder.Term() {
 		w.holder.EndTerm()
 	}
-	r := w.holder.Request(10, 1, false, w.now)
-	revoked, ok := w.assigner.HandleRequest(r, w.now)
+	request := w.holder.Request(10, 1, false, w.now)
+	revoked, ok := w.assigner.HandleRequest(request, w.now)
 	if !ok {
 		w.holder.RequestFailed()
 		return
 	}
 	w.fleetHolder.KnownUntil = w.assigner.KnownUntil("n1")
-	if r.Term == w.fleet.Term {
-		for i := range r.Reports {
-			w.handleMachineReport(&r.Reports[i])
+	if request.Term == w.fleet.Term {
+		for i := range request.Reports {
+			w.handleMachineReport(&request.Reports[i])
 		}
 	}
 	w.clearHolder(revoked)
 	w.retainBeforeLimit()
-	p := w.assigner.Reply("n1", w.now)
-	w.holder.HandleReply(p, w.now)
-	w.grantEnd = w.now.Add(time.Duration(p.ForMs) * time.Millisecond)
+	reply := w.assigner.Reply("n1", w.now)
+	w.holder.HandleReply(reply, w.now)
+	w.grantEnd = w.now.Add(time.Duration(reply.ForMs) * time.Millisecond)
 	w.setHolder()
 }
 
 // handleMachineReport handles a report that the holder has answered, in the leader.
-func (w *world) handleMachineReport(e *shard.HostReport) {
-	w.assigner.ConfirmContact(e.Host)
-	if len(e.Report) > 0 {
-		m := &wire.Heartbeat{}
-		if err := wire.Unmarshal(e.Report, m); err != nil {
+func (w *world) handleMachineReport(report *shard.HostReport) {
+	w.assigner.ConfirmContact(report.Host)
+	if len(report.Report) > 0 {
+		message := &wire.Heartbeat{}
+		if err := wire.Unmarshal(report.Report, message); err != nil {
 			panic(err)
 		}
-		w.observe(m, true)
+		w.observe(message, true)
 	}
-	w.fleet.RecordRenewal(w.machine, e.Session, e.Seq, w.now.Add(-time.Duration(e.AgeMs)*time.Millisecond))
+	w.fleet.RecordRenewal(w.machine, report.Session, report.Seq, w.now.Add(-time.Duration(report.AgeMs)*time.Millisecond))
 }
 
 // clearHolder clears the machine's holder in the ledger after its revocation.
