--- a/internal/control/quotas.go
+++ b/internal/control/quotas.go
@@ -21,7 +21,7 @@
 )
 
 // FollowFunc sends a request to the leader of the home region.
-type FollowFunc func(ctx context.Context, q *dynconfig.Request) (*dynconfig.Reply, error)
+type FollowFunc func(ctx context.Context, request *dynconfig.Request) (*dynconfig.Reply, error)
 
 // teamQuotas holds the teams and their quotas in this region: those of the platform's file,
 // overridden by the grants of the home region. It follows the home region to receive new
--- a/internal/control/takeover.go
+++ b/internal/control/takeover.go
@@ -84,8 +84,8 @@
 }
 
 // mustWaitForMachines reports whether no task may be placed yet. This is the case until
-// all machines have had the time of a round trip, and while the type of a silent
-// machine is unknown: its tasks may use an unknown part of a team's limit.
+// all machines have answered or have had the time of a round trip, and while the type
+// of a silent machine is unknown: its tasks may use an unknown part of a team's limit.
 func (tk *takeover) mustWaitForMachines(now time.Time) bool {
 	for _, machine := range tk.inherited {
 		if !machine.Described || now.Sub(tk.contactStart()) < reconcileTimeout {
--- a/internal/control/takeover_test.go
+++ b/internal/control/takeover_test.go
@@ -18,7 +18,7 @@
 	tests := []struct {
 		name          string
 		inheritedJobs []string
-		wantBlocked   string // blocked jobs
+		wantBlocked   string // IDs of the blocked jobs, joined
 		wantUsedCPUs  []float64
 	}{
 		{"a machine without recorded jobs blocks nothing", nil, "", []float64{0, 0}},
