--- a/internal/control/calendar_drains.go
+++ b/internal/control/calendar_drains.go
@@ -13,9 +13,8 @@
 )
 
 // maintenanceDrains drains machines before their maintenance, so that they can be returned
-// when it starts. It derives every action from the windows and the time of day: a leader
-// that takes over within a window performs the remaining actions, and none once the window
-// has ended.
+// when it starts. It derives every action from the windows and the wall-clock time: a leader
+// that takes over late performs the remaining actions, and none once the window has ended.
 type maintenanceDrains struct {
 	*core
 	nameIndex        *nameIndex
@@ -120,8 +119,9 @@
 	return window == nil || !window.Span().Overlaps(span)
 }
 
-// returnMargin is how long before the start of its maintenance a machine must be empty. The
-// leader learns from the worker's heartbeats that the last task has ended.
+// returnMargin returns how long before the start of its maintenance a machine must be empty.
+// The margin covers the time until the leader detects, from the worker's heartbeats, that
+// the last task has ended.
 func (md *maintenanceDrains) returnMargin() time.Duration {
 	return heartbeatsToDetectEnd*md.heartbeatInterval() + time.Second
 }
--- a/internal/control/calendar_holds.go
+++ b/internal/control/calendar_holds.go
@@ -53,7 +53,7 @@
 	// if the job has ended.
 	claimer *job.Job
 	// startedJob is the ID of the claimer whose tasks were all observed running, and startedAt
-	// the time of day of that observation.
+	// the wall-clock time of that observation.
 	startedJob string
 	startedAt  time.Time
 	// provisioning is set once missing machines are provisioned. From then on, idle machines
--- a/internal/control/calendar_holds_estimates.go
+++ b/internal/control/calendar_holds_estimates.go
@@ -52,9 +52,9 @@
 }
 
 // taskCompleted records the ratio of a run time to its estimate for the first completed task
-// of a job. The tasks of a job have similar run times; counting all of them would make the estimates of a
-// class seem more accurate than they are, and tasks of the next job would run past the start
-// of an occurrence.
+// of a job. The tasks of a job have similar run times; counting all of them would make the
+// estimates of a class seem more accurate than they are, and tasks of the next job would run
+// past the start of an occurrence.
 func (rh *reservationHolds) taskCompleted(j *job.Job, seconds float64) {
 	if !rh.calendarStore.enabled() || j.RunTimeCount != 1 {
 		return
--- a/internal/control/calendar_store.go
+++ b/internal/control/calendar_store.go
@@ -78,15 +78,14 @@
 	cs.upcoming = nil
 }
 
-// enabled reports whether the calendar is enabled.
 func (cs *calendarStore) enabled() bool { return cs.controller.Tuning.Calendar.Enabled }
 
 // empty reports whether there are neither reservations nor windows.
 func (cs *calendarStore) empty() bool { return len(cs.bookings) == 0 && len(cs.windows) == 0 }
 
-// wallTime returns the time of day, extrapolated from the start of the term by the monotonic
-// clock. A jump of the controller's wall clock must not let all occurrences of a year lapse
-// at once.
+// wallTime returns the wall-clock time, extrapolated from the start of the term by the
+// monotonic clock. A jump of the controller's wall clock must not let all occurrences of a
+// year lapse at once.
 func (cs *calendarStore) wallTime(now time.Time) time.Time {
 	return cs.termStart.Round(0).Add(now.Sub(cs.termStart))
 }
@@ -213,12 +212,12 @@
 		return
 	}
 	cs.builtFor = inputs
-	before := cs.calendar
+	previous := cs.calendar
 	cs.calendar = calendar.New(cs.calendarConfig(types, zones))
-	for _, window := range before.Windows() {
+	for _, window := range previous.Windows() {
 		cs.calendar.AddWindow(window)
 	}
-	for _, booking := range before.Bookings() {
+	for _, booking := range previous.Bookings() {
 		cs.calendar.Add(booking)
 	}
 }
@@ -256,8 +255,8 @@
 		return // the running tasks are not all known yet, so no outcome is decided and no task is stopped
 	}
 	wallTime := cs.wallTime(now)
-	for _, b := range cs.bookings {
-		cs.decideOutcome(b, wallTime)
+	for _, stored := range cs.bookings {
+		cs.decideOutcome(stored, wallTime)
 	}
 	cs.maintenanceDrains.step(now)
 	cs.removeExpired(wallTime)
@@ -268,18 +267,18 @@
 
 // removeExpired deletes one reservation or window whose retention has ended.
 func (cs *calendarStore) removeExpired(wallTime time.Time) {
-	before := wallTime.AddDate(0, 0, -retentionDays).UnixMilli()
+	cutoff := wallTime.AddDate(0, 0, -retentionDays).UnixMilli()
 	if cs.storing {
 		return
 	}
 	for name, window := range cs.calendar.Windows() {
-		if window.Span().To < before {
+		if window.Span().To < cutoff {
 			cs.deleteRecord(windowPrefix+name, cs.windows[name], func() { cs.removeWindow(name) })
 			return
 		}
 	}
 	for name, stored := range cs.bookings {
-		if spans := stored.booking.Spans(); spans[len(spans)-1].To < before && !stored.storing {
+		if spans := stored.booking.Spans(); spans[len(spans)-1].To < cutoff && !stored.storing {
 			cs.deleteRecord(bookingPrefix+name, stored.version, func() { cs.removeBooking(name) })
 			return
 		}
@@ -291,9 +290,9 @@
 // transaction.
 func (cs *calendarStore) commitInBackground(key string, version uint64, conds []state.Condition, writes []state.Write, onDone func(version uint64, err error)) {
 	go func() {
-		committed, err := cs.commitUntilSettled(key, version, conds, writes)
+		newVersion, err := cs.commitUntilSettled(key, version, conds, writes)
 		if cs.ctx.Err() == nil {
-			cs.enqueueForUser(func() { onDone(committed, err) })
+			cs.enqueueForUser(func() { onDone(newVersion, err) })
 		}
 	}()
 }
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -73,7 +73,6 @@
 	ro.serviceOf = map[string]*service{}
 }
 
-// enabled reports whether roll-outs are enabled.
 func (ro *rollouts) enabled() bool { return ro.controller.Tuning.Rollouts.Enabled }
 
 // readRecords reads the stored records. It returns none if roll-outs are disabled.
