--- a/internal/control/leader_term_core.go
+++ b/internal/control/leader_term_core.go
@@ -48,7 +48,7 @@
 		term:           term.Number,
 		fence:          state.Condition{Key: election.KeyTerm, Version: term.TermVersion},
 		termStart:      term.Since,
-		lastLeaderSeen: term.LeaderHeardAt,
+		lastLeaderSeen: term.LastHeartbeatAt,
 		inbox:          make(chan func(), inboxSize),
 		userInbox:      make(chan func(), inboxSize),
 		fleet:          newFleet(term.Number, controller.Settings),
--- a/internal/election/campaign.go
+++ b/internal/election/campaign.go
@@ -49,7 +49,7 @@
 		Number:        term,
 		TermVersion:   version,
 		Since:         time.Now(),
-		LeaderHeardAt: heartbeat,
+		LastHeartbeatAt: heartbeat,
 		Restored:      restored,
 	}
 	e.holdTerm(ctx, won, lease, start)
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -48,8 +48,8 @@
 	TermVersion uint64
 	// Since is a moment at or after the end of every earlier leader's entitlement.
 	Since time.Time
-	// LeaderHeardAt is when the previous leader's last heartbeat came; zero: never.
-	LeaderHeardAt time.Time
+	// LastHeartbeatAt is when the previous leader's last heartbeat came; zero: never.
+	LastHeartbeatAt time.Time
 	// Restored reports that the stored term was behind what workers or siblings had
 	// seen: the state service has lost its latest writes.
 	Restored bool
