--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -86,7 +86,7 @@
 
 	mu            sync.Mutex // guards what follows
 	view          View
-	leaderHeardAt time.Time // when a heartbeat of a leader last came
+	lastHeartbeatAt time.Time // when a heartbeat of a leader last came
 	// leadingTerm is the term that this member leads, 0 for none; leaseUntil is when
 	// its lease expires, less the clock margin; deposed is closed when a later term
 	// is observed.
--- a/internal/election/observe.go
+++ b/internal/election/observe.go
@@ -59,14 +59,14 @@
 func (e *Elector) ObserveHeartbeat() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.leaderHeardAt = time.Now()
+	e.lastHeartbeatAt = time.Now()
 }
 
 // lastHeartbeat is when a heartbeat of a leader last came; zero: never.
 func (e *Elector) lastHeartbeat() time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.leaderHeardAt
+	return e.lastHeartbeatAt
 }
 
 // LeaderLeaseLeft is how long a leader that sends no heartbeats may still hold the
@@ -74,5 +74,5 @@
 func (e *Elector) LeaderLeaseLeft() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return max(0, e.ttl-time.Since(e.leaderHeardAt))
+	return max(0, e.ttl-time.Since(e.lastHeartbeatAt))
 }
