--- a/internal/control/leader_term.go
+++ b/internal/control/leader_term.go
@@ -64,7 +64,7 @@
 		reservationHolds:  newReservationHolds(co),
 		maintenanceDrains: newMaintenanceDrains(co),
 		shards:            newShards(co),
-		teamQuotas:        newTeamQuotas(co, term.Restored),
+		teamQuotas:        newTeamQuotas(co, term.StoreRolledBack),
 		homeQuotas:        newHomeQuotas(co),
 	}
 	lt.connect()
--- a/internal/election/campaign.go
+++ b/internal/election/campaign.go
@@ -50,7 +50,7 @@
 		TermVersion:   version,
 		Since:         time.Now(),
 		LastHeartbeatAt: heartbeat,
-		Restored:      restored,
+		StoreRolledBack:      restored,
 	}
 	e.holdTerm(ctx, won, lease, start)
 }
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -50,9 +50,9 @@
 	Since time.Time
 	// LastHeartbeatAt is when the previous leader's last heartbeat came; zero: never.
 	LastHeartbeatAt time.Time
-	// Restored reports that the stored term was behind what workers or siblings had
+	// StoreRolledBack reports that the stored term was behind what workers or siblings had
 	// seen: the state service has lost its latest writes.
-	Restored bool
+	StoreRolledBack bool
 }
 
 // View is what a node believes about the leadership.
