--- a/internal/election/campaign.go
+++ b/internal/election/campaign.go
@@ -138,7 +138,7 @@
 	defer e.mu.Unlock()
 	e.leadingTerm = term
 	e.leaseUntil = leaseStart.Add(e.ttl - e.clockMargin())
-	e.view = View{Leader: e.member, Term: term, StoreSeenAt: time.Now()}
+	e.view = View{Leader: e.member, Term: term, StoreRespondedAt: time.Now()}
 	e.deposed = ch
 	return ch
 }
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -59,8 +59,8 @@
 type View struct {
 	Leader string // member name of the leader; empty: unknown or none
 	Term   uint64 // highest term known
-	// StoreSeenAt is when this node last had a response from the state service.
-	StoreSeenAt time.Time
+	// StoreRespondedAt is when this node last had a response from the state service.
+	StoreRespondedAt time.Time
 }
 
 // Intervals of the election loop.
--- a/internal/election/lease.go
+++ b/internal/election/lease.go
@@ -127,5 +127,5 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.leaseUntil = start.Add(e.ttl - e.clockMargin())
-	e.view.StoreSeenAt = time.Now()
+	e.view.StoreRespondedAt = time.Now()
 }
--- a/internal/election/observe.go
+++ b/internal/election/observe.go
@@ -34,7 +34,7 @@
 func (e *Elector) observeStored(leader string, term uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.view.StoreSeenAt = time.Now()
+	e.view.StoreRespondedAt = time.Now()
 	if term >= e.view.Term {
 		e.view.Term = term
 		e.view.Leader = leader
@@ -45,7 +45,7 @@
 func (e *Elector) markStoreSeen() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.view.StoreSeenAt = time.Now()
+	e.view.StoreRespondedAt = time.Now()
 }
 
 // ObserveSibling records whether a sibling's heartbeat says that it leads.
--- a/internal/node/node_health.go
+++ b/internal/node/node_health.go
@@ -32,7 +32,7 @@
 		ServesUsers:    n.servesUsers(),
 		Overloaded:     n.delay.Overloaded(),
 		ProbeUs:        n.delay.ProbeTime().Microseconds(),
-		StoreReachable: time.Since(view.StoreSeenAt) < storeReachableTime,
+		StoreReachable: time.Since(view.StoreRespondedAt) < storeReachableTime,
 	}
 }
 
@@ -76,6 +76,6 @@
 func (n *Node) ableToServe() bool {
 	view := n.elector.View()
 	return n.controller.Leading() ||
-		time.Since(view.StoreSeenAt) < healthyStoreTime ||
+		time.Since(view.StoreRespondedAt) < healthyStoreTime ||
 		(view.Leader != "" && n.mesh.Reachable(view.Leader))
 }
