--- a/internal/election/campaign.go
+++ b/internal/election/campaign.go
@@ -46,11 +46,11 @@
 	}
 	heartbeat := e.lastHeartbeat()
 	won := Term{
-		Number:        term,
-		TermVersion:   version,
-		Since:         time.Now(),
+		Number:          term,
+		TermVersion:     version,
+		Since:           time.Now(),
 		LastHeartbeatAt: heartbeat,
-		StoreRolledBack:      restored,
+		StoreRolledBack: restored,
 	}
 	e.holdTerm(ctx, won, lease, start)
 }
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -84,8 +84,8 @@
 	// requestPromise asks one sibling for a promise.
 	requestPromise RequestPromiseFunc
 
-	mu            sync.Mutex // guards what follows
-	view          View
+	mu              sync.Mutex // guards what follows
+	view            View
 	lastHeartbeatAt time.Time // when a heartbeat of a leader last came
 	// leadingTerm is the term that this member leads, 0 for none; leaseUntil is when
 	// its lease expires, less the clock margin; deposed is closed when a later term
