--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -139,7 +139,7 @@
 			pause(ctx, retryInterval)
 			continue
 		}
-		e.markStoreSeen()
+		e.markStoreResponse()
 	}
 }
 
--- a/internal/election/observe.go
+++ b/internal/election/observe.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// markStoreSeen records that the state service has just responded.
-func (e *Elector) markStoreSeen() {
+// markStoreResponse records that the state service has just responded.
+func (e *Elector) markStoreResponse() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.view.StoreRespondedAt = time.Now()
