--- a/internal/election/promise_requests.go
+++ b/internal/election/promise_requests.go
@@ -34,11 +34,11 @@
 	promiseRequestInterval = 300 * time.Millisecond
 )
 
-// Promise handles the request of a leader of term that this member does not
+// HandlePromiseRequest handles the request of a leader of term that this member does not
 // campaign. The member promises, and then does not campaign for the length of a
 // promise, only if the state service does not answer it either (within
 // promiseProbeTimeout).
-func (e *Elector) Promise(ctx context.Context, leader string, term uint64) bool {
+func (e *Elector) HandlePromiseRequest(ctx context.Context, leader string, term uint64) bool {
 	// A member that still leads an earlier, lapsed term does not promise. It has to
 	// learn here that its term is over: otherwise the leader would lack its promise,
 	// and nobody would be entitled during the outage.
--- a/internal/node/node_requests.go
+++ b/internal/node/node_requests.go
@@ -149,7 +149,7 @@
 
 // Promise implements rpc.Handler.
 func (n *Node) Promise(ctx context.Context, q *rpc.PromiseRequest) *rpc.Promise {
-	return &rpc.Promise{Given: n.elector.Promise(ctx, q.Leader, q.Term)}
+	return &rpc.Promise{Given: n.elector.HandlePromiseRequest(ctx, q.Leader, q.Term)}
 }
 
 // FollowConfig implements rpc.Handler: only a leader of the home region answers.
