--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -127,7 +127,7 @@
 			pause(ctx, retryInterval)
 			continue
 		}
-		if !stored.held {
+		if !stored.hasLeader {
 			if e.startCampaign() {
 				e.campaign(ctx, stored)
 				e.endCampaign()
@@ -156,7 +156,7 @@
 // storedLeadership is what the election keys hold at one revision of the store.
 type storedLeadership struct {
 	revision    uint64
-	held        bool   // some member holds the leader key
+	hasLeader   bool   // some member holds the leader key
 	term        uint64 // highest term; 0: none yet
 	termVersion uint64 // version of the term key; 0: it is absent
 }
@@ -173,7 +173,7 @@
 	for _, entry := range entries {
 		switch entry.Key {
 		case keyLeader:
-			stored.held = wire.Unmarshal(entry.Value, &leader) == nil
+			stored.hasLeader = wire.Unmarshal(entry.Value, &leader) == nil
 		case KeyTerm:
 			var record termRecord
 			if err := wire.Unmarshal(entry.Value, &record); err != nil {
