--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -100,8 +100,8 @@
 	promises         *promiseState
 	// promiseRoundActive: the siblings are being asked for promises.
 	promiseRoundActive bool
-	// onPromisesAlone: the lease has expired and only the promises last.
-	onPromisesAlone bool
+	// leadingOnPromises: the lease has expired and only the promises last.
+	leadingOnPromises bool
 }
 
 // New makes an elector for member with a lease of ttl in the state service. Each
--- a/internal/election/promise_requests.go
+++ b/internal/election/promise_requests.go
@@ -102,8 +102,8 @@
 	e.promiseRoundActive = false
 	now := time.Now()
 	onPromises := e.leadingTerm == term && now.After(e.leaseUntil) && now.Before(e.promises.allPromisedUntil())
-	was := e.onPromisesAlone
-	e.onPromisesAlone = onPromises
+	was := e.leadingOnPromises
+	e.leadingOnPromises = onPromises
 	e.mu.Unlock()
 	if onPromises && !was {
 		e.log.Info("key-value store is unavailable, leading on the promises of the siblings", "term", term)
