--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -124,7 +124,7 @@
 	for ctx.Err() == nil {
 		stored, err := e.readLeadership(ctx)
 		if err != nil {
-			pause(ctx, retryInterval)
+			sleep(ctx, retryInterval)
 			continue
 		}
 		if !stored.hasLeader {
@@ -132,19 +132,19 @@
 				e.campaign(ctx, stored)
 				e.endCampaign()
 			}
-			pause(ctx, campaignInterval)
+			sleep(ctx, campaignInterval)
 			continue
 		}
 		if _, _, err := e.store.Watch(ctx, keyPrefix, stored.revision, watchTimeout); err != nil && !errors.Is(err, state.ErrGone) {
-			pause(ctx, retryInterval)
+			sleep(ctx, retryInterval)
 			continue
 		}
 		e.markStoreResponse()
 	}
 }
 
-// pause waits for d or until ctx ends.
-func pause(ctx context.Context, d time.Duration) {
+// sleep waits for d or until ctx ends.
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
