--- a/internal/election/promise.go
+++ b/internal/election/promise.go
@@ -68,9 +68,9 @@
 	clear(p.receivedUntil)
 }
 
-// give makes a promise to a leader and reports whether it did. A member for which
+// grant makes a promise to a leader and reports whether it did. A member for which
 // the state service works does not promise: it can lead in that leader's place.
-func (p *promiseState) give(storeFails bool, now time.Time) bool {
+func (p *promiseState) grant(storeFails bool, now time.Time) bool {
 	if p.length == 0 || p.campaigning || !storeFails {
 		return false
 	}
--- a/internal/election/promise_requests.go
+++ b/internal/election/promise_requests.go
@@ -55,7 +55,7 @@
 	storeFails := err != nil && !errors.Is(err, state.ErrNotFound)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.promises.give(storeFails, time.Now())
+	return e.promises.grant(storeFails, time.Now())
 }
 
 // requestPromises starts a round of promise requests to every sibling, unless one
--- a/internal/election/promise_test.go
+++ b/internal/election/promise_test.go
@@ -168,7 +168,7 @@
 		if w.disabled == campaignerDoesNotPromise {
 			s.promises.campaigning = false
 		}
-		if !s.leading && s.promises.give(!w.served(1+i), w.now) {
+		if !s.leading && s.promises.grant(!w.served(1+i), w.now) {
 			m.promisesInFlight[1+i] = w.now
 		}
 		return true
@@ -281,11 +281,11 @@
 		do   func(p *promiseState) bool
 		want bool
 	}{
-		{"not refused: it had better lead itself", func(p *promiseState) bool { return p.give(false, late) }, false},
-		{"refused as well", func(p *promiseState) bool { return p.give(true, late) }, true},
-		{"while it campaigns", func(p *promiseState) bool { p.startCampaign(late); return p.give(true, late) }, false},
+		{"not refused: it had better lead itself", func(p *promiseState) bool { return p.grant(false, late) }, false},
+		{"refused as well", func(p *promiseState) bool { return p.grant(true, late) }, true},
+		{"while it campaigns", func(p *promiseState) bool { p.startCampaign(late); return p.grant(true, late) }, false},
 		{"it campaigns again after its promise", func(p *promiseState) bool {
-			p.give(true, late)
+			p.grant(true, late)
 			return !p.startCampaign(late.Add(length)) && p.startCampaign(late.Add(length+p.clockSlack()))
 		}, true},
 		{"a fresh process waits", func(p *promiseState) bool { return p.startCampaign(now.Add(length)) }, false},
