--- a/internal/election/promise.go
+++ b/internal/election/promise.go
@@ -21,8 +21,8 @@
 	startedAt time.Time
 	// notLeading are the siblings that have said since started that they do not lead.
 	notLeading map[string]bool
-	// givenUntil is when this member's own promise ends.
-	givenUntil time.Time
+	// grantedUntil is when this member's own promise ends.
+	grantedUntil time.Time
 	// receivedUntil is when each sibling's promise ends, by member.
 	receivedUntil map[string]time.Time
 	// campaigning: this member campaigns or leads.
@@ -49,7 +49,7 @@
 	if p.length == 0 {
 		return true
 	}
-	if now.Before(p.givenUntil) {
+	if now.Before(p.grantedUntil) {
 		return false
 	}
 	// A new process does not know what the one before it has promised. It need not
@@ -74,8 +74,8 @@
 	if p.length == 0 || p.campaigning || !storeFails {
 		return false
 	}
-	if until := now.Add(p.length + p.clockSlack()); until.After(p.givenUntil) {
-		p.givenUntil = until
+	if until := now.Add(p.length + p.clockSlack()); until.After(p.grantedUntil) {
+		p.grantedUntil = until
 	}
 	return true
 }
