--- a/internal/election/promise.go
+++ b/internal/election/promise.go
@@ -14,7 +14,7 @@
 //
 // It does no I/O and takes the time as an argument; the elector's mutex guards it.
 type promiseState struct {
-	length   time.Duration // of one promise; 0: promises are off
+	duration time.Duration // of one promise; 0: promises are off
 	siblings []string
 	// startedAt is when the process began: an earlier process of this member may have
 	// given a promise that lasts until one length after that.
@@ -31,7 +31,7 @@
 
 func newPromiseState(length time.Duration, siblings []string, now time.Time) *promiseState {
 	return &promiseState{
-		length:        length,
+		duration:      length,
 		siblings:      siblings,
 		startedAt:     now,
 		notLeading:    map[string]bool{},
@@ -41,12 +41,12 @@
 
 // clockSlack is how much the clocks of two members may diverge during a promise,
 // plus how late timers may fire.
-func (p *promiseState) clockSlack() time.Duration { return p.length/500 + 50*time.Millisecond }
+func (p *promiseState) clockSlack() time.Duration { return p.duration/500 + 50*time.Millisecond }
 
 // startCampaign reports whether this member may campaign now, and if so notes that
 // it does until endCampaign.
 func (p *promiseState) startCampaign(now time.Time) bool {
-	if p.length == 0 {
+	if p.duration == 0 {
 		return true
 	}
 	if now.Before(p.grantedUntil) {
@@ -55,7 +55,7 @@
 	// A new process does not know what the one before it has promised. It need not
 	// wait once every sibling has said that it does not lead: no leader can depend on
 	// such a promise.
-	if now.Before(p.startedAt.Add(p.length+p.clockSlack())) && len(p.notLeading) < len(p.siblings) {
+	if now.Before(p.startedAt.Add(p.duration+p.clockSlack())) && len(p.notLeading) < len(p.siblings) {
 		return false
 	}
 	p.campaigning = true
@@ -71,10 +71,10 @@
 // grant makes a promise to a leader and reports whether it did. A member for which
 // the state service works does not promise: it can lead in that leader's place.
 func (p *promiseState) grant(storeFails bool, now time.Time) bool {
-	if p.length == 0 || p.campaigning || !storeFails {
+	if p.duration == 0 || p.campaigning || !storeFails {
 		return false
 	}
-	if until := now.Add(p.length + p.clockSlack()); until.After(p.grantedUntil) {
+	if until := now.Add(p.duration + p.clockSlack()); until.After(p.grantedUntil) {
 		p.grantedUntil = until
 	}
 	return true
@@ -87,14 +87,14 @@
 // since then does not know of that leader and would promise.
 func (p *promiseState) recordReceived(member string, requested, now, entitledUntil time.Time) {
 	if now.Before(entitledUntil) {
-		p.receivedUntil[member] = requested.Add(p.length)
+		p.receivedUntil[member] = requested.Add(p.duration)
 	}
 }
 
 // allPromisedUntil is when the first of the received promises ends; zero: some
 // sibling has not promised.
 func (p *promiseState) allPromisedUntil() time.Time {
-	if p.length == 0 || len(p.siblings) == 0 || len(p.receivedUntil) < len(p.siblings) {
+	if p.duration == 0 || len(p.siblings) == 0 || len(p.receivedUntil) < len(p.siblings) {
 		return time.Time{}
 	}
 	return slices.MinFunc(slices.Collect(maps.Values(p.receivedUntil)), time.Time.Compare)
--- a/internal/election/promise_requests.go
+++ b/internal/election/promise_requests.go
@@ -44,7 +44,7 @@
 	// and nobody would be entitled during the outage.
 	e.ObserveLeader(leader, term)
 	e.mu.Lock()
-	off := e.promises.length == 0 || term < e.view.Term
+	off := e.promises.duration == 0 || term < e.view.Term
 	e.mu.Unlock()
 	if off {
 		return false
@@ -62,7 +62,7 @@
 // is under way.
 func (e *Elector) requestPromises(ctx context.Context, term uint64) {
 	e.mu.Lock()
-	if e.promises.length == 0 || e.promiseRoundActive {
+	if e.promises.duration == 0 || e.promiseRoundActive {
 		e.mu.Unlock()
 		return
 	}
