--- a/internal/election/promise.go
+++ b/internal/election/promise.go
@@ -19,8 +19,8 @@
 	// startedAt is when the process began: an earlier process of this member may have
 	// given a promise that lasts until one length after that.
 	startedAt time.Time
-	// notLeading are the siblings that have said since started that they do not lead.
-	notLeading map[string]bool
+	// knownNotLeading are the siblings that have said since started that they do not lead.
+	knownNotLeading map[string]bool
 	// grantedUntil is when this member's own promise ends.
 	grantedUntil time.Time
 	// receivedUntil is when each sibling's promise ends, by member.
@@ -31,11 +31,11 @@
 
 func newPromiseState(length time.Duration, siblings []string, now time.Time) *promiseState {
 	return &promiseState{
-		duration:      length,
-		siblings:      siblings,
-		startedAt:     now,
-		notLeading:    map[string]bool{},
-		receivedUntil: map[string]time.Time{},
+		duration:        length,
+		siblings:        siblings,
+		startedAt:       now,
+		knownNotLeading: map[string]bool{},
+		receivedUntil:   map[string]time.Time{},
 	}
 }
 
@@ -55,7 +55,7 @@
 	// A new process does not know what the one before it has promised. It need not
 	// wait once every sibling has said that it does not lead: no leader can depend on
 	// such a promise.
-	if now.Before(p.startedAt.Add(p.duration+p.clockSlack())) && len(p.notLeading) < len(p.siblings) {
+	if now.Before(p.startedAt.Add(p.duration+p.clockSlack())) && len(p.knownNotLeading) < len(p.siblings) {
 		return false
 	}
 	p.campaigning = true
@@ -103,8 +103,8 @@
 // observeSibling records whether a sibling says that it leads.
 func (p *promiseState) observeSibling(member string, leads bool) {
 	if leads {
-		delete(p.notLeading, member)
+		delete(p.knownNotLeading, member)
 	} else if slices.Contains(p.siblings, member) {
-		p.notLeading[member] = true
+		p.knownNotLeading[member] = true
 	}
 }
--- a/internal/election/promise_test.go
+++ b/internal/election/promise_test.go
@@ -224,7 +224,7 @@
 	p.Times(w.leaseExpires)
 	for i := range w.members {
 		m := &w.members[i]
-		p.Values("|", m.leading, w.lastTerm-m.term, m.campaigning, m.storeRefuses, m.promises.campaigning, len(m.promises.notLeading))
+		p.Values("|", m.leading, w.lastTerm-m.term, m.campaigning, m.storeRefuses, m.promises.campaigning, len(m.promises.knownNotLeading))
 		p.Times(m.leaseUntil, m.promises.grantedUntil, m.promises.startedAt.Add(length+m.promises.clockSlack()))
 		for j := range 3 {
 			p.Times(m.promises.receivedUntil[fmt.Sprint(j)], m.promisesInFlight[j])
