--- a/internal/control/admission_watch.go
+++ b/internal/control/admission_watch.go
@@ -26,7 +26,7 @@
 	for ad.ctx.Err() == nil {
 		events, next, err := ad.controller.State.Watch(ad.ctx, job.ActivePrefix, revision, watchTimeout)
 		switch {
-		case errors.Is(err, state.ErrGone) || time.Since(listedAt) > relistInterval:
+		case errors.Is(err, state.ErrCompacted) || time.Since(listedAt) > relistInterval:
 			entries, listed, err := ad.controller.State.List(ad.ctx, job.ActivePrefix)
 			if err != nil {
 				ad.sleep(readRetryPause)
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -135,7 +135,7 @@
 			sleep(ctx, campaignInterval)
 			continue
 		}
-		if _, _, err := e.store.Watch(ctx, keyPrefix, stored.revision, watchTimeout); err != nil && !errors.Is(err, state.ErrGone) {
+		if _, _, err := e.store.Watch(ctx, keyPrefix, stored.revision, watchTimeout); err != nil && !errors.Is(err, state.ErrCompacted) {
 			sleep(ctx, retryInterval)
 			continue
 		}
--- a/internal/state/client_test.go
+++ b/internal/state/client_test.go
@@ -91,7 +91,7 @@
 		{"refused for the rate", http.StatusTooManyRequests, ErrRefused},
 		{"unavailable", http.StatusServiceUnavailable, ErrRefused},
 		{"malformed", http.StatusBadRequest, ErrRejected},
-		{"history compacted", http.StatusGone, ErrGone},
+		{"history compacted", http.StatusGone, ErrCompacted},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/state/errors.go
+++ b/internal/state/errors.go
@@ -25,9 +25,9 @@
 	// ErrRejected means that the service considers the request malformed or too
 	// large (status 400).
 	ErrRejected = errors.New("state service rejected the request")
-	// ErrGone means that a watch asked for changes that the service has compacted
+	// ErrCompacted means that a watch asked for changes that the service has compacted
 	// away (status 410).
-	ErrGone = errors.New("history is gone")
+	ErrCompacted = errors.New("history is gone")
 )
 
 // ConflictError is an ErrConflict with the keys whose conditions do not hold, as
@@ -75,7 +75,7 @@
 	case http.StatusBadRequest:
 		return fmt.Errorf("%w: %s %s", ErrRejected, method, path)
 	case http.StatusGone:
-		return ErrGone
+		return ErrCompacted
 	default:
 		return &StatusError{Status: status, Method: method, Path: path}
 	}
--- a/internal/state/watch.go
+++ b/internal/state/watch.go
@@ -10,7 +10,7 @@
 
 // Watch waits until a key that begins with prefix has changed after the revision
 // after, or wait is over. It returns the changes and the revision to watch from
-// next. ErrGone means that the service no longer has the changes since after:
+// next. ErrCompacted means that the service no longer has the changes since after:
 // the keys have to be listed again.
 func (c *Client) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]Event, uint64, error) {
 	q := url.Values{
