--- a/internal/control/registry_fixture_test.go
+++ b/internal/control/registry_fixture_test.go
@@ -139,7 +139,7 @@
 
 // lostResponse is a commit that is not executed and whose outcome is unknown to the
 // leader.
-func lostResponse(state.Txn) (uint64, error) { return 0, state.ErrUnknown }
+func lostResponse(state.Txn) (uint64, error) { return 0, state.ErrOutcomeUnknown }
 
 // checkRecordedMachines checks that the stored records name every machine on which a
 // job may be launched.
--- a/internal/election/campaign.go
+++ b/internal/election/campaign.go
@@ -93,7 +93,7 @@
 		If:     []state.Condition{{Key: keyLeader}, {Key: KeyTerm, Version: termVersion}},
 		Writes: writes,
 	})
-	if !errors.Is(err, state.ErrUnknown) {
+	if !errors.Is(err, state.ErrOutcomeUnknown) {
 		return version, err
 	}
 	entry, getErr := e.store.Get(ctx, keyLeader)
--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -109,12 +109,12 @@
 	}
 	res, err := hc.Do(req)
 	if err != nil {
-		return fmt.Errorf("%w: %w", ErrUnknown, err)
+		return fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
 	defer res.Body.Close()
 	b, err := io.ReadAll(io.LimitReader(res.Body, maxResponseBytes))
 	if err != nil {
-		return fmt.Errorf("%w: %w", ErrUnknown, err)
+		return fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
 	c.adjustBudget(res.StatusCode, time.Now())
 	return decodeResponse(res.StatusCode, b, out, method, path)
--- a/internal/state/client_test.go
+++ b/internal/state/client_test.go
@@ -103,7 +103,7 @@
 	t.Run("unexpected status", func(t *testing.T) {
 		err := decodeResponse(http.StatusInternalServerError, nil, nil, http.MethodGet, "/kv/k")
 		var se *StatusError
-		if !errors.As(err, &se) || se.Status != http.StatusInternalServerError || errors.Is(err, ErrUnknown) || errors.Is(err, ErrRefused) {
+		if !errors.As(err, &se) || se.Status != http.StatusInternalServerError || errors.Is(err, ErrOutcomeUnknown) || errors.Is(err, ErrRefused) {
 			t.Errorf("got %v, want a *StatusError with status 500", err)
 		}
 		if want := "state service: status 500: GET /kv/k"; err.Error() != want {
--- a/internal/state/errors.go
+++ b/internal/state/errors.go
@@ -16,9 +16,9 @@
 	// refused it (status 429 or 503), or the context ended while the request waited
 	// for the budget.
 	ErrRefused = errors.New("state service refused")
-	// ErrUnknown means that no response came; the request may have been executed,
+	// ErrOutcomeUnknown means that no response came; the request may have been executed,
 	// or may still be.
-	ErrUnknown = errors.New("state service did not answer")
+	ErrOutcomeUnknown = errors.New("state service did not answer")
 	// ErrConflict means that a condition of the transaction does not hold (status
 	// 409); the error is a *ConflictError.
 	ErrConflict = errors.New("condition failed")
--- a/internal/state/hedge.go
+++ b/internal/state/hedge.go
@@ -74,8 +74,8 @@
 
 // hedged runs attempt, and a second one beside it if the first has no result
 // within the hedge delay and mayHedge allows it (the budget has room). It returns
-// the first definite result: a success, or an error other than ErrUnknown and
-// ErrRefused. If there is none, ErrUnknown takes precedence over ErrRefused: the
+// the first definite result: a success, or an error other than ErrOutcomeUnknown and
+// ErrRefused. If there is none, ErrOutcomeUnknown takes precedence over ErrRefused: the
 // request may have been executed.
 func hedged[T any](ctx context.Context, latency *latencyTracker, mayHedge func() bool, attempt func(context.Context) (T, error)) (T, error) {
 	ctx, cancel := context.WithCancel(ctx)
@@ -102,7 +102,7 @@
 			}
 		case r := <-results:
 			inFlight--
-			unknown := errors.Is(r.err, ErrUnknown)
+			unknown := errors.Is(r.err, ErrOutcomeUnknown)
 			if !unknown && !errors.Is(r.err, ErrRefused) {
 				return r.value, r.err
 			}
--- a/internal/state/hedge_test.go
+++ b/internal/state/hedge_test.go
@@ -32,9 +32,9 @@
 		{"a conflict counts", []step{{5 * time.Millisecond, ErrConflict}}, true, ErrConflict, 1, 5 * time.Millisecond},
 		{"refused at once", []step{{5 * time.Millisecond, ErrRefused}}, true, ErrRefused, 1, 5 * time.Millisecond},
 		{"the second is refused, the first is served", []step{{time.Second, ok}, {5 * time.Millisecond, ErrRefused}}, true, ok, 2, time.Second},
-		{"the first is lost, the second is refused: unclear", []step{{time.Second, ErrUnknown}, {5 * time.Millisecond, ErrRefused}}, true, ErrUnknown, 2, time.Second},
-		{"the first is refused late, the second is lost: unclear", []step{{400 * time.Millisecond, ErrRefused}, {time.Second, ErrUnknown}}, true, ErrUnknown, 2, maxHedgeDelay + time.Second},
-		{"both are lost", []step{{time.Second, ErrUnknown}, {time.Second, ErrUnknown}}, true, ErrUnknown, 2, maxHedgeDelay + time.Second},
+		{"the first is lost, the second is refused: unclear", []step{{time.Second, ErrOutcomeUnknown}, {5 * time.Millisecond, ErrRefused}}, true, ErrOutcomeUnknown, 2, time.Second},
+		{"the first is refused late, the second is lost: unclear", []step{{400 * time.Millisecond, ErrRefused}, {time.Second, ErrOutcomeUnknown}}, true, ErrOutcomeUnknown, 2, maxHedgeDelay + time.Second},
+		{"both are lost", []step{{time.Second, ErrOutcomeUnknown}, {time.Second, ErrOutcomeUnknown}}, true, ErrOutcomeUnknown, 2, maxHedgeDelay + time.Second},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -47,7 +47,7 @@
 					case <-time.After(s.after):
 						return 0, s.err
 					case <-ctx.Done():
-						return 0, ErrUnknown
+						return 0, ErrOutcomeUnknown
 					}
 				})
 				if !errors.Is(err, tt.want) || int(attempts.Load()) != tt.wantAttempts || time.Since(start) != tt.wantTime {
--- a/internal/state/keys.go
+++ b/internal/state/keys.go
@@ -59,7 +59,7 @@
 }
 
 // Commit runs a transaction once and returns the revision of its changes. A
-// failed condition is an ErrConflict; ErrUnknown means that it may have been
+// failed condition is an ErrConflict; ErrOutcomeUnknown means that it may have been
 // applied.
 func (c *Client) Commit(ctx context.Context, t Txn) (uint64, error) {
 	if err := c.waitForBudget(ctx, t); err != nil {
