--- a/internal/state/budget.go
+++ b/internal/state/budget.go
@@ -33,9 +33,9 @@
 	idleBurstFraction = 0.95
 )
 
-// narrow halves the budget when the service refuses requests for their rate: at
+// reduceBudget halves the budget when the service refuses requests for their rate: at
 // the same rate the lease renewals would be refused along with everything else.
-func (c *Client) narrow(now time.Time) {
+func (c *Client) reduceBudget(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.budget == (Budget{}) || now.Sub(c.budgetChangedAt) < narrowInterval {
@@ -87,7 +87,7 @@
 // any other answer.
 func (c *Client) adjustBudget(status int, now time.Time) {
 	if status == http.StatusTooManyRequests {
-		c.narrow(now)
+		c.reduceBudget(now)
 	} else {
 		c.widen(now)
 	}
