--- a/internal/state/budget.go
+++ b/internal/state/budget.go
@@ -46,8 +46,8 @@
 	c.applyBudget()
 }
 
-// widen raises the budget again, one step at a time, while requests are served.
-func (c *Client) widen(now time.Time) {
+// raiseBudget raises the budget again, one step at a time, while requests are served.
+func (c *Client) raiseBudget(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.budgetFraction >= 1 || now.Sub(c.budgetChangedAt) < widenInterval {
@@ -89,7 +89,7 @@
 	if status == http.StatusTooManyRequests {
 		c.reduceBudget(now)
 	} else {
-		c.widen(now)
+		c.raiseBudget(now)
 	}
 }
 
