--- a/internal/state/budget.go
+++ b/internal/state/budget.go
@@ -17,13 +17,13 @@
 const (
 	// minBudgetFraction is the lowest fraction of the budget to fall back to.
 	minBudgetFraction = 0.1
-	// narrowFactor and widenFactor are the steps of the fraction.
-	narrowFactor = 0.5
-	widenFactor  = 1.25
-	// narrowInterval and widenInterval are the least times between steps: one burst
+	// reduceFactor and raiseFactor are the steps of the fraction.
+	reduceFactor = 0.5
+	raiseFactor  = 1.25
+	// minReduceInterval and minRaiseInterval are the least times between steps: one burst
 	// of refusals counts once, and the budget recovers more slowly than it falls.
-	narrowInterval = 500 * time.Millisecond
-	widenInterval  = 2 * time.Second
+	minReduceInterval = 500 * time.Millisecond
+	minRaiseInterval  = 2 * time.Second
 	// minReadBurst and minWriteBurst are the least that the limiters let through at
 	// once.
 	minReadBurst  = 1
@@ -38,10 +38,10 @@
 func (c *Client) reduceBudget(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.budget == (Budget{}) || now.Sub(c.budgetChangedAt) < narrowInterval {
+	if c.budget == (Budget{}) || now.Sub(c.budgetChangedAt) < minReduceInterval {
 		return
 	}
-	c.budgetFraction = max(minBudgetFraction, c.budgetFraction*narrowFactor)
+	c.budgetFraction = max(minBudgetFraction, c.budgetFraction*reduceFactor)
 	c.budgetChangedAt = now
 	c.applyBudget()
 }
@@ -50,10 +50,10 @@
 func (c *Client) raiseBudget(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.budgetFraction >= 1 || now.Sub(c.budgetChangedAt) < widenInterval {
+	if c.budgetFraction >= 1 || now.Sub(c.budgetChangedAt) < minRaiseInterval {
 		return
 	}
-	c.budgetFraction = min(1, c.budgetFraction*widenFactor)
+	c.budgetFraction = min(1, c.budgetFraction*raiseFactor)
 	c.budgetChangedAt = now
 	c.applyBudget()
 }
