--- a/internal/state/budget.go
+++ b/internal/state/budget.go
@@ -100,9 +100,9 @@
 // Idle reports whether the write budget is unused at the moment: it has room for
 // two transactions of that many writes, or is nearly full. Without the second
 // case a service of few writes per second would never have any background work.
-func (c *Client) Idle(writes int) bool { return c.writes.Tokens() >= c.idleAt(writes) }
+func (c *Client) Idle(writes int) bool { return c.writes.Tokens() >= c.idleThreshold(writes) }
 
-// idleAt is how many writes the budget must have left to be idle.
-func (c *Client) idleAt(writes int) float64 {
+// idleThreshold is how many writes the budget must have left to be idle.
+func (c *Client) idleThreshold(writes int) float64 {
 	return min(2*float64(writes), idleBurstFraction*float64(c.writes.Burst()))
 }
--- a/internal/state/budget_test.go
+++ b/internal/state/budget_test.go
@@ -19,7 +19,7 @@
 	for _, tt := range tests {
 		c := New("state:1", nil, Budget{RPS: 100, WriteRPS: tt.rps})
 		c.writes.AllowN(c.budgetChangedAt.AddDate(3000, 0, 0), tt.taken)
-		if got := c.writes.TokensAt(c.budgetChangedAt.AddDate(3000, 0, 0)) >= c.idleAt(12); got != tt.want {
+		if got := c.writes.TokensAt(c.budgetChangedAt.AddDate(3000, 0, 0)) >= c.idleThreshold(12); got != tt.want {
 			t.Errorf("%s: idle %v, want %v", tt.name, got, tt.want)
 		}
 	}
