--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -26,12 +26,12 @@
 
 // Client talks to the state service. It is safe for concurrent use.
 type Client struct {
-	baseURL string
-	http    *http.Client // of all requests but watches
-	watch   *http.Client // of watches, which hold a connection for long
-	reads   *rate.Limiter
-	writes  *rate.Limiter
-	latency *latencyTracker
+	baseURL     string
+	requestHTTP *http.Client // of all requests but watches
+	watchHTTP   *http.Client // of watches, which hold a connection for long
+	reads       *rate.Limiter
+	writes      *rate.Limiter
+	latency     *latencyTracker
 
 	mu     sync.Mutex
 	budget Budget // zero: unbounded
@@ -72,8 +72,8 @@
 	reads, writes := b.bursts()
 	return &Client{
 		baseURL:        "http://" + addr,
-		http:           &http.Client{Transport: transport(dial, requestConns)},
-		watch:          &http.Client{Transport: transport(dial, watchConns)},
+		requestHTTP:    &http.Client{Transport: transport(dial, requestConns)},
+		watchHTTP:      &http.Client{Transport: transport(dial, watchConns)},
 		reads:          rate.NewLimiter(rate.Limit(b.RPS), reads),
 		writes:         rate.NewLimiter(rate.Limit(b.WriteRPS), writes),
 		latency:        newLatencyTracker(),
@@ -88,8 +88,8 @@
 func NewUnbounded(addr string, dial DialFunc) *Client {
 	return &Client{
 		baseURL:        "http://" + addr,
-		http:           &http.Client{Transport: transport(dial, unboundedConns)},
-		watch:          &http.Client{Transport: transport(dial, watchConns)},
+		requestHTTP:    &http.Client{Transport: transport(dial, unboundedConns)},
+		watchHTTP:      &http.Client{Transport: transport(dial, watchConns)},
 		reads:          rate.NewLimiter(rate.Inf, 1),
 		writes:         rate.NewLimiter(rate.Inf, 1),
 		latency:        newLatencyTracker(),
--- a/internal/state/client_test.go
+++ b/internal/state/client_test.go
@@ -41,7 +41,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := New("state:1", nil, Budget{RPS: 1000, WriteRPS: 100})
-				c.http.Transport = answers(func(*http.Request) int { return tt.status })
+				c.requestHTTP.Transport = answers(func(*http.Request) int { return tt.status })
 				c.budgetFraction = tt.before
 				time.Sleep(time.Minute)
 				for range tt.calls {
@@ -64,7 +64,7 @@
 func TestUnbounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := NewUnbounded("state:1", nil)
-		c.http.Transport = answers(func(*http.Request) int { return 429 })
+		c.requestHTTP.Transport = answers(func(*http.Request) int { return 429 })
 		begun := time.Now()
 		for range 500 {
 			if _, err := c.Commit(context.Background(), Txn{Writes: make([]Write, 2)}); !errors.Is(err, ErrRefused) {
--- a/internal/state/keys.go
+++ b/internal/state/keys.go
@@ -22,7 +22,7 @@
 		return Entry{}, err
 	}
 	return hedged(ctx, c.latency, c.reads.Allow, func(ctx context.Context) (e Entry, err error) {
-		err = c.do(ctx, c.http, http.MethodGet, "/kv/"+key, nil, &e, callTimeout)
+		err = c.do(ctx, c.requestHTTP, http.MethodGet, "/kv/"+key, nil, &e, callTimeout)
 		return e, err
 	})
 }
@@ -41,7 +41,7 @@
 			q.Set("after", after)
 		}
 		page, err := hedged(ctx, c.latency, c.reads.Allow, func(ctx context.Context) (p listPage, err error) {
-			err = c.do(ctx, c.http, http.MethodGet, "/kv?"+q.Encode(), nil, &p, listTimeout)
+			err = c.do(ctx, c.requestHTTP, http.MethodGet, "/kv?"+q.Encode(), nil, &p, listTimeout)
 			return p, err
 		})
 		if err != nil {
@@ -113,6 +113,6 @@
 		t.Writes = []Write{}
 	}
 	var out commitResponse
-	err := c.do(ctx, c.http, http.MethodPost, "/commit", t, &out, callTimeout)
+	err := c.do(ctx, c.requestHTTP, http.MethodPost, "/commit", t, &out, callTimeout)
 	return out.Epoch, err
 }
--- a/internal/state/watch.go
+++ b/internal/state/watch.go
@@ -19,6 +19,6 @@
 		"wait_ms": {strconv.FormatInt(wait.Milliseconds(), 10)},
 	}
 	var out watchResponse
-	err := c.do(ctx, c.watch, http.MethodGet, "/changes?"+q.Encode(), nil, &out, wait+callTimeout)
+	err := c.do(ctx, c.watchHTTP, http.MethodGet, "/changes?"+q.Encode(), nil, &out, wait+callTimeout)
 	return out.Events, out.Epoch, err
 }
