--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -56,8 +56,8 @@
 	unboundedConns = 2
 )
 
-// transport makes an HTTP transport of at most conns connections.
-func transport(dial DialFunc, conns int) *http.Transport {
+// newTransport makes an HTTP newTransport of at most conns connections.
+func newTransport(dial DialFunc, conns int) *http.Transport {
 	return &http.Transport{
 		DialContext:         dial,
 		MaxConnsPerHost:     conns,
@@ -72,8 +72,8 @@
 	reads, writes := b.bursts()
 	return &Client{
 		baseURL:        "http://" + addr,
-		requestHTTP:    &http.Client{Transport: transport(dial, requestConns)},
-		watchHTTP:      &http.Client{Transport: transport(dial, watchConns)},
+		requestHTTP:    &http.Client{Transport: newTransport(dial, requestConns)},
+		watchHTTP:      &http.Client{Transport: newTransport(dial, watchConns)},
 		reads:          rate.NewLimiter(rate.Limit(b.RPS), reads),
 		writes:         rate.NewLimiter(rate.Limit(b.WriteRPS), writes),
 		latency:        newLatencyTracker(),
@@ -88,8 +88,8 @@
 func NewUnbounded(addr string, dial DialFunc) *Client {
 	return &Client{
 		baseURL:        "http://" + addr,
-		requestHTTP:    &http.Client{Transport: transport(dial, unboundedConns)},
-		watchHTTP:      &http.Client{Transport: transport(dial, watchConns)},
+		requestHTTP:    &http.Client{Transport: newTransport(dial, unboundedConns)},
+		watchHTTP:      &http.Client{Transport: newTransport(dial, watchConns)},
 		reads:          rate.NewLimiter(rate.Inf, 1),
 		writes:         rate.NewLimiter(rate.Inf, 1),
 		latency:        newLatencyTracker(),
