--- a/internal/state/keys.go
+++ b/internal/state/keys.go
@@ -48,7 +48,7 @@
 			return nil, 0, err
 		}
 		if after == "" {
-			revision = page.Epoch
+			revision = page.Revision
 		}
 		all = append(all, page.Entries...)
 		if !page.More || len(page.Entries) == 0 {
@@ -114,5 +114,5 @@
 	}
 	var out commitResponse
 	err := c.do(ctx, c.requestHTTP, http.MethodPost, "/commit", t, &out, callTimeout)
-	return out.Epoch, err
+	return out.Revision, err
 }
--- a/internal/state/messages.go
+++ b/internal/state/messages.go
@@ -46,14 +46,14 @@
 
 // listPage is one page of a listing.
 type listPage struct {
-	Entries []Entry `codec:"entries"`
-	More    bool    `codec:"more"`
-	Epoch   uint64  `codec:"epoch"`
+	Entries  []Entry `codec:"entries"`
+	More     bool    `codec:"more"`
+	Revision uint64  `codec:"epoch"`
 }
 
 // commitResponse is the response to a transaction that was applied.
 type commitResponse struct {
-	Epoch uint64 `codec:"epoch"` // the revision of its changes
+	Revision uint64 `codec:"epoch"` // the revision of its changes
 }
 
 // conflictResponse is the response to a transaction whose conditions do not hold.
@@ -73,8 +73,8 @@
 
 // watchResponse is the response to a watch.
 type watchResponse struct {
-	Epoch  uint64  `codec:"epoch"` // the revision to watch from next
-	Events []Event `codec:"events"`
+	Revision uint64  `codec:"epoch"` // the revision to watch from next
+	Events   []Event `codec:"events"`
 }
 
 // Event is a change that a watch reports.
--- a/internal/state/watch.go
+++ b/internal/state/watch.go
@@ -20,5 +20,5 @@
 	}
 	var out watchResponse
 	err := c.do(ctx, c.watchHTTP, http.MethodGet, "/changes?"+q.Encode(), nil, &out, wait+callTimeout)
-	return out.Events, out.Epoch, err
+	return out.Events, out.Revision, err
 }
