--- a/internal/state/keys.go
+++ b/internal/state/keys.go
@@ -62,7 +62,7 @@
 // failed condition is an ErrConflict; ErrOutcomeUnknown means that it may have been
 // applied.
 func (c *Client) Commit(ctx context.Context, t Txn) (uint64, error) {
-	if err := c.waitForBudget(ctx, t); err != nil {
+	if err := c.waitForCommit(ctx, t); err != nil {
 		return 0, err
 	}
 	return c.sendCommit(ctx, t)
@@ -73,7 +73,7 @@
 // absent. A conflict may be caused by the other copy of the request: the caller
 // has to read the key to tell.
 func (c *Client) CommitHedged(ctx context.Context, t Txn) (uint64, error) {
-	if err := c.waitForBudget(ctx, t); err != nil {
+	if err := c.waitForCommit(ctx, t); err != nil {
 		return 0, err
 	}
 	mayHedge := func() bool { return c.writes.AllowN(time.Now(), len(t.Writes)) && c.reads.Allow() }
@@ -89,9 +89,9 @@
 	return nil
 }
 
-// waitForBudget waits until the budget has room for a transaction. The error is an
+// waitForCommit waits until the budget has room for a transaction. The error is an
 // ErrRefused.
-func (c *Client) waitForBudget(ctx context.Context, t Txn) error {
+func (c *Client) waitForCommit(ctx context.Context, t Txn) error {
 	if err := c.waitForRequest(ctx); err != nil {
 		return err
 	}
