--- a/internal/emulate/invariants.go
+++ b/internal/emulate/invariants.go
@@ -80,7 +80,7 @@
 // caller holds the lock.
 func (w *World) recordDirectCommands(orders []wire.Command, carriedOut bool) {
 	for _, o := range orders {
-		id, _, ok := job.SplitTask(o.Task)
+		id, _, ok := job.SplitTaskName(o.Task)
 		if !ok || o.Verb != wire.CommandLaunch {
 			continue
 		}
--- a/internal/emulate/worker_commands.go
+++ b/internal/emulate/worker_commands.go
@@ -32,7 +32,7 @@
 
 // launch begins to pull the image of a task.
 func (worker *Worker) launch(id string, o wire.Command) {
-	jobID, index, _ := job.SplitTask(o.Task)
+	jobID, index, _ := job.SplitTaskName(o.Task)
 	spec := worker.world.spec(jobID)
 	t := &task{
 		name:     o.Task,
--- a/internal/fleet/observe.go
+++ b/internal/fleet/observe.go
@@ -150,7 +150,7 @@
 
 // observeTask updates the slot of a task that the message lists.
 func (o *observation) observeTask(t *wire.TaskStatus, find func(id string) *job.Job) {
-	id, task, ok := job.SplitTask(t.Task)
+	id, task, ok := job.SplitTaskName(t.Task)
 	if !ok {
 		return
 	}
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -151,7 +151,7 @@
 		{"run-1/2/3", "", 0, false},
 	}
 	for _, tt := range tests {
-		id, task, ok := SplitTask(tt.in)
+		id, task, ok := SplitTaskName(tt.in)
 		if id != tt.id || task != tt.task || ok != tt.ok {
 			t.Errorf("%q: %q %d %v", tt.in, id, task, ok)
 		}
--- a/internal/job/spec.go
+++ b/internal/job/spec.go
@@ -138,9 +138,9 @@
 	return id + "/" + strconv.Itoa(int(task))
 }
 
-// SplitTask splits a task's name into its job's id and its number; ok is false for
+// SplitTaskName splits a task's name into its job's id and its number; ok is false for
 // a name that no task can have.
-func SplitTask(name string) (id string, task int32, ok bool) {
+func SplitTaskName(name string) (id string, task int32, ok bool) {
 	id, number, found := strings.Cut(name, "/")
 	if !found || !ValidID(id) {
 		return "", 0, false
