--- a/internal/control/job_table.go
+++ b/internal/control/job_table.go
@@ -119,7 +119,7 @@
 	if rec := jt.admissionGroups.find(id); rec != nil {
 		return jt.add(rec, 0, time.Now())
 	}
-	j := jt.add(job.UnknownRecord(id), 0, time.Now())
+	j := jt.add(job.UnknownJobRecord(id), 0, time.Now())
 	jt.unidentified[j] = true
 	go jt.identify(j, id)
 	return j
--- a/internal/job/record.go
+++ b/internal/job/record.go
@@ -31,9 +31,9 @@
 	Jobs []Record `codec:"jobs"`
 }
 
-// UnknownRecord stands in for the record of a job that a worker has reported and
+// UnknownJobRecord stands in for the record of a job that a worker has reported and
 // that is not loaded: it is cancelled, and may have any task.
-func UnknownRecord(id string) *Record {
+func UnknownJobRecord(id string) *Record {
 	return &Record{
 		Spec: Spec{
 			ID:           id,
