--- a/internal/control/planner_demands.go
+++ b/internal/control/planner_demands.go
@@ -120,7 +120,7 @@
 		if j.Replicas != nil {
 			// Each replica of a roll-out's batch has its zone; a plan places the replicas
 			// of one zone.
-			zone := j.ZoneOf(task)
+			zone := j.RequiredZone(task)
 			if len(demand.Pending) == 0 {
 				demand.Zone = zone
 			} else if demand.Zone != zone {
--- a/internal/job/tasks.go
+++ b/internal/job/tasks.go
@@ -33,8 +33,8 @@
 	return j.Replicas == nil || (int(task) < len(j.Replicas.Allowed) && j.Replicas.Allowed[task])
 }
 
-// ZoneOf is the only zone that a task may run in, or -1.
-func (j *Job) ZoneOf(task int32) int {
+// RequiredZone is the only zone that a task may run in, or -1.
+func (j *Job) RequiredZone(task int32) int {
 	if j.Replicas != nil && int(task) < len(j.Replicas.Zone) && j.Replicas.Zone[task] >= 0 {
 		return j.Replicas.Zone[task]
 	}
