--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -119,7 +119,7 @@
 		f.slotsByJob[s.Job] = slots
 	}
 	slots[s] = struct{}{}
-	s.Job.AddLive(s.Task, 1)
+	s.Job.AdjustLive(s.Task, 1)
 }
 
 // markAwaitingCommand adds a machine to the list behind AwaitingCommand.
@@ -190,7 +190,7 @@
 	if !s.Active() {
 		return nil
 	}
-	s.Job.AddLive(s.Task, -1)
+	s.Job.AdjustLive(s.Task, -1)
 	s.Phase = wire.TaskExited
 	return []Event{{Kind: kind, Slot: s}}
 }
--- a/internal/fleet/observe.go
+++ b/internal/fleet/observe.go
@@ -178,7 +178,7 @@
 	s.UpdateHealth(o.now)
 	switch {
 	case t.Phase == wire.TaskExited:
-		j.AddLive(task, -1)
+		j.AdjustLive(task, -1)
 		o.events = append(o.events, Event{Kind: Exited, Slot: s})
 	case t.Phase == wire.TaskRunning && previous != wire.TaskRunning:
 		s.RunningSince = o.now
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -117,7 +117,7 @@
 	if len(j.DirtyChunks()) != 0 {
 		t.Error("chunks are dirty after they were taken")
 	}
-	k.AddLive(201, 1)
+	k.AdjustLive(201, 1)
 	var got []int32
 	k.Unplaced(func(task int32) bool {
 		got = append(got, task)
--- a/internal/job/tasks.go
+++ b/internal/job/tasks.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// AddLive changes the number of a task's placements that may be on a machine.
-func (j *Job) AddLive(task int32, by int) {
+// AdjustLive changes the number of a task's placements that may be on a machine.
+func (j *Job) AdjustLive(task int32, by int) {
 	before := j.Live[task]
 	after := before + by
 	if after > 0 {
