--- a/internal/control/records_pages.go
+++ b/internal/control/records_pages.go
@@ -70,7 +70,7 @@
 func (jm *jobMachines) setConfirmed(machines job.MachineSet) {
 	jm.confirmed = machines
 	if jm.job != nil {
-		jm.job.NotedMachines = machines
+		jm.job.RegisteredMachines = machines
 	}
 }
 
--- a/internal/control/records_registry.go
+++ b/internal/control/records_registry.go
@@ -55,7 +55,7 @@
 func (r *registry) attachJob(j *job.Job) {
 	if jobEntry := r.machinesByJob[j.ID]; jobEntry != nil {
 		jobEntry.job = j
-		j.NotedMachines = jobEntry.confirmed
+		j.RegisteredMachines = jobEntry.confirmed
 	}
 }
 
@@ -97,7 +97,7 @@
 }
 
 // recordPlacement adds a machine to the entry of a job. The job may be launched there
-// once j.NotedMachines contains the machine.
+// once j.RegisteredMachines contains the machine.
 func (r *registry) recordPlacement(j *job.Job, machine *fleet.Machine) {
 	jobEntry := r.machinesByJob[j.ID]
 	if jobEntry == nil {
@@ -108,7 +108,7 @@
 		r.machinesByJob[j.ID] = jobEntry
 	}
 	jobEntry.desired.Add(machine.Index)
-	if !j.NotedMachines.Has(machine.Index) {
+	if !j.RegisteredMachines.Has(machine.Index) {
 		jobEntry.page.urgent = true
 	}
 }
--- a/internal/control/records_registry_test.go
+++ b/internal/control/records_registry_test.go
@@ -26,7 +26,7 @@
 			f.t.Errorf("the transaction has %d writes, want 2: a page of machines and a page of jobs", n)
 		}
 		for i := range 60 {
-			if !j.NotedMachines.Has(i) {
+			if !j.RegisteredMachines.Has(i) {
 				f.t.Errorf("the job cannot be launched on machine %d although the write was stored", i)
 			}
 		}
@@ -35,7 +35,7 @@
 		j := f.addArrayJob("run-1")
 		f.assign(j, 0, f.addMachine("h0"))
 		delayed := f.storeOnce(lostResponse)
-		if j.NotedMachines.Has(0) || f.addMachine("h0").Registered {
+		if j.RegisteredMachines.Has(0) || f.addMachine("h0").Registered {
 			f.t.Error("the job may be launched, or the machine is registered, after a write with unknown outcome")
 		}
 		f.assign(j, 1, f.addMachine("h1"))
@@ -54,7 +54,7 @@
 		}
 		f.storeOnce(f.store.apply) // this transaction conflicts with the stored pages
 		f.storeOnce(f.store.apply)
-		if !j.NotedMachines.Has(0) {
+		if !j.RegisteredMachines.Has(0) {
 			f.t.Error("the job cannot be launched on machine 0 although the write after the conflict was stored")
 		}
 	}},
@@ -67,11 +67,11 @@
 		}
 		f.assign(j, 1, f.addMachine("h1"))
 		f.storeOnce(lostResponse)
-		if j.NotedMachines.Has(0) || j.NotedMachines.Has(1) {
+		if j.RegisteredMachines.Has(0) || j.RegisteredMachines.Has(1) {
 			f.t.Error("the gang may be launched on a machine that only the old or only the new record names")
 		}
 		f.storeOnce(f.store.apply)
-		if j.NotedMachines.Has(0) || !j.NotedMachines.Has(1) {
+		if j.RegisteredMachines.Has(0) || !j.RegisteredMachines.Has(1) {
 			f.t.Error("after the write, machine 1 is not the only one on which the gang may be launched")
 		}
 	}},
@@ -131,7 +131,7 @@
 			f.storeOnce(f.store.apply)
 		}
 		for id, words := range map[string]int{"run-1": 60, "run-2": 30, "run-3": 70, "run-4": 15} {
-			if !f.jobTable.get(id).NotedMachines.Has(64*words - 1) {
+			if !f.jobTable.get(id).RegisteredMachines.Has(64*words - 1) {
 				f.t.Errorf("%s cannot be launched after six more transactions", id)
 			}
 		}
@@ -146,7 +146,7 @@
 			f.storeOnce(f.store.apply)
 			f.recordMachine("run-3", 29-i) // changes again before each transaction
 		}
-		if !f.jobTable.jobs["run-1"].NotedMachines.Has(64*60 - 1) {
+		if !f.jobTable.jobs["run-1"].RegisteredMachines.Has(64*60 - 1) {
 			f.t.Error("run-1 cannot be launched after nine transactions")
 		}
 	}},
--- a/internal/control/registry_fixture_test.go
+++ b/internal/control/registry_fixture_test.go
@@ -147,8 +147,8 @@
 	f.t.Helper()
 	for id, j := range f.jobTable.all() {
 		named := f.store.recordedMachines(f.t, id)
-		for i := range 64 * len(j.NotedMachines) {
-			if j.NotedMachines.Has(i) && !named[i] {
+		for i := range 64 * len(j.RegisteredMachines) {
+			if j.RegisteredMachines.Has(i) && !named[i] {
 				f.t.Errorf("job %s may be launched on machine %d, but no stored record names that machine for it", id, i)
 			}
 		}
--- a/internal/fleet/compose.go
+++ b/internal/fleet/compose.go
@@ -86,7 +86,7 @@
 		c.events = append(c.events, c.fleet.removeSlot(m, s, NeverStarted)...)
 		return
 	}
-	if !c.allowLaunches || !m.Fenced || !m.Registered || m.Lost || !s.Job.NotedMachines.Has(m.Index) {
+	if !c.allowLaunches || !m.Fenced || !m.Registered || m.Lost || !s.Job.RegisteredMachines.Has(m.Index) {
 		return
 	}
 	s.LaunchSent = true
@@ -178,7 +178,7 @@
 // should not wait for the next report.
 func (m *Machine) NeedsDirectCommand(now time.Time) bool {
 	for _, s := range m.Slots {
-		if !s.LaunchSent && m.Usable() && s.Job.NotedMachines.Has(m.Index) {
+		if !s.LaunchSent && m.Usable() && s.Job.RegisteredMachines.Has(m.Index) {
 			return true
 		}
 		if m.holder != nil && s.resendDue(now) {
--- a/internal/fleet/explore_world_test.go
+++ b/internal/fleet/explore_world_test.go
@@ -112,7 +112,7 @@
 	w.assigner.AddMachine("host-1", "")
 	w.fleetHolder = &Holder{Name: "n1"}
 	w.retainedByLeader = false
-	w.job.NotedMachines.Add(w.machine.Index)
+	w.job.RegisteredMachines.Add(w.machine.Index)
 	w.endedBeforeTerm = !w.cancelledAt.IsZero()
 	if w.endedBeforeTerm {
 		rec := &job.Record{Spec: w.job.Spec, Phase: wire.JobCancelled}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -33,7 +33,7 @@
 	}
 	f.machine = f.fleet.Add("host-1", now)
 	f.machine.Described, f.machine.Registered, f.machine.Type, f.machine.Zone = true, true, 0, 0
-	f.job.NotedMachines.Add(f.machine.Index)
+	f.job.RegisteredMachines.Add(f.machine.Index)
 	return f
 }
 
@@ -112,11 +112,11 @@
 		}},
 		{"6: a machine gets no launch until its record names the job", func(f *ledgerFixture) {
 			f.observe(true, 1, 1, testTerm, nil)
-			f.job.NotedMachines.Remove(f.machine.Index)
+			f.job.RegisteredMachines.Remove(f.machine.Index)
 			f.assign(1)
 			f.checkOrders(f.compose(1, true), "")
 			f.checkOrders(f.compose(0, true), "")
-			f.job.NotedMachines.Add(f.machine.Index)
+			f.job.RegisteredMachines.Add(f.machine.Index)
 			f.checkOrders(f.compose(0, true), "launch 1;")
 		}},
 		{"6: an inherited machine is unsettled until it is fenced", func(f *ledgerFixture) {
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -53,10 +53,10 @@
 	liveUndone int
 	// lowestUndone is the lowest task that may still need a placement.
 	lowestUndone int32
-	// NotedMachines are the machines for which the registry certainly names the job. It
+	// RegisteredMachines are the machines for which the registry certainly names the job. It
 	// is launched on these alone, so that the next leader knows what a silent machine
 	// may run.
-	NotedMachines MachineSet
+	RegisteredMachines MachineSet
 
 	// GangAttempt is the attempt that members are placed with; 0: none.
 	GangAttempt uint64
@@ -119,7 +119,7 @@
 	old := *j
 	*j = *New(r, submitted)
 	j.Live = old.Live
-	j.NotedMachines = old.NotedMachines
+	j.RegisteredMachines = old.RegisteredMachines
 	j.Replicas = old.Replicas
 	j.Versions = old.Versions
 	j.IsVersionGroup = old.IsVersionGroup
