--- a/internal/job/chunk.go
+++ b/internal/job/chunk.go
@@ -112,13 +112,13 @@
 // recount counts the completed tasks anew.
 func (j *Job) recount() {
 	j.DoneCount = 0
-	j.liveUndone = 0
+	j.liveIncomplete = 0
 	for _, word := range j.done {
 		j.DoneCount += bits.OnesCount64(word)
 	}
 	for t := range j.Live {
 		if int(t) < j.Tasks && !j.IsDone(t) {
-			j.liveUndone++
+			j.liveIncomplete++
 		}
 	}
 }
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -49,8 +49,8 @@
 
 	// Live counts, for each task, the placements that may be on a machine.
 	Live map[int32]int
-	// liveUndone counts the tasks of Live that have not completed.
-	liveUndone int
+	// liveIncomplete counts the tasks of Live that have not completed.
+	liveIncomplete int
 	// lowestUndone is the lowest task that may still need a placement.
 	lowestUndone int32
 	// RegisteredMachines are the machines for which the registry certainly names the job. It
--- a/internal/job/tasks.go
+++ b/internal/job/tasks.go
@@ -15,7 +15,7 @@
 	j.done[task/wordBits] |= 1 << (task % wordBits)
 	j.DoneCount++
 	if j.Live[task] > 0 {
-		j.liveUndone--
+		j.liveIncomplete--
 	}
 	j.dirtyChunks[int(task)/chunkTasks] = true
 	return true
@@ -49,7 +49,7 @@
 	if j.Shape == Service {
 		return j.Tasks - len(j.Live)
 	}
-	return j.Tasks - j.DoneCount - j.liveUndone
+	return j.Tasks - j.DoneCount - j.liveIncomplete
 }
 
 // unplacedReplicas counts the replicas that may run and have no placement.
@@ -97,8 +97,8 @@
 		return
 	}
 	if after > 0 {
-		j.liveUndone++
+		j.liveIncomplete++
 	} else {
-		j.liveUndone--
+		j.liveIncomplete--
 	}
 }
