--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -51,8 +51,8 @@
 	Live map[int32]int
 	// liveIncomplete counts the tasks of Live that have not completed.
 	liveIncomplete int
-	// lowestUndone is the lowest task that may still need a placement.
-	lowestUndone int32
+	// lowestIncomplete is the lowest task that may still need a placement.
+	lowestIncomplete int32
 	// RegisteredMachines are the machines for which the registry certainly names the job. It
 	// is launched on these alone, so that the next leader knows what a silent machine
 	// may run.
--- a/internal/job/tasks.go
+++ b/internal/job/tasks.go
@@ -66,11 +66,11 @@
 // Unplaced is an iterator over the tasks that need a placement.
 func (j *Job) Unplaced(yield func(task int32) bool) {
 	if j.Shape != Service {
-		for int(j.lowestUndone) < j.Tasks && j.IsDone(j.lowestUndone) {
-			j.lowestUndone++
+		for int(j.lowestIncomplete) < j.Tasks && j.IsDone(j.lowestIncomplete) {
+			j.lowestIncomplete++
 		}
 	}
-	for t := j.lowestUndone; int(t) < j.Tasks; t++ {
+	for t := j.lowestIncomplete; int(t) < j.Tasks; t++ {
 		if t%wordBits == 0 && j.Shape != Service && j.done[t/wordBits] == math.MaxUint64 {
 			t += wordBits - 1 // a large job that is nearly done must not cost a check of each task
 			continue
