--- a/internal/job/chunk.go
+++ b/internal/job/chunk.go
@@ -104,13 +104,13 @@
 	if used := j.Tasks % wordBits; used != 0 {
 		j.done[len(j.done)-1] &= 1<<used - 1 // bits beyond the last task
 	}
-	j.recount()
+	j.recountDone()
 	j.chunkVersions[chunk] = version
 	return nil
 }
 
-// recount counts the completed tasks anew.
-func (j *Job) recount() {
+// recountDone counts the completed tasks anew.
+func (j *Job) recountDone() {
 	j.DoneCount = 0
 	j.liveIncomplete = 0
 	for _, word := range j.done {
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -123,7 +123,7 @@
 	j.Replicas = old.Replicas
 	j.Versions = old.Versions
 	j.IsVersionGroup = old.IsVersionGroup
-	j.recount()
+	j.recountDone()
 }
 
 // RunTimes sums up run times.
