--- a/internal/job/spec.go
+++ b/internal/job/spec.go
@@ -109,8 +109,8 @@
 	// maxIDDigits is the longest number of a job id.
 	maxIDDigits = 32
 
-	// maxTeamName is the longest name of a team that can be a part of a key, in bytes.
-	maxTeamName = 100
+	// maxTeamNameBytes is the longest name of a team that can be a part of a key, in bytes.
+	maxTeamNameBytes = 100
 )
 
 // ValidID reports whether id has the form of a job id.
@@ -130,7 +130,7 @@
 // ValidTeam reports whether a team of that name can be stored: keys have no spaces.
 func ValidTeam(name string) bool {
 	notPrintable := func(r rune) bool { return r <= ' ' || r > '~' }
-	return name != "" && len(name) <= maxTeamName && !strings.ContainsFunc(name, notPrintable)
+	return name != "" && len(name) <= maxTeamNameBytes && !strings.ContainsFunc(name, notPrintable)
 }
 
 // TaskName is the name of one of a job's tasks.
