--- a/internal/job/spec_parse.go
+++ b/internal/job/spec_parse.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// maxText is the longest text in a submission, in bytes.
-	maxText = 200
+	// maxTextBytes is the longest text in a submission, in bytes.
+	maxTextBytes = 200
 
 	// maxTypes is how many machine types a submission may name.
 	maxTypes = 100
@@ -137,7 +137,7 @@
 	}
 	for _, e := range list {
 		name, ok := e.(string)
-		if !ok || name == "" || len(name) > maxText {
+		if !ok || name == "" || len(name) > maxTextBytes {
 			f.fail("builds", "is not a list of names")
 			break
 		}
@@ -172,7 +172,7 @@
 		return ""
 	}
 	s, ok := v.(string)
-	if !ok || len(s) > maxText || (!optional && s == "") {
+	if !ok || len(s) > maxTextBytes || (!optional && s == "") {
 		f.fail(key, "is not a short text")
 		return ""
 	}
