--- a/internal/job/spec_parse.go
+++ b/internal/job/spec_parse.go
@@ -14,8 +14,8 @@
 	// maxTypes is how many machine types a submission may name.
 	maxTypes = 100
 
-	// maxReservationName is the longest name of a reservation, in bytes.
-	maxReservationName = 63
+	// maxReservationNameBytes is the longest name of a reservation, in bytes.
+	maxReservationNameBytes = 63
 
 	// maxAmount is far above any machine and any duration, and small enough for
 	// sums over all tasks to stay exact.
@@ -93,7 +93,7 @@
 // another meaning that others give it is not an error.
 func (f *fieldReader) reservation() string {
 	name, ok := f.values["booking"].(string)
-	if !ok || len(name) > maxReservationName {
+	if !ok || len(name) > maxReservationNameBytes {
 		return ""
 	}
 	return name
