--- a/internal/job/spec_parse.go
+++ b/internal/job/spec_parse.go
@@ -11,8 +11,8 @@
 	// maxTextBytes is the longest text in a submission, in bytes.
 	maxTextBytes = 200
 
-	// maxTypes is how many machine types a submission may name.
-	maxTypes = 100
+	// maxMachineTypes is how many machine types a submission may name.
+	maxMachineTypes = 100
 
 	// maxReservationNameBytes is the longest name of a reservation, in bytes.
 	maxReservationNameBytes = 63
@@ -132,7 +132,7 @@
 		f.fail("builds", "is not a list of names")
 		return nil
 	}
-	if len(list) == 0 || len(list) > maxTypes {
+	if len(list) == 0 || len(list) > maxMachineTypes {
 		f.fail("builds", "is empty or too long")
 	}
 	for _, e := range list {
