--- a/internal/job/machine_set_test.go
+++ b/internal/job/machine_set_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// TestSet: a set survives its text, whatever its length, and a text that is no
+// TestMachineSetEncoding: a set survives its text, whatever its length, and a text that is no
 // set is refused, because it would name too few machines.
-func TestSet(t *testing.T) {
+func TestMachineSetEncoding(t *testing.T) {
 	tests := []struct {
 		name    string
 		members []int
