--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -67,9 +67,9 @@
 	}
 }
 
-// TestFields: each field in turn is left out, null, or of another kind. What may be null may
+// TestParseSpecInvalidField: each field in turn is left out, null, or of another kind. What may be null may
 // also be left out; the refusal names the field.
-func TestFields(t *testing.T) {
+func TestParseSpecInvalidField(t *testing.T) {
 	optional := map[string]bool{"yard": true, "builds": true, "due_s": true}
 	for key := range valid() {
 		for name, edit := range map[string]func(m map[string]any){
