--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -91,8 +91,8 @@
 	}
 }
 
-// TestDoneSet stores the results of the largest job in chunks and loads them.
-func TestDoneSet(t *testing.T) {
+// TestChunkRoundTrip stores the results of the largest job in chunks and loads them.
+func TestChunkRoundTrip(t *testing.T) {
 	spec := Spec{ID: "run-1", ShapeName: "array", PriorityName: "idle", Tasks: MaxTasks}
 	j := New(&Record{Spec: spec}, time.Time{})
 	for i := int32(0); i < MaxTasks; i += 7 {
