--- a/internal/election/campaign.go
+++ b/internal/election/campaign.go
@@ -9,8 +9,8 @@
 	"vetchstream/internal/wire"
 )
 
-// startCampaign reports whether the member may campaign now, and if so notes that
-// it does.
+// startCampaign reports whether the member may campaign now, and if so marks it as
+// campaigning.
 func (e *Elector) startCampaign() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -18,29 +18,30 @@
 	return !now.Before(e.noCampaignBefore) && e.promises.startCampaign(now)
 }
 
-// endCampaign notes that the campaign, and the term if it was won, is over.
+// endCampaign marks the end of the campaign, and of the term if the campaign was
+// won.
 func (e *Elector) endCampaign() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.promises.endCampaign()
 }
 
-// campaign tries to be elected for the term after the stored one, under a lease
-// of its own, and leads until the term ends if it is.
+// campaign grants itself a lease and tries to win the term after the stored one. If
+// it wins, it leads until the term ends.
 func (e *Elector) campaign(ctx context.Context, stored storedLeadership) {
 	start := time.Now()
 	lease, err := e.store.GrantLease(ctx, e.ttl)
 	if err != nil {
 		return
 	}
-	term, restored := e.nextTerm(stored.term)
+	term, storeRolledBack := e.nextTerm(stored.term)
 	writes, err := e.leadershipWrites(term, lease)
 	if err != nil {
 		return
 	}
 	version, err := e.commitLeadership(ctx, writes, term, stored.termVersion, lease)
 	if err != nil {
-		// Without its lease, a commit that is executed late fails.
+		// A commit that the store executes late fails once the lease is revoked.
 		_ = e.store.RevokeLease(ctx, lease)
 		return
 	}
@@ -50,30 +51,31 @@
 		TermVersion:     version,
 		Since:           time.Now(),
 		LastHeartbeatAt: heartbeat,
-		StoreRolledBack: restored,
+		StoreRolledBack: storeRolledBack,
 	}
 	e.holdTerm(ctx, won, lease, start)
 }
 
-// nextTerm is the term to campaign for after the stored one. restored reports
-// that the stored term was behind the highest that this node has seen; the next
-// term is then the one after that.
-func (e *Elector) nextTerm(stored uint64) (next uint64, restored bool) {
+// nextTerm returns the term to campaign for: the one after the stored term or after
+// the highest term that this node has seen, whichever is higher. storeRolledBack
+// reports that the stored term was the lower of the two.
+func (e *Elector) nextTerm(stored uint64) (next uint64, storeRolledBack bool) {
 	e.mu.Lock()
 	seen := e.view.Term
 	e.mu.Unlock()
-	restored = seen > stored
-	if restored {
-		// A state service that has lost its latest writes names a term below the fencing
-		// tokens that workers have seen. They would ignore a leader of the next one.
-		e.log.Warn("stored term is lower than a term that workers or siblings have seen, advancing past it", "stored_term", stored, "seen_term", seen)
+	storeRolledBack = seen > stored
+	if storeRolledBack {
+		// A state service that has lost its latest writes returns a term below the fencing
+		// tokens that workers have seen. Workers would reject a leader whose term is not
+		// above those tokens.
+		e.log.Warn("stored term is lower than the highest observed term, advancing past the observed term", "stored_term", stored, "seen_term", seen)
 		stored = seen
 	}
-	return stored + 1, restored
+	return stored + 1, storeRolledBack
 }
 
-// leadershipWrites are the writes that make this member leader of the term: the
-// leader key, bound to the lease, and the term key.
+// leadershipWrites returns the writes that make this member the leader of the term:
+// the leader key, bound to the lease, and the term key.
 func (e *Elector) leadershipWrites(term, lease uint64) ([]state.Write, error) {
 	leaderWrite, leaderErr := state.Put(keyLeader, leaderRecord{Member: e.member, Term: term})
 	termWrite, termErr := state.Put(KeyTerm, termRecord{Term: term})
@@ -84,10 +86,10 @@
 	return []state.Write{leaderWrite, termWrite}, nil
 }
 
-// commitLeadership commits the writes as a compare-and-swap: the leader key must
-// be absent and the term key at the version that was read. It returns the
-// revision of the commit. If the response was lost, the lease on the leader key
-// tells whether the commit was executed.
+// commitLeadership commits the writes on condition that the leader key is absent and
+// the term key still has the version that was read. It returns the revision of the
+// commit. If the response is lost, it reads the leader key: the commit was executed
+// if the key is bound to the lease.
 func (e *Elector) commitLeadership(ctx context.Context, writes []state.Write, term, termVersion, lease uint64) (uint64, error) {
 	version, err := e.store.Commit(ctx, state.Txn{
 		If:     []state.Condition{{Key: keyLeader}, {Key: KeyTerm, Version: termVersion}},
@@ -109,7 +111,7 @@
 
 // holdTerm leads for the term: it runs the lead function and renews the lease
 // until the term ends, then steps down and waits for the lead function to return.
-// leaseStart is a moment before the lease was granted.
+// leaseStart is a time before the lease was granted.
 func (e *Elector) holdTerm(ctx context.Context, term Term, lease uint64, leaseStart time.Time) {
 	leadCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -125,13 +127,13 @@
 	cancel()
 	<-finished
 	if resigned {
-		_ = e.store.RevokeLease(ctx, lease) // if it fails, the lease expires by itself
+		_ = e.store.RevokeLease(ctx, lease) // if this fails, the lease expires after its TTL
 	}
 	e.log.Info("stepped down as leader", "term", term.Number)
 }
 
-// beginTerm notes that this member leads the term. The channel is closed when a
-// later term is observed.
+// beginTerm records that this member leads the term. The returned channel is closed
+// when a later term is observed.
 func (e *Elector) beginTerm(term uint64, leaseStart time.Time) (deposed <-chan struct{}) {
 	ch := make(chan struct{})
 	e.mu.Lock()
@@ -143,7 +145,7 @@
 	return ch
 }
 
-// endTerm notes that this member no longer leads the term, and reports whether it
+// endTerm records that this member no longer leads the term, and reports whether it
 // has resigned.
 func (e *Elector) endTerm(term uint64) (resigned bool) {
 	e.mu.Lock()
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -1,10 +1,11 @@
 // Package election implements leader election among the controllers over the
-// consensus-backed key-value store (the state service). A member that wins a
-// compare-and-swap on the leader and term keys holds a lease in the store for a
-// term, whose number only ever rises and is the fencing token of its writes. The
-// member is entitled to act as leader until its lease, less a clock margin, has
-// expired; in an outage of the store, until the first of its siblings' promises
-// not to campaign ends.
+// consensus-backed key-value store (the state service). A member becomes leader by
+// a compare-and-swap on the leader and term keys. The leader key is bound to a lease
+// of the member; the term increases with every election and is the fencing token of
+// the leader's writes. The member is entitled to act as leader until its lease, less
+// a clock margin, expires. During an outage of the store it is entitled for longer
+// if every sibling has promised not to campaign: until the first of the promises
+// ends.
 package election
 
 import (
@@ -21,10 +22,10 @@
 // Keys of the election in the state service.
 const (
 	keyPrefix = "lead/"
-	// keyLeader holds the leaderRecord, bound to the leader's lease.
+	// keyLeader stores the leaderRecord and is bound to the leader's lease.
 	keyLeader = "lead/holder"
-	// KeyTerm holds the highest term; every write of a leader is conditional on
-	// its version.
+	// KeyTerm stores the highest term. Every write of a leader is conditional on the
+	// version of this key.
 	KeyTerm = "lead/term"
 )
 
@@ -39,42 +40,42 @@
 	Term uint64 `codec:"term"`
 }
 
-// Term describes one term of leadership that this member has won; it is passed
-// to the lead function.
+// Term describes a term that this member has won. It is passed to the lead function.
 type Term struct {
-	// Number is the number of the term, the fencing token of the leader's writes.
+	// Number is the term's number, the fencing token of the leader's writes.
 	Number uint64
-	// TermVersion is the version of the term key that this term wrote.
+	// TermVersion is the version that the election gave the term key.
 	TermVersion uint64
-	// Since is a moment at or after the end of every earlier leader's entitlement.
+	// Since is a time at or after the end of every earlier leader's entitlement.
 	Since time.Time
-	// LastHeartbeatAt is when the previous leader's last heartbeat came; zero: never.
+	// LastHeartbeatAt is when the last heartbeat of an earlier leader arrived; zero if
+	// none did.
 	LastHeartbeatAt time.Time
-	// StoreRolledBack reports that the stored term was behind what workers or siblings had
-	// seen: the state service has lost its latest writes.
+	// StoreRolledBack reports that the stored term was lower than a term that workers or
+	// siblings had seen: the state service has lost its latest writes.
 	StoreRolledBack bool
 }
 
-// View is what a node believes about the leadership.
+// View is a node's view of the leadership.
 type View struct {
-	Leader string // member name of the leader; empty: unknown or none
-	Term   uint64 // highest term known
-	// StoreRespondedAt is when this node last had a response from the state service.
+	Leader string // member name of the leader; empty if it is unknown or there is none
+	Term   uint64 // highest term observed
+	// StoreRespondedAt is when the state service last responded to this node.
 	StoreRespondedAt time.Time
 }
 
 // Intervals of the election loop.
 const (
-	// retryInterval is the wait after a failed read or watch of the election keys.
+	// retryInterval is the delay after a failed read or watch of the election keys.
 	retryInterval = 250 * time.Millisecond
-	// campaignInterval is the wait between campaigns.
+	// campaignInterval is the delay between campaigns.
 	campaignInterval = 50 * time.Millisecond
-	// watchTimeout bounds one watch of the election keys.
+	// watchTimeout limits the duration of one watch of the election keys.
 	watchTimeout = 5 * time.Second
 )
 
-// Elector takes part in the election on behalf of one member. Its methods are
-// safe for concurrent use; Run drives it.
+// Elector takes part in the election for one member. Run contains its main loop; the
+// other methods are safe for concurrent use.
 type Elector struct {
 	member   string
 	ttl      time.Duration // of the lease
@@ -84,29 +85,31 @@
 	// requestPromise asks one sibling for a promise.
 	requestPromise RequestPromiseFunc
 
-	mu              sync.Mutex // guards what follows
+	mu              sync.Mutex // guards the fields below
 	view            View
-	lastHeartbeatAt time.Time // when a heartbeat of a leader last came
-	// leadingTerm is the term that this member leads, 0 for none; leaseUntil is when
-	// its lease expires, less the clock margin; deposed is closed when a later term
-	// is observed.
+	lastHeartbeatAt time.Time // when a leader's last heartbeat arrived; zero if none did
+	// leadingTerm is the term that this member leads, 0 if it does not lead. leaseUntil
+	// is when its lease expires, less the clock margin. deposed is closed when a later
+	// term is observed.
 	leadingTerm uint64
 	leaseUntil  time.Time
 	deposed     chan struct{}
-	// resigning: the lease is no longer renewed, because the member gives up the lead.
+	// resigning is set while the member gives up leadership: it no longer renews the lease.
 	resigning bool
-	// noCampaignBefore is until when a member that has resigned does not campaign.
+	// noCampaignBefore is the earliest time at which a member that has resigned may
+	// campaign again.
 	noCampaignBefore time.Time
 	promises         *promiseState
-	// promiseRoundActive: the siblings are being asked for promises.
+	// promiseRoundActive is set while a round of promise requests is in progress.
 	promiseRoundActive bool
-	// leadingOnPromises: the lease has expired and only the promises last.
+	// leadingOnPromises is set when the lease has expired and the entitlement depends on
+	// the siblings' promises.
 	leadingOnPromises bool
 }
 
-// New makes an elector for member with a lease of ttl in the state service. Each
-// time the member is elected, lead is run with a context that ends with the term.
-// Promises are off until EnablePromises.
+// New returns an elector for member, whose lease in the state service has the given
+// TTL. Each time the member is elected, the elector calls lead with a context that is
+// cancelled when the term ends. Promises are disabled until EnablePromises is called.
 func New(member string, ttl time.Duration, store *state.Client, log *slog.Logger, lead func(context.Context, Term)) *Elector {
 	return &Elector{
 		member:   member,
@@ -118,7 +121,7 @@
 	}
 }
 
-// Run takes part in the election until ctx ends: it watches the election keys,
+// Run takes part in the election until ctx is done: it watches the election keys,
 // campaigns when there is no leader, and leads when it is elected.
 func (e *Elector) Run(ctx context.Context) {
 	for ctx.Err() == nil {
@@ -143,26 +146,26 @@
 	}
 }
 
-// sleep waits for d or until ctx ends.
+// sleep waits until d has passed or ctx is done.
 func sleep(ctx context.Context, d time.Duration) {
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
 	case <-ctx.Done():
-	case <-t.C:
+	case <-timer.C:
 	}
 }
 
-// storedLeadership is what the election keys hold at one revision of the store.
+// storedLeadership is the content of the election keys at one revision of the store.
 type storedLeadership struct {
 	revision    uint64
-	hasLeader   bool   // some member holds the leader key
-	term        uint64 // highest term; 0: none yet
-	termVersion uint64 // version of the term key; 0: it is absent
+	hasLeader   bool   // the leader key is present
+	term        uint64 // highest term; 0 before the first election
+	termVersion uint64 // version of the term key; 0 if the key is absent
 }
 
-// readLeadership reads the leader and term keys in one listing, so that they
-// belong to the same revision, and updates the view.
+// readLeadership reads the leader and term keys and updates the view. It reads both
+// keys with one listing, so that they belong to the same revision.
 func (e *Elector) readLeadership(ctx context.Context) (storedLeadership, error) {
 	entries, revision, err := e.store.List(ctx, keyPrefix)
 	if err != nil {
--- a/internal/election/fixtures_test.go
+++ b/internal/election/fixtures_test.go
@@ -6,8 +6,7 @@
 	"vetchstream/internal/fixture"
 )
 
-// fixtures are the records of the leader election stored in the consensus-
-// backed key-value store.
+// fixtures are the records that leader election stores in the key-value store.
 var fixtures = []fixture.Row{
 	{File: "leader-record.cbor", Value: fixture.Filled[leaderRecord]()},
 	{File: "term-record.cbor", Value: fixture.Filled[termRecord]()},
--- a/internal/election/lease.go
+++ b/internal/election/lease.go
@@ -9,22 +9,21 @@
 )
 
 const (
-	// renewalsPerLease is how often the lease is renewed within its ttl.
+	// renewalsPerLease is the number of renewals per TTL of the lease.
 	renewalsPerLease = 4
-	// resignBackoff is how long a member that has resigned leaves the lead to the
-	// others.
+	// resignBackoff is how long a member does not campaign after it has resigned.
 	resignBackoff = 5 * time.Second
 )
 
 // Entitled reports whether the member may act as leader of the term right now.
-// Callers ask just before they send anything: a decision can wait behind a busy
-// processor for longer than the lease lasts.
+// Callers check it immediately before they send anything: on an overloaded processor
+// more time than the lease's TTL can pass between a decision and its sending.
 func (e *Elector) Entitled(term uint64) bool {
 	return e.EntitlementLeft(term) > 0
 }
 
-// EntitlementLeft is how long the member may still act as leader of the term
-// without another lease renewal or promise; 0: it may not.
+// EntitlementLeft returns how long the member may still act as leader of the term
+// without another lease renewal or promise; 0 if it may not.
 func (e *Elector) EntitlementLeft(term uint64) time.Duration {
 	now := time.Now()
 	e.mu.Lock()
@@ -35,8 +34,8 @@
 	return max(0, e.entitledUntil().Sub(now))
 }
 
-// entitledUntil is when the entitlement ends unless the lease is renewed or the
-// siblings promise again; the caller holds the lock.
+// entitledUntil returns when the entitlement ends unless the lease or the siblings'
+// promises are renewed. The caller holds e.mu.
 func (e *Elector) entitledUntil() time.Time {
 	if promised := e.promises.allPromisedUntil(); !e.leaseUntil.IsZero() && promised.After(e.leaseUntil) {
 		return promised
@@ -44,13 +43,14 @@
 	return e.leaseUntil
 }
 
-// clockMargin is deducted from the lease: monotonic clocks differ by up to 0.05 %
-// on both sides, and timers can fire late.
+// clockMargin is how much earlier than in the store the lease expires for this
+// member: the monotonic clocks of the member and the store drift by up to 0.05 % each,
+// and timers can fire late.
 func (e *Elector) clockMargin() time.Duration { return e.ttl/500 + 50*time.Millisecond }
 
-// Resign gives up the lead of the term: the lease is no longer renewed, and is
-// revoked once the entitlement, and every grant that depends on it, has expired.
-// Afterwards this member does not campaign for resignBackoff.
+// Resign gives up the leadership of the term: the member stops renewing the lease,
+// and revokes it once the entitlement, and every grant that depends on it, has
+// expired. It then does not campaign for resignBackoff.
 func (e *Elector) Resign(term uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -59,19 +59,19 @@
 	}
 }
 
-// resignStatus reports whether the member is resigning, and how long its lease
-// still lasts.
+// resignStatus reports whether the member is resigning, and the time left until its
+// lease expires.
 func (e *Elector) resignStatus() (left time.Duration, resigning bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return time.Until(e.leaseUntil), e.resigning
 }
 
-// keepLease renews the lease until it is gone, a later term is observed, or the
-// member has resigned and the entitlement has expired. In an outage without
-// promises the entitlement lapses but the term goes on: the store extends leases
-// to their full ttl after an outage, so the same term resumes if a renewal
-// succeeds. Only the store can confirm that, not a sibling.
+// keepLease renews the lease until it no longer exists, a later term is observed, or
+// the member has resigned and its entitlement has expired. In an outage without
+// promises the entitlement lapses but the term does not end: the store extends leases
+// to their full TTL after an outage, so the member leads the same term again once a
+// renewal succeeds. Only the store can confirm this, not a sibling.
 func (e *Elector) keepLease(ctx context.Context, term, lease uint64, deposed <-chan struct{}) {
 	timer := time.NewTimer(e.renewInterval())
 	defer timer.Stop()
@@ -98,12 +98,12 @@
 	}
 }
 
-// renewInterval is how long after a renewal the lease is renewed again.
+// renewInterval is the time between renewals of the lease.
 func (e *Elector) renewInterval() time.Duration { return e.ttl / renewalsPerLease }
 
 // renewLease renews the lease once and returns how long to wait before the next
-// renewal; ended reports that the lease is gone. If the renewal fails while the
-// member is entitled, it asks the siblings for promises.
+// renewal; ended reports that the lease no longer exists. If the renewal fails while
+// the member is entitled, it requests promises from the siblings.
 func (e *Elector) renewLease(ctx context.Context, term, lease uint64) (wait time.Duration, ended bool) {
 	start := time.Now()
 	err := e.store.RenewLease(ctx, lease)
@@ -122,7 +122,7 @@
 	}
 }
 
-// markRenewed notes that a renewal that was sent at start has succeeded.
+// markRenewed records the success of a renewal that was sent at start.
 func (e *Elector) markRenewed(start time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/election/observe.go
+++ b/internal/election/observe.go
@@ -4,17 +4,17 @@
 	"time"
 )
 
-// View returns what the node knows of the leadership.
+// View returns the node's view of the leadership.
 func (e *Elector) View() View {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.view
 }
 
-// ObserveLeader records a leader of term that a sibling or a worker has seen; the
-// name is empty when only the term is known. A member that leads an earlier term
-// steps down: a leader that only the state service cannot reach learns of its
-// successor this way.
+// ObserveLeader records the leader of a term that a sibling or a worker has reported;
+// leader is empty if only the term is known. A member that leads an earlier term steps
+// down. A leader that is cut off from the state service alone learns in this way that
+// it has a successor.
 func (e *Elector) ObserveLeader(leader string, term uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -29,8 +29,8 @@
 	}
 }
 
-// observeStored records the leader and the term that the state service has just
-// returned.
+// observeStored records the leader and the term that were just read from the state
+// service.
 func (e *Elector) observeStored(leader string, term uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -48,29 +48,29 @@
 	e.view.StoreRespondedAt = time.Now()
 }
 
-// ObserveSibling records whether a sibling's heartbeat says that it leads.
+// ObserveSibling records whether a sibling leads according to its heartbeat.
 func (e *Elector) ObserveSibling(member string, leads bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.promises.observeSibling(member, leads)
 }
 
-// ObserveHeartbeat records that a heartbeat of the leader has just come.
+// ObserveHeartbeat records that a heartbeat of the leader has just arrived.
 func (e *Elector) ObserveHeartbeat() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.lastHeartbeatAt = time.Now()
 }
 
-// lastHeartbeat is when a heartbeat of a leader last came; zero: never.
+// lastHeartbeat returns when a leader's last heartbeat arrived; zero if none did.
 func (e *Elector) lastHeartbeat() time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.lastHeartbeatAt
 }
 
-// LeaderLeaseLeft is how long a leader that sends no heartbeats may still hold the
-// lead: what is left of its lease, as far as this node knows.
+// LeaderLeaseLeft returns how long a leader whose heartbeats have stopped may still
+// hold its lease, counted from its last heartbeat to this node.
 func (e *Elector) LeaderLeaseLeft() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/election/promise_requests.go
+++ b/internal/election/promise_requests.go
@@ -9,44 +9,43 @@
 	"vetchstream/internal/state"
 )
 
-// RequestPromiseFunc asks a sibling, on behalf of the leader of term, to promise
-// that it does not campaign for the length of a promise; promised is false if the
-// sibling declines. It resembles the pre-vote request of Raft.
+// RequestPromiseFunc asks a sibling, on behalf of the leader of term, to promise not
+// to campaign for the duration of a promise. promised is false if the sibling
+// declines. The request resembles the pre-vote request of Raft.
 type RequestPromiseFunc func(ctx context.Context, sibling string, term uint64) (promised bool, err error)
 
-// EnablePromises lets a leader that the state service does not answer continue for
-// as long as every sibling promises not to campaign. length is how long one
-// promise lasts; 0 turns promises off. requestPromise asks one sibling. It has to
-// be called before Run.
-func (e *Elector) EnablePromises(length time.Duration, siblings []string, requestPromise RequestPromiseFunc) {
-	e.promises = newPromiseState(length, siblings, time.Now())
+// EnablePromises lets a leader that cannot reach the state service continue to lead
+// while every sibling promises not to campaign. A promise is in force for duration; 0
+// disables promises. requestPromise requests a promise from one sibling.
+// EnablePromises must be called before Run.
+func (e *Elector) EnablePromises(duration time.Duration, siblings []string, requestPromise RequestPromiseFunc) {
+	e.promises = newPromiseState(duration, siblings, time.Now())
 	e.requestPromise = requestPromise
 }
 
 const (
-	// promiseProbeTimeout bounds a sibling's check whether the state service answers
-	// it.
+	// promiseProbeTimeout limits the read with which a sibling checks whether it can
+	// reach the state service.
 	promiseProbeTimeout = 400 * time.Millisecond
-	// promiseRoundTimeout bounds a round of promise requests.
+	// promiseRoundTimeout limits a round of promise requests.
 	promiseRoundTimeout = 2 * promiseProbeTimeout
-	// promiseRequestInterval is the time between rounds of promise requests: the
-	// entitlement ends with a promise that is not renewed.
+	// promiseRequestInterval is the time between rounds of promise requests. Promises
+	// have to be renewed: the entitlement ends with the first promise that ends.
 	promiseRequestInterval = 300 * time.Millisecond
 )
 
-// HandlePromiseRequest handles the request of a leader of term that this member does not
-// campaign. The member promises, and then does not campaign for the length of a
-// promise, only if the state service does not answer it either (within
-// promiseProbeTimeout).
+// HandlePromiseRequest handles the request of the leader of term that this member
+// promise not to campaign, and reports whether the member has promised. It does so
+// only if the state service does not answer it within promiseProbeTimeout either.
 func (e *Elector) HandlePromiseRequest(ctx context.Context, leader string, term uint64) bool {
-	// A member that still leads an earlier, lapsed term does not promise. It has to
-	// learn here that its term is over: otherwise the leader would lack its promise,
-	// and nobody would be entitled during the outage.
+	// A member that still leads an earlier term whose entitlement has lapsed grants no
+	// promise. ObserveLeader ends that term; otherwise the promise would be missing, and
+	// no member would be entitled during the outage.
 	e.ObserveLeader(leader, term)
 	e.mu.Lock()
-	off := e.promises.duration == 0 || term < e.view.Term
+	mustDecline := e.promises.duration == 0 || term < e.view.Term
 	e.mu.Unlock()
-	if off {
+	if mustDecline {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, promiseProbeTimeout)
@@ -58,8 +57,8 @@
 	return e.promises.grant(storeFails, time.Now())
 }
 
-// requestPromises starts a round of promise requests to every sibling, unless one
-// is under way.
+// requestPromises starts a round of promise requests to all siblings, unless a round
+// is in progress.
 func (e *Elector) requestPromises(ctx context.Context, term uint64) {
 	e.mu.Lock()
 	if e.promises.duration == 0 || e.promiseRoundActive {
@@ -70,19 +69,19 @@
 	siblings := e.promises.siblings
 	e.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, promiseRoundTimeout)
-	var wg sync.WaitGroup
+	var requests sync.WaitGroup
 	for _, sibling := range siblings {
-		wg.Go(func() { e.requestPromiseFrom(ctx, sibling, term) })
+		requests.Go(func() { e.requestPromiseFrom(ctx, sibling, term) })
 	}
 	go func() {
-		wg.Wait()
+		requests.Wait()
 		cancel()
 		e.endPromiseRound(term)
 	}()
 }
 
-// requestPromiseFrom asks one sibling and records its promise, provided that the
-// member still leads the term.
+// requestPromiseFrom requests a promise from one sibling and records it if the member
+// still leads the term.
 func (e *Elector) requestPromiseFrom(ctx context.Context, sibling string, term uint64) {
 	requested := time.Now()
 	if promised, err := e.requestPromise(ctx, sibling, term); err != nil || !promised {
@@ -95,17 +94,17 @@
 	}
 }
 
-// endPromiseRound lets the next round begin, and logs when the entitlement begins
-// to depend on the siblings' promises alone.
+// endPromiseRound allows the next round to start. It logs a message when the lease has
+// expired and the entitlement starts to depend on the siblings' promises.
 func (e *Elector) endPromiseRound(term uint64) {
 	e.mu.Lock()
 	e.promiseRoundActive = false
 	now := time.Now()
 	onPromises := e.leadingTerm == term && now.After(e.leaseUntil) && now.Before(e.promises.allPromisedUntil())
-	was := e.leadingOnPromises
+	wasOnPromises := e.leadingOnPromises
 	e.leadingOnPromises = onPromises
 	e.mu.Unlock()
-	if onPromises && !was {
-		e.log.Info("key-value store is unavailable, leading on the promises of the siblings", "term", term)
+	if onPromises && !wasOnPromises {
+		e.log.Info("lease has expired while the key-value store is unavailable, leading on promises of all siblings", "term", term)
 	}
 }
