--- a/internal/election/campaign.go
+++ b/internal/election/campaign.go
@@ -66,8 +66,7 @@
 	storeRolledBack = seen > stored
 	if storeRolledBack {
 		// A state service that has lost its latest writes returns a term below the fencing
-		// tokens that workers have seen. Workers would reject a leader whose term is not
-		// above those tokens.
+		// tokens that workers have seen. Workers would ignore a leader of the term after it.
 		e.log.Warn("stored term is lower than the highest observed term, advancing past the observed term", "stored_term", stored, "seen_term", seen)
 		stored = seen
 	}
--- a/internal/election/promise.go
+++ b/internal/election/promise.go
@@ -31,9 +31,9 @@
 	campaigning bool
 }
 
-func newPromiseState(length time.Duration, siblings []string, now time.Time) *promiseState {
+func newPromiseState(duration time.Duration, siblings []string, now time.Time) *promiseState {
 	return &promiseState{
-		duration:        length,
+		duration:        duration,
 		siblings:        siblings,
 		startedAt:       now,
 		knownNotLeading: map[string]bool{},
--- a/internal/election/promise_test.go
+++ b/internal/election/promise_test.go
@@ -15,19 +15,19 @@
 type guard uint8
 
 const (
-	noGuard                  guard = iota
-	promiserDoesNotCampaign        // a member that has promised does not campaign
-	restartWaits                   // a new process waits for as long as an earlier promise may last
-	countedFromRequest             // a promise counts from its request, not from its response
-	allSiblingsPromise             // every sibling has to have promised
-	campaignerDoesNotPromise       // a member that campaigns does not promise
-	lapseIsFinal                   // a promise does not restore a lapsed entitlement
+	noGuard                      guard = iota
+	promiserMustNotCampaign            // a member that has promised does not campaign
+	restartedMemberWaits               // a new process waits for as long as an earlier promise may last
+	promiseCountsFromRequest           // a promise counts from its request, not from its response
+	allSiblingsMustPromise             // every sibling has to have promised
+	campaignerMustNotPromise           // a member that campaigns does not promise
+	lapsedEntitlementStaysLapsed       // a promise does not restore a lapsed entitlement
 )
 
 const (
-	tick   = 500 * time.Millisecond
-	ttl    = 2 * time.Second
-	length = 1200 * time.Millisecond
+	tickInterval    = 500 * time.Millisecond
+	leaseTTL        = 2 * time.Second
+	promiseDuration = 1200 * time.Millisecond
 )
 
 // member is the process of a controller, with the promises on their way to it.
@@ -60,7 +60,7 @@
 	for i := range w.members {
 		w.startMember(i)
 	}
-	w.now = w.now.Add(2 * length)
+	w.now = w.now.Add(2 * promiseDuration)
 	return w
 }
 
@@ -68,7 +68,7 @@
 func (w *world) startMember(i int) {
 	siblings := slices.Delete([]string{"0", "1", "2"}, i, i+1)
 	w.members[i] = member{
-		promises:         newPromiseState(length, siblings, w.now),
+		promises:         newPromiseState(promiseDuration, siblings, w.now),
 		storeRefuses:     w.members[i].storeRefuses,
 		promisesInFlight: map[int]time.Time{},
 	}
@@ -87,7 +87,7 @@
 	m := &w.members[i]
 	until := m.leaseUntil
 	t := m.promises.allPromisedUntil()
-	if w.disabled == allSiblingsPromise {
+	if w.disabled == allSiblingsMustPromise {
 		for _, got := range m.promises.receivedUntil {
 			if got.After(t) {
 				t = got
@@ -103,7 +103,7 @@
 // actions are the steps of the explorer, for each member.
 var actions = []explorer.Action[*world]{
 	{Name: "tick", Count: 1, Do: func(w *world, _ int) bool {
-		w.now = w.now.Add(tick)
+		w.now = w.now.Add(tickInterval)
 		if w.leader >= 0 && !w.storeDown && !w.now.Before(w.leaseExpires) {
 			w.leader = -1
 		}
@@ -112,7 +112,7 @@
 	{Name: "outage", Count: 1, Do: func(w *world, _ int) bool {
 		w.storeDown = !w.storeDown
 		if !w.storeDown {
-			w.leaseExpires = w.now.Add(ttl)
+			w.leaseExpires = w.now.Add(leaseTTL)
 		}
 		return true
 	}},
@@ -127,7 +127,7 @@
 			m.promises.endCampaign()
 			return true
 		}
-		m.leaseUntil, w.leaseExpires = w.now.Add(ttl-50*time.Millisecond), w.now.Add(ttl)
+		m.leaseUntil, w.leaseExpires = w.now.Add(leaseTTL-50*time.Millisecond), w.now.Add(leaseTTL)
 		return true
 	}},
 	{Name: "campaign", Count: 3, Do: func(w *world, i int) bool {
@@ -136,7 +136,7 @@
 			return false
 		}
 		may := m.promises.startCampaign(w.now)
-		if w.disabled == promiserDoesNotCampaign || w.disabled == restartWaits && w.now.Before(m.promises.startedAt.Add(2*length)) {
+		if w.disabled == promiserMustNotCampaign || w.disabled == restartedMemberWaits && w.now.Before(m.promises.startedAt.Add(2*promiseDuration)) {
 			m.promises.campaigning, may = true, true
 		}
 		m.campaigning = may
@@ -153,9 +153,9 @@
 			m.promises.endCampaign()
 			return true
 		}
-		w.leader, w.leaseExpires = i, w.now.Add(ttl)
+		w.leader, w.leaseExpires = i, w.now.Add(leaseTTL)
 		w.lastTerm++
-		m.leading, m.term, m.leaseUntil = true, w.lastTerm, w.now.Add(ttl-50*time.Millisecond)
+		m.leading, m.term, m.leaseUntil = true, w.lastTerm, w.now.Add(leaseTTL-50*time.Millisecond)
 		return true
 	}},
 	// The leader, member 0 in most cases, asks a sibling, which answers at once, but the
@@ -165,7 +165,7 @@
 		if !m.leading || w.served(0) {
 			return false
 		}
-		if w.disabled == campaignerDoesNotPromise {
+		if w.disabled == campaignerMustNotPromise {
 			s.promises.campaigning = false
 		}
 		if !s.leading && s.promises.grant(!w.served(1+i), w.now) {
@@ -180,12 +180,12 @@
 			return false
 		}
 		delete(m.promisesInFlight, 1+i)
-		if w.disabled == countedFromRequest {
+		if w.disabled == promiseCountsFromRequest {
 			asked = w.now
 		}
 		entitled := w.entitledUntil(0)
-		if w.disabled == lapseIsFinal {
-			entitled = w.now.Add(ttl)
+		if w.disabled == lapsedEntitlementStaysLapsed {
+			entitled = w.now.Add(leaseTTL)
 		}
 		m.promises.recordReceived(fmt.Sprint(1+i), asked, w.now, entitled)
 		return true
@@ -219,13 +219,13 @@
 
 // Fingerprint implements explorer.World.
 func (w *world) Fingerprint() string {
-	p := &explorer.Printer{Now: w.now, MaxAge: 2 * length}
+	p := &explorer.Printer{Now: w.now, MaxAge: 2 * promiseDuration}
 	p.Values(w.storeDown, w.leader)
 	p.Times(w.leaseExpires)
 	for i := range w.members {
 		m := &w.members[i]
 		p.Values("|", m.leading, w.lastTerm-m.term, m.campaigning, m.storeRefuses, m.promises.campaigning, len(m.promises.knownNotLeading))
-		p.Times(m.leaseUntil, m.promises.grantedUntil, m.promises.startedAt.Add(length+m.promises.clockSlack()))
+		p.Times(m.leaseUntil, m.promises.grantedUntil, m.promises.startedAt.Add(promiseDuration+m.promises.clockSlack()))
 		for j := range 3 {
 			p.Times(m.promises.receivedUntil[fmt.Sprint(j)], m.promisesInFlight[j])
 		}
@@ -233,20 +233,20 @@
 	return p.String()
 }
 
-// TestPromisesNeverTwoLeaders: never two entitled members, whatever fails, ends or comes
+// TestAtMostOneMemberEntitled: never two entitled members, whatever fails, ends or comes
 // late. With a guard disabled the explorer finds the fault that it prevents.
-func TestPromisesNeverTwoLeaders(t *testing.T) {
+func TestAtMostOneMemberEntitled(t *testing.T) {
 	tests := []struct {
 		name     string
 		disabled guard
 	}{
 		{"as it is", noGuard},
-		{"a member that has promised campaigns", promiserDoesNotCampaign},
-		{"a fresh process does not wait", restartWaits},
-		{"a promise counted from its answer", countedFromRequest},
-		{"not every sibling has promised", allSiblingsPromise},
-		{"a promise during an election", campaignerDoesNotPromise},
-		{"a promise after a lapse", lapseIsFinal},
+		{"a member that has promised campaigns", promiserMustNotCampaign},
+		{"a fresh process does not wait", restartedMemberWaits},
+		{"a promise counted from its answer", promiseCountsFromRequest},
+		{"not every sibling has promised", allSiblingsMustPromise},
+		{"a promise during an election", campaignerMustNotPromise},
+		{"a promise after a lapse", lapsedEntitlementStaysLapsed},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -272,8 +272,8 @@
 	}
 }
 
-// TestPromise: when a promise is given, and when its end lets a member campaign.
-func TestPromise(t *testing.T) {
+// TestPromiseState: when a promise is given, and when its end lets a member campaign.
+func TestPromiseState(t *testing.T) {
 	now := time.Unix(1000, 0)
 	late := now.Add(time.Minute)
 	tests := []struct {
@@ -286,9 +286,9 @@
 		{"while it campaigns", func(p *promiseState) bool { p.startCampaign(late); return p.grant(true, late) }, false},
 		{"it campaigns again after its promise", func(p *promiseState) bool {
 			p.grant(true, late)
-			return !p.startCampaign(late.Add(length)) && p.startCampaign(late.Add(length+p.clockSlack()))
+			return !p.startCampaign(late.Add(promiseDuration)) && p.startCampaign(late.Add(promiseDuration+p.clockSlack()))
 		}, true},
-		{"a fresh process waits", func(p *promiseState) bool { return p.startCampaign(now.Add(length)) }, false},
+		{"a fresh process waits", func(p *promiseState) bool { return p.startCampaign(now.Add(promiseDuration)) }, false},
 		{"unless no sibling leads", func(p *promiseState) bool {
 			p.observeSibling("a", false)
 			p.observeSibling("b", false)
@@ -304,7 +304,7 @@
 			p.recordReceived("a", late, late, late.Add(time.Second))
 			missing := p.allPromisedUntil().IsZero()
 			p.recordReceived("b", late.Add(time.Second), late, late.Add(time.Second))
-			return missing && p.allPromisedUntil().Equal(late.Add(length))
+			return missing && p.allPromisedUntil().Equal(late.Add(promiseDuration))
 		}, true},
 		{"the last of them comes after the entitlement has lapsed", func(p *promiseState) bool {
 			p.recordReceived("a", late, late, late.Add(time.Second))
@@ -314,7 +314,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			if got := tt.do(newPromiseState(length, []string{"a", "b"}, now)); got != tt.want {
+			if got := tt.do(newPromiseState(promiseDuration, []string{"a", "b"}, now)); got != tt.want {
 				t.Errorf("got %v, want %v", got, tt.want)
 			}
 		})
