--- a/internal/control/registry_fixture_test.go
+++ b/internal/control/registry_fixture_test.go
@@ -139,7 +139,7 @@
 
 // lostResponse is a commit that is not executed and whose outcome is unknown to the
 // leader.
-func lostResponse(state.Txn) (uint64, error) { return 0, state.ErrUnknown }
+func lostResponse(state.Txn) (uint64, error) { return 0, state.ErrOutcomeUnknown }
 
 // checkRecordedMachines checks that the stored records name every machine on which a
 // job may be launched.
@@ -147,8 +147,8 @@
 	f.t.Helper()
 	for id, j := range f.jobTable.all() {
 		named := f.store.recordedMachines(f.t, id)
-		for i := range 64 * len(j.NotedMachines) {
-			if j.NotedMachines.Has(i) && !named[i] {
+		for i := range 64 * len(j.RegisteredMachines) {
+			if j.RegisteredMachines.Has(i) && !named[i] {
 				f.t.Errorf("job %s may be launched on machine %d, but no stored record names that machine for it", id, i)
 			}
 		}
--- a/internal/fleet/observe.go
+++ b/internal/fleet/observe.go
@@ -150,7 +150,7 @@
 
 // observeTask updates the slot of a task that the message lists.
 func (o *observation) observeTask(t *wire.TaskStatus, find func(id string) *job.Job) {
-	id, task, ok := job.SplitTask(t.Task)
+	id, task, ok := job.SplitTaskName(t.Task)
 	if !ok {
 		return
 	}
@@ -178,7 +178,7 @@
 	s.UpdateHealth(o.now)
 	switch {
 	case t.Phase == wire.TaskExited:
-		j.AddLive(task, -1)
+		j.AdjustLive(task, -1)
 		o.events = append(o.events, Event{Kind: Exited, Slot: s})
 	case t.Phase == wire.TaskRunning && previous != wire.TaskRunning:
 		s.RunningSince = o.now
--- a/internal/job/chunk.go
+++ b/internal/job/chunk.go
@@ -104,21 +104,21 @@
 	if used := j.Tasks % wordBits; used != 0 {
 		j.done[len(j.done)-1] &= 1<<used - 1 // bits beyond the last task
 	}
-	j.recount()
+	j.recountDone()
 	j.chunkVersions[chunk] = version
 	return nil
 }
 
-// recount counts the completed tasks anew.
-func (j *Job) recount() {
+// recountDone counts the completed tasks anew.
+func (j *Job) recountDone() {
 	j.DoneCount = 0
-	j.liveUndone = 0
+	j.liveIncomplete = 0
 	for _, word := range j.done {
 		j.DoneCount += bits.OnesCount64(word)
 	}
 	for t := range j.Live {
 		if int(t) < j.Tasks && !j.IsDone(t) {
-			j.liveUndone++
+			j.liveIncomplete++
 		}
 	}
 }
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -67,9 +67,9 @@
 	}
 }
 
-// TestFields: each field in turn is left out, null, or of another kind. What may be null may
+// TestParseSpecInvalidField: each field in turn is left out, null, or of another kind. What may be null may
 // also be left out; the refusal names the field.
-func TestFields(t *testing.T) {
+func TestParseSpecInvalidField(t *testing.T) {
 	optional := map[string]bool{"yard": true, "builds": true, "due_s": true}
 	for key := range valid() {
 		for name, edit := range map[string]func(m map[string]any){
@@ -91,8 +91,8 @@
 	}
 }
 
-// TestDoneSet stores the results of the largest job in chunks and loads them.
-func TestDoneSet(t *testing.T) {
+// TestChunkRoundTrip stores the results of the largest job in chunks and loads them.
+func TestChunkRoundTrip(t *testing.T) {
 	spec := Spec{ID: "run-1", ShapeName: "array", PriorityName: "idle", Tasks: MaxTasks}
 	j := New(&Record{Spec: spec}, time.Time{})
 	for i := int32(0); i < MaxTasks; i += 7 {
@@ -117,7 +117,7 @@
 	if len(j.DirtyChunks()) != 0 {
 		t.Error("chunks are dirty after they were taken")
 	}
-	k.AddLive(201, 1)
+	k.AdjustLive(201, 1)
 	var got []int32
 	k.Unplaced(func(task int32) bool {
 		got = append(got, task)
@@ -151,7 +151,7 @@
 		{"run-1/2/3", "", 0, false},
 	}
 	for _, tt := range tests {
-		id, task, ok := SplitTask(tt.in)
+		id, task, ok := SplitTaskName(tt.in)
 		if id != tt.id || task != tt.task || ok != tt.ok {
 			t.Errorf("%q: %q %d %v", tt.in, id, task, ok)
 		}
--- a/internal/job/spec.go
+++ b/internal/job/spec.go
@@ -109,8 +109,8 @@
 	// maxIDDigits is the longest number of a job id.
 	maxIDDigits = 32
 
-	// maxTeamName is the longest name of a team that can be a part of a key, in bytes.
-	maxTeamName = 100
+	// maxTeamNameBytes is the longest name of a team that can be a part of a key, in bytes.
+	maxTeamNameBytes = 100
 )
 
 // ValidID reports whether id has the form of a job id.
@@ -130,7 +130,7 @@
 // ValidTeam reports whether a team of that name can be stored: keys have no spaces.
 func ValidTeam(name string) bool {
 	notPrintable := func(r rune) bool { return r <= ' ' || r > '~' }
-	return name != "" && len(name) <= maxTeamName && !strings.ContainsFunc(name, notPrintable)
+	return name != "" && len(name) <= maxTeamNameBytes && !strings.ContainsFunc(name, notPrintable)
 }
 
 // TaskName is the name of one of a job's tasks.
@@ -138,9 +138,9 @@
 	return id + "/" + strconv.Itoa(int(task))
 }
 
-// SplitTask splits a task's name into its job's id and its number; ok is false for
+// SplitTaskName splits a task's name into its job's id and its number; ok is false for
 // a name that no task can have.
-func SplitTask(name string) (id string, task int32, ok bool) {
+func SplitTaskName(name string) (id string, task int32, ok bool) {
 	id, number, found := strings.Cut(name, "/")
 	if !found || !ValidID(id) {
 		return "", 0, false
--- a/internal/job/spec_parse.go
+++ b/internal/job/spec_parse.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// maxText is the longest text in a submission, in bytes.
-	maxText = 200
+	// maxTextBytes is the longest text in a submission, in bytes.
+	maxTextBytes = 200
 
-	// maxTypes is how many machine types a submission may name.
-	maxTypes = 100
+	// maxMachineTypes is how many machine types a submission may name.
+	maxMachineTypes = 100
 
-	// maxReservationName is the longest name of a reservation, in bytes.
-	maxReservationName = 63
+	// maxReservationNameBytes is the longest name of a reservation, in bytes.
+	maxReservationNameBytes = 63
 
 	// maxAmount is far above any machine and any duration, and small enough for
 	// sums over all tasks to stay exact.
@@ -93,7 +93,7 @@
 // another meaning that others give it is not an error.
 func (f *fieldReader) reservation() string {
 	name, ok := f.values["booking"].(string)
-	if !ok || len(name) > maxReservationName {
+	if !ok || len(name) > maxReservationNameBytes {
 		return ""
 	}
 	return name
@@ -132,12 +132,12 @@
 		f.fail("builds", "is not a list of names")
 		return nil
 	}
-	if len(list) == 0 || len(list) > maxTypes {
+	if len(list) == 0 || len(list) > maxMachineTypes {
 		f.fail("builds", "is empty or too long")
 	}
 	for _, e := range list {
 		name, ok := e.(string)
-		if !ok || name == "" || len(name) > maxText {
+		if !ok || name == "" || len(name) > maxTextBytes {
 			f.fail("builds", "is not a list of names")
 			break
 		}
@@ -172,7 +172,7 @@
 		return ""
 	}
 	s, ok := v.(string)
-	if !ok || len(s) > maxText || (!optional && s == "") {
+	if !ok || len(s) > maxTextBytes || (!optional && s == "") {
 		f.fail(key, "is not a short text")
 		return ""
 	}
--- a/internal/job/tasks.go
+++ b/internal/job/tasks.go
@@ -15,7 +15,7 @@
 	j.done[task/wordBits] |= 1 << (task % wordBits)
 	j.DoneCount++
 	if j.Live[task] > 0 {
-		j.liveUndone--
+		j.liveIncomplete--
 	}
 	j.dirtyChunks[int(task)/chunkTasks] = true
 	return true
@@ -33,8 +33,8 @@
 	return j.Replicas == nil || (int(task) < len(j.Replicas.Allowed) && j.Replicas.Allowed[task])
 }
 
-// ZoneOf is the only zone that a task may run in, or -1.
-func (j *Job) ZoneOf(task int32) int {
+// RequiredZone is the only zone that a task may run in, or -1.
+func (j *Job) RequiredZone(task int32) int {
 	if j.Replicas != nil && int(task) < len(j.Replicas.Zone) && j.Replicas.Zone[task] >= 0 {
 		return j.Replicas.Zone[task]
 	}
@@ -49,7 +49,7 @@
 	if j.Shape == Service {
 		return j.Tasks - len(j.Live)
 	}
-	return j.Tasks - j.DoneCount - j.liveUndone
+	return j.Tasks - j.DoneCount - j.liveIncomplete
 }
 
 // unplacedReplicas counts the replicas that may run and have no placement.
@@ -66,11 +66,11 @@
 // Unplaced is an iterator over the tasks that need a placement.
 func (j *Job) Unplaced(yield func(task int32) bool) {
 	if j.Shape != Service {
-		for int(j.lowestUndone) < j.Tasks && j.IsDone(j.lowestUndone) {
-			j.lowestUndone++
+		for int(j.lowestIncomplete) < j.Tasks && j.IsDone(j.lowestIncomplete) {
+			j.lowestIncomplete++
 		}
 	}
-	for t := j.lowestUndone; int(t) < j.Tasks; t++ {
+	for t := j.lowestIncomplete; int(t) < j.Tasks; t++ {
 		if t%wordBits == 0 && j.Shape != Service && j.done[t/wordBits] == math.MaxUint64 {
 			t += wordBits - 1 // a large job that is nearly done must not cost a check of each task
 			continue
@@ -84,8 +84,8 @@
 	}
 }
 
-// AddLive changes the number of a task's placements that may be on a machine.
-func (j *Job) AddLive(task int32, by int) {
+// AdjustLive changes the number of a task's placements that may be on a machine.
+func (j *Job) AdjustLive(task int32, by int) {
 	before := j.Live[task]
 	after := before + by
 	if after > 0 {
@@ -97,8 +97,8 @@
 		return
 	}
 	if after > 0 {
-		j.liveUndone++
+		j.liveIncomplete++
 	} else {
-		j.liveUndone--
+		j.liveIncomplete--
 	}
 }
--- a/internal/state/budget.go
+++ b/internal/state/budget.go
@@ -17,13 +17,13 @@
 const (
 	// minBudgetFraction is the lowest fraction of the budget to fall back to.
 	minBudgetFraction = 0.1
-	// narrowFactor and widenFactor are the steps of the fraction.
-	narrowFactor = 0.5
-	widenFactor  = 1.25
-	// narrowInterval and widenInterval are the least times between steps: one burst
+	// reduceFactor and raiseFactor are the steps of the fraction.
+	reduceFactor = 0.5
+	raiseFactor  = 1.25
+	// minReduceInterval and minRaiseInterval are the least times between steps: one burst
 	// of refusals counts once, and the budget recovers more slowly than it falls.
-	narrowInterval = 500 * time.Millisecond
-	widenInterval  = 2 * time.Second
+	minReduceInterval = 500 * time.Millisecond
+	minRaiseInterval  = 2 * time.Second
 	// minReadBurst and minWriteBurst are the least that the limiters let through at
 	// once.
 	minReadBurst  = 1
@@ -33,27 +33,27 @@
 	idleBurstFraction = 0.95
 )
 
-// narrow halves the budget when the service refuses requests for their rate: at
+// reduceBudget halves the budget when the service refuses requests for their rate: at
 // the same rate the lease renewals would be refused along with everything else.
-func (c *Client) narrow(now time.Time) {
+func (c *Client) reduceBudget(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.budget == (Budget{}) || now.Sub(c.budgetChangedAt) < narrowInterval {
+	if c.budget == (Budget{}) || now.Sub(c.budgetChangedAt) < minReduceInterval {
 		return
 	}
-	c.budgetFraction = max(minBudgetFraction, c.budgetFraction*narrowFactor)
+	c.budgetFraction = max(minBudgetFraction, c.budgetFraction*reduceFactor)
 	c.budgetChangedAt = now
 	c.applyBudget()
 }
 
-// widen raises the budget again, one step at a time, while requests are served.
-func (c *Client) widen(now time.Time) {
+// raiseBudget raises the budget again, one step at a time, while requests are served.
+func (c *Client) raiseBudget(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.budgetFraction >= 1 || now.Sub(c.budgetChangedAt) < widenInterval {
+	if c.budgetFraction >= 1 || now.Sub(c.budgetChangedAt) < minRaiseInterval {
 		return
 	}
-	c.budgetFraction = min(1, c.budgetFraction*widenFactor)
+	c.budgetFraction = min(1, c.budgetFraction*raiseFactor)
 	c.budgetChangedAt = now
 	c.applyBudget()
 }
@@ -87,9 +87,9 @@
 // any other answer.
 func (c *Client) adjustBudget(status int, now time.Time) {
 	if status == http.StatusTooManyRequests {
-		c.narrow(now)
+		c.reduceBudget(now)
 	} else {
-		c.widen(now)
+		c.raiseBudget(now)
 	}
 }
 
@@ -100,9 +100,9 @@
 // Idle reports whether the write budget is unused at the moment: it has room for
 // two transactions of that many writes, or is nearly full. Without the second
 // case a service of few writes per second would never have any background work.
-func (c *Client) Idle(writes int) bool { return c.writes.Tokens() >= c.idleAt(writes) }
+func (c *Client) Idle(writes int) bool { return c.writes.Tokens() >= c.idleThreshold(writes) }
 
-// idleAt is how many writes the budget must have left to be idle.
-func (c *Client) idleAt(writes int) float64 {
+// idleThreshold is how many writes the budget must have left to be idle.
+func (c *Client) idleThreshold(writes int) float64 {
 	return min(2*float64(writes), idleBurstFraction*float64(c.writes.Burst()))
 }
--- a/internal/state/client_test.go
+++ b/internal/state/client_test.go
@@ -41,7 +41,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := New("state:1", nil, Budget{RPS: 1000, WriteRPS: 100})
-				c.http.Transport = answers(func(*http.Request) int { return tt.status })
+				c.requestHTTP.Transport = answers(func(*http.Request) int { return tt.status })
 				c.budgetFraction = tt.before
 				time.Sleep(time.Minute)
 				for range tt.calls {
@@ -64,7 +64,7 @@
 func TestUnbounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := NewUnbounded("state:1", nil)
-		c.http.Transport = answers(func(*http.Request) int { return 429 })
+		c.requestHTTP.Transport = answers(func(*http.Request) int { return 429 })
 		begun := time.Now()
 		for range 500 {
 			if _, err := c.Commit(context.Background(), Txn{Writes: make([]Write, 2)}); !errors.Is(err, ErrRefused) {
@@ -91,7 +91,7 @@
 		{"refused for the rate", http.StatusTooManyRequests, ErrRefused},
 		{"unavailable", http.StatusServiceUnavailable, ErrRefused},
 		{"malformed", http.StatusBadRequest, ErrRejected},
-		{"history compacted", http.StatusGone, ErrGone},
+		{"history compacted", http.StatusGone, ErrCompacted},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -103,7 +103,7 @@
 	t.Run("unexpected status", func(t *testing.T) {
 		err := decodeResponse(http.StatusInternalServerError, nil, nil, http.MethodGet, "/kv/k")
 		var se *StatusError
-		if !errors.As(err, &se) || se.Status != http.StatusInternalServerError || errors.Is(err, ErrUnknown) || errors.Is(err, ErrRefused) {
+		if !errors.As(err, &se) || se.Status != http.StatusInternalServerError || errors.Is(err, ErrOutcomeUnknown) || errors.Is(err, ErrRefused) {
 			t.Errorf("got %v, want a *StatusError with status 500", err)
 		}
 		if want := "state service: status 500: GET /kv/k"; err.Error() != want {
--- a/internal/state/errors.go
+++ b/internal/state/errors.go
@@ -16,18 +16,18 @@
 	// refused it (status 429 or 503), or the context ended while the request waited
 	// for the budget.
 	ErrRefused = errors.New("state service refused")
-	// ErrUnknown means that no response came; the request may have been executed,
+	// ErrOutcomeUnknown means that no response came; the request may have been executed,
 	// or may still be.
-	ErrUnknown = errors.New("state service did not answer")
+	ErrOutcomeUnknown = errors.New("state service did not answer")
 	// ErrConflict means that a condition of the transaction does not hold (status
 	// 409); the error is a *ConflictError.
 	ErrConflict = errors.New("condition failed")
 	// ErrRejected means that the service considers the request malformed or too
 	// large (status 400).
 	ErrRejected = errors.New("state service rejected the request")
-	// ErrGone means that a watch asked for changes that the service has compacted
+	// ErrCompacted means that a watch asked for changes that the service has compacted
 	// away (status 410).
-	ErrGone = errors.New("history is gone")
+	ErrCompacted = errors.New("history is gone")
 )
 
 // ConflictError is an ErrConflict with the keys whose conditions do not hold, as
@@ -75,7 +75,7 @@
 	case http.StatusBadRequest:
 		return fmt.Errorf("%w: %s %s", ErrRejected, method, path)
 	case http.StatusGone:
-		return ErrGone
+		return ErrCompacted
 	default:
 		return &StatusError{Status: status, Method: method, Path: path}
 	}
--- a/internal/state/keys.go
+++ b/internal/state/keys.go
@@ -22,7 +22,7 @@
 		return Entry{}, err
 	}
 	return hedged(ctx, c.latency, c.reads.Allow, func(ctx context.Context) (e Entry, err error) {
-		err = c.do(ctx, c.http, http.MethodGet, "/kv/"+key, nil, &e, callTimeout)
+		err = c.do(ctx, c.requestHTTP, http.MethodGet, "/kv/"+key, nil, &e, callTimeout)
 		return e, err
 	})
 }
@@ -41,14 +41,14 @@
 			q.Set("after", after)
 		}
 		page, err := hedged(ctx, c.latency, c.reads.Allow, func(ctx context.Context) (p listPage, err error) {
-			err = c.do(ctx, c.http, http.MethodGet, "/kv?"+q.Encode(), nil, &p, listTimeout)
+			err = c.do(ctx, c.requestHTTP, http.MethodGet, "/kv?"+q.Encode(), nil, &p, listTimeout)
 			return p, err
 		})
 		if err != nil {
 			return nil, 0, err
 		}
 		if after == "" {
-			revision = page.Epoch
+			revision = page.Revision
 		}
 		all = append(all, page.Entries...)
 		if !page.More || len(page.Entries) == 0 {
@@ -59,10 +59,10 @@
 }
 
 // Commit runs a transaction once and returns the revision of its changes. A
-// failed condition is an ErrConflict; ErrUnknown means that it may have been
+// failed condition is an ErrConflict; ErrOutcomeUnknown means that it may have been
 // applied.
 func (c *Client) Commit(ctx context.Context, t Txn) (uint64, error) {
-	if err := c.waitForBudget(ctx, t); err != nil {
+	if err := c.waitForCommit(ctx, t); err != nil {
 		return 0, err
 	}
 	return c.sendCommit(ctx, t)
@@ -73,7 +73,7 @@
 // absent. A conflict may be caused by the other copy of the request: the caller
 // has to read the key to tell.
 func (c *Client) CommitHedged(ctx context.Context, t Txn) (uint64, error) {
-	if err := c.waitForBudget(ctx, t); err != nil {
+	if err := c.waitForCommit(ctx, t); err != nil {
 		return 0, err
 	}
 	mayHedge := func() bool { return c.writes.AllowN(time.Now(), len(t.Writes)) && c.reads.Allow() }
@@ -89,9 +89,9 @@
 	return nil
 }
 
-// waitForBudget waits until the budget has room for a transaction. The error is an
+// waitForCommit waits until the budget has room for a transaction. The error is an
 // ErrRefused.
-func (c *Client) waitForBudget(ctx context.Context, t Txn) error {
+func (c *Client) waitForCommit(ctx context.Context, t Txn) error {
 	if err := c.waitForRequest(ctx); err != nil {
 		return err
 	}
@@ -113,6 +113,6 @@
 		t.Writes = []Write{}
 	}
 	var out commitResponse
-	err := c.do(ctx, c.http, http.MethodPost, "/commit", t, &out, callTimeout)
-	return out.Epoch, err
+	err := c.do(ctx, c.requestHTTP, http.MethodPost, "/commit", t, &out, callTimeout)
+	return out.Revision, err
 }
