--- a/internal/control/commands.go
+++ b/internal/control/commands.go
@@ -119,7 +119,7 @@
 		return
 	}
 	machine.CallFailures = 0
-	if report.Host != "" && report.Host != machine.Name {
+	if report.Machine != "" && report.Machine != machine.Name {
 		machine.NextCallAt = now.Add(wrongMachineBackoff)
 		return
 	}
--- a/internal/control/control_requests.go
+++ b/internal/control/control_requests.go
@@ -103,7 +103,7 @@
 // decodeHeartbeat decodes a worker's heartbeat.
 func (lt *leaderTerm) decodeHeartbeat(req *rpc.Request) (run func(respond func(*rpc.Reply)), refusal *rpc.Reply) {
 	heartbeat := &wire.Heartbeat{}
-	if err := wire.Unmarshal(req.Body, heartbeat); err != nil || heartbeat.Host == "" || heartbeat.Session == 0 {
+	if err := wire.Unmarshal(req.Body, heartbeat); err != nil || heartbeat.Machine == "" || heartbeat.Session == 0 {
 		return nil, reply(http.StatusBadRequest, wire.Error{Error: "malformed heartbeat"})
 	}
 	return func(respond func(*rpc.Reply)) { lt.handleHeartbeat(heartbeat, req.ForwardedBy, respond) }, nil
--- a/internal/control/leader_fixture_test.go
+++ b/internal/control/leader_fixture_test.go
@@ -167,7 +167,7 @@
 		machine.Described = true
 		machine.Type = 0
 		machine.Zone = 0
-		lt.taskTracker.observe(machine, &wire.Heartbeat{Host: name, Session: 1, Seq: seq, Token: st.term, Tasks: tasks}, true, time.Now())
+		lt.taskTracker.observe(machine, &wire.Heartbeat{Machine: name, Session: 1, Seq: seq, Token: st.term, Tasks: tasks}, true, time.Now())
 	})
 	time.Sleep(time.Second)
 	done := make(chan struct{})
--- a/internal/control/leader_term_loop.go
+++ b/internal/control/leader_term_loop.go
@@ -82,12 +82,12 @@
 // the controller node that forwarded it.
 func (lt *leaderTerm) handleHeartbeat(heartbeat *wire.Heartbeat, forwarder string, respond func(*rpc.Reply)) {
 	now := time.Now()
-	if lt.machinePool.wasReleased(heartbeat.Host) {
+	if lt.machinePool.wasReleased(heartbeat.Machine) {
 		// A delayed message of a released machine must not add it again.
 		respond(Unavailable("the machine was released"))
 		return
 	}
-	if machine := lt.fleet.Machines[heartbeat.Host]; machine != nil && machine.Stale(heartbeat.Session, heartbeat.Seq) {
+	if machine := lt.fleet.Machines[heartbeat.Machine]; machine != nil && machine.Stale(heartbeat.Session, heartbeat.Seq) {
 		// The heartbeat is a duplicate or was delayed. Commands in a response to it
 		// would count as sent but reach no worker, and a shard holder would give up
 		// the machine as if its worker had moved to another node. It is refused
@@ -100,7 +100,7 @@
 	if !lt.shards.routeHeartbeat(heartbeat, func() { lt.handleHeartbeat(heartbeat, forwarder, respond) }, respond) {
 		return
 	}
-	machine := lt.fleet.Machines[heartbeat.Host]
+	machine := lt.fleet.Machines[heartbeat.Machine]
 	if machine == nil {
 		machine = lt.machinePool.adopt(heartbeat, now)
 	}
--- a/internal/control/machine_pool.go
+++ b/internal/control/machine_pool.go
@@ -203,8 +203,8 @@
 
 // adopt adds an unknown machine that sends heartbeats.
 func (mp *machinePool) adopt(heartbeat *wire.Heartbeat, now time.Time) *fleet.Machine {
-	mp.log.Info("adopting unknown machine that sends heartbeats", "machine", heartbeat.Host, "type", heartbeat.Type, "zone", heartbeat.Zone)
-	machine := mp.fleet.Add(heartbeat.Host, now)
+	mp.log.Info("adopting unknown machine that sends heartbeats", "machine", heartbeat.Machine, "type", heartbeat.Type, "zone", heartbeat.Zone)
+	machine := mp.fleet.Add(heartbeat.Machine, now)
 	mp.unlisted[machine] = true
 	return machine
 }
--- a/internal/control/machine_pool_test.go
+++ b/internal/control/machine_pool_test.go
@@ -33,7 +33,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			lt := newTestTerm(t)
-			lt.handleHeartbeat(&wire.Heartbeat{Host: "h2", Type: "small", Zone: "a", Session: 1, Seq: 4, Tasks: []wire.TaskStatus{{Task: "run-1/0", Attempt: 1, Phase: wire.TaskRunning}}},
+			lt.handleHeartbeat(&wire.Heartbeat{Machine: "h2", Type: "small", Zone: "a", Session: 1, Seq: 4, Tasks: []wire.TaskStatus{{Task: "run-1/0", Attempt: 1, Phase: wire.TaskRunning}}},
 				"", func(*rpc.Reply) {})
 			for _, names := range tt.lists {
 				var list []wire.CloudMachine
--- a/internal/control/shards.go
+++ b/internal/control/shards.go
@@ -119,14 +119,14 @@
 	if sh.assigner == nil {
 		return true
 	}
-	route, member := sh.assigner.RouteReport(heartbeat.Host, heartbeat.Zone, time.Now())
+	route, member := sh.assigner.RouteReport(heartbeat.Machine, heartbeat.Zone, time.Now())
 	switch route {
 	case shard.Send:
 		respond(reply(http.StatusMisdirectedRequest, wire.Redirect{ReportTo: member}))
 		return false
 	case shard.Wait:
-		if len(sh.waitingHeartbeats[heartbeat.Host]) < maxWaitingHeartbeats {
-			sh.waitingHeartbeats[heartbeat.Host] = append(sh.waitingHeartbeats[heartbeat.Host], retry)
+		if len(sh.waitingHeartbeats[heartbeat.Machine]) < maxWaitingHeartbeats {
+			sh.waitingHeartbeats[heartbeat.Machine] = append(sh.waitingHeartbeats[heartbeat.Machine], retry)
 		} else {
 			respond(Unavailable("the machine is being moved to another controller"))
 		}
--- a/internal/control/shards_sync.go
+++ b/internal/control/shards_sync.go
@@ -138,7 +138,7 @@
 	sh.assigner.ConfirmContact(report.Host)
 	if len(report.Report) > 0 {
 		heartbeat := &wire.Heartbeat{}
-		if err := wire.Unmarshal(report.Report, heartbeat); err != nil || heartbeat.Host != report.Host {
+		if err := wire.Unmarshal(report.Report, heartbeat); err != nil || heartbeat.Machine != report.Host {
 			return // not expected: the holder has already decoded the heartbeat
 		}
 		fresh, ok := sh.taskTracker.observe(machine, heartbeat, true, now)
--- a/internal/emulate/worker_heartbeat.go
+++ b/internal/emulate/worker_heartbeat.go
@@ -26,7 +26,7 @@
 func (worker *Worker) heartbeat() wire.Heartbeat {
 	worker.sequence++
 	r := wire.Heartbeat{
-		Host:    worker.name,
+		Machine: worker.name,
 		Addr:    worker.addr,
 		Type:    worker.typ,
 		Zone:    worker.zone,
--- a/internal/fleet/explore_world_test.go
+++ b/internal/fleet/explore_world_test.go
@@ -178,7 +178,7 @@
 // nextReport returns the worker's next report.
 func (w *world) nextReport() *wire.Heartbeat {
 	w.worker.seq++
-	m := &wire.Heartbeat{Host: "host-1", Session: w.worker.session, Seq: w.worker.seq, Token: w.worker.token}
+	m := &wire.Heartbeat{Machine: "host-1", Session: w.worker.session, Seq: w.worker.seq, Token: w.worker.token}
 	if w.worker.phase != "" {
 		m.Tasks = []wire.TaskStatus{{Task: "run-1/0", Attempt: 1, Phase: w.worker.phase, Cause: wire.CauseStopped}}
 	}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -40,7 +40,7 @@
 // observe passes a message of the worker to the fleet. phases maps attempts of task 0 to
 // their phases.
 func (f *ledgerFixture) observe(isReport bool, session, seq, token uint64, phases map[uint64]wire.TaskPhase) ObserveResult {
-	message := &wire.Heartbeat{Host: "host-1", Session: session, Seq: seq, Token: token}
+	message := &wire.Heartbeat{Machine: "host-1", Session: session, Seq: seq, Token: token}
 	for attempt, phase := range phases {
 		status := wire.TaskStatus{Task: "run-1/0", Attempt: attempt, Phase: phase}
 		if phase == wire.TaskExited {
--- a/internal/fleet/partition_test.go
+++ b/internal/fleet/partition_test.go
@@ -53,7 +53,7 @@
 			f.compose(0, true)
 			f.observe(true, 1, 2, testTerm, nil)
 			checkUsable(f, false, "after the worker did not receive an answer")
-			message := &wire.Heartbeat{Host: "host-1", Session: 1, Seq: 3, Token: testTerm, Tasks: []wire.TaskStatus{{Task: "run-1/1", Attempt: 2, Phase: wire.TaskRunning}}}
+			message := &wire.Heartbeat{Machine: "host-1", Session: 1, Seq: 3, Token: testTerm, Tasks: []wire.TaskStatus{{Task: "run-1/1", Attempt: 2, Phase: wire.TaskRunning}}}
 			f.fleet.Observe(f.machine, message, true, f.now, find(f))
 			checkUsable(f, true, "after a report that lists the direct launch")
 		}},
--- a/internal/node/shard_holder.go
+++ b/internal/node/shard_holder.go
@@ -231,7 +231,7 @@
 			seq:     m.Seq,
 			orders:  make(chan []wire.Command, 1),
 		}
-		sh.pending[m.Host] = r.pending // replaces an older one of the machine
+		sh.pending[m.Machine] = r.pending // replaces an older one of the machine
 	}
 	return r
 }
@@ -240,7 +240,7 @@
 // is not in it, or the heartbeat cannot be read, and the leader answers.
 func (sh *shardHolder) handleHeartbeat(ctx context.Context, body []byte) *rpc.Reply {
 	m := &wire.Heartbeat{}
-	if err := wire.Unmarshal(body, m); err != nil || m.Host == "" || m.Session == 0 {
+	if err := wire.Unmarshal(body, m); err != nil || m.Machine == "" || m.Session == 0 {
 		return nil
 	}
 	r := sh.receive(m, body)
@@ -259,7 +259,7 @@
 		if r.outcome == shard.LeaderRequired {
 			patience = requiredAnswerPatience
 		}
-		leaderOrders, ok := sh.awaitAnswer(ctx, m.Host, r.pending, patience)
+		leaderOrders, ok := sh.awaitAnswer(ctx, m.Machine, r.pending, patience)
 		switch {
 		case ok:
 			orders = leaderOrders
--- a/internal/shard/explore_test.go
+++ b/internal/shard/explore_test.go
@@ -86,7 +86,7 @@
 		// The worker reports to whoever answers it.
 		for i := range w.holders {
 			w.seq[k]++
-			m := &wire.Heartbeat{Host: w.names[k], Session: 1, Seq: w.seq[k]}
+			m := &wire.Heartbeat{Machine: w.names[k], Session: 1, Seq: w.seq[k]}
 			if _, v := w.holders[i].holder.Report(m, []byte{1}, w.now); v >= Answered {
 				w.answered[k] = w.now
 				return true
--- a/internal/shard/holder_reports.go
+++ b/internal/shard/holder_reports.go
@@ -72,7 +72,7 @@
 // answer are exits that the worker may forget. The leader's orders come by its answer
 // to a report that has changed, or by direct commands.
 func (h *Holder) Report(m *wire.Heartbeat, body []byte, now time.Time) ([]wire.Command, Outcome) {
-	hm := h.machines[m.Host]
+	hm := h.machines[m.Machine]
 	if hm == nil || hm.dropped {
 		return nil, NotHeld
 	}
--- a/internal/shard/holder_test.go
+++ b/internal/shard/holder_test.go
@@ -41,7 +41,7 @@
 	now := time.Unix(1000, 0)
 	body := []byte{1}
 	rep := func(seq uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
-		return &wire.Heartbeat{Host: "m", Session: 1, Seq: seq, Token: 7, Tasks: tasks}
+		return &wire.Heartbeat{Machine: "m", Session: 1, Seq: seq, Token: 7, Tasks: tasks}
 	}
 	gone := wire.TaskStatus{Task: "run-1/0", Attempt: 3, Phase: wire.TaskExited, Cause: wire.CauseDone}
 	return []holderCase{
@@ -100,7 +100,7 @@
 	now := time.Unix(1000, 0)
 	body := []byte{1}
 	rep := func(seq uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
-		return &wire.Heartbeat{Host: "m", Session: 1, Seq: seq, Token: 7, Tasks: tasks}
+		return &wire.Heartbeat{Machine: "m", Session: 1, Seq: seq, Token: 7, Tasks: tasks}
 	}
 	gone := wire.TaskStatus{Task: "run-1/0", Attempt: 3, Phase: wire.TaskExited, Cause: wire.CauseDone}
 	return []holderCase{
@@ -132,7 +132,7 @@
 			m := rep(7)
 			m.Token = 8
 			verdict(m, now)
-			m.Host = "other"
+			m.Machine = "other"
 			verdict(m, now)
 		}, "3; 1; 1; 1; 0"},
 	}
@@ -143,7 +143,7 @@
 	now := time.Unix(1000, 0)
 	body := []byte{1}
 	rep := func(seq uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
-		return &wire.Heartbeat{Host: "m", Session: 1, Seq: seq, Token: 7, Tasks: tasks}
+		return &wire.Heartbeat{Machine: "m", Session: 1, Seq: seq, Token: 7, Tasks: tasks}
 	}
 	return []holderCase{
 		{"a machine that was taken away is told of, then forgotten; one that comes back is told in full", func(h *Holder, say func(string, ...any)) {
--- a/internal/shard/shard_test.go
+++ b/internal/shard/shard_test.go
@@ -73,7 +73,7 @@
 	}
 	for i := n % 10; i < b.machineCount; i += 10 {
 		name := fmt.Sprintf("host-%d", i)
-		m := &wire.Heartbeat{Host: name, Session: 1, Seq: b.seq}
+		m := &wire.Heartbeat{Machine: name, Session: 1, Seq: b.seq}
 		served := false
 		for member, h := range b.holders {
 			if _, v := h.Report(m, []byte{1}, b.now); v >= Answered && !b.down[member] {
--- a/internal/wire/worker.go
+++ b/internal/wire/worker.go
@@ -53,11 +53,11 @@
 // Heartbeat is sent by a worker to a controller (POST /checkin). Workers also send
 // it to a controller as the response to DirectCommands and to GET /show.
 type Heartbeat struct {
-	Host string `codec:"host"`     // name of the machine
-	Addr string `codec:"endpoint"` // host:port for direct commands
-	Type string `codec:"build"`    // machine type
-	Zone string `codec:"yard"`
-	Spot bool   `codec:"loaners"`
+	Machine string `codec:"host"`     // name of the machine
+	Addr    string `codec:"endpoint"` // host:port for direct commands
+	Type    string `codec:"build"`    // machine type
+	Zone    string `codec:"yard"`
+	Spot    bool   `codec:"loaners"`
 	// Session starts at 1 and grows by one each time the worker's lease expires and it
 	// has killed all its tasks. Seq grows with each message. The message with the
 	// larger (Session, Seq) is the newer one.
