--- a/internal/autoscale/cloud.go
+++ b/internal/autoscale/cloud.go
@@ -154,12 +154,12 @@
 func (c *Cloud) Provision(ctx context.Context, h wire.RentalRequest) ([]string, error) {
 	var out wire.MachineNames
 	err := c.do(ctx, http.MethodPost, "/hosts", h, &out)
-	return out.Hosts, err
+	return out.Names, err
 }
 
 // Release gives machines back to the cloud; without an error they and all tasks on them are
 // gone.
 func (c *Cloud) Release(ctx context.Context, names []string) error {
 	var out struct{}
-	return c.do(ctx, http.MethodPost, "/hosts/release", wire.MachineNames{Hosts: names}, &out)
+	return c.do(ctx, http.MethodPost, "/hosts/release", wire.MachineNames{Names: names}, &out)
 }
--- a/internal/autoscale/cloud_test.go
+++ b/internal/autoscale/cloud_test.go
@@ -20,7 +20,7 @@
 		body   any
 		want   error
 	}{
-		{"granted", 200, wire.MachineNames{Hosts: []string{"host-000001"}}, nil},
+		{"granted", 200, wire.MachineNames{Names: []string{"host-000001"}}, nil},
 		{"no capacity", 503, wire.Error{Error: "no capacity"}, ErrNoCapacity},
 		{"outage", 503, wire.Error{Error: "trouble"}, ErrUnavailable},
 		{"too many requests", 429, nil, ErrUnavailable},
--- a/internal/emulate/cloud.go
+++ b/internal/emulate/cloud.go
@@ -47,7 +47,7 @@
 		encode(rw, http.StatusBadRequest, wire.Error{Error: "malformed"})
 		return
 	}
-	for _, name := range in.Hosts {
+	for _, name := range in.Names {
 		if worker := w.workers[name]; worker != nil {
 			worker.remove(time.Now())
 		}
@@ -63,7 +63,7 @@
 		return
 	}
 	if old, ok := w.provisioned[in.Request]; ok {
-		encode(rw, http.StatusOK, wire.MachineNames{Hosts: old})
+		encode(rw, http.StatusOK, wire.MachineNames{Names: old})
 		return
 	}
 	n := min(in.Count, w.cfg.MaxMachines-len(w.workers), w.zoneCapacity(in.Zone))
@@ -81,7 +81,7 @@
 		names = append(names, w.boot(in.Type, in.Zone, in.Spot, bootTime))
 	}
 	w.provisioned[in.Request] = names
-	encode(rw, http.StatusOK, wire.MachineNames{Hosts: names})
+	encode(rw, http.StatusOK, wire.MachineNames{Names: names})
 }
 
 // seconds is a time that settings give in seconds.
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -37,7 +37,7 @@
 // MachineNames lists machines by name. The cloud sends it as the response to a
 // RentalRequest, and a controller sends it to return machines (POST /hosts/release).
 type MachineNames struct {
-	Hosts []string `codec:"hosts"`
+	Names []string `codec:"hosts"`
 }
 
 // MachinePhase is the state of a machine in the cloud's list.
