--- a/internal/autoscale/cloud.go
+++ b/internal/autoscale/cloud.go
@@ -141,11 +141,11 @@
 		if err := c.do(ctx, http.MethodGet, "/hosts?"+q.Encode(), nil, &page); err != nil {
 			return nil, err
 		}
-		all = append(all, page.Hosts...)
-		if !page.More || len(page.Hosts) == 0 {
+		all = append(all, page.Machines...)
+		if !page.More || len(page.Machines) == 0 {
 			return all, nil
 		}
-		after = page.Hosts[len(page.Hosts)-1].Name
+		after = page.Machines[len(page.Machines)-1].Name
 	}
 }
 
--- a/internal/emulate/cloud.go
+++ b/internal/emulate/cloud.go
@@ -128,7 +128,7 @@
 			AgeS:  age.Seconds(),
 		})
 	}
-	return wire.CloudMachinePage{Hosts: out}
+	return wire.CloudMachinePage{Machines: out}
 }
 
 // Boot starts a machine that no controller has asked for, and returns its name.
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -64,6 +64,6 @@
 // CloudMachinePage is sent by the cloud to a controller (GET /hosts): one page of its
 // machines in the order of their names, which may be out of date.
 type CloudMachinePage struct {
-	Hosts []CloudMachine `codec:"hosts"`
-	More  bool           `codec:"more"` // the list goes on after this page
+	Machines []CloudMachine `codec:"hosts"`
+	More     bool           `codec:"more"` // the list goes on after this page
 }
