--- a/internal/control/shards_sync.go
+++ b/internal/control/shards_sync.go
@@ -130,7 +130,7 @@
 }
 
 // handleMachineReport handles what a machine has reported to its holder.
-func (sh *shards) handleMachineReport(box *mailbox, report *shard.HostReport, now time.Time) {
+func (sh *shards) handleMachineReport(box *mailbox, report *shard.MachineReport, now time.Time) {
 	machine := sh.fleet.Machines[report.Host]
 	if machine == nil || sh.machinePool.wasReleased(report.Host) {
 		return
--- a/internal/fleet/explore_world_test.go
+++ b/internal/fleet/explore_world_test.go
@@ -291,7 +291,7 @@
 }
 
 // handleMachineReport handles a report that the holder has answered, in the leader.
-func (w *world) handleMachineReport(report *shard.HostReport) {
+func (w *world) handleMachineReport(report *shard.MachineReport) {
 	w.assigner.ConfirmContact(report.Host)
 	if len(report.Report) > 0 {
 		message := &wire.Heartbeat{}
--- a/internal/shard/fixtures_test.go
+++ b/internal/shard/fixtures_test.go
@@ -11,7 +11,7 @@
 var fixtures = []fixture.Row{
 	{File: "sync-request.cbor", Value: fixture.Filled[Request]()},
 	{File: "sync-reply.cbor", Value: fixture.Filled[Reply]()},
-	{File: "sync-entry.cbor", Value: fixture.Filled[HostReport]()},
+	{File: "sync-entry.cbor", Value: fixture.Filled[MachineReport]()},
 	{File: "sync-call.cbor", Value: fixture.Filled[Call]()},
 	{File: "sync-done.cbor", Value: fixture.Filled[CallResult]()},
 	{File: "sync-answer.cbor", Value: fixture.Filled[Answer]()},
--- a/internal/shard/holder.go
+++ b/internal/shard/holder.go
@@ -109,7 +109,7 @@
 			r.More = true
 			break
 		}
-		report := HostReport{
+		report := MachineReport{
 			Host:    name,
 			Session: hm.session,
 			Seq:     hm.seq,
--- a/internal/shard/message.go
+++ b/internal/shard/message.go
@@ -31,14 +31,14 @@
 	PreviousHosts []string `codec:"have,omitempty"`
 	// Reports are the reports, and CallResults the results of direct commands, that the
 	// leader has not acknowledged yet.
-	Reports     []HostReport `codec:"entries,omitempty"`
-	CallResults []CallResult `codec:"done,omitempty"`
+	Reports     []MachineReport `codec:"entries,omitempty"`
+	CallResults []CallResult    `codec:"done,omitempty"`
 	// More: reports were left out because of the size of the request.
 	More bool `codec:"more,omitempty"`
 }
 
-// HostReport is what a machine has reported since the last request that had a reply.
-type HostReport struct {
+// MachineReport is what a machine has reported since the last request that had a reply.
+type MachineReport struct {
 	// Host names the machine; Session and Seq are those of its last report.
 	Host    string `codec:"host"`
 	Session uint64 `codec:"shift"`
