--- a/internal/control/shards_sync.go
+++ b/internal/control/shards_sync.go
@@ -131,14 +131,14 @@
 
 // handleMachineReport handles what a machine has reported to its holder.
 func (sh *shards) handleMachineReport(box *mailbox, report *shard.MachineReport, now time.Time) {
-	machine := sh.fleet.Machines[report.Host]
-	if machine == nil || sh.machinePool.wasReleased(report.Host) {
+	machine := sh.fleet.Machines[report.Machine]
+	if machine == nil || sh.machinePool.wasReleased(report.Machine) {
 		return
 	}
-	sh.assigner.ConfirmContact(report.Host)
+	sh.assigner.ConfirmContact(report.Machine)
 	if len(report.Report) > 0 {
 		heartbeat := &wire.Heartbeat{}
-		if err := wire.Unmarshal(report.Report, heartbeat); err != nil || heartbeat.Machine != report.Host {
+		if err := wire.Unmarshal(report.Report, heartbeat); err != nil || heartbeat.Machine != report.Machine {
 			return // not expected: the holder has already decoded the heartbeat
 		}
 		fresh, ok := sh.taskTracker.observe(machine, heartbeat, true, now)
@@ -160,7 +160,7 @@
 	sh.taskTracker.reachabilityChanged(machine, wasInboundCut)
 	sh.taskTracker.applyEvents(events, now)
 	if clears := machine.ClearOrders(maxCommands); clears != nil {
-		box.clearances = append(box.clearances, shard.ExitClearance{Host: report.Host, Clears: clears})
+		box.clearances = append(box.clearances, shard.ExitClearance{Machine: report.Machine, Clears: clears})
 	}
 }
 
@@ -177,7 +177,7 @@
 			sh.takeover.recordLaunches(len(sent), now)
 			sh.taskTracker.applyEvents(events, now)
 			box.answers = append(box.answers, shard.Answer{
-				Host:    heartbeat.machine.Name,
+				Machine: heartbeat.machine.Name,
 				Session: heartbeat.session,
 				Seq:     heartbeat.seq,
 				Orders:  orders,
--- a/internal/control/shards_test.go
+++ b/internal/control/shards_test.go
@@ -27,8 +27,8 @@
 		t.Run(tt.name, func(t *testing.T) {
 			orders := make([]wire.Command, 20)
 			call := shard.Call{Addr: "10.0.0.1:9000", Body: make([]byte, tt.body)}
-			answer := shard.Answer{Host: "host-000001", Orders: orders}
-			clearance := shard.ExitClearance{Host: "host-000001", Clears: orders}
+			answer := shard.Answer{Machine: "host-000001", Orders: orders}
+			clearance := shard.ExitClearance{Machine: "host-000001", Clears: orders}
 			box := &mailbox{
 				calls:      slices.Repeat([]shard.Call{call}, tt.calls),
 				answers:    slices.Repeat([]shard.Answer{answer}, tt.answers),
@@ -67,9 +67,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	lt.shards.handleMachineReport(&mailbox{}, &shard.MachineReport{Host: "h1", Session: 1, Seq: 10, Report: encoded}, now)
+	lt.shards.handleMachineReport(&mailbox{}, &shard.MachineReport{Machine: "h1", Session: 1, Seq: 10, Report: encoded}, now)
 	now = now.Add(8 * time.Second)
-	lt.shards.handleMachineReport(&mailbox{}, &shard.MachineReport{Host: "h1", Session: 1, Seq: 11, Report: encoded}, now)
+	lt.shards.handleMachineReport(&mailbox{}, &shard.MachineReport{Machine: "h1", Session: 1, Seq: 11, Report: encoded}, now)
 	now = now.Add(5 * time.Second)
 	if lt.fleet.ExpireLeases(now); machine.Lost {
 		t.Error("the machine is lost 5 s after a heartbeat that the holder answered")
--- a/internal/node/shard_holder.go
+++ b/internal/node/shard_holder.go
@@ -152,9 +152,9 @@
 	}
 	for i := range p.Answers {
 		answer := &p.Answers[i]
-		hb, ok := sh.pending[answer.Host]
+		hb, ok := sh.pending[answer.Machine]
 		if ok && hb.session == answer.Session && hb.seq == answer.Seq {
-			delete(sh.pending, answer.Host)
+			delete(sh.pending, answer.Machine)
 			hb.orders <- answer.Orders
 		}
 	}
--- a/internal/shard/explore_world_test.go
+++ b/internal/shard/explore_world_test.go
@@ -137,7 +137,7 @@
 	fs, ok := w.leader.HandleRequest(&c, w.now)
 	if ok && c.Term == w.leader.term {
 		for _, e := range c.Reports {
-			k := slices.Index(w.names[:], e.Host)
+			k := slices.Index(w.names[:], e.Machine)
 			if at := w.now.Add(-time.Duration(e.AgeMs) * time.Millisecond); at.After(w.knownAt[k]) {
 				w.knownAt[k] = at
 			}
--- a/internal/shard/holder.go
+++ b/internal/shard/holder.go
@@ -110,7 +110,7 @@
 			break
 		}
 		report := MachineReport{
-			Host:    name,
+			Machine: name,
 			Session: hm.session,
 			Seq:     hm.seq,
 			AgeMs:   now.Sub(hm.reportedAt).Milliseconds(),
@@ -153,7 +153,7 @@
 	h.updateMachines(r)
 	for i := range r.Clearances {
 		clearance := &r.Clearances[i]
-		if hm := h.machines[clearance.Host]; hm != nil && !hm.dropped {
+		if hm := h.machines[clearance.Machine]; hm != nil && !hm.dropped {
 			hm.settle(clearance.Clears)
 		}
 	}
--- a/internal/shard/message.go
+++ b/internal/shard/message.go
@@ -39,8 +39,8 @@
 
 // MachineReport is what a machine has reported since the last request that had a reply.
 type MachineReport struct {
-	// Host names the machine; Session and Seq are those of its last report.
-	Host    string `codec:"host"`
+	// Machine names the machine; Session and Seq are those of its last report.
+	Machine string `codec:"host"`
 	Session uint64 `codec:"shift"`
 	Seq     uint64 `codec:"tick"`
 	// AgeMs is how long before the request the report came, in milliseconds.
@@ -73,8 +73,8 @@
 // Answer is the leader's answer to a report that has changed. The holder sends it if
 // the worker still waits for it.
 type Answer struct {
-	// Host, Session and Seq name the report that is answered, Orders the answer.
-	Host    string         `codec:"host"`
+	// Machine, Session and Seq name the report that is answered, Orders the answer.
+	Machine string         `codec:"host"`
 	Session uint64         `codec:"shift"`
 	Seq     uint64         `codec:"tick"`
 	Orders  []wire.Command `codec:"orders"`
@@ -82,9 +82,9 @@
 
 // ExitClearance names exits of a machine that the worker may forget.
 type ExitClearance struct {
-	// Host names the machine, Clears the clear orders of its exits.
-	Host   string         `codec:"host"`
-	Clears []wire.Command `codec:"clears"`
+	// Machine names the machine, Clears the clear orders of its exits.
+	Machine string         `codec:"host"`
+	Clears  []wire.Command `codec:"clears"`
 }
 
 // Reply is the leader's answer to a request. Term 0: the node does not lead, or
