--- a/internal/control/shards_sync.go
+++ b/internal/control/shards_sync.go
@@ -103,7 +103,7 @@
 			sh.finishRelay(&request.CallResults[i])
 		}
 	} else {
-		for _, name := range request.PreviousHosts {
+		for _, name := range request.PreviousMachines {
 			if machine := sh.fleet.Machines[name]; machine != nil {
 				sh.bindHolder(machine)
 			}
--- a/internal/shard/explore_test.go
+++ b/internal/shard/explore_test.go
@@ -165,7 +165,7 @@
 	}
 	for i := range w.holders {
 		s := &w.holders[i]
-		p.Values("|", s.requestInFlight != nil, s.replyInFlight != nil, s.lateRequest != nil, s.holder.Term(), len(s.holder.previousHosts))
+		p.Values("|", s.requestInFlight != nil, s.replyInFlight != nil, s.lateRequest != nil, s.holder.Term(), len(s.holder.previousMachines))
 		p.Times(s.holder.grantUntil)
 		if s.requestInFlight != nil || s.replyInFlight != nil {
 			p.Times(s.sent)
--- a/internal/shard/holder.go
+++ b/internal/shard/holder.go
@@ -18,8 +18,8 @@
 	grantUntil time.Time // when the grant ends
 
 	machines map[string]*heldMachine
-	// previousHosts are the machines that were held in an earlier term.
-	previousHosts []string
+	// previousMachines are the machines that were held in an earlier term.
+	previousMachines []string
 	// callResults are the results of direct commands that the leader has not acknowledged.
 	callResults []CallResult
 	// reportsInFlight are the numbers of the reports in the request in flight, by machine;
@@ -67,16 +67,16 @@
 func (h *Holder) Request(capacity, calls int, overloaded bool, now time.Time) *Request {
 	h.seq++
 	r := &Request{
-		Member:        h.member,
-		Zone:          h.zone,
-		Incarnation:   h.incarnation,
-		Seq:           h.seq,
-		Term:          h.term,
-		Number:        h.lastReply,
-		Capacity:      capacity,
-		Calls:         calls,
-		Overloaded:    overloaded,
-		PreviousHosts: h.previousHosts,
+		Member:           h.member,
+		Zone:             h.zone,
+		Incarnation:      h.incarnation,
+		Seq:              h.seq,
+		Term:             h.term,
+		Number:           h.lastReply,
+		Capacity:         capacity,
+		Calls:            calls,
+		Overloaded:       overloaded,
+		PreviousMachines: h.previousMachines,
 	}
 	size := h.addCallResults(r)
 	h.addReports(r, size, now)
@@ -148,7 +148,7 @@
 	h.endRequest()
 	h.term = r.Term
 	h.lastReply = r.Number
-	h.previousHosts = nil
+	h.previousMachines = nil
 	h.setGrant(time.Duration(r.ForMs)*time.Millisecond, sent)
 	h.updateMachines(r)
 	for i := range r.Clearances {
@@ -214,20 +214,20 @@
 // BecomeLeader forgets the shard, because the member leads itself.
 func (h *Holder) BecomeLeader() {
 	h.reset()
-	h.previousHosts = nil
+	h.previousMachines = nil
 }
 
 // EndTerm ends the grant of a term that is over. The next request tells the new leader
 // which machines the member has held.
 func (h *Holder) EndTerm() {
 	h.grantUntil = time.Time{}
-	h.previousHosts = nil
+	h.previousMachines = nil
 	for name, hm := range h.machines {
 		if !hm.dropped && hm.hasDigest {
-			h.previousHosts = append(h.previousHosts, name)
+			h.previousMachines = append(h.previousMachines, name)
 		}
 	}
-	slices.Sort(h.previousHosts)
+	slices.Sort(h.previousMachines)
 }
 
 // RecordCallResult adds the result of a direct command, to be sent with the next
--- a/internal/shard/holder_test.go
+++ b/internal/shard/holder_test.go
@@ -161,7 +161,7 @@
 		{"a new term ends the grant, and is told what there was", func(h *Holder, say func(string, ...any)) {
 			h.Report(rep(1), body, now)
 			h.EndTerm()
-			say("%v, %v", h.GrantValid(7, now), h.Request(1, 1, false, now).PreviousHosts)
+			say("%v, %v", h.GrantValid(7, now), h.Request(1, 1, false, now).PreviousMachines)
 			h.HandleReply(&Reply{Term: 8, Number: 1, ForMs: 2000, Add: []string{"m"}}, now)
 			say("%v, %v", h.GrantValid(7, now), h.GrantValid(8, now))
 		}, "false, [m]; false, true"},
--- a/internal/shard/members.go
+++ b/internal/shard/members.go
@@ -155,9 +155,9 @@
 		}
 		freed = append(freed, more...)
 	}
-	a.admitMember(m, len(r.PreviousHosts) > 0, now)
+	a.admitMember(m, len(r.PreviousMachines) > 0, now)
 	if m.joined && r.Term != a.term {
-		a.restoreHosts(m, r.PreviousHosts, now)
+		a.restoreMachines(m, r.PreviousMachines, now)
 	}
 	return freed, true
 }
@@ -211,10 +211,10 @@
 	}
 }
 
-// restoreHosts assigns to a member the machines that it held under an earlier leader,
+// restoreMachines assigns to a member the machines that it held under an earlier leader,
 // whose grants have all ended, unless they have another holder by now: their workers
 // need not connect to another controller.
-func (a *Assigner) restoreHosts(m *member, names []string, now time.Time) {
+func (a *Assigner) restoreMachines(m *member, names []string, now time.Time) {
 	if len(a.machines) < a.settings.MinMachines {
 		return
 	}
--- a/internal/shard/message.go
+++ b/internal/shard/message.go
@@ -26,9 +26,9 @@
 	Calls    int `codec:"calls"`
 	// Overloaded: the process gets too little processor time.
 	Overloaded bool `codec:"behind,omitempty"`
-	// PreviousHosts are the machines that the member held in an earlier term: their
+	// PreviousMachines are the machines that the member held in an earlier term: their
 	// workers are connected to it.
-	PreviousHosts []string `codec:"have,omitempty"`
+	PreviousMachines []string `codec:"have,omitempty"`
 	// Reports are the reports, and CallResults the results of direct commands, that the
 	// leader has not acknowledged yet.
 	Reports     []MachineReport `codec:"entries,omitempty"`
--- a/internal/shard/shard_test.go
+++ b/internal/shard/shard_test.go
@@ -186,7 +186,7 @@
 		{"a new leader hears of two holders: each retains what it names first, and no machine has two", nil, func(b *assignerFixture) {
 			for _, h := range b.holders {
 				h.EndTerm()
-				h.previousHosts = append(h.previousHosts, "host-1", "host-2") // both say so
+				h.previousMachines = append(h.previousMachines, "host-1", "host-2") // both say so
 			}
 			b.assigner = NewAssigner(8, "n0", "a", b.assigner.settings, b.now)
 			for i := range b.machineCount {
@@ -271,7 +271,7 @@
 	offer := func(member string) {
 		b.start(member, "b")
 		r := b.holders[member].Request(500, 10, false, b.now)
-		r.PreviousHosts = []string{kept}
+		r.PreviousMachines = []string{kept}
 		b.assigner.HandleRequest(r, b.now)
 	}
 	offer("n2")
