--- a/internal/shard/explore_world_test.go
+++ b/internal/shard/explore_world_test.go
@@ -129,7 +129,7 @@
 	}
 	c := *r
 	if m := w.leader.members[c.Member]; w.disabled == confirmedByHolder && m != nil {
-		c.Number, c.Term = m.lastReply, w.leader.term
+		c.LastReply, c.Term = m.lastReply, w.leader.term
 	}
 	if w.disabled == reportsBeforeRevocation {
 		c.Reports = nil
--- a/internal/shard/holder.go
+++ b/internal/shard/holder.go
@@ -72,7 +72,7 @@
 		Incarnation:      h.incarnation,
 		Seq:              h.seq,
 		Term:             h.term,
-		Number:           h.lastReply,
+		LastReply:        h.lastReply,
 		Capacity:         capacity,
 		Calls:            calls,
 		Overloaded:       overloaded,
--- a/internal/shard/members.go
+++ b/internal/shard/members.go
@@ -148,7 +148,7 @@
 	case m.overloadedSince.IsZero():
 		m.overloadedSince = now
 	}
-	if r.Term == a.term && r.Number > m.ackedReply {
+	if r.Term == a.term && r.LastReply > m.ackedReply {
 		more, known := a.acknowledge(m, r, now)
 		if !known {
 			return freed, false // this leader has made no such reply
@@ -165,17 +165,17 @@
 // acknowledge notes which of the leader's replies a member has handled last, and with it
 // the changes that the reply carried. known is false if there is no such reply.
 func (a *Assigner) acknowledge(m *member, r *Request, now time.Time) (freed []Revocation, known bool) {
-	at, known := m.replyTimes[r.Number]
+	at, known := m.replyTimes[r.LastReply]
 	if !known {
 		return nil, false
 	}
-	m.ackedReply = r.Number
+	m.ackedReply = r.LastReply
 	m.ackedAt = now
 	if !r.More {
 		m.knownUntil = at
 	}
 	for n := range m.replyTimes {
-		if n < r.Number {
+		if n < r.LastReply {
 			delete(m.replyTimes, n)
 		}
 	}
--- a/internal/shard/message.go
+++ b/internal/shard/message.go
@@ -18,8 +18,8 @@
 	// that is not higher than the last.
 	Seq uint64 `codec:"seq"`
 	// Term and Number are those of the last reply that the member has handled; 0: none.
-	Term   uint64 `codec:"term"`
-	Number uint64 `codec:"number"`
+	Term      uint64 `codec:"term"`
+	LastReply uint64 `codec:"number"`
 	// Capacity is how many machines the member can deal with, Calls how many direct
 	// commands it can have in flight.
 	Capacity int `codec:"room"`
