--- a/internal/shard/holder.go
+++ b/internal/shard/holder.go
@@ -106,7 +106,7 @@
 			continue
 		}
 		if size > maxReportBytes {
-			r.More = true
+			r.Truncated = true
 			break
 		}
 		report := MachineReport{
--- a/internal/shard/members.go
+++ b/internal/shard/members.go
@@ -171,7 +171,7 @@
 	}
 	m.ackedReply = r.LastReply
 	m.ackedAt = now
-	if !r.More {
+	if !r.Truncated {
 		m.knownUntil = at
 	}
 	for n := range m.replyTimes {
--- a/internal/shard/message.go
+++ b/internal/shard/message.go
@@ -33,8 +33,8 @@
 	// leader has not acknowledged yet.
 	Reports     []MachineReport `codec:"entries,omitempty"`
 	CallResults []CallResult    `codec:"done,omitempty"`
-	// More: reports were left out because of the size of the request.
-	More bool `codec:"more,omitempty"`
+	// Truncated: reports were left out because of the size of the request.
+	Truncated bool `codec:"more,omitempty"`
 }
 
 // MachineReport is what a machine has reported since the last request that had a reply.
