--- a/internal/control/shards_sync.go
+++ b/internal/control/shards_sync.go
@@ -232,6 +232,6 @@
 	if left <= 0 {
 		return &shard.Reply{}
 	}
-	reply.ForMs = min(reply.ForMs, left)
+	reply.GrantMs = min(reply.GrantMs, left)
 	return reply
 }
--- a/internal/fleet/explore_world_test.go
+++ b/internal/fleet/explore_world_test.go
@@ -286,7 +286,7 @@
 	w.retainBeforeLimit()
 	reply := w.assigner.Reply("n1", w.now)
 	w.holder.HandleReply(reply, w.now)
-	w.grantEnd = w.now.Add(time.Duration(reply.ForMs) * time.Millisecond)
+	w.grantEnd = w.now.Add(time.Duration(reply.GrantMs) * time.Millisecond)
 	w.setHolder()
 }
 
--- a/internal/shard/explore_test.go
+++ b/internal/shard/explore_test.go
@@ -171,7 +171,7 @@
 			p.Times(s.sent)
 		}
 		if s.replyInFlight != nil {
-			p.Values(s.replyInFlight.ForMs, s.replyInFlight.Add, s.replyInFlight.Drop, s.replyInFlight.Reset, s.replyInFlight.Term)
+			p.Values(s.replyInFlight.GrantMs, s.replyInFlight.Add, s.replyInFlight.Drop, s.replyInFlight.Reset, s.replyInFlight.Term)
 		}
 		for _, n := range w.names {
 			if k := s.holder.machines[n]; k != nil {
--- a/internal/shard/explore_world_test.go
+++ b/internal/shard/explore_world_test.go
@@ -149,7 +149,7 @@
 	}
 	p := w.leader.Reply(c.Member, w.now)
 	if w.disabled != grantWithinEntitlement {
-		p.ForMs = min(p.ForMs, w.entitledUntil.Sub(w.now).Milliseconds())
+		p.GrantMs = min(p.GrantMs, w.entitledUntil.Sub(w.now).Milliseconds())
 	}
 	return p
 }
--- a/internal/shard/holder.go
+++ b/internal/shard/holder.go
@@ -149,7 +149,7 @@
 	h.term = r.Term
 	h.lastReply = r.Number
 	h.previousMachines = nil
-	h.setGrant(time.Duration(r.ForMs)*time.Millisecond, sent)
+	h.setGrant(time.Duration(r.GrantMs)*time.Millisecond, sent)
 	h.updateMachines(r)
 	for i := range r.Clearances {
 		clearance := &r.Clearances[i]
--- a/internal/shard/holder_test.go
+++ b/internal/shard/holder_test.go
@@ -26,7 +26,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			h := NewHolder("n1", "a", 1)
 			h.Request(1, 1, false, now)
-			h.HandleReply(&Reply{Term: 7, Number: 1, ForMs: 2000, Add: []string{"m"}}, now)
+			h.HandleReply(&Reply{Term: 7, Number: 1, GrantMs: 2000, Add: []string{"m"}}, now)
 			var said []string
 			tt.do(h, func(f string, a ...any) { said = append(said, fmt.Sprintf(f, a...)) })
 			if got := strings.Join(said, "; "); got != tt.want {
@@ -49,7 +49,7 @@
 			h.Report(rep(1), body, now)
 			q := h.Request(1, 1, false, now.Add(time.Second))
 			say("%d entries, body %d, age %d", len(q.Reports), len(q.Reports[0].Report), q.Reports[0].AgeMs)
-			h.HandleReply(&Reply{Term: 7, Number: 2, ForMs: 2000}, now)
+			h.HandleReply(&Reply{Term: 7, Number: 2, GrantMs: 2000}, now)
 			h.Report(rep(2), body, now)
 			q = h.Request(1, 1, false, now)
 			say("%d entries, body %d", len(q.Reports), len(q.Reports[0].Report))
@@ -62,7 +62,7 @@
 			h.RequestFailed()
 			q := h.Request(1, 1, false, now)
 			say("%d entries, body %d, %d done", len(q.Reports), len(q.Reports[0].Report), len(q.CallResults))
-			h.HandleReply(&Reply{Term: 7, Number: 2, ForMs: 2000}, now)
+			h.HandleReply(&Reply{Term: 7, Number: 2, GrantMs: 2000}, now)
 			q = h.Request(1, 1, false, now)
 			say("%d entries, %d done", len(q.Reports), len(q.CallResults))
 		}, "1 entries, body 1, 2 done; 0 entries, 0 done"},
@@ -77,18 +77,18 @@
 					size += len(d.Report)
 				}
 				say("%d up to %v", len(q.CallResults), size <= maxCallResultBytes+3<<10)
-				h.HandleReply(&Reply{Term: 7, Number: n, ForMs: 2000}, now)
+				h.HandleReply(&Reply{Term: 7, Number: n, GrantMs: 2000}, now)
 			}
 		}, "21 up to true; 21 up to true; 21 up to true; 21 up to true; 16 up to true"},
 		{"an exit is cleared once the leader has settled it, and a late word clears nothing", func(h *Holder, say func(string, ...any)) {
 			o, _ := h.Report(rep(1, gone), body, now)
 			say("%d orders", len(o))
 			settled := []ExitClearance{{Machine: "m", Clears: []wire.Command{{Verb: wire.CommandClear, Task: "run-1/0", Attempt: 3}}}}
-			h.HandleReply(&Reply{Term: 7, Number: 2, ForMs: 2000, Clearances: settled}, now)
+			h.HandleReply(&Reply{Term: 7, Number: 2, GrantMs: 2000, Clearances: settled}, now)
 			o, _ = h.Report(rep(2, gone), body, now)
 			say("%d orders", len(o))
 			h.Report(rep(3), body, now)
-			h.HandleReply(&Reply{Term: 7, Number: 3, ForMs: 2000, Clearances: settled}, now)
+			h.HandleReply(&Reply{Term: 7, Number: 3, GrantMs: 2000, Clearances: settled}, now)
 			o, _ = h.Report(rep(4, gone), body, now) // the same attempt of a gang once more
 			say("%d orders", len(o))
 		}, "0 orders; 1 orders; 0 orders"},
@@ -108,7 +108,7 @@
 			runs := wire.TaskStatus{Task: "run-1/1", Attempt: 4, Phase: wire.TaskFetching}
 			told := func(n uint64) {
 				h.Request(1, 1, false, now)
-				h.HandleReply(&Reply{Term: 7, Number: n, ForMs: 2000}, now)
+				h.HandleReply(&Reply{Term: 7, Number: n, GrantMs: 2000}, now)
 			}
 			required := func(seq uint64, tasks ...wire.TaskStatus) {
 				_, v := h.Report(rep(seq, tasks...), body, now)
@@ -148,13 +148,13 @@
 	return []holderCase{
 		{"a machine that was taken away is told of, then forgotten; one that comes back is told in full", func(h *Holder, say func(string, ...any)) {
 			h.Report(rep(1), body, now)
-			h.HandleReply(&Reply{Term: 7, Number: 2, ForMs: 2000, Drop: []string{"m"}}, now)
+			h.HandleReply(&Reply{Term: 7, Number: 2, GrantMs: 2000, Drop: []string{"m"}}, now)
 			_, v := h.Report(rep(2), body, now)
 			q := h.Request(1, 1, false, now)
 			say("%d, %d entries", v, len(q.Reports))
-			h.HandleReply(&Reply{Term: 7, Number: 3, ForMs: 2000}, now)
+			h.HandleReply(&Reply{Term: 7, Number: 3, GrantMs: 2000}, now)
 			say("%d machines", len(h.machines))
-			h.HandleReply(&Reply{Term: 7, Number: 4, ForMs: 2000, Add: []string{"m"}}, now)
+			h.HandleReply(&Reply{Term: 7, Number: 4, GrantMs: 2000, Add: []string{"m"}}, now)
 			h.Report(rep(3), body, now)
 			say("body %d", len(h.Request(1, 1, false, now).Reports[0].Report))
 		}, "0, 1 entries; 0 machines; body 1"},
@@ -162,7 +162,7 @@
 			h.Report(rep(1), body, now)
 			h.EndTerm()
 			say("%v, %v", h.GrantValid(7, now), h.Request(1, 1, false, now).PreviousMachines)
-			h.HandleReply(&Reply{Term: 8, Number: 1, ForMs: 2000, Add: []string{"m"}}, now)
+			h.HandleReply(&Reply{Term: 8, Number: 1, GrantMs: 2000, Add: []string{"m"}}, now)
 			say("%v, %v", h.GrantValid(7, now), h.GrantValid(8, now))
 		}, "false, [m]; false, true"},
 	}
--- a/internal/shard/members.go
+++ b/internal/shard/members.go
@@ -265,7 +265,7 @@
 	case len(m.machines) == 0:
 		m.ackedAt = now
 	case now.Sub(m.ackedAt) <= a.settings.GrantDuration:
-		r.ForMs = a.settings.GrantDuration.Milliseconds()
+		r.GrantMs = a.settings.GrantDuration.Milliseconds()
 		// The holder counts from before its request, so its grant ends sooner than this.
 		m.grantUntil = now.Add(a.settings.GrantDuration + drift(a.settings.GrantDuration))
 	default:
--- a/internal/shard/message.go
+++ b/internal/shard/message.go
@@ -93,9 +93,9 @@
 	// Term is the leader's term; Number counts the replies to the member in it.
 	Term   uint64 `codec:"term"`
 	Number uint64 `codec:"number"`
-	// ForMs is how long the grant holds, in milliseconds, counted from before the
+	// GrantMs is how long the grant holds, in milliseconds, counted from before the
 	// request was sent; 0: the member may not answer any machine.
-	ForMs int64 `codec:"for_ms"`
+	GrantMs int64 `codec:"for_ms"`
 	// Reset: the member is to forget what it held before.
 	Reset bool `codec:"fresh,omitempty"`
 	// Add and Drop name the machines that the shard gains and loses, Calls the
