--- a/internal/control/shards_sync.go
+++ b/internal/control/shards_sync.go
@@ -125,7 +125,7 @@
 	}
 	box.respond = respond
 	box.since = now
-	box.maxInFlight = request.Calls
+	box.maxInFlight = request.MaxCalls
 	return box
 }
 
--- a/internal/shard/holder.go
+++ b/internal/shard/holder.go
@@ -74,7 +74,7 @@
 		Term:             h.term,
 		LastReply:        h.lastReply,
 		Capacity:         capacity,
-		Calls:            calls,
+		MaxCalls:         calls,
 		Overloaded:       overloaded,
 		PreviousMachines: h.previousMachines,
 	}
--- a/internal/shard/message.go
+++ b/internal/shard/message.go
@@ -23,7 +23,7 @@
 	// Capacity is how many machines the member can deal with, Calls how many direct
 	// commands it can have in flight.
 	Capacity int `codec:"room"`
-	Calls    int `codec:"calls"`
+	MaxCalls int `codec:"calls"`
 	// Overloaded: the process gets too little processor time.
 	Overloaded bool `codec:"behind,omitempty"`
 	// PreviousMachines are the machines that the member held in an earlier term: their
