--- a/internal/control/shards_sync.go
+++ b/internal/control/shards_sync.go
@@ -63,7 +63,7 @@
 		size += n
 		return ok
 	}
-	for len(b.answers) > 0 && fits(itemBytes+orderBytes*len(b.answers[0].Orders)) {
+	for len(b.answers) > 0 && fits(itemBytes+orderBytes*len(b.answers[0].Commands)) {
 		reply.Answers = append(reply.Answers, b.answers[0])
 		b.answers = b.answers[1:]
 	}
@@ -177,10 +177,10 @@
 			sh.takeover.recordLaunches(len(sent), now)
 			sh.taskTracker.applyEvents(events, now)
 			box.answers = append(box.answers, shard.Answer{
-				Machine: heartbeat.machine.Name,
-				Session: heartbeat.session,
-				Seq:     heartbeat.seq,
-				Orders:  orders,
+				Machine:  heartbeat.machine.Name,
+				Session:  heartbeat.session,
+				Seq:      heartbeat.seq,
+				Commands: orders,
 			})
 		}
 		box.heartbeats = nil
--- a/internal/node/shard_holder.go
+++ b/internal/node/shard_holder.go
@@ -155,7 +155,7 @@
 		hb, ok := sh.pending[answer.Machine]
 		if ok && hb.session == answer.Session && hb.seq == answer.Seq {
 			delete(sh.pending, answer.Machine)
-			hb.orders <- answer.Orders
+			hb.orders <- answer.Commands
 		}
 	}
 }
--- a/internal/shard/message.go
+++ b/internal/shard/message.go
@@ -74,10 +74,10 @@
 // the worker still waits for it.
 type Answer struct {
 	// Machine, Session and Seq name the report that is answered, Orders the answer.
-	Machine string         `codec:"host"`
-	Session uint64         `codec:"shift"`
-	Seq     uint64         `codec:"tick"`
-	Orders  []wire.Command `codec:"orders"`
+	Machine  string         `codec:"host"`
+	Session  uint64         `codec:"shift"`
+	Seq      uint64         `codec:"tick"`
+	Commands []wire.Command `codec:"orders"`
 }
 
 // ExitClearance names exits of a machine that the worker may forget.
