--- a/internal/control/shards_sync.go
+++ b/internal/control/shards_sync.go
@@ -71,7 +71,7 @@
 		reply.Calls = append(reply.Calls, b.calls[0])
 		b.calls = b.calls[1:]
 	}
-	for len(b.clearances) > 0 && fits(itemBytes+orderBytes*len(b.clearances[0].Clears)) {
+	for len(b.clearances) > 0 && fits(itemBytes+orderBytes*len(b.clearances[0].Commands)) {
 		reply.Clearances = append(reply.Clearances, b.clearances[0])
 		b.clearances = b.clearances[1:]
 	}
@@ -160,7 +160,7 @@
 	sh.taskTracker.reachabilityChanged(machine, wasInboundCut)
 	sh.taskTracker.applyEvents(events, now)
 	if clears := machine.ClearOrders(maxCommands); clears != nil {
-		box.clearances = append(box.clearances, shard.ExitClearance{Machine: report.Machine, Clears: clears})
+		box.clearances = append(box.clearances, shard.ExitClearance{Machine: report.Machine, Commands: clears})
 	}
 }
 
--- a/internal/control/shards_test.go
+++ b/internal/control/shards_test.go
@@ -28,7 +28,7 @@
 			orders := make([]wire.Command, 20)
 			call := shard.Call{Addr: "10.0.0.1:9000", Body: make([]byte, tt.body)}
 			answer := shard.Answer{Machine: "host-000001", Commands: orders}
-			clearance := shard.ExitClearance{Machine: "host-000001", Clears: orders}
+			clearance := shard.ExitClearance{Machine: "host-000001", Commands: orders}
 			box := &mailbox{
 				calls:      slices.Repeat([]shard.Call{call}, tt.calls),
 				answers:    slices.Repeat([]shard.Answer{answer}, tt.answers),
--- a/internal/shard/holder_test.go
+++ b/internal/shard/holder_test.go
@@ -83,7 +83,7 @@
 		{"an exit is cleared once the leader has settled it, and a late word clears nothing", func(h *Holder, say func(string, ...any)) {
 			o, _ := h.Report(rep(1, gone), body, now)
 			say("%d orders", len(o))
-			settled := []ExitClearance{{Machine: "m", Clears: []wire.Command{{Verb: wire.CommandClear, Task: "run-1/0", Attempt: 3}}}}
+			settled := []ExitClearance{{Machine: "m", Commands: []wire.Command{{Verb: wire.CommandClear, Task: "run-1/0", Attempt: 3}}}}
 			h.HandleReply(&Reply{Term: 7, Number: 2, GrantMs: 2000, Clearances: settled}, now)
 			o, _ = h.Report(rep(2, gone), body, now)
 			say("%d orders", len(o))
--- a/internal/shard/message.go
+++ b/internal/shard/message.go
@@ -83,8 +83,8 @@
 // ExitClearance names exits of a machine that the worker may forget.
 type ExitClearance struct {
 	// Machine names the machine, Clears the clear orders of its exits.
-	Machine string         `codec:"host"`
-	Clears  []wire.Command `codec:"clears"`
+	Machine  string         `codec:"host"`
+	Commands []wire.Command `codec:"clears"`
 }
 
 // Reply is the leader's answer to a request. Term 0: the node does not lead, or
