--- a/internal/shard/holder_reports.go
+++ b/internal/shard/holder_reports.go
@@ -92,7 +92,7 @@
 		hm.fullReport = slices.Clone(body)
 		hm.fullReportAt = hm.lastReport
 	}
-	return hm.clearOrders(), outcome
+	return hm.clearCommands(), outcome
 }
 
 // compare compares a report with the one before, and records its tasks if they differ.
@@ -154,8 +154,8 @@
 	}
 }
 
-// clearOrders are the orders to forget the settled exits that the worker still reports.
-func (hm *heldMachine) clearOrders() []wire.Command {
+// clearCommands are the orders to forget the settled exits that the worker still reports.
+func (hm *heldMachine) clearCommands() []wire.Command {
 	hm.settledExits = slices.DeleteFunc(hm.settledExits, func(e placement) bool { return !slices.Contains(hm.reportedExits, e) })
 	orders := []wire.Command{}
 	for _, exit := range hm.settledExits {
