--- a/internal/shard/holder.go
+++ b/internal/shard/holder.go
@@ -154,7 +154,7 @@
 	for i := range r.Clearances {
 		clearance := &r.Clearances[i]
 		if hm := h.machines[clearance.Machine]; hm != nil && !hm.dropped {
-			hm.settle(clearance.Commands)
+			hm.recordSettledExits(clearance.Commands)
 		}
 	}
 	return r.Calls
--- a/internal/shard/holder_reports.go
+++ b/internal/shard/holder_reports.go
@@ -142,10 +142,10 @@
 	}
 }
 
-// settle notes exits that the worker may forget. One that the last report does not show
+// recordSettledExits notes exits that the worker may forget. One that the last report does not show
 // is ignored: the exit has been cleared since, and the same attempt of a gang may have
 // come back.
-func (hm *heldMachine) settle(clears []wire.Command) {
+func (hm *heldMachine) recordSettledExits(clears []wire.Command) {
 	for _, order := range clears {
 		exit := placement{task: order.Task, attempt: order.Attempt}
 		if slices.Contains(hm.reportedExits, exit) && !slices.Contains(hm.settledExits, exit) {
