--- a/internal/control/shards.go
+++ b/internal/control/shards.go
@@ -121,7 +121,7 @@
 	}
 	route, member := sh.assigner.RouteReport(heartbeat.Machine, heartbeat.Zone, time.Now())
 	switch route {
-	case shard.Send:
+	case shard.Redirect:
 		respond(reply(http.StatusMisdirectedRequest, wire.Redirect{ReportTo: member}))
 		return false
 	case shard.Wait:
--- a/internal/shard/routing.go
+++ b/internal/shard/routing.go
@@ -11,8 +11,8 @@
 const (
 	// Serve means that the leader answers it.
 	Serve Route = iota
-	// Send means that the worker is redirected to the holder that is named.
-	Send
+	// Redirect means that the worker is redirected to the holder that is named.
+	Redirect
 	// Wait means that the holder is changing; the report is routed again once it is known.
 	Wait
 )
@@ -71,7 +71,7 @@
 		return Wait, ""
 	}
 	mc.redirectedAt = now
-	return Send, mc.holder.name
+	return Redirect, mc.holder.name
 }
 
 // recordUnreached revokes a machine whose worker does not reach its holder. A holder
