--- a/internal/control/shards_sync.go
+++ b/internal/control/shards_sync.go
@@ -63,7 +63,7 @@
 		size += n
 		return ok
 	}
-	for len(b.answers) > 0 && fits(itemBytes+orderBytes*len(b.answers[0].Orders)) {
+	for len(b.answers) > 0 && fits(itemBytes+orderBytes*len(b.answers[0].Commands)) {
 		reply.Answers = append(reply.Answers, b.answers[0])
 		b.answers = b.answers[1:]
 	}
@@ -71,7 +71,7 @@
 		reply.Calls = append(reply.Calls, b.calls[0])
 		b.calls = b.calls[1:]
 	}
-	for len(b.clearances) > 0 && fits(itemBytes+orderBytes*len(b.clearances[0].Clears)) {
+	for len(b.clearances) > 0 && fits(itemBytes+orderBytes*len(b.clearances[0].Commands)) {
 		reply.Clearances = append(reply.Clearances, b.clearances[0])
 		b.clearances = b.clearances[1:]
 	}
@@ -103,7 +103,7 @@
 			sh.finishRelay(&request.CallResults[i])
 		}
 	} else {
-		for _, name := range request.PreviousHosts {
+		for _, name := range request.PreviousMachines {
 			if machine := sh.fleet.Machines[name]; machine != nil {
 				sh.bindHolder(machine)
 			}
@@ -125,20 +125,20 @@
 	}
 	box.respond = respond
 	box.since = now
-	box.maxInFlight = request.Calls
+	box.maxInFlight = request.MaxCalls
 	return box
 }
 
 // handleMachineReport handles what a machine has reported to its holder.
-func (sh *shards) handleMachineReport(box *mailbox, report *shard.HostReport, now time.Time) {
-	machine := sh.fleet.Machines[report.Host]
-	if machine == nil || sh.machinePool.wasReleased(report.Host) {
+func (sh *shards) handleMachineReport(box *mailbox, report *shard.MachineReport, now time.Time) {
+	machine := sh.fleet.Machines[report.Machine]
+	if machine == nil || sh.machinePool.wasReleased(report.Machine) {
 		return
 	}
-	sh.assigner.ConfirmContact(report.Host)
+	sh.assigner.ConfirmContact(report.Machine)
 	if len(report.Report) > 0 {
 		heartbeat := &wire.Heartbeat{}
-		if err := wire.Unmarshal(report.Report, heartbeat); err != nil || heartbeat.Host != report.Host {
+		if err := wire.Unmarshal(report.Report, heartbeat); err != nil || heartbeat.Machine != report.Machine {
 			return // not expected: the holder has already decoded the heartbeat
 		}
 		fresh, ok := sh.taskTracker.observe(machine, heartbeat, true, now)
@@ -160,7 +160,7 @@
 	sh.taskTracker.reachabilityChanged(machine, wasInboundCut)
 	sh.taskTracker.applyEvents(events, now)
 	if clears := machine.ClearOrders(maxCommands); clears != nil {
-		box.clearances = append(box.clearances, shard.ExitClearance{Host: report.Host, Clears: clears})
+		box.clearances = append(box.clearances, shard.ExitClearance{Machine: report.Machine, Commands: clears})
 	}
 }
 
@@ -177,10 +177,10 @@
 			sh.takeover.recordLaunches(len(sent), now)
 			sh.taskTracker.applyEvents(events, now)
 			box.answers = append(box.answers, shard.Answer{
-				Host:    heartbeat.machine.Name,
-				Session: heartbeat.session,
-				Seq:     heartbeat.seq,
-				Orders:  orders,
+				Machine:  heartbeat.machine.Name,
+				Session:  heartbeat.session,
+				Seq:      heartbeat.seq,
+				Commands: orders,
 			})
 		}
 		box.heartbeats = nil
@@ -232,6 +232,6 @@
 	if left <= 0 {
 		return &shard.Reply{}
 	}
-	reply.ForMs = min(reply.ForMs, left)
+	reply.GrantMs = min(reply.GrantMs, left)
 	return reply
 }
--- a/internal/fleet/explore_world_test.go
+++ b/internal/fleet/explore_world_test.go
@@ -178,7 +178,7 @@
 // nextReport returns the worker's next report.
 func (w *world) nextReport() *wire.Heartbeat {
 	w.worker.seq++
-	m := &wire.Heartbeat{Host: "host-1", Session: w.worker.session, Seq: w.worker.seq, Token: w.worker.token}
+	m := &wire.Heartbeat{Machine: "host-1", Session: w.worker.session, Seq: w.worker.seq, Token: w.worker.token}
 	if w.worker.phase != "" {
 		m.Tasks = []wire.TaskStatus{{Task: "run-1/0", Attempt: 1, Phase: w.worker.phase, Cause: wire.CauseStopped}}
 	}
@@ -286,13 +286,13 @@
 	w.retainBeforeLimit()
 	reply := w.assigner.Reply("n1", w.now)
 	w.holder.HandleReply(reply, w.now)
-	w.grantEnd = w.now.Add(time.Duration(reply.ForMs) * time.Millisecond)
+	w.grantEnd = w.now.Add(time.Duration(reply.GrantMs) * time.Millisecond)
 	w.setHolder()
 }
 
 // handleMachineReport handles a report that the holder has answered, in the leader.
-func (w *world) handleMachineReport(report *shard.HostReport) {
-	w.assigner.ConfirmContact(report.Host)
+func (w *world) handleMachineReport(report *shard.MachineReport) {
+	w.assigner.ConfirmContact(report.Machine)
 	if len(report.Report) > 0 {
 		message := &wire.Heartbeat{}
 		if err := wire.Unmarshal(report.Report, message); err != nil {
--- a/internal/shard/explore_test.go
+++ b/internal/shard/explore_test.go
@@ -86,7 +86,7 @@
 		// The worker reports to whoever answers it.
 		for i := range w.holders {
 			w.seq[k]++
-			m := &wire.Heartbeat{Host: w.names[k], Session: 1, Seq: w.seq[k]}
+			m := &wire.Heartbeat{Machine: w.names[k], Session: 1, Seq: w.seq[k]}
 			if _, v := w.holders[i].holder.Report(m, []byte{1}, w.now); v >= Answered {
 				w.answered[k] = w.now
 				return true
@@ -165,13 +165,13 @@
 	}
 	for i := range w.holders {
 		s := &w.holders[i]
-		p.Values("|", s.requestInFlight != nil, s.replyInFlight != nil, s.lateRequest != nil, s.holder.Term(), len(s.holder.previousHosts))
+		p.Values("|", s.requestInFlight != nil, s.replyInFlight != nil, s.lateRequest != nil, s.holder.Term(), len(s.holder.previousMachines))
 		p.Times(s.holder.grantUntil)
 		if s.requestInFlight != nil || s.replyInFlight != nil {
 			p.Times(s.sent)
 		}
 		if s.replyInFlight != nil {
-			p.Values(s.replyInFlight.ForMs, s.replyInFlight.Add, s.replyInFlight.Drop, s.replyInFlight.Reset, s.replyInFlight.Term)
+			p.Values(s.replyInFlight.GrantMs, s.replyInFlight.Add, s.replyInFlight.Drop, s.replyInFlight.Reset, s.replyInFlight.Term)
 		}
 		for _, n := range w.names {
 			if k := s.holder.machines[n]; k != nil {
--- a/internal/shard/explore_world_test.go
+++ b/internal/shard/explore_world_test.go
@@ -129,7 +129,7 @@
 	}
 	c := *r
 	if m := w.leader.members[c.Member]; w.disabled == confirmedByHolder && m != nil {
-		c.Number, c.Term = m.lastReply, w.leader.term
+		c.LastReply, c.Term = m.lastReply, w.leader.term
 	}
 	if w.disabled == reportsBeforeRevocation {
 		c.Reports = nil
@@ -137,7 +137,7 @@
 	fs, ok := w.leader.HandleRequest(&c, w.now)
 	if ok && c.Term == w.leader.term {
 		for _, e := range c.Reports {
-			k := slices.Index(w.names[:], e.Host)
+			k := slices.Index(w.names[:], e.Machine)
 			if at := w.now.Add(-time.Duration(e.AgeMs) * time.Millisecond); at.After(w.knownAt[k]) {
 				w.knownAt[k] = at
 			}
@@ -149,7 +149,7 @@
 	}
 	p := w.leader.Reply(c.Member, w.now)
 	if w.disabled != grantWithinEntitlement {
-		p.ForMs = min(p.ForMs, w.entitledUntil.Sub(w.now).Milliseconds())
+		p.GrantMs = min(p.GrantMs, w.entitledUntil.Sub(w.now).Milliseconds())
 	}
 	return p
 }
--- a/internal/shard/holder_reports.go
+++ b/internal/shard/holder_reports.go
@@ -72,7 +72,7 @@
 // answer are exits that the worker may forget. The leader's orders come by its answer
 // to a report that has changed, or by direct commands.
 func (h *Holder) Report(m *wire.Heartbeat, body []byte, now time.Time) ([]wire.Command, Outcome) {
-	hm := h.machines[m.Host]
+	hm := h.machines[m.Machine]
 	if hm == nil || hm.dropped {
 		return nil, NotHeld
 	}
@@ -92,7 +92,7 @@
 		hm.fullReport = slices.Clone(body)
 		hm.fullReportAt = hm.lastReport
 	}
-	return hm.clearOrders(), outcome
+	return hm.clearCommands(), outcome
 }
 
 // compare compares a report with the one before, and records its tasks if they differ.
@@ -142,10 +142,10 @@
 	}
 }
 
-// settle notes exits that the worker may forget. One that the last report does not show
+// recordSettledExits notes exits that the worker may forget. One that the last report does not show
 // is ignored: the exit has been cleared since, and the same attempt of a gang may have
 // come back.
-func (hm *heldMachine) settle(clears []wire.Command) {
+func (hm *heldMachine) recordSettledExits(clears []wire.Command) {
 	for _, order := range clears {
 		exit := placement{task: order.Task, attempt: order.Attempt}
 		if slices.Contains(hm.reportedExits, exit) && !slices.Contains(hm.settledExits, exit) {
@@ -154,8 +154,8 @@
 	}
 }
 
-// clearOrders are the orders to forget the settled exits that the worker still reports.
-func (hm *heldMachine) clearOrders() []wire.Command {
+// clearCommands are the orders to forget the settled exits that the worker still reports.
+func (hm *heldMachine) clearCommands() []wire.Command {
 	hm.settledExits = slices.DeleteFunc(hm.settledExits, func(e placement) bool { return !slices.Contains(hm.reportedExits, e) })
 	orders := []wire.Command{}
 	for _, exit := range hm.settledExits {
--- a/internal/shard/members.go
+++ b/internal/shard/members.go
@@ -148,16 +148,16 @@
 	case m.overloadedSince.IsZero():
 		m.overloadedSince = now
 	}
-	if r.Term == a.term && r.Number > m.ackedReply {
+	if r.Term == a.term && r.LastReply > m.ackedReply {
 		more, known := a.acknowledge(m, r, now)
 		if !known {
 			return freed, false // this leader has made no such reply
 		}
 		freed = append(freed, more...)
 	}
-	a.admitMember(m, len(r.PreviousHosts) > 0, now)
+	a.admitMember(m, len(r.PreviousMachines) > 0, now)
 	if m.joined && r.Term != a.term {
-		a.restoreHosts(m, r.PreviousHosts, now)
+		a.restoreMachines(m, r.PreviousMachines, now)
 	}
 	return freed, true
 }
@@ -165,17 +165,17 @@
 // acknowledge notes which of the leader's replies a member has handled last, and with it
 // the changes that the reply carried. known is false if there is no such reply.
 func (a *Assigner) acknowledge(m *member, r *Request, now time.Time) (freed []Revocation, known bool) {
-	at, known := m.replyTimes[r.Number]
+	at, known := m.replyTimes[r.LastReply]
 	if !known {
 		return nil, false
 	}
-	m.ackedReply = r.Number
+	m.ackedReply = r.LastReply
 	m.ackedAt = now
-	if !r.More {
+	if !r.Truncated {
 		m.knownUntil = at
 	}
 	for n := range m.replyTimes {
-		if n < r.Number {
+		if n < r.LastReply {
 			delete(m.replyTimes, n)
 		}
 	}
@@ -211,10 +211,10 @@
 	}
 }
 
-// restoreHosts assigns to a member the machines that it held under an earlier leader,
+// restoreMachines assigns to a member the machines that it held under an earlier leader,
 // whose grants have all ended, unless they have another holder by now: their workers
 // need not connect to another controller.
-func (a *Assigner) restoreHosts(m *member, names []string, now time.Time) {
+func (a *Assigner) restoreMachines(m *member, names []string, now time.Time) {
 	if len(a.machines) < a.settings.MinMachines {
 		return
 	}
@@ -265,7 +265,7 @@
 	case len(m.machines) == 0:
 		m.ackedAt = now
 	case now.Sub(m.ackedAt) <= a.settings.GrantDuration:
-		r.ForMs = a.settings.GrantDuration.Milliseconds()
+		r.GrantMs = a.settings.GrantDuration.Milliseconds()
 		// The holder counts from before its request, so its grant ends sooner than this.
 		m.grantUntil = now.Add(a.settings.GrantDuration + drift(a.settings.GrantDuration))
 	default:
--- a/internal/shard/message.go
+++ b/internal/shard/message.go
@@ -18,29 +18,29 @@
 	// that is not higher than the last.
 	Seq uint64 `codec:"seq"`
 	// Term and Number are those of the last reply that the member has handled; 0: none.
-	Term   uint64 `codec:"term"`
-	Number uint64 `codec:"number"`
+	Term      uint64 `codec:"term"`
+	LastReply uint64 `codec:"number"`
 	// Capacity is how many machines the member can deal with, Calls how many direct
 	// commands it can have in flight.
 	Capacity int `codec:"room"`
-	Calls    int `codec:"calls"`
+	MaxCalls int `codec:"calls"`
 	// Overloaded: the process gets too little processor time.
 	Overloaded bool `codec:"behind,omitempty"`
-	// PreviousHosts are the machines that the member held in an earlier term: their
+	// PreviousMachines are the machines that the member held in an earlier term: their
 	// workers are connected to it.
-	PreviousHosts []string `codec:"have,omitempty"`
+	PreviousMachines []string `codec:"have,omitempty"`
 	// Reports are the reports, and CallResults the results of direct commands, that the
 	// leader has not acknowledged yet.
-	Reports     []HostReport `codec:"entries,omitempty"`
-	CallResults []CallResult `codec:"done,omitempty"`
-	// More: reports were left out because of the size of the request.
-	More bool `codec:"more,omitempty"`
+	Reports     []MachineReport `codec:"entries,omitempty"`
+	CallResults []CallResult    `codec:"done,omitempty"`
+	// Truncated: reports were left out because of the size of the request.
+	Truncated bool `codec:"more,omitempty"`
 }
 
-// HostReport is what a machine has reported since the last request that had a reply.
-type HostReport struct {
-	// Host names the machine; Session and Seq are those of its last report.
-	Host    string `codec:"host"`
+// MachineReport is what a machine has reported since the last request that had a reply.
+type MachineReport struct {
+	// Machine names the machine; Session and Seq are those of its last report.
+	Machine string `codec:"host"`
 	Session uint64 `codec:"shift"`
 	Seq     uint64 `codec:"tick"`
 	// AgeMs is how long before the request the report came, in milliseconds.
@@ -73,18 +73,18 @@
 // Answer is the leader's answer to a report that has changed. The holder sends it if
 // the worker still waits for it.
 type Answer struct {
-	// Host, Session and Seq name the report that is answered, Orders the answer.
-	Host    string         `codec:"host"`
-	Session uint64         `codec:"shift"`
-	Seq     uint64         `codec:"tick"`
-	Orders  []wire.Command `codec:"orders"`
+	// Machine, Session and Seq name the report that is answered, Orders the answer.
+	Machine  string         `codec:"host"`
+	Session  uint64         `codec:"shift"`
+	Seq      uint64         `codec:"tick"`
+	Commands []wire.Command `codec:"orders"`
 }
 
 // ExitClearance names exits of a machine that the worker may forget.
 type ExitClearance struct {
-	// Host names the machine, Clears the clear orders of its exits.
-	Host   string         `codec:"host"`
-	Clears []wire.Command `codec:"clears"`
+	// Machine names the machine, Clears the clear orders of its exits.
+	Machine  string         `codec:"host"`
+	Commands []wire.Command `codec:"clears"`
 }
 
 // Reply is the leader's answer to a request. Term 0: the node does not lead, or
@@ -93,9 +93,9 @@
 	// Term is the leader's term; Number counts the replies to the member in it.
 	Term   uint64 `codec:"term"`
 	Number uint64 `codec:"number"`
-	// ForMs is how long the grant holds, in milliseconds, counted from before the
+	// GrantMs is how long the grant holds, in milliseconds, counted from before the
 	// request was sent; 0: the member may not answer any machine.
-	ForMs int64 `codec:"for_ms"`
+	GrantMs int64 `codec:"for_ms"`
 	// Reset: the member is to forget what it held before.
 	Reset bool `codec:"fresh,omitempty"`
 	// Add and Drop name the machines that the shard gains and loses, Calls the
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -37,7 +37,7 @@
 // MachineNames lists machines by name. The cloud sends it as the response to a
 // RentalRequest, and a controller sends it to return machines (POST /hosts/release).
 type MachineNames struct {
-	Hosts []string `codec:"hosts"`
+	Names []string `codec:"hosts"`
 }
 
 // MachinePhase is the state of a machine in the cloud's list.
@@ -64,6 +64,6 @@
 // CloudMachinePage is sent by the cloud to a controller (GET /hosts): one page of its
 // machines in the order of their names, which may be out of date.
 type CloudMachinePage struct {
-	Hosts []CloudMachine `codec:"hosts"`
-	More  bool           `codec:"more"` // the list goes on after this page
+	Machines []CloudMachine `codec:"hosts"`
+	More     bool           `codec:"more"` // the list goes on after this page
 }
