--- a/internal/node/bounded_listener_test.go
+++ b/internal/node/bounded_listener_test.go
@@ -65,9 +65,9 @@
 	return res.Body.Close()
 }
 
-// startSlow starts requests that are in progress when it returns. Their results come
+// startSlowRequests starts requests that are in progress when it returns. Their results come
 // from the channel.
-func (s *slowServer) startSlow(requests int) <-chan error {
+func (s *slowServer) startSlowRequests(requests int) <-chan error {
 	results := make(chan error, requests)
 	for range requests {
 		go func() { results <- s.get("/slow", 0) }()
@@ -93,7 +93,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			s := startSlowServer(t)
-			slow := s.startSlow(tt.slow)
+			slow := s.startSlowRequests(tt.slow)
 			for range tt.idle {
 				if err := s.get("/healthz", 10*time.Second); err != nil {
 					t.Fatalf("idle connection: %v", err)
--- a/internal/node/cancel_test.go
+++ b/internal/node/cancel_test.go
@@ -53,7 +53,7 @@
 
 // anyMember chooses all controllers, isLeader the one that leads, isFollower the others.
 func anyMember(*simulation, string) bool           { return true }
-func isLeader(s *simulation, member string) bool   { return member == s.memberFromLeader(0) }
+func isLeader(s *simulation, member string) bool   { return member == s.memberAfterLeader(0) }
 func isFollower(s *simulation, member string) bool { return !isLeader(s, member) }
 
 // checkOverdueLaunches checks that the scenario reached what it is about, launches that arrived
@@ -61,7 +61,7 @@
 func checkOverdueLaunches(s *simulation) {
 	arrived, carriedOut := s.OverdueLaunches()
 	if arrived == 0 {
-		s.notReached("no launch of a cancelled job arrived after its time")
+		s.reportUnreachedCondition("no launch of a cancelled job arrived after its time")
 	}
 	if carriedOut > 0 {
 		s.t.Errorf("%d launches of cancelled jobs were carried out after their time, of %d that arrived", carriedOut, arrived)
--- a/internal/node/coinciding_faults_test.go
+++ b/internal/node/coinciding_faults_test.go
@@ -157,24 +157,24 @@
 	sec := time.Second
 	runScenarios(t, withLongJobs(defaultEnvironment(3, 1, withOutagePromises)), nil, []scenario{
 		{"close looks and odd requests", overlapping(
-			fault{0, probeClosely(70 * sec)},
+			fault{0, probeAfterAnswers(70 * sec)},
 			fault{5 * sec, invalidRequests(80, 50*sec)},
 			fault{25 * sec, crashControllers(1)},
 		)},
 		{"answers of transactions are lost, the leader ends", overlapping(
-			fault{0, probeClosely(70 * sec)},
+			fault{0, probeAfterAnswers(70 * sec)},
 			fault{4 * sec, lostAnswers(81, 0.2, 45*sec)},
 			fault{18 * sec, crashControllers(1)},
 		)},
 		{"answers are lost and controllers do not reach each other", overlapping(
-			fault{0, probeClosely(70 * sec)},
+			fault{0, probeAfterAnswers(70 * sec)},
 			fault{4 * sec, partitionControllers(50 * sec)},
 			fault{5 * sec, lostAnswers(103, 0.5, 45*sec)},
 			fault{9 * sec, submissionBurst(80)},
 			fault{16 * sec, cancelRunningJobs(104, 8, 0, 15*sec)},
 		)},
 		{"many called off as the leader ends, their machines hang", overlapping(
-			fault{0, probeClosely(70 * sec)},
+			fault{0, probeAfterAnswers(70 * sec)},
 			fault{16 * sec, cancelRunningJobs(82, 12, 8*sec, 12*sec)},
 			fault{16100 * time.Millisecond, crashControllers(1)},
 		)},
@@ -183,7 +183,7 @@
 			fault{16 * sec, refuseLeaderThenOutage(sec, 30*sec)},
 		)},
 		{"mute machines, called off, the leader ends", overlapping(
-			fault{0, probeClosely(70 * sec)},
+			fault{0, probeAfterAnswers(70 * sec)},
 			fault{13 * sec, blockWorkerConnections(84, 3, 30*sec)},
 			fault{16 * sec, cancelRunningJobs(85, 6, 0, 12*sec)},
 			fault{18 * sec, crashControllers(1)},
@@ -196,7 +196,7 @@
 	})
 	runScenarios(t, withLongJobs(defaultEnvironment(5, 1, withSharding)), nil, []scenario{
 		{"called off while the work of a controller changes hands", overlapping(
-			fault{0, probeClosely(70 * sec)},
+			fault{0, probeAfterAnswers(70 * sec)},
 			fault{15 * sec, crashFollower(3 * sec)},
 			fault{15200 * time.Millisecond, cancelRunningJobs(87, 8, 5*sec, 15*sec)},
 			fault{30 * sec, restartRepeatedly(88, 4)},
@@ -208,7 +208,7 @@
 func TestAway(t *testing.T) {
 	sec := time.Second
 	runScenarios(t, withLongJobs(defaultEnvironment(3, 1, withOutagePromises)), nil, []scenario{
-		{"called off as they end", overlapping(fault{0, probeClosely(70 * sec)}, fault{3 * sec, cancelAtCompletion(89, 60*sec)})},
+		{"called off as they end", overlapping(fault{0, probeAfterAnswers(70 * sec)}, fault{3 * sec, cancelAtCompletion(89, 60*sec)})},
 		{"all controllers away for longer than the lease", overlapping(
 			fault{16 * sec, stopAllControllers(14 * sec)},
 			fault{15500 * time.Millisecond, cancelRunningJobs(90, 4, 0, 45*sec)},
--- a/internal/node/delay_monitor.go
+++ b/internal/node/delay_monitor.go
@@ -13,12 +13,12 @@
 // its cause, and how long a fixed piece of work takes, which shows whether this
 // machine is slower than those of the siblings.
 type delayMonitor struct {
-	mu          sync.Mutex
-	meanDelay   time.Duration // moving average of how late timers fire
-	overloaded  bool
-	steadySince time.Time                   // when the mean delay was last on the side that confirms overloaded
-	probeTimes  [probeSamples]time.Duration // ring of the last probes
-	probeCount  int                         // probes so far
+	mu             sync.Mutex
+	meanDelay      time.Duration // moving average of how late timers fire
+	overloaded     bool
+	lastContraryAt time.Time                   // when the mean delay was last on the side that confirms overloaded
+	probeTimes     [probeSamples]time.Duration // ring of the last probes
+	probeCount     int                         // probes so far
 }
 
 const (
@@ -62,12 +62,12 @@
 		changing, after = d.meanDelay <= recoveredDelay, recoveredAfter
 	}
 	if !changing {
-		d.steadySince = now
+		d.lastContraryAt = now
 		return
 	}
-	if now.Sub(d.steadySince) >= after {
+	if now.Sub(d.lastContraryAt) >= after {
 		d.overloaded = !d.overloaded
-		d.steadySince = now
+		d.lastContraryAt = now
 	}
 }
 
--- a/internal/node/leadership_transfer.go
+++ b/internal/node/leadership_transfer.go
@@ -14,13 +14,13 @@
 // that cannot reach its workers need not resign: their machines are assigned to
 // controllers that reach them (package shard).
 type transferPolicy struct {
-	overloadTime time.Duration // how long the leader must have been overloaded
+	minOverloadTime time.Duration // how long the leader must have been overloaded
 
-	mu              sync.Mutex
-	siblings        map[string]siblingStatus
-	overloadedSince time.Time     // since when this node has been overloaded as leader; zero: it is not
-	lastTransfer    time.Time     // when this node last resigned
-	minInterval     time.Duration // least time between lastTransfer and the next
+	mu                  sync.Mutex
+	siblings            map[string]siblingStatus
+	overloadedSince     time.Time     // since when this node has been overloaded as leader; zero: it is not
+	lastTransferAt      time.Time     // when this node last resigned
+	minTransferInterval time.Duration // least time between lastTransferAt and the next
 }
 
 // siblingStatus is the last answer of a sibling to a ping.
@@ -32,12 +32,12 @@
 const (
 	// minSpeedRatio is how many times as fast a sibling must be.
 	minSpeedRatio = 2
-	// firstMinInterval is how long a node that has resigned once does not resign again.
-	// The interval doubles with each transfer, up to maxMinInterval.
-	firstMinInterval = time.Minute
-	maxMinInterval   = 15 * time.Minute
-	// siblingStatusTime is how long a sibling's answer to a ping counts.
-	siblingStatusTime = 2500 * time.Millisecond
+	// firstTransferInterval is how long a node that has resigned once does not resign again.
+	// The interval doubles with each transfer, up to maxTransferInterval.
+	firstTransferInterval = time.Minute
+	maxTransferInterval   = 15 * time.Minute
+	// siblingStatusMaxAge is how long a sibling's answer to a ping counts.
+	siblingStatusMaxAge = 2500 * time.Millisecond
 	// transferCheckInterval is how often the leader considers a transfer.
 	transferCheckInterval = time.Second
 )
@@ -64,16 +64,16 @@
 	if p.overloadedSince.IsZero() {
 		p.overloadedSince = now
 	}
-	if now.Sub(p.overloadedSince) < p.overloadTime || now.Sub(p.lastTransfer) < p.minInterval {
+	if now.Sub(p.overloadedSince) < p.minOverloadTime || now.Sub(p.lastTransferAt) < p.minTransferInterval {
 		return "", false
 	}
 	for member, sibling := range p.siblings {
 		if !sibling.betterThan(self, now) {
 			continue
 		}
-		p.lastTransfer = now
+		p.lastTransferAt = now
 		p.overloadedSince = time.Time{}
-		p.minInterval = min(max(firstMinInterval, 2*p.minInterval), maxMinInterval)
+		p.minTransferInterval = min(max(firstTransferInterval, 2*p.minTransferInterval), maxTransferInterval)
 		return member, true
 	}
 	return "", false
@@ -82,7 +82,7 @@
 // betterThan reports whether the sibling would be a better leader than the overloaded
 // one: it was heard lately, is able to lead and is far faster.
 func (s *siblingStatus) betterThan(leader rpc.NodeStatus, now time.Time) bool {
-	able := now.Sub(s.receivedAt) < siblingStatusTime && !s.Overloaded && s.StoreReachable
+	able := now.Sub(s.receivedAt) < siblingStatusMaxAge && !s.Overloaded && s.StoreReachable
 	faster := s.ProbeUs > 0 && leader.ProbeUs >= minSpeedRatio*s.ProbeUs
 	return able && faster
 }
--- a/internal/node/leadership_transfer_test.go
+++ b/internal/node/leadership_transfer_test.go
@@ -31,7 +31,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			policy := &transferPolicy{overloadTime: 5 * time.Second}
+			policy := &transferPolicy{minOverloadTime: 5 * time.Second}
 			sibling := fast
 			got := 0
 			if tt.sibling != nil {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -72,9 +72,9 @@
 	delay       delayMonitor
 	transfer    transferPolicy
 
-	mu          sync.Mutex
-	lastUserAt  time.Time // when a user's request last arrived here
-	unableSince time.Time // since when users could not be served here; zero: they can
+	mu                 sync.Mutex
+	lastUserRequestAt  time.Time // when a user's request last arrived here
+	unableToServeSince time.Time // since when users could not be served here; zero: they can
 }
 
 // Run runs a controller until the context ends. It returns an error if the controller
@@ -132,7 +132,7 @@
 	if tuning.Sharding.Enabled && len(settings.Siblings) > 0 {
 		n.shardHolder = newShardHolder(n, network.Dial)
 	}
-	n.transfer.overloadTime = config.Seconds(tuning.TransferAfterS)
+	n.transfer.minOverloadTime = config.Seconds(tuning.TransferAfterS)
 	return n, nil
 }
 
--- a/internal/node/node_health.go
+++ b/internal/node/node_health.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	// storeReachableTime is how long a node tells its siblings that the key-value store
+	// storeReachableMaxAge is how long a node tells its siblings that the key-value store
 	// answers it: its watch returns every five seconds.
-	storeReachableTime = 7 * time.Second
-	// healthyStoreTime is how long the last answer of the key-value store makes a node
+	storeReachableMaxAge = 7 * time.Second
+	// healthyStoreMaxAge is how long the last answer of the key-value store makes a node
 	// healthy that reaches no leader.
-	healthyStoreTime = 8 * time.Second
-	// servesUsersTime is how long after the last user's request a node counts as one that
+	healthyStoreMaxAge = 8 * time.Second
+	// userTrafficWindow is how long after the last user's request a node counts as one that
 	// the load balancer sends users to.
-	servesUsersTime = 3 * time.Second
-	// unableGrace is how long a node without leader and key-value store stays healthy:
+	userTrafficWindow = 3 * time.Second
+	// unhealthyDelay is how long a node without leader and key-value store stays healthy:
 	// being taken out and put back by the load balancer costs users more than a short
 	// outage, in which no other node could serve them either.
-	unableGrace = 20 * time.Second
+	unhealthyDelay = 20 * time.Second
 )
 
 // NodeStatus implements rpc.Handler.
@@ -32,22 +32,22 @@
 		ServesUsers:    n.servesUsers(),
 		Overloaded:     n.delay.Overloaded(),
 		ProbeUs:        n.delay.ProbeTime().Microseconds(),
-		StoreReachable: time.Since(view.StoreSeenAt) < storeReachableTime,
+		StoreReachable: time.Since(view.StoreSeenAt) < storeReachableMaxAge,
 	}
 }
 
-// recordUser notes that a user's request has arrived.
-func (n *Node) recordUser() {
+// recordUserRequest notes that a user's request has arrived.
+func (n *Node) recordUserRequest() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.lastUserAt = time.Now()
+	n.lastUserRequestAt = time.Now()
 }
 
 // servesUsers reports whether the load balancer sends users to this node.
 func (n *Node) servesUsers() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return time.Since(n.lastUserAt) < servesUsersTime
+	return time.Since(n.lastUserRequestAt) < userTrafficWindow
 }
 
 // Healthy implements api.Backend. An overloaded leader leaves its users to the other
@@ -62,13 +62,13 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if able {
-		n.unableSince = time.Time{}
+		n.unableToServeSince = time.Time{}
 		return true
 	}
-	if n.unableSince.IsZero() {
-		n.unableSince = time.Now()
+	if n.unableToServeSince.IsZero() {
+		n.unableToServeSince = time.Now()
 	}
-	return time.Since(n.unableSince) < unableGrace
+	return time.Since(n.unableToServeSince) < unhealthyDelay
 }
 
 // ableToServe reports whether this node can answer users: as leader, through the
@@ -76,6 +76,6 @@
 func (n *Node) ableToServe() bool {
 	view := n.elector.View()
 	return n.controller.Leading() ||
-		time.Since(view.StoreSeenAt) < healthyStoreTime ||
+		time.Since(view.StoreSeenAt) < healthyStoreMaxAge ||
 		(view.Leader != "" && n.mesh.Reachable(view.Leader))
 }
--- a/internal/node/node_requests.go
+++ b/internal/node/node_requests.go
@@ -15,23 +15,23 @@
 // store. A submission needs no leader, so it waits for a leader that hangs for no
 // longer than an answer usually takes.
 const (
-	forwardTime       = 1200 * time.Millisecond
-	submitForwardTime = 400 * time.Millisecond
-	statusForwardTime = 900 * time.Millisecond
+	forwardTimeout       = 1200 * time.Millisecond
+	submitForwardTimeout = 400 * time.Millisecond
+	statusForwardTimeout = 900 * time.Millisecond
 )
 
-// statusTime bounds a poll for a job's status: its user waits for two seconds, and a
+// statusTimeout bounds a poll for a job's status: its user waits for two seconds, and a
 // poll that hangs in a commit, a takeover or a read is of no use to anyone.
-const statusTime = 1500 * time.Millisecond
+const statusTimeout = 1500 * time.Millisecond
 
 // HandleUser implements api.Backend. While this node does not lead it forwards the
 // request to the leader; if that fails, it admits a job or reads a job's status by
 // itself, through the key-value store.
 func (n *Node) HandleUser(ctx context.Context, q *rpc.Request) *rpc.Reply {
-	n.recordUser()
+	n.recordUserRequest()
 	if q.Kind == rpc.KindStatus {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, statusTime)
+		ctx, cancel = context.WithTimeout(ctx, statusTimeout)
 		defer cancel()
 	}
 	if q.Kind == rpc.KindConfig && n.home != nil {
@@ -66,7 +66,7 @@
 			return reply
 		}
 	}
-	ctx, cancel := context.WithTimeout(ctx, forwardLimit(q.Kind))
+	ctx, cancel := context.WithTimeout(ctx, forwardTimeoutFor(q.Kind))
 	defer cancel()
 	begun := time.Now()
 	reply, err := n.mesh.Forward(ctx, leader, q)
@@ -79,15 +79,15 @@
 	return reply
 }
 
-// forwardLimit returns how long a request of the kind waits for the leader.
-func forwardLimit(kind rpc.RequestKind) time.Duration {
+// forwardTimeoutFor returns how long a request of the kind waits for the leader.
+func forwardTimeoutFor(kind rpc.RequestKind) time.Duration {
 	switch kind {
 	case rpc.KindStatus:
-		return statusForwardTime
+		return statusForwardTimeout
 	case rpc.KindSubmit:
-		return submitForwardTime
+		return submitForwardTimeout
 	}
-	return forwardTime
+	return forwardTimeout
 }
 
 // admitLocally admits a submitted job without the leader.
--- a/internal/node/shard_holder.go
+++ b/internal/node/shard_holder.go
@@ -42,12 +42,12 @@
 	// after one that was refused or lost.
 	minSyncInterval = 25 * time.Millisecond
 	syncRetryDelay  = 150 * time.Millisecond
-	// answerPatience is how long a worker waits for the leader's answer before it gets this
+	// leaderAnswerTimeout is how long a worker waits for the leader's answer before it gets this
 	// node's own, which renews its lease.
-	answerPatience = 250 * time.Millisecond
-	// requiredAnswerPatience is how long it waits where this node may not answer by itself.
+	leaderAnswerTimeout = 250 * time.Millisecond
+	// requiredAnswerTimeout is how long it waits where this node may not answer by itself.
 	// The worker's own timeout is 4 s.
-	requiredAnswerPatience = 2 * time.Second
+	requiredAnswerTimeout = 2 * time.Second
 	// minIdleConns is the least number of idle connections to workers.
 	minIdleConns = 8
 )
@@ -206,8 +206,8 @@
 	return sh.holder.GrantValid(term, time.Now())
 }
 
-// receivedHeartbeat is what the holder decided about a heartbeat.
-type receivedHeartbeat struct {
+// heartbeatDecision is what the holder decided about a heartbeat.
+type heartbeatDecision struct {
 	outcome shard.Outcome
 	term    uint64           // of the grant
 	orders  []wire.Command   // of this node's own answer
@@ -216,11 +216,11 @@
 
 // receive takes in a heartbeat, and lets it wait for the leader's answer if it reports
 // something new.
-func (sh *shardHolder) receive(m *wire.Heartbeat, body []byte) receivedHeartbeat {
+func (sh *shardHolder) receive(m *wire.Heartbeat, body []byte) heartbeatDecision {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	orders, outcome := sh.holder.Report(m, body, time.Now())
-	r := receivedHeartbeat{
+	r := heartbeatDecision{
 		outcome: outcome,
 		term:    sh.holder.Term(),
 		orders:  orders,
@@ -255,9 +255,9 @@
 	}
 	orders := r.orders
 	if r.outcome >= shard.ReportChanged {
-		patience := answerPatience
+		patience := leaderAnswerTimeout
 		if r.outcome == shard.LeaderRequired {
-			patience = requiredAnswerPatience
+			patience = requiredAnswerTimeout
 		}
 		leaderOrders, ok := sh.awaitAnswer(ctx, m.Host, r.pending, patience)
 		switch {
--- a/internal/node/sim_faults_controllers_test.go
+++ b/internal/node/sim_faults_controllers_test.go
@@ -75,7 +75,7 @@
 		}
 		time.Sleep(d)
 		if d > 10*time.Second && s.TasksLost() == lost {
-			s.notReached("no lease of a machine with tasks has run out")
+			s.reportUnreachedCondition("no lease of a machine with tasks has run out")
 		}
 		for i := range s.controllers {
 			s.startController(i)
@@ -96,6 +96,6 @@
 		time.Sleep(time.Duration(1+i%4) * time.Second)
 	}
 	if s.term() < term+10 || time.Since(begun) > 2*time.Minute {
-		s.notReached("%d changes of leader in %v", s.term()-term, time.Since(begun).Round(time.Second))
+		s.reportUnreachedCondition("%d changes of leader in %v", s.term()-term, time.Since(begun).Round(time.Second))
 	}
 }
--- a/internal/node/sim_faults_invalid_requests_test.go
+++ b/internal/node/sim_faults_invalid_requests_test.go
@@ -30,7 +30,7 @@
 			u.sendOne(i)
 		}
 		if len(u.answers) < 4 {
-			s.notReached("only %v had a clear answer", u.answers)
+			s.reportUnreachedCondition("only %v had a clear answer", u.answers)
 		}
 	}
 }
--- a/internal/node/sim_faults_network_test.go
+++ b/internal/node/sim_faults_network_test.go
@@ -15,7 +15,7 @@
 // partitionLeader cuts the leader off from the hosts for which from is true.
 func partitionLeader(from func(other string) bool, d time.Duration) func(*simulation) {
 	return func(s *simulation) {
-		leader := s.memberFromLeader(0)
+		leader := s.memberAfterLeader(0)
 		s.setPartition("leader", func(a, b string) bool { return a == leader && from(b) })
 		time.Sleep(d)
 		s.setPartition("leader", nil)
@@ -57,7 +57,7 @@
 // partitionFollower cuts a controller that does not lead off from some others.
 func partitionFollower(from func(other string) bool, d time.Duration) func(*simulation) {
 	return func(s *simulation) {
-		follower := s.memberFromLeader(1)
+		follower := s.memberAfterLeader(1)
 		s.setPartition("other", func(a, b string) bool { return a == follower && from(b) })
 		time.Sleep(d)
 		s.setPartition("other", nil)
@@ -68,7 +68,7 @@
 // and not what they send to it.
 func blockFollower(d time.Duration) func(*simulation) {
 	return func(s *simulation) {
-		follower := s.memberFromLeader(1)
+		follower := s.memberAfterLeader(1)
 		s.net.PartitionOneWay(func(a, b string) bool { return a == follower && isController(b) })
 		time.Sleep(d)
 		s.net.PartitionOneWay(func(string, string) bool { return false })
@@ -92,7 +92,7 @@
 // blockAnswersFrom is blockAnswers for one controller alone, counted from the leader.
 func blockAnswersFrom(seed uint64, n, after int, d time.Duration) func(*simulation) {
 	return func(s *simulation) {
-		controller := s.memberFromLeader(after)
+		controller := s.memberAfterLeader(after)
 		blockAnswers(seed, n, func(member string) bool { return member == controller }, d)(s)
 	}
 }
@@ -101,7 +101,7 @@
 // and the other controllers, and not from its workers and users.
 func isolateController(after int, d time.Duration) func(*simulation) {
 	return func(s *simulation) {
-		controller := s.memberFromLeader(after)
+		controller := s.memberAfterLeader(after)
 		s.setPartition("alone", func(a, b string) bool { return a == controller && (b == "state" || isController(b)) })
 		time.Sleep(d)
 		s.setPartition("alone", nil)
@@ -126,7 +126,7 @@
 // leader, off from everything but each other.
 func partitionZoneWithController(zone string, after int, d time.Duration) func(*simulation) {
 	return func(s *simulation) {
-		controller := s.memberFromLeader(after)
+		controller := s.memberAfterLeader(after)
 		inside := hostsOf(s.WorkersInZone(zone))
 		inside[controller] = true
 		s.setPartition("zone and controller", func(a, b string) bool { return inside[a] && !inside[b] })
@@ -145,7 +145,7 @@
 		time.Sleep(d)
 		s.net.DenyConnections(func(string, string) bool { return false })
 		if d > leaseExpiry && s.TasksLost() == lost {
-			s.notReached("no lease of a machine with tasks has run out")
+			s.reportUnreachedCondition("no lease of a machine with tasks has run out")
 		}
 	}
 }
@@ -174,7 +174,7 @@
 // worker, while workers open theirs: heartbeats are answered, direct commands do not leave.
 func denyWorkerConnections(d time.Duration) func(*simulation) {
 	return func(s *simulation) {
-		leader := s.memberFromLeader(0)
+		leader := s.memberAfterLeader(0)
 		s.net.DenyConnections(func(a, b string) bool { return isController(a) && a != leader && isWorker(b) })
 		time.Sleep(d)
 		s.net.DenyConnections(func(string, string) bool { return false })
--- a/internal/node/sim_faults_replay_test.go
+++ b/internal/node/sim_faults_replay_test.go
@@ -15,10 +15,10 @@
 
 // replayHeartbeats captures all heartbeats for a while, and sends them to all controllers at
 // once, so long after.
-func replayHeartbeats(capture, after time.Duration) func(*simulation) {
+func replayHeartbeats(captureTime, after time.Duration) func(*simulation) {
 	return func(s *simulation) {
 		s.CaptureHeartbeats(true)
-		time.Sleep(capture)
+		time.Sleep(captureTime)
 		s.CaptureHeartbeats(false)
 		captured := s.CapturedHeartbeats()
 		time.Sleep(after)
@@ -51,10 +51,10 @@
 
 // replayToNextLeader captures all heartbeats for a while, and sends them to all controllers as
 // another leader begins.
-func replayToNextLeader(capture time.Duration) func(*simulation) {
+func replayToNextLeader(captureTime time.Duration) func(*simulation) {
 	return func(s *simulation) {
 		s.CaptureHeartbeats(true)
-		time.Sleep(capture)
+		time.Sleep(captureTime)
 		s.CaptureHeartbeats(false)
 		term := s.term()
 		for range 600 {
@@ -64,6 +64,6 @@
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
-		s.notReached("no other leader has come")
+		s.reportUnreachedCondition("no other leader has come")
 	}
 }
--- a/internal/node/sim_faults_requests_test.go
+++ b/internal/node/sim_faults_requests_test.go
@@ -17,13 +17,13 @@
 func submissionBurst(n int) func(*simulation) {
 	return func(s *simulation) {
 		for i := range n {
-			s.submitThrice(i)
+			s.submitByThreeUsers(i)
 		}
 	}
 }
 
-// submitThrice submits job i of a burst by three users, of whom one cancels it if i is even.
-func (s *simulation) submitThrice(i int) {
+// submitByThreeUsers submits job i of a burst by three users, of whom one cancels it if i is even.
+func (s *simulation) submitByThreeUsers(i int) {
 	spec := &job.Spec{
 		ID:           fmt.Sprintf("run-9%05d", i),
 		Team:         "blue",
@@ -68,7 +68,7 @@
 		begun := time.Now()
 		jobs := s.SelectForCancellation(newRand(seed), n)
 		if len(jobs) == 0 {
-			s.notReached("no job runs that could be called off")
+			s.reportUnreachedCondition("no job runs that could be called off")
 			return
 		}
 		workers := s.WorkersWithJobs(jobs, 8)
@@ -87,7 +87,7 @@
 		}
 		time.Sleep(within - time.Since(begun))
 		if s.CancellationsConfirmed(begun, begun.Add(within)) == 0 {
-			s.notReached("none of %d cancellations was told within %v", len(jobs), within)
+			s.reportUnreachedCondition("none of %d cancellations was told within %v", len(jobs), within)
 		}
 	}
 }
@@ -112,7 +112,7 @@
 		mu.Lock()
 		defer mu.Unlock()
 		if cancelled < 3 {
-			s.notReached("%d jobs were called off at their ends", cancelled)
+			s.reportUnreachedCondition("%d jobs were called off at their ends", cancelled)
 		}
 	}
 }
@@ -143,8 +143,8 @@
 	}
 }
 
-// probeClosely lets users ask all controllers within milliseconds after each answer.
-func probeClosely(d time.Duration) func(*simulation) {
+// probeAfterAnswers lets users ask all controllers within milliseconds after each answer.
+func probeAfterAnswers(d time.Duration) func(*simulation) {
 	return func(s *simulation) {
 		s.probing.Store(true)
 		time.Sleep(d)
@@ -208,7 +208,7 @@
 				time.Sleep(100 * time.Millisecond)
 			}
 			if most < 12*float64(s.scale) {
-				s.notReached("team %s uses %v CPUs at most: not at its limit", team, most)
+				s.reportUnreachedCondition("team %s uses %v CPUs at most: not at its limit", team, most)
 			}
 		}
 	}
--- a/internal/node/sim_faults_store_test.go
+++ b/internal/node/sim_faults_store_test.go
@@ -20,7 +20,7 @@
 // refuseLeaderAtStore lets the key-value store refuse the leader alone for a while.
 func refuseLeaderAtStore(d time.Duration) func(*simulation) {
 	return func(s *simulation) {
-		leader := s.memberFromLeader(0)
+		leader := s.memberAfterLeader(0)
 		s.store.RefuseFrom(func(from string) bool { return from == leader })
 		time.Sleep(d)
 		s.store.RefuseFrom(func(string) bool { return false })
@@ -43,7 +43,7 @@
 // for a while.
 func refuseLeaderThenOutage(shift, out time.Duration) func(*simulation) {
 	return func(s *simulation) {
-		leader := s.memberFromLeader(0)
+		leader := s.memberAfterLeader(0)
 		s.store.RefuseFrom(func(from string) bool { return from == leader })
 		time.Sleep(shift)
 		storeOutage(out)(s)
@@ -82,7 +82,7 @@
 	return func(s *simulation) {
 		delayTransactions(s, seed, share, d, func(*rand.Rand) time.Duration { return -3 * time.Second })
 		if s.store.AnswersLost() == 0 {
-			s.notReached("no answer to a transaction was lost")
+			s.reportUnreachedCondition("no answer to a transaction was lost")
 		}
 	}
 }
--- a/internal/node/sim_faults_test.go
+++ b/internal/node/sim_faults_test.go
@@ -82,9 +82,9 @@
 	}
 }
 
-// notReached fails a scenario that did not reach what it is about. One whose faults are drawn
+// reportUnreachedCondition fails a scenario that did not reach what it is about. One whose faults are drawn
 // need not.
-func (s *simulation) notReached(format string, a ...any) {
+func (s *simulation) reportUnreachedCondition(format string, a ...any) {
 	if !s.randomized {
 		s.t.Errorf(format, a...)
 	}
@@ -140,7 +140,7 @@
 		blockAnswersRepeatedly(seed, 4),
 	}
 	fs := []fault{
-		{0, probeClosely(90 * sec)},
+		{0, probeAfterAnswers(90 * sec)},
 		{some(20, 50), processes},
 		{some(16, 50), store},
 		{some(24, 60), cancelRunningJobs(seed+2, 6, some(0, 16), 0)},
--- a/internal/node/sim_test.go
+++ b/internal/node/sim_test.go
@@ -190,8 +190,8 @@
 	return 0
 }
 
-// memberFromLeader is the name of the controller that many after the leader.
-func (s *simulation) memberFromLeader(offset int) string {
+// memberAfterLeader is the name of the controller that many after the leader.
+func (s *simulation) memberAfterLeader(offset int) string {
 	return simMember((s.leader() + offset) % len(s.controllers))
 }
 
--- a/internal/node/sim_week_test.go
+++ b/internal/node/sim_week_test.go
@@ -226,8 +226,8 @@
 	for time.Now().Before(w.day(w.plan.days)) {
 		time.Sleep(time.Second / samplesPerS)
 		for _, slot := range w.slots {
-			isNear := time.Now().After(slot.start.Add(-40*time.Second)) && time.Since(slot.start) < dayTime
-			if slot.late < 0 && isNear && w.RunningTasks(slot.id) == slot.tasks {
+			isObserved := time.Now().After(slot.start.Add(-40*time.Second)) && time.Since(slot.start) < dayTime
+			if slot.late < 0 && isObserved && w.RunningTasks(slot.id) == slot.tasks {
 				slot.late = max(0, time.Since(slot.start))
 			}
 		}
