--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,9 +1,9 @@
-// Package node runs one controller: it builds the controller's parts, connects them
-// with each other, and starts and ends them.
+// Package node runs one controller: it builds the controller's components, connects
+// them to each other, and starts and stops them.
 //
-// A request of a user or a worker arrives at the HTTP listener (package api), whose
-// backend is the Node. The leader answers it (package control); the other nodes forward
-// it to the leader (package rpc), or answer what they can without it.
+// Requests from users and workers arrive at the HTTP listener (package api), whose
+// backend is the Node. The leader answers them (package control). A follower forwards
+// them to the leader (package rpc), or answers those that need no leader.
 package node
 
 import (
@@ -27,7 +27,7 @@
 	"vetchstream/internal/state"
 )
 
-// Network is how a controller opens connections and listens for them.
+// Network provides the functions by which a controller opens and accepts connections.
 type Network struct {
 	Dial   state.DialFunc
 	Listen func(addr string) (net.Listener, error)
@@ -38,7 +38,7 @@
 	keepaliveProbes = 5 * time.Second
 )
 
-// SystemNetwork returns the operating system's network.
+// SystemNetwork returns the network of the operating system.
 func SystemNetwork() Network {
 	dialer := &net.Dialer{Timeout: dialTimeout, KeepAlive: keepaliveProbes}
 	return Network{
@@ -47,8 +47,8 @@
 	}
 }
 
-// Limits of the HTTP server. Workers and the load balancer keep connections open, so
-// idle ones live long.
+// Limits of the HTTP server. The idle timeout is long because workers and the load
+// balancer keep their connections open.
 const (
 	readHeaderTimeout = 10 * time.Second
 	readTimeout       = 20 * time.Second
@@ -62,19 +62,19 @@
 	settings    *config.Settings
 	tuning      *config.Tuning
 	log         *slog.Logger
-	meter       *metrics.Meter // nil: there is no metrics page
+	meter       *metrics.Meter // nil: no metrics are served
 	elector     *election.Elector
 	controller  *control.Controller
 	mesh        *rpc.Mesh    // connections to the siblings
-	home        *homeRegion  // nil: no regions are named, or this is the home region
-	shardHolder *shardHolder // nil: the leader deals with all machines
+	home        *homeRegion  // nil: no regions are configured, or this is the home region
+	shardHolder *shardHolder // nil: the leader serves all machines
 	route       admissionRoute
 	delay       delayMonitor
 	transfer    transferPolicy
 
 	mu                 sync.Mutex
-	lastUserRequestAt  time.Time // when a user's request last arrived here
-	unableToServeSince time.Time // since when users could not be served here; zero: they can
+	lastUserRequestAt  time.Time // when this node last received a user's request
+	unableToServeSince time.Time // when this node became unable to serve users; zero: it is able to
 }
 
 // Run runs a controller until the context ends. It returns an error if the controller
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// newNode builds the parts of a controller. Nothing runs yet, and connections are
+// newNode builds the components of a controller without starting them. Connections are
 // opened on first use.
 func newNode(settings *config.Settings, tuning *config.Tuning, network Network, log *slog.Logger) (*Node, error) {
 	n := &Node{settings: settings, tuning: tuning, log: log}
@@ -136,8 +136,8 @@
 	return n, nil
 }
 
-// newController builds the part that acts while this node leads. It refers to the
-// elector and the home region, which are built after it, through the node.
+// newController builds the component that is active while this node leads. It accesses
+// the elector and the home region through the node, because they are built later.
 func (n *Node) newController(network Network) *control.Controller {
 	return control.New(control.Deps{
 		Settings:  n.settings,
@@ -156,8 +156,9 @@
 	})
 }
 
-// newElector builds the leader election, which makes the controller lead when this node
-// is elected and asks siblings for promises while the key-value store does not answer.
+// newElector builds the leader election. It runs the controller's leader role while this
+// node is elected, and asks the siblings for promises during an outage of the key-value
+// store.
 func (n *Node) newElector(network Network) *election.Elector {
 	lease := time.Duration(n.tuning.LeaderLeaseMs) * time.Millisecond
 	store := state.NewUnbounded(n.settings.External.State, network.Dial)
@@ -171,8 +172,8 @@
 	return elector
 }
 
-// requestPromise asks a sibling not to campaign against this node, the leader of the
-// term, for a while.
+// requestPromise asks a sibling for a promise not to campaign against this node, which
+// leads the term, for the configured time.
 func (n *Node) requestPromise(ctx context.Context, sibling string, term uint64) (bool, error) {
 	promise, err := n.mesh.Promise(ctx, sibling, &rpc.PromiseRequest{Leader: n.settings.Member, Term: term})
 	if err != nil {
@@ -189,14 +190,14 @@
 	n.mesh.Close()
 }
 
-// listeners are the addresses that a controller listens on.
+// listeners holds the listeners of a controller.
 type listeners struct {
-	peer    net.Listener // gRPC of the siblings
+	peer    net.Listener // gRPC: siblings and leaders of other regions
 	http    net.Listener // users, workers and health checks
-	metrics net.Listener // nil: there is no metrics page
+	metrics net.Listener // nil: no metrics are served
 }
 
-// listen opens the controller's addresses.
+// listen opens the controller's listeners.
 func (n *Node) listen(network Network) (l listeners, err error) {
 	if l.peer, err = network.Listen(n.settings.PeerListen); err != nil {
 		return l, fmt.Errorf("peer_listen: %w", err)
@@ -212,8 +213,9 @@
 	return l, nil
 }
 
-// newServer builds the HTTP server for users, workers and health checks. The listener
-// learns from it which connections are idle, and which are those of workers with tasks.
+// newServer builds the HTTP server for users, workers and health checks. The server
+// notifies the listener of connections that become idle, and of those that belong to
+// workers with tasks.
 func (n *Node) newServer(l *boundedListener) *http.Server {
 	return &http.Server{
 		Handler:   api.New(n, n.log, n.meter).Handler(),
@@ -230,7 +232,7 @@
 	}
 }
 
-// startLoops starts what runs in the background until the context ends.
+// startLoops starts the goroutines that run in the background until the context ends.
 func (n *Node) startLoops(ctx context.Context, tasks *sync.WaitGroup, metricsListener net.Listener) {
 	tasks.Go(func() { n.elector.Run(ctx) })
 	tasks.Go(func() { n.delay.run(ctx) })
@@ -250,21 +252,21 @@
 	tasks.Go(func() { n.mesh.PingSiblings(ctx, n.observeSibling) })
 }
 
-// servePeers answers siblings, and the leaders of other regions, until the context ends.
+// servePeers serves the siblings and the leaders of other regions until the context ends.
 func (n *Node) servePeers(ctx context.Context, l net.Listener, stop context.CancelCauseFunc) {
 	if err := rpc.Serve(ctx, l, n); err != nil {
 		stop(err)
 	}
 }
 
-// serveHTTP answers users and workers until the server is closed.
+// serveHTTP serves users, workers and health checks until the server is closed.
 func serveHTTP(server *http.Server, l net.Listener, stop context.CancelCauseFunc) {
 	if err := server.Serve(l); err != nil && !errors.Is(err, http.ErrServerClosed) {
 		stop(fmt.Errorf("listen: %w", err))
 	}
 }
 
-// observeSibling takes in a sibling's answer to a ping.
+// observeSibling processes a sibling's reply to a ping.
 func (n *Node) observeSibling(status rpc.NodeStatus) {
 	leads := status.Member == status.Leader
 	n.elector.ObserveLeader(status.Leader, status.Term)
--- a/internal/node/node_health.go
+++ b/internal/node/node_health.go
@@ -7,18 +7,20 @@
 )
 
 const (
-	// storeReachableMaxAge is how long a node tells its siblings that the key-value store
-	// answers it: its watch returns every five seconds.
+	// storeReachableMaxAge is the age of the key-value store's last answer up to which a
+	// node reports to its siblings that it reaches the store. The node's watch of the
+	// store returns every five seconds.
 	storeReachableMaxAge = 7 * time.Second
-	// healthyStoreMaxAge is how long the last answer of the key-value store makes a node
-	// healthy that reaches no leader.
+	// healthyStoreMaxAge is the age of the key-value store's last answer up to which a
+	// node that reaches no leader counts as able to serve users.
 	healthyStoreMaxAge = 8 * time.Second
-	// userTrafficWindow is how long after the last user's request a node counts as one that
-	// the load balancer sends users to.
+	// userTrafficWindow is the time since a node's last user request within which the load
+	// balancer is assumed to send users to the node.
 	userTrafficWindow = 3 * time.Second
-	// unhealthyDelay is how long a node without leader and key-value store stays healthy:
-	// being taken out and put back by the load balancer costs users more than a short
-	// outage, in which no other node could serve them either.
+	// unhealthyDelay is how long a node that reaches neither a leader nor the key-value
+	// store still reports itself healthy. In a short outage no other node could serve its
+	// users either, and being removed from the load balancer and added again would cost
+	// them more than the outage.
 	unhealthyDelay = 20 * time.Second
 )
 
@@ -36,24 +38,25 @@
 	}
 }
 
-// recordUserRequest notes that a user's request has arrived.
+// recordUserRequest records the arrival of a user's request.
 func (n *Node) recordUserRequest() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.lastUserRequestAt = time.Now()
 }
 
-// servesUsers reports whether the load balancer sends users to this node.
+// servesUsers reports whether this node has received user requests recently, which means
+// that the load balancer sends users to it.
 func (n *Node) servesUsers() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return time.Since(n.lastUserRequestAt) < userTrafficWindow
 }
 
-// Healthy implements api.Backend. An overloaded leader leaves its users to the other
-// nodes, which have little to do and can admit jobs and answer polls without it. It
-// waits until the load balancer sends users to one of them, which takes up to a minute
-// after a restart.
+// Healthy implements api.Backend. An overloaded leader reports itself unhealthy, so that
+// the load balancer sends its users to the followers, which are lightly loaded and can
+// admit jobs and answer polls without the leader. It does so only once the load balancer
+// sends users to at least one of them, which takes up to a minute after a restart.
 func (n *Node) Healthy() bool {
 	if n.controller.Leading() && n.delay.Overloaded() && n.mesh.AnyServesUsers() {
 		return false
@@ -71,8 +74,8 @@
 	return time.Since(n.unableToServeSince) < unhealthyDelay
 }
 
-// ableToServe reports whether this node can answer users: as leader, through the
-// key-value store, or through a leader that it reaches.
+// ableToServe reports whether this node can answer users: as the leader, through the
+// key-value store, or through a reachable leader.
 func (n *Node) ableToServe() bool {
 	view := n.elector.View()
 	return n.controller.Leading() ||
