--- a/internal/node/admission_route.go
+++ b/internal/node/admission_route.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// admissionRoute chooses who admits a job that was submitted to a node which is not
-// the leader: the leader, or this node by itself through the key-value store. An
-// overloaded leader answers late while the other nodes have little to do.
+// admissionRoute decides whether a follower forwards a submission to the leader or admits
+// the job itself through the key-value store. An overloaded leader answers slowly while
+// the followers are lightly loaded.
 type admissionRoute struct {
 	mu            sync.Mutex
-	leaderLatency time.Duration // smoothed response time of the leader; 0: not known
-	localLatency  time.Duration // smoothed time of an admission by this node; 0: not known
+	leaderLatency time.Duration // moving average of the leader's response time; 0: no sample yet
+	localLatency  time.Duration // moving average of the time of a local admission; 0: no sample yet
 	lastLeaderTry time.Time     // when a submission was last forwarded to the leader
 }
 
 const (
-	// latencySmoothing is the divisor of the moving average: a new sample has the weight
-	// of one in that many.
+	// latencySmoothing is the divisor of the moving average: a new sample has a weight of
+	// 1/latencySmoothing.
 	latencySmoothing = 4
-	// slowLeaderFactor and minSlowLatency are the lower bounds of a leader's latency that
-	// counts as slow, as a multiple of this node's and as a time. The leader gathers
-	// submissions into batches and knows the jobs, so it may well take a little longer.
+	// A leader counts as slow if its latency is at least minSlowLatency and at least
+	// slowLeaderFactor times this node's. Being somewhat slower is normal, because the
+	// leader collects submissions into batches and looks up the jobs that it knows.
 	slowLeaderFactor = 3
 	minSlowLatency   = 60 * time.Millisecond
-	// leaderRetryInterval is how often a slow leader is sent a submission all the same, to
-	// see whether it has caught up.
+	// leaderRetryInterval is the interval at which a submission is forwarded to a slow
+	// leader nevertheless, to detect that it has recovered.
 	leaderRetryInterval = time.Second
 )
 
-// smooth returns the moving average after a new sample; an average of 0 means that
-// there was none yet.
+// smooth returns the moving average updated with a new sample. An average of 0 means that
+// there is no earlier sample.
 func smooth(average, sample time.Duration) time.Duration {
 	if average == 0 {
 		return sample
@@ -38,23 +38,23 @@
 	return average + (sample-average)/latencySmoothing
 }
 
-// observeLeader records how long the leader took to answer, or how long this node
-// waited before it gave up.
+// observeLeader records the time in which the leader answered a submission or the request
+// timed out.
 func (r *admissionRoute) observeLeader(latency time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.leaderLatency = smooth(r.leaderLatency, latency)
 }
 
-// observeLocal records how long an admission by this node took.
+// observeLocal records the time of an admission by this node.
 func (r *admissionRoute) observeLocal(latency time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.localLatency = smooth(r.localLatency, latency)
 }
 
-// preferLocal reports whether this node should admit a job by itself. If not, the
-// caller forwards the submission to the leader.
+// preferLocal reports whether this node should admit a job itself. Otherwise the caller
+// has to forward the submission to the leader.
 func (r *admissionRoute) preferLocal(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/node/bounded_listener.go
+++ b/internal/node/bounded_listener.go
@@ -11,56 +11,57 @@
 )
 
 const (
-	// outgoingSockets is how many sockets the controller needs besides those of direct
-	// commands and of incoming connections: for the key-value store, the cloud, the
+	// reservedSockets is the number of sockets that the controller needs besides those for
+	// direct commands and incoming connections: for the key-value store, the cloud, the
 	// siblings and the listeners themselves.
-	outgoingSockets = 40
-	// minInbound is the least limit of incoming connections.
-	minInbound = 8
+	reservedSockets = 40
+	// minInboundLimit is the lower bound of the limit on incoming connections.
+	minInboundLimit = 8
 )
 
-// inboundLimit returns how many connections users, workers and health checks may have
-// open: all sockets but those that the controller itself needs. Direct commands count
-// twice, because as many idle connections are kept for the next ones.
+// inboundLimit returns the maximum number of open connections from users, workers and
+// health checks: all sockets except those that the controller itself needs. Direct
+// commands count twice, because an equal number of idle connections is kept for reuse.
 func inboundLimit(settings *config.Settings) int {
 	sockets := settings.Facts.Resources.MaxSockets
-	return max(minInbound, sockets-2*control.MaxDirectCalls(sockets)-outgoingSockets)
+	return max(minInboundLimit, sockets-2*control.MaxDirectCalls(sockets)-reservedSockets)
 }
 
-// boundedListener limits the number of connections that are open at a time. At the
-// limit a new connection replaces the one that has been idle for longest, so that
-// neither a flood nor a fleet that has moved on to another leader shuts out health
-// checks and users. Connections of workers that have tasks are replaced last: with
-// more machines than sockets, their leases would expire while idle machines are served.
+// boundedListener limits the number of open connections. At the limit a new connection
+// replaces the one that has been idle longest, so that neither a flood of connections nor
+// the idle connections of workers that now contact another leader lock out health checks
+// and users. Connections of workers with tasks are replaced last: with more machines than
+// sockets, the leases of such workers would otherwise expire while idle machines are
+// served.
 type boundedListener struct {
 	net.Listener
 	limit int
-	// freed is signaled when a place has become free or a connection idle.
+	// freed is signaled when a connection has been closed or has become idle.
 	freed     chan struct{}
 	closed    chan struct{}
 	closeOnce sync.Once
 
 	mu   sync.Mutex
-	open int // connections that are open
-	// idle and idleWithTasks hold the connections without a request (*boundedConn), the
-	// longest idle first. Those of workers that have tasks are in idleWithTasks.
+	open int // number of open connections
+	// idle and idleWithTasks hold the connections (*boundedConn) without a request in
+	// progress, the longest idle first. idleWithTasks holds those of workers with tasks.
 	idle, idleWithTasks *list.List
 }
 
-// boundedConn is a connection that counts towards the limit of its listener. The
-// fields below closeOnce are guarded by the listener's lock.
+// boundedConn is a connection that counts towards its listener's limit. The listener's
+// lock guards the fields below closeOnce.
 type boundedConn struct {
 	net.Conn
 	listener  *boundedListener
 	closeOnce sync.Once
 
 	element  *list.Element // position in list; nil: a request is in progress
-	list     *list.List    // the list of idle connections that element is in
-	hasTasks bool          // of a worker with tasks, by its last heartbeat
+	list     *list.List    // the list that contains element
+	hasTasks bool          // the last heartbeat came from a worker with tasks
 }
 
-// newBoundedListener returns a listener that accepts from l and has at most limit
-// connections open.
+// newBoundedListener returns a listener that accepts connections from l and keeps at most
+// limit of them open.
 func newBoundedListener(l net.Listener, limit int) *boundedListener {
 	return &boundedListener{
 		Listener:      l,
@@ -72,7 +73,7 @@
 	}
 }
 
-// Accept waits for a connection and then for a place for it.
+// Accept waits for a connection, and then until the limit permits it.
 func (l *boundedListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
@@ -89,13 +90,14 @@
 	return &boundedConn{Conn: conn, listener: l}, nil
 }
 
-// Close stops accepting, also while a connection waits for a place.
+// Close closes the listener. An Accept whose connection waits for the limit returns
+// net.ErrClosed.
 func (l *boundedListener) Close() error {
 	l.closeOnce.Do(func() { close(l.closed) })
 	return l.Listener.Close()
 }
 
-// signalFreed makes a connection that waits for a place try again.
+// signalFreed wakes an Accept that waits for the limit.
 func (l *boundedListener) signalFreed() {
 	select {
 	case l.freed <- struct{}{}:
@@ -103,8 +105,8 @@
 	}
 }
 
-// admit reports whether it has reserved a place for a new connection. At the limit it
-// closes an idle connection to make one.
+// admit counts a new connection as open and reports whether the limit permits it. At the
+// limit it closes an idle connection first.
 func (l *boundedListener) admit() bool {
 	reserved, oldest := l.reserveOrTakeIdle()
 	if reserved {
@@ -113,14 +115,14 @@
 	if oldest == nil {
 		return false
 	}
-	_ = oldest.Close() // not under the lock, which Close takes
+	_ = oldest.Close() // Close takes the lock itself
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.reserve()
 }
 
-// reserveOrTakeIdle reserves a place, or else returns the idle connection that is to be
-// closed for one; nil: every connection has a request in progress.
+// reserveOrTakeIdle counts a new connection as open. At the limit it instead returns the
+// idle connection to close; it returns nil if every connection has a request in progress.
 func (l *boundedListener) reserveOrTakeIdle() (reserved bool, oldest *boundedConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -139,7 +141,8 @@
 	return false, oldest
 }
 
-// reserve takes a place if there is one. The caller holds the lock.
+// reserve counts a new connection as open, unless the limit is reached. The caller holds
+// the lock.
 func (l *boundedListener) reserve() bool {
 	if l.open >= l.limit {
 		return false
@@ -148,7 +151,7 @@
 	return true
 }
 
-// trackState is the server's http.Server.ConnState: it maintains the lists of idle
+// trackState is the callback for http.Server.ConnState. It maintains the lists of idle
 // connections.
 func (l *boundedListener) trackState(conn net.Conn, state http.ConnState) {
 	c, ok := conn.(*boundedConn)
@@ -168,8 +171,8 @@
 	}
 }
 
-// removeIdle takes the connection off the list of idle ones that it is in, if any. The
-// caller holds the listener's lock.
+// removeIdle removes the connection from the list of idle connections that contains it,
+// if any. The caller holds the listener's lock.
 func (c *boundedConn) removeIdle() {
 	if c.element != nil {
 		c.list.Remove(c.element)
@@ -177,15 +180,16 @@
 	}
 }
 
-// setHasTasks records whether the connection is that of a worker with tasks. It counts
-// from the next time that the connection becomes idle.
+// setHasTasks records whether the connection belongs to a worker with tasks. This takes
+// effect when the connection next becomes idle.
 func (c *boundedConn) setHasTasks(hasTasks bool) {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
 	c.hasTasks = hasTasks
 }
 
-// Close closes the connection and frees its place. Further calls free nothing.
+// Close closes the connection. The first call also deducts it from the listener's open
+// connections.
 func (c *boundedConn) Close() error {
 	c.closeOnce.Do(func() {
 		c.listener.mu.Lock()
--- a/internal/node/delay_monitor.go
+++ b/internal/node/delay_monitor.go
@@ -8,26 +8,26 @@
 	"time"
 )
 
-// delayMonitor finds out whether this process gets too little processor time. Two
-// measurements serve for that: how late timers fire, which shows a shortage whatever
-// its cause, and how long a fixed piece of work takes, which shows whether this
-// machine is slower than those of the siblings.
+// delayMonitor detects whether this process gets too little processor time. It takes two
+// measurements: the delay with which timers fire, which reveals a shortage regardless of
+// its cause, and the duration of a fixed computation (the probe), which shows whether
+// this machine is slower than those of the siblings.
 type delayMonitor struct {
-	mu             sync.Mutex
-	meanDelay      time.Duration // moving average of how late timers fire
-	overloaded     bool
-	lastContraryAt time.Time                   // when the mean delay was last on the side that confirms overloaded
-	probeTimes     [probeSamples]time.Duration // ring of the last probes
-	probeCount     int                         // probes so far
+	mu              sync.Mutex
+	meanDelay       time.Duration // moving average of the delay of timers
+	overloaded      bool
+	lastUncrossedAt time.Time                   // when the mean delay last had not crossed the threshold that changes overloaded
+	probeTimes      [probeSamples]time.Duration // ring buffer of the latest probes
+	probeCount      int                         // number of probes so far
 }
 
 const (
-	// delayInterval is the time between two measurements of the delay.
+	// delayInterval is the interval between two measurements of the delay.
 	delayInterval = 100 * time.Millisecond
 	// delaySmoothing is the divisor of the moving average of delays.
 	delaySmoothing = 8
-	// A process counts as overloaded once the mean delay has not been below overloadDelay
-	// for overloadAfter, and as recovered once it has not been above recoveredDelay for
+	// A process counts as overloaded once the mean delay has been at least overloadDelay
+	// for overloadAfter, and as recovered once it has been at most recoveredDelay for
 	// recoveredAfter.
 	overloadDelay  = 40 * time.Millisecond
 	overloadAfter  = time.Second
@@ -52,22 +52,22 @@
 	}
 }
 
-// observe takes in how late a timer was.
+// observe records the delay of a timer and updates the overloaded state.
 func (d *delayMonitor) observe(delay time.Duration, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.meanDelay += (delay - d.meanDelay) / delaySmoothing
-	changing, after := d.meanDelay >= overloadDelay, overloadAfter
+	crossed, confirmTime := d.meanDelay >= overloadDelay, overloadAfter
 	if d.overloaded {
-		changing, after = d.meanDelay <= recoveredDelay, recoveredAfter
+		crossed, confirmTime = d.meanDelay <= recoveredDelay, recoveredAfter
 	}
-	if !changing {
-		d.lastContraryAt = now
+	if !crossed {
+		d.lastUncrossedAt = now
 		return
 	}
-	if now.Sub(d.lastContraryAt) >= after {
+	if now.Sub(d.lastUncrossedAt) >= confirmTime {
 		d.overloaded = !d.overloaded
-		d.lastContraryAt = now
+		d.lastUncrossedAt = now
 	}
 }
 
@@ -79,31 +79,31 @@
 }
 
 const (
-	// probeBytes is the size of the piece of work: a checksum that takes some hundred
-	// microseconds on a current core.
+	// probeBytes is the size of the data whose checksum a probe computes. This takes a few
+	// hundred microseconds on a current core.
 	probeBytes = 256 << 10
-	// probeSamples is how many probes ProbeTime looks back on.
+	// probeSamples is the number of latest probes that ProbeTime considers.
 	probeSamples = 5
 )
 
 var probeData [probeBytes]byte
 
-// runProbe measures the time of the piece of work once.
+// runProbe runs one probe and records its duration.
 func (d *delayMonitor) runProbe() {
-	begun := time.Now()
+	start := time.Now()
 	crc32.ChecksumIEEE(probeData[:])
-	took := time.Since(begun)
-	if took <= 0 {
-		return // a clock that has not advanced measures nothing
+	duration := time.Since(start)
+	if duration <= 0 {
+		return // the clock has not advanced, so the sample is void
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.probeTimes[d.probeCount%probeSamples] = took
+	d.probeTimes[d.probeCount%probeSamples] = duration
 	d.probeCount++
 }
 
-// ProbeTime returns how long the piece of work takes; 0: not known yet. It is the
-// least of the last probes, which nothing else has interrupted.
+// ProbeTime returns the minimum duration of the latest probes, or 0 until there are
+// enough of them. The minimum excludes probes that other work has interrupted.
 func (d *delayMonitor) ProbeTime() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/node/home_region.go
+++ b/internal/node/home_region.go
@@ -15,25 +15,26 @@
 	"vetchstream/internal/state"
 )
 
-// homeRegion is the client of another region's controllers: it calls the leader of the home
-// region, which it finds by trying the controllers in turn.
+// homeRegion is a client of the home region's controllers. It sends requests to the leader
+// of the home region, which it finds by trying the controllers in turn.
 type homeRegion struct {
 	mesh    *rpc.Mesh
 	members []string
 
 	mu         sync.Mutex
-	lastLeader int // index of the member that answered last
+	lastLeader int // index of the member that last answered as leader
 }
 
-// homeAttemptTimeout bounds one attempt, so that a controller that cannot be reached leaves
-// time for the next. It is longer than the leader holds a request to follow.
+// homeAttemptTimeout bounds a request to one controller, so that an unreachable controller
+// leaves time for the next. It exceeds the time for which the leader holds a request to
+// follow the configuration.
 const homeAttemptTimeout = 1500 * time.Millisecond
 
 // errHomeUnreachable is returned if no controller of the home region answers as leader.
-var errHomeUnreachable = errors.New("the home region is not to be reached")
+var errHomeUnreachable = errors.New("no leader of the home region is reachable")
 
-// dialHome makes the client for the controllers at these addresses. Connections are made
-// when they are first used.
+// dialHome creates a client for the controllers at the addresses. Connections are opened
+// on first use.
 func dialHome(addresses []string, dial state.DialFunc) (*homeRegion, error) {
 	h := &homeRegion{}
 	var siblings []config.Sibling
@@ -49,8 +50,9 @@
 
 func (h *homeRegion) close() { h.mesh.Close() }
 
-// tryControllers calls attempt for the controllers, from the one that answered last on,
-// until it reports that one has answered as leader. The error is errHomeUnreachable.
+// tryControllers calls attempt for each controller, starting with the one that last
+// answered as leader, until attempt reports that a controller has answered as leader. It
+// returns errHomeUnreachable if none has.
 func (h *homeRegion) tryControllers(ctx context.Context, attempt func(ctx context.Context, member string) bool) error {
 	first := h.leaderIndex()
 	for i := range h.members {
@@ -81,28 +83,28 @@
 	h.lastLeader = index
 }
 
-// follow sends a request to follow the configuration.
-func (h *homeRegion) follow(ctx context.Context, q *dynconfig.Request) (out *dynconfig.Reply, err error) {
+// follow sends a request to follow the configuration to the leader of the home region.
+func (h *homeRegion) follow(ctx context.Context, request *dynconfig.Request) (out *dynconfig.Reply, err error) {
 	err = h.tryControllers(ctx, func(ctx context.Context, member string) bool {
-		p, callErr := h.mesh.FollowConfig(ctx, member, q)
-		if callErr != nil || p.Refused != "" {
+		reply, callErr := h.mesh.FollowConfig(ctx, member, request)
+		if callErr != nil || reply.Refused != "" {
 			return false
 		}
-		out = p
+		out = reply
 		return true
 	})
 	return out, err
 }
 
-// forward forwards an operator's request. If no leader is reached the reply tells the
-// operator to try again.
-func (h *homeRegion) forward(ctx context.Context, q *rpc.Request) (out *rpc.Reply) {
+// forward forwards an operator's request to the leader of the home region. If no leader is
+// reachable, the reply asks the operator to retry.
+func (h *homeRegion) forward(ctx context.Context, request *rpc.Request) (out *rpc.Reply) {
 	err := h.tryControllers(ctx, func(ctx context.Context, member string) bool {
-		p, callErr := h.mesh.Forward(ctx, member, q)
-		if callErr != nil || (p.Status == http.StatusServiceUnavailable && !p.Final) {
+		reply, callErr := h.mesh.Forward(ctx, member, request)
+		if callErr != nil || (reply.Status == http.StatusServiceUnavailable && !reply.Final) {
 			return false
 		}
-		out = p
+		out = reply
 		return true
 	})
 	if err != nil {
