--- a/internal/node/leadership_transfer.go
+++ b/internal/node/leadership_transfer.go
@@ -8,41 +8,41 @@
 	"vetchstream/internal/rpc"
 )
 
-// transferPolicy decides when a leader that renews its lease but serves badly resigns
-// in favor of a sibling: it has been overloaded for a while, and the sibling computes
-// far faster, so that the machine is the cause and not the amount of work. A leader
-// that cannot reach its workers need not resign: their machines are assigned to
-// controllers that reach them (package shard).
+// transferPolicy decides when a leader that renews its lease but serves slowly resigns in
+// favor of a sibling. The leader must have been overloaded for minOverloadTime, and the
+// sibling must compute much faster, which shows that the leader's machine is the cause
+// and not the amount of work. A leader that cannot reach its workers need not resign:
+// their machines are assigned to controllers that reach them (package shard).
 type transferPolicy struct {
-	minOverloadTime time.Duration // how long the leader must have been overloaded
+	minOverloadTime time.Duration // how long the leader must have been overloaded before it resigns
 
 	mu                  sync.Mutex
 	siblings            map[string]siblingStatus
-	overloadedSince     time.Time     // since when this node has been overloaded as leader; zero: it is not
+	overloadedSince     time.Time     // when this node became overloaded as leader; zero: it is not
 	lastTransferAt      time.Time     // when this node last resigned
-	minTransferInterval time.Duration // least time between lastTransferAt and the next
+	minTransferInterval time.Duration // minimum time between lastTransferAt and the next transfer
 }
 
-// siblingStatus is the last answer of a sibling to a ping.
+// siblingStatus is a sibling's latest reply to a ping.
 type siblingStatus struct {
 	rpc.NodeStatus
 	receivedAt time.Time
 }
 
 const (
-	// minSpeedRatio is how many times as fast a sibling must be.
+	// minSpeedRatio is the factor by which a sibling must compute faster than the leader.
 	minSpeedRatio = 2
-	// firstTransferInterval is how long a node that has resigned once does not resign again.
-	// The interval doubles with each transfer, up to maxTransferInterval.
+	// firstTransferInterval is the time after its first resignation in which a node does
+	// not resign again. It doubles with each transfer, up to maxTransferInterval.
 	firstTransferInterval = time.Minute
 	maxTransferInterval   = 15 * time.Minute
-	// siblingStatusMaxAge is how long a sibling's answer to a ping counts.
+	// siblingStatusMaxAge is the age up to which a sibling's reply to a ping is considered.
 	siblingStatusMaxAge = 2500 * time.Millisecond
-	// transferCheckInterval is how often the leader considers a transfer.
+	// transferCheckInterval is the interval at which the leader considers a transfer.
 	transferCheckInterval = time.Second
 )
 
-// observeSibling takes in a sibling's answer to a ping.
+// observeSibling records a sibling's reply to a ping.
 func (p *transferPolicy) observeSibling(status rpc.NodeStatus, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -52,9 +52,9 @@
 	p.siblings[status.Member] = siblingStatus{status, now}
 }
 
-// due reports whether the leader, whose own status is self, should resign now, and
-// names a sibling that would serve better.
-func (p *transferPolicy) due(self rpc.NodeStatus, now time.Time) (to string, ok bool) {
+// selectSuccessor reports whether the leader, whose own status is self, should resign
+// now, and returns the sibling that would serve better.
+func (p *transferPolicy) selectSuccessor(self rpc.NodeStatus, now time.Time) (successor string, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !self.Overloaded {
@@ -79,16 +79,16 @@
 	return "", false
 }
 
-// betterThan reports whether the sibling would be a better leader than the overloaded
-// one: it was heard lately, is able to lead and is far faster.
+// betterThan reports whether the sibling would serve better than the overloaded leader:
+// its status is recent, it is able to lead, and it computes much faster.
 func (s *siblingStatus) betterThan(leader rpc.NodeStatus, now time.Time) bool {
 	able := now.Sub(s.receivedAt) < siblingStatusMaxAge && !s.Overloaded && s.StoreReachable
 	faster := s.ProbeUs > 0 && leader.ProbeUs >= minSpeedRatio*s.ProbeUs
 	return able && faster
 }
 
-// watchTransfer measures how fast this node computes, and resigns as leader when a
-// sibling would serve better, until the context ends.
+// watchTransfer runs until the context ends. It probes this node's speed at each interval
+// and, while this node leads, resigns when a sibling would serve better.
 func (n *Node) watchTransfer(ctx context.Context) {
 	ticker := time.NewTicker(transferCheckInterval)
 	defer ticker.Stop()
@@ -103,7 +103,7 @@
 		if self.Leader != self.Member || !n.controller.Leading() {
 			continue
 		}
-		if successor, ok := n.transfer.due(self, time.Now()); ok {
+		if successor, ok := n.transfer.selectSuccessor(self, time.Now()); ok {
 			n.log.Info("transferring leadership: this controller is overloaded and a sibling is faster",
 				"term", self.Term, "probe_us", self.ProbeUs, "successor", successor)
 			n.elector.Resign(self.Term)
--- a/internal/node/leadership_transfer_test.go
+++ b/internal/node/leadership_transfer_test.go
@@ -40,7 +40,7 @@
 			for i := range tt.seconds {
 				now := begun.Add(time.Duration(i) * time.Second)
 				policy.observeSibling(sibling, now)
-				if to, ok := policy.due(tt.self, now); ok {
+				if to, ok := policy.selectSuccessor(tt.self, now); ok {
 					got++
 					if to != "n1" {
 						t.Errorf("transfer to %q, want n1", to)
--- a/internal/node/shard_holder.go
+++ b/internal/node/shard_holder.go
@@ -13,55 +13,55 @@
 	"vetchstream/internal/wire"
 )
 
-// shardHolder holds the shard of machines that the leader has given to this node: it answers
-// their heartbeats while the grant is valid, passes what they report to the leader, and sends
-// the leader's direct commands to them.
+// shardHolder serves the shard of machines that the leader has assigned to this node. While
+// the grant is valid it answers the heartbeats of their workers, passes their reports to the
+// leader, and sends them the leader's direct commands.
 type shardHolder struct {
 	node     *Node
 	client   *http.Client
-	maxCalls int // direct commands that may be in flight
-	capacity int // machines that this node can serve
+	maxCalls int // maximum number of direct commands in flight
+	capacity int // number of machines that this node can serve
 
 	mu      sync.Mutex
 	holder  *shard.Holder
-	pending map[string]pendingHeartbeat // by machine
+	pending map[string]pendingHeartbeat // by machine name
 }
 
 // pendingHeartbeat is a heartbeat that waits for the leader's answer.
 type pendingHeartbeat struct {
-	session uint64
-	seq     uint64
-	orders  chan []wire.Command // has room for one answer
+	session  uint64
+	seq      uint64
+	commands chan []wire.Command // buffered: takes one answer without a receiver
 }
 
 const (
-	// syncTimeout bounds a request. The leader answers at once, or as soon as it has caught
-	// up with its queue.
+	// syncTimeout bounds a request to the leader. The leader answers immediately, or as soon
+	// as it has processed its queue.
 	syncTimeout = 1500 * time.Millisecond
-	// minSyncInterval is the least time between two requests, and syncRetryDelay the wait
-	// after one that was refused or lost.
+	// minSyncInterval is the minimum interval between two requests, and syncRetryDelay the
+	// delay after a request that was refused or not answered.
 	minSyncInterval = 25 * time.Millisecond
 	syncRetryDelay  = 150 * time.Millisecond
-	// leaderAnswerTimeout is how long a worker waits for the leader's answer before it gets this
-	// node's own, which renews its lease.
+	// leaderAnswerTimeout bounds the wait for the leader's answer to a heartbeat. After it
+	// this node sends its own answer, which renews the worker's lease.
 	leaderAnswerTimeout = 250 * time.Millisecond
-	// requiredAnswerTimeout is how long it waits where this node may not answer by itself.
-	// The worker's own timeout is 4 s.
+	// requiredAnswerTimeout bounds the wait if only the leader may answer. The worker's own
+	// timeout is 4 s.
 	requiredAnswerTimeout = 2 * time.Second
-	// minIdleConns is the least number of idle connections to workers.
+	// minIdleConns is the lower bound of the limit on idle connections to workers.
 	minIdleConns = 8
 )
 
 func newShardHolder(n *Node, dial state.DialFunc) *shardHolder {
 	sockets := n.settings.Facts.Resources.MaxSockets
 	maxCalls := control.MaxDirectCalls(sockets)
-	// A later process has a later time of day, within the clock's skew. The leader accepts
-	// one that has not once the grants of the earlier process have ended.
+	// A later process has a higher incarnation, unless the skew of the clock prevents it. In
+	// that case the leader accepts the process once the earlier one's grants have ended.
 	incarnation := uint64(time.Now().UnixNano())
 	return &shardHolder{
 		node: n,
-		// Each controller has connections for commands, so each has fewer than a leader
-		// that sends all of them.
+		// The controllers share the sending of commands, so each keeps fewer idle
+		// connections than a leader that sends all commands itself.
 		client:   control.DirectClient(dial, max(minIdleConns, maxCalls/4)),
 		maxCalls: maxCalls,
 		capacity: control.ShardCapacity(sockets),
@@ -70,55 +70,55 @@
 	}
 }
 
-// run asks the leader for this node's grant until the context ends.
+// run requests and renews this node's grant from the leader until the context ends.
 func (sh *shardHolder) run(ctx context.Context) {
 	defer sh.client.CloseIdleConnections()
 	for ctx.Err() == nil {
-		begun := time.Now()
+		start := time.Now()
 		if !sh.syncWithLeader(ctx) {
 			sleep(ctx, syncRetryDelay)
 			continue
 		}
-		sleep(ctx, minSyncInterval-time.Since(begun))
+		sleep(ctx, minSyncInterval-time.Since(start))
 	}
 }
 
-// sleep waits for a time, or until the context ends.
+// sleep waits for the duration, or until the context ends.
 func sleep(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
 	}
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
 	case <-ctx.Done():
-	case <-t.C:
+	case <-timer.C:
 	}
 }
 
-// syncWithLeader sends one request and reports whether the leader has answered it.
+// syncWithLeader sends one request to the leader and reports whether it was answered.
 func (sh *shardHolder) syncWithLeader(ctx context.Context) bool {
-	leader, q, sent := sh.nextRequest()
-	if q == nil {
+	leader, request, sent := sh.nextRequest()
+	if request == nil {
 		return false
 	}
 	syncCtx, cancel := context.WithTimeout(ctx, syncTimeout)
 	defer cancel()
-	p, err := sh.node.mesh.SyncShard(syncCtx, leader, q)
+	reply, err := sh.node.mesh.SyncShard(syncCtx, leader, request)
 	if err != nil {
 		sh.node.log.Debug("shard grant request to the leader failed", "leader", leader, "error", err)
 	}
-	if err != nil || p.Term == 0 {
+	if err != nil || reply.Term == 0 {
 		sh.requestFailed()
 		return false
 	}
-	sh.handleReply(ctx, p, sent)
+	sh.handleReply(ctx, reply, sent)
 	return true
 }
 
-// nextRequest is the next request and the leader to send it to; nil: there is no leader, or
-// this node leads.
-func (sh *shardHolder) nextRequest() (leader string, q *shard.Request, sent time.Time) {
+// nextRequest returns the next request, the leader to send it to and the time of sending.
+// The request is nil if no leader is known or this node leads.
+func (sh *shardHolder) nextRequest() (leader string, request *shard.Request, sent time.Time) {
 	view := sh.node.elector.View()
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
@@ -132,8 +132,8 @@
 		sh.holder.EndTerm()
 	}
 	sent = time.Now()
-	q = sh.holder.Request(sh.capacity, sh.maxCalls, sh.node.delay.Overloaded(), sent)
-	return view.Leader, q, sent
+	request = sh.holder.Request(sh.capacity, sh.maxCalls, sh.node.delay.Overloaded(), sent)
+	return view.Leader, request, sent
 }
 
 func (sh *shardHolder) requestFailed() {
@@ -142,26 +142,26 @@
 	sh.holder.RequestFailed()
 }
 
-// handleReply takes in the leader's reply to the request that was sent at that time: it
-// starts the direct commands and hands answers to the heartbeats that wait for them.
-func (sh *shardHolder) handleReply(ctx context.Context, p *shard.Reply, sent time.Time) {
+// handleReply processes the leader's reply to the request that was sent at the given time.
+// It starts the direct commands and passes answers on to the pending heartbeats.
+func (sh *shardHolder) handleReply(ctx context.Context, reply *shard.Reply, sent time.Time) {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	for _, call := range sh.holder.HandleReply(p, sent) {
-		go sh.sendCommand(ctx, p.Term, call)
+	for _, call := range sh.holder.HandleReply(reply, sent) {
+		go sh.sendCommand(ctx, reply.Term, call)
 	}
-	for i := range p.Answers {
-		answer := &p.Answers[i]
-		hb, ok := sh.pending[answer.Host]
-		if ok && hb.session == answer.Session && hb.seq == answer.Seq {
+	for i := range reply.Answers {
+		answer := &reply.Answers[i]
+		waiting, ok := sh.pending[answer.Host]
+		if ok && waiting.session == answer.Session && waiting.seq == answer.Seq {
 			delete(sh.pending, answer.Host)
-			hb.orders <- answer.Orders
+			waiting.commands <- answer.Orders
 		}
 	}
 }
 
-// sendCommand sends a direct command of the leader of the term to a worker. The leader
-// bounds how many are in flight.
+// sendCommand sends a worker a direct command from the leader of the term. The leader limits
+// the number of commands in flight.
 func (sh *shardHolder) sendCommand(ctx context.Context, term uint64, call shard.Call) {
 	valid := func() bool { return sh.grantValid(term) }
 	result, err := control.SendDirect(ctx, sh.client, call.Addr, call.Body, valid)
@@ -178,102 +178,104 @@
 	})
 }
 
-// awaitAnswer waits for the leader's answer to a machine's heartbeat, no longer than
-// patience.
-func (sh *shardHolder) awaitAnswer(ctx context.Context, machine string, hb pendingHeartbeat, patience time.Duration) (orders []wire.Command, ok bool) {
-	t := time.NewTimer(patience)
-	defer t.Stop()
+// awaitAnswer waits for the leader's answer to a machine's heartbeat until the timeout or
+// the end of the context.
+func (sh *shardHolder) awaitAnswer(ctx context.Context, machine string, waiting pendingHeartbeat, timeout time.Duration) (commands []wire.Command, ok bool) {
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	select {
-	case orders = <-hb.orders:
+	case commands = <-waiting.commands:
 		ok = true
-	case <-t.C:
+	case <-timer.C:
 	case <-ctx.Done():
 	}
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	// A later answer of the leader is too late: its launches count as not executed once the
-	// worker's next heartbeat lacks them.
-	if current, waits := sh.pending[machine]; waits && current.orders == hb.orders {
+	// From now on an answer of the leader is ignored. Its launches count as not executed
+	// once they are absent from the worker's next heartbeat.
+	if current, waits := sh.pending[machine]; waits && current.commands == waiting.commands {
 		delete(sh.pending, machine)
 	}
-	return orders, ok
+	return commands, ok
 }
 
-// grantValid reports whether this node may act for the leader of the term right now.
+// grantValid reports whether this node's grant from the leader of the term is valid now.
 func (sh *shardHolder) grantValid(term uint64) bool {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	return sh.holder.GrantValid(term, time.Now())
 }
 
-// heartbeatDecision is what the holder decided about a heartbeat.
+// heartbeatDecision describes how a heartbeat is answered.
 type heartbeatDecision struct {
-	outcome shard.Outcome
-	term    uint64           // of the grant
-	orders  []wire.Command   // of this node's own answer
-	pending pendingHeartbeat // set if the leader is asked
+	outcome  shard.Outcome
+	term     uint64           // term of the grant
+	commands []wire.Command   // commands of this node's own answer
+	pending  pendingHeartbeat // set if the leader's answer is awaited
 }
 
-// receive takes in a heartbeat, and lets it wait for the leader's answer if it reports
-// something new.
-func (sh *shardHolder) receive(m *wire.Heartbeat, body []byte) heartbeatDecision {
+// decide records a heartbeat and decides how it is answered. A heartbeat that reports a
+// change is registered as pending until the leader answers it.
+func (sh *shardHolder) decide(heartbeat *wire.Heartbeat, body []byte) heartbeatDecision {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	orders, outcome := sh.holder.Report(m, body, time.Now())
-	r := heartbeatDecision{
-		outcome: outcome,
-		term:    sh.holder.Term(),
-		orders:  orders,
+	commands, outcome := sh.holder.Report(heartbeat, body, time.Now())
+	decision := heartbeatDecision{
+		outcome:  outcome,
+		term:     sh.holder.Term(),
+		commands: commands,
 	}
 	if outcome >= shard.ReportChanged {
-		r.pending = pendingHeartbeat{
-			session: m.Session,
-			seq:     m.Seq,
-			orders:  make(chan []wire.Command, 1),
+		decision.pending = pendingHeartbeat{
+			session:  heartbeat.Session,
+			seq:      heartbeat.Seq,
+			commands: make(chan []wire.Command, 1),
 		}
-		sh.pending[m.Host] = r.pending // replaces an older one of the machine
+		sh.pending[heartbeat.Host] = decision.pending // replaces an earlier heartbeat of the machine
 	}
-	return r
+	return decision
 }
 
-// handleHeartbeat answers the heartbeat of a machine in this node's shard; nil: the machine
-// is not in it, or the heartbeat cannot be read, and the leader answers.
+// handleHeartbeat answers the heartbeat of a machine in this node's shard. It returns nil if
+// the machine is not in the shard or the heartbeat cannot be decoded; the leader has to
+// answer then.
 func (sh *shardHolder) handleHeartbeat(ctx context.Context, body []byte) *rpc.Reply {
-	m := &wire.Heartbeat{}
-	if err := wire.Unmarshal(body, m); err != nil || m.Host == "" || m.Session == 0 {
+	heartbeat := &wire.Heartbeat{}
+	if err := wire.Unmarshal(body, heartbeat); err != nil || heartbeat.Host == "" || heartbeat.Session == 0 {
 		return nil
 	}
-	r := sh.receive(m, body)
-	switch r.outcome {
+	decision := sh.decide(heartbeat, body)
+	switch decision.outcome {
 	case shard.NotHeld:
 		return nil
 	case shard.GrantExpired:
-		if m.Token > r.term {
-			sh.node.elector.ObserveLeader("", m.Token)
+		if heartbeat.Token > decision.term {
+			sh.node.elector.ObserveLeader("", heartbeat.Token)
 		}
 		return control.Unavailable("the leader has not renewed this node's grant")
 	}
-	orders := r.orders
-	if r.outcome >= shard.ReportChanged {
-		patience := leaderAnswerTimeout
-		if r.outcome == shard.LeaderRequired {
-			patience = requiredAnswerTimeout
+	commands := decision.commands
+	if decision.outcome >= shard.ReportChanged {
+		timeout := leaderAnswerTimeout
+		if decision.outcome == shard.LeaderRequired {
+			timeout = requiredAnswerTimeout
 		}
-		leaderOrders, ok := sh.awaitAnswer(ctx, m.Host, r.pending, patience)
+		leaderCommands, ok := sh.awaitAnswer(ctx, heartbeat.Host, decision.pending, timeout)
 		switch {
 		case ok:
-			orders = leaderOrders
-		case r.outcome == shard.LeaderRequired:
-			return control.Unavailable("the leader has not been told of all tasks of the machine")
+			commands = leaderCommands
+		case decision.outcome == shard.LeaderRequired:
+			return control.Unavailable("the leader has not yet received the machine's complete task list")
 		}
 	}
-	b, err := wire.Marshal(wire.HeartbeatResponse{Token: r.term, Commands: orders})
+	encoded, err := wire.Marshal(wire.HeartbeatResponse{Token: decision.term, Commands: commands})
 	if err != nil {
-		return control.Unavailable("the answer does not encode")
+		return control.Unavailable("the answer cannot be encoded")
 	}
-	// Checked as late as possible: the grant may have ended while the lock was waited for.
-	if !sh.grantValid(r.term) {
+	// Checked as late as possible, because the grant may have expired while this goroutine
+	// waited for the leader's answer or for the lock.
+	if !sh.grantValid(decision.term) {
 		return control.Unavailable("the leader has not renewed this node's grant")
 	}
-	return &rpc.Reply{Status: http.StatusOK, Body: b, HasTasks: len(m.Tasks) > 0}
+	return &rpc.Reply{Status: http.StatusOK, Body: encoded, HasTasks: len(heartbeat.Tasks) > 0}
 }
