--- a/internal/node/bounded_listener_test.go
+++ b/internal/node/bounded_listener_test.go
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// listenerTestLimit is the number of connections that the tested listener admits.
+// listenerTestLimit is the connection limit of the tested listener.
 const listenerTestLimit = 4
 
-// slowServer is an HTTP server behind a boundedListener. Requests for /slow are in
+// slowServer is an HTTP server behind a boundedListener. Requests for /slow remain in
 // progress until release is closed.
 type slowServer struct {
 	url     string
-	entered chan struct{} // a value for each request for /slow that has arrived
+	entered chan struct{} // receives a value for each request for /slow that arrives
 	release chan struct{}
 	server  *http.Server
-	served  chan struct{} // closed when the server has ended
+	served  chan struct{} // closed when the server has stopped
 }
 
 func startSlowServer(t *testing.T) *slowServer {
@@ -49,13 +49,13 @@
 	}
 }
 
-// close ends the server and waits for its end.
+// close stops the server and waits until it has stopped.
 func (s *slowServer) close() {
 	_ = s.server.Close()
 	<-s.served
 }
 
-// get makes a request on a connection of its own, which stays open and idle.
+// get sends a request on a new connection, which stays open and idle afterwards.
 func (s *slowServer) get(path string, timeout time.Duration) error {
 	client := &http.Client{Timeout: timeout, Transport: &http.Transport{}}
 	res, err := client.Get(s.url + path)
@@ -65,8 +65,8 @@
 	return res.Body.Close()
 }
 
-// startSlowRequests starts requests that are in progress when it returns. Their results come
-// from the channel.
+// startSlowRequests starts requests that are in progress when it returns. The channel
+// delivers their results.
 func (s *slowServer) startSlowRequests(requests int) <-chan error {
 	results := make(chan error, requests)
 	for range requests {
@@ -76,19 +76,20 @@
 	return results
 }
 
-// TestBoundedListener: a flood of connections must not shut out health checks and
-// users, and a connection whose request is in progress is never closed for another.
+// TestBoundedListener checks that a flood of connections does not lock out health checks
+// and users, and that a connection with a request in progress is never closed for a new
+// one.
 func TestBoundedListener(t *testing.T) {
 	tests := []struct {
-		name  string
-		idle  int // connections that stay open without a request
-		slow  int // connections whose request is in progress
-		serve bool
+		name       string
+		idle       int // number of open connections without a request
+		slow       int // number of connections with a request in progress
+		wantServed bool
 	}{
-		{"room for all", 2, 0, true},
-		{"idle ones are replaced", 10, 0, true},
-		{"idle ones are replaced beside slow ones", 5, 3, true},
-		{"all are busy", 0, listenerTestLimit, false},
+		{"below the limit: a new connection is served", 2, 0, true},
+		{"more idle connections than the limit: a new connection is served", 10, 0, true},
+		{"idle connections and requests in progress: a new connection is served", 5, 3, true},
+		{"requests in progress on all connections: a new connection is not served", 0, listenerTestLimit, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -96,20 +97,20 @@
 			slow := s.startSlowRequests(tt.slow)
 			for range tt.idle {
 				if err := s.get("/healthz", 10*time.Second); err != nil {
-					t.Fatalf("idle connection: %v", err)
+					t.Fatalf("request that opens an idle connection: %v", err)
 				}
 			}
-			if tt.serve {
+			if tt.wantServed {
 				if err := s.get("/healthz", 10*time.Second); err != nil {
-					t.Errorf("not served: %v", err)
+					t.Errorf("a new connection was not served: %v", err)
 				}
 			} else if s.get("/healthz", 50*time.Millisecond) == nil {
-				t.Error("served beyond the limit")
+				t.Error("a new connection was served although the limit was reached")
 			}
 			close(s.release)
 			for range tt.slow {
 				if err := <-slow; err != nil {
-					t.Errorf("a request in progress was cut off: %v", err)
+					t.Errorf("a request in progress was interrupted: %v", err)
 				}
 			}
 			s.close()
@@ -117,17 +118,17 @@
 	}
 }
 
-// TestBoundedListenerReplacement: connections of workers that have tasks are replaced
-// last, even if others have been idle for a shorter time.
+// TestBoundedListenerReplacement checks that connections of workers with tasks are replaced
+// last, even if the other connections have been idle for a shorter time.
 func TestBoundedListenerReplacement(t *testing.T) {
 	tests := []struct {
 		name     string
-		hasTasks []bool // of the connections, in the order in which they became idle
-		want     []int  // the order in which they are closed
+		hasTasks []bool // whether each connection's worker has tasks, in the order of becoming idle
+		want     []int  // indexes of the connections in the order of closing
 	}{
-		{"longest idle first", []bool{false, false, false}, []int{0, 1, 2}},
-		{"without tasks first", []bool{true, false, true, false}, []int{1, 3, 0, 2}},
-		{"all have tasks", []bool{true, true}, []int{0, 1}},
+		{"no worker has tasks: the longest idle connection is closed first", []bool{false, false, false}, []int{0, 1, 2}},
+		{"some workers have tasks: connections of workers without tasks are closed first", []bool{true, false, true, false}, []int{1, 3, 0, 2}},
+		{"all workers have tasks: the longest idle connection is closed first", []bool{true, true}, []int{0, 1}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -135,7 +136,7 @@
 			var closed []int
 			for i, hasTasks := range tt.hasTasks {
 				if !l.admit() {
-					t.Fatal("no place")
+					t.Fatal("a connection below the limit was not admitted")
 				}
 				c := &boundedConn{
 					Conn:     closeRecorder{onClose: func() { closed = append(closed, i) }},
@@ -148,13 +149,13 @@
 				l.admit()
 			}
 			if !slices.Equal(closed, tt.want) {
-				t.Errorf("closed %v, want %v", closed, tt.want)
+				t.Errorf("connections closed in the order %v, want %v", closed, tt.want)
 			}
 		})
 	}
 }
 
-// closeRecorder is a connection that calls onClose when it is closed.
+// closeRecorder is a connection that calls onClose on Close.
 type closeRecorder struct {
 	net.Conn
 	onClose func()
