--- a/internal/node/sim_faults_controllers_test.go
+++ b/internal/node/sim_faults_controllers_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// crashControllers ends the leader and n-1 others, and starts them again five seconds later.
+// crashControllers kills the leader and n-1 other controllers, and starts them again five
+// seconds later.
 func crashControllers(n int) func(*simulation) {
 	return func(s *simulation) {
 		first := s.leader()
@@ -19,63 +20,64 @@
 	}
 }
 
-// pauseControllers suspends the processes of the leader and of n-1 others while their clocks
-// run.
-func pauseControllers(n int, d time.Duration) func(*simulation) {
+// pauseControllers suspends the processes of the leader and of n-1 other controllers. Their
+// clocks continue.
+func pauseControllers(n int, duration time.Duration) func(*simulation) {
 	return func(s *simulation) {
 		first := s.leader()
 		var wg sync.WaitGroup
 		for i := range n {
-			wg.Go(func() { s.pauses[(first+i)%len(s.controllers)].pause(d) })
+			wg.Go(func() { s.pauses[(first+i)%len(s.controllers)].pause(duration) })
 		}
 		wg.Wait()
 	}
 }
 
-// crashFollower ends a controller that does not lead, and with it the holder of a shard, and
-// starts it again after a while.
-func crashFollower(d time.Duration) func(*simulation) {
+// crashFollower kills a follower, and thus the holder of a shard, and starts it again after the
+// duration.
+func crashFollower(duration time.Duration) func(*simulation) {
 	return func(s *simulation) {
 		i := (s.leader() + 1) % len(s.controllers)
 		s.killController(i)
-		time.Sleep(d)
+		time.Sleep(duration)
 		s.startController(i)
 	}
 }
 
-// restartController ends a controller, counted from the leader, and starts it again after a
-// short gap.
-func restartController(after int, gap time.Duration) func(*simulation) {
+// restartController kills the controller at the offset from the leader, and starts it again
+// after the gap.
+func restartController(offset int, gap time.Duration) func(*simulation) {
 	return func(s *simulation) {
-		i := (s.leader() + after) % len(s.controllers)
+		i := (s.leader() + offset) % len(s.controllers)
 		s.killController(i)
 		time.Sleep(gap)
 		s.startController(i)
 	}
 }
 
-// restartRepeatedly restarts controllers again and again, so that it falls into every step of
-// an election, a failover and a move of a shard.
+// restartRepeatedly restarts random controllers several times, so that restarts coincide with
+// the different steps of an election, a failover and a move of a shard.
 func restartRepeatedly(seed uint64, times int) func(*simulation) {
 	return func(s *simulation) {
-		r := newRand(seed)
+		random := newRand(seed)
 		for range times {
-			restartController(r.IntN(len(s.controllers)), time.Duration(50+r.IntN(450))*time.Millisecond)(s)
-			time.Sleep(time.Duration(r.IntN(4000)) * time.Millisecond)
+			restartController(random.IntN(len(s.controllers)), time.Duration(50+random.IntN(450))*time.Millisecond)(s)
+			time.Sleep(time.Duration(random.IntN(4000)) * time.Millisecond)
 		}
 	}
 }
 
-// stopAllControllers ends all controllers for a while. Leases have to expire in a long one.
-func stopAllControllers(d time.Duration) func(*simulation) {
+// stopAllControllers stops all controllers for the duration. If it exceeds ten seconds, the
+// lease of a worker with tasks has to expire.
+func stopAllControllers(duration time.Duration) func(*simulation) {
 	return func(s *simulation) {
-		lost := s.TasksLost()
+		tasksLostBefore := s.TasksLost()
 		for i := range s.controllers {
 			s.killController(i)
 		}
-		time.Sleep(d)
-		if d > 10*time.Second && s.TasksLost() == lost {
-			s.reportUnreachedCondition("no lease of a machine with tasks has run out")
+		time.Sleep(duration)
+		if duration > 10*time.Second && s.TasksLost() == tasksLostBefore {
+			s.reportUnreachedCondition("no lease of a worker with tasks has expired")
 		}
 		for i := range s.controllers {
 			s.startController(i)
@@ -83,19 +85,20 @@
 	}
 }
 
-// changeLeaderTenTimes restarts the leader until another leads, ten times within two minutes.
+// changeLeaderTenTimes restarts the leader and waits for the next term, ten times within two
+// minutes.
 func changeLeaderTenTimes(s *simulation) {
 	term := s.term()
-	begun := time.Now()
+	start := time.Now()
 	for i := range 10 {
-		was := s.term()
+		previousTerm := s.term()
 		restartController(0, time.Duration(100+150*i)*time.Millisecond)(s)
-		for s.term() == was && time.Since(begun) < 3*time.Minute {
+		for s.term() == previousTerm && time.Since(start) < 3*time.Minute {
 			time.Sleep(100 * time.Millisecond)
 		}
 		time.Sleep(time.Duration(1+i%4) * time.Second)
 	}
-	if s.term() < term+10 || time.Since(begun) > 2*time.Minute {
-		s.reportUnreachedCondition("%d changes of leader in %v", s.term()-term, time.Since(begun).Round(time.Second))
+	if s.term() < term+10 || time.Since(start) > 2*time.Minute {
+		s.reportUnreachedCondition("%d changes of leader in %v, want at least 10 in 2 min", s.term()-term, time.Since(start).Round(time.Second))
 	}
 }
--- a/internal/node/sim_faults_invalid_requests_test.go
+++ b/internal/node/sim_faults_invalid_requests_test.go
@@ -16,7 +16,7 @@
 
 // invalidRequests lets users repeat submissions of unfinished jobs with another body, cancel
 // jobs that are done, and submit what can never run or lacks a field.
-func invalidRequests(seed uint64, d time.Duration) func(*simulation) {
+func invalidRequests(seed uint64, duration time.Duration) func(*simulation) {
 	return func(s *simulation) {
 		u := &invalidUser{
 			simulation: s,
@@ -25,7 +25,7 @@
 			answers:    map[string]int{},
 		}
 		begun := time.Now()
-		for i := 0; time.Since(begun) < d; i++ {
+		for i := 0; time.Since(begun) < duration; i++ {
 			time.Sleep(150 * time.Millisecond)
 			u.sendOne(i)
 		}
--- a/internal/node/sim_faults_network_test.go
+++ b/internal/node/sim_faults_network_test.go
@@ -6,47 +6,48 @@
 	"time"
 )
 
-// leaseExpiry is by when the lease of a worker whose heartbeats do not arrive has expired.
+// leaseExpiry is the time after which the lease of a worker whose heartbeats do not arrive has
+// expired.
 const leaseExpiry = 11 * time.Second
 
 // isWorker reports whether a host of the emulated network is a worker.
 func isWorker(host string) bool { return strings.HasPrefix(host, "w") }
 
-// partitionLeader cuts the leader off from the hosts for which from is true.
-func partitionLeader(from func(other string) bool, d time.Duration) func(*simulation) {
+// partitionLeader separates the leader from the hosts for which selected is true.
+func partitionLeader(selected func(other string) bool, duration time.Duration) func(*simulation) {
 	return func(s *simulation) {
 		leader := s.memberAfterLeader(0)
-		s.setPartition("leader", func(a, b string) bool { return a == leader && from(b) })
-		time.Sleep(d)
+		s.setPartition("leader", func(from, to string) bool { return from == leader && selected(to) })
+		time.Sleep(duration)
 		s.setPartition("leader", nil)
 	}
 }
 
-// partitionControllers cuts the controllers off from each other.
-func partitionControllers(d time.Duration) func(*simulation) {
+// partitionControllers separates the controllers from each other.
+func partitionControllers(duration time.Duration) func(*simulation) {
 	return func(s *simulation) {
-		s.setPartition("peers", func(a, b string) bool { return isController(a) && isController(b) })
-		time.Sleep(d)
+		s.setPartition("peers", func(from, to string) bool { return isController(from) && isController(to) })
+		time.Sleep(duration)
 		s.setPartition("peers", nil)
 	}
 }
 
-// partitionWorkers cuts n workers off from everything.
-func partitionWorkers(r *rand.Rand, n int, d time.Duration) func(*simulation) {
+// partitionWorkers separates n random workers from all other hosts.
+func partitionWorkers(r *rand.Rand, n int, duration time.Duration) func(*simulation) {
 	return func(s *simulation) {
-		cut := hostsOf(s.RandomWorkers(r, n))
-		s.setPartition("workers", func(a, _ string) bool { return cut[a] })
-		time.Sleep(d)
+		isolated := hostsOf(s.RandomWorkers(r, n))
+		s.setPartition("workers", func(from, _ string) bool { return isolated[from] })
+		time.Sleep(duration)
 		s.setPartition("workers", nil)
 	}
 }
 
-// partitionZone cuts a zone's workers off from everything.
-func partitionZone(zone string, d time.Duration) func(*simulation) {
+// partitionZone separates the workers of a zone from all other hosts.
+func partitionZone(zone string, duration time.Duration) func(*simulation) {
 	return func(s *simulation) {
-		cut := hostsOf(s.WorkersInZone(zone))
-		s.setPartition("zone", func(a, _ string) bool { return cut[a] })
-		time.Sleep(d)
+		isolated := hostsOf(s.WorkersInZone(zone))
+		s.setPartition("zone", func(from, _ string) bool { return isolated[from] })
+		time.Sleep(duration)
 		s.setPartition("zone", nil)
 	}
 }
@@ -54,112 +55,115 @@
 // isController reports whether a host of the emulated network is a controller.
 func isController(host string) bool { return strings.HasPrefix(host, "n") }
 
-// partitionFollower cuts a controller that does not lead off from some others.
-func partitionFollower(from func(other string) bool, d time.Duration) func(*simulation) {
+// partitionFollower separates a follower from the hosts for which selected is true.
+func partitionFollower(selected func(other string) bool, duration time.Duration) func(*simulation) {
 	return func(s *simulation) {
 		follower := s.memberAfterLeader(1)
-		s.setPartition("other", func(a, b string) bool { return a == follower && from(b) })
-		time.Sleep(d)
+		s.setPartition("other", func(from, to string) bool { return from == follower && selected(to) })
+		time.Sleep(duration)
 		s.setPartition("other", nil)
 	}
 }
 
-// blockFollower holds what a controller that does not lead sends to the other controllers,
-// and not what they send to it.
-func blockFollower(d time.Duration) func(*simulation) {
+// blockFollower holds the packets that a follower sends to the other controllers, but not
+// those that they send to it.
+func blockFollower(duration time.Duration) func(*simulation) {
 	return func(s *simulation) {
 		follower := s.memberAfterLeader(1)
-		s.net.PartitionOneWay(func(a, b string) bool { return a == follower && isController(b) })
-		time.Sleep(d)
+		s.net.PartitionOneWay(func(from, to string) bool { return from == follower && isController(to) })
+		time.Sleep(duration)
 		s.net.PartitionOneWay(func(string, string) bool { return false })
 	}
 }
 
-// anyController chooses all controllers.
+// anyController selects all controllers.
 func anyController(string) bool { return true }
 
-// blockAnswers holds what the controllers for which from is true send to n workers, answers
-// included, while the workers' heartbeats go on arriving: a partition in one direction.
-func blockAnswers(seed uint64, n int, from func(controller string) bool, d time.Duration) func(*simulation) {
+// blockAnswers injects a one-way partition: it holds the packets, answers included, that the
+// controllers for which selected is true send to n random workers. The workers' heartbeats
+// still arrive.
+func blockAnswers(seed uint64, n int, selected func(controller string) bool, duration time.Duration) func(*simulation) {
 	return func(s *simulation) {
 		workers := hostsOf(s.RandomWorkers(newRand(seed), n))
-		s.net.PartitionOneWay(func(a, b string) bool { return isController(a) && from(a) && workers[b] })
-		time.Sleep(d)
+		s.net.PartitionOneWay(func(from, to string) bool { return isController(from) && selected(from) && workers[to] })
+		time.Sleep(duration)
 		s.net.PartitionOneWay(func(string, string) bool { return false })
 	}
 }
 
-// blockAnswersFrom is blockAnswers for one controller alone, counted from the leader.
-func blockAnswersFrom(seed uint64, n, after int, d time.Duration) func(*simulation) {
+// blockAnswersFrom is blockAnswers for the single controller at the offset from the leader.
+func blockAnswersFrom(seed uint64, n, offset int, duration time.Duration) func(*simulation) {
 	return func(s *simulation) {
-		controller := s.memberAfterLeader(after)
-		blockAnswers(seed, n, func(member string) bool { return member == controller }, d)(s)
+		controller := s.memberAfterLeader(offset)
+		blockAnswers(seed, n, func(member string) bool { return member == controller }, duration)(s)
 	}
 }
 
-// isolateController cuts a controller, counted from the leader, off from the key-value store
-// and the other controllers, and not from its workers and users.
-func isolateController(after int, d time.Duration) func(*simulation) {
+// isolateController separates the controller at the offset from the leader from the key-value
+// store and the other controllers, but not from workers and users.
+func isolateController(offset int, duration time.Duration) func(*simulation) {
 	return func(s *simulation) {
-		controller := s.memberAfterLeader(after)
-		s.setPartition("alone", func(a, b string) bool { return a == controller && (b == "state" || isController(b)) })
-		time.Sleep(d)
+		controller := s.memberAfterLeader(offset)
+		s.setPartition("alone", func(from, to string) bool { return from == controller && (to == "state" || isController(to)) })
+		time.Sleep(duration)
 		s.setPartition("alone", nil)
 	}
 }
 
-// partitionThreeControllers cuts the leader and two others off from everything but each other.
-func partitionThreeControllers(d time.Duration) func(*simulation) {
+// partitionThreeControllers separates the leader and two other controllers from all hosts but
+// each other.
+func partitionThreeControllers(duration time.Duration) func(*simulation) {
 	return func(s *simulation) {
 		first := s.leader()
-		cut := map[string]bool{}
+		isolated := map[string]bool{}
 		for i := range 3 {
-			cut[simMember((first+i)%len(s.controllers))] = true
+			isolated[simMember((first+i)%len(s.controllers))] = true
 		}
-		s.setPartition("three", func(a, b string) bool { return cut[a] && !cut[b] })
-		time.Sleep(d)
+		s.setPartition("three", func(from, to string) bool { return isolated[from] && !isolated[to] })
+		time.Sleep(duration)
 		s.setPartition("three", nil)
 	}
 }
 
-// partitionZoneWithController cuts a zone's workers and a controller, counted from the
-// leader, off from everything but each other.
-func partitionZoneWithController(zone string, after int, d time.Duration) func(*simulation) {
+// partitionZoneWithController separates the workers of a zone and the controller at the offset
+// from the leader from all hosts but each other.
+func partitionZoneWithController(zone string, offset int, duration time.Duration) func(*simulation) {
 	return func(s *simulation) {
-		controller := s.memberAfterLeader(after)
+		controller := s.memberAfterLeader(offset)
 		inside := hostsOf(s.WorkersInZone(zone))
 		inside[controller] = true
-		s.setPartition("zone and controller", func(a, b string) bool { return inside[a] && !inside[b] })
-		time.Sleep(d)
+		s.setPartition("zone and controller", func(from, to string) bool { return inside[from] && !inside[to] })
+		time.Sleep(duration)
 		s.setPartition("zone and controller", nil)
 	}
 }
 
-// blockWorkerConnections lets n workers open no connection to any controller, while direct
-// commands reach them.
-func blockWorkerConnections(seed uint64, n int, d time.Duration) func(*simulation) {
+// blockWorkerConnections prevents n random workers from opening connections to controllers.
+// Direct commands still reach them.
+func blockWorkerConnections(seed uint64, n int, duration time.Duration) func(*simulation) {
 	return func(s *simulation) {
 		workers := hostsOf(s.RandomWorkers(newRand(seed), n))
-		lost := s.TasksLost()
-		s.net.DenyConnections(func(a, b string) bool { return workers[a] && isController(b) })
-		time.Sleep(d)
+		tasksLostBefore := s.TasksLost()
+		s.net.DenyConnections(func(from, to string) bool { return workers[from] && isController(to) })
+		time.Sleep(duration)
 		s.net.DenyConnections(func(string, string) bool { return false })
-		if d > leaseExpiry && s.TasksLost() == lost {
-			s.reportUnreachedCondition("no lease of a machine with tasks has run out")
+		if duration > leaseExpiry && s.TasksLost() == tasksLostBefore {
+			s.reportUnreachedCondition("no lease of a worker with tasks has expired")
 		}
 	}
 }
 
-// slowNetwork delays every packet by that much more.
-func slowNetwork(by, d time.Duration) func(*simulation) {
+// slowNetwork adds the extra delay to every packet for the duration.
+func slowNetwork(extra, duration time.Duration) func(*simulation) {
 	return func(s *simulation) {
-		s.net.AddDelay(by)
-		time.Sleep(d)
+		s.net.AddDelay(extra)
+		time.Sleep(duration)
 		s.net.AddDelay(0)
 	}
 }
 
-// blockAnswersRepeatedly holds what is sent to some workers for seconds, again and again.
+// blockAnswersRepeatedly blocks the controllers' packets to three random workers several
+// times, for 1.5 to 6 s each.
 func blockAnswersRepeatedly(seed uint64, times int) func(*simulation) {
 	return func(s *simulation) {
 		r := newRand(seed)
@@ -170,13 +174,13 @@
 	}
 }
 
-// denyWorkerConnections lets the controllers that do not lead open no connection to any
-// worker, while workers open theirs: heartbeats are answered, direct commands do not leave.
-func denyWorkerConnections(d time.Duration) func(*simulation) {
+// denyWorkerConnections prevents the followers from opening connections to workers, while the
+// workers can open theirs. Followers can answer heartbeats but cannot send direct commands.
+func denyWorkerConnections(duration time.Duration) func(*simulation) {
 	return func(s *simulation) {
 		leader := s.memberAfterLeader(0)
-		s.net.DenyConnections(func(a, b string) bool { return isController(a) && a != leader && isWorker(b) })
-		time.Sleep(d)
+		s.net.DenyConnections(func(from, to string) bool { return isController(from) && from != leader && isWorker(to) })
+		time.Sleep(duration)
 		s.net.DenyConnections(func(string, string) bool { return false })
 	}
 }
--- a/internal/node/sim_faults_requests_test.go
+++ b/internal/node/sim_faults_requests_test.go
@@ -94,7 +94,7 @@
 
 // cancelAtCompletion cancels each job at the moment in which its last task ends, or up to
 // 60 ms later.
-func cancelAtCompletion(seed uint64, d time.Duration) func(*simulation) {
+func cancelAtCompletion(seed uint64, duration time.Duration) func(*simulation) {
 	return func(s *simulation) {
 		var mu sync.Mutex
 		r := newRand(seed)
@@ -107,7 +107,7 @@
 			time.Sleep(wait)
 			s.cancelJob(spec)
 		})
-		time.Sleep(d)
+		time.Sleep(duration)
 		s.OnLastTaskDone(nil)
 		mu.Lock()
 		defer mu.Unlock()
@@ -118,9 +118,9 @@
 }
 
 // jobStream submits one-task jobs, four a second, and cancels a quarter of them.
-func jobStream(d time.Duration) func(*simulation) {
+func jobStream(duration time.Duration) func(*simulation) {
 	return func(s *simulation) {
-		for i := range int(4 * d / time.Second) {
+		for i := range int(4 * duration / time.Second) {
 			spec := &job.Spec{
 				ID:           fmt.Sprintf("run-8%05d", i),
 				Team:         []string{"blue", "red"}[i%2],
@@ -144,10 +144,10 @@
 }
 
 // probeAfterAnswers lets users ask all controllers within milliseconds after each answer.
-func probeAfterAnswers(d time.Duration) func(*simulation) {
+func probeAfterAnswers(duration time.Duration) func(*simulation) {
 	return func(s *simulation) {
 		s.probing.Store(true)
-		time.Sleep(d)
+		time.Sleep(duration)
 		s.probing.Store(false)
 	}
 }
--- a/internal/node/sim_faults_store_test.go
+++ b/internal/node/sim_faults_store_test.go
@@ -9,20 +9,20 @@
 )
 
 // storeOutage lets the key-value store refuse everybody for a while.
-func storeOutage(d time.Duration) func(*simulation) {
+func storeOutage(duration time.Duration) func(*simulation) {
 	return func(s *simulation) {
 		s.store.SetOutage(true)
-		time.Sleep(d)
+		time.Sleep(duration)
 		s.store.SetOutage(false)
 	}
 }
 
 // refuseLeaderAtStore lets the key-value store refuse the leader alone for a while.
-func refuseLeaderAtStore(d time.Duration) func(*simulation) {
+func refuseLeaderAtStore(duration time.Duration) func(*simulation) {
 	return func(s *simulation) {
 		leader := s.memberAfterLeader(0)
 		s.store.RefuseFrom(func(from string) bool { return from == leader })
-		time.Sleep(d)
+		time.Sleep(duration)
 		s.store.RefuseFrom(func(string) bool { return false })
 	}
 }
@@ -52,7 +52,7 @@
 
 // delayTransactions lets a share of the transactions go without an answer for a while; delay
 // is how late each is carried out, below 0: at once.
-func delayTransactions(s *simulation, seed uint64, share float64, d time.Duration, delay func(r *rand.Rand) time.Duration) {
+func delayTransactions(s *simulation, seed uint64, share float64, duration time.Duration, delay func(r *rand.Rand) time.Duration) {
 	var mu sync.Mutex
 	r := newRand(seed)
 	s.store.DelayTransactions(func() time.Duration {
@@ -63,14 +63,14 @@
 		}
 		return delay(r)
 	})
-	time.Sleep(d)
+	time.Sleep(duration)
 	s.store.DelayTransactions(nil)
 }
 
 // lateTransactions lets a share of the transactions be carried out 2 to 12 s later.
-func lateTransactions(seed uint64, share float64, d time.Duration) func(*simulation) {
+func lateTransactions(seed uint64, share float64, duration time.Duration) func(*simulation) {
 	return func(s *simulation) {
-		delayTransactions(s, seed, share, d, func(r *rand.Rand) time.Duration {
+		delayTransactions(s, seed, share, duration, func(r *rand.Rand) time.Duration {
 			return 2*time.Second + time.Duration(r.Int64N(int64(10*time.Second)))
 		})
 	}
@@ -78,9 +78,9 @@
 
 // lostAnswers loses the answers to a share of the transactions for a while, which are carried
 // out at once.
-func lostAnswers(seed uint64, share float64, d time.Duration) func(*simulation) {
+func lostAnswers(seed uint64, share float64, duration time.Duration) func(*simulation) {
 	return func(s *simulation) {
-		delayTransactions(s, seed, share, d, func(*rand.Rand) time.Duration { return -3 * time.Second })
+		delayTransactions(s, seed, share, duration, func(*rand.Rand) time.Duration { return -3 * time.Second })
 		if s.store.AnswersLost() == 0 {
 			s.reportUnreachedCondition("no answer to a transaction was lost")
 		}
--- a/internal/node/sim_faults_test.go
+++ b/internal/node/sim_faults_test.go
@@ -24,11 +24,11 @@
 }
 
 // hangWorkers stops n workers for a while; their machines stay reachable.
-func hangWorkers(r *rand.Rand, n int, d time.Duration) func(*simulation) {
+func hangWorkers(r *rand.Rand, n int, duration time.Duration) func(*simulation) {
 	return func(s *simulation) {
 		workers := s.RandomWorkers(r, n)
 		s.Hang(workers, true)
-		time.Sleep(d)
+		time.Sleep(duration)
 		s.Hang(workers, false)
 	}
 }
@@ -50,11 +50,11 @@
 
 // zoneShortage takes a zone's capacity away from the cloud, and its machines with it, for a
 // while.
-func zoneShortage(zone string, d time.Duration) func(*simulation) {
+func zoneShortage(zone string, duration time.Duration) func(*simulation) {
 	return func(s *simulation) {
 		s.LimitZone(zone, 0)
 		s.Kill(s.WorkersInZone(zone))
-		time.Sleep(d)
+		time.Sleep(duration)
 		s.LimitZone(zone, -1)
 	}
 }
--- a/internal/node/sim_pause_test.go
+++ b/internal/node/sim_pause_test.go
@@ -15,12 +15,12 @@
 }
 
 // pause lets the process stand still for a while.
-func (g *pauseGate) pause(d time.Duration) {
+func (g *pauseGate) pause(duration time.Duration) {
 	resumed := make(chan struct{})
 	g.mu.Lock()
 	g.resumed = resumed
 	g.mu.Unlock()
-	time.Sleep(d)
+	time.Sleep(duration)
 	g.mu.Lock()
 	g.resumed = nil
 	g.mu.Unlock()
--- a/internal/node/sim_test.go
+++ b/internal/node/sim_test.go
@@ -18,8 +18,8 @@
 	"vetchstream/internal/wire"
 )
 
-// simSettings are the platform settings of controller i of that many. Team red's quotas
-// grow with the scale.
+// simSettings returns the platform settings of one controller, i, of a total of nodes. Team red's quotas are
+// proportional to the scale.
 func simSettings(t *testing.T, i, nodes, scale int) *config.Settings {
 	t.Helper()
 	text := fmt.Sprintf("member = \"n%d\"\nsite = \"a\"\nlisten = \"n%d:80\"\npeer_listen = \"n%d:81\"\n", i, i, i)
@@ -69,15 +69,15 @@
 // simControllers are the controllers of a default simulation.
 var simControllers = simMembers(3)
 
-// simMembers names n controllers, with their addresses for workers and users.
-func simMembers(n int) (cs []emulate.Controller) {
+// simMembers returns n controllers with their addresses for workers and users.
+func simMembers(n int) (controllers []emulate.Controller) {
 	for i := range n {
-		cs = append(cs, emulate.Controller{Member: simMember(i), Addr: simMember(i) + ":80"})
+		controllers = append(controllers, emulate.Controller{Member: simMember(i), Addr: simMember(i) + ":80"})
 	}
-	return cs
+	return controllers
 }
 
-// simMember is the name of controller i, which is its host's name as well.
+// simMember returns the member name of controller i, which is also its host name.
 func simMember(i int) string { return fmt.Sprintf("n%d", i) }
 
 // simTypes are the machine types of a default simulation.
@@ -86,16 +86,16 @@
 	{Name: "large", CPUs: 16, MemGB: 64, CacheGB: 10, FetchRate: 1, Price: 0.7, SpotPrice: 0.2, BootS: 4, Zones: []string{"a", "b"}},
 }
 
-// simulation is several controllers on an emulated cluster in memory and simulated time.
+// simulation runs several controllers on an emulated in-memory cluster in simulated time.
 type simulation struct {
 	*emulate.World
 	t     *testing.T
 	net   *emulate.MemoryNetwork
 	store *emulate.Store
-	scale int // machines, tasks and quotas are that many times as many
+	scale int // factor of the numbers of machines and tasks and of the quotas
 
-	// controllers end the controllers, exited are closed once they have ended, and pauses
-	// make them stand still, each by the controller's index.
+	// The following are indexed by controller: controllers stops its process, exited is
+	// closed once the process has exited, and pauses suspends it.
 	controllers []context.CancelFunc
 	exited      []chan struct{}
 	pauses      []pauseGate
@@ -103,39 +103,39 @@
 	partitionMu sync.Mutex // guards partitions
 	partitions  map[string]func(from, to string) bool
 
-	// configure edits the settings of each controller that starts; nil: none are edited.
+	// configure edits the settings of each controller before it starts; may be nil.
 	configure func(*config.Settings, *config.Tuning)
-	// dialHomeRegion dials controllers of the home region; nil: there is one region.
+	// dialHomeRegion dials controllers of the home region; nil: there is only one region.
 	dialHomeRegion func(ctx context.Context, network, addr string) (net.Conn, error)
 
-	requests   atomic.Int64 // of users, so far
-	randomized bool         // the faults are drawn, and need not reach what they are about
-	probing    atomic.Bool  // users ask all controllers within milliseconds of an answer
+	requests   atomic.Int64 // number of user requests so far
+	randomized bool         // the faults are random and need not reach their condition
+	probing    atomic.Bool  // users query all controllers within milliseconds after an answer
 }
 
-// startController starts controller i, as a new process.
+// startController starts controller i as a new process.
 func (s *simulation) startController(i int) {
 	ctx, cancel := context.WithCancel(context.Background())
-	tun, err := config.LoadTuning("")
+	tuning, err := config.LoadTuning("")
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	set := simSettings(s.t, i, len(s.controllers), s.scale)
+	settings := simSettings(s.t, i, len(s.controllers), s.scale)
 	if s.configure != nil {
-		s.configure(set, tun)
+		s.configure(settings, tuning)
 	}
-	nw := s.controllerNetwork(ctx, i)
+	network := s.controllerNetwork(ctx, i)
 	exited := make(chan struct{})
 	s.controllers[i] = cancel
 	s.exited[i] = exited
 	go func() {
 		defer close(exited)
-		_ = Run(ctx, set, tun, nw, slog.New(slog.DiscardHandler))
+		_ = Run(ctx, settings, tuning, network, slog.New(slog.DiscardHandler))
 	}()
 }
 
-// controllerNetwork is the network as controller i reaches it until its process ends with
-// the context. Its connections pass the controller's pause gate.
+// controllerNetwork returns the network of controller i. Connections pass the controller's
+// pause gate, and none can be opened once the context of the process has ended.
 func (s *simulation) controllerNetwork(process context.Context, i int) Network {
 	gate := &s.pauses[i]
 	dialRegion := s.net.Dialer(simMember(i))
@@ -145,7 +145,7 @@
 	}
 	dial := func(ctx context.Context, network, addr string) (net.Conn, error) {
 		if process.Err() != nil {
-			return nil, process.Err() // a killed process sends nothing more
+			return nil, process.Err() // a killed process opens no connections
 		}
 		dial := dialRegion
 		if strings.HasPrefix(addr, homeRegionPrefix) {
@@ -160,58 +160,61 @@
 	return Network{Listen: listen, Dial: dial}
 }
 
-// killController ends controller i without a word, and waits until it has ended.
+// killController kills controller i without a graceful shutdown, and waits until it has
+// exited.
 func (s *simulation) killController(i int) {
 	s.controllers[i]()
 	name := simMember(i)
-	s.net.ResetConnections(func(f, _ string) bool { return f == name })
+	s.net.ResetConnections(func(from, _ string) bool { return from == name })
 	<-s.exited[i]
 }
 
-// term is the leader's term as it is stored; 0: there is none.
+// term returns the leader's term from the key-value store, or 0 if none is stored.
 func (s *simulation) term() uint64 {
-	var rec struct {
+	var record struct {
 		Term uint64 `codec:"term"`
 	}
-	if e, ok := s.store.Entry(election.KeyTerm); !ok || wire.Unmarshal(e.Value, &rec) != nil {
+	if e, ok := s.store.Entry(election.KeyTerm); !ok || wire.Unmarshal(e.Value, &record) != nil {
 		return 0
 	}
-	return rec.Term
+	return record.Term
 }
 
-// leader is the index of the controller that holds the leader's lease; 0 if none does.
+// leader returns the index of the controller that holds the leader's lease, or 0 if none
+// does.
 func (s *simulation) leader() int {
-	var h struct {
+	var holder struct {
 		Member string `codec:"member"`
 	}
-	if e, ok := s.store.Entry("lead/holder"); ok && wire.Unmarshal(e.Value, &h) == nil && len(h.Member) == 2 {
-		return int(h.Member[1] - '0')
+	if e, ok := s.store.Entry("lead/holder"); ok && wire.Unmarshal(e.Value, &holder) == nil && len(holder.Member) == 2 {
+		return int(holder.Member[1] - '0')
 	}
 	return 0
 }
 
-// memberAfterLeader is the name of the controller that many after the leader.
+// memberAfterLeader returns the name of the controller at the offset from the leader's
+// index.
 func (s *simulation) memberAfterLeader(offset int) string {
 	return simMember((s.leader() + offset) % len(s.controllers))
 }
 
-// setPartition adds a network partition of that name between the hosts for which f is true,
-// or ends it (nil). Partitions of other names stay.
-func (s *simulation) setPartition(name string, f func(from, to string) bool) {
+// setPartition sets the named network partition, which separates the pairs of hosts for which
+// separated is true; nil ends it. Other partitions remain.
+func (s *simulation) setPartition(name string, separated func(from, to string) bool) {
 	s.partitionMu.Lock()
 	defer s.partitionMu.Unlock()
-	if f == nil {
+	if separated == nil {
 		delete(s.partitions, name)
 	} else {
-		s.partitions[name] = f
+		s.partitions[name] = separated
 	}
 	all := make([]func(string, string) bool, 0, len(s.partitions))
-	for _, c := range s.partitions {
-		all = append(all, c)
+	for _, partition := range s.partitions {
+		all = append(all, partition)
 	}
-	s.net.Partition(func(a, b string) bool {
-		for _, c := range all {
-			if c(a, b) {
+	s.net.Partition(func(from, to string) bool {
+		for _, partition := range all {
+			if partition(from, to) {
 				return true
 			}
 		}
@@ -219,10 +222,10 @@
 	})
 }
 
-// simCluster is the emulated cluster of a default simulation.
-func simCluster(n *emulate.MemoryNetwork, store *emulate.Store, scale int) emulate.Config {
+// simCluster returns the configuration of the emulated cluster of a default simulation.
+func simCluster(network *emulate.MemoryNetwork, store *emulate.Store, scale int) emulate.Config {
 	return emulate.Config{
-		Network:           n,
+		Network:           network,
 		Store:             store,
 		Types:             simTypes,
 		MaxMachines:       12 * scale,
@@ -237,12 +240,13 @@
 	}
 }
 
-// newSimulation starts three controllers on an emulated cluster in memory, and returns what
-// ends them all. editCluster may change the cluster, and with it the number of controllers.
+// newSimulation starts the controllers, three by default, on an emulated in-memory cluster.
+// It returns a function that stops everything. editCluster may change the cluster's
+// configuration, including the number of controllers.
 func newSimulation(t *testing.T, scale int, editCluster func(*emulate.Config), configure func(*config.Settings, *config.Tuning)) (*simulation, func()) {
 	network := emulate.NewMemoryNetwork()
 	store := emulate.NewStore()
-	store.SetPageSize(7) // small pages, so that paging is in use
+	store.SetPageSize(7) // small pages exercise the paging
 	cfg := simCluster(network, store, scale)
 	editCluster(&cfg)
 	world := emulate.New(cfg)
@@ -279,7 +283,7 @@
 	return servers
 }
 
-// close ends the workers, the controllers and the servers, and waits for them.
+// close stops the workers, the controllers and the servers, and waits for them.
 func (s *simulation) close(servers []*http.Server) {
 	worldClosed := make(chan struct{})
 	go func() {
