--- a/internal/node/sim_faults_invalid_requests_test.go
+++ b/internal/node/sim_faults_invalid_requests_test.go
@@ -14,39 +14,39 @@
 	"vetchstream/internal/wire"
 )
 
-// invalidRequests lets users repeat submissions of unfinished jobs with another body, cancel
-// jobs that are done, and submit what can never run or lacks a field.
+// invalidRequests lets a user resubmit unfinished jobs with a different body, cancel jobs that
+// are done, and submit jobs that can never run or lack a field.
 func invalidRequests(seed uint64, duration time.Duration) func(*simulation) {
 	return func(s *simulation) {
-		u := &invalidUser{
+		user := &invalidUser{
 			simulation: s,
 			random:     newRand(seed),
 			client:     s.userClient(4 * time.Second),
 			answers:    map[string]int{},
 		}
-		begun := time.Now()
-		for i := 0; time.Since(begun) < duration; i++ {
+		start := time.Now()
+		for i := 0; time.Since(start) < duration; i++ {
 			time.Sleep(150 * time.Millisecond)
-			u.sendOne(i)
+			user.sendOne(i)
 		}
-		if len(u.answers) < 4 {
-			s.reportUnreachedCondition("only %v had a clear answer", u.answers)
+		if len(user.answers) < 4 {
+			s.reportUnreachedCondition("conclusive answers by kind of request: %v, want all 4 kinds", user.answers)
 		}
 	}
 }
 
-// invalidUser is a user who sends requests that are to be refused, or that change nothing.
+// invalidUser is a user who sends requests that have to be refused or have no effect.
 type invalidUser struct {
 	*simulation
 	random  *rand.Rand
 	client  *http.Client
-	answers map[string]int // clear answers, by the kind of request
+	answers map[string]int // number of conclusive answers by kind of request
 }
 
-// cpusOfNoMachine are more than any machine of a simulation has.
+// cpusOfNoMachine is more than any machine of a simulation has.
 const cpusOfNoMachine = 17.0
 
-// sendOne sends request i, of which each third one is of the same kind.
+// sendOne sends request i. The kinds of requests alternate with a period of three.
 func (u *invalidUser) sendOne(i int) {
 	reported := u.ReportedPhases()
 	if len(reported) == 0 {
@@ -66,7 +66,7 @@
 	}
 }
 
-// submitWithoutField submits a job that lacks the n-th field, in the order of their names.
+// submitWithoutField submits a job without the n-th field in alphabetical order.
 func (u *invalidUser) submitWithoutField(id string, n int) {
 	fields := minimalSubmission(id)
 	names := slices.Sorted(maps.Keys(fields))
@@ -75,7 +75,7 @@
 	if status, _ := u.post("/api/jobs", fields); status == 400 {
 		u.answers["lacks a field"]++
 	} else if status != 0 {
-		u.ReportViolation("refused: a submission without %s got %d", missing, status)
+		u.ReportViolation("refused: a submission without %s got %d, want 400", missing, status)
 	}
 }
 
@@ -86,20 +86,20 @@
 	if status, _ := u.post("/api/jobs", fields); status == 422 {
 		u.answers["never"]++
 	} else if status != 0 {
-		u.ReportViolation("refused: a job that fits no machine got %d", status)
+		u.ReportViolation("refused: a job that fits no machine got %d, want 422", status)
 	}
 }
 
-// cancelDone cancels a job that is done, which it stays.
+// cancelDone cancels a job that is done. The job has to remain done.
 func (u *invalidUser) cancelDone(id string) {
 	if status, phase := u.post("/api/jobs/"+id+"/abort", nil); status == 200 && phase == wire.JobDone {
 		u.answers["done"]++
 	} else if status != 0 {
-		u.ReportViolation("went_back: the cancellation of %s, which is done, got %d %s", id, status, phase)
+		u.ReportViolation("went_back: the cancellation of %s, which is done, got %d %s, want 200 done", id, status, phase)
 	}
 }
 
-// resubmitChanged repeats the submission of a known job with another body.
+// resubmitChanged resubmits a known job with a different body.
 func (u *invalidUser) resubmitChanged(id string) {
 	final := u.FinalPhase(id)
 	fields := minimalSubmission(id)
@@ -110,28 +110,28 @@
 	}
 }
 
-// post sends a request to a drawn controller. A status of 0 means that there was no clear
+// post sends a request to a random controller. It returns status 0 if there was no conclusive
 // answer.
 func (u *invalidUser) post(path string, fields map[string]any) (status int, phase wire.JobPhase) {
-	b, err := wire.Marshal(fields)
+	body, err := wire.Marshal(fields)
 	if err != nil {
 		panic(err)
 	}
 	url := "http://" + u.controllerAddress(u.random.IntN(len(u.controllers))) + path
-	res, err := u.client.Post(url, wire.ContentType, bytes.NewReader(b))
+	response, err := u.client.Post(url, wire.ContentType, bytes.NewReader(body))
 	if err != nil {
 		return 0, ""
 	}
-	b, err = io.ReadAll(res.Body)
-	_ = res.Body.Close()
-	var st wire.JobStatus
-	if err != nil || (res.StatusCode == 200 && wire.Unmarshal(b, &st) != nil) || res.StatusCode >= 429 {
+	body, err = io.ReadAll(response.Body)
+	_ = response.Body.Close()
+	var jobStatus wire.JobStatus
+	if err != nil || (response.StatusCode == 200 && wire.Unmarshal(body, &jobStatus) != nil) || response.StatusCode >= 429 {
 		return 0, ""
 	}
-	return res.StatusCode, st.Phase
+	return response.StatusCode, jobStatus.Phase
 }
 
-// minimalSubmission are the fields of a small job's submission.
+// minimalSubmission returns the fields of a small job's submission.
 func minimalSubmission(id string) (fields map[string]any) {
 	spec := &job.Spec{ID: id, Team: "blue", ShapeName: "array", PriorityName: "idle", Tasks: 1, CPUs: 1, MemGB: 1}
 	if err := wire.Unmarshal(submission(spec), &fields); err != nil {
--- a/internal/node/sim_faults_replay_test.go
+++ b/internal/node/sim_faults_replay_test.go
@@ -10,18 +10,18 @@
 	"vetchstream/internal/wire"
 )
 
-// maxReplays bounds the captured heartbeats that are sent at a time.
+// maxReplays is the maximum number of replayed heartbeats in flight.
 const maxReplays = 100
 
-// replayHeartbeats captures all heartbeats for a while, and sends them to all controllers at
-// once, so long after.
-func replayHeartbeats(captureTime, after time.Duration) func(*simulation) {
+// replayHeartbeats captures all heartbeats for captureTime. After the delay it sends
+// them, distributed over all controllers, as fast as maxReplays permits.
+func replayHeartbeats(captureTime, delay time.Duration) func(*simulation) {
 	return func(s *simulation) {
 		s.CaptureHeartbeats(true)
 		time.Sleep(captureTime)
 		s.CaptureHeartbeats(false)
 		captured := s.CapturedHeartbeats()
-		time.Sleep(after)
+		time.Sleep(delay)
 		slots := make(chan struct{}, maxReplays)
 		for i, heartbeat := range captured {
 			slots <- struct{}{}
@@ -33,24 +33,24 @@
 	}
 }
 
-// replayHeartbeat sends a captured heartbeat to controller i, from its worker's address.
+// replayHeartbeat sends a captured heartbeat to controller i from the address of its worker.
 func (s *simulation) replayHeartbeat(i int, heartbeat emulate.CapturedHeartbeat) {
 	ctx, cancel := context.WithTimeout(context.Background(), 4*time.Second)
 	defer cancel()
 	url := "http://" + s.controllerAddress(i) + "/checkin"
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(heartbeat.Body))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(heartbeat.Body))
 	if err != nil {
 		panic(err)
 	}
-	req.Header.Set("Content-Type", wire.ContentType)
-	hc := &http.Client{Transport: &http.Transport{DialContext: s.net.Dialer(heartbeat.Host), DisableKeepAlives: true}}
-	if res, err := hc.Do(req); err == nil {
-		_ = res.Body.Close()
+	request.Header.Set("Content-Type", wire.ContentType)
+	client := &http.Client{Transport: &http.Transport{DialContext: s.net.Dialer(heartbeat.Host), DisableKeepAlives: true}}
+	if response, err := client.Do(request); err == nil {
+		_ = response.Body.Close()
 	}
 }
 
-// replayToNextLeader captures all heartbeats for a while, and sends them to all controllers as
-// another leader begins.
+// replayToNextLeader captures all heartbeats for captureTime, and sends them, distributed over
+// all controllers, when the next term begins.
 func replayToNextLeader(captureTime time.Duration) func(*simulation) {
 	return func(s *simulation) {
 		s.CaptureHeartbeats(true)
@@ -64,6 +64,6 @@
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
-		s.reportUnreachedCondition("no other leader has come")
+		s.reportUnreachedCondition("no new term began within 30 s")
 	}
 }
--- a/internal/node/sim_faults_requests_test.go
+++ b/internal/node/sim_faults_requests_test.go
@@ -13,7 +13,7 @@
 )
 
 // submissionBurst submits n small jobs at once, each by three users, and cancels half of
-// them before, while and after they are accepted.
+// them: some before or while they are accepted, the others afterwards.
 func submissionBurst(n int) func(*simulation) {
 	return func(s *simulation) {
 		for i := range n {
@@ -22,7 +22,8 @@
 	}
 }
 
-// submitByThreeUsers submits job i of a burst by three users, of whom one cancels it if i is even.
+// submitByThreeUsers submits job i of a burst by three users. One of them cancels it if i is
+// even; another user cancels it early if i is a multiple of four.
 func (s *simulation) submitByThreeUsers(i int) {
 	spec := &job.Spec{
 		ID:           fmt.Sprintf("run-9%05d", i),
@@ -41,38 +42,38 @@
 	}
 	s.DescribeJob(spec)
 	s.Go(func() { s.runUser(spec, 0, cancelAfter) })
-	hc := s.userClient(5 * time.Second)
+	client := s.userClient(5 * time.Second)
 	for range 2 {
-		s.Go(func() { s.submit(hc, spec) })
+		s.Go(func() { s.submit(client, spec) })
 	}
 	if i%4 == 0 {
-		s.Go(func() { s.cancelEarly(hc, spec) })
+		s.Go(func() { s.cancelEarly(client, spec) })
 	}
 }
 
-// cancelEarly cancels a job that may not be submitted yet.
-func (s *simulation) cancelEarly(hc *http.Client, spec *job.Spec) {
-	s.request(hc, "POST", "/api/jobs/"+spec.ID+"/abort", nil, func(status int, st wire.JobStatus) bool {
-		if status == 200 && st.Phase != wire.JobCancelled && st.Phase != wire.JobDone {
-			s.ReportViolation("went_back: an abort of %s got %s", spec.ID, st.Phase)
+// cancelEarly cancels a job that may not have been submitted yet.
+func (s *simulation) cancelEarly(client *http.Client, spec *job.Spec) {
+	s.request(client, "POST", "/api/jobs/"+spec.ID+"/abort", nil, func(status int, jobStatus wire.JobStatus) bool {
+		if status == 200 && jobStatus.Phase != wire.JobCancelled && jobStatus.Phase != wire.JobDone {
+			s.ReportViolation("went_back: an abort of %s got %s, want cancelled or done", spec.ID, jobStatus.Phase)
 		}
 		return status == 200 || status == 404 // not submitted yet
 	})
 }
 
-// cancelRunningJobs cancels up to n jobs that run, within a fifth of a second, at all
-// controllers, and lets up to eight machines that have tasks of them hang for a while. At
-// least one of the cancellations has to be confirmed within the time given.
-func cancelRunningJobs(seed uint64, n int, hangs, within time.Duration) func(*simulation) {
+// cancelRunningJobs cancels up to n running jobs within 200 ms through all controllers, and
+// lets up to eight workers with tasks of these jobs hang for hangTime. At least one of the
+// cancellations has to be confirmed within the given time.
+func cancelRunningJobs(seed uint64, n int, hangTime, within time.Duration) func(*simulation) {
 	return func(s *simulation) {
-		begun := time.Now()
+		start := time.Now()
 		jobs := s.SelectForCancellation(newRand(seed), n)
 		if len(jobs) == 0 {
-			s.reportUnreachedCondition("no job runs that could be called off")
+			s.reportUnreachedCondition("no running job to cancel")
 			return
 		}
 		workers := s.WorkersWithJobs(jobs, 8)
-		if hangs > 0 {
+		if hangTime > 0 {
 			s.Hang(workers, true)
 		}
 		for i, spec := range jobs {
@@ -81,27 +82,26 @@
 				s.cancelJob(spec)
 			})
 		}
-		time.Sleep(hangs)
-		if hangs > 0 {
+		time.Sleep(hangTime)
+		if hangTime > 0 {
 			s.Hang(workers, false)
 		}
-		time.Sleep(within - time.Since(begun))
-		if s.CancellationsConfirmed(begun, begun.Add(within)) == 0 {
-			s.reportUnreachedCondition("none of %d cancellations was told within %v", len(jobs), within)
+		time.Sleep(within - time.Since(start))
+		if s.CancellationsConfirmed(start, start.Add(within)) == 0 {
+			s.reportUnreachedCondition("none of %d cancellations was confirmed within %v", len(jobs), within)
 		}
 	}
 }
 
-// cancelAtCompletion cancels each job at the moment in which its last task ends, or up to
-// 60 ms later.
+// cancelAtCompletion cancels each job between 0 and 60 ms after its last task has ended.
 func cancelAtCompletion(seed uint64, duration time.Duration) func(*simulation) {
 	return func(s *simulation) {
 		var mu sync.Mutex
-		r := newRand(seed)
+		random := newRand(seed)
 		cancelled := 0
 		s.OnLastTaskDone(func(spec *job.Spec) {
 			mu.Lock()
-			wait := time.Duration(r.IntN(60)) * time.Millisecond
+			wait := time.Duration(random.IntN(60)) * time.Millisecond
 			cancelled++
 			mu.Unlock()
 			time.Sleep(wait)
@@ -112,12 +112,12 @@
 		mu.Lock()
 		defer mu.Unlock()
 		if cancelled < 3 {
-			s.reportUnreachedCondition("%d jobs were called off at their ends", cancelled)
+			s.reportUnreachedCondition("%d jobs were cancelled as their last task ended, want at least 3", cancelled)
 		}
 	}
 }
 
-// jobStream submits one-task jobs, four a second, and cancels a quarter of them.
+// jobStream submits four single-task jobs per second, and cancels a quarter of them.
 func jobStream(duration time.Duration) func(*simulation) {
 	return func(s *simulation) {
 		for i := range int(4 * duration / time.Second) {
@@ -143,7 +143,7 @@
 	}
 }
 
-// probeAfterAnswers lets users ask all controllers within milliseconds after each answer.
+// probeAfterAnswers lets users query all controllers within milliseconds after each answer.
 func probeAfterAnswers(duration time.Duration) func(*simulation) {
 	return func(s *simulation) {
 		s.probing.Store(true)
@@ -152,8 +152,8 @@
 	}
 }
 
-// probeControllers asks all controllers, and repeats the submission there, in the milliseconds
-// after an answer. None may answer with an older state than was reported before the question.
+// probeControllers polls the job and resubmits it at all controllers in the milliseconds after
+// an answer. No controller may answer with an older state than was reported before the probe.
 func (s *simulation) probeControllers(spec *job.Spec, cancelled bool) {
 	if !s.probing.Load() {
 		return
@@ -166,49 +166,49 @@
 	}
 }
 
-// probeController asks about a job at controller i, or repeats its submission there.
+// probeController polls a job at controller i if i is even, and resubmits it there otherwise.
 func (s *simulation) probeController(i int, spec *job.Spec, cancelled bool) {
-	hc := s.userClient(4 * time.Second)
+	client := s.userClient(4 * time.Second)
 	before := s.FinalPhase(spec.ID)
 	url := "http://" + s.controllerAddress(i) + "/api/jobs"
-	polls := i%2 == 0
-	var res *http.Response
+	isPoll := i%2 == 0
+	var response *http.Response
 	var err error
-	if polls {
-		res, err = hc.Get(url + "/" + spec.ID)
+	if isPoll {
+		response, err = client.Get(url + "/" + spec.ID)
 	} else {
-		res, err = hc.Post(url, wire.ContentType, bytes.NewReader(submission(spec)))
+		response, err = client.Post(url, wire.ContentType, bytes.NewReader(submission(spec)))
 	}
 	if err != nil {
 		return
 	}
-	b, err := io.ReadAll(res.Body)
-	_ = res.Body.Close()
-	var st wire.JobStatus
-	if err != nil || (res.StatusCode/100 == 2 && wire.Unmarshal(b, &st) != nil) {
+	body, err := io.ReadAll(response.Body)
+	_ = response.Body.Close()
+	var jobStatus wire.JobStatus
+	if err != nil || (response.StatusCode/100 == 2 && wire.Unmarshal(body, &jobStatus) != nil) {
 		return
 	}
-	if polls {
-		s.CheckPoll(spec, res.StatusCode, st.Phase, before, cancelled)
+	if isPoll {
+		s.CheckPoll(spec, response.StatusCode, jobStatus.Phase, before, cancelled)
 	} else {
-		s.CheckResubmission(spec, res.StatusCode, st.Phase, before)
+		s.CheckResubmission(spec, response.StatusCode, jobStatus.Phase, before)
 	}
 }
 
-// waitUntilAtLimit waits until teams use all but a little of their limits, for ten seconds
-// each at most.
+// waitUntilAtLimit waits until each of the teams uses nearly all of its limit, for at most ten
+// seconds per team.
 func waitUntilAtLimit(teams ...string) func(*simulation) {
 	return func(s *simulation) {
 		for _, team := range teams {
-			most := 0.0
+			peak := 0.0
 			for range 100 {
-				if most = max(most, s.TeamCPUs(team)); most >= 12*float64(s.scale) {
+				if peak = max(peak, s.TeamCPUs(team)); peak >= 12*float64(s.scale) {
 					break
 				}
 				time.Sleep(100 * time.Millisecond)
 			}
-			if most < 12*float64(s.scale) {
-				s.reportUnreachedCondition("team %s uses %v CPUs at most: not at its limit", team, most)
+			if peak < 12*float64(s.scale) {
+				s.reportUnreachedCondition("team %s used at most %v CPUs, which is not close to its limit", team, peak)
 			}
 		}
 	}
