--- a/internal/node/sim_faults_store_test.go
+++ b/internal/node/sim_faults_store_test.go
@@ -8,7 +8,7 @@
 	"vetchstream/internal/election"
 )
 
-// storeOutage lets the key-value store refuse everybody for a while.
+// storeOutage lets the key-value store refuse all requests for the duration.
 func storeOutage(duration time.Duration) func(*simulation) {
 	return func(s *simulation) {
 		s.store.SetOutage(true)
@@ -17,7 +17,8 @@
 	}
 }
 
-// refuseLeaderAtStore lets the key-value store refuse the leader alone for a while.
+// refuseLeaderAtStore lets the key-value store refuse only the leader's requests for the
+// duration.
 func refuseLeaderAtStore(duration time.Duration) func(*simulation) {
 	return func(s *simulation) {
 		leader := s.memberAfterLeader(0)
@@ -27,57 +28,58 @@
 	}
 }
 
-// rollBackTerm lets a leader of a high term end, and the key-value store name a much earlier
-// term.
+// rollBackTerm stores a high term and crashes the leader, and then does the same with a much
+// lower term.
 func rollBackTerm(s *simulation) {
 	for _, term := range []uint64{40, 3} {
 		if err := s.store.Put(election.KeyTerm, map[string]any{"term": term}); err != nil {
 			panic(err)
 		}
-		crashControllers(1)(s) // the next term is one above
+		crashControllers(1)(s) // the next leader has the stored term + 1
 		time.Sleep(8 * time.Second)
 	}
 }
 
-// refuseLeaderThenOutage lets the key-value store refuse the leader alone, and then everybody
-// for a while.
-func refuseLeaderThenOutage(shift, out time.Duration) func(*simulation) {
+// refuseLeaderThenOutage lets the key-value store refuse only the leader's requests, and then
+// all requests for outageTime.
+func refuseLeaderThenOutage(refusalTime, outageTime time.Duration) func(*simulation) {
 	return func(s *simulation) {
 		leader := s.memberAfterLeader(0)
 		s.store.RefuseFrom(func(from string) bool { return from == leader })
-		time.Sleep(shift)
-		storeOutage(out)(s)
+		time.Sleep(refusalTime)
+		storeOutage(outageTime)(s)
 	}
 }
 
-// delayTransactions lets a share of the transactions go without an answer for a while; delay
-// is how late each is carried out, below 0: at once.
-func delayTransactions(s *simulation, seed uint64, share float64, duration time.Duration, delay func(r *rand.Rand) time.Duration) {
+// delayTransactions leaves a share of the key-value store's transactions unanswered for the
+// duration. delay returns the time after which such a transaction is executed; if it is
+// negative, the transaction is executed immediately.
+func delayTransactions(s *simulation, seed uint64, share float64, duration time.Duration, delay func(random *rand.Rand) time.Duration) {
 	var mu sync.Mutex
-	r := newRand(seed)
+	random := newRand(seed)
 	s.store.DelayTransactions(func() time.Duration {
 		mu.Lock()
 		defer mu.Unlock()
-		if r.Float64() >= share {
+		if random.Float64() >= share {
 			return 0
 		}
-		return delay(r)
+		return delay(random)
 	})
 	time.Sleep(duration)
 	s.store.DelayTransactions(nil)
 }
 
-// lateTransactions lets a share of the transactions be carried out 2 to 12 s later.
+// lateTransactions delays the execution of a share of the transactions by 2 to 12 s.
 func lateTransactions(seed uint64, share float64, duration time.Duration) func(*simulation) {
 	return func(s *simulation) {
-		delayTransactions(s, seed, share, duration, func(r *rand.Rand) time.Duration {
-			return 2*time.Second + time.Duration(r.Int64N(int64(10*time.Second)))
+		delayTransactions(s, seed, share, duration, func(random *rand.Rand) time.Duration {
+			return 2*time.Second + time.Duration(random.Int64N(int64(10*time.Second)))
 		})
 	}
 }
 
-// lostAnswers loses the answers to a share of the transactions for a while, which are carried
-// out at once.
+// lostAnswers drops the answers to a share of the transactions for the duration. The
+// transactions are executed immediately.
 func lostAnswers(seed uint64, share float64, duration time.Duration) func(*simulation) {
 	return func(s *simulation) {
 		delayTransactions(s, seed, share, duration, func(*rand.Rand) time.Duration { return -3 * time.Second })
--- a/internal/node/sim_pause_test.go
+++ b/internal/node/sim_pause_test.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// pauseGate stops what a process sends and takes in while it stands still. A message
-// whose sender has passed every check waits in it, and leaves when the process
-// goes on.
+// pauseGate blocks the network traffic of a process while the process is paused. A message
+// that has passed all of its sender's checks waits at the gate and is sent once the process
+// resumes.
 type pauseGate struct {
 	mu      sync.Mutex
-	resumed chan struct{} // nil: open
+	resumed chan struct{} // closed when the process resumes; nil: not paused
 }
 
-// pause lets the process stand still for a while.
+// pause suspends the process for the duration.
 func (g *pauseGate) pause(duration time.Duration) {
 	resumed := make(chan struct{})
 	g.mu.Lock()
@@ -27,7 +27,7 @@
 	close(resumed)
 }
 
-// wait returns once the process goes on.
+// wait blocks while the process is paused.
 func (g *pauseGate) wait() {
 	g.mu.Lock()
 	resumed := g.resumed
@@ -37,7 +37,7 @@
 	}
 }
 
-// pausableConn is a connection of a process that may be paused.
+// pausableConn is a connection of a process that can be paused.
 type pausableConn struct {
 	net.Conn
 	gate *pauseGate
@@ -56,7 +56,7 @@
 	return n, err
 }
 
-// pausableListener is a listener of a process that may be paused.
+// pausableListener is a listener of a process that can be paused.
 type pausableListener struct {
 	net.Listener
 	gate *pauseGate
@@ -64,10 +64,10 @@
 
 // Accept implements net.Listener.
 func (l pausableListener) Accept() (net.Conn, error) {
-	c, err := l.Listener.Accept()
+	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
 	l.gate.wait()
-	return pausableConn{c, l.gate}, nil
+	return pausableConn{conn, l.gate}, nil
 }
