--- a/internal/node/node_health.go
+++ b/internal/node/node_health.go
@@ -7,19 +7,21 @@
 )
 
 const (
-	// storeReachableTime is how long a node tells its siblings that the key-value store
-	// answers it: its watch returns every five seconds.
-	storeReachableTime = 7 * time.Second
-	// healthyStoreTime is how long the last answer of the key-value store makes a node
-	// healthy that reaches no leader.
-	healthyStoreTime = 8 * time.Second
-	// servesUsersTime is how long after the last user's request a node counts as one that
-	// the load balancer sends users to.
-	servesUsersTime = 3 * time.Second
-	// unableGrace is how long a node without leader and key-value store stays healthy:
-	// being taken out and put back by the load balancer costs users more than a short
-	// outage, in which no other node could serve them either.
-	unableGrace = 20 * time.Second
+	// storeReachableMaxAge is the age of the key-value store's last answer up to which a
+	// node reports to its siblings that it reaches the store. The node's watch of the
+	// store returns every five seconds.
+	storeReachableMaxAge = 7 * time.Second
+	// healthyStoreMaxAge is the age of the key-value store's last answer up to which a
+	// node that reaches no leader counts as able to serve users.
+	healthyStoreMaxAge = 8 * time.Second
+	// userTrafficWindow is the time since a node's last user request within which the load
+	// balancer is assumed to send users to the node.
+	userTrafficWindow = 3 * time.Second
+	// unhealthyDelay is how long a node that reaches neither a leader nor the key-value
+	// store still reports itself healthy. In a short outage no other node could serve its
+	// users either, and being removed from the load balancer and added again would cost
+	// them more than the outage.
+	unhealthyDelay = 20 * time.Second
 )
 
 // NodeStatus implements rpc.Handler.
@@ -32,28 +34,29 @@
 		ServesUsers:    n.servesUsers(),
 		Overloaded:     n.delay.Overloaded(),
 		ProbeUs:        n.delay.ProbeTime().Microseconds(),
-		StoreReachable: time.Since(view.StoreRespondedAt) < storeReachableTime,
+		StoreReachable: time.Since(view.StoreRespondedAt) < storeReachableMaxAge,
 	}
 }
 
-// recordUser notes that a user's request has arrived.
-func (n *Node) recordUser() {
+// recordUserRequest records the arrival of a user's request.
+func (n *Node) recordUserRequest() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.lastUserAt = time.Now()
+	n.lastUserRequestAt = time.Now()
 }
 
-// servesUsers reports whether the load balancer sends users to this node.
+// servesUsers reports whether this node has received user requests recently, which means
+// that the load balancer sends users to it.
 func (n *Node) servesUsers() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return time.Since(n.lastUserAt) < servesUsersTime
+	return time.Since(n.lastUserRequestAt) < userTrafficWindow
 }
 
-// Healthy implements api.Backend. An overloaded leader leaves its users to the other
-// nodes, which have little to do and can admit jobs and answer polls without it. It
-// waits until the load balancer sends users to one of them, which takes up to a minute
-// after a restart.
+// Healthy implements api.Backend. An overloaded leader reports itself unhealthy, so that
+// the load balancer sends its users to the followers, which are lightly loaded and can
+// admit jobs and answer polls without the leader. It does so only once the load balancer
+// sends users to at least one of them, which takes up to a minute after a restart.
 func (n *Node) Healthy() bool {
 	if n.controller.Leading() && n.delay.Overloaded() && n.mesh.AnyServesUsers() {
 		return false
@@ -62,20 +65,20 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if able {
-		n.unableSince = time.Time{}
+		n.unableToServeSince = time.Time{}
 		return true
 	}
-	if n.unableSince.IsZero() {
-		n.unableSince = time.Now()
+	if n.unableToServeSince.IsZero() {
+		n.unableToServeSince = time.Now()
 	}
-	return time.Since(n.unableSince) < unableGrace
+	return time.Since(n.unableToServeSince) < unhealthyDelay
 }
 
-// ableToServe reports whether this node can answer users: as leader, through the
-// key-value store, or through a leader that it reaches.
+// ableToServe reports whether this node can answer users: as the leader, through the
+// key-value store, or through a reachable leader.
 func (n *Node) ableToServe() bool {
 	view := n.elector.View()
 	return n.controller.Leading() ||
-		time.Since(view.StoreRespondedAt) < healthyStoreTime ||
+		time.Since(view.StoreRespondedAt) < healthyStoreMaxAge ||
 		(view.Leader != "" && n.mesh.Reachable(view.Leader))
 }
