--- a/internal/node/accel_test.go
+++ b/internal/node/accel_test.go
@@ -82,9 +82,9 @@
 	}
 }
 
-// TestAccelerated: accelerators are the scarce resource. Quotas are in them, replicas are
+// TestAcceleratorFaults: accelerators are the scarce resource. Quotas are in them, replicas are
 // spread over two zones of which one runs short, and gangs take whole machines.
-func TestAccelerated(t *testing.T) {
+func TestAcceleratorFaults(t *testing.T) {
 	sec := time.Second
 	runScenarios(t, acceleratorEnvironment(1), nil, []scenario{
 		{"quiet", nil},
