--- a/internal/node/calendar_test.go
+++ b/internal/node/calendar_test.go
@@ -44,9 +44,9 @@
 	{"held machines are lost half a minute before", 12, nil, nil, beforeSlot(-30*time.Second, killZone("a")), 15 * time.Second, ""},
 }
 
-// TestSlots: a gang that claims a slot starts whole and on time on a full fleet, through
+// TestReservedGangStartsOnTime: a gang that claims a slot starts whole and on time on a full fleet, through
 // faults that must not disturb it.
-func TestSlots(t *testing.T) {
+func TestReservedGangStartsOnTime(t *testing.T) {
 	for _, tt := range slotCases {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
