--- a/internal/node/calendar_test.go
+++ b/internal/node/calendar_test.go
@@ -133,9 +133,9 @@
 	{"a window that does not exist", "/api/maintenance/none/cancel", map[string]any{}, 404},
 }
 
-// TestUnclaimed: a slot that nobody claims lapses after its grace, and its machines
+// TestUnclaimedReservationLapses: a slot that nobody claims lapses after its grace, and its machines
 // work again; requests of another team do not reach it.
-func TestUnclaimed(t *testing.T) {
+func TestUnclaimedReservationLapses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sim, closeAll := newCalendarSimulation(t, 6, nil)
 		defer closeAll()
