--- a/internal/node/calendar_test.go
+++ b/internal/node/calendar_test.go
@@ -173,9 +173,9 @@
 	})
 }
 
-// TestCold: a slot on provisioned machines alone, which boot late, or never. None is counted
+// TestReservationOnProvisionedMachines: a slot on provisioned machines alone, which boot late, or never. None is counted
 // twice, and all are released.
-func TestCold(t *testing.T) {
+func TestReservationOnProvisionedMachines(t *testing.T) {
 	tests := []struct {
 		name           string
 		bootDelay      time.Duration // of two machines
