--- a/internal/node/cancel_test.go
+++ b/internal/node/cancel_test.go
@@ -68,9 +68,9 @@
 	}
 }
 
-// TestCancelledInFlight: a launch of a cancelled job arrives when no task of the job may be on
+// TestLateLaunchesOfCancelledJobs: a launch of a cancelled job arrives when no task of the job may be on
 // a machine any more.
-func TestCancelledInFlight(t *testing.T) {
+func TestLateLaunchesOfCancelledJobs(t *testing.T) {
 	const scale = 20
 	sec := time.Second
 	days := []scenario{
