--- a/internal/node/cancel_test.go
+++ b/internal/node/cancel_test.go
@@ -94,9 +94,9 @@
 	runScenarios(t, defaultEnvironment(3, scale, withOutagePromises), seen, ofLeader)
 }
 
-// TestCancelledUnhalted: the halts of cancelled jobs do not leave the controllers that answer
+// TestUndeliveredHaltsOfCancelledJobs: the halts of cancelled jobs do not leave the controllers that answer
 // the heartbeats, or wait behind others that nobody answers.
-func TestCancelledUnhalted(t *testing.T) {
+func TestUndeliveredHaltsOfCancelledJobs(t *testing.T) {
 	const scale, sockets = 20, 200
 	sec := time.Second
 	runScenarios(t, withLongJobs(defaultEnvironment(3, scale, withSharding)), nil, []scenario{
