--- a/internal/node/cancel_test.go
+++ b/internal/node/cancel_test.go
@@ -129,8 +129,8 @@
 	})
 }
 
-// TestCancelledDrawn: held commands, cancellations and other faults that are drawn by a seed.
-func TestCancelledDrawn(t *testing.T) {
+// TestCancelledJobsRandomFaults: held commands, cancellations and other faults that are drawn by a seed.
+func TestCancelledJobsRandomFaults(t *testing.T) {
 	sec := time.Second
 	env := withLongJobs(defaultEnvironment(3, 20, withSharding))
 	env.randomized = true
