--- a/internal/node/coinciding_faults_test.go
+++ b/internal/node/coinciding_faults_test.go
@@ -45,9 +45,9 @@
 	})
 }
 
-// TestGapOfFive is the same with five controllers that share the machines, and with machines
+// TestStoreRefusalThenOutageFiveControllers is the same with five controllers that share the machines, and with machines
 // that receive nothing.
-func TestGapOfFive(t *testing.T) {
+func TestStoreRefusalThenOutageFiveControllers(t *testing.T) {
 	sec := time.Second
 	runScenarios(t, withCancelledJobs(defaultEnvironment(5, 1, withSharding), 15*sec, 600*time.Millisecond), nil, []scenario{
 		{"a holder retains machines", overlapping(fault{16 * sec, refuseLeaderThenOutage(5*sec, 32*sec)})},
