--- a/internal/node/coinciding_faults_test.go
+++ b/internal/node/coinciding_faults_test.go
@@ -13,9 +13,9 @@
 // Scenarios in which two faults coincide. A cancellation counts from the first answer of any
 // controller that confirms it.
 
-// TestGap: the key-value store refuses the leader alone, another may become leader and confirm
+// TestStoreRefusalThenOutage: the key-value store refuses the leader alone, another may become leader and confirm
 // cancellations, and then there is an outage for longer than cancel_s.
-func TestGap(t *testing.T) {
+func TestStoreRefusalThenOutage(t *testing.T) {
 	sec := time.Second
 	const out = 32 * time.Second
 	at := 16 * sec
