--- a/internal/node/coinciding_faults_test.go
+++ b/internal/node/coinciding_faults_test.go
@@ -137,8 +137,8 @@
 	})
 }
 
-// TestMeetingsOfFive: pairs of them with five controllers that share the machines.
-func TestMeetingsOfFive(t *testing.T) {
+// TestCoincidingFaultsFiveControllers: pairs of them with five controllers that share the machines.
+func TestCoincidingFaultsFiveControllers(t *testing.T) {
 	sec := time.Second
 	runScenarios(t, withCancelledJobs(defaultEnvironment(5, 1, withSharding), 12*sec, sec), nil, []scenario{
 		{"4 and 5: a holder alone, one stands still, five controllers", overlapping(
