--- a/internal/node/coinciding_faults_test.go
+++ b/internal/node/coinciding_faults_test.go
@@ -301,8 +301,8 @@
 	})
 }
 
-// TestMeetingsAtSize: some of them with up to 240 machines.
-func TestMeetingsAtSize(t *testing.T) {
+// TestCoincidingFaultsLargeFleet: some of them with up to 240 machines.
+func TestCoincidingFaultsLargeFleet(t *testing.T) {
 	const scale = 20
 	sec := time.Second
 	runScenarios(t, withLongJobs(defaultEnvironment(3, scale, withOutagePromises)), nil, []scenario{
