--- a/internal/node/coinciding_faults_test.go
+++ b/internal/node/coinciding_faults_test.go
@@ -152,8 +152,8 @@
 	})
 }
 
-// TestFurtherMeetings: more coinciding faults, while users ask all controllers after each answer.
-func TestFurtherMeetings(t *testing.T) {
+// TestCoincidingFaultsStatusProbes: more coinciding faults, while users ask all controllers after each answer.
+func TestCoincidingFaultsStatusProbes(t *testing.T) {
 	sec := time.Second
 	runScenarios(t, withLongJobs(defaultEnvironment(3, 1, withOutagePromises)), nil, []scenario{
 		{"close looks and odd requests", overlapping(
