--- a/internal/node/coinciding_faults_test.go
+++ b/internal/node/coinciding_faults_test.go
@@ -102,8 +102,8 @@
 	})
 }
 
-// TestMeetings: the other scenarios in which two faults coincide.
-func TestMeetings(t *testing.T) {
+// TestCoincidingFaults: the other scenarios in which two faults coincide.
+func TestCoincidingFaults(t *testing.T) {
 	sec := time.Second
 	runScenarios(t, withCancelledJobs(defaultEnvironment(3, 1, withOutagePromises), 12*sec, sec), nil, []scenario{
 		{"1: hand-over and back, all end, one returns at once", overlapping(fault{12 * sec, failoverAndRestart})},
