--- a/internal/node/coinciding_faults_test.go
+++ b/internal/node/coinciding_faults_test.go
@@ -204,8 +204,8 @@
 	})
 }
 
-// TestAway: controllers, a zone or links are away, and jobs end meanwhile.
-func TestAway(t *testing.T) {
+// TestJobsEndDuringOutages: controllers, a zone or links are away, and jobs end meanwhile.
+func TestJobsEndDuringOutages(t *testing.T) {
 	sec := time.Second
 	runScenarios(t, withLongJobs(defaultEnvironment(3, 1, withOutagePromises)), nil, []scenario{
 		{"called off as they end", overlapping(fault{0, probeClosely(70 * sec)}, fault{3 * sec, cancelAtCompletion(89, 60*sec)})},
