--- a/internal/node/coinciding_faults_test.go
+++ b/internal/node/coinciding_faults_test.go
@@ -270,10 +270,10 @@
 	})
 }
 
-// TestQuickMachines: machines that are up within two seconds and get work at once, while
+// TestFastBootingMachines: machines that are up within two seconds and get work at once, while
 // transactions are late and the leader ends; and jobs that are bound to a zone, or to one,
 // of which machines are lost.
-func TestQuickMachines(t *testing.T) {
+func TestFastBootingMachines(t *testing.T) {
 	sec := time.Second
 	env := withZoneBoundJobs(defaultEnvironment(3, 1, withOutagePromises))
 	env.editCluster = func(c *emulate.Config) {
