--- a/internal/node/coinciding_faults_test.go
+++ b/internal/node/coinciding_faults_test.go
@@ -322,8 +322,8 @@
 	})
 }
 
-// TestDrawn: scenarios of drawn faults, with three and with five controllers.
-func TestDrawn(t *testing.T) {
+// TestRandomFaults: scenarios of drawn faults, with three and with five controllers.
+func TestRandomFaults(t *testing.T) {
 	environments := []environment{
 		withLongJobs(defaultEnvironment(3, 1, withOutagePromises)),
 		withLongJobs(defaultEnvironment(5, 1, withSharding)),
