--- a/internal/node/connectivity_test.go
+++ b/internal/node/connectivity_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestOneWay: machines whose heartbeats arrive and that receive nothing.
-func TestOneWay(t *testing.T) {
+// TestUnansweredHeartbeats: machines whose heartbeats arrive and that receive nothing.
+func TestUnansweredHeartbeats(t *testing.T) {
 	sec := time.Second
 	days := []scenario{
 		{"a machine, for longer than the lease", []fault{{14 * sec, blockAnswers(22, 1, anyController, 40*sec)}}},
