--- a/internal/node/connectivity_test.go
+++ b/internal/node/connectivity_test.go
@@ -28,8 +28,8 @@
 	})
 }
 
-// TestCopies: copies of heartbeats that arrive late.
-func TestCopies(t *testing.T) {
+// TestReplayedHeartbeats: copies of heartbeats that arrive late.
+func TestReplayedHeartbeats(t *testing.T) {
 	sec := time.Second
 	days := []scenario{
 		{"well over a lease later, at the next leader", []fault{
