--- a/internal/node/connectivity_test.go
+++ b/internal/node/connectivity_test.go
@@ -51,9 +51,9 @@
 	})
 }
 
-// TestAlone: a controller that reaches neither the key-value store nor the other controllers,
+// TestIsolatedController: a controller that reaches neither the key-value store nor the other controllers,
 // and still reaches its workers.
-func TestAlone(t *testing.T) {
+func TestIsolatedController(t *testing.T) {
 	sec := time.Second
 	runScenarios(t, defaultEnvironment(5, 1, withSharding), nil, []scenario{
 		{"the leader, for 5 s and for the lease of the lead", []fault{
