--- a/internal/node/connectivity_test.go
+++ b/internal/node/connectivity_test.go
@@ -71,8 +71,8 @@
 	})
 }
 
-// TestBackAtOnce: processes and machines that are back within a fraction of a second.
-func TestBackAtOnce(t *testing.T) {
+// TestImmediateRestarts: processes and machines that are back within a fraction of a second.
+func TestImmediateRestarts(t *testing.T) {
 	sec := time.Second
 	runDefault(t, 1, nil, nil, []scenario{
 		{"the leader, again and again", []fault{{12 * sec, func(s *simulation) {
