--- a/internal/node/connectivity_test.go
+++ b/internal/node/connectivity_test.go
@@ -95,8 +95,8 @@
 	})
 }
 
-// TestFive: several of five controllers fail.
-func TestFive(t *testing.T) {
+// TestFiveControllers: several of five controllers fail.
+func TestFiveControllers(t *testing.T) {
 	sec := time.Second
 	runScenarios(t, defaultEnvironment(5, 1, withSharding), nil, []scenario{
 		{"two end together, then all", []fault{{14 * sec, crashControllers(2)}, {40 * sec, crashControllers(5)}}},
