--- a/internal/node/connectivity_test.go
+++ b/internal/node/connectivity_test.go
@@ -105,8 +105,8 @@
 	})
 }
 
-// TestUsersAtSize: such scenarios with up to 240 machines.
-func TestUsersAtSize(t *testing.T) {
+// TestConnectivityFaultsLargeFleet: such scenarios with up to 240 machines.
+func TestConnectivityFaultsLargeFleet(t *testing.T) {
 	const scale = 20
 	sec := time.Second
 	runScenarios(t, defaultEnvironment(5, scale, withSharding), nil, []scenario{
