--- a/internal/node/connectivity_test.go
+++ b/internal/node/connectivity_test.go
@@ -117,8 +117,8 @@
 	})
 }
 
-// TestPairs draws two overlapping faults, with an outage or a crash beside them.
-func TestPairs(t *testing.T) {
+// TestRandomFaultPairs draws two overlapping faults, with an outage or a crash beside them.
+func TestRandomFaultPairs(t *testing.T) {
 	var scenarios []scenario
 	for seed := range uint64(4) {
 		scenarios = append(scenarios, scenario{fmt.Sprintf("pair %d", seed), []fault{{12 * time.Second, drawnPair(seed)}}})
