--- a/internal/node/job_stream_test.go
+++ b/internal/node/job_stream_test.go
@@ -16,9 +16,9 @@
 	}
 }
 
-// TestStream: one-task jobs, four a second for minutes, a quarter of them cancelled, through
+// TestJobStream: one-task jobs, four a second for minutes, a quarter of them cancelled, through
 // a change of leader, an outage and late transactions.
-func TestStream(t *testing.T) {
+func TestJobStream(t *testing.T) {
 	sec := time.Second
 	const name = "two minutes"
 	runScenarios(t, defaultEnvironment(3, 1, withOutagePromises), finalChecks{name: checkNoKeysLeft}, []scenario{
