--- a/internal/node/limits_test.go
+++ b/internal/node/limits_test.go
@@ -13,8 +13,8 @@
 	return overlapping(fault{14 * time.Second, inSequence(waitUntilAtLimit(teams...), overlapping(faults...)[0].inject)})
 }
 
-// TestLimits: faults while teams are at their limits.
-func TestLimits(t *testing.T) {
+// TestFaultsAtTeamLimits: faults while teams are at their limits.
+func TestFaultsAtTeamLimits(t *testing.T) {
 	sec := time.Second
 	one := withLongJobs(defaultEnvironment(3, 1, withOutagePromises))
 	runScenarios(t, one, nil, []scenario{
