--- a/internal/node/rules_test.go
+++ b/internal/node/rules_test.go
@@ -54,8 +54,8 @@
 	})
 }
 
-// TestRulesWorkers: workers and links fail.
-func TestRulesWorkers(t *testing.T) {
+// TestWorkerAndLinkFaults: workers and links fail.
+func TestWorkerAndLinkFaults(t *testing.T) {
 	runDefault(t, 1, nil, finalChecks{"the stored term falls behind the tokens of the workers (1, 5)": checkTermAbove(41, 3)}, []scenario{
 		{"all controllers crash (6, 11, 13)", []fault{{20 * time.Second, crashControllers(3)}}},
 		{"workers cut past their lease, held (7, 8, 9)", []fault{
