--- a/internal/node/rules_test.go
+++ b/internal/node/rules_test.go
@@ -86,8 +86,8 @@
 	})
 }
 
-// TestRulesStorms: many faults, or many requests, at a time.
-func TestRulesStorms(t *testing.T) {
+// TestFaultAndRequestBursts: many faults, or many requests, at a time.
+func TestFaultAndRequestBursts(t *testing.T) {
 	days := []scenario{
 		{"a swarm whose ids repeat, half of it cancelled, while the leader crashes (13, 14, 15, 16)", []fault{
 			{10 * time.Second, submissionBurst(240)},
