--- a/internal/node/rules_test.go
+++ b/internal/node/rules_test.go
@@ -111,9 +111,9 @@
 	runDefault(t, 1, nil, nil, days)
 }
 
-// TestRulesAtSize: several hundred machines, with failovers that load and fence a whole fleet,
+// TestFaultsLargeFleet: several hundred machines, with failovers that load and fence a whole fleet,
 // registry pages and releases of many machines at once.
-func TestRulesAtSize(t *testing.T) {
+func TestFaultsLargeFleet(t *testing.T) {
 	const scale = 20
 	runDefault(t, scale, nil, nil, []scenario{
 		{"workers cut while the leader changes, then all crash (4, 6, 9, 15)", []fault{
