--- a/internal/node/rules_test.go
+++ b/internal/node/rules_test.go
@@ -16,8 +16,8 @@
 	}
 }
 
-// TestRules: leaders and the key-value store fail.
-func TestRules(t *testing.T) {
+// TestLeaderAndStoreFaults: leaders and the key-value store fail.
+func TestLeaderAndStoreFaults(t *testing.T) {
 	runDefault(t, 1, nil, nil, []scenario{
 		{"quiet (10, 13, 16)", nil},
 		{"leader crashes, twice (1, 4, 5, 6, 11)", []fault{
