--- a/internal/node/shards_test.go
+++ b/internal/node/shards_test.go
@@ -100,9 +100,9 @@
 	})
 }
 
-// TestSharesAtSize: several hundred machines whose only other shard holder fails, and whose
+// TestShardingLargeFleet: several hundred machines whose only other shard holder fails, and whose
 // leader does.
-func TestSharesAtSize(t *testing.T) {
+func TestShardingLargeFleet(t *testing.T) {
 	const scale = 20
 	sec := time.Second
 	runDefault(t, scale, withSharding, finalChecks{"a holder of a third ends": checkUnansweredTime(6 * sec)}, []scenario{
