--- a/internal/node/shards_test.go
+++ b/internal/node/shards_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// TestShares: the controllers share the machines, and the holders of shards fail.
-func TestShares(t *testing.T) {
+// TestSharding: the controllers share the machines, and the holders of shards fail.
+func TestSharding(t *testing.T) {
 	sec := time.Second
 	checks := finalChecks{
 		"quiet": checkHeartbeatSpread(40),
