--- a/internal/node/region_changes_test.go
+++ b/internal/node/region_changes_test.go
@@ -53,9 +53,9 @@
 	{"removed", map[string]any{"remove": []any{"blue"}}, "", http.StatusOK},
 }
 
-// TestChanges: the answers that operators get to changes, rollbacks and questions, and what
+// TestConfigChanges: the answers that operators get to changes, rollbacks and questions, and what
 // follows from the removal of a team.
-func TestChanges(t *testing.T) {
+func TestConfigChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m, closeAll := newMultiRegion(t, 2, 3)
 		defer closeAll()
