--- a/internal/node/region_changes_test.go
+++ b/internal/node/region_changes_test.go
@@ -162,10 +162,10 @@
 	}
 }
 
-// TestRemoval: a team is removed while its jobs come in at all controllers of another
+// TestTeamRemoval: a team is removed while its jobs come in at all controllers of another
 // region, which do not reach each other and admit by themselves. What was accepted runs to
 // its end, and nothing is accepted once the removal is in force.
-func TestRemoval(t *testing.T) {
+func TestTeamRemoval(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m, closeAll := newMultiRegion(t, 2, 3)
 		defer closeAll()
