--- a/internal/node/region_changes_test.go
+++ b/internal/node/region_changes_test.go
@@ -229,9 +229,9 @@
 	return accepted, refused
 }
 
-// TestRejected: an update of the configuration that the key-value store rejects is tried again
+// TestRejectedConfigUpdate: an update of the configuration that the key-value store rejects is tried again
 // at a rate that leaves the store to others.
-func TestRejected(t *testing.T) {
+func TestRejectedConfigUpdate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m, closeAll := newMultiRegion(t, 2, 1)
 		defer closeAll()
