--- a/internal/node/region_scenarios_test.go
+++ b/internal/node/region_scenarios_test.go
@@ -98,8 +98,8 @@
 	})
 }
 
-// TestRegionsStores is the same where key-value stores are out, late, restored or corrupted.
-func TestRegionsStores(t *testing.T) {
+// TestRegionStoreFaults is the same where key-value stores are out, late, restored or corrupted.
+func TestRegionStoreFaults(t *testing.T) {
 	sec := time.Second
 	runRegionScenarios(t, []regionScenario{
 		{"a region's state service is out, then refuses its leader", []func(*multiRegion){
