--- a/internal/node/region_scenarios_test.go
+++ b/internal/node/region_scenarios_test.go
@@ -161,9 +161,9 @@
 	m.awaitEnd(3 * time.Minute)
 }
 
-// TestRegionsApart: a region that is cut off for an hour retains its part of the limit and goes
+// TestLongRegionPartition: a region that is cut off for an hour retains its part of the limit and goes
 // on, and has everything within 19 seconds after the partition.
-func TestRegionsApart(t *testing.T) {
+func TestLongRegionPartition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m, closeAll := newMultiRegion(t, 2, 1)
 		defer closeAll()
