--- a/internal/node/region_scenarios_test.go
+++ b/internal/node/region_scenarios_test.go
@@ -76,10 +76,10 @@
 	faults []func(*multiRegion)
 }
 
-// TestRegions: while the parts of a limit move from region to region and back, the regions
+// TestRegionFaults: while the parts of a limit move from region to region and back, the regions
 // together never use more than it, whatever leaders and links do, and what was decided comes
 // into force.
-func TestRegions(t *testing.T) {
+func TestRegionFaults(t *testing.T) {
 	sec := time.Second
 	runRegionScenarios(t, []regionScenario{
 		{"calm", nil},
