--- a/internal/node/storm_test.go
+++ b/internal/node/storm_test.go
@@ -259,11 +259,11 @@
 	return otherwise
 }
 
-// TestStorm: roll-outs through crashes, outages, cut zones and dying machines. No
+// TestRolloutStress: roll-outs through crashes, outages, cut zones and dying machines. No
 // more than one batch ever runs a bad build, and each service ends on a good one.
 // With the gates switched off the checks must find violations. STORM_SEEDS,
 // STORM_SERVICES and STORM_REPLICAS play more of it than continuous integration has time for.
-func TestStorm(t *testing.T) {
+func TestRolloutStress(t *testing.T) {
 	services, replicas := envNumber("STORM_SERVICES", 6), envNumber("STORM_REPLICAS", 6)
 	plays := []stormPlay{
 		{"gates switched off", rolloutStorm{services: 6, maxReplicas: 6, gatesOff: true}, 1, true},
