--- a/internal/node/week_test.go
+++ b/internal/node/week_test.go
@@ -185,9 +185,9 @@
 	runWeeks(t, 7, uint64(n), slices.Concat(weeksOfCalendars, weeksCompared))
 }
 
-// TestWeekJudge: the checks find late slots where machines are not held, and tasks that are cut
+// TestWeekChecksFindViolations: the checks find late slots where machines are not held, and tasks that are cut
 // off where they are not drained.
-func TestWeekJudge(t *testing.T) {
+func TestWeekChecksFindViolations(t *testing.T) {
 	runWeeks(t, 2, 1, []weekVariant{
 		{"not held", func(w *weekPlan) { w.hold = false }},
 		{"not drained", func(w *weekPlan) { w.drain = false }},
