--- a/internal/node/week_test.go
+++ b/internal/node/week_test.go
@@ -173,10 +173,10 @@
 // withoutCalendar lets gangs be submitted at the times of their slots.
 func withoutCalendar(w *weekPlan) { w.calendar, w.hold, w.drain = false, false, false }
 
-// TestWeek: every slot without a fault in the two minutes before it starts whole and on time, and
+// TestCalendarWeek: every slot without a fault in the two minutes before it starts whole and on time, and
 // maintenance cuts nothing off. WEEK_SEEDS plays weeks of seven days, so many of each
 // kind, and compares them; WEEK_PLOT is where to draw the comparison.
-func TestWeek(t *testing.T) {
+func TestCalendarWeek(t *testing.T) {
 	n, err := strconv.Atoi(os.Getenv("WEEK_SEEDS"))
 	if err != nil {
 		runWeeks(t, 2, 1, weeksOfCalendars[1:])
