--- a/internal/node/job_stream_test.go
+++ b/internal/node/job_stream_test.go
@@ -7,8 +7,8 @@
 	"vetchstream/internal/job"
 )
 
-// checkNoKeysLeft checks that no record of a job is left under the keys that a leader loads.
-func checkNoKeysLeft(s *simulation) {
+// checkNoJobRecordsLeft checks that no record of a job is left under the keys that a leader loads.
+func checkNoJobRecordsLeft(s *simulation) {
 	for _, prefix := range []string{job.ActivePrefix, job.GroupPrefix, job.DonePrefix} {
 		if n := s.store.CountKeys(prefix); n > 0 {
 			s.t.Errorf("%d keys are left under %s", n, prefix)
@@ -21,7 +21,7 @@
 func TestJobStream(t *testing.T) {
 	sec := time.Second
 	const name = "two minutes"
-	runScenarios(t, defaultEnvironment(3, 1, withOutagePromises), finalChecks{name: checkNoKeysLeft}, []scenario{
+	runScenarios(t, defaultEnvironment(3, 1, withOutagePromises), finalChecks{name: checkNoJobRecordsLeft}, []scenario{
 		{name, overlapping(
 			fault{5 * sec, jobStream(2 * time.Minute)},
 			fault{20 * sec, crashControllers(1)},
