--- a/internal/node/connectivity_test.go
+++ b/internal/node/connectivity_test.go
@@ -121,15 +121,15 @@
 func TestRandomFaultPairs(t *testing.T) {
 	var scenarios []scenario
 	for seed := range uint64(4) {
-		scenarios = append(scenarios, scenario{fmt.Sprintf("pair %d", seed), []fault{{12 * time.Second, drawnPair(seed)}}})
+		scenarios = append(scenarios, scenario{fmt.Sprintf("pair %d", seed), []fault{{12 * time.Second, randomFaultPair(seed)}}})
 	}
 	runDefault(t, 1, nil, nil, scenarios[:2])
 	runScenarios(t, defaultEnvironment(5, 1, withSharding), nil, scenarios[2:])
 }
 
-// drawnPair draws two faults and a third one beside them, which begin three seconds after each
+// randomFaultPair draws two faults and a third one beside them, which begin three seconds after each
 // other.
-func drawnPair(seed uint64) func(*simulation) {
+func randomFaultPair(seed uint64) func(*simulation) {
 	r := newRand(500 + seed)
 	sec := time.Second
 	draw := []func() func(*simulation){
