--- a/internal/node/coinciding_faults_test.go
+++ b/internal/node/coinciding_faults_test.go
@@ -74,8 +74,8 @@
 	s.startController(2)
 }
 
-// slowThenOut makes the key-value store slow, and then unavailable.
-func slowThenOut(s *simulation) {
+// slowStoreThenOutage makes the key-value store slow, and then unavailable.
+func slowStoreThenOutage(s *simulation) {
 	s.store.SetLatency(900 * time.Millisecond)
 	time.Sleep(9 * time.Second)
 	s.store.SetLatency(0)
@@ -120,7 +120,7 @@
 		{"4: the leader alone with workers and users while jobs are cancelled", overlapping(
 			fault{12 * sec, isolateController(0, 18*sec)},
 		)},
-		{"6: the state service slow, then out", overlapping(fault{11 * sec, slowThenOut})},
+		{"6: the state service slow, then out", overlapping(fault{11 * sec, slowStoreThenOutage})},
 		{"8: late transactions, and the leader ends twice", overlapping(
 			fault{5 * sec, lateTransactions(75, 0.25, 35*sec)},
 			fault{16 * sec, crashControllers(1)},
