--- a/internal/node/calendar_test.go
+++ b/internal/node/calendar_test.go
@@ -21,8 +21,8 @@
 	outcome  calendar.OutcomeKind          // that is stored of the occurrence; empty: any
 }
 
-// beforeSlot injects a fault at a moment relative to the slot's start.
-func beforeSlot(at time.Duration, inject func(*simulation)) func(*calendarSimulation) {
+// injectAt injects a fault at a moment relative to the slot's start.
+func injectAt(at time.Duration, inject func(*simulation)) func(*calendarSimulation) {
 	return func(sim *calendarSimulation) {
 		sim.sleepUntil(at)
 		inject(sim.simulation)
@@ -35,13 +35,13 @@
 	{"without backfill", 12, func(c *config.Calendar) { c.Backfill = false }, nil, nil, 0, calendar.OutcomeOnTime},
 	{"the cloud has less than anybody knew", 12, func(c *config.Calendar) { c.AssumedCapacity = nil }, nil, nil, 0, calendar.OutcomeOnTime},
 	{"in one place", 24, nil, map[string]any{"same_place": true}, nil, 0, calendar.OutcomeOnTime},
-	{"the leader ends at the very start", 12, nil, nil, beforeSlot(-100*time.Millisecond, crashControllers(1)), 20 * time.Second, ""},
-	{"all controllers end just before", 12, nil, nil, beforeSlot(-6*time.Second, crashControllers(3)), 20 * time.Second, ""},
-	{"the leader stands still over the start", 12, nil, nil, beforeSlot(-3*time.Second, pauseControllers(1, 6*time.Second)), 20 * time.Second, ""},
-	{"the state service is down over the start", 12, nil, nil, beforeSlot(-5*time.Second, storeOutage(10*time.Second)), 25 * time.Second, ""},
-	{"a zone is cut half a minute before", 18, nil, nil, beforeSlot(-30*time.Second, partitionZone("a", 60*time.Second)), 30 * time.Second, ""},
-	{"a zone is cut a second after", 18, nil, nil, beforeSlot(time.Second, partitionZone("a", 40*time.Second)), 30 * time.Second, ""},
-	{"held machines are lost half a minute before", 12, nil, nil, beforeSlot(-30*time.Second, killZone("a")), 15 * time.Second, ""},
+	{"the leader ends at the very start", 12, nil, nil, injectAt(-100*time.Millisecond, crashControllers(1)), 20 * time.Second, ""},
+	{"all controllers end just before", 12, nil, nil, injectAt(-6*time.Second, crashControllers(3)), 20 * time.Second, ""},
+	{"the leader stands still over the start", 12, nil, nil, injectAt(-3*time.Second, pauseControllers(1, 6*time.Second)), 20 * time.Second, ""},
+	{"the state service is down over the start", 12, nil, nil, injectAt(-5*time.Second, storeOutage(10*time.Second)), 25 * time.Second, ""},
+	{"a zone is cut half a minute before", 18, nil, nil, injectAt(-30*time.Second, partitionZone("a", 60*time.Second)), 30 * time.Second, ""},
+	{"a zone is cut a second after", 18, nil, nil, injectAt(time.Second, partitionZone("a", 40*time.Second)), 30 * time.Second, ""},
+	{"held machines are lost half a minute before", 12, nil, nil, injectAt(-30*time.Second, killZone("a")), 15 * time.Second, ""},
 }
 
 // TestReservedGangStartsOnTime: a gang that claims a slot starts whole and on time on a full fleet, through
--- a/internal/node/maintenance_test.go
+++ b/internal/node/maintenance_test.go
@@ -26,7 +26,7 @@
 // drainingWith injects a fault at a moment relative to the window's start.
 func drainingWith(at time.Duration, inject func(*simulation)) func(*calendarSimulation) string {
 	return func(sim *calendarSimulation) string {
-		beforeSlot(at, inject)(sim)
+		injectAt(at, inject)(sim)
 		return ""
 	}
 }
