--- a/internal/node/maintenance_test.go
+++ b/internal/node/maintenance_test.go
@@ -23,8 +23,8 @@
 	cutOff bool // tasks have to be cut off
 }
 
-// drainingWith injects a fault at a moment relative to the window's start.
-func drainingWith(at time.Duration, inject func(*simulation)) func(*calendarSimulation) string {
+// injectDuringDrain injects a fault at a moment relative to the window's start.
+func injectDuringDrain(at time.Duration, inject func(*simulation)) func(*calendarSimulation) string {
 	return func(sim *calendarSimulation) string {
 		injectAt(at, inject)(sim)
 		return ""
@@ -69,8 +69,8 @@
 var maintenanceCases = []maintenanceCase{
 	{"nothing goes wrong", nil, nil, nil, false},
 	{"draining is switched off", func(c *config.Calendar) { c.Drain = false }, submitLongTaskInZone, nil, true},
-	{"the leader ends while it is drained", nil, nil, drainingWith(-40*time.Second, crashControllers(1)), false},
-	{"the state service is down over the start", nil, nil, drainingWith(-10*time.Second, storeOutage(15*time.Second)), false},
+	{"the leader ends while it is drained", nil, nil, injectDuringDrain(-40*time.Second, crashControllers(1)), false},
+	{"the state service is down over the start", nil, nil, injectDuringDrain(-10*time.Second, storeOutage(15*time.Second)), false},
 	{"a service's roll-out is under way", nil, nil, rollOutBeforeDrain, false},
 	{"a worker that will not stop its tasks", nil, nil, hangOneWorker, false},
 }
