--- a/internal/node/regions_test.go
+++ b/internal/node/regions_test.go
@@ -23,8 +23,8 @@
 // greenLimitCPUs is what team green, which no platform's file names, may use in all regions.
 const greenLimitCPUs = 12
 
-// rounding is what a sum of CPUs may be off.
-const rounding = 1e-6
+// cpuTolerance is what a sum of CPUs may be off.
+const cpuTolerance = 1e-6
 
 // homeRegionPrefix is how controllers of other regions name those of the home region.
 const homeRegionPrefix = "home/"
@@ -245,7 +245,7 @@
 	m.mu.Lock()
 	peak := m.greenPeak
 	m.mu.Unlock()
-	if peak > greenLimitCPUs+rounding {
+	if peak > greenLimitCPUs+cpuTolerance {
 		m.t.Errorf("green has used %g of %d", peak, greenLimitCPUs)
 	}
 	if peak < greenLimitCPUs/2 && !m.allowIdle {
