--- a/internal/node/region_changes_test.go
+++ b/internal/node/region_changes_test.go
@@ -60,7 +60,7 @@
 		m, closeAll := newMultiRegion(t, 2, 3)
 		defer closeAll()
 		time.Sleep(8 * time.Second)
-		m.awaitInForce(m.applyChange(0, greenSplit(8, 4)), forceWithin)
+		m.awaitInForce(m.applyChange(0, greenSplit(8, 4)), inForceTimeout)
 		m.submitGreenJobs(4 * time.Second)
 		time.Sleep(2 * time.Second)
 		m.checkChanges()
@@ -170,7 +170,7 @@
 		m, closeAll := newMultiRegion(t, 2, 3)
 		defer closeAll()
 		time.Sleep(8 * time.Second)
-		m.awaitInForce(m.applyChange(0, greenSplit(8, 4)), forceWithin)
+		m.awaitInForce(m.applyChange(0, greenSplit(8, 4)), inForceTimeout)
 		removed := make(chan uint64, 1)
 		m.tasks.Go(func() { partitionControllers(30 * time.Second)(m.regions[1]) })
 		m.tasks.Go(func() {
@@ -237,7 +237,7 @@
 		defer closeAll()
 		m.allowIdle = true
 		time.Sleep(8 * time.Second)
-		m.awaitInForce(m.applyChange(0, greenSplit(8, 4)), forceWithin)
+		m.awaitInForce(m.applyChange(0, greenSplit(8, 4)), inForceTimeout)
 		store := m.regions[0].store
 		requestsInTenSeconds := func() int {
 			before := store.Load().Requests
@@ -251,6 +251,6 @@
 			t.Errorf("%d requests in ten seconds, usually %d", rejected, usual)
 		}
 		store.SetMaxWrites(12)
-		m.awaitInForce(revision, forceWithin)
+		m.awaitInForce(revision, inForceTimeout)
 	})
 }
--- a/internal/node/region_scenarios_test.go
+++ b/internal/node/region_scenarios_test.go
@@ -131,8 +131,8 @@
 	}
 }
 
-// forceWithin is by when a change has to be in force in all regions that are reached.
-const forceWithin = 19 * time.Second
+// inForceTimeout is by when a change has to be in force in all regions that are reached.
+const inForceTimeout = 19 * time.Second
 
 // runRegionScenario injects the faults while green's limit moves from region to region.
 func runRegionScenario(t *testing.T, faults []func(*multiRegion)) {
@@ -140,7 +140,7 @@
 	m, closeAll := newMultiRegion(t, 2, 3)
 	defer closeAll()
 	time.Sleep(8 * sec)
-	m.awaitInForce(m.applyChange(0, greenSplit(8, 4)), forceWithin)
+	m.awaitInForce(m.applyChange(0, greenSplit(8, 4)), inForceTimeout)
 	m.submitGreenJobs(80 * sec)
 	m.tasks.Go(func() {
 		time.Sleep(10 * sec)
@@ -157,7 +157,7 @@
 	}
 	time.Sleep(30 * sec)
 	last = max(last, m.applyChange(1, greenSplit(5, 7)))
-	m.awaitInForce(last, forceWithin)
+	m.awaitInForce(last, inForceTimeout)
 	m.awaitEnd(3 * time.Minute)
 }
 
@@ -168,7 +168,7 @@
 		m, closeAll := newMultiRegion(t, 2, 1)
 		defer closeAll()
 		time.Sleep(8 * time.Second)
-		m.awaitInForce(m.applyChange(0, greenSplit(8, 4)), forceWithin)
+		m.awaitInForce(m.applyChange(0, greenSplit(8, 4)), inForceTimeout)
 		m.setPartitioned(1, true)
 		splits := [][]float64{{12, 0}, {4, 8}}
 		var last uint64
@@ -187,7 +187,7 @@
 			t.Errorf("status of the region that is cut off: %+v", r)
 		}
 		m.setPartitioned(1, false)
-		m.awaitInForce(last, forceWithin)
+		m.awaitInForce(last, inForceTimeout)
 		m.awaitEnd(2 * time.Minute)
 		if n := m.regions[0].store.CountKeys("t/"); n > 3+dynconfig.MaxHistory {
 			t.Errorf("%d keys of the configuration are left", n)
