--- a/internal/node/region_changes_test.go
+++ b/internal/node/region_changes_test.go
@@ -71,7 +71,7 @@
 		m.setPartitioned(1, true)
 		m.checkWithoutHomeRegion()
 		m.setPartitioned(1, false)
-		m.allowIdle = true
+		m.allowLowUsage = true
 		m.awaitEnd(2 * time.Minute)
 	})
 }
@@ -182,7 +182,7 @@
 		if accepted == 0 || refused == 0 {
 			t.Errorf("%d accepted, %d refused: the day tells nothing", accepted, refused)
 		}
-		m.allowIdle = true
+		m.allowLowUsage = true
 		m.awaitEnd(3 * time.Minute)
 	})
 }
@@ -235,7 +235,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		m, closeAll := newMultiRegion(t, 2, 1)
 		defer closeAll()
-		m.allowIdle = true
+		m.allowLowUsage = true
 		time.Sleep(8 * time.Second)
 		m.awaitInForce(m.applyChange(0, greenSplit(8, 4)), inForceTimeout)
 		store := m.regions[0].store
--- a/internal/node/regions_test.go
+++ b/internal/node/regions_test.go
@@ -31,14 +31,14 @@
 
 // multiRegion is several regions; the first is the home region.
 type multiRegion struct {
-	t           *testing.T
-	regions     []*simulation
-	stopped     chan struct{}
-	allowIdle   bool // green need not use much
-	mu          sync.Mutex
-	greenPeak   float64 // that green has used at a time
-	tasks       sync.WaitGroup
-	jobsCreated int
+	t             *testing.T
+	regions       []*simulation
+	stopped       chan struct{}
+	allowLowUsage bool // green need not use much
+	mu            sync.Mutex
+	greenPeak     float64 // that green has used at a time
+	tasks         sync.WaitGroup
+	jobsCreated   int
 }
 
 // newMultiRegion starts regions of that many controllers each, and returns what ends them.
@@ -248,7 +248,7 @@
 	if peak > greenLimitCPUs+cpuTolerance {
 		m.t.Errorf("green has used %g of %d", peak, greenLimitCPUs)
 	}
-	if peak < greenLimitCPUs/2 && !m.allowIdle {
+	if peak < greenLimitCPUs/2 && !m.allowLowUsage {
 		m.t.Errorf("green has used %g at the most: the day tells nothing", peak)
 	}
 }
