--- a/internal/node/storm_checks_test.go
+++ b/internal/node/storm_checks_test.go
@@ -10,9 +10,9 @@
 	"vetchstream/internal/wire"
 )
 
-// staleRunningTime is for how long the leader may take a replica for running whose machine is
+// staleReplicaTimeout is for how long the leader may take a replica for running whose machine is
 // gone: a lease.
-const staleRunningTime = 11 * time.Second
+const staleReplicaTimeout = 11 * time.Second
 
 // rolloutHistory is what the machines' history says of one service.
 type rolloutHistory struct {
@@ -68,7 +68,7 @@
 // does not know yet.
 func (h *rolloutHistory) checkReplicaCount(e emulate.Event, replica string) {
 	halted := !e.Start && e.Cause == wire.CauseStopped && e.Image == h.service.spec.Image
-	if halted && h.complete && h.running[replica] == 0 && e.At.Sub(h.lostAt[replica]) > staleRunningTime {
+	if halted && h.complete && h.running[replica] == 0 && e.At.Sub(h.lostAt[replica]) > staleReplicaTimeout {
 		h.violate("%s fell below its floor: %s was stopped at %v with no copy of it elsewhere", h.service.name, e.Task, e.At)
 	}
 }
