--- a/internal/node/storm_checks_test.go
+++ b/internal/node/storm_checks_test.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// checkStorm checks the machines' history of each service against what was promised.
-func checkStorm(services []*stormService, history []emulate.Event) (violations []string) {
+// checkRolloutHistories checks the machines' history of each service against what was promised.
+func checkRolloutHistories(services []*stormService, history []emulate.Event) (violations []string) {
 	for _, service := range services {
 		h := &rolloutHistory{
 			service: service,
--- a/internal/node/storm_test.go
+++ b/internal/node/storm_test.go
@@ -88,7 +88,7 @@
 	time.Sleep(20 * time.Second)
 	close(calm)
 	<-faultsOver
-	violations = append(s.Violations(), checkStorm(services, s.History())...)
+	violations = append(s.Violations(), checkRolloutHistories(services, s.History())...)
 	closeAll()
 	return services, violations
 }
