--- a/internal/node/storm_test.go
+++ b/internal/node/storm_test.go
@@ -20,8 +20,8 @@
 	"vetchstream/internal/wire"
 )
 
-// rolloutStorm is a season of roll-outs: services, a third of whose builds are bad.
-type rolloutStorm struct {
+// rolloutStress is a season of roll-outs: services, a third of whose builds are bad.
+type rolloutStress struct {
 	services    int
 	maxReplicas int // of a service
 	faults      bool
@@ -58,7 +58,7 @@
 
 // run plays a storm and returns the services with what became of them, and the violations that
 // were found.
-func (st rolloutStorm) run(t *testing.T, seed uint64) (services []*stormService, violations []string) {
+func (st rolloutStress) run(t *testing.T, seed uint64) (services []*stormService, violations []string) {
 	r := rand.New(rand.NewPCG(seed, 14))
 	s, closeAll := st.start(t, seed)
 	hc := s.userClient(5 * time.Second)
@@ -95,7 +95,7 @@
 
 // start starts the controllers and the machines. Of an odd seed the controllers share the
 // machines.
-func (st rolloutStorm) start(t *testing.T, seed uint64) (*simulation, func()) {
+func (st rolloutStress) start(t *testing.T, seed uint64) (*simulation, func()) {
 	editCluster := func(c *emulate.Config) {
 		c.MaxMachines = 40 + st.services*st.maxReplicas/3
 		c.Limits = nil
@@ -118,7 +118,7 @@
 }
 
 // drawService draws service i and its next build, of which the first is always bad.
-func (st rolloutStorm) drawService(i int, r *rand.Rand) *stormService {
+func (st rolloutStress) drawService(i int, r *rand.Rand) *stormService {
 	replicas := 3 + r.IntN(st.maxReplicas-2)
 	service := &stormService{
 		name:     fmt.Sprintf("svc-%d", i),
@@ -146,7 +146,7 @@
 }
 
 // startRollout starts the roll-out of service i.
-func (st rolloutStorm) startRollout(t *testing.T, s *simulation, hc *http.Client, i int, service *stormService) {
+func (st rolloutStress) startRollout(t *testing.T, s *simulation, hc *http.Client, i int, service *stormService) {
 	t.Helper()
 	fields := map[string]any{
 		"service":    service.name,
@@ -246,7 +246,7 @@
 // stormPlay is a storm with its seed, and whether the checks must find violations.
 type stormPlay struct {
 	name string
-	rolloutStorm
+	rolloutStress
 	seed           uint64
 	wantViolations bool
 }
@@ -266,11 +266,11 @@
 func TestRolloutStress(t *testing.T) {
 	services, replicas := envNumber("STORM_SERVICES", 6), envNumber("STORM_REPLICAS", 6)
 	plays := []stormPlay{
-		{"gates switched off", rolloutStorm{services: 6, maxReplicas: 6, gatesOff: true}, 1, true},
-		{"no faults", rolloutStorm{services: services, maxReplicas: replicas}, 2, false},
+		{"gates switched off", rolloutStress{services: 6, maxReplicas: 6, gatesOff: true}, 1, true},
+		{"no faults", rolloutStress{services: services, maxReplicas: replicas}, 2, false},
 	}
 	for seed := range envNumber("STORM_SEEDS", 2) {
-		withFaults := rolloutStorm{services: services, maxReplicas: replicas, faults: true}
+		withFaults := rolloutStress{services: services, maxReplicas: replicas, faults: true}
 		plays = append(plays, stormPlay{fmt.Sprintf("storm %d", seed), withFaults, uint64(100 + seed), false})
 	}
 	for _, p := range plays {
