--- a/internal/node/sim_rollout_test.go
+++ b/internal/node/sim_rollout_test.go
@@ -20,7 +20,7 @@
 	t       *testing.T
 	client  *http.Client
 	spec    *job.Spec
-	service *stormService
+	service *rolloutService
 }
 
 // newRolloutSimulation starts the service. With a limit its replicas take that many CPUs each,
@@ -55,7 +55,7 @@
 		t:          t,
 		client:     s.userClient(5 * time.Second),
 		spec:       &job.Spec{ID: "run-1", Team: team, ShapeName: "daemon", PriorityName: "standard", Tasks: 6, CPUs: max(1, limit), MemGB: 1, Image: "old"},
-		service:    &stormService{name: "svc"},
+		service:    &rolloutService{name: "svc"},
 	}
 	s.DescribeJob(sim.spec)
 	if !s.submit(sim.client, sim.spec) {
--- a/internal/node/storm_checks_test.go
+++ b/internal/node/storm_checks_test.go
@@ -16,7 +16,7 @@
 
 // rolloutHistory is what the machines' history says of one service.
 type rolloutHistory struct {
-	service  *stormService
+	service  *rolloutService
 	started  map[string]string    // replica of the next version -> zone of its first start
 	running  map[string]int       // copies of a replica of either version
 	lostAt   map[string]time.Time // replica -> its last loss with a machine
@@ -96,7 +96,7 @@
 }
 
 // checkRolloutHistories checks the machines' history of each service against what was promised.
-func checkRolloutHistories(services []*stormService, history []emulate.Event) (violations []string) {
+func checkRolloutHistories(services []*rolloutService, history []emulate.Event) (violations []string) {
 	for _, service := range services {
 		h := &rolloutHistory{
 			service: service,
--- a/internal/node/storm_test.go
+++ b/internal/node/storm_test.go
@@ -28,8 +28,8 @@
 	gatesOff    bool // the checks must find violations
 }
 
-// stormService is one service of a storm.
-type stormService struct {
+// rolloutService is one service of a storm.
+type rolloutService struct {
 	name            string
 	spec            *job.Spec
 	image           string // of the next version
@@ -58,7 +58,7 @@
 
 // run plays a storm and returns the services with what became of them, and the violations that
 // were found.
-func (st rolloutStress) run(t *testing.T, seed uint64) (services []*stormService, violations []string) {
+func (st rolloutStress) run(t *testing.T, seed uint64) (services []*rolloutService, violations []string) {
 	r := rand.New(rand.NewPCG(seed, 14))
 	s, closeAll := st.start(t, seed)
 	hc := s.userClient(5 * time.Second)
@@ -118,9 +118,9 @@
 }
 
 // drawService draws service i and its next build, of which the first is always bad.
-func (st rolloutStress) drawService(i int, r *rand.Rand) *stormService {
+func (st rolloutStress) drawService(i int, r *rand.Rand) *rolloutService {
 	replicas := 3 + r.IntN(st.maxReplicas-2)
-	service := &stormService{
+	service := &rolloutService{
 		name:     fmt.Sprintf("svc-%d", i),
 		image:    fmt.Sprintf("img-%d-next", i),
 		badBuild: i == 0 || r.IntN(3) == 0,
@@ -146,7 +146,7 @@
 }
 
 // startRollout starts the roll-out of service i.
-func (st rolloutStress) startRollout(t *testing.T, s *simulation, hc *http.Client, i int, service *stormService) {
+func (st rolloutStress) startRollout(t *testing.T, s *simulation, hc *http.Client, i int, service *rolloutService) {
 	t.Helper()
 	fields := map[string]any{
 		"service":    service.name,
@@ -202,7 +202,7 @@
 }
 
 // awaitRollouts polls the roll-outs until all are over, for 40 minutes at most.
-func (s *simulation) awaitRollouts(hc *http.Client, services []*stormService) {
+func (s *simulation) awaitRollouts(hc *http.Client, services []*rolloutService) {
 	for range 1200 {
 		time.Sleep(2 * time.Second)
 		underWay := 0
@@ -230,7 +230,7 @@
 }
 
 // pollRollout reads the state of a service's roll-out.
-func (s *simulation) pollRollout(hc *http.Client, service *stormService) {
+func (s *simulation) pollRollout(hc *http.Client, service *rolloutService) {
 	res, err := hc.Get("http://" + simControllers[0].Addr + "/api/rollouts/" + service.name)
 	if err != nil {
 		return
@@ -288,7 +288,7 @@
 }
 
 // logBadBuilds logs for how long the bad builds ran.
-func logBadBuilds(t *testing.T, services []*stormService) {
+func logBadBuilds(t *testing.T, services []*rolloutService) {
 	t.Helper()
 	var times []time.Duration
 	for _, service := range services {
