--- a/internal/node/storm_test.go
+++ b/internal/node/storm_test.go
@@ -53,8 +53,8 @@
 // a roll-out without any gate.
 const detectedByGates = 1
 
-// stormZones are the zones of a storm's machines.
-var stormZones = []string{"a", "b", "c", "d"}
+// stressZones are the zones of a storm's machines.
+var stressZones = []string{"a", "b", "c", "d"}
 
 // run plays a storm and returns the services with what became of them, and the violations that
 // were found.
@@ -100,7 +100,7 @@
 		c.MaxMachines = 40 + st.services*st.maxReplicas/3
 		c.Limits = nil
 		c.Types = []wire.MachineType{
-			{Name: "small", CPUs: 8, MemGB: 64, CacheGB: 10, FetchRate: 1, Price: 0.2, SpotPrice: 0.05, BootS: 4, Zones: stormZones},
+			{Name: "small", CPUs: 8, MemGB: 64, CacheGB: 10, FetchRate: 1, Price: 0.2, SpotPrice: 0.05, BootS: 4, Zones: stressZones},
 		}
 	}
 	configure := func(set *config.Settings, tun *config.Tuning) {
@@ -112,7 +112,7 @@
 	s, closeAll := newSimulation(t, 1, editCluster, configure)
 	s.RecordHistory()
 	for i := range 8 + st.services*st.maxReplicas/6 {
-		s.Boot("small", stormZones[i%len(stormZones)], false, 0)
+		s.Boot("small", stressZones[i%len(stressZones)], false, 0)
 	}
 	return s, closeAll
 }
@@ -187,7 +187,7 @@
 			return
 		default:
 		}
-		zone := stormZones[r.IntN(len(stormZones))]
+		zone := stressZones[r.IntN(len(stressZones))]
 		switch r.IntN(4) {
 		case 0:
 			crashControllers(1 + r.IntN(3))(s)
