--- a/internal/node/storm_test.go
+++ b/internal/node/storm_test.go
@@ -243,8 +243,8 @@
 	}
 }
 
-// stormPlay is a storm with its seed, and whether the checks must find violations.
-type stormPlay struct {
+// stressRun is a storm with its seed, and whether the checks must find violations.
+type stressRun struct {
 	name string
 	rolloutStress
 	seed           uint64
@@ -265,13 +265,13 @@
 // STORM_SERVICES and STORM_REPLICAS play more of it than continuous integration has time for.
 func TestRolloutStress(t *testing.T) {
 	services, replicas := envNumber("STORM_SERVICES", 6), envNumber("STORM_REPLICAS", 6)
-	plays := []stormPlay{
+	plays := []stressRun{
 		{"gates switched off", rolloutStress{services: 6, maxReplicas: 6, gatesOff: true}, 1, true},
 		{"no faults", rolloutStress{services: services, maxReplicas: replicas}, 2, false},
 	}
 	for seed := range envNumber("STORM_SEEDS", 2) {
 		withFaults := rolloutStress{services: services, maxReplicas: replicas, faults: true}
-		plays = append(plays, stormPlay{fmt.Sprintf("storm %d", seed), withFaults, uint64(100 + seed), false})
+		plays = append(plays, stressRun{fmt.Sprintf("storm %d", seed), withFaults, uint64(100 + seed), false})
 	}
 	for _, p := range plays {
 		t.Run(p.name, func(t *testing.T) {
