--- a/internal/node/storm_test.go
+++ b/internal/node/storm_test.go
@@ -81,7 +81,7 @@
 	go func() {
 		defer close(faultsOver)
 		if st.faults {
-			s.injectStormFaults(r, calm)
+			s.injectRandomFaults(r, calm)
 		}
 	}()
 	s.awaitRollouts(hc, services)
@@ -178,8 +178,8 @@
 	}
 }
 
-// injectStormFaults injects drawn faults for ten minutes or more, until calm is closed.
-func (s *simulation) injectStormFaults(r *rand.Rand, calm <-chan struct{}) {
+// injectRandomFaults injects drawn faults for ten minutes or more, until calm is closed.
+func (s *simulation) injectRandomFaults(r *rand.Rand, calm <-chan struct{}) {
 	for at := 0; at < 600; at += 60 + r.IntN(60) {
 		time.Sleep(time.Duration(60+r.IntN(60)) * time.Second)
 		select {
