--- a/internal/node/sim_week_test.go
+++ b/internal/node/sim_week_test.go
@@ -216,7 +216,7 @@
 		case 4:
 			killMachines(r, 2)(s)
 		}
-		w.faults = append(w.faults, faultInterval{from, time.Now().Add(disturbedFor)})
+		w.faults = append(w.faults, faultInterval{from, time.Now().Add(faultRecoveryTime)})
 	}
 }
 
--- a/internal/node/week_test.go
+++ b/internal/node/week_test.go
@@ -36,8 +36,8 @@
 	weekMachines      = 18
 	weekCPUs          = 72
 	bulkInterval      = 30 * time.Second // between submissions of ordinary work
-	// disturbedFor is how long after a fault a slot may be late.
-	disturbedFor = 105 * time.Second
+	// faultRecoveryTime is how long after a fault a slot may be late.
+	faultRecoveryTime = 105 * time.Second
 )
 
 // weekZones are the zones of the fleet.
