--- a/internal/node/week_test.go
+++ b/internal/node/week_test.go
@@ -144,10 +144,10 @@
 	edit func(*weekPlan)
 }
 
-// weeksOfCalendars are the weeks with a calendar, weeksCompared those that they are compared
+// calendarVariants are the weeks with a calendar, weeksCompared those that they are compared
 // with.
 var (
-	weeksOfCalendars = []weekVariant{
+	calendarVariants = []weekVariant{
 		{"calendar", func(*weekPlan) {}},
 		{"calendar, faults", func(w *weekPlan) { w.faults = true }},
 	}
@@ -179,10 +179,10 @@
 func TestCalendarWeek(t *testing.T) {
 	n, err := strconv.Atoi(os.Getenv("WEEK_SEEDS"))
 	if err != nil {
-		runWeeks(t, 2, 1, weeksOfCalendars[1:])
+		runWeeks(t, 2, 1, calendarVariants[1:])
 		return
 	}
-	runWeeks(t, 7, uint64(n), slices.Concat(weeksOfCalendars, weeksCompared))
+	runWeeks(t, 7, uint64(n), slices.Concat(calendarVariants, weeksCompared))
 }
 
 // TestWeekChecksFindViolations: the checks find late slots where machines are not held, and tasks that are cut
