--- a/internal/node/week_test.go
+++ b/internal/node/week_test.go
@@ -144,14 +144,14 @@
 	edit func(*weekPlan)
 }
 
-// calendarVariants are the weeks with a calendar, weeksCompared those that they are compared
+// calendarVariants are the weeks with a calendar, baselineVariants those that they are compared
 // with.
 var (
 	calendarVariants = []weekVariant{
 		{"calendar", func(*weekPlan) {}},
 		{"calendar, faults", func(w *weekPlan) { w.faults = true }},
 	}
-	weeksCompared = []weekVariant{
+	baselineVariants = []weekVariant{
 		{"without backfill", func(w *weekPlan) { w.backfill = false }},
 		{"first come first served", withoutCalendar},
 		{"cushion", func(w *weekPlan) {
@@ -182,7 +182,7 @@
 		runWeeks(t, 2, 1, calendarVariants[1:])
 		return
 	}
-	runWeeks(t, 7, uint64(n), slices.Concat(calendarVariants, weeksCompared))
+	runWeeks(t, 7, uint64(n), slices.Concat(calendarVariants, baselineVariants))
 }
 
 // TestWeekChecksFindViolations: the checks find late slots where machines are not held, and tasks that are cut
