--- a/internal/node/week_plot_test.go
+++ b/internal/node/week_plot_test.go
@@ -61,12 +61,12 @@
 		}
 	}
 	for i := range results {
-		logWeeks(t, &results[i])
+		logMeans(t, &results[i])
 	}
 }
 
-// logWeeks logs the means of a variant's metrics.
-func logWeeks(t *testing.T, p *variantResult) {
+// logMeans logs the means of a variant's metrics.
+func logMeans(t *testing.T, p *variantResult) {
 	line := fmt.Sprintf("%-36s %d weeks", p.name, len(p.weeks))
 	for _, metric := range weekMetrics {
 		line += fmt.Sprintf("  %s %.3f", metric.file, p.mean(metric.value))
