--- a/internal/node/accel_test.go
+++ b/internal/node/accel_test.go
@@ -10,15 +10,16 @@
 	"vetchstream/internal/wire"
 )
 
-// acceleratorTypes are machines with accelerators: one type in both zones, the other in the
-// large one alone.
+// acceleratorTypes are machine types with accelerators. Both zones offer one of them; the other
+// exists in the large zone only.
 var acceleratorTypes = []wire.MachineType{
 	{Name: "half", CPUs: 32, GPUs: 4, MemGB: 256, CacheGB: 30, FetchRate: 1, Price: 13, SpotPrice: 3, BootS: 4, Zones: []string{"b"}},
 	{Name: "whole", CPUs: 64, GPUs: 8, MemGB: 512, CacheGB: 30, FetchRate: 1, Price: 20, SpotPrice: 5, BootS: 4, Zones: []string{"a", "b"}},
 }
 
-// acceleratorEnvironment has teams that are guaranteed and limited in accelerators alone, a
-// small zone and a large one. Replicas are spread over zones, gangs take whole machines.
+// acceleratorEnvironment has teams whose guarantees and limits cover accelerators only, a small
+// zone and a large one. Services spread their replicas over the zones, and gangs occupy whole
+// machines.
 func acceleratorEnvironment(scale int) environment {
 	n := float64(scale)
 	return environment{
@@ -42,8 +43,8 @@
 	}
 }
 
-// acceleratorWorkload starts the first machines and submits services, arrays and gangs whose
-// tasks take accelerators.
+// acceleratorWorkload boots the first machines and submits services, arrays and gangs whose
+// tasks use accelerators.
 func acceleratorWorkload(s *simulation, add submitAt) {
 	for range s.scale {
 		s.Boot("whole", "a", false, 0)
@@ -51,7 +52,7 @@
 		s.Boot("half", "b", false, 0)
 		s.Boot("half", "b", true, 0)
 	}
-	submit := func(shape, rank, team string, tasks int, gpus, secs, at float64, edit func(*job.Spec)) {
+	submit := func(shape, rank, team string, tasks int, gpus, seconds, atSeconds float64, edit func(*job.Spec)) {
 		spec := &job.Spec{
 			Team:         team,
 			ShapeName:    shape,
@@ -60,14 +61,14 @@
 			CPUs:         6 * gpus,
 			GPUs:         gpus,
 			MemGB:        40 * gpus,
-			EstimateS:    secs,
+			EstimateS:    seconds,
 		}
 		edit(spec)
 		cancelAfter := time.Duration(0)
 		if shape == "daemon" {
 			cancelAfter = 80 * time.Second
 		}
-		add(spec, time.Duration(at*float64(time.Second)), cancelAfter)
+		add(spec, time.Duration(atSeconds*float64(time.Second)), cancelAfter)
 	}
 	spread := func(j *job.Spec) { j.Spread = true }
 	spot := func(j *job.Spec) { j.Spot = true }
@@ -82,24 +83,25 @@
 	}
 }
 
-// TestAcceleratorFaults: accelerators are the scarce resource. Quotas are in them, replicas are
-// spread over two zones of which one runs short, and gangs take whole machines.
+// TestAcceleratorFaults injects faults while accelerators are the scarce resource: quotas are
+// counted in them, one of the two zones that replicas are spread over runs out of machines, and
+// gangs occupy whole machines.
 func TestAcceleratorFaults(t *testing.T) {
 	sec := time.Second
 	runScenarios(t, acceleratorEnvironment(1), nil, []scenario{
-		{"quiet", nil},
-		{"the small zone is short, over a takeover", []fault{
+		{"no faults", nil},
+		{"the small zone has no capacity during a takeover", []fault{
 			{14 * sec, zoneShortage("a", 30*sec)},
 			{18 * sec, crashControllers(1)},
 		}},
-		{"replicas lose their machines, then two controllers end together", []fault{
+		{"machines with replicas are lost, then two controllers crash together", []fault{
 			{16 * sec, killMachines(newRand(51), 2)},
 			{30 * sec, crashControllers(2)},
 		}},
-		{"images that come for longer than a gang waits", []fault{
+		{"image pulls take longer than a gang waits", []fault{
 			{time.Second, func(s *simulation) { s.SlowImagePulls(s.RandomWorkers(newRand(52), 2), 26*sec) }},
 		}},
-		{"all end while replicas are being replaced", []fault{
+		{"all controllers crash while lost replicas are replaced", []fault{
 			{16 * sec, killMachines(newRand(53), 2)},
 			{17 * sec, crashControllers(5)},
 		}},
--- a/internal/node/calendar_test.go
+++ b/internal/node/calendar_test.go
@@ -10,42 +10,42 @@
 	"vetchstream/internal/job"
 )
 
-// slotCase is a slot that a gang claims, and what happens to it.
+// slotCase is a reserved slot that a gang claims, with a fault and the expected result.
 type slotCase struct {
 	name     string
 	machines int
 	edit     func(*config.Calendar)
-	reserve  map[string]any                // edits of the reservation
-	inject   func(sim *calendarSimulation) // from the moment all is set up; nil: nothing
-	maxLate  time.Duration                 // 0: the tolerance; below 0: it has to be late
-	outcome  calendar.OutcomeKind          // that is stored of the occurrence; empty: any
+	reserve  map[string]any                // fields that replace those of the default reservation
+	inject   func(sim *calendarSimulation) // called once the jobs are submitted; nil: no fault
+	maxDelay time.Duration                 // of the start; 0: the tolerance; negative: the start must be late
+	outcome  calendar.OutcomeKind          // stored for the occurrence; empty: any
 }
 
-// injectAt injects a fault at a moment relative to the slot's start.
-func injectAt(at time.Duration, inject func(*simulation)) func(*calendarSimulation) {
+// injectAt injects a fault at an offset from the slot's start.
+func injectAt(offset time.Duration, inject func(*simulation)) func(*calendarSimulation) {
 	return func(sim *calendarSimulation) {
-		sim.sleepUntil(at)
+		sim.sleepUntil(offset)
 		inject(sim.simulation)
 	}
 }
 
 var slotCases = []slotCase{
-	{"nothing goes wrong", 12, nil, nil, nil, 0, calendar.OutcomeOnTime},
-	{"holding is switched off", 12, func(c *config.Calendar) { c.Hold = false }, nil, nil, -1, calendar.OutcomeMissed},
-	{"without backfill", 12, func(c *config.Calendar) { c.Backfill = false }, nil, nil, 0, calendar.OutcomeOnTime},
-	{"the cloud has less than anybody knew", 12, func(c *config.Calendar) { c.AssumedCapacity = nil }, nil, nil, 0, calendar.OutcomeOnTime},
-	{"in one place", 24, nil, map[string]any{"same_place": true}, nil, 0, calendar.OutcomeOnTime},
-	{"the leader ends at the very start", 12, nil, nil, injectAt(-100*time.Millisecond, crashControllers(1)), 20 * time.Second, ""},
-	{"all controllers end just before", 12, nil, nil, injectAt(-6*time.Second, crashControllers(3)), 20 * time.Second, ""},
-	{"the leader stands still over the start", 12, nil, nil, injectAt(-3*time.Second, pauseControllers(1, 6*time.Second)), 20 * time.Second, ""},
-	{"the state service is down over the start", 12, nil, nil, injectAt(-5*time.Second, storeOutage(10*time.Second)), 25 * time.Second, ""},
-	{"a zone is cut half a minute before", 18, nil, nil, injectAt(-30*time.Second, partitionZone("a", 60*time.Second)), 30 * time.Second, ""},
-	{"a zone is cut a second after", 18, nil, nil, injectAt(time.Second, partitionZone("a", 40*time.Second)), 30 * time.Second, ""},
-	{"held machines are lost half a minute before", 12, nil, nil, injectAt(-30*time.Second, killZone("a")), 15 * time.Second, ""},
+	{"no faults: starts on time", 12, nil, nil, nil, 0, calendar.OutcomeOnTime},
+	{"machines are not held: starts late, occurrence missed", 12, func(c *config.Calendar) { c.Hold = false }, nil, nil, -1, calendar.OutcomeMissed},
+	{"backfill is off: starts on time", 12, func(c *config.Calendar) { c.Backfill = false }, nil, nil, 0, calendar.OutcomeOnTime},
+	{"the cloud's capacity is unknown: starts on time", 12, func(c *config.Calendar) { c.AssumedCapacity = nil }, nil, nil, 0, calendar.OutcomeOnTime},
+	{"same_place is set: starts on time", 24, nil, map[string]any{"same_place": true}, nil, 0, calendar.OutcomeOnTime},
+	{"leader crashes 100 ms before the start: at most 20 s late", 12, nil, nil, injectAt(-100*time.Millisecond, crashControllers(1)), 20 * time.Second, ""},
+	{"all controllers crash 6 s before the start: at most 20 s late", 12, nil, nil, injectAt(-6*time.Second, crashControllers(3)), 20 * time.Second, ""},
+	{"leader pauses from 3 s before to 3 s after the start: at most 20 s late", 12, nil, nil, injectAt(-3*time.Second, pauseControllers(1, 6*time.Second)), 20 * time.Second, ""},
+	{"store is unavailable from 5 s before to 5 s after the start: at most 25 s late", 12, nil, nil, injectAt(-5*time.Second, storeOutage(10*time.Second)), 25 * time.Second, ""},
+	{"a zone is partitioned 30 s before the start: at most 30 s late", 18, nil, nil, injectAt(-30*time.Second, partitionZone("a", 60*time.Second)), 30 * time.Second, ""},
+	{"a zone is partitioned 1 s after the start: at most 30 s late", 18, nil, nil, injectAt(time.Second, partitionZone("a", 40*time.Second)), 30 * time.Second, ""},
+	{"held machines are lost 30 s before the start: at most 15 s late", 12, nil, nil, injectAt(-30*time.Second, killZone("a")), 15 * time.Second, ""},
 }
 
-// TestReservedGangStartsOnTime: a gang that claims a slot starts whole and on time on a full fleet, through
-// faults that must not disturb it.
+// TestReservedGangStartsOnTime checks that all tasks of a gang with a reservation start on time
+// on a fully occupied fleet, or within the delay that the injected fault permits.
 func TestReservedGangStartsOnTime(t *testing.T) {
 	for _, tt := range slotCases {
 		t.Run(tt.name, func(t *testing.T) {
@@ -55,11 +55,11 @@
 	}
 }
 
-// run plays the case and checks the start of the gang and the stored occurrence.
+// run simulates the case and checks the gang's start and the stored occurrence.
 func (tt *slotCase) run(t *testing.T) {
 	sim, closeAll := newCalendarSimulation(t, tt.machines, tt.edit)
 	if got := sim.reserve(tt.reserve); got != 201 {
-		t.Fatalf("the reservation got %d", got)
+		t.Fatalf("reservation request: HTTP status %d, want 201", got)
 	}
 	sim.fillFleet(400)
 	id := sim.submitJob(25, job.Spec{Team: "blue", ShapeName: "ensemble", Tasks: 6, CPUs: 4, EstimateS: 25, Reservation: "evening"})
@@ -72,14 +72,14 @@
 	}()
 	tt.checkStart(t, sim.awaitRunning(id, 6))
 	<-injected
-	for range 100 { // it ends, once, whatever was injected
+	for range 100 { // the gang has to complete despite the fault
 		if sim.UnfinishedJobs()[id] == "" {
 			break
 		}
 		time.Sleep(time.Second)
 	}
-	if tt.maxLate >= 0 && sim.UnfinishedJobs()[id] != "" {
-		t.Error("it is not over")
+	if tt.maxDelay >= 0 && sim.UnfinishedJobs()[id] != "" {
+		t.Error("the gang has not ended")
 	}
 	sim.sleepUntil(105 * time.Second)
 	tt.checkOccurrence(t, sim, id)
@@ -87,105 +87,107 @@
 	closeAll()
 }
 
-// checkStart checks how late the gang is.
-func (tt *slotCase) checkStart(t *testing.T, late time.Duration) {
+// checkStart checks the delay between the slot's start and that of the gang.
+func (tt *slotCase) checkStart(t *testing.T, delay time.Duration) {
 	t.Helper()
 	tolerance := calendar.Tolerance(2, 100)
-	if late < 0 {
-		t.Errorf("it runs %s before its slot", -late)
+	if delay < 0 {
+		t.Errorf("the gang started %s before its slot", -delay)
 	}
 	switch {
-	case tt.maxLate < 0 && late <= tolerance:
-		t.Error("it is in time although nothing was held")
-	case tt.maxLate >= 0 && late > max(tt.maxLate, tolerance):
-		t.Errorf("it runs %s late, at most %s", late, max(tt.maxLate, tolerance))
+	case tt.maxDelay < 0 && delay <= tolerance:
+		t.Error("the gang started on time although no machines were held")
+	case tt.maxDelay >= 0 && delay > max(tt.maxDelay, tolerance):
+		t.Errorf("the gang started %s after its slot, want at most %s", delay, max(tt.maxDelay, tolerance))
 	}
 }
 
-// checkOccurrence checks what is stored of the slot once it is over.
+// checkOccurrence checks the stored status of the reservation after the slot's end.
 func (tt *slotCase) checkOccurrence(t *testing.T, sim *calendarSimulation, id string) {
 	t.Helper()
-	var s calendar.Status
-	sim.readEntry("/api/reservations/evening", &s)
-	if tt.maxLate >= 0 && s.Claimer != "" {
-		t.Errorf("%s claims it still", s.Claimer)
+	var status calendar.Status
+	sim.readEntry("/api/reservations/evening", &status)
+	if tt.maxDelay >= 0 && status.Claimer != "" {
+		t.Errorf("%s still claims the reservation after the slot", status.Claimer)
 	}
-	if len(s.Outcomes) != 1 || (tt.outcome != "" && s.Outcomes[0].Kind != tt.outcome) || s.Outcomes[0].Job != id {
-		t.Errorf("stored: %+v, want one that is %s", s.Outcomes, tt.outcome)
+	if len(status.Outcomes) != 1 || (tt.outcome != "" && status.Outcomes[0].Kind != tt.outcome) || status.Outcomes[0].Job != id {
+		t.Errorf("stored outcomes: %+v, want one of kind %q for the gang", status.Outcomes, tt.outcome)
 	}
-	if tt.maxLate >= 0 && s.Held != 0 {
-		t.Errorf("%d machines are still held", s.Held)
+	if tt.maxDelay >= 0 && status.Held != 0 {
+		t.Errorf("%d machines are still held after the slot", status.Held)
 	}
 }
 
-// calendarRequests are requests beside the slot, with the status that they get.
+// calendarRequests are calendar requests sent while a reservation exists, with the expected HTTP
+// status.
 var calendarRequests = []struct {
-	what, path string
+	name, path string
 	edit       map[string]any
 	want       int
 }{
-	{"the same once more", "/api/reservations", nil, 200},
-	{"another of its name", "/api/reservations", map[string]any{"parts": 5}, 409},
-	{"for another team", "/api/reservations?team=red", nil, 403},
-	{"malformed", "/api/reservations", map[string]any{"end": "never"}, 400},
-	{"a team's window", "/api/maintenance?team=blue", map[string]any{}, 403},
-	{"another team's cancellation", "/api/reservations/evening/cancel?team=red", map[string]any{}, 404},
-	{"a window that does not exist", "/api/maintenance/none/cancel", map[string]any{}, 404},
+	{"the same reservation again", "/api/reservations", nil, 200},
+	{"another reservation of the same name", "/api/reservations", map[string]any{"parts": 5}, 409},
+	{"a reservation for another team", "/api/reservations?team=red", nil, 403},
+	{"an invalid end", "/api/reservations", map[string]any{"end": "never"}, 400},
+	{"a maintenance window requested by a team", "/api/maintenance?team=blue", map[string]any{}, 403},
+	{"cancellation by another team", "/api/reservations/evening/cancel?team=red", map[string]any{}, 404},
+	{"cancellation of an unknown maintenance window", "/api/maintenance/none/cancel", map[string]any{}, 404},
 }
 
-// TestUnclaimedReservationLapses: a slot that nobody claims lapses after its grace, and its machines
-// work again; requests of another team do not reach it.
+// TestUnclaimedReservationLapses checks that a slot which no job claims lapses after its grace
+// period and its machines run other tasks again, and that requests of other teams cannot change
+// the reservation.
 func TestUnclaimedReservationLapses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sim, closeAll := newCalendarSimulation(t, 6, nil)
 		defer closeAll()
-		// All six machines: not beside the guarantee of another team.
+		// All six machines cannot be reserved: another team has a guarantee.
 		if got := sim.reserve(nil); got != 409 {
-			t.Fatalf("a reservation of everything got %d", got)
+			t.Fatalf("reservation of all machines: HTTP status %d, want 409", got)
 		}
 		if got := sim.reserve(map[string]any{"parts": 4}); got != 201 {
-			t.Fatalf("the reservation got %d", got)
+			t.Fatalf("reservation request: HTTP status %d, want 201", got)
 		}
-		for _, x := range calendarRequests {
-			if got := sim.createEntry(x.path, sim.reservation(4, x.edit)); got != x.want {
-				t.Errorf("%s got %d, want %d", x.what, got, x.want)
+		for _, tt := range calendarRequests {
+			if got := sim.createEntry(tt.path, sim.reservation(4, tt.edit)); got != tt.want {
+				t.Errorf("%s: HTTP status %d, want %d", tt.name, got, tt.want)
 			}
 		}
 		sim.submitJob(15, job.Spec{Team: "blue", ShapeName: "array", Tasks: 2000, EstimateS: 15})
 		busy := func() (n int) { return sim.RunningTasks("run-000001") }
 		sim.sleepUntil(20 * time.Second)
 		if n := busy(); n > 8 {
-			t.Errorf("%d tasks run after the start, and two machines are not held", n)
+			t.Errorf("%d tasks run 20 s after the start of the slot, want at most 8 on the two machines that are not held", n)
 		}
 		most := 0
-		for d := 30; d < 60; d++ {
-			sim.sleepUntil(time.Duration(d) * time.Second)
+		for second := 30; second < 60; second++ {
+			sim.sleepUntil(time.Duration(second) * time.Second)
 			most = max(most, busy())
 		}
 		if most < 20 {
-			t.Errorf("at most %d tasks run after the slot has lapsed", most)
+			t.Errorf("at most %d tasks ran at a time after the slot lapsed, want 20 or more", most)
 		}
-		var s calendar.Status
-		sim.readEntry("/api/reservations/evening", &s)
-		if len(s.Outcomes) != 1 || s.Outcomes[0].Kind != calendar.OutcomeLapsed {
-			t.Errorf("stored: %+v", s.Outcomes)
+		var status calendar.Status
+		sim.readEntry("/api/reservations/evening", &status)
+		if len(status.Outcomes) != 1 || status.Outcomes[0].Kind != calendar.OutcomeLapsed {
+			t.Errorf("stored outcomes: %+v, want one of kind %q", status.Outcomes, calendar.OutcomeLapsed)
 		}
 	})
 }
 
-// TestReservationOnProvisionedMachines: a slot on provisioned machines alone, which boot late, or never. None is counted
-// twice, and all are released.
+// TestReservationOnProvisionedMachines checks a slot for which all machines are rented anew and
+// some boot late or never. The scheduler must count no machine twice and release all of them.
 func TestReservationOnProvisionedMachines(t *testing.T) {
 	tests := []struct {
 		name           string
-		bootDelay      time.Duration // of two machines
-		maxLate        time.Duration // that the start may be
-		maxProvisioned int           // machines
+		bootDelay      time.Duration // additional boot time of two machines
+		maxDelay       time.Duration // of the gang's start
+		maxProvisioned int           // machines rented in total
 	}{
-		{"in time", 0, calendar.Tolerance(2, 100), 4},
-		{"two join late", 40 * time.Second, 45 * time.Second, 6},
-		{"two never come up", time.Hour, 75 * time.Second, 6},
-		{"two come up after others have taken their place", 63 * time.Second, 75 * time.Second, 8},
+		{"all machines boot on time: the gang starts on time", 0, calendar.Tolerance(2, 100), 4},
+		{"two machines boot 40 s late: at most 45 s late", 40 * time.Second, 45 * time.Second, 6},
+		{"two machines never boot: replaced, at most 75 s late", time.Hour, 75 * time.Second, 6},
+		{"two machines boot after they were replaced: released", 63 * time.Second, 75 * time.Second, 8},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -194,25 +196,25 @@
 				sim, closeAll := newCalendarSimulation(t, 12, nil)
 				defer closeAll()
 				sim.Kill(sim.RandomWorkers(newRand(1), 12))
-				time.Sleep(25 * time.Second) // their leases run out
+				time.Sleep(25 * time.Second) // until their leases have expired
 				sim.DelayBoots(2, tt.bootDelay)
 				if got := sim.reserve(map[string]any{"parts": 4}); got != 201 {
-					t.Fatalf("the reservation got %d", got)
+					t.Fatalf("reservation request: HTTP status %d, want 201", got)
 				}
 				id := sim.submitJob(25, job.Spec{Team: "blue", ShapeName: "ensemble", Tasks: 4, CPUs: 4, EstimateS: 25, Reservation: "evening"})
 				sim.sleepUntil(-30 * time.Second)
 				if all, _ := sim.MachineCounts(); all != 0 {
-					t.Errorf("%d machines are rented half a minute before", all)
+					t.Errorf("%d machines are rented 30 s before the slot, want 0", all)
 				}
-				if late := sim.awaitRunning(id, 4); late > tt.maxLate {
-					t.Errorf("it runs %s late, at most %s", late, tt.maxLate)
+				if delay := sim.awaitRunning(id, 4); delay > tt.maxDelay {
+					t.Errorf("the gang started %s after its slot, want at most %s", delay, tt.maxDelay)
 				}
 				time.Sleep(150 * time.Second)
 				if all, _ := sim.MachineCounts(); all != 0 {
-					t.Errorf("%d machines are still there", all)
+					t.Errorf("%d machines are still rented after the slot, want 0", all)
 				}
 				if n := sim.MachinesProvisioned(); n > tt.maxProvisioned {
-					t.Errorf("%d machines were rented, at most %d", n, tt.maxProvisioned)
+					t.Errorf("%d machines were rented, want at most %d", n, tt.maxProvisioned)
 				}
 				sim.checkViolations(t)
 			})
--- a/internal/node/cancel_test.go
+++ b/internal/node/cancel_test.go
@@ -11,18 +11,19 @@
 	"vetchstream/internal/job"
 )
 
-// Cancelled jobs whose placements cannot be settled by a command: a launch that is still in
-// flight, or a halt that does not arrive, while the worker's heartbeats go on being answered.
+// Tests of cancelled jobs whose tasks no direct command can stop: a launch is still in flight, or
+// a halt does not arrive, while controllers keep answering the worker's heartbeats.
 
-// holdDirectCommands holds the direct commands of some controllers on their way to the
-// workers for a while, and submits jobs meanwhile that are cancelled a little later.
-// Heartbeats and their answers pass. With a cut afterwards the commands are held for longer.
-func holdDirectCommands(of func(s *simulation, member string) bool, cancelAfter, held, cut time.Duration) func(*simulation) {
+// holdDirectCommands delays the direct commands of the chosen controllers to the workers by up to
+// hold and meanwhile submits jobs, each of which is cancelled cancelAfter after it was accepted.
+// Heartbeats and their answers pass. A partition that follows for partitionFor delays the
+// commands further.
+func holdDirectCommands(isSender func(s *simulation, member string) bool, cancelAfter, hold, partitionFor time.Duration) func(*simulation) {
 	const jobs, tasks, interval = 60, 6, 50 * time.Millisecond
 	return func(s *simulation) {
 		senders := map[string]bool{}
 		for _, c := range simControllers {
-			senders[c.Member] = of(s, c.Member)
+			senders[c.Member] = isSender(s, c.Member)
 		}
 		isCommand := func(from, to string) bool { return senders[from] && isWorker(to) }
 		begun := time.Now()
@@ -43,68 +44,68 @@
 			s.Go(func() { s.runUser(spec, 0, cancelAfter) })
 			time.Sleep(interval)
 		}
-		time.Sleep(held - time.Since(begun))
+		time.Sleep(hold - time.Since(begun))
 		s.setPartition("held", isCommand)
 		s.net.HoldRequests(func(string, string) bool { return false })
-		time.Sleep(cut)
+		time.Sleep(partitionFor)
 		s.setPartition("held", nil)
 	}
 }
 
-// anyMember chooses all controllers, isLeader the one that leads, isFollower the others.
+// anyMember selects all controllers, isLeader the leader, isFollower all others.
 func anyMember(*simulation, string) bool           { return true }
 func isLeader(s *simulation, member string) bool   { return member == s.memberFromLeader(0) }
 func isFollower(s *simulation, member string) bool { return !isLeader(s, member) }
 
-// checkOverdueLaunches checks that the scenario reached what it is about, launches that arrived
-// when no task of their jobs was allowed on a machine any more, and that none was carried out.
+// checkOverdueLaunches checks that launches arrived after the deadline by which the cancelled
+// jobs' tasks must have stopped, and that workers carried out none of them.
 func checkOverdueLaunches(s *simulation) {
 	arrived, carriedOut := s.OverdueLaunches()
 	if arrived == 0 {
-		s.notReached("no launch of a cancelled job arrived after its time")
+		s.notReached("no launch of a cancelled job arrived after the job's deadline to stop")
 	}
 	if carriedOut > 0 {
-		s.t.Errorf("%d launches of cancelled jobs were carried out after their time, of %d that arrived", carriedOut, arrived)
+		s.t.Errorf("workers carried out %d launches of cancelled jobs that arrived after the deadline to stop, of %d that arrived", carriedOut, arrived)
 	}
 }
 
-// TestLateLaunchesOfCancelledJobs: a launch of a cancelled job arrives when no task of the job may be on
-// a machine any more.
+// TestLateLaunchesOfCancelledJobs delays launches of cancelled jobs until no task of these jobs
+// may run on a machine any more.
 func TestLateLaunchesOfCancelledJobs(t *testing.T) {
 	const scale = 20
 	sec := time.Second
-	days := []scenario{
-		{"all commands are held for longer than cancel_s", overlapping(
+	scenarios := []scenario{
+		{"commands of all controllers are delayed beyond cancel_s", overlapping(
 			fault{16 * sec, holdDirectCommands(anyMember, 2*sec, 45*sec, 0)},
 		)},
-		{"the holders' commands are held, then they are cut from the workers", overlapping(
+		{"followers' commands are delayed, then followers are partitioned from the workers", overlapping(
 			fault{16 * sec, holdDirectCommands(isFollower, 2*sec, 6*sec, 40*sec)},
 		)},
 	}
-	ofLeader := []scenario{
-		{"the leader's commands are held, then it is cut from the workers", overlapping(
+	leaderScenarios := []scenario{
+		{"leader's commands are delayed, then the leader is partitioned from the workers", overlapping(
 			fault{16 * sec, holdDirectCommands(isLeader, 2*sec, 6*sec, 40*sec)},
 		)},
 	}
-	seen := finalChecks{}
-	for _, d := range slices.Concat(days, ofLeader) {
-		seen[d.name] = checkOverdueLaunches
+	checks := finalChecks{}
+	for _, sc := range slices.Concat(scenarios, leaderScenarios) {
+		checks[sc.name] = checkOverdueLaunches
 	}
-	runScenarios(t, defaultEnvironment(3, scale, withSharding), seen, days)
-	runScenarios(t, defaultEnvironment(3, scale, withOutagePromises), seen, ofLeader)
+	runScenarios(t, defaultEnvironment(3, scale, withSharding), checks, scenarios)
+	runScenarios(t, defaultEnvironment(3, scale, withOutagePromises), checks, leaderScenarios)
 }
 
-// TestUndeliveredHaltsOfCancelledJobs: the halts of cancelled jobs do not leave the controllers that answer
-// the heartbeats, or wait behind others that nobody answers.
+// TestUndeliveredHaltsOfCancelledJobs cancels jobs while the controllers that answer their
+// workers' heartbeats cannot send halts, or queue them behind commands to workers that hang.
 func TestUndeliveredHaltsOfCancelledJobs(t *testing.T) {
 	const scale, sockets = 20, 200
 	sec := time.Second
 	runScenarios(t, withLongJobs(defaultEnvironment(3, scale, withSharding)), nil, []scenario{
-		{"holders open no connection to the workers", overlapping(
+		{"followers cannot connect to the workers", overlapping(
 			fault{14 * sec, denyWorkerConnections(60 * sec)},
 			fault{18 * sec, cancelRunningJobs(201, 8, 0, 10*sec)},
 		)},
-		{"the same, the leader ends after the cancellations", overlapping(
+		{"followers cannot connect to the workers, leader crashes after the cancellations", overlapping(
 			fault{14 * sec, denyWorkerConnections(60 * sec)},
 			fault{18 * sec, cancelRunningJobs(202, 8, 0, 10*sec)},
 			fault{24 * sec, crashControllers(1)},
@@ -114,14 +115,14 @@
 		withSharding(set, tun)
 		set.Facts.Resources.MaxSockets = sockets
 	}
-	const bound = "a hundred machines hang, called off, few commands at a time"
-	checkCommandsBounded := func(s *simulation) {
+	const workersHang = "100 workers hang while jobs are cancelled: few concurrent commands"
+	checkCommandLimitReached := func(s *simulation) {
 		if most := control.MaxDirectCalls(sockets); s.MaxBlockedCommands() < most {
-			s.t.Errorf("%d commands waited for machines that hang, of %d at a time for each controller", s.MaxBlockedCommands(), most)
+			s.t.Errorf("at most %d commands waited for hanging workers, want the limit of %d per controller to be reached", s.MaxBlockedCommands(), most)
 		}
 	}
-	runScenarios(t, withLongJobs(defaultEnvironment(3, scale, fewSockets)), finalChecks{bound: checkCommandsBounded}, []scenario{
-		{bound, overlapping(
+	runScenarios(t, withLongJobs(defaultEnvironment(3, scale, fewSockets)), finalChecks{workersHang: checkCommandLimitReached}, []scenario{
+		{workersHang, overlapping(
 			fault{16 * sec, hangWorkers(newRand(203), 5*scale, 9*sec)},
 			fault{16100 * time.Millisecond, cancelRunningJobs(204, 10, 0, 10*sec)},
 			fault{26 * sec, hangWorkers(newRand(205), 5*scale, 9*sec)},
@@ -129,35 +130,36 @@
 	})
 }
 
-// TestCancelledJobsRandomFaults: held commands, cancellations and other faults that are drawn by a seed.
+// TestCancelledJobsRandomFaults combines delayed commands, cancellations and other faults drawn
+// from a seed.
 func TestCancelledJobsRandomFaults(t *testing.T) {
 	sec := time.Second
 	env := withLongJobs(defaultEnvironment(3, 20, withSharding))
 	env.randomized = true
-	var days []scenario
+	var scenarios []scenario
 	for seed := range uint64(3) {
 		r := newRand(700 + seed)
-		some := func(from, to int) time.Duration { return time.Duration(from+r.IntN(to-from)) * sec / 2 }
-		one := func(fs ...func(*simulation)) func(*simulation) { return fs[r.IntN(len(fs))] }
-		of := []func(*simulation, string) bool{anyMember, isLeader, isFollower}[r.IntN(3)]
-		days = append(days, scenario{fmt.Sprint("seed ", seed), overlapping(
-			fault{some(28, 36), holdDirectCommands(of, some(1, 8), some(6, 90), some(0, 90))},
-			fault{some(32, 60), cancelRunningJobs(seed, 8, some(0, 18), 0)},
-			fault{some(32, 80), one(
+		randomDuration := func(from, to int) time.Duration { return time.Duration(from+r.IntN(to-from)) * sec / 2 }
+		pick := func(fs ...func(*simulation)) func(*simulation) { return fs[r.IntN(len(fs))] }
+		isSender := []func(*simulation, string) bool{anyMember, isLeader, isFollower}[r.IntN(3)]
+		scenarios = append(scenarios, scenario{fmt.Sprint("seed ", seed), overlapping(
+			fault{randomDuration(28, 36), holdDirectCommands(isSender, randomDuration(1, 8), randomDuration(6, 90), randomDuration(0, 90))},
+			fault{randomDuration(32, 60), cancelRunningJobs(seed, 8, randomDuration(0, 18), 0)},
+			fault{randomDuration(32, 80), pick(
 				crashControllers(1),
 				crashFollower(3*sec),
-				storeOutage(some(10, 60)),
-				denyWorkerConnections(some(10, 80)),
-				pauseControllers(1, some(4, 20)),
+				storeOutage(randomDuration(10, 60)),
+				denyWorkerConnections(randomDuration(10, 80)),
+				pauseControllers(1, randomDuration(4, 20)),
 				restartRepeatedly(seed, 4),
 			)},
-			fault{some(32, 80), one(
-				hangWorkers(r, 40, some(6, 20)),
-				partitionWorkers(r, 30, some(6, 60)),
-				blockAnswers(seed, 20, anyController, some(6, 60)),
-				partitionZone("a", some(6, 50)),
+			fault{randomDuration(32, 80), pick(
+				hangWorkers(r, 40, randomDuration(6, 20)),
+				partitionWorkers(r, 30, randomDuration(6, 60)),
+				blockAnswers(seed, 20, anyController, randomDuration(6, 60)),
+				partitionZone("a", randomDuration(6, 50)),
 			)},
 		)})
 	}
-	runScenarios(t, env, nil, days)
+	runScenarios(t, env, nil, scenarios)
 }
