--- a/internal/node/job_stream_test.go
+++ b/internal/node/job_stream_test.go
@@ -7,20 +7,21 @@
 	"vetchstream/internal/job"
 )
 
-// checkNoJobRecordsLeft checks that no record of a job is left under the keys that a leader loads.
+// checkNoJobRecordsLeft checks that no job record remains under the key prefixes that a new leader
+// loads.
 func checkNoJobRecordsLeft(s *simulation) {
 	for _, prefix := range []string{job.ActivePrefix, job.GroupPrefix, job.DonePrefix} {
 		if n := s.store.CountKeys(prefix); n > 0 {
-			s.t.Errorf("%d keys are left under %s", n, prefix)
+			s.t.Errorf("%d keys remain under prefix %s, want 0", n, prefix)
 		}
 	}
 }
 
-// TestJobStream: one-task jobs, four a second for minutes, a quarter of them cancelled, through
-// a change of leader, an outage and late transactions.
+// TestJobStream submits four one-task jobs per second for two minutes and cancels a quarter of
+// them, while the leader changes, the key-value store is unavailable and transactions are late.
 func TestJobStream(t *testing.T) {
 	sec := time.Second
-	const name = "two minutes"
+	const name = "jobs for two minutes: no record remains"
 	runScenarios(t, defaultEnvironment(3, 1, withOutagePromises), finalChecks{name: checkNoJobRecordsLeft}, []scenario{
 		{name, overlapping(
 			fault{5 * sec, jobStream(2 * time.Minute)},
--- a/internal/node/maintenance_test.go
+++ b/internal/node/maintenance_test.go
@@ -12,27 +12,27 @@
 	"vetchstream/internal/wire"
 )
 
-// maintenanceCase is a maintenance window of a zone, and what happens to it.
+// maintenanceCase is a maintenance window of a zone, with a fault and the expected result.
 type maintenanceCase struct {
 	name string
 	edit func(*config.Calendar)
-	// submit adds work to that of all cases; nil: none.
+	// submit submits jobs in addition to those of every case; nil: none.
 	submit func(sim *calendarSimulation)
-	// inject returns a machine that cannot be drained, or none.
+	// inject injects a fault and returns the name of a worker that cannot be drained, or "".
 	inject func(sim *calendarSimulation) (stuck string)
-	cutOff bool // tasks have to be cut off
+	cutOff bool // the maintenance has to interrupt tasks
 }
 
-// injectDuringDrain injects a fault at a moment relative to the window's start.
-func injectDuringDrain(at time.Duration, inject func(*simulation)) func(*calendarSimulation) string {
+// injectDuringDrain injects a fault at an offset from the window's start.
+func injectDuringDrain(offset time.Duration, inject func(*simulation)) func(*calendarSimulation) string {
 	return func(sim *calendarSimulation) string {
-		injectAt(at, inject)(sim)
+		injectAt(offset, inject)(sim)
 		return ""
 	}
 }
 
-// rollOutBeforeDrain starts a roll-out of the service shortly after the zone is being drained.
-func rollOutBeforeDrain(sim *calendarSimulation) string {
+// rollOutDuringDrain starts a roll-out of the service three seconds after the drain has begun.
+func rollOutDuringDrain(sim *calendarSimulation) string {
 	sim.sleepUntil(-57 * time.Second)
 	got := sim.createEntry("/api/rollouts", map[string]any{
 		"service":    "svc",
@@ -44,12 +44,13 @@
 		"deadline_s": 60.0,
 	})
 	if got != 201 {
-		sim.t.Errorf("the roll-out got %d", got)
+		sim.t.Errorf("roll-out request: HTTP status %d, want 201", got)
 	}
 	return ""
 }
 
-// hangOneWorker hangs a worker of the zone from before the drain until after the start.
+// hangOneWorker hangs a worker of the zone from before the drain until after the window's start,
+// and returns the worker's name.
 func hangOneWorker(sim *calendarSimulation) (stuck string) {
 	sim.sleepUntil(-62 * time.Second)
 	worker := sim.WorkersInZone("a")[0]
@@ -59,24 +60,25 @@
 	return worker.Name()
 }
 
-// submitLongTaskInZone submits a task that has to be in the zone and runs past the window's
-// start. Without it, which tasks are in the zone then depends on the order in which machines
-// report: sometimes there are none.
+// submitLongTaskInZone submits a task that is bound to the zone and runs past the window's start.
+// Otherwise the order of the machines' heartbeats decides which tasks run in the zone at that
+// time, and sometimes none do.
 func submitLongTaskInZone(sim *calendarSimulation) {
 	sim.submitJob(200, job.Spec{Team: "blue", ShapeName: "array", Tasks: 1, EstimateS: 200, CheckpointS: 5, SaveS: 3, CPUs: 2, PriorityName: "urgent", Zone: "a"})
 }
 
 var maintenanceCases = []maintenanceCase{
-	{"nothing goes wrong", nil, nil, nil, false},
-	{"draining is switched off", func(c *config.Calendar) { c.Drain = false }, submitLongTaskInZone, nil, true},
-	{"the leader ends while it is drained", nil, nil, injectDuringDrain(-40*time.Second, crashControllers(1)), false},
-	{"the state service is down over the start", nil, nil, injectDuringDrain(-10*time.Second, storeOutage(15*time.Second)), false},
-	{"a service's roll-out is under way", nil, nil, rollOutBeforeDrain, false},
-	{"a worker that will not stop its tasks", nil, nil, hangOneWorker, false},
+	{"no faults: no task is interrupted", nil, nil, nil, false},
+	{"draining is off: tasks are interrupted", func(c *config.Calendar) { c.Drain = false }, submitLongTaskInZone, nil, true},
+	{"the leader crashes during the drain: no task is interrupted", nil, nil, injectDuringDrain(-40*time.Second, crashControllers(1)), false},
+	{"the store is unavailable at the window's start: no task is interrupted", nil, nil, injectDuringDrain(-10*time.Second, storeOutage(15*time.Second)), false},
+	{"a service is rolled out during the drain: no task is interrupted", nil, nil, rollOutDuringDrain, false},
+	{"a worker hangs during the drain: no task of another worker is interrupted", nil, nil, hangOneWorker, false},
 }
 
-// TestMaintenance: machines are empty when their maintenance begins, and nothing is cut off
-// that could end or be moved. The maintenance takes what is still there.
+// TestMaintenance checks that machines are empty when their maintenance begins and that no task
+// is interrupted that could have ended or moved before. The maintenance removes all machines
+// that remain in the zone.
 func TestMaintenance(t *testing.T) {
 	for _, tt := range maintenanceCases {
 		t.Run(tt.name, func(t *testing.T) {
@@ -86,7 +88,7 @@
 	}
 }
 
-// run plays the case and checks the drain and what was cut off.
+// run simulates the case and checks the drain and the interrupted tasks.
 func (tt *maintenanceCase) run(t *testing.T) {
 	sim, closeAll := newCalendarSimulation(t, 15, tt.edit)
 	defer closeAll()
@@ -104,27 +106,27 @@
 		}
 	}()
 	if replicas := sim.fewestReplicasDuringDrain(service); tt.inject == nil && replicas < 3 {
-		t.Errorf("only %d of 4 replicas run while the zone is drained", replicas)
+		t.Errorf("only %d of 4 replicas ran during the drain, want 3 or more", replicas)
 	}
 	sim.sleepUntil(0)
 	sim.Kill(sim.WorkersInZone("a")) // the maintenance begins
 	sim.sleepUntil(60 * time.Second)
 	<-injected
 	if n := len(sim.WorkersInZone("a")); !tt.cutOff && n > 0 {
-		t.Errorf("%d machines were rented in the zone meanwhile", n)
+		t.Errorf("%d machines were rented in the zone during its maintenance, want 0", n)
 	}
 	if n := sim.RunningTasks(service) + sim.RunningTasks("run-999999"); n < 4 || n > 5 {
-		t.Errorf("%d of 4 replicas run", n)
+		t.Errorf("%d replicas run after the window's start, want 4 or 5", n)
 	}
 	if cutOff := sim.tasksCutOff(stuck); (len(cutOff) > 0) != tt.cutOff {
-		t.Errorf("cut off: %v, want some: %v", cutOff, tt.cutOff)
+		t.Errorf("interrupted tasks: %v, want some: %v", cutOff, tt.cutOff)
 	}
 	sim.checkViolations(t)
 }
 
-// submitBeforeMaintenance submits work for all machines, and returns the job of a service with
-// four replicas. Estimates are wrong by half or more, and the errors of the classes are
-// learned.
+// submitBeforeMaintenance submits jobs that occupy all machines, and returns the job ID of a
+// service with four replicas. The first job's estimate is too low, so that the scheduler has to
+// learn the estimation error of its class.
 func (sim *calendarSimulation) submitBeforeMaintenance() (service string) {
 	sim.submitJob(20, job.Spec{Team: "blue", ShapeName: "array", Tasks: 600, EstimateS: 12, Spot: true})
 	sim.submitJob(200, job.Spec{Team: "blue", ShapeName: "array", Tasks: 6, EstimateS: 200, CheckpointS: 5, SaveS: 3, CPUs: 2})
@@ -132,7 +134,7 @@
 	return sim.submitJob(0, job.Spec{Team: "blue", ShapeName: "daemon", Tasks: 4, PriorityName: "production"})
 }
 
-// scheduleMaintenance asks for a maintenance window of zone a.
+// scheduleMaintenance requests a maintenance window for zone a.
 func (sim *calendarSimulation) scheduleMaintenance() {
 	sim.t.Helper()
 	got := sim.createEntry("/api/maintenance", map[string]any{
@@ -143,12 +145,12 @@
 		"end":     sim.start.Add(100 * time.Second).UTC().Format(time.RFC3339),
 	})
 	if got != 201 {
-		sim.t.Fatalf("the window got %d", got)
+		sim.t.Fatalf("maintenance request: HTTP status %d, want 201", got)
 	}
 }
 
-// fewestReplicasDuringDrain watches the service from the begin of the drain until ten seconds
-// before the maintenance.
+// fewestReplicasDuringDrain returns the lowest number of replicas that run at a time between the
+// start of the drain and ten seconds before the maintenance.
 func (sim *calendarSimulation) fewestReplicasDuringDrain(service string) int {
 	fewest := 4
 	sim.sleepUntil(-60 * time.Second)
@@ -159,8 +161,8 @@
 	return fewest
 }
 
-// tasksCutOff are the tasks of the zone that were lost with their machines, and those of the
-// first job that were halted, other than on the machine that could not be drained.
+// tasksCutOff returns the tasks of the zone that were lost with their machines and those of the
+// first job that were halted, except on the worker that could not be drained.
 func (sim *calendarSimulation) tasksCutOff(stuck string) (cutOff []string) {
 	for _, e := range sim.History() {
 		inWindow := e.Zone == "a" && e.Host != stuck && e.At.After(sim.start.Add(-70*time.Second))
--- a/internal/node/rollout_test.go
+++ b/internal/node/rollout_test.go
@@ -11,30 +11,30 @@
 	"vetchstream/internal/rollout"
 )
 
-// rolloutCase is a roll-out and what happens to it.
+// rolloutCase is a scenario of one roll-out.
 type rolloutCase struct {
-	name  string
-	limit float64 // CPUs of a replica, in a team with a limit
-	run   func(sim *rolloutSimulation)
+	name        string
+	limitedCPUs float64 // CPUs of each replica, in a team with a limit; 0: the team has none
+	run         func(sim *rolloutSimulation)
 }
 
-// healthCheck asks the controllers to check the replicas themselves.
+// healthCheck makes the controllers check the replicas over HTTP.
 var healthCheck = map[string]any{"path": "/healthy", "every_s": 1.0}
 
-// rolloutCases are roll-outs through failures of controllers and of the key-value store, and
-// of what its user asks for.
+// rolloutCases are roll-outs during faults of controllers and of the key-value store, and during
+// further requests of the user.
 var rolloutCases = []rolloutCase{
-	{"a good build", 0, func(sim *rolloutSimulation) {
+	{"good build: done", 0, func(sim *rolloutSimulation) {
 		sim.start(nil)
 		sim.waitFor(200, sim.stateIs(rollout.Done))
 		sim.waitFor(20, sim.allRun("run-2", "run-1"))
 	}},
-	{"the leader ends after each of three durable steps", 0, func(sim *rolloutSimulation) {
+	{"leader crashes after each of three stored steps: done", 0, func(sim *rolloutSimulation) {
 		sim.start(nil)
 		sim.afterEachStep(3, func() { crashControllers(1)(sim.simulation) })
 		sim.waitFor(400, sim.stateIs(rollout.Done))
 	}},
-	{"the leader ends between a launch and its report", 0, func(sim *rolloutSimulation) {
+	{"leader crashes as each of three replicas starts: done", 0, func(sim *rolloutSimulation) {
 		sim.start(nil)
 		for n := 1; n <= 3; n++ {
 			sim.waitFor(100, sim.running("run-2", n))
@@ -42,40 +42,40 @@
 		}
 		sim.waitFor(400, sim.stateIs(rollout.Done))
 	}},
-	{"all controllers end, and an outage, in the middle of a batch", 0, func(sim *rolloutSimulation) {
+	{"all controllers crash and the store is unavailable during a batch: done", 0, func(sim *rolloutSimulation) {
 		sim.start(nil)
 		sim.waitFor(100, sim.running("run-2", 1))
 		crashControllers(3)(sim.simulation)
 		storeOutage(12 * time.Second)(sim.simulation)
 		sim.waitFor(400, sim.stateIs(rollout.Done))
 	}},
-	{"a second one is refused", 0, func(sim *rolloutSimulation) {
+	{"second roll-out of the service: refused, first one done", 0, func(sim *rolloutSimulation) {
 		sim.start(nil)
 		if got := sim.startTo("run-3", "newer", nil); got != 409 {
-			sim.t.Errorf("the second got %d", got)
+			sim.t.Errorf("second roll-out: HTTP status %d, want 409", got)
 		}
 		if got := sim.start(nil); got != 200 {
-			sim.t.Errorf("the first once more got %d", got)
+			sim.t.Errorf("first roll-out requested again: HTTP status %d, want 200", got)
 		}
 		sim.waitFor(200, sim.stateIs(rollout.Done))
 	}},
-	{"one that supersedes it comes after the other is taken back", 0, func(sim *rolloutSimulation) {
+	{"superseding roll-out: done after the first one is rolled back", 0, func(sim *rolloutSimulation) {
 		sim.start(nil)
 		sim.waitFor(100, sim.running("run-2", 1))
 		if got := sim.startTo("run-3", "newer", map[string]any{"supersede": true}); got != 201 {
-			sim.t.Errorf("it got %d", got)
+			sim.t.Errorf("superseding roll-out: HTTP status %d, want 201", got)
 		}
 		sim.waitFor(300, sim.stateIs(rollout.Done))
 		sim.waitFor(20, sim.allRun("run-3", "run-2"))
 	}},
-	{"its user cancels the service", 0, func(sim *rolloutSimulation) {
+	{"user cancels the service: all replicas stop, roll-out failed", 0, func(sim *rolloutSimulation) {
 		sim.start(nil)
 		sim.waitFor(100, sim.running("run-2", 3))
 		sim.cancelService()
 		sim.waitFor(25, sim.noneRun("run-1", "run-2"))
 		sim.waitFor(20, sim.stateIs(rollout.Failed))
 	}},
-	{"its user cancels the service, and the state service is out at once", 0, func(sim *rolloutSimulation) {
+	{"user cancels the service as the store becomes unavailable: all replicas stop, roll-out failed", 0, func(sim *rolloutSimulation) {
 		sim.start(nil)
 		sim.waitFor(100, sim.running("run-2", 3))
 		sim.cancelService()
@@ -86,10 +86,10 @@
 	}},
 }
 
-// rolloutHealthCases are roll-outs of images that fail, that lack resources, or whose health
-// the controllers check.
+// rolloutHealthCases are roll-outs of images that fail, lack resources or are checked by the
+// controllers.
 var rolloutHealthCases = []rolloutCase{
-	{"a bad build, and a good one after it", 0, func(sim *rolloutSimulation) {
+	{"bad build: rolled back, good build after it: done", 0, func(sim *rolloutSimulation) {
 		sim.SetImageBehavior("new", emulate.ImageBehavior{UnhealthyAfter: 4 * time.Second})
 		sim.start(nil)
 		sim.waitFor(200, sim.stateIs(rollout.RolledBack))
@@ -97,32 +97,32 @@
 		sim.startTo("run-3", "newer", nil)
 		sim.waitFor(200, sim.stateIs(rollout.Done))
 	}},
-	{"the old image fails as well when it is taken back", 0, func(sim *rolloutSimulation) {
+	{"old image crashes during the rollback: failed", 0, func(sim *rolloutSimulation) {
 		sim.start(nil)
 		sim.waitFor(100, sim.running("run-2", 3))
 		sim.SetImageBehavior("new", emulate.ImageBehavior{CrashAfter: time.Second})
 		sim.SetImageBehavior("old", emulate.ImageBehavior{CrashAfter: 500 * time.Millisecond})
 		sim.waitFor(400, sim.stateIs(rollout.Failed))
 	}},
-	{"the team's limit leaves no room for one extra: it waits, then pauses", 2, func(sim *rolloutSimulation) {
-		// Six replicas take 12 of 14 CPUs: the next version's are larger.
+	{"no extra replica fits into the team's limit: paused", 2, func(sim *rolloutSimulation) {
+		// Six replicas use 12 of the team's 14 CPUs, and a new replica needs 2.3.
 		sim.start(map[string]any{"to": map[string]any{"uid": "run-2", "reel": "new", "cpus": 2.3}})
 		sim.waitFor(200, sim.stateIs(rollout.Paused))
 		if n := sim.RunningTasks("run-1"); n != 6 {
-			sim.t.Errorf("%d old replicas run", n)
+			sim.t.Errorf("%d old replicas run, want 6", n)
 		}
 	}},
-	{"with one missing it needs no room", 2, func(sim *rolloutSimulation) {
+	{"one replica may be missing, so no extra one has to fit: done", 2, func(sim *rolloutSimulation) {
 		larger := map[string]any{"uid": "run-2", "reel": "new", "cpus": 2.3}
 		sim.start(map[string]any{"to": larger, "most_extra": 0, "most_missing": 1})
 		sim.waitFor(400, sim.stateIs(rollout.Done))
 	}},
-	{"health by checks of workers that say nothing themselves", 0, func(sim *rolloutSimulation) {
+	{"workers report no health, controllers check it: done", 0, func(sim *rolloutSimulation) {
 		sim.SetImageBehavior("new", emulate.ImageBehavior{OmitHealth: true})
 		sim.start(map[string]any{"check": healthCheck})
 		sim.waitFor(200, sim.stateIs(rollout.Done))
 	}},
-	{"the leader's checks reach nobody: paused, then on", 0, func(sim *rolloutSimulation) {
+	{"health checks of the leader reach no replica: paused, later done", 0, func(sim *rolloutSimulation) {
 		sim.SetImageBehavior("new", emulate.ImageBehavior{OmitHealth: true})
 		sim.start(map[string]any{"check": healthCheck, "deadline_s": 300.0})
 		sim.waitFor(100, sim.running("run-2", 1))
@@ -130,21 +130,21 @@
 		sim.DropHealthChecks(true)
 		sim.waitFor(60, sim.stateIs(rollout.Paused))
 		if !strings.Contains(sim.service.reason, "checker") {
-			sim.t.Errorf("paused because %s", sim.service.reason)
+			sim.t.Errorf("paused with reason %q, want one that names the checker", sim.service.reason)
 		}
 		sim.DropHealthChecks(false)
 		sim.waitFor(300, sim.stateIs(rollout.Done))
 	}},
 }
 
-// TestRollouts: roll-outs on whole controllers, through what must not disturb them. A user
-// polls the service's first job all the while.
+// TestRollouts checks the result of roll-outs on three complete controllers under faults and
+// concurrent requests. A user polls the service's first job throughout.
 func TestRollouts(t *testing.T) {
 	for _, tt := range slices.Concat(rolloutCases, rolloutHealthCases) {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				sim, closeAll := newRolloutSimulation(t, tt.limit)
+				sim, closeAll := newRolloutSimulation(t, tt.limitedCPUs)
 				stop, stopped := make(chan struct{}), make(chan struct{})
 				go func() {
 					defer close(stopped)
