--- a/internal/node/shards_test.go
+++ b/internal/node/shards_test.go
@@ -5,93 +5,94 @@
 	"time"
 )
 
-// checkHeartbeatSpread checks that every controller has answered heartbeats, at least one in
-// that many of all.
-func checkHeartbeatSpread(part int) func(*simulation) {
+// checkHeartbeatSpread checks that every controller has answered at least 1/divisor of all
+// heartbeats.
+func checkHeartbeatSpread(divisor int) func(*simulation) {
 	return func(s *simulation) {
-		all := 0
+		total := 0
 		for _, n := range s.HeartbeatsByController() {
-			all += n
+			total += n
 		}
 		for _, c := range simControllers {
-			if n := s.HeartbeatsByController()[c.Member]; n*part < all {
-				s.t.Errorf("%s has answered %d reports of %d", c.Member, n, all)
+			if n := s.HeartbeatsByController()[c.Member]; n*divisor < total {
+				s.t.Errorf("%s answered %d of %d heartbeats", c.Member, n, total)
 			}
 		}
 	}
 }
 
-// checkNoTaskLost checks that no task was lost by the expiry of its machine's lease.
+// checkNoTaskLost checks that no worker stopped a task because its lease had expired.
 func checkNoTaskLost(s *simulation) {
 	if n := s.TasksLost(); n > 0 {
-		s.t.Errorf("%d tasks were killed by their lease", n)
+		s.t.Errorf("%d tasks were lost to expired leases, want 0", n)
 	}
 }
 
-// checkUnansweredTime checks that no worker went without an answer for longer than that.
+// checkUnansweredTime checks that every worker received an answer to its heartbeats within the
+// given time, and that no task was lost.
 func checkUnansweredTime(within time.Duration) func(*simulation) {
 	return func(s *simulation) {
-		n, half, most99, longest := s.UnansweredQuantiles()
-		s.t.Logf("%d workers without an answer: half %v, 99 %% %v, longest %v", n, half, most99, longest)
+		workers, median, p99, longest := s.UnansweredQuantiles()
+		s.t.Logf("%d workers without an answer for some time: median %v, p99 %v, longest %v", workers, median, p99, longest)
 		if longest > within {
-			s.t.Errorf("a worker went without an answer for %v", longest)
+			s.t.Errorf("a worker received no answer for %v", longest)
 		}
 		checkNoTaskLost(s)
 	}
 }
 
-// TestSharding: the controllers share the machines, and the holders of shards fail.
+// TestSharding injects faults while the controllers hold one shard of the machines each.
 func TestSharding(t *testing.T) {
 	sec := time.Second
 	checks := finalChecks{
-		"quiet": checkHeartbeatSpread(40),
-		"a holder ends, is away, and ends again at once": checkNoTaskLost,
-		"state service out for longer than the lease":    checkNoTaskLost,
-		"leader refused by the state service alone":      checkNoTaskLost,
+		"no faults": checkHeartbeatSpread(40),
+		"a follower crashes for 9 s, later for 0.3 s":        checkNoTaskLost,
+		"the store is unavailable for longer than the lease": checkNoTaskLost,
+		"the store refuses the leader only":                  checkNoTaskLost,
 	}
 	runDefault(t, 1, withSharding, checks, []scenario{
-		{"quiet", nil},
-		{"a holder ends, is away, and ends again at once", []fault{
+		{"no faults", nil},
+		{"a follower crashes for 9 s, later for 0.3 s", []fault{
 			{14 * sec, crashFollower(9 * sec)},
 			{35 * sec, crashFollower(300 * time.Millisecond)},
 		}},
-		{"the leader ends in the middle of a move, then all", []fault{
+		{"the leader crashes while a shard moves, later all controllers crash", []fault{
 			{13 * sec, crashFollower(200 * time.Millisecond)},
 			{14 * sec, crashControllers(1)},
 			{40 * sec, crashControllers(3)},
 		}},
-		{"a holder cut from the controllers, held", []fault{{14 * sec, partitionFollower(isController, 20*sec)}}},
-		{"a holder that the others do not hear, though it hears them; delivered a minute later", []fault{
+		{"a follower is partitioned from the controllers, its messages arrive late", []fault{{14 * sec, partitionFollower(isController, 20*sec)}}},
+		{"a follower's messages to the other controllers arrive a minute late, but it receives theirs", []fault{
 			{14 * sec, blockFollower(60 * sec)},
 		}},
-		{"a holder ends each time that a job is cancelled", []fault{
+		{"a follower crashes each time a job is cancelled", []fault{
 			{12900 * time.Millisecond, crashFollower(2 * sec)},
 			{21900 * time.Millisecond, crashFollower(2 * sec)},
 			{30900 * time.Millisecond, crashFollower(2 * sec)},
 		}},
-		{"a zone with machines of every holder cut while one comes back", []fault{
+		{"a zone with machines of every shard is partitioned while a follower restarts", []fault{
 			{12 * sec, partitionZone("a", 16*sec)},
 			{14 * sec, crashFollower(6 * sec)},
 		}},
-		{"a holder cut from its workers alone, held", []fault{{14 * sec, partitionFollower(isWorker, 25*sec)}}},
-		{"a holder stands still past its grant, then the leader", []fault{
+		{"a follower is partitioned from its workers only, its messages arrive late", []fault{{14 * sec, partitionFollower(isWorker, 25*sec)}}},
+		{"a follower pauses past the expiry of its grant, later the leader pauses", []fault{
 			{14 * sec, func(s *simulation) { s.pauses[(s.leader()+1)%len(s.controllers)].pause(5 * sec) }},
 			{30 * sec, pauseControllers(1, 3500*time.Millisecond)},
 		}},
-		{"peers cut from each other, then the leader from the workers", []fault{
+		{"controllers are partitioned from each other, later the leader from the workers", []fault{
 			{10 * sec, partitionControllers(15 * sec)},
 			{40 * sec, partitionLeader(isWorker, 15*sec)},
 		}},
-		{"state service out while machines move", []fault{{6 * sec, storeOutage(8 * sec)}, {30 * sec, crashFollower(4 * sec)}}},
-		{"state service out for longer than the lease", []fault{{15 * sec, storeOutage(30 * sec)}}},
-		{"leader refused by the state service alone", []fault{{15 * sec, refuseLeaderAtStore(20 * sec)}}},
-		{"a sibling ends in an outage, then the leader", []fault{
+		{"the store is unavailable while machines move between shards", []fault{{6 * sec, storeOutage(8 * sec)}, {30 * sec, crashFollower(4 * sec)}}},
+		{"the store is unavailable for longer than the lease", []fault{{15 * sec, storeOutage(30 * sec)}}},
+		{"the store refuses the leader only", []fault{{15 * sec, refuseLeaderAtStore(20 * sec)}}},
+		{"a follower crashes during an outage of the store, then the leader does", []fault{
 			{14 * sec, storeOutage(25 * sec)},
 			{20 * sec, crashFollower(3 * sec)},
 			{30 * sec, crashControllers(1)},
 		}},
-		{"all end in an outage", []fault{{14 * sec, storeOutage(20 * sec)}, {17 * sec, crashControllers(3)}}},
-		{"a holder comes and goes every ten seconds", []fault{
+		{"all controllers crash during an outage of the store", []fault{{14 * sec, storeOutage(20 * sec)}, {17 * sec, crashControllers(3)}}},
+		{"a follower crashes every ten seconds", []fault{
 			{10 * sec, crashFollower(5 * sec)},
 			{20 * sec, crashFollower(5 * sec)},
 			{30 * sec, crashFollower(5 * sec)},
@@ -100,13 +101,14 @@
 	})
 }
 
-// TestShardingLargeFleet: several hundred machines whose only other shard holder fails, and whose
-// leader does.
+// TestShardingLargeFleet injects crashes of shard holders and of the leader with up to 240
+// machines.
 func TestShardingLargeFleet(t *testing.T) {
 	const scale = 20
 	sec := time.Second
-	runDefault(t, scale, withSharding, finalChecks{"a holder of a third ends": checkUnansweredTime(6 * sec)}, []scenario{
-		{"the only holder ends, then the leader", []fault{
+	const thirdLost = "the holder of a third of the machines crashes: every worker is answered within 6 s"
+	runDefault(t, scale, withSharding, finalChecks{thirdLost: checkUnansweredTime(6 * sec)}, []scenario{
+		{"one follower is down, the other one crashes, then the leader does", []fault{
 			{3 * sec, func(s *simulation) {
 				i := (s.leader() + 2) % len(s.controllers)
 				s.killController(i)
@@ -116,8 +118,8 @@
 			{18 * sec, crashFollower(6 * sec)},
 			{50 * sec, crashControllers(1)},
 		}},
-		{"a holder of a third ends", []fault{{25 * sec, crashFollower(8 * sec)}}},
-		{"workers cut while the leader changes, then all crash", []fault{
+		{thirdLost, []fault{{25 * sec, crashFollower(8 * sec)}}},
+		{"workers are partitioned while the leader changes, then all controllers crash", []fault{
 			{14 * sec, partitionWorkers(newRand(11), 2*scale, 18*sec)},
 			{16 * sec, crashControllers(1)},
 			{45 * sec, crashControllers(3)},
