--- a/internal/node/calendar_test.go
+++ b/internal/node/calendar_test.go
@@ -170,7 +170,7 @@
 		var status calendar.Status
 		sim.readEntry("/api/reservations/evening", &status)
 		if len(status.Outcomes) != 1 || status.Outcomes[0].Kind != calendar.OutcomeLapsed {
-			t.Errorf("stored outcomes: %+v, want one of kind %q", status.Outcomes, calendar.OutcomeLapsed)
+			t.Errorf("stored outcomes: %+v, want one that lapsed", status.Outcomes)
 		}
 	})
 }
--- a/internal/node/region_changes_test.go
+++ b/internal/node/region_changes_test.go
@@ -13,7 +13,8 @@
 	"vetchstream/internal/wire"
 )
 
-// greenChange is a change of a team's split with an edit.
+// greenChange returns a configuration change that divides the limit of the named team as
+// greenSplit does, after an optional edit of the team.
 func greenChange(name string, edit func(map[string]any)) map[string]any {
 	change := greenSplit(8, 4)
 	team := change["teams"].([]any)[0].(map[string]any)
@@ -24,7 +25,7 @@
 	return change
 }
 
-// guaranteeAboveLimit gives a region more of a team guaranteed than its part of the limit.
+// guaranteeAboveLimit sets a team's guarantee in a region above the region's part of the limit.
 func guaranteeAboveLimit(team map[string]any) {
 	team["regions"] = map[string]any{"region-0": map[string]any{
 		"limit":     map[string]any{"cpus": 1.0, "gpus": 0.0},
@@ -32,29 +33,30 @@
 	}}
 }
 
-// configurationChanges are changes with the status that operators get.
+// configurationChanges are changes of the configuration with the HTTP status that operators
+// receive.
 var configurationChanges = []struct {
 	name   string
 	change map[string]any
 	query  string
 	want   int
 }{
-	{"a team", greenChange("green", nil), "", http.StatusOK},
-	{"only checked", greenChange("green", nil), "?dry_run=true", http.StatusOK},
+	{"valid change of a team", greenChange("green", nil), "", http.StatusOK},
+	{"dry run of a valid change", greenChange("green", nil), "?dry_run=true", http.StatusOK},
 	{"unknown field", map[string]any{"teems": []any{}}, "", http.StatusBadRequest},
-	{"nothing", map[string]any{}, "", http.StatusBadRequest},
-	{"named twice", map[string]any{"teams": greenChange("x", nil)["teams"], "remove": []any{"x"}}, "", http.StatusBadRequest},
-	{"parts above the limit", greenSplit(9, 4), "", http.StatusUnprocessableEntity},
-	{"guarantee above its part", greenChange("green", guaranteeAboveLimit), "", http.StatusUnprocessableEntity},
+	{"no change", map[string]any{}, "", http.StatusBadRequest},
+	{"a team both changed and removed", map[string]any{"teams": greenChange("x", nil)["teams"], "remove": []any{"x"}}, "", http.StatusBadRequest},
+	{"the regions' parts exceed the limit", greenSplit(9, 4), "", http.StatusUnprocessableEntity},
+	{"a region's guarantee exceeds its part", greenChange("green", guaranteeAboveLimit), "", http.StatusUnprocessableEntity},
 	{"unknown region", greenSplit(4, 4, 4), "", http.StatusUnprocessableEntity},
-	{"another revision came first", map[string]any{"base_revision": 99, "teams": greenChange("green", nil)["teams"]}, "", http.StatusConflict},
-	{"removed, no such team", map[string]any{"remove": []any{"nobody"}}, "", http.StatusUnprocessableEntity},
-	{"removed with a job that is not over", map[string]any{"remove": []any{"green"}}, "", http.StatusUnprocessableEntity},
-	{"removed", map[string]any{"remove": []any{"blue"}}, "", http.StatusOK},
+	{"base_revision is not the current revision", map[string]any{"base_revision": 99, "teams": greenChange("green", nil)["teams"]}, "", http.StatusConflict},
+	{"removal of an unknown team", map[string]any{"remove": []any{"nobody"}}, "", http.StatusUnprocessableEntity},
+	{"removal of a team with unfinished jobs", map[string]any{"remove": []any{"green"}}, "", http.StatusUnprocessableEntity},
+	{"removal of a team without jobs", map[string]any{"remove": []any{"blue"}}, "", http.StatusOK},
 }
 
-// TestConfigChanges: the answers that operators get to changes, rollbacks and questions, and what
-// follows from the removal of a team.
+// TestConfigChanges checks the answers to configuration changes, rollbacks and queries of
+// operators, and that jobs of a removed team are refused.
 func TestConfigChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m, closeAll := newMultiRegion(t, 2, 3)
@@ -76,19 +78,20 @@
 	})
 }
 
-// checkChanges applies each of the changes at each region.
+// checkChanges requests each of the changes at each region and checks the HTTP status.
 func (m *multiRegion) checkChanges() {
 	m.t.Helper()
 	for _, tt := range configurationChanges {
 		for region := range m.regions {
 			if got := m.request(region, http.MethodPost, "/api/config"+tt.query, tt.change, nil); got != tt.want {
-				m.t.Errorf("%s at region %d: %d, want %d", tt.name, region, got, tt.want)
+				m.t.Errorf("%s at region %d: HTTP status %d, want %d", tt.name, region, got, tt.want)
 			}
 		}
 	}
 }
 
-// checkRollbacks tries rollbacks to revisions that are there and that are not.
+// checkRollbacks requests rollbacks to existing, unknown and malformed revisions and checks the
+// HTTP status.
 func (m *multiRegion) checkRollbacks() {
 	m.t.Helper()
 	wants := map[string]int{
@@ -98,12 +101,12 @@
 	}
 	for revision, want := range wants {
 		if got := m.request(1, http.MethodPost, "/api/config/rollback/"+revision+"?dry_run=true", nil, nil); got != want {
-			m.t.Errorf("rollback to %s: %d, want %d", revision, got, want)
+			m.t.Errorf("rollback to revision %s: HTTP status %d, want %d", revision, got, want)
 		}
 	}
 }
 
-// checkHistory checks that the changes that were taken are in the history, once.
+// checkHistory checks that the history holds each accepted change once.
 func (m *multiRegion) checkHistory() {
 	m.t.Helper()
 	var history struct {
@@ -111,17 +114,17 @@
 	}
 	m.request(1, http.MethodGet, "/api/config/history", nil, &history)
 	if len(history.Changes) != 5 {
-		m.t.Errorf("%d changes are kept: %+v", len(history.Changes), history)
+		m.t.Errorf("the history holds %d changes, want 5: %+v", len(history.Changes), history)
 	}
 }
 
-// checkRemovedTeam submits jobs of the team that was removed, which is refused, and of one that
-// is still there.
+// checkRemovedTeam checks that a job of the removed team blue is refused and one of team red is
+// accepted.
 func (m *multiRegion) checkRemovedTeam() {
 	m.t.Helper()
 	s := m.regions[1]
 	hc := s.userClient(5 * time.Second)
-	taken := &job.Spec{
+	accepted := &job.Spec{
 		ID:           "run-73",
 		Team:         "red",
 		ShapeName:    "array",
@@ -133,7 +136,7 @@
 		Spot:         true,
 	}
 	for _, team := range []string{"blue", "red"} {
-		spec := *taken
+		spec := *accepted
 		spec.Team = team
 		res, err := hc.Post("http://"+s.controllerAddress(0)+"/api/jobs", wire.ContentType, bytes.NewReader(submission(&spec)))
 		if err != nil {
@@ -141,13 +144,14 @@
 		}
 		_ = res.Body.Close()
 		if refused := res.StatusCode == http.StatusUnprocessableEntity; refused != (team == "blue") {
-			m.t.Errorf("a job of %s got %d", team, res.StatusCode)
+			m.t.Errorf("submission for team %s: HTTP status %d", team, res.StatusCode)
 		}
 	}
-	s.Go(func() { s.runUser(taken, 0, 0) })
+	s.Go(func() { s.runUser(accepted, 0, 0) })
 }
 
-// checkWithoutHomeRegion asks for the status at a region that is cut off from the home region.
+// checkWithoutHomeRegion checks that a region that is partitioned from the home region answers a
+// status query with 503 and Retry-After.
 func (m *multiRegion) checkWithoutHomeRegion() {
 	m.t.Helper()
 	s := m.regions[1]
@@ -158,13 +162,13 @@
 	}
 	_ = res.Body.Close()
 	if res.StatusCode != http.StatusServiceUnavailable || res.Header.Get("Retry-After") == "" {
-		m.t.Errorf("without the home region: %d", res.StatusCode)
+		m.t.Errorf("status query without the home region: HTTP status %d, want 503 with Retry-After", res.StatusCode)
 	}
 }
 
-// TestTeamRemoval: a team is removed while its jobs come in at all controllers of another
-// region, which do not reach each other and admit by themselves. What was accepted runs to
-// its end, and nothing is accepted once the removal is in force.
+// TestTeamRemoval removes a team while users submit its jobs to all controllers of another region,
+// which are partitioned from each other and admit jobs independently. Accepted jobs have to run
+// to their end, and no job may be accepted once the removal is in force.
 func TestTeamRemoval(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m, closeAll := newMultiRegion(t, 2, 3)
@@ -180,14 +184,15 @@
 		accepted, refused := m.submitDuringRemoval()
 		m.awaitInForce(<-removed, time.Minute)
 		if accepted == 0 || refused == 0 {
-			t.Errorf("%d accepted, %d refused: the day tells nothing", accepted, refused)
+			t.Errorf("%d jobs accepted, %d refused: the scenario needs some of both", accepted, refused)
 		}
 		m.allowLowUsage = true
 		m.awaitEnd(3 * time.Minute)
 	})
 }
 
-// removeGreen removes green as soon as its jobs are over, and returns the change's revision.
+// removeGreen removes team green as soon as its jobs have ended, and returns the revision of the
+// change.
 func (m *multiRegion) removeGreen() uint64 {
 	for {
 		var out struct {
@@ -196,12 +201,12 @@
 		if m.request(0, http.MethodPost, "/api/config", map[string]any{"remove": []any{"green"}}, &out) == http.StatusOK {
 			return out.Revision
 		}
-		time.Sleep(50 * time.Millisecond) // its jobs are not over
+		time.Sleep(50 * time.Millisecond) // the team still has unfinished jobs
 	}
 }
 
-// submitDuringRemoval submits jobs of green in region 1, with pauses in which it has none, and
-// counts those that were accepted and refused.
+// submitDuringRemoval submits jobs of team green in region 1 and counts the accepted and the
+// refused ones. During its pauses the team has no unfinished job and can be removed.
 func (m *multiRegion) submitDuringRemoval() (accepted, refused int) {
 	s := m.regions[1]
 	hc := s.userClient(5 * time.Second)
@@ -229,8 +234,8 @@
 	return accepted, refused
 }
 
-// TestRejectedConfigUpdate: an update of the configuration that the key-value store rejects is tried again
-// at a rate that leaves the store to others.
+// TestRejectedConfigUpdate checks that an update of the configuration that the key-value store
+// rejects is retried at a low rate, so that it does not use up the store's request rate.
 func TestRejectedConfigUpdate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m, closeAll := newMultiRegion(t, 2, 1)
@@ -244,11 +249,11 @@
 			time.Sleep(10 * time.Second)
 			return store.Load().Requests - before
 		}
-		usual := requestsInTenSeconds()
+		normal := requestsInTenSeconds()
 		revision := m.applyChange(0, greenSplit(2, 10))
-		store.SetMaxWrites(1) // the raise that follows takes two writes
-		if rejected := requestsInTenSeconds(); rejected > usual+30 {
-			t.Errorf("%d requests in ten seconds, usually %d", rejected, usual)
+		store.SetMaxWrites(1) // raising a limit takes two writes
+		if duringRejection := requestsInTenSeconds(); duringRejection > normal+30 {
+			t.Errorf("%d requests in ten seconds while the store rejects the update, %d before: want at most 30 more", duringRejection, normal)
 		}
 		store.SetMaxWrites(12)
 		m.awaitInForce(revision, inForceTimeout)
--- a/internal/node/region_scenarios_test.go
+++ b/internal/node/region_scenarios_test.go
@@ -10,8 +10,8 @@
 	"vetchstream/internal/dynconfig"
 )
 
-// unreliableTransactions lets a part of a region's transactions be carried out late, or at once
-// with their answers lost.
+// unreliableTransactions makes a region's key-value store carry out a sixth of the transactions 2
+// to 10 s late and lose the answers of another sixth, for the given time.
 func unreliableTransactions(region int, d time.Duration) func(*multiRegion) {
 	return func(m *multiRegion) {
 		r := newRand(uint64(region))
@@ -29,12 +29,12 @@
 	}
 }
 
-// inRegion injects a fault in one region.
+// inRegion injects the fault into one region.
 func inRegion(region int, inject func(*simulation)) func(*multiRegion) {
 	return func(m *multiRegion) { inject(m.regions[region]) }
 }
 
-// partitionRegion cuts a region from the home region for a while.
+// partitionRegion partitions a region from the home region for the given time.
 func partitionRegion(region int, d time.Duration) func(*multiRegion) {
 	return func(m *multiRegion) {
 		m.setPartitioned(region, true)
@@ -43,20 +43,20 @@
 	}
 }
 
-// restoreOlderRecords gives a region's key-value store an older state of the configuration and
-// of the term, as one that has lost its last writes, and ends the leader.
+// restoreOlderRecords restores older records of the configuration and of the term in a region's
+// key-value store, as if the store had lost its last writes, and crashes the leader.
 func restoreOlderRecords(region int) func(*multiRegion) {
 	return func(m *multiRegion) {
 		s := m.regions[region]
 		older := s.store.Snapshot("t/")
-		time.Sleep(8 * time.Second) // a change is made meanwhile
+		time.Sleep(8 * time.Second) // the configuration changes in this time
 		s.store.Restore("t/", older)
 		rollBackTerm(s)
 	}
 }
 
-// corruptRecords makes all records of the configuration in a region unreadable, and ends its
-// leader.
+// corruptRecords overwrites all configuration records of a region with unreadable values and
+// crashes the region's leader.
 func corruptRecords(region int) func(*multiRegion) {
 	return func(m *multiRegion) {
 		s := m.regions[region]
@@ -69,60 +69,60 @@
 	}
 }
 
-// regionScenario is a scenario of several regions with the faults that are injected one after
-// the other.
+// regionScenario is a scenario of several regions and the faults that are injected in sequence.
 type regionScenario struct {
 	name   string
 	faults []func(*multiRegion)
 }
 
-// TestRegionFaults: while the parts of a limit move from region to region and back, the regions
-// together never use more than it, whatever leaders and links do, and what was decided comes
-// into force.
+// TestRegionFaults divides a team's limit differently among the regions again and again while
+// leaders and links fail. The regions together must never use more than the limit, and the last
+// change has to come into force.
 func TestRegionFaults(t *testing.T) {
 	sec := time.Second
 	runRegionScenarios(t, []regionScenario{
-		{"calm", nil},
-		{"home's leader ends, twice", []func(*multiRegion){inRegion(0, crashControllers(1)), inRegion(0, crashControllers(1))}},
-		{"a region's leader ends, twice", []func(*multiRegion){inRegion(1, crashControllers(1)), inRegion(1, crashControllers(1))}},
-		{"both at once", []func(*multiRegion){func(m *multiRegion) {
+		{"no faults", nil},
+		{"the home region's leader crashes twice", []func(*multiRegion){inRegion(0, crashControllers(1)), inRegion(0, crashControllers(1))}},
+		{"another region's leader crashes twice", []func(*multiRegion){inRegion(1, crashControllers(1)), inRegion(1, crashControllers(1))}},
+		{"the leaders of both regions crash at the same time", []func(*multiRegion){func(m *multiRegion) {
 			m.tasks.Go(func() { crashControllers(1)(m.regions[1]) })
 			crashControllers(1)(m.regions[0])
 		}}},
-		{"a region is cut off, and its leader ends", []func(*multiRegion){func(m *multiRegion) {
+		{"a region is partitioned from the home region, and its leader crashes", []func(*multiRegion){func(m *multiRegion) {
 			m.tasks.Go(func() { partitionRegion(1, 40*sec)(m) })
 			time.Sleep(5 * sec)
 			crashControllers(1)(m.regions[1])
 		}}},
-		{"home is gone altogether", []func(*multiRegion){inRegion(0, crashControllers(3))}},
+		{"all controllers of the home region crash", []func(*multiRegion){inRegion(0, crashControllers(3))}},
 	})
 }
 
-// TestRegionStoreFaults is the same where key-value stores are out, late, restored or corrupted.
+// TestRegionStoreFaults makes the same checks while key-value stores are unavailable, late,
+// restored to older records or corrupted.
 func TestRegionStoreFaults(t *testing.T) {
 	sec := time.Second
 	runRegionScenarios(t, []regionScenario{
-		{"a region's state service is out, then refuses its leader", []func(*multiRegion){
+		{"a region's store is unavailable, then refuses its leader", []func(*multiRegion){
 			inRegion(1, storeOutage(8*sec)),
 			inRegion(1, refuseLeaderAtStore(9*sec)),
 		}},
-		{"home's state service is out, then refuses its leader", []func(*multiRegion){
+		{"the home region's store is unavailable, then refuses its leader", []func(*multiRegion){
 			inRegion(0, storeOutage(8*sec)),
 			inRegion(0, refuseLeaderAtStore(9*sec)),
 		}},
-		{"late transactions and lost answers", []func(*multiRegion){func(m *multiRegion) {
+		{"transactions are late and answers are lost in both regions", []func(*multiRegion){func(m *multiRegion) {
 			m.tasks.Go(func() { unreliableTransactions(0, 25*sec)(m) })
 			m.tasks.Go(func() { unreliableTransactions(1, 25*sec)(m) })
 			time.Sleep(10 * sec)
 			crashControllers(1)(m.regions[1])
 		}}},
-		{"home's store is put back", []func(*multiRegion){restoreOlderRecords(0)}},
-		{"a region's store is put back", []func(*multiRegion){restoreOlderRecords(1)}},
-		{"records cannot be read", []func(*multiRegion){corruptRecords(0), corruptRecords(1)}},
+		{"the home region's store is restored to older records", []func(*multiRegion){restoreOlderRecords(0)}},
+		{"a region's store is restored to older records", []func(*multiRegion){restoreOlderRecords(1)}},
+		{"configuration records of both regions are corrupted", []func(*multiRegion){corruptRecords(0), corruptRecords(1)}},
 	})
 }
 
-// runRegionScenarios plays each scenario as a subtest with two regions.
+// runRegionScenarios runs each scenario as a subtest with two regions.
 func runRegionScenarios(t *testing.T, scenarios []regionScenario) {
 	for _, sc := range scenarios {
 		t.Run(sc.name, func(t *testing.T) {
@@ -131,10 +131,12 @@
 	}
 }
 
-// inForceTimeout is by when a change has to be in force in all regions that are reached.
+// inForceTimeout is the time within which a change has to be in force in all regions that the home
+// region reaches.
 const inForceTimeout = 19 * time.Second
 
-// runRegionScenario injects the faults while green's limit moves from region to region.
+// runRegionScenario injects the faults while changes divide green's limit differently among the
+// regions.
 func runRegionScenario(t *testing.T, faults []func(*multiRegion)) {
 	sec := time.Second
 	m, closeAll := newMultiRegion(t, 2, 3)
@@ -161,8 +163,9 @@
 	m.awaitEnd(3 * time.Minute)
 }
 
-// TestLongRegionPartition: a region that is cut off for an hour retains its part of the limit and goes
-// on, and has everything within 19 seconds after the partition.
+// TestLongRegionPartition checks that a region that is partitioned for an hour retains its part of
+// the limit and keeps starting tasks, and that all changes are in force there within 19 seconds
+// after the partition.
 func TestLongRegionPartition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m, closeAll := newMultiRegion(t, 2, 1)
@@ -179,18 +182,18 @@
 		m.submitGreenJobs(8 * time.Second)
 		time.Sleep(20 * time.Second)
 		if used := m.regions[1].Starts(); used == 0 {
-			t.Error("the region that is cut off starts nothing")
+			t.Error("the partitioned region started no task")
 		}
-		var s dynconfig.Status
-		m.request(0, http.MethodGet, "/api/config/status", nil, &s)
-		if r := s.Regions[1]; r.SilentS < 3500 || r.Behind < 390 || len(r.Pending) != 1 || !slices.Equal(r.Pending[0].BlockedBy, []string{"region-1"}) {
-			t.Errorf("status of the region that is cut off: %+v", r)
+		var status dynconfig.Status
+		m.request(0, http.MethodGet, "/api/config/status", nil, &status)
+		if r := status.Regions[1]; r.SilentS < 3500 || r.Behind < 390 || len(r.Pending) != 1 || !slices.Equal(r.Pending[0].BlockedBy, []string{"region-1"}) {
+			t.Errorf("status of the partitioned region: %+v, want it silent for about an hour with one change pending on region-1", r)
 		}
 		m.setPartitioned(1, false)
 		m.awaitInForce(last, inForceTimeout)
 		m.awaitEnd(2 * time.Minute)
 		if n := m.regions[0].store.CountKeys("t/"); n > 3+dynconfig.MaxHistory {
-			t.Errorf("%d keys of the configuration are left", n)
+			t.Errorf("the store holds %d configuration keys after all changes, want at most the history and three more", n)
 		}
 	})
 }
--- a/internal/node/regions_test.go
+++ b/internal/node/regions_test.go
@@ -20,28 +20,30 @@
 	"vetchstream/internal/wire"
 )
 
-// greenLimitCPUs is what team green, which no platform's file names, may use in all regions.
+// greenLimitCPUs is the limit of team green over all regions. No settings file names the team; it
+// exists through configuration changes only.
 const greenLimitCPUs = 12
 
-// cpuTolerance is what a sum of CPUs may be off.
+// cpuTolerance is the permitted rounding error of a sum of CPUs.
 const cpuTolerance = 1e-6
 
-// homeRegionPrefix is how controllers of other regions name those of the home region.
+// homeRegionPrefix marks addresses of the home region's controllers.
 const homeRegionPrefix = "home/"
 
-// multiRegion is several regions; the first is the home region.
+// multiRegion simulates several regions, of which the first is the home region.
 type multiRegion struct {
 	t             *testing.T
 	regions       []*simulation
 	stopped       chan struct{}
-	allowLowUsage bool // green need not use much
+	allowLowUsage bool // green may use less than half of its limit throughout
 	mu            sync.Mutex
-	greenPeak     float64 // that green has used at a time
+	greenPeak     float64 // most CPUs that green has used at a time
 	tasks         sync.WaitGroup
 	jobsCreated   int
 }
 
-// newMultiRegion starts regions of that many controllers each, and returns what ends them.
+// newMultiRegion starts regions of that many controllers each, and returns a function that stops
+// them.
 func newMultiRegion(t *testing.T, regions, controllers int) (*multiRegion, func()) {
 	m := &multiRegion{t: t, stopped: make(chan struct{})}
 	names := make([]string, regions)
@@ -67,7 +69,8 @@
 	}
 }
 
-// newRegion starts region i, whose controllers reach the home region by a host of their own.
+// newRegion starts region i, whose controllers connect to the home region from a host of their
+// own.
 func (m *multiRegion) newRegion(i int, names []string, controllers int) (*simulation, func()) {
 	editCluster := func(c *emulate.Config) {
 		c.Limits = nil
@@ -86,10 +89,11 @@
 	return s, closeAll
 }
 
-// regionHost is the host from which controllers of a region reach the home region.
+// regionHost names the host from which controllers of a region connect to the home region.
 func regionHost(region int) string { return fmt.Sprintf("abroad-%d", region) }
 
-// trackGreenUsage adds up what green uses in all regions, ten times a second.
+// trackGreenUsage records the peak of green's CPU usage over all regions, sampled ten times a
+// second.
 func (m *multiRegion) trackGreenUsage() {
 	for {
 		select {
@@ -97,17 +101,17 @@
 			return
 		case <-time.After(100 * time.Millisecond):
 		}
-		sum := 0.0
+		used := 0.0
 		for _, s := range m.regions {
-			sum += s.TeamCPUs("green")
+			used += s.TeamCPUs("green")
 		}
 		m.mu.Lock()
-		m.greenPeak = max(m.greenPeak, sum)
+		m.greenPeak = max(m.greenPeak, used)
 		m.mu.Unlock()
 	}
 }
 
-// setPartitioned cuts a region from the home region, or ends that partition.
+// setPartitioned partitions a region from the home region, or ends the partition.
 func (m *multiRegion) setPartitioned(region int, on bool) {
 	name := regionHost(region)
 	if !on {
@@ -117,8 +121,9 @@
 	m.regions[0].setPartition(name, func(from, to string) bool { return from == name || to == name })
 }
 
-// request repeats a request at a region until it has a clear answer, and returns its status; 0:
-// there was none. The answer is decoded to out, unless that is nil.
+// request sends a request to the region's controllers in turn until one answers with a status
+// below 500, and returns that status; 0: none did. It decodes the answer into out unless out is
+// nil.
 func (m *multiRegion) request(region int, method, path string, doc, out any) int {
 	m.t.Helper()
 	body, err := wire.Marshal(doc)
@@ -127,8 +132,8 @@
 	}
 	s := m.regions[region]
 	hc := s.userClient(5 * time.Second)
-	for try := range 120 {
-		req, err := http.NewRequest(method, "http://"+s.controllerAddress(try)+path, bytes.NewReader(body))
+	for attempt := range 120 {
+		req, err := http.NewRequest(method, "http://"+s.controllerAddress(attempt)+path, bytes.NewReader(body))
 		if err != nil {
 			m.t.Fatal(err)
 		}
@@ -138,7 +143,7 @@
 			_ = res.Body.Close()
 			if readErr == nil && res.StatusCode < 500 {
 				if out != nil {
-					_ = wire.Unmarshal(answer, out) // a refusal has another body
+					_ = wire.Unmarshal(answer, out) // error answers have another body
 				}
 				return res.StatusCode
 			}
@@ -148,14 +153,14 @@
 	return 0
 }
 
-// greenSplit is a change that divides green's limit among the regions, each with half of its
-// part guaranteed.
-func greenSplit(cpus ...float64) map[string]any {
+// greenSplit returns a change that divides green's limit among the regions. Half of each part is
+// guaranteed.
+func greenSplit(cpusByRegion ...float64) map[string]any {
 	regions := map[string]any{}
-	for i, n := range cpus {
+	for i, cpus := range cpusByRegion {
 		regions[fmt.Sprintf("region-%d", i)] = map[string]any{
-			"limit":     map[string]any{"cpus": n},
-			"guarantee": map[string]any{"cpus": n / 2},
+			"limit":     map[string]any{"cpus": cpus},
+			"guarantee": map[string]any{"cpus": cpus / 2},
 		}
 	}
 	team := map[string]any{
@@ -166,14 +171,14 @@
 	return map[string]any{"teams": []any{team}}
 }
 
-// applyChange makes a change at a region and returns its revision.
+// applyChange requests a change at a region and returns its revision.
 func (m *multiRegion) applyChange(region int, change map[string]any) uint64 {
 	m.t.Helper()
 	var out struct {
 		Revision uint64 `codec:"revision"`
 	}
 	if got := m.request(region, http.MethodPost, "/api/config", change, &out); got != http.StatusOK {
-		m.t.Errorf("a change got %d", got)
+		m.t.Errorf("configuration change: HTTP status %d, want 200", got)
 	}
 	return out.Revision
 }
@@ -182,21 +187,21 @@
 func (m *multiRegion) awaitInForce(revision uint64, within time.Duration) time.Duration {
 	m.t.Helper()
 	begun := time.Now()
-	var s dynconfig.Status
+	var status dynconfig.Status
 	behind := func(r dynconfig.RegionStatus) bool { return r.Revision < revision }
 	for time.Since(begun) < within {
-		m.request(0, http.MethodGet, "/api/config/status", nil, &s)
-		if len(s.Regions) > 0 && !slices.ContainsFunc(s.Regions, behind) {
+		m.request(0, http.MethodGet, "/api/config/status", nil, &status)
+		if len(status.Regions) > 0 && !slices.ContainsFunc(status.Regions, behind) {
 			return time.Since(begun)
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
-	m.t.Errorf("revision %d is not in force after %v: %+v", revision, within, s)
+	m.t.Errorf("revision %d is not in force in all regions after %v: %+v", revision, within, status)
 	return within
 }
 
-// submitGreenJobs lets a user of green in each region submit a job every four seconds, for a
-// while.
+// submitGreenJobs starts a user of green in each region who submits a job every four seconds for
+// the given time.
 func (m *multiRegion) submitGreenJobs(d time.Duration) {
 	const interval = 4 * time.Second
 	for i, s := range m.regions {
@@ -208,7 +213,7 @@
 	}
 }
 
-// greenJob is an array of green with tasks of one CPU that take that many seconds.
+// greenJob returns an array job of green whose tasks use one CPU each for the given time.
 func greenJob(id string, tasks int, seconds float64) *job.Spec {
 	return &job.Spec{
 		ID:           id,
@@ -224,7 +229,7 @@
 	}
 }
 
-// awaitEnd waits until all jobs are over, and checks what was seen.
+// awaitEnd waits until all jobs have ended, and checks the invariants and green's peak usage.
 func (m *multiRegion) awaitEnd(within time.Duration) {
 	m.t.Helper()
 	begun := time.Now()
@@ -232,7 +237,7 @@
 		time.Sleep(time.Second)
 	}
 	if n := m.unfinishedJobs(); n > 0 {
-		m.t.Errorf("%d jobs are not over", n)
+		m.t.Errorf("%d jobs have not ended", n)
 		for _, s := range m.regions {
 			m.t.Log(s.UnfinishedJobs())
 		}
@@ -246,14 +251,14 @@
 	peak := m.greenPeak
 	m.mu.Unlock()
 	if peak > greenLimitCPUs+cpuTolerance {
-		m.t.Errorf("green has used %g of %d", peak, greenLimitCPUs)
+		m.t.Errorf("green used %g CPUs at a time, above its limit of %d", peak, greenLimitCPUs)
 	}
 	if peak < greenLimitCPUs/2 && !m.allowLowUsage {
-		m.t.Errorf("green has used %g at the most: the day tells nothing", peak)
+		m.t.Errorf("green used at most %g CPUs at a time: the scenario does not approach the limit", peak)
 	}
 }
 
-// unfinishedJobs counts the jobs of all regions that are not over.
+// unfinishedJobs returns the number of unfinished jobs in all regions.
 func (m *multiRegion) unfinishedJobs() (n int) {
 	for _, s := range m.regions {
 		n += len(s.UnfinishedJobs())
