--- a/internal/node/storm_checks_test.go
+++ b/internal/node/storm_checks_test.go
@@ -10,28 +10,29 @@
 	"vetchstream/internal/wire"
 )
 
-// staleReplicaTimeout is for how long the leader may take a replica for running whose machine is
-// gone: a lease.
+// staleReplicaTimeout is how long the leader may consider a replica running after its machine was
+// lost: the lease and a second.
 const staleReplicaTimeout = 11 * time.Second
 
-// rolloutHistory is what the machines' history says of one service.
+// rolloutHistory evaluates the machines' history of one service.
 type rolloutHistory struct {
 	service  *rolloutService
-	started  map[string]string    // replica of the next version -> zone of its first start
-	running  map[string]int       // copies of a replica of either version
-	lostAt   map[string]time.Time // replica -> its last loss with a machine
-	complete bool                 // all replicas have run
-	// firstStart and lastEnd are of the next version.
+	started  map[string]string    // replica of the next version to the zone of its first start
+	running  map[string]int       // replica to the number of its running copies of either version
+	lostAt   map[string]time.Time // replica to the time at which it was last lost with a machine
+	complete bool                 // every replica has run
+	// firstStart and lastEnd are when the first replica of the next version started and the last
+	// one ended.
 	firstStart, lastEnd time.Time
 	violations          []string
 }
 
-// violate adds a violation.
+// violate records a violation.
 func (h *rolloutHistory) violate(format string, a ...any) {
 	h.violations = append(h.violations, fmt.Sprintf(format, a...))
 }
 
-// add takes an event of the service's images into account.
+// add processes an event of one of the service's two images.
 func (h *rolloutHistory) add(e emulate.Event) {
 	_, replica, _ := strings.Cut(e.Task, "/")
 	if e.Start {
@@ -49,7 +50,7 @@
 	h.complete = h.complete || len(h.running) == h.service.spec.Tasks
 }
 
-// addNextVersion notes when and where the next version ran.
+// addNextVersion records when and where the next version ran.
 func (h *rolloutHistory) addNextVersion(e emulate.Event, replica string) {
 	if !e.Start {
 		h.lastEnd = e.At
@@ -63,17 +64,18 @@
 	}
 }
 
-// checkReplicaCount checks that the roll-out does not halt the only copy of a replica. There is
-// one extra, so none may be missing, but for a copy whose machine is gone and which the leader
-// does not know yet.
+// checkReplicaCount checks that the roll-out does not halt the only copy of a replica. The
+// roll-out may start one extra replica, so none may be missing, except while the leader has not
+// yet noticed that the machine of another copy was lost.
 func (h *rolloutHistory) checkReplicaCount(e emulate.Event, replica string) {
 	halted := !e.Start && e.Cause == wire.CauseStopped && e.Image == h.service.spec.Image
 	if halted && h.complete && h.running[replica] == 0 && e.At.Sub(h.lostAt[replica]) > staleReplicaTimeout {
-		h.violate("%s fell below its floor: %s was stopped at %v with no copy of it elsewhere", h.service.name, e.Task, e.At)
+		h.violate("%s: the roll-out halted %s at %v, the only copy of that replica", h.service.name, e.Task, e.At)
 	}
 }
 
-// checkEnd checks how far a bad build has come, and that the service has ended on a good one.
+// checkEnd checks that a bad build ran in one batch and one zone at most, and that the roll-out has
+// ended in the right state.
 func (h *rolloutHistory) checkEnd() {
 	service := h.service
 	zones := map[string]bool{}
@@ -84,18 +86,18 @@
 	if service.badBuild {
 		want = rollout.RolledBack
 		if len(h.started) > service.batch || len(zones) > 1 {
-			h.violate("%s: the bad build ran as %d replicas in %d zones, a batch is %d", service.name, len(h.started), len(zones), service.batch)
+			h.violate("%s: the bad build ran as %d replicas in %d zones, want one zone and a batch of %d at most", service.name, len(h.started), len(zones), service.batch)
 		}
 		if service.state == string(rollout.RolledBack) {
 			service.rolledBackAfter = h.lastEnd.Sub(h.firstStart)
 		}
 	}
 	if service.state != string(want) {
-		h.violate("%s (bad: %v) ended %q, want %q: %s", service.name, service.badBuild, service.state, want, service.reason)
+		h.violate("%s (bad build: %v): the roll-out ended in state %q, want %q: %s", service.name, service.badBuild, service.state, want, service.reason)
 	}
 }
 
-// checkRolloutHistories checks the machines' history of each service against what was promised.
+// checkRolloutHistories checks the machines' history of each service and returns the violations.
 func checkRolloutHistories(services []*rolloutService, history []emulate.Event) (violations []string) {
 	for _, service := range services {
 		h := &rolloutHistory{
--- a/internal/node/storm_test.go
+++ b/internal/node/storm_test.go
@@ -20,15 +20,16 @@
 	"vetchstream/internal/wire"
 )
 
-// rolloutStress is a season of roll-outs: services, a third of whose builds are bad.
+// rolloutStress configures a stress test of concurrent roll-outs, about a third of them to a bad
+// build.
 type rolloutStress struct {
 	services    int
-	maxReplicas int // of a service
+	maxReplicas int // of each service
 	faults      bool
-	gatesOff    bool // the checks must find violations
+	gatesOff    bool // the gates always pass, so that the checks must find violations
 }
 
-// rolloutService is one service of a storm.
+// rolloutService is a service with its roll-out.
 type rolloutService struct {
 	name            string
 	spec            *job.Spec
@@ -38,10 +39,10 @@
 	buildKind       int // index into badBuilds
 	state           string
 	reason          string
-	rolledBackAfter time.Duration // the bad build ran for that long
+	rolledBackAfter time.Duration // how long the bad build ran
 }
 
-// badBuilds are the ways in which a build is bad.
+// badBuilds are the behaviours of bad builds.
 var badBuilds = []emulate.ImageBehavior{
 	{CrashAfter: 200 * time.Millisecond},
 	{UnhealthyAfter: 30 * time.Second},
@@ -49,15 +50,15 @@
 	{UnhealthyAfter: 5 * time.Second, FlapPeriod: 6 * time.Second},
 }
 
-// detectedByGates is the bad build of a storm without gates: one that crashes at once can stop
-// a roll-out without any gate.
+// detectedByGates is the bad build that is used with the gates switched off. A build that crashes
+// at once could stop its roll-out without any gate.
 const detectedByGates = 1
 
-// stressZones are the zones of a storm's machines.
+// stressZones are the zones of the stress test's machines.
 var stressZones = []string{"a", "b", "c", "d"}
 
-// run plays a storm and returns the services with what became of them, and the violations that
-// were found.
+// run runs the stress test with a seed, and returns the services with the results of their
+// roll-outs and the violations that the checks found.
 func (st rolloutStress) run(t *testing.T, seed uint64) (services []*rolloutService, violations []string) {
 	r := rand.New(rand.NewPCG(seed, 14))
 	s, closeAll := st.start(t, seed)
@@ -70,31 +71,30 @@
 		services = append(services, service)
 		s.DescribeJob(service.spec)
 		if !s.submit(hc, service.spec) {
-			t.Fatal("a service was not accepted")
+			t.Fatal("the submission of a service was not accepted")
 		}
 	}
 	time.Sleep(30 * time.Second)
 	for i, service := range services {
 		st.startRollout(t, s, hc, i, service)
 	}
-	calm, faultsOver := make(chan struct{}), make(chan struct{})
+	stopFaults, faultsDone := make(chan struct{}), make(chan struct{})
 	go func() {
-		defer close(faultsOver)
+		defer close(faultsDone)
 		if st.faults {
-			s.injectRandomFaults(r, calm)
+			s.injectRandomFaults(r, stopFaults)
 		}
 	}()
 	s.awaitRollouts(hc, services)
 	time.Sleep(20 * time.Second)
-	close(calm)
-	<-faultsOver
+	close(stopFaults)
+	<-faultsDone
 	violations = append(s.Violations(), checkRolloutHistories(services, s.History())...)
 	closeAll()
 	return services, violations
 }
 
-// start starts the controllers and the machines. Of an odd seed the controllers share the
-// machines.
+// start starts the controllers and the machines, with sharding if the seed is odd.
 func (st rolloutStress) start(t *testing.T, seed uint64) (*simulation, func()) {
 	editCluster := func(c *emulate.Config) {
 		c.MaxMachines = 40 + st.services*st.maxReplicas/3
@@ -117,7 +117,7 @@
 	return s, closeAll
 }
 
-// drawService draws service i and its next build, of which the first is always bad.
+// drawService draws service i and its next build, which is always bad for the first service.
 func (st rolloutStress) drawService(i int, r *rand.Rand) *rolloutService {
 	replicas := 3 + r.IntN(st.maxReplicas-2)
 	service := &rolloutService{
@@ -169,21 +169,22 @@
 	}
 	started := s.request(hc, "POST", "/api/rollouts", body, func(status int, _ wire.JobStatus) bool {
 		if status == 400 || status == 422 {
-			t.Errorf("%s: roll-out refused with %d", service.name, status)
+			t.Errorf("%s: roll-out request: HTTP status %d", service.name, status)
 		}
 		return status < 300
 	})
 	if !started {
-		t.Fatal("a roll-out was not accepted")
+		t.Fatal("the request for a roll-out was not accepted")
 	}
 }
 
-// injectRandomFaults injects drawn faults for ten minutes or more, until calm is closed.
-func (s *simulation) injectRandomFaults(r *rand.Rand, calm <-chan struct{}) {
+// injectRandomFaults injects one random fault after the other for ten minutes or more, or until
+// stopFaults is closed.
+func (s *simulation) injectRandomFaults(r *rand.Rand, stopFaults <-chan struct{}) {
 	for at := 0; at < 600; at += 60 + r.IntN(60) {
 		time.Sleep(time.Duration(60+r.IntN(60)) * time.Second)
 		select {
-		case <-calm:
+		case <-stopFaults:
 			return
 		default:
 		}
@@ -193,7 +194,7 @@
 			crashControllers(1 + r.IntN(3))(s)
 		case 1:
 			storeOutage(time.Duration(3+r.IntN(12)) * time.Second)(s)
-		case 2: // for longer than the leases of the zone's machines
+		case 2: // longer than the leases of the zone's machines
 			partitionZone(zone, 14*time.Second)(s)
 		case 3:
 			killMachines(r, 1)(s)
@@ -201,32 +202,32 @@
 	}
 }
 
-// awaitRollouts polls the roll-outs until all are over, for 40 minutes at most.
+// awaitRollouts polls the roll-outs until all have ended, for 40 minutes at most.
 func (s *simulation) awaitRollouts(hc *http.Client, services []*rolloutService) {
 	for range 1200 {
 		time.Sleep(2 * time.Second)
-		underWay := 0
+		unfinished := 0
 		for _, service := range services {
 			if rollout.State(service.state).Over() {
 				continue
 			}
 			s.pollRollout(hc, service)
-			underWay++
+			unfinished++
 		}
-		if underWay == 0 {
+		if unfinished == 0 {
 			return
 		}
 	}
 }
 
-// readAll reads and closes the body of an answer; nil: it could not be read.
+// readAll reads and closes the body of a response; nil: reading failed.
 func readAll(res *http.Response) []byte {
 	defer res.Body.Close()
-	b, err := io.ReadAll(res.Body)
+	body, err := io.ReadAll(res.Body)
 	if err != nil {
 		return nil
 	}
-	return b
+	return body
 }
 
 // pollRollout reads the state of a service's roll-out.
@@ -235,15 +236,15 @@
 	if err != nil {
 		return
 	}
-	b := readAll(res)
-	var st rollout.Status
-	if res.StatusCode == http.StatusOK && wire.Unmarshal(b, &st) == nil {
-		service.state = st.State
-		service.reason = st.Reason
+	body := readAll(res)
+	var status rollout.Status
+	if res.StatusCode == http.StatusOK && wire.Unmarshal(body, &status) == nil {
+		service.state = status.State
+		service.reason = status.Reason
 	}
 }
 
-// stressRun is a storm with its seed, and whether the checks must find violations.
+// stressRun is a stress test with its seed, and whether the checks must find violations.
 type stressRun struct {
 	name string
 	rolloutStress
@@ -251,43 +252,44 @@
 	wantViolations bool
 }
 
-// envNumber is a positive number in an environment variable, or the default.
-func envNumber(name string, otherwise int) int {
+// envNumber returns the positive number in an environment variable, or the default.
+func envNumber(name string, defaultValue int) int {
 	if n, err := strconv.Atoi(os.Getenv(name)); err == nil && n > 0 {
 		return n
 	}
-	return otherwise
+	return defaultValue
 }
 
-// TestRolloutStress: roll-outs through crashes, outages, cut zones and dying machines. No
-// more than one batch ever runs a bad build, and each service ends on a good one.
-// With the gates switched off the checks must find violations. STORM_SEEDS,
-// STORM_SERVICES and STORM_REPLICAS play more of it than continuous integration has time for.
+// TestRolloutStress runs concurrent roll-outs during controller crashes, store outages, zone
+// partitions and losses of machines. A bad build must never run on more than one batch, and each
+// service has to end on a good build. With the gates switched off the checks must find violations.
+// The environment variables STORM_SEEDS, STORM_SERVICES and STORM_REPLICAS request larger runs
+// than continuous integration has time for.
 func TestRolloutStress(t *testing.T) {
 	services, replicas := envNumber("STORM_SERVICES", 6), envNumber("STORM_REPLICAS", 6)
-	plays := []stressRun{
-		{"gates switched off", rolloutStress{services: 6, maxReplicas: 6, gatesOff: true}, 1, true},
-		{"no faults", rolloutStress{services: services, maxReplicas: replicas}, 2, false},
+	runs := []stressRun{
+		{"gates switched off: checks find violations", rolloutStress{services: 6, maxReplicas: 6, gatesOff: true}, 1, true},
+		{"no faults: no violations", rolloutStress{services: services, maxReplicas: replicas}, 2, false},
 	}
 	for seed := range envNumber("STORM_SEEDS", 2) {
 		withFaults := rolloutStress{services: services, maxReplicas: replicas, faults: true}
-		plays = append(plays, stressRun{fmt.Sprintf("storm %d", seed), withFaults, uint64(100 + seed), false})
+		runs = append(runs, stressRun{fmt.Sprintf("random faults, seed %d: no violations", seed), withFaults, uint64(100 + seed), false})
 	}
-	for _, p := range plays {
-		t.Run(p.name, func(t *testing.T) {
+	for _, tt := range runs {
+		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				services, violations := p.run(t, p.seed)
+				services, violations := tt.run(t, tt.seed)
 				logBadBuilds(t, services)
-				if p.wantViolations != (len(violations) > 0) {
-					t.Errorf("the judge objects to %d things: %s", len(violations), strings.Join(violations, "\n"))
+				if tt.wantViolations != (len(violations) > 0) {
+					t.Errorf("unexpected result of the checks, %d violations: %s", len(violations), strings.Join(violations, "\n"))
 				}
 			})
 		})
 	}
 }
 
-// logBadBuilds logs for how long the bad builds ran.
+// logBadBuilds logs how long the bad builds ran.
 func logBadBuilds(t *testing.T, services []*rolloutService) {
 	t.Helper()
 	var times []time.Duration
@@ -300,7 +302,7 @@
 	t.Logf("bad builds ran for %v", times)
 	for _, service := range services {
 		if service.rolledBackAfter > 0 {
-			t.Logf("UNDONE kind %d after %.0f", service.buildKind, service.rolledBackAfter.Seconds())
+			t.Logf("bad build of kind %d ran for %.0f s until it was rolled back", service.buildKind, service.rolledBackAfter.Seconds())
 		}
 	}
 }
--- a/internal/node/week_plot_test.go
+++ b/internal/node/week_plot_test.go
@@ -10,37 +10,38 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// variantResult is the weeks of one variant.
+// variantResult holds the results of one variant's simulated weeks.
 type variantResult struct {
 	name  string
 	weeks []weekResult
 }
 
-// mean is the mean of a metric over the weeks.
-func (p *variantResult) mean(metric func(*weekResult) float64) float64 {
+// mean returns the mean of a metric over the weeks.
+func (v *variantResult) mean(metric func(*weekResult) float64) float64 {
 	sum := 0.0
-	for i := range p.weeks {
-		sum += metric(&p.weeks[i])
+	for i := range v.weeks {
+		sum += metric(&v.weeks[i])
 	}
-	return sum / float64(max(1, len(p.weeks)))
+	return sum / float64(max(1, len(v.weeks)))
 }
 
-// weekMetrics are the metrics by which the variants are compared.
+// weekMetrics are the metrics that the plots compare between variants.
 var weekMetrics = []struct {
 	file, title, unit string
 	value             func(*weekResult) float64
 }{
-	{"week-on-time", "Slots that start whole and on time", "share", func(r *weekResult) float64 { return float64(r.onTime) / float64(r.slots) }},
-	{"week-idle", "Machine hours without a task, a week", "hours", func(r *weekResult) float64 { return r.idleHours }},
-	{"week-lost", "Hours of tasks' work lost, a week", "hours", func(r *weekResult) float64 { return r.lostHours }},
-	{"week-delay", "Ordinary tasks, from submission to end", "seconds", func(r *weekResult) float64 { return r.meanDelayS }},
+	{"week-on-time", "Slots whose whole gang starts on time", "share", func(r *weekResult) float64 { return float64(r.onTime) / float64(r.slots) }},
+	{"week-idle", "Machine hours without a task, per week", "hours", func(r *weekResult) float64 { return r.idleHours }},
+	{"week-lost", "Hours of lost task work, per week", "hours", func(r *weekResult) float64 { return r.lostHours }},
+	{"week-delay", "Ordinary tasks: mean time from submission to end", "seconds", func(r *weekResult) float64 { return r.meanDelayS }},
 }
 
-// plotWeeks draws a bar chart of each metric into a directory, and logs them all.
+// plotWeeks writes a bar chart of each metric to a directory, and logs the metrics of all
+// variants.
 func plotWeeks(t *testing.T, dir string, results []variantResult) {
 	for _, metric := range weekMetrics {
-		p := plot.New()
-		p.Title.Text = metric.title + " (simulated)"
+		chart := plot.New()
+		chart.Title.Text = metric.title + " (simulated)"
 		var values plotter.Values
 		var names []string
 		for i := range results {
@@ -52,11 +53,11 @@
 			t.Fatal(err)
 		}
 		bars.Horizontal = true
-		p.X.Label.Text = metric.unit
-		p.X.Min = 0
-		p.Add(bars)
-		p.NominalY(names...)
-		if err := p.Save(7*vg.Inch, 3.4*vg.Inch, filepath.Join(dir, metric.file+".svg")); err != nil {
+		chart.X.Label.Text = metric.unit
+		chart.X.Min = 0
+		chart.Add(bars)
+		chart.NominalY(names...)
+		if err := chart.Save(7*vg.Inch, 3.4*vg.Inch, filepath.Join(dir, metric.file+".svg")); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -66,14 +67,14 @@
 }
 
 // logMeans logs the means of a variant's metrics.
-func logMeans(t *testing.T, p *variantResult) {
-	line := fmt.Sprintf("%-36s %d weeks", p.name, len(p.weeks))
+func logMeans(t *testing.T, v *variantResult) {
+	line := fmt.Sprintf("%-36s %d weeks", v.name, len(v.weeks))
 	for _, metric := range weekMetrics {
-		line += fmt.Sprintf("  %s %.3f", metric.file, p.mean(metric.value))
+		line += fmt.Sprintf("  %s %.3f", metric.file, v.mean(metric.value))
 	}
-	cutOff := p.mean(func(r *weekResult) float64 { return float64(len(r.cutOff)) })
-	onTime := p.mean(func(r *weekResult) float64 { return float64(r.undisturbedOnTime) })
-	undisturbed := p.mean(func(r *weekResult) float64 { return float64(r.undisturbed) })
-	done := p.mean(func(r *weekResult) float64 { return float64(r.tasksDone) })
-	t.Log(line, "cut", cutOff, "kept of sound", onTime, undisturbed, "done", done)
+	cutOff := v.mean(func(r *weekResult) float64 { return float64(len(r.cutOff)) })
+	onTime := v.mean(func(r *weekResult) float64 { return float64(r.undisturbedOnTime) })
+	undisturbed := v.mean(func(r *weekResult) float64 { return float64(r.undisturbed) })
+	tasksDone := v.mean(func(r *weekResult) float64 { return float64(r.tasksDone) })
+	t.Log(line, "tasks interrupted", cutOff, "undisturbed slots on time, all", onTime, undisturbed, "tasks done", tasksDone)
 }
--- a/internal/node/week_test.go
+++ b/internal/node/week_test.go
@@ -15,35 +15,35 @@
 	"vetchstream/internal/wire"
 )
 
-// weekPlan is how a week of slots and maintenance windows is played, on a fleet that ordinary
-// work fills. Its days last eight minutes.
+// weekPlan configures the simulation of a week of slots and maintenance windows on a fleet that
+// ordinary jobs fill. A simulated day lasts eight minutes.
 type weekPlan struct {
 	days         int
-	calendar     bool // else slots' gangs are submitted at their time, first come first served
+	calendar     bool // false: gangs are submitted at the start of their slots, first come first served
 	hold         bool
 	backfill     bool
 	drain        bool
-	reservedCPUs float64 // that ordinary work may not use
+	reservedCPUs float64 // that ordinary jobs may not use
 	faults       bool
 }
 
 const (
 	dayTime           = 480 * time.Second
 	weekStartDelay    = 40 * time.Second
-	maintenanceOffset = 400 * time.Second // of a day, when a zone is serviced
+	maintenanceOffset = 400 * time.Second // start of a zone's maintenance within a day
 	maintenanceLength = 40 * time.Second
-	maintenanceDrain  = 60 * time.Second // the draining before it
+	maintenanceDrain  = 60 * time.Second // length of the drain before it
 	weekMachines      = 18
 	weekCPUs          = 72
-	bulkInterval      = 30 * time.Second // between submissions of ordinary work
-	// faultRecoveryTime is how long after a fault a slot may be late.
+	bulkInterval      = 30 * time.Second // between submissions of ordinary jobs
+	// faultRecoveryTime is how long after a fault's end a slot may still start late.
 	faultRecoveryTime = 105 * time.Second
 )
 
 // weekZones are the zones of the fleet.
 var weekZones = []string{"a", "b", "c"}
 
-// dailySlots are the slots of four teams; the last one is weekly.
+// dailySlots are the slots of four teams; the last one recurs weekly.
 var dailySlots = []struct {
 	team    string
 	at      time.Duration // of a day
@@ -57,37 +57,37 @@
 	{"t4", 320 * time.Second, 8, false, 3},
 }
 
-// weekResult is what became of a week.
+// weekResult holds the measurements of a simulated week.
 type weekResult struct {
-	slots, onTime int // all
-	// undisturbed slots are those without a fault in the two minutes before.
+	slots, onTime int // all slots, and those that started on time
+	// undisturbed slots are those without a fault in the two minutes before their start.
 	undisturbed, undisturbedOnTime int
-	lateSlots                      []string // undisturbed ones
-	idleHours, upHours             float64  // machine hours without a task, and all
-	lostHours                      float64  // hours of tasks' work
-	tasksDone                      int      // ordinary tasks
-	meanDelayS                     float64  // from submission to end, of an ordinary task
-	cutOff                         []string // tasks, by maintenance
+	lateSlots                      []string // undisturbed slots that started late
+	idleHours, upHours             float64  // machine hours without a task, and in total
+	lostHours                      float64  // hours of lost task work
+	tasksDone                      int      // ordinary tasks that completed
+	meanDelayS                     float64  // mean time from submission to end of an ordinary task
+	cutOff                         []string // tasks that maintenance interrupted
 	violations                     []string
 }
 
-// run plays a week and evaluates it.
+// run simulates a week and evaluates it.
 func (plan weekPlan) run(t *testing.T, seed uint64) (out weekResult) {
 	w, closeAll := plan.start(t, seed)
-	for d := range plan.days {
-		w.scheduleSlots(d)
-		w.scheduleDailyMaintenance(d)
+	for day := range plan.days {
+		w.scheduleSlots(day)
+		w.scheduleDailyMaintenance(day)
 	}
 	w.submitBulkJobs()
-	faultsOver := make(chan struct{})
+	faultsDone := make(chan struct{})
 	go func() {
-		defer close(faultsOver)
+		defer close(faultsDone)
 		if plan.faults {
 			w.injectDailyFaults()
 		}
 	}()
 	w.observe(&out)
-	<-faultsOver
+	<-faultsDone
 	w.evaluateSlots(&out)
 	out.evaluateHistory(w.History(), w.submitted, w.windows)
 	out.violations = w.Violations()
@@ -95,8 +95,8 @@
 	return out
 }
 
-// evaluateHistory evaluates the machines' history: ordinary tasks that are done, work that was
-// lost, and what maintenance has cut off.
+// evaluateHistory adds the completed ordinary tasks, the lost work and the tasks that maintenance
+// interrupted, from the machines' history.
 func (out *weekResult) evaluateHistory(history []emulate.Event, submitted map[string]time.Time, windows map[time.Time]string) {
 	started := map[string]time.Time{}
 	for _, e := range history {
@@ -122,14 +122,14 @@
 	}
 }
 
-// addDone takes an ordinary task into account that ended so long after its submission.
+// addDone counts a completed ordinary task and updates the mean delay between submission and end.
 func (out *weekResult) addDone(delay time.Duration) {
 	out.meanDelayS = (out.meanDelayS*float64(out.tasksDone) + delay.Seconds()) / float64(out.tasksDone+1)
 	out.tasksDone++
 }
 
-// cutOffBy reports whether a task of the zone was lost as its maintenance began, or, of ordinary
-// work, halted in the last seconds before.
+// cutOffBy reports whether a task of the zone was lost as the maintenance began, or is an ordinary
+// task that was halted in the last seconds before.
 func cutOffBy(e emulate.Event, start time.Time, ordinary bool) bool {
 	if e.Cause == emulate.CauseLost {
 		return e.At.Sub(start).Abs() < time.Second
@@ -138,63 +138,65 @@
 		e.At.After(start.Add(-6*time.Second)) && e.At.Before(start.Add(time.Second))
 }
 
-// weekVariant is a way to play a week.
+// weekVariant is a named modification of the default week.
 type weekVariant struct {
 	name string
 	edit func(*weekPlan)
 }
 
-// calendarVariants are the weeks with a calendar, baselineVariants those that they are compared
-// with.
+// calendarVariants are weeks with the complete calendar, baselineVariants those that the plots
+// compare them with.
 var (
 	calendarVariants = []weekVariant{
 		{"calendar", func(*weekPlan) {}},
-		{"calendar, faults", func(w *weekPlan) { w.faults = true }},
+		{"calendar, faults", func(plan *weekPlan) { plan.faults = true }},
 	}
 	baselineVariants = []weekVariant{
-		{"without backfill", func(w *weekPlan) { w.backfill = false }},
+		{"without backfill", func(plan *weekPlan) { plan.backfill = false }},
 		{"first come first served", withoutCalendar},
-		{"cushion", func(w *weekPlan) {
-			withoutCalendar(w)
-			w.reservedCPUs = 16
+		{"static reserve", func(plan *weekPlan) {
+			withoutCalendar(plan)
+			plan.reservedCPUs = 16
 		}},
-		{"first come first served, faults", func(w *weekPlan) {
-			withoutCalendar(w)
-			w.faults = true
+		{"first come first served, faults", func(plan *weekPlan) {
+			withoutCalendar(plan)
+			plan.faults = true
 		}},
-		{"cushion, faults", func(w *weekPlan) {
-			withoutCalendar(w)
-			w.reservedCPUs = 16
-			w.faults = true
+		{"static reserve, faults", func(plan *weekPlan) {
+			withoutCalendar(plan)
+			plan.reservedCPUs = 16
+			plan.faults = true
 		}},
 	}
 )
 
-// withoutCalendar lets gangs be submitted at the times of their slots.
-func withoutCalendar(w *weekPlan) { w.calendar, w.hold, w.drain = false, false, false }
+// withoutCalendar submits gangs at the start of their slots, without reservations.
+func withoutCalendar(plan *weekPlan) { plan.calendar, plan.hold, plan.drain = false, false, false }
 
-// TestCalendarWeek: every slot without a fault in the two minutes before it starts whole and on time, and
-// maintenance cuts nothing off. WEEK_SEEDS plays weeks of seven days, so many of each
-// kind, and compares them; WEEK_PLOT is where to draw the comparison.
+// TestCalendarWeek checks that the gang of every slot without a fault in the two minutes before
+// starts on time with all its tasks, and that maintenance interrupts no task. The environment
+// variable WEEK_SEEDS requests that many weeks of seven days of each variant, and WEEK_PLOT the
+// directory to which plots of the comparison are written.
 func TestCalendarWeek(t *testing.T) {
-	n, err := strconv.Atoi(os.Getenv("WEEK_SEEDS"))
+	seeds, err := strconv.Atoi(os.Getenv("WEEK_SEEDS"))
 	if err != nil {
 		runWeeks(t, 2, 1, calendarVariants[1:])
 		return
 	}
-	runWeeks(t, 7, uint64(n), slices.Concat(calendarVariants, baselineVariants))
+	runWeeks(t, 7, uint64(seeds), slices.Concat(calendarVariants, baselineVariants))
 }
 
-// TestWeekChecksFindViolations: the checks find late slots where machines are not held, and tasks that are cut
-// off where they are not drained.
+// TestWeekChecksFindViolations checks that the evaluation of a week finds late slots if machines
+// are not held, and interrupted tasks if machines are not drained.
 func TestWeekChecksFindViolations(t *testing.T) {
 	runWeeks(t, 2, 1, []weekVariant{
-		{"not held", func(w *weekPlan) { w.hold = false }},
-		{"not drained", func(w *weekPlan) { w.drain = false }},
+		{"machines are not held: slots start late", func(plan *weekPlan) { plan.hold = false }},
+		{"machines are not drained: tasks are interrupted", func(plan *weekPlan) { plan.drain = false }},
 	})
 }
 
-// runWeeks plays weeks of each variant as subtests, and plots them into the directory WEEK_PLOT.
+// runWeeks simulates weeks of each variant as subtests, and plots them if WEEK_PLOT names a
+// directory.
 func runWeeks(t *testing.T, days int, seeds uint64, variants []weekVariant) {
 	var mu sync.Mutex
 	results := make([]variantResult, len(variants))
@@ -204,7 +206,7 @@
 	for i, variant := range variants {
 		results[i].name = variant.name
 		for seed := range seeds {
-			t.Run(fmt.Sprintf("%s %d", variant.name, seed), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, seed %d", variant.name, seed), func(t *testing.T) {
 				t.Parallel()
 				synctest.Test(t, func(t *testing.T) {
 					plan := weekPlan{days: days, calendar: true, hold: true, backfill: true, drain: true}
@@ -220,19 +222,19 @@
 	}
 }
 
-// check checks a week against what its plan promises.
+// check compares the result of a week with what its plan promises.
 func (plan weekPlan) check(t *testing.T, out *weekResult) {
 	t.Helper()
 	if len(out.violations) > 0 {
-		t.Errorf("rules broken: %s", strings.Join(out.violations, "\n"))
+		t.Errorf("violated invariants: %s", strings.Join(out.violations, "\n"))
 	}
 	if !plan.calendar {
 		return
 	}
 	if allOnTime := out.undisturbedOnTime == out.undisturbed; allOnTime != plan.hold {
-		t.Errorf("on time: %d of %d that no fault was near of; late: %v", out.undisturbedOnTime, out.undisturbed, out.lateSlots)
+		t.Errorf("%d of %d undisturbed slots started on time; late: %v", out.undisturbedOnTime, out.undisturbed, out.lateSlots)
 	}
 	if nothingCutOff := len(out.cutOff) == 0; nothingCutOff != plan.drain {
-		t.Errorf("cut off: %v", out.cutOff)
+		t.Errorf("interrupted tasks: %v", out.cutOff)
 	}
 }
