--- a/internal/node/fault_scenarios_test.go
+++ b/internal/node/fault_scenarios_test.go
@@ -59,8 +59,7 @@
 
 // TestWorkerAndLinkFaults injects faults of workers and of network links.
 func TestWorkerAndLinkFaults(t *testing.T) {
-	const staleTerm = "the stored term is older than the fencing tokens of the workers (1, 5)"
-	runDefault(t, 1, nil, finalChecks{staleTerm: checkTermAbove(41, 3)}, []scenario{
+	runDefault(t, 1, nil, finalChecks{"the stored term is older than the fencing tokens of the workers (1, 5)": checkTermAbove(41, 3)}, []scenario{
 		{"all controllers crash (6, 11, 13)", []fault{{20 * time.Second, crashControllers(3)}}},
 		{"workers are partitioned past their lease, their messages arrive late (7, 8, 9)", []fault{
 			{15 * time.Second, partitionWorkers(newRand(3), 3, 18*time.Second)},
@@ -85,7 +84,7 @@
 			{15 * time.Second, killMachines(newRand(9), 1)},
 			{16 * time.Second, crashControllers(1)},
 		}},
-		{staleTerm, []fault{{12 * time.Second, rollBackTerm}}},
+		{"the stored term is older than the fencing tokens of the workers (1, 5)", []fault{{12 * time.Second, rollBackTerm}}},
 		{"a machine fails every task (12)", []fault{{12 * time.Second, faultyMachine(newRand(8))}}},
 	})
 }
--- a/internal/node/shards_test.go
+++ b/internal/node/shards_test.go
@@ -106,8 +106,7 @@
 func TestShardingLargeFleet(t *testing.T) {
 	const scale = 20
 	sec := time.Second
-	const thirdLost = "the holder of a third of the machines crashes: every worker is answered within 6 s"
-	runDefault(t, scale, withSharding, finalChecks{thirdLost: checkUnansweredTime(6 * sec)}, []scenario{
+	runDefault(t, scale, withSharding, finalChecks{"the holder of a third of the machines crashes: every worker is answered within 6 s": checkUnansweredTime(6 * sec)}, []scenario{
 		{"one follower is down, the other one crashes, then the leader does", []fault{
 			{3 * sec, func(s *simulation) {
 				i := (s.leader() + 2) % len(s.controllers)
@@ -118,7 +117,7 @@
 			{18 * sec, crashFollower(6 * sec)},
 			{50 * sec, crashControllers(1)},
 		}},
-		{thirdLost, []fault{{25 * sec, crashFollower(8 * sec)}}},
+		{"the holder of a third of the machines crashes: every worker is answered within 6 s", []fault{{25 * sec, crashFollower(8 * sec)}}},
 		{"workers are partitioned while the leader changes, then all controllers crash", []fault{
 			{14 * sec, partitionWorkers(newRand(11), 2*scale, 18*sec)},
 			{16 * sec, crashControllers(1)},
--- a/internal/node/storm_checks_test.go
+++ b/internal/node/storm_checks_test.go
@@ -17,9 +17,9 @@
 // rolloutHistory evaluates the machines' history of one service.
 type rolloutHistory struct {
 	service  *rolloutService
-	started  map[string]string    // replica of the next version to the zone of its first start
-	running  map[string]int       // replica to the number of its running copies of either version
-	lostAt   map[string]time.Time // replica to the time at which it was last lost with a machine
+	started  map[string]string    // replica of the next version -> zone of its first start
+	running  map[string]int       // replica -> number of its running copies of either version
+	lostAt   map[string]time.Time // replica -> time at which it was last lost with a machine
 	complete bool                 // every replica has run
 	// firstStart and lastEnd are when the first replica of the next version started and the last
 	// one ended.
