--- a/internal/node/job_stream_test.go
+++ b/internal/node/job_stream_test.go
@@ -7,21 +7,22 @@
 	"vetchstream/internal/job"
 )
 
-// checkNoKeysLeft checks that no record of a job is left under the keys that a leader loads.
-func checkNoKeysLeft(s *simulation) {
+// checkNoJobRecordsLeft checks that no job record remains under the key prefixes that a new leader
+// loads.
+func checkNoJobRecordsLeft(s *simulation) {
 	for _, prefix := range []string{job.ActivePrefix, job.GroupPrefix, job.DonePrefix} {
 		if n := s.store.CountKeys(prefix); n > 0 {
-			s.t.Errorf("%d keys are left under %s", n, prefix)
+			s.t.Errorf("%d keys remain under prefix %s, want 0", n, prefix)
 		}
 	}
 }
 
-// TestStream: one-task jobs, four a second for minutes, a quarter of them cancelled, through
-// a change of leader, an outage and late transactions.
-func TestStream(t *testing.T) {
+// TestJobStream submits four one-task jobs per second for two minutes and cancels a quarter of
+// them, while the leader changes, the key-value store is unavailable and transactions are late.
+func TestJobStream(t *testing.T) {
 	sec := time.Second
-	const name = "two minutes"
-	runScenarios(t, defaultEnvironment(3, 1, withOutagePromises), finalChecks{name: checkNoKeysLeft}, []scenario{
+	const name = "jobs for two minutes: no record remains"
+	runScenarios(t, defaultEnvironment(3, 1, withOutagePromises), finalChecks{name: checkNoJobRecordsLeft}, []scenario{
 		{name, overlapping(
 			fault{5 * sec, jobStream(2 * time.Minute)},
 			fault{20 * sec, crashControllers(1)},
--- a/internal/node/storm_test.go
+++ b/internal/node/storm_test.go
@@ -20,16 +20,17 @@
 	"vetchstream/internal/wire"
 )
 
-// rolloutStorm is a season of roll-outs: services, a third of whose builds are bad.
-type rolloutStorm struct {
+// rolloutStress configures a stress test of concurrent roll-outs, about a third of them to a bad
+// build.
+type rolloutStress struct {
 	services    int
-	maxReplicas int // of a service
+	maxReplicas int // of each service
 	faults      bool
-	gatesOff    bool // the checks must find violations
+	gatesOff    bool // the gates always pass, so that the checks must find violations
 }
 
-// stormService is one service of a storm.
-type stormService struct {
+// rolloutService is a service with its roll-out.
+type rolloutService struct {
 	name            string
 	spec            *job.Spec
 	image           string // of the next version
@@ -38,10 +39,10 @@
 	buildKind       int // index into badBuilds
 	state           string
 	reason          string
-	rolledBackAfter time.Duration // the bad build ran for that long
+	rolledBackAfter time.Duration // how long the bad build ran
 }
 
-// badBuilds are the ways in which a build is bad.
+// badBuilds are the behaviours of bad builds.
 var badBuilds = []emulate.ImageBehavior{
 	{CrashAfter: 200 * time.Millisecond},
 	{UnhealthyAfter: 30 * time.Second},
@@ -49,16 +50,16 @@
 	{UnhealthyAfter: 5 * time.Second, FlapPeriod: 6 * time.Second},
 }
 
-// detectedByGates is the bad build of a storm without gates: one that crashes at once can stop
-// a roll-out without any gate.
+// detectedByGates is the bad build that is used with the gates switched off. A build that crashes
+// at once could stop its roll-out without any gate.
 const detectedByGates = 1
 
-// stormZones are the zones of a storm's machines.
-var stormZones = []string{"a", "b", "c", "d"}
+// stressZones are the zones of the stress test's machines.
+var stressZones = []string{"a", "b", "c", "d"}
 
-// run plays a storm and returns the services with what became of them, and the violations that
-// were found.
-func (st rolloutStorm) run(t *testing.T, seed uint64) (services []*stormService, violations []string) {
+// run runs the stress test with a seed, and returns the services with the results of their
+// roll-outs and the violations that the checks found.
+func (st rolloutStress) run(t *testing.T, seed uint64) (services []*rolloutService, violations []string) {
 	r := rand.New(rand.NewPCG(seed, 14))
 	s, closeAll := st.start(t, seed)
 	hc := s.userClient(5 * time.Second)
@@ -70,37 +71,36 @@
 		services = append(services, service)
 		s.DescribeJob(service.spec)
 		if !s.submit(hc, service.spec) {
-			t.Fatal("a service was not accepted")
+			t.Fatal("the submission of a service was not accepted")
 		}
 	}
 	time.Sleep(30 * time.Second)
 	for i, service := range services {
 		st.startRollout(t, s, hc, i, service)
 	}
-	calm, faultsOver := make(chan struct{}), make(chan struct{})
+	stopFaults, faultsDone := make(chan struct{}), make(chan struct{})
 	go func() {
-		defer close(faultsOver)
+		defer close(faultsDone)
 		if st.faults {
-			s.injectStormFaults(r, calm)
+			s.injectRandomFaults(r, stopFaults)
 		}
 	}()
 	s.awaitRollouts(hc, services)
 	time.Sleep(20 * time.Second)
-	close(calm)
-	<-faultsOver
-	violations = append(s.Violations(), checkStorm(services, s.History())...)
+	close(stopFaults)
+	<-faultsDone
+	violations = append(s.Violations(), checkRolloutHistories(services, s.History())...)
 	closeAll()
 	return services, violations
 }
 
-// start starts the controllers and the machines. Of an odd seed the controllers share the
-// machines.
-func (st rolloutStorm) start(t *testing.T, seed uint64) (*simulation, func()) {
+// start starts the controllers and the machines, with sharding if the seed is odd.
+func (st rolloutStress) start(t *testing.T, seed uint64) (*simulation, func()) {
 	editCluster := func(c *emulate.Config) {
 		c.MaxMachines = 40 + st.services*st.maxReplicas/3
 		c.Limits = nil
 		c.Types = []wire.MachineType{
-			{Name: "small", CPUs: 8, MemGB: 64, CacheGB: 10, FetchRate: 1, Price: 0.2, SpotPrice: 0.05, BootS: 4, Zones: stormZones},
+			{Name: "small", CPUs: 8, MemGB: 64, CacheGB: 10, FetchRate: 1, Price: 0.2, SpotPrice: 0.05, BootS: 4, Zones: stressZones},
 		}
 	}
 	configure := func(set *config.Settings, tun *config.Tuning) {
@@ -112,15 +112,15 @@
 	s, closeAll := newSimulation(t, 1, editCluster, configure)
 	s.RecordHistory()
 	for i := range 8 + st.services*st.maxReplicas/6 {
-		s.Boot("small", stormZones[i%len(stormZones)], false, 0)
+		s.Boot("small", stressZones[i%len(stressZones)], false, 0)
 	}
 	return s, closeAll
 }
 
-// drawService draws service i and its next build, of which the first is always bad.
-func (st rolloutStorm) drawService(i int, r *rand.Rand) *stormService {
+// drawService draws service i and its next build, which is always bad for the first service.
+func (st rolloutStress) drawService(i int, r *rand.Rand) *rolloutService {
 	replicas := 3 + r.IntN(st.maxReplicas-2)
-	service := &stormService{
+	service := &rolloutService{
 		name:     fmt.Sprintf("svc-%d", i),
 		image:    fmt.Sprintf("img-%d-next", i),
 		badBuild: i == 0 || r.IntN(3) == 0,
@@ -146,7 +146,7 @@
 }
 
 // startRollout starts the roll-out of service i.
-func (st rolloutStorm) startRollout(t *testing.T, s *simulation, hc *http.Client, i int, service *stormService) {
+func (st rolloutStress) startRollout(t *testing.T, s *simulation, hc *http.Client, i int, service *rolloutService) {
 	t.Helper()
 	fields := map[string]any{
 		"service":    service.name,
@@ -169,31 +169,32 @@
 	}
 	started := s.request(hc, "POST", "/api/rollouts", body, func(status int, _ wire.JobStatus) bool {
 		if status == 400 || status == 422 {
-			t.Errorf("%s: roll-out refused with %d", service.name, status)
+			t.Errorf("%s: roll-out request: HTTP status %d", service.name, status)
 		}
 		return status < 300
 	})
 	if !started {
-		t.Fatal("a roll-out was not accepted")
+		t.Fatal("the request for a roll-out was not accepted")
 	}
 }
 
-// injectStormFaults injects drawn faults for ten minutes or more, until calm is closed.
-func (s *simulation) injectStormFaults(r *rand.Rand, calm <-chan struct{}) {
+// injectRandomFaults injects one random fault after the other for ten minutes or more, or until
+// stopFaults is closed.
+func (s *simulation) injectRandomFaults(r *rand.Rand, stopFaults <-chan struct{}) {
 	for at := 0; at < 600; at += 60 + r.IntN(60) {
 		time.Sleep(time.Duration(60+r.IntN(60)) * time.Second)
 		select {
-		case <-calm:
+		case <-stopFaults:
 			return
 		default:
 		}
-		zone := stormZones[r.IntN(len(stormZones))]
+		zone := stressZones[r.IntN(len(stressZones))]
 		switch r.IntN(4) {
 		case 0:
 			crashControllers(1 + r.IntN(3))(s)
 		case 1:
 			storeOutage(time.Duration(3+r.IntN(12)) * time.Second)(s)
-		case 2: // for longer than the leases of the zone's machines
+		case 2: // longer than the leases of the zone's machines
 			partitionZone(zone, 14*time.Second)(s)
 		case 3:
 			killMachines(r, 1)(s)
@@ -201,94 +202,95 @@
 	}
 }
 
-// awaitRollouts polls the roll-outs until all are over, for 40 minutes at most.
-func (s *simulation) awaitRollouts(hc *http.Client, services []*stormService) {
+// awaitRollouts polls the roll-outs until all have ended, for 40 minutes at most.
+func (s *simulation) awaitRollouts(hc *http.Client, services []*rolloutService) {
 	for range 1200 {
 		time.Sleep(2 * time.Second)
-		underWay := 0
+		unfinished := 0
 		for _, service := range services {
 			if rollout.State(service.state).Over() {
 				continue
 			}
 			s.pollRollout(hc, service)
-			underWay++
+			unfinished++
 		}
-		if underWay == 0 {
+		if unfinished == 0 {
 			return
 		}
 	}
 }
 
-// readAll reads and closes the body of an answer; nil: it could not be read.
+// readAll reads and closes the body of a response; nil: reading failed.
 func readAll(res *http.Response) []byte {
 	defer res.Body.Close()
-	b, err := io.ReadAll(res.Body)
+	body, err := io.ReadAll(res.Body)
 	if err != nil {
 		return nil
 	}
-	return b
+	return body
 }
 
 // pollRollout reads the state of a service's roll-out.
-func (s *simulation) pollRollout(hc *http.Client, service *stormService) {
+func (s *simulation) pollRollout(hc *http.Client, service *rolloutService) {
 	res, err := hc.Get("http://" + simControllers[0].Addr + "/api/rollouts/" + service.name)
 	if err != nil {
 		return
 	}
-	b := readAll(res)
-	var st rollout.Status
-	if res.StatusCode == http.StatusOK && wire.Unmarshal(b, &st) == nil {
-		service.state = st.State
-		service.reason = st.Reason
+	body := readAll(res)
+	var status rollout.Status
+	if res.StatusCode == http.StatusOK && wire.Unmarshal(body, &status) == nil {
+		service.state = status.State
+		service.reason = status.Reason
 	}
 }
 
-// stormPlay is a storm with its seed, and whether the checks must find violations.
-type stormPlay struct {
+// stressRun is a stress test with its seed, and whether the checks must find violations.
+type stressRun struct {
 	name string
-	rolloutStorm
+	rolloutStress
 	seed           uint64
 	wantViolations bool
 }
 
-// envNumber is a positive number in an environment variable, or the default.
-func envNumber(name string, otherwise int) int {
+// envNumber returns the positive number in an environment variable, or the default.
+func envNumber(name string, defaultValue int) int {
 	if n, err := strconv.Atoi(os.Getenv(name)); err == nil && n > 0 {
 		return n
 	}
-	return otherwise
+	return defaultValue
 }
 
-// TestStorm: roll-outs through crashes, outages, cut zones and dying machines. No
-// more than one batch ever runs a bad build, and each service ends on a good one.
-// With the gates switched off the checks must find violations. STORM_SEEDS,
-// STORM_SERVICES and STORM_REPLICAS play more of it than continuous integration has time for.
-func TestStorm(t *testing.T) {
+// TestRolloutStress runs concurrent roll-outs during controller crashes, store outages, zone
+// partitions and losses of machines. A bad build must never run on more than one batch, and each
+// service has to end on a good build. With the gates switched off the checks must find violations.
+// The environment variables STORM_SEEDS, STORM_SERVICES and STORM_REPLICAS request larger runs
+// than continuous integration has time for.
+func TestRolloutStress(t *testing.T) {
 	services, replicas := envNumber("STORM_SERVICES", 6), envNumber("STORM_REPLICAS", 6)
-	plays := []stormPlay{
-		{"gates switched off", rolloutStorm{services: 6, maxReplicas: 6, gatesOff: true}, 1, true},
-		{"no faults", rolloutStorm{services: services, maxReplicas: replicas}, 2, false},
+	runs := []stressRun{
+		{"gates switched off: checks find violations", rolloutStress{services: 6, maxReplicas: 6, gatesOff: true}, 1, true},
+		{"no faults: no violations", rolloutStress{services: services, maxReplicas: replicas}, 2, false},
 	}
 	for seed := range envNumber("STORM_SEEDS", 2) {
-		withFaults := rolloutStorm{services: services, maxReplicas: replicas, faults: true}
-		plays = append(plays, stormPlay{fmt.Sprintf("storm %d", seed), withFaults, uint64(100 + seed), false})
+		withFaults := rolloutStress{services: services, maxReplicas: replicas, faults: true}
+		runs = append(runs, stressRun{fmt.Sprintf("random faults, seed %d: no violations", seed), withFaults, uint64(100 + seed), false})
 	}
-	for _, p := range plays {
-		t.Run(p.name, func(t *testing.T) {
+	for _, tt := range runs {
+		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				services, violations := p.run(t, p.seed)
+				services, violations := tt.run(t, tt.seed)
 				logBadBuilds(t, services)
-				if p.wantViolations != (len(violations) > 0) {
-					t.Errorf("the judge objects to %d things: %s", len(violations), strings.Join(violations, "\n"))
+				if tt.wantViolations != (len(violations) > 0) {
+					t.Errorf("unexpected result of the checks, %d violations: %s", len(violations), strings.Join(violations, "\n"))
 				}
 			})
 		})
 	}
 }
 
-// logBadBuilds logs for how long the bad builds ran.
-func logBadBuilds(t *testing.T, services []*stormService) {
+// logBadBuilds logs how long the bad builds ran.
+func logBadBuilds(t *testing.T, services []*rolloutService) {
 	t.Helper()
 	var times []time.Duration
 	for _, service := range services {
@@ -300,7 +302,7 @@
 	t.Logf("bad builds ran for %v", times)
 	for _, service := range services {
 		if service.rolledBackAfter > 0 {
-			t.Logf("UNDONE kind %d after %.0f", service.buildKind, service.rolledBackAfter.Seconds())
+			t.Logf("bad build of kind %d ran for %.0f s until it was rolled back", service.buildKind, service.rolledBackAfter.Seconds())
 		}
 	}
 }
