--- a/internal/control/admission_group_commit.go
+++ b/internal/control/admission_group_commit.go
@@ -95,7 +95,7 @@
 		// A job was admitted twice. Its active record has to be deleted before the move.
 		gs.enqueueForUser(func() {
 			for _, cond := range gc.moveConds {
-				if slices.Contains(conflict.Failed, cond.Key) {
+				if slices.Contains(conflict.FailedKeys, cond.Key) {
 					gs.results.deleteLater(cond.Key)
 				}
 			}
--- a/internal/control/admission_store.go
+++ b/internal/control/admission_store.go
@@ -238,14 +238,14 @@
 	case !errors.Is(err, state.ErrNotFound):
 		ad.sleep(storeRetryPause)
 		return batch, true
-	case slices.Contains(conflict.Failed, ad.fence.Key):
+	case slices.Contains(conflict.FailedKeys, ad.fence.Key):
 		ad.finishAll(batch, Unavailable("the leader has changed"))
 		return nil, false
 	}
 	// Existing jobs must not prevent the admission of the others. An earlier commit of the
 	// whole batch with unknown outcome can no longer be applied: records of jobs move but
 	// are never removed, so its conditions will fail.
-	existing, remaining := partitionByKey(batch, conflict.Failed)
+	existing, remaining := partitionByKey(batch, conflict.FailedKeys)
 	for _, ps := range existing {
 		ad.answerExisting(ps)
 	}
--- a/internal/state/errors.go
+++ b/internal/state/errors.go
@@ -33,11 +33,11 @@
 // ConflictError is an ErrConflict with the keys whose conditions do not hold, as
 // far as the service names them.
 type ConflictError struct {
-	Failed []string
+	FailedKeys []string
 }
 
 func (e *ConflictError) Error() string {
-	return fmt.Sprintf("%v: %s", ErrConflict, strings.Join(e.Failed, ", "))
+	return fmt.Sprintf("%v: %s", ErrConflict, strings.Join(e.FailedKeys, ", "))
 }
 
 // Is makes a ConflictError an ErrConflict.
@@ -69,7 +69,7 @@
 	case http.StatusConflict:
 		var body conflictResponse
 		_ = wire.Unmarshal(b, &body) // without the names it is a conflict all the same
-		return &ConflictError{Failed: body.Failed}
+		return &ConflictError{FailedKeys: body.Failed}
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return fmt.Errorf("%w: status %d", ErrRefused, status)
 	case http.StatusBadRequest:
