--- a/internal/control/admission_groups.go
+++ b/internal/control/admission_groups.go
@@ -141,7 +141,7 @@
 			gs.storeCompletions(g)
 		case len(g.pendingCompletions) > 0:
 			gs.storeCompletionsRateLimited(g)
-		case !gs.moving && gs.controller.State.Idle(gs.recordWriter.maxWrites()) && !now.Before(g.noMoveBefore):
+		case !gs.moving && gs.controller.State.WritesIdle(gs.recordWriter.maxWrites()) && !now.Before(g.noMoveBefore):
 			gs.moveFinished(g)
 		}
 	}
--- a/internal/control/admission_store.go
+++ b/internal/control/admission_store.go
@@ -46,7 +46,7 @@
 // idle.
 func (ad *admission) storeQueued(now time.Time) {
 	for len(ad.queue) > 0 && ad.commitsInFlight < maxCommitsInFlight {
-		if !ad.controller.State.Idle(ad.recordWriter.maxWrites()) && !ad.limit.AllowN(now, 1) {
+		if !ad.controller.State.WritesIdle(ad.recordWriter.maxWrites()) && !ad.limit.AllowN(now, 1) {
 			return
 		}
 		n := ad.nextBatchSize()
--- a/internal/control/completions.go
+++ b/internal/control/completions.go
@@ -110,7 +110,7 @@
 // takes half the writes, and the move follows later.
 func (cp *completions) newFinalCommit(j *job.Job, rec *job.Record) (finalCommit, error) {
 	activeKey := job.ActivePrefix + j.ID
-	inPlace := !cp.controller.State.Idle(cp.recordWriter.maxWrites())
+	inPlace := !cp.controller.State.WritesIdle(cp.recordWriter.maxWrites())
 	key := job.FinalPrefix + j.ID
 	writes := []state.Write{{Delete: activeKey}}
 	if inPlace {
@@ -200,7 +200,7 @@
 // moveFinalRecords moves final records to their own keys while the request budget is
 // idle. This keeps the list of active jobs short, which the next leader has to read.
 func (cp *completions) moveFinalRecords() {
-	if cp.moveInFlight || len(cp.pendingMoves) == 0 || !cp.controller.State.Idle(cp.recordWriter.maxWrites()) {
+	if cp.moveInFlight || len(cp.pendingMoves) == 0 || !cp.controller.State.WritesIdle(cp.recordWriter.maxWrites()) {
 		return
 	}
 	batchSize := min(len(cp.pendingMoves), max(1, cp.recordWriter.maxWrites()/2))
--- a/internal/control/records_results.go
+++ b/internal/control/records_results.go
@@ -61,7 +61,7 @@
 // are not deleted in the transaction that writes its final record, to keep that
 // transaction small.
 func (rs *results) deleteObsolete() {
-	if rs.deleting || len(rs.obsoleteKeys) == 0 || !rs.controller.State.Idle(rs.recordWriter.maxWrites()) {
+	if rs.deleting || len(rs.obsoleteKeys) == 0 || !rs.controller.State.WritesIdle(rs.recordWriter.maxWrites()) {
 		return
 	}
 	keys := rs.obsoleteKeys[:min(len(rs.obsoleteKeys), rs.recordWriter.maxWrites())]
--- a/internal/control/records_store.go
+++ b/internal/control/records_store.go
@@ -49,7 +49,7 @@
 	if maxPages < 1 {
 		return
 	}
-	stores, txn := r.nextTransaction(now, maxPages, r.controller.State.Idle(r.recordWriter.maxWrites()))
+	stores, txn := r.nextTransaction(now, maxPages, r.controller.State.WritesIdle(r.recordWriter.maxWrites()))
 	if len(stores) == 0 {
 		return
 	}
--- a/internal/state/budget.go
+++ b/internal/state/budget.go
@@ -97,10 +97,10 @@
 // Background work checks it first, to leave the budget to users' requests.
 func (c *Client) SpareWrites() int { return int(c.writes.Tokens()) }
 
-// Idle reports whether the write budget is unused at the moment: it has room for
+// WritesIdle reports whether the write budget is unused at the moment: it has room for
 // two transactions of that many writes, or is nearly full. Without the second
 // case a service of few writes per second would never have any background work.
-func (c *Client) Idle(writes int) bool { return c.writes.Tokens() >= c.idleThreshold(writes) }
+func (c *Client) WritesIdle(writes int) bool { return c.writes.Tokens() >= c.idleThreshold(writes) }
 
 // idleThreshold is how many writes the budget must have left to be idle.
 func (c *Client) idleThreshold(writes int) float64 {
