--- a/internal/state/budget_test.go
+++ b/internal/state/budget_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// TestIdle: background work may run whatever the size of the budget, but not
+// TestWritesIdle: background work may run whatever the size of the budget, but not
 // while the budget is in use.
-func TestIdle(t *testing.T) {
+func TestWritesIdle(t *testing.T) {
 	tests := []struct {
 		name  string
 		rps   float64
--- a/internal/state/client_test.go
+++ b/internal/state/client_test.go
@@ -20,9 +20,9 @@
 	return &http.Response{StatusCode: a(q), Body: io.NopCloser(bytes.NewReader([]byte{0xa0}))}, nil
 }
 
-// TestBudget: refusals for the rate narrow a node's budget, served requests widen it
+// TestBudgetFollowsResponses: refusals for the rate narrow a node's budget, served requests widen it
 // again, and an outage leaves it as it is.
-func TestBudget(t *testing.T) {
+func TestBudgetFollowsResponses(t *testing.T) {
 	tests := []struct {
 		name   string
 		status int
@@ -59,9 +59,9 @@
 	}
 }
 
-// TestUnbounded: the requests of leader election wait for no budget, and refusals do
+// TestNewUnbounded: the requests of leader election wait for no budget, and refusals do
 // not slow them down.
-func TestUnbounded(t *testing.T) {
+func TestNewUnbounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := NewUnbounded("state:1", nil)
 		c.requestHTTP.Transport = answers(func(*http.Request) int { return 429 })
--- a/internal/state/hedge_test.go
+++ b/internal/state/hedge_test.go
@@ -59,9 +59,9 @@
 	}
 }
 
-// TestLatencyTracker: the hedge delay follows the typical latency, within bounds,
+// TestHedgeDelay: the hedge delay follows the typical latency, within bounds,
 // and a few slow requests do not change it.
-func TestLatencyTracker(t *testing.T) {
+func TestHedgeDelay(t *testing.T) {
 	tests := []struct {
 		name  string
 		usual time.Duration
