--- a/internal/state/budget.go
+++ b/internal/state/budget.go
@@ -7,34 +7,35 @@
 	"golang.org/x/time/rate"
 )
 
-// Budget is this node's share of the service's rate limits; the zero value means
-// unbounded.
+// Budget is this node's share of the service's rate limits. The zero value means that
+// the node's requests are not limited.
 type Budget struct {
 	RPS      float64 // requests per second
 	WriteRPS float64 // writes per second
 }
 
 const (
-	// minBudgetFraction is the lowest fraction of the budget to fall back to.
+	// minBudgetFraction is the lower bound of the fraction of the budget in use.
 	minBudgetFraction = 0.1
-	// reduceFactor and raiseFactor are the steps of the fraction.
+	// reduceFactor and raiseFactor multiply the fraction at each step.
 	reduceFactor = 0.5
 	raiseFactor  = 1.25
-	// minReduceInterval and minRaiseInterval are the least times between steps: one burst
-	// of refusals counts once, and the budget recovers more slowly than it falls.
+	// minReduceInterval and minRaiseInterval are the minimum times between steps. A burst
+	// of refusals thus causes only one step, and the budget is raised more slowly than it
+	// is reduced.
 	minReduceInterval = 500 * time.Millisecond
 	minRaiseInterval  = 2 * time.Second
-	// minReadBurst and minWriteBurst are the least that the limiters let through at
-	// once.
+	// minReadBurst and minWriteBurst are the minimum bursts of the limiters.
 	minReadBurst  = 1
 	minWriteBurst = 12
-	// idleBurstFraction is the fraction of the write burst that is idle enough for
-	// background work whatever its size.
+	// idleBurstFraction is the fraction of the write burst at which the budget counts as
+	// idle, however small the burst is.
 	idleBurstFraction = 0.95
 )
 
-// reduceBudget halves the budget when the service refuses requests for their rate: at
-// the same rate the lease renewals would be refused along with everything else.
+// reduceBudget halves the budget in use after the service has refused a request because
+// of the request rate. At an unchanged rate the service would refuse lease renewals as
+// well.
 func (c *Client) reduceBudget(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -46,7 +47,8 @@
 	c.applyBudget()
 }
 
-// raiseBudget raises the budget again, one step at a time, while requests are served.
+// raiseBudget raises the budget in use by one step after a request was not refused
+// because of the request rate.
 func (c *Client) raiseBudget(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -58,21 +60,21 @@
 	c.applyBudget()
 }
 
-// applyBudget sets the limiters' rates; the caller holds the lock.
+// applyBudget sets the rates of the limiters. The caller holds c.mu.
 func (c *Client) applyBudget() {
 	c.reads.SetLimit(rate.Limit(c.budgetFraction * c.budget.RPS))
 	c.writes.SetLimit(rate.Limit(c.budgetFraction * c.budget.WriteRPS))
 }
 
-// bursts is how many reads and writes the limiters let through at once.
+// bursts returns the burst sizes of the read limiter and the write limiter.
 func (b Budget) bursts() (reads, writes int) {
 	reads = max(minReadBurst, int(b.RPS/2))
 	writes = max(minWriteBurst, int(b.WriteRPS/2))
 	return reads, writes
 }
 
-// SetBudget changes the node's share of the rate limits: a leader needs more than
-// the other nodes.
+// SetBudget changes the node's share of the rate limits. A leader needs a larger share
+// than the other nodes.
 func (c *Client) SetBudget(b Budget) {
 	reads, writes := b.bursts()
 	c.mu.Lock()
@@ -83,8 +85,8 @@
 	c.writes.SetBurst(writes)
 }
 
-// adjustBudget narrows the budget on a refusal for the rate and widens it on
-// any other answer.
+// adjustBudget reduces the budget in use if the response has status 429 (too many
+// requests), and raises it otherwise.
 func (c *Client) adjustBudget(status int, now time.Time) {
 	if status == http.StatusTooManyRequests {
 		c.reduceBudget(now)
@@ -93,16 +95,17 @@
 	}
 }
 
-// SpareWrites is the number of writes that the budget has left at the moment.
-// Background work checks it first, to leave the budget to users' requests.
+// SpareWrites returns the number of writes that the budget allows at the moment.
+// Background work checks it before it writes, so that users' requests have priority.
 func (c *Client) SpareWrites() int { return int(c.writes.Tokens()) }
 
-// WritesIdle reports whether the write budget is unused at the moment: it has room for
-// two transactions of that many writes, or is nearly full. Without the second
-// case a service of few writes per second would never have any background work.
+// WritesIdle reports whether the write budget is idle at the moment: it allows two
+// transactions of the given number of writes, or it is nearly full. Without the second
+// condition background work would never run if the service allows only few writes per
+// second.
 func (c *Client) WritesIdle(writes int) bool { return c.writes.Tokens() >= c.idleThreshold(writes) }
 
-// idleThreshold is how many writes the budget must have left to be idle.
+// idleThreshold returns the number of writes that an idle budget allows at least.
 func (c *Client) idleThreshold(writes int) float64 {
 	return min(2*float64(writes), idleBurstFraction*float64(c.writes.Burst()))
 }
--- a/internal/state/fixtures_test.go
+++ b/internal/state/fixtures_test.go
@@ -6,8 +6,7 @@
 	"vetchstream/internal/fixture"
 )
 
-// fixtures are the messages exchanged with the consensus-backed key-value
-// store.
+// fixtures are the messages exchanged with the key-value store.
 var fixtures = []fixture.Row{
 	{File: "entry.cbor", Value: fixture.Filled[Entry]()},
 	{File: "condition.cbor", Value: fixture.Filled[Condition]()},
