--- a/internal/state/errors.go
+++ b/internal/state/errors.go
@@ -69,7 +69,7 @@
 	case http.StatusConflict:
 		var body conflictResponse
 		_ = wire.Unmarshal(content, &body) // without the keys the response is still a conflict
-		return &ConflictError{FailedKeys: body.Failed}
+		return &ConflictError{FailedKeys: body.FailedKeys}
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return fmt.Errorf("%w: status %d", ErrRefused, status)
 	case http.StatusBadRequest:
--- a/internal/state/messages.go
+++ b/internal/state/messages.go
@@ -58,7 +58,7 @@
 
 // conflictResponse is the response to a transaction whose conditions do not hold.
 type conflictResponse struct {
-	Failed []string `codec:"failed"` // the keys of these conditions
+	FailedKeys []string `codec:"failed"` // the keys of these conditions
 }
 
 // leaseRequest asks for a new lease.
