--- a/internal/state/hedge.go
+++ b/internal/state/hedge.go
@@ -10,28 +10,27 @@
 )
 
 // Most requests to the state service take a few milliseconds, but the slowest take
-// a hundred times as long. A second copy of such a request is sent beside the
-// first, and the first response counts (hedged requests; Dean and Barroso, "The
-// Tail at Scale"). Users and launches wait for these requests.
+// a hundred times as long, and users and launches wait for them. The client therefore
+// sends a second copy of a slow request while the first is pending, and uses the first
+// response (hedged requests; Dean and Barroso, "The Tail at Scale").
 const (
-	// hedgeDelayFactor is how many typical latencies a request waits before a
-	// hedged copy is sent.
+	// hedgeDelayFactor is the hedge delay, the time after which the second copy is sent,
+	// as a multiple of the typical latency.
 	hedgeDelayFactor = 3
-	// minHedgeDelay and maxHedgeDelay bound that delay.
+	// minHedgeDelay and maxHedgeDelay bound the hedge delay.
 	minHedgeDelay = 25 * time.Millisecond
 	maxHedgeDelay = 300 * time.Millisecond
-	// typicalPercentile is the percentile of latencies taken as typical. A higher
-	// one would count the slow tail as typical.
+	// typicalPercentile is the percentile of the latencies that is used as the typical
+	// latency. A higher percentile would include the slow tail.
 	typicalPercentile = 85
-	// recomputeEvery is the number of responses after which the typical latency is
-	// computed anew.
+	// recomputeEvery is the number of responses between updates of the hedge delay.
 	recomputeEvery = 64
 	// latencyDigits is the number of significant digits of the latency histogram.
 	latencyDigits = 2
 )
 
-// latencyTracker records the latency of successful requests and derives the delay
-// after which a request is hedged.
+// latencyTracker records the latency of successful requests and derives the hedge
+// delay from it.
 type latencyTracker struct {
 	mu    sync.Mutex
 	hist  *hdrhistogram.Histogram // of milliseconds
@@ -59,7 +58,7 @@
 	l.hist.Reset()
 }
 
-// hedgeDelay is how long to wait for a response before a request is hedged.
+// hedgeDelay returns how long to wait for a response before a request is hedged.
 func (l *latencyTracker) hedgeDelay() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -72,11 +71,12 @@
 	err   error
 }
 
-// hedged runs attempt, and a second one beside it if the first has no result
-// within the hedge delay and mayHedge allows it (the budget has room). It returns
-// the first definite result: a success, or an error other than ErrOutcomeUnknown and
-// ErrRefused. If there is none, ErrOutcomeUnknown takes precedence over ErrRefused: the
-// request may have been executed.
+// hedged runs attempt, and runs it a second time concurrently if the first has no
+// result within the hedge delay and mayHedge returns true, which means that the budget
+// allows it. hedged returns the first definite result: a success, or an error other
+// than ErrOutcomeUnknown and ErrRefused. If both attempts end without one,
+// ErrOutcomeUnknown takes precedence over ErrRefused, because the request may have been
+// executed.
 func hedged[T any](ctx context.Context, latency *latencyTracker, mayHedge func() bool, attempt func(context.Context) (T, error)) (T, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -92,7 +92,7 @@
 	go runAttempt()
 	hedgeTimer := time.NewTimer(latency.hedgeDelay())
 	defer hedgeTimer.Stop()
-	var fallback attemptResult[T] // not definite: returned if nothing better comes
+	var fallback attemptResult[T] // returned if no attempt has a definite result
 	for inFlight := 1; inFlight > 0; {
 		select {
 		case <-hedgeTimer.C:
--- a/internal/state/messages.go
+++ b/internal/state/messages.go
@@ -2,23 +2,22 @@
 
 import "vetchstream/internal/wire"
 
-// Entry is a key with its value, the revision that last wrote it (Version) and
-// the lease it is bound to (0: none).
+// Entry is a key with its value.
 type Entry struct {
 	Key     string   `codec:"key"`
 	Value   wire.Raw `codec:"data"`
-	Version uint64   `codec:"stamp"`
-	Lease   uint64   `codec:"tenure"`
+	Version uint64   `codec:"stamp"`  // revision of the last write of the key
+	Lease   uint64   `codec:"tenure"` // lease that the key is bound to; 0 if none
 }
 
-// Condition is a condition of a compare-and-swap transaction: the key is at Version;
-// Version 0 means that the key is absent.
+// Condition is a condition of a compare-and-swap transaction: the key must have the
+// given version, or be absent if Version is 0.
 type Condition struct {
 	Key     string `codec:"key"`
 	Version uint64 `codec:"stamp"`
 }
 
-// Write is one write of a transaction: it stores Value under the key Put, bound
+// Write is one write of a transaction. It either stores Value under the key Put, bound
 // to Lease if that is not 0, or deletes the key Delete.
 type Write struct {
 	Put    string   `codec:"put,omitempty"`
@@ -27,8 +26,8 @@
 	Delete string   `codec:"drop,omitempty"`
 }
 
-// Put returns a write that stores v, encoded as CBOR, under key. The error is
-// the encoder's.
+// Put returns a write that stores v, encoded as CBOR, under key. It fails only if v
+// cannot be encoded.
 func Put(key string, v any) (Write, error) {
 	b, err := wire.Marshal(v)
 	if err != nil {
@@ -37,8 +36,8 @@
 	return Write{Put: key, Value: b}, nil
 }
 
-// Txn is a compare-and-swap transaction: the writes are applied together if
-// every condition holds, and none is applied otherwise.
+// Txn is a compare-and-swap transaction: if every condition holds, all writes are
+// applied atomically, otherwise none is.
 type Txn struct {
 	If     []Condition `codec:"if"`
 	Writes []Write     `codec:"writes"`
@@ -53,15 +52,15 @@
 
 // commitResponse is the response to a transaction that was applied.
 type commitResponse struct {
-	Revision uint64 `codec:"epoch"` // the revision of its changes
+	Revision uint64 `codec:"epoch"` // revision of the transaction's changes
 }
 
 // conflictResponse is the response to a transaction whose conditions do not hold.
 type conflictResponse struct {
-	FailedKeys []string `codec:"failed"` // the keys of these conditions
+	FailedKeys []string `codec:"failed"` // keys of the conditions that do not hold
 }
 
-// leaseRequest asks for a new lease.
+// leaseRequest is the request for a new lease.
 type leaseRequest struct {
 	TTLMs int64 `codec:"ttl_ms"`
 }
@@ -73,11 +72,11 @@
 
 // watchResponse is the response to a watch.
 type watchResponse struct {
-	Revision uint64  `codec:"epoch"` // the revision to watch from next
+	Revision uint64  `codec:"epoch"` // revision that the next watch starts from
 	Events   []Event `codec:"events"`
 }
 
-// Event is a change that a watch reports.
+// Event is a change of a key, as returned by a watch.
 type Event struct {
-	Put string `codec:"put"` // the key that was written; empty: a key was deleted
+	Put string `codec:"put"` // key that was written; empty if a key was deleted
 }
--- a/internal/state/watch.go
+++ b/internal/state/watch.go
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// Watch waits until a key that begins with prefix has changed after the revision
-// after, or wait is over. It returns the changes and the revision to watch from
-// next. ErrCompacted means that the service no longer has the changes since after:
-// the keys have to be listed again.
+// Watch waits until a key that begins with prefix has a change later than the revision
+// after, or until wait has passed. It returns the changes and the revision that the
+// next watch starts from. The error is ErrCompacted if the service has compacted the
+// changes since after; the caller then has to list the keys again.
 func (c *Client) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]Event, uint64, error) {
-	q := url.Values{
+	query := url.Values{
 		"under":   {prefix},
 		"after":   {strconv.FormatUint(after, 10)},
 		"wait_ms": {strconv.FormatInt(wait.Milliseconds(), 10)},
 	}
-	var out watchResponse
-	err := c.do(ctx, c.watchHTTP, http.MethodGet, "/changes?"+q.Encode(), nil, &out, wait+callTimeout)
-	return out.Events, out.Revision, err
+	var response watchResponse
+	err := c.do(ctx, c.watchHTTP, http.MethodGet, "/changes?"+query.Encode(), nil, &response, wait+callTimeout)
+	return response.Events, response.Revision, err
 }
