--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -58,7 +58,7 @@
 	unboundedConns = 2
 )
 
-// newTransport makes an HTTP newTransport of at most conns connections.
+// newTransport returns an HTTP transport with at most conns connections.
 func newTransport(dial DialFunc, conns int) *http.Transport {
 	return &http.Transport{
 		DialContext:         dial,
--- a/internal/state/client_test.go
+++ b/internal/state/client_test.go
@@ -47,7 +47,7 @@
 				for range tt.calls {
 					_, err := c.Get(t.Context(), "k")
 					if errors.Is(err, ErrRefused) != (tt.status != 200) {
-						t.Fatalf("Get with status %d: %v", tt.status, err)
+						t.Fatal(err)
 					}
 					time.Sleep(tt.interval)
 				}
@@ -68,7 +68,7 @@
 		start := time.Now()
 		for range 500 {
 			if _, err := c.Commit(context.Background(), Txn{Writes: make([]Write, 2)}); !errors.Is(err, ErrRefused) {
-				t.Fatalf("Commit with status 429: %v, want ErrRefused", err)
+				t.Fatal(err)
 			}
 		}
 		if d := time.Since(start); d != 0 {
