--- a/internal/control/calendar_claims.go
+++ b/internal/control/calendar_claims.go
@@ -52,7 +52,7 @@
 func (cs *calendarStore) assignClaims() {
 	clear(cs.claims)
 	for _, j := range cs.jobTable.all() {
-		if j.Reservation == "" || j.Phase+j.Closing != "" || cs.jobTable.isUnidentified(j) {
+		if j.Reservation == "" || j.Phase+j.EndingPhase != "" || cs.jobTable.isUnidentified(j) {
 			continue
 		}
 		claimed, err := cs.claimedOccurrence(j)
--- a/internal/control/completions.go
+++ b/internal/control/completions.go
@@ -73,7 +73,7 @@
 // whatever the outcome of the commit. Completion and cancellation compete on the version
 // of the active record; the first commit wins.
 func (cp *completions) finish(j *job.Job, phase wire.JobPhase) {
-	j.Closing = phase
+	j.EndingPhase = phase
 	if phase == wire.JobCancelled {
 		j.CancelledAt = time.Now()
 	}
--- a/internal/control/completions_answers.go
+++ b/internal/control/completions_answers.go
@@ -20,7 +20,7 @@
 // answer then.
 func (cp *completions) answerFromMemory(id string) *rpc.Reply {
 	if j := cp.jobTable.identified(id); j != nil {
-		if j.Closing != "" && j.Phase == "" {
+		if j.EndingPhase != "" && j.Phase == "" {
 			return nil
 		}
 		return reply(http.StatusOK, j.Status(cp.jobTable.runningTasks(j)))
@@ -92,7 +92,7 @@
 		return
 	}
 	cp.cancelWaiters[j] = append(cp.cancelWaiters[j], respond)
-	if j.Closing == "" {
+	if j.EndingPhase == "" {
 		cp.finish(j, wire.JobCancelled)
 	}
 }
--- a/internal/control/planner.go
+++ b/internal/control/planner.go
@@ -98,7 +98,7 @@
 // runs apart from the plans, because no plan is made while no job waits.
 func (pl *planner) expireReservations(now time.Time) {
 	for machine, r := range pl.reservations {
-		if now.After(r.until) || r.job.Phase+r.job.Closing != "" {
+		if now.After(r.until) || r.job.Phase+r.job.EndingPhase != "" {
 			delete(pl.reservations, machine)
 		}
 	}
--- a/internal/control/planner_demands.go
+++ b/internal/control/planner_demands.go
@@ -51,7 +51,7 @@
 
 // placeable reports whether a job has tasks to place and may have them placed now.
 func (p *planInput) placeable(j *job.Job) bool {
-	ended := j.Phase != "" || j.Closing != ""
+	ended := j.Phase != "" || j.EndingPhase != ""
 	if ended || p.jobTable.isUnidentified(j) || p.now.Before(j.NotBefore) || j.TeamIdx < 0 || p.calendarStore.waitsForStart(j, p.now) {
 		return false
 	}
--- a/internal/control/planner_victims.go
+++ b/internal/control/planner_victims.go
@@ -21,7 +21,7 @@
 // addVictims adds a machine's tasks that may be preempted.
 func (p *planInput) addVictims(candidate *place.Machine, machine *fleet.Machine) {
 	for _, slot := range machine.Slots {
-		if !slot.Active() || slot.Stopping || !slot.LaunchSent || slot.Job.Closing != "" || slot.Job.Phase != "" {
+		if !slot.Active() || slot.Stopping || !slot.LaunchSent || slot.Job.EndingPhase != "" || slot.Job.Phase != "" {
 			continue
 		}
 		candidate.Victims = append(candidate.Victims, place.Victim{
--- a/internal/control/records_results.go
+++ b/internal/control/records_results.go
@@ -123,7 +123,7 @@
 		slots: map[*job.Job][]*fleet.Slot{},
 	}
 	for j := range rs.unstored {
-		if j.Closing != "" || j.Phase != "" {
+		if j.EndingPhase != "" || j.Phase != "" {
 			continue
 		}
 		dirty := j.DirtyChunks()
--- a/internal/control/rollout_observe.go
+++ b/internal/control/rollout_observe.go
@@ -67,7 +67,7 @@
 }
 
 // jobEnded reports whether a job has ended, is ending, or is unknown.
-func jobEnded(j *job.Job) bool { return j == nil || j.Phase+j.Closing != "" }
+func jobEnded(j *job.Job) bool { return j == nil || j.Phase+j.EndingPhase != "" }
 
 // instances returns the instances of a version, indexed by replica.
 func (ro *rollouts) instances(j *job.Job, now time.Time) []rollout.Instance {
--- a/internal/control/tasks_heartbeats.go
+++ b/internal/control/tasks_heartbeats.go
@@ -81,7 +81,7 @@
 		// read to learn the job's resource usage, which takes long in an outage of the
 		// key-value store. Meanwhile the lease must not be renewed for a task whose user
 		// may already have been notified of the cancellation.
-		if slot.Active() && slot.Job.Phase+slot.Job.Closing != "" && !slot.Stopping {
+		if slot.Active() && slot.Job.Phase+slot.Job.EndingPhase != "" && !slot.Stopping {
 			tt.applyEvents(tt.fleet.Stop(slot, 0), now)
 		}
 		if slot.Job.Shape == job.Gang && slot.Active() {
@@ -194,7 +194,7 @@
 			j.MarkDone(int32(task))
 		}
 	}
-	if j.Complete() && j.Closing == "" {
+	if j.Complete() && j.EndingPhase == "" {
 		tt.completions.finish(j, wire.JobDone)
 	}
 }
--- a/internal/fleet/compose.go
+++ b/internal/fleet/compose.go
@@ -81,7 +81,7 @@
 // launch adds the first launch of a slot if the machine may receive it now.
 func (c *orderComposer) launch(s *Slot) {
 	m := c.machine
-	if s.Job.Closing != "" || s.Job.Phase != "" {
+	if s.Job.EndingPhase != "" || s.Job.Phase != "" {
 		// The job may have been cancelled since the task was placed.
 		c.events = append(c.events, c.fleet.removeSlot(m, s, NeverStarted)...)
 		return
@@ -154,7 +154,7 @@
 func (s *Slot) resendDue(now time.Time) bool {
 	unsettled := s.LaunchSent && s.DirectLaunch && !s.Observed && s.Active() && !s.Machine.CallInFlight
 	return unsettled && now.Sub(s.PlacedAt) >= launchResendDelay && now.Sub(s.launchResentAt) >= launchResendDelay &&
-		s.Job.Closing == "" && s.Job.Phase == ""
+		s.Job.EndingPhase == "" && s.Job.Phase == ""
 }
 
 // clearable reports whether the worker may discard its record of the slot's exit.
--- a/internal/fleet/explore_test.go
+++ b/internal/fleet/explore_test.go
@@ -42,7 +42,7 @@
 		if !w.launched || !w.cancelledAt.IsZero() {
 			return false
 		}
-		w.cancelledAt, w.job.Closing, w.job.CancelledAt = w.now, wire.JobCancelled, w.now
+		w.cancelledAt, w.job.EndingPhase, w.job.CancelledAt = w.now, wire.JobCancelled, w.now
 		if w.disabled == deadlineFromCommit {
 			w.job.CancelledAt = w.now.Add(reportInterval)
 		}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -241,7 +241,7 @@
 			f.now = f.now.Add(launchResendDelay)
 			f.checkOrders(f.compose(1, true), "launch 1;halt 1;")
 			f.now = f.now.Add(launchResendDelay)
-			f.job.Closing = wire.JobCancelled
+			f.job.EndingPhase = wire.JobCancelled
 			f.checkOrders(f.compose(1, true), "halt 1;")
 		}},
 	}
@@ -346,7 +346,7 @@
 		{"15: a cancelled job gets no launch, and its halts are repeated", func(f *ledgerFixture) {
 			f.observe(true, 1, 1, testTerm, runningTask)
 			f.fleet.Assign(f.machine, PlacementKey{f.job, 1, 1}, f.now)
-			f.job.Closing = wire.JobCancelled
+			f.job.EndingPhase = wire.JobCancelled
 			for _, s := range f.machine.Slots {
 				f.fleet.Stop(s, 0)
 			}
--- a/internal/fleet/renewal_test.go
+++ b/internal/fleet/renewal_test.go
@@ -9,7 +9,7 @@
 
 // cancelJob cancels the job, which may be confirmed to its user from now on.
 func (f *ledgerFixture) cancelJob() {
-	f.job.Closing = wire.JobCancelled
+	f.job.EndingPhase = wire.JobCancelled
 	f.job.CancelledAt = f.now
 	for s := range f.fleet.SlotsOf(f.job) {
 		f.fleet.Stop(s, 0)
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -28,9 +28,9 @@
 	Submitted   time.Time
 	// Phase is empty until the final record is committed.
 	Phase wire.JobPhase
-	// Closing is the final phase whose commit has been sent: nothing is launched
+	// EndingPhase is the final phase whose commit has been sent: nothing is launched
 	// from that moment on, whatever becomes of the commit.
-	Closing wire.JobPhase
+	EndingPhase wire.JobPhase
 	// CancelledAt is when the commit of the job's cancellation was first sent: its user
 	// may have been notified from then on. Zero where an earlier leader sent it.
 	CancelledAt time.Time
@@ -150,7 +150,7 @@
 // Cancelled reports whether the job's user may have been notified that it is
 // cancelled.
 func (j *Job) Cancelled() bool {
-	return j.Phase == wire.JobCancelled || (j.Phase == "" && j.Closing == wire.JobCancelled)
+	return j.Phase == wire.JobCancelled || (j.Phase == "" && j.EndingPhase == wire.JobCancelled)
 }
 
 // Status is the state of the job that its user sees.
