--- a/internal/control/records_results.go
+++ b/internal/control/records_results.go
@@ -141,7 +141,7 @@
 
 // addChunk adds the write of a chunk. It skips a chunk that cannot be encoded.
 func (t *resultsTxn) addChunk(id chunkID) {
-	write, err := state.Put(id.key(), id.job.TakeChunk(id.index))
+	write, err := state.Put(id.key(), id.job.EncodeChunk(id.index))
 	if err != nil {
 		return
 	}
--- a/internal/job/chunk.go
+++ b/internal/job/chunk.go
@@ -57,9 +57,9 @@
 	return out
 }
 
-// TakeChunk encodes a chunk and marks it as clean; a failed write has to mark it
+// EncodeChunk encodes a chunk and marks it as clean; a failed write has to mark it
 // again with MarkChunkDirty.
-func (j *Job) TakeChunk(chunk int) Chunk {
+func (j *Job) EncodeChunk(chunk int) Chunk {
 	first := chunk * chunkTasks / wordBits
 	end := min(len(j.done), first+chunkTasks/wordBits)
 	b := make([]byte, 0, (end-first)*wordBytes)
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -103,7 +103,7 @@
 	}
 	k := New(&Record{Spec: spec}, time.Time{})
 	for _, c := range j.DirtyChunks() {
-		ch := j.TakeChunk(c)
+		ch := j.EncodeChunk(c)
 		if b, err := wire.Marshal(ch); err != nil || len(b) > 16<<10 {
 			t.Fatalf("chunk %d: %d bytes, %v", c, len(b), err)
 		}
