--- a/internal/control/records_results.go
+++ b/internal/control/records_results.go
@@ -146,7 +146,7 @@
 		return
 	}
 	version := id.job.ChunkVersion(id.index)
-	id.job.MarkChunkSaved(id.index, version) // the chunk may be stored from the moment the commit is sent
+	id.job.SetChunkVersion(id.index, version) // the chunk may be stored from the moment the commit is sent
 	t.chunks = append(t.chunks, id)
 	t.txn.Writes = append(t.txn.Writes, write)
 	t.txn.If = append(t.txn.If, state.Condition{Key: write.Put, Version: version})
@@ -179,7 +179,7 @@
 	rs.storing = false
 	rs.recordWriter.shrinkIfRejected(err)
 	for id, version := range versions {
-		id.job.MarkChunkSaved(id.index, version)
+		id.job.SetChunkVersion(id.index, version)
 	}
 	if err == nil {
 		for _, slots := range transaction.slots {
--- a/internal/job/chunk.go
+++ b/internal/job/chunk.go
@@ -73,9 +73,9 @@
 // MarkChunkDirty notes that a chunk has to be stored.
 func (j *Job) MarkChunkDirty(chunk int) { j.dirtyChunks[chunk] = true }
 
-// MarkChunkSaved notes that a chunk may exist as a key, and its version; 0: it did
+// SetChunkVersion notes that a chunk may exist as a key, and its version; 0: it did
 // not when it was last read.
-func (j *Job) MarkChunkSaved(chunk int, version uint64) { j.chunkVersions[chunk] = version }
+func (j *Job) SetChunkVersion(chunk int, version uint64) { j.chunkVersions[chunk] = version }
 
 // ChunkVersion is the version of a chunk's key as far as it is known; 0: none.
 func (j *Job) ChunkVersion(chunk int) uint64 { return j.chunkVersions[chunk] }
