--- a/internal/control/records_results.go
+++ b/internal/control/records_results.go
@@ -49,7 +49,7 @@
 		slot.Settled = true
 	}
 	delete(rs.unstored, j)
-	for _, index := range j.SavedChunks() {
+	for _, index := range j.StoredChunks() {
 		rs.deleteLater(j.ChunkKey(index))
 	}
 }
--- a/internal/job/chunk.go
+++ b/internal/job/chunk.go
@@ -80,8 +80,8 @@
 // ChunkVersion is the version of a chunk's key as far as it is known; 0: none.
 func (j *Job) ChunkVersion(chunk int) uint64 { return j.chunkVersions[chunk] }
 
-// SavedChunks returns the chunks that may exist as keys.
-func (j *Job) SavedChunks() []int {
+// StoredChunks returns the chunks that may exist as keys.
+func (j *Job) StoredChunks() []int {
 	var out []int
 	for c := range j.chunkVersions {
 		out = append(out, c)
