--- a/internal/job/chunk.go
+++ b/internal/job/chunk.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// chunkTasks is the number of tasks whose completion is stored under one key:
+	// tasksPerChunk is the number of tasks whose completion is stored under one key:
 	// its text is well below the smallest value limit (16 KiB) that a state service
 	// has.
-	chunkTasks = 32768
+	tasksPerChunk = 32768
 
 	// wordBits is the number of tasks in a word of the set of completed tasks.
 	wordBits = 1 << wordShift
@@ -24,7 +24,7 @@
 	wordBytes = wordBits / 8
 )
 
-// Chunk is the durable set of completed tasks among chunkTasks of them.
+// Chunk is the durable set of completed tasks among tasksPerChunk of them.
 type Chunk struct {
 	Bits string `codec:"bits"`
 }
@@ -60,8 +60,8 @@
 // EncodeChunk encodes a chunk and marks it as clean; a failed write has to mark it
 // again with MarkChunkDirty.
 func (j *Job) EncodeChunk(chunk int) Chunk {
-	first := chunk * chunkTasks / wordBits
-	end := min(len(j.done), first+chunkTasks/wordBits)
+	first := chunk * tasksPerChunk / wordBits
+	end := min(len(j.done), first+tasksPerChunk/wordBits)
 	b := make([]byte, 0, (end-first)*wordBytes)
 	for _, word := range j.done[first:end] {
 		b = binary.LittleEndian.AppendUint64(b, word)
@@ -95,7 +95,7 @@
 	if err != nil {
 		return fmt.Errorf("job %s: chunk %d: %w", j.ID, chunk, err)
 	}
-	first := chunk * chunkTasks / wordBits
+	first := chunk * tasksPerChunk / wordBits
 	for i, x := range b {
 		if word := first + i/wordBytes; word < len(j.done) {
 			j.done[word] |= uint64(x) << (8 * (i % wordBytes))
--- a/internal/job/tasks.go
+++ b/internal/job/tasks.go
@@ -17,7 +17,7 @@
 	if j.Live[task] > 0 {
 		j.liveIncomplete--
 	}
-	j.dirtyChunks[int(task)/chunkTasks] = true
+	j.dirtyChunks[int(task)/tasksPerChunk] = true
 	return true
 }
 
