--- a/internal/control/admission_store.go
+++ b/internal/control/admission_store.go
@@ -46,7 +46,7 @@
 // idle.
 func (ad *admission) storeQueued(now time.Time) {
 	for len(ad.queue) > 0 && ad.commitsInFlight < maxCommitsInFlight {
-		if !ad.controller.State.Idle(ad.recordWriter.maxWrites()) && !ad.limit.AllowN(now, 1) {
+		if !ad.controller.State.WritesIdle(ad.recordWriter.maxWrites()) && !ad.limit.AllowN(now, 1) {
 			return
 		}
 		n := ad.nextBatchSize()
@@ -238,14 +238,14 @@
 	case !errors.Is(err, state.ErrNotFound):
 		ad.sleep(storeRetryPause)
 		return batch, true
-	case slices.Contains(conflict.Failed, ad.fence.Key):
+	case slices.Contains(conflict.FailedKeys, ad.fence.Key):
 		ad.finishAll(batch, Unavailable("the leader has changed"))
 		return nil, false
 	}
 	// Existing jobs must not prevent the admission of the others. An earlier commit of the
 	// whole batch with unknown outcome can no longer be applied: records of jobs move but
 	// are never removed, so its conditions will fail.
-	existing, remaining := partitionByKey(batch, conflict.Failed)
+	existing, remaining := partitionByKey(batch, conflict.FailedKeys)
 	for _, ps := range existing {
 		ad.answerExisting(ps)
 	}
--- a/internal/control/records_results.go
+++ b/internal/control/records_results.go
@@ -49,7 +49,7 @@
 		slot.Settled = true
 	}
 	delete(rs.unstored, j)
-	for _, index := range j.SavedChunks() {
+	for _, index := range j.StoredChunks() {
 		rs.deleteLater(j.ChunkKey(index))
 	}
 }
@@ -61,7 +61,7 @@
 // are not deleted in the transaction that writes its final record, to keep that
 // transaction small.
 func (rs *results) deleteObsolete() {
-	if rs.deleting || len(rs.obsoleteKeys) == 0 || !rs.controller.State.Idle(rs.recordWriter.maxWrites()) {
+	if rs.deleting || len(rs.obsoleteKeys) == 0 || !rs.controller.State.WritesIdle(rs.recordWriter.maxWrites()) {
 		return
 	}
 	keys := rs.obsoleteKeys[:min(len(rs.obsoleteKeys), rs.recordWriter.maxWrites())]
@@ -123,7 +123,7 @@
 		slots: map[*job.Job][]*fleet.Slot{},
 	}
 	for j := range rs.unstored {
-		if j.Closing != "" || j.Phase != "" {
+		if j.EndingPhase != "" || j.Phase != "" {
 			continue
 		}
 		dirty := j.DirtyChunks()
@@ -141,12 +141,12 @@
 
 // addChunk adds the write of a chunk. It skips a chunk that cannot be encoded.
 func (t *resultsTxn) addChunk(id chunkID) {
-	write, err := state.Put(id.key(), id.job.TakeChunk(id.index))
+	write, err := state.Put(id.key(), id.job.EncodeChunk(id.index))
 	if err != nil {
 		return
 	}
 	version := id.job.ChunkVersion(id.index)
-	id.job.MarkChunkSaved(id.index, version) // the chunk may be stored from the moment the commit is sent
+	id.job.SetChunkVersion(id.index, version) // the chunk may be stored from the moment the commit is sent
 	t.chunks = append(t.chunks, id)
 	t.txn.Writes = append(t.txn.Writes, write)
 	t.txn.If = append(t.txn.If, state.Condition{Key: write.Put, Version: version})
@@ -179,7 +179,7 @@
 	rs.storing = false
 	rs.recordWriter.shrinkIfRejected(err)
 	for id, version := range versions {
-		id.job.MarkChunkSaved(id.index, version)
+		id.job.SetChunkVersion(id.index, version)
 	}
 	if err == nil {
 		for _, slots := range transaction.slots {
