--- a/internal/control/shards_sync.go
+++ b/internal/control/shards_sync.go
@@ -93,7 +93,7 @@
 	}
 	box := sh.openMailbox(request, respond, now)
 	if holder := sh.holders[request.Member]; holder != nil {
-		holder.KnownUntil = sh.assigner.KnownUntil(request.Member)
+		holder.KnownUntil = sh.assigner.AnswersKnownUntil(request.Member)
 	}
 	if request.Term == sh.term {
 		for i := range request.Reports {
--- a/internal/fleet/explore_world_test.go
+++ b/internal/fleet/explore_world_test.go
@@ -276,7 +276,7 @@
 		w.holder.RequestFailed()
 		return
 	}
-	w.fleetHolder.KnownUntil = w.assigner.KnownUntil("n1")
+	w.fleetHolder.KnownUntil = w.assigner.AnswersKnownUntil("n1")
 	if request.Term == w.fleet.Term {
 		for i := range request.Reports {
 			w.handleMachineReport(&request.Reports[i])
--- a/internal/shard/assigner.go
+++ b/internal/shard/assigner.go
@@ -101,10 +101,10 @@
 	return mc.holder.name, mc.phase == assigned
 }
 
-// KnownUntil is the time up to which all answers of the member are known.
-func (a *Assigner) KnownUntil(member string) time.Time {
+// AnswersKnownUntil is the time up to which all answers of the member are known.
+func (a *Assigner) AnswersKnownUntil(member string) time.Time {
 	if m := a.members[member]; m != nil {
-		return m.knownUntil
+		return m.answersKnownUntil
 	}
 	return time.Time{}
 }
--- a/internal/shard/explore_test.go
+++ b/internal/shard/explore_test.go
@@ -138,8 +138,8 @@
 		if n > 1 {
 			w.broken = name + " has two valid holders"
 		}
-		if h, _ := w.leader.Holder(name); h != "" && w.entitled() && w.answered[k].Before(w.leader.KnownUntil(h)) && w.answered[k].Sub(w.knownAt[k]) > time.Millisecond && w.answered[k].After(w.begun()) {
-			w.broken = fmt.Sprintf("%s was answered at %v, told up to %v, known %v", name, w.rel(w.answered[k]), w.rel(w.leader.KnownUntil(h)), w.rel(w.knownAt[k]))
+		if h, _ := w.leader.Holder(name); h != "" && w.entitled() && w.answered[k].Before(w.leader.AnswersKnownUntil(h)) && w.answered[k].Sub(w.knownAt[k]) > time.Millisecond && w.answered[k].After(w.begun()) {
+			w.broken = fmt.Sprintf("%s was answered at %v, told up to %v, known %v", name, w.rel(w.answered[k]), w.rel(w.leader.AnswersKnownUntil(h)), w.rel(w.knownAt[k]))
 		}
 	}
 	return w.broken
@@ -180,7 +180,7 @@
 		}
 		if m := a.members[fmt.Sprintf("h%d", i)]; m != nil {
 			p.Values(m.joined, m.leavingReason, m.needsReset, m.lastReply-m.ackedReply, m.incarnation == s.incarnation, int64(s.holder.lastReply)-int64(m.ackedReply))
-			p.Times(m.grantUntil, m.heardAt, m.ackedAt, m.knownUntil, m.noJoinBefore)
+			p.Times(m.grantUntil, m.heardAt, m.ackedAt, m.answersKnownUntil, m.noJoinBefore)
 		}
 	}
 	return p.String()
--- a/internal/shard/members.go
+++ b/internal/shard/members.go
@@ -30,8 +30,8 @@
 	ackedAt    time.Time
 	// grantUntil is when the last grant has certainly ended, by the leader's clock.
 	grantUntil time.Time
-	// knownUntil is the time up to which all answers of the member are known.
-	knownUntil time.Time
+	// answersKnownUntil is the time up to which all answers of the member are known.
+	answersKnownUntil time.Time
 
 	// joined: the member may hold machines.
 	joined   bool
@@ -172,7 +172,7 @@
 	m.ackedReply = r.LastReply
 	m.ackedAt = now
 	if !r.Truncated {
-		m.knownUntil = at
+		m.answersKnownUntil = at
 	}
 	for n := range m.replyTimes {
 		if n < r.LastReply {
