--- a/internal/shard/explore_test.go
+++ b/internal/shard/explore_test.go
@@ -88,7 +88,7 @@
 			w.seq[k]++
 			m := &wire.Heartbeat{Machine: w.names[k], Session: 1, Seq: w.seq[k]}
 			if _, v := w.holders[i].holder.Report(m, []byte{1}, w.now); v >= Answered {
-				w.answered[k] = w.now
+				w.lastAnswer[k] = w.now
 				return true
 			}
 		}
@@ -115,7 +115,7 @@
 func (w *world) Violation() string {
 	if w.disabled == silentHolderUntilGrantEnds {
 		for _, m := range w.leader.members {
-			if len(m.machines) > 0 && w.now.Sub(m.heardAt) >= tick {
+			if len(m.machines) > 0 && w.now.Sub(m.lastRequestAt) >= tick {
 				w.recordRevocations(w.leader.revokeAll(m, w.now, "", w.now))
 			}
 		}
@@ -132,21 +132,21 @@
 			}
 			n++
 			if !w.now.Before(w.entitlementEnds[h.Term()]) {
-				w.broken = fmt.Sprintf("h%d answers %s outside the entitlement of term %d", i, name, h.Term())
+				w.violation = fmt.Sprintf("h%d answers %s outside the entitlement of term %d", i, name, h.Term())
 			}
 		}
 		if n > 1 {
-			w.broken = name + " has two valid holders"
+			w.violation = name + " has two valid holders"
 		}
-		if h, _ := w.leader.Holder(name); h != "" && w.entitled() && w.answered[k].Before(w.leader.KnownUntil(h)) && w.answered[k].Sub(w.knownAt[k]) > time.Millisecond && w.answered[k].After(w.begun()) {
-			w.broken = fmt.Sprintf("%s was answered at %v, told up to %v, known %v", name, w.rel(w.answered[k]), w.rel(w.leader.KnownUntil(h)), w.rel(w.knownAt[k]))
+		if h, _ := w.leader.Holder(name); h != "" && w.entitled() && w.lastAnswer[k].Before(w.leader.AnswersKnownUntil(h)) && w.lastAnswer[k].Sub(w.assumedAnswer[k]) > time.Millisecond && w.lastAnswer[k].After(w.termStart()) {
+			w.violation = fmt.Sprintf("%s was answered at %v, told up to %v, known %v", name, w.rel(w.lastAnswer[k]), w.rel(w.leader.AnswersKnownUntil(h)), w.rel(w.assumedAnswer[k]))
 		}
 	}
-	return w.broken
+	return w.violation
 }
 
-// begun is when the current term began.
-func (w *world) begun() time.Time { return w.entitlementEnds[w.leader.term-1] }
+// termStart is when the current term began.
+func (w *world) termStart() time.Time { return w.entitlementEnds[w.leader.term-1] }
 
 // Fingerprint describes the state: times are relative to now, and those long past are equal.
 func (w *world) Fingerprint() string {
@@ -161,7 +161,7 @@
 		if h != "" {
 			p.Values(int64(mc.announcedIn) - int64(mc.holder.ackedReply))
 		}
-		p.Times(w.answered[k], w.knownAt[k])
+		p.Times(w.lastAnswer[k], w.assumedAnswer[k])
 	}
 	for i := range w.holders {
 		s := &w.holders[i]
@@ -180,7 +180,7 @@
 		}
 		if m := a.members[fmt.Sprintf("h%d", i)]; m != nil {
 			p.Values(m.joined, m.leavingReason, m.needsReset, m.lastReply-m.ackedReply, m.incarnation == s.incarnation, int64(s.holder.lastReply)-int64(m.ackedReply))
-			p.Times(m.grantUntil, m.heardAt, m.ackedAt, m.knownUntil, m.noJoinBefore)
+			p.Times(m.grantUntil, m.lastRequestAt, m.ackedAt, m.answersKnownUntil, m.noJoinBefore)
 		}
 	}
 	return p.String()
--- a/internal/shard/members.go
+++ b/internal/shard/members.go
@@ -15,9 +15,9 @@
 	name string
 	zone string
 	// incarnation is that of the member's process, seq the number of its last request.
-	incarnation uint64
-	seq         uint64
-	heardAt     time.Time // when the last request came
+	incarnation   uint64
+	seq           uint64
+	lastRequestAt time.Time // when the last request came
 	// contactSince is since when its requests come without a gap.
 	contactSince time.Time
 
@@ -30,8 +30,8 @@
 	ackedAt    time.Time
 	// grantUntil is when the last grant has certainly ended, by the leader's clock.
 	grantUntil time.Time
-	// knownUntil is the time up to which all answers of the member are known.
-	knownUntil time.Time
+	// answersKnownUntil is the time up to which all answers of the member are known.
+	answersKnownUntil time.Time
 
 	// joined: the member may hold machines.
 	joined   bool
@@ -99,7 +99,7 @@
 			mc.since = now
 			mc.reason = reason
 		}
-		freed = append(freed, a.endHolding(mc, until))
+		freed = append(freed, a.returnToLeader(mc, until))
 	}
 	slices.SortFunc(freed, func(x, y Revocation) int { return cmp.Compare(x.Name, y.Name) })
 	if m.joined {
@@ -141,7 +141,7 @@
 	}
 	m.seq = r.Seq
 	m.capacity = r.Capacity
-	m.heardAt = now
+	m.lastRequestAt = now
 	switch {
 	case !r.Overloaded:
 		m.overloadedSince = time.Time{}
@@ -172,7 +172,7 @@
 	m.ackedReply = r.LastReply
 	m.ackedAt = now
 	if !r.Truncated {
-		m.knownUntil = at
+		m.answersKnownUntil = at
 	}
 	for n := range m.replyTimes {
 		if n < r.LastReply {
@@ -191,7 +191,7 @@
 			delete(m.pending, mc)
 		case mc.phase == revoking:
 			// This request has all that the member answered before it stopped.
-			freed = append(freed, a.endHolding(mc, at))
+			freed = append(freed, a.returnToLeader(mc, at))
 		}
 	}
 	return freed, true
@@ -267,7 +267,7 @@
 	case now.Sub(m.ackedAt) <= a.settings.GrantDuration:
 		r.GrantMs = a.settings.GrantDuration.Milliseconds()
 		// The holder counts from before its request, so its grant ends sooner than this.
-		m.grantUntil = now.Add(a.settings.GrantDuration + drift(a.settings.GrantDuration))
+		m.grantUntil = now.Add(a.settings.GrantDuration + clockMargin(a.settings.GrantDuration))
 	default:
 		// Its requests come, but the replies are lost: it has no valid grant, and its
 		// machines must not wait for the end of a new one.
@@ -280,7 +280,7 @@
 func (a *Assigner) expireMembers(now time.Time) (freed []Revocation) {
 	for _, name := range slices.Sorted(maps.Keys(a.members)) {
 		m := a.members[name]
-		silent := now.Sub(m.heardAt) > a.settings.GrantDuration
+		silent := now.Sub(m.lastRequestAt) > a.settings.GrantDuration
 		switch {
 		case now.Before(a.noExpiryBefore):
 		case len(m.machines) > 0 && now.After(m.grantUntil):
@@ -288,7 +288,7 @@
 		case m.joined && len(m.machines) == 0 && silent:
 			a.revokeAll(m, now, "", now)
 		}
-		if !m.joined && now.Sub(m.heardAt) > joinContactGap {
+		if !m.joined && now.Sub(m.lastRequestAt) > joinContactGap {
 			m.contactSince = now
 		}
 		if m.joined && !m.overloadedSince.IsZero() && now.Sub(m.overloadedSince) > overloadGrace {
--- a/internal/shard/rebalance.go
+++ b/internal/shard/rebalance.go
@@ -9,15 +9,15 @@
 const (
 	// rebalanceInterval is the time between checks of all machines.
 	rebalanceInterval = 500 * time.Millisecond
-	// minMachinesHysteresis is the fraction, one in that many, by which the fleet has to
+	// minMachinesHysteresisDivisor is the fraction, one in that many, by which the fleet has to
 	// shrink below Settings.MinMachines before the leader holds all machines again.
-	minMachinesHysteresis = 5
+	minMachinesHysteresisDivisor = 5
 )
 
 // rebalance revokes machines that are to have another holder, within the rate of moves.
 func (a *Assigner) rebalance(now time.Time) {
 	a.updateCandidates(now)
-	smallFleet := len(a.machines) < a.settings.MinMachines-a.settings.MinMachines/minMachinesHysteresis
+	smallFleet := len(a.machines) < a.settings.MinMachines-a.settings.MinMachines/minMachinesHysteresisDivisor
 	for _, name := range slices.Sorted(maps.Keys(a.members)) {
 		m := a.members[name]
 		for mc := range m.machines {
@@ -84,7 +84,7 @@
 		}
 		c.capacity = c.member.capacity
 		c.load = len(c.member.machines)
-		if !c.member.overloadedSince.IsZero() || now.Sub(c.member.heardAt) > maxContactGap {
+		if !c.member.overloadedSince.IsZero() || now.Sub(c.member.lastRequestAt) > maxContactGap {
 			// It gets no more while it is overloaded, or may have ended.
 			c.capacity = min(c.capacity, c.load)
 		}
@@ -114,7 +114,7 @@
 // its workers has no capacity.
 func (a *Assigner) updateLeader(c *candidate, now time.Time) {
 	c.capacity = a.settings.LeaderCapacity
-	if now.Sub(a.directReportAt) > leaderCutAfter && now.Sub(a.forwardedReportAt) < leaderCutAfter {
+	if now.Sub(a.directReportAt) > leaderCutOffTimeout && now.Sub(a.forwardedReportAt) < leaderCutOffTimeout {
 		c.capacity = 0
 	}
 	c.load = len(a.machines)
--- a/internal/shard/routing.go
+++ b/internal/shard/routing.go
@@ -24,20 +24,20 @@
 	// redirectTimeout is the time within which a redirected worker has to reach its
 	// holder. One that comes back to the leader sooner does not reach it.
 	redirectTimeout = 20 * time.Second
-	// leaderCutAfter is how long no report may come to the leader itself, while others
+	// leaderCutOffTimeout is how long no report may come to the leader itself, while others
 	// are forwarded to it, before it counts as cut off from the workers and gets no
 	// machines.
-	leaderCutAfter = 5 * time.Second
+	leaderCutOffTimeout = 5 * time.Second
 	// pinDuration is how long a machine stays with the member through which its worker
 	// has reached the leader.
 	pinDuration = time.Minute
 )
 
 // A member leaves if within redirectTimeout at least minUnreached of its workers, and
-// one in unreachedFraction of them, do not reach it.
+// one in unreachedDivisor of them, do not reach it.
 const (
-	unreachedFraction = 10
-	minUnreached      = 3
+	unreachedDivisor = 10
+	minUnreached     = 3
 )
 
 // RouteReport decides who answers a report that has come to the leader; for Send it
@@ -63,7 +63,7 @@
 
 // routeToHolder decides on a report of a machine that a member holds.
 func (a *Assigner) routeToHolder(mc *machine, now time.Time) (Route, string) {
-	if now.Sub(mc.holder.heardAt) > maxContactGap {
+	if now.Sub(mc.holder.lastRequestAt) > maxContactGap {
 		return Wait, "" // the holder may have ended: its machines are free when its grant ends
 	}
 	if !mc.redirectedAt.IsZero() && now.Sub(mc.redirectedAt) < redirectTimeout {
@@ -81,7 +81,7 @@
 	a.revoke(mc, "its worker does not reach the holder", now)
 	m.unreachedAt = slices.DeleteFunc(m.unreachedAt, func(t time.Time) bool { return now.Sub(t) > redirectTimeout })
 	m.unreachedAt = append(m.unreachedAt, now)
-	if m.leavingReason == "" && len(m.unreachedAt) >= max(minUnreached, len(m.machines)/unreachedFraction) {
+	if m.leavingReason == "" && len(m.unreachedAt) >= max(minUnreached, len(m.machines)/unreachedDivisor) {
 		a.startLeaving(m, "its workers do not reach it", now)
 	}
 }
