--- a/internal/node/sim_calendar_test.go
+++ b/internal/node/sim_calendar_test.go
@@ -13,35 +13,36 @@
 	"vetchstream/internal/wire"
 )
 
-// calendarSimulation is a full fleet of machines in three zones, on three controllers, with a
-// slot of several parts and a gang that claims it.
+// calendarSimulation is a simulation of three controllers and a fleet of the maximum size in
+// three zones. Its reservation of several parts is claimed by a gang.
 type calendarSimulation struct {
 	*simulation
 	t             *testing.T
 	client        *http.Client
-	start         time.Time // of the slot
+	start         time.Time // start of the reserved slot
 	jobsSubmitted int
 }
 
-// slotDelay is when the slot begins, from the begin of the scenario.
+// slotDelay is the time from the start of the scenario to the start of the slot.
 const slotDelay = 90 * time.Second
 
-// newCalendarSimulation starts a fleet of that many machines, the most that there are.
+// newCalendarSimulation starts a simulation whose fleet has the given number of machines, which
+// is also the maximum. edit may change the settings of the calendar; it may be nil.
 func newCalendarSimulation(t *testing.T, machines int, edit func(*config.Calendar)) (*calendarSimulation, func()) {
 	zones := []string{"a", "b", "c"}
-	editCluster := func(c *emulate.Config) {
-		c.MaxMachines = machines
-		c.Limits = nil
-		c.Types = []wire.MachineType{
+	editCluster := func(cluster *emulate.Config) {
+		cluster.MaxMachines = machines
+		cluster.Limits = nil
+		cluster.Types = []wire.MachineType{
 			{Name: "small", CPUs: 4, MemGB: 64, CacheGB: 10, FetchRate: 1, Price: 0.2, SpotPrice: 0.05, BootS: 10, Zones: zones},
 		}
 	}
-	configure := func(_ *config.Settings, tun *config.Tuning) {
-		tun.Rollouts.Enabled = true
-		tun.Calendar.Enabled = true
-		tun.Calendar.AssumedCapacity = map[string]int{"small": machines / 3}
+	configure := func(_ *config.Settings, tuning *config.Tuning) {
+		tuning.Rollouts.Enabled = true
+		tuning.Calendar.Enabled = true
+		tuning.Calendar.AssumedCapacity = map[string]int{"small": machines / 3}
 		if edit != nil {
-			edit(&tun.Calendar)
+			edit(&tuning.Calendar)
 		}
 	}
 	s, closeAll := newSimulation(t, 1, editCluster, configure)
@@ -59,7 +60,7 @@
 	return sim, closeAll
 }
 
-// createEntry posts an entry of the calendar, and returns the answer's status.
+// createEntry posts an entry of the calendar and returns the status of the answer.
 func (sim *calendarSimulation) createEntry(path string, doc map[string]any) int {
 	body, err := wire.Marshal(doc)
 	if err != nil {
@@ -73,12 +74,12 @@
 	return got
 }
 
-// readEntry reads an entry of the calendar into out.
+// readEntry reads an entry of the calendar into out. It tries the controllers in turn.
 func (sim *calendarSimulation) readEntry(path string, out any) {
 	sim.request(sim.client, "GET", path, nil, func(status int, _ wire.JobStatus) bool { return status == 200 })
 	for i := range 90 {
-		if res, err := sim.client.Get("http://" + simControllers[i%3].Addr + path); err == nil {
-			if body := readAll(res); res.StatusCode == 200 && wire.Unmarshal(body, out) == nil {
+		if response, err := sim.client.Get("http://" + simControllers[i%3].Addr + path); err == nil {
+			if body := readAll(response); response.StatusCode == 200 && wire.Unmarshal(body, out) == nil {
 				return
 			}
 		}
@@ -86,12 +87,14 @@
 	}
 }
 
-// reserve asks for the slot, edited, and returns the answer's status.
+// reserve requests a reservation of six parts with the edited fields, and returns the status
+// of the answer.
 func (sim *calendarSimulation) reserve(edit map[string]any) int {
 	return sim.createEntry("/api/reservations", sim.reservation(6, edit))
 }
 
-// reservation is a request for the slot with that many parts, edited.
+// reservation returns the fields of a request for a reservation of the slot, with the given
+// number of parts and the edited fields.
 func (sim *calendarSimulation) reservation(parts int, edit map[string]any) map[string]any {
 	fields := map[string]any{
 		"name":    "evening",
@@ -107,8 +110,8 @@
 	return fields
 }
 
-// submitJob submits a job and lets its user poll it. It runs for that many seconds, whatever
-// its estimate is.
+// submitJob submits a job and starts a user that polls it. The job's tasks run for the given
+// time, regardless of the estimate.
 func (sim *calendarSimulation) submitJob(seconds float64, spec job.Spec) string {
 	sim.jobsSubmitted++
 	spec.ID = fmt.Sprintf("run-%06d", sim.jobsSubmitted)
@@ -121,14 +124,14 @@
 	actual.EstimateS = seconds
 	sim.DescribeJob(&actual)
 	if !sim.submit(sim.client, &declared) {
-		sim.t.Fatal("not accepted")
+		sim.t.Fatal("the submitted job was not accepted")
 	}
 	sim.JobAccepted(spec.ID)
 	sim.Go(func() { sim.pollUntilEnd(&actual) })
 	return spec.ID
 }
 
-// pollUntilEnd polls a job every three seconds until the simulation ends, and checks the
+// pollUntilEnd polls a job every three seconds until the simulation ends and checks the
 // answers.
 func (sim *calendarSimulation) pollUntilEnd(spec *job.Spec) {
 	var final wire.JobPhase
@@ -138,19 +141,19 @@
 			return
 		case <-time.After(3 * time.Second):
 		}
-		res, err := sim.client.Get("http://" + simControllers[sim.jobsSubmitted%3].Addr + "/api/jobs/" + spec.ID)
+		response, err := sim.client.Get("http://" + simControllers[sim.jobsSubmitted%3].Addr + "/api/jobs/" + spec.ID)
 		if err != nil {
 			continue
 		}
-		var st wire.JobStatus
-		if body := readAll(res); res.StatusCode == 404 || (res.StatusCode == 200 && wire.Unmarshal(body, &st) == nil) {
-			final = sim.CheckPoll(spec, res.StatusCode, st.Phase, final, false)
+		var jobStatus wire.JobStatus
+		if body := readAll(response); response.StatusCode == 404 || (response.StatusCode == 200 && wire.Unmarshal(body, &jobStatus) == nil) {
+			final = sim.CheckPoll(spec, response.StatusCode, jobStatus.Phase, final, false)
 		}
 	}
 }
 
-// fillFleet fills the fleet with work that may not be preempted: tasks that end after two
-// fifths of their estimate to over twice of it.
+// fillFleet fills the fleet with work that must not be preempted. The tasks' actual run times
+// are between 0.4 and 2 times their estimates.
 func (sim *calendarSimulation) fillFleet(tasks int) {
 	estimates := []float64{20, 14, 11, 20}
 	for i, seconds := range []float64{8, 14, 22, 30} {
@@ -158,8 +161,8 @@
 	}
 }
 
-// awaitRunning waits until that many tasks of a job run, and returns how long after the slot's
-// start that is; an hour if it does not come about.
+// awaitRunning waits until exactly n tasks of a job run and returns the time since the start of
+// the slot. It returns an hour if this does not happen within four minutes.
 func (sim *calendarSimulation) awaitRunning(id string, n int) time.Duration {
 	for range 2400 {
 		if sim.RunningTasks(id) == n {
@@ -170,5 +173,7 @@
 	return time.Hour
 }
 
-// sleepUntil sleeps until a moment relative to the slot's start.
-func (sim *calendarSimulation) sleepUntil(d time.Duration) { time.Sleep(time.Until(sim.start.Add(d))) }
+// sleepUntil sleeps until the offset from the start of the slot.
+func (sim *calendarSimulation) sleepUntil(offset time.Duration) {
+	time.Sleep(time.Until(sim.start.Add(offset)))
+}
--- a/internal/node/sim_rollout_test.go
+++ b/internal/node/sim_rollout_test.go
@@ -14,7 +14,8 @@
 	"vetchstream/internal/wire"
 )
 
-// rolloutSimulation is a service of six replicas on three controllers, and its roll-out.
+// rolloutSimulation is a simulation of three controllers with a service of six replicas, whose
+// versions are rolled out.
 type rolloutSimulation struct {
 	*simulation
 	t       *testing.T
@@ -23,23 +24,23 @@
 	service *stormService
 }
 
-// newRolloutSimulation starts the service. With a limit its replicas take that many CPUs each,
-// in a team that may use 14.
-func newRolloutSimulation(t *testing.T, limit float64) (*rolloutSimulation, func()) {
+// newRolloutSimulation starts a simulation and the service. If replicaCPUs is above 0, each
+// replica takes that many CPUs (at least 1), and the service's team has a limit of 14 CPUs.
+func newRolloutSimulation(t *testing.T, replicaCPUs float64) (*rolloutSimulation, func()) {
 	zones := []string{"a", "b", "c"}
-	editCluster := func(c *emulate.Config) {
-		c.MaxMachines = 30
-		c.Limits = map[string]emulate.Limit{}
-		c.Types = []wire.MachineType{
+	editCluster := func(cluster *emulate.Config) {
+		cluster.MaxMachines = 30
+		cluster.Limits = map[string]emulate.Limit{}
+		cluster.Types = []wire.MachineType{
 			{Name: "small", CPUs: 4, MemGB: 64, CacheGB: 10, FetchRate: 1, Price: 0.2, SpotPrice: 0.05, BootS: 4, Zones: zones},
 		}
-		if limit > 0 {
-			c.Limits["red"] = emulate.Limit{CPUs: 14}
+		if replicaCPUs > 0 {
+			cluster.Limits["red"] = emulate.Limit{CPUs: 14}
 		}
 	}
-	configure := func(set *config.Settings, tun *config.Tuning) {
-		withOutagePromises(set, tun)
-		tun.Rollouts.Enabled = true
+	configure := func(settings *config.Settings, tuning *config.Tuning) {
+		withOutagePromises(settings, tuning)
+		tuning.Rollouts.Enabled = true
 	}
 	s, closeAll := newSimulation(t, 1, editCluster, configure)
 	s.RecordHistory()
@@ -47,26 +48,27 @@
 		s.Boot("small", zones[i%3], false, 0)
 	}
 	team := "blue"
-	if limit > 0 {
+	if replicaCPUs > 0 {
 		team = "red"
 	}
 	sim := &rolloutSimulation{
 		simulation: s,
 		t:          t,
 		client:     s.userClient(5 * time.Second),
-		spec:       &job.Spec{ID: "run-1", Team: team, ShapeName: "daemon", PriorityName: "standard", Tasks: 6, CPUs: max(1, limit), MemGB: 1, Image: "old"},
+		spec:       &job.Spec{ID: "run-1", Team: team, ShapeName: "daemon", PriorityName: "standard", Tasks: 6, CPUs: max(1, replicaCPUs), MemGB: 1, Image: "old"},
 		service:    &stormService{name: "svc"},
 	}
 	s.DescribeJob(sim.spec)
 	if !s.submit(sim.client, sim.spec) {
-		t.Fatal("not accepted")
+		t.Fatal("the job of the service was not accepted")
 	}
 	sim.waitFor(60, sim.allRun("run-1"))
 	time.Sleep(5 * time.Second)
 	return sim, closeAll
 }
 
-// waitFor waits until a condition holds, for that many seconds at most.
+// waitFor waits until the condition holds, and fails the test if it does not within the given
+// number of seconds.
 func (sim *rolloutSimulation) waitFor(seconds int, condition func() bool) {
 	for range 10 * seconds {
 		if condition() {
@@ -74,10 +76,11 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	sim.t.Errorf("not within %d s; the roll-out is %s (%s)", seconds, sim.service.state, sim.service.reason)
+	sim.t.Errorf("the awaited condition did not hold within %d s; the roll-out is %s (%s)", seconds, sim.service.state, sim.service.reason)
 }
 
-// start asks for a roll-out from run-1 to run-2, edited, and returns the answer's status.
+// start requests a roll-out from run-1 to run-2 with the edited fields, and returns the status
+// of the answer.
 func (sim *rolloutSimulation) start(edit map[string]any) int {
 	fields := map[string]any{
 		"service":    "svc",
@@ -102,14 +105,14 @@
 	return got
 }
 
-// startTo asks for a roll-out to another version of the service, edited.
+// startTo requests a roll-out to the given version and image with the edited fields.
 func (sim *rolloutSimulation) startTo(version, image string, edit map[string]any) int {
 	fields := map[string]any{"to": map[string]any{"uid": version, "reel": image}}
 	maps.Copy(fields, edit)
 	return sim.start(fields)
 }
 
-// stateIs is the condition that the roll-out is in a state.
+// stateIs returns the condition that the roll-out is in the state.
 func (sim *rolloutSimulation) stateIs(state rollout.State) func() bool {
 	return func() bool {
 		sim.pollRollout(sim.client, sim.service)
@@ -117,12 +120,12 @@
 	}
 }
 
-// running is the condition that at least that many replicas of a version run.
+// running returns the condition that at least the given number of replicas of a version run.
 func (sim *rolloutSimulation) running(version string, replicas int) func() bool {
 	return func() bool { return sim.RunningTasks(version) >= replicas }
 }
 
-// allRun is the condition that all replicas of a version run, and none of the others.
+// allRun returns the condition that all replicas of a version run, and none of the others.
 func (sim *rolloutSimulation) allRun(version string, others ...string) func() bool {
 	return func() bool {
 		if sim.RunningTasks(version) != 6 {
@@ -132,36 +135,37 @@
 	}
 }
 
-// noneRun is the condition that no replica of the versions runs.
+// noneRun returns the condition that no replica of the versions runs.
 func (sim *rolloutSimulation) noneRun(versions ...string) func() bool {
 	return func() bool {
-		return !slices.ContainsFunc(versions, func(v string) bool { return sim.RunningTasks(v) > 0 })
+		return !slices.ContainsFunc(versions, func(version string) bool { return sim.RunningTasks(version) > 0 })
 	}
 }
 
-// cancelService cancels the job of the first version.
+// cancelService cancels the job of the first version of the service.
 func (sim *rolloutSimulation) cancelService() {
-	sim.request(sim.client, "POST", "/api/jobs/run-1/abort", nil, func(status int, st wire.JobStatus) bool {
-		return status == 200 && st.Phase == wire.JobCancelled
+	sim.request(sim.client, "POST", "/api/jobs/run-1/abort", nil, func(status int, jobStatus wire.JobStatus) bool {
+		return status == 200 && jobStatus.Phase == wire.JobCancelled
 	})
 }
 
-// afterEachStep injects a fault each time the stored record of the roll-out changes, n times.
+// afterEachStep injects a fault after each of the next n changes of the roll-out's stored
+// record.
 func (sim *rolloutSimulation) afterEachStep(n int, inject func()) {
-	last := uint64(0)
+	lastVersion := uint64(0)
 	for n > 0 {
-		e, _ := sim.store.Entry("r/svc")
-		if e.Version != last && last != 0 {
+		entry, _ := sim.store.Entry("r/svc")
+		if entry.Version != lastVersion && lastVersion != 0 {
 			n--
 			inject()
 		}
-		last = e.Version
+		lastVersion = entry.Version
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// pollFirstVersion polls the job of the first version until stop is closed, and checks the
-// answers.
+// pollFirstVersion polls the job of the first version every two seconds until stop is closed,
+// and checks the answers.
 func (sim *rolloutSimulation) pollFirstVersion(stop <-chan struct{}, cancelled bool) {
 	var before wire.JobPhase
 	for {
@@ -170,14 +174,14 @@
 			return
 		case <-time.After(2 * time.Second):
 		}
-		res, err := sim.client.Get("http://" + simControllers[1].Addr + "/api/jobs/run-1")
+		response, err := sim.client.Get("http://" + simControllers[1].Addr + "/api/jobs/run-1")
 		if err != nil {
 			continue
 		}
-		var st wire.JobStatus
-		body := readAll(res)
-		if res.StatusCode == 404 || (res.StatusCode == 200 && wire.Unmarshal(body, &st) == nil) {
-			before = sim.CheckPoll(sim.spec, res.StatusCode, st.Phase, before, cancelled)
+		var jobStatus wire.JobStatus
+		body := readAll(response)
+		if response.StatusCode == 404 || (response.StatusCode == 200 && wire.Unmarshal(body, &jobStatus) == nil) {
+			before = sim.CheckPoll(sim.spec, response.StatusCode, jobStatus.Phase, before, cancelled)
 		}
 	}
 }
