--- a/internal/node/sim_scenario_test.go
+++ b/internal/node/sim_scenario_test.go
@@ -14,22 +14,23 @@
 	"vetchstream/internal/job"
 )
 
-// scenario is a day of several controllers on an emulated cluster, in simulated time, with
-// the faults that are injected. The emulated world checks the invariants; the numbers in a
-// scenario's name are those of docs/safety.md that it reaches.
+// scenario is a list of faults that are injected while several controllers run on an emulated
+// cluster in simulated time. The emulated world checks the invariants. The numbers in a
+// scenario's name refer to the numbered cases of docs/safety.md that it covers.
 type scenario struct {
 	name   string
 	faults []fault
 }
 
-// finalChecks are what else has to hold at the end of a scenario, by the scenario's name.
+// finalChecks holds additional checks at the end of a scenario, by the scenario's name.
 type finalChecks map[string]func(*simulation)
 
-// submitAt lets a user submit a job at a time after the start, and cancel it that long after
-// it was accepted; 0: it is not cancelled.
+// submitAt lets a user submit a job at a time after the start of the scenario and cancel it
+// cancelAfter after its acceptance; 0: the job is not cancelled.
 type submitAt func(spec *job.Spec, at, cancelAfter time.Duration)
 
-// environment is where a scenario is played: how many controllers, which machines, what work.
+// environment is the setup of a scenario: the number of controllers, their settings, the
+// cluster and the workload.
 type environment struct {
 	controllers, scale int
 	randomized         bool
@@ -38,35 +39,36 @@
 	submitWorkload     func(s *simulation, add submitAt)
 }
 
-// withJobs adds more work to an environment.
-func (e environment) withJobs(more func(s *simulation, add submitAt)) environment {
-	before := e.submitWorkload
+// withJobs returns the environment with an additional workload.
+func (e environment) withJobs(additional func(s *simulation, add submitAt)) environment {
+	baseWorkload := e.submitWorkload
 	e.submitWorkload = func(s *simulation, add submitAt) {
-		before(s, add)
-		more(s, add)
+		baseWorkload(s, add)
+		additional(s, add)
 	}
 	return e
 }
 
-// runDefault plays scenarios in the default environment with three controllers.
+// runDefault runs the scenarios in the default environment with three controllers.
 func runDefault(t *testing.T, scale int, configure func(*config.Settings, *config.Tuning), checks finalChecks, scenarios []scenario) {
 	runScenarios(t, defaultEnvironment(3, scale, configure), checks, scenarios)
 }
 
-// runScenarios plays each scenario as a subtest.
+// runScenarios runs each scenario as a subtest.
 func runScenarios(t *testing.T, env environment, checks finalChecks, scenarios []scenario) {
 	for _, sc := range scenarios {
 		t.Run(sc.name, func(t *testing.T) {
-			t.Parallel() // each has a clock of its own
+			t.Parallel() // each scenario has its own clock
 			synctest.Test(t, func(t *testing.T) { runScenario(t, env, sc.faults, checks[sc.name]) })
 		})
 	}
 }
 
-// newRand is a source of random numbers with a seed of its own.
+// newRand returns a source of random numbers for the seed.
 func newRand(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 1)) }
 
-// defaultEnvironment has three kinds of jobs, with CPUs only, on two types of machines.
+// defaultEnvironment returns an environment with three kinds of jobs, which need no GPUs, and
+// two types of machines.
 func defaultEnvironment(controllers, scale int, configure func(*config.Settings, *config.Tuning)) environment {
 	return environment{
 		controllers:    controllers,
@@ -77,15 +79,15 @@
 	}
 }
 
-// defaultWorkload starts the first machines and submits arrays, gangs and a service.
+// defaultWorkload starts the initial machines and submits arrays, gangs and a service.
 func defaultWorkload(s *simulation, add submitAt) {
 	for range s.scale {
 		s.Boot("large", "a", false, 0)
 		s.Boot("small", "b", false, 0)
 		s.Boot("small", "c", true, 0)
 	}
-	submit := func(shape, team string, tasks int, cpus, secs float64, at, cancelAfter time.Duration, edit func(*job.Spec)) {
-		spec := &job.Spec{Team: team, ShapeName: shape, PriorityName: "standard", Tasks: tasks, CPUs: cpus, MemGB: 1, EstimateS: secs, Spot: true}
+	submit := func(shape, team string, tasks int, cpus, estimateS float64, at, cancelAfter time.Duration, edit func(*job.Spec)) {
+		spec := &job.Spec{Team: team, ShapeName: shape, PriorityName: "standard", Tasks: tasks, CPUs: cpus, MemGB: 1, EstimateS: estimateS, Spot: true}
 		if edit != nil {
 			edit(spec)
 		}
@@ -93,19 +95,19 @@
 	}
 	withCheckpoints := func(j *job.Spec) { j.CheckpointS, j.SaveS, j.Spot = 2, 1, false }
 	urgentInOneZone := func(j *job.Spec) { j.OneZone, j.PriorityName = true, "urgent" }
-	sec := time.Second
+	second := time.Second
 	for i := range 5 {
-		at := time.Duration(1+9*i) * sec
+		at := time.Duration(1+9*i) * second
 		submit("array", "red", 12*s.scale, 1, 5, at, 0, nil)
-		submit("array", "blue", 10*s.scale, 2, 8, at+sec, 0, withCheckpoints)
-		submit("ensemble", "blue", min(3*s.scale, 24), 2, 10, at+2*sec, 0, urgentInOneZone)
-		submit("array", "red", 8*s.scale, 2, 30, at+3*sec, 9*sec, nil)
+		submit("array", "blue", 10*s.scale, 2, 8, at+second, 0, withCheckpoints)
+		submit("ensemble", "blue", min(3*s.scale, 24), 2, 10, at+2*second, 0, urgentInOneZone)
+		submit("array", "red", 8*s.scale, 2, 30, at+3*second, 9*second, nil)
 	}
-	submit("daemon", "blue", 3, 1, 0, 2*sec, 60*sec, nil)
+	submit("daemon", "blue", 3, 1, 0, 2*second, 60*second, nil)
 }
 
-// runScenario plays a scenario: its work and its faults in the first hundred seconds, then
-// without faults until all jobs are over, and checks what has to hold.
+// runScenario runs a scenario and checks the invariants. The faults are injected in the first
+// hundred seconds; after them the scenario continues until all jobs have ended.
 func runScenario(t *testing.T, env environment, faults []fault, check func(*simulation)) {
 	s, closeAll := newSimulation(t, env.scale, func(c *emulate.Config) {
 		c.Controllers = simMembers(env.controllers)
@@ -114,13 +116,13 @@
 	s.randomized = env.randomized
 	s.Go(s.pollUnknownJobs)
 	s.submitAll(env)
-	faultsOver := make(chan struct{})
+	faultsEnded := make(chan struct{})
 	go func() {
-		defer close(faultsOver)
+		defer close(faultsEnded)
 		s.injectFaults(faults)
 	}()
 	time.Sleep(100 * time.Second)
-	<-faultsOver
+	<-faultsEnded
 	s.FaultsOver()
 	s.awaitJobs()
 	unfinished := s.UnfinishedJobs()
@@ -131,15 +133,16 @@
 	}
 	s.checkViolations(t)
 	if len(unfinished) > 0 {
-		t.Errorf("%d jobs are not over: %v", len(unfinished), unfinished)
+		t.Errorf("%d jobs have not ended: %v", len(unfinished), unfinished)
 	}
-	t.Logf("%d tasks were started, %d of them after a user was told that their job is cancelled", s.Starts(), s.StartsAfterCancellation())
+	t.Logf("%d tasks were started, %d of them after the cancellation of their job was confirmed to a user", s.Starts(), s.StartsAfterCancellation())
 	if s.Starts() < 100*env.scale {
-		t.Errorf("only %d tasks were started", s.Starts())
+		t.Errorf("%d tasks were started, want at least 100 times the scale", s.Starts())
 	}
 }
 
-// submitAll lets the users of the environment's jobs begin. Their ids count up.
+// submitAll starts the users that submit the environment's jobs. The jobs' ids are numbered in
+// the order of submission.
 func (s *simulation) submitAll(env environment) {
 	id := 0
 	env.submitWorkload(s, func(spec *job.Spec, at, cancelAfter time.Duration) {
@@ -152,28 +155,28 @@
 	})
 }
 
-// injectFaults injects each fault at its time and waits until all are over. Of more than two
-// each has to end before the next one begins, since faults that overlap would contend for
-// the same processes.
+// injectFaults injects each fault at its time and waits until all have ended. If there are more
+// than two, each has to end before the next one begins, because overlapping faults would
+// contend for the same processes.
 func (s *simulation) injectFaults(faults []fault) {
-	begun := time.Now()
+	start := time.Now()
 	if len(faults) > 2 {
 		for _, f := range faults {
-			time.Sleep(f.at - time.Since(begun))
+			time.Sleep(f.at - time.Since(start))
 			f.inject(s)
 		}
 		return
 	}
 	var wg sync.WaitGroup
 	for _, f := range faults {
-		time.Sleep(f.at - time.Since(begun))
+		time.Sleep(f.at - time.Since(start))
 		wg.Go(func() { f.inject(s) })
 	}
 	wg.Wait()
 }
 
-// awaitJobs waits until all jobs are over, for five minutes at most, and checks meanwhile
-// that none waits beside free resources.
+// awaitJobs waits until all jobs have ended, but for at most five minutes. Meanwhile it checks
+// that no job waits although there are free resources.
 func (s *simulation) awaitJobs() {
 	for range 150 {
 		time.Sleep(2 * time.Second)
@@ -184,23 +187,24 @@
 	}
 }
 
-// withOutagePromises lets a leader go on in an outage of the key-value store by the promises
-// of the other controllers.
-func withOutagePromises(_ *config.Settings, tun *config.Tuning) { tun.PromiseMs = 2000 }
-
-// withSharding lets all controllers share the machines, with short waits before they do.
-func withSharding(_ *config.Settings, tun *config.Tuning) {
-	tun.PromiseMs = 2000
-	shares := &tun.Sharding
-	shares.Enabled = true
-	shares.MinMachines = 1
-	shares.JoinDelayS = 1
-	shares.RejoinDelayS = 2
-	shares.MovesPerS = 200
+// withOutagePromises enables a leader to continue during an outage of the key-value store, by
+// means of the promises of the other controllers.
+func withOutagePromises(_ *config.Settings, tuning *config.Tuning) { tuning.PromiseMs = 2000 }
+
+// withSharding enables the assignment of machines to all controllers, with short delays before
+// it begins.
+func withSharding(_ *config.Settings, tuning *config.Tuning) {
+	tuning.PromiseMs = 2000
+	sharding := &tuning.Sharding
+	sharding.Enabled = true
+	sharding.MinMachines = 1
+	sharding.JoinDelayS = 1
+	sharding.RejoinDelayS = 2
+	sharding.MovesPerS = 200
 }
 
-// withCancelledJobs adds long jobs to an environment, cancelled one after the other from a
-// time on.
+// withCancelledJobs returns the environment with additional long jobs, which their users cancel
+// at the interval, starting at the time from.
 func withCancelledJobs(env environment, from, interval time.Duration) environment {
 	return env.withJobs(func(_ *simulation, add submitAt) {
 		const at = 2 * time.Second
@@ -221,7 +225,8 @@
 	})
 }
 
-// withLongJobs adds long jobs to an environment that only faults cancel.
+// withLongJobs returns the environment with additional long jobs, which only injected faults
+// cancel.
 func withLongJobs(env environment) environment {
 	return env.withJobs(func(_ *simulation, add submitAt) {
 		for i := range 10 {
@@ -246,6 +251,6 @@
 func (s *simulation) checkViolations(t *testing.T) {
 	t.Helper()
 	if violations := s.Violations(); len(violations) > 0 {
-		t.Errorf("rules broken: %s", strings.Join(violations, "\n"))
+		t.Errorf("invariants violated: %s", strings.Join(violations, "\n"))
 	}
 }
