--- a/internal/node/sim_users_test.go
+++ b/internal/node/sim_users_test.go
@@ -13,47 +13,49 @@
 )
 
 const (
-	// userTries is how often a user repeats a request that has no clear answer, once a second.
+	// userTries is the maximum number of times that a user sends a request, once per second,
+	// until it has a conclusive answer.
 	userTries = 90
-	// userPolls is how often a user polls a job, with userPollInterval in between.
+	// userPolls is the maximum number of times that a user polls a job, at userPollInterval.
 	userPolls        = 200
 	userPollInterval = 3 * time.Second
 )
 
-// controllerAddress is where the i-th try of a user goes.
+// controllerAddress returns the address of the controller that a user's try i is sent to.
 func (s *simulation) controllerAddress(i int) string {
 	return simMember(i%len(s.controllers)) + ":80"
 }
 
-// userClient is an HTTP client of a user who waits that long for an answer.
+// userClient returns an HTTP client of a user who waits for an answer until the timeout.
 func (s *simulation) userClient(timeout time.Duration) *http.Client {
 	transport := &http.Transport{DialContext: s.net.Dialer("user"), DisableKeepAlives: true}
 	return &http.Client{Timeout: timeout, Transport: transport}
 }
 
-// request repeats a request until want takes an answer, and checks that a job is not
-// forgotten meanwhile. It reports whether there was such an answer.
-func (s *simulation) request(hc *http.Client, method, path string, body []byte, want func(status int, st wire.JobStatus) bool) bool {
+// request sends a request, once per second and to the controllers in turn, until accept returns
+// true for an answer. It reports whether there was such an answer. Meanwhile it checks that the
+// job of the request is not forgotten.
+func (s *simulation) request(client *http.Client, method, path string, body []byte, accept func(status int, jobStatus wire.JobStatus) bool) bool {
 	id, _, _ := strings.Cut(strings.TrimPrefix(path, "/api/jobs/"), "/")
-	first := int(s.requests.Add(1)) // a balancer sends each to another controller
+	firstTry := int(s.requests.Add(1)) // a load balancer sends each request to another controller
 	for try := range userTries {
 		select {
 		case <-s.Ended():
 			return false
 		default:
 		}
-		req, err := http.NewRequest(method, "http://"+s.controllerAddress(first+try)+path, bytes.NewReader(body))
+		request, err := http.NewRequest(method, "http://"+s.controllerAddress(firstTry+try)+path, bytes.NewReader(body))
 		if err != nil {
 			panic(err)
 		}
-		res, err := hc.Do(req)
+		response, err := client.Do(request)
 		if err == nil {
-			b, readErr := io.ReadAll(res.Body)
-			res.Body.Close()
-			var st wire.JobStatus
-			accepted := res.StatusCode == 200 || res.StatusCode == 201
-			readable := readErr == nil && (!accepted || wire.Unmarshal(b, &st) == nil)
-			if readable && want(res.StatusCode, st) {
+			answer, readErr := io.ReadAll(response.Body)
+			response.Body.Close()
+			var jobStatus wire.JobStatus
+			accepted := response.StatusCode == 200 || response.StatusCode == 201
+			readable := readErr == nil && (!accepted || wire.Unmarshal(answer, &jobStatus) == nil)
+			if readable && accept(response.StatusCode, jobStatus) {
 				return true
 			}
 		}
@@ -63,27 +65,28 @@
 	return false
 }
 
-// submit submits a job until it is accepted, and checks the answers.
-func (s *simulation) submit(hc *http.Client, spec *job.Spec) bool {
-	return s.request(hc, "POST", "/api/jobs", submission(spec), func(status int, _ wire.JobStatus) bool {
+// submit submits a job until it is accepted, and checks the answers. It reports whether the job
+// was accepted.
+func (s *simulation) submit(client *http.Client, spec *job.Spec) bool {
+	return s.request(client, "POST", "/api/jobs", submission(spec), func(status int, _ wire.JobStatus) bool {
 		if status == 400 || status == 422 || status == 404 {
-			s.ReportViolation("refused: %s got %d", spec.ID, status)
+			s.ReportViolation("refused: the submission of %s got %d", spec.ID, status)
 		}
 		return status == 200 || status == 201
 	})
 }
 
-// resubmit repeats the submission of a job that is over, as a user whose retry comes late.
-func (s *simulation) resubmit(hc *http.Client, spec *job.Spec, final wire.JobPhase) {
-	s.request(hc, "POST", "/api/jobs", submission(spec), func(status int, st wire.JobStatus) bool {
-		s.CheckResubmission(spec, status, st.Phase, final)
+// resubmit submits a job again after it has ended, like a user whose retry arrives late.
+func (s *simulation) resubmit(client *http.Client, spec *job.Spec, final wire.JobPhase) {
+	s.request(client, "POST", "/api/jobs", submission(spec), func(status int, jobStatus wire.JobStatus) bool {
+		s.CheckResubmission(spec, status, jobStatus.Phase, final)
 		return status < 429
 	})
 }
 
-// submission is the body of a job's submission, as users encode it.
+// submission returns the body of a job's submission, encoded as users encode it.
 func submission(spec *job.Spec) []byte {
-	m := map[string]any{
+	fields := map[string]any{
 		"uid":          spec.ID,
 		"breed":        "c",
 		"owner":        spec.Team,
@@ -103,68 +106,68 @@
 		"stash_s":      spec.SaveS,
 	}
 	if spec.Zone != "" {
-		m["yard"] = spec.Zone
+		fields["yard"] = spec.Zone
 	}
 	if spec.Reservation != "" {
-		m["booking"] = spec.Reservation
+		fields["booking"] = spec.Reservation
 	}
-	body, err := wire.Marshal(m)
+	body, err := wire.Marshal(fields)
 	if err != nil {
 		panic(err)
 	}
 	return body
 }
 
-// runUser submits a job at a time after the start, cancels it that long after it was accepted
-// (0: not at all), and polls it for the rest of the scenario.
+// runUser submits a job at a time after the start of the scenario, cancels it cancelAfter after
+// its acceptance (0: not at all), and polls it for the rest of the scenario.
 func (s *simulation) runUser(spec *job.Spec, at, cancelAfter time.Duration) {
 	select {
 	case <-s.Ended():
 		return
 	case <-time.After(at):
 	}
-	hc := s.userClient(5 * time.Second)
+	client := s.userClient(5 * time.Second)
 	s.DescribeJob(spec)
-	if !s.submit(hc, spec) {
+	if !s.submit(client, spec) {
 		return
 	}
 	s.JobAccepted(spec.ID)
-	cancels := cancelAfter > 0
-	s.probeControllers(spec, cancels)
-	if cancels {
+	willCancel := cancelAfter > 0
+	s.probeControllers(spec, willCancel)
+	if willCancel {
 		time.Sleep(cancelAfter)
-		// Another user asks other controllers meanwhile: what one of them answers counts as
-		// confirmed, though the answer to the cancellation itself may be lost.
+		// Another user polls other controllers meanwhile: their answers count as a confirmation
+		// of the cancellation, even if the answer to the cancellation itself is lost.
 		stopped := make(chan struct{})
 		defer close(stopped)
 		s.Go(func() { s.pollDuringCancellation(spec, stopped) })
 		s.cancelJob(spec)
 	}
-	s.pollJob(hc, spec, cancels)
+	s.pollJob(client, spec, willCancel)
 }
 
-// cancelJob cancels a job and checks the answer.
+// cancelJob cancels a job and checks the answers.
 func (s *simulation) cancelJob(spec *job.Spec) {
-	hc := s.userClient(5 * time.Second)
-	s.request(hc, "POST", "/api/jobs/"+spec.ID+"/abort", nil, func(status int, st wire.JobStatus) bool {
+	client := s.userClient(5 * time.Second)
+	s.request(client, "POST", "/api/jobs/"+spec.ID+"/abort", nil, func(status int, jobStatus wire.JobStatus) bool {
 		if status == 404 {
-			s.ReportViolation("forgotten: abort of %s got 404", spec.ID)
+			s.ReportViolation("forgotten: an abort of %s got 404", spec.ID)
 		}
 		if status == 200 {
-			s.CancellationAnswered(spec.ID, st.Phase)
+			s.CancellationAnswered(spec.ID, jobStatus.Phase)
 			s.probeControllers(spec, true)
 		}
 		return status == 200
 	})
 }
 
-// pollJob polls a job and checks the answers. Once the job is over it is submitted again.
-func (s *simulation) pollJob(hc *http.Client, spec *job.Spec, cancelled bool) {
+// pollJob polls a job and checks the answers. Once the job has ended it submits it again.
+func (s *simulation) pollJob(client *http.Client, spec *job.Spec, cancelled bool) {
 	var final wire.JobPhase
 	resubmitted := false
-	poll := func(status int, st wire.JobStatus) bool {
+	poll := func(status int, jobStatus wire.JobStatus) bool {
 		before := final
-		final = s.CheckPoll(spec, status, st.Phase, before, cancelled)
+		final = s.CheckPoll(spec, status, jobStatus.Phase, before, cancelled)
 		if final != before {
 			s.probeControllers(spec, cancelled)
 		}
@@ -172,10 +175,10 @@
 	}
 	for range userPolls {
 		if final != "" && !resubmitted {
-			s.resubmit(hc, spec, final)
+			s.resubmit(client, spec, final)
 			resubmitted = true
 		}
-		if !s.request(hc, "GET", "/api/jobs/"+spec.ID, nil, poll) {
+		if !s.request(client, "GET", "/api/jobs/"+spec.ID, nil, poll) {
 			return
 		}
 		select {
@@ -186,47 +189,48 @@
 	}
 }
 
-// pollDuringCancellation polls a job that is being cancelled, until its user stops.
-func (s *simulation) pollDuringCancellation(spec *job.Spec, until <-chan struct{}) {
-	hc := s.userClient(2 * time.Second)
+// pollDuringCancellation polls a job that is being cancelled, until a poll confirms a final phase
+// or stop is closed.
+func (s *simulation) pollDuringCancellation(spec *job.Spec, stop <-chan struct{}) {
+	client := s.userClient(2 * time.Second)
 	var before wire.JobPhase
 	for i := 1; before == ""; i++ {
 		select {
-		case <-until:
+		case <-stop:
 			return
 		case <-s.Ended():
 			return
 		case <-time.After(700 * time.Millisecond):
 		}
-		res, err := hc.Get("http://" + s.controllerAddress(i) + "/api/jobs/" + spec.ID)
+		response, err := client.Get("http://" + s.controllerAddress(i) + "/api/jobs/" + spec.ID)
 		if err != nil {
 			continue
 		}
-		b, err := io.ReadAll(res.Body)
-		_ = res.Body.Close()
-		var st wire.JobStatus
-		if err == nil && res.StatusCode == http.StatusOK && wire.Unmarshal(b, &st) == nil {
-			before = s.CheckPoll(spec, res.StatusCode, st.Phase, before, true)
+		answer, err := io.ReadAll(response.Body)
+		_ = response.Body.Close()
+		var jobStatus wire.JobStatus
+		if err == nil && response.StatusCode == http.StatusOK && wire.Unmarshal(answer, &jobStatus) == nil {
+			before = s.CheckPoll(spec, response.StatusCode, jobStatus.Phase, before, true)
 		}
 	}
 }
 
-// pollUnknownJobs asks about jobs that nobody has submitted.
+// pollUnknownJobs polls jobs that no user has submitted.
 func (s *simulation) pollUnknownJobs() {
-	hc := s.userClient(2 * time.Second)
+	client := s.userClient(2 * time.Second)
 	for i := 0; ; i++ {
 		select {
 		case <-s.Ended():
 			return
 		case <-time.After(7 * time.Second):
 		}
-		res, err := hc.Get(fmt.Sprintf("http://%s/api/jobs/run-77%05d", s.controllerAddress(i), i))
+		response, err := client.Get(fmt.Sprintf("http://%s/api/jobs/run-77%05d", s.controllerAddress(i), i))
 		if err != nil {
 			continue
 		}
-		_ = res.Body.Close()
-		if res.StatusCode == http.StatusOK {
-			s.ReportViolation("invented: a job that nobody has submitted")
+		_ = response.Body.Close()
+		if response.StatusCode == http.StatusOK {
+			s.ReportViolation("invented: a poll for a job that no user has submitted got 200")
 		}
 	}
 }
