--- a/internal/node/sim_week_test.go
+++ b/internal/node/sim_week_test.go
@@ -14,49 +14,49 @@
 	"vetchstream/internal/wire"
 )
 
-// gangSlot is a slot with its gang.
+// gangSlot is a reserved slot with the gang that runs in it.
 type gangSlot struct {
-	id    string // of the gang
+	id    string // id of the gang
 	start time.Time
 	tasks int
-	late  time.Duration // -1: it never ran whole
+	late  time.Duration // delay until all tasks of the gang ran; -1: they have not
 }
 
-// faultInterval is from the begin of a fault until it no longer excuses a late slot.
+// faultInterval is the time from the start of a fault until it no longer excuses a late slot.
 type faultInterval struct{ from, to time.Time }
 
-// weekSimulation is a week that is being played.
+// weekSimulation is the simulation of a week.
 type weekSimulation struct {
 	*calendarSimulation
 	plan      weekPlan
 	random    *rand.Rand
 	begin     time.Time
 	slots     []*gangSlot
-	windows   map[time.Time]string // begin of a maintenance -> zone
-	submitted map[string]time.Time // ordinary job -> its submission
+	windows   map[time.Time]string // start of a maintenance window -> its zone
+	submitted map[string]time.Time // bulk job -> time of its submission
 	faults    []faultInterval
 }
 
-// start starts the controllers and the fleet.
+// start starts the controllers and the fleet of the week.
 func (plan weekPlan) start(t *testing.T, seed uint64) (*weekSimulation, func()) {
-	editCluster := func(c *emulate.Config) {
-		c.MaxMachines = weekMachines
-		c.Limits = nil
-		c.Types = []wire.MachineType{
+	editCluster := func(cluster *emulate.Config) {
+		cluster.MaxMachines = weekMachines
+		cluster.Limits = nil
+		cluster.Types = []wire.MachineType{
 			{Name: "small", CPUs: 4, MemGB: 64, CacheGB: 10, FetchRate: 1, Price: 0.2, SpotPrice: 0.05, BootS: 10, Zones: weekZones},
 		}
 	}
-	configure := func(set *config.Settings, tun *config.Tuning) {
-		set.Facts.Teams = []config.Team{{Name: "bulk"}, {Name: "t1"}, {Name: "t2"}, {Name: "t3"}, {Name: "t4"}}
+	configure := func(settings *config.Settings, tuning *config.Tuning) {
+		settings.Facts.Teams = []config.Team{{Name: "bulk"}, {Name: "t1"}, {Name: "t2"}, {Name: "t3"}, {Name: "t4"}}
 		if plan.reservedCPUs > 0 {
-			set.Facts.Teams[0].CPUsMax = weekCPUs - plan.reservedCPUs
+			settings.Facts.Teams[0].CPUsMax = weekCPUs - plan.reservedCPUs
 		}
-		tun.Calendar.Enabled = plan.calendar
-		tun.Calendar.AssumedCapacity = map[string]int{"small": 6}
-		tun.Calendar.Hold = plan.hold
-		tun.Calendar.Backfill = plan.backfill
-		tun.Calendar.Drain = plan.drain
-		tun.Calendar.HoldS = 60
+		tuning.Calendar.Enabled = plan.calendar
+		tuning.Calendar.AssumedCapacity = map[string]int{"small": 6}
+		tuning.Calendar.Hold = plan.hold
+		tuning.Calendar.Backfill = plan.backfill
+		tuning.Calendar.Drain = plan.drain
+		tuning.Calendar.HoldS = 60
 	}
 	s, closeAll := newSimulation(t, 1, editCluster, configure)
 	s.RecordHistory()
@@ -74,14 +74,14 @@
 	}, closeAll
 }
 
-// day is the begin of day d.
-func (w *weekSimulation) day(d int) time.Time { return w.begin.Add(time.Duration(d) * dayTime) }
+// day returns the start of the day with the index.
+func (w *weekSimulation) day(index int) time.Time { return w.begin.Add(time.Duration(index) * dayTime) }
 
-// timestamp is a time as requests give it.
+// timestamp returns a time in the format of requests.
 func timestamp(at time.Time) string { return at.UTC().Format(time.RFC3339Nano) }
 
-// submitAtTime lets a user submit a job at a time. Estimates of ordinary work are wrong by up
-// to half.
+// submitAtTime lets a user submit a job at a time. The declared estimates of bulk jobs are 0.5
+// to 2 times the actual run time.
 func (w *weekSimulation) submitAtTime(at time.Time, spec job.Spec) {
 	declared := spec
 	if spec.Team == "bulk" {
@@ -96,17 +96,17 @@
 	})
 }
 
-// scheduleSlots reserves the slots of day d, if there is a calendar, and lets their gangs be
-// submitted.
-func (w *weekSimulation) scheduleSlots(d int) {
+// scheduleSlots reserves the slots of a day, if the calendar is enabled, and schedules the
+// submission of their gangs.
+func (w *weekSimulation) scheduleSlots(dayIndex int) {
 	w.t.Helper()
 	for i, daily := range dailySlots {
-		if daily.day >= 0 && daily.day != d {
+		if daily.day >= 0 && daily.day != dayIndex {
 			continue
 		}
 		slot := &gangSlot{
-			id:    fmt.Sprintf("run-%d", 100_000+100*d+i),
-			start: w.day(d).Add(daily.at),
+			id:    fmt.Sprintf("run-%d", 100_000+100*dayIndex+i),
+			start: w.day(dayIndex).Add(daily.at),
 			tasks: daily.tasks,
 			late:  -1,
 		}
@@ -124,7 +124,7 @@
 		}
 		at := slot.start
 		if w.plan.calendar {
-			spec.Reservation = fmt.Sprintf("slot-%d-%d", d, i)
+			spec.Reservation = fmt.Sprintf("slot-%d-%d", dayIndex, i)
 			at = at.Add(-30 * time.Second)
 			w.reserveSlot(slot, &spec)
 		}
@@ -132,7 +132,7 @@
 	}
 }
 
-// reserveSlot makes the reservation that a gang claims.
+// reserveSlot creates the reservation that a gang claims.
 func (w *weekSimulation) reserveSlot(slot *gangSlot, gang *job.Spec) {
 	w.t.Helper()
 	got := w.createEntry("/api/reservations", map[string]any{
@@ -147,27 +147,27 @@
 		"grace_s":    20.0,
 	})
 	if got != 201 {
-		w.t.Errorf("a reservation got %d", got)
+		w.t.Errorf("the request for a reservation got %d, want 201", got)
 	}
 }
 
-// scheduleDailyMaintenance lets a zone's machines be taken away on day d, which the calendar knows
-// if there is one.
-func (w *weekSimulation) scheduleDailyMaintenance(d int) {
+// scheduleDailyMaintenance schedules the termination of a zone's machines on a day. If the
+// calendar is enabled, it contains this as a maintenance window.
+func (w *weekSimulation) scheduleDailyMaintenance(dayIndex int) {
 	w.t.Helper()
-	start := w.day(d).Add(maintenanceOffset)
-	zone := weekZones[d%3]
+	start := w.day(dayIndex).Add(maintenanceOffset)
+	zone := weekZones[dayIndex%3]
 	w.windows[start] = zone
 	if w.plan.calendar {
 		got := w.createEntry("/api/maintenance", map[string]any{
-			"name":    fmt.Sprintf("night-%d", d),
+			"name":    fmt.Sprintf("night-%d", dayIndex),
 			"yard":    zone,
 			"drain_s": maintenanceDrain.Seconds(),
 			"start":   timestamp(start),
 			"end":     timestamp(start.Add(maintenanceLength)),
 		})
 		if got != 201 {
-			w.t.Errorf("a window got %d", got)
+			w.t.Errorf("the request for a maintenance window got %d, want 201", got)
 		}
 	}
 	w.Go(func() {
@@ -176,7 +176,7 @@
 	})
 }
 
-// submitBulkJobs lets ordinary work be submitted from now until the end of the week.
+// submitBulkJobs schedules the submission of bulk jobs from now until the end of the week.
 func (w *weekSimulation) submitBulkJobs() {
 	for i := 0; ; i++ {
 		at := time.Now().Add(time.Duration(i) * bulkInterval)
@@ -198,30 +198,30 @@
 	}
 }
 
-// injectDailyFaults injects a drawn fault each day.
+// injectDailyFaults injects a random fault on each day.
 func (w *weekSimulation) injectDailyFaults() {
-	r, s := w.random, w.simulation
-	for d := range w.plan.days {
-		time.Sleep(time.Until(w.day(d).Add(time.Duration(30+r.IntN(340)) * time.Second)))
+	random, s := w.random, w.simulation
+	for dayIndex := range w.plan.days {
+		time.Sleep(time.Until(w.day(dayIndex).Add(time.Duration(30+random.IntN(340)) * time.Second)))
 		from := time.Now()
-		switch r.IntN(5) {
+		switch random.IntN(5) {
 		case 0:
 			crashControllers(1)(s)
 		case 1:
 			crashControllers(3)(s)
 		case 2:
-			storeOutage(time.Duration(4+r.IntN(8)) * time.Second)(s)
+			storeOutage(time.Duration(4+random.IntN(8)) * time.Second)(s)
 		case 3:
-			partitionZone(weekZones[r.IntN(3)], 14*time.Second)(s)
+			partitionZone(weekZones[random.IntN(3)], 14*time.Second)(s)
 		case 4:
-			killMachines(r, 2)(s)
+			killMachines(random, 2)(s)
 		}
 		w.faults = append(w.faults, faultInterval{from, time.Now().Add(disturbedFor)})
 	}
 }
 
-// observe watches the slots and adds up the machine hours until the week is over.
-func (w *weekSimulation) observe(out *weekResult) {
+// observe samples the slots and sums up the machine hours until the week ends.
+func (w *weekSimulation) observe(result *weekResult) {
 	const samplesPerS = 4
 	for time.Now().Before(w.day(w.plan.days)) {
 		time.Sleep(time.Second / samplesPerS)
@@ -232,31 +232,31 @@
 			}
 		}
 		_, up := w.MachineCounts()
-		out.idleHours += float64(w.IdleMachines()) / samplesPerS / 3600
-		out.upHours += float64(up) / samplesPerS / 3600
+		result.idleHours += float64(w.IdleMachines()) / samplesPerS / 3600
+		result.upHours += float64(up) / samplesPerS / 3600
 	}
 }
 
-// evaluateSlots counts the slots that started on time.
-func (w *weekSimulation) evaluateSlots(out *weekResult) {
+// evaluateSlots counts the slots that started on time, and those that no fault disturbed.
+func (w *weekSimulation) evaluateSlots(result *weekResult) {
 	tolerance := calendar.Tolerance(2, 100)
 	for _, slot := range w.slots {
-		out.slots++
+		result.slots++
 		onTime := slot.late >= 0 && slot.late <= tolerance
 		if onTime {
-			out.onTime++
+			result.onTime++
 		}
-		disturbs := func(f faultInterval) bool {
-			return f.from.Before(slot.start.Add(tolerance)) && f.to.After(slot.start.Add(-15*time.Second))
+		disturbs := func(interval faultInterval) bool {
+			return interval.from.Before(slot.start.Add(tolerance)) && interval.to.After(slot.start.Add(-15*time.Second))
 		}
 		if slices.ContainsFunc(w.faults, disturbs) {
 			continue
 		}
-		out.undisturbed++
+		result.undisturbed++
 		if onTime {
-			out.undisturbedOnTime++
+			result.undisturbedOnTime++
 		} else {
-			out.lateSlots = append(out.lateSlots, fmt.Sprintf("%s at %s: %s", slot.id, slot.start.Sub(w.begin), slot.late.Round(100*time.Millisecond)))
+			result.lateSlots = append(result.lateSlots, fmt.Sprintf("%s at %s: %s", slot.id, slot.start.Sub(w.begin), slot.late.Round(100*time.Millisecond)))
 		}
 	}
 }
