--- a/internal/node/admission_route.go
+++ b/internal/node/admission_route.go
@@ -20,8 +20,8 @@
 	// 1/latencySmoothing.
 	latencySmoothing = 4
 	// A leader counts as slow if its latency is at least minSlowLatency and at least
-	// slowLeaderFactor times this node's. Being somewhat slower is normal, because the
-	// leader collects submissions into batches and looks up the jobs that it knows.
+	// slowLeaderFactor times this node's. A leader that is only somewhat slower is still
+	// preferred, because it collects submissions into batches and has the state of the jobs.
 	slowLeaderFactor = 3
 	minSlowLatency   = 60 * time.Millisecond
 	// leaderRetryInterval is the interval at which a submission is forwarded to a slow
--- a/internal/node/sim_faults_network_test.go
+++ b/internal/node/sim_faults_network_test.go
@@ -33,9 +33,9 @@
 }
 
 // partitionWorkers separates n random workers from all other hosts.
-func partitionWorkers(r *rand.Rand, n int, duration time.Duration) func(*simulation) {
+func partitionWorkers(random *rand.Rand, n int, duration time.Duration) func(*simulation) {
 	return func(s *simulation) {
-		isolated := hostsOf(s.RandomWorkers(r, n))
+		isolated := hostsOf(s.RandomWorkers(random, n))
 		s.setPartition("workers", func(from, _ string) bool { return isolated[from] })
 		time.Sleep(duration)
 		s.setPartition("workers", nil)
@@ -166,10 +166,10 @@
 // times, for 1.5 to 6 s each.
 func blockAnswersRepeatedly(seed uint64, times int) func(*simulation) {
 	return func(s *simulation) {
-		r := newRand(seed)
+		random := newRand(seed)
 		for i := range times {
-			blockAnswers(seed+uint64(i), 3, anyController, time.Duration(1500+r.IntN(4500))*time.Millisecond)(s)
-			time.Sleep(time.Duration(r.IntN(2000)) * time.Millisecond)
+			blockAnswers(seed+uint64(i), 3, anyController, time.Duration(1500+random.IntN(4500))*time.Millisecond)(s)
+			time.Sleep(time.Duration(random.IntN(2000)) * time.Millisecond)
 		}
 	}
 }
--- a/internal/node/sim_faults_test.go
+++ b/internal/node/sim_faults_test.go
@@ -8,8 +8,8 @@
 	"vetchstream/internal/emulate"
 )
 
-// fault is injected at a time after the start of a scenario. If it is temporary, inject ends
-// it.
+// fault is injected at a time after the start of a scenario. If the fault is temporary, inject
+// also ends it before it returns.
 type fault struct {
 	at     time.Duration
 	inject func(s *simulation)
@@ -25,9 +25,9 @@
 }
 
 // hangWorkers lets n random workers hang for the duration. Their machines stay reachable.
-func hangWorkers(r *rand.Rand, n int, duration time.Duration) func(*simulation) {
+func hangWorkers(random *rand.Rand, n int, duration time.Duration) func(*simulation) {
 	return func(s *simulation) {
-		workers := s.RandomWorkers(r, n)
+		workers := s.RandomWorkers(random, n)
 		s.Hang(workers, true)
 		time.Sleep(duration)
 		s.Hang(workers, false)
@@ -35,13 +35,13 @@
 }
 
 // killMachines terminates n random machines without notice.
-func killMachines(r *rand.Rand, n int) func(*simulation) {
-	return func(s *simulation) { s.Kill(s.RandomWorkers(r, n)) }
+func killMachines(random *rand.Rand, n int) func(*simulation) {
+	return func(s *simulation) { s.Kill(s.RandomWorkers(random, n)) }
 }
 
 // faultyMachine makes a random machine fail all its tasks from then on.
-func faultyMachine(r *rand.Rand) func(*simulation) {
-	return func(s *simulation) { s.MakeFaulty(s.RandomWorkers(r, 1)) }
+func faultyMachine(random *rand.Rand) func(*simulation) {
+	return func(s *simulation) { s.MakeFaulty(s.RandomWorkers(random, 1)) }
 }
 
 // rebootWorkers restarts n random workers at once. They lose their sessions.
--- a/internal/node/sim_test.go
+++ b/internal/node/sim_test.go
@@ -18,8 +18,8 @@
 	"vetchstream/internal/wire"
 )
 
-// simSettings returns the platform settings of one controller, i, of a total of nodes. Team red's quotas are
-// proportional to the scale.
+// simSettings returns the platform settings of controller i, one of a total of nodes. Team
+// red's quotas are proportional to the scale.
 func simSettings(t *testing.T, i, nodes, scale int) *config.Settings {
 	t.Helper()
 	text := fmt.Sprintf("member = \"n%d\"\nsite = \"a\"\nlisten = \"n%d:80\"\npeer_listen = \"n%d:81\"\n", i, i, i)
@@ -241,7 +241,7 @@
 }
 
 // newSimulation starts the controllers, three by default, on an emulated in-memory cluster.
-// It returns a function that stops everything. editCluster may change the cluster's
+// It also returns a function that stops everything. editCluster may change the cluster's
 // configuration, including the number of controllers.
 func newSimulation(t *testing.T, scale int, editCluster func(*emulate.Config), configure func(*config.Settings, *config.Tuning)) (*simulation, func()) {
 	network := emulate.NewMemoryNetwork()
--- a/internal/node/sim_users_test.go
+++ b/internal/node/sim_users_test.go
@@ -44,11 +44,11 @@
 			return false
 		default:
 		}
-		request, err := http.NewRequest(method, "http://"+s.controllerAddress(firstTry+try)+path, bytes.NewReader(body))
+		httpRequest, err := http.NewRequest(method, "http://"+s.controllerAddress(firstTry+try)+path, bytes.NewReader(body))
 		if err != nil {
 			panic(err)
 		}
-		response, err := client.Do(request)
+		response, err := client.Do(httpRequest)
 		if err == nil {
 			answer, readErr := io.ReadAll(response.Body)
 			response.Body.Close()
