--- a/internal/node/maintenance_test.go
+++ b/internal/node/maintenance_test.go
@@ -118,7 +118,7 @@
 	if n := sim.RunningTasks(service) + sim.RunningTasks("run-999999"); n < 4 || n > 5 {
 		t.Errorf("%d replicas run after the window's start, want 4 or 5", n)
 	}
-	if cutOff := sim.tasksCutOff(stuck); (len(cutOff) > 0) != tt.cutOff {
+	if cutOff := sim.interruptedTasks(stuck); (len(cutOff) > 0) != tt.cutOff {
 		t.Errorf("interrupted tasks: %v, want some: %v", cutOff, tt.cutOff)
 	}
 	sim.checkViolations(t)
@@ -161,9 +161,9 @@
 	return fewest
 }
 
-// tasksCutOff returns the tasks of the zone that were lost with their machines and those of the
+// interruptedTasks returns the tasks of the zone that were lost with their machines and those of the
 // first job that were halted, except on the worker that could not be drained.
-func (sim *calendarSimulation) tasksCutOff(stuck string) (cutOff []string) {
+func (sim *calendarSimulation) interruptedTasks(stuck string) (cutOff []string) {
 	for _, e := range sim.History() {
 		inWindow := e.Zone == "a" && e.Host != stuck && e.At.After(sim.start.Add(-70*time.Second))
 		halted := e.Cause == wire.CauseStopped && e.Task[:10] == "run-000001"
