--- a/internal/node/maintenance_test.go
+++ b/internal/node/maintenance_test.go
@@ -19,8 +19,8 @@
 	// submit submits jobs in addition to those of every case; nil: none.
 	submit func(sim *calendarSimulation)
 	// inject injects a fault and returns the name of a worker that cannot be drained, or "".
-	inject func(sim *calendarSimulation) (stuck string)
-	cutOff bool // the maintenance has to interrupt tasks
+	inject      func(sim *calendarSimulation) (stuck string)
+	interrupted bool // the maintenance has to interrupt tasks
 }
 
 // injectDuringDrain injects a fault at an offset from the window's start.
@@ -112,14 +112,14 @@
 	sim.Kill(sim.WorkersInZone("a")) // the maintenance begins
 	sim.sleepUntil(60 * time.Second)
 	<-injected
-	if n := len(sim.WorkersInZone("a")); !tt.cutOff && n > 0 {
+	if n := len(sim.WorkersInZone("a")); !tt.interrupted && n > 0 {
 		t.Errorf("%d machines were rented in the zone during its maintenance, want 0", n)
 	}
 	if n := sim.RunningTasks(service) + sim.RunningTasks("run-999999"); n < 4 || n > 5 {
 		t.Errorf("%d replicas run after the window's start, want 4 or 5", n)
 	}
-	if cutOff := sim.interruptedTasks(stuck); (len(cutOff) > 0) != tt.cutOff {
-		t.Errorf("interrupted tasks: %v, want some: %v", cutOff, tt.cutOff)
+	if interrupted := sim.interruptedTasks(stuck); (len(interrupted) > 0) != tt.interrupted {
+		t.Errorf("interrupted tasks: %v, want some: %v", interrupted, tt.interrupted)
 	}
 	sim.checkViolations(t)
 }
@@ -163,14 +163,14 @@
 
 // interruptedTasks returns the tasks of the zone that were lost with their machines and those of the
 // first job that were halted, except on the worker that could not be drained.
-func (sim *calendarSimulation) interruptedTasks(stuck string) (cutOff []string) {
+func (sim *calendarSimulation) interruptedTasks(stuck string) (interrupted []string) {
 	for _, e := range sim.History() {
 		inWindow := e.Zone == "a" && e.Host != stuck && e.At.After(sim.start.Add(-70*time.Second))
 		halted := e.Cause == wire.CauseStopped && e.Task[:10] == "run-000001"
 		if !e.Start && inWindow && (e.Cause == emulate.CauseLost || halted) {
-			cutOff = append(cutOff, e.Task+" "+string(e.Cause))
+			interrupted = append(interrupted, e.Task+" "+string(e.Cause))
 		}
 	}
-	slices.Sort(cutOff)
-	return cutOff
+	slices.Sort(interrupted)
+	return interrupted
 }
--- a/internal/node/week_plot_test.go
+++ b/internal/node/week_plot_test.go
@@ -72,9 +72,9 @@
 	for _, metric := range weekMetrics {
 		line += fmt.Sprintf("  %s %.3f", metric.file, v.mean(metric.value))
 	}
-	cutOff := v.mean(func(r *weekResult) float64 { return float64(len(r.cutOff)) })
+	interrupted := v.mean(func(r *weekResult) float64 { return float64(len(r.interrupted)) })
 	onTime := v.mean(func(r *weekResult) float64 { return float64(r.undisturbedOnTime) })
 	undisturbed := v.mean(func(r *weekResult) float64 { return float64(r.undisturbed) })
 	tasksDone := v.mean(func(r *weekResult) float64 { return float64(r.tasksDone) })
-	t.Log(line, "tasks interrupted", cutOff, "undisturbed slots on time, all", onTime, undisturbed, "tasks done", tasksDone)
+	t.Log(line, "tasks interrupted", interrupted, "undisturbed slots on time, all", onTime, undisturbed, "tasks done", tasksDone)
 }
--- a/internal/node/week_test.go
+++ b/internal/node/week_test.go
@@ -67,7 +67,7 @@
 	lostHours                      float64  // hours of lost task work
 	tasksDone                      int      // ordinary tasks that completed
 	meanDelayS                     float64  // mean time from submission to end of an ordinary task
-	cutOff                         []string // tasks that maintenance interrupted
+	interrupted                    []string // tasks that maintenance interrupted
 	violations                     []string
 }
 
@@ -116,7 +116,7 @@
 		out.lostHours += e.At.Sub(started[key]).Hours()
 		for start, zone := range windows {
 			if e.Zone == zone && cutOffBy(e, start, ordinary) {
-				out.cutOff = append(out.cutOff, fmt.Sprintf("%s %s %s", e.Task, e.Cause, e.At.Sub(start)))
+				out.interrupted = append(out.interrupted, fmt.Sprintf("%s %s %s", e.Task, e.Cause, e.At.Sub(start)))
 			}
 		}
 	}
@@ -234,7 +234,7 @@
 	if allOnTime := out.undisturbedOnTime == out.undisturbed; allOnTime != plan.hold {
 		t.Errorf("%d of %d undisturbed slots started on time; late: %v", out.undisturbedOnTime, out.undisturbed, out.lateSlots)
 	}
-	if nothingCutOff := len(out.cutOff) == 0; nothingCutOff != plan.drain {
-		t.Errorf("interrupted tasks: %v", out.cutOff)
+	if nothingCutOff := len(out.interrupted) == 0; nothingCutOff != plan.drain {
+		t.Errorf("interrupted tasks: %v", out.interrupted)
 	}
 }
