--- a/internal/node/week_test.go
+++ b/internal/node/week_test.go
@@ -115,7 +115,7 @@
 		}
 		out.lostHours += e.At.Sub(started[key]).Hours()
 		for start, zone := range windows {
-			if e.Zone == zone && cutOffBy(e, start, ordinary) {
+			if e.Zone == zone && interruptedBy(e, start, ordinary) {
 				out.interrupted = append(out.interrupted, fmt.Sprintf("%s %s %s", e.Task, e.Cause, e.At.Sub(start)))
 			}
 		}
@@ -128,9 +128,9 @@
 	out.tasksDone++
 }
 
-// cutOffBy reports whether a task of the zone was lost as the maintenance began, or is an ordinary
+// interruptedBy reports whether a task of the zone was lost as the maintenance began, or is an ordinary
 // task that was halted in the last seconds before.
-func cutOffBy(e emulate.Event, start time.Time, ordinary bool) bool {
+func interruptedBy(e emulate.Event, start time.Time, ordinary bool) bool {
 	if e.Cause == emulate.CauseLost {
 		return e.At.Sub(start).Abs() < time.Second
 	}
