--- a/internal/node/week_test.go
+++ b/internal/node/week_test.go
@@ -109,7 +109,7 @@
 		at, ordinary := submitted[id]
 		if e.Cause == wire.CauseDone {
 			if ordinary {
-				out.addDone(e.At.Sub(at))
+				out.addCompletedTask(e.At.Sub(at))
 			}
 			continue
 		}
@@ -122,8 +122,8 @@
 	}
 }
 
-// addDone counts a completed ordinary task and updates the mean delay between submission and end.
-func (out *weekResult) addDone(delay time.Duration) {
+// addCompletedTask counts a completed ordinary task and updates the mean delay between submission and end.
+func (out *weekResult) addCompletedTask(delay time.Duration) {
 	out.meanDelayS = (out.meanDelayS*float64(out.tasksDone) + delay.Seconds()) / float64(out.tasksDone+1)
 	out.tasksDone++
 }
