--- a/internal/node/storm_checks_test.go
+++ b/internal/node/storm_checks_test.go
@@ -27,8 +27,8 @@
 	violations          []string
 }
 
-// violate records a violation.
-func (h *rolloutHistory) violate(format string, a ...any) {
+// reportViolation records a violation.
+func (h *rolloutHistory) reportViolation(format string, a ...any) {
 	h.violations = append(h.violations, fmt.Sprintf(format, a...))
 }
 
@@ -70,7 +70,7 @@
 func (h *rolloutHistory) checkReplicaCount(e emulate.Event, replica string) {
 	halted := !e.Start && e.Cause == wire.CauseStopped && e.Image == h.service.spec.Image
 	if halted && h.complete && h.running[replica] == 0 && e.At.Sub(h.lostAt[replica]) > staleReplicaTimeout {
-		h.violate("%s: the roll-out halted %s at %v, the only copy of that replica", h.service.name, e.Task, e.At)
+		h.reportViolation("%s: the roll-out halted %s at %v, the only copy of that replica", h.service.name, e.Task, e.At)
 	}
 }
 
@@ -86,14 +86,14 @@
 	if service.badBuild {
 		want = rollout.RolledBack
 		if len(h.started) > service.batch || len(zones) > 1 {
-			h.violate("%s: the bad build ran as %d replicas in %d zones, want one zone and a batch of %d at most", service.name, len(h.started), len(zones), service.batch)
+			h.reportViolation("%s: the bad build ran as %d replicas in %d zones, want one zone and a batch of %d at most", service.name, len(h.started), len(zones), service.batch)
 		}
 		if service.state == string(rollout.RolledBack) {
 			service.rolledBackAfter = h.lastEnd.Sub(h.firstStart)
 		}
 	}
 	if service.state != string(want) {
-		h.violate("%s (bad build: %v): the roll-out ended in state %q, want %q: %s", service.name, service.badBuild, service.state, want, service.reason)
+		h.reportViolation("%s (bad build: %v): the roll-out ended in state %q, want %q: %s", service.name, service.badBuild, service.state, want, service.reason)
 	}
 }
 
