--- a/internal/node/accel_test.go
+++ b/internal/node/accel_test.go
@@ -21,7 +21,7 @@
 // zone and a large one. Services spread their replicas over the zones, and gangs occupy whole
 // machines.
 func acceleratorEnvironment(scale int) environment {
-	n := float64(scale)
+	factor := float64(scale)
 	return environment{
 		controllers: 5,
 		scale:       scale,
@@ -29,15 +29,15 @@
 			withSharding(set, tun)
 			set.Facts.Zones = []string{"a", "b"}
 			set.Facts.Teams = []config.Team{
-				{Name: "red", GPUs: 12 * n, GPUsMax: 14 * n},
-				{Name: "blue", GPUs: 16 * n, GPUsMax: 48 * n},
+				{Name: "red", GPUs: 12 * factor, GPUsMax: 14 * factor},
+				{Name: "blue", GPUs: 16 * factor, GPUsMax: 48 * factor},
 			}
 		},
 		editCluster: func(c *emulate.Config) {
 			c.Types = acceleratorTypes
 			c.MaxMachines = 14 * scale
 			c.ZoneCapacity = map[string]int{"a": 2 * scale}
-			c.Limits = map[string]emulate.Limit{"red": {GPUs: 14 * n}, "blue": {GPUs: 48 * n}}
+			c.Limits = map[string]emulate.Limit{"red": {GPUs: 14 * factor}, "blue": {GPUs: 48 * factor}}
 		},
 		submitWorkload: acceleratorWorkload,
 	}
@@ -72,13 +72,13 @@
 	}
 	spread := func(j *job.Spec) { j.Spread = true }
 	spot := func(j *job.Spec) { j.Spot = true }
-	whole := func(j *job.Spec) { j.OneZone, j.CheckpointS, j.SaveS = true, 4, 1 }
+	inOneZone := func(j *job.Spec) { j.OneZone, j.CheckpointS, j.SaveS = true, 4, 1 }
 	for i := range 4 {
 		at := float64(1 + 11*i)
 		submit("daemon", "production", "blue", 2+2*(i%2), 1, 0, at, spread)
 		submit("array", "standard", "red", 20*s.scale, 1, 5, at, spot)
-		submit("ensemble", "standard", "blue", 2, 4, 9, at+1, whole)
-		submit("ensemble", "standard", "red", 2, 2, 12, at+2, whole)
+		submit("ensemble", "standard", "blue", 2, 4, 9, at+1, inOneZone)
+		submit("ensemble", "standard", "red", 2, 2, 12, at+2, inOneZone)
 		submit("array", "standard", "blue", 12*s.scale, 1, 6, at+3, spot)
 	}
 }
--- a/internal/node/cancel_test.go
+++ b/internal/node/cancel_test.go
@@ -26,7 +26,7 @@
 			senders[c.Member] = isSender(s, c.Member)
 		}
 		isCommand := func(from, to string) bool { return senders[from] && isWorker(to) }
-		begun := time.Now()
+		start := time.Now()
 		s.net.HoldRequests(isCommand)
 		for i := range jobs {
 			spec := &job.Spec{
@@ -44,7 +44,7 @@
 			s.Go(func() { s.runUser(spec, 0, cancelAfter) })
 			time.Sleep(interval)
 		}
-		time.Sleep(hold - time.Since(begun))
+		time.Sleep(hold - time.Since(start))
 		s.setPartition("held", isCommand)
 		s.net.HoldRequests(func(string, string) bool { return false })
 		time.Sleep(partitionFor)
--- a/internal/node/connectivity_test.go
+++ b/internal/node/connectivity_test.go
@@ -132,18 +132,22 @@
 // randomFaultPair draws two connectivity faults and a third fault. They start three seconds
 // apart.
 func randomFaultPair(seed uint64) func(*simulation) {
-	r := newRand(500 + seed)
+	random := newRand(500 + seed)
 	sec := time.Second
 	connectivityFaults := []func() func(*simulation){
-		func() func(*simulation) { return blockAnswers(seed, 2, anyController, time.Duration(6+r.IntN(20))*sec) },
-		func() func(*simulation) { return replayHeartbeats(8*sec, time.Duration(1+r.IntN(20))*sec) },
-		func() func(*simulation) { return isolateController(r.IntN(2), time.Duration(3+r.IntN(20))*sec) },
+		func() func(*simulation) {
+			return blockAnswers(seed, 2, anyController, time.Duration(6+random.IntN(20))*sec)
+		},
+		func() func(*simulation) { return replayHeartbeats(8*sec, time.Duration(1+random.IntN(20))*sec) },
+		func() func(*simulation) {
+			return isolateController(random.IntN(2), time.Duration(3+random.IntN(20))*sec)
+		},
 		func() func(*simulation) { return restartRepeatedly(seed, 4) },
 	}
 	// Reordering the draws would change the scenario of every seed.
 	additional := []func(*simulation){
-		storeOutage(time.Duration(3+r.IntN(15)) * sec),
-		crashControllers(1 + r.IntN(3)),
+		storeOutage(time.Duration(3+random.IntN(15)) * sec),
+		crashControllers(1 + random.IntN(3)),
 		rebootWorkers(seed, 2),
 	}
 	first := connectivityFaults[seed%4]()
--- a/internal/node/maintenance_test.go
+++ b/internal/node/maintenance_test.go
@@ -19,7 +19,7 @@
 	// submit submits jobs in addition to those of every case; nil: none.
 	submit func(sim *calendarSimulation)
 	// inject injects a fault and returns the name of a worker that cannot be drained, or "".
-	inject      func(sim *calendarSimulation) (stuck string)
+	inject      func(sim *calendarSimulation) (hungWorker string)
 	interrupted bool // the maintenance has to interrupt tasks
 }
 
@@ -51,7 +51,7 @@
 
 // hangOneWorker hangs a worker of the zone from before the drain until after the window's start,
 // and returns the worker's name.
-func hangOneWorker(sim *calendarSimulation) (stuck string) {
+func hangOneWorker(sim *calendarSimulation) (hungWorker string) {
 	sim.sleepUntil(-62 * time.Second)
 	worker := sim.WorkersInZone("a")[0]
 	sim.Hang([]*emulate.Worker{worker}, true)
@@ -98,11 +98,11 @@
 	}
 	time.Sleep(30 * time.Second)
 	sim.scheduleMaintenance()
-	injected, stuck := make(chan struct{}), ""
+	injected, hungWorker := make(chan struct{}), ""
 	go func() {
 		defer close(injected)
 		if tt.inject != nil {
-			stuck = tt.inject(sim)
+			hungWorker = tt.inject(sim)
 		}
 	}()
 	if replicas := sim.fewestReplicasDuringDrain(service); tt.inject == nil && replicas < 3 {
@@ -118,7 +118,7 @@
 	if n := sim.RunningTasks(service) + sim.RunningTasks("run-999999"); n < 4 || n > 5 {
 		t.Errorf("%d replicas run after the window's start, want 4 or 5", n)
 	}
-	if interrupted := sim.interruptedTasks(stuck); (len(interrupted) > 0) != tt.interrupted {
+	if interrupted := sim.interruptedTasks(hungWorker); (len(interrupted) > 0) != tt.interrupted {
 		t.Errorf("interrupted tasks: %v, want some: %v", interrupted, tt.interrupted)
 	}
 	sim.checkViolations(t)
@@ -163,9 +163,9 @@
 
 // interruptedTasks returns the tasks of the zone that were lost with their machines and those of the
 // first job that were halted, except on the worker that could not be drained.
-func (sim *calendarSimulation) interruptedTasks(stuck string) (interrupted []string) {
+func (sim *calendarSimulation) interruptedTasks(hungWorker string) (interrupted []string) {
 	for _, e := range sim.History() {
-		inWindow := e.Zone == "a" && e.Host != stuck && e.At.After(sim.start.Add(-70*time.Second))
+		inWindow := e.Zone == "a" && e.Host != hungWorker && e.At.After(sim.start.Add(-70*time.Second))
 		halted := e.Cause == wire.CauseStopped && e.Task[:10] == "run-000001"
 		if !e.Start && inWindow && (e.Cause == emulate.CauseLost || halted) {
 			interrupted = append(interrupted, e.Task+" "+string(e.Cause))
--- a/internal/node/region_changes_test.go
+++ b/internal/node/region_changes_test.go
@@ -123,7 +123,7 @@
 func (m *multiRegion) checkRemovedTeam() {
 	m.t.Helper()
 	s := m.regions[1]
-	hc := s.userClient(5 * time.Second)
+	client := s.userClient(5 * time.Second)
 	accepted := &job.Spec{
 		ID:           "run-73",
 		Team:         "red",
@@ -138,7 +138,7 @@
 	for _, team := range []string{"blue", "red"} {
 		spec := *accepted
 		spec.Team = team
-		res, err := hc.Post("http://"+s.controllerAddress(0)+"/api/jobs", wire.ContentType, bytes.NewReader(submission(&spec)))
+		res, err := client.Post("http://"+s.controllerAddress(0)+"/api/jobs", wire.ContentType, bytes.NewReader(submission(&spec)))
 		if err != nil {
 			m.t.Fatal(err)
 		}
@@ -155,8 +155,8 @@
 func (m *multiRegion) checkWithoutHomeRegion() {
 	m.t.Helper()
 	s := m.regions[1]
-	hc := s.userClient(5 * time.Second)
-	res, err := hc.Get("http://" + s.controllerAddress(0) + "/api/config/status")
+	client := s.userClient(5 * time.Second)
+	res, err := client.Get("http://" + s.controllerAddress(0) + "/api/config/status")
 	if err != nil {
 		m.t.Fatal(err)
 	}
@@ -209,10 +209,10 @@
 // refused ones. During its pauses the team has no unfinished job and can be removed.
 func (m *multiRegion) submitDuringRemoval() (accepted, refused int) {
 	s := m.regions[1]
-	hc := s.userClient(5 * time.Second)
+	client := s.userClient(5 * time.Second)
 	for i := range 150 {
 		spec := greenJob(fmt.Sprintf("run-8%04d", i), 1, 0.2)
-		res, err := hc.Post("http://"+s.controllerAddress(i)+"/api/jobs", wire.ContentType, bytes.NewReader(submission(spec)))
+		res, err := client.Post("http://"+s.controllerAddress(i)+"/api/jobs", wire.ContentType, bytes.NewReader(submission(spec)))
 		if err == nil {
 			_ = res.Body.Close()
 		}
--- a/internal/node/region_scenarios_test.go
+++ b/internal/node/region_scenarios_test.go
@@ -12,7 +12,7 @@
 
 // unreliableTransactions makes a region's key-value store carry out a sixth of the transactions 2
 // to 10 s late and lose the answers of another sixth, for the given time.
-func unreliableTransactions(region int, d time.Duration) func(*multiRegion) {
+func unreliableTransactions(region int, duration time.Duration) func(*multiRegion) {
 	return func(m *multiRegion) {
 		r := newRand(uint64(region))
 		m.regions[region].store.DelayTransactions(func() time.Duration {
@@ -24,7 +24,7 @@
 			}
 			return 0
 		})
-		time.Sleep(d)
+		time.Sleep(duration)
 		m.regions[region].store.DelayTransactions(nil)
 	}
 }
@@ -35,10 +35,10 @@
 }
 
 // partitionRegion partitions a region from the home region for the given time.
-func partitionRegion(region int, d time.Duration) func(*multiRegion) {
+func partitionRegion(region int, duration time.Duration) func(*multiRegion) {
 	return func(m *multiRegion) {
 		m.setPartitioned(region, true)
-		time.Sleep(d)
+		time.Sleep(duration)
 		m.setPartitioned(region, false)
 	}
 }
--- a/internal/node/regions_test.go
+++ b/internal/node/regions_test.go
@@ -112,13 +112,13 @@
 }
 
 // setPartitioned partitions a region from the home region, or ends the partition.
-func (m *multiRegion) setPartitioned(region int, on bool) {
-	name := regionHost(region)
-	if !on {
-		m.regions[0].setPartition(name, nil)
+func (m *multiRegion) setPartitioned(region int, partitioned bool) {
+	host := regionHost(region)
+	if !partitioned {
+		m.regions[0].setPartition(host, nil)
 		return
 	}
-	m.regions[0].setPartition(name, func(from, to string) bool { return from == name || to == name })
+	m.regions[0].setPartition(host, func(from, to string) bool { return from == host || to == host })
 }
 
 // request sends a request to the region's controllers in turn until one answers with a status
@@ -131,13 +131,13 @@
 		m.t.Fatal(err)
 	}
 	s := m.regions[region]
-	hc := s.userClient(5 * time.Second)
+	client := s.userClient(5 * time.Second)
 	for attempt := range 120 {
 		req, err := http.NewRequest(method, "http://"+s.controllerAddress(attempt)+path, bytes.NewReader(body))
 		if err != nil {
 			m.t.Fatal(err)
 		}
-		res, err := hc.Do(req)
+		res, err := client.Do(req)
 		if err == nil {
 			answer, readErr := io.ReadAll(res.Body)
 			_ = res.Body.Close()
@@ -186,13 +186,13 @@
 // awaitInForce waits until a revision is in force in all regions, and returns how long it took.
 func (m *multiRegion) awaitInForce(revision uint64, within time.Duration) time.Duration {
 	m.t.Helper()
-	begun := time.Now()
+	start := time.Now()
 	var status dynconfig.Status
 	behind := func(r dynconfig.RegionStatus) bool { return r.Revision < revision }
-	for time.Since(begun) < within {
+	for time.Since(start) < within {
 		m.request(0, http.MethodGet, "/api/config/status", nil, &status)
 		if len(status.Regions) > 0 && !slices.ContainsFunc(status.Regions, behind) {
-			return time.Since(begun)
+			return time.Since(start)
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
@@ -202,10 +202,10 @@
 
 // submitGreenJobs starts a user of green in each region who submits a job every four seconds for
 // the given time.
-func (m *multiRegion) submitGreenJobs(d time.Duration) {
+func (m *multiRegion) submitGreenJobs(duration time.Duration) {
 	const interval = 4 * time.Second
 	for i, s := range m.regions {
-		for at := time.Duration(0); at < d; at += interval {
+		for at := time.Duration(0); at < duration; at += interval {
 			m.jobsCreated++
 			spec := greenJob(fmt.Sprintf("run-%d%04d", i+1, m.jobsCreated), 6, 5)
 			s.Go(func() { s.runUser(spec, at, 0) })
@@ -232,8 +232,8 @@
 // awaitEnd waits until all jobs have ended, and checks the invariants and green's peak usage.
 func (m *multiRegion) awaitEnd(within time.Duration) {
 	m.t.Helper()
-	begun := time.Now()
-	for m.unfinishedJobs() > 0 && time.Since(begun) < within {
+	start := time.Now()
+	for m.unfinishedJobs() > 0 && time.Since(start) < within {
 		time.Sleep(time.Second)
 	}
 	if n := m.unfinishedJobs(); n > 0 {
--- a/internal/node/storm_test.go
+++ b/internal/node/storm_test.go
@@ -62,7 +62,7 @@
 func (st rolloutStress) run(t *testing.T, seed uint64) (services []*rolloutService, violations []string) {
 	r := rand.New(rand.NewPCG(seed, 14))
 	s, closeAll := st.start(t, seed)
-	hc := s.userClient(5 * time.Second)
+	client := s.userClient(5 * time.Second)
 	for i := range st.services {
 		service := st.drawService(i, r)
 		if service.badBuild {
@@ -70,13 +70,13 @@
 		}
 		services = append(services, service)
 		s.DescribeJob(service.spec)
-		if !s.submit(hc, service.spec) {
+		if !s.submit(client, service.spec) {
 			t.Fatal("the submission of a service was not accepted")
 		}
 	}
 	time.Sleep(30 * time.Second)
 	for i, service := range services {
-		st.startRollout(t, s, hc, i, service)
+		st.startRollout(t, s, client, i, service)
 	}
 	stopFaults, faultsDone := make(chan struct{}), make(chan struct{})
 	go func() {
@@ -85,7 +85,7 @@
 			s.injectRandomFaults(r, stopFaults)
 		}
 	}()
-	s.awaitRollouts(hc, services)
+	s.awaitRollouts(client, services)
 	time.Sleep(20 * time.Second)
 	close(stopFaults)
 	<-faultsDone
@@ -146,7 +146,7 @@
 }
 
 // startRollout starts the roll-out of service i.
-func (st rolloutStress) startRollout(t *testing.T, s *simulation, hc *http.Client, i int, service *rolloutService) {
+func (st rolloutStress) startRollout(t *testing.T, s *simulation, client *http.Client, i int, service *rolloutService) {
 	t.Helper()
 	fields := map[string]any{
 		"service":    service.name,
@@ -167,7 +167,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	started := s.request(hc, "POST", "/api/rollouts", body, func(status int, _ wire.JobStatus) bool {
+	started := s.request(client, "POST", "/api/rollouts", body, func(status int, _ wire.JobStatus) bool {
 		if status == 400 || status == 422 {
 			t.Errorf("%s: roll-out request: HTTP status %d", service.name, status)
 		}
@@ -203,7 +203,7 @@
 }
 
 // awaitRollouts polls the roll-outs until all have ended, for 40 minutes at most.
-func (s *simulation) awaitRollouts(hc *http.Client, services []*rolloutService) {
+func (s *simulation) awaitRollouts(client *http.Client, services []*rolloutService) {
 	for range 1200 {
 		time.Sleep(2 * time.Second)
 		unfinished := 0
@@ -211,7 +211,7 @@
 			if rollout.State(service.state).Over() {
 				continue
 			}
-			s.pollRollout(hc, service)
+			s.pollRollout(client, service)
 			unfinished++
 		}
 		if unfinished == 0 {
@@ -231,8 +231,8 @@
 }
 
 // pollRollout reads the state of a service's roll-out.
-func (s *simulation) pollRollout(hc *http.Client, service *rolloutService) {
-	res, err := hc.Get("http://" + simControllers[0].Addr + "/api/rollouts/" + service.name)
+func (s *simulation) pollRollout(client *http.Client, service *rolloutService) {
+	res, err := client.Get("http://" + simControllers[0].Addr + "/api/rollouts/" + service.name)
 	if err != nil {
 		return
 	}
--- a/internal/node/week_test.go
+++ b/internal/node/week_test.go
@@ -72,7 +72,7 @@
 }
 
 // run simulates a week and evaluates it.
-func (plan weekPlan) run(t *testing.T, seed uint64) (out weekResult) {
+func (plan weekPlan) run(t *testing.T, seed uint64) (result weekResult) {
 	w, closeAll := plan.start(t, seed)
 	for day := range plan.days {
 		w.scheduleSlots(day)
@@ -86,18 +86,18 @@
 			w.injectDailyFaults()
 		}
 	}()
-	w.observe(&out)
+	w.observe(&result)
 	<-faultsDone
-	w.evaluateSlots(&out)
-	out.evaluateHistory(w.History(), w.submitted, w.windows)
-	out.violations = w.Violations()
+	w.evaluateSlots(&result)
+	result.evaluateHistory(w.History(), w.submitted, w.windows)
+	result.violations = w.Violations()
 	closeAll()
-	return out
+	return result
 }
 
 // evaluateHistory adds the completed ordinary tasks, the lost work and the tasks that maintenance
 // interrupted, from the machines' history.
-func (out *weekResult) evaluateHistory(history []emulate.Event, submitted map[string]time.Time, windows map[time.Time]string) {
+func (r *weekResult) evaluateHistory(history []emulate.Event, submitted map[string]time.Time, windows map[time.Time]string) {
 	started := map[string]time.Time{}
 	for _, e := range history {
 		key := e.Task + " " + e.Host
@@ -109,23 +109,23 @@
 		at, ordinary := submitted[id]
 		if e.Cause == wire.CauseDone {
 			if ordinary {
-				out.addCompletedTask(e.At.Sub(at))
+				r.addCompletedTask(e.At.Sub(at))
 			}
 			continue
 		}
-		out.lostHours += e.At.Sub(started[key]).Hours()
+		r.lostHours += e.At.Sub(started[key]).Hours()
 		for start, zone := range windows {
 			if e.Zone == zone && interruptedBy(e, start, ordinary) {
-				out.interrupted = append(out.interrupted, fmt.Sprintf("%s %s %s", e.Task, e.Cause, e.At.Sub(start)))
+				r.interrupted = append(r.interrupted, fmt.Sprintf("%s %s %s", e.Task, e.Cause, e.At.Sub(start)))
 			}
 		}
 	}
 }
 
 // addCompletedTask counts a completed ordinary task and updates the mean delay between submission and end.
-func (out *weekResult) addCompletedTask(delay time.Duration) {
-	out.meanDelayS = (out.meanDelayS*float64(out.tasksDone) + delay.Seconds()) / float64(out.tasksDone+1)
-	out.tasksDone++
+func (r *weekResult) addCompletedTask(delay time.Duration) {
+	r.meanDelayS = (r.meanDelayS*float64(r.tasksDone) + delay.Seconds()) / float64(r.tasksDone+1)
+	r.tasksDone++
 }
 
 // interruptedBy reports whether a task of the zone was lost as the maintenance began, or is an ordinary
@@ -211,11 +211,11 @@
 				synctest.Test(t, func(t *testing.T) {
 					plan := weekPlan{days: days, calendar: true, hold: true, backfill: true, drain: true}
 					variant.edit(&plan)
-					out := plan.run(t, seed)
+					result := plan.run(t, seed)
 					mu.Lock()
-					results[i].weeks = append(results[i].weeks, out)
+					results[i].weeks = append(results[i].weeks, result)
 					mu.Unlock()
-					plan.check(t, &out)
+					plan.check(t, &result)
 				})
 			})
 		}
@@ -223,18 +223,18 @@
 }
 
 // check compares the result of a week with what its plan promises.
-func (plan weekPlan) check(t *testing.T, out *weekResult) {
+func (plan weekPlan) check(t *testing.T, result *weekResult) {
 	t.Helper()
-	if len(out.violations) > 0 {
-		t.Errorf("violated invariants: %s", strings.Join(out.violations, "\n"))
+	if len(result.violations) > 0 {
+		t.Errorf("violated invariants: %s", strings.Join(result.violations, "\n"))
 	}
 	if !plan.calendar {
 		return
 	}
-	if allOnTime := out.undisturbedOnTime == out.undisturbed; allOnTime != plan.hold {
-		t.Errorf("%d of %d undisturbed slots started on time; late: %v", out.undisturbedOnTime, out.undisturbed, out.lateSlots)
+	if allOnTime := result.undisturbedOnTime == result.undisturbed; allOnTime != plan.hold {
+		t.Errorf("%d of %d undisturbed slots started on time; late: %v", result.undisturbedOnTime, result.undisturbed, result.lateSlots)
 	}
-	if nothingCutOff := len(out.interrupted) == 0; nothingCutOff != plan.drain {
-		t.Errorf("interrupted tasks: %v", out.interrupted)
+	if noneInterrupted := len(result.interrupted) == 0; noneInterrupted != plan.drain {
+		t.Errorf("interrupted tasks: %v", result.interrupted)
 	}
 }
