--- a/internal/node/calendar_test.go
+++ b/internal/node/calendar_test.go
@@ -33,7 +33,7 @@
 	{"no faults: starts on time", 12, nil, nil, nil, 0, calendar.OutcomeOnTime},
 	{"machines are not held: starts late, occurrence missed", 12, func(c *config.Calendar) { c.Hold = false }, nil, nil, -1, calendar.OutcomeMissed},
 	{"backfill is off: starts on time", 12, func(c *config.Calendar) { c.Backfill = false }, nil, nil, 0, calendar.OutcomeOnTime},
-	{"the cloud's capacity is unknown: starts on time", 12, func(c *config.Calendar) { c.AssumedCapacity = nil }, nil, nil, 0, calendar.OutcomeOnTime},
+	{"the cloud's capacity is not configured: starts on time", 12, func(c *config.Calendar) { c.AssumedCapacity = nil }, nil, nil, 0, calendar.OutcomeOnTime},
 	{"same_place is set: starts on time", 24, nil, map[string]any{"same_place": true}, nil, 0, calendar.OutcomeOnTime},
 	{"leader crashes 100 ms before the start: at most 20 s late", 12, nil, nil, injectAt(-100*time.Millisecond, crashControllers(1)), 20 * time.Second, ""},
 	{"all controllers crash 6 s before the start: at most 20 s late", 12, nil, nil, injectAt(-6*time.Second, crashControllers(3)), 20 * time.Second, ""},
@@ -175,7 +175,7 @@
 	})
 }
 
-// TestReservationOnProvisionedMachines checks a slot for which all machines are rented anew and
+// TestReservationOnProvisionedMachines checks a slot for which all machines are newly rented and
 // some boot late or never. The scheduler must count no machine twice and release all of them.
 func TestReservationOnProvisionedMachines(t *testing.T) {
 	tests := []struct {
--- a/internal/node/coinciding_faults_test.go
+++ b/internal/node/coinciding_faults_test.go
@@ -109,7 +109,7 @@
 func TestCoincidingFaults(t *testing.T) {
 	sec := time.Second
 	runScenarios(t, withCancelledJobs(defaultEnvironment(3, 1, withOutagePromises), 12*sec, sec), nil, []scenario{
-		{"1: leadership changes twice, all controllers crash, one restarts at once", overlapping(fault{12 * sec, failoverAndRestart})},
+		{"1: leadership changes twice, all controllers crash, one restarts immediately", overlapping(fault{12 * sec, failoverAndRestart})},
 		{"2: old heartbeats follow newer ones, machines are lost, the leader crashes", overlapping(
 			fault{8 * sec, replayHeartbeats(12*sec, 9*sec)},
 			fault{14 * sec, killMachines(newRand(72), 2)},
@@ -131,7 +131,7 @@
 		)},
 	})
 	runScenarios(t, withSmallJobs(defaultEnvironment(3, 1, withOutagePromises)), nil, []scenario{
-		{"7: transactions are late, the leader of small jobs changes three times", overlapping(
+		{"7: jobs of two and three tasks, transactions are late, the leader changes three times", overlapping(
 			fault{5 * sec, lateTransactions(77, 0.2, 40*sec)},
 			fault{12 * sec, restartController(0, 300*time.Millisecond)},
 			fault{21 * sec, crashControllers(1)},
@@ -149,7 +149,7 @@
 			fault{12 * sec, isolateController(1, 18*sec)},
 			fault{15 * sec, pauseControllers(1, 4*sec)},
 		)},
-		{"1 and 8: transactions are late, random controllers restart at once", overlapping(
+		{"1 and 8: transactions are late, random controllers restart immediately", overlapping(
 			fault{6 * sec, lateTransactions(78, 0.2, 30*sec)},
 			fault{10 * sec, restartRepeatedly(79, 8)},
 		)},
--- a/internal/node/fault_scenarios_test.go
+++ b/internal/node/fault_scenarios_test.go
@@ -114,7 +114,7 @@
 	runDefault(t, 1, nil, nil, scenarios)
 }
 
-// TestFaultsLargeFleet injects faults with several hundred machines, so that a new leader loads and
+// TestFaultsLargeFleet injects faults with up to 240 machines, so that a new leader loads and
 // fences a large fleet, lists machines in many pages and releases many machines at once.
 func TestFaultsLargeFleet(t *testing.T) {
 	const scale = 20
--- a/internal/node/maintenance_test.go
+++ b/internal/node/maintenance_test.go
@@ -161,8 +161,8 @@
 	return fewest
 }
 
-// interruptedTasks returns the tasks of the zone that were lost with their machines and those of the
-// first job that were halted, except on the worker that could not be drained.
+// interruptedTasks returns the tasks of the zone that were lost with their machines and those of
+// the first job that were halted, except on the worker that could not be drained.
 func (sim *calendarSimulation) interruptedTasks(hungWorker string) (interrupted []string) {
 	for _, e := range sim.History() {
 		inWindow := e.Zone == "a" && e.Host != hungWorker && e.At.After(sim.start.Add(-70*time.Second))
--- a/internal/node/region_changes_test.go
+++ b/internal/node/region_changes_test.go
@@ -144,7 +144,7 @@
 		}
 		_ = res.Body.Close()
 		if refused := res.StatusCode == http.StatusUnprocessableEntity; refused != (team == "blue") {
-			m.t.Errorf("submission for team %s: HTTP status %d", team, res.StatusCode)
+			m.t.Errorf("submission for team %s: HTTP status %d, want 422 for the removed team blue only", team, res.StatusCode)
 		}
 	}
 	s.Go(func() { s.runUser(accepted, 0, 0) })
--- a/internal/node/rollout_stress_test.go
+++ b/internal/node/rollout_stress_test.go
@@ -50,8 +50,8 @@
 	{UnhealthyAfter: 5 * time.Second, FlapPeriod: 6 * time.Second},
 }
 
-// detectedByGates is the bad build that is used with the gates switched off. A build that crashes
-// at once could stop its roll-out without any gate.
+// detectedByGates indexes the bad build of the run with the gates switched off: one that only gates
+// detect. A build that crashes at once could stop its roll-out without any gate.
 const detectedByGates = 1
 
 // stressZones are the zones of the stress test's machines.
--- a/internal/node/rollout_test.go
+++ b/internal/node/rollout_test.go
@@ -34,7 +34,7 @@
 		sim.afterEachStep(3, func() { crashControllers(1)(sim.simulation) })
 		sim.waitFor(400, sim.stateIs(rollout.Done))
 	}},
-	{"leader crashes as each of three replicas starts: done", 0, func(sim *rolloutSimulation) {
+	{"leader crashes between a launch and the heartbeat that reports it, three times: done", 0, func(sim *rolloutSimulation) {
 		sim.start(nil)
 		for n := 1; n <= 3; n++ {
 			sim.waitFor(100, sim.running("run-2", n))
--- a/internal/node/week_test.go
+++ b/internal/node/week_test.go
@@ -46,7 +46,7 @@
 // dailySlots are the slots of four teams; the last one recurs weekly.
 var dailySlots = []struct {
 	team    string
-	at      time.Duration // of a day
+	at      time.Duration // start within a day
 	tasks   int
 	oneZone bool
 	day     int // -1: every day
@@ -122,14 +122,15 @@
 	}
 }
 
-// addCompletedTask counts a completed ordinary task and updates the mean delay between submission and end.
+// addCompletedTask counts a completed ordinary task and updates the mean delay between submission
+// and end.
 func (r *weekResult) addCompletedTask(delay time.Duration) {
 	r.meanDelayS = (r.meanDelayS*float64(r.tasksDone) + delay.Seconds()) / float64(r.tasksDone+1)
 	r.tasksDone++
 }
 
-// interruptedBy reports whether a task of the zone was lost as the maintenance began, or is an ordinary
-// task that was halted in the last seconds before.
+// interruptedBy reports whether a task of the zone was lost as the maintenance began, or is an
+// ordinary task that was halted in the last seconds before.
 func interruptedBy(e emulate.Event, start time.Time, ordinary bool) bool {
 	if e.Cause == emulate.CauseLost {
 		return e.At.Sub(start).Abs() < time.Second
