--- a/internal/job/chunk.go
+++ b/internal/job/chunk.go
@@ -9,33 +9,34 @@
 )
 
 const (
-	// tasksPerChunk is the number of tasks whose completion is stored under one key:
-	// its text is well below the smallest value limit (16 KiB) that a state service
-	// has.
+	// tasksPerChunk is the number of tasks whose completion is stored under one key. The
+	// encoded chunk is well below 16 KiB, the smallest limit of a value's size in a state
+	// service.
 	tasksPerChunk = 32768
 
-	// wordBits is the number of tasks in a word of the set of completed tasks.
+	// wordBits is the number of bits in a word of a bit set.
 	wordBits = 1 << wordShift
 
 	// wordShift is the binary logarithm of wordBits.
 	wordShift = 6
 
-	// wordBytes is the size of such a word.
+	// wordBytes is the size of a word in bytes.
 	wordBytes = wordBits / 8
 )
 
-// Chunk is the durable set of completed tasks among tasksPerChunk of them.
+// Chunk is the stored record of the completed tasks among tasksPerChunk consecutive
+// tasks of a job.
 type Chunk struct {
-	Bits string `codec:"bits"`
+	Bits string `codec:"bits"` // bit set in little-endian order, encoded as base64
 }
 
-// ChunkKey is the key of one chunk.
+// ChunkKey returns the key of a chunk.
 func (j *Job) ChunkKey(chunk int) string {
 	return fmt.Sprintf("%s%s/%d", DonePrefix, j.ID, chunk)
 }
 
-// SplitChunkKey splits the key of a chunk into its job's id, empty where the key
-// names none, and its number.
+// SplitChunkKey splits the key of a chunk into the job's id and the chunk's number. The
+// id is empty if the key contains no chunk number.
 func SplitChunkKey(key string) (id string, chunk int, err error) {
 	name := strings.TrimPrefix(key, DonePrefix)
 	slash := strings.LastIndexByte(name, '/')
@@ -43,81 +44,81 @@
 		return "", 0, nil
 	}
 	if _, err := fmt.Sscanf(name[slash+1:], "%d", &chunk); err != nil {
-		return "", 0, fmt.Errorf("key %s: %w", key, err)
+		return "", 0, fmt.Errorf("chunk key %s: parse chunk number: %w", key, err)
 	}
 	return name[:slash], chunk, nil
 }
 
-// DirtyChunks returns the chunks that have not been stored as they are now.
+// DirtyChunks returns the chunks whose current content has not been stored.
 func (j *Job) DirtyChunks() []int {
-	var out []int
-	for c := range j.dirtyChunks {
-		out = append(out, c)
+	var chunks []int
+	for chunk := range j.dirtyChunks {
+		chunks = append(chunks, chunk)
 	}
-	return out
+	return chunks
 }
 
-// EncodeChunk encodes a chunk and marks it as clean; a failed write has to mark it
-// again with MarkChunkDirty.
+// EncodeChunk encodes a chunk and marks it as clean. If the write of the chunk fails,
+// the caller must mark it as dirty again with MarkChunkDirty.
 func (j *Job) EncodeChunk(chunk int) Chunk {
 	first := chunk * tasksPerChunk / wordBits
 	end := min(len(j.done), first+tasksPerChunk/wordBits)
-	b := make([]byte, 0, (end-first)*wordBytes)
+	encoded := make([]byte, 0, (end-first)*wordBytes)
 	for _, word := range j.done[first:end] {
-		b = binary.LittleEndian.AppendUint64(b, word)
+		encoded = binary.LittleEndian.AppendUint64(encoded, word)
 	}
 	delete(j.dirtyChunks, chunk)
-	return Chunk{Bits: base64.StdEncoding.EncodeToString(b)}
+	return Chunk{Bits: base64.StdEncoding.EncodeToString(encoded)}
 }
 
-// MarkChunkDirty notes that a chunk has to be stored.
+// MarkChunkDirty marks a chunk as one that has to be stored.
 func (j *Job) MarkChunkDirty(chunk int) { j.dirtyChunks[chunk] = true }
 
-// SetChunkVersion notes that a chunk may exist as a key, and its version; 0: it did
-// not when it was last read.
+// SetChunkVersion records that a chunk may exist as a key, and the key's version; 0 if
+// the key was absent when it was last read.
 func (j *Job) SetChunkVersion(chunk int, version uint64) { j.chunkVersions[chunk] = version }
 
-// ChunkVersion is the version of a chunk's key as far as it is known; 0: none.
+// ChunkVersion returns the last recorded version of a chunk's key; 0 if there is none.
 func (j *Job) ChunkVersion(chunk int) uint64 { return j.chunkVersions[chunk] }
 
 // StoredChunks returns the chunks that may exist as keys.
 func (j *Job) StoredChunks() []int {
-	var out []int
-	for c := range j.chunkVersions {
-		out = append(out, c)
+	var chunks []int
+	for chunk := range j.chunkVersions {
+		chunks = append(chunks, chunk)
 	}
-	return out
+	return chunks
 }
 
-// LoadChunk takes in a stored chunk.
+// LoadChunk adds the completed tasks of a stored chunk to the job.
 func (j *Job) LoadChunk(chunk int, stored Chunk, version uint64) error {
-	b, err := base64.StdEncoding.DecodeString(stored.Bits)
+	decoded, err := base64.StdEncoding.DecodeString(stored.Bits)
 	if err != nil {
-		return fmt.Errorf("job %s: chunk %d: %w", j.ID, chunk, err)
+		return fmt.Errorf("job %s: decode chunk %d of completed tasks: %w", j.ID, chunk, err)
 	}
 	first := chunk * tasksPerChunk / wordBits
-	for i, x := range b {
+	for i, octet := range decoded {
 		if word := first + i/wordBytes; word < len(j.done) {
-			j.done[word] |= uint64(x) << (8 * (i % wordBytes))
+			j.done[word] |= uint64(octet) << (8 * (i % wordBytes))
 		}
 	}
 	if used := j.Tasks % wordBits; used != 0 {
-		j.done[len(j.done)-1] &= 1<<used - 1 // bits beyond the last task
+		j.done[len(j.done)-1] &= 1<<used - 1 // clear the bits beyond the last task
 	}
 	j.recountDone()
 	j.chunkVersions[chunk] = version
 	return nil
 }
 
-// recountDone counts the completed tasks anew.
+// recountDone recomputes the counts that depend on the set of completed tasks.
 func (j *Job) recountDone() {
 	j.DoneCount = 0
 	j.liveIncomplete = 0
 	for _, word := range j.done {
 		j.DoneCount += bits.OnesCount64(word)
 	}
-	for t := range j.Live {
-		if int(t) < j.Tasks && !j.IsDone(t) {
+	for task := range j.Live {
+		if int(task) < j.Tasks && !j.IsDone(task) {
 			j.liveIncomplete++
 		}
 	}
--- a/internal/job/fixtures_test.go
+++ b/internal/job/fixtures_test.go
@@ -6,8 +6,7 @@
 	"vetchstream/internal/fixture"
 )
 
-// fixtures are the records of jobs stored in the consensus-backed key-value
-// store.
+// fixtures are the records of jobs in the key-value store.
 var fixtures = []fixture.Row{
 	{File: "job-record.cbor", Value: fixture.Filled[Record]()},
 	{File: "job-group-record.cbor", Value: fixture.Filled[Group]()},
--- a/internal/job/machine_set.go
+++ b/internal/job/machine_set.go
@@ -6,16 +6,16 @@
 	"fmt"
 )
 
-// MachineSet is a set of dense indices of machines, as a bit set.
+// MachineSet is a set of machines, stored as a bit set of their dense indices.
 type MachineSet []uint64
 
-// Has reports whether i is in the set.
+// Has reports whether the set contains i.
 func (s MachineSet) Has(i int) bool {
 	word := i >> wordShift
 	return word < len(s) && s[word]&machineBit(i) != 0
 }
 
-// Add puts i into the set.
+// Add adds i to the set.
 func (s *MachineSet) Add(i int) {
 	word := i >> wordShift
 	for word >= len(*s) {
@@ -24,46 +24,47 @@
 	(*s)[word] |= machineBit(i)
 }
 
-// Remove takes i out of the set.
+// Remove removes i from the set.
 func (s MachineSet) Remove(i int) {
 	if word := i >> wordShift; word < len(s) {
 		s[word] &^= machineBit(i)
 	}
 }
 
-// machineBit is the bit of index i in its word.
+// machineBit returns the word in which only the bit of index i is set.
 func machineBit(i int) uint64 { return 1 << (i & (wordBits - 1)) }
 
-// Intersect is the set of what both sets have.
-func (s MachineSet) Intersect(t MachineSet) MachineSet {
-	out := make(MachineSet, min(len(s), len(t)))
-	for i := range out {
-		out[i] = s[i] & t[i]
+// Intersect returns the intersection of s and other.
+func (s MachineSet) Intersect(other MachineSet) MachineSet {
+	intersection := make(MachineSet, min(len(s), len(other)))
+	for i := range intersection {
+		intersection[i] = s[i] & other[i]
 	}
-	return out
+	return intersection
 }
 
-// Encode is the set's short text for records.
+// Encode returns the set as text for a record: the words in little-endian order without
+// trailing zero words, encoded as base64.
 func (s MachineSet) Encode() string {
 	for len(s) > 0 && s[len(s)-1] == 0 {
 		s = s[:len(s)-1]
 	}
-	b := make([]byte, 0, wordBytes*len(s))
+	encoded := make([]byte, 0, wordBytes*len(s))
 	for _, word := range s {
-		b = binary.LittleEndian.AppendUint64(b, word)
+		encoded = binary.LittleEndian.AppendUint64(encoded, word)
 	}
-	return base64.StdEncoding.EncodeToString(b)
+	return base64.StdEncoding.EncodeToString(encoded)
 }
 
-// ParseMachineSet reads the text that Encode makes.
+// ParseMachineSet parses a text that Encode has returned.
 func ParseMachineSet(text string) (MachineSet, error) {
-	b, err := base64.StdEncoding.DecodeString(text)
-	if err != nil || len(b)%wordBytes != 0 {
-		return nil, fmt.Errorf("set of machines %q: malformed", text)
+	decoded, err := base64.StdEncoding.DecodeString(text)
+	if err != nil || len(decoded)%wordBytes != 0 {
+		return nil, fmt.Errorf("machine set %q is not base64 of whole words", text)
 	}
-	s := make(MachineSet, 0, len(b)/wordBytes)
-	for ; len(b) > 0; b = b[wordBytes:] {
-		s = append(s, binary.LittleEndian.Uint64(b))
+	set := make(MachineSet, 0, len(decoded)/wordBytes)
+	for ; len(decoded) > 0; decoded = decoded[wordBytes:] {
+		set = append(set, binary.LittleEndian.Uint64(decoded))
 	}
-	return s, nil
+	return set, nil
 }
--- a/internal/job/record.go
+++ b/internal/job/record.go
@@ -2,13 +2,13 @@
 
 import "vetchstream/internal/wire"
 
-// Key prefixes of the durable records: a job is under ActivePrefix until it is
-// complete or cancelled, then under FinalPrefix. The move is one transaction, so a
-// job is never under neither.
+// Key prefixes of the stored records. The record of a job is under ActivePrefix until
+// the job has completed or is cancelled, then under FinalPrefix. One transaction moves
+// it, so that it is always under one of the two.
 //
-// Jobs that arrive together share a group record. A job's entry there stands for its
-// active record; when the job is over its entry says so, until it is moved to its
-// final key, in one transaction.
+// Jobs that are submitted at the same time share a group record. The entry of a job in
+// the group record takes the place of its active record. When the job ends, the final
+// phase is stored in the entry; later one transaction moves the entry to the final key.
 const (
 	ActivePrefix = "j/"
 	FinalPrefix  = "f/"
@@ -16,13 +16,14 @@
 	GroupPrefix  = "g/"
 )
 
-// Record is a job's durable record.
+// Record is the stored record of a job.
 type Record struct {
 	Spec Spec `codec:"spec"`
-	// Phase is empty for an active job. Done and aborted are final.
+	// Phase is JobDone or JobCancelled for a job that has ended, and empty for an active
+	// job.
 	Phase wire.JobPhase `codec:"phase,omitempty"`
-	Done  int           `codec:"done,omitempty"`
-	// SubmittedMS is the time of day of the submission, in milliseconds.
+	Done  int           `codec:"done,omitempty"` // number of completed tasks
+	// SubmittedMS is the wall-clock time of the submission, in milliseconds.
 	SubmittedMS int64 `codec:"at"`
 }
 
@@ -31,8 +32,9 @@
 	Jobs []Record `codec:"jobs"`
 }
 
-// UnknownJobRecord stands in for the record of a job that a worker has reported and
-// that is not loaded: it is cancelled, and may have any task.
+// UnknownJobRecord returns a placeholder for the record of a job that a worker reports
+// although no record of it is loaded. The placeholder is cancelled and has the maximum
+// number of tasks, so that every reported task is one of its tasks.
 func UnknownJobRecord(id string) *Record {
 	return &Record{
 		Spec: Spec{
--- a/internal/job/spec.go
+++ b/internal/job/spec.go
@@ -1,5 +1,5 @@
-// Package job holds the jobs that users submit: the parsing of submissions, the
-// durable records, and the state of each job's tasks.
+// Package job implements the jobs that users submit: the parsing of submissions, the
+// stored records, and the state of each job's tasks.
 package job
 
 import (
@@ -8,25 +8,25 @@
 	"strings"
 )
 
-// MaxTasks is the protocol's limit for the tasks of one job.
+// MaxTasks is the maximum number of tasks of a job in the protocol.
 const MaxTasks = 100_000
 
-// Shape says how the tasks of a job belong together.
+// Shape is the way in which the tasks of a job run together.
 type Shape uint8
 
 const (
 	// Array is a set of independent tasks that run to completion.
 	Array Shape = iota
-	// Gang runs all its tasks at the same time or none.
+	// Gang is a set of tasks that run all at the same time or not at all.
 	Gang
-	// Service runs its replicas until the job is cancelled.
+	// Service is a set of replicas that run until the job is cancelled.
 	Service
 )
 
-// Priority is a job's priority; higher goes first.
+// Priority is the priority of a job. Jobs of a higher priority are placed first.
 type Priority uint8
 
-// The priorities of the protocol, the lowest first.
+// The priorities of the protocol, in ascending order.
 const (
 	Idle Priority = iota
 	Standard
@@ -34,8 +34,8 @@
 	Production
 )
 
-// The protocol's names of shapes and priorities. No other package spells them out to
-// compare them.
+// The names of shapes and priorities in the protocol. Other packages use these constants
+// instead of literals.
 const (
 	ArrayName   = "array"
 	GangName    = "ensemble"
@@ -61,7 +61,7 @@
 	}
 )
 
-// Spec is a job as its user submitted it. It is stored in this form. Durations are
+// Spec is a job as submitted by its user. It is also stored in this form. Durations are
 // in seconds.
 type Spec struct {
 	ID           string   `codec:"uid"`
@@ -70,46 +70,48 @@
 	ShapeName    string   `codec:"shape"`
 	PriorityName string   `codec:"rank"`
 	Tasks        int      `codec:"pieces"`
-	CPUs         float64  `codec:"cpus"` // of each task, as are GPUs and MemGB
+	CPUs         float64  `codec:"cpus"` // required by each task, as are GPUs and MemGB
 	GPUs         float64  `codec:"accelerators"`
 	MemGB        float64  `codec:"mem_gb"`
 	Image        string   `codec:"reel"`
 	ImageGB      float64  `codec:"image_gb"`
-	Types        []string `codec:"builds"`     // allowed machine types; nil: any
-	Zone         string   `codec:"yard"`       // the only allowed zone; empty: any
-	OneZone      bool     `codec:"same_place"` // all tasks must be in the same zone
-	Spread       bool     `codec:"apart"`      // at most half of the tasks may be in one zone
+	Types        []string `codec:"builds"`     // allowed machine types; nil if any is allowed
+	Zone         string   `codec:"yard"`       // the only allowed zone; empty if any is allowed
+	OneZone      bool     `codec:"same_place"` // all tasks must run in the same zone
+	Spread       bool     `codec:"apart"`      // at most half of the tasks may run in one zone
 	Spot         bool     `codec:"loaners"`    // the job may use spot machines
 	EstimateS    float64  `codec:"guess_s"`    // expected run time of a task
-	CheckpointS  float64  `codec:"mark_s"`     // interval of checkpoints; 0: none
-	SaveS        float64  `codec:"stash_s"`    // time that saving a checkpoint takes
-	DeadlineS    *float64 `codec:"due_s"`      // from the submission; nil: none
-	// Reservation is the reservation that the job claims, an addition to the protocol.
+	CheckpointS  float64  `codec:"mark_s"`     // interval of checkpoints; 0 if there are none
+	SaveS        float64  `codec:"stash_s"`    // duration of saving a checkpoint
+	DeadlineS    *float64 `codec:"due_s"`      // counted from the submission; nil if there is none
+	// Reservation is the name of the reservation that the job claims; empty if it claims
+	// none. The field is an extension of the protocol.
 	Reservation string `codec:"booking,omitempty"`
 }
 
-// ParsedShape is the shape that the spec names.
+// ParsedShape returns the shape that ShapeName stands for.
 func (s *Spec) ParsedShape() Shape { return shapesByName[s.ShapeName] }
 
-// ParsedPriority is the priority that the spec names.
+// ParsedPriority returns the priority that PriorityName stands for.
 func (s *Spec) ParsedPriority() Priority { return prioritiesByName[s.PriorityName] }
 
 var (
-	// ErrMalformed marks a submission that is answered 400.
+	// ErrMalformed means that a submission is malformed. The response has status 400.
 	ErrMalformed = errors.New("malformed")
 
-	// ErrUnschedulable marks a submission that is answered 422.
+	// ErrUnschedulable means that a submitted job can never run. The response has status
+	// 422.
 	ErrUnschedulable = errors.New("can never run")
 )
 
 const (
-	// idPrefix begins every job id; digits follow.
+	// idPrefix is the prefix of every job id. Only digits follow it.
 	idPrefix = "run-"
 
-	// maxIDDigits is the longest number of a job id.
+	// maxIDDigits is the maximum number of digits of a job id.
 	maxIDDigits = 32
 
-	// maxTeamNameBytes is the longest name of a team that can be a part of a key, in bytes.
+	// maxTeamNameBytes is the maximum length of a team name that can be part of a key.
 	maxTeamNameBytes = 100
 )
 
@@ -127,19 +129,20 @@
 	return true
 }
 
-// ValidTeam reports whether a team of that name can be stored: keys have no spaces.
+// ValidTeam reports whether name can be part of a key: it is not empty, is not too long,
+// and consists of printable ASCII characters without spaces.
 func ValidTeam(name string) bool {
 	notPrintable := func(r rune) bool { return r <= ' ' || r > '~' }
 	return name != "" && len(name) <= maxTeamNameBytes && !strings.ContainsFunc(name, notPrintable)
 }
 
-// TaskName is the name of one of a job's tasks.
+// TaskName returns the name of a task of the job with the given id.
 func TaskName(id string, task int32) string {
 	return id + "/" + strconv.Itoa(int(task))
 }
 
-// SplitTaskName splits a task's name into its job's id and its number; ok is false for
-// a name that no task can have.
+// SplitTaskName splits a task's name into the job's id and the task's number. ok is false
+// if no task can have this name.
 func SplitTaskName(name string) (id string, task int32, ok bool) {
 	id, number, found := strings.Cut(name, "/")
 	if !found || !ValidID(id) {
--- a/internal/job/spec_parse.go
+++ b/internal/job/spec_parse.go
@@ -8,46 +8,47 @@
 )
 
 const (
-	// maxTextBytes is the longest text in a submission, in bytes.
+	// maxTextBytes is the maximum length of a text in a submission.
 	maxTextBytes = 200
 
-	// maxMachineTypes is how many machine types a submission may name.
+	// maxMachineTypes is the maximum number of machine types in a submission.
 	maxMachineTypes = 100
 
-	// maxReservationNameBytes is the longest name of a reservation, in bytes.
+	// maxReservationNameBytes is the maximum length of the name of a reservation.
 	maxReservationNameBytes = 63
 
-	// maxAmount is far above any machine and any duration, and small enough for
-	// sums over all tasks to stay exact.
+	// maxAmount is the maximum of every number in a submission. It is far above the
+	// resources of any machine and any duration, and small enough for sums over all tasks
+	// to be exact.
 	maxAmount = 1e9
 )
 
-// ParseSpec decodes a submission; the error wraps ErrMalformed and names the first
-// field that is wrong.
+// ParseSpec decodes a submission. Every error wraps ErrMalformed and names the first
+// invalid field.
 func ParseSpec(body []byte) (*Spec, error) {
 	var values map[string]any
 	if err := wire.Unmarshal(body, &values); err != nil || values == nil {
 		return nil, fmt.Errorf("%w: body is not a CBOR map", ErrMalformed)
 	}
-	f := &fieldReader{values: values}
-	s := f.plainFields()
-	s.Reservation = f.reservation()
-	f.checkNames(s)
-	s.Tasks = f.taskCount()
-	if s.CPUs == 0 && s.GPUs == 0 && s.MemGB == 0 {
-		f.fail("cpus", "is 0, and so is everything else")
+	fields := &fieldReader{values: values}
+	spec := fields.plainFields()
+	spec.Reservation = fields.reservation()
+	fields.checkNames(spec)
+	spec.Tasks = fields.taskCount()
+	if spec.CPUs == 0 && spec.GPUs == 0 && spec.MemGB == 0 {
+		fields.fail("cpus", "is 0, and accelerators and mem_gb are 0 as well")
 	}
-	s.Types = f.machineTypes()
-	s.DeadlineS = f.deadline()
-	if f.err != nil {
-		return nil, f.err
+	spec.Types = fields.machineTypes()
+	spec.DeadlineS = fields.deadline()
+	if fields.err != nil {
+		return nil, fields.err
 	}
-	return s, nil
+	return spec, nil
 }
 
-// PeekID finds the job id of a submission that may be malformed in every other
-// field: a known id is looked up before anything is validated. It is empty where
-// there is no valid id.
+// PeekID returns the job id of a submission, or "" if the submission has no valid id. The
+// other fields may be malformed: the job is looked up by its id before the submission is
+// validated.
 func PeekID(body []byte) string {
 	var values map[string]any
 	if wire.Unmarshal(body, &values) != nil {
@@ -60,13 +61,14 @@
 	return id
 }
 
-// fieldReader reads the fields of a submission and records the first error.
+// fieldReader reads the fields of a submission and keeps the first error.
 type fieldReader struct {
 	values map[string]any
 	err    error
 }
 
-// plainFields reads the fields that are a text, an amount or a flag.
+// plainFields reads the fields that are a text, a number or a boolean, except for the
+// number of tasks and the deadline.
 func (f *fieldReader) plainFields() *Spec {
 	return &Spec{
 		ID:           f.text("uid", false),
@@ -89,8 +91,8 @@
 	}
 }
 
-// reservation reads the reservation. The field is an addition to the protocol:
-// another meaning that others give it is not an error.
+// reservation reads the name of the reservation. The field is an extension of the
+// protocol, so that an invalid value, which may have another meaning, is not an error.
 func (f *fieldReader) reservation() string {
 	name, ok := f.values["booking"].(string)
 	if !ok || len(name) > maxReservationNameBytes {
@@ -100,15 +102,15 @@
 }
 
 // checkNames checks the id, the shape and the priority.
-func (f *fieldReader) checkNames(s *Spec) {
-	if s.ID != "" && !ValidID(s.ID) {
+func (f *fieldReader) checkNames(spec *Spec) {
+	if spec.ID != "" && !ValidID(spec.ID) {
 		f.fail("uid", "is not a job id")
 	}
-	if _, ok := shapesByName[s.ShapeName]; !ok {
-		f.fail("shape", "is unknown")
+	if _, ok := shapesByName[spec.ShapeName]; !ok {
+		f.fail("shape", "is not a known shape")
 	}
-	if _, ok := prioritiesByName[s.PriorityName]; !ok {
-		f.fail("rank", "is unknown")
+	if _, ok := prioritiesByName[spec.PriorityName]; !ok {
+		f.fail("rank", "is not a known priority")
 	}
 }
 
@@ -116,12 +118,12 @@
 func (f *fieldReader) taskCount() int {
 	n := f.amount("pieces", true)
 	if n != math.Trunc(n) || n > MaxTasks {
-		f.fail("pieces", "is not a number of tasks")
+		f.fail("pieces", "is not a whole number in the allowed range")
 	}
 	return int(n)
 }
 
-// machineTypes reads the allowed machine types; nil: any.
+// machineTypes reads the allowed machine types. It returns nil if any is allowed.
 func (f *fieldReader) machineTypes() (types []string) {
 	value := f.values["builds"]
 	if value == nil {
@@ -129,16 +131,16 @@
 	}
 	list, ok := value.([]any)
 	if !ok {
-		f.fail("builds", "is not a list of names")
+		f.fail("builds", "is not a list")
 		return nil
 	}
 	if len(list) == 0 || len(list) > maxMachineTypes {
-		f.fail("builds", "is empty or too long")
+		f.fail("builds", "is empty or has too many elements")
 	}
-	for _, e := range list {
-		name, ok := e.(string)
+	for _, element := range list {
+		name, ok := element.(string)
 		if !ok || name == "" || len(name) > maxTextBytes {
-			f.fail("builds", "is not a list of names")
+			f.fail("builds", "has an element that is empty, too long or not a text")
 			break
 		}
 		types = append(types, name)
@@ -146,80 +148,81 @@
 	return types
 }
 
-// deadline reads the deadline; nil: there is none.
+// deadline reads the deadline. It returns nil if there is none.
 func (f *fieldReader) deadline() *float64 {
 	if f.values["due_s"] == nil {
 		return nil
 	}
-	d := f.amount("due_s", false)
-	return &d
+	deadlineS := f.amount("due_s", false)
+	return &deadlineS
 }
 
-// fail notes that a field is wrong.
+// fail records the reason why a field is invalid, unless an error was recorded before.
 func (f *fieldReader) fail(key, reason string) {
 	if f.err == nil {
 		f.err = fmt.Errorf("%w: %s %s", ErrMalformed, key, reason)
 	}
 }
 
-// text reads a short text; one that is not optional must not be empty either.
+// text reads a text of at most maxTextBytes. Unless the field is optional, the text must
+// be present and not empty.
 func (f *fieldReader) text(key string, optional bool) string {
-	v, ok := f.values[key]
-	if !ok || v == nil {
+	value, ok := f.values[key]
+	if !ok || value == nil {
 		if !optional {
 			f.fail(key, "is missing")
 		}
 		return ""
 	}
-	s, ok := v.(string)
-	if !ok || len(s) > maxTextBytes || (!optional && s == "") {
-		f.fail(key, "is not a short text")
+	text, ok := value.(string)
+	if !ok || len(text) > maxTextBytes || (!optional && text == "") {
+		f.fail(key, "is empty, too long or not a text")
 		return ""
 	}
-	return s
+	return text
 }
 
-// amount reads a number that is not negative, nor 0 where positive is set.
+// amount reads a number from 0 to maxAmount; 0 is invalid if positive is set.
 func (f *fieldReader) amount(key string, positive bool) float64 {
-	v, ok := f.values[key]
-	if !ok || v == nil {
+	value, ok := f.values[key]
+	if !ok || value == nil {
 		f.fail(key, "is missing")
 		return 0
 	}
-	n, ok := finiteNumber(v)
-	if !ok || n < 0 || n > maxAmount || (positive && n == 0) {
-		f.fail(key, "is not a valid amount")
+	number, ok := finiteNumber(value)
+	if !ok || number < 0 || number > maxAmount || (positive && number == 0) {
+		f.fail(key, "is not a number in the allowed range")
 		return 0
 	}
-	return n
+	return number
 }
 
 // flag reads a boolean.
 func (f *fieldReader) flag(key string) bool {
-	v, ok := f.values[key]
-	if !ok || v == nil {
+	value, ok := f.values[key]
+	if !ok || value == nil {
 		f.fail(key, "is missing")
 		return false
 	}
-	b, ok := v.(bool)
+	flag, ok := value.(bool)
 	if !ok {
 		f.fail(key, "is not true or false")
 	}
-	return b
+	return flag
 }
 
-// finiteNumber converts a decoded CBOR number; ok is false for anything else and for
-// numbers that are not finite.
-func finiteNumber(v any) (n float64, ok bool) {
-	switch n := v.(type) {
+// finiteNumber converts a decoded CBOR value to a number. ok is false if the value is not
+// a number or the number is not finite.
+func finiteNumber(value any) (number float64, ok bool) {
+	switch number := value.(type) {
 	case float64:
-		return n, !math.IsNaN(n) && !math.IsInf(n, 0)
+		return number, !math.IsNaN(number) && !math.IsInf(number, 0)
 	case float32:
-		return float64(n), !math.IsNaN(float64(n)) && !math.IsInf(float64(n), 0)
+		return float64(number), !math.IsNaN(float64(number)) && !math.IsInf(float64(number), 0)
 	case int64:
-		return float64(n), true
+		return float64(number), true
 	case uint64:
-		return float64(n), true
+		return float64(number), true
 	}
 	return 0, false
 }
--- a/internal/job/tasks.go
+++ b/internal/job/tasks.go
@@ -7,7 +7,7 @@
 	return int(task) < j.Tasks && j.done[task/wordBits]&(1<<(task%wordBits)) != 0
 }
 
-// MarkDone records a completed task and reports whether it was not recorded before.
+// MarkDone marks a task as completed. It reports false if the task was already marked.
 func (j *Job) MarkDone(task int32) bool {
 	if j.IsDone(task) {
 		return false
@@ -21,19 +21,18 @@
 	return true
 }
 
-// ReplicaPlan is which replicas of a service may run, and in which zone each (-1:
-// any).
+// ReplicaPlan holds for each replica of a service whether it may run, and in which zone.
 type ReplicaPlan struct {
 	Allowed []bool
-	Zone    []int
+	Zone    []int // -1 if the plan does not restrict the zone
 }
 
-// MayRun reports whether a task may run.
+// MayRun reports whether a task may run according to the plan of the replicas.
 func (j *Job) MayRun(task int32) bool {
 	return j.Replicas == nil || (int(task) < len(j.Replicas.Allowed) && j.Replicas.Allowed[task])
 }
 
-// RequiredZone is the only zone that a task may run in, or -1.
+// RequiredZone returns the only zone that a task may run in, or -1 if it may run in any.
 func (j *Job) RequiredZone(task int32) int {
 	if j.Replicas != nil && int(task) < len(j.Replicas.Zone) && j.Replicas.Zone[task] >= 0 {
 		return j.Replicas.Zone[task]
@@ -41,7 +40,7 @@
 	return j.ZoneIdx
 }
 
-// CountUnplaced is the number of tasks that need a placement.
+// CountUnplaced returns the number of tasks that need a placement.
 func (j *Job) CountUnplaced() int {
 	if j.Replicas != nil {
 		return j.unplacedReplicas()
@@ -54,40 +53,40 @@
 
 // unplacedReplicas counts the replicas that may run and have no placement.
 func (j *Job) unplacedReplicas() int {
-	n := 0
-	for t := range int32(j.Tasks) {
-		if j.MayRun(t) && j.Live[t] == 0 {
-			n++
+	count := 0
+	for task := range int32(j.Tasks) {
+		if j.MayRun(task) && j.Live[task] == 0 {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// Unplaced is an iterator over the tasks that need a placement.
+// Unplaced iterates over the tasks that need a placement, in ascending order.
 func (j *Job) Unplaced(yield func(task int32) bool) {
 	if j.Shape != Service {
 		for int(j.lowestIncomplete) < j.Tasks && j.IsDone(j.lowestIncomplete) {
 			j.lowestIncomplete++
 		}
 	}
-	for t := j.lowestIncomplete; int(t) < j.Tasks; t++ {
-		if t%wordBits == 0 && j.Shape != Service && j.done[t/wordBits] == math.MaxUint64 {
-			t += wordBits - 1 // a large job that is nearly done must not cost a check of each task
+	for task := j.lowestIncomplete; int(task) < j.Tasks; task++ {
+		if task%wordBits == 0 && j.Shape != Service && j.done[task/wordBits] == math.MaxUint64 {
+			task += wordBits - 1 // skips the word, to avoid a check of every task of a large job
 			continue
 		}
-		if j.Live[t] > 0 || !j.MayRun(t) || (j.Shape != Service && j.IsDone(t)) {
+		if j.Live[task] > 0 || !j.MayRun(task) || (j.Shape != Service && j.IsDone(task)) {
 			continue
 		}
-		if !yield(t) {
+		if !yield(task) {
 			return
 		}
 	}
 }
 
-// AdjustLive changes the number of a task's placements that may be on a machine.
-func (j *Job) AdjustLive(task int32, by int) {
+// AdjustLive adds delta to the number of a task's placements that may be on a machine.
+func (j *Job) AdjustLive(task int32, delta int) {
 	before := j.Live[task]
-	after := before + by
+	after := before + delta
 	if after > 0 {
 		j.Live[task] = after
 	} else {
