--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -134,7 +134,7 @@
 	}
 }
 
-func TestSplitTask(t *testing.T) {
+func TestSplitTaskName(t *testing.T) {
 	tests := []struct {
 		in   string
 		id   string
