--- a/internal/election/promise_test.go
+++ b/internal/election/promise_test.go
@@ -269,7 +269,7 @@
 				slices.Concat(refused, second("request"), second("response")), campaigning, deposed, slices.Concat(deposed, second("restart"), g.Steps(2, "request")))
 			t.Logf("%d states visited, violation: %q", states, violation)
 			if (violation != "") != (tt.disabled != noGuard) {
-				t.Errorf("violation %q after %d states, want one: %v", violation, states, tt.disabled != noGuard)
+				t.Errorf("after %d states: violation %q, want one if and only if a guard is disabled", states, violation)
 			}
 		})
 	}
--- a/internal/job/tasks.go
+++ b/internal/job/tasks.go
@@ -71,7 +71,7 @@
 	}
 	for task := j.lowestIncomplete; int(task) < j.Tasks; task++ {
 		if task%wordBits == 0 && j.Shape != Service && j.done[task/wordBits] == math.MaxUint64 {
-			task += wordBits - 1 // skips the word, to avoid a check of every task of a large job
+			task += wordBits - 1 // skip the word: a large job that is nearly complete must not cost a check of each task
 			continue
 		}
 		if j.Live[task] > 0 || !j.MayRun(task) || (j.Shape != Service && j.IsDone(task)) {
