--- a/internal/rollout/record.go
+++ b/internal/rollout/record.go
@@ -78,7 +78,7 @@
 	Failures map[int32]Failure `codec:"failures,omitempty"`
 }
 
-// New makes the record of a roll-out that has not begun. RequiredZone is where each replica runs;
+// New makes the record of a roll-out that has not begun. ZoneOf is where each replica runs;
 // empty: nowhere.
 func New(s *Spec, handle, current string, zoneOf []string, now time.Time) *Record {
 	ms := now.UnixMilli()
@@ -96,7 +96,7 @@
 	}
 }
 
-// PlanBatches divides a service's replicas into batches, none of them in two zones. RequiredZone is
+// PlanBatches divides a service's replicas into batches, none of them in two zones. ZoneOf is
 // where each replica runs; empty: nowhere.
 func PlanBatches(s *Spec, zoneOf []string) []Batch {
 	byZone := map[string][]int32{}
