--- a/internal/shard/explore_test.go
+++ b/internal/shard/explore_test.go
@@ -115,7 +115,7 @@
 func (w *world) Violation() string {
 	if w.disabled == silentHolderUntilGrantEnds {
 		for _, m := range w.leader.members {
-			if len(m.machines) > 0 && w.now.Sub(m.heardAt) >= tick {
+			if len(m.machines) > 0 && w.now.Sub(m.lastRequestAt) >= tick {
 				w.recordRevocations(w.leader.revokeAll(m, w.now, "", w.now))
 			}
 		}
@@ -180,7 +180,7 @@
 		}
 		if m := a.members[fmt.Sprintf("h%d", i)]; m != nil {
 			p.Values(m.joined, m.leavingReason, m.needsReset, m.lastReply-m.ackedReply, m.incarnation == s.incarnation, int64(s.holder.lastReply)-int64(m.ackedReply))
-			p.Times(m.grantUntil, m.heardAt, m.ackedAt, m.knownUntil, m.noJoinBefore)
+			p.Times(m.grantUntil, m.lastRequestAt, m.ackedAt, m.knownUntil, m.noJoinBefore)
 		}
 	}
 	return p.String()
--- a/internal/shard/members.go
+++ b/internal/shard/members.go
@@ -15,9 +15,9 @@
 	name string
 	zone string
 	// incarnation is that of the member's process, seq the number of its last request.
-	incarnation uint64
-	seq         uint64
-	heardAt     time.Time // when the last request came
+	incarnation   uint64
+	seq           uint64
+	lastRequestAt time.Time // when the last request came
 	// contactSince is since when its requests come without a gap.
 	contactSince time.Time
 
@@ -141,7 +141,7 @@
 	}
 	m.seq = r.Seq
 	m.capacity = r.Capacity
-	m.heardAt = now
+	m.lastRequestAt = now
 	switch {
 	case !r.Overloaded:
 		m.overloadedSince = time.Time{}
@@ -280,7 +280,7 @@
 func (a *Assigner) expireMembers(now time.Time) (freed []Revocation) {
 	for _, name := range slices.Sorted(maps.Keys(a.members)) {
 		m := a.members[name]
-		silent := now.Sub(m.heardAt) > a.settings.GrantDuration
+		silent := now.Sub(m.lastRequestAt) > a.settings.GrantDuration
 		switch {
 		case now.Before(a.noExpiryBefore):
 		case len(m.machines) > 0 && now.After(m.grantUntil):
@@ -288,7 +288,7 @@
 		case m.joined && len(m.machines) == 0 && silent:
 			a.revokeAll(m, now, "", now)
 		}
-		if !m.joined && now.Sub(m.heardAt) > joinContactGap {
+		if !m.joined && now.Sub(m.lastRequestAt) > joinContactGap {
 			m.contactSince = now
 		}
 		if m.joined && !m.overloadedSince.IsZero() && now.Sub(m.overloadedSince) > overloadGrace {
--- a/internal/shard/rebalance.go
+++ b/internal/shard/rebalance.go
@@ -84,7 +84,7 @@
 		}
 		c.capacity = c.member.capacity
 		c.load = len(c.member.machines)
-		if !c.member.overloadedSince.IsZero() || now.Sub(c.member.heardAt) > maxContactGap {
+		if !c.member.overloadedSince.IsZero() || now.Sub(c.member.lastRequestAt) > maxContactGap {
 			// It gets no more while it is overloaded, or may have ended.
 			c.capacity = min(c.capacity, c.load)
 		}
--- a/internal/shard/routing.go
+++ b/internal/shard/routing.go
@@ -63,7 +63,7 @@
 
 // routeToHolder decides on a report of a machine that a member holds.
 func (a *Assigner) routeToHolder(mc *machine, now time.Time) (Route, string) {
-	if now.Sub(mc.holder.heardAt) > maxContactGap {
+	if now.Sub(mc.holder.lastRequestAt) > maxContactGap {
 		return Wait, "" // the holder may have ended: its machines are free when its grant ends
 	}
 	if !mc.redirectedAt.IsZero() && now.Sub(mc.redirectedAt) < redirectTimeout {
