--- a/internal/shard/rebalance.go
+++ b/internal/shard/rebalance.go
@@ -9,15 +9,15 @@
 const (
 	// rebalanceInterval is the time between checks of all machines.
 	rebalanceInterval = 500 * time.Millisecond
-	// minMachinesHysteresis is the fraction, one in that many, by which the fleet has to
+	// minMachinesHysteresisDivisor is the fraction, one in that many, by which the fleet has to
 	// shrink below Settings.MinMachines before the leader holds all machines again.
-	minMachinesHysteresis = 5
+	minMachinesHysteresisDivisor = 5
 )
 
 // rebalance revokes machines that are to have another holder, within the rate of moves.
 func (a *Assigner) rebalance(now time.Time) {
 	a.updateCandidates(now)
-	smallFleet := len(a.machines) < a.settings.MinMachines-a.settings.MinMachines/minMachinesHysteresis
+	smallFleet := len(a.machines) < a.settings.MinMachines-a.settings.MinMachines/minMachinesHysteresisDivisor
 	for _, name := range slices.Sorted(maps.Keys(a.members)) {
 		m := a.members[name]
 		for mc := range m.machines {
