--- a/internal/shard/routing.go
+++ b/internal/shard/routing.go
@@ -34,10 +34,10 @@
 )
 
 // A member leaves if within redirectTimeout at least minUnreached of its workers, and
-// one in unreachedFraction of them, do not reach it.
+// one in unreachedDivisor of them, do not reach it.
 const (
-	unreachedFraction = 10
-	minUnreached      = 3
+	unreachedDivisor = 10
+	minUnreached     = 3
 )
 
 // RouteReport decides who answers a report that has come to the leader; for Send it
@@ -81,7 +81,7 @@
 	a.revoke(mc, "its worker does not reach the holder", now)
 	m.unreachedAt = slices.DeleteFunc(m.unreachedAt, func(t time.Time) bool { return now.Sub(t) > redirectTimeout })
 	m.unreachedAt = append(m.unreachedAt, now)
-	if m.leavingReason == "" && len(m.unreachedAt) >= max(minUnreached, len(m.machines)/unreachedFraction) {
+	if m.leavingReason == "" && len(m.unreachedAt) >= max(minUnreached, len(m.machines)/unreachedDivisor) {
 		a.startLeaving(m, "its workers do not reach it", now)
 	}
 }
