--- a/internal/shard/routing.go
+++ b/internal/shard/routing.go
@@ -24,10 +24,10 @@
 	// redirectTimeout is the time within which a redirected worker has to reach its
 	// holder. One that comes back to the leader sooner does not reach it.
 	redirectTimeout = 20 * time.Second
-	// leaderCutAfter is how long no report may come to the leader itself, while others
+	// leaderCutOffTimeout is how long no report may come to the leader itself, while others
 	// are forwarded to it, before it counts as cut off from the workers and gets no
 	// machines.
-	leaderCutAfter = 5 * time.Second
+	leaderCutOffTimeout = 5 * time.Second
 	// pinDuration is how long a machine stays with the member through which its worker
 	// has reached the leader.
 	pinDuration = time.Minute
