--- a/internal/shard/assigner.go
+++ b/internal/shard/assigner.go
@@ -159,16 +159,16 @@
 }
 
 // coreShareForMoves is the part of the processor that is left to redirected workers,
-// and moveSeconds what one takes of it: a connection and its first report.
+// and coreSecondsPerMove what one takes of it: a connection and its first report.
 const (
-	coreShareForMoves = 0.25
-	moveSeconds       = 0.002
-	minMovesPerSecond = 5
+	coreShareForMoves  = 0.25
+	coreSecondsPerMove = 0.002
+	minMovesPerSecond  = 5
 )
 
 // MovesPerSecond is how many workers a controller with that share of a core can move
 // between holders in a second. At a lower rate, a fleet that boots within a minute
 // would first gather at the leader.
 func MovesPerSecond(coreShare float64) float64 {
-	return max(minMovesPerSecond, math.Round(coreShare*coreShareForMoves/moveSeconds))
+	return max(minMovesPerSecond, math.Round(coreShare*coreShareForMoves/coreSecondsPerMove))
 }
