--- a/internal/shard/handover.go
+++ b/internal/shard/handover.go
@@ -78,9 +78,9 @@
 	mc.holder.pending[mc] = struct{}{}
 }
 
-// endHolding returns a machine to the leader; its holder may have answered it until the
+// returnToLeader returns a machine to the leader; its holder may have answered it until the
 // given time.
-func (a *Assigner) endHolding(mc *machine, until time.Time) Revocation {
+func (a *Assigner) returnToLeader(mc *machine, until time.Time) Revocation {
 	revocation := Revocation{Name: mc.name, From: mc.holder.name, Reason: mc.reason, Until: until, Since: mc.since}
 	delete(mc.holder.machines, mc)
 	delete(mc.holder.pending, mc)
--- a/internal/shard/members.go
+++ b/internal/shard/members.go
@@ -99,7 +99,7 @@
 			mc.since = now
 			mc.reason = reason
 		}
-		freed = append(freed, a.endHolding(mc, until))
+		freed = append(freed, a.returnToLeader(mc, until))
 	}
 	slices.SortFunc(freed, func(x, y Revocation) int { return cmp.Compare(x.Name, y.Name) })
 	if m.joined {
@@ -191,7 +191,7 @@
 			delete(m.pending, mc)
 		case mc.phase == revoking:
 			// This request has all that the member answered before it stopped.
-			freed = append(freed, a.endHolding(mc, at))
+			freed = append(freed, a.returnToLeader(mc, at))
 		}
 	}
 	return freed, true
