--- a/internal/shard/handover.go
+++ b/internal/shard/handover.go
@@ -30,7 +30,7 @@
 // RevocationTime is how long the holder may still answer a machine that is revoked: the
 // rest of an earlier grant.
 func (a *Assigner) RevocationTime() time.Duration {
-	return a.settings.GrantDuration + drift(a.settings.GrantDuration)
+	return a.settings.GrantDuration + clockMargin(a.settings.GrantDuration)
 }
 
 // Retain has the leader deal with a machine until Release; a holder returns it.
--- a/internal/shard/holder.go
+++ b/internal/shard/holder.go
@@ -39,9 +39,9 @@
 	}
 }
 
-// drift is by how much a grant is shortened because of the two clocks: they may differ
+// clockMargin is by how much a grant is shortened because of the two clocks: they may differ
 // by 0.1 %, and timers fire late.
-func drift(d time.Duration) time.Duration { return d/500 + 20*time.Millisecond }
+func clockMargin(d time.Duration) time.Duration { return d/500 + 20*time.Millisecond }
 
 // GrantValid reports whether the grant of the term is valid. Callers ask just before
 // they send anything under it.
@@ -175,7 +175,7 @@
 func (h *Holder) setGrant(d time.Duration, sent time.Time) {
 	h.grantUntil = time.Time{}
 	if d > 0 {
-		h.grantUntil = sent.Add(d - drift(d))
+		h.grantUntil = sent.Add(d - clockMargin(d))
 	}
 }
 
--- a/internal/shard/members.go
+++ b/internal/shard/members.go
@@ -267,7 +267,7 @@
 	case now.Sub(m.ackedAt) <= a.settings.GrantDuration:
 		r.GrantMs = a.settings.GrantDuration.Milliseconds()
 		// The holder counts from before its request, so its grant ends sooner than this.
-		m.grantUntil = now.Add(a.settings.GrantDuration + drift(a.settings.GrantDuration))
+		m.grantUntil = now.Add(a.settings.GrantDuration + clockMargin(a.settings.GrantDuration))
 	default:
 		// Its requests come, but the replies are lost: it has no valid grant, and its
 		// machines must not wait for the end of a new one.
