--- a/internal/shard/explore_test.go
+++ b/internal/shard/explore_test.go
@@ -138,15 +138,15 @@
 		if n > 1 {
 			w.broken = name + " has two valid holders"
 		}
-		if h, _ := w.leader.Holder(name); h != "" && w.entitled() && w.answered[k].Before(w.leader.KnownUntil(h)) && w.answered[k].Sub(w.knownAt[k]) > time.Millisecond && w.answered[k].After(w.begun()) {
+		if h, _ := w.leader.Holder(name); h != "" && w.entitled() && w.answered[k].Before(w.leader.KnownUntil(h)) && w.answered[k].Sub(w.knownAt[k]) > time.Millisecond && w.answered[k].After(w.termStart()) {
 			w.broken = fmt.Sprintf("%s was answered at %v, told up to %v, known %v", name, w.rel(w.answered[k]), w.rel(w.leader.KnownUntil(h)), w.rel(w.knownAt[k]))
 		}
 	}
 	return w.broken
 }
 
-// begun is when the current term began.
-func (w *world) begun() time.Time { return w.entitlementEnds[w.leader.term-1] }
+// termStart is when the current term began.
+func (w *world) termStart() time.Time { return w.entitlementEnds[w.leader.term-1] }
 
 // Fingerprint describes the state: times are relative to now, and those long past are equal.
 func (w *world) Fingerprint() string {
