--- a/internal/shard/explore_test.go
+++ b/internal/shard/explore_test.go
@@ -132,17 +132,17 @@
 			}
 			n++
 			if !w.now.Before(w.entitlementEnds[h.Term()]) {
-				w.broken = fmt.Sprintf("h%d answers %s outside the entitlement of term %d", i, name, h.Term())
+				w.violation = fmt.Sprintf("h%d answers %s outside the entitlement of term %d", i, name, h.Term())
 			}
 		}
 		if n > 1 {
-			w.broken = name + " has two valid holders"
+			w.violation = name + " has two valid holders"
 		}
 		if h, _ := w.leader.Holder(name); h != "" && w.entitled() && w.answered[k].Before(w.leader.KnownUntil(h)) && w.answered[k].Sub(w.knownAt[k]) > time.Millisecond && w.answered[k].After(w.termStart()) {
-			w.broken = fmt.Sprintf("%s was answered at %v, told up to %v, known %v", name, w.rel(w.answered[k]), w.rel(w.leader.KnownUntil(h)), w.rel(w.knownAt[k]))
+			w.violation = fmt.Sprintf("%s was answered at %v, told up to %v, known %v", name, w.rel(w.answered[k]), w.rel(w.leader.KnownUntil(h)), w.rel(w.knownAt[k]))
 		}
 	}
-	return w.broken
+	return w.violation
 }
 
 // termStart is when the current term began.
--- a/internal/shard/explore_world_test.go
+++ b/internal/shard/explore_world_test.go
@@ -54,7 +54,7 @@
 	seq             [2]uint64
 	answered        [2]time.Time // the last answer of a holder
 	knownAt         [2]time.Time // the last answer that the leader knows of, or assumes
-	broken          string
+	violation       string
 }
 
 func newWorld(disabled guard) *world {
@@ -114,7 +114,7 @@
 			w.knownAt[k] = f.Until
 		}
 		if w.answered[k].After(w.knownAt[k]) {
-			w.broken = fmt.Sprintf("%s was answered at %v, and the leader counts from %v", f.Name, w.rel(w.answered[k]), w.rel(w.knownAt[k]))
+			w.violation = fmt.Sprintf("%s was answered at %v, and the leader counts from %v", f.Name, w.rel(w.answered[k]), w.rel(w.knownAt[k]))
 		}
 	}
 }
