--- a/internal/shard/explore_world_test.go
+++ b/internal/shard/explore_world_test.go
@@ -53,7 +53,7 @@
 	names           [2]string
 	seq             [2]uint64
 	answered        [2]time.Time // the last answer of a holder
-	knownAt         [2]time.Time // the last answer that the leader knows of, or assumes
+	assumedAnswer   [2]time.Time // the last answer that the leader knows of, or assumes
 	violation       string
 }
 
@@ -80,7 +80,7 @@
 	for _, n := range w.names {
 		w.leader.AddMachine(n, "")
 	}
-	w.knownAt = [2]time.Time{w.now, w.now} // a new leader counts from its own begin
+	w.assumedAnswer = [2]time.Time{w.now, w.now} // a new leader counts from its own begin
 	w.deposed = false
 	w.renewEntitlement()
 }
@@ -110,11 +110,11 @@
 func (w *world) recordRevocations(fs []Revocation) {
 	for _, f := range fs {
 		k := slices.Index(w.names[:], f.Name)
-		if f.Until.After(w.knownAt[k]) {
-			w.knownAt[k] = f.Until
+		if f.Until.After(w.assumedAnswer[k]) {
+			w.assumedAnswer[k] = f.Until
 		}
-		if w.answered[k].After(w.knownAt[k]) {
-			w.violation = fmt.Sprintf("%s was answered at %v, and the leader counts from %v", f.Name, w.rel(w.answered[k]), w.rel(w.knownAt[k]))
+		if w.answered[k].After(w.assumedAnswer[k]) {
+			w.violation = fmt.Sprintf("%s was answered at %v, and the leader counts from %v", f.Name, w.rel(w.answered[k]), w.rel(w.assumedAnswer[k]))
 		}
 	}
 }
@@ -138,8 +138,8 @@
 	if ok && c.Term == w.leader.term {
 		for _, e := range c.Reports {
 			k := slices.Index(w.names[:], e.Machine)
-			if at := w.now.Add(-time.Duration(e.AgeMs) * time.Millisecond); at.After(w.knownAt[k]) {
-				w.knownAt[k] = at
+			if at := w.now.Add(-time.Duration(e.AgeMs) * time.Millisecond); at.After(w.assumedAnswer[k]) {
+				w.assumedAnswer[k] = at
 			}
 		}
 	}
