--- a/internal/shard/explore_test.go
+++ b/internal/shard/explore_test.go
@@ -88,7 +88,7 @@
 			w.seq[k]++
 			m := &wire.Heartbeat{Machine: w.names[k], Session: 1, Seq: w.seq[k]}
 			if _, v := w.holders[i].holder.Report(m, []byte{1}, w.now); v >= Answered {
-				w.answered[k] = w.now
+				w.lastAnswer[k] = w.now
 				return true
 			}
 		}
@@ -138,8 +138,8 @@
 		if n > 1 {
 			w.violation = name + " has two valid holders"
 		}
-		if h, _ := w.leader.Holder(name); h != "" && w.entitled() && w.answered[k].Before(w.leader.KnownUntil(h)) && w.answered[k].Sub(w.assumedAnswer[k]) > time.Millisecond && w.answered[k].After(w.termStart()) {
-			w.violation = fmt.Sprintf("%s was answered at %v, told up to %v, known %v", name, w.rel(w.answered[k]), w.rel(w.leader.KnownUntil(h)), w.rel(w.assumedAnswer[k]))
+		if h, _ := w.leader.Holder(name); h != "" && w.entitled() && w.lastAnswer[k].Before(w.leader.KnownUntil(h)) && w.lastAnswer[k].Sub(w.assumedAnswer[k]) > time.Millisecond && w.lastAnswer[k].After(w.termStart()) {
+			w.violation = fmt.Sprintf("%s was answered at %v, told up to %v, known %v", name, w.rel(w.lastAnswer[k]), w.rel(w.leader.KnownUntil(h)), w.rel(w.assumedAnswer[k]))
 		}
 	}
 	return w.violation
@@ -161,7 +161,7 @@
 		if h != "" {
 			p.Values(int64(mc.announcedIn) - int64(mc.holder.ackedReply))
 		}
-		p.Times(w.answered[k], w.assumedAnswer[k])
+		p.Times(w.lastAnswer[k], w.assumedAnswer[k])
 	}
 	for i := range w.holders {
 		s := &w.holders[i]
--- a/internal/shard/explore_world_test.go
+++ b/internal/shard/explore_world_test.go
@@ -52,7 +52,7 @@
 	holders         [2]holderProcess
 	names           [2]string
 	seq             [2]uint64
-	answered        [2]time.Time // the last answer of a holder
+	lastAnswer      [2]time.Time // the last answer of a holder
 	assumedAnswer   [2]time.Time // the last answer that the leader knows of, or assumes
 	violation       string
 }
@@ -113,8 +113,8 @@
 		if f.Until.After(w.assumedAnswer[k]) {
 			w.assumedAnswer[k] = f.Until
 		}
-		if w.answered[k].After(w.assumedAnswer[k]) {
-			w.violation = fmt.Sprintf("%s was answered at %v, and the leader counts from %v", f.Name, w.rel(w.answered[k]), w.rel(w.assumedAnswer[k]))
+		if w.lastAnswer[k].After(w.assumedAnswer[k]) {
+			w.violation = fmt.Sprintf("%s was answered at %v, and the leader counts from %v", f.Name, w.rel(w.lastAnswer[k]), w.rel(w.assumedAnswer[k]))
 		}
 	}
 }
