--- a/internal/shard/explore_world_test.go
+++ b/internal/shard/explore_world_test.go
@@ -25,9 +25,9 @@
 )
 
 const (
-	tick      = 700 * time.Millisecond
-	grantTime = 1500 * time.Millisecond
-	leadTime  = 2200 * time.Millisecond
+	tick          = 700 * time.Millisecond
+	grantDuration = 1500 * time.Millisecond
+	leadTime      = 2200 * time.Millisecond
 )
 
 // holderProcess is a holder with its connection to the leader: one message is in flight
@@ -69,7 +69,7 @@
 // beginTerm begins a leader's term.
 func (w *world) beginTerm(term uint64) {
 	settings := Settings{
-		GrantDuration:  grantTime,
+		GrantDuration:  grantDuration,
 		RejoinDelay:    tick,
 		MaxRejoinDelay: 2 * tick,
 		MovesPerSecond: 1000,
