--- a/internal/shard/explore_world_test.go
+++ b/internal/shard/explore_world_test.go
@@ -25,9 +25,9 @@
 )
 
 const (
-	tick          = 700 * time.Millisecond
-	grantDuration = 1500 * time.Millisecond
-	leadTime      = 2200 * time.Millisecond
+	tick                = 700 * time.Millisecond
+	grantDuration       = 1500 * time.Millisecond
+	entitlementDuration = 2200 * time.Millisecond
 )
 
 // holderProcess is a holder with its connection to the leader: one message is in flight
@@ -87,7 +87,7 @@
 
 // renewEntitlement renews the leader's entitlement.
 func (w *world) renewEntitlement() {
-	w.entitledUntil = w.now.Add(leadTime)
+	w.entitledUntil = w.now.Add(entitlementDuration)
 	w.entitlementEnds[w.leader.term] = w.entitledUntil
 }
 
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -6,27 +6,27 @@
 	CPUs  float64 `codec:"cpus"`
 	GPUs  float64 `codec:"accelerators"`
 	MemGB float64 `codec:"mem_gb"`
-	// CacheGB is the room for images, and FetchRate the speed at which they are
-	// fetched, in GB per second.
+	// CacheGB is the disk space for images in GB. FetchRate is the speed at which the
+	// machine fetches images, in GB per second.
 	CacheGB   float64 `codec:"local_gb"`
 	FetchRate float64 `codec:"pull_gb_per_s"`
-	// Price and SpotPrice are per hour; SpotPrice changes with time.
+	// Price and SpotPrice are prices per hour. SpotPrice varies over time.
 	Price     float64  `codec:"hourly"`
 	SpotPrice float64  `codec:"market_price"`
-	BootS     float64  `codec:"boot_s"` // usual boot time, in seconds
-	Zones     []string `codec:"yards"`  // where the type is offered
+	BootS     float64  `codec:"boot_s"` // typical boot time, in seconds
+	Zones     []string `codec:"yards"`  // zones that offer the type
 }
 
-// MachineTypes is sent by the cloud to a controller (GET /machine_types).
+// MachineTypes is the cloud's response to a controller's GET /machine_types.
 type MachineTypes struct {
 	Types []MachineType `codec:"builds"`
 }
 
-// RentalRequest is sent by a controller to the cloud (POST /hosts), and answered with
-// MachineNames.
+// RentalRequest is sent by a controller to the cloud (POST /hosts). The cloud responds
+// with MachineNames.
 type RentalRequest struct {
-	// Request names the request: repeating it rents nothing more. A name must never be
-	// used again for another request.
+	// Request identifies the request and makes it idempotent: the cloud rents nothing
+	// more for a repeated request. An identifier must never be reused for another request.
 	Request string `codec:"hire"`
 	Type    string `codec:"build"`
 	Zone    string `codec:"yard"`
@@ -47,7 +47,9 @@
 const (
 	MachineBooting MachinePhase = "booting"
 	MachineRunning MachinePhase = "running"
-	MachineFailed  MachinePhase = "failed" // has stopped on its own and costs nothing, until it is returned
+	// MachineFailed is a machine that has stopped on its own. It costs nothing and stays
+	// in the list until it is returned.
+	MachineFailed MachinePhase = "failed"
 )
 
 // CloudMachine is one machine in the cloud's list.
@@ -58,12 +60,12 @@
 	Zone  string       `codec:"yard"`
 	Spot  bool         `codec:"loaners"`
 	Phase MachinePhase `codec:"phase"`
-	AgeS  float64      `codec:"age_s"` // since the rental request, in seconds
+	AgeS  float64      `codec:"age_s"` // time since the rental request, in seconds
 }
 
-// CloudMachinePage is sent by the cloud to a controller (GET /hosts): one page of its
-// machines in the order of their names, which may be out of date.
+// CloudMachinePage is the cloud's response to a controller's GET /hosts: one page of the
+// list of machines, sorted by name. The list may be out of date.
 type CloudMachinePage struct {
 	Machines []CloudMachine `codec:"hosts"`
-	More     bool           `codec:"more"` // the list goes on after this page
+	More     bool           `codec:"more"` // further pages follow
 }
--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -1,12 +1,11 @@
-// Package wire defines the protocol that controllers speak with workers, users and
-// the cloud: one type for each message body, and the CBOR encoding that they share.
-// The bodies of the key-value store's API use the same encoding; their types are in
-// package state.
+// Package wire defines the protocol between controllers and workers, users and the
+// cloud: one type per message body, and the CBOR encoding of all bodies. The bodies of
+// the key-value store's API use the same encoding; package state defines their types.
 //
-// The protocol has themed names for its fields. This package is the one place that
-// translates them: Go names are the usual terms of cluster scheduling, and the codec
-// tags carry the names on the wire. A field whose tag has omitempty may be absent;
-// a pointer field may be absent or null. Unknown fields are ignored.
+// The Go names are the usual terms of cluster scheduling and differ from many field names
+// of the protocol, which the codec tags define. No other package translates between the
+// two. A field with omitempty in its tag may be absent. A pointer field may be absent or
+// null. The decoder ignores unknown fields.
 package wire
 
 import (
@@ -17,32 +16,32 @@
 	"github.com/ugorji/go/codec"
 )
 
-// MaxBody is the largest request or response body, in bytes, that users and
+// MaxBody is the maximum size, in bytes, of a request or response body that users and
 // workers exchange with a controller.
 const MaxBody = 64 << 10
 
-// ContentType is the media type of every body.
+// ContentType is the media type of all bodies.
 const ContentType = "application/cbor"
 
-// Limits of the decoder: a hostile body must not make it reserve memory up front or
-// recurse without end.
+// Limits of the decoder. They keep a malicious body from making it allocate excessive
+// memory or recurse without bound.
 const (
-	maxInitialLength = 1024 // elements that are allocated before any is read
-	maxNesting       = 32   // depth of maps and lists
+	maxInitialLength = 1024 // elements allocated before the first is read
+	maxNesting       = 32   // depth of nested maps and lists
 )
 
 var handle = newHandle()
 
 func newHandle() *codec.CborHandle {
-	h := &codec.CborHandle{}
-	h.MapType = reflect.TypeFor[map[string]any]()
-	h.Raw = true
-	h.MaxInitLen = maxInitialLength
-	h.MaxDepth = maxNesting
-	return h
+	cbor := &codec.CborHandle{}
+	cbor.MapType = reflect.TypeFor[map[string]any]()
+	cbor.Raw = true
+	cbor.MaxInitLen = maxInitialLength
+	cbor.MaxDepth = maxNesting
+	return cbor
 }
 
-// Raw is a value in its encoded form: it is copied, not interpreted.
+// Raw is an encoded value. It is copied without being decoded.
 type Raw = codec.Raw
 
 // Marshal returns the CBOR encoding of v.
@@ -54,23 +53,23 @@
 	return out, nil
 }
 
-// ErrTrailingBytes is returned by Unmarshal for a body that continues after its value.
+// ErrTrailingBytes is the error of Unmarshal if bytes follow the encoded value.
 var ErrTrailingBytes = errors.New("decode: trailing bytes")
 
-// Unmarshal decodes b, which must hold exactly one value, into the value that v
+// Unmarshal decodes body, which must contain exactly one value, into the value that v
 // points to. It never panics.
-func Unmarshal(b []byte, v any) (err error) {
-	// A malformed message must never end the process, whatever the decoder does.
+func Unmarshal(body []byte, v any) (err error) {
+	// The decoder may panic; a malformed message must never end the process.
 	defer func() {
 		if r := recover(); r != nil {
 			err = fmt.Errorf("decode: %v", r)
 		}
 	}()
-	d := codec.NewDecoderBytes(b, handle)
-	if err := d.Decode(v); err != nil {
+	decoder := codec.NewDecoderBytes(body, handle)
+	if err := decoder.Decode(v); err != nil {
 		return fmt.Errorf("decode: %w", err)
 	}
-	if d.NumBytesRead() != len(b) {
+	if decoder.NumBytesRead() != len(body) {
 		return ErrTrailingBytes
 	}
 	return nil
--- a/internal/wire/fixtures_test.go
+++ b/internal/wire/fixtures_test.go
@@ -7,7 +7,7 @@
 	"vetchstream/internal/wire"
 )
 
-// fixtures are the messages exchanged with workers, users and the cloud.
+// fixtures has one row per message type exchanged with workers, users and the cloud.
 var fixtures = []fixture.Row{
 	{File: "heartbeat.cbor", Value: fixture.Filled[wire.Heartbeat]()},
 	{File: "task-report.cbor", Value: fixture.Filled[wire.TaskStatus]()},
--- a/internal/wire/user.go
+++ b/internal/wire/user.go
@@ -1,34 +1,34 @@
 package wire
 
-// JobPhase is the state of a job as its user sees it.
+// JobPhase is the state of a job as reported to its user.
 type JobPhase string
 
-// Phases of a job. JobDone and JobCancelled are final: a user who was sent one of them is
-// never sent anything else.
+// Phases of a job. JobDone and JobCancelled are final: once a user has received one of
+// them, every later response has the same phase.
 const (
-	JobPending   JobPhase = "pending" // no task runs
+	JobPending   JobPhase = "pending" // no task is running
 	JobRunning   JobPhase = "running"
 	JobDone      JobPhase = "done" // all tasks have completed
 	JobCancelled JobPhase = "aborted"
 )
 
-// Final reports whether a job in this phase is over.
+// Final reports whether the phase is final.
 func (p JobPhase) Final() bool { return p == JobDone || p == JobCancelled }
 
-// JobStatus is sent by a controller to a user, as the response to a submission, a
-// poll or a cancellation that was accepted.
+// JobStatus is the response of a controller to a user whose submission, poll or
+// cancellation it has accepted.
 type JobStatus struct {
 	ID      string   `codec:"uid"`
 	Phase   JobPhase `codec:"phase"`
-	Done    int      `codec:"done"`    // tasks that have completed
-	Running int      `codec:"running"` // tasks that run
-	// Notice is a text for the user about something that lies ahead of the job, such as
-	// maintenance: an addition to the protocol.
+	Done    int      `codec:"done"`    // number of completed tasks
+	Running int      `codec:"running"` // number of running tasks
+	// Notice tells the user about a future event that affects the job, such as
+	// maintenance. It is an addition to the protocol.
 	Notice string `codec:"notice,omitempty"`
 }
 
-// Error is the body of a response that refuses a request: by a controller to users and
-// workers, and by the cloud and the key-value store to controllers.
+// Error is the body of a response that refuses a request. Controllers send it to users
+// and workers; the cloud and the key-value store send it to controllers.
 type Error struct {
 	Error string `codec:"error"`
 }
