--- a/internal/rpc/fixtures_test.go
+++ b/internal/rpc/fixtures_test.go
@@ -12,7 +12,7 @@
 	"vetchstream/internal/shard"
 )
 
-// wireFixtures are the messages that controllers send each other.
+// wireFixtures has one row per message type that controllers send each other.
 var wireFixtures = []fixture.Row{
 	{File: "hello.cbor", Value: fixture.Filled[NodeStatus]()},
 	{File: "forward-request.cbor", Value: fixture.Filled[Request]()},
@@ -24,39 +24,40 @@
 
 func TestWireFixtures(t *testing.T) { fixture.Check(t, wireFixtures) }
 
-// recordingHandler is a Handler that records the request it was given and answers with
-// filled values.
+// recordingHandler is a Handler that records the last request and returns responses with
+// all fields set.
 type recordingHandler struct{ request any }
 
 func (h *recordingHandler) NodeStatus() NodeStatus { return *fixture.Filled[NodeStatus]() }
-func (h *recordingHandler) HandleForwarded(_ context.Context, r *Request) *Reply {
-	h.request = r
+func (h *recordingHandler) HandleForwarded(_ context.Context, request *Request) *Reply {
+	h.request = request
 	return fixture.Filled[Reply]()
 }
-func (h *recordingHandler) SyncShard(_ context.Context, r *shard.Request) *shard.Reply {
-	h.request = r
+func (h *recordingHandler) SyncShard(_ context.Context, request *shard.Request) *shard.Reply {
+	h.request = request
 	return fixture.Filled[shard.Reply]()
 }
-func (h *recordingHandler) FollowConfig(_ context.Context, r *dynconfig.Request) *dynconfig.Reply {
-	h.request = r
+func (h *recordingHandler) FollowConfig(_ context.Context, request *dynconfig.Request) *dynconfig.Reply {
+	h.request = request
 	return fixture.Filled[dynconfig.Reply]()
 }
-func (h *recordingHandler) Promise(_ context.Context, r *PromiseRequest) *Promise {
-	h.request = r
+func (h *recordingHandler) Promise(_ context.Context, request *PromiseRequest) *Promise {
+	h.request = request
 	return fixture.Filled[Promise]()
 }
 
-// TestServiceFixtures pins the service's name and methods, which are on the
-// wire, and feeds each method a fixture request.
+// TestServiceFixtures checks that the service and its methods have the expected names on
+// the wire, and that each method decodes the request of a released version and encodes a
+// response that decodes to the same value.
 func TestServiceFixtures(t *testing.T) {
 	if service.ServiceName != "vetchstream.Peer" {
-		t.Fatalf("service name %q", service.ServiceName)
+		t.Fatalf("service name is %q, want vetchstream.Peer", service.ServiceName)
 	}
 	rows := []struct {
-		method  string
-		request string // a fixture; empty: the method takes no request
-		want    any    // the request as the handler must see it
-		answer  any    // the answer as the caller must decode it
+		method   string
+		request  string // name of a fixture; empty if the request has no fields
+		want     any    // the request that the handler must get
+		response any    // the response that the caller must decode
 	}{
 		{"Ping", "", nil, fixture.Filled[NodeStatus]()},
 		{"Forward", "forward-request.cbor", fixture.Filled[Request](), fixture.Filled[Reply]()},
@@ -65,41 +66,41 @@
 		{"Sync", "../../../shard/testdata/fixtures/sync-request.cbor", fixture.Filled[shard.Request](), fixture.Filled[shard.Reply]()},
 	}
 	if len(service.Methods) != len(rows) {
-		t.Fatalf("%d methods, want %d", len(service.Methods), len(rows))
+		t.Fatalf("service has %d methods, want %d", len(service.Methods), len(rows))
 	}
 	for i, row := range rows {
 		t.Run(row.method, func(t *testing.T) {
-			m := service.Methods[i]
-			if m.MethodName != row.method {
-				t.Fatalf("method %d is %q, want %q", i, m.MethodName, row.method)
+			description := service.Methods[i]
+			if description.MethodName != row.method {
+				t.Fatalf("method %d is %q, want %q", i, description.MethodName, row.method)
 			}
-			body := []byte{0xa0} // an empty map: the request of Ping
+			body := []byte{0xa0} // an empty map, which is the request of Ping
 			if row.request != "" {
 				var err error
 				if body, err = os.ReadFile(filepath.Join("testdata", "fixtures", row.request)); err != nil {
 					t.Fatal(err)
 				}
 			}
-			h := &recordingHandler{}
+			handler := &recordingHandler{}
 			wireCodec := codec{}
-			dec := func(v any) error { return wireCodec.Unmarshal(body, v) }
-			res, err := m.Handler(h, context.Background(), dec, nil)
+			decode := func(v any) error { return wireCodec.Unmarshal(body, v) }
+			response, err := description.Handler(handler, context.Background(), decode, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if !reflect.DeepEqual(h.request, row.want) {
-				t.Fatalf("handler got %#v, want %#v", h.request, row.want)
+			if !reflect.DeepEqual(handler.request, row.want) {
+				t.Fatalf("handler got request %#v, want %#v", handler.request, row.want)
 			}
-			b, err := wireCodec.Marshal(res)
+			encoded, err := wireCodec.Marshal(response)
 			if err != nil {
 				t.Fatal(err)
 			}
-			got := reflect.New(reflect.TypeOf(row.answer).Elem())
-			if err := wireCodec.Unmarshal(b, got.Interface()); err != nil {
+			got := reflect.New(reflect.TypeOf(row.response).Elem())
+			if err := wireCodec.Unmarshal(encoded, got.Interface()); err != nil {
 				t.Fatal(err)
 			}
-			if !reflect.DeepEqual(got.Interface(), row.answer) {
-				t.Fatalf("answer %#v, want %#v", got.Interface(), row.answer)
+			if !reflect.DeepEqual(got.Interface(), row.response) {
+				t.Fatalf("decoded response %#v, want %#v", got.Interface(), row.response)
 			}
 		})
 	}
--- a/internal/rpc/mesh.go
+++ b/internal/rpc/mesh.go
@@ -20,25 +20,25 @@
 )
 
 const (
-	// pingInterval is the time between two pings of a sibling, and pingTimeout how long
-	// the answer to one may take.
+	// pingInterval is the time between two pings of a sibling, and pingTimeout the
+	// deadline of one ping.
 	pingInterval = time.Second
 	pingTimeout  = 900 * time.Millisecond
-	// reachableTime is how long after its last answer to a ping a member counts as
-	// reachable.
+	// reachableTime is how long a member counts as reachable after its last response to a
+	// ping.
 	reachableTime = 2500 * time.Millisecond
 )
 
 // Settings of a client's connections.
 const (
 	minConnectTimeout = time.Second
-	// A cut gives no error: without probes a dead connection would hold every forwarded
-	// request up to its deadline.
+	// A network partition causes no connection error. Without keepalive probes, every
+	// request that is forwarded on a dead connection would wait until its deadline.
 	clientKeepaliveTime    = 10 * time.Second
 	clientKeepaliveTimeout = 2 * time.Second
 )
 
-// connectBackoff is short, because a sibling is back within seconds.
+// connectBackoff is short because an unavailable sibling usually returns within seconds.
 var connectBackoff = backoff.Config{
 	BaseDelay:  200 * time.Millisecond,
 	Multiplier: 1.5,
@@ -46,11 +46,11 @@
 	MaxDelay:   time.Second,
 }
 
-// errUnknownMember is returned for a call to a member that the mesh has no connection to.
+// errUnknownMember is the error of a call to a member without a connection in the mesh.
 var errUnknownMember = errors.New("unknown member")
 
-// Mesh holds the connections to other controllers: the siblings, or those of the home
-// region.
+// Mesh holds the connections to other controllers, which are either the siblings of the
+// same region or the controllers of the home region.
 type Mesh struct {
 	conns map[string]*grpc.ClientConn // by member
 
@@ -58,29 +58,30 @@
 	pings map[string]pingRecord // by member
 }
 
-// pingRecord is what a member's last answer to a ping said.
+// pingRecord is the result of a member's last successful ping.
 type pingRecord struct {
-	answeredAt  time.Time // zero: not reachable until the next answer
+	answeredAt  time.Time // zero if the member is unreachable until its next response
 	servesUsers bool
 }
 
-// Dial prepares the connections; they are opened on first use.
+// Dial creates a mesh with one connection per sibling. Each connection is established on
+// first use.
 func Dial(siblings []config.Sibling, dial state.DialFunc) (*Mesh, error) {
 	m := &Mesh{
 		conns: map[string]*grpc.ClientConn{},
 		pings: map[string]pingRecord{},
 	}
-	for _, s := range siblings {
-		conn, err := newConn(s.Address, dial)
+	for _, sibling := range siblings {
+		conn, err := newConn(sibling.Address, dial)
 		if err != nil {
-			return nil, fmt.Errorf("peer %s: %w", s.Member, err)
+			return nil, fmt.Errorf("connection to controller %s: %w", sibling.Member, err)
 		}
-		m.conns[s.Member] = conn
+		m.conns[sibling.Member] = conn
 	}
 	return m, nil
 }
 
-// newConn prepares the connection to one controller.
+// newConn creates the connection to one controller without establishing it.
 func newConn(address string, dial state.DialFunc) (*grpc.ClientConn, error) {
 	return grpc.NewClient("passthrough:///"+address,
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
@@ -102,22 +103,21 @@
 		grpc.WithDisableServiceConfig())
 }
 
-// Close closes the connections.
+// Close closes all connections.
 func (m *Mesh) Close() {
 	for _, conn := range m.conns {
 		_ = conn.Close()
 	}
 }
 
-// Reachable reports whether the member has answered a ping lately.
+// Reachable reports whether the member has responded to a ping within reachableTime.
 func (m *Mesh) Reachable(member string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.pings[member].reachable()
 }
 
-// AnyServesUsers reports whether the load balancer sends users to any member that has
-// answered a ping lately.
+// AnyServesUsers reports whether the load balancer routes users to any reachable member.
 func (m *Mesh) AnyServesUsers() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -129,13 +129,13 @@
 	return false
 }
 
-// reachable reports whether the answer is recent.
+// reachable reports whether the last response is more recent than reachableTime.
 func (p pingRecord) reachable() bool {
 	return !p.answeredAt.IsZero() && time.Since(p.answeredAt) < reachableTime
 }
 
-// PingSiblings pings every member once a second until the context ends. It calls
-// observe with each answer, from several goroutines.
+// PingSiblings pings every member once per pingInterval until ctx is done. It calls
+// observe with each response, concurrently from several goroutines.
 func (m *Mesh) PingSiblings(ctx context.Context, observe func(NodeStatus)) {
 	var loops sync.WaitGroup
 	for member := range m.conns {
@@ -144,7 +144,7 @@
 	loops.Wait()
 }
 
-// pingLoop pings one member until the context ends.
+// pingLoop pings one member until ctx is done.
 func (m *Mesh) pingLoop(ctx context.Context, member string, observe func(NodeStatus)) {
 	ticker := time.NewTicker(pingInterval)
 	defer ticker.Stop()
@@ -173,18 +173,18 @@
 	m.pings[member] = pingRecord{answeredAt: time.Now(), servesUsers: status.ServesUsers}
 }
 
-// Forward forwards a request to another member.
-func (m *Mesh) Forward(ctx context.Context, member string, r *Request) (*Reply, error) {
-	reply, err := invoke[Reply](ctx, m, member, methodForward, r)
+// Forward forwards a client's request to another member.
+func (m *Mesh) Forward(ctx context.Context, member string, request *Request) (*Reply, error) {
+	reply, err := invoke[Reply](ctx, m, member, methodForward, request)
 	if err != nil && errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		// The requests that come next must not each wait for a member that hangs. (A client
-		// that has hung up says nothing about the member.)
+		// The member may hang: later requests must not wait for it as well. A canceled
+		// context is no sign of that, because it means that the client has disconnected.
 		m.markUnreachable(member)
 	}
 	return reply, err
 }
 
-// markUnreachable makes a member count as not reachable until it answers a ping.
+// markUnreachable marks a member as unreachable until it responds to a ping.
 func (m *Mesh) markUnreachable(member string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -193,23 +193,24 @@
 	m.pings[member] = ping
 }
 
-// SyncShard asks the leader for the grant of this member's shard.
-func (m *Mesh) SyncShard(ctx context.Context, leader string, r *shard.Request) (*shard.Reply, error) {
-	return invoke[shard.Reply](ctx, m, leader, methodSync, r)
+// SyncShard sends the shard holder's request to the leader and returns the reply with
+// the grant.
+func (m *Mesh) SyncShard(ctx context.Context, leader string, request *shard.Request) (*shard.Reply, error) {
+	return invoke[shard.Reply](ctx, m, leader, methodSync, request)
 }
 
-// FollowConfig asks a member of the home region for what is granted to this region.
-func (m *Mesh) FollowConfig(ctx context.Context, member string, r *dynconfig.Request) (*dynconfig.Reply, error) {
-	return invoke[dynconfig.Reply](ctx, m, member, methodFollow, r)
+// FollowConfig requests this region's grants from a member of the home region.
+func (m *Mesh) FollowConfig(ctx context.Context, member string, request *dynconfig.Request) (*dynconfig.Reply, error) {
+	return invoke[dynconfig.Reply](ctx, m, member, methodFollow, request)
 }
 
-// Promise asks a sibling not to campaign for a while.
-func (m *Mesh) Promise(ctx context.Context, member string, r *PromiseRequest) (*Promise, error) {
-	return invoke[Promise](ctx, m, member, methodPromise, r)
+// Promise asks a sibling not to campaign for the leadership for a limited time.
+func (m *Mesh) Promise(ctx context.Context, member string, request *PromiseRequest) (*Promise, error) {
+	return invoke[Promise](ctx, m, member, methodPromise, request)
 }
 
-// invoke calls a method of another member. The error is errUnknownMember, or that of
-// the call with the method and the member.
+// invoke calls a method of another member. Its error wraps errUnknownMember or the error
+// of the call, which it prefixes with the method and the member.
 func invoke[Res any](ctx context.Context, m *Mesh, member, method string, request any) (*Res, error) {
 	conn := m.conns[member]
 	if conn == nil {
--- a/internal/rpc/messages.go
+++ b/internal/rpc/messages.go
@@ -1,8 +1,9 @@
-// Package rpc is the gRPC service that controllers offer to each other: pings that tell
-// who leads, requests that are forwarded to the leader, the assignment of machines to
-// controllers, and the configuration that the home region grants to the others.
+// Package rpc implements the gRPC service and client between controllers. It carries
+// pings with the current leader, client requests that are forwarded to the leader, the
+// assignment of machines to controllers, promises not to campaign, and the configuration
+// that the home region grants to the other regions.
 //
-// Messages are encoded in the CBOR of package wire. A field whose tag has omitempty may
+// Messages use the CBOR encoding of package wire. A field with omitempty in its tag may
 // be absent.
 package rpc
 
@@ -12,66 +13,69 @@
 	"vetchstream/internal/wire"
 )
 
-// codecName is the name of the encoding, which gRPC sends as the content subtype.
+// codecName is the name of the codec. gRPC sends it as the content subtype.
 const codecName = "cbor"
 
-// codec makes gRPC encode messages in CBOR.
+// codec is the gRPC codec for CBOR.
 type codec struct{}
 
-func (codec) Marshal(v any) ([]byte, error)   { return wire.Marshal(v) }
-func (codec) Unmarshal(b []byte, v any) error { return wire.Unmarshal(b, v) }
-func (codec) Name() string                    { return codecName }
+func (codec) Marshal(v any) ([]byte, error)      { return wire.Marshal(v) }
+func (codec) Unmarshal(body []byte, v any) error { return wire.Unmarshal(body, v) }
+func (codec) Name() string                       { return codecName }
 
 func init() { encoding.RegisterCodec(codec{}) }
 
 // pingRequest asks a member for its NodeStatus.
 type pingRequest struct{}
 
-// NodeStatus is the response to a ping: what the member knows of the leadership, and
-// how it is itself.
+// NodeStatus is the response to a ping: the leader that the member knows, and the
+// member's own health.
 type NodeStatus struct {
 	Member string `codec:"member"`
-	Leader string `codec:"leader"` // the leader that the member knows; empty: none
+	Leader string `codec:"leader"` // the leader that the member knows; empty if it knows none
 	Term   uint64 `codec:"term"`   // that leader's term
-	// ServesUsers: the load balancer sends users to the member, by those that came lately.
+	// ServesUsers reports whether the member has recently received requests of users,
+	// which means that the load balancer routes users to it.
 	ServesUsers bool `codec:"serves,omitempty"`
-	// Overloaded: the process gets too little processor time.
+	// Overloaded reports whether the process gets too little processor time.
 	Overloaded bool `codec:"behind,omitempty"`
-	// ProbeUs is how long the member takes for a piece of work that is the same
-	// everywhere, in microseconds; 0: not known.
+	// ProbeUs is the time that the member takes for a fixed piece of work, in microseconds.
+	// The work is the same on all members. 0 means that the time is not known.
 	ProbeUs int64 `codec:"work_us,omitempty"`
-	// StoreReachable: the key-value store has answered the member lately.
+	// StoreReachable reports whether the key-value store has recently responded to the
+	// member.
 	StoreReachable bool `codec:"stored,omitempty"`
 }
 
-// RequestKind says who sends a Request and what for.
+// RequestKind is the kind of a forwarded request: its sender and its purpose.
 type RequestKind string
 
-// Kinds of forwarded requests. The last three have an Operation as their body.
+// Kinds of forwarded requests. The body of the last three kinds is an Operation.
 const (
 	KindSubmit    RequestKind = "submit"   // a user submits a job
-	KindStatus    RequestKind = "status"   // a user polls the status of a job
+	KindStatus    RequestKind = "status"   // a user polls a job's status
 	KindCancel    RequestKind = "abort"    // a user cancels a job
 	KindHeartbeat RequestKind = "report"   // a worker sends a wire.Heartbeat
-	KindRollout   RequestKind = "rollout"  // an operator's request about roll-outs
-	KindCalendar  RequestKind = "calendar" // a request about reservations and maintenance windows
-	KindConfig    RequestKind = "config"   // an operator's request about the configuration of the regions
+	KindRollout   RequestKind = "rollout"  // an operator controls roll-outs or lists them
+	KindCalendar  RequestKind = "calendar" // a team or an operator manages reservations or maintenance windows
+	KindConfig    RequestKind = "config"   // an operator reads or changes the configuration of the regions
 )
 
-// Request is a request of a user, a worker or an operator. It is forwarded by a member
-// that does not lead to the leader.
+// Request is a request of a user, a worker or an operator that a follower forwards to
+// the leader.
 type Request struct {
 	Kind RequestKind `codec:"kind"`
-	ID   string      `codec:"id,omitempty"`   // of the job, where the kind has one
-	Body []byte      `codec:"body,omitempty"` // the client's body as it arrived, or an Operation
-	// ForwardedBy is the member that forwards a heartbeat; empty: it came from the worker.
+	ID   string      `codec:"id,omitempty"`   // ID of the job, if the request names one
+	Body []byte      `codec:"body,omitempty"` // unchanged body of the client's request, or an Operation
+	// ForwardedBy is the member that forwards a heartbeat. It is empty if the worker sent
+	// the heartbeat to the leader itself.
 	ForwardedBy string `codec:"via,omitempty"`
 }
 
-// Verb is what an Operation does.
+// Verb is the action of an Operation.
 type Verb string
 
-// Verbs of operations.
+// Verbs of an Operation.
 const (
 	VerbStart    Verb = "start"
 	VerbStatus   Verb = "status"
@@ -80,41 +84,42 @@
 	VerbResume   Verb = "resume"
 	VerbRollback Verb = "undo"
 	VerbCancel   Verb = "cancel"
-	VerbHistory  Verb = "history" // lists the changes that were made
+	VerbHistory  Verb = "history" // list past changes
 )
 
 // Operation is an operator's request about a roll-out, the calendar or the
 // configuration.
 type Operation struct {
 	Verb Verb `codec:"verb"`
-	// Name is what the request is about: a service, a reservation, a window or a revision.
-	// In a list it is the name after which the page begins.
+	// Name is the name of a service, a reservation, a maintenance window or a revision. For
+	// VerbList, the page starts after this name.
 	Name string `codec:"service,omitempty"`
-	// Spec is the encoded specification, where the verb needs one.
+	// Spec is the encoded specification, if the verb needs one.
 	Spec []byte `codec:"spec,omitempty"`
-	// Team restricts a request about the calendar to that team's reservations; empty: an
-	// operator's request.
+	// Team restricts a KindCalendar request to the team's reservations. It is empty for a
+	// request of an operator.
 	Team string `codec:"team,omitempty"`
-	// Window: a request about the calendar is about maintenance windows, not reservations.
+	// Window means that a KindCalendar request is about maintenance windows, not about
+	// reservations.
 	Window bool `codec:"window,omitempty"`
-	// DryRun: a change of the configuration is only checked.
+	// DryRun means that a change of the configuration is validated but not applied.
 	DryRun bool `codec:"dry,omitempty"`
 }
 
 // Reply is the HTTP response to a Request.
 type Reply struct {
-	Status     int    `codec:"status"`                // HTTP status
-	Body       []byte `codec:"body,omitempty"`        // encoded body
-	RetryAfter int    `codec:"retry_after,omitempty"` // seconds; 0: no Retry-After header
-	// Final: a refusal that the leader has decided on. It goes to the client as it is,
-	// and the member that forwarded the request does not try by itself.
+	Status     int    `codec:"status"`                // HTTP status code
+	Body       []byte `codec:"body,omitempty"`        // encoded response body
+	RetryAfter int    `codec:"retry_after,omitempty"` // seconds; 0 means no Retry-After header
+	// Final marks a refusal that the leader has decided on. The follower passes it on to
+	// the client unchanged and does not handle the request itself.
 	Final bool `codec:"settled,omitempty"`
-	// HasTasks: the worker whose heartbeat is answered has tasks.
+	// HasTasks reports whether the worker that sent the heartbeat has tasks.
 	HasTasks bool `codec:"work,omitempty"`
 }
 
-// PromiseRequest is sent by a leader that the key-value store does not answer. It asks
-// a sibling not to campaign for the leadership for a while.
+// PromiseRequest is sent by a leader that gets no response from the key-value store. It
+// asks a sibling not to campaign for the leadership for a limited time.
 type PromiseRequest struct {
 	Leader string `codec:"leader"` // the leader's member name
 	Term   uint64 `codec:"term"`
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -14,7 +14,7 @@
 	"vetchstream/internal/wire"
 )
 
-// Names on the wire.
+// Names of the service and its methods on the wire, and the message size limit.
 const (
 	serviceName     = "vetchstream.Peer"
 	methodPing      = "Ping"
@@ -22,43 +22,45 @@
 	methodPromise   = "Promise"
 	methodFollow    = "Follow"
 	methodSync      = "Sync"
-	maxMessageBytes = 4 * wire.MaxBody // a client's body with what is around it
+	maxMessageBytes = 4 * wire.MaxBody // the largest body of a client, plus the enclosing message
 )
 
-// Settings of the server's connections. A sibling that is cut off is noticed by the
-// keepalive probes, as a cut gives no error.
+// Settings of the server's connections. The keepalive probes detect siblings behind a
+// network partition, which causes no connection error.
 const (
 	maxConcurrentStreams   = 200
 	serverKeepaliveTime    = 4 * time.Second
 	serverKeepaliveTimeout = 3 * time.Second
-	minClientKeepalive     = time.Second // clients that probe more often are disconnected
+	minClientKeepalive     = time.Second // the server disconnects clients that probe more often
 )
 
-// Handler answers the requests of siblings, and of the leaders of other regions.
+// Handler handles the calls of siblings and of the leaders of other regions.
 type Handler interface {
-	// NodeStatus answers a ping.
+	// NodeStatus returns the response to a ping.
 	NodeStatus() NodeStatus
-	// HandleForwarded answers a forwarded request as leader, and refuses it otherwise.
-	HandleForwarded(ctx context.Context, r *Request) *Reply
-	// SyncShard answers a shard holder's request as leader, and refuses it otherwise.
-	SyncShard(ctx context.Context, r *shard.Request) *shard.Reply
-	// FollowConfig answers the leader of another region as leader of the home region, and
-	// refuses it otherwise.
-	FollowConfig(ctx context.Context, r *dynconfig.Request) *dynconfig.Reply
-	// Promise answers a leader that asks this member not to campaign for a while.
-	Promise(ctx context.Context, r *PromiseRequest) *Promise
+	// HandleForwarded handles a forwarded request if this member leads, and refuses it
+	// otherwise.
+	HandleForwarded(ctx context.Context, request *Request) *Reply
+	// SyncShard handles a shard holder's request if this member leads, and refuses it
+	// otherwise.
+	SyncShard(ctx context.Context, request *shard.Request) *shard.Reply
+	// FollowConfig handles a request of another region's leader if this member leads the
+	// home region, and refuses it otherwise.
+	FollowConfig(ctx context.Context, request *dynconfig.Request) *dynconfig.Reply
+	// Promise handles a leader's request that this member not campaign for a limited time.
+	Promise(ctx context.Context, request *PromiseRequest) *Promise
 }
 
-// method describes a method of the service that passes its request to handle.
+// method returns the description of a method that passes its request to handle.
 func method[Req, Res any](name string, handle func(Handler, context.Context, *Req) *Res) grpc.MethodDesc {
 	return grpc.MethodDesc{
 		MethodName: name,
-		Handler: func(srv any, ctx context.Context, decode func(any) error, _ grpc.UnaryServerInterceptor) (any, error) {
-			req := new(Req)
-			if err := decode(req); err != nil {
+		Handler: func(handler any, ctx context.Context, decode func(any) error, _ grpc.UnaryServerInterceptor) (any, error) {
+			request := new(Req)
+			if err := decode(request); err != nil {
 				return nil, err
 			}
-			return handle(srv.(Handler), ctx, req), nil
+			return handle(handler.(Handler), ctx, request), nil
 		},
 	}
 }
@@ -78,9 +80,9 @@
 	},
 }
 
-// Serve answers other controllers on l until the context ends. It returns an error if
-// the listener fails before.
-func Serve(ctx context.Context, l net.Listener, h Handler) error {
+// Serve serves other controllers on listener until ctx is done. It returns an error if
+// the listener fails before that.
+func Serve(ctx context.Context, listener net.Listener, handler Handler) error {
 	server := grpc.NewServer(
 		grpc.MaxRecvMsgSize(maxMessageBytes),
 		grpc.MaxConcurrentStreams(maxConcurrentStreams),
@@ -92,11 +94,11 @@
 			MinTime:             minClientKeepalive,
 			PermitWithoutStream: true,
 		}))
-	server.RegisterService(&service, h)
+	server.RegisterService(&service, handler)
 	stop := context.AfterFunc(ctx, server.Stop)
 	defer stop()
-	if err := server.Serve(l); err != nil && ctx.Err() == nil {
-		return fmt.Errorf("peer: %w", err)
+	if err := server.Serve(listener); err != nil && ctx.Err() == nil {
+		return fmt.Errorf("serve other controllers: %w", err)
 	}
 	return nil
 }
