--- a/internal/fleet/explore_world_test.go
+++ b/internal/fleet/explore_world_test.go
@@ -227,7 +227,7 @@
 	if err != nil {
 		panic(err)
 	}
-	_, byHolder := w.holder.Report(m, body, w.now)
+	_, byHolder := w.holder.HandleHeartbeat(m, body, w.now)
 	switch byHolder {
 	case shard.GrantExpired:
 		return false
--- a/internal/node/shard_holder.go
+++ b/internal/node/shard_holder.go
@@ -219,7 +219,7 @@
 func (sh *shardHolder) receive(m *wire.Heartbeat, body []byte) receivedHeartbeat {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	orders, outcome := sh.holder.Report(m, body, time.Now())
+	orders, outcome := sh.holder.HandleHeartbeat(m, body, time.Now())
 	r := receivedHeartbeat{
 		outcome: outcome,
 		term:    sh.holder.Term(),
--- a/internal/shard/explore_test.go
+++ b/internal/shard/explore_test.go
@@ -87,7 +87,7 @@
 		for i := range w.holders {
 			w.seq[k]++
 			m := &wire.Heartbeat{Machine: w.names[k], Session: 1, Seq: w.seq[k]}
-			if _, v := w.holders[i].holder.Report(m, []byte{1}, w.now); v >= Answered {
+			if _, v := w.holders[i].holder.HandleHeartbeat(m, []byte{1}, w.now); v >= Answered {
 				w.lastAnswer[k] = w.now
 				return true
 			}
--- a/internal/shard/holder_reports.go
+++ b/internal/shard/holder_reports.go
@@ -68,10 +68,10 @@
 	fullReportAt uint64
 }
 
-// Report handles a report of a worker, whose encoded form is body. The orders of the
+// HandleHeartbeat handles a report of a worker, whose encoded form is body. The orders of the
 // answer are exits that the worker may forget. The leader's orders come by its answer
 // to a report that has changed, or by direct commands.
-func (h *Holder) Report(m *wire.Heartbeat, body []byte, now time.Time) ([]wire.Command, Outcome) {
+func (h *Holder) HandleHeartbeat(m *wire.Heartbeat, body []byte, now time.Time) ([]wire.Command, Outcome) {
 	hm := h.machines[m.Machine]
 	if hm == nil || hm.dropped {
 		return nil, NotHeld
--- a/internal/shard/holder_test.go
+++ b/internal/shard/holder_test.go
@@ -46,16 +46,16 @@
 	gone := wire.TaskStatus{Task: "run-1/0", Attempt: 3, Phase: wire.TaskExited, Cause: wire.CauseDone}
 	return []holderCase{
 		{"reports that say the same are told without their body", func(h *Holder, say func(string, ...any)) {
-			h.Report(rep(1), body, now)
+			h.HandleHeartbeat(rep(1), body, now)
 			q := h.Request(1, 1, false, now.Add(time.Second))
 			say("%d entries, body %d, age %d", len(q.Reports), len(q.Reports[0].Report), q.Reports[0].AgeMs)
 			h.HandleReply(&Reply{Term: 7, Number: 2, GrantMs: 2000}, now)
-			h.Report(rep(2), body, now)
+			h.HandleHeartbeat(rep(2), body, now)
 			q = h.Request(1, 1, false, now)
 			say("%d entries, body %d", len(q.Reports), len(q.Reports[0].Report))
 		}, "1 entries, body 1, age 1000; 1 entries, body 0"},
 		{"what was in a request without an answer is told again", func(h *Holder, say func(string, ...any)) {
-			h.Report(rep(1, gone), body, now)
+			h.HandleHeartbeat(rep(1, gone), body, now)
 			h.RecordCallResult(CallResult{ID: 4})
 			h.Request(1, 1, false, now)
 			h.RecordCallResult(CallResult{ID: 5})
@@ -81,15 +81,15 @@
 			}
 		}, "21 up to true; 21 up to true; 21 up to true; 21 up to true; 16 up to true"},
 		{"an exit is cleared once the leader has settled it, and a late word clears nothing", func(h *Holder, say func(string, ...any)) {
-			o, _ := h.Report(rep(1, gone), body, now)
+			o, _ := h.HandleHeartbeat(rep(1, gone), body, now)
 			say("%d orders", len(o))
 			settled := []ExitClearance{{Machine: "m", Commands: []wire.Command{{Verb: wire.CommandClear, Task: "run-1/0", Attempt: 3}}}}
 			h.HandleReply(&Reply{Term: 7, Number: 2, GrantMs: 2000, Clearances: settled}, now)
-			o, _ = h.Report(rep(2, gone), body, now)
+			o, _ = h.HandleHeartbeat(rep(2, gone), body, now)
 			say("%d orders", len(o))
-			h.Report(rep(3), body, now)
+			h.HandleHeartbeat(rep(3), body, now)
 			h.HandleReply(&Reply{Term: 7, Number: 3, GrantMs: 2000, Clearances: settled}, now)
-			o, _ = h.Report(rep(4, gone), body, now) // the same attempt of a gang once more
+			o, _ = h.HandleHeartbeat(rep(4, gone), body, now) // the same attempt of a gang once more
 			say("%d orders", len(o))
 		}, "0 orders; 1 orders; 0 orders"},
 	}
@@ -111,7 +111,7 @@
 				h.HandleReply(&Reply{Term: 7, Number: n, GrantMs: 2000}, now)
 			}
 			required := func(seq uint64, tasks ...wire.TaskStatus) {
-				_, v := h.Report(rep(seq, tasks...), body, now)
+				_, v := h.HandleHeartbeat(rep(seq, tasks...), body, now)
 				say("%v", v == LeaderRequired)
 			}
 			required(1, gone)
@@ -125,7 +125,7 @@
 			required(6, runs)
 		}, "false; true; true; false; false; true"},
 		{"no answer without a valid grant, for a late report, or below the worker's token", func(h *Holder, say func(string, ...any)) {
-			verdict := func(m *wire.Heartbeat, at time.Time) { _, v := h.Report(m, body, at); say("%d", v) }
+			verdict := func(m *wire.Heartbeat, at time.Time) { _, v := h.HandleHeartbeat(m, body, at); say("%d", v) }
 			verdict(rep(5), now)
 			verdict(rep(4), now)
 			verdict(rep(6), now.Add(2*time.Second))
@@ -147,19 +147,19 @@
 	}
 	return []holderCase{
 		{"a machine that was taken away is told of, then forgotten; one that comes back is told in full", func(h *Holder, say func(string, ...any)) {
-			h.Report(rep(1), body, now)
+			h.HandleHeartbeat(rep(1), body, now)
 			h.HandleReply(&Reply{Term: 7, Number: 2, GrantMs: 2000, Drop: []string{"m"}}, now)
-			_, v := h.Report(rep(2), body, now)
+			_, v := h.HandleHeartbeat(rep(2), body, now)
 			q := h.Request(1, 1, false, now)
 			say("%d, %d entries", v, len(q.Reports))
 			h.HandleReply(&Reply{Term: 7, Number: 3, GrantMs: 2000}, now)
 			say("%d machines", len(h.machines))
 			h.HandleReply(&Reply{Term: 7, Number: 4, GrantMs: 2000, Add: []string{"m"}}, now)
-			h.Report(rep(3), body, now)
+			h.HandleHeartbeat(rep(3), body, now)
 			say("body %d", len(h.Request(1, 1, false, now).Reports[0].Report))
 		}, "0, 1 entries; 0 machines; body 1"},
 		{"a new term ends the grant, and is told what there was", func(h *Holder, say func(string, ...any)) {
-			h.Report(rep(1), body, now)
+			h.HandleHeartbeat(rep(1), body, now)
 			h.EndTerm()
 			say("%v, %v", h.GrantValid(7, now), h.Request(1, 1, false, now).PreviousMachines)
 			h.HandleReply(&Reply{Term: 8, Number: 1, GrantMs: 2000, Add: []string{"m"}}, now)
--- a/internal/shard/shard_test.go
+++ b/internal/shard/shard_test.go
@@ -76,7 +76,7 @@
 		m := &wire.Heartbeat{Machine: name, Session: 1, Seq: b.seq}
 		served := false
 		for member, h := range b.holders {
-			if _, v := h.Report(m, []byte{1}, b.now); v >= Answered && !b.down[member] {
+			if _, v := h.HandleHeartbeat(m, []byte{1}, b.now); v >= Answered && !b.down[member] {
 				served = true
 				b.assigner.ConfirmContact(name)
 			}
