--- a/internal/control/shards.go
+++ b/internal/control/shards.go
@@ -119,7 +119,7 @@
 	if sh.assigner == nil {
 		return true
 	}
-	route, member := sh.assigner.RouteReport(heartbeat.Machine, heartbeat.Zone, time.Now())
+	route, member := sh.assigner.RouteHeartbeat(heartbeat.Machine, heartbeat.Zone, time.Now())
 	switch route {
 	case shard.Redirect:
 		respond(reply(http.StatusMisdirectedRequest, wire.Redirect{ReportTo: member}))
--- a/internal/fleet/explore_world_test.go
+++ b/internal/fleet/explore_world_test.go
@@ -247,7 +247,7 @@
 		}
 		return true
 	}
-	if r, _ := w.assigner.RouteReport("host-1", "", w.now); r != shard.Serve || outcome == reportAnsweredLate {
+	if r, _ := w.assigner.RouteHeartbeat("host-1", "", w.now); r != shard.Serve || outcome == reportAnsweredLate {
 		return false
 	}
 	fresh := w.observe(m, true)
--- a/internal/shard/explore_test.go
+++ b/internal/shard/explore_test.go
@@ -76,7 +76,7 @@
 	{Name: "end", Do: func(w *world, i int) bool { w.startHolder(i); return true }, Count: 1},
 	{Name: "report", Do: func(w *world, k int) bool {
 		if w.entitled() {
-			if r, _ := w.leader.RouteReport(w.names[k], "", w.now); r == Serve {
+			if r, _ := w.leader.RouteHeartbeat(w.names[k], "", w.now); r == Serve {
 				w.leader.ReportServed(w.names[k], "", w.now)
 			}
 		}
--- a/internal/shard/routing.go
+++ b/internal/shard/routing.go
@@ -40,9 +40,9 @@
 	minUnreached     = 3
 )
 
-// RouteReport decides who answers a report that has come to the leader; for Send it
+// RouteHeartbeat decides who answers a report that has come to the leader; for Send it
 // names the holder.
-func (a *Assigner) RouteReport(name, zone string, now time.Time) (route Route, holder string) {
+func (a *Assigner) RouteHeartbeat(name, zone string, now time.Time) (route Route, holder string) {
 	mc := a.machines[name]
 	if mc == nil {
 		mc = &machine{name: name, zone: zone, neverAssigned: true}
