--- a/internal/control/shards.go
+++ b/internal/control/shards.go
@@ -144,7 +144,7 @@
 		return
 	}
 	sh.retain(machine, now)
-	sh.assigner.ReportServed(machine.Name, via, now)
+	sh.assigner.HeartbeatServed(machine.Name, via, now)
 	sh.bindHolder(machine)
 }
 
--- a/internal/fleet/explore_world_test.go
+++ b/internal/fleet/explore_world_test.go
@@ -253,7 +253,7 @@
 	fresh := w.observe(m, true)
 	receive(w.answer(m, fresh))
 	w.retainBeforeLimit()
-	w.assigner.ReportServed("host-1", "", w.now)
+	w.assigner.HeartbeatServed("host-1", "", w.now)
 	w.setHolder()
 	return true
 }
--- a/internal/shard/explore_test.go
+++ b/internal/shard/explore_test.go
@@ -77,7 +77,7 @@
 	{Name: "report", Do: func(w *world, k int) bool {
 		if w.entitled() {
 			if r, _ := w.leader.RouteHeartbeat(w.names[k], "", w.now); r == Serve {
-				w.leader.ReportServed(w.names[k], "", w.now)
+				w.leader.HeartbeatServed(w.names[k], "", w.now)
 			}
 		}
 		return true
--- a/internal/shard/routing.go
+++ b/internal/shard/routing.go
@@ -93,12 +93,12 @@
 	}
 }
 
-// ReportServed notes that the leader has answered a machine's report. This is when the
+// HeartbeatServed notes that the leader has answered a machine's report. This is when the
 // machine may be assigned to a member: it then holds the machine before the next
 // report. via is the member that has forwarded the report, empty if it came from the
 // worker. A leader that is cut off from its workers assigns their machines to members
 // that are not.
-func (a *Assigner) ReportServed(name, via string, now time.Time) {
+func (a *Assigner) HeartbeatServed(name, via string, now time.Time) {
 	mc := a.machines[name]
 	if mc == nil || mc.phase != heldByLeader || mc.retained || len(a.machines) < a.settings.MinMachines {
 		return
--- a/internal/shard/shard_test.go
+++ b/internal/shard/shard_test.go
@@ -83,7 +83,7 @@
 		}
 		if !served {
 			if r, _ := b.assigner.RouteHeartbeat(name, zones[i%3], b.now); r == Serve {
-				b.assigner.ReportServed(name, b.forwarder, b.now)
+				b.assigner.HeartbeatServed(name, b.forwarder, b.now)
 			}
 		}
 	}
