--- a/internal/fleet/explore_world_test.go
+++ b/internal/fleet/explore_world_test.go
@@ -234,7 +234,7 @@
 	case shard.Answered:
 		receive(&wire.HeartbeatResponse{Token: w.holder.Term()})
 		return true
-	case shard.ReportChanged, shard.LeaderRequired:
+	case shard.HeartbeatChanged, shard.LeaderRequired:
 		if outcome != reportAnsweredLate && w.holder.Term() == w.fleet.Term {
 			w.syncHolder()
 			if w.machine.Holder() != nil {
@@ -242,7 +242,7 @@
 				return true
 			}
 		}
-		if byHolder == shard.ReportChanged || w.disabled == holderReportsTasksFirst {
+		if byHolder == shard.HeartbeatChanged || w.disabled == holderReportsTasksFirst {
 			receive(&wire.HeartbeatResponse{Token: w.holder.Term()})
 		}
 		return true
--- a/internal/node/shard_holder.go
+++ b/internal/node/shard_holder.go
@@ -225,7 +225,7 @@
 		term:    sh.holder.Term(),
 		orders:  orders,
 	}
-	if outcome >= shard.ReportChanged {
+	if outcome >= shard.HeartbeatChanged {
 		r.pending = pendingHeartbeat{
 			session: m.Session,
 			seq:     m.Seq,
@@ -254,7 +254,7 @@
 		return control.Unavailable("the leader has not renewed this node's grant")
 	}
 	orders := r.orders
-	if r.outcome >= shard.ReportChanged {
+	if r.outcome >= shard.HeartbeatChanged {
 		patience := answerPatience
 		if r.outcome == shard.LeaderRequired {
 			patience = requiredAnswerPatience
--- a/internal/shard/holder_reports.go
+++ b/internal/shard/holder_reports.go
@@ -22,9 +22,9 @@
 	GrantExpired
 	// Answered means that the orders are the answer.
 	Answered
-	// ReportChanged means that the report differs from the one before. The worker waits
+	// HeartbeatChanged means that the report differs from the one before. The worker waits
 	// for the leader's answer; if none comes in time, the orders are the answer.
-	ReportChanged
+	HeartbeatChanged
 	// LeaderRequired means that the report shows a task that the leader has not
 	// acknowledged. It may be of a cancelled job, which only an answer of the leader
 	// halts: the holder gives none of its own.
@@ -100,7 +100,7 @@
 	outcome := Answered
 	d := digest(m)
 	if !hm.hasDigest || d != hm.digest || m.NoticeS != nil {
-		outcome = ReportChanged
+		outcome = HeartbeatChanged
 		hm.recordTasks(m)
 	}
 	if hm.hasUnacknowledgedTask() {
