--- a/internal/control/shards_relay.go
+++ b/internal/control/shards_relay.go
@@ -75,7 +75,7 @@
 	sh.mailboxes[command.member].inFlight--
 	result := DirectResult{
 		Status:  callResult.Status,
-		Body:    callResult.Report,
+		Body:    callResult.Heartbeat,
 		Reached: callResult.Reached,
 	}
 	sh.commands.finishCall(command.machine, result, nil, command.slots)
--- a/internal/control/shards_sync.go
+++ b/internal/control/shards_sync.go
@@ -136,9 +136,9 @@
 		return
 	}
 	sh.assigner.ConfirmContact(report.Machine)
-	if len(report.Report) > 0 {
+	if len(report.Heartbeat) > 0 {
 		heartbeat := &wire.Heartbeat{}
-		if err := wire.Unmarshal(report.Report, heartbeat); err != nil || heartbeat.Machine != report.Machine {
+		if err := wire.Unmarshal(report.Heartbeat, heartbeat); err != nil || heartbeat.Machine != report.Machine {
 			return // not expected: the holder has already decoded the heartbeat
 		}
 		fresh, ok := sh.taskTracker.observe(machine, heartbeat, true, now)
--- a/internal/control/shards_test.go
+++ b/internal/control/shards_test.go
@@ -67,9 +67,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	lt.shards.handleMachineReport(&mailbox{}, &shard.MachineReport{Machine: "h1", Session: 1, Seq: 10, Report: encoded}, now)
+	lt.shards.handleMachineReport(&mailbox{}, &shard.MachineReport{Machine: "h1", Session: 1, Seq: 10, Heartbeat: encoded}, now)
 	now = now.Add(8 * time.Second)
-	lt.shards.handleMachineReport(&mailbox{}, &shard.MachineReport{Machine: "h1", Session: 1, Seq: 11, Report: encoded}, now)
+	lt.shards.handleMachineReport(&mailbox{}, &shard.MachineReport{Machine: "h1", Session: 1, Seq: 11, Heartbeat: encoded}, now)
 	now = now.Add(5 * time.Second)
 	if lt.fleet.ExpireLeases(now); machine.Lost {
 		t.Error("the machine is lost 5 s after a heartbeat that the holder answered")
--- a/internal/fleet/explore_world_test.go
+++ b/internal/fleet/explore_world_test.go
@@ -293,9 +293,9 @@
 // handleMachineReport handles a report that the holder has answered, in the leader.
 func (w *world) handleMachineReport(report *shard.MachineReport) {
 	w.assigner.ConfirmContact(report.Machine)
-	if len(report.Report) > 0 {
+	if len(report.Heartbeat) > 0 {
 		message := &wire.Heartbeat{}
-		if err := wire.Unmarshal(report.Report, message); err != nil {
+		if err := wire.Unmarshal(report.Heartbeat, message); err != nil {
 			panic(err)
 		}
 		w.observe(message, true)
--- a/internal/node/shard_holder.go
+++ b/internal/node/shard_holder.go
@@ -171,10 +171,10 @@
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	sh.holder.RecordCallResult(shard.CallResult{
-		ID:      call.ID,
-		Status:  result.Status,
-		Reached: result.Reached,
-		Report:  result.Body,
+		ID:        call.ID,
+		Status:    result.Status,
+		Reached:   result.Reached,
+		Heartbeat: result.Body,
 	})
 }
 
--- a/internal/shard/holder.go
+++ b/internal/shard/holder.go
@@ -91,7 +91,7 @@
 		if size > maxCallResultBytes {
 			break
 		}
-		size += itemOverheadBytes + len(h.callResults[i].Report)
+		size += itemOverheadBytes + len(h.callResults[i].Heartbeat)
 		r.CallResults = append(r.CallResults, h.callResults[i])
 		h.callResultsInFlight++
 	}
@@ -116,9 +116,9 @@
 			AgeMs:   now.Sub(hm.reportedAt).Milliseconds(),
 		}
 		if hm.fullReportAt > hm.acknowledgedReport {
-			report.Report = hm.fullReport
+			report.Heartbeat = hm.fullReport
 		}
-		size += itemOverheadBytes + len(report.Report)
+		size += itemOverheadBytes + len(report.Heartbeat)
 		h.reportsInFlight[name] = hm.lastReport
 		r.Reports = append(r.Reports, report)
 	}
--- a/internal/shard/holder_test.go
+++ b/internal/shard/holder_test.go
@@ -48,11 +48,11 @@
 		{"reports that say the same are told without their body", func(h *Holder, say func(string, ...any)) {
 			h.HandleHeartbeat(rep(1), body, now)
 			q := h.Request(1, 1, false, now.Add(time.Second))
-			say("%d entries, body %d, age %d", len(q.Reports), len(q.Reports[0].Report), q.Reports[0].AgeMs)
+			say("%d entries, body %d, age %d", len(q.Reports), len(q.Reports[0].Heartbeat), q.Reports[0].AgeMs)
 			h.HandleReply(&Reply{Term: 7, Number: 2, GrantMs: 2000}, now)
 			h.HandleHeartbeat(rep(2), body, now)
 			q = h.Request(1, 1, false, now)
-			say("%d entries, body %d", len(q.Reports), len(q.Reports[0].Report))
+			say("%d entries, body %d", len(q.Reports), len(q.Reports[0].Heartbeat))
 		}, "1 entries, body 1, age 1000; 1 entries, body 0"},
 		{"what was in a request without an answer is told again", func(h *Holder, say func(string, ...any)) {
 			h.HandleHeartbeat(rep(1, gone), body, now)
@@ -61,20 +61,20 @@
 			h.RecordCallResult(CallResult{ID: 5})
 			h.RequestFailed()
 			q := h.Request(1, 1, false, now)
-			say("%d entries, body %d, %d done", len(q.Reports), len(q.Reports[0].Report), len(q.CallResults))
+			say("%d entries, body %d, %d done", len(q.Reports), len(q.Reports[0].Heartbeat), len(q.CallResults))
 			h.HandleReply(&Reply{Term: 7, Number: 2, GrantMs: 2000}, now)
 			q = h.Request(1, 1, false, now)
 			say("%d entries, %d done", len(q.Reports), len(q.CallResults))
 		}, "1 entries, body 1, 2 done; 0 entries, 0 done"},
 		{"a request stays below what the leader takes; the rest comes next", func(h *Holder, say func(string, ...any)) {
 			for i := range 100 {
-				h.RecordCallResult(CallResult{ID: uint64(i), Report: make([]byte, 3<<10)})
+				h.RecordCallResult(CallResult{ID: uint64(i), Heartbeat: make([]byte, 3<<10)})
 			}
 			for n := uint64(2); n < 7; n++ {
 				size := 0
 				q := h.Request(1, 1, false, now)
 				for _, d := range q.CallResults {
-					size += len(d.Report)
+					size += len(d.Heartbeat)
 				}
 				say("%d up to %v", len(q.CallResults), size <= maxCallResultBytes+3<<10)
 				h.HandleReply(&Reply{Term: 7, Number: n, GrantMs: 2000}, now)
@@ -156,7 +156,7 @@
 			say("%d machines", len(h.machines))
 			h.HandleReply(&Reply{Term: 7, Number: 4, GrantMs: 2000, Add: []string{"m"}}, now)
 			h.HandleHeartbeat(rep(3), body, now)
-			say("body %d", len(h.Request(1, 1, false, now).Reports[0].Report))
+			say("body %d", len(h.Request(1, 1, false, now).Reports[0].Heartbeat))
 		}, "0, 1 entries; 0 machines; body 1"},
 		{"a new term ends the grant, and is told what there was", func(h *Holder, say func(string, ...any)) {
 			h.HandleHeartbeat(rep(1), body, now)
--- a/internal/shard/message.go
+++ b/internal/shard/message.go
@@ -45,9 +45,9 @@
 	Seq     uint64 `codec:"tick"`
 	// AgeMs is how long before the request the report came, in milliseconds.
 	AgeMs int64 `codec:"age_ms"`
-	// Report is the encoded report; empty: it differs from the last one in its number
+	// Heartbeat is the encoded report; empty: it differs from the last one in its number
 	// alone.
-	Report []byte `codec:"report,omitempty"`
+	Heartbeat []byte `codec:"report,omitempty"`
 }
 
 // Call is a direct command that the holder is to send.
@@ -66,8 +66,8 @@
 	Status int    `codec:"status"`
 	// Reached: the command may have reached the worker.
 	Reached bool `codec:"reached,omitempty"`
-	// Report is the worker's encoded answer; empty: none.
-	Report []byte `codec:"report,omitempty"`
+	// Heartbeat is the worker's encoded answer; empty: none.
+	Heartbeat []byte `codec:"report,omitempty"`
 }
 
 // Answer is the leader's answer to a report that has changed. The holder sends it if
