--- a/internal/shard/assigner.go
+++ b/internal/shard/assigner.go
@@ -52,11 +52,11 @@
 	movesAllowedAt time.Time
 	rebalancedAt   time.Time
 	steppedAt      time.Time
-	// directReportAt and forwardedReportAt are when a report last came to the leader
+	// directHeartbeatAt and forwardedReportAt are when a report last came to the leader
 	// itself, and through a member.
-	directReportAt    time.Time
-	forwardedReportAt time.Time
-	noExpiryBefore    time.Time // no member counts as silent before
+	directHeartbeatAt    time.Time
+	forwardedHeartbeatAt time.Time
+	noExpiryBefore       time.Time // no member counts as silent before
 }
 
 // NewAssigner makes the assignment of a term that has just begun: the leader deals with
--- a/internal/shard/rebalance.go
+++ b/internal/shard/rebalance.go
@@ -114,7 +114,7 @@
 // its workers has no capacity.
 func (a *Assigner) updateLeader(c *candidate, now time.Time) {
 	c.capacity = a.settings.LeaderCapacity
-	if now.Sub(a.directReportAt) > leaderCutOffTimeout && now.Sub(a.forwardedReportAt) < leaderCutOffTimeout {
+	if now.Sub(a.directHeartbeatAt) > leaderCutOffTimeout && now.Sub(a.forwardedHeartbeatAt) < leaderCutOffTimeout {
 		c.capacity = 0
 	}
 	c.load = len(a.machines)
--- a/internal/shard/routing.go
+++ b/internal/shard/routing.go
@@ -106,9 +106,9 @@
 	if via != "" {
 		mc.pinned = via
 		mc.pinnedUntil = now.Add(pinDuration)
-		a.forwardedReportAt = now
+		a.forwardedHeartbeatAt = now
 	} else {
-		a.directReportAt = now
+		a.directHeartbeatAt = now
 	}
 	a.updateCandidates(now)
 	if len(a.candidates) == 1 {
