--- a/internal/shard/explore_test.go
+++ b/internal/shard/explore_test.go
@@ -175,7 +175,7 @@
 		}
 		for _, n := range w.names {
 			if k := s.holder.machines[n]; k != nil {
-				p.Values(n, k.dropped, k.lastReport-k.acknowledgedReport)
+				p.Values(n, k.dropped, k.lastHeartbeat-k.acknowledgedHeartbeat)
 			}
 		}
 		if m := a.members[fmt.Sprintf("h%d", i)]; m != nil {
--- a/internal/shard/holder.go
+++ b/internal/shard/holder.go
@@ -102,7 +102,7 @@
 func (h *Holder) addReports(r *Request, size int, now time.Time) {
 	h.reportsInFlight = map[string]uint64{}
 	for name, hm := range h.machines {
-		if hm.lastReport == hm.acknowledgedReport {
+		if hm.lastHeartbeat == hm.acknowledgedHeartbeat {
 			continue
 		}
 		if size > maxReportBytes {
@@ -113,13 +113,13 @@
 			Machine: name,
 			Session: hm.session,
 			Seq:     hm.seq,
-			AgeMs:   now.Sub(hm.reportedAt).Milliseconds(),
+			AgeMs:   now.Sub(hm.heartbeatAt).Milliseconds(),
 		}
-		if hm.fullReportAt > hm.acknowledgedReport {
-			report.Heartbeat = hm.fullReport
+		if hm.fullHeartbeatNumber > hm.acknowledgedHeartbeat {
+			report.Heartbeat = hm.fullHeartbeat
 		}
 		size += itemOverheadBytes + len(report.Heartbeat)
-		h.reportsInFlight[name] = hm.lastReport
+		h.reportsInFlight[name] = hm.lastHeartbeat
 		r.Reports = append(r.Reports, report)
 	}
 }
@@ -197,7 +197,7 @@
 		}
 	}
 	for name, hm := range h.machines {
-		if hm.dropped && hm.acknowledgedReport == hm.lastReport {
+		if hm.dropped && hm.acknowledgedHeartbeat == hm.lastHeartbeat {
 			delete(h.machines, name)
 		}
 	}
--- a/internal/shard/holder_reports.go
+++ b/internal/shard/holder_reports.go
@@ -43,11 +43,11 @@
 	// acknowledged what it reported before.
 	dropped bool
 
-	session    uint64    // of the last report
-	seq        uint64    // of the last report
-	reportedAt time.Time // when the last report came
-	digest     uint64    // of the last report
-	hasDigest  bool      // there was a report since the machine was added
+	session     uint64    // of the last report
+	seq         uint64    // of the last report
+	heartbeatAt time.Time // when the last report came
+	digest      uint64    // of the last report
+	hasDigest   bool      // there was a report since the machine was added
 
 	// tasks are the tasks of the last report in full that have not exited, reportedExits
 	// those that have.
@@ -58,14 +58,14 @@
 	// acknowledgedTasks are the tasks of the last report that the leader has acknowledged.
 	acknowledgedTasks []placement
 
-	// lastReport counts the reports; acknowledgedReport is the last one that the leader
+	// lastHeartbeat counts the reports; acknowledgedReport is the last one that the leader
 	// has acknowledged.
-	lastReport         uint64
-	acknowledgedReport uint64
-	// fullReport is the encoded report number fullReportAt, the last one that differs from
+	lastHeartbeat         uint64
+	acknowledgedHeartbeat uint64
+	// fullHeartbeat is the encoded report number fullReportAt, the last one that differs from
 	// the one before. It is sent to the leader until that is acknowledged.
-	fullReport   []byte
-	fullReportAt uint64
+	fullHeartbeat       []byte
+	fullHeartbeatNumber uint64
 }
 
 // HandleHeartbeat handles a report of a worker, whose encoded form is body. The orders of the
@@ -85,12 +85,12 @@
 	}
 	hm.session = m.Session
 	hm.seq = m.Seq
-	hm.reportedAt = now
-	hm.lastReport++
+	hm.heartbeatAt = now
+	hm.lastHeartbeat++
 	outcome := hm.compare(m)
 	if outcome != Answered {
-		hm.fullReport = slices.Clone(body)
-		hm.fullReportAt = hm.lastReport
+		hm.fullHeartbeat = slices.Clone(body)
+		hm.fullHeartbeatNumber = hm.lastHeartbeat
 	}
 	return hm.clearCommands(), outcome
 }
@@ -136,8 +136,8 @@
 
 // acknowledge notes that the leader has acknowledged the reports up to that number.
 func (hm *heldMachine) acknowledge(report uint64) {
-	hm.acknowledgedReport = max(hm.acknowledgedReport, report)
-	if hm.acknowledgedReport >= hm.fullReportAt {
+	hm.acknowledgedHeartbeat = max(hm.acknowledgedHeartbeat, report)
+	if hm.acknowledgedHeartbeat >= hm.fullHeartbeatNumber {
 		hm.acknowledgedTasks = append(hm.acknowledgedTasks[:0], hm.tasks...)
 	}
 }
