--- a/internal/shard/holder_reports.go
+++ b/internal/shard/holder_reports.go
@@ -31,8 +31,8 @@
 	LeaderRequired
 )
 
-// placement names an attempt at a task on a machine.
-type placement struct {
+// taskAttempt names an attempt at a task on a machine.
+type taskAttempt struct {
 	task    string
 	attempt uint64
 }
@@ -51,12 +51,12 @@
 
 	// tasks are the tasks of the last report in full that have not exited, reportedExits
 	// those that have.
-	tasks         []placement
-	reportedExits []placement
+	tasks         []taskAttempt
+	reportedExits []taskAttempt
 	// settledExits are the exits that the worker may forget.
-	settledExits []placement
+	settledExits []taskAttempt
 	// acknowledgedTasks are the tasks of the last report that the leader has acknowledged.
-	acknowledgedTasks []placement
+	acknowledgedTasks []taskAttempt
 
 	// lastHeartbeat counts the reports; acknowledgedReport is the last one that the leader
 	// has acknowledged.
@@ -119,7 +119,7 @@
 	hm.tasks = hm.tasks[:0]
 	for i := range m.Tasks {
 		t := &m.Tasks[i]
-		p := placement{task: t.Task, attempt: t.Attempt}
+		p := taskAttempt{task: t.Task, attempt: t.Attempt}
 		if t.Phase == wire.TaskExited {
 			hm.reportedExits = append(hm.reportedExits, p)
 		} else {
@@ -131,7 +131,7 @@
 // hasUnacknowledgedTask reports whether the last report shows a task that the leader
 // has not acknowledged.
 func (hm *heldMachine) hasUnacknowledgedTask() bool {
-	return slices.ContainsFunc(hm.tasks, func(t placement) bool { return !slices.Contains(hm.acknowledgedTasks, t) })
+	return slices.ContainsFunc(hm.tasks, func(t taskAttempt) bool { return !slices.Contains(hm.acknowledgedTasks, t) })
 }
 
 // acknowledge notes that the leader has acknowledged the reports up to that number.
@@ -147,7 +147,7 @@
 // come back.
 func (hm *heldMachine) recordSettledExits(clears []wire.Command) {
 	for _, order := range clears {
-		exit := placement{task: order.Task, attempt: order.Attempt}
+		exit := taskAttempt{task: order.Task, attempt: order.Attempt}
 		if slices.Contains(hm.reportedExits, exit) && !slices.Contains(hm.settledExits, exit) {
 			hm.settledExits = append(hm.settledExits, exit)
 		}
@@ -156,7 +156,7 @@
 
 // clearCommands are the orders to forget the settled exits that the worker still reports.
 func (hm *heldMachine) clearCommands() []wire.Command {
-	hm.settledExits = slices.DeleteFunc(hm.settledExits, func(e placement) bool { return !slices.Contains(hm.reportedExits, e) })
+	hm.settledExits = slices.DeleteFunc(hm.settledExits, func(e taskAttempt) bool { return !slices.Contains(hm.reportedExits, e) })
 	orders := []wire.Command{}
 	for _, exit := range hm.settledExits {
 		orders = append(orders, wire.Command{Verb: wire.CommandClear, Task: exit.task, Attempt: exit.attempt})
