--- a/internal/shard/assigner.go
+++ b/internal/shard/assigner.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// machine is a machine of the fleet as the Assigner knows it.
-type machine struct {
+// machineState is a machineState of the fleet as the Assigner knows it.
+type machineState struct {
 	name, zone string
 	holder     *member // nil in phase heldByLeader
 	phase      handoverPhase
@@ -41,7 +41,7 @@
 	zone     string
 	settings Settings
 	members  map[string]*member
-	machines map[string]*machine
+	machines map[string]*machineState
 	moves    int // changes of holder
 
 	candidates      []*candidate
@@ -68,7 +68,7 @@
 		zone:            zone,
 		settings:        settings,
 		members:         map[string]*member{},
-		machines:        map[string]*machine{},
+		machines:        map[string]*machineState{},
 		candidatesStale: true,
 		movesAllowedAt:  now,
 		steppedAt:       now,
@@ -112,7 +112,7 @@
 // AddMachine adds a machine that has not reported yet.
 func (a *Assigner) AddMachine(name, zone string) {
 	if a.machines[name] == nil {
-		a.machines[name] = &machine{name: name, zone: zone}
+		a.machines[name] = &machineState{name: name, zone: zone}
 	}
 }
 
--- a/internal/shard/handover.go
+++ b/internal/shard/handover.go
@@ -49,7 +49,7 @@
 }
 
 // assign begins to hand a machine over to a member.
-func (a *Assigner) assign(mc *machine, m *member, reason string, now time.Time) {
+func (a *Assigner) assign(mc *machineState, m *member, reason string, now time.Time) {
 	mc.holder = m
 	mc.phase = assigning
 	mc.announcedIn = 0
@@ -67,7 +67,7 @@
 }
 
 // revoke begins to take a machine back from its holder.
-func (a *Assigner) revoke(mc *machine, reason string, now time.Time) {
+func (a *Assigner) revoke(mc *machineState, reason string, now time.Time) {
 	if mc.phase == heldByLeader || mc.phase == revoking {
 		return
 	}
@@ -80,7 +80,7 @@
 
 // returnToLeader returns a machine to the leader; its holder may have answered it until the
 // given time.
-func (a *Assigner) returnToLeader(mc *machine, until time.Time) Revocation {
+func (a *Assigner) returnToLeader(mc *machineState, until time.Time) Revocation {
 	revocation := Revocation{Name: mc.name, From: mc.holder.name, Reason: mc.reason, Until: until, Since: mc.since}
 	delete(mc.holder.machines, mc)
 	delete(mc.holder.pending, mc)
--- a/internal/shard/members.go
+++ b/internal/shard/members.go
@@ -45,8 +45,8 @@
 	capacity        int         // machines that it can deal with
 	overloadedSince time.Time   // zero: it is not overloaded
 	unreachedAt     []time.Time // when workers were found not to reach it
-	machines        map[*machine]struct{}
-	pending         map[*machine]struct{} // those of machines in phase assigning or revoking
+	machines        map[*machineState]struct{}
+	pending         map[*machineState]struct{} // those of machines in phase assigning or revoking
 	// needsReset: the member has to forget what it held. resetInReply is the number of
 	// the first reply that says so. The acknowledgement of an earlier reply, which may
 	// have added machines, does not count: the member would retain machines that are
@@ -64,8 +64,8 @@
 		contactSince: now,
 		ackedAt:      now,
 		replyTimes:   map[uint64]time.Time{},
-		machines:     map[*machine]struct{}{},
-		pending:      map[*machine]struct{}{},
+		machines:     map[*machineState]struct{}{},
+		pending:      map[*machineState]struct{}{},
 		needsReset:   true,
 	}
 }
--- a/internal/shard/rebalance.go
+++ b/internal/shard/rebalance.go
@@ -43,7 +43,7 @@
 
 // moveReason is why a machine is to leave its holder; empty: it is not. A machine that
 // is to have another holder counts as load of that one.
-func (a *Assigner) moveReason(mc *machine, smallFleet bool, now time.Time) string {
+func (a *Assigner) moveReason(mc *machineState, smallFleet bool, now time.Time) string {
 	if mc.holder.leavingReason != "" {
 		return mc.holder.leavingReason
 	}
@@ -126,7 +126,7 @@
 // target is the candidate that should hold a machine: the first in its ranking that is
 // below its bound. The current holder retains the machine while it is within its
 // bound, unless the very first of the ranking is below its own.
-func (a *Assigner) target(mc *machine, now time.Time) *candidate {
+func (a *Assigner) target(mc *machineState, now time.Time) *candidate {
 	if mc.rankedEpoch != a.candidatesEpoch {
 		mc.ranked = rank(mc.name, mc.zone, a.candidates)
 		mc.rankedEpoch = a.candidatesEpoch
--- a/internal/shard/routing.go
+++ b/internal/shard/routing.go
@@ -45,7 +45,7 @@
 func (a *Assigner) RouteHeartbeat(name, zone string, now time.Time) (route Route, holder string) {
 	mc := a.machines[name]
 	if mc == nil {
-		mc = &machine{name: name, zone: zone, neverAssigned: true}
+		mc = &machineState{name: name, zone: zone, neverAssigned: true}
 		a.machines[name] = mc
 	}
 	if mc.zone != zone && zone != "" {
@@ -62,7 +62,7 @@
 }
 
 // routeToHolder decides on a report of a machine that a member holds.
-func (a *Assigner) routeToHolder(mc *machine, now time.Time) (Route, string) {
+func (a *Assigner) routeToHolder(mc *machineState, now time.Time) (Route, string) {
 	if now.Sub(mc.holder.lastRequestAt) > maxContactGap {
 		return Wait, "" // the holder may have ended: its machines are free when its grant ends
 	}
@@ -76,7 +76,7 @@
 
 // recordUnreached revokes a machine whose worker does not reach its holder. A holder
 // that many workers do not reach leaves.
-func (a *Assigner) recordUnreached(mc *machine, now time.Time) {
+func (a *Assigner) recordUnreached(mc *machineState, now time.Time) {
 	m := mc.holder
 	a.revoke(mc, "its worker does not reach the holder", now)
 	m.unreachedAt = slices.DeleteFunc(m.unreachedAt, func(t time.Time) bool { return now.Sub(t) > redirectTimeout })
