--- a/internal/shard/assigner.go
+++ b/internal/shard/assigner.go
@@ -8,7 +8,7 @@
 // machineState is a machineState of the fleet as the Assigner knows it.
 type machineState struct {
 	name, zone string
-	holder     *member // nil in phase heldByLeader
+	holder     *memberState // nil in phase heldByLeader
 	phase      handoverPhase
 	// announcedIn is the number of the first reply to the holder that carried the current
 	// phase; 0: none has.
@@ -40,7 +40,7 @@
 	name     string // member name of the leader
 	zone     string
 	settings Settings
-	members  map[string]*member
+	members  map[string]*memberState
 	machines map[string]*machineState
 	moves    int // changes of holder
 
@@ -67,7 +67,7 @@
 		name:            name,
 		zone:            zone,
 		settings:        settings,
-		members:         map[string]*member{},
+		members:         map[string]*memberState{},
 		machines:        map[string]*machineState{},
 		candidatesStale: true,
 		movesAllowedAt:  now,
--- a/internal/shard/handover.go
+++ b/internal/shard/handover.go
@@ -49,7 +49,7 @@
 }
 
 // assign begins to hand a machine over to a member.
-func (a *Assigner) assign(mc *machineState, m *member, reason string, now time.Time) {
+func (a *Assigner) assign(mc *machineState, m *memberState, reason string, now time.Time) {
 	mc.holder = m
 	mc.phase = assigning
 	mc.announcedIn = 0
--- a/internal/shard/members.go
+++ b/internal/shard/members.go
@@ -10,8 +10,8 @@
 // The members of an Assigner: which controllers hold a shard, what they have
 // acknowledged, and the handling of their requests.
 
-// member is a controller that may hold a shard of the machines.
-type member struct {
+// memberState is a controller that may hold a shard of the machines.
+type memberState struct {
 	name string
 	zone string
 	// incarnation is that of the member's process, seq the number of its last request.
@@ -56,8 +56,8 @@
 }
 
 // newMember makes a member that has just made its first request.
-func newMember(r *Request, now time.Time) *member {
-	return &member{
+func newMember(r *Request, now time.Time) *memberState {
+	return &memberState{
 		name:         r.Member,
 		zone:         r.Zone,
 		incarnation:  r.Incarnation,
@@ -72,7 +72,7 @@
 
 // extendRejoinDelay extends the time for which a member that has left gets no machines,
 // so that one which joins and leaves all the time moves its machines seldom.
-func (a *Assigner) extendRejoinDelay(m *member, now time.Time) {
+func (a *Assigner) extendRejoinDelay(m *memberState, now time.Time) {
 	if now.Sub(m.joinedAt) > a.settings.MaxRejoinDelay {
 		m.rejoinDelay = 0
 	}
@@ -81,7 +81,7 @@
 }
 
 // startLeaving has a member return its machines, at the ordinary rate of moves.
-func (a *Assigner) startLeaving(m *member, reason string, now time.Time) {
+func (a *Assigner) startLeaving(m *memberState, reason string, now time.Time) {
 	if m.leavingReason != "" || !m.joined {
 		return
 	}
@@ -92,7 +92,7 @@
 
 // revokeAll returns all machines of a member to the leader. The member's grants have
 // ended: it may have answered reports until the given time.
-func (a *Assigner) revokeAll(m *member, until time.Time, reason string, now time.Time) []Revocation {
+func (a *Assigner) revokeAll(m *memberState, until time.Time, reason string, now time.Time) []Revocation {
 	var freed []Revocation
 	for mc := range m.machines {
 		if mc.phase != revoking {
@@ -164,7 +164,7 @@
 
 // acknowledge notes which of the leader's replies a member has handled last, and with it
 // the changes that the reply carried. known is false if there is no such reply.
-func (a *Assigner) acknowledge(m *member, r *Request, now time.Time) (freed []Revocation, known bool) {
+func (a *Assigner) acknowledge(m *memberState, r *Request, now time.Time) (freed []Revocation, known bool) {
 	at, known := m.replyTimes[r.LastReply]
 	if !known {
 		return nil, false
@@ -199,7 +199,7 @@
 
 // admitMember lets a member join whose requests have come without a gap for long enough.
 // One that held machines under an earlier leader joins at once.
-func (a *Assigner) admitMember(m *member, heldMachines bool, now time.Time) {
+func (a *Assigner) admitMember(m *memberState, heldMachines bool, now time.Time) {
 	if m.joined || m.leavingReason != "" || !m.overloadedSince.IsZero() || now.Before(m.noJoinBefore) || m.capacity <= 0 {
 		return
 	}
@@ -214,7 +214,7 @@
 // restoreMachines assigns to a member the machines that it held under an earlier leader,
 // whose grants have all ended, unless they have another holder by now: their workers
 // need not connect to another controller.
-func (a *Assigner) restoreMachines(m *member, names []string, now time.Time) {
+func (a *Assigner) restoreMachines(m *memberState, names []string, now time.Time) {
 	if len(a.machines) < a.settings.MinMachines {
 		return
 	}
--- a/internal/shard/shard.go
+++ b/internal/shard/shard.go
@@ -61,7 +61,7 @@
 
 // candidate is a controller to which machines can be assigned.
 type candidate struct {
-	member   *member // nil: the leader itself
+	member   *memberState // nil: the leader itself
 	name     string
 	zone     string
 	weight   float64
