--- a/internal/fleet/explore_world_test.go
+++ b/internal/fleet/explore_world_test.go
@@ -227,14 +227,14 @@
 	if err != nil {
 		panic(err)
 	}
-	_, byHolder := w.holder.Report(m, body, w.now)
+	_, byHolder := w.holder.HandleHeartbeat(m, body, w.now)
 	switch byHolder {
 	case shard.GrantExpired:
 		return false
 	case shard.Answered:
 		receive(&wire.HeartbeatResponse{Token: w.holder.Term()})
 		return true
-	case shard.ReportChanged, shard.LeaderRequired:
+	case shard.HeartbeatChanged, shard.LeaderRequired:
 		if outcome != reportAnsweredLate && w.holder.Term() == w.fleet.Term {
 			w.syncHolder()
 			if w.machine.Holder() != nil {
@@ -242,18 +242,18 @@
 				return true
 			}
 		}
-		if byHolder == shard.ReportChanged || w.disabled == holderReportsTasksFirst {
+		if byHolder == shard.HeartbeatChanged || w.disabled == holderReportsTasksFirst {
 			receive(&wire.HeartbeatResponse{Token: w.holder.Term()})
 		}
 		return true
 	}
-	if r, _ := w.assigner.RouteReport("host-1", "", w.now); r != shard.Serve || outcome == reportAnsweredLate {
+	if r, _ := w.assigner.RouteHeartbeat("host-1", "", w.now); r != shard.Serve || outcome == reportAnsweredLate {
 		return false
 	}
 	fresh := w.observe(m, true)
 	receive(w.answer(m, fresh))
 	w.retainBeforeLimit()
-	w.assigner.ReportServed("host-1", "", w.now)
+	w.assigner.HeartbeatServed("host-1", "", w.now)
 	w.setHolder()
 	return true
 }
@@ -293,9 +293,9 @@
 // handleMachineReport handles a report that the holder has answered, in the leader.
 func (w *world) handleMachineReport(report *shard.MachineReport) {
 	w.assigner.ConfirmContact(report.Machine)
-	if len(report.Report) > 0 {
+	if len(report.Heartbeat) > 0 {
 		message := &wire.Heartbeat{}
-		if err := wire.Unmarshal(report.Report, message); err != nil {
+		if err := wire.Unmarshal(report.Heartbeat, message); err != nil {
 			panic(err)
 		}
 		w.observe(message, true)
--- a/internal/node/shard_holder.go
+++ b/internal/node/shard_holder.go
@@ -171,10 +171,10 @@
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	sh.holder.RecordCallResult(shard.CallResult{
-		ID:      call.ID,
-		Status:  result.Status,
-		Reached: result.Reached,
-		Report:  result.Body,
+		ID:        call.ID,
+		Status:    result.Status,
+		Reached:   result.Reached,
+		Heartbeat: result.Body,
 	})
 }
 
@@ -219,13 +219,13 @@
 func (sh *shardHolder) decide(heartbeat *wire.Heartbeat, body []byte) heartbeatDecision {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	commands, outcome := sh.holder.Report(heartbeat, body, time.Now())
+	commands, outcome := sh.holder.HandleHeartbeat(heartbeat, body, time.Now())
 	decision := heartbeatDecision{
 		outcome:  outcome,
 		term:     sh.holder.Term(),
 		commands: commands,
 	}
-	if outcome >= shard.ReportChanged {
+	if outcome >= shard.HeartbeatChanged {
 		decision.pending = pendingHeartbeat{
 			session:  heartbeat.Session,
 			seq:      heartbeat.Seq,
@@ -255,7 +255,7 @@
 		return control.Unavailable("the leader has not renewed this node's grant")
 	}
 	commands := decision.commands
-	if decision.outcome >= shard.ReportChanged {
+	if decision.outcome >= shard.HeartbeatChanged {
 		timeout := leaderAnswerTimeout
 		if decision.outcome == shard.LeaderRequired {
 			timeout = requiredAnswerTimeout
--- a/internal/shard/assigner.go
+++ b/internal/shard/assigner.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// machine is a machine of the fleet as the Assigner knows it.
-type machine struct {
+// machineState is a machineState of the fleet as the Assigner knows it.
+type machineState struct {
 	name, zone string
-	holder     *member // nil in phase heldByLeader
+	holder     *memberState // nil in phase heldByLeader
 	phase      handoverPhase
 	// announcedIn is the number of the first reply to the holder that carried the current
 	// phase; 0: none has.
@@ -40,8 +40,8 @@
 	name     string // member name of the leader
 	zone     string
 	settings Settings
-	members  map[string]*member
-	machines map[string]*machine
+	members  map[string]*memberState
+	machines map[string]*machineState
 	moves    int // changes of holder
 
 	candidates      []*candidate
@@ -52,11 +52,11 @@
 	movesAllowedAt time.Time
 	rebalancedAt   time.Time
 	steppedAt      time.Time
-	// directReportAt and forwardedReportAt are when a report last came to the leader
+	// directHeartbeatAt and forwardedReportAt are when a report last came to the leader
 	// itself, and through a member.
-	directReportAt    time.Time
-	forwardedReportAt time.Time
-	noExpiryBefore    time.Time // no member counts as silent before
+	directHeartbeatAt    time.Time
+	forwardedHeartbeatAt time.Time
+	noExpiryBefore       time.Time // no member counts as silent before
 }
 
 // NewAssigner makes the assignment of a term that has just begun: the leader deals with
@@ -67,8 +67,8 @@
 		name:            name,
 		zone:            zone,
 		settings:        settings,
-		members:         map[string]*member{},
-		machines:        map[string]*machine{},
+		members:         map[string]*memberState{},
+		machines:        map[string]*machineState{},
 		candidatesStale: true,
 		movesAllowedAt:  now,
 		steppedAt:       now,
@@ -112,7 +112,7 @@
 // AddMachine adds a machine that has not reported yet.
 func (a *Assigner) AddMachine(name, zone string) {
 	if a.machines[name] == nil {
-		a.machines[name] = &machine{name: name, zone: zone}
+		a.machines[name] = &machineState{name: name, zone: zone}
 	}
 }
 
--- a/internal/shard/explore_test.go
+++ b/internal/shard/explore_test.go
@@ -76,8 +76,8 @@
 	{Name: "end", Do: func(w *world, i int) bool { w.startHolder(i); return true }, Count: 1},
 	{Name: "report", Do: func(w *world, k int) bool {
 		if w.entitled() {
-			if r, _ := w.leader.RouteReport(w.names[k], "", w.now); r == Serve {
-				w.leader.ReportServed(w.names[k], "", w.now)
+			if r, _ := w.leader.RouteHeartbeat(w.names[k], "", w.now); r == Serve {
+				w.leader.HeartbeatServed(w.names[k], "", w.now)
 			}
 		}
 		return true
@@ -87,7 +87,7 @@
 		for i := range w.holders {
 			w.seq[k]++
 			m := &wire.Heartbeat{Machine: w.names[k], Session: 1, Seq: w.seq[k]}
-			if _, v := w.holders[i].holder.Report(m, []byte{1}, w.now); v >= Answered {
+			if _, v := w.holders[i].holder.HandleHeartbeat(m, []byte{1}, w.now); v >= Answered {
 				w.lastAnswer[k] = w.now
 				return true
 			}
@@ -175,7 +175,7 @@
 		}
 		for _, n := range w.names {
 			if k := s.holder.machines[n]; k != nil {
-				p.Values(n, k.dropped, k.lastReport-k.acknowledgedReport)
+				p.Values(n, k.dropped, k.lastHeartbeat-k.acknowledgedHeartbeat)
 			}
 		}
 		if m := a.members[fmt.Sprintf("h%d", i)]; m != nil {
--- a/internal/shard/holder_reports.go
+++ b/internal/shard/holder_reports.go
@@ -22,17 +22,17 @@
 	GrantExpired
 	// Answered means that the orders are the answer.
 	Answered
-	// ReportChanged means that the report differs from the one before. The worker waits
+	// HeartbeatChanged means that the report differs from the one before. The worker waits
 	// for the leader's answer; if none comes in time, the orders are the answer.
-	ReportChanged
+	HeartbeatChanged
 	// LeaderRequired means that the report shows a task that the leader has not
 	// acknowledged. It may be of a cancelled job, which only an answer of the leader
 	// halts: the holder gives none of its own.
 	LeaderRequired
 )
 
-// placement names an attempt at a task on a machine.
-type placement struct {
+// taskAttempt names an attempt at a task on a machine.
+type taskAttempt struct {
 	task    string
 	attempt uint64
 }
@@ -43,35 +43,35 @@
 	// acknowledged what it reported before.
 	dropped bool
 
-	session    uint64    // of the last report
-	seq        uint64    // of the last report
-	reportedAt time.Time // when the last report came
-	digest     uint64    // of the last report
-	hasDigest  bool      // there was a report since the machine was added
+	session     uint64    // of the last report
+	seq         uint64    // of the last report
+	heartbeatAt time.Time // when the last report came
+	digest      uint64    // of the last report
+	hasDigest   bool      // there was a report since the machine was added
 
 	// tasks are the tasks of the last report in full that have not exited, reportedExits
 	// those that have.
-	tasks         []placement
-	reportedExits []placement
+	tasks         []taskAttempt
+	reportedExits []taskAttempt
 	// settledExits are the exits that the worker may forget.
-	settledExits []placement
+	settledExits []taskAttempt
 	// acknowledgedTasks are the tasks of the last report that the leader has acknowledged.
-	acknowledgedTasks []placement
+	acknowledgedTasks []taskAttempt
 
-	// lastReport counts the reports; acknowledgedReport is the last one that the leader
+	// lastHeartbeat counts the reports; acknowledgedReport is the last one that the leader
 	// has acknowledged.
-	lastReport         uint64
-	acknowledgedReport uint64
-	// fullReport is the encoded report number fullReportAt, the last one that differs from
+	lastHeartbeat         uint64
+	acknowledgedHeartbeat uint64
+	// fullHeartbeat is the encoded report number fullReportAt, the last one that differs from
 	// the one before. It is sent to the leader until that is acknowledged.
-	fullReport   []byte
-	fullReportAt uint64
+	fullHeartbeat       []byte
+	fullHeartbeatNumber uint64
 }
 
-// Report handles a report of a worker, whose encoded form is body. The orders of the
+// HandleHeartbeat handles a report of a worker, whose encoded form is body. The orders of the
 // answer are exits that the worker may forget. The leader's orders come by its answer
 // to a report that has changed, or by direct commands.
-func (h *Holder) Report(m *wire.Heartbeat, body []byte, now time.Time) ([]wire.Command, Outcome) {
+func (h *Holder) HandleHeartbeat(m *wire.Heartbeat, body []byte, now time.Time) ([]wire.Command, Outcome) {
 	hm := h.machines[m.Machine]
 	if hm == nil || hm.dropped {
 		return nil, NotHeld
@@ -85,12 +85,12 @@
 	}
 	hm.session = m.Session
 	hm.seq = m.Seq
-	hm.reportedAt = now
-	hm.lastReport++
+	hm.heartbeatAt = now
+	hm.lastHeartbeat++
 	outcome := hm.compare(m)
 	if outcome != Answered {
-		hm.fullReport = slices.Clone(body)
-		hm.fullReportAt = hm.lastReport
+		hm.fullHeartbeat = slices.Clone(body)
+		hm.fullHeartbeatNumber = hm.lastHeartbeat
 	}
 	return hm.clearCommands(), outcome
 }
@@ -100,7 +100,7 @@
 	outcome := Answered
 	d := digest(m)
 	if !hm.hasDigest || d != hm.digest || m.NoticeS != nil {
-		outcome = ReportChanged
+		outcome = HeartbeatChanged
 		hm.recordTasks(m)
 	}
 	if hm.hasUnacknowledgedTask() {
@@ -119,7 +119,7 @@
 	hm.tasks = hm.tasks[:0]
 	for i := range m.Tasks {
 		t := &m.Tasks[i]
-		p := placement{task: t.Task, attempt: t.Attempt}
+		p := taskAttempt{task: t.Task, attempt: t.Attempt}
 		if t.Phase == wire.TaskExited {
 			hm.reportedExits = append(hm.reportedExits, p)
 		} else {
@@ -131,13 +131,13 @@
 // hasUnacknowledgedTask reports whether the last report shows a task that the leader
 // has not acknowledged.
 func (hm *heldMachine) hasUnacknowledgedTask() bool {
-	return slices.ContainsFunc(hm.tasks, func(t placement) bool { return !slices.Contains(hm.acknowledgedTasks, t) })
+	return slices.ContainsFunc(hm.tasks, func(t taskAttempt) bool { return !slices.Contains(hm.acknowledgedTasks, t) })
 }
 
 // acknowledge notes that the leader has acknowledged the reports up to that number.
 func (hm *heldMachine) acknowledge(report uint64) {
-	hm.acknowledgedReport = max(hm.acknowledgedReport, report)
-	if hm.acknowledgedReport >= hm.fullReportAt {
+	hm.acknowledgedHeartbeat = max(hm.acknowledgedHeartbeat, report)
+	if hm.acknowledgedHeartbeat >= hm.fullHeartbeatNumber {
 		hm.acknowledgedTasks = append(hm.acknowledgedTasks[:0], hm.tasks...)
 	}
 }
@@ -147,7 +147,7 @@
 // come back.
 func (hm *heldMachine) recordSettledExits(clears []wire.Command) {
 	for _, order := range clears {
-		exit := placement{task: order.Task, attempt: order.Attempt}
+		exit := taskAttempt{task: order.Task, attempt: order.Attempt}
 		if slices.Contains(hm.reportedExits, exit) && !slices.Contains(hm.settledExits, exit) {
 			hm.settledExits = append(hm.settledExits, exit)
 		}
@@ -156,7 +156,7 @@
 
 // clearCommands are the orders to forget the settled exits that the worker still reports.
 func (hm *heldMachine) clearCommands() []wire.Command {
-	hm.settledExits = slices.DeleteFunc(hm.settledExits, func(e placement) bool { return !slices.Contains(hm.reportedExits, e) })
+	hm.settledExits = slices.DeleteFunc(hm.settledExits, func(e taskAttempt) bool { return !slices.Contains(hm.reportedExits, e) })
 	orders := []wire.Command{}
 	for _, exit := range hm.settledExits {
 		orders = append(orders, wire.Command{Verb: wire.CommandClear, Task: exit.task, Attempt: exit.attempt})
--- a/internal/shard/routing.go
+++ b/internal/shard/routing.go
@@ -40,12 +40,12 @@
 	minUnreached     = 3
 )
 
-// RouteReport decides who answers a report that has come to the leader; for Send it
+// RouteHeartbeat decides who answers a report that has come to the leader; for Send it
 // names the holder.
-func (a *Assigner) RouteReport(name, zone string, now time.Time) (route Route, holder string) {
+func (a *Assigner) RouteHeartbeat(name, zone string, now time.Time) (route Route, holder string) {
 	mc := a.machines[name]
 	if mc == nil {
-		mc = &machine{name: name, zone: zone, neverAssigned: true}
+		mc = &machineState{name: name, zone: zone, neverAssigned: true}
 		a.machines[name] = mc
 	}
 	if mc.zone != zone && zone != "" {
@@ -62,7 +62,7 @@
 }
 
 // routeToHolder decides on a report of a machine that a member holds.
-func (a *Assigner) routeToHolder(mc *machine, now time.Time) (Route, string) {
+func (a *Assigner) routeToHolder(mc *machineState, now time.Time) (Route, string) {
 	if now.Sub(mc.holder.lastRequestAt) > maxContactGap {
 		return Wait, "" // the holder may have ended: its machines are free when its grant ends
 	}
@@ -76,7 +76,7 @@
 
 // recordUnreached revokes a machine whose worker does not reach its holder. A holder
 // that many workers do not reach leaves.
-func (a *Assigner) recordUnreached(mc *machine, now time.Time) {
+func (a *Assigner) recordUnreached(mc *machineState, now time.Time) {
 	m := mc.holder
 	a.revoke(mc, "its worker does not reach the holder", now)
 	m.unreachedAt = slices.DeleteFunc(m.unreachedAt, func(t time.Time) bool { return now.Sub(t) > redirectTimeout })
@@ -93,12 +93,12 @@
 	}
 }
 
-// ReportServed notes that the leader has answered a machine's report. This is when the
+// HeartbeatServed notes that the leader has answered a machine's report. This is when the
 // machine may be assigned to a member: it then holds the machine before the next
 // report. via is the member that has forwarded the report, empty if it came from the
 // worker. A leader that is cut off from its workers assigns their machines to members
 // that are not.
-func (a *Assigner) ReportServed(name, via string, now time.Time) {
+func (a *Assigner) HeartbeatServed(name, via string, now time.Time) {
 	mc := a.machines[name]
 	if mc == nil || mc.phase != heldByLeader || mc.retained || len(a.machines) < a.settings.MinMachines {
 		return
@@ -106,9 +106,9 @@
 	if via != "" {
 		mc.pinned = via
 		mc.pinnedUntil = now.Add(pinDuration)
-		a.forwardedReportAt = now
+		a.forwardedHeartbeatAt = now
 	} else {
-		a.directReportAt = now
+		a.directHeartbeatAt = now
 	}
 	a.updateCandidates(now)
 	if len(a.candidates) == 1 {
--- a/internal/shard/shard_test.go
+++ b/internal/shard/shard_test.go
@@ -76,14 +76,14 @@
 		m := &wire.Heartbeat{Machine: name, Session: 1, Seq: b.seq}
 		served := false
 		for member, h := range b.holders {
-			if _, v := h.Report(m, []byte{1}, b.now); v >= Answered && !b.down[member] {
+			if _, v := h.HandleHeartbeat(m, []byte{1}, b.now); v >= Answered && !b.down[member] {
 				served = true
 				b.assigner.ConfirmContact(name)
 			}
 		}
 		if !served {
-			if r, _ := b.assigner.RouteReport(name, zones[i%3], b.now); r == Serve {
-				b.assigner.ReportServed(name, b.forwarder, b.now)
+			if r, _ := b.assigner.RouteHeartbeat(name, zones[i%3], b.now); r == Serve {
+				b.assigner.HeartbeatServed(name, b.forwarder, b.now)
 			}
 		}
 	}
