--- a/internal/node/delay_monitor.go
+++ b/internal/node/delay_monitor.go
@@ -16,7 +16,7 @@
 	mu              sync.Mutex
 	meanDelay       time.Duration // moving average of the delay of timers
 	overloaded      bool
-	lastUncrossedAt time.Time                   // when the mean delay last had not crossed the threshold that changes overloaded
+	lastUncrossedAt time.Time                   // when the mean delay was last short of the threshold that changes overloaded
 	probeTimes      [probeSamples]time.Duration // ring buffer of the latest probes
 	probeCount      int                         // number of probes so far
 }
--- a/internal/node/leadership_transfer.go
+++ b/internal/node/leadership_transfer.go
@@ -30,7 +30,7 @@
 }
 
 const (
-	// minSpeedRatio is the factor by which a sibling must compute faster than the leader.
+	// minSpeedRatio is the minimum ratio of a sibling's speed to the leader's.
 	minSpeedRatio = 2
 	// firstTransferInterval is the time after its first resignation in which a node does
 	// not resign again. It doubles with each transfer, up to maxTransferInterval.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -91,19 +91,19 @@
 	}
 	ctx, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
-	users := newBoundedListener(l.http, inboundLimit(settings))
-	server := n.newServer(users)
-	var tasks sync.WaitGroup
-	n.startLoops(ctx, &tasks, l.metrics)
-	tasks.Go(func() { n.servePeers(ctx, l.peer, stop) })
-	tasks.Go(func() { serveHTTP(server, users, stop) })
+	httpListener := newBoundedListener(l.http, inboundLimit(settings))
+	server := n.newServer(httpListener)
+	var goroutines sync.WaitGroup
+	n.startLoops(ctx, &goroutines, l.metrics)
+	goroutines.Go(func() { n.servePeers(ctx, l.peer, stop) })
+	goroutines.Go(func() { serveHTTP(server, httpListener, stop) })
 	for _, warning := range settings.Warnings() {
 		n.log.Warn("settings: " + warning)
 	}
 	n.log.Info("started", "site", settings.Site, "listen", settings.Listen)
 	<-ctx.Done()
 	_ = server.Close()
-	tasks.Wait()
+	goroutines.Wait()
 	if err := context.Cause(ctx); !errors.Is(err, context.Canceled) {
 		return err
 	}
@@ -233,23 +233,23 @@
 }
 
 // startLoops starts the goroutines that run in the background until the context ends.
-func (n *Node) startLoops(ctx context.Context, tasks *sync.WaitGroup, metricsListener net.Listener) {
-	tasks.Go(func() { n.elector.Run(ctx) })
-	tasks.Go(func() { n.delay.run(ctx) })
+func (n *Node) startLoops(ctx context.Context, goroutines *sync.WaitGroup, metricsListener net.Listener) {
+	goroutines.Go(func() { n.elector.Run(ctx) })
+	goroutines.Go(func() { n.delay.run(ctx) })
 	if n.meter != nil {
-		tasks.Go(func() {
+		goroutines.Go(func() {
 			if err := n.meter.Serve(ctx, metricsListener); err != nil {
 				n.log.Error("metrics server failed", "error", err)
 			}
 		})
 	}
 	if n.tuning.TransferAfterS > 0 {
-		tasks.Go(func() { n.watchTransfer(ctx) })
+		goroutines.Go(func() { n.watchTransfer(ctx) })
 	}
 	if n.shardHolder != nil {
-		tasks.Go(func() { n.shardHolder.run(ctx) })
+		goroutines.Go(func() { n.shardHolder.run(ctx) })
 	}
-	tasks.Go(func() { n.mesh.PingSiblings(ctx, n.observeSibling) })
+	goroutines.Go(func() { n.mesh.PingSiblings(ctx, n.observeSibling) })
 }
 
 // servePeers serves the siblings and the leaders of other regions until the context ends.
--- a/internal/node/shard_holder.go
+++ b/internal/node/shard_holder.go
@@ -98,7 +98,7 @@
 
 // syncWithLeader sends one request to the leader and reports whether it was answered.
 func (sh *shardHolder) syncWithLeader(ctx context.Context) bool {
-	leader, request, sent := sh.nextRequest()
+	leader, request, sentAt := sh.nextRequest()
 	if request == nil {
 		return false
 	}
@@ -112,13 +112,13 @@
 		sh.requestFailed()
 		return false
 	}
-	sh.handleReply(ctx, reply, sent)
+	sh.handleReply(ctx, reply, sentAt)
 	return true
 }
 
 // nextRequest returns the next request, the leader to send it to and the time of sending.
 // The request is nil if no leader is known or this node leads.
-func (sh *shardHolder) nextRequest() (leader string, request *shard.Request, sent time.Time) {
+func (sh *shardHolder) nextRequest() (leader string, request *shard.Request, sentAt time.Time) {
 	view := sh.node.elector.View()
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
@@ -131,9 +131,9 @@
 	if view.Term > sh.holder.Term() {
 		sh.holder.EndTerm()
 	}
-	sent = time.Now()
-	request = sh.holder.Request(sh.capacity, sh.maxCalls, sh.node.delay.Overloaded(), sent)
-	return view.Leader, request, sent
+	sentAt = time.Now()
+	request = sh.holder.Request(sh.capacity, sh.maxCalls, sh.node.delay.Overloaded(), sentAt)
+	return view.Leader, request, sentAt
 }
 
 func (sh *shardHolder) requestFailed() {
@@ -144,10 +144,10 @@
 
 // handleReply processes the leader's reply to the request that was sent at the given time.
 // It starts the direct commands and passes answers on to the pending heartbeats.
-func (sh *shardHolder) handleReply(ctx context.Context, reply *shard.Reply, sent time.Time) {
+func (sh *shardHolder) handleReply(ctx context.Context, reply *shard.Reply, sentAt time.Time) {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	for _, call := range sh.holder.HandleReply(reply, sent) {
+	for _, call := range sh.holder.HandleReply(reply, sentAt) {
 		go sh.sendCommand(ctx, reply.Term, call)
 	}
 	for i := range reply.Answers {
@@ -215,7 +215,7 @@
 }
 
 // decide records a heartbeat and decides how it is answered. A heartbeat that reports a
-// change is registered as pending until the leader answers it.
+// change is registered as pending until the leader answers it or the wait for it ends.
 func (sh *shardHolder) decide(heartbeat *wire.Heartbeat, body []byte) heartbeatDecision {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
