--- a/internal/calendar/status.go
+++ b/internal/calendar/status.go
@@ -14,7 +14,7 @@
 	ReservationBooked    ReservationState = "booked"
 	ReservationUnderWay  ReservationState = "under way"
 	ReservationRetired   ReservationState = "retired" // a forced window took the capacity
-	ReservationOver      ReservationState = "over"
+	ReservationEnded     ReservationState = "over"
 	ReservationCancelled ReservationState = "cancelled"
 )
 
@@ -45,7 +45,7 @@
 func NewStatus(r *Record, b *Booking, now time.Time) Status {
 	s := Status{
 		Spec:        *b.Reservation,
-		State:       ReservationOver,
+		State:       ReservationEnded,
 		Allocations: r.Allocations,
 		Occurrences: []Span{},
 		Outcomes:    r.Outcomes,
