--- a/internal/calendar/status.go
+++ b/internal/calendar/status.go
@@ -94,7 +94,7 @@
 	WindowPlanned   WindowState = "planned"
 	WindowDraining  WindowState = "draining"
 	WindowOpen      WindowState = "open"
-	WindowOver      WindowState = "over"
+	WindowEnded     WindowState = "over"
 	WindowCancelled WindowState = "cancelled"
 )
 
@@ -124,7 +124,7 @@
 func (w *Window) state(now int64) WindowState {
 	switch {
 	case now >= w.span.To:
-		return WindowOver
+		return WindowEnded
 	case now >= w.span.From:
 		return WindowOpen
 	case now >= w.DrainAt():
