--- a/internal/calendar/status.go
+++ b/internal/calendar/status.go
@@ -12,7 +12,7 @@
 // States of a reservation.
 const (
 	ReservationBooked    ReservationState = "booked"
-	ReservationUnderWay  ReservationState = "under way"
+	ReservationActive    ReservationState = "under way"
 	ReservationRetired   ReservationState = "retired" // a forced window took the capacity
 	ReservationEnded     ReservationState = "over"
 	ReservationCancelled ReservationState = "cancelled"
@@ -81,7 +81,7 @@
 	case revoked:
 		return ReservationRetired
 	case span.From <= now:
-		return ReservationUnderWay
+		return ReservationActive
 	}
 	return ReservationBooked
 }
