--- a/internal/calendar/status.go
+++ b/internal/calendar/status.go
@@ -13,7 +13,7 @@
 const (
 	ReservationBooked    ReservationState = "booked"
 	ReservationActive    ReservationState = "under way"
-	ReservationRetired   ReservationState = "retired" // a forced window took the capacity
+	ReservationRevoked   ReservationState = "retired" // a forced window took the capacity
 	ReservationEnded     ReservationState = "over"
 	ReservationCancelled ReservationState = "cancelled"
 )
@@ -79,7 +79,7 @@
 func occurrenceState(span Span, revoked bool, now int64) ReservationState {
 	switch {
 	case revoked:
-		return ReservationRetired
+		return ReservationRevoked
 	case span.From <= now:
 		return ReservationActive
 	}
