--- a/internal/calendar/outcome.go
+++ b/internal/calendar/outcome.go
@@ -16,7 +16,7 @@
 	OutcomeLate    OutcomeKind = "late"    // all tasks of its job started after the tolerance
 	OutcomeLapsed  OutcomeKind = "lapsed"  // no job claimed it in time
 	OutcomeMissed  OutcomeKind = "missed"  // its job did not start before its end
-	OutcomeRetired OutcomeKind = "retired" // a forced maintenance window took its capacity
+	OutcomeRevoked OutcomeKind = "retired" // a forced maintenance window took its capacity
 )
 
 // started reports whether the occurrence's job started.
@@ -87,7 +87,7 @@
 	graceEnd := s.From + int64(b.GraceS*1000)
 	switch {
 	case b.Revoked[s.From]:
-		outcome.Kind = OutcomeRetired
+		outcome.Kind = OutcomeRevoked
 	case o.Claimer != "" && !o.RunAt.IsZero():
 		outcome.Kind = OutcomeOnTime
 		if late := o.RunAt.UnixMilli() - s.From; late > tolerance.Milliseconds() {
