--- a/cmd/vetchstream/calendar_output.go
+++ b/cmd/vetchstream/calendar_output.go
@@ -83,7 +83,7 @@
 	fmt.Fprintf(w, "%s: %s, %s to %s, %d machines, %d of them busy\n",
 		s.Spec.Name, s.State, formatMillis(s.From), formatMillis(s.To), s.Machines, s.Busy)
 	printNames(w, "reservations that moved", s.Moved)
-	printNames(w, "reservations that lost their room", s.Retired)
+	printNames(w, "reservations that lost their room", s.Revoked)
 	printNames(w, "tasks that may be cut off", s.Late)
 }
 
--- a/internal/calendar/status.go
+++ b/internal/calendar/status.go
@@ -112,7 +112,7 @@
 	// Moved and Retired are the reservations that it moved or whose capacity it took; set
 	// when it is planned.
 	Moved   []string `codec:"moved,omitempty" json:"moved,omitempty"`
-	Retired []string `codec:"retired,omitempty" json:"retired,omitempty"`
+	Revoked []string `codec:"retired,omitempty" json:"retired,omitempty"`
 }
 
 // NewWindowStatus is the status of a window, without its machines.
@@ -137,7 +137,7 @@
 func (p *WindowPlan) Status(now time.Time) WindowStatus {
 	s := NewWindowStatus(p.Window, now)
 	s.Moved = sortedNames(p.Moved)
-	s.Retired = sortedNames(p.Revoked)
+	s.Revoked = sortedNames(p.Revoked)
 	return s
 }
 
--- a/internal/control/calendar_requests.go
+++ b/internal/control/calendar_requests.go
@@ -286,7 +286,7 @@
 	status := plan.Status(wallTime)
 	cs.maintenanceDrains.addMachineStatus(&status, window)
 	cs.log.Info("maintenance window accepted", "window", window.Name, "start", time.UnixMilli(window.Span().From).UTC(), "machines", status.Machines,
-		"moved_reservations", strings.Join(status.Moved, " "), "retired_reservations", strings.Join(status.Retired, " "))
+		"moved_reservations", strings.Join(status.Moved, " "), "retired_reservations", strings.Join(status.Revoked, " "))
 	return status
 }
 
