--- a/internal/calendar/outcome.go
+++ b/internal/calendar/outcome.go
@@ -38,8 +38,8 @@
 	Now time.Time
 	// Claimer is the job that claims it; empty: none, or it has ended without having run.
 	// RunAt is when all of its tasks were first observed running; zero: not yet.
-	Claimer string
-	RunAt   time.Time
+	Claimer      string
+	RunningSince time.Time
 }
 
 // toleranceMarginS is the part of the tolerance that does not depend on the settings, in
@@ -88,9 +88,9 @@
 	switch {
 	case b.Revoked[s.From]:
 		outcome.Kind = OutcomeRevoked
-	case o.Claimer != "" && !o.RunAt.IsZero():
+	case o.Claimer != "" && !o.RunningSince.IsZero():
 		outcome.Kind = OutcomeOnTime
-		if late := o.RunAt.UnixMilli() - s.From; late > tolerance.Milliseconds() {
+		if late := o.RunningSince.UnixMilli() - s.From; late > tolerance.Milliseconds() {
 			outcome.Kind = OutcomeLate
 			outcome.LateS = roundedSeconds(late)
 		}
--- a/internal/calendar/outcome_test.go
+++ b/internal/calendar/outcome_test.go
@@ -24,14 +24,14 @@
 		want  string
 	}{
 		{"before", []Observation{{Now: at(-time.Second)}}, ""},
-		{"kept", []Observation{{Now: at(0), Claimer: "run-1"}, {Now: at(time.Second), Claimer: "run-1", RunAt: at(time.Second)}, {Now: at(time.Minute), Claimer: "run-1", RunAt: at(time.Second)}}, "kept"},
-		{"late", []Observation{{Now: at(0), Claimer: "run-1"}, {Now: at(61 * time.Second), Claimer: "run-1", RunAt: at(time.Minute)}}, "late 60"},
+		{"kept", []Observation{{Now: at(0), Claimer: "run-1"}, {Now: at(time.Second), Claimer: "run-1", RunningSince: at(time.Second)}, {Now: at(time.Minute), Claimer: "run-1", RunningSince: at(time.Second)}}, "kept"},
+		{"late", []Observation{{Now: at(0), Claimer: "run-1"}, {Now: at(61 * time.Second), Claimer: "run-1", RunningSince: at(time.Minute)}}, "late 60"},
 		{"unclaimed", []Observation{{Now: at(119 * time.Second)}, {Now: at(121 * time.Second)}}, "lapsed"},
 		{"claimed in time and never run", []Observation{{Now: at(121 * time.Second), Claimer: "run-1"}, {Now: at(time.Hour), Claimer: "run-1"}}, "missed"},
 		{"nobody led over two of them", []Observation{{Now: at(day + 2*time.Hour)}, {Now: at(day + 2*time.Hour)}, {Now: at(day + 2*time.Hour)}}, "lapsed lapsed"},
-		{"nobody led over its start", []Observation{{Now: at(time.Minute)}, {Now: at(2 * time.Minute), Claimer: "run-1", RunAt: at(90 * time.Second)}}, "late 90"},
-		{"a successor whose clock is behind", []Observation{{Now: at(100 * time.Millisecond), Claimer: "run-1", RunAt: at(50 * time.Millisecond)},
-			{Now: at(-200 * time.Millisecond), Claimer: "run-1"}, {Now: at(50 * time.Millisecond), Claimer: "run-1", RunAt: at(-100 * time.Millisecond)}}, "kept"},
+		{"nobody led over its start", []Observation{{Now: at(time.Minute)}, {Now: at(2 * time.Minute), Claimer: "run-1", RunningSince: at(90 * time.Second)}}, "late 90"},
+		{"a successor whose clock is behind", []Observation{{Now: at(100 * time.Millisecond), Claimer: "run-1", RunningSince: at(50 * time.Millisecond)},
+			{Now: at(-200 * time.Millisecond), Claimer: "run-1"}, {Now: at(50 * time.Millisecond), Claimer: "run-1", RunningSince: at(-100 * time.Millisecond)}}, "kept"},
 		{"all three and nothing after", []Observation{{Now: at(3 * day)}, {Now: at(3 * day)}, {Now: at(3 * day)}, {Now: at(3 * day)}, {Now: at(3 * day)}}, "lapsed lapsed lapsed"},
 	}
 	for _, tt := range tests {
--- a/internal/control/calendar_claims.go
+++ b/internal/control/calendar_claims.go
@@ -175,9 +175,9 @@
 	next := occurrence{stored.rec.Spec.Name, stored.rec.NextStart}
 	if j := cs.claims[next]; j != nil {
 		observed.Claimer = j.ID
-		observed.RunAt = cs.reservationHolds.startTime(next)
+		observed.RunningSince = cs.reservationHolds.startTime(next)
 	} else {
-		observed.Claimer, observed.RunAt = cs.reservationHolds.startedJob(next)
+		observed.Claimer, observed.RunningSince = cs.reservationHolds.startedJob(next)
 	}
 	return observed
 }
