--- a/internal/calendar/outcome.go
+++ b/internal/calendar/outcome.go
@@ -46,10 +46,10 @@
 // seconds.
 const toleranceMarginS = 3
 
-// Tolerance is by how much a start may be late and count as on time: what a leader and a
+// StartTolerance is by how much a start may be late and count as on time: what a leader and a
 // worker need to tell each other, at intervals of reportS seconds, and the difference between
 // the clocks of two leaders.
-func Tolerance(reportS, skewMs float64) time.Duration {
+func StartTolerance(reportS, skewMs float64) time.Duration {
 	return time.Duration((2*reportS + skewMs/1000 + toleranceMarginS) * float64(time.Second))
 }
 
--- a/internal/calendar/outcome_test.go
+++ b/internal/calendar/outcome_test.go
@@ -38,7 +38,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			rec := NewRecord(e, today)
 			for _, l := range tt.looks {
-				next, changed := DecideOutcome(rec, e, l, Tolerance(2, 100))
+				next, changed := DecideOutcome(rec, e, l, StartTolerance(2, 100))
 				if changed == (next == rec) {
 					t.Error("a change that does not show")
 				}
--- a/internal/control/calendar_claims.go
+++ b/internal/control/calendar_claims.go
@@ -138,7 +138,7 @@
 		return
 	}
 	facts := &cs.controller.Settings.Facts
-	tolerance := calendar.Tolerance(facts.Workers.ReportS, facts.SkewMs)
+	tolerance := calendar.StartTolerance(facts.Workers.ReportS, facts.SkewMs)
 	next, changed := calendar.DecideOutcome(stored.rec, stored.booking, cs.observeNext(stored, wallTime), tolerance)
 	if !changed {
 		return
--- a/internal/node/calendar_test.go
+++ b/internal/node/calendar_test.go
@@ -90,7 +90,7 @@
 // checkStart checks the delay between the slot's start and that of the gang.
 func (tt *slotCase) checkStart(t *testing.T, delay time.Duration) {
 	t.Helper()
-	tolerance := calendar.Tolerance(2, 100)
+	tolerance := calendar.StartTolerance(2, 100)
 	if delay < 0 {
 		t.Errorf("the gang started %s before its slot", -delay)
 	}
@@ -184,7 +184,7 @@
 		maxDelay       time.Duration // of the gang's start
 		maxProvisioned int           // machines rented in total
 	}{
-		{"all machines boot on time: the gang starts on time", 0, calendar.Tolerance(2, 100), 4},
+		{"all machines boot on time: the gang starts on time", 0, calendar.StartTolerance(2, 100), 4},
 		{"two machines boot 40 s late: at most 45 s late", 40 * time.Second, 45 * time.Second, 6},
 		{"two machines never boot: replaced, at most 75 s late", time.Hour, 75 * time.Second, 6},
 		{"two machines boot after they were replaced: released", 63 * time.Second, 75 * time.Second, 8},
--- a/internal/node/sim_week_test.go
+++ b/internal/node/sim_week_test.go
@@ -239,7 +239,7 @@
 
 // evaluateSlots counts the slots that started on time.
 func (w *weekSimulation) evaluateSlots(out *weekResult) {
-	tolerance := calendar.Tolerance(2, 100)
+	tolerance := calendar.StartTolerance(2, 100)
 	for _, slot := range w.slots {
 		out.slots++
 		onTime := slot.late >= 0 && slot.late <= tolerance
