--- a/internal/calendar/windows.go
+++ b/internal/calendar/windows.go
@@ -62,7 +62,7 @@
 		}
 	}()
 	for _, b := range c.removeOverbooked(affected) {
-		if err := c.planBooking(plan, b, now); err != nil {
+		if err := c.moveOrRevoke(plan, b, now); err != nil {
 			return nil, err
 		}
 	}
@@ -105,9 +105,9 @@
 	return removed
 }
 
-// planBooking moves a reservation that was removed to other machines, or revokes its
+// moveOrRevoke moves a reservation that was removed to other machines, or revokes its
 // occurrences in the time of a forced window.
-func (c *Calendar) planBooking(plan *WindowPlan, b *Booking, now time.Time) error {
+func (c *Calendar) moveOrRevoke(plan *WindowPlan, b *Booking, now time.Time) error {
 	w := plan.Window
 	next := &Booking{Reservation: b.Reservation, Seq: b.Seq, Allocations: b.Allocations, Revoked: b.Revoked}
 	spans := c.remainingOccurrences(b.Reservation, now)
