--- a/internal/calendar/windows.go
+++ b/internal/calendar/windows.go
@@ -119,15 +119,15 @@
 	case !w.Force:
 		return &Conflict{Reason: fmt.Sprintf("reservation %s of team %s does not fit elsewhere (%s); cancel it, or force the window", b.Name, b.Team, conflict.Reason)}
 	default:
-		next.Revoked = revokedWith(b.Revoked, spans, w.span)
+		next.Revoked = addOverlapping(b.Revoked, spans, w.span)
 		plan.Revoked = append(plan.Revoked, next)
 	}
 	c.Add(next)
 	return nil
 }
 
-// revokedWith adds to the revoked occurrences those that overlap a window.
-func revokedWith(revoked map[int64]bool, spans []Span, window Span) map[int64]bool {
+// addOverlapping adds to the revoked occurrences those that overlap a window.
+func addOverlapping(revoked map[int64]bool, spans []Span, window Span) map[int64]bool {
 	all := maps.Clone(revoked)
 	if all == nil {
 		all = map[int64]bool{}
