--- a/internal/calendar/windows.go
+++ b/internal/calendar/windows.go
@@ -164,7 +164,7 @@
 		left := p.capacity
 		for _, a := range w.Closed {
 			if a.Type == c.typeOf(p).Name && a.Zone == c.zoneOf(p) {
-				left = p.capacity - p.machines(a)
+				left = p.capacity - p.closedMachines(a)
 			}
 		}
 		if left > 0 {
@@ -174,8 +174,8 @@
 	return true
 }
 
-// machines is how many of a pool's machines an allocation of a window takes.
-func (p *machinePool) machines(a Allocation) float64 {
+// closedMachines is how many of a pool's closedMachines an allocation of a window takes.
+func (p *machinePool) closedMachines(a Allocation) float64 {
 	if a.Machines < 0 {
 		return p.capacity
 	}
@@ -204,7 +204,7 @@
 		if p == nil {
 			continue
 		}
-		machines := p.machines(a)
+		machines := p.closedMachines(a)
 		t := c.typeOf(p)
 		p.reserved.add(w.span, sign*machines)
 		c.maintenance.cpus.add(w.span, sign*machines*t.CPUs)
