--- a/internal/calendar/record.go
+++ b/internal/calendar/record.go
@@ -89,7 +89,7 @@
 // Window is the accepted maintenance window of a record.
 func (r *WindowRecord) Window() (*PlannedWindow, error) {
 	spec := r.Spec
-	if err := spec.parseSelectors(); err != nil {
+	if err := spec.setDerivedFields(); err != nil {
 		return nil, err
 	}
 	return &PlannedWindow{Window: &spec, Closed: r.Closed}, nil
--- a/internal/calendar/spec.go
+++ b/internal/calendar/spec.go
@@ -152,7 +152,7 @@
 	if w.DrainS == 0 {
 		w.DrainS = defaultDrainS
 	}
-	if err := w.parseSelectors(); err != nil {
+	if err := w.setDerivedFields(); err != nil {
 		return nil, err
 	}
 	switch {
@@ -164,8 +164,8 @@
 	return w, nil
 }
 
-// parseSelectors computes the window's span and what its choice of machines needs.
-func (w *Window) parseSelectors() error {
+// setDerivedFields computes the window's span and what its choice of machines needs.
+func (w *Window) setDerivedFields() error {
 	start, end, err := parseInterval(w.Start, w.End, w.TimeZone)
 	if err != nil {
 		return err
