--- a/internal/calendar/profile.go
+++ b/internal/calendar/profile.go
@@ -20,12 +20,12 @@
 		return i
 	}
 	p.starts = slices.Insert(p.starts, i, t)
-	p.levels = slices.Insert(p.levels, i, p.before(i))
+	p.levels = slices.Insert(p.levels, i, p.levelBefore(i))
 	return i
 }
 
-// before is the level before step i.
-func (p *profile) before(i int) float64 {
+// levelBefore is the level levelBefore step i.
+func (p *profile) levelBefore(i int) float64 {
 	if i == 0 {
 		return 0
 	}
@@ -41,7 +41,7 @@
 	}
 	// Steps between equal levels are removed: cancelled entries must leave nothing behind.
 	for i := min(to, len(p.starts)-1); i >= max(0, from); i-- {
-		if d := p.levels[i] - p.before(i); d < levelTolerance && d > -levelTolerance {
+		if d := p.levels[i] - p.levelBefore(i); d < levelTolerance && d > -levelTolerance {
 			p.starts = slices.Delete(p.starts, i, i+1)
 			p.levels = slices.Delete(p.levels, i, i+1)
 		}
