--- a/internal/calendar/estimator.go
+++ b/internal/calendar/estimator.go
@@ -8,9 +8,9 @@
 	deviationGain  = 1.0 / 4 // weight of a measurement in the deviation, as in RFC 6298
 	peakDecay      = 1.0 / 64
 	boundDeviation = 4 // deviations above the mean that hardly any measurement exceeds
-	// unmeasuredFactor is by how much the first measurement may exceed what is expected, since
+	// initialFactor is by how much the first measurement may exceed what is expected, since
 	// estimates are wrong by half or more.
-	unmeasuredFactor = 2
+	initialFactor = 2
 )
 
 // Estimator is a running mean and mean deviation of a time or ratio, smoothed as round trips
@@ -42,7 +42,7 @@
 // what is expected.
 func (e *Estimator) UpperBound(expected float64) float64 {
 	if e.count == 0 {
-		return unmeasuredFactor * expected
+		return initialFactor * expected
 	}
 	return max(e.mean+boundDeviation*e.deviation, e.peak)
 }
