--- a/internal/calendar/fit.go
+++ b/internal/calendar/fit.go
@@ -221,7 +221,7 @@
 // others, for one resource.
 type resourceQuota struct {
 	resource string // as it is called in a conflict
-	need     float64
+	demand   float64
 	// limit and guarantee are the team's; a limit of 0 is none.
 	limit, guarantee float64
 	// team is what the team has reserved, overGuarantee what all teams have beyond their
@@ -242,7 +242,7 @@
 	team := &c.config.Teams[i]
 	cpus := resourceQuota{
 		resource:      "CPUs",
-		need:          r.CPUs * float64(r.Parts),
+		demand:        r.CPUs * float64(r.Parts),
 		limit:         team.CPUsMax,
 		guarantee:     team.CPUs,
 		team:          &c.teamUsage[i].cpus,
@@ -253,7 +253,7 @@
 	}
 	gpus := resourceQuota{
 		resource:      "accelerators",
-		need:          r.GPUs * float64(r.Parts),
+		demand:        r.GPUs * float64(r.Parts),
 		limit:         team.GPUsMax,
 		guarantee:     team.GPUs,
 		team:          &c.teamUsage[i].gpus,
@@ -270,11 +270,11 @@
 
 // conflict is what is in the way in the first of the spans in which anything is.
 func (q *resourceQuota) conflict(spans []Span) *Conflict {
-	if q.need == 0 {
+	if q.demand == 0 {
 		return nil
 	}
 	for _, s := range spans {
-		if used := q.team.max(s); q.limit > 0 && used+q.need > q.limit+capacityTolerance {
+		if used := q.team.max(s); q.limit > 0 && used+q.demand > q.limit+capacityTolerance {
 			return &Conflict{Reason: fmt.Sprintf("at %s the team's limit of %g %s, of which %g are reserved", formatTime(s.From), q.limit, q.resource, used)}
 		}
 		if q.guaranteed <= q.guarantee {
@@ -290,7 +290,7 @@
 // guaranteeConflict is set if other teams' guarantees are in the way in a span.
 func (q *resourceQuota) guaranteeConflict(s Span) (conflict *Conflict) {
 	q.team.forEach(s, func(part Span, used float64) bool {
-		more := increaseBeyond(q.guarantee, used, q.need)
+		more := increaseBeyond(q.guarantee, used, q.demand)
 		if more > 0 && q.overGuarantee.max(part)+q.maintenance.max(part)+more > q.capacity-q.guaranteed+capacityTolerance {
 			conflict = &Conflict{Reason: fmt.Sprintf("at %s other teams' guarantees of %s", formatTime(part.From), q.resource)}
 		}
