--- a/internal/calendar/admission_test.go
+++ b/internal/calendar/admission_test.go
@@ -21,7 +21,7 @@
 	r := rand.New(rand.NewPCG(seed, 3))
 	var out []*Reservation
 	for i := range n {
-		start := today.Add(time.Duration(r.IntN(80)) * 15 * time.Minute)
+		start := testNow.Add(time.Duration(r.IntN(80)) * 15 * time.Minute)
 		out = append(out, parse(t, map[string]any{
 			"name":       fmt.Sprintf("r%d", i),
 			"parts":      1 + r.IntN(10),
@@ -42,7 +42,7 @@
 func admitInOrder(f Config, rs []*Reservation) (accepted int, hours float64) {
 	c := New(f)
 	for _, r := range rs {
-		if e, err := c.Fit(r, today); err == nil {
+		if e, err := c.Fit(r, testNow); err == nil {
 			c.Add(e)
 			accepted++
 			hours += machineHours(r)
--- a/internal/calendar/calendar_test.go
+++ b/internal/calendar/calendar_test.go
@@ -12,7 +12,7 @@
 )
 
 var (
-	today      = time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
+	testNow    = time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
 	testLimits = Limits{HorizonDays: 100, Reservations: 20_000, ReservationsPerTeam: 10_000, Windows: 50, Occurrences: 200}
 )
 
@@ -64,7 +64,7 @@
 // parse is the reservation of encodeReservation.
 func parse(t testing.TB, edit map[string]any) *Reservation {
 	t.Helper()
-	r, err := ParseReservation(encodeReservation(t, edit), testLimits, today)
+	r, err := ParseReservation(encodeReservation(t, edit), testLimits, testNow)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -81,7 +81,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w, err := ParseWindow(body, testLimits, today)
+	w, err := ParseWindow(body, testLimits, testNow)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -99,7 +99,7 @@
 	rnd := rand.New(rand.NewPCG(1, 2))
 	var out []*Reservation
 	for i := range n {
-		start := today.Add(time.Duration(rnd.IntN(40*96)) * 15 * time.Minute)
+		start := testNow.Add(time.Duration(rnd.IntN(40*96)) * 15 * time.Minute)
 		doc := map[string]any{
 			"name":   fmt.Sprintf("r%d", i),
 			"team":   fmt.Sprintf("t%d", rnd.IntN(10)),
--- a/internal/calendar/fit_benchmark_test.go
+++ b/internal/calendar/fit_benchmark_test.go
@@ -24,7 +24,7 @@
 			accepted := 0
 			for _, r := range rs {
 				begun := time.Now()
-				e, err := c.Fit(r, today)
+				e, err := c.Fit(r, testNow)
 				if err == nil {
 					c.Add(e)
 					accepted++
@@ -50,7 +50,7 @@
 func encodeRecords(b *testing.B, c *Calendar) (stored [][]byte) {
 	b.Helper()
 	for _, booking := range c.Bookings() {
-		body, err := wire.Marshal(NewRecord(booking, today))
+		body, err := wire.Marshal(NewRecord(booking, testNow))
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/calendar/fit_test.go
+++ b/internal/calendar/fit_test.go
@@ -57,7 +57,7 @@
 			c := New(testConfig())
 			for i, doc := range tt.before {
 				doc["name"] = fmt.Sprintf("r%d", i)
-				e, err := c.Fit(parse(t, doc), today)
+				e, err := c.Fit(parse(t, doc), testNow)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -75,7 +75,7 @@
 // from which it would fit.
 func fit(t *testing.T, c *Calendar, r *Reservation) (got, next string) {
 	t.Helper()
-	b, err := c.Fit(r, today)
+	b, err := c.Fit(r, testNow)
 	var conflict *Conflict
 	switch {
 	case errors.As(err, &conflict):
@@ -104,7 +104,7 @@
 	f, rs := generatedLoad(t, 200)
 	c := New(f)
 	for _, r := range rs {
-		if e, err := c.Fit(r, today); err == nil {
+		if e, err := c.Fit(r, testNow); err == nil {
 			c.Add(e)
 		}
 	}
@@ -139,11 +139,11 @@
 			f.Limits = tt.limits
 			c := New(f)
 			c.Add(&Booking{Reservation: parse(t, nil)})
-			_, err := c.Fit(parse(t, map[string]any{"name": "r2"}), today)
+			_, err := c.Fit(parse(t, map[string]any{"name": "r2"}), testNow)
 			if !errors.Is(err, ErrLimit) {
 				t.Errorf("got %v, want an ErrLimit", err)
 			}
-			_, err = c.PlanWindow(parseWindow(t, map[string]any{"yard": "a"}), nil, today) // no window is allowed
+			_, err = c.PlanWindow(parseWindow(t, map[string]any{"yard": "a"}), nil, testNow) // no window is allowed
 			if !errors.Is(err, ErrLimit) {
 				t.Errorf("got %v for a window, want an ErrLimit", err)
 			}
--- a/internal/calendar/outcome_test.go
+++ b/internal/calendar/outcome_test.go
@@ -11,7 +11,7 @@
 func TestDecideOutcome(t *testing.T) {
 	r := parse(t, map[string]any{"rule": "FREQ=DAILY;COUNT=3", "grace_s": 120.0})
 	c := New(testConfig())
-	e, err := c.Fit(r, today)
+	e, err := c.Fit(r, testNow)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,7 +36,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			rec := NewRecord(e, today)
+			rec := NewRecord(e, testNow)
 			for _, l := range tt.looks {
 				next, changed := DecideOutcome(rec, e, l, StartTolerance(2, 100))
 				if changed == (next == rec) {
--- a/internal/calendar/spec_test.go
+++ b/internal/calendar/spec_test.go
@@ -37,7 +37,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			_, err := ParseReservation(encodeReservation(t, tt.doc), testLimits, today)
+			_, err := ParseReservation(encodeReservation(t, tt.doc), testLimits, testNow)
 			switch {
 			case tt.want == "" && err != nil:
 				t.Errorf("refused: %v", err)
--- a/internal/calendar/windows_test.go
+++ b/internal/calendar/windows_test.go
@@ -52,12 +52,12 @@
 // reservationAfterWindow is what becomes of a reservation after a window on the same machines.
 func reservationAfterWindow(t *testing.T, c *Calendar, r *Reservation, w *Window, named []Allocation) string {
 	t.Helper()
-	plan, err := c.PlanWindow(w, named, today)
+	plan, err := c.PlanWindow(w, named, testNow)
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.AddWindow(plan.Window)
-	b, err := c.Fit(r, today)
+	b, err := c.Fit(r, testNow)
 	if err != nil {
 		return err.Error()
 	}
@@ -68,12 +68,12 @@
 // is planned after it.
 func windowAfterReservation(t *testing.T, c *Calendar, r *Reservation, w *Window, named []Allocation) string {
 	t.Helper()
-	b, err := c.Fit(r, today)
+	b, err := c.Fit(r, testNow)
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.Add(b)
-	plan, err := c.PlanWindow(w, named, today)
+	plan, err := c.PlanWindow(w, named, testNow)
 	if len(c.Windows()) != 0 || c.Bookings()["r"] != b {
 		t.Error("planning a window has changed the calendar")
 	}
@@ -92,7 +92,7 @@
 func TestWholeFleet(t *testing.T) {
 	f := testConfig()
 	f.Zones = []string{"a"}
-	_, err := New(f).PlanWindow(parseWindow(t, map[string]any{"yard": "a"}), nil, today)
+	_, err := New(f).PlanWindow(parseWindow(t, map[string]any{"yard": "a"}), nil, testNow)
 	if err == nil || !strings.Contains(err.Error(), "every machine") {
 		t.Errorf("got %v", err)
 	}
