--- a/internal/calendar/admission_test.go
+++ b/internal/calendar/admission_test.go
@@ -22,7 +22,7 @@
 	var out []*Reservation
 	for i := range n {
 		start := testNow.Add(time.Duration(r.IntN(80)) * 15 * time.Minute)
-		out = append(out, parse(t, map[string]any{
+		out = append(out, parseReservation(t, map[string]any{
 			"name":       fmt.Sprintf("r%d", i),
 			"parts":      1 + r.IntN(10),
 			"same_place": r.IntN(2) == 0,
--- a/internal/calendar/calendar_test.go
+++ b/internal/calendar/calendar_test.go
@@ -61,8 +61,8 @@
 	return body
 }
 
-// parse is the reservation of encodeReservation.
-func parse(t testing.TB, edit map[string]any) *Reservation {
+// parseReservation is the reservation of encodeReservation.
+func parseReservation(t testing.TB, edit map[string]any) *Reservation {
 	t.Helper()
 	r, err := ParseReservation(encodeReservation(t, edit), testLimits, testNow)
 	if err != nil {
@@ -116,7 +116,7 @@
 			doc["rule"] = "FREQ=WEEKLY;COUNT=6"
 		}
 		doc["same_place"] = rnd.IntN(2) == 0
-		out = append(out, parse(t, doc))
+		out = append(out, parseReservation(t, doc))
 	}
 	return f, out
 }
--- a/internal/calendar/fit_test.go
+++ b/internal/calendar/fit_test.go
@@ -57,13 +57,13 @@
 			c := New(testConfig())
 			for i, doc := range tt.before {
 				doc["name"] = fmt.Sprintf("r%d", i)
-				e, err := c.Fit(parse(t, doc), testNow)
+				e, err := c.Fit(parseReservation(t, doc), testNow)
 				if err != nil {
 					t.Fatal(err)
 				}
 				c.Add(e)
 			}
-			got, next := fit(t, c, parse(t, tt.doc))
+			got, next := fit(t, c, parseReservation(t, tt.doc))
 			if !strings.Contains(got, tt.want) || next != tt.next {
 				t.Errorf("got %q, next %q; want %q, next %q", got, next, tt.want, tt.next)
 			}
@@ -138,8 +138,8 @@
 			f := testConfig()
 			f.Limits = tt.limits
 			c := New(f)
-			c.Add(&Booking{Reservation: parse(t, nil)})
-			_, err := c.Fit(parse(t, map[string]any{"name": "r2"}), testNow)
+			c.Add(&Booking{Reservation: parseReservation(t, nil)})
+			_, err := c.Fit(parseReservation(t, map[string]any{"name": "r2"}), testNow)
 			if !errors.Is(err, ErrLimit) {
 				t.Errorf("got %v, want an ErrLimit", err)
 			}
--- a/internal/calendar/outcome_test.go
+++ b/internal/calendar/outcome_test.go
@@ -9,7 +9,7 @@
 
 // TestDecideOutcome: each occurrence is decided once, whatever the leader has missed.
 func TestDecideOutcome(t *testing.T) {
-	r := parse(t, map[string]any{"rule": "FREQ=DAILY;COUNT=3", "grace_s": 120.0})
+	r := parseReservation(t, map[string]any{"rule": "FREQ=DAILY;COUNT=3", "grace_s": 120.0})
 	c := New(testConfig())
 	e, err := c.Fit(r, testNow)
 	if err != nil {
--- a/internal/calendar/spec_test.go
+++ b/internal/calendar/spec_test.go
@@ -66,7 +66,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			var got []string
-			for _, s := range parse(t, tt.doc).Spans() {
+			for _, s := range parseReservation(t, tt.doc).Spans() {
 				got = append(got, time.UnixMilli(s.From).UTC().Format("01-02T15:04")+"-"+time.UnixMilli(s.To).UTC().Format("15:04"))
 			}
 			if s := strings.Join(got, " "); s != tt.want {
--- a/internal/calendar/windows_test.go
+++ b/internal/calendar/windows_test.go
@@ -30,7 +30,7 @@
 			f := testConfig()
 			f.Teams = []config.Team{{Name: "green"}}
 			c := New(f)
-			r := parse(t, map[string]any{"parts": tt.parts})
+			r := parseReservation(t, map[string]any{"parts": tt.parts})
 			w := parseWindow(t, tt.window)
 			var single []Allocation
 			if w.NamesMachines() {
