--- a/internal/calendar/admission_test.go
+++ b/internal/calendar/admission_test.go
@@ -12,9 +12,9 @@
 	"gonum.org/v1/gonum/optimize/convex/lp"
 )
 
-// overload is a load of n reservations for one day that ten machines in each of two
+// oversubscribedLoad is a load of n reservations for one day that ten machines in each of two
 // zones cannot hold.
-func overload(t testing.TB, n int, seed uint64) (Config, []*Reservation) {
+func oversubscribedLoad(t testing.TB, n int, seed uint64) (Config, []*Reservation) {
 	f := testConfig()
 	f.Types = f.Types[:1]
 	f.Teams = f.Teams[2:] // without guarantees
@@ -106,7 +106,7 @@
 // and, of loads twice too large, most of it.
 func TestAdmissionBound(t *testing.T) {
 	for seed := range uint64(3) {
-		f, rs := overload(t, 30, seed)
+		f, rs := oversubscribedLoad(t, 30, seed)
 		_, hours := admitInOrder(f, rs)
 		best := admissionBound(t, f, rs)
 		if hours > best+1e-6 {
@@ -122,7 +122,7 @@
 // loads: machine hours accepted of those that any choice could accept at most.
 func BenchmarkAdmissionOrder(b *testing.B) {
 	for _, n := range []int{20, 40, 80, 160} {
-		f, rs := overload(b, n, 9)
+		f, rs := oversubscribedLoad(b, n, 9)
 		var best, hours float64
 		measure := func(name string, do func()) {
 			b.Run(fmt.Sprintf("%s %d", name, n), func(b *testing.B) {
