--- a/internal/calendar/admission_test.go
+++ b/internal/calendar/admission_test.go
@@ -38,8 +38,8 @@
 	return float64(r.Parts) * float64(r.spans[0].To-r.spans[0].From) / 3.6e6
 }
 
-// admitInOrder admits reservations one by one and returns how many, and their size.
-func admitInOrder(f Config, rs []*Reservation) (accepted int, hours float64) {
+// admitSequentially admits reservations one by one and returns how many, and their size.
+func admitSequentially(f Config, rs []*Reservation) (accepted int, hours float64) {
 	c := New(f)
 	for _, r := range rs {
 		if e, err := c.Fit(r, testNow); err == nil {
@@ -107,7 +107,7 @@
 func TestAdmissionBound(t *testing.T) {
 	for seed := range uint64(3) {
 		f, rs := oversubscribedLoad(t, 30, seed)
-		_, hours := admitInOrder(f, rs)
+		_, hours := admitSequentially(f, rs)
 		best := admissionBound(t, f, rs)
 		if hours > best+1e-6 {
 			t.Errorf("seed %d: %.1f machine hours accepted, at most %.1f fit", seed, hours, best)
@@ -138,9 +138,9 @@
 		}
 		best = admissionBound(b, f, rs)
 		measure("program", func() { hours = admissionBound(b, f, rs) })
-		measure("arrival", func() { _, hours = admitInOrder(f, rs) })
+		measure("arrival", func() { _, hours = admitSequentially(f, rs) })
 		large := slices.Clone(rs)
 		slices.SortStableFunc(large, func(x, y *Reservation) int { return int(1000 * (machineHours(y) - machineHours(x))) })
-		measure("largest first", func() { _, hours = admitInOrder(f, large) })
+		measure("largest first", func() { _, hours = admitSequentially(f, large) })
 	}
 }
