--- a/internal/calendar/fit_test.go
+++ b/internal/calendar/fit_test.go
@@ -12,8 +12,8 @@
 	return map[string]any{"start": "2026-03-10T" + from + ":00", "end": "2026-03-10T" + to + ":00"}
 }
 
-// with sets fields of a reservation, given as names and values in turn.
-func with(m map[string]any, kv ...any) map[string]any {
+// withFields sets fields of a reservation, given as names and values in turn.
+func withFields(m map[string]any, kv ...any) map[string]any {
 	for i := 0; i < len(kv); i += 2 {
 		m[kv[i].(string)] = kv[i+1]
 	}
@@ -30,26 +30,26 @@
 		next   string
 	}{
 		{"the cheapest machines", nil, between("20:00", "21:00"), "small/a 4/4", ""},
-		{"in one place, the only one that has room", nil, with(between("20:00", "21:00"), "parts", 18, "same_place", true), "small/a 10/10 large/a 2/8", ""},
-		{"apart", nil, with(between("20:00", "21:00"), "parts", 5, "apart", true), "small/a 3/3 small/b 2/2", ""},
-		{"beside another", []map[string]any{with(between("19:30", "20:30"), "parts", 8)}, between("20:00", "21:00"), "small/a 2/2 small/b 2/2", ""},
-		{"after another", []map[string]any{with(between("19:00", "20:00"), "parts", 8)}, between("20:00", "21:00"), "small/a 4/4", ""},
-		{"a part larger than any machine", nil, with(between("20:00", "21:00"), "cpus", 32.0), "a part fits no machine", ""},
-		{"a type that is booked", []map[string]any{with(between("19:30", "20:30"), "parts", 3, "builds", []string{"large"}, "cpus", 16.0)},
-			with(between("20:00", "21:00"), "parts", 2, "builds", []string{"large"}, "cpus", 16.0), "reservation r0", "20:30"},
-		{"the team's limit", []map[string]any{with(between("19:30", "20:30"), "team", "red", "parts", 20)}, with(between("20:00", "21:00"), "team", "red", "parts", 8),
+		{"in one place, the only one that has room", nil, withFields(between("20:00", "21:00"), "parts", 18, "same_place", true), "small/a 10/10 large/a 2/8", ""},
+		{"apart", nil, withFields(between("20:00", "21:00"), "parts", 5, "apart", true), "small/a 3/3 small/b 2/2", ""},
+		{"beside another", []map[string]any{withFields(between("19:30", "20:30"), "parts", 8)}, between("20:00", "21:00"), "small/a 2/2 small/b 2/2", ""},
+		{"after another", []map[string]any{withFields(between("19:00", "20:00"), "parts", 8)}, between("20:00", "21:00"), "small/a 4/4", ""},
+		{"a part larger than any machine", nil, withFields(between("20:00", "21:00"), "cpus", 32.0), "a part fits no machine", ""},
+		{"a type that is booked", []map[string]any{withFields(between("19:30", "20:30"), "parts", 3, "builds", []string{"large"}, "cpus", 16.0)},
+			withFields(between("20:00", "21:00"), "parts", 2, "builds", []string{"large"}, "cpus", 16.0), "reservation r0", "20:30"},
+		{"the team's limit", []map[string]any{withFields(between("19:30", "20:30"), "team", "red", "parts", 20)}, withFields(between("20:00", "21:00"), "team", "red", "parts", 8),
 			"the team's limit of 100 CPUs, of which 80 are reserved", "20:30"},
-		{"more than the guarantee, where there is enough", nil, with(between("20:00", "21:00"), "team", "red", "parts", 25), "small/a 10/10 small/b 10/10 large/a 2/5", ""},
+		{"more than the guarantee, where there is enough", nil, withFields(between("20:00", "21:00"), "team", "red", "parts", 25), "small/a 10/10 small/b 10/10 large/a 2/5", ""},
 		// 144 CPUs, of which 60 are guaranteed: whoever has no guarantee gets 84.
-		{"one who books everything", nil, with(between("20:00", "21:00"), "parts", 22), "other teams' guarantees of CPUs", ""},
-		{"in small steps", []map[string]any{with(between("20:00", "21:00"), "parts", 11), with(between("19:30", "20:30"), "parts", 10)}, with(between("20:00", "21:00"), "parts", 1),
+		{"one who books everything", nil, withFields(between("20:00", "21:00"), "parts", 22), "other teams' guarantees of CPUs", ""},
+		{"in small steps", []map[string]any{withFields(between("20:00", "21:00"), "parts", 11), withFields(between("19:30", "20:30"), "parts", 10)}, withFields(between("20:00", "21:00"), "parts", 1),
 			"other teams' guarantees of CPUs", "20:30"},
-		{"a guarantee beside one who books all the rest", []map[string]any{with(between("20:00", "21:00"), "parts", 21)}, with(between("20:00", "21:00"), "team", "red", "parts", 10),
+		{"a guarantee beside one who books all the rest", []map[string]any{withFields(between("20:00", "21:00"), "parts", 21)}, withFields(between("20:00", "21:00"), "team", "red", "parts", 10),
 			"large/a 3/10", ""},
-		{"two teams inside their guarantees", []map[string]any{with(between("20:00", "21:00"), "team", "blue", "parts", 5)}, with(between("20:00", "21:00"), "team", "red", "parts", 10),
+		{"two teams inside their guarantees", []map[string]any{withFields(between("20:00", "21:00"), "team", "blue", "parts", 5)}, withFields(between("20:00", "21:00"), "team", "red", "parts", 10),
 			"small/a 5/5 small/b 5/5", ""},
-		{"every evening beside one evening", []map[string]any{with(between("20:30", "21:30"), "parts", 4, "builds", []string{"large"}, "cpus", 16.0)},
-			with(between("20:00", "21:00"), "parts", 1, "builds", []string{"large"}, "cpus", 16.0, "start", "2026-03-08T20:00:00", "end", "2026-03-08T21:00:00", "rule", "FREQ=DAILY;COUNT=5"),
+		{"every evening beside one evening", []map[string]any{withFields(between("20:30", "21:30"), "parts", 4, "builds", []string{"large"}, "cpus", 16.0)},
+			withFields(between("20:00", "21:00"), "parts", 1, "builds", []string{"large"}, "cpus", 16.0, "start", "2026-03-08T20:00:00", "end", "2026-03-08T21:00:00", "rule", "FREQ=DAILY;COUNT=5"),
 			"at 2026-03-10T20:00:00Z no room for 1 parts beside reservation r0", "21:30"},
 	}
 	for _, tt := range tests {
