--- a/internal/calendar/fit_test.go
+++ b/internal/calendar/fit_test.go
@@ -63,7 +63,7 @@
 				}
 				c.Add(e)
 			}
-			got, next := fit(t, c, parseReservation(t, tt.doc))
+			got, next := fitResult(t, c, parseReservation(t, tt.doc))
 			if !strings.Contains(got, tt.want) || next != tt.next {
 				t.Errorf("got %q, next %q; want %q, next %q", got, next, tt.want, tt.next)
 			}
@@ -71,9 +71,9 @@
 	}
 }
 
-// fit is the allocations that a reservation gets, or what is in the way and the time of day
-// from which it would fit.
-func fit(t *testing.T, c *Calendar, r *Reservation) (got, next string) {
+// fitResult is the allocations that a reservation gets, or what is in the way and the time of day
+// from which it would fitResult.
+func fitResult(t *testing.T, c *Calendar, r *Reservation) (got, next string) {
 	t.Helper()
 	b, err := c.Fit(r, testNow)
 	var conflict *Conflict
