--- a/internal/calendar/fit_benchmark_test.go
+++ b/internal/calendar/fit_benchmark_test.go
@@ -40,7 +40,7 @@
 			b.ReportMetric(100*float64(accepted)/float64(n), "%accepted")
 			stored := encodeRecords(b, c)
 			begun := time.Now()
-			reload(b, New(f), stored)
+			loadRecords(b, New(f), stored)
 			b.ReportMetric(float64(time.Since(begun).Milliseconds()), "reload-ms")
 		})
 	}
@@ -59,8 +59,8 @@
 	return stored
 }
 
-// reload adds stored reservations to a calendar, as a leader does that takes over.
-func reload(b *testing.B, c *Calendar, stored [][]byte) {
+// loadRecords adds stored reservations to a calendar, as a leader does that takes over.
+func loadRecords(b *testing.B, c *Calendar, stored [][]byte) {
 	b.Helper()
 	for _, body := range stored {
 		rec := &Record{}
