--- a/internal/calendar/windows_test.go
+++ b/internal/calendar/windows_test.go
@@ -8,8 +8,8 @@
 	"vetchstream/internal/config"
 )
 
-// TestWindows: a window and a reservation on the same machines, in either order.
-func TestWindows(t *testing.T) {
+// TestPlanWindow: a window and a reservation on the same machines, in either order.
+func TestPlanWindow(t *testing.T) {
 	tests := []struct {
 		name   string
 		parts  int
