--- a/internal/calendar/windows_test.go
+++ b/internal/calendar/windows_test.go
@@ -88,8 +88,8 @@
 	return "stays"
 }
 
-// TestWholeFleet: a window that takes every machine is refused.
-func TestWholeFleet(t *testing.T) {
+// TestPlanWindowWholeFleet: a window that takes every machine is refused.
+func TestPlanWindowWholeFleet(t *testing.T) {
 	f := testConfig()
 	f.Zones = []string{"a"}
 	_, err := New(f).PlanWindow(parseWindow(t, map[string]any{"yard": "a"}), nil, testNow)
