--- a/internal/calendar/spec_test.go
+++ b/internal/calendar/spec_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// TestMalformed: bad input is refused with the field's name, and the work that a
+// TestParseReservation: bad input is refused with the field's name, and the work that a
 // rule asks for is bounded.
-func TestMalformed(t *testing.T) {
+func TestParseReservation(t *testing.T) {
 	tests := []struct {
 		name string
 		doc  map[string]any
