--- a/internal/calendar/spec_test.go
+++ b/internal/calendar/spec_test.go
@@ -76,8 +76,8 @@
 	}
 }
 
-// TestCovers: which machines a window is about.
-func TestCovers(t *testing.T) {
+// TestWindowCovers: which machines a window is about.
+func TestWindowCovers(t *testing.T) {
 	tests := []struct {
 		name string
 		doc  map[string]any
