--- a/internal/calendar/estimator_test.go
+++ b/internal/calendar/estimator_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// TestEstimator: a bound covers what was seen, and twice what is expected before anything
+// TestEstimatorUpperBound: a bound covers what was seen, and twice what is expected before anything
 // was.
-func TestEstimator(t *testing.T) {
+func TestEstimatorUpperBound(t *testing.T) {
 	tests := []struct {
 		name string
 		seen []float64
