--- a/internal/calendar/outcome_test.go
+++ b/internal/calendar/outcome_test.go
@@ -19,9 +19,9 @@
 	at := func(d time.Duration) time.Time { return start.Add(d) }
 	day := 24 * time.Hour
 	tests := []struct {
-		name  string
-		looks []Observation
-		want  string
+		name         string
+		observations []Observation
+		want         string
 	}{
 		{"before", []Observation{{Now: at(-time.Second)}}, ""},
 		{"kept", []Observation{{Now: at(0), Claimer: "run-1"}, {Now: at(time.Second), Claimer: "run-1", RunningSince: at(time.Second)}, {Now: at(time.Minute), Claimer: "run-1", RunningSince: at(time.Second)}}, "kept"},
@@ -37,7 +37,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			rec := NewRecord(e, testNow)
-			for _, l := range tt.looks {
+			for _, l := range tt.observations {
 				next, changed := DecideOutcome(rec, e, l, StartTolerance(2, 100))
 				if changed == (next == rec) {
 					t.Error("a change that does not show")
