--- a/internal/calendar/calendar.go
+++ b/internal/calendar/calendar.go
@@ -11,38 +11,40 @@
 	"vetchstream/internal/wire"
 )
 
-// Limits bound a calendar.
+// Limits bounds the entries of a calendar.
 type Limits struct {
-	HorizonDays         int // how far ahead anything may be planned
-	Reservations        int // in the whole calendar
+	HorizonDays         int // how far ahead an entry may lie
+	Reservations        int // of all teams together
 	ReservationsPerTeam int
 	Windows             int // maintenance windows
-	Occurrences         int // of one reservation
+	Occurrences         int // per reservation
 }
 
-// UnlimitedMachines stands for any number of machines in Config.Machines.
+// UnlimitedMachines is the result of Config.Machines for a type without a limit in a zone.
 const UnlimitedMachines = -1
 
-// Config is what a calendar plans for.
+// Config describes the fleet and the teams that a calendar plans for.
 type Config struct {
 	Types []wire.MachineType
 	Zones []string
 	Teams []config.Team
-	// Machines is how many machines of a type can be relied upon in a zone; negative: any
-	// number.
+	// Machines returns the number of machines of a type that the fleet can rely on in a zone;
+	// a negative number means that there is no limit.
 	Machines func(typ, zone string) int
 	Limits   Limits
 }
 
 const (
-	// unlimitedCapacity is the capacity of a pool of any number of machines.
+	// unlimitedCapacity is the number of machines assumed for a pool without a limit.
 	unlimitedCapacity = 1e6
-	// capacityTolerance is by how much a sum of floating-point amounts may exceed a bound.
+	// capacityTolerance is the excess over a bound that is attributed to rounding of
+	// floating-point sums.
 	capacityTolerance = 1e-6
 )
 
-// Allocation is a part of a reservation's capacity: machines of one type in one zone. Whole
-// machines are reserved, so that no ordinary task on the rest of one can be in the way.
+// Allocation assigns machines of one type in one zone to a reservation or a maintenance
+// window. Reservations get whole machines, so that ordinary tasks never occupy the remainder
+// of a reserved machine.
 type Allocation struct {
 	Type     string `codec:"type" json:"type"`
 	Zone     string `codec:"zone" json:"zone"`
@@ -50,18 +52,18 @@
 	Parts    int    `codec:"parts" json:"parts"`
 }
 
-// Booking is an accepted reservation.
+// Booking is an accepted reservation with its allocated machines.
 type Booking struct {
 	*Reservation
-	// Seq is the order of acceptance.
+	// Seq orders bookings by acceptance.
 	Seq         uint64
 	Allocations []Allocation
-	// Revoked are occurrences, by start, whose capacity a forced window has taken.
+	// Revoked holds the starts of the occurrences whose capacity a forced window has revoked.
 	Revoked map[int64]bool
 }
 
-// OccurrenceAt is the occurrence that a job claims which was submitted at a time of day in
-// milliseconds: the first that was not over then.
+// OccurrenceAt returns the occurrence that a job submitted at the given Unix time in
+// milliseconds claims: the first one that ends after that time.
 func (b *Booking) OccurrenceAt(submitted int64) (Span, bool) {
 	i := firstEndingAfter(b.spans, submitted)
 	if i == len(b.spans) {
@@ -70,41 +72,41 @@
 	return b.spans[i], true
 }
 
-// overlaps reports whether an occurrence overlaps a span.
+// overlaps reports whether any occurrence overlaps the span.
 func (b *Booking) overlaps(s Span) bool {
 	i := firstEndingAfter(b.spans, s.From)
 	return i < len(b.spans) && b.spans[i].Overlaps(s)
 }
 
-// firstEndingAfter is the index of the first of ordered spans that ends after t; the number
-// of spans: none does.
+// firstEndingAfter returns the index of the first of the ordered spans that ends after t, or
+// len(spans) if none does.
 func firstEndingAfter(spans []Span, t int64) int {
 	i, _ := slices.BinarySearchFunc(spans, t+1, func(s Span, t int64) int { return cmp.Compare(s.To, t) })
 	return i
 }
 
-// machinePool is the machines of one type in one zone.
+// machinePool represents the machines of one type in one zone.
 type machinePool struct {
 	typeIndex, zoneIndex int
-	capacity             float64 // machines that can be relied upon
-	reserved             profile // machines taken by reservations and windows
+	capacity             float64 // number of machines that the fleet can rely on
+	reserved             profile // number of machines allocated to reservations and windows
 }
 
-// usage is an amount of each resource over time.
+// usage is the amount of each resource in use over time.
 type usage struct{ cpus, gpus profile }
 
-// Calendar holds the accepted reservations and maintenance windows, and decides whether
-// further ones fit.
+// Calendar holds the accepted reservations and maintenance windows and decides whether further
+// ones fit.
 type Calendar struct {
 	config    Config
 	pools     []machinePool
 	teamUsage []usage        // reserved by each team
-	teamIndex map[string]int // by name
-	// overGuarantee is what all teams together have reserved beyond their guarantees.
+	teamIndex map[string]int // index in config.Teams by name
+	// overGuarantee sums the amounts that teams have reserved beyond their guarantees.
 	overGuarantee usage
-	// maintenance is what windows take of the machines that can be relied upon.
+	// maintenance is the capacity that windows take out of service.
 	maintenance     usage
-	capacity        place.Resources // of the machines that can be relied upon
+	capacity        place.Resources // of all pools
 	guaranteed      place.Resources // sum of the teams' guarantees
 	bookings        map[string]*Booking
 	bookingsPerTeam map[string]int
@@ -112,23 +114,23 @@
 	lastSeq         uint64
 }
 
-// New makes an empty calendar.
-func New(f Config) *Calendar {
+// New returns an empty calendar.
+func New(cfg Config) *Calendar {
 	c := &Calendar{
-		config:          f,
-		teamUsage:       make([]usage, len(f.Teams)),
+		config:          cfg,
+		teamUsage:       make([]usage, len(cfg.Teams)),
 		teamIndex:       map[string]int{},
 		bookings:        map[string]*Booking{},
 		bookingsPerTeam: map[string]int{},
 		windows:         map[string]*PlannedWindow{},
 	}
-	for i, t := range f.Teams {
+	for i, t := range cfg.Teams {
 		c.teamIndex[t.Name] = i
 		c.guaranteed.CPUs += t.CPUs
 		c.guaranteed.GPUs += t.GPUs
 	}
-	for typeIndex, t := range f.Types {
-		for zoneIndex, zone := range f.Zones {
+	for typeIndex, t := range cfg.Types {
+		for zoneIndex, zone := range cfg.Zones {
 			if slices.Contains(t.Zones, zone) {
 				c.addPool(typeIndex, zoneIndex)
 			}
@@ -137,7 +139,7 @@
 	return c
 }
 
-// addPool adds the machines of a type in a zone.
+// addPool adds the pool of a machine type in a zone, with its capacity.
 func (c *Calendar) addPool(typeIndex, zoneIndex int) {
 	t := &c.config.Types[typeIndex]
 	machines := float64(c.config.Machines(t.Name, c.config.Zones[zoneIndex]))
@@ -149,13 +151,13 @@
 	c.capacity.GPUs += machines * t.GPUs
 }
 
-// typeOf is the machine type of a pool.
+// typeOf returns the machine type of a pool.
 func (c *Calendar) typeOf(p *machinePool) *wire.MachineType { return &c.config.Types[p.typeIndex] }
 
-// zoneOf is the zone of a pool.
+// zoneOf returns the zone of a pool.
 func (c *Calendar) zoneOf(p *machinePool) string { return c.config.Zones[p.zoneIndex] }
 
-// pool is the pool of a machine type in a zone; nil: there is none.
+// pool returns the pool of a machine type in a zone, or nil if the type is not offered there.
 func (c *Calendar) pool(typ, zone string) *machinePool {
 	for i := range c.pools {
 		if p := &c.pools[i]; c.typeOf(p).Name == typ && c.zoneOf(p) == zone {
@@ -165,21 +167,21 @@
 	return nil
 }
 
-// Bookings are the accepted reservations, by name.
+// Bookings returns the accepted reservations by name. Callers must not modify the map.
 func (c *Calendar) Bookings() map[string]*Booking { return c.bookings }
 
-// Windows are the accepted maintenance windows, by name.
+// Windows returns the accepted maintenance windows by name. Callers must not modify the map.
 func (c *Calendar) Windows() map[string]*PlannedWindow { return c.windows }
 
-// ErrLimit is returned for a reservation or window beyond the calendar's Limits.
+// ErrLimit is returned for a reservation or window that would exceed the calendar's Limits.
 var ErrLimit = errors.New("the calendar is full")
 
-// Conflict is returned for a reservation or window that does not fit.
+// Conflict is the error for a reservation or window that does not fit.
 type Conflict struct {
-	// Reason is what is in the way.
+	// Reason says why the entry does not fit.
 	Reason string
-	// Searched: a later start was searched for. NextStart is the first one that would fit;
-	// zero: none was found within the horizon.
+	// Searched reports whether a later start was searched for. NextStart is the first one that
+	// would fit, or zero if the search found none.
 	Searched  bool
 	NextStart time.Time
 }
@@ -190,12 +192,12 @@
 	case !e.Searched:
 		return e.Reason
 	case e.NextStart.IsZero():
-		return e.Reason + "; no later start was found that would fit"
+		return e.Reason + "; no later start that fits was found"
 	}
 	return e.Reason + "; it would fit from " + e.NextStart.UTC().Format(time.RFC3339)
 }
 
-// Add adds an accepted reservation, or replaces the one of its name.
+// Add adds an accepted reservation, replacing any reservation of the same name.
 func (c *Calendar) Add(b *Booking) {
 	c.Remove(b.Name)
 	c.bookings[b.Name] = b
@@ -204,7 +206,7 @@
 	c.applyBooking(b, 1)
 }
 
-// Remove removes a reservation, if there is one of that name.
+// Remove removes the reservation of the given name, if there is one.
 func (c *Calendar) Remove(name string) {
 	b := c.bookings[name]
 	if b == nil {
@@ -215,7 +217,8 @@
 	c.bookingsPerTeam[b.Team]--
 }
 
-// applyBooking adds what a reservation takes to the profiles, or subtracts it (sign -1).
+// applyBooking adds the machines and resources of a reservation to the profiles, or subtracts
+// them if sign is -1.
 func (c *Calendar) applyBooking(b *Booking, sign float64) {
 	teamIndex, known := c.teamIndex[b.Team]
 	for _, s := range b.spans {
@@ -228,7 +231,7 @@
 			}
 		}
 		if !known {
-			continue // its team has left the settings
+			continue // the team was removed from the settings
 		}
 		team, used := &c.config.Teams[teamIndex], &c.teamUsage[teamIndex]
 		addUsage(&used.cpus, &c.overGuarantee.cpus, s, sign*b.CPUs*float64(b.Parts), team.CPUs)
@@ -236,8 +239,8 @@
 	}
 }
 
-// addUsage changes by an amount what a team has reserved of a resource, and with it what all
-// teams have reserved beyond their guarantees.
+// addUsage adds an amount of a resource to a team's usage over a span, and adjusts the sum of
+// the amounts that all teams have reserved beyond their guarantees.
 func addUsage(team, overGuarantee *profile, s Span, amount, guarantee float64) {
 	if amount == 0 {
 		return
@@ -248,19 +251,19 @@
 	}
 	var changes []change
 	team.forEach(s, func(part Span, used float64) bool {
-		if over := increaseBeyond(guarantee, used, amount); over != 0 {
-			changes = append(changes, change{part, over})
+		if increase := increaseBeyond(guarantee, used, amount); increase != 0 {
+			changes = append(changes, change{part, increase})
 		}
 		return true
 	})
-	for _, x := range changes {
-		overGuarantee.add(x.span, x.amount)
+	for _, c := range changes {
+		overGuarantee.add(c.span, c.amount)
 	}
 	team.add(s, amount)
 }
 
-// increaseBeyond is by how much more a guarantee is exceeded when an amount is added to what
-// is used.
+// increaseBeyond returns by how much the usage beyond the guarantee grows when amount is added
+// to used.
 func increaseBeyond(guarantee, used, amount float64) float64 {
 	return max(0, used+amount-guarantee) - max(0, used-guarantee)
 }
--- a/internal/calendar/conflict.go
+++ b/internal/calendar/conflict.go
@@ -9,13 +9,14 @@
 )
 
 const (
-	// maxNamedConflicts is how many conflicting entries a refusal names.
+	// maxNamedConflicts is the maximum number of conflicting entries that a refusal names.
 	maxNamedConflicts = 3
-	// maxStartCandidates bounds the search for a start that would fit.
+	// maxStartCandidates limits the starts that the search for a later one tries.
 	maxStartCandidates = 100
 )
 
-// capacityConflict names what is in the way of the first occurrence that does not fit.
+// capacityConflict returns the conflict of the first span without capacity, or of the first
+// span if each has capacity by itself but no machines are free in all of them.
 func (c *Calendar) capacityConflict(r *Reservation, spans []Span) *Conflict {
 	s := spans[0]
 	if i := slices.IndexFunc(spans, func(s Span) bool { return !c.hasCapacity(r, s) }); i >= 0 {
@@ -23,19 +24,19 @@
 	}
 	names := c.conflictingEntries(r, s)
 	if len(names) == 0 {
-		return &Conflict{Reason: fmt.Sprintf("at %s the machines counted upon have no room for %d parts", formatTime(s.From), r.Parts)}
+		return &Conflict{Reason: fmt.Sprintf("at %s the fleet has no capacity for %d parts", formatTime(s.From), r.Parts)}
 	}
-	more := ""
+	suffix := ""
 	if len(names) > maxNamedConflicts {
 		names = names[:maxNamedConflicts]
-		more = " and others"
+		suffix = " and others"
 	}
-	return &Conflict{Reason: fmt.Sprintf("at %s no room for %d parts beside %s%s", formatTime(s.From), r.Parts, strings.Join(names, ", "), more)}
+	return &Conflict{Reason: fmt.Sprintf("at %s there is no capacity for %d parts beside %s%s", formatTime(s.From), r.Parts, strings.Join(names, ", "), suffix)}
 }
 
-// conflictingEntries names the windows and reservations that take machines which a
-// reservation could use in a span: all windows, and reservations until there are more names
-// than a refusal has.
+// conflictingEntries returns the names of windows and reservations that occupy machines which
+// the reservation could use during the span. It returns all such windows, and stops at
+// reservations once there are more names than a refusal includes.
 func (c *Calendar) conflictingEntries(r *Reservation, s Span) []string {
 	usable := func(a Allocation) bool { return r.allows(a.Type, a.Zone) }
 	var names []string
@@ -55,8 +56,8 @@
 	return names
 }
 
-// hasCapacity reports whether the machines have capacity for a reservation in one span,
-// whatever its team's quota.
+// hasCapacity reports whether enough machines are free for a reservation in one span. It
+// ignores the quotas of teams.
 func (c *Calendar) hasCapacity(r *Reservation, s Span) bool {
 	byZone := map[string]int{}
 	total, mostInZone := 0, 0
@@ -74,8 +75,8 @@
 	return total >= r.Parts && (!r.OneZone || mostInZone >= r.Parts)
 }
 
-// nextStart is the first start, among the times at which something ends, from which all
-// occurrences would fit; zero: none of them.
+// nextStart returns the earliest later start for which all occurrences would fit, out of the
+// times at which capacity becomes free; zero if none of them fits.
 func (c *Calendar) nextStart(r *Reservation, spans []Span) time.Time {
 	first := spans[0].From
 	for _, start := range c.startCandidates(r, first) {
@@ -84,7 +85,7 @@
 			shifted[i] = Span{s.From + start - first, s.To + start - first}
 		}
 		if slices.ContainsFunc(shifted, func(s Span) bool { return !c.hasCapacity(r, s) }) {
-			continue // cheaper than allocate, which would name what is in the way
+			continue // cheaper than allocate, which also describes the conflict
 		}
 		if _, conflict := c.allocate(r, shifted, nil); conflict == nil {
 			return time.UnixMilli(start)
@@ -93,20 +94,21 @@
 	return time.Time{}
 }
 
-// startCandidates are the times after a start at which machines or quota become free.
+// startCandidates returns the first times after the given one at which machines or quota
+// become free, in order.
 func (c *Calendar) startCandidates(r *Reservation, after int64) []int64 {
-	var ends []int64
+	var candidates []int64
 	for i := range c.pools {
-		ends = append(ends, c.pools[i].reserved.decreasesAfter(after, maxStartCandidates)...)
+		candidates = append(candidates, c.pools[i].reserved.decreasesAfter(after, maxStartCandidates)...)
 	}
-	team := &c.teamUsage[c.teamIndex[r.Team]]
-	ends = append(ends, team.cpus.decreasesAfter(after, maxStartCandidates)...)
-	ends = append(ends, team.gpus.decreasesAfter(after, maxStartCandidates)...)
-	ends = append(ends, c.overGuarantee.cpus.decreasesAfter(after, maxStartCandidates)...)
-	slices.Sort(ends)
-	ends = slices.Compact(ends)
-	return ends[:min(len(ends), maxStartCandidates)]
+	used := &c.teamUsage[c.teamIndex[r.Team]]
+	candidates = append(candidates, used.cpus.decreasesAfter(after, maxStartCandidates)...)
+	candidates = append(candidates, used.gpus.decreasesAfter(after, maxStartCandidates)...)
+	candidates = append(candidates, c.overGuarantee.cpus.decreasesAfter(after, maxStartCandidates)...)
+	slices.Sort(candidates)
+	candidates = slices.Compact(candidates)
+	return candidates[:min(len(candidates), maxStartCandidates)]
 }
 
-// formatTime formats a time of day in milliseconds.
+// formatTime formats a Unix time in milliseconds.
 func formatTime(ms int64) string { return time.UnixMilli(ms).UTC().Format(time.RFC3339) }
--- a/internal/calendar/estimator.go
+++ b/internal/calendar/estimator.go
@@ -2,44 +2,45 @@
 
 import "math"
 
-// Factors of Estimator.
+// Parameters of Estimator.
 const (
-	meanGain       = 1.0 / 8 // weight of a measurement in the mean, as in RFC 6298
-	deviationGain  = 1.0 / 4 // weight of a measurement in the deviation, as in RFC 6298
-	peakDecay      = 1.0 / 64
-	boundDeviation = 4 // deviations above the mean that hardly any measurement exceeds
-	// initialFactor is by how much the first measurement may exceed what is expected, since
-	// estimates are wrong by half or more.
+	meanGain       = 1.0 / 8  // weight of a sample in the mean, as in RFC 6298
+	deviationGain  = 1.0 / 4  // weight of a sample in the mean deviation, as in RFC 6298
+	peakDecay      = 1.0 / 64 // part of the distance to the mean that the peak loses per sample
+	boundDeviation = 4        // number of deviations between the mean and the upper bound
+	// initialFactor multiplies the expected value before the first sample, because estimates
+	// are wrong by half or more.
 	initialFactor = 2
 )
 
-// Estimator is a running mean and mean deviation of a time or ratio, smoothed as round trips
-// are in RFC 6298, with the highest measurement, which is forgotten slowly: a deviation that
-// has shrunk must not promise less than what was measured. The zero value has no measurement.
+// Estimator estimates an upper bound of a time or ratio from samples. It keeps a moving
+// average and mean deviation, smoothed like round-trip times in RFC 6298, and a peak that
+// decays slowly, so that a shrinking deviation does not lower the bound below recent samples.
+// The zero value has no samples.
 type Estimator struct {
 	mean, deviation, peak float64
 	count                 int
 }
 
-// Count is the number of measurements.
+// Count returns the number of samples.
 func (e *Estimator) Count() int { return e.count }
 
-// Add adds a measurement.
-func (e *Estimator) Add(x float64) {
+// Add adds a sample.
+func (e *Estimator) Add(sample float64) {
 	e.count++
 	if e.count == 1 {
-		e.mean = x
-		e.deviation = x / 2
-		e.peak = x
+		e.mean = sample
+		e.deviation = sample / 2
+		e.peak = sample
 		return
 	}
-	e.peak = max(x, e.peak-(e.peak-e.mean)*peakDecay)
-	e.deviation += (math.Abs(x-e.mean) - e.deviation) * deviationGain
-	e.mean += (x - e.mean) * meanGain
+	e.peak = max(sample, e.peak-(e.peak-e.mean)*peakDecay)
+	e.deviation += (math.Abs(sample-e.mean) - e.deviation) * deviationGain
+	e.mean += (sample - e.mean) * meanGain
 }
 
-// UpperBound is what hardly any measurement exceeds; before the first one it is a multiple of
-// what is expected.
+// UpperBound returns a value that hardly any sample exceeds. Without samples it is a multiple
+// of the expected value.
 func (e *Estimator) UpperBound(expected float64) float64 {
 	if e.count == 0 {
 		return initialFactor * expected
