--- a/internal/calendar/fit.go
+++ b/internal/calendar/fit.go
@@ -10,12 +10,12 @@
 	"vetchstream/internal/place"
 )
 
-// machineLimit is how many machines of a type can be had in a zone; nil: no limit beside the
-// calendar's own.
+// machineLimit returns the maximum number of machines of a type that may be allocated in a
+// zone. A nil function sets no limit beyond the capacity of the calendar's pools.
 type machineLimit = func(typ, zone string) int
 
-// Fit finds capacity for a reservation, and changes nothing. The error is a *Conflict, or an
-// ErrLimit.
+// Fit allocates capacity for a reservation and returns the booking, without adding it to the
+// calendar. The error is a *Conflict or wraps ErrLimit.
 func (c *Calendar) Fit(r *Reservation, now time.Time) (*Booking, error) {
 	if len(c.bookings) >= c.config.Limits.Reservations {
 		return nil, fmt.Errorf("%w: %d reservations", ErrLimit, len(c.bookings))
@@ -24,10 +24,10 @@
 		return nil, fmt.Errorf("%w: team %s has %d reservations", ErrLimit, r.Team, c.bookingsPerTeam[r.Team])
 	}
 	if _, ok := c.teamIndex[r.Team]; !ok {
-		return nil, &Conflict{Reason: "team " + r.Team + " is not known"}
+		return nil, &Conflict{Reason: "team " + r.Team + " is not configured"}
 	}
 	if !c.anyMachineFits(r) {
-		return nil, &Conflict{Reason: "a part fits no machine type that is allowed there"}
+		return nil, &Conflict{Reason: "a part fits on no machine type that the reservation may use"}
 	}
 	spans := c.remainingOccurrences(r, now)
 	allocations, conflict := c.allocate(r, spans, nil)
@@ -39,8 +39,8 @@
 	return &Booking{Reservation: r, Seq: c.lastSeq + 1, Allocations: allocations}, nil
 }
 
-// Reallocate finds other capacity for one occurrence of an accepted reservation within a
-// limit of machines; nil: there is none.
+// Reallocate allocates capacity anew for one occurrence of an accepted reservation, within
+// the limit, without changing the calendar. It returns nil if there is not enough.
 func (c *Calendar) Reallocate(name string, s Span, limit machineLimit) []Allocation {
 	b := c.bookings[name]
 	if b == nil {
@@ -52,13 +52,13 @@
 	return allocations
 }
 
-// anyMachineFits reports whether a part fits any machine at all.
+// anyMachineFits reports whether a part fits on a machine of any pool.
 func (c *Calendar) anyMachineFits(r *Reservation) bool {
 	return slices.ContainsFunc(c.pools, func(p machinePool) bool { return p.capacity > 0 && c.partsPerMachine(r, &p) > 0 })
 }
 
-// partsPerMachine is how many parts of a reservation fit on a machine of a pool; 0 where it
-// may not be placed.
+// partsPerMachine returns how many parts of a reservation fit on a machine of a pool. It is 0
+// if the reservation may not use the pool.
 func (c *Calendar) partsPerMachine(r *Reservation, p *machinePool) int {
 	t := c.typeOf(p)
 	if !r.allows(t.Name, c.zoneOf(p)) {
@@ -72,13 +72,13 @@
 	return (r.Types == nil || slices.Contains(r.Types, typ)) && (r.Zone == "" || r.Zone == zone)
 }
 
-// remainingOccurrences are the occurrences that are not over.
+// remainingOccurrences returns the occurrences that have not ended.
 func (c *Calendar) remainingOccurrences(r *Reservation, now time.Time) []Span {
 	return r.spans[firstEndingAfter(r.spans, now.UnixMilli()):]
 }
 
-// allocate finds machines that are free in all of the spans, within a limit. The conflict is
-// what is in the way; nil: nothing is.
+// allocate allocates machines that are free in all of the spans, within the limit. It returns
+// a conflict if there are not enough or a quota is exceeded.
 func (c *Calendar) allocate(r *Reservation, spans []Span, limit machineLimit) ([]Allocation, *Conflict) {
 	if conflict := c.quotaConflict(r, spans); conflict != nil {
 		return nil, conflict
@@ -96,7 +96,7 @@
 		for _, zone := range zones {
 			all = append(all, byZone[zone]...)
 		}
-		if cheapest, _, left := c.takeCheapest(all, r.Parts); left == 0 {
+		if cheapest, _, unplaced := c.takeCheapest(all, r.Parts); unplaced == 0 {
 			allocations = cheapest
 		}
 	}
@@ -106,15 +106,15 @@
 	return allocations, nil
 }
 
-// freePool is what is free of a pool for a reservation.
+// freePool is the free capacity of a pool for a reservation.
 type freePool struct {
-	index           int // of the pool
-	parts           int // that fit
+	index           int // in Calendar.pools
+	parts           int // number of parts that fit
 	partsPerMachine int
-	partCost        float64 // price of a machine divided by the parts on it
+	partCost        float64 // price of a machine divided by partsPerMachine
 }
 
-// freePools are the pools that are free in all of the spans, by index of the zone.
+// freePools returns the capacity that is free in all of the spans, by index of the zone.
 func (c *Calendar) freePools(r *Reservation, spans []Span, limit machineLimit) map[int][]freePool {
 	byZone := map[int][]freePool{}
 	for i := range c.pools {
@@ -147,39 +147,39 @@
 	return byZone
 }
 
-// takeCheapest allocates parts to the cheapest pools first, which it sorts. Left is the
-// number of parts that do not fit.
-func (c *Calendar) takeCheapest(pools []freePool, parts int) (allocations []Allocation, cost float64, left int) {
+// takeCheapest sorts the pools by cost and allocates parts to the cheapest ones first. It also
+// returns the price of the allocated machines and the number of parts that do not fit.
+func (c *Calendar) takeCheapest(pools []freePool, parts int) (allocations []Allocation, cost float64, unplaced int) {
 	slices.SortFunc(pools, func(a, b freePool) int {
 		return cmp.Or(cmp.Compare(a.partCost, b.partCost), cmp.Compare(a.index, b.index))
 	})
 	for _, free := range pools {
-		n := min(parts, free.parts)
-		if n == 0 {
+		placed := min(parts, free.parts)
+		if placed == 0 {
 			break
 		}
-		machines := (n + free.partsPerMachine - 1) / free.partsPerMachine
+		machines := (placed + free.partsPerMachine - 1) / free.partsPerMachine
 		p := &c.pools[free.index]
 		allocations = append(allocations, Allocation{
 			Type:     c.typeOf(p).Name,
 			Zone:     c.zoneOf(p),
 			Machines: machines,
-			Parts:    n,
+			Parts:    placed,
 		})
 		cost += float64(machines*free.partsPerMachine) * free.partCost
-		parts -= n
+		parts -= placed
 	}
 	return allocations, cost, parts
 }
 
-// allocateOneZone allocates all parts in the cheapest zone that has capacity for them; nil:
-// none has.
+// allocateOneZone allocates all parts in the cheapest zone that has capacity for them. It
+// returns nil if none has.
 func (c *Calendar) allocateOneZone(byZone map[int][]freePool, zones []int, parts int) []Allocation {
 	var best []Allocation
 	bestCost := 0.0
 	for _, zone := range zones {
-		allocations, cost, left := c.takeCheapest(byZone[zone], parts)
-		if left == 0 && (best == nil || cost < bestCost) {
+		allocations, cost, unplaced := c.takeCheapest(byZone[zone], parts)
+		if unplaced == 0 && (best == nil || cost < bestCost) {
 			best = allocations
 			bestCost = cost
 		}
@@ -187,8 +187,8 @@
 	return best
 }
 
-// allocateSpread allocates at most half of the parts in one zone, as for jobs, cheapest
-// zones first; nil: there is no such capacity.
+// allocateSpread allocates at most half of the parts in any one zone, as the placement of jobs
+// does, in the cheapest zones first. It returns nil if the capacity does not suffice.
 func (c *Calendar) allocateSpread(byZone map[int][]freePool, zones []int, parts int) []Allocation {
 	type zoneCost struct {
 		zone int
@@ -201,42 +201,42 @@
 	}
 	slices.SortStableFunc(order, func(a, b zoneCost) int { return cmp.Compare(a.cost, b.cost) })
 	var spread []Allocation
-	left := parts
+	remaining := parts
 	for _, z := range order {
-		wanted := min(left, maxPartsPerZone(parts))
-		allocations, _, rest := c.takeCheapest(byZone[z.zone], wanted)
+		wanted := min(remaining, maxPartsPerZone(parts))
+		allocations, _, unplaced := c.takeCheapest(byZone[z.zone], wanted)
 		spread = append(spread, allocations...)
-		left -= wanted - rest
+		remaining -= wanted - unplaced
 	}
-	if left > 0 {
+	if remaining > 0 {
 		return nil
 	}
 	return spread
 }
 
-// maxPartsPerZone is how many parts of a reservation that is spread may be in one zone.
+// maxPartsPerZone returns the maximum number of parts in one zone of a spread reservation.
 func maxPartsPerZone(parts int) int { return (parts + 1) / 2 }
 
-// resourceQuota is how a reservation stands to its team's limit, and to the guarantees of the
-// others, for one resource.
+// resourceQuota holds what decides whether a reservation's demand for one resource respects
+// its team's limit and the guarantees of the other teams.
 type resourceQuota struct {
-	resource string // as it is called in a conflict
+	resource string // its name in a conflict
 	demand   float64
-	// limit and guarantee are the team's; a limit of 0 is none.
+	// limit and guarantee are those of the team; a limit of 0 means no limit.
 	limit, guarantee float64
-	// team is what the team has reserved, overGuarantee what all teams have beyond their
-	// guarantees, maintenance what windows take.
+	// team is the team's reserved amount, overGuarantee the sum of the amounts that all teams
+	// have reserved beyond their guarantees, maintenance the amount that windows take.
 	team, overGuarantee, maintenance *profile
-	// capacity is that of all machines, guaranteed the sum of all guarantees.
+	// capacity is the sum over all pools, guaranteed the sum over all teams.
 	capacity, guaranteed float64
 }
 
-// quotaConflict is how the team's limit or the others' guarantees are in the way; nil: not at
-// all.
+// quotaConflict returns the conflict if a reservation would exceed its team's limit or
+// encroach on the guarantees of other teams, or nil if it does neither.
 //
-// What teams have reserved beyond their guarantees, together, never takes more than what is
-// left of the machines that can be relied upon when every team has its guarantee. So no
-// reservation can starve another team's guaranteed work.
+// The sum of the amounts that teams have reserved beyond their guarantees never exceeds the
+// capacity that remains once every team has its guarantee. So no reservation can starve
+// another team's guaranteed work.
 func (c *Calendar) quotaConflict(r *Reservation, spans []Span) *Conflict {
 	i := c.teamIndex[r.Team]
 	team := &c.config.Teams[i]
@@ -268,17 +268,17 @@
 	return gpus.conflict(spans)
 }
 
-// conflict is what is in the way in the first of the spans in which anything is.
+// conflict returns the conflict of the first span that has one, or nil.
 func (q *resourceQuota) conflict(spans []Span) *Conflict {
 	if q.demand == 0 {
 		return nil
 	}
 	for _, s := range spans {
 		if used := q.team.max(s); q.limit > 0 && used+q.demand > q.limit+capacityTolerance {
-			return &Conflict{Reason: fmt.Sprintf("at %s the team's limit of %g %s, of which %g are reserved", formatTime(s.From), q.limit, q.resource, used)}
+			return &Conflict{Reason: fmt.Sprintf("at %s the team would exceed its limit of %g %s, of which %g are reserved", formatTime(s.From), q.limit, q.resource, used)}
 		}
 		if q.guaranteed <= q.guarantee {
-			break // nobody else has a guarantee
+			break // no other team has a guarantee
 		}
 		if conflict := q.guaranteeConflict(s); conflict != nil {
 			return conflict
@@ -287,12 +287,13 @@
 	return nil
 }
 
-// guaranteeConflict is set if other teams' guarantees are in the way in a span.
+// guaranteeConflict returns a conflict if the demand would encroach on other teams' guarantees
+// during a span, or nil.
 func (q *resourceQuota) guaranteeConflict(s Span) (conflict *Conflict) {
 	q.team.forEach(s, func(part Span, used float64) bool {
-		more := increaseBeyond(q.guarantee, used, q.demand)
-		if more > 0 && q.overGuarantee.max(part)+q.maintenance.max(part)+more > q.capacity-q.guaranteed+capacityTolerance {
-			conflict = &Conflict{Reason: fmt.Sprintf("at %s other teams' guarantees of %s", formatTime(part.From), q.resource)}
+		increase := increaseBeyond(q.guarantee, used, q.demand)
+		if increase > 0 && q.overGuarantee.max(part)+q.maintenance.max(part)+increase > q.capacity-q.guaranteed+capacityTolerance {
+			conflict = &Conflict{Reason: fmt.Sprintf("at %s the capacity is needed for other teams' guarantees of %s", formatTime(part.From), q.resource)}
 		}
 		return conflict == nil
 	})
--- a/internal/calendar/outcome.go
+++ b/internal/calendar/outcome.go
@@ -7,58 +7,59 @@
 	"time"
 )
 
-// OutcomeKind is what became of an occurrence.
+// OutcomeKind classifies how an occurrence was used.
 type OutcomeKind string
 
 // Outcomes of an occurrence.
 const (
 	OutcomeOnTime  OutcomeKind = "kept"    // all tasks of its job started within the tolerance
 	OutcomeLate    OutcomeKind = "late"    // all tasks of its job started after the tolerance
-	OutcomeLapsed  OutcomeKind = "lapsed"  // no job claimed it in time
-	OutcomeMissed  OutcomeKind = "missed"  // its job did not start before its end
-	OutcomeRevoked OutcomeKind = "retired" // a forced maintenance window took its capacity
+	OutcomeLapsed  OutcomeKind = "lapsed"  // no job claimed it within the grace period
+	OutcomeMissed  OutcomeKind = "missed"  // the job that claimed it did not start before its end
+	OutcomeRevoked OutcomeKind = "retired" // a forced maintenance window revoked its capacity
 )
 
-// started reports whether the occurrence's job started.
+// started reports whether a job started in the occurrence.
 func (k OutcomeKind) started() bool { return k == OutcomeOnTime || k == OutcomeLate }
 
-// Outcome is what became of one occurrence.
+// Outcome is the outcome of one occurrence.
 type Outcome struct {
-	Start int64       `codec:"start" json:"start"` // milliseconds of the time of day
+	Start int64       `codec:"start" json:"start"` // of the occurrence, Unix time in milliseconds
 	Kind  OutcomeKind `codec:"what" json:"what"`
 	Job   string      `codec:"job,omitempty" json:"job,omitempty"`
 	LateS float64     `codec:"late_s,omitempty" json:"late_s,omitempty"`
 }
 
-// maxStoredOutcomes bounds the outcomes in a record.
+// maxStoredOutcomes limits the outcomes in a record.
 const maxStoredOutcomes = 8
 
-// Observation is what the leader observes of the occurrence that is next.
+// Observation is what the leader observes about the first occurrence without an outcome.
 type Observation struct {
 	Now time.Time
-	// Claimer is the job that claims it; empty: none, or it has ended without having run.
-	// RunAt is when all of its tasks were first observed running; zero: not yet.
-	Claimer      string
+	// Claimer is the job that claims the occurrence. It is empty if no job does, or if the job
+	// has ended without having run.
+	Claimer string
+	// RunningSince is when all tasks of the claiming job were first observed running, or zero
+	// if they have not been yet.
 	RunningSince time.Time
 }
 
-// toleranceMarginS is the part of the tolerance that does not depend on the settings, in
-// seconds.
+// toleranceMarginS is the part of the tolerance that does not depend on the settings.
 const toleranceMarginS = 3
 
-// StartTolerance is by how much a start may be late and count as on time: what a leader and a
-// worker need to tell each other, at intervals of reportS seconds, and the difference between
-// the clocks of two leaders.
-func StartTolerance(reportS, skewMs float64) time.Duration {
-	return time.Duration((2*reportS + skewMs/1000 + toleranceMarginS) * float64(time.Second))
+// StartTolerance returns the delay up to which a start counts as on time. It covers an exchange
+// of messages between leader and worker, which report every reportIntervalS seconds, and a
+// clock skew of skewMs between two leaders.
+func StartTolerance(reportIntervalS, skewMs float64) time.Duration {
+	return time.Duration((2*reportIntervalS + skewMs/1000 + toleranceMarginS) * float64(time.Second))
 }
 
-// DecideOutcome decides at most one occurrence, and reports whether the record has changed.
-// It must be stored before anything follows from it.
+// DecideOutcome decides the outcome of at most one occurrence, and reports whether the returned
+// record differs from the given one. The caller must store it before acting on it.
 //
-// Occurrences that were due while there was no leader are decided one after the other: one
-// that is over by then has lapsed if no job claims it and is missed otherwise; one that is
-// not over is served for the rest of its time.
+// Occurrences that started while there was no leader are decided one per call, in order. One
+// that has ended by then has lapsed if no job claims it, and is missed otherwise. One that has
+// not ended remains usable until its end.
 func DecideOutcome(r *Record, b *Booking, o Observation, tolerance time.Duration) (*Record, bool) {
 	i, found := slices.BinarySearchFunc(b.spans, r.NextStart, func(s Span, t int64) int { return cmp.Compare(s.From, t) })
 	if !found || o.Now.UnixMilli() < b.spans[i].From {
@@ -80,7 +81,7 @@
 	return &next, true
 }
 
-// outcome is the outcome of an occurrence that has begun, if it is decided.
+// outcome returns the outcome of an occurrence that has started, if it can be decided yet.
 func (b *Booking) outcome(s Span, o Observation, tolerance time.Duration) (outcome Outcome, decided bool) {
 	outcome = Outcome{Start: s.From, Job: o.Claimer}
 	now := o.Now.UnixMilli()
@@ -104,5 +105,5 @@
 	return outcome, true
 }
 
-// roundedSeconds are milliseconds in seconds, rounded to a tenth.
+// roundedSeconds converts milliseconds to seconds, rounded to a tenth.
 func roundedSeconds(ms int64) float64 { return math.Round(float64(ms)/100) / 10 }
--- a/internal/calendar/profile.go
+++ b/internal/calendar/profile.go
@@ -2,18 +2,18 @@
 
 import "slices"
 
-// profile is a level over time, as a step function: levels[i] holds from starts[i] to
-// starts[i+1], the last one for ever, and 0 before the first.
+// profile is a step function of time. levels[i] is the level from starts[i] until starts[i+1];
+// the last level has no end, and the level before starts[0] is 0.
 type profile struct {
 	starts []int64
 	levels []float64
 }
 
-// levelTolerance is the difference below which two levels count as equal: they are sums of
-// floating-point numbers.
+// levelTolerance is the difference below which two levels are considered equal, because they
+// are floating-point sums.
 const levelTolerance = 1e-9
 
-// splitAt makes a step begin at t and returns its index.
+// splitAt ensures that a step begins at t and returns the index of that step.
 func (p *profile) splitAt(t int64) int {
 	i, found := slices.BinarySearch(p.starts, t)
 	if found {
@@ -24,7 +24,7 @@
 	return i
 }
 
-// levelBefore is the level levelBefore step i.
+// levelBefore returns the level before step i.
 func (p *profile) levelBefore(i int) float64 {
 	if i == 0 {
 		return 0
@@ -32,23 +32,23 @@
 	return p.levels[i-1]
 }
 
-// add raises the level over a span.
+// add adds an amount to the level over a span.
 func (p *profile) add(s Span, amount float64) {
 	from := p.splitAt(s.From)
 	to := p.splitAt(s.To)
 	for i := from; i < to; i++ {
 		p.levels[i] += amount
 	}
-	// Steps between equal levels are removed: cancelled entries must leave nothing behind.
+	// Remove steps between equal levels, so that cancelled entries do not use memory.
 	for i := min(to, len(p.starts)-1); i >= max(0, from); i-- {
-		if d := p.levels[i] - p.levelBefore(i); d < levelTolerance && d > -levelTolerance {
+		if diff := p.levels[i] - p.levelBefore(i); diff < levelTolerance && diff > -levelTolerance {
 			p.starts = slices.Delete(p.starts, i, i+1)
 			p.levels = slices.Delete(p.levels, i, i+1)
 		}
 	}
 }
 
-// forEach calls f for each part of a span with its level, until f returns false.
+// forEach calls f for each part of a span that has one level, in order, until f returns false.
 func (p *profile) forEach(s Span, f func(Span, float64) bool) {
 	i, found := slices.BinarySearch(p.starts, s.From)
 	if !found {
@@ -69,7 +69,7 @@
 	}
 }
 
-// max is the highest level over a span.
+// max returns the highest level over a span.
 func (p *profile) max(s Span) float64 {
 	highest := 0.0
 	first := true
@@ -83,10 +83,11 @@
 	return highest
 }
 
-// decreasesAfter are the times after t at which the level decreases, at most n of them.
-func (p *profile) decreasesAfter(t int64, n int) (times []int64) {
+// decreasesAfter returns the first times after t at which the level decreases, at most limit
+// of them.
+func (p *profile) decreasesAfter(t int64, limit int) (times []int64) {
 	i, _ := slices.BinarySearch(p.starts, t+1)
-	for ; i < len(p.starts) && len(times) < n; i++ {
+	for ; i < len(p.starts) && len(times) < limit; i++ {
 		if i > 0 && p.levels[i] < p.levels[i-1] {
 			times = append(times, p.starts[i])
 		}
