--- a/internal/calendar/record.go
+++ b/internal/calendar/record.go
@@ -6,33 +6,33 @@
 	"time"
 )
 
-// Record is the durable state of a reservation. Everything done for it follows from the
-// record and from what is observed; a leader that takes over goes on from it.
+// Record is the stored state of a reservation. The leader acts only on the record and on its
+// own observations, so a new leader continues from the record.
 type Record struct {
 	Spec        Reservation  `codec:"spec"`
 	Seq         uint64       `codec:"seq"`
 	Allocations []Allocation `codec:"shares"`
-	// Revoked are the starts of occurrences whose capacity a forced window has taken.
+	// Revoked holds the starts of occurrences whose capacity a forced window has revoked.
 	Revoked []int64 `codec:"lost,omitempty"`
-	// NextStart is the start of the first occurrence without an outcome, in milliseconds of
-	// the time of day; allDecided: all have one.
+	// NextStart is the start of the first occurrence without an outcome, as Unix time in
+	// milliseconds, or allDecided if all have one.
 	NextStart int64 `codec:"next"`
-	// Outcomes are those of the last occurrences, the latest last.
+	// Outcomes holds the most recent outcomes, the latest last.
 	Outcomes []Outcome `codec:"past,omitempty"`
 }
 
-// allDecided is the NextStart of a record whose occurrences all have an outcome.
+// allDecided is Record.NextStart if every occurrence has an outcome.
 const allDecided = math.MaxInt64
 
-// WindowRecord is the durable state of a maintenance window. What is to be done for it
-// follows from the time of day alone, so it never changes.
+// WindowRecord is the stored state of a maintenance window. It never changes, because the
+// state of the window depends only on the current time.
 type WindowRecord struct {
 	Spec   Window       `codec:"spec"`
 	Closed []Allocation `codec:"closes"`
 }
 
-// NewRecord makes the record of an accepted reservation. Occurrences that are over get no
-// outcome.
+// NewRecord returns the record of an accepted reservation. Occurrences that have already ended
+// get no outcome.
 func NewRecord(b *Booking, now time.Time) *Record {
 	r := &Record{
 		Spec:        *b.Reservation,
@@ -47,7 +47,7 @@
 	return r
 }
 
-// setRevoked stores which occurrences of a reservation are revoked.
+// setRevoked sets the revoked occurrences to those of the booking, in order.
 func (r *Record) setRevoked(b *Booking) {
 	r.Revoked = nil
 	for start := range b.Revoked {
@@ -56,7 +56,8 @@
 	slices.Sort(r.Revoked)
 }
 
-// WithBooking is the record with other machines or other revoked occurrences.
+// WithBooking returns a copy of the record with the allocations and revoked occurrences of the
+// booking.
 func (r *Record) WithBooking(b *Booking) *Record {
 	next := *r
 	next.Allocations = b.Allocations
@@ -64,11 +65,11 @@
 	return &next
 }
 
-// recordLimits are those for a stored reservation: it was accepted under the operators'
-// limits of its time, so they are not checked again.
+// recordLimits are limits that no stored reservation exceeds. It was accepted under the limits
+// in force at the time, which must not be checked again.
 var recordLimits = Limits{HorizonDays: 100 * 366, Occurrences: math.MaxInt32}
 
-// Booking is the accepted reservation of a record.
+// Booking returns the accepted reservation of a record.
 func (r *Record) Booking() (*Booking, error) {
 	spec := r.Spec
 	if err := spec.expandOccurrences(recordLimits, time.Now()); err != nil {
@@ -86,7 +87,7 @@
 	return b, nil
 }
 
-// Window is the accepted maintenance window of a record.
+// Window returns the accepted maintenance window of a record.
 func (r *WindowRecord) Window() (*PlannedWindow, error) {
 	spec := r.Spec
 	if err := spec.setDerivedFields(); err != nil {
@@ -95,9 +96,10 @@
 	return &PlannedWindow{Window: &spec, Closed: r.Closed}, nil
 }
 
-// ActiveOccurrence is the occurrence that machines are held for at a time, from lead before
-// its start on: the next one, or the one that is under way and whose job started. Decided:
-// it has an outcome.
+// ActiveOccurrence returns the occurrence for which machines are held at the given time: the
+// first one that has not ended, beginning lead before its start. Once it has an outcome,
+// machines are held for it only if its job has started. decided reports whether it has one, ok
+// whether machines are held at all.
 func (r *Record) ActiveOccurrence(b *Booking, now time.Time, lead time.Duration) (s Span, decided, ok bool) {
 	ms := now.UnixMilli()
 	i := firstEndingAfter(b.spans, ms)
@@ -108,7 +110,7 @@
 	if s.From >= r.NextStart {
 		return s, false, true
 	}
-	if n := len(r.Outcomes); n > 0 && r.Outcomes[n-1].Start == s.From && r.Outcomes[n-1].Kind.started() {
+	if count := len(r.Outcomes); count > 0 && r.Outcomes[count-1].Start == s.From && r.Outcomes[count-1].Kind.started() {
 		return s, true, true
 	}
 	return Span{}, false, false
--- a/internal/calendar/recurrence.go
+++ b/internal/calendar/recurrence.go
@@ -7,16 +7,17 @@
 	"github.com/teambition/rrule-go"
 )
 
-// expandRule computes the occurrences of something that lasts from start to end and recurs by
-// a rule of RFC 5545. Each lasts as long as the first, in elapsed time, and begins at the same
-// time of day of its zone, across changes of daylight saving.
+// expandRule returns the occurrences of an interval that recurs by an RFC 5545 recurrence rule,
+// or the interval alone if the rule is empty. Each occurrence has the same elapsed duration as
+// the first and begins at the same local time, also across daylight saving changes.
 //
-// The work is bounded whatever the rule says: a rule finer than an hour, or one whose search
-// would go on for millennia because no day matches, is refused or cut at the horizon. There
-// are at most limit occurrences. An error is an ErrMalformed and names the field.
+// The amount of work is bounded for every rule: frequencies higher than hourly are refused,
+// and the search ends at the horizon, because it would continue for millennia for a rule that
+// matches no day. There are at most limit occurrences. An error wraps ErrMalformed and names
+// the field.
 func expandRule(start, end time.Time, rule string, horizon time.Time, limit int) ([]Span, error) {
 	if start.After(horizon) {
-		return nil, malformed("start", "beyond the horizon, %s", formatDate(horizon))
+		return nil, malformed("start", "is after the planning horizon, %s", formatDate(horizon))
 	}
 	if rule == "" {
 		return []Span{{start.UnixMilli(), end.UnixMilli()}}, nil
@@ -43,35 +44,36 @@
 	case err != nil:
 		return nil, err
 	case len(spans) == 0:
-		return nil, malformed("rule", "no occurrence before the horizon, %s", formatDate(horizon))
+		return nil, malformed("rule", "no occurrence up to the planning horizon, %s", formatDate(horizon))
 	case count > 0 && len(spans) < count:
-		return nil, malformed("rule", "goes beyond the horizon, %s", formatDate(horizon))
+		return nil, malformed("rule", "extends beyond the planning horizon, %s", formatDate(horizon))
 	}
 	return spans, nil
 }
 
-// checkRule refuses a rule that is too fine, has no end, or has too many occurrences.
+// checkRule returns an error for a rule that is too frequent, does not end within the horizon,
+// or has too many occurrences.
 func checkRule(opt *rrule.ROption, horizon time.Time, limit int) error {
 	switch {
 	case opt.Freq > rrule.HOURLY:
-		return malformed("rule", "finer than an hour")
+		return malformed("rule", "recurs more often than hourly")
 	case !opt.Dtstart.IsZero():
-		return malformed("rule", "has a start of its own")
+		return malformed("rule", "must not contain DTSTART")
 	case opt.Count == 0 && opt.Until.IsZero():
-		return malformed("rule", "has no end: give COUNT or UNTIL")
+		return malformed("rule", "has no end: COUNT or UNTIL is required")
 	case opt.Count > 0 && !opt.Until.IsZero():
 		return malformed("rule", "has both COUNT and UNTIL")
 	case opt.Count > limit:
 		return malformed("rule", "more than %d occurrences", limit)
 	case opt.Until.After(horizon):
-		return malformed("rule", "goes beyond the horizon, %s", formatDate(horizon))
+		return malformed("rule", "extends beyond the planning horizon, %s", formatDate(horizon))
 	}
 	return nil
 }
 
-// collectOccurrences collects count occurrences of a length (0: all), and refuses more than
-// limit of them, and some that overlap.
-func collectOccurrences(next rrule.Next, length time.Duration, count, limit int) ([]Span, error) {
+// collectOccurrences returns the first count occurrences, or all if count is 0, each with the
+// given duration. It returns an error if there are more than limit or if two overlap.
+func collectOccurrences(next rrule.Next, duration time.Duration, count, limit int) ([]Span, error) {
 	var spans []Span
 	for count == 0 || len(spans) < count {
 		start, ok := next()
@@ -81,16 +83,16 @@
 		if len(spans) == limit {
 			return nil, malformed("rule", "more than %d occurrences", limit)
 		}
-		s := Span{start.UnixMilli(), start.UnixMilli() + length.Milliseconds()}
+		s := Span{start.UnixMilli(), start.UnixMilli() + duration.Milliseconds()}
 		if n := len(spans); n > 0 && s.From < spans[n-1].To {
-			return nil, malformed("rule", "an occurrence begins before the one before it ends")
+			return nil, malformed("rule", "an occurrence begins before the previous one ends")
 		}
 		spans = append(spans, s)
 	}
 	return spans, nil
 }
 
-// malformed is an ErrMalformed that names a field.
+// malformed returns an error that wraps ErrMalformed and names the field.
 func malformed(field, format string, args ...any) error {
 	return fmt.Errorf("%w: %s: %s", ErrMalformed, field, fmt.Sprintf(format, args...))
 }
--- a/internal/calendar/spec_test.go
+++ b/internal/calendar/spec_test.go
@@ -17,23 +17,23 @@
 		want string
 	}{
 		{"sound", nil, ""},
-		{"an end before its start", map[string]any{"end": "2026-03-10T19:00:00"}, "end: not after the start"},
-		{"over already", map[string]any{"start": "2026-02-10T20:00:00", "end": "2026-02-10T21:00:00"}, "end: is over"},
+		{"an end before its start", map[string]any{"end": "2026-03-10T19:00:00"}, "end: is not after the start"},
+		{"over already", map[string]any{"start": "2026-02-10T20:00:00", "end": "2026-02-10T21:00:00"}, "end: is not in the future"},
 		{"no time", map[string]any{"start": "tomorrow"}, "start: "},
-		{"an unknown zone", map[string]any{"time_zone": "Mars/Base"}, "time_zone: "},
+		{"an unknown zone", map[string]any{"time_zone": "Mars/Base"}, "time_zone: \"Mars/Base\" is not an IANA time zone"},
 		{"no end", map[string]any{"rule": "FREQ=DAILY"}, "rule: has no end"},
 		{"a million occurrences", map[string]any{"rule": "FREQ=DAILY;COUNT=1000000"}, "rule: more than 200"},
-		{"every second", map[string]any{"rule": "FREQ=SECONDLY;COUNT=5"}, "rule: finer than an hour"},
-		{"a day that never comes", map[string]any{"rule": "FREQ=HOURLY;BYMONTH=2;BYMONTHDAY=30;COUNT=5"}, "rule: no occurrence"},
-		{"beyond the horizon", map[string]any{"rule": "FREQ=MONTHLY;COUNT=12"}, "rule: goes beyond the horizon"},
-		{"until beyond the horizon", map[string]any{"rule": "FREQ=MONTHLY;UNTIL=20300101T000000Z"}, "rule: goes beyond the horizon"},
-		{"count and until", map[string]any{"rule": "FREQ=DAILY;COUNT=2;UNTIL=20260320T000000Z"}, "rule: has both"},
-		{"overlaps itself", map[string]any{"end": "2026-03-12T20:00:00", "rule": "FREQ=DAILY;COUNT=3"}, "rule: an occurrence begins before"},
+		{"every second", map[string]any{"rule": "FREQ=SECONDLY;COUNT=5"}, "rule: recurs more often than hourly"},
+		{"a day that never comes", map[string]any{"rule": "FREQ=HOURLY;BYMONTH=2;BYMONTHDAY=30;COUNT=5"}, "rule: no occurrence up to the planning horizon"},
+		{"beyond the horizon", map[string]any{"rule": "FREQ=MONTHLY;COUNT=12"}, "rule: extends beyond the planning horizon"},
+		{"until beyond the horizon", map[string]any{"rule": "FREQ=MONTHLY;UNTIL=20300101T000000Z"}, "rule: extends beyond the planning horizon"},
+		{"count and until", map[string]any{"rule": "FREQ=DAILY;COUNT=2;UNTIL=20260320T000000Z"}, "rule: has both COUNT and UNTIL"},
+		{"overlaps itself", map[string]any{"end": "2026-03-12T20:00:00", "rule": "FREQ=DAILY;COUNT=3"}, "rule: an occurrence begins before the previous one ends"},
 		{"nonsense for a rule", map[string]any{"rule": "EVERY EVENING"}, "rule: "},
 		{"no memory", map[string]any{"mem_gb": nil}, "mem_gb: "},
 		{"no part", map[string]any{"parts": 0}, "parts: "},
 		{"an unknown field", map[string]any{"colour": "red"}, "colour: unknown field"},
-		{"apart in one place", map[string]any{"apart": true, "same_place": true}, "apart: "},
+		{"apart in one place", map[string]any{"apart": true, "same_place": true}, "apart: cannot be combined with same_place"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
