--- a/internal/calendar/status.go
+++ b/internal/calendar/status.go
@@ -6,42 +6,44 @@
 	"time"
 )
 
-// ReservationState is the state of a reservation's next occurrence, as it is shown.
+// ReservationState is the state of a reservation, given by its first occurrence that has not
+// ended.
 type ReservationState string
 
 // States of a reservation.
 const (
 	ReservationBooked    ReservationState = "booked"
 	ReservationActive    ReservationState = "under way"
-	ReservationRevoked   ReservationState = "retired" // a forced window took the capacity
+	ReservationRevoked   ReservationState = "retired" // a forced window revoked the capacity
 	ReservationEnded     ReservationState = "over"
 	ReservationCancelled ReservationState = "cancelled"
 )
 
-// Status is what a team or an operator is shown of a reservation.
+// Status is the status of a reservation as reported to teams and operators.
 type Status struct {
 	Spec        Reservation      `codec:"spec" json:"spec"`
 	State       ReservationState `codec:"state" json:"state"`
 	Allocations []Allocation     `codec:"shares" json:"shares"`
-	// Next and Until are the occurrence that is next or under way; empty: none.
+	// Next and Until are the start and end of the first occurrence that has not ended; empty if
+	// all have ended.
 	Next  string `codec:"next,omitempty" json:"next,omitempty"`
 	Until string `codec:"until,omitempty" json:"until,omitempty"`
-	// Occurrences are those that are not over, at most maxListedOccurrences of them.
+	// Occurrences holds those that have not ended, at most maxListedOccurrences of them.
 	Occurrences []Span `codec:"ahead" json:"ahead"`
-	// Remaining is the number of occurrences that are not over, Revoked the number of those
-	// whose capacity a window took.
+	// Remaining is the number of occurrences that have not ended, Revoked the number of those
+	// whose capacity a forced window revoked.
 	Remaining int       `codec:"left" json:"left"`
 	Revoked   int       `codec:"lost,omitempty" json:"lost,omitempty"`
-	Held      int       `codec:"held" json:"held"` // machines held now
+	Held      int       `codec:"held" json:"held"` // machines currently held
 	Claimer   string    `codec:"claimer,omitempty" json:"claimer,omitempty"`
 	Outcomes  []Outcome `codec:"past,omitempty" json:"past,omitempty"`
 }
 
-// maxListedOccurrences bounds the occurrences of one status.
+// maxListedOccurrences limits the occurrences in one status.
 const maxListedOccurrences = 40
 
-// NewStatus is the status of a reservation, without the machines that are held for it and
-// the job that claims it.
+// NewStatus returns the status of a reservation, without the number of held machines and the
+// claiming job.
 func NewStatus(r *Record, b *Booking, now time.Time) Status {
 	s := Status{
 		Spec:        *b.Reservation,
@@ -59,7 +61,7 @@
 	return s
 }
 
-// addOccurrence adds an occurrence that is not over; the first one determines the state.
+// addOccurrence adds an occurrence that has not ended. The first one determines the state.
 func (s *Status) addOccurrence(span Span, revoked bool, now int64) {
 	if s.Remaining == 0 {
 		s.Next = formatTime(span.From)
@@ -75,7 +77,7 @@
 	}
 }
 
-// occurrenceState is the state of an occurrence that is not over.
+// occurrenceState returns the state of an occurrence that has not ended.
 func occurrenceState(span Span, revoked bool, now int64) ReservationState {
 	switch {
 	case revoked:
@@ -98,29 +100,30 @@
 	WindowCancelled WindowState = "cancelled"
 )
 
-// WindowStatus is what an operator is shown of a maintenance window.
+// WindowStatus is the status of a maintenance window as reported to operators.
 type WindowStatus struct {
 	Spec  Window      `codec:"spec" json:"spec"`
 	State WindowState `codec:"state" json:"state"`
-	From  int64       `codec:"from" json:"from"` // milliseconds of the time of day
+	From  int64       `codec:"from" json:"from"` // Unix time in milliseconds
 	To    int64       `codec:"to" json:"to"`
-	// Machines is how many machines it takes now, Busy how many of them have work, Late the
-	// tasks that are not expected to end in time and have no checkpoint.
+	// Machines is the number of machines that the window takes now, Busy the number of those
+	// that run tasks, Late the tasks without checkpoints that are not expected to end before
+	// the window starts.
 	Machines int      `codec:"machines" json:"machines"`
 	Busy     int      `codec:"busy" json:"busy"`
 	Late     []string `codec:"late,omitempty" json:"late,omitempty"`
-	// Moved and Retired are the reservations that it moved or whose capacity it took; set
-	// when it is planned.
+	// Moved and Revoked name the reservations that the window moved and those whose capacity it
+	// revoked. They are set only in the reply to its planning.
 	Moved   []string `codec:"moved,omitempty" json:"moved,omitempty"`
 	Revoked []string `codec:"retired,omitempty" json:"retired,omitempty"`
 }
 
-// NewWindowStatus is the status of a window, without its machines.
+// NewWindowStatus returns the status of a window, without its machines and tasks.
 func NewWindowStatus(w *PlannedWindow, now time.Time) WindowStatus {
 	return WindowStatus{Spec: *w.Window, State: w.state(now.UnixMilli()), From: w.span.From, To: w.span.To}
 }
 
-// state is the state of a window at a time of day in milliseconds.
+// state returns the state of a window at a Unix time in milliseconds.
 func (w *Window) state(now int64) WindowState {
 	switch {
 	case now >= w.span.To:
@@ -133,7 +136,8 @@
 	return WindowPlanned
 }
 
-// Status is the status of a window that has just been planned, without its machines.
+// Status returns the status of the planned window, without its machines and tasks, with the
+// reservations that the plan moves or revokes.
 func (p *WindowPlan) Status(now time.Time) WindowStatus {
 	s := NewWindowStatus(p.Window, now)
 	s.Moved = sortedNames(p.Moved)
@@ -141,7 +145,7 @@
 	return s
 }
 
-// sortedNames are the names of reservations, in order.
+// sortedNames returns the names of reservations in order.
 func sortedNames(bookings []*Booking) []string {
 	var names []string
 	for _, b := range bookings {
--- a/internal/calendar/windows.go
+++ b/internal/calendar/windows.go
@@ -8,33 +8,35 @@
 	"time"
 )
 
-// AllMachines is the number of machines of an allocation that takes a whole pool.
+// AllMachines is the value of Allocation.Machines for a window that takes a whole pool.
 const AllMachines = -1
 
-// PlannedWindow is an accepted maintenance window, with the machines that it takes of each
-// pool; AllMachines: all.
+// PlannedWindow is an accepted maintenance window with the machines that it takes from each
+// pool, where AllMachines stands for the whole pool.
 type PlannedWindow struct {
 	*Window
 	Closed []Allocation
 }
 
-// takesFrom reports whether the window takes machines of a type in a zone.
+// takesFrom reports whether the window takes any machines of a type in a zone.
 func (w *PlannedWindow) takesFrom(typ, zone string) bool {
 	return slices.ContainsFunc(w.Closed, func(a Allocation) bool { return a.Type == typ && a.Zone == zone })
 }
 
-// WindowPlan is what planning a window changes: the window, the reservations that move to
-// other machines, and those that lose occurrences.
+// WindowPlan holds the changes to the calendar that accepting a window requires.
 type WindowPlan struct {
 	Window  *PlannedWindow
-	Moved   []*Booking
-	Revoked []*Booking
+	Moved   []*Booking // with their new machines
+	Revoked []*Booking // with the occurrences that they lose
 }
 
-// PlanWindow plans a window over what is accepted, and changes nothing. Named are the
-// machines that it names, by pool. Reservations that it affects are moved if they fit
-// elsewhere, in the order of their acceptance; if one does not, the window is refused unless
-// it is forced. The error is a *Conflict, or an ErrLimit.
+// PlanWindow plans a window among the accepted entries and leaves the calendar unchanged. If
+// the window names machines, named holds their number by pool.
+//
+// Reservations that no longer fit on their machines are moved in the order of their
+// acceptance. If one fits on no other machines, the window is refused unless it is forced; a
+// forced window revokes the occurrences that it overlaps. The error is a *Conflict or wraps
+// ErrLimit.
 func (c *Calendar) PlanWindow(w *Window, named []Allocation, now time.Time) (*WindowPlan, error) {
 	if len(c.windows) >= c.config.Limits.Windows {
 		return nil, fmt.Errorf("%w: %d maintenance windows", ErrLimit, len(c.windows))
@@ -43,16 +45,16 @@
 	if !w.NamesMachines() {
 		planned.Closed = c.closedPools(w)
 		if len(planned.Closed) == 0 {
-			return nil, &Conflict{Reason: "no machine type is offered there"}
+			return nil, &Conflict{Reason: "the window selects no machine type that is offered in its zone"}
 		}
 	}
 	if c.closesWholeFleet(planned) && !w.Force {
-		return nil, &Conflict{Reason: "it takes every machine counted upon; force it if that is meant"}
+		return nil, &Conflict{Reason: "the window takes every machine of the fleet; force it if this is intended"}
 	}
 	plan := &WindowPlan{Window: planned}
 	affected := c.affectedBookings(planned)
 	c.AddWindow(planned)
-	defer func() { // what is stored comes back through Add and AddWindow
+	defer func() { // undo all changes; the caller adds the plan once it is stored
 		for _, b := range slices.Concat(plan.Moved, plan.Revoked) {
 			c.Remove(b.Name)
 		}
@@ -69,7 +71,7 @@
 	return plan, nil
 }
 
-// closedPools are the whole pools that a window takes.
+// closedPools returns an allocation for each whole pool that a window takes.
 func (c *Calendar) closedPools(w *Window) (closed []Allocation) {
 	for i := range c.pools {
 		p := &c.pools[i]
@@ -80,8 +82,8 @@
 	return closed
 }
 
-// affectedBookings are the reservations on a window's machines in its time, in the order of
-// their acceptance.
+// affectedBookings returns the reservations with an occurrence during the window and machines
+// in its pools, in the order of their acceptance.
 func (c *Calendar) affectedBookings(w *PlannedWindow) (affected []*Booking) {
 	for _, b := range c.bookings {
 		taken := func(a Allocation) bool { return w.takesFrom(a.Type, a.Zone) }
@@ -93,8 +95,8 @@
 	return affected
 }
 
-// removeOverbooked removes and returns those of the reservations that do not fit on their
-// machines any more. The others stay there.
+// removeOverbooked removes and returns the reservations that no longer fit on their machines.
+// It considers them in order, so each removal may allow later ones to stay.
 func (c *Calendar) removeOverbooked(bookings []*Booking) (removed []*Booking) {
 	for _, b := range bookings {
 		if c.overbooked(b) {
@@ -105,8 +107,8 @@
 	return removed
 }
 
-// moveOrRevoke moves a reservation that was removed to other machines, or revokes its
-// occurrences in the time of a forced window.
+// moveOrRevoke moves a removed reservation to other machines. If it does not fit and the window
+// is forced, its occurrences that overlap the window are revoked.
 func (c *Calendar) moveOrRevoke(plan *WindowPlan, b *Booking, now time.Time) error {
 	w := plan.Window
 	next := &Booking{Reservation: b.Reservation, Seq: b.Seq, Allocations: b.Allocations, Revoked: b.Revoked}
@@ -117,7 +119,7 @@
 		next.Allocations = allocations
 		plan.Moved = append(plan.Moved, next)
 	case !w.Force:
-		return &Conflict{Reason: fmt.Sprintf("reservation %s of team %s does not fit elsewhere (%s); cancel it, or force the window", b.Name, b.Team, conflict.Reason)}
+		return &Conflict{Reason: fmt.Sprintf("reservation %s of team %s does not fit on other machines (%s); cancel it, or force the window", b.Name, b.Team, conflict.Reason)}
 	default:
 		next.Revoked = addOverlapping(b.Revoked, spans, w.span)
 		plan.Revoked = append(plan.Revoked, next)
@@ -126,22 +128,24 @@
 	return nil
 }
 
-// addOverlapping adds to the revoked occurrences those that overlap a window.
+// addOverlapping returns a copy of the revoked starts, with the starts of the spans that
+// overlap the window added.
 func addOverlapping(revoked map[int64]bool, spans []Span, window Span) map[int64]bool {
-	all := maps.Clone(revoked)
-	if all == nil {
-		all = map[int64]bool{}
+	extended := maps.Clone(revoked)
+	if extended == nil {
+		extended = map[int64]bool{}
 	}
 	for _, s := range spans {
 		if s.Overlaps(window) {
-			all[s.From] = true
+			extended[s.From] = true
 		}
 	}
-	return all
+	return extended
 }
 
-// overbooked reports whether more machines than there are have been promised of a pool of a
-// reservation, in the time of its occurrences.
+// overbooked reports whether, during any occurrence of a reservation that is not revoked, one
+// of its pools has more machines reserved than its capacity. A pool that no longer exists
+// counts as overbooked.
 func (c *Calendar) overbooked(b *Booking) bool {
 	for _, a := range b.Allocations {
 		p := c.pool(a.Type, a.Zone)
@@ -157,24 +161,24 @@
 	return false
 }
 
-// closesWholeFleet reports whether a window would leave no machine.
+// closesWholeFleet reports whether a window takes every machine of every pool.
 func (c *Calendar) closesWholeFleet(w *PlannedWindow) bool {
 	for i := range c.pools {
 		p := &c.pools[i]
-		left := p.capacity
+		remaining := p.capacity
 		for _, a := range w.Closed {
 			if a.Type == c.typeOf(p).Name && a.Zone == c.zoneOf(p) {
-				left = p.capacity - p.closedMachines(a)
+				remaining = p.capacity - p.closedMachines(a)
 			}
 		}
-		if left > 0 {
+		if remaining > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// closedMachines is how many of a pool's closedMachines an allocation of a window takes.
+// closedMachines returns how many machines of the pool a window takes with the allocation.
 func (p *machinePool) closedMachines(a Allocation) float64 {
 	if a.Machines < 0 {
 		return p.capacity
@@ -182,14 +186,14 @@
 	return float64(a.Machines)
 }
 
-// AddWindow adds an accepted window, or replaces the one of its name.
+// AddWindow adds an accepted window, replacing any window of the same name.
 func (c *Calendar) AddWindow(w *PlannedWindow) {
 	c.RemoveWindow(w.Name)
 	c.windows[w.Name] = w
 	c.applyWindow(w, 1)
 }
 
-// RemoveWindow removes a window, if there is one of that name.
+// RemoveWindow removes the window of the given name, if there is one.
 func (c *Calendar) RemoveWindow(name string) {
 	if w := c.windows[name]; w != nil {
 		c.applyWindow(w, -1)
@@ -197,7 +201,8 @@
 	}
 }
 
-// applyWindow adds what a window takes to the profiles, or subtracts it (sign -1).
+// applyWindow adds the machines and resources that a window takes to the profiles, or
+// subtracts them if sign is -1.
 func (c *Calendar) applyWindow(w *PlannedWindow, sign float64) {
 	for _, a := range w.Closed {
 		p := c.pool(a.Type, a.Zone)
--- a/internal/calendar/windows_test.go
+++ b/internal/calendar/windows_test.go
@@ -8,48 +8,50 @@
 	"vetchstream/internal/config"
 )
 
-// TestPlanWindow: a window and a reservation on the same machines, in either order.
+// TestPlanWindow adds a window and a reservation on the same machines, in either order, and
+// checks which machines the reservation gets or why the later entry is refused.
 func TestPlanWindow(t *testing.T) {
 	tests := []struct {
 		name   string
 		parts  int
 		one    bool
 		window map[string]any
-		first  bool // the window comes first
-		want   string
+		first  bool   // the window is added before the reservation
+		want   string // allocations, the change by the window, or part of an error
 	}{
-		{"the window first", 10, false, map[string]any{"yard": "a"}, true, "small/b 10/10"},
-		{"the window first, too little left", 12, false, map[string]any{"yard": "a"}, true, "no capacity for 12 parts beside window w"},
-		{"the reservation moves", 10, false, map[string]any{"yard": "a"}, false, "moved small/b 10/10"},
-		{"the reservation stays where there is room", 4, false, map[string]any{"hosts": []string{"h1"}}, false, "stays"},
-		{"it does not fit elsewhere", 12, false, map[string]any{"yard": "a"}, false, "reservation r of team green does not fit elsewhere"},
-		{"forced", 12, false, map[string]any{"yard": "a", "force": true}, false, "lost 1"},
+		{"a reservation added after a window gets machines in another zone", 10, false, map[string]any{"yard": "a"}, true, "small/b 10/10"},
+		{"a reservation is refused if a window leaves too few machines", 12, false, map[string]any{"yard": "a"}, true, "no capacity for 12 parts beside window w"},
+		{"a window for a zone moves the reservation to another zone", 10, false, map[string]any{"yard": "a"}, false, "moved small/b 10/10"},
+		{"a reservation stays on its machines if the window leaves enough of them", 4, false, map[string]any{"hosts": []string{"h1"}}, false, "stays"},
+		{"a window is refused if a reservation does not fit on other machines", 12, false, map[string]any{"yard": "a"}, false, "reservation r of team green does not fit on other machines"},
+		{"a forced window revokes the occurrence of a reservation that does not fit on other machines", 12, false, map[string]any{"yard": "a", "force": true}, false, "lost 1"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			f := testConfig()
-			f.Teams = []config.Team{{Name: "green"}}
-			c := New(f)
+			cfg := testConfig()
+			cfg.Teams = []config.Team{{Name: "green"}}
+			c := New(cfg)
 			r := parseReservation(t, map[string]any{"parts": tt.parts})
 			w := parseWindow(t, tt.window)
-			var single []Allocation
+			var named []Allocation
 			if w.NamesMachines() {
-				single = []Allocation{{Type: "small", Zone: "a", Machines: 1}}
+				named = []Allocation{{Type: "small", Zone: "a", Machines: 1}}
 			}
 			var got string
 			if tt.first {
-				got = reservationAfterWindow(t, c, r, w, single)
+				got = reservationAfterWindow(t, c, r, w, named)
 			} else {
-				got = windowAfterReservation(t, c, r, w, single)
+				got = windowAfterReservation(t, c, r, w, named)
 			}
 			if !strings.Contains(got, tt.want) {
-				t.Errorf("got %q, want %q", got, tt.want)
+				t.Errorf("got %q, want a text with %q", got, tt.want)
 			}
 		})
 	}
 }
 
-// reservationAfterWindow is what becomes of a reservation after a window on the same machines.
+// reservationAfterWindow adds a window, then fits a reservation. It returns the allocations of
+// the reservation or the error.
 func reservationAfterWindow(t *testing.T, c *Calendar, r *Reservation, w *Window, named []Allocation) string {
 	t.Helper()
 	plan, err := c.PlanWindow(w, named, testNow)
@@ -64,8 +66,8 @@
 	return allocations(b)
 }
 
-// windowAfterReservation is what becomes of a reservation when a window on the same machines
-// is planned after it.
+// windowAfterReservation adds a reservation, then plans a window. It returns the change to the
+// reservation or the error.
 func windowAfterReservation(t *testing.T, c *Calendar, r *Reservation, w *Window, named []Allocation) string {
 	t.Helper()
 	b, err := c.Fit(r, testNow)
@@ -75,7 +77,7 @@
 	c.Add(b)
 	plan, err := c.PlanWindow(w, named, testNow)
 	if len(c.Windows()) != 0 || c.Bookings()["r"] != b {
-		t.Error("planning a window has changed the calendar")
+		t.Error("PlanWindow changed the calendar, want it unchanged")
 	}
 	switch {
 	case err != nil:
@@ -88,12 +90,12 @@
 	return "stays"
 }
 
-// TestPlanWindowWholeFleet: a window that takes every machine is refused.
+// TestPlanWindowWholeFleet checks that a window for every machine is refused if it is not forced.
 func TestPlanWindowWholeFleet(t *testing.T) {
-	f := testConfig()
-	f.Zones = []string{"a"}
-	_, err := New(f).PlanWindow(parseWindow(t, map[string]any{"yard": "a"}), nil, testNow)
+	cfg := testConfig()
+	cfg.Zones = []string{"a"}
+	_, err := New(cfg).PlanWindow(parseWindow(t, map[string]any{"yard": "a"}), nil, testNow)
 	if err == nil || !strings.Contains(err.Error(), "every machine") {
-		t.Errorf("got %v", err)
+		t.Errorf("got error %v, want a refusal because the window takes every machine", err)
 	}
 }
