--- a/internal/calendar/calendar_test.go
+++ b/internal/calendar/calendar_test.go
@@ -16,8 +16,9 @@
 	testLimits = Limits{HorizonDays: 100, Reservations: 20_000, ReservationsPerTeam: 10_000, Windows: 50, Occurrences: 200}
 )
 
-// testConfig are two zones of ten small machines each, and four large ones in a. Red has
-// 40 CPUs guaranteed and 100 at most, blue 20 guaranteed.
+// testConfig returns a fleet with ten small machines in each of the zones a and b, and four
+// large machines in zone a. Team red has a guarantee of 40 CPUs and a limit of 100, team blue a
+// guarantee of 20 and no limit, team green neither.
 func testConfig() Config {
 	return Config{
 		Types: []wire.MachineType{
@@ -40,9 +41,9 @@
 	}
 }
 
-// encodeReservation encodes a reservation of four parts on the evening of the tenth, with some
-// fields changed.
-func encodeReservation(t testing.TB, edit map[string]any) []byte {
+// encodeReservation encodes a reservation for 10 March, 20:00 to 21:00, with the given fields
+// changed.
+func encodeReservation(t testing.TB, changes map[string]any) []byte {
 	t.Helper()
 	doc := map[string]any{
 		"name":   "r",
@@ -53,7 +54,7 @@
 		"start":  "2026-03-10T20:00:00",
 		"end":    "2026-03-10T21:00:00",
 	}
-	maps.Copy(doc, edit)
+	maps.Copy(doc, changes)
 	body, err := wire.Marshal(doc)
 	if err != nil {
 		t.Fatal(err)
@@ -61,22 +62,22 @@
 	return body
 }
 
-// parseReservation is the reservation of encodeReservation.
-func parseReservation(t testing.TB, edit map[string]any) *Reservation {
+// parseReservation parses the reservation that encodeReservation returns.
+func parseReservation(t testing.TB, changes map[string]any) *Reservation {
 	t.Helper()
-	r, err := ParseReservation(encodeReservation(t, edit), testLimits, testNow)
+	r, err := ParseReservation(encodeReservation(t, changes), testLimits, testNow)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return r
 }
 
-// parseWindow is a window around the reservation of encodeReservation, with some fields
-// changed.
-func parseWindow(t testing.TB, edit map[string]any) *Window {
+// parseWindow parses a window that begins before and ends after the default reservation of
+// encodeReservation, with the given fields changed.
+func parseWindow(t testing.TB, changes map[string]any) *Window {
 	t.Helper()
 	doc := map[string]any{"name": "w", "start": "2026-03-10T19:00:00", "end": "2026-03-10T22:00:00"}
-	maps.Copy(doc, edit)
+	maps.Copy(doc, changes)
 	body, err := wire.Marshal(doc)
 	if err != nil {
 		t.Fatal(err)
@@ -88,16 +89,17 @@
 	return w
 }
 
-// generatedLoad is a generated load of daily and weekly slots, for a fleet of its size.
+// generatedLoad returns n random reservations, some of which recur daily or weekly, and a fleet
+// whose size is proportional to n.
 func generatedLoad(t testing.TB, n int) (Config, []*Reservation) {
-	f := testConfig()
-	f.Teams = nil
+	cfg := testConfig()
+	cfg.Teams = nil
 	for i := range 10 {
-		f.Teams = append(f.Teams, config.Team{Name: fmt.Sprintf("t%d", i), CPUs: float64(2 * n / 10)})
+		cfg.Teams = append(cfg.Teams, config.Team{Name: fmt.Sprintf("t%d", i), CPUs: float64(2 * n / 10)})
 	}
-	f.Machines = func(string, string) int { return n / 2 }
+	cfg.Machines = func(string, string) int { return n / 2 }
 	rnd := rand.New(rand.NewPCG(1, 2))
-	var out []*Reservation
+	var load []*Reservation
 	for i := range n {
 		start := testNow.Add(time.Duration(rnd.IntN(40*96)) * 15 * time.Minute)
 		doc := map[string]any{
@@ -116,7 +118,7 @@
 			doc["rule"] = "FREQ=WEEKLY;COUNT=6"
 		}
 		doc["same_place"] = rnd.IntN(2) == 0
-		out = append(out, parseReservation(t, doc))
+		load = append(load, parseReservation(t, doc))
 	}
-	return f, out
+	return cfg, load
 }
--- a/internal/calendar/fit_benchmark_test.go
+++ b/internal/calendar/fit_benchmark_test.go
@@ -10,43 +10,44 @@
 	"vetchstream/internal/wire"
 )
 
-// BenchmarkFit is one admission beside so many reservations, and what they take of
-// the memory.
+// BenchmarkFit measures the admission latency, the memory and the reload time of calendars of
+// several sizes. The latencies are those of the last tenth of the admissions, when the calendar
+// has the most entries.
 func BenchmarkFit(b *testing.B) {
 	for _, n := range []int{100, 1000, 10_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			f, rs := generatedLoad(b, n)
+			cfg, reservations := generatedLoad(b, n)
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			c := New(f)
-			var took []time.Duration
+			c := New(cfg)
+			var latencies []time.Duration
 			accepted := 0
-			for _, r := range rs {
-				begun := time.Now()
-				e, err := c.Fit(r, testNow)
+			for _, r := range reservations {
+				started := time.Now()
+				booking, err := c.Fit(r, testNow)
 				if err == nil {
-					c.Add(e)
+					c.Add(booking)
 					accepted++
 				}
-				took = append(took, time.Since(begun))
+				latencies = append(latencies, time.Since(started))
 			}
 			runtime.GC()
 			runtime.ReadMemStats(&after)
-			last := took[len(took)*9/10:]
+			last := latencies[len(latencies)*9/10:]
 			b.ReportMetric(quantile(last, 0.5), "p50-us")
 			b.ReportMetric(quantile(last, 0.99), "p99-us")
 			b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/1e6, "MB")
 			b.ReportMetric(100*float64(accepted)/float64(n), "%accepted")
 			stored := encodeRecords(b, c)
-			begun := time.Now()
-			loadRecords(b, New(f), stored)
-			b.ReportMetric(float64(time.Since(begun).Milliseconds()), "reload-ms")
+			started := time.Now()
+			loadRecords(b, New(cfg), stored)
+			b.ReportMetric(float64(time.Since(started).Milliseconds()), "reload-ms")
 		})
 	}
 }
 
-// encodeRecords are the records of a calendar's reservations as they are stored.
+// encodeRecords encodes the records of the reservations of a calendar, as they are stored.
 func encodeRecords(b *testing.B, c *Calendar) (stored [][]byte) {
 	b.Helper()
 	for _, booking := range c.Bookings() {
@@ -59,15 +60,15 @@
 	return stored
 }
 
-// loadRecords adds stored reservations to a calendar, as a leader does that takes over.
+// loadRecords decodes stored records and adds their bookings to a calendar, as a new leader does.
 func loadRecords(b *testing.B, c *Calendar, stored [][]byte) {
 	b.Helper()
 	for _, body := range stored {
-		rec := &Record{}
-		if err := wire.Unmarshal(body, rec); err != nil {
+		record := &Record{}
+		if err := wire.Unmarshal(body, record); err != nil {
 			b.Fatal(err)
 		}
-		booking, err := rec.Booking()
+		booking, err := record.Booking()
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -75,12 +76,12 @@
 	}
 }
 
-// quantile is a quantile of times in microseconds.
-func quantile(ds []time.Duration, q float64) float64 {
-	us := make([]float64, len(ds))
-	for i, d := range ds {
-		us[i] = float64(d.Microseconds())
+// quantile returns the quantile q of the durations in microseconds.
+func quantile(durations []time.Duration, q float64) float64 {
+	micros := make([]float64, len(durations))
+	for i, d := range durations {
+		micros[i] = float64(d.Microseconds())
 	}
-	slices.Sort(us)
-	return us[int(q*float64(len(us)-1))]
+	slices.Sort(micros)
+	return micros[int(q*float64(len(micros)-1))]
 }
--- a/internal/calendar/fit_test.go
+++ b/internal/calendar/fit_test.go
@@ -57,11 +57,11 @@
 			c := New(testConfig())
 			for i, doc := range tt.before {
 				doc["name"] = fmt.Sprintf("r%d", i)
-				e, err := c.Fit(parseReservation(t, doc), testNow)
+				booking, err := c.Fit(parseReservation(t, doc), testNow)
 				if err != nil {
 					t.Fatal(err)
 				}
-				c.Add(e)
+				c.Add(booking)
 			}
 			got, next := fitResult(t, c, parseReservation(t, tt.doc))
 			if !strings.Contains(got, tt.want) || next != tt.next {
@@ -101,11 +101,11 @@
 // TestRemoveReleasesMemory: a calendar that all reservations have left again is as empty as
 // at first, so that a year of bookings leaves no memory behind.
 func TestRemoveReleasesMemory(t *testing.T) {
-	f, rs := generatedLoad(t, 200)
-	c := New(f)
-	for _, r := range rs {
-		if e, err := c.Fit(r, testNow); err == nil {
-			c.Add(e)
+	cfg, reservations := generatedLoad(t, 200)
+	c := New(cfg)
+	for _, r := range reservations {
+		if booking, err := c.Fit(r, testNow); err == nil {
+			c.Add(booking)
 		}
 	}
 	if len(c.Bookings()) < 100 {
@@ -135,9 +135,9 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			f := testConfig()
-			f.Limits = tt.limits
-			c := New(f)
+			cfg := testConfig()
+			cfg.Limits = tt.limits
+			c := New(cfg)
 			c.Add(&Booking{Reservation: parseReservation(t, nil)})
 			_, err := c.Fit(parseReservation(t, map[string]any{"name": "r2"}), testNow)
 			if !errors.Is(err, ErrLimit) {
