--- a/internal/calendar/outcome_test.go
+++ b/internal/calendar/outcome_test.go
@@ -7,11 +7,12 @@
 	"time"
 )
 
-// TestDecideOutcome: each occurrence is decided once, whatever the leader has missed.
+// TestDecideOutcome checks that the outcome of each occurrence is decided exactly once, even if
+// there was no leader for some time.
 func TestDecideOutcome(t *testing.T) {
 	r := parseReservation(t, map[string]any{"rule": "FREQ=DAILY;COUNT=3", "grace_s": 120.0})
 	c := New(testConfig())
-	e, err := c.Fit(r, testNow)
+	booking, err := c.Fit(r, testNow)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -21,39 +22,39 @@
 	tests := []struct {
 		name         string
 		observations []Observation
-		want         string
+		want         string // kinds of the outcomes, with the delay in seconds if late
 	}{
-		{"before", []Observation{{Now: at(-time.Second)}}, ""},
-		{"kept", []Observation{{Now: at(0), Claimer: "run-1"}, {Now: at(time.Second), Claimer: "run-1", RunningSince: at(time.Second)}, {Now: at(time.Minute), Claimer: "run-1", RunningSince: at(time.Second)}}, "kept"},
-		{"late", []Observation{{Now: at(0), Claimer: "run-1"}, {Now: at(61 * time.Second), Claimer: "run-1", RunningSince: at(time.Minute)}}, "late 60"},
-		{"unclaimed", []Observation{{Now: at(119 * time.Second)}, {Now: at(121 * time.Second)}}, "lapsed"},
-		{"claimed in time and never run", []Observation{{Now: at(121 * time.Second), Claimer: "run-1"}, {Now: at(time.Hour), Claimer: "run-1"}}, "missed"},
-		{"nobody led over two of them", []Observation{{Now: at(day + 2*time.Hour)}, {Now: at(day + 2*time.Hour)}, {Now: at(day + 2*time.Hour)}}, "lapsed lapsed"},
-		{"nobody led over its start", []Observation{{Now: at(time.Minute)}, {Now: at(2 * time.Minute), Claimer: "run-1", RunningSince: at(90 * time.Second)}}, "late 90"},
-		{"a successor whose clock is behind", []Observation{{Now: at(100 * time.Millisecond), Claimer: "run-1", RunningSince: at(50 * time.Millisecond)},
+		{"an occurrence has no outcome before its start", []Observation{{Now: at(-time.Second)}}, ""},
+		{"an occurrence is kept if its job runs within the tolerance", []Observation{{Now: at(0), Claimer: "run-1"}, {Now: at(time.Second), Claimer: "run-1", RunningSince: at(time.Second)}, {Now: at(time.Minute), Claimer: "run-1", RunningSince: at(time.Second)}}, "kept"},
+		{"an occurrence is late if its job runs after the tolerance", []Observation{{Now: at(0), Claimer: "run-1"}, {Now: at(61 * time.Second), Claimer: "run-1", RunningSince: at(time.Minute)}}, "late 60"},
+		{"an occurrence that no job claims lapses after the grace period", []Observation{{Now: at(119 * time.Second)}, {Now: at(121 * time.Second)}}, "lapsed"},
+		{"a claimed occurrence whose job never runs is missed at its end", []Observation{{Now: at(121 * time.Second), Claimer: "run-1"}, {Now: at(time.Hour), Claimer: "run-1"}}, "missed"},
+		{"two occurrences that ended without a leader lapse one after the other", []Observation{{Now: at(day + 2*time.Hour)}, {Now: at(day + 2*time.Hour)}, {Now: at(day + 2*time.Hour)}}, "lapsed lapsed"},
+		{"an occurrence is late if its job runs late because there was no leader at its start", []Observation{{Now: at(time.Minute)}, {Now: at(2 * time.Minute), Claimer: "run-1", RunningSince: at(90 * time.Second)}}, "late 90"},
+		{"a new leader whose clock is behind does not decide the occurrence again", []Observation{{Now: at(100 * time.Millisecond), Claimer: "run-1", RunningSince: at(50 * time.Millisecond)},
 			{Now: at(-200 * time.Millisecond), Claimer: "run-1"}, {Now: at(50 * time.Millisecond), Claimer: "run-1", RunningSince: at(-100 * time.Millisecond)}}, "kept"},
-		{"all three and nothing after", []Observation{{Now: at(3 * day)}, {Now: at(3 * day)}, {Now: at(3 * day)}, {Now: at(3 * day)}, {Now: at(3 * day)}}, "lapsed lapsed lapsed"},
+		{"each of three unclaimed occurrences lapses once and nothing follows", []Observation{{Now: at(3 * day)}, {Now: at(3 * day)}, {Now: at(3 * day)}, {Now: at(3 * day)}, {Now: at(3 * day)}}, "lapsed lapsed lapsed"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			rec := NewRecord(e, testNow)
-			for _, l := range tt.observations {
-				next, changed := DecideOutcome(rec, e, l, StartTolerance(2, 100))
-				if changed == (next == rec) {
-					t.Error("a change that does not show")
+			record := NewRecord(booking, testNow)
+			for _, o := range tt.observations {
+				next, changed := DecideOutcome(record, booking, o, StartTolerance(2, 100))
+				if changed == (next == record) {
+					t.Error("DecideOutcome must return another record if and only if it reports a change")
 				}
-				rec = next
+				record = next
 			}
-			var got []string
-			for _, o := range rec.Outcomes {
-				s := string(o.Kind)
+			var outcomes []string
+			for _, o := range record.Outcomes {
+				text := string(o.Kind)
 				if o.LateS > 0 {
-					s += fmt.Sprintf(" %.0f", o.LateS)
+					text += fmt.Sprintf(" %.0f", o.LateS)
 				}
-				got = append(got, s)
+				outcomes = append(outcomes, text)
 			}
-			if s := strings.Join(got, " "); s != tt.want {
-				t.Errorf("got %q, want %q", s, tt.want)
+			if got := strings.Join(outcomes, " "); got != tt.want {
+				t.Errorf("got outcomes %q, want %q", got, tt.want)
 			}
 		})
 	}
