--- a/internal/calendar/fit.go
+++ b/internal/calendar/fit.go
@@ -187,8 +187,9 @@
 	return best
 }
 
-// allocateSpread allocates at most half of the parts in any one zone, as the placement of jobs
-// does, in the cheapest zones first. It returns nil if the capacity does not suffice.
+// allocateSpread allocates at most half of the parts, rounded up, in any one zone, as the
+// placement of jobs does. It begins with the cheapest zone, and returns nil if the capacity does
+// not suffice.
 func (c *Calendar) allocateSpread(byZone map[int][]freePool, zones []int, parts int) []Allocation {
 	type zoneCost struct {
 		zone int
