--- a/internal/calendar/conflict.go
+++ b/internal/calendar/conflict.go
@@ -18,20 +18,20 @@
 // capacityConflict returns the conflict of the first span without capacity, or of the first
 // span if each has capacity by itself but no machines are free in all of them.
 func (c *Calendar) capacityConflict(r *Reservation, spans []Span) *Conflict {
-	s := spans[0]
+	conflicting := spans[0]
 	if i := slices.IndexFunc(spans, func(s Span) bool { return !c.hasCapacity(r, s) }); i >= 0 {
-		s = spans[i]
+		conflicting = spans[i]
 	}
-	names := c.conflictingEntries(r, s)
+	names := c.conflictingEntries(r, conflicting)
 	if len(names) == 0 {
-		return &Conflict{Reason: fmt.Sprintf("at %s the fleet has no capacity for %d parts", formatTime(s.From), r.Parts)}
+		return &Conflict{Reason: fmt.Sprintf("at %s the fleet has no capacity for %d parts", formatTime(conflicting.From), r.Parts)}
 	}
 	suffix := ""
 	if len(names) > maxNamedConflicts {
 		names = names[:maxNamedConflicts]
 		suffix = " and others"
 	}
-	return &Conflict{Reason: fmt.Sprintf("at %s there is no capacity for %d parts beside %s%s", formatTime(s.From), r.Parts, strings.Join(names, ", "), suffix)}
+	return &Conflict{Reason: fmt.Sprintf("at %s there is no capacity for %d parts beside %s%s", formatTime(conflicting.From), r.Parts, strings.Join(names, ", "), suffix)}
 }
 
 // conflictingEntries returns the names of windows and reservations that occupy machines which
@@ -60,7 +60,7 @@
 // ignores the quotas of teams.
 func (c *Calendar) hasCapacity(r *Reservation, s Span) bool {
 	byZone := map[string]int{}
-	total, mostInZone := 0, 0
+	total, maxInZone := 0, 0
 	for i := range c.pools {
 		p := &c.pools[i]
 		zone := c.zoneOf(p)
@@ -70,9 +70,9 @@
 		}
 		byZone[zone] += parts
 		total += parts
-		mostInZone = max(mostInZone, byZone[zone])
+		maxInZone = max(maxInZone, byZone[zone])
 	}
-	return total >= r.Parts && (!r.OneZone || mostInZone >= r.Parts)
+	return total >= r.Parts && (!r.OneZone || maxInZone >= r.Parts)
 }
 
 // nextStart returns the earliest later start for which all occurrences would fit, out of the
--- a/internal/calendar/fit.go
+++ b/internal/calendar/fit.go
@@ -239,14 +239,14 @@
 // capacity that remains once every team has its guarantee. So no reservation can starve
 // another team's guaranteed work.
 func (c *Calendar) quotaConflict(r *Reservation, spans []Span) *Conflict {
-	i := c.teamIndex[r.Team]
-	team := &c.config.Teams[i]
+	teamIndex := c.teamIndex[r.Team]
+	team := &c.config.Teams[teamIndex]
 	cpus := resourceQuota{
 		resource:      "CPUs",
 		demand:        r.CPUs * float64(r.Parts),
 		limit:         team.CPUsMax,
 		guarantee:     team.CPUs,
-		team:          &c.teamUsage[i].cpus,
+		team:          &c.teamUsage[teamIndex].cpus,
 		overGuarantee: &c.overGuarantee.cpus,
 		maintenance:   &c.maintenance.cpus,
 		capacity:      c.capacity.CPUs,
@@ -257,7 +257,7 @@
 		demand:        r.GPUs * float64(r.Parts),
 		limit:         team.GPUsMax,
 		guarantee:     team.GPUs,
-		team:          &c.teamUsage[i].gpus,
+		team:          &c.teamUsage[teamIndex].gpus,
 		overGuarantee: &c.overGuarantee.gpus,
 		maintenance:   &c.maintenance.gpus,
 		capacity:      c.capacity.GPUs,
--- a/internal/calendar/fixtures_test.go
+++ b/internal/calendar/fixtures_test.go
@@ -6,9 +6,9 @@
 	"vetchstream/internal/fixture"
 )
 
-// fixtures are the records of reservations and maintenance windows stored in
-// the consensus-backed key-value store, their specifications, and what the API
-// shows of them.
+// fixtures lists the encoded types whose stored form must not change: the records of
+// reservations and maintenance windows in the key-value store, their specifications, and their
+// statuses in replies of the API.
 var fixtures = []fixture.Row{
 	{File: "reservation-record.cbor", Value: fixture.Filled[Record]()},
 	{File: "window-record.cbor", Value: fixture.Filled[WindowRecord]()},
