--- a/internal/node/sim_week_test.go
+++ b/internal/node/sim_week_test.go
@@ -239,7 +239,7 @@
 
 // evaluateSlots counts the slots that started on time, and those that no fault disturbed.
 func (w *weekSimulation) evaluateSlots(result *weekResult) {
-	tolerance := calendar.Tolerance(2, 100)
+	tolerance := calendar.StartTolerance(2, 100)
 	for _, slot := range w.slots {
 		result.slots++
 		onTime := slot.late >= 0 && slot.late <= tolerance
