--- a/internal/shard/handover.go
+++ b/internal/shard/handover.go
@@ -2,92 +2,94 @@
 
 import "time"
 
-// handoverPhase says who deals with a machine while it changes its holder.
+// handoverPhase is the phase of a machine's handover between the leader and a holder.
 type handoverPhase uint8
 
 const (
-	// heldByLeader: the leader deals with it.
+	// heldByLeader means that the leader handles the machine.
 	heldByLeader handoverPhase = iota
-	// assigning: the member may deal with it, and has not confirmed that yet.
+	// assigning means that the member may handle the machine but has not confirmed that.
 	assigning
-	// assigned: the member has confirmed that it deals with it.
+	// assigned means that the member has confirmed that it handles the machine.
 	assigned
-	// revoking: the member may still deal with it, and is told to stop.
+	// revoking means that the member has to stop handling the machine but may not have
+	// stopped yet.
 	revoking
 )
 
-// Revocation is a machine that its holder no longer deals with.
+// Revocation describes a machine that its holder no longer handles.
 type Revocation struct {
-	// Name is the machine's name, From the member that held it, Reason why it no longer
-	// does.
+	// Name is the machine's name. From is the member that held it. Reason is the reason for
+	// the revocation.
 	Name, From, Reason string
-	// Until is the last moment at which the holder may have answered a report.
+	// Until is the latest time at which the holder may have answered a heartbeat.
 	Until time.Time
 	// Since is when the revocation began.
 	Since time.Time
 }
 
-// RevocationTime is how long the holder may still answer a machine that is revoked: the
-// rest of an earlier grant.
+// RevocationTime returns the longest time for which a holder may still answer a machine
+// after its revocation has begun. It covers the rest of the last grant.
 func (a *Assigner) RevocationTime() time.Duration {
 	return a.settings.GrantDuration + clockMargin(a.settings.GrantDuration)
 }
 
-// Retain has the leader deal with a machine until Release; a holder returns it.
+// Retain makes the leader handle a machine until Release, and revokes the machine from its
+// holder if it has one.
 func (a *Assigner) Retain(name, reason string, now time.Time) {
-	if mc := a.machines[name]; mc != nil && !mc.retained {
-		mc.retained = true
-		a.revoke(mc, reason, now)
+	if machine := a.machines[name]; machine != nil && !machine.retained {
+		machine.retained = true
+		a.revoke(machine, reason, now)
 	}
 }
 
 // Release lets a retained machine be assigned to a holder again.
 func (a *Assigner) Release(name string) {
-	if mc := a.machines[name]; mc != nil {
-		mc.retained = false
+	if machine := a.machines[name]; machine != nil {
+		machine.retained = false
 	}
 }
 
-// assign begins to hand a machine over to a member.
-func (a *Assigner) assign(mc *machineState, m *memberState, reason string, now time.Time) {
-	mc.holder = m
-	mc.phase = assigning
-	mc.announcedIn = 0
-	mc.since = now
-	mc.reason = reason
-	mc.redirectedAt = time.Time{}
-	mc.neverAssigned = false
-	m.machines[mc] = struct{}{}
-	m.pending[mc] = struct{}{}
-	if len(m.machines) == 1 && now.After(m.grantUntil) {
-		// The member has no grant yet: it must not count as silent before its next request.
-		m.grantUntil = now.Add(a.settings.GrantDuration)
+// assign starts the handover of a machine to a member.
+func (a *Assigner) assign(machine *machineState, member *memberState, reason string, now time.Time) {
+	machine.holder = member
+	machine.phase = assigning
+	machine.announcedIn = 0
+	machine.since = now
+	machine.reason = reason
+	machine.redirectedAt = time.Time{}
+	machine.neverAssigned = false
+	member.machines[machine] = struct{}{}
+	member.pending[machine] = struct{}{}
+	if len(member.machines) == 1 && now.After(member.grantUntil) {
+		// The member has no grant yet. It must not be treated as silent before its next request.
+		member.grantUntil = now.Add(a.settings.GrantDuration)
 	}
 	a.moves++
 }
 
-// revoke begins to take a machine back from its holder.
-func (a *Assigner) revoke(mc *machineState, reason string, now time.Time) {
-	if mc.phase == heldByLeader || mc.phase == revoking {
+// revoke starts the handover of a machine from its holder back to the leader.
+func (a *Assigner) revoke(machine *machineState, reason string, now time.Time) {
+	if machine.phase == heldByLeader || machine.phase == revoking {
 		return
 	}
-	mc.phase = revoking
-	mc.announcedIn = 0
-	mc.since = now
-	mc.reason = reason
-	mc.holder.pending[mc] = struct{}{}
+	machine.phase = revoking
+	machine.announcedIn = 0
+	machine.since = now
+	machine.reason = reason
+	machine.holder.pending[machine] = struct{}{}
 }
 
-// returnToLeader returns a machine to the leader; its holder may have answered it until the
-// given time.
-func (a *Assigner) returnToLeader(mc *machineState, until time.Time) Revocation {
-	revocation := Revocation{Name: mc.name, From: mc.holder.name, Reason: mc.reason, Until: until, Since: mc.since}
-	delete(mc.holder.machines, mc)
-	delete(mc.holder.pending, mc)
-	mc.holder = nil
-	mc.phase = heldByLeader
-	mc.announcedIn = 0
-	mc.redirectedAt = time.Time{}
+// returnToLeader completes the handover of a machine back to the leader. The holder may
+// have answered heartbeats of the machine up to the time until.
+func (a *Assigner) returnToLeader(machine *machineState, until time.Time) Revocation {
+	revocation := Revocation{Name: machine.name, From: machine.holder.name, Reason: machine.reason, Until: until, Since: machine.since}
+	delete(machine.holder.machines, machine)
+	delete(machine.holder.pending, machine)
+	machine.holder = nil
+	machine.phase = heldByLeader
+	machine.announcedIn = 0
+	machine.redirectedAt = time.Time{}
 	a.moves++
 	return revocation
 }
--- a/internal/shard/holder.go
+++ b/internal/shard/holder.go
@@ -5,31 +5,33 @@
 	"time"
 )
 
-// Holder deals with a shard of the machines under the grants of the leader. It is not
-// safe for concurrent use.
+// Holder handles a shard of the machines under the grants of the leader. It is not safe for
+// concurrent use.
 type Holder struct {
 	member      string
 	zone        string
 	incarnation uint64
-	seq         uint64 // of the last request
+	seq         uint64 // number of the last request
 
-	term       uint64    // of the last grant; 0: none
+	term       uint64    // term of the last grant; 0 if there was none
 	lastReply  uint64    // number of the last reply handled
 	grantUntil time.Time // when the grant ends
 
 	machines map[string]*heldMachine
-	// previousMachines are the machines that were held in an earlier term.
+	// previousMachines names the machines that the member held in an earlier term.
 	previousMachines []string
-	// callResults are the results of direct commands that the leader has not acknowledged.
+	// callResults are the results of direct commands that the leader has not acknowledged
+	// yet.
 	callResults []CallResult
-	// reportsInFlight are the numbers of the reports in the request in flight, by machine;
-	// callResultsInFlight is how many of callResults it has.
+	// reportsInFlight holds, by machine, the number of the last heartbeat that the request in
+	// flight reports. callResultsInFlight is the number of call results in that request,
+	// which are the first of callResults.
 	reportsInFlight     map[string]uint64
 	callResultsInFlight int
 }
 
-// NewHolder makes a holder without a grant. incarnation must be higher than that of any
-// earlier process of the member.
+// NewHolder returns a holder without a grant. incarnation must be higher than the
+// incarnation of any earlier process of the member.
 func NewHolder(member, zone string, incarnation uint64) *Holder {
 	return &Holder{
 		member:      member,
@@ -39,34 +41,36 @@
 	}
 }
 
-// clockMargin is by how much a grant is shortened because of the two clocks: they may differ
-// by 0.1 %, and timers fire late.
-func clockMargin(d time.Duration) time.Duration { return d/500 + 20*time.Millisecond }
+// clockMargin returns the safety margin of a grant with the given duration: the holder ends
+// the grant earlier by the margin, and the leader waits longer by it. The clock rates of two
+// machines may differ by 0.1 %, and timers may fire late.
+func clockMargin(grant time.Duration) time.Duration { return grant/500 + 20*time.Millisecond }
 
-// GrantValid reports whether the grant of the term is valid. Callers ask just before
-// they send anything under it.
+// GrantValid reports whether the holder has a valid grant of the term. Callers check it
+// immediately before they send anything under the grant.
 func (h *Holder) GrantValid(term uint64, now time.Time) bool {
 	return term != 0 && term == h.term && now.Before(h.grantUntil)
 }
 
-// Term is the term of the last grant; 0: there was none.
+// Term returns the term of the last grant; 0 if there was none.
 func (h *Holder) Term() uint64 { return h.term }
 
-// The limits of a request: of its reports together with the call results, and of the
-// call results alone. One more item may exceed them. The leader refuses larger
-// messages, and a request that it refuses would be made again forever.
+// Size limits of a request. maxReportBytes limits its machine reports and call results
+// together, maxCallResultBytes its call results. The last item may exceed a limit. The
+// leader refuses messages that are too large, and a refused request would be repeated
+// without end.
 const (
 	maxReportBytes     = 128 << 10
 	maxCallResultBytes = 64 << 10
-	// itemOverheadBytes estimates the encoded size of an item besides its report.
+	// itemOverheadBytes is the estimated encoded size of an item without its heartbeat.
 	itemOverheadBytes = 64
 )
 
-// Request makes the next request. No other may be made until HandleReply or
-// RequestFailed.
+// Request returns the next request. The caller must end it with HandleReply or
+// RequestFailed before it calls Request again.
 func (h *Holder) Request(capacity, calls int, overloaded bool, now time.Time) *Request {
 	h.seq++
-	r := &Request{
+	request := &Request{
 		Member:           h.member,
 		Zone:             h.zone,
 		Incarnation:      h.incarnation,
@@ -78,159 +82,162 @@
 		Overloaded:       overloaded,
 		PreviousMachines: h.previousMachines,
 	}
-	size := h.addCallResults(r)
-	h.addReports(r, size, now)
-	return r
+	size := h.addCallResults(request)
+	h.addReports(request, size, now)
+	return request
 }
 
-// addCallResults adds the call results that are not acknowledged, and returns their
-// estimated size in bytes.
-func (h *Holder) addCallResults(r *Request) (size int) {
+// addCallResults adds to a request the call results that the leader has not acknowledged,
+// and returns their estimated size in bytes.
+func (h *Holder) addCallResults(request *Request) (size int) {
 	h.callResultsInFlight = 0
 	for i := range h.callResults {
 		if size > maxCallResultBytes {
 			break
 		}
 		size += itemOverheadBytes + len(h.callResults[i].Heartbeat)
-		r.CallResults = append(r.CallResults, h.callResults[i])
+		request.CallResults = append(request.CallResults, h.callResults[i])
 		h.callResultsInFlight++
 	}
 	return size
 }
 
-// addReports adds the reports that are not acknowledged to a request of that size.
-func (h *Holder) addReports(r *Request, size int, now time.Time) {
+// addReports adds to a request of the given size the reports that the leader has not
+// acknowledged.
+func (h *Holder) addReports(request *Request, size int, now time.Time) {
 	h.reportsInFlight = map[string]uint64{}
-	for name, hm := range h.machines {
-		if hm.lastHeartbeat == hm.acknowledgedHeartbeat {
+	for name, machine := range h.machines {
+		if machine.lastHeartbeat == machine.acknowledgedHeartbeat {
 			continue
 		}
 		if size > maxReportBytes {
-			r.Truncated = true
+			request.Truncated = true
 			break
 		}
 		report := MachineReport{
 			Machine: name,
-			Session: hm.session,
-			Seq:     hm.seq,
-			AgeMs:   now.Sub(hm.heartbeatAt).Milliseconds(),
+			Session: machine.session,
+			Seq:     machine.seq,
+			AgeMs:   now.Sub(machine.heartbeatAt).Milliseconds(),
 		}
-		if hm.fullHeartbeatNumber > hm.acknowledgedHeartbeat {
-			report.Heartbeat = hm.fullHeartbeat
+		if machine.fullHeartbeatNumber > machine.acknowledgedHeartbeat {
+			report.Heartbeat = machine.fullHeartbeat
 		}
 		size += itemOverheadBytes + len(report.Heartbeat)
-		h.reportsInFlight[name] = hm.lastHeartbeat
-		r.Reports = append(r.Reports, report)
+		h.reportsInFlight[name] = machine.lastHeartbeat
+		request.Reports = append(request.Reports, report)
 	}
 }
 
-// RequestFailed notes that a request had no reply: the next one has its content again.
+// RequestFailed records that the request in flight got no reply. The next request repeats
+// its content.
 func (h *Holder) RequestFailed() { h.endRequest() }
 
-// endRequest notes that no request is in flight.
+// endRequest records that no request is in flight.
 func (h *Holder) endRequest() {
 	h.reportsInFlight = nil
 	h.callResultsInFlight = 0
 }
 
-// HandleReply handles the reply to the request that was sent at the given time, and
-// returns the direct commands to be sent.
-func (h *Holder) HandleReply(r *Reply, sent time.Time) []Call {
-	if r.Term == 0 || r.Term < h.term {
+// HandleReply handles the reply to the request that was sent at the given time. It returns
+// the direct commands that the leader orders the holder to send.
+func (h *Holder) HandleReply(reply *Reply, sent time.Time) []Call {
+	if reply.Term == 0 || reply.Term < h.term {
 		h.endRequest()
 		return nil
 	}
-	if r.Term > h.term || r.Reset {
+	if reply.Term > h.term || reply.Reset {
 		h.reset()
 	} else {
 		h.acknowledgeRequest()
 	}
 	h.endRequest()
-	h.term = r.Term
-	h.lastReply = r.Number
+	h.term = reply.Term
+	h.lastReply = reply.Number
 	h.previousMachines = nil
-	h.setGrant(time.Duration(r.GrantMs)*time.Millisecond, sent)
-	h.updateMachines(r)
-	for i := range r.Clearances {
-		clearance := &r.Clearances[i]
-		if hm := h.machines[clearance.Machine]; hm != nil && !hm.dropped {
-			hm.recordSettledExits(clearance.Commands)
+	h.setGrant(time.Duration(reply.GrantMs)*time.Millisecond, sent)
+	h.updateMachines(reply)
+	for i := range reply.Clearances {
+		clearance := &reply.Clearances[i]
+		if machine := h.machines[clearance.Machine]; machine != nil && !machine.dropped {
+			machine.recordSettledExits(clearance.Commands)
 		}
 	}
-	return r.Calls
+	return reply.Calls
 }
 
-// acknowledgeRequest notes that the leader has handled the request in flight.
+// acknowledgeRequest records that the leader has handled the request in flight.
 func (h *Holder) acknowledgeRequest() {
-	for name, report := range h.reportsInFlight {
-		if hm := h.machines[name]; hm != nil {
-			hm.acknowledge(report)
+	for name, number := range h.reportsInFlight {
+		if machine := h.machines[name]; machine != nil {
+			machine.acknowledge(number)
 		}
 	}
 	h.callResults = slices.Delete(h.callResults, 0, h.callResultsInFlight)
 }
 
-// setGrant sets the end of the grant that a reply to a request sent at the given time
-// has brought; d is its length, 0: there is none.
-func (h *Holder) setGrant(d time.Duration, sent time.Time) {
+// setGrant sets the end of a grant with the given duration, which is 0 if the reply has no
+// grant. sent is when the request was sent.
+func (h *Holder) setGrant(duration time.Duration, sent time.Time) {
 	h.grantUntil = time.Time{}
-	if d > 0 {
-		h.grantUntil = sent.Add(d - clockMargin(d))
+	if duration > 0 {
+		h.grantUntil = sent.Add(duration - clockMargin(duration))
 	}
 }
 
 // updateMachines applies the changes of the shard in a reply.
-func (h *Holder) updateMachines(r *Reply) {
-	for _, name := range r.Drop {
-		if hm := h.machines[name]; hm != nil {
-			hm.dropped = true
-			hm.settledExits = nil
+func (h *Holder) updateMachines(reply *Reply) {
+	for _, name := range reply.Drop {
+		if machine := h.machines[name]; machine != nil {
+			machine.dropped = true
+			machine.settledExits = nil
 		}
 	}
-	for _, name := range r.Add {
-		if hm := h.machines[name]; hm == nil {
+	for _, name := range reply.Add {
+		if machine := h.machines[name]; machine == nil {
 			h.machines[name] = &heldMachine{}
-		} else if hm.dropped {
-			// The leader has answered its reports meanwhile: the next one is sent in full.
-			hm.dropped = false
-			hm.hasDigest = false
+		} else if machine.dropped {
+			// Another controller may have answered heartbeats in the meantime: the next one is
+			// sent to the leader in full.
+			machine.dropped = false
+			machine.hasDigest = false
 		}
 	}
-	for name, hm := range h.machines {
-		if hm.dropped && hm.acknowledgedHeartbeat == hm.lastHeartbeat {
+	for name, machine := range h.machines {
+		if machine.dropped && machine.acknowledgedHeartbeat == machine.lastHeartbeat {
 			delete(h.machines, name)
 		}
 	}
 }
 
-// reset forgets what was held in an earlier term, or before the leader asked for a
-// reset.
+// reset discards the machines, the call results and the grant of an earlier term, or those
+// from before a reply with a reset.
 func (h *Holder) reset() {
 	clear(h.machines)
 	h.callResults = nil
 	h.grantUntil = time.Time{}
 }
 
-// BecomeLeader forgets the shard, because the member leads itself.
+// BecomeLeader discards the shard, because the member itself leads now.
 func (h *Holder) BecomeLeader() {
 	h.reset()
 	h.previousMachines = nil
 }
 
-// EndTerm ends the grant of a term that is over. The next request tells the new leader
-// which machines the member has held.
+// EndTerm ends the grant of a term that has ended. The next request names the machines that
+// the member held, for the new leader.
 func (h *Holder) EndTerm() {
 	h.grantUntil = time.Time{}
 	h.previousMachines = nil
-	for name, hm := range h.machines {
-		if !hm.dropped && hm.hasDigest {
+	for name, machine := range h.machines {
+		if !machine.dropped && machine.hasDigest {
 			h.previousMachines = append(h.previousMachines, name)
 		}
 	}
 	slices.Sort(h.previousMachines)
 }
 
-// RecordCallResult adds the result of a direct command, to be sent with the next
+// RecordCallResult adds the result of a direct command, which is sent with the next
 // request.
 func (h *Holder) RecordCallResult(result CallResult) {
 	h.callResults = append(h.callResults, result)
--- a/internal/shard/holder_reports.go
+++ b/internal/shard/holder_reports.go
@@ -10,186 +10,188 @@
 	"vetchstream/internal/wire"
 )
 
-// Outcome says what a holder does with a report.
+// Outcome is the result of a holder's handling of a heartbeat.
 type Outcome uint8
 
 const (
-	// NotHeld means that the machine is not in the shard; the leader knows who holds it.
+	// NotHeld means that the machine is not in the shard. The leader knows its holder.
 	NotHeld Outcome = iota
-	// GrantExpired means that the machine is in the shard, but the grant has ended or
-	// does not cover the report. The report must not be answered with status 200: the
-	// leader may have assigned the machine to another holder.
+	// GrantExpired means that the machine is in the shard, but the grant has ended or does
+	// not cover the heartbeat. The holder must not answer the heartbeat with status 200,
+	// because the leader may have assigned the machine to another holder.
 	GrantExpired
-	// Answered means that the orders are the answer.
+	// Answered means that the holder answers the heartbeat with the returned commands.
 	Answered
-	// HeartbeatChanged means that the report differs from the one before. The worker waits
-	// for the leader's answer; if none comes in time, the orders are the answer.
+	// HeartbeatChanged means that the heartbeat differs from the last one. The holder waits
+	// for the leader's answer. If none arrives in time, it answers with the returned commands.
 	HeartbeatChanged
-	// LeaderRequired means that the report shows a task that the leader has not
-	// acknowledged. It may be of a cancelled job, which only an answer of the leader
-	// halts: the holder gives none of its own.
+	// LeaderRequired means that the heartbeat has a task that the leader has not
+	// acknowledged. The job of the task may be cancelled, in which case only the leader's
+	// answer stops the task. The holder therefore does not answer by itself.
 	LeaderRequired
 )
 
-// taskAttempt names an attempt at a task on a machine.
+// taskAttempt identifies one attempt of a task.
 type taskAttempt struct {
 	task    string
 	attempt uint64
 }
 
-// heldMachine is a machine of the shard, with what its worker has reported.
+// heldMachine is a machine of the shard with the state from its worker's heartbeats.
 type heldMachine struct {
-	// dropped: the machine was taken away. It stays here until the leader has
-	// acknowledged what it reported before.
+	// dropped means that the leader has removed the machine from the shard. The holder keeps
+	// it until the leader has acknowledged its heartbeats.
 	dropped bool
 
-	session     uint64    // of the last report
-	seq         uint64    // of the last report
-	heartbeatAt time.Time // when the last report came
-	digest      uint64    // of the last report
-	hasDigest   bool      // there was a report since the machine was added
+	session     uint64    // of the last heartbeat
+	seq         uint64    // of the last heartbeat
+	heartbeatAt time.Time // when the last heartbeat arrived
+	digest      uint64    // of the last heartbeat
+	hasDigest   bool      // a heartbeat has arrived since the machine was added
 
-	// tasks are the tasks of the last report in full that have not exited, reportedExits
+	// tasks are the tasks in the last changed heartbeat that have not exited, reportedExits
 	// those that have.
 	tasks         []taskAttempt
 	reportedExits []taskAttempt
-	// settledExits are the exits that the worker may forget.
+	// settledExits are the exited tasks that the worker may clear.
 	settledExits []taskAttempt
-	// acknowledgedTasks are the tasks of the last report that the leader has acknowledged.
+	// acknowledgedTasks are the tasks of the last heartbeat that the leader has
+	// acknowledged.
 	acknowledgedTasks []taskAttempt
 
-	// lastHeartbeat counts the reports; acknowledgedReport is the last one that the leader
-	// has acknowledged.
+	// lastHeartbeat is the number of the last heartbeat, counted by the holder.
+	// acknowledgedHeartbeat is the number of the last one that the leader has acknowledged.
 	lastHeartbeat         uint64
 	acknowledgedHeartbeat uint64
-	// fullHeartbeat is the encoded report number fullReportAt, the last one that differs from
-	// the one before. It is sent to the leader until that is acknowledged.
+	// fullHeartbeat is the last encoded heartbeat that differs from its predecessor, and
+	// fullHeartbeatNumber its number. The holder sends it to the leader until the leader
+	// acknowledges it.
 	fullHeartbeat       []byte
 	fullHeartbeatNumber uint64
 }
 
-// HandleHeartbeat handles a report of a worker, whose encoded form is body. The orders of the
-// answer are exits that the worker may forget. The leader's orders come by its answer
-// to a report that has changed, or by direct commands.
-func (h *Holder) HandleHeartbeat(m *wire.Heartbeat, body []byte, now time.Time) ([]wire.Command, Outcome) {
-	hm := h.machines[m.Machine]
-	if hm == nil || hm.dropped {
+// HandleHeartbeat handles a worker's heartbeat, whose encoded form is body. The returned
+// commands clear exited tasks. All other commands come from the leader, in its answer to a
+// changed heartbeat or as direct commands.
+func (h *Holder) HandleHeartbeat(heartbeat *wire.Heartbeat, body []byte, now time.Time) ([]wire.Command, Outcome) {
+	machine := h.machines[heartbeat.Machine]
+	if machine == nil || machine.dropped {
 		return nil, NotHeld
 	}
-	if !now.Before(h.grantUntil) || m.Token > h.term {
+	if !now.Before(h.grantUntil) || heartbeat.Token > h.term {
 		return nil, GrantExpired
 	}
-	if m.Session < hm.session || (m.Session == hm.session && m.Seq <= hm.seq) {
-		// A delayed report. The answer to a newer one has renewed the lease already.
+	if heartbeat.Session < machine.session || (heartbeat.Session == machine.session && heartbeat.Seq <= machine.seq) {
+		// The heartbeat was delayed. The answer to a newer one has already renewed the lease.
 		return nil, GrantExpired
 	}
-	hm.session = m.Session
-	hm.seq = m.Seq
-	hm.heartbeatAt = now
-	hm.lastHeartbeat++
-	outcome := hm.compare(m)
+	machine.session = heartbeat.Session
+	machine.seq = heartbeat.Seq
+	machine.heartbeatAt = now
+	machine.lastHeartbeat++
+	outcome := machine.compare(heartbeat)
 	if outcome != Answered {
-		hm.fullHeartbeat = slices.Clone(body)
-		hm.fullHeartbeatNumber = hm.lastHeartbeat
+		machine.fullHeartbeat = slices.Clone(body)
+		machine.fullHeartbeatNumber = machine.lastHeartbeat
 	}
-	return hm.clearCommands(), outcome
+	return machine.clearCommands(), outcome
 }
 
-// compare compares a report with the one before, and records its tasks if they differ.
-func (hm *heldMachine) compare(m *wire.Heartbeat) Outcome {
+// compare compares a heartbeat with the last one, and records its tasks if the two differ.
+func (hm *heldMachine) compare(heartbeat *wire.Heartbeat) Outcome {
 	outcome := Answered
-	d := digest(m)
-	if !hm.hasDigest || d != hm.digest || m.NoticeS != nil {
+	newDigest := digest(heartbeat)
+	if !hm.hasDigest || newDigest != hm.digest || heartbeat.NoticeS != nil {
 		outcome = HeartbeatChanged
-		hm.recordTasks(m)
+		hm.recordTasks(heartbeat)
 	}
 	if hm.hasUnacknowledgedTask() {
 		outcome = LeaderRequired
 	}
 	if outcome != Answered {
-		hm.digest = d
+		hm.digest = newDigest
 		hm.hasDigest = true
 	}
 	return outcome
 }
 
-// recordTasks records the tasks and exits that a report shows.
-func (hm *heldMachine) recordTasks(m *wire.Heartbeat) {
+// recordTasks records the tasks in a heartbeat, with exited tasks in a list of their own.
+func (hm *heldMachine) recordTasks(heartbeat *wire.Heartbeat) {
 	hm.reportedExits = hm.reportedExits[:0]
 	hm.tasks = hm.tasks[:0]
-	for i := range m.Tasks {
-		t := &m.Tasks[i]
-		p := taskAttempt{task: t.Task, attempt: t.Attempt}
-		if t.Phase == wire.TaskExited {
-			hm.reportedExits = append(hm.reportedExits, p)
+	for i := range heartbeat.Tasks {
+		status := &heartbeat.Tasks[i]
+		attempt := taskAttempt{task: status.Task, attempt: status.Attempt}
+		if status.Phase == wire.TaskExited {
+			hm.reportedExits = append(hm.reportedExits, attempt)
 		} else {
-			hm.tasks = append(hm.tasks, p)
+			hm.tasks = append(hm.tasks, attempt)
 		}
 	}
 }
 
-// hasUnacknowledgedTask reports whether the last report shows a task that the leader
-// has not acknowledged.
+// hasUnacknowledgedTask reports whether the last heartbeat has a task that the leader has
+// not acknowledged.
 func (hm *heldMachine) hasUnacknowledgedTask() bool {
-	return slices.ContainsFunc(hm.tasks, func(t taskAttempt) bool { return !slices.Contains(hm.acknowledgedTasks, t) })
+	return slices.ContainsFunc(hm.tasks, func(attempt taskAttempt) bool { return !slices.Contains(hm.acknowledgedTasks, attempt) })
 }
 
-// acknowledge notes that the leader has acknowledged the reports up to that number.
-func (hm *heldMachine) acknowledge(report uint64) {
-	hm.acknowledgedHeartbeat = max(hm.acknowledgedHeartbeat, report)
+// acknowledge records that the leader has acknowledged the heartbeats up to a number.
+func (hm *heldMachine) acknowledge(number uint64) {
+	hm.acknowledgedHeartbeat = max(hm.acknowledgedHeartbeat, number)
 	if hm.acknowledgedHeartbeat >= hm.fullHeartbeatNumber {
 		hm.acknowledgedTasks = append(hm.acknowledgedTasks[:0], hm.tasks...)
 	}
 }
 
-// recordSettledExits notes exits that the worker may forget. One that the last report does not show
-// is ignored: the exit has been cleared since, and the same attempt of a gang may have
-// come back.
-func (hm *heldMachine) recordSettledExits(clears []wire.Command) {
-	for _, order := range clears {
-		exit := taskAttempt{task: order.Task, attempt: order.Attempt}
+// recordSettledExits records exited tasks that the worker may clear. It ignores tasks that the
+// last heartbeat does not show as exited: they have been cleared in the meantime, and the
+// same attempt of a gang may have started again.
+func (hm *heldMachine) recordSettledExits(commands []wire.Command) {
+	for _, command := range commands {
+		exit := taskAttempt{task: command.Task, attempt: command.Attempt}
 		if slices.Contains(hm.reportedExits, exit) && !slices.Contains(hm.settledExits, exit) {
 			hm.settledExits = append(hm.settledExits, exit)
 		}
 	}
 }
 
-// clearCommands are the orders to forget the settled exits that the worker still reports.
+// clearCommands returns commands that clear the settled exits that the worker still reports.
 func (hm *heldMachine) clearCommands() []wire.Command {
-	hm.settledExits = slices.DeleteFunc(hm.settledExits, func(e taskAttempt) bool { return !slices.Contains(hm.reportedExits, e) })
-	orders := []wire.Command{}
+	hm.settledExits = slices.DeleteFunc(hm.settledExits, func(exit taskAttempt) bool { return !slices.Contains(hm.reportedExits, exit) })
+	commands := []wire.Command{}
 	for _, exit := range hm.settledExits {
-		orders = append(orders, wire.Command{Verb: wire.CommandClear, Task: exit.task, Attempt: exit.attempt})
+		commands = append(commands, wire.Command{Verb: wire.CommandClear, Task: exit.task, Attempt: exit.attempt})
 	}
-	return orders
+	return commands
 }
 
-// digest sums up what the leader acts on in a report. The number of the report is left
-// out, so that two reports with the same digest say the same.
-func digest(m *wire.Heartbeat) uint64 {
-	d := xxhash.New()
-	writeNumber := func(n uint64) {
-		var b [8]byte
-		binary.LittleEndian.PutUint64(b[:], n)
-		_, _ = d.Write(b[:]) // never fails
+// digest returns a hash of the fields of a heartbeat that the leader acts on. It leaves out
+// the sequence number, so that heartbeats with the same content have the same digest.
+func digest(heartbeat *wire.Heartbeat) uint64 {
+	hash := xxhash.New()
+	writeNumber := func(number uint64) {
+		var encoded [8]byte
+		binary.LittleEndian.PutUint64(encoded[:], number)
+		_, _ = hash.Write(encoded[:]) // never fails
 	}
-	writeString := func(s string) {
-		writeNumber(uint64(len(s)))
-		_, _ = d.WriteString(s) // never fails
+	writeString := func(text string) {
+		writeNumber(uint64(len(text)))
+		_, _ = hash.WriteString(text) // never fails
 	}
-	writeNumber(m.Session)
-	writeNumber(m.Token)
-	writeString(m.Addr)
-	for i := range m.Tasks {
-		t := &m.Tasks[i]
-		writeString(t.Task)
-		writeNumber(t.Attempt)
-		writeString(string(t.Phase))
-		writeString(string(t.Cause))
-		writeString(string(t.Health))
-		if t.CheckpointSaved {
+	writeNumber(heartbeat.Session)
+	writeNumber(heartbeat.Token)
+	writeString(heartbeat.Addr)
+	for i := range heartbeat.Tasks {
+		task := &heartbeat.Tasks[i]
+		writeString(task.Task)
+		writeNumber(task.Attempt)
+		writeString(string(task.Phase))
+		writeString(string(task.Cause))
+		writeString(string(task.Health))
+		if task.CheckpointSaved {
 			writeNumber(1)
 		}
 	}
-	return d.Sum64()
+	return hash.Sum64()
 }
--- a/internal/shard/members.go
+++ b/internal/shard/members.go
@@ -7,60 +7,64 @@
 	"time"
 )
 
-// The members of an Assigner: which controllers hold a shard, what they have
-// acknowledged, and the handling of their requests.
+// This file handles the requests of members and tracks which replies they have
+// acknowledged.
 
-// memberState is a controller that may hold a shard of the machines.
+// memberState is the Assigner's state of one controller other than the leader.
 type memberState struct {
 	name string
 	zone string
-	// incarnation is that of the member's process, seq the number of its last request.
+	// incarnation identifies the member's process. seq is the number of its last request.
 	incarnation   uint64
 	seq           uint64
-	lastRequestAt time.Time // when the last request came
-	// contactSince is since when its requests come without a gap.
+	lastRequestAt time.Time // when the last request arrived
+	// contactSince is the time since which the member's requests have arrived without a gap.
 	contactSince time.Time
 
-	// lastReply is the number of the last reply to the member, ackedReply that of the
-	// last one that it has acknowledged, at ackedAt. replyTimes are when the replies from
-	// ackedReply on were made.
+	// lastReply is the number of the last reply to the member. ackedReply is the number of
+	// the last reply that it has acknowledged, ackedAt the time of the acknowledgement.
+	// replyTimes holds the times of the replies from ackedReply on, by number.
 	lastReply  uint64
 	ackedReply uint64
 	replyTimes map[uint64]time.Time
 	ackedAt    time.Time
-	// grantUntil is when the last grant has certainly ended, by the leader's clock.
+	// grantUntil is the time, by the leader's clock, at which the last grant has ended for
+	// certain.
 	grantUntil time.Time
-	// knownUntil is the time up to which all answers of the member are known.
+	// knownUntil is the time up to which the leader knows all answers of the member to
+	// heartbeats.
 	knownUntil time.Time
 
-	// joined: the member may hold machines.
+	// joined means that the member may hold machines.
 	joined   bool
 	joinedAt time.Time
-	// leavingReason is why the member has to return its machines; empty: it has not.
+	// leavingReason is the reason for which the member has to return its machines. It is
+	// empty if the member is not leaving.
 	leavingReason string
-	// noJoinBefore and rejoinDelay space the joins of a member that leaves repeatedly.
+	// noJoinBefore is the earliest time at which the member may join again. rejoinDelay is
+	// the current delay (Settings.RejoinDelay).
 	noJoinBefore time.Time
 	rejoinDelay  time.Duration
 
-	capacity        int         // machines that it can deal with
-	overloadedSince time.Time   // zero: it is not overloaded
-	unreachedAt     []time.Time // when workers were found not to reach it
+	capacity        int         // number of machines that it can handle
+	overloadedSince time.Time   // zero if it is not overloaded
+	unreachedAt     []time.Time // times at which workers were found unable to reach it
 	machines        map[*machineState]struct{}
-	pending         map[*machineState]struct{} // those of machines in phase assigning or revoking
-	// needsReset: the member has to forget what it held. resetInReply is the number of
-	// the first reply that says so. The acknowledgement of an earlier reply, which may
-	// have added machines, does not count: the member would retain machines that are
-	// another's.
+	pending         map[*machineState]struct{} // the machines in phase assigning or revoking
+	// needsReset means that the member has to discard the machines that it has held so far.
+	// resetInReply is the number of the first reply with the reset. Only an acknowledgement
+	// of this reply or a later one clears needsReset: earlier replies may have added machines,
+	// and the member would keep machines that another member holds by now.
 	needsReset   bool
 	resetInReply uint64
 }
 
-// newMember makes a member that has just made its first request.
-func newMember(r *Request, now time.Time) *memberState {
+// newMember returns the state of a member that has made its first request.
+func newMember(request *Request, now time.Time) *memberState {
 	return &memberState{
-		name:         r.Member,
-		zone:         r.Zone,
-		incarnation:  r.Incarnation,
+		name:         request.Member,
+		zone:         request.Zone,
+		incarnation:  request.Incarnation,
 		contactSince: now,
 		ackedAt:      now,
 		replyTimes:   map[uint64]time.Time{},
@@ -70,235 +74,238 @@
 	}
 }
 
-// extendRejoinDelay extends the time for which a member that has left gets no machines,
-// so that one which joins and leaves all the time moves its machines seldom.
-func (a *Assigner) extendRejoinDelay(m *memberState, now time.Time) {
-	if now.Sub(m.joinedAt) > a.settings.MaxRejoinDelay {
-		m.rejoinDelay = 0
+// extendRejoinDelay extends the time for which a leaving member gets no machines. Otherwise
+// a member that keeps joining and leaving would move its machines each time.
+func (a *Assigner) extendRejoinDelay(member *memberState, now time.Time) {
+	if now.Sub(member.joinedAt) > a.settings.MaxRejoinDelay {
+		member.rejoinDelay = 0
 	}
-	m.rejoinDelay = min(max(a.settings.RejoinDelay, 2*m.rejoinDelay), a.settings.MaxRejoinDelay)
-	m.noJoinBefore = now.Add(m.rejoinDelay)
+	member.rejoinDelay = min(max(a.settings.RejoinDelay, 2*member.rejoinDelay), a.settings.MaxRejoinDelay)
+	member.noJoinBefore = now.Add(member.rejoinDelay)
 }
 
-// startLeaving has a member return its machines, at the ordinary rate of moves.
-func (a *Assigner) startLeaving(m *memberState, reason string, now time.Time) {
-	if m.leavingReason != "" || !m.joined {
+// startLeaving makes a member return its machines, within the rate limit of moves.
+func (a *Assigner) startLeaving(member *memberState, reason string, now time.Time) {
+	if member.leavingReason != "" || !member.joined {
 		return
 	}
-	m.leavingReason = reason
+	member.leavingReason = reason
 	a.candidatesStale = true
-	a.extendRejoinDelay(m, now)
+	a.extendRejoinDelay(member, now)
 }
 
-// revokeAll returns all machines of a member to the leader. The member's grants have
-// ended: it may have answered reports until the given time.
-func (a *Assigner) revokeAll(m *memberState, until time.Time, reason string, now time.Time) []Revocation {
+// revokeAll returns all machines of a member to the leader at once. The caller knows that
+// the member has answered no heartbeat after the time until.
+func (a *Assigner) revokeAll(member *memberState, until time.Time, reason string, now time.Time) []Revocation {
 	var freed []Revocation
-	for mc := range m.machines {
-		if mc.phase != revoking {
-			mc.since = now
-			mc.reason = reason
+	for machine := range member.machines {
+		if machine.phase != revoking {
+			machine.since = now
+			machine.reason = reason
 		}
-		freed = append(freed, a.returnToLeader(mc, until))
+		freed = append(freed, a.returnToLeader(machine, until))
 	}
-	slices.SortFunc(freed, func(x, y Revocation) int { return cmp.Compare(x.Name, y.Name) })
-	if m.joined {
-		m.joined = false
+	slices.SortFunc(freed, func(left, right Revocation) int { return cmp.Compare(left.Name, right.Name) })
+	if member.joined {
+		member.joined = false
 		a.candidatesStale = true
-		a.extendRejoinDelay(m, now)
+		a.extendRejoinDelay(member, now)
 	}
-	m.leavingReason = ""
-	m.needsReset = true
-	m.resetInReply = 0
-	m.contactSince = now
+	member.leavingReason = ""
+	member.needsReset = true
+	member.resetInReply = 0
+	member.contactSince = now
 	return freed
 }
 
-// HandleRequest handles a request of a member, and returns the machines that have no
-// holder any more. ok is false, and its reports have to be ignored, if the request is
-// not the member's newest.
-func (a *Assigner) HandleRequest(r *Request, now time.Time) (freed []Revocation, ok bool) {
-	m := a.members[r.Member]
-	if m == nil {
-		m = newMember(r, now)
-		a.members[r.Member] = m
+// HandleRequest handles a request of a member and returns the machines that no longer have
+// a holder. If the request is not the member's newest, ok is false and the caller has to
+// ignore the reports in the request.
+func (a *Assigner) HandleRequest(request *Request, now time.Time) (freed []Revocation, ok bool) {
+	member := a.members[request.Member]
+	if member == nil {
+		member = newMember(request, now)
+		a.members[request.Member] = member
 	}
-	if r.Incarnation != m.incarnation {
-		// A request of an earlier process may come late. If it is the clock that was set
-		// back, the new process is accepted once every grant of the other has ended.
-		if r.Incarnation < m.incarnation && now.Before(m.grantUntil) {
+	if request.Incarnation != member.incarnation {
+		// A lower incarnation usually means that a request of an earlier process has arrived
+		// late. It can also mean that the member's clock was set back before a restart: the
+		// new process is accepted once all grants of the earlier one have ended.
+		if request.Incarnation < member.incarnation && now.Before(member.grantUntil) {
 			return nil, false
 		}
-		// The earlier process has ended, so it answers nothing from now on.
-		freed = a.revokeAll(m, now, "the holder was started anew", now)
-		m.incarnation = r.Incarnation
-		m.seq = 0
-		m.ackedAt = now
-		clear(m.replyTimes)
+		// The earlier process has ended and answers no heartbeats from now on.
+		freed = a.revokeAll(member, now, "the holder was started anew", now)
+		member.incarnation = request.Incarnation
+		member.seq = 0
+		member.ackedAt = now
+		clear(member.replyTimes)
 	}
-	if r.Seq <= m.seq {
+	if request.Seq <= member.seq {
 		return freed, false
 	}
-	m.seq = r.Seq
-	m.capacity = r.Capacity
-	m.lastRequestAt = now
+	member.seq = request.Seq
+	member.capacity = request.Capacity
+	member.lastRequestAt = now
 	switch {
-	case !r.Overloaded:
-		m.overloadedSince = time.Time{}
-	case m.overloadedSince.IsZero():
-		m.overloadedSince = now
+	case !request.Overloaded:
+		member.overloadedSince = time.Time{}
+	case member.overloadedSince.IsZero():
+		member.overloadedSince = now
 	}
-	if r.Term == a.term && r.LastReply > m.ackedReply {
-		more, known := a.acknowledge(m, r, now)
+	if request.Term == a.term && request.LastReply > member.ackedReply {
+		acknowledged, known := a.acknowledge(member, request, now)
 		if !known {
-			return freed, false // this leader has made no such reply
+			return freed, false // this leader has sent no such reply
 		}
-		freed = append(freed, more...)
+		freed = append(freed, acknowledged...)
 	}
-	a.admitMember(m, len(r.PreviousMachines) > 0, now)
-	if m.joined && r.Term != a.term {
-		a.restoreMachines(m, r.PreviousMachines, now)
+	a.admitMember(member, len(request.PreviousMachines) > 0, now)
+	if member.joined && request.Term != a.term {
+		a.restoreMachines(member, request.PreviousMachines, now)
 	}
 	return freed, true
 }
 
-// acknowledge notes which of the leader's replies a member has handled last, and with it
-// the changes that the reply carried. known is false if there is no such reply.
-func (a *Assigner) acknowledge(m *memberState, r *Request, now time.Time) (freed []Revocation, known bool) {
-	at, known := m.replyTimes[r.LastReply]
+// acknowledge records the last reply that a member has handled, and completes the handovers
+// that this reply and earlier ones announced. known is false if the leader has not sent the
+// reply.
+func (a *Assigner) acknowledge(member *memberState, request *Request, now time.Time) (freed []Revocation, known bool) {
+	repliedAt, known := member.replyTimes[request.LastReply]
 	if !known {
 		return nil, false
 	}
-	m.ackedReply = r.LastReply
-	m.ackedAt = now
-	if !r.Truncated {
-		m.knownUntil = at
+	member.ackedReply = request.LastReply
+	member.ackedAt = now
+	if !request.Truncated {
+		member.knownUntil = repliedAt
 	}
-	for n := range m.replyTimes {
-		if n < r.LastReply {
-			delete(m.replyTimes, n)
+	for number := range member.replyTimes {
+		if number < request.LastReply {
+			delete(member.replyTimes, number)
 		}
 	}
-	if m.resetInReply != 0 && m.ackedReply >= m.resetInReply {
-		m.needsReset = false
-		m.resetInReply = 0
+	if member.resetInReply != 0 && member.ackedReply >= member.resetInReply {
+		member.needsReset = false
+		member.resetInReply = 0
 	}
-	for mc := range m.pending {
+	for machine := range member.pending {
 		switch {
-		case mc.announcedIn == 0 || mc.announcedIn > m.ackedReply:
-		case mc.phase == assigning:
-			mc.phase = assigned
-			delete(m.pending, mc)
-		case mc.phase == revoking:
-			// This request has all that the member answered before it stopped.
-			freed = append(freed, a.returnToLeader(mc, at))
+		case machine.announcedIn == 0 || machine.announcedIn > member.ackedReply:
+		case machine.phase == assigning:
+			machine.phase = assigned
+			delete(member.pending, machine)
+		case machine.phase == revoking:
+			// The requests up to this one report all heartbeats that the member answered
+			// before it stopped.
+			freed = append(freed, a.returnToLeader(machine, repliedAt))
 		}
 	}
 	return freed, true
 }
 
-// admitMember lets a member join whose requests have come without a gap for long enough.
-// One that held machines under an earlier leader joins at once.
-func (a *Assigner) admitMember(m *memberState, heldMachines bool, now time.Time) {
-	if m.joined || m.leavingReason != "" || !m.overloadedSince.IsZero() || now.Before(m.noJoinBefore) || m.capacity <= 0 {
+// admitMember lets a member join once its requests have arrived without a gap for
+// Settings.JoinDelay. A member that held machines under an earlier leader joins at once.
+func (a *Assigner) admitMember(member *memberState, heldMachines bool, now time.Time) {
+	if member.joined || member.leavingReason != "" || !member.overloadedSince.IsZero() || now.Before(member.noJoinBefore) || member.capacity <= 0 {
 		return
 	}
-	if heldMachines || now.Sub(m.contactSince) >= a.settings.JoinDelay {
-		m.joined = true
-		m.joinedAt = now
-		m.unreachedAt = nil
+	if heldMachines || now.Sub(member.contactSince) >= a.settings.JoinDelay {
+		member.joined = true
+		member.joinedAt = now
+		member.unreachedAt = nil
 		a.candidatesStale = true
 	}
 }
 
 // restoreMachines assigns to a member the machines that it held under an earlier leader,
-// whose grants have all ended, unless they have another holder by now: their workers
-// need not connect to another controller.
-func (a *Assigner) restoreMachines(m *memberState, names []string, now time.Time) {
+// except those that another member holds by now. Their workers then need not connect to
+// another controller. All grants of the earlier leader have ended.
+func (a *Assigner) restoreMachines(member *memberState, names []string, now time.Time) {
 	if len(a.machines) < a.settings.MinMachines {
 		return
 	}
 	for _, name := range names {
-		if mc := a.machines[name]; mc != nil && mc.phase == heldByLeader && !mc.retained && len(m.machines) < m.capacity {
-			a.assign(mc, m, "it had it before", now)
+		if machine := a.machines[name]; machine != nil && machine.phase == heldByLeader && !machine.retained && len(member.machines) < member.capacity {
+			a.assign(machine, member, "it had it before", now)
 		}
 	}
 }
 
-// ReplyDue reports whether a reply to the member would carry more than the grant.
-func (a *Assigner) ReplyDue(member string) bool {
-	m := a.members[member]
-	if m == nil {
+// ReplyDue reports whether a reply to the member would announce a change of its shard.
+func (a *Assigner) ReplyDue(name string) bool {
+	member := a.members[name]
+	if member == nil {
 		return false
 	}
-	for mc := range m.pending {
-		if mc.announcedIn == 0 {
+	for machine := range member.pending {
+		if machine.announcedIn == 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// Reply makes the reply to the member's newest request. The caller limits ForMs to what
-// is left of the leader's own entitlement.
-func (a *Assigner) Reply(member string, now time.Time) *Reply {
-	m := a.members[member]
-	m.lastReply++
-	m.replyTimes[m.lastReply] = now
-	r := &Reply{Term: a.term, Number: m.lastReply, Reset: m.needsReset}
-	if m.needsReset && m.resetInReply == 0 {
-		m.resetInReply = m.lastReply
+// Reply returns the reply to the member's newest request. The caller has to limit GrantMs
+// to the time until the leader's own entitlement ends.
+func (a *Assigner) Reply(name string, now time.Time) *Reply {
+	member := a.members[name]
+	member.lastReply++
+	member.replyTimes[member.lastReply] = now
+	reply := &Reply{Term: a.term, Number: member.lastReply, Reset: member.needsReset}
+	if member.needsReset && member.resetInReply == 0 {
+		member.resetInReply = member.lastReply
 	}
-	for mc := range m.pending {
-		if mc.announcedIn == 0 {
-			mc.announcedIn = m.lastReply
+	for machine := range member.pending {
+		if machine.announcedIn == 0 {
+			machine.announcedIn = member.lastReply
 		}
-		if mc.phase == assigning {
-			r.Add = append(r.Add, mc.name)
+		if machine.phase == assigning {
+			reply.Add = append(reply.Add, machine.name)
 		} else {
-			r.Drop = append(r.Drop, mc.name)
+			reply.Drop = append(reply.Drop, machine.name)
 		}
 	}
-	slices.Sort(r.Add)
-	slices.Sort(r.Drop)
+	slices.Sort(reply.Add)
+	slices.Sort(reply.Drop)
 	switch {
-	case len(m.machines) == 0:
-		m.ackedAt = now
-	case now.Sub(m.ackedAt) <= a.settings.GrantDuration:
-		r.GrantMs = a.settings.GrantDuration.Milliseconds()
-		// The holder counts from before its request, so its grant ends sooner than this.
-		m.grantUntil = now.Add(a.settings.GrantDuration + clockMargin(a.settings.GrantDuration))
+	case len(member.machines) == 0:
+		member.ackedAt = now
+	case now.Sub(member.ackedAt) <= a.settings.GrantDuration:
+		reply.GrantMs = a.settings.GrantDuration.Milliseconds()
+		// The holder's grant begins before its request and therefore ends before this time.
+		member.grantUntil = now.Add(a.settings.GrantDuration + clockMargin(a.settings.GrantDuration))
 	default:
-		// Its requests come, but the replies are lost: it has no valid grant, and its
-		// machines must not wait for the end of a new one.
+		// The member's requests arrive, but the replies to it are lost. It has no valid grant,
+		// and a new one would only delay the return of its machines.
 	}
-	return r
+	return reply
 }
 
-// expireMembers returns the machines of members that have fallen silent to the leader,
-// and lets members leave that have been overloaded for too long.
+// expireMembers returns to the leader the machines of members whose grants have ended, and
+// makes members leave that have been overloaded for more than overloadGrace.
 func (a *Assigner) expireMembers(now time.Time) (freed []Revocation) {
 	for _, name := range slices.Sorted(maps.Keys(a.members)) {
-		m := a.members[name]
-		silent := now.Sub(m.lastRequestAt) > a.settings.GrantDuration
+		member := a.members[name]
+		silent := now.Sub(member.lastRequestAt) > a.settings.GrantDuration
 		switch {
 		case now.Before(a.noExpiryBefore):
-		case len(m.machines) > 0 && now.After(m.grantUntil):
-			freed = append(freed, a.revokeAll(m, m.grantUntil, "the holder is silent", now)...)
-		case m.joined && len(m.machines) == 0 && silent:
-			a.revokeAll(m, now, "", now)
+		case len(member.machines) > 0 && now.After(member.grantUntil):
+			freed = append(freed, a.revokeAll(member, member.grantUntil, "the holder is silent", now)...)
+		case member.joined && len(member.machines) == 0 && silent:
+			a.revokeAll(member, now, "", now)
 		}
-		if !m.joined && now.Sub(m.lastRequestAt) > joinContactGap {
-			m.contactSince = now
+		if !member.joined && now.Sub(member.lastRequestAt) > joinContactGap {
+			member.contactSince = now
 		}
-		if m.joined && !m.overloadedSince.IsZero() && now.Sub(m.overloadedSince) > overloadGrace {
-			a.startLeaving(m, "it is short of processor", now)
+		if member.joined && !member.overloadedSince.IsZero() && now.Sub(member.overloadedSince) > overloadGrace {
+			a.startLeaving(member, "it is short of processor", now)
 		}
-		if m.leavingReason != "" && len(m.machines) == 0 {
-			// The delay begins now: the return of the machines has taken a while.
-			m.joined = false
-			m.leavingReason = ""
-			m.noJoinBefore = now.Add(m.rejoinDelay)
+		if member.leavingReason != "" && len(member.machines) == 0 {
+			// The delay begins only now, because returning the machines took some time.
+			member.joined = false
+			member.leavingReason = ""
+			member.noJoinBefore = now.Add(member.rejoinDelay)
 			a.candidatesStale = true
 		}
 	}
--- a/internal/shard/routing.go
+++ b/internal/shard/routing.go
@@ -5,107 +5,108 @@
 	"time"
 )
 
-// Route says how a report that has come to the leader is handled.
+// Route is the decision about a heartbeat that the leader has received.
 type Route uint8
 
 const (
-	// Serve means that the leader answers it.
+	// Serve means that the leader answers the heartbeat.
 	Serve Route = iota
-	// Redirect means that the worker is redirected to the holder that is named.
+	// Redirect means that the leader redirects the worker to the holder.
 	Redirect
-	// Wait means that the holder is changing; the report is routed again once it is known.
+	// Wait means that the holder is changing. The heartbeat is routed again once the new
+	// holder is known.
 	Wait
 )
 
 const (
-	// maxContactGap is how long a holder may make no request before workers are no
-	// longer redirected to it. It makes many a second.
+	// maxContactGap is the time without a request after which the leader no longer redirects
+	// workers to a holder. A holder normally makes several requests per second.
 	maxContactGap = 500 * time.Millisecond
-	// redirectTimeout is the time within which a redirected worker has to reach its
-	// holder. One that comes back to the leader sooner does not reach it.
+	// redirectTimeout is the time after a redirect within which another heartbeat of the
+	// worker at the leader means that the worker cannot reach the holder.
 	redirectTimeout = 20 * time.Second
-	// leaderCutOffTimeout is how long no report may come to the leader itself, while others
-	// are forwarded to it, before it counts as cut off from the workers and gets no
-	// machines.
+	// leaderCutOffTimeout is the time after which a leader that receives only forwarded
+	// heartbeats, and none from workers directly, is considered cut off from the workers.
+	// It then gets no machines.
 	leaderCutOffTimeout = 5 * time.Second
-	// pinDuration is how long a machine stays with the member through which its worker
-	// has reached the leader.
+	// pinDuration is the time for which a machine prefers the member that has forwarded a
+	// heartbeat of its worker to the leader.
 	pinDuration = time.Minute
 )
 
-// A member leaves if within redirectTimeout at least minUnreached of its workers, and
-// one in unreachedDivisor of them, do not reach it.
+// A member has to leave if, within redirectTimeout, at least minUnreached of its workers
+// and at least 1/unreachedDivisor of its workers fail to reach it.
 const (
 	unreachedDivisor = 10
 	minUnreached     = 3
 )
 
-// RouteHeartbeat decides who answers a report that has come to the leader; for Send it
-// names the holder.
+// RouteHeartbeat decides how the leader handles a heartbeat that it has received. holder is
+// set only for Redirect.
 func (a *Assigner) RouteHeartbeat(name, zone string, now time.Time) (route Route, holder string) {
-	mc := a.machines[name]
-	if mc == nil {
-		mc = &machineState{name: name, zone: zone, neverAssigned: true}
-		a.machines[name] = mc
+	machine := a.machines[name]
+	if machine == nil {
+		machine = &machineState{name: name, zone: zone, neverAssigned: true}
+		a.machines[name] = machine
 	}
-	if mc.zone != zone && zone != "" {
-		mc.zone = zone
-		mc.rankedEpoch = 0
+	if machine.zone != zone && zone != "" {
+		machine.zone = zone
+		machine.rankedEpoch = 0
 	}
-	switch mc.phase {
+	switch machine.phase {
 	case assigned:
-		return a.routeToHolder(mc, now)
+		return a.routeToHolder(machine, now)
 	case assigning, revoking:
 		return Wait, ""
 	}
 	return Serve, ""
 }
 
-// routeToHolder decides on a report of a machine that a member holds.
-func (a *Assigner) routeToHolder(mc *machineState, now time.Time) (Route, string) {
-	if now.Sub(mc.holder.lastRequestAt) > maxContactGap {
-		return Wait, "" // the holder may have ended: its machines are free when its grant ends
+// routeToHolder decides about a heartbeat of a machine that a member holds.
+func (a *Assigner) routeToHolder(machine *machineState, now time.Time) (Route, string) {
+	if now.Sub(machine.holder.lastRequestAt) > maxContactGap {
+		return Wait, "" // the holder may have stopped; its machines are returned when its grant ends
 	}
-	if !mc.redirectedAt.IsZero() && now.Sub(mc.redirectedAt) < redirectTimeout {
-		a.recordUnreached(mc, now)
+	if !machine.redirectedAt.IsZero() && now.Sub(machine.redirectedAt) < redirectTimeout {
+		a.recordUnreached(machine, now)
 		return Wait, ""
 	}
-	mc.redirectedAt = now
-	return Redirect, mc.holder.name
+	machine.redirectedAt = now
+	return Redirect, machine.holder.name
 }
 
-// recordUnreached revokes a machine whose worker does not reach its holder. A holder
-// that many workers do not reach leaves.
-func (a *Assigner) recordUnreached(mc *machineState, now time.Time) {
-	m := mc.holder
-	a.revoke(mc, "its worker does not reach the holder", now)
-	m.unreachedAt = slices.DeleteFunc(m.unreachedAt, func(t time.Time) bool { return now.Sub(t) > redirectTimeout })
-	m.unreachedAt = append(m.unreachedAt, now)
-	if m.leavingReason == "" && len(m.unreachedAt) >= max(minUnreached, len(m.machines)/unreachedDivisor) {
-		a.startLeaving(m, "its workers do not reach it", now)
+// recordUnreached revokes a machine whose worker cannot reach its holder. If many workers
+// cannot reach the holder, the holder has to leave.
+func (a *Assigner) recordUnreached(machine *machineState, now time.Time) {
+	member := machine.holder
+	a.revoke(machine, "its worker does not reach the holder", now)
+	member.unreachedAt = slices.DeleteFunc(member.unreachedAt, func(at time.Time) bool { return now.Sub(at) > redirectTimeout })
+	member.unreachedAt = append(member.unreachedAt, now)
+	if member.leavingReason == "" && len(member.unreachedAt) >= max(minUnreached, len(member.machines)/unreachedDivisor) {
+		a.startLeaving(member, "its workers do not reach it", now)
 	}
 }
 
-// ConfirmContact notes that the holder has had contact with a machine.
+// ConfirmContact records that the holder has had contact with a machine.
 func (a *Assigner) ConfirmContact(name string) {
-	if mc := a.machines[name]; mc != nil {
-		mc.redirectedAt = time.Time{}
+	if machine := a.machines[name]; machine != nil {
+		machine.redirectedAt = time.Time{}
 	}
 }
 
-// HeartbeatServed notes that the leader has answered a machine's report. This is when the
-// machine may be assigned to a member: it then holds the machine before the next
-// report. via is the member that has forwarded the report, empty if it came from the
-// worker. A leader that is cut off from its workers assigns their machines to members
-// that are not.
+// HeartbeatServed records that the leader has answered a machine's heartbeat. It may assign
+// the machine to a member, which then holds the machine before the next heartbeat. via is
+// the member that forwarded the heartbeat; it is empty if the worker sent the heartbeat to
+// the leader itself. A leader that is cut off from its workers assigns their machines to
+// members that are not.
 func (a *Assigner) HeartbeatServed(name, via string, now time.Time) {
-	mc := a.machines[name]
-	if mc == nil || mc.phase != heldByLeader || mc.retained || len(a.machines) < a.settings.MinMachines {
+	machine := a.machines[name]
+	if machine == nil || machine.phase != heldByLeader || machine.retained || len(a.machines) < a.settings.MinMachines {
 		return
 	}
 	if via != "" {
-		mc.pinned = via
-		mc.pinnedUntil = now.Add(pinDuration)
+		machine.pinned = via
+		machine.pinnedUntil = now.Add(pinDuration)
 		a.forwardedHeartbeatAt = now
 	} else {
 		a.directHeartbeatAt = now
@@ -114,7 +115,7 @@
 	if len(a.candidates) == 1 {
 		return
 	}
-	if to := a.target(mc, now); to.member != nil && (mc.neverAssigned || a.takeMove(now)) {
-		a.assign(mc, to.member, "its share", now)
+	if target := a.target(machine, now); target.member != nil && (machine.neverAssigned || a.takeMove(now)) {
+		a.assign(machine, target.member, "its share", now)
 	}
 }
--- a/internal/shard/shard.go
+++ b/internal/shard/shard.go
@@ -1,12 +1,13 @@
-// Package shard divides the machines among the controllers. A shard is the set of
-// machines that one controller, its holder, deals with: connections, reports,
-// leases and direct commands. The leader makes all decisions and owns the ledger. It
-// assigns the shards under grants that end no later than its own lease, and the
-// holders act only under those grants (docs/shares.md).
+// Package shard divides the machines among the controllers. A shard is a set of machines
+// that one controller, the holder, handles: it holds the connections to their workers,
+// answers their heartbeats, which renews their leases, and sends direct commands. The
+// leader makes all decisions and owns the ledger. It assigns each shard under a grant that
+// ends no later than the leader's own lease. A holder acts only under a valid grant
+// (docs/shares.md).
 //
-// Assigner is the leader's side, Holder the holder's. Both are pure: they are stepped
-// with messages and times, do no I/O and have no goroutine. Package control owns the
-// Assigner, package node the Holder.
+// Assigner implements the leader's side, Holder the holder's side. Both are deterministic
+// state machines: callers pass in messages and times, and neither does I/O or starts
+// goroutines. Package control owns the Assigner, package node the Holder.
 package shard
 
 import (
@@ -17,60 +18,62 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Settings are the parameters of the assignment. Each has a default in package config.
+// Settings are the parameters of the assignment. Package config defines their defaults.
 type Settings struct {
-	// GrantDuration is how long a grant is valid at most, from before its request.
+	// GrantDuration is the maximum duration of a grant. It begins just before the holder
+	// sends the request for the grant.
 	GrantDuration time.Duration
-	// JoinDelay is how long a member must have made requests without a gap before it gets
-	// machines.
+	// JoinDelay is the time for which a member must make requests without a gap before it
+	// gets machines.
 	JoinDelay time.Duration
-	// RejoinDelay is how long a member that has left gets no machines. It doubles each time
-	// that the member leaves, up to MaxRejoinDelay, and starts anew once the member has
-	// stayed for MaxRejoinDelay.
+	// RejoinDelay is the time for which a member gets no machines after it has left. The
+	// delay doubles each time the member leaves, up to MaxRejoinDelay. It is reset once the
+	// member has stayed for MaxRejoinDelay.
 	RejoinDelay    time.Duration
 	MaxRejoinDelay time.Duration
-	// MinMachines is the number of machines below which the leader holds all.
+	// MinMachines is the fleet size below which the leader holds all machines.
 	MinMachines int
-	// MovesPerSecond bounds the rate at which machines change their holder.
+	// MovesPerSecond limits the rate at which machines change holders.
 	MovesPerSecond float64
-	// LeaderWeight is the leader's weight relative to 1 for each other member: the leader
-	// has other work.
+	// LeaderWeight is the leader's weight, relative to a weight of 1 for each other member.
+	// It accounts for the leader's other work.
 	LeaderWeight float64
-	// LeaderCapacity is how many machines the leader itself can deal with.
+	// LeaderCapacity is the number of machines that the leader itself can handle.
 	LeaderCapacity int
 }
 
 const (
-	// loadSlack is the factor by which a controller may exceed its weighted part of the
-	// machines (consistent hashing with bounded loads). It makes moves rare when machines
-	// come and go.
+	// loadSlack is the factor by which a controller may exceed its weighted share of the
+	// machines (consistent hashing with bounded loads). The slack makes moves rare when
+	// machines join or leave the fleet.
 	loadSlack = 1.1
-	// zoneWeight is the factor by which the weight of a controller in the machine's own
-	// zone is increased.
+	// zoneWeight multiplies the weight of a controller for machines in its own zone.
 	zoneWeight = 1.5
 )
 
-// score is the score of a controller for a machine by weighted rendezvous hashing: the
-// highest gets the machine. When a controller leaves, only its own machines move; when
-// one joins, only those that it scores highest for.
+// score returns the score of a controller for a machine in weighted rendezvous hashing.
+// The controller with the highest score gets the machine. When a controller leaves, only
+// its own machines move. When one joins, only the machines for which it has the highest
+// score move.
 func score(machine, member string, weight float64) float64 {
-	h := xxhash.Sum64String(machine + "\x00" + member)
-	uniform := (float64(h>>11) + 0.5) / (1 << 53) // in (0, 1)
+	hash := xxhash.Sum64String(machine + "\x00" + member)
+	uniform := (float64(hash>>11) + 0.5) / (1 << 53) // in (0, 1)
 	return -weight / math.Log(uniform)
 }
 
-// candidate is a controller to which machines can be assigned.
+// candidate is a controller that can be assigned machines.
 type candidate struct {
-	member   *memberState // nil: the leader itself
+	member   *memberState // nil for the leader itself
 	name     string
 	zone     string
 	weight   float64
-	capacity int // machines that it can deal with
-	load     int // machines that it has
-	bound    int // machines that it may have
+	capacity int // number of machines that it can handle
+	load     int // number of machines that it holds
+	bound    int // number of machines that it may hold
 }
 
-// setBounds sets how many of total machines each candidate may have.
+// setBounds sets the number of machines that each candidate may hold in a fleet of total
+// machines.
 func setBounds(candidates []*candidate, total int) {
 	sum := 0.0
 	for _, c := range candidates {
@@ -81,7 +84,7 @@
 	}
 }
 
-// rank orders the candidates for a machine, the highest score first.
+// rank returns the candidates in descending order of their scores for a machine.
 func rank(name, zone string, candidates []*candidate) []*candidate {
 	type scored struct {
 		candidate *candidate
