--- a/internal/shard/fixtures_test.go
+++ b/internal/shard/fixtures_test.go
@@ -6,8 +6,8 @@
 	"vetchstream/internal/fixture"
 )
 
-// fixtures are the messages of shard holders and the leader, sent over gRPC
-// between controllers.
+// fixtures has one row per message type that shard holders and the leader exchange over
+// gRPC.
 var fixtures = []fixture.Row{
 	{File: "sync-request.cbor", Value: fixture.Filled[Request]()},
 	{File: "sync-reply.cbor", Value: fixture.Filled[Reply]()},
--- a/internal/shard/holder_test.go
+++ b/internal/shard/holder_test.go
@@ -10,15 +10,15 @@
 	"vetchstream/internal/wire"
 )
 
-// holderCase is a case of TestHolder. A line of do is a step; what it prints is
-// compared with want.
+// holderCase is a case of TestHolder. do records its observations, which the test joins and
+// compares with want.
 type holderCase struct {
 	name string
-	do   func(h *Holder, say func(string, ...any))
+	do   func(h *Holder, record func(string, ...any))
 	want string
 }
 
-// TestHolder: what a holder answers, and what it tells.
+// TestHolder checks which heartbeats a holder answers and what it reports to the leader.
 func TestHolder(t *testing.T) {
 	now := time.Unix(1000, 0)
 	tests := slices.Concat(holderRequestCases(), holderAnswerCases(), holderTermCases())
@@ -27,143 +27,147 @@
 			h := NewHolder("n1", "a", 1)
 			h.Request(1, 1, false, now)
 			h.HandleReply(&Reply{Term: 7, Number: 1, GrantMs: 2000, Add: []string{"m"}}, now)
-			var said []string
-			tt.do(h, func(f string, a ...any) { said = append(said, fmt.Sprintf(f, a...)) })
-			if got := strings.Join(said, "; "); got != tt.want {
-				t.Errorf("got %q, want %q", got, tt.want)
+			var observations []string
+			tt.do(h, func(format string, args ...any) { observations = append(observations, fmt.Sprintf(format, args...)) })
+			if got := strings.Join(observations, "; "); got != tt.want {
+				t.Errorf("recorded %q, want %q", got, tt.want)
 			}
 		})
 	}
 }
 
-// holderRequestCases: what a holder tells the leader, and how exits are cleared.
+// holderRequestCases are the cases about a holder's requests to the leader and about the
+// clearing of exited tasks.
 func holderRequestCases() []holderCase {
 	now := time.Unix(1000, 0)
 	body := []byte{1}
-	rep := func(seq uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
+	heartbeat := func(seq uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
 		return &wire.Heartbeat{Machine: "m", Session: 1, Seq: seq, Token: 7, Tasks: tasks}
 	}
-	gone := wire.TaskStatus{Task: "run-1/0", Attempt: 3, Phase: wire.TaskExited, Cause: wire.CauseDone}
+	exited := wire.TaskStatus{Task: "run-1/0", Attempt: 3, Phase: wire.TaskExited, Cause: wire.CauseDone}
 	return []holderCase{
-		{"reports that say the same are told without their body", func(h *Holder, say func(string, ...any)) {
-			h.HandleHeartbeat(rep(1), body, now)
-			q := h.Request(1, 1, false, now.Add(time.Second))
-			say("%d entries, body %d, age %d", len(q.Reports), len(q.Reports[0].Heartbeat), q.Reports[0].AgeMs)
+		{"a report of an unchanged heartbeat has no encoded heartbeat", func(h *Holder, record func(string, ...any)) {
+			h.HandleHeartbeat(heartbeat(1), body, now)
+			request := h.Request(1, 1, false, now.Add(time.Second))
+			record("%d reports, %d heartbeat bytes, age %d ms", len(request.Reports), len(request.Reports[0].Heartbeat), request.Reports[0].AgeMs)
 			h.HandleReply(&Reply{Term: 7, Number: 2, GrantMs: 2000}, now)
-			h.HandleHeartbeat(rep(2), body, now)
-			q = h.Request(1, 1, false, now)
-			say("%d entries, body %d", len(q.Reports), len(q.Reports[0].Heartbeat))
-		}, "1 entries, body 1, age 1000; 1 entries, body 0"},
-		{"what was in a request without an answer is told again", func(h *Holder, say func(string, ...any)) {
-			h.HandleHeartbeat(rep(1, gone), body, now)
+			h.HandleHeartbeat(heartbeat(2), body, now)
+			request = h.Request(1, 1, false, now)
+			record("%d reports, %d heartbeat bytes", len(request.Reports), len(request.Reports[0].Heartbeat))
+		}, "1 reports, 1 heartbeat bytes, age 1000 ms; 1 reports, 0 heartbeat bytes"},
+		{"the request after a failed one repeats its reports and call results", func(h *Holder, record func(string, ...any)) {
+			h.HandleHeartbeat(heartbeat(1, exited), body, now)
 			h.RecordCallResult(CallResult{ID: 4})
 			h.Request(1, 1, false, now)
 			h.RecordCallResult(CallResult{ID: 5})
 			h.RequestFailed()
-			q := h.Request(1, 1, false, now)
-			say("%d entries, body %d, %d done", len(q.Reports), len(q.Reports[0].Heartbeat), len(q.CallResults))
+			request := h.Request(1, 1, false, now)
+			record("%d reports, %d heartbeat bytes, %d call results", len(request.Reports), len(request.Reports[0].Heartbeat), len(request.CallResults))
 			h.HandleReply(&Reply{Term: 7, Number: 2, GrantMs: 2000}, now)
-			q = h.Request(1, 1, false, now)
-			say("%d entries, %d done", len(q.Reports), len(q.CallResults))
-		}, "1 entries, body 1, 2 done; 0 entries, 0 done"},
-		{"a request stays below what the leader takes; the rest comes next", func(h *Holder, say func(string, ...any)) {
+			request = h.Request(1, 1, false, now)
+			record("%d reports, %d call results", len(request.Reports), len(request.CallResults))
+		}, "1 reports, 1 heartbeat bytes, 2 call results; 0 reports, 0 call results"},
+		{"call results beyond the size limit of a request are sent with the next requests", func(h *Holder, record func(string, ...any)) {
 			for i := range 100 {
 				h.RecordCallResult(CallResult{ID: uint64(i), Heartbeat: make([]byte, 3<<10)})
 			}
-			for n := uint64(2); n < 7; n++ {
+			for number := uint64(2); number < 7; number++ {
 				size := 0
-				q := h.Request(1, 1, false, now)
-				for _, d := range q.CallResults {
-					size += len(d.Heartbeat)
+				request := h.Request(1, 1, false, now)
+				for _, result := range request.CallResults {
+					size += len(result.Heartbeat)
 				}
-				say("%d up to %v", len(q.CallResults), size <= maxCallResultBytes+3<<10)
-				h.HandleReply(&Reply{Term: 7, Number: n, GrantMs: 2000}, now)
+				record("%d results, size within the limit %v", len(request.CallResults), size <= maxCallResultBytes+3<<10)
+				h.HandleReply(&Reply{Term: 7, Number: number, GrantMs: 2000}, now)
 			}
-		}, "21 up to true; 21 up to true; 21 up to true; 21 up to true; 16 up to true"},
-		{"an exit is cleared once the leader has settled it, and a late word clears nothing", func(h *Holder, say func(string, ...any)) {
-			o, _ := h.HandleHeartbeat(rep(1, gone), body, now)
-			say("%d orders", len(o))
+		}, "21 results, size within the limit true; 21 results, size within the limit true; 21 results, size within the limit true; 21 results, size within the limit true; 16 results, size within the limit true"},
+		{"an exited task is cleared after the leader's clearance, and a late clearance clears nothing", func(h *Holder, record func(string, ...any)) {
+			commands, _ := h.HandleHeartbeat(heartbeat(1, exited), body, now)
+			record("%d commands", len(commands))
 			settled := []ExitClearance{{Machine: "m", Commands: []wire.Command{{Verb: wire.CommandClear, Task: "run-1/0", Attempt: 3}}}}
 			h.HandleReply(&Reply{Term: 7, Number: 2, GrantMs: 2000, Clearances: settled}, now)
-			o, _ = h.HandleHeartbeat(rep(2, gone), body, now)
-			say("%d orders", len(o))
-			h.HandleHeartbeat(rep(3), body, now)
+			commands, _ = h.HandleHeartbeat(heartbeat(2, exited), body, now)
+			record("%d commands", len(commands))
+			h.HandleHeartbeat(heartbeat(3), body, now)
 			h.HandleReply(&Reply{Term: 7, Number: 3, GrantMs: 2000, Clearances: settled}, now)
-			o, _ = h.HandleHeartbeat(rep(4, gone), body, now) // the same attempt of a gang once more
-			say("%d orders", len(o))
-		}, "0 orders; 1 orders; 0 orders"},
+			commands, _ = h.HandleHeartbeat(heartbeat(4, exited), body, now) // the same attempt of a gang has exited again
+			record("%d commands", len(commands))
+		}, "0 commands; 1 commands; 0 commands"},
 	}
 }
 
-// holderAnswerCases: which reports a holder answers itself, and when it may not.
+// holderAnswerCases are the cases about the heartbeats that a holder may answer itself.
 func holderAnswerCases() []holderCase {
 	now := time.Unix(1000, 0)
 	body := []byte{1}
-	rep := func(seq uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
+	heartbeat := func(seq uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
 		return &wire.Heartbeat{Machine: "m", Session: 1, Seq: seq, Token: 7, Tasks: tasks}
 	}
-	gone := wire.TaskStatus{Task: "run-1/0", Attempt: 3, Phase: wire.TaskExited, Cause: wire.CauseDone}
+	exited := wire.TaskStatus{Task: "run-1/0", Attempt: 3, Phase: wire.TaskExited, Cause: wire.CauseDone}
 	return []holderCase{
-		{"a report with a task that the leader has not been told of has no other answer, one with an exit or another phase has", func(h *Holder, say func(string, ...any)) {
-			runs := wire.TaskStatus{Task: "run-1/1", Attempt: 4, Phase: wire.TaskFetching}
-			told := func(n uint64) {
+		{"only the leader answers a heartbeat with an unacknowledged task; an exited task or a new phase does not require it", func(h *Holder, record func(string, ...any)) {
+			active := wire.TaskStatus{Task: "run-1/1", Attempt: 4, Phase: wire.TaskFetching}
+			acknowledge := func(number uint64) {
 				h.Request(1, 1, false, now)
-				h.HandleReply(&Reply{Term: 7, Number: n, GrantMs: 2000}, now)
+				h.HandleReply(&Reply{Term: 7, Number: number, GrantMs: 2000}, now)
 			}
-			required := func(seq uint64, tasks ...wire.TaskStatus) {
-				_, v := h.HandleHeartbeat(rep(seq, tasks...), body, now)
-				say("%v", v == LeaderRequired)
+			recordLeaderRequired := func(seq uint64, tasks ...wire.TaskStatus) {
+				_, outcome := h.HandleHeartbeat(heartbeat(seq, tasks...), body, now)
+				record("%v", outcome == LeaderRequired)
 			}
-			required(1, gone)
-			required(2, gone, runs)
-			required(3, gone, runs) // the same once more, the leader's word has not come
-			told(2)
-			required(4, gone, runs)
-			runs.Phase = wire.TaskRunning
-			required(5, runs)
-			runs.Attempt++
-			required(6, runs)
+			recordLeaderRequired(1, exited)
+			recordLeaderRequired(2, exited, active)
+			recordLeaderRequired(3, exited, active) // the leader has not acknowledged the same tasks yet
+			acknowledge(2)
+			recordLeaderRequired(4, exited, active)
+			active.Phase = wire.TaskRunning
+			recordLeaderRequired(5, active)
+			active.Attempt++
+			recordLeaderRequired(6, active)
 		}, "false; true; true; false; false; true"},
-		{"no answer without a valid grant, for a late report, or below the worker's token", func(h *Holder, say func(string, ...any)) {
-			verdict := func(m *wire.Heartbeat, at time.Time) { _, v := h.HandleHeartbeat(m, body, at); say("%d", v) }
-			verdict(rep(5), now)
-			verdict(rep(4), now)
-			verdict(rep(6), now.Add(2*time.Second))
-			m := rep(7)
-			m.Token = 8
-			verdict(m, now)
-			m.Machine = "other"
-			verdict(m, now)
+		{"no answer after the grant has ended, to a delayed heartbeat, with a term below the worker's token, or for a machine of another shard", func(h *Holder, record func(string, ...any)) {
+			recordOutcome := func(received *wire.Heartbeat, at time.Time) {
+				_, outcome := h.HandleHeartbeat(received, body, at)
+				record("%d", outcome)
+			}
+			recordOutcome(heartbeat(5), now)
+			recordOutcome(heartbeat(4), now)
+			recordOutcome(heartbeat(6), now.Add(2*time.Second))
+			last := heartbeat(7)
+			last.Token = 8
+			recordOutcome(last, now)
+			last.Machine = "other"
+			recordOutcome(last, now)
 		}, "3; 1; 1; 1; 0"},
 	}
 }
 
-// holderTermCases: machines taken away, and a new term.
+// holderTermCases are the cases about dropped machines and about a new term.
 func holderTermCases() []holderCase {
 	now := time.Unix(1000, 0)
 	body := []byte{1}
-	rep := func(seq uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
+	heartbeat := func(seq uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
 		return &wire.Heartbeat{Machine: "m", Session: 1, Seq: seq, Token: 7, Tasks: tasks}
 	}
 	return []holderCase{
-		{"a machine that was taken away is told of, then forgotten; one that comes back is told in full", func(h *Holder, say func(string, ...any)) {
-			h.HandleHeartbeat(rep(1), body, now)
+		{"a dropped machine is removed after its last report; the first report of a machine that is added again has the encoded heartbeat", func(h *Holder, record func(string, ...any)) {
+			h.HandleHeartbeat(heartbeat(1), body, now)
 			h.HandleReply(&Reply{Term: 7, Number: 2, GrantMs: 2000, Drop: []string{"m"}}, now)
-			_, v := h.HandleHeartbeat(rep(2), body, now)
-			q := h.Request(1, 1, false, now)
-			say("%d, %d entries", v, len(q.Reports))
+			_, outcome := h.HandleHeartbeat(heartbeat(2), body, now)
+			request := h.Request(1, 1, false, now)
+			record("outcome %d, %d reports", outcome, len(request.Reports))
 			h.HandleReply(&Reply{Term: 7, Number: 3, GrantMs: 2000}, now)
-			say("%d machines", len(h.machines))
+			record("%d machines", len(h.machines))
 			h.HandleReply(&Reply{Term: 7, Number: 4, GrantMs: 2000, Add: []string{"m"}}, now)
-			h.HandleHeartbeat(rep(3), body, now)
-			say("body %d", len(h.Request(1, 1, false, now).Reports[0].Heartbeat))
-		}, "0, 1 entries; 0 machines; body 1"},
-		{"a new term ends the grant, and is told what there was", func(h *Holder, say func(string, ...any)) {
-			h.HandleHeartbeat(rep(1), body, now)
+			h.HandleHeartbeat(heartbeat(3), body, now)
+			record("%d heartbeat bytes", len(h.Request(1, 1, false, now).Reports[0].Heartbeat))
+		}, "outcome 0, 1 reports; 0 machines; 1 heartbeat bytes"},
+		{"the end of a term ends its grant, and the next request names the machines that were held", func(h *Holder, record func(string, ...any)) {
+			h.HandleHeartbeat(heartbeat(1), body, now)
 			h.EndTerm()
-			say("%v, %v", h.GrantValid(7, now), h.Request(1, 1, false, now).PreviousMachines)
+			record("%v, %v", h.GrantValid(7, now), h.Request(1, 1, false, now).PreviousMachines)
 			h.HandleReply(&Reply{Term: 8, Number: 1, GrantMs: 2000, Add: []string{"m"}}, now)
-			say("%v, %v", h.GrantValid(7, now), h.GrantValid(8, now))
+			record("%v, %v", h.GrantValid(7, now), h.GrantValid(8, now))
 		}, "false, [m]; false, true"},
 	}
 }
