--- a/internal/shard/holder_test.go
+++ b/internal/shard/holder_test.go
@@ -14,7 +14,7 @@
 // compares with want.
 type holderCase struct {
 	name string
-	do   func(h *Holder, record func(string, ...any))
+	do   func(holder *Holder, record func(string, ...any))
 	want string
 }
 
@@ -24,11 +24,11 @@
 	tests := slices.Concat(holderRequestCases(), holderAnswerCases(), holderTermCases())
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			h := NewHolder("n1", "a", 1)
-			h.Request(1, 1, false, now)
-			h.HandleReply(&Reply{Term: 7, Number: 1, GrantMs: 2000, Add: []string{"m"}}, now)
+			holder := NewHolder("n1", "a", 1)
+			holder.Request(1, 1, false, now)
+			holder.HandleReply(&Reply{Term: 7, Number: 1, GrantMs: 2000, Add: []string{"m"}}, now)
 			var observations []string
-			tt.do(h, func(format string, args ...any) { observations = append(observations, fmt.Sprintf(format, args...)) })
+			tt.do(holder, func(format string, args ...any) { observations = append(observations, fmt.Sprintf(format, args...)) })
 			if got := strings.Join(observations, "; "); got != tt.want {
 				t.Errorf("recorded %q, want %q", got, tt.want)
 			}
@@ -46,51 +46,51 @@
 	}
 	exited := wire.TaskStatus{Task: "run-1/0", Attempt: 3, Phase: wire.TaskExited, Cause: wire.CauseDone}
 	return []holderCase{
-		{"a report of an unchanged heartbeat has no encoded heartbeat", func(h *Holder, record func(string, ...any)) {
-			h.HandleHeartbeat(heartbeat(1), body, now)
-			request := h.Request(1, 1, false, now.Add(time.Second))
+		{"a report of an unchanged heartbeat has no encoded heartbeat", func(holder *Holder, record func(string, ...any)) {
+			holder.HandleHeartbeat(heartbeat(1), body, now)
+			request := holder.Request(1, 1, false, now.Add(time.Second))
 			record("%d reports, %d heartbeat bytes, age %d ms", len(request.Reports), len(request.Reports[0].Heartbeat), request.Reports[0].AgeMs)
-			h.HandleReply(&Reply{Term: 7, Number: 2, GrantMs: 2000}, now)
-			h.HandleHeartbeat(heartbeat(2), body, now)
-			request = h.Request(1, 1, false, now)
+			holder.HandleReply(&Reply{Term: 7, Number: 2, GrantMs: 2000}, now)
+			holder.HandleHeartbeat(heartbeat(2), body, now)
+			request = holder.Request(1, 1, false, now)
 			record("%d reports, %d heartbeat bytes", len(request.Reports), len(request.Reports[0].Heartbeat))
 		}, "1 reports, 1 heartbeat bytes, age 1000 ms; 1 reports, 0 heartbeat bytes"},
-		{"the request after a failed one repeats its reports and call results", func(h *Holder, record func(string, ...any)) {
-			h.HandleHeartbeat(heartbeat(1, exited), body, now)
-			h.RecordCallResult(CallResult{ID: 4})
-			h.Request(1, 1, false, now)
-			h.RecordCallResult(CallResult{ID: 5})
-			h.RequestFailed()
-			request := h.Request(1, 1, false, now)
+		{"the request after a failed one repeats its reports and call results", func(holder *Holder, record func(string, ...any)) {
+			holder.HandleHeartbeat(heartbeat(1, exited), body, now)
+			holder.RecordCallResult(CallResult{ID: 4})
+			holder.Request(1, 1, false, now)
+			holder.RecordCallResult(CallResult{ID: 5})
+			holder.RequestFailed()
+			request := holder.Request(1, 1, false, now)
 			record("%d reports, %d heartbeat bytes, %d call results", len(request.Reports), len(request.Reports[0].Heartbeat), len(request.CallResults))
-			h.HandleReply(&Reply{Term: 7, Number: 2, GrantMs: 2000}, now)
-			request = h.Request(1, 1, false, now)
+			holder.HandleReply(&Reply{Term: 7, Number: 2, GrantMs: 2000}, now)
+			request = holder.Request(1, 1, false, now)
 			record("%d reports, %d call results", len(request.Reports), len(request.CallResults))
 		}, "1 reports, 1 heartbeat bytes, 2 call results; 0 reports, 0 call results"},
-		{"call results beyond the size limit of a request are sent with the next requests", func(h *Holder, record func(string, ...any)) {
+		{"call results beyond the size limit of a request are sent with the next requests", func(holder *Holder, record func(string, ...any)) {
 			for i := range 100 {
-				h.RecordCallResult(CallResult{ID: uint64(i), Heartbeat: make([]byte, 3<<10)})
+				holder.RecordCallResult(CallResult{ID: uint64(i), Heartbeat: make([]byte, 3<<10)})
 			}
 			for number := uint64(2); number < 7; number++ {
 				size := 0
-				request := h.Request(1, 1, false, now)
+				request := holder.Request(1, 1, false, now)
 				for _, result := range request.CallResults {
 					size += len(result.Heartbeat)
 				}
 				record("%d results, size within the limit %v", len(request.CallResults), size <= maxCallResultBytes+3<<10)
-				h.HandleReply(&Reply{Term: 7, Number: number, GrantMs: 2000}, now)
+				holder.HandleReply(&Reply{Term: 7, Number: number, GrantMs: 2000}, now)
 			}
 		}, "21 results, size within the limit true; 21 results, size within the limit true; 21 results, size within the limit true; 21 results, size within the limit true; 16 results, size within the limit true"},
-		{"an exited task is cleared after the leader's clearance, and a late clearance clears nothing", func(h *Holder, record func(string, ...any)) {
-			commands, _ := h.HandleHeartbeat(heartbeat(1, exited), body, now)
+		{"an exited task is cleared after the leader's clearance, and a late clearance clears nothing", func(holder *Holder, record func(string, ...any)) {
+			commands, _ := holder.HandleHeartbeat(heartbeat(1, exited), body, now)
 			record("%d commands", len(commands))
 			settled := []ExitClearance{{Machine: "m", Commands: []wire.Command{{Verb: wire.CommandClear, Task: "run-1/0", Attempt: 3}}}}
-			h.HandleReply(&Reply{Term: 7, Number: 2, GrantMs: 2000, Clearances: settled}, now)
-			commands, _ = h.HandleHeartbeat(heartbeat(2, exited), body, now)
+			holder.HandleReply(&Reply{Term: 7, Number: 2, GrantMs: 2000, Clearances: settled}, now)
+			commands, _ = holder.HandleHeartbeat(heartbeat(2, exited), body, now)
 			record("%d commands", len(commands))
-			h.HandleHeartbeat(heartbeat(3), body, now)
-			h.HandleReply(&Reply{Term: 7, Number: 3, GrantMs: 2000, Clearances: settled}, now)
-			commands, _ = h.HandleHeartbeat(heartbeat(4, exited), body, now) // the same attempt of a gang has exited again
+			holder.HandleHeartbeat(heartbeat(3), body, now)
+			holder.HandleReply(&Reply{Term: 7, Number: 3, GrantMs: 2000, Clearances: settled}, now)
+			commands, _ = holder.HandleHeartbeat(heartbeat(4, exited), body, now) // the same attempt of a gang has exited again
 			record("%d commands", len(commands))
 		}, "0 commands; 1 commands; 0 commands"},
 	}
@@ -105,14 +105,14 @@
 	}
 	exited := wire.TaskStatus{Task: "run-1/0", Attempt: 3, Phase: wire.TaskExited, Cause: wire.CauseDone}
 	return []holderCase{
-		{"only the leader answers a heartbeat with an unacknowledged task; an exited task or a new phase does not require it", func(h *Holder, record func(string, ...any)) {
+		{"only the leader answers a heartbeat with an unacknowledged task; an exited task or a new phase does not require it", func(holder *Holder, record func(string, ...any)) {
 			active := wire.TaskStatus{Task: "run-1/1", Attempt: 4, Phase: wire.TaskFetching}
 			acknowledge := func(number uint64) {
-				h.Request(1, 1, false, now)
-				h.HandleReply(&Reply{Term: 7, Number: number, GrantMs: 2000}, now)
+				holder.Request(1, 1, false, now)
+				holder.HandleReply(&Reply{Term: 7, Number: number, GrantMs: 2000}, now)
 			}
 			recordLeaderRequired := func(seq uint64, tasks ...wire.TaskStatus) {
-				_, outcome := h.HandleHeartbeat(heartbeat(seq, tasks...), body, now)
+				_, outcome := holder.HandleHeartbeat(heartbeat(seq, tasks...), body, now)
 				record("%v", outcome == LeaderRequired)
 			}
 			recordLeaderRequired(1, exited)
@@ -125,9 +125,9 @@
 			active.Attempt++
 			recordLeaderRequired(6, active)
 		}, "false; true; true; false; false; true"},
-		{"no answer after the grant has ended, to a delayed heartbeat, with a term below the worker's token, or for a machine of another shard", func(h *Holder, record func(string, ...any)) {
+		{"no answer after the grant has ended, to a delayed heartbeat, with a term below the worker's token, or for a machine of another shard", func(holder *Holder, record func(string, ...any)) {
 			recordOutcome := func(received *wire.Heartbeat, at time.Time) {
-				_, outcome := h.HandleHeartbeat(received, body, at)
+				_, outcome := holder.HandleHeartbeat(received, body, at)
 				record("%d", outcome)
 			}
 			recordOutcome(heartbeat(5), now)
@@ -150,24 +150,24 @@
 		return &wire.Heartbeat{Machine: "m", Session: 1, Seq: seq, Token: 7, Tasks: tasks}
 	}
 	return []holderCase{
-		{"a dropped machine is removed after its last report; the first report of a machine that is added again has the encoded heartbeat", func(h *Holder, record func(string, ...any)) {
-			h.HandleHeartbeat(heartbeat(1), body, now)
-			h.HandleReply(&Reply{Term: 7, Number: 2, GrantMs: 2000, Drop: []string{"m"}}, now)
-			_, outcome := h.HandleHeartbeat(heartbeat(2), body, now)
-			request := h.Request(1, 1, false, now)
+		{"a dropped machine is removed after its last report; the first report of a machine that is added again has the encoded heartbeat", func(holder *Holder, record func(string, ...any)) {
+			holder.HandleHeartbeat(heartbeat(1), body, now)
+			holder.HandleReply(&Reply{Term: 7, Number: 2, GrantMs: 2000, Drop: []string{"m"}}, now)
+			_, outcome := holder.HandleHeartbeat(heartbeat(2), body, now)
+			request := holder.Request(1, 1, false, now)
 			record("outcome %d, %d reports", outcome, len(request.Reports))
-			h.HandleReply(&Reply{Term: 7, Number: 3, GrantMs: 2000}, now)
-			record("%d machines", len(h.machines))
-			h.HandleReply(&Reply{Term: 7, Number: 4, GrantMs: 2000, Add: []string{"m"}}, now)
-			h.HandleHeartbeat(heartbeat(3), body, now)
-			record("%d heartbeat bytes", len(h.Request(1, 1, false, now).Reports[0].Heartbeat))
+			holder.HandleReply(&Reply{Term: 7, Number: 3, GrantMs: 2000}, now)
+			record("%d machines", len(holder.machines))
+			holder.HandleReply(&Reply{Term: 7, Number: 4, GrantMs: 2000, Add: []string{"m"}}, now)
+			holder.HandleHeartbeat(heartbeat(3), body, now)
+			record("%d heartbeat bytes", len(holder.Request(1, 1, false, now).Reports[0].Heartbeat))
 		}, "outcome 0, 1 reports; 0 machines; 1 heartbeat bytes"},
-		{"the end of a term ends its grant, and the next request names the machines that were held", func(h *Holder, record func(string, ...any)) {
-			h.HandleHeartbeat(heartbeat(1), body, now)
-			h.EndTerm()
-			record("%v, %v", h.GrantValid(7, now), h.Request(1, 1, false, now).PreviousMachines)
-			h.HandleReply(&Reply{Term: 8, Number: 1, GrantMs: 2000, Add: []string{"m"}}, now)
-			record("%v, %v", h.GrantValid(7, now), h.GrantValid(8, now))
+		{"the end of a term ends its grant, and the next request names the machines that were held", func(holder *Holder, record func(string, ...any)) {
+			holder.HandleHeartbeat(heartbeat(1), body, now)
+			holder.EndTerm()
+			record("%v, %v", holder.GrantValid(7, now), holder.Request(1, 1, false, now).PreviousMachines)
+			holder.HandleReply(&Reply{Term: 8, Number: 1, GrantMs: 2000, Add: []string{"m"}}, now)
+			record("%v, %v", holder.GrantValid(7, now), holder.GrantValid(8, now))
 		}, "false, [m]; false, true"},
 	}
 }
