--- a/cmd/vetchstream/rollout.go
+++ b/cmd/vetchstream/rollout.go
@@ -140,7 +140,7 @@
 		switch state := rollout.State(s.State); {
 		case state == rollout.Done:
 			return nil
-		case state.Over():
+		case state.Ended():
 			return errNotDone
 		}
 		c.sleep(watchInterval)
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -139,7 +139,7 @@
 
 // recordFailure records the failure of an instance if its version is being rolled out.
 func (ro *rollouts) recordFailure(j *job.Job, replica int32, host string) {
-	if svc := ro.serviceOf[j.ID]; svc != nil && j.ID == svc.rec.Next && !svc.rec.State.Over() {
+	if svc := ro.serviceOf[j.ID]; svc != nil && j.ID == svc.rec.Next && !svc.rec.State.Ended() {
 		svc.newFailures = append(svc.newFailures, instanceFailure{replica, host})
 	}
 }
@@ -176,7 +176,7 @@
 	changed := svc.addFailures(&next)
 	requested, replies := svc.applyRequests(&next)
 	changed = requested || changed
-	if next.State != rollout.Failed && ro.jobTable.identified(next.Next) == nil && !next.State.Over() {
+	if next.State != rollout.Failed && ro.jobTable.identified(next.Next) == nil && !next.State.Ended() {
 		changed = rollout.RollBack(&next, now) || changed // the job of the next version was cancelled
 	}
 	changed = rollout.Step(&next, view, svc.gate) || changed
--- a/internal/control/rollout_apply.go
+++ b/internal/control/rollout_apply.go
@@ -30,7 +30,7 @@
 	if handle := ro.jobTable.identified(svc.rec.Handle); handle != nil && handle != old && handle != next {
 		ro.applyQuota(handle, func(int) rollout.Placement { return rollout.Placement{} })
 	}
-	if !svc.rec.State.Over() {
+	if !svc.rec.State.Ended() {
 		ro.checkHealth(svc, old, next, view.Now)
 		return
 	}
--- a/internal/control/rollout_requests.go
+++ b/internal/control/rollout_requests.go
@@ -130,7 +130,7 @@
 		}
 		return rolloutBase{handle: spec.From, current: spec.From}, true
 	}
-	over := svc.rec.State.Over()
+	over := svc.rec.State.Ended()
 	switch {
 	case spec.From != "" && spec.From != svc.rec.Handle && spec.From != svc.rec.Current:
 		respond(errorReply(http.StatusConflict, "from: the service runs "+svc.rec.Current))
--- a/internal/node/storm_test.go
+++ b/internal/node/storm_test.go
@@ -208,7 +208,7 @@
 		time.Sleep(2 * time.Second)
 		unfinished := 0
 		for _, service := range services {
-			if rollout.State(service.state).Over() {
+			if rollout.State(service.state).Ended() {
 				continue
 			}
 			s.pollRollout(hc, service)
--- a/internal/rollout/operator.go
+++ b/internal/rollout/operator.go
@@ -4,7 +4,7 @@
 
 // Pause pauses a roll-out for an operator, and reports whether the record has changed.
 func Pause(r *Record, now time.Time) bool {
-	if r.State.Over() || (r.State == Paused && r.ManualResume) {
+	if r.State.Ended() || (r.State == Paused && r.ManualResume) {
 		return false
 	}
 	if r.State != Paused {
@@ -27,7 +27,7 @@
 
 // RollBack rolls back for an operator, and reports whether the record has changed.
 func RollBack(r *Record, now time.Time) bool {
-	if r.State.Over() || r.State == RollingBack {
+	if r.State.Ended() || r.State == RollingBack {
 		return false
 	}
 	r.ManualResume = false
--- a/internal/rollout/record.go
+++ b/internal/rollout/record.go
@@ -30,8 +30,8 @@
 	Failed State = "failed"
 )
 
-// Over reports whether a roll-out has ended.
-func (s State) Over() bool { return s == Done || s == RolledBack || s == Failed }
+// Ended reports whether a roll-out has ended.
+func (s State) Ended() bool { return s == Done || s == RolledBack || s == Failed }
 
 // Batch is the replicas that change together, all in one zone.
 type Batch struct {
@@ -143,7 +143,7 @@
 // whether the record has changed. The map of failures is replaced, since records share it.
 func (r *Record) AddFailure(replica int32, host string) bool {
 	contains := func(b Batch) bool { return slices.Contains(b.Replicas, replica) }
-	if r.State.Over() || !slices.ContainsFunc(r.Batches, contains) {
+	if r.State.Ended() || !slices.ContainsFunc(r.Batches, contains) {
 		return false
 	}
 	failures := map[int32]Failure{}
--- a/internal/rollout/status.go
+++ b/internal/rollout/status.go
@@ -48,7 +48,7 @@
 		SinceS:  roundToTenth(secondsSince(r.StateSince, v.Now)),
 		TookS:   roundToTenth(secondsSince(r.StartedAt, v.Now)),
 	}
-	if r.State.Over() {
+	if r.State.Ended() {
 		s.TookS = roundToTenth(float64(r.StateSince-r.StartedAt) / 1000)
 	}
 	instances := v.New
@@ -88,7 +88,7 @@
 
 // waitingFor says what a roll-out waits for; empty: nothing.
 func (r *Record) waitingFor(batches []BatchStatus) string {
-	if r.State.Over() || len(batches) == 0 {
+	if r.State.Ended() || len(batches) == 0 {
 		return ""
 	}
 	b := batches[min(r.BatchIndex, len(batches)-1)]
--- a/internal/rollout/step.go
+++ b/internal/rollout/step.go
@@ -13,7 +13,7 @@
 // read, which pauses. A copy of a record that shares its batches and failures with the
 // original may be stepped: these are never changed in place.
 func Step(r *Record, v *View, gate *Gate) bool {
-	if r.State.Over() {
+	if r.State.Ended() {
 		return false
 	}
 	if v.Cancelled {
