--- a/internal/rollout/record.go
+++ b/internal/rollout/record.go
@@ -43,8 +43,8 @@
 
 // Failure counts the failures of a replica's new instances, and names the machines.
 type Failure struct {
-	Count int      `codec:"count"`
-	Hosts []string `codec:"hosts"`
+	Count    int      `codec:"count"`
+	Machines []string `codec:"hosts"`
 }
 
 // Record is the durable state of a service and of its last roll-out. Everything done for it
@@ -136,12 +136,12 @@
 	return order
 }
 
-// maxFailedHosts bounds the machines that are recorded of one replica's failures.
-const maxFailedHosts = 4
+// maxFailedMachines bounds the machines that are recorded of one replica's failures.
+const maxFailedMachines = 4
 
 // AddFailure records that a replica's new instance has failed on a machine, and reports
 // whether the record has changed. The map of failures is replaced, since records share it.
-func (r *Record) AddFailure(replica int32, host string) bool {
+func (r *Record) AddFailure(replica int32, machine string) bool {
 	contains := func(b Batch) bool { return slices.Contains(b.Replicas, replica) }
 	if r.State.Ended() || !slices.ContainsFunc(r.Batches, contains) {
 		return false
@@ -149,10 +149,10 @@
 	failures := map[int32]Failure{}
 	maps.Copy(failures, r.Failures)
 	f := failures[replica]
-	f.Hosts = slices.Clone(f.Hosts)
+	f.Machines = slices.Clone(f.Machines)
 	f.Count++
-	if !slices.Contains(f.Hosts, host) && len(f.Hosts) < maxFailedHosts {
-		f.Hosts = append(f.Hosts, host)
+	if !slices.Contains(f.Machines, machine) && len(f.Machines) < maxFailedMachines {
+		f.Machines = append(f.Machines, machine)
 	}
 	failures[replica] = f
 	r.Failures = failures
--- a/internal/rollout/sample.go
+++ b/internal/rollout/sample.go
@@ -13,11 +13,11 @@
 	Unhealthy float64 `expr:"unhealthy"`
 	Unknown   float64 `expr:"unknown"`
 	// Failures is the highest number of failures of one replica, by ending with an error or
-	// by turning from healthy to unhealthy; AllFailures is their sum, and FailedHosts the
+	// by turning from healthy to unhealthy; AllFailures is their sum, and FailedMachines the
 	// number of machines on which they happened.
-	Failures    int `expr:"failures"`
-	AllFailures int `expr:"all_failures"`
-	FailedHosts int `expr:"failed_hosts"`
+	Failures       int `expr:"failures"`
+	AllFailures    int `expr:"all_failures"`
+	FailedMachines int `expr:"failed_hosts"`
 	// BadS is the longest time that an instance has been unhealthy without a break, in
 	// seconds.
 	BadS float64 `expr:"bad_s"`
@@ -29,14 +29,14 @@
 func (r *Record) sample(v *View, b *Batch) Sample {
 	s := Sample{Replicas: len(b.Replicas)}
 	var healthy, unhealthy, unknown int
-	failedHosts := map[string]bool{}
+	failedMachines := map[string]bool{}
 	youngest := -1.0
 	for _, replica := range b.Replicas {
 		failure := r.Failures[replica]
 		s.Failures = max(s.Failures, failure.Count)
 		s.AllFailures += failure.Count
-		for _, host := range failure.Hosts {
-			failedHosts[host] = true
+		for _, machine := range failure.Machines {
+			failedMachines[machine] = true
 		}
 		instance := v.newInstance(replica)
 		switch {
@@ -58,7 +58,7 @@
 		}
 	}
 	s.SinceS = max(0, youngest)
-	s.FailedHosts = len(failedHosts)
+	s.FailedMachines = len(failedMachines)
 	if n := float64(s.Replicas - s.Lost); n > 0 {
 		s.Healthy = float64(healthy) / n
 		s.Unhealthy = float64(unhealthy) / n
@@ -71,5 +71,5 @@
 // names in a gate's expressions.
 func describeSample(s Sample) string {
 	return fmt.Sprintf("%d failures on %d machines, at most %d of one copy; %.0f %% healthy, %.0f %% unhealthy, %.0f %% unknown, %d lost",
-		s.AllFailures, s.FailedHosts, s.Failures, 100*s.Healthy, 100*s.Unhealthy, 100*s.Unknown, s.Lost)
+		s.AllFailures, s.FailedMachines, s.Failures, 100*s.Healthy, 100*s.Unhealthy, 100*s.Unknown, s.Lost)
 }
--- a/internal/rollout/step_test.go
+++ b/internal/rollout/step_test.go
@@ -127,9 +127,9 @@
 }
 
 // crash ends new copies with an error on a machine.
-func (b *testService) crash(host string, replicas ...int) {
+func (b *testService) crash(machine string, replicas ...int) {
 	for _, i := range replicas {
-		b.rec.AddFailure(int32(i), host)
+		b.rec.AddFailure(int32(i), machine)
 		b.view.New[i] = Instance{}
 	}
 }
