--- a/internal/control/rollout_observe.go
+++ b/internal/control/rollout_observe.go
@@ -97,7 +97,7 @@
 		instance.SinceS = now.Sub(slot.RunningSince).Seconds()
 	}
 	if !slot.UnhealthySince.IsZero() {
-		instance.BadS = now.Sub(slot.UnhealthySince).Seconds()
+		instance.UnhealthyS = now.Sub(slot.UnhealthySince).Seconds()
 	}
 }
 
--- a/internal/rollout/sample.go
+++ b/internal/rollout/sample.go
@@ -18,9 +18,9 @@
 	Failures       int `expr:"failures"`
 	AllFailures    int `expr:"all_failures"`
 	FailedMachines int `expr:"failed_hosts"`
-	// BadS is the longest time that an instance has been unhealthy without a break, in
+	// UnhealthyS is the longest time that an instance has been unhealthy without a break, in
 	// seconds.
-	BadS float64 `expr:"bad_s"`
+	UnhealthyS float64 `expr:"bad_s"`
 	// SinceS is how long the youngest instance has run, in seconds.
 	SinceS float64 `expr:"since_s"`
 }
@@ -49,7 +49,7 @@
 			healthy++
 		case instance.Health == Unhealthy:
 			unhealthy++
-			s.BadS = max(s.BadS, instance.BadS)
+			s.UnhealthyS = max(s.UnhealthyS, instance.UnhealthyS)
 		default:
 			unknown++
 		}
--- a/internal/rollout/step_test.go
+++ b/internal/rollout/step_test.go
@@ -105,8 +105,8 @@
 	next.Running = true
 	next.SinceS++
 	next.Health = b.health(i, next.SinceS)
-	if next.BadS++; next.Health != Unhealthy {
-		next.BadS = 0
+	if next.UnhealthyS++; next.Health != Unhealthy {
+		next.UnhealthyS = 0
 	}
 	if before == Healthy && next.Health == Unhealthy {
 		b.rec.AddFailure(int32(i), "h")
--- a/internal/rollout/view.go
+++ b/internal/rollout/view.go
@@ -20,9 +20,9 @@
 	Live, Running bool
 	Health        Health
 	// Lost: its machine is gone, silent or being drained.
-	Lost   bool
-	SinceS float64 // how long it has run
-	BadS   float64 // how long it has been unhealthy without a break
+	Lost       bool
+	SinceS     float64 // how long it has run
+	UnhealthyS float64 `codec:"BadS"` // how long it has been unhealthy without a break
 }
 
 // readyAfter reports whether an instance has run for so many seconds: one that crashes looks
