--- a/internal/dynconfig/change.go
+++ b/internal/dynconfig/change.go
@@ -87,7 +87,7 @@
 	if refusal != nil {
 		return u, refusal
 	}
-	if added := h.countNew(records); len(h.teams)+added > MaxTeams {
+	if added := h.countNewTeams(records); len(h.teams)+added > MaxTeams {
 		return u, refuse(http.StatusUnprocessableEntity, "teams", "there would be more than %d teams", MaxTeams)
 	}
 	u.Head.Revision++
@@ -133,8 +133,8 @@
 	return records, nil
 }
 
-// countNew counts the records of teams that are new.
-func (h *Home) countNew(records []*TeamRecord) (n int) {
+// countNewTeams counts the records of teams that are new.
+func (h *Home) countNewTeams(records []*TeamRecord) (n int) {
 	for _, r := range records {
 		if h.teams[r.Name] == nil {
 			n++
--- a/internal/dynconfig/change_test.go
+++ b/internal/dynconfig/change_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// follow lets all regions send a request and store the grants so many times, without faults.
-func (w *world) follow(times int) {
-	for range times {
+// followHome lets all regions send a request and store the grants so many times, without faults.
+func (w *world) followHome(rounds int) {
+	for range rounds {
 		for j := range w.regions {
 			s := &w.regions[j]
 			q := s.replica.Request(s.usage())
@@ -21,14 +21,14 @@
 	}
 }
 
-// TestRounding: parts that add up to the limit but for their rounding come into force.
-func TestRounding(t *testing.T) {
-	w := newWorld(none)
+// TestRoundedPartsComeIntoForce: parts that add up to the limit but for their rounding come into force.
+func TestRoundedPartsComeIntoForce(t *testing.T) {
+	w := newWorld(noGuard)
 	part := func(v float64) RegionQuota { return RegionQuota{Limit: &Quota{CPUs: &v}} }
 	limit := 0.3
 	for i, parts := range [][2]float64{{0.1, 0.2}, {0.2, 0.1}, {0.3, 0}, {0.15, 0.15}} {
 		u, refusal := w.home.Propose(&Change{Teams: []TeamChange{{
-			Name:    theTeam,
+			Name:    testTeam,
 			Limit:   &Quota{CPUs: &limit},
 			Regions: map[string]RegionQuota{"a": part(parts[0]), "b": part(parts[1])},
 		}}})
@@ -36,7 +36,7 @@
 			t.Fatal(refusal)
 		}
 		w.storeHome(u)
-		w.follow(20)
+		w.followHome(20)
 		for _, r := range w.home.Status(time.Time{}).Regions {
 			if r.Revision != uint64(i+1) {
 				t.Errorf("parts %v: %+v", parts, r)
@@ -48,18 +48,18 @@
 	}
 }
 
-// TestLateJob: a job of a removed team that shows up after its last one was over gets back
+// TestLateJobOfRemovedTeam: a job of a removed team that shows up after its last one was over gets back
 // what the team had, until it is over.
-func TestLateJob(t *testing.T) {
-	w := newWorld(none)
+func TestLateJobOfRemovedTeam(t *testing.T) {
+	w := newWorld(noGuard)
 	follow := func(used float64) Amount {
 		w.regions[0].used = used
-		w.follow(10)
-		share, _ := w.regions[0].replica.Share(theTeam, w.regions[0].usage())
+		w.followHome(10)
+		share, _ := w.regions[0].replica.Share(testTeam, w.regions[0].usage())
 		return share.Limit
 	}
 	follow(0)
-	for _, c := range []*Change{testChanges[0], {Remove: []string{theTeam}}} {
+	for _, c := range []*Change{testChanges[0], {Remove: []string{testTeam}}} {
 		u, refusal := w.home.Propose(c)
 		if refusal != nil {
 			t.Fatal(refusal)
@@ -67,11 +67,11 @@
 		w.storeHome(u)
 		follow(0)
 	}
-	for _, tt := range []struct{ used, want float64 }{{0, 0}, {1, total}, {0, 0}} {
+	for _, tt := range []struct{ used, want float64 }{{0, 0}, {1, limitCPUs}, {0, 0}} {
 		if got := follow(tt.used); got.CPUs != tt.want {
 			t.Errorf("with %v in use the limit is %v, want %v", tt.used, got.CPUs, tt.want)
 		}
-		if _, exists := w.regions[0].replica.Share(theTeam, w.regions[0].usage()); exists {
+		if _, exists := w.regions[0].replica.Share(testTeam, w.regions[0].usage()); exists {
 			t.Error("the region accepts jobs of it again")
 		}
 	}
@@ -79,8 +79,8 @@
 
 // TestRollback: what came after a revision is undone by a change of its own.
 func TestRollback(t *testing.T) {
-	w := newWorld(none)
-	w.follow(2) // every region has reported what it holds
+	w := newWorld(noGuard)
+	w.followHome(2) // every region has reported what it holds
 	apply := func(c *Change) {
 		u, refusal := w.home.Propose(c)
 		if refusal != nil {
@@ -90,7 +90,7 @@
 		w.storeHome(u)
 		w.home.AddHistory(entry)
 	}
-	other := split(1, 1)
+	other := splitLimit(1, 1)
 	other.Teams[0].Name = "blue"
 	for _, c := range []*Change{testChanges[0], testChanges[1], other, testChanges[2], {Remove: []string{"blue"}}} {
 		apply(c)
@@ -117,7 +117,7 @@
 		}
 		apply(c)
 		blue := w.home.teams["blue"]
-		if got := w.home.teams[theTeam].Shares["a"].Limit.CPUs; got != tt.red || (blue != nil && !blue.Removed) != tt.blue {
+		if got := w.home.teams[testTeam].Shares["a"].Limit.CPUs; got != tt.red || (blue != nil && !blue.Removed) != tt.blue {
 			t.Errorf("to %d: region a has %v of red, blue is there: %v", tt.to, got, blue != nil && !blue.Removed)
 		}
 	}
--- a/internal/dynconfig/explore_actions_test.go
+++ b/internal/dynconfig/explore_actions_test.go
@@ -7,17 +7,17 @@
 )
 
 // regionAction is an action whose index chooses the region, modulo two.
-func regionAction(name string, each int, do func(w *world, s *regionSim, i int) bool) explorer.Action[*world] {
+func regionAction(name string, count int, do func(w *world, s *regionSim, i int) bool) explorer.Action[*world] {
 	return explorer.Action[*world]{
 		Name:  name,
-		Count: each,
+		Count: count,
 		Do:    func(w *world, i int) bool { return do(w, &w.regions[i%len(w.regions)], i) },
 	}
 }
 
 // worldActions are all actions. Their order decides what a seed plays.
 func worldActions() []explorer.Action[*world] {
-	return slices.Concat(homeActions(), requestActions(), lateActions(), leaderActions(), taskActions(), failureActions())
+	return slices.Concat(homeActions(), requestActions(), delayedMessageActions(), leaderActions(), taskActions(), failureActions())
 }
 
 // homeActions change and reconcile the configuration at the home region.
@@ -33,7 +33,7 @@
 			return true
 		}),
 		regionAction("remove team", 1, func(w *world, _ *regionSim, _ int) bool {
-			u, err := w.home.Propose(&Change{Remove: []string{theTeam}})
+			u, err := w.home.Propose(&Change{Remove: []string{testTeam}})
 			if err != nil || w.changesMade >= maxChanges {
 				return false
 			}
@@ -88,42 +88,42 @@
 	}
 }
 
-// lateActions carry requests that were abandoned, and the replies to them.
-func lateActions() []explorer.Action[*world] {
+// delayedMessageActions carry requests that were abandoned, and the replies to them.
+func delayedMessageActions() []explorer.Action[*world] {
 	return []explorer.Action[*world]{
 		regionAction("abandon request", 2, func(_ *world, s *regionSim, _ int) bool {
 			if s.request == nil {
 				return false
 			}
-			s.lateRequest = s.request
-			s.lateReply = s.reply
+			s.delayedRequest = s.request
+			s.delayedReply = s.reply
 			s.request = nil
 			s.reply = nil
 			return true
 		}),
 		regionAction("receive late request", 2, func(w *world, s *regionSim, _ int) bool {
-			if s.lateRequest == nil {
+			if s.delayedRequest == nil {
 				return false
 			}
-			if f := w.home.followers[s.lateRequest.Region]; w.disabled == newestRequest {
+			if f := w.home.followers[s.delayedRequest.Region]; w.disabled == newestRequest {
 				f.term = 0
 				f.number = 0
 			}
-			w.homeReply(s.lateRequest)
-			s.lateRequest = nil
+			w.homeReply(s.delayedRequest)
+			s.delayedRequest = nil
 			return true
 		}),
 		regionAction("receive late reply", 2, func(w *world, s *regionSim, _ int) bool {
-			if s.lateReply == nil || w.disabled != currentReply || s.storing != nil {
+			if s.delayedReply == nil || w.disabled != currentReply || s.storing != nil {
 				return false
 			}
 			s.replica.homeTerm = 0
 			s.replica.lastSeq = 0
-			for _, e := range s.lateReply.Grants {
+			for _, e := range s.delayedReply.Grants {
 				s.storing = append(s.storing, e)
 				delete(s.replica.teams, e.Team)
 			}
-			s.lateReply = nil
+			s.delayedReply = nil
 			return len(s.storing) > 0
 		}),
 	}
@@ -142,21 +142,21 @@
 			return true
 		}),
 		regionAction("end term", 2, func(w *world, s *regionSim, i int) bool {
-			if w.leaderEnds >= maxEnds {
+			if w.leaderEnds >= maxLeaderEnds {
 				return false
 			}
 			w.leaderEnds++
-			s.lateTxn = s.storing
-			s.lateRequest = s.request
+			s.delayedTxn = s.storing
+			s.delayedRequest = s.request
 			w.startTerm(i, false)
 			return true
 		}),
 		regionAction("store late grants", 2, func(w *world, s *regionSim, _ int) bool {
-			if w.disabled != fencing || s.lateTxn == nil {
+			if w.disabled != fencing || s.delayedTxn == nil {
 				return false
 			}
-			s.store(s.lateTxn)
-			s.lateTxn = nil
+			s.store(s.delayedTxn)
+			s.delayedTxn = nil
 			return true
 		}),
 	}
@@ -166,7 +166,7 @@
 func taskActions() []explorer.Action[*world] {
 	return []explorer.Action[*world]{
 		regionAction("start task", 2, func(_ *world, s *regionSim, _ int) bool {
-			share, known := s.replica.Share(theTeam, s.usage())
+			share, known := s.replica.Share(testTeam, s.usage())
 			if !known || s.used+1 > share.Limit.CPUs+tolerance {
 				return false
 			}
@@ -187,7 +187,7 @@
 func failureActions() []explorer.Action[*world] {
 	return []explorer.Action[*world]{
 		regionAction("end home term", 1, func(w *world, _ *regionSim, _ int) bool {
-			if w.leaderEnds >= maxEnds {
+			if w.leaderEnds >= maxLeaderEnds {
 				return false
 			}
 			w.leaderEnds++
--- a/internal/dynconfig/explore_world_test.go
+++ b/internal/dynconfig/explore_world_test.go
@@ -16,25 +16,25 @@
 type guard uint8
 
 const (
-	none            guard = iota
-	acknowledged          // a released amount is held for the region until it reports the release
-	usageHeld             // a region holds what its tasks use
-	reportsFirst          // a new home leader raises nothing before all regions have reported
-	newestRequest         // a request that is not the region's newest is refused
-	currentReply          // a reply to an abandoned request is ignored
-	storedBeforeUse       // a grant takes effect, and is reported, once it is stored
-	fencing               // a transaction of an earlier leader of the region fails
-	confirmation          // a region whose store was restored waits for the home region's confirmation
-	storedMark            // so does the leader after the next
+	noGuard             guard = iota
+	releaseAcknowledged       // a released amount is held for the region until it reports the release
+	usageHeld                 // a region holds what its tasks use
+	reportsFirst              // a new home leader raises nothing before all regions have reported
+	newestRequest             // a request that is not the region's newest is refused
+	currentReply              // a reply to an abandoned request is ignored
+	storedBeforeUse           // a grant takes effect, and is reported, once it is stored
+	fencing                   // a transaction of an earlier leader of the region fails
+	confirmation              // a region whose store was restored waits for the home region's confirmation
+	unconfirmedMark           // so does the leader after the next
 )
 
 const (
-	theTeam = "red"
-	total   = 3 // the team's limit, in CPUs
-	// maxChanges, maxEnds and maxRestores bound the faults and changes in a walk.
-	maxChanges  = 3
-	maxEnds     = 2
-	maxRestores = 1
+	testTeam  = "red"
+	limitCPUs = 3 // the team's limit, in CPUs
+	// maxChanges, maxLeaderEnds and maxRestores bound the faults and changes in a walk.
+	maxChanges    = 3
+	maxLeaderEnds = 2
+	maxRestores   = 1
 	// stepTeams is how many teams a step of the home region reconciles.
 	stepTeams = 10
 )
@@ -49,10 +49,10 @@
 	used              float64
 	request           *Request
 	reply             *Reply
-	lateRequest       *Request // abandoned, and delivered all the same
-	lateReply         *Reply
+	delayedRequest    *Request // abandoned, and delivered all the same
+	delayedReply      *Reply
 	storing           []RegionGrant
-	lateTxn           []RegionGrant // of an earlier leader
+	delayedTxn        []RegionGrant // of an earlier leader
 	highestSeq        uint64        // of the grants in effect since the store was last restored
 	regression        string        // describes a grant that took effect after a later one
 }
@@ -110,7 +110,7 @@
 	for _, e := range s.entries {
 		entries = append(entries, e)
 	}
-	if restored && w.disabled != confirmation && w.disabled != storedMark {
+	if restored && w.disabled != confirmation && w.disabled != unconfirmedMark {
 		s.markedUnconfirmed = true
 	}
 	unconfirmed := (restored && w.disabled != confirmation) || s.markedUnconfirmed
@@ -146,7 +146,7 @@
 		w.records[r.Name] = r.clone()
 	}
 	w.home.Apply(u)
-	if w.disabled == acknowledged {
+	if w.disabled == releaseAcknowledged {
 		w.assumeReleased()
 	}
 }
@@ -171,20 +171,20 @@
 	return w.home.Reply(q)
 }
 
-// split is the change that divides the team's limit between the two regions.
-func split(a, b float64) *Change {
+// splitLimit is the change that divides the team's limit between the two regions.
+func splitLimit(a, b float64) *Change {
 	quota := func(cpus float64) *Quota {
 		gpus := 0.0
 		return &Quota{CPUs: &cpus, GPUs: &gpus}
 	}
 	return &Change{Teams: []TeamChange{{
-		Name:    theTeam,
-		Limit:   quota(total),
+		Name:    testTeam,
+		Limit:   quota(limitCPUs),
 		Regions: map[string]RegionQuota{"a": {Limit: quota(a)}, "b": {Limit: quota(b)}},
 	}}}
 }
 
-var testChanges = []*Change{split(3, 0), split(0, 3), split(1, 2)}
+var testChanges = []*Change{splitLimit(3, 0), splitLimit(0, 3), splitLimit(1, 2)}
 
 // store stores entries at a region.
 func (s *regionSim) store(entries []RegionGrant) {
@@ -200,7 +200,7 @@
 // applyStored puts stored entries into effect.
 func (s *regionSim) applyStored(entries []RegionGrant) {
 	s.replica.ApplyStored(entries)
-	seq := s.replica.teams[theTeam].Seq
+	seq := s.replica.teams[testTeam].Seq
 	if seq < s.highestSeq {
 		s.regression = fmt.Sprintf("grant %d counts after %d", seq, s.highestSeq)
 	}
@@ -213,26 +213,26 @@
 	p.Values(w.storedHead, " ", w.changesMade, w.leaderEnds, w.restores, len(w.home.dirty), w.home.head)
 	for _, n := range regionNames {
 		for _, recs := range []map[string]*TeamRecord{w.home.teams, w.records, w.previousRecords} {
-			if r := recs[theTeam]; r != nil {
+			if r := recs[testTeam]; r != nil {
 				p.Values(" ", r.Grants[n], r.Shares[n])
 			}
 		}
 		f := w.home.followers[n]
-		if r := w.home.teams[theTeam]; r != nil {
+		if r := w.home.teams[testTeam]; r != nil {
 			p.Values(r.Removed)
 		}
-		p.Values(" ", f.reported, f.reports[theTeam], f.storedSeq)
+		p.Values(" ", f.reported, f.reports[testTeam], f.storedSeq)
 	}
 	for i := range w.regions {
 		s := &w.regions[i]
 		r := s.replica
-		p.Values("\n", s.used, s.markedUnconfirmed, s.entries, s.previousEntries, s.storing, s.lateTxn, r.teams, r.lastSeq, r.homeTerm, r.reportedTerm, r.acknowledged, r.unconfirmed)
-		for _, q := range []*Request{s.request, s.lateRequest} {
+		p.Values("\n", s.used, s.markedUnconfirmed, s.entries, s.previousEntries, s.storing, s.delayedTxn, r.teams, r.lastSeq, r.homeTerm, r.reportedTerm, r.acknowledged, r.unconfirmed)
+		for _, q := range []*Request{s.request, s.delayedRequest} {
 			if q != nil {
 				p.Values(" asks ", q.HomeTerm, q.After, q.Full, q.Reports, q.Term == s.term)
 			}
 		}
-		for _, a := range []*Reply{s.reply, s.lateReply} {
+		for _, a := range []*Reply{s.reply, s.delayedReply} {
 			if a != nil {
 				p.Values(" gets ", a.Term, a.Resync, a.Grants)
 			}
@@ -246,14 +246,14 @@
 	sum := 0.0
 	for i := range w.regions {
 		s := &w.regions[i]
-		share, _ := s.replica.Share(theTeam, s.usage())
+		share, _ := s.replica.Share(testTeam, s.usage())
 		sum += max(s.used, share.Limit.CPUs)
 		if s.regression != "" {
 			return s.regression
 		}
 	}
-	if sum > total+tolerance {
-		return fmt.Sprintf("the regions may use %g of %d", sum, total)
+	if sum > limitCPUs+tolerance {
+		return fmt.Sprintf("the regions may use %g of %d", sum, limitCPUs)
 	}
 	return ""
 }
--- a/internal/rollout/step.go
+++ b/internal/rollout/step.go
@@ -185,7 +185,7 @@
 	if secondsSince(r.BatchStartedAt, v.Now) <= r.Spec.deadlineSeconds() {
 		return false
 	}
-	r.stopLateBatch(s, v.Now)
+	r.stopOverdueBatch(s, v.Now)
 	return true
 }
 
@@ -196,9 +196,9 @@
 	})
 }
 
-// stopLateBatch stops the roll-out when the batch under way is past its deadline. Only what
+// stopOverdueBatch stops the roll-out when the batch under way is past its deadline. Only what
 // its instances are known to have done is held against the build.
-func (r *Record) stopLateBatch(s Sample, now time.Time) {
+func (r *Record) stopOverdueBatch(s Sample, now time.Time) {
 	reason := fmt.Sprintf("batch %d is not healthy after %.0f s: %s", r.BatchIndex+1, r.Spec.deadlineSeconds(), describeSample(s))
 	switch {
 	case (s.Unhealthy > 0 || s.AllFailures > 0) && r.Spec.autoRollback():
@@ -236,8 +236,8 @@
 // stepRollingBack rolls back one batch after the other. A batch that is past its deadline is
 // left: it must not hold the others on the bad version.
 func (r *Record) stepRollingBack(v *View) bool {
-	late := secondsSince(r.BatchStartedAt, v.Now) > r.Spec.deadlineSeconds()
-	if !r.currentBatch().rolledBack(v, r.Spec.readySeconds()) && !late {
+	overdue := secondsSince(r.BatchStartedAt, v.Now) > r.Spec.deadlineSeconds()
+	if !r.currentBatch().rolledBack(v, r.Spec.readySeconds()) && !overdue {
 		return false
 	}
 	if r.BatchIndex > 0 {
@@ -246,7 +246,7 @@
 		return true
 	}
 	reason := r.Reason
-	if late {
+	if overdue {
 		for i, old := range v.Old {
 			if !old.readyAfter(r.Spec.readySeconds()) {
 				r.setState(Failed, v.Now, fmt.Sprintf("%s; rolled back, but the old version does not come up either (replica %d)", reason, i))
--- a/internal/rollout/step_test.go
+++ b/internal/rollout/step_test.go
@@ -12,13 +12,13 @@
 // case changes.
 type testService struct {
 	*testing.T
-	rec         *Record
-	gate        *Gate
-	view        View
-	zones       []string
-	health      func(i int, age float64) Health // of new copies
-	mostMissing int                             // most replicas without a healthy copy at a time
-	batchesRun  map[int]bool                    // batches whose new copies ever ran
+	record     *Record
+	gate       *Gate
+	view       View
+	zones      []string
+	health     func(i int, age float64) Health // of new copies
+	maxMissing int                             // most replicas without a healthy copy at a time
+	batchesRun map[int]bool                    // batches whose new copies ever ran
 }
 
 func newTestService(t *testing.T, edit map[string]any, zones ...string) *testService {
@@ -34,7 +34,7 @@
 	if b.gate, err = NewGate(s.Pass, s.Fail); err != nil {
 		t.Fatal(err)
 	}
-	b.rec = New(s, "run-1", "run-1", zones, b.view.Now)
+	b.record = New(s, "run-1", "run-1", zones, b.view.Now)
 	return b
 }
 
@@ -44,27 +44,27 @@
 	for range seconds {
 		b.reload()
 		for range 5 {
-			if !Step(b.rec, &b.view, b.gate) {
+			if !Step(b.record, &b.view, b.gate) {
 				break
 			}
 		}
-		desired := Desired(b.rec, &b.view)
+		desired := Desired(b.record, &b.view)
 		missing := 0
-		if b.rec.State != Done { // in Done the versions have changed places
+		if b.record.State != Done { // in Done the versions have changed places
 			for i := range desired.Old {
 				if !b.follow(&desired, i) {
 					missing++
 				}
 			}
 		}
-		b.mostMissing = max(b.mostMissing, missing)
+		b.maxMissing = max(b.maxMissing, missing)
 		b.view.Now = b.view.Now.Add(time.Second)
 	}
 }
 
 // reload puts the record through its stored form.
 func (b *testService) reload() {
-	stored, err := wire.Marshal(b.rec)
+	stored, err := wire.Marshal(b.record)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -72,7 +72,7 @@
 	if err := wire.Unmarshal(stored, next); err != nil {
 		b.Fatal(err)
 	}
-	b.rec = next
+	b.record = next
 }
 
 // follow has a replica do for a second what is desired, and reports whether a healthy instance
@@ -109,14 +109,14 @@
 		next.UnhealthyS = 0
 	}
 	if before == Healthy && next.Health == Unhealthy {
-		b.rec.AddFailure(int32(i), "h")
+		b.record.AddFailure(int32(i), "h")
 	}
 	b.batchesRun[b.batchOf(i)] = true
 }
 
 // batchOf is the batch of a replica.
 func (b *testService) batchOf(i int) int {
-	for at, x := range b.rec.Batches {
+	for at, x := range b.record.Batches {
 		for _, j := range x.Replicas {
 			if int(j) == i {
 				return at
@@ -129,7 +129,7 @@
 // crash ends new copies with an error on a machine.
 func (b *testService) crash(machine string, replicas ...int) {
 	for _, i := range replicas {
-		b.rec.AddFailure(int32(i), machine)
+		b.record.AddFailure(int32(i), machine)
 		b.view.New[i] = Instance{}
 	}
 }
@@ -137,12 +137,12 @@
 // stepTest is a case of the tests of Step: what happens to a service of six replicas in three
 // zones, and how its roll-out stands then.
 type stepTest struct {
-	name    string
-	edit    map[string]any // of the specification
-	do      func(b *testService)
-	want    State
-	batches int // that ever ran the new version
-	missing int // replicas, at most
+	name        string
+	edit        map[string]any // of the specification
+	actions     func(b *testService)
+	wantState   State
+	wantBatches int // that ever ran the new version
+	maxMissing  int // replicas, at most
 }
 
 // runStepTests plays the cases. Every second the record goes through its stored form, as if
@@ -152,16 +152,16 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			b := newTestService(t, tt.edit, "a", "a", "b", "b", "c", "c")
-			tt.do(b)
-			if b.rec.State != tt.want || len(b.batchesRun) != tt.batches || b.mostMissing > tt.missing {
-				t.Errorf("%s (%s), %d batches ran it, %d missing; want %s, %d, at most %d", b.rec.State, b.rec.Reason, len(b.batchesRun), b.mostMissing, tt.want, tt.batches, tt.missing)
+			tt.actions(b)
+			if b.record.State != tt.wantState || len(b.batchesRun) != tt.wantBatches || b.maxMissing > tt.maxMissing {
+				t.Errorf("%s (%s), %d batches ran it, %d missing; want %s, %d, at most %d", b.record.State, b.record.Reason, len(b.batchesRun), b.maxMissing, tt.wantState, tt.wantBatches, tt.maxMissing)
 			}
 		})
 	}
 }
 
-// TestStepForward: a good build gets through, whatever happens to machines and checks.
-func TestStepForward(t *testing.T) {
+// TestStepGoodBuild: a good build gets through, whatever happens to machines and checks.
+func TestStepGoodBuild(t *testing.T) {
 	runStepTests(t, []stepTest{
 		{"a good build", nil, func(b *testService) { b.run(300) }, Done, 3, 0},
 		{"it soaks before the next batch", nil, func(b *testService) { b.run(20) }, Soaking, 1, 0},
@@ -187,8 +187,8 @@
 			b.view.ChecksUnreachable = true
 			b.health = func(int, float64) Health { return Unknown }
 			b.run(250)
-			if b.rec.State != Paused {
-				b.Errorf("%s while blind", b.rec.State)
+			if b.record.State != Paused {
+				b.Errorf("%s while blind", b.record.State)
 			}
 			b.view.ChecksUnreachable = false
 			b.health = func(int, float64) Health { return Healthy }
@@ -202,19 +202,19 @@
 		}, Done, 3, 0},
 		{"an operator pauses, and resumes", nil, func(b *testService) {
 			b.run(10)
-			Pause(b.rec, b.view.Now)
+			Pause(b.record, b.view.Now)
 			b.run(300)
-			if b.rec.State != Paused {
-				b.Errorf("%s while held", b.rec.State)
+			if b.record.State != Paused {
+				b.Errorf("%s while held", b.record.State)
 			}
-			Resume(b.rec, b.view.Now)
+			Resume(b.record, b.view.Now)
 			b.run(300)
 		}, Done, 3, 0},
 	})
 }
 
-// TestStepBack: a bad build is rolled back, at whatever time it shows that it is.
-func TestStepBack(t *testing.T) {
+// TestStepBadBuild: a bad build is rolled back, at whatever time it shows that it is.
+func TestStepBadBuild(t *testing.T) {
 	runStepTests(t, []stepTest{
 		{"bad from the start, as health goes", nil, func(b *testService) {
 			b.health = func(int, float64) Health { return Unhealthy }
@@ -243,8 +243,8 @@
 		}, RolledBack, 1, 2},
 		{"it fails after the soak, while a later batch runs", nil, func(b *testService) {
 			b.run(45)
-			if b.rec.BatchIndex != 1 {
-				b.Fatalf("at batch %d", b.rec.BatchIndex)
+			if b.record.BatchIndex != 1 {
+				b.Fatalf("at batch %d", b.record.BatchIndex)
 			}
 			b.crash("h1", 0, 1)
 			b.crash("h2", 0)
@@ -258,7 +258,7 @@
 		}, RolledBack, 1, 2},
 		{"an operator takes it back", nil, func(b *testService) {
 			b.run(60)
-			RollBack(b.rec, b.view.Now)
+			RollBack(b.record, b.view.Now)
 			b.run(60)
 		}, RolledBack, 2, 0},
 		{"the service is cancelled", nil, func(b *testService) {
@@ -302,13 +302,13 @@
 func TestRollBackFails(t *testing.T) {
 	b := newTestService(t, nil, "a", "a")
 	b.run(5)
-	RollBack(b.rec, b.view.Now)
+	RollBack(b.record, b.view.Now)
 	for range 300 {
 		b.view.Now = b.view.Now.Add(time.Second)
 		b.view.Old, b.view.New = make([]Instance, 2), make([]Instance, 2)
-		Step(b.rec, &b.view, b.gate)
+		Step(b.record, &b.view, b.gate)
 	}
-	if b.rec.State != Failed || !strings.Contains(b.rec.Reason, "old version") {
-		t.Errorf("%s: %s", b.rec.State, b.rec.Reason)
+	if b.record.State != Failed || !strings.Contains(b.record.Reason, "old version") {
+		t.Errorf("%s: %s", b.record.State, b.record.Reason)
 	}
 }
