--- a/internal/rollout/desired.go
+++ b/internal/rollout/desired.go
@@ -1,30 +1,30 @@
 package rollout
 
-// DesiredState is what should run: for each replica whether its instance of the old version
-// should, and where that of the new one.
+// DesiredState says for each replica whether its instance of the old version should run, and
+// whether and where its instance of the new version should run.
 type DesiredState struct {
 	Old []bool
 	New []Placement
 }
 
-// Placement is whether, and where, an instance of the new version should run.
+// Placement says whether an instance of the new version should run, and in which zone.
 type Placement struct {
 	Wanted bool
 	Zone   string // empty: any
 }
 
-// replaceOld has a replica's instance of the new version run alone.
+// replaceOld requires the new instance of a replica to run, and the old one to be stopped.
 func (d *DesiredState) replaceOld(replica int32, zone string) {
 	d.Old[replica] = false
 	d.addNew(replica, zone)
 }
 
-// addNew has a replica's instance of the new version run, whatever the old one does.
+// addNew requires the new instance of a replica to run, and leaves the old one as it is.
 func (d *DesiredState) addNew(replica int32, zone string) {
 	d.New[replica] = Placement{Wanted: true, Zone: zone}
 }
 
-// Desired is what should run now. It follows from the record and the view alone.
+// Desired returns what should run now. The result depends on the record and the view alone.
 func Desired(r *Record, v *View) DesiredState {
 	replicas := max(len(v.Old), len(v.New))
 	d := DesiredState{
@@ -40,19 +40,19 @@
 	}
 	switch state {
 	case Pending, RolledBack, Failed, Done:
-		return d // the current version: in Done the versions have changed places
+		return d // the current version alone: Done has swapped the two versions
 	}
 	for i := range r.Batches {
 		b := &r.Batches[i]
 		switch {
 		case i > r.BatchIndex:
-			// Not begun yet.
+			// The batch has not started.
 		case i < r.BatchIndex:
 			for _, replica := range b.Replicas {
 				d.replaceOld(replica, b.Zone)
 			}
 		case state == RollingBack:
-			// The whole batch is rolled back at once: its new instances are bad.
+			// The whole batch is rolled back at once, because its new instances are bad.
 		case r.State == Paused:
 			retainBatch(v, b, &d)
 		default:
@@ -62,8 +62,8 @@
 	return d
 }
 
-// retainBatch leaves the instances of a paused batch as they are. One that is missing comes
-// back as it was.
+// retainBatch leaves the instances of a paused batch as they are. A replica without a new
+// instance runs its old one, which is started if it is missing.
 func retainBatch(v *View, b *Batch, d *DesiredState) {
 	for _, replica := range b.Replicas {
 		if v.newInstance(replica).Live {
@@ -73,10 +73,10 @@
 	}
 }
 
-// changeBatch decides which replicas of the batch under way change now. A new instance may
-// start when there may be a surplus one or when its old one is gone; an old instance is
-// stopped when its new one has been healthy for a while (a bad build can look healthy for a
-// moment), or when one may be unavailable.
+// changeBatch decides which replicas of the current batch change now. A new instance may start
+// if the surge limit allows one more, or once the old instance has ended. An old instance is
+// stopped once its new one has been healthy for the ready time, because a bad build can look
+// healthy for a moment, or if one more replica may be unavailable.
 func (r *Record) changeBatch(v *View, b *Batch, d *DesiredState) {
 	surge, unavailable := r.retainChanging(v, b, d)
 	for _, replica := range b.Replicas {
@@ -88,14 +88,14 @@
 			d.addNew(replica, b.Zone)
 			surge--
 		case unavailable > 0:
-			d.Old[replica] = false // the new one follows when it is gone
+			d.Old[replica] = false // the new one starts once the old one has ended
 			unavailable--
 		}
 	}
 }
 
-// retainChanging goes on with the replicas of a batch whose change has begun, and returns how
-// many surplus and unavailable instances there may be besides.
+// retainChanging continues the replicas of a batch whose change has started. It returns how many
+// more surplus and unavailable instances the limits allow.
 func (r *Record) retainChanging(v *View, b *Batch, d *DesiredState) (surge, unavailable int) {
 	surge, unavailable = r.Spec.maxSurge(), r.Spec.maxUnavailable()
 	for _, replica := range b.Replicas {
@@ -114,7 +114,7 @@
 			d.addNew(replica, b.Zone)
 			surge--
 		case !old.Live:
-			// Neither is there: the old one has ended by itself, or for this change.
+			// Neither instance runs: the old one ended by itself, or was stopped for this change.
 			d.replaceOld(replica, b.Zone)
 			unavailable--
 		}
--- a/internal/rollout/fixtures_test.go
+++ b/internal/rollout/fixtures_test.go
@@ -6,8 +6,8 @@
 	"vetchstream/internal/fixture"
 )
 
-// fixtures are the records of roll-outs stored in the consensus-backed key-
-// value store, and their specifications and status.
+// fixtures are the records of roll-outs that the key-value store holds, and the specifications
+// and statuses of roll-outs.
 var fixtures = []fixture.Row{
 	{File: "rollout-record.cbor", Value: fixture.Filled[Record]()},
 	{File: "rollout-batch.cbor", Value: fixture.Filled[Batch]()},
--- a/internal/rollout/gate.go
+++ b/internal/rollout/gate.go
@@ -8,20 +8,23 @@
 	"github.com/expr-lang/expr/vm"
 )
 
-// The gate of a specification that leaves it out. A batch passes when every instance is known
-// to be healthy. It fails when a replica has failed three times, or replicas on two machines
-// three times in all, since one machine that fails everything is not the build's fault; when
-// every instance has turned unhealthy; and when one has been unhealthy for half a minute.
+// The default expressions of the gate. A batch passes if every instance is known to be healthy.
+// It fails if one replica has failed three times, or if replicas have failed three times in all
+// on at least two machines: a single machine on which everything fails does not show that the
+// build is bad. It also fails if every instance is unhealthy after at least two failures, or if one
+// instance has been unhealthy for 30 seconds.
 const (
 	DefaultPass = "healthy == 1.0"
 	DefaultFail = "failures >= 3 || (all_failures >= 3 && failed_hosts >= 2) || (unhealthy == 1.0 && all_failures >= 2) || bad_s >= 30"
 )
 
-// maxNodes bounds an expression: it is an operator's text and runs in the leader. Without
-// functions and ranges it has no loops, so that bounds its run time too.
+// maxNodes bounds the syntax tree of an expression, which an operator writes and the leader
+// evaluates. An expression without functions and ranges has no loops, so the bound also limits
+// its run time.
 const maxNodes = 200
 
-// forbiddenNodes finds what an expression may not have. It implements ast.Visitor.
+// forbiddenNodes finds functions and ranges, which an expression may not use. It implements
+// ast.Visitor.
 type forbiddenNodes struct{ found string }
 
 // Visit implements ast.Visitor.
@@ -41,8 +44,8 @@
 // Gate decides whether a batch passes or fails, by two compiled expressions.
 type Gate struct{ pass, fail *vm.Program }
 
-// NewGate compiles the two expressions; empty ones are the defaults. An error names the
-// field.
+// NewGate compiles the two expressions. An empty expression stands for the default. An error
+// starts with the name of the field.
 func NewGate(pass, fail string) (*Gate, error) {
 	if pass == "" {
 		pass = DefaultPass
@@ -61,7 +64,8 @@
 	return &Gate{pass: passProgram, fail: failProgram}, nil
 }
 
-// compile compiles the expression of a field and checks it against the names of Sample.
+// compile compiles the expression of a field. The expression may use the names in the tags of
+// Sample, and must be a condition.
 func compile(field, text string) (*vm.Program, error) {
 	var forbidden forbiddenNodes
 	program, err := expr.Compile(text,
@@ -80,14 +84,14 @@
 	return program, nil
 }
 
-// Passes reports whether the batch is good; a gate that cannot be evaluated does not pass.
+// Passes reports whether the batch passes. An expression that cannot be evaluated does not pass.
 func (g *Gate) Passes(s Sample) bool { return evaluate(g.pass, s, false) }
 
-// Fails reports whether the build is bad; a gate that cannot be evaluated fails: whoever
-// wrote it wanted the roll-out to stop.
+// Fails reports whether the batch fails. An expression that cannot be evaluated fails, because
+// its author wanted it to be able to stop the roll-out.
 func (g *Gate) Fails(s Sample) bool { return evaluate(g.fail, s, true) }
 
-// evaluate evaluates an expression; onError is its value if that fails.
+// evaluate evaluates an expression, and returns onError if the evaluation fails.
 func evaluate(p *vm.Program, s Sample, onError bool) bool {
 	out, err := expr.Run(p, s)
 	if err != nil {
--- a/internal/rollout/operator.go
+++ b/internal/rollout/operator.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Pause pauses a roll-out for an operator, and reports whether the record has changed.
+// Pause pauses a roll-out at an operator's request, and reports whether the record has changed.
 func Pause(r *Record, now time.Time) bool {
 	if r.State.Ended() || (r.State == Paused && r.ManualResume) {
 		return false
@@ -15,7 +15,7 @@
 	return true
 }
 
-// Resume resumes a paused roll-out for an operator, and reports whether the record has
+// Resume resumes a paused roll-out at an operator's request, and reports whether the record has
 // changed.
 func Resume(r *Record, now time.Time) bool {
 	if r.State != Paused {
@@ -25,7 +25,8 @@
 	return true
 }
 
-// RollBack rolls back for an operator, and reports whether the record has changed.
+// RollBack starts to roll back at an operator's request, and reports whether the record has
+// changed.
 func RollBack(r *Record, now time.Time) bool {
 	if r.State.Ended() || r.State == RollingBack {
 		return false
--- a/internal/rollout/sample.go
+++ b/internal/rollout/sample.go
@@ -2,30 +2,31 @@
 
 import "fmt"
 
-// Sample is what a gate sees of a batch: the tags are the names in its expressions.
+// Sample holds the observations of a batch that the gate evaluates. The tags are the names in
+// the gate's expressions.
 type Sample struct {
-	// Replicas is the number of replicas of the batch. Lost of them are on machines that are
-	// gone, silent or being drained, and count neither as healthy nor as failed.
+	// Replicas is the number of replicas of the batch. Lost is the number of those whose machine
+	// has ended, does not report or is being drained; they count neither as healthy nor as failed.
 	Replicas int `expr:"replicas"`
 	Lost     int `expr:"lost"`
-	// Healthy, Unhealthy and Unknown are fractions of those that are not lost.
+	// Healthy, Unhealthy and Unknown are fractions of the replicas that are not lost.
 	Healthy   float64 `expr:"healthy"`
 	Unhealthy float64 `expr:"unhealthy"`
 	Unknown   float64 `expr:"unknown"`
-	// Failures is the highest number of failures of one replica, by ending with an error or
-	// by turning from healthy to unhealthy; AllFailures is their sum, and FailedMachines the
-	// number of machines on which they happened.
+	// Failures is the highest number of failures of one replica. An instance fails if it ends with
+	// an error or turns from healthy to unhealthy. AllFailures is the sum over the replicas, and
+	// FailedMachines the number of machines on which the failures happened.
 	Failures       int `expr:"failures"`
 	AllFailures    int `expr:"all_failures"`
 	FailedMachines int `expr:"failed_hosts"`
 	// UnhealthyS is the longest time that an instance has been unhealthy without a break, in
 	// seconds.
 	UnhealthyS float64 `expr:"bad_s"`
-	// SinceS is how long the youngest instance has run, in seconds.
+	// SinceS is the run time of the instance that started last, in seconds.
 	SinceS float64 `expr:"since_s"`
 }
 
-// sample sums up the new instances of a batch.
+// sample returns the sample of a batch's new instances.
 func (r *Record) sample(v *View, b *Batch) Sample {
 	s := Sample{Replicas: len(b.Replicas)}
 	var healthy, unhealthy, unknown int
@@ -67,8 +68,8 @@
 	return s
 }
 
-// describeSample describes a sample in a reason. It is no method of Sample: methods would be
-// names in a gate's expressions.
+// describeSample describes a sample for the reason of a state. It is not a method of Sample,
+// because methods would be names in the expressions of a gate.
 func describeSample(s Sample) string {
 	return fmt.Sprintf("%d failures on %d machines, at most %d of one copy; %.0f %% healthy, %.0f %% unhealthy, %.0f %% unknown, %d lost",
 		s.AllFailures, s.FailedMachines, s.Failures, 100*s.Healthy, 100*s.Unhealthy, 100*s.Unknown, s.Lost)
--- a/internal/rollout/spec.go
+++ b/internal/rollout/spec.go
@@ -1,7 +1,7 @@
-// Package rollout moves a service from one version to the next, batch by batch, and back when
-// the new one is bad. It decides, and has no connection, goroutine or clock: the leader passes
-// in what it observes and the time, stores the changed record under its term, and carries out
-// what the record requires.
+// Package rollout moves a service from one version to the next, batch by batch, and rolls it back
+// if the new version is bad. The package only decides: it uses no connection, goroutine or clock.
+// The leader passes in its observations and the time, stores the changed record under its term,
+// and starts and stops the instances that the record requires.
 package rollout
 
 import (
@@ -14,8 +14,9 @@
 	"vetchstream/internal/schema"
 )
 
-// Target is the next version of a service: a job id of its own, since a worker reads a job's
-// specification by its id, and what differs from the version before.
+// Target is the next version of a service: its job id and the settings that differ from the
+// current version. Each version needs a job id of its own, because a worker reads a job's
+// specification by its id.
 type Target struct {
 	ID      string   `codec:"uid" json:"uid"`
 	Image   string   `codec:"reel" json:"reel"`
@@ -36,37 +37,38 @@
 // Spec is the specification of a roll-out by an operator.
 type Spec struct {
 	Service string `codec:"service" json:"service"`
-	// From is the service's first job, named in its first roll-out.
+	// From is the id of the service's first job. The first roll-out of the service has to give it.
 	From string `codec:"from,omitempty" json:"from,omitempty"`
 	To   Target `codec:"to" json:"to"`
-	// Batch is how many replicas change at a time, BatchFraction which fraction of them; one of
-	// them may be given.
+	// Batch is the number of replicas that change at a time, BatchFraction their fraction of all
+	// replicas. At most one of the two may be given.
 	Batch         int     `codec:"batch,omitempty" json:"batch,omitempty"`
 	BatchFraction float64 `codec:"batch_share,omitempty" json:"batch_share,omitempty"`
-	// MaxUnavailable and MaxSurge bound how many replicas there are too few or too many at a
-	// time.
+	// MaxUnavailable bounds how many replicas may be unavailable at a time, MaxSurge how many
+	// surplus instances may run.
 	MaxUnavailable *int `codec:"most_missing,omitempty" json:"most_missing,omitempty"`
 	MaxSurge       *int `codec:"most_extra,omitempty" json:"most_extra,omitempty"`
-	// Pass and Fail are the expressions of the Gate; empty: its defaults.
+	// Pass and Fail are the expressions of the Gate. Empty ones stand for the defaults.
 	Pass string `codec:"pass,omitempty" json:"pass,omitempty"`
 	Fail string `codec:"fail,omitempty" json:"fail,omitempty"`
 	// ReadyS is how long a new instance has to be healthy before its old one is stopped, in
 	// seconds.
 	ReadyS *float64 `codec:"ready_s,omitempty" json:"ready_s,omitempty"`
-	// SoakS is how long a batch has to pass before the next, DeadlineS how long it may take
-	// until then, in seconds.
+	// SoakS is how long a batch has to pass the gate before the next batch starts, DeadlineS the
+	// longest time from the start of a batch until it passes, in seconds.
 	SoakS     *float64 `codec:"soak_s,omitempty" json:"soak_s,omitempty"`
 	DeadlineS float64  `codec:"deadline_s,omitempty" json:"deadline_s,omitempty"`
-	// AutoRollback: roll back when the gate fails, else pause; nil: roll back.
+	// AutoRollback says whether a failure rolls the roll-out back or only pauses it. If it is nil,
+	// the roll-out is rolled back.
 	AutoRollback *bool `codec:"undo,omitempty" json:"undo,omitempty"`
-	// Zones is the order of the zones; the others follow by name.
+	// Zones is the order in which zones change. Zones that are not listed follow by name.
 	Zones []string `codec:"zones,omitempty" json:"zones,omitempty"`
-	// Supersede: replace a roll-out that is under way.
+	// Supersede says that the roll-out replaces one that has not ended.
 	Supersede bool   `codec:"supersede,omitempty" json:"supersede,omitempty"`
 	Check     *Check `codec:"check,omitempty" json:"check,omitempty"`
 }
 
-// Defaults of a specification that leaves them out.
+// Defaults of the settings that a specification may omit.
 const (
 	defaultMaxUnavailable = 0
 	defaultMaxSurge       = 1
@@ -77,7 +79,7 @@
 	defaultCheckIntervalS = 5.0
 )
 
-// ErrMalformed is returned for a specification that is wrong.
+// ErrMalformed is returned for a specification that is not valid.
 var ErrMalformed = errors.New("roll-out is malformed")
 
 //go:embed schema.json
@@ -85,18 +87,18 @@
 
 var specSchema = schema.New("rollout", schemaJSON)
 
-// Parse reads a specification in its encoded form and checks it against the schema. An error
-// is an ErrMalformed and names the field.
+// Parse decodes a specification and checks it against the schema. An error wraps ErrMalformed and
+// names the field.
 func Parse(body []byte) (*Spec, error) {
 	s := &Spec{}
 	if err := specSchema.Decode(body, s, "batch", "most_missing", "most_extra"); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	if s.Batch > 0 && s.BatchFraction > 0 {
-		return nil, fmt.Errorf("%w: batch: given beside batch_share", ErrMalformed)
+		return nil, fmt.Errorf("%w: batch: cannot be given together with batch_share", ErrMalformed)
 	}
 	if s.maxUnavailable() == 0 && s.maxSurge() == 0 {
-		return nil, fmt.Errorf("%w: most_missing: 0 beside most_extra 0 lets nothing change", ErrMalformed)
+		return nil, fmt.Errorf("%w: most_missing: no replica can change if most_missing and most_extra are both 0", ErrMalformed)
 	}
 	if _, err := NewGate(s.Pass, s.Fail); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
@@ -104,7 +106,7 @@
 	return s, nil
 }
 
-// maxUnavailable is how many replicas there may be too few at a time.
+// maxUnavailable returns how many replicas may be unavailable at a time.
 func (s *Spec) maxUnavailable() int {
 	if s.MaxUnavailable != nil {
 		return *s.MaxUnavailable
@@ -112,7 +114,7 @@
 	return defaultMaxUnavailable
 }
 
-// maxSurge is how many replicas there may be too many at a time.
+// maxSurge returns how many surplus instances may run at a time.
 func (s *Spec) maxSurge() int {
 	if s.MaxSurge != nil {
 		return *s.MaxSurge
@@ -120,7 +122,7 @@
 	return defaultMaxSurge
 }
 
-// readySeconds is how long a new instance has to be healthy before its old one is stopped.
+// readySeconds returns how long a new instance has to be healthy before its old one is stopped.
 func (s *Spec) readySeconds() float64 {
 	if s.ReadyS != nil {
 		return *s.ReadyS
@@ -128,7 +130,7 @@
 	return defaultReadyS
 }
 
-// soakSeconds is how long a batch has to pass before the next.
+// soakSeconds returns how long a batch has to pass the gate before the next batch starts.
 func (s *Spec) soakSeconds() float64 {
 	if s.SoakS != nil {
 		return *s.SoakS
@@ -136,7 +138,7 @@
 	return defaultSoakS
 }
 
-// deadlineSeconds is how long a batch may take.
+// deadlineSeconds returns how long a batch may take until it passes the gate.
 func (s *Spec) deadlineSeconds() float64 {
 	if s.DeadlineS > 0 {
 		return s.DeadlineS
@@ -144,10 +146,10 @@
 	return defaultDeadlineS
 }
 
-// autoRollback reports whether the roll-out is rolled back when it fails.
+// autoRollback reports whether a failure rolls the roll-out back.
 func (s *Spec) autoRollback() bool { return s.AutoRollback == nil || *s.AutoRollback }
 
-// CheckIntervalS is how often an instance is checked, in seconds.
+// CheckIntervalS returns the time between two checks of an instance, in seconds.
 func (s *Spec) CheckIntervalS() float64 {
 	if s.Check != nil && s.Check.IntervalS > 0 {
 		return s.Check.IntervalS
@@ -155,7 +157,7 @@
 	return defaultCheckIntervalS
 }
 
-// batchSize is how many replicas change at a time.
+// batchSize returns how many replicas change at a time.
 func (s *Spec) batchSize(replicas int) int {
 	n := s.Batch
 	if n == 0 {
@@ -168,7 +170,7 @@
 	return max(1, min(n, replicas))
 }
 
-// NextJob is the job of the next version, which differs from the current one by the target.
+// NextJob returns the job of the next version: the current job with the target's settings.
 func (s *Spec) NextJob(current *job.Spec) job.Spec {
 	next := *current
 	next.ID = s.To.ID
@@ -183,7 +185,7 @@
 	return next
 }
 
-// override replaces an amount by another one, if that is given.
+// override replaces the amount if by is not nil.
 func override(amount *float64, by *float64) {
 	if by != nil {
 		*amount = *by
--- a/internal/rollout/status.go
+++ b/internal/rollout/status.go
@@ -5,24 +5,25 @@
 	"math"
 )
 
-// Status is what an operator is shown of a roll-out.
+// Status is a roll-out as operators see it.
 type Status struct {
 	Service string `codec:"service" json:"service"`
 	Handle  string `codec:"handle" json:"handle"`
 	Current string `codec:"current" json:"current"`
 	Next    string `codec:"next" json:"next"`
 	State   string `codec:"state" json:"state"`
-	// WaitingFor says what it waits for, Reason why it is in its state.
+	// WaitingFor says what the roll-out waits for, Reason why it is in its state.
 	WaitingFor string `codec:"waits,omitempty" json:"waits,omitempty"`
 	Reason     string `codec:"reason,omitempty" json:"reason,omitempty"`
 	Batch      int    `codec:"batch" json:"batch"` // from 1
-	// SinceS is how long it has been in its state, TookS how long it has taken, in seconds.
+	// SinceS is the time since the state last changed, TookS the time since the roll-out was
+	// requested, or its duration once it has ended, in seconds.
 	SinceS  float64       `codec:"since_s" json:"since_s"`
 	TookS   float64       `codec:"took_s" json:"took_s"`
 	Batches []BatchStatus `codec:"batches" json:"batches"`
 }
 
-// BatchStatus is one batch of a roll-out. It counts instances of the version that is rolled
+// BatchStatus is one batch of a roll-out. It counts the instances of the version that is rolled
 // out.
 type BatchStatus struct {
 	Zone      string `codec:"zone" json:"zone"`
@@ -34,8 +35,7 @@
 	Failures  int    `codec:"failures" json:"failures"`
 }
 
-// NewStatus is the status of a roll-out. Of the view it needs the time and the instances
-// alone.
+// NewStatus returns the status of a roll-out. It uses only the time and the instances of the view.
 func NewStatus(r *Record, v *View) Status {
 	s := Status{
 		Service: r.Service,
@@ -53,7 +53,7 @@
 	}
 	instances := v.New
 	if r.State == Done {
-		instances = v.Old // the versions have changed places
+		instances = v.Old // Done has swapped the two versions
 	}
 	for i := range r.Batches {
 		s.Batches = append(s.Batches, r.batchStatus(&r.Batches[i], instances))
@@ -65,7 +65,7 @@
 // roundToTenth rounds to one decimal.
 func roundToTenth(x float64) float64 { return math.Round(10*x) / 10 }
 
-// batchStatus is the status of a batch with these instances.
+// batchStatus returns the status of a batch with these instances.
 func (r *Record) batchStatus(b *Batch, instances []Instance) BatchStatus {
 	s := BatchStatus{Zone: b.Zone, Replicas: len(b.Replicas)}
 	for _, replica := range b.Replicas {
@@ -86,7 +86,7 @@
 	return s
 }
 
-// waitingFor says what a roll-out waits for; empty: nothing.
+// waitingFor says what a roll-out waits for. The text is empty if it waits for nothing.
 func (r *Record) waitingFor(batches []BatchStatus) string {
 	if r.State.Ended() || len(batches) == 0 {
 		return ""
--- a/internal/rollout/step.go
+++ b/internal/rollout/step.go
@@ -7,11 +7,12 @@
 	"time"
 )
 
-// Step takes one step, if it is time for one, and reports whether the record has changed. The
-// record and the view alone decide, so any leader takes the same step, and taking it twice
-// changes nothing more. The gate is that of the record's specification; nil: it cannot be
-// read, which pauses. A copy of a record that shares its batches and failures with the
-// original may be stepped: these are never changed in place.
+// Step advances the record by one step if one is due, and reports whether the record has changed.
+// The decision depends on the record and the view alone, so that every leader takes the same
+// step and a repeated step changes nothing. The gate is compiled from the record's specification;
+// a nil gate means that the expressions cannot be compiled, and pauses the roll-out. A copy of a
+// record may share its batches and failures with the original, because Step never changes these
+// in place.
 func Step(r *Record, v *View, gate *Gate) bool {
 	if r.State.Ended() {
 		return false
@@ -20,7 +21,8 @@
 		r.setState(Failed, v.Now, "the service was cancelled by its user")
 		return true
 	}
-	if gate == nil { // it was checked when it was requested; a record of another release
+	if gate == nil {
+		// The gate compiled when the roll-out was requested: another release stored the record.
 		return r.pauseForOperator(v.Now, "the gate cannot be read")
 	}
 	switch r.State {
@@ -48,9 +50,9 @@
 	return false
 }
 
-// gateFailure says which batch fails the gate; empty: none. An instance that passed at first
-// and fails later stops the roll-out, whichever batch it was in; so does one that fails while
-// the roll-out is paused.
+// gateFailure describes the first batch that fails the gate. The reason is empty if none fails.
+// It looks at all batches that have started, also during a pause: an instance that passed at
+// first and fails later stops the roll-out as well.
 func (r *Record) gateFailure(v *View, gate *Gate) (reason string) {
 	if r.BatchIndex >= len(r.Batches) || v.ChecksUnreachable {
 		return ""
@@ -70,8 +72,10 @@
 	r.Reason = reason
 }
 
-// startBatch starts a batch. One whose zone is unavailable changes places with a later one
-// elsewhere, now and not later: once it has begun, its new version may have run there.
+// startBatch starts a batch. A batch whose zone is unavailable is swapped with a later batch in
+// another zone. The swap is only possible before the batch starts, because afterwards the new
+// version may have run in its zone. If the zones of all later batches are unavailable as well,
+// the roll-out is paused.
 func (r *Record) startBatch(index int, v *View) {
 	r.BatchIndex = index
 	r.BatchStartedAt = v.Now.UnixMilli()
@@ -90,14 +94,14 @@
 	r.pause(v.Now, zoneUnavailableReason+r.Batches[index].Zone)
 }
 
-// pause stops the roll-out where it is. What should run stays as it was.
+// pause stops the roll-out in its current state. The desired instances stay the same.
 func (r *Record) pause(now time.Time, reason string) {
 	r.ResumeState = r.State
 	r.setState(Paused, now, reason)
 }
 
-// pauseForOperator pauses until an operator resumes, and reports whether the record has
-// changed: a pause stays as it is.
+// pauseForOperator pauses the roll-out until an operator resumes it, and reports whether the
+// record has changed. It leaves a roll-out that is paused already as it is.
 func (r *Record) pauseForOperator(now time.Time, reason string) bool {
 	if r.State == Paused {
 		return false
@@ -107,23 +111,24 @@
 	return true
 }
 
-// rollBack begins to roll batches back, the one that is under way first.
+// rollBack starts to roll the batches back, the current one first.
 func (r *Record) rollBack(now time.Time, reason string) {
 	r.BatchStartedAt = now.UnixMilli()
 	r.setState(RollingBack, now, reason)
 }
 
-// secondsSince is the time since a time of day in milliseconds, in seconds.
+// secondsSince returns the seconds since a time in milliseconds since 1970.
 func secondsSince(from int64, now time.Time) float64 { return float64(now.UnixMilli()-from) / 1000 }
 
-// Reasons of a pause that ends by itself. They are stored: stepPaused recognizes them.
+// Reasons of pauses that end by themselves. They are stored, and stepPaused recognizes them by
+// their text.
 const (
 	checksUnreachableReason = "the checks fail for old copies as well: the checker is cut off"
 	zoneUnavailableReason   = "no machine of the zone can take work: "
 	machinesLostReason      = "machines of the batch were lost: "
 )
 
-// stepPaused resumes what was paused for a reason that is gone.
+// stepPaused resumes a roll-out if the reason of its pause no longer holds.
 func (r *Record) stepPaused(v *View) bool {
 	if r.ManualResume || v.ChecksUnreachable || (r.BatchIndex < len(r.Batches) && v.UnavailableZones[r.Batches[r.BatchIndex].Zone]) {
 		return false
@@ -141,22 +146,22 @@
 	return true
 }
 
-// currentBatch is the batch that is being changed; the last one once all are.
+// currentBatch returns the batch that is being changed, or the last one if all are changed.
 func (r *Record) currentBatch() *Batch { return &r.Batches[min(r.BatchIndex, len(r.Batches)-1)] }
 
-// batchLost reports whether machines of the batch under way are lost.
+// batchLost reports whether a machine of the current batch is lost.
 func (r *Record) batchLost(v *View) bool {
 	return slices.ContainsFunc(r.currentBatch().Replicas, func(replica int32) bool {
 		return v.oldInstance(replica).Lost || v.newInstance(replica).Lost
 	})
 }
 
-// resume goes on where a pause began. The batch has its full time again: the delay was not
-// its instances' doing.
+// resume continues with the state before the pause. The batch's deadline starts anew, because its
+// instances did not cause the delay.
 func (r *Record) resume(now time.Time) {
 	next := r.ResumeState
 	if next == Soaking || next == "" {
-		next = Advancing // it has to pass again
+		next = Advancing // the batch has to pass the gate again
 	}
 	r.ManualResume = false
 	r.ResumeState = ""
@@ -164,8 +169,8 @@
 	r.setState(next, now, "")
 }
 
-// stepAdvancing begins the soak of a batch that is changed and passes, or stops one that is
-// past its deadline.
+// stepAdvancing starts the soak of a batch that is changed and passes the gate, or stops the
+// roll-out if the batch is past its deadline.
 func (r *Record) stepAdvancing(v *View, gate *Gate) bool {
 	b := &r.Batches[r.BatchIndex]
 	if v.ChecksUnreachable {
@@ -173,7 +178,7 @@
 		return true
 	}
 	if v.UnavailableZones[b.Zone] {
-		// It has begun: it is waited for, and never made larger.
+		// The batch has started, so the roll-out waits for its zone and starts no other batch.
 		r.pause(v.Now, zoneUnavailableReason+b.Zone)
 		return true
 	}
@@ -189,15 +194,15 @@
 	return true
 }
 
-// changed reports whether new instances alone run of a batch.
+// changed reports whether every replica of a batch runs its new instance and no old one.
 func (b *Batch) changed(v *View) bool {
 	return !slices.ContainsFunc(b.Replicas, func(replica int32) bool {
 		return !v.newInstance(replica).Running || v.oldInstance(replica).Live
 	})
 }
 
-// stopOverdueBatch stops the roll-out when the batch under way is past its deadline. Only what
-// its instances are known to have done is held against the build.
+// stopOverdueBatch rolls back or pauses the roll-out because the current batch is past its
+// deadline. Only observed failures and unhealthy instances count against the build.
 func (r *Record) stopOverdueBatch(s Sample, now time.Time) {
 	reason := fmt.Sprintf("batch %d is not healthy after %.0f s: %s", r.BatchIndex+1, r.Spec.deadlineSeconds(), describeSample(s))
 	switch {
@@ -210,14 +215,14 @@
 	}
 }
 
-// stepSoaking goes on to the next batch when this one has passed for long enough.
+// stepSoaking starts the next batch once the current one has passed the gate for the soak time.
 func (r *Record) stepSoaking(v *View, gate *Gate) bool {
 	if v.ChecksUnreachable {
 		r.pause(v.Now, checksUnreachableReason)
 		return true
 	}
 	if s := r.sample(v, &r.Batches[r.BatchIndex]); s.Lost > 0 || !gate.Passes(s) {
-		r.setState(Advancing, v.Now, "") // to pass again, within the batch's deadline
+		r.setState(Advancing, v.Now, "") // the batch has to pass again before its deadline
 		return true
 	}
 	if secondsSince(r.StateSince, v.Now) < r.Spec.soakSeconds() {
@@ -233,8 +238,8 @@
 	return true
 }
 
-// stepRollingBack rolls back one batch after the other. A batch that is past its deadline is
-// left: it must not hold the others on the bad version.
+// stepRollingBack rolls back one batch after the other. It does not wait for a batch that is past
+// its deadline, because the other batches would stay on the bad version.
 func (r *Record) stepRollingBack(v *View) bool {
 	overdue := secondsSince(r.BatchStartedAt, v.Now) > r.Spec.deadlineSeconds()
 	if !r.currentBatch().rolledBack(v, r.Spec.readySeconds()) && !overdue {
@@ -258,7 +263,8 @@
 	return true
 }
 
-// rolledBack reports whether old instances alone run of a batch, for long enough.
+// rolledBack reports whether no new instance of a batch is live and every old one has run for
+// readySeconds.
 func (b *Batch) rolledBack(v *View, readySeconds float64) bool {
 	return !slices.ContainsFunc(b.Replicas, func(replica int32) bool {
 		return v.newInstance(replica).Live || !v.oldInstance(replica).readyAfter(readySeconds)
