--- a/internal/rollout/operator.go
+++ b/internal/rollout/operator.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Pause pauses a roll-out for an operator, and reports whether the record has changed.
+// Pause pauses a roll-out at an operator's request, and reports whether the record has changed.
 func Pause(r *Record, now time.Time) bool {
-	if r.State.Over() || (r.State == Paused && r.ManualResume) {
+	if r.State.Ended() || (r.State == Paused && r.ManualResume) {
 		return false
 	}
 	if r.State != Paused {
@@ -15,7 +15,7 @@
 	return true
 }
 
-// Resume resumes a paused roll-out for an operator, and reports whether the record has
+// Resume resumes a paused roll-out at an operator's request, and reports whether the record has
 // changed.
 func Resume(r *Record, now time.Time) bool {
 	if r.State != Paused {
@@ -25,9 +25,10 @@
 	return true
 }
 
-// RollBack rolls back for an operator, and reports whether the record has changed.
+// RollBack starts to roll back at an operator's request, and reports whether the record has
+// changed.
 func RollBack(r *Record, now time.Time) bool {
-	if r.State.Over() || r.State == RollingBack {
+	if r.State.Ended() || r.State == RollingBack {
 		return false
 	}
 	r.ManualResume = false
