--- a/internal/shard/shard_test.go
+++ b/internal/shard/shard_test.go
@@ -107,16 +107,16 @@
 	}
 }
 
-// shareCase is a case of TestShare.
-type shareCase struct {
+// distributionCase is a case of TestShare.
+type distributionCase struct {
 	name string
 	edit func(*Settings)
 	do   func(b *assignerFixture)
 }
 
-// TestShare: who holds how much, and how many machines move.
-func TestShare(t *testing.T) {
-	tests := slices.Concat(shareBalanceCases(), shareLeaderCases(), shareTurnoverCases())
+// TestMachineDistribution: who holds how much, and how many machines move.
+func TestMachineDistribution(t *testing.T) {
+	tests := slices.Concat(balanceCases(), leaderCases(), moveCases())
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			b := newAssignerFixture(t, max(600, 2000*strings.Count(tt.name, "2,000")), tt.edit)
@@ -128,10 +128,10 @@
 	}
 }
 
-// shareBalanceCases: how the machines are divided, and what moves when a holder goes and comes back.
-func shareBalanceCases() []shareCase {
+// balanceCases: how the machines are divided, and what moves when a holder goes and comes back.
+func balanceCases() []distributionCase {
 	third := map[string]int{"n0": 200, "n1": 200, "n2": 200}
-	return []shareCase{
+	return []distributionCase{
 		{"three alike", nil, func(b *assignerFixture) { b.checkHeld(third) }},
 		{"a small fleet is not shared", func(s *Settings) { s.MinMachines = 601 }, func(b *assignerFixture) { b.checkHeld(map[string]int{"n0": 600}) }},
 		{"a silent holder's machines go to the others, and nothing else moves", nil, func(b *assignerFixture) {
@@ -171,10 +171,10 @@
 	}
 }
 
-// shareLeaderCases: a leader cut from its workers, and a new leader that hears of earlier holders.
-func shareLeaderCases() []shareCase {
+// leaderCases: a leader cut from its workers, and a new leader that hears of earlier holders.
+func leaderCases() []distributionCase {
 	third := map[string]int{"n0": 200, "n1": 200, "n2": 200}
-	return []shareCase{
+	return []distributionCase{
 		{"a leader cut from its workers gives their machines to who hands their reports on", nil, func(b *assignerFixture) {
 			b.forwarder = "n2"
 			b.advance(20 * time.Second)
@@ -213,9 +213,9 @@
 	}
 }
 
-// shareTurnoverCases: the pace of moves, and workers that do not reach their holder.
-func shareTurnoverCases() []shareCase {
-	return []shareCase{
+// moveCases: the pace of moves, and workers that do not reach their holder.
+func moveCases() []distributionCase {
+	return []distributionCase{
 		{"2,000 machines whose only holder ends turn at the pace of the workers and the settings", func(s *Settings) { s.MovesPerSecond = 40 }, func(b *assignerFixture) {
 			b.down["n1"] = true
 			b.advance(30 * time.Second) // the other has joined late, and has all but the leader's
