--- a/internal/shard/shard_test.go
+++ b/internal/shard/shard_test.go
@@ -54,9 +54,9 @@
 	b.holders[name], b.down[name] = NewHolder(name, zone, b.lastIncarnation), false // a new process
 }
 
-// exchangeRequests simulates 200 ms: each member makes a request, and the worker of each
+// simulateStep simulates 200 ms: each member makes a request, and the worker of each
 // tenth machine reports to its holder or to the leader.
-func (b *assignerFixture) exchangeRequests(n int) {
+func (b *assignerFixture) simulateStep(n int) {
 	b.now = b.now.Add(200 * time.Millisecond)
 	b.seq++
 	b.assigner.Step(b.now)
@@ -92,7 +92,7 @@
 // advance simulates the time d.
 func (b *assignerFixture) advance(d time.Duration) {
 	for n := range int(d / (200 * time.Millisecond)) {
-		b.exchangeRequests(n)
+		b.simulateStep(n)
 	}
 }
 
@@ -231,7 +231,7 @@
 		{"workers that do not reach their holder take it out", nil, func(b *assignerFixture) {
 			b.down["n2"] = true // it goes on asking, but no worker reaches it
 			for n := range 40 {
-				b.exchangeRequests(n)
+				b.simulateStep(n)
 				if h := b.holders["n2"]; h != nil {
 					if _, ok := b.assigner.HandleRequest(h.Request(500, 10, false, b.now), b.now); ok {
 						h.HandleReply(b.assigner.Reply("n2", b.now), b.now)
