--- a/internal/shard/shard_test.go
+++ b/internal/shard/shard_test.go
@@ -48,8 +48,8 @@
 	return b
 }
 
-// start starts a member's process, or starts it anew.
-func (b *assignerFixture) start(name, zone string) {
+// startMember starts a member's process, or starts it anew.
+func (b *assignerFixture) startMember(name, zone string) {
 	b.lastIncarnation++
 	b.holders[name], b.down[name] = NewHolder(name, zone, b.lastIncarnation), false // a new process
 }
@@ -120,8 +120,8 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			b := newAssignerFixture(t, max(600, 2000*strings.Count(tt.name, "2,000")), tt.edit)
-			b.start("n1", "b")
-			b.start("n2", "c")
+			b.startMember("n1", "b")
+			b.startMember("n2", "c")
 			b.advance(30 * time.Second)
 			tt.do(b)
 		})
@@ -146,7 +146,7 @@
 		{"one that comes back gets its share again, in steps", nil, func(b *assignerFixture) {
 			b.down["n2"] = true
 			b.advance(10 * time.Second)
-			b.start("n2", "c")
+			b.startMember("n2", "c")
 			b.advance(500 * time.Millisecond)
 			if n := b.assigner.HeldCounts()["n2"]; n != 0 {
 				b.t.Errorf("%d machines before it has been there for long enough", n)
@@ -159,7 +159,7 @@
 			for range 12 {
 				b.down["n2"] = true
 				b.advance(5 * time.Second)
-				b.start("n2", "c")
+				b.startMember("n2", "c")
 				b.advance(5 * time.Second)
 			}
 			// It rests for 5, 10, 20, 40 s: it joins at most five times in two minutes. Its
@@ -222,7 +222,7 @@
 			b.down["n2"] = true
 			b.advance(3 * time.Second)
 			n := b.assigner.HeldCounts()["n0"]
-			b.start("n1", "b")
+			b.startMember("n1", "b")
 			b.advance(4 * time.Second)
 			if got := n - b.assigner.HeldCounts()["n0"]; n != b.machineCount || got > 40*4 {
 				b.t.Errorf("the leader has %d of %d, and %d of them turned in 3 s", n, b.machineCount, got)
@@ -249,7 +249,7 @@
 // neither by its ranking nor because a member had it before, until it is released.
 func TestRetain(t *testing.T) {
 	b := newAssignerFixture(t, 30, nil)
-	b.start("n1", "b")
+	b.startMember("n1", "b")
 	b.advance(5 * time.Second)
 	kept := ""
 	for i := range b.machineCount {
@@ -269,7 +269,7 @@
 	b.advance(20 * time.Second)
 	holder("20 s later", "")
 	offer := func(member string) {
-		b.start(member, "b")
+		b.startMember(member, "b")
 		r := b.holders[member].Request(500, 10, false, b.now)
 		r.PreviousMachines = []string{kept}
 		b.assigner.HandleRequest(r, b.now)
