--- a/internal/shard/shard_test.go
+++ b/internal/shard/shard_test.go
@@ -19,7 +19,7 @@
 	now             time.Time
 	assigner        *Assigner
 	holders         map[string]*Holder
-	down            map[string]bool
+	stopped         map[string]bool
 	lastIncarnation uint64
 	machineCount    int
 	seq             uint64
@@ -27,7 +27,7 @@
 }
 
 func newAssignerFixture(t *testing.T, size int, edit func(*Settings)) *assignerFixture {
-	b := &assignerFixture{t: t, now: time.Unix(1000, 0), holders: map[string]*Holder{}, down: map[string]bool{}, machineCount: size}
+	b := &assignerFixture{t: t, now: time.Unix(1000, 0), holders: map[string]*Holder{}, stopped: map[string]bool{}, machineCount: size}
 	set := Settings{
 		GrantDuration:  2 * time.Second,
 		JoinDelay:      time.Second,
@@ -51,7 +51,7 @@
 // startMember starts a member's process, or starts it anew.
 func (b *assignerFixture) startMember(name, zone string) {
 	b.lastIncarnation++
-	b.holders[name], b.down[name] = NewHolder(name, zone, b.lastIncarnation), false // a new process
+	b.holders[name], b.stopped[name] = NewHolder(name, zone, b.lastIncarnation), false // a new process
 }
 
 // simulateStep simulates 200 ms: each member makes a request, and the worker of each
@@ -62,7 +62,7 @@
 	b.assigner.Step(b.now)
 	for _, name := range []string{"n1", "n2"} {
 		h := b.holders[name]
-		if h == nil || b.down[name] {
+		if h == nil || b.stopped[name] {
 			continue
 		}
 		if _, ok := b.assigner.HandleRequest(h.Request(500, 10, false, b.now), b.now); ok {
@@ -76,7 +76,7 @@
 		m := &wire.Heartbeat{Machine: name, Session: 1, Seq: b.seq}
 		served := false
 		for member, h := range b.holders {
-			if _, v := h.HandleHeartbeat(m, []byte{1}, b.now); v >= Answered && !b.down[member] {
+			if _, v := h.HandleHeartbeat(m, []byte{1}, b.now); v >= Answered && !b.stopped[member] {
 				served = true
 				b.assigner.ConfirmContact(name)
 			}
@@ -136,7 +136,7 @@
 		{"a small fleet is not shared", func(s *Settings) { s.MinMachines = 601 }, func(b *assignerFixture) { b.checkHeld(map[string]int{"n0": 600}) }},
 		{"a silent holder's machines go to the others, and nothing else moves", nil, func(b *assignerFixture) {
 			before := b.assigner.Moves()
-			b.down["n2"] = true
+			b.stopped["n2"] = true
 			b.advance(20 * time.Second)
 			b.checkHeld(map[string]int{"n0": 300, "n1": 300})
 			if n := b.assigner.Moves() - before; n > 2*220 {
@@ -144,7 +144,7 @@
 			}
 		}},
 		{"one that comes back gets its share again, in steps", nil, func(b *assignerFixture) {
-			b.down["n2"] = true
+			b.stopped["n2"] = true
 			b.advance(10 * time.Second)
 			b.startMember("n2", "c")
 			b.advance(500 * time.Millisecond)
@@ -157,7 +157,7 @@
 		{"one that flaps every ten seconds moves its share a few times", nil, func(b *assignerFixture) {
 			before := b.assigner.Moves()
 			for range 12 {
-				b.down["n2"] = true
+				b.stopped["n2"] = true
 				b.advance(5 * time.Second)
 				b.startMember("n2", "c")
 				b.advance(5 * time.Second)
@@ -217,9 +217,9 @@
 func moveCases() []distributionCase {
 	return []distributionCase{
 		{"2,000 machines whose only holder ends turn at the pace of the workers and the settings", func(s *Settings) { s.MovesPerSecond = 40 }, func(b *assignerFixture) {
-			b.down["n1"] = true
+			b.stopped["n1"] = true
 			b.advance(30 * time.Second) // the other has joined late, and has all but the leader's
-			b.down["n2"] = true
+			b.stopped["n2"] = true
 			b.advance(3 * time.Second)
 			n := b.assigner.HeldCounts()["n0"]
 			b.startMember("n1", "b")
@@ -229,7 +229,7 @@
 			}
 		}},
 		{"workers that do not reach their holder take it out", nil, func(b *assignerFixture) {
-			b.down["n2"] = true // it goes on asking, but no worker reaches it
+			b.stopped["n2"] = true // it goes on asking, but no worker reaches it
 			for n := range 40 {
 				b.simulateStep(n)
 				if h := b.holders["n2"]; h != nil {
