--- a/internal/shard/explore_test.go
+++ b/internal/shard/explore_test.go
@@ -186,8 +186,8 @@
 	return p.String()
 }
 
-// settle continues without faults: every machine has to be served in the end.
-func settle(g *explorer.Explorer[*world], w *world) string {
+// runWithoutFaults continues without faults: every machine has to be served in the end.
+func runWithoutFaults(g *explorer.Explorer[*world], w *world) string {
 	for range 14 {
 		g.Do(w, "tick", 0)
 		g.Do(w, "renew", 0)
@@ -249,7 +249,7 @@
 			g := &explorer.Explorer[*world]{New: func() *world { return newWorld(tt.disabled) }, Actions: actions, MaxStates: *maxStates}
 			holders := 2
 			if tt.disabled == noGuard {
-				g.SettleInterval, g.Settle = 37, func(w *world) string { return settle(g, w) }
+				g.SettleInterval, g.Settle = 37, func(w *world) string { return runWithoutFaults(g, w) }
 			} else {
 				// One holder and one machine are enough, and go deeper.
 				holders = 1
