--- a/internal/shard/explore_world_test.go
+++ b/internal/shard/explore_world_test.go
@@ -107,8 +107,8 @@
 
 // recordRevocations notes the machines that the leader has revoked, and a fault if one was
 // answered later than it assumes.
-func (w *world) recordRevocations(fs []Revocation) {
-	for _, f := range fs {
+func (w *world) recordRevocations(revocations []Revocation) {
+	for _, f := range revocations {
 		k := slices.Index(w.names[:], f.Name)
 		if f.Until.After(w.assumedAnswer[k]) {
 			w.assumedAnswer[k] = f.Until
--- a/internal/shard/shard_test.go
+++ b/internal/shard/shard_test.go
@@ -12,8 +12,8 @@
 
 var zones = []string{"a", "b", "c"}
 
-// assignerFixture is a leader with members that make a request every 200 ms, and workers
-// that report.
+// assignerFixture is an Assigner with two members that make a request every 200 ms, and
+// with workers that send a heartbeat every 2 s.
 type assignerFixture struct {
 	t               *testing.T
 	now             time.Time
@@ -23,12 +23,12 @@
 	lastIncarnation uint64
 	machineCount    int
 	seq             uint64
-	forwarder       string // the member that forwards reports to the leader; empty: none
+	forwarder       string // member that forwards heartbeats to the leader; empty if workers reach it
 }
 
 func newAssignerFixture(t *testing.T, size int, edit func(*Settings)) *assignerFixture {
-	b := &assignerFixture{t: t, now: time.Unix(1000, 0), holders: map[string]*Holder{}, stopped: map[string]bool{}, machineCount: size}
-	set := Settings{
+	fixture := &assignerFixture{t: t, now: time.Unix(1000, 0), holders: map[string]*Holder{}, stopped: map[string]bool{}, machineCount: size}
+	settings := Settings{
 		GrantDuration:  2 * time.Second,
 		JoinDelay:      time.Second,
 		RejoinDelay:    5 * time.Second,
@@ -39,244 +39,251 @@
 		LeaderCapacity: 10000,
 	}
 	if edit != nil {
-		edit(&set)
+		edit(&settings)
 	}
-	b.assigner = NewAssigner(7, "n0", "a", set, b.now)
+	fixture.assigner = NewAssigner(7, "n0", "a", settings, fixture.now)
 	for i := range size {
-		b.assigner.AddMachine(fmt.Sprintf("host-%d", i), zones[i%3])
+		fixture.assigner.AddMachine(fmt.Sprintf("host-%d", i), zones[i%3])
 	}
-	return b
+	return fixture
 }
 
-// startMember starts a member's process, or starts it anew.
-func (b *assignerFixture) startMember(name, zone string) {
-	b.lastIncarnation++
-	b.holders[name], b.stopped[name] = NewHolder(name, zone, b.lastIncarnation), false // a new process
+// startMember starts or restarts a member's process.
+func (f *assignerFixture) startMember(name, zone string) {
+	f.lastIncarnation++
+	f.holders[name], f.stopped[name] = NewHolder(name, zone, f.lastIncarnation), false
 }
 
-// simulateStep simulates 200 ms: each member makes a request, and the worker of each
-// tenth machine reports to its holder or to the leader.
-func (b *assignerFixture) simulateStep(n int) {
-	b.now = b.now.Add(200 * time.Millisecond)
-	b.seq++
-	b.assigner.Step(b.now)
+// simulateStep simulates 200 ms: each running member makes a request, and the workers of a
+// tenth of the machines, selected by the step number, send a heartbeat to their holder or
+// to the leader.
+func (f *assignerFixture) simulateStep(step int) {
+	f.now = f.now.Add(200 * time.Millisecond)
+	f.seq++
+	f.assigner.Step(f.now)
 	for _, name := range []string{"n1", "n2"} {
-		h := b.holders[name]
-		if h == nil || b.stopped[name] {
+		holder := f.holders[name]
+		if holder == nil || f.stopped[name] {
 			continue
 		}
-		if _, ok := b.assigner.HandleRequest(h.Request(500, 10, false, b.now), b.now); ok {
-			h.HandleReply(b.assigner.Reply(name, b.now), b.now)
+		if _, ok := f.assigner.HandleRequest(holder.Request(500, 10, false, f.now), f.now); ok {
+			holder.HandleReply(f.assigner.Reply(name, f.now), f.now)
 		} else {
-			h.RequestFailed()
+			holder.RequestFailed()
 		}
 	}
-	for i := n % 10; i < b.machineCount; i += 10 {
+	for i := step % 10; i < f.machineCount; i += 10 {
 		name := fmt.Sprintf("host-%d", i)
-		m := &wire.Heartbeat{Machine: name, Session: 1, Seq: b.seq}
+		heartbeat := &wire.Heartbeat{Machine: name, Session: 1, Seq: f.seq}
 		served := false
-		for member, h := range b.holders {
-			if _, v := h.HandleHeartbeat(m, []byte{1}, b.now); v >= Answered && !b.stopped[member] {
+		for member, holder := range f.holders {
+			if _, outcome := holder.HandleHeartbeat(heartbeat, []byte{1}, f.now); outcome >= Answered && !f.stopped[member] {
 				served = true
-				b.assigner.ConfirmContact(name)
+				f.assigner.ConfirmContact(name)
 			}
 		}
 		if !served {
-			if r, _ := b.assigner.RouteHeartbeat(name, zones[i%3], b.now); r == Serve {
-				b.assigner.HeartbeatServed(name, b.forwarder, b.now)
+			if route, _ := f.assigner.RouteHeartbeat(name, zones[i%3], f.now); route == Serve {
+				f.assigner.HeartbeatServed(name, f.forwarder, f.now)
 			}
 		}
 	}
 }
 
-// advance simulates the time d.
-func (b *assignerFixture) advance(d time.Duration) {
-	for n := range int(d / (200 * time.Millisecond)) {
-		b.simulateStep(n)
+// advance simulates the given duration.
+func (f *assignerFixture) advance(duration time.Duration) {
+	for step := range int(duration / (200 * time.Millisecond)) {
+		f.simulateStep(step)
 	}
 }
 
-// checkHeld checks how many machines each controller has, give or take a fifth.
-func (b *assignerFixture) checkHeld(want map[string]int) {
-	b.t.Helper()
-	got := b.assigner.HeldCounts()
-	for _, n := range []string{"n0", "n1", "n2"} {
-		if d := got[n] - want[n]; d*5 > want[n] || -d*5 > want[n] {
-			b.t.Errorf("%s has %d machines, want about %d", n, got[n], want[n])
+// checkHeld checks that each controller holds the wanted number of machines, with a
+// tolerance of one fifth.
+func (f *assignerFixture) checkHeld(want map[string]int) {
+	f.t.Helper()
+	got := f.assigner.HeldCounts()
+	for _, name := range []string{"n0", "n1", "n2"} {
+		if difference := got[name] - want[name]; difference*5 > want[name] || -difference*5 > want[name] {
+			f.t.Errorf("%s holds %d machines, want about %d", name, got[name], want[name])
 		}
 	}
 }
 
-// distributionCase is a case of TestShare.
+// distributionCase is a case of TestMachineDistribution.
 type distributionCase struct {
 	name string
 	edit func(*Settings)
-	do   func(b *assignerFixture)
+	do   func(fixture *assignerFixture)
 }
 
-// TestMachineDistribution: who holds how much, and how many machines move.
+// TestMachineDistribution checks how many machines each controller holds and how many
+// machines move when members join, leave or cannot be reached.
 func TestMachineDistribution(t *testing.T) {
 	tests := slices.Concat(balanceCases(), leaderCases(), moveCases())
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newAssignerFixture(t, max(600, 2000*strings.Count(tt.name, "2,000")), tt.edit)
-			b.startMember("n1", "b")
-			b.startMember("n2", "c")
-			b.advance(30 * time.Second)
-			tt.do(b)
+			fixture := newAssignerFixture(t, max(600, 2000*strings.Count(tt.name, "2,000")), tt.edit)
+			fixture.startMember("n1", "b")
+			fixture.startMember("n2", "c")
+			fixture.advance(30 * time.Second)
+			tt.do(fixture)
 		})
 	}
 }
 
-// balanceCases: how the machines are divided, and what moves when a holder goes and comes back.
+// balanceCases are the cases about the division of the machines, and about the moves after a
+// holder has stopped or restarted.
 func balanceCases() []distributionCase {
 	third := map[string]int{"n0": 200, "n1": 200, "n2": 200}
 	return []distributionCase{
-		{"three alike", nil, func(b *assignerFixture) { b.checkHeld(third) }},
-		{"a small fleet is not shared", func(s *Settings) { s.MinMachines = 601 }, func(b *assignerFixture) { b.checkHeld(map[string]int{"n0": 600}) }},
-		{"a silent holder's machines go to the others, and nothing else moves", nil, func(b *assignerFixture) {
-			before := b.assigner.Moves()
-			b.stopped["n2"] = true
-			b.advance(20 * time.Second)
-			b.checkHeld(map[string]int{"n0": 300, "n1": 300})
-			if n := b.assigner.Moves() - before; n > 2*220 {
-				b.t.Errorf("%d changes for some 200 machines, want at most two each", n)
+		{"three equal controllers hold a third each", nil, func(fixture *assignerFixture) { fixture.checkHeld(third) }},
+		{"the leader holds all machines of a fleet below MinMachines", func(s *Settings) { s.MinMachines = 601 }, func(fixture *assignerFixture) { fixture.checkHeld(map[string]int{"n0": 600}) }},
+		{"only the machines of a silent holder move, to the other controllers", nil, func(fixture *assignerFixture) {
+			before := fixture.assigner.Moves()
+			fixture.stopped["n2"] = true
+			fixture.advance(20 * time.Second)
+			fixture.checkHeld(map[string]int{"n0": 300, "n1": 300})
+			if n := fixture.assigner.Moves() - before; n > 2*220 {
+				fixture.t.Errorf("%d changes of holder for about 200 machines, want at most two per machine (440 in all)", n)
 			}
 		}},
-		{"one that comes back gets its share again, in steps", nil, func(b *assignerFixture) {
-			b.stopped["n2"] = true
-			b.advance(10 * time.Second)
-			b.startMember("n2", "c")
-			b.advance(500 * time.Millisecond)
-			if n := b.assigner.HeldCounts()["n2"]; n != 0 {
-				b.t.Errorf("%d machines before it has been there for long enough", n)
+		{"a restarted holder gets no machines before the join delay, and then its full share", nil, func(fixture *assignerFixture) {
+			fixture.stopped["n2"] = true
+			fixture.advance(10 * time.Second)
+			fixture.startMember("n2", "c")
+			fixture.advance(500 * time.Millisecond)
+			if n := fixture.assigner.HeldCounts()["n2"]; n != 0 {
+				fixture.t.Errorf("n2 holds %d machines 500 ms after its restart, want 0", n)
 			}
-			b.advance(30 * time.Second)
-			b.checkHeld(third)
+			fixture.advance(30 * time.Second)
+			fixture.checkHeld(third)
 		}},
-		{"one that flaps every ten seconds moves its share a few times", nil, func(b *assignerFixture) {
-			before := b.assigner.Moves()
+		{"a holder that restarts every ten seconds causes at most 4000 moves in two minutes", nil, func(fixture *assignerFixture) {
+			before := fixture.assigner.Moves()
 			for range 12 {
-				b.stopped["n2"] = true
-				b.advance(5 * time.Second)
-				b.startMember("n2", "c")
-				b.advance(5 * time.Second)
+				fixture.stopped["n2"] = true
+				fixture.advance(5 * time.Second)
+				fixture.startMember("n2", "c")
+				fixture.advance(5 * time.Second)
 			}
-			// It rests for 5, 10, 20, 40 s: it joins at most five times in two minutes. Its
-			// share moves there and back, by way of the leader and another.
-			if n := b.assigner.Moves() - before; n > 5*4*200 {
-				b.t.Errorf("%d changes of holder in two minutes", n)
+			// The rejoin delays are 5, 10, 20 and 40 s, so n2 joins at most five times in two
+			// minutes. Each time, its 200 machines change holders four times: from another holder
+			// to the leader and on to n2, and from n2 to the leader and on to another holder.
+			if n := fixture.assigner.Moves() - before; n > 5*4*200 {
+				fixture.t.Errorf("%d changes of holder in two minutes, want at most 4000", n)
 			}
 		}},
 	}
 }
 
-// leaderCases: a leader cut from its workers, and a new leader that hears of earlier holders.
+// leaderCases are the cases about a leader that is cut off from its workers, and about a new
+// leader to which members name the machines that they held.
 func leaderCases() []distributionCase {
 	third := map[string]int{"n0": 200, "n1": 200, "n2": 200}
 	return []distributionCase{
-		{"a leader cut from its workers gives their machines to who hands their reports on", nil, func(b *assignerFixture) {
-			b.forwarder = "n2"
-			b.advance(20 * time.Second)
-			b.checkHeld(map[string]int{"n0": 0, "n1": 200, "n2": 400})
-			b.forwarder = ""
-			b.advance(100 * time.Second)
-			b.checkHeld(third)
+		{"a leader cut off from its workers assigns their machines to the member that forwards their heartbeats", nil, func(fixture *assignerFixture) {
+			fixture.forwarder = "n2"
+			fixture.advance(20 * time.Second)
+			fixture.checkHeld(map[string]int{"n0": 0, "n1": 200, "n2": 400})
+			fixture.forwarder = ""
+			fixture.advance(100 * time.Second)
+			fixture.checkHeld(third)
 		}},
-		{"a new leader hears of two holders: each retains what it names first, and no machine has two", nil, func(b *assignerFixture) {
-			for _, h := range b.holders {
-				h.EndTerm()
-				h.previousMachines = append(h.previousMachines, "host-1", "host-2") // both say so
+		{"holders keep their machines under a new leader, and a machine that two holders name has at most one", nil, func(fixture *assignerFixture) {
+			for _, holder := range fixture.holders {
+				holder.EndTerm()
+				holder.previousMachines = append(holder.previousMachines, "host-1", "host-2") // both holders name them
 			}
-			b.assigner = NewAssigner(8, "n0", "a", b.assigner.settings, b.now)
-			for i := range b.machineCount {
-				b.assigner.AddMachine(fmt.Sprintf("host-%d", i), zones[i%3])
+			fixture.assigner = NewAssigner(8, "n0", "a", fixture.assigner.settings, fixture.now)
+			for i := range fixture.machineCount {
+				fixture.assigner.AddMachine(fmt.Sprintf("host-%d", i), zones[i%3])
 			}
-			before := b.assigner.Moves()
-			b.advance(10 * time.Second)
-			b.checkHeld(third)
-			if n := b.assigner.Moves() - before; n > 460 {
-				b.t.Errorf("%d changes, though some 400 machines stay where they are", n)
+			before := fixture.assigner.Moves()
+			fixture.advance(10 * time.Second)
+			fixture.checkHeld(third)
+			if n := fixture.assigner.Moves() - before; n > 460 {
+				fixture.t.Errorf("%d changes of holder, want at most 460: about 400 machines keep their holder", n)
 			}
 			for _, name := range []string{"host-1", "host-2"} {
-				n := 0
-				for _, h := range b.holders {
-					if k := h.machines[name]; k != nil && !k.dropped {
-						n++
+				holders := 0
+				for _, holder := range fixture.holders {
+					if machine := holder.machines[name]; machine != nil && !machine.dropped {
+						holders++
 					}
 				}
-				if n > 1 {
-					b.t.Errorf("%s has %d holders", name, n)
+				if holders > 1 {
+					fixture.t.Errorf("%s has %d holders, want at most 1", name, holders)
 				}
 			}
 		}},
 	}
 }
 
-// moveCases: the pace of moves, and workers that do not reach their holder.
+// moveCases are the cases about the rate of moves, and about workers that cannot reach their
+// holder.
 func moveCases() []distributionCase {
 	return []distributionCase{
-		{"2,000 machines whose only holder ends turn at the pace of the workers and the settings", func(s *Settings) { s.MovesPerSecond = 40 }, func(b *assignerFixture) {
-			b.stopped["n1"] = true
-			b.advance(30 * time.Second) // the other has joined late, and has all but the leader's
-			b.stopped["n2"] = true
-			b.advance(3 * time.Second)
-			n := b.assigner.HeldCounts()["n0"]
-			b.startMember("n1", "b")
-			b.advance(4 * time.Second)
-			if got := n - b.assigner.HeldCounts()["n0"]; n != b.machineCount || got > 40*4 {
-				b.t.Errorf("the leader has %d of %d, and %d of them turned in 3 s", n, b.machineCount, got)
+		{"2,000 machines return to the leader when their last holder stops, and move to a restarted one within the rate limit", func(s *Settings) { s.MovesPerSecond = 40 }, func(fixture *assignerFixture) {
+			fixture.stopped["n1"] = true
+			fixture.advance(30 * time.Second) // n2 then holds all machines but the leader's
+			fixture.stopped["n2"] = true
+			fixture.advance(3 * time.Second)
+			leaderHeld := fixture.assigner.HeldCounts()["n0"]
+			fixture.startMember("n1", "b")
+			fixture.advance(4 * time.Second)
+			if moved := leaderHeld - fixture.assigner.HeldCounts()["n0"]; leaderHeld != fixture.machineCount || moved > 40*4 {
+				fixture.t.Errorf("the leader held %d of %d machines, want all; %d of them moved in 4 s, want at most 160", leaderHeld, fixture.machineCount, moved)
 			}
 		}},
-		{"workers that do not reach their holder take it out", nil, func(b *assignerFixture) {
-			b.stopped["n2"] = true // it goes on asking, but no worker reaches it
-			for n := range 40 {
-				b.simulateStep(n)
-				if h := b.holders["n2"]; h != nil {
-					if _, ok := b.assigner.HandleRequest(h.Request(500, 10, false, b.now), b.now); ok {
-						h.HandleReply(b.assigner.Reply("n2", b.now), b.now)
+		{"a holder that its workers cannot reach has to return its machines", nil, func(fixture *assignerFixture) {
+			fixture.stopped["n2"] = true // no worker reaches n2; the loop below still makes its requests
+			for step := range 40 {
+				fixture.simulateStep(step)
+				if holder := fixture.holders["n2"]; holder != nil {
+					if _, ok := fixture.assigner.HandleRequest(holder.Request(500, 10, false, fixture.now), fixture.now); ok {
+						holder.HandleReply(fixture.assigner.Reply("n2", fixture.now), fixture.now)
 					}
 				}
 			}
-			if n := b.assigner.HeldCounts()["n2"]; n > 20 {
-				b.t.Errorf("%d machines are still with a holder that is not reached", n)
+			if n := fixture.assigner.HeldCounts()["n2"]; n > 20 {
+				fixture.t.Errorf("n2, which no worker reaches, still holds %d machines, want at most 20", n)
 			}
 		}},
 	}
 }
 
-// TestRetain: a machine that the leader retains comes back from its holder, and goes to nobody,
-// neither by its ranking nor because a member had it before, until it is released.
+// TestRetain checks that a retained machine returns to the leader and is assigned to no
+// member until Release, neither by its ranking nor because a member held it before.
 func TestRetain(t *testing.T) {
-	b := newAssignerFixture(t, 30, nil)
-	b.startMember("n1", "b")
-	b.advance(5 * time.Second)
-	kept := ""
-	for i := range b.machineCount {
-		if by, _ := b.assigner.Holder(fmt.Sprintf("host-%d", i)); by == "n1" {
-			kept = fmt.Sprintf("host-%d", i)
+	fixture := newAssignerFixture(t, 30, nil)
+	fixture.startMember("n1", "b")
+	fixture.advance(5 * time.Second)
+	retained := ""
+	for i := range fixture.machineCount {
+		if member, _ := fixture.assigner.Holder(fmt.Sprintf("host-%d", i)); member == "n1" {
+			retained = fmt.Sprintf("host-%d", i)
 		}
 	}
-	b.assigner.Retain(kept, "a test", b.now)
-	b.advance(b.assigner.RevocationTime())
-	holder := func(when, want string) {
+	fixture.assigner.Retain(retained, "a test", fixture.now)
+	fixture.advance(fixture.assigner.RevocationTime())
+	checkHolder := func(when, want string) {
 		t.Helper()
-		if by, _ := b.assigner.Holder(kept); by != want {
-			t.Errorf("%s: %q has it, want %q", when, by, want)
+		if member, _ := fixture.assigner.Holder(retained); member != want {
+			t.Errorf("%s: the holder is %q, want %q", when, member, want)
 		}
 	}
-	holder("kept", "")
-	b.advance(20 * time.Second)
-	holder("20 s later", "")
-	offer := func(member string) {
-		b.startMember(member, "b")
-		r := b.holders[member].Request(500, 10, false, b.now)
-		r.PreviousMachines = []string{kept}
-		b.assigner.HandleRequest(r, b.now)
+	checkHolder("after the revocation time", "")
+	fixture.advance(20 * time.Second)
+	checkHolder("20 s later", "")
+	requestWithMachine := func(member string) {
+		fixture.startMember(member, "b")
+		request := fixture.holders[member].Request(500, 10, false, fixture.now)
+		request.PreviousMachines = []string{retained}
+		fixture.assigner.HandleRequest(request, fixture.now)
 	}
-	offer("n2")
-	holder("offered by a member that had it", "")
-	b.assigner.Release(kept)
-	offer("n3")
-	holder("released, and offered once more", "n3")
+	requestWithMachine("n2")
+	checkHolder("after a request of a member that held it before", "")
+	fixture.assigner.Release(retained)
+	requestWithMachine("n3")
+	checkHolder("after its release and another such request", "n3")
 }
