--- a/internal/shard/explore_test.go
+++ b/internal/shard/explore_test.go
@@ -14,7 +14,7 @@
 // actions are the steps of the explorer, for each holder or each machine.
 var actions = []explorer.Action[*world]{
 	{Name: "tick", Do: func(w *world, _ int) bool {
-		w.now = w.now.Add(tick)
+		w.now = w.now.Add(waitInterval)
 		if w.entitled() {
 			w.recordRevocations(w.leader.Step(w.now))
 		}
@@ -115,7 +115,7 @@
 func (w *world) Violation() string {
 	if w.disabled == silentHolderUntilGrantEnds {
 		for _, m := range w.leader.members {
-			if len(m.machines) > 0 && w.now.Sub(m.lastRequestAt) >= tick {
+			if len(m.machines) > 0 && w.now.Sub(m.lastRequestAt) >= waitInterval {
 				w.recordRevocations(w.leader.revokeAll(m, w.now, "", w.now))
 			}
 		}
@@ -150,7 +150,7 @@
 
 // Fingerprint describes the state: times are relative to now, and those long past are equal.
 func (w *world) Fingerprint() string {
-	p := &explorer.Printer{Now: w.now, MaxAge: 4 * tick}
+	p := &explorer.Printer{Now: w.now, MaxAge: 4 * waitInterval}
 	a := w.leader
 	p.Values(a.term, w.deposed)
 	p.Times(w.entitledUntil)
--- a/internal/shard/explore_world_test.go
+++ b/internal/shard/explore_world_test.go
@@ -25,7 +25,7 @@
 )
 
 const (
-	tick                = 700 * time.Millisecond
+	waitInterval        = 700 * time.Millisecond
 	grantDuration       = 1500 * time.Millisecond
 	entitlementDuration = 2200 * time.Millisecond
 )
@@ -70,8 +70,8 @@
 func (w *world) beginTerm(term uint64) {
 	settings := Settings{
 		GrantDuration:  grantDuration,
-		RejoinDelay:    tick,
-		MaxRejoinDelay: 2 * tick,
+		RejoinDelay:    waitInterval,
+		MaxRejoinDelay: 2 * waitInterval,
 		MovesPerSecond: 1000,
 		LeaderWeight:   0.01,
 		LeaderCapacity: 2,
