--- a/internal/shard/explore_test.go
+++ b/internal/shard/explore_test.go
@@ -11,98 +11,102 @@
 	"vetchstream/internal/wire"
 )
 
-// actions are the steps of the explorer, for each holder or each machine.
+// actions are the steps of the explorer. Each is taken for a holder, a machine or the leader.
 var actions = []explorer.Action[*world]{
-	{Name: "tick", Do: func(w *world, _ int) bool {
+	{Name: "wait interval", Do: func(w *world, _ int) bool {
 		w.now = w.now.Add(waitInterval)
 		if w.entitled() {
 			w.recordRevocations(w.leader.Step(w.now))
 		}
 		return true
 	}, Count: 1},
-	{Name: "ask", Do: func(w *world, i int) bool {
-		s := &w.holders[i]
-		if s.requestInFlight != nil || s.replyInFlight != nil {
+	{Name: "send request", Do: func(w *world, i int) bool {
+		process := &w.holders[i]
+		if process.requestInFlight != nil || process.replyInFlight != nil {
 			return false
 		}
-		if w.leader.term > s.holder.Term() {
-			s.holder.EndTerm()
+		if w.leader.term > process.holder.Term() {
+			process.holder.EndTerm()
 		}
-		s.sent, s.requestInFlight = w.now, s.holder.Request(2, 1, false, w.now)
+		process.sent, process.requestInFlight = w.now, process.holder.Request(2, 1, false, w.now)
 		return true
 	}, Count: 2},
-	{Name: "arrive", Do: func(w *world, i int) bool {
-		s := &w.holders[i]
-		if s.requestInFlight == nil {
+	{Name: "deliver request", Do: func(w *world, i int) bool {
+		process := &w.holders[i]
+		if process.requestInFlight == nil {
 			return false
 		}
-		s.replyInFlight, s.requestInFlight = w.handleRequest(s.requestInFlight), nil
+		process.replyInFlight, process.requestInFlight = w.handleRequest(process.requestInFlight), nil
 		return true
 	}, Count: 2},
-	{Name: "grant", Do: func(w *world, i int) bool {
-		s := &w.holders[i]
-		if s.replyInFlight == nil {
+	{Name: "deliver reply", Do: func(w *world, i int) bool {
+		process := &w.holders[i]
+		if process.replyInFlight == nil {
 			return false
 		}
-		sent := s.sent
+		sent := process.sent
 		if w.disabled == grantFromRequest {
 			sent = w.now
 		}
-		s.holder.HandleReply(s.replyInFlight, sent)
-		s.replyInFlight = nil
+		process.holder.HandleReply(process.replyInFlight, sent)
+		process.replyInFlight = nil
 		return true
 	}, Count: 2},
-	{Name: "lose", Do: func(w *world, i int) bool {
-		s := &w.holders[i]
-		if s.requestInFlight == nil && s.replyInFlight == nil {
+	{Name: "lose message", Do: func(w *world, i int) bool {
+		process := &w.holders[i]
+		if process.requestInFlight == nil && process.replyInFlight == nil {
 			return false
 		}
-		if s.requestInFlight != nil {
-			s.lateRequest = s.requestInFlight
+		if process.requestInFlight != nil {
+			process.lateRequest = process.requestInFlight
 		}
-		s.requestInFlight, s.replyInFlight = nil, nil
-		s.holder.RequestFailed()
+		process.requestInFlight, process.replyInFlight = nil, nil
+		process.holder.RequestFailed()
 		return true
 	}, Count: 2},
-	{Name: "late", Do: func(w *world, i int) bool {
-		s := &w.holders[i]
-		if s.lateRequest == nil {
+	{Name: "deliver late request", Do: func(w *world, i int) bool {
+		process := &w.holders[i]
+		if process.lateRequest == nil {
 			return false
 		}
-		w.handleRequest(s.lateRequest) // nobody waits for the reply
-		s.lateRequest = nil
+		w.handleRequest(process.lateRequest) // the holder has abandoned the request and ignores the reply
+		process.lateRequest = nil
 		return true
 	}, Count: 2},
-	{Name: "end", Do: func(w *world, i int) bool { w.startHolder(i); return true }, Count: 1},
-	{Name: "report", Do: func(w *world, k int) bool {
+	{Name: "restart holder", Do: func(w *world, i int) bool { w.startHolder(i); return true }, Count: 1},
+	{Name: "heartbeat to leader", Do: func(w *world, machine int) bool {
 		if w.entitled() {
-			if r, _ := w.leader.RouteHeartbeat(w.names[k], "", w.now); r == Serve {
-				w.leader.HeartbeatServed(w.names[k], "", w.now)
+			if route, _ := w.leader.RouteHeartbeat(w.names[machine], "", w.now); route == Serve {
+				w.leader.HeartbeatServed(w.names[machine], "", w.now)
 			}
 		}
 		return true
 	}, Count: 2},
-	{Name: "checkin", Do: func(w *world, k int) bool {
-		// The worker reports to whoever answers it.
+	{Name: "heartbeat to holder", Do: func(w *world, machine int) bool {
+		// The worker tries the holders in order until one answers.
 		for i := range w.holders {
-			w.seq[k]++
-			m := &wire.Heartbeat{Machine: w.names[k], Session: 1, Seq: w.seq[k]}
-			if _, v := w.holders[i].holder.HandleHeartbeat(m, []byte{1}, w.now); v >= Answered {
-				w.lastAnswer[k] = w.now
+			w.seq[machine]++
+			heartbeat := &wire.Heartbeat{Machine: w.names[machine], Session: 1, Seq: w.seq[machine]}
+			if _, outcome := w.holders[i].holder.HandleHeartbeat(heartbeat, []byte{1}, w.now); outcome >= Answered {
+				w.lastAnswer[machine] = w.now
 				return true
 			}
 		}
 		return false
 	}, Count: 2},
-	{Name: "depose", Do: func(w *world, _ int) bool { was := w.deposed; w.deposed = true; return !was && w.leader.term == 1 }, Count: 1},
-	{Name: "succeed", Do: func(w *world, _ int) bool {
+	{Name: "depose leader", Do: func(w *world, _ int) bool {
+		deposedBefore := w.deposed
+		w.deposed = true
+		return !deposedBefore && w.leader.term == 1
+	}, Count: 1},
+	{Name: "new leader", Do: func(w *world, _ int) bool {
 		if !w.deposed || (w.entitled() && w.disabled != leaderAfterEntitlement) {
 			return false
 		}
 		w.beginTerm(w.leader.term + 1)
 		return true
 	}, Count: 1},
-	{Name: "renew", Do: func(w *world, _ int) bool {
+	{Name: "renew entitlement", Do: func(w *world, _ int) bool {
 		if w.deposed || !w.entitled() {
 			return false
 		}
@@ -111,138 +115,143 @@
 	}, Count: 1},
 }
 
-// Violation checks what must hold in every state, and returns the fault.
+// Violation checks the invariants of a state and describes one that is violated; empty if all
+// hold.
 func (w *world) Violation() string {
 	if w.disabled == silentHolderUntilGrantEnds {
-		for _, m := range w.leader.members {
-			if len(m.machines) > 0 && w.now.Sub(m.lastRequestAt) >= waitInterval {
-				w.recordRevocations(w.leader.revokeAll(m, w.now, "", w.now))
+		for _, member := range w.leader.members {
+			if len(member.machines) > 0 && w.now.Sub(member.lastRequestAt) >= waitInterval {
+				w.recordRevocations(w.leader.revokeAll(member, w.now, "", w.now))
 			}
 		}
 	}
 	for k, name := range w.names {
-		n := 0
-		if h, _ := w.leader.Holder(name); h == "" && w.entitled() {
-			n++
+		valid := 0
+		if member, _ := w.leader.Holder(name); member == "" && w.entitled() {
+			valid++
 		}
 		for i := range w.holders {
-			h := w.holders[i].holder
-			if e := h.machines[name]; e == nil || e.dropped || !h.GrantValid(h.Term(), w.now) {
+			holder := w.holders[i].holder
+			if machine := holder.machines[name]; machine == nil || machine.dropped || !holder.GrantValid(holder.Term(), w.now) {
 				continue
 			}
-			n++
-			if !w.now.Before(w.entitlementEnds[h.Term()]) {
-				w.violation = fmt.Sprintf("h%d answers %s outside the entitlement of term %d", i, name, h.Term())
+			valid++
+			if !w.now.Before(w.entitlementEnds[holder.Term()]) {
+				w.violation = fmt.Sprintf("h%d may answer %s after the entitlement of the leader of term %d has ended", i, name, holder.Term())
 			}
 		}
-		if n > 1 {
+		if valid > 1 {
 			w.violation = name + " has two valid holders"
 		}
-		if h, _ := w.leader.Holder(name); h != "" && w.entitled() && w.lastAnswer[k].Before(w.leader.KnownUntil(h)) && w.lastAnswer[k].Sub(w.assumedAnswer[k]) > time.Millisecond && w.lastAnswer[k].After(w.termStart()) {
-			w.violation = fmt.Sprintf("%s was answered at %v, told up to %v, known %v", name, w.rel(w.lastAnswer[k]), w.rel(w.leader.KnownUntil(h)), w.rel(w.assumedAnswer[k]))
+		if member, _ := w.leader.Holder(name); member != "" && w.entitled() && w.lastAnswer[k].Before(w.leader.KnownUntil(member)) && w.lastAnswer[k].Sub(w.assumedAnswer[k]) > time.Millisecond && w.lastAnswer[k].After(w.termStart()) {
+			w.violation = fmt.Sprintf("a holder answered %s at %v, but the leader, which knows all answers up to %v, knows none after %v (all relative to now)", name, w.rel(w.lastAnswer[k]), w.rel(w.leader.KnownUntil(member)), w.rel(w.assumedAnswer[k]))
 		}
 	}
 	return w.violation
 }
 
-// termStart is when the current term began.
+// termStart returns the end of the previous leader's entitlement. The current term begins then
+// or later.
 func (w *world) termStart() time.Time { return w.entitlementEnds[w.leader.term-1] }
 
-// Fingerprint describes the state: times are relative to now, and those long past are equal.
+// Fingerprint identifies the state. It has times relative to now, and one value for all times
+// that are long past.
 func (w *world) Fingerprint() string {
-	p := &explorer.Printer{Now: w.now, MaxAge: 4 * waitInterval}
-	a := w.leader
-	p.Values(a.term, w.deposed)
-	p.Times(w.entitledUntil)
-	for k, n := range w.names {
-		mc := a.machines[n]
-		h, _ := a.Holder(n)
-		p.Values(h, mc.phase, !mc.redirectedAt.IsZero())
-		if h != "" {
-			p.Values(int64(mc.announcedIn) - int64(mc.holder.ackedReply))
+	printer := &explorer.Printer{Now: w.now, MaxAge: 4 * waitInterval}
+	leader := w.leader
+	printer.Values(leader.term, w.deposed)
+	printer.Times(w.entitledUntil)
+	for i, name := range w.names {
+		machine := leader.machines[name]
+		holder, _ := leader.Holder(name)
+		printer.Values(holder, machine.phase, !machine.redirectedAt.IsZero())
+		if holder != "" {
+			printer.Values(int64(machine.announcedIn) - int64(machine.holder.ackedReply))
 		}
-		p.Times(w.lastAnswer[k], w.assumedAnswer[k])
+		printer.Times(w.lastAnswer[i], w.assumedAnswer[i])
 	}
 	for i := range w.holders {
-		s := &w.holders[i]
-		p.Values("|", s.requestInFlight != nil, s.replyInFlight != nil, s.lateRequest != nil, s.holder.Term(), len(s.holder.previousMachines))
-		p.Times(s.holder.grantUntil)
-		if s.requestInFlight != nil || s.replyInFlight != nil {
-			p.Times(s.sent)
+		process := &w.holders[i]
+		printer.Values("|", process.requestInFlight != nil, process.replyInFlight != nil, process.lateRequest != nil, process.holder.Term(), len(process.holder.previousMachines))
+		printer.Times(process.holder.grantUntil)
+		if process.requestInFlight != nil || process.replyInFlight != nil {
+			printer.Times(process.sent)
 		}
-		if s.replyInFlight != nil {
-			p.Values(s.replyInFlight.GrantMs, s.replyInFlight.Add, s.replyInFlight.Drop, s.replyInFlight.Reset, s.replyInFlight.Term)
+		if process.replyInFlight != nil {
+			printer.Values(process.replyInFlight.GrantMs, process.replyInFlight.Add, process.replyInFlight.Drop, process.replyInFlight.Reset, process.replyInFlight.Term)
 		}
-		for _, n := range w.names {
-			if k := s.holder.machines[n]; k != nil {
-				p.Values(n, k.dropped, k.lastHeartbeat-k.acknowledgedHeartbeat)
+		for _, name := range w.names {
+			if machine := process.holder.machines[name]; machine != nil {
+				printer.Values(name, machine.dropped, machine.lastHeartbeat-machine.acknowledgedHeartbeat)
 			}
 		}
-		if m := a.members[fmt.Sprintf("h%d", i)]; m != nil {
-			p.Values(m.joined, m.leavingReason, m.needsReset, m.lastReply-m.ackedReply, m.incarnation == s.incarnation, int64(s.holder.lastReply)-int64(m.ackedReply))
-			p.Times(m.grantUntil, m.lastRequestAt, m.ackedAt, m.knownUntil, m.noJoinBefore)
+		if member := leader.members[fmt.Sprintf("h%d", i)]; member != nil {
+			printer.Values(member.joined, member.leavingReason, member.needsReset, member.lastReply-member.ackedReply, member.incarnation == process.incarnation, int64(process.holder.lastReply)-int64(member.ackedReply))
+			printer.Times(member.grantUntil, member.lastRequestAt, member.ackedAt, member.knownUntil, member.noJoinBefore)
 		}
 	}
-	return p.String()
+	return printer.String()
 }
 
-// runWithoutFaults continues without faults: every machine has to be served in the end.
+// runWithoutFaults continues a world without faults and checks that in the end a leader or a
+// holder serves every machine. It describes what is missing; empty if nothing is.
 func runWithoutFaults(g *explorer.Explorer[*world], w *world) string {
 	for range 14 {
-		g.Do(w, "tick", 0)
-		g.Do(w, "renew", 0)
+		g.Do(w, "wait interval", 0)
+		g.Do(w, "renew entitlement", 0)
 		if !w.entitled() {
-			g.Do(w, "depose", 0)
-			g.Do(w, "succeed", 0)
+			g.Do(w, "depose leader", 0)
+			g.Do(w, "new leader", 0)
 		}
 		for i := range 2 {
-			for _, name := range []string{"grant", "arrive", "grant", "ask", "arrive", "grant"} {
+			for _, name := range []string{"deliver reply", "deliver request", "deliver reply", "send request", "deliver request", "deliver reply"} {
 				g.Do(w, name, i)
 			}
-			if h, _ := w.leader.Holder(w.names[i]); h == "" {
-				g.Do(w, "report", i) // the worker has nowhere else to go
+			if holder, _ := w.leader.Holder(w.names[i]); holder == "" {
+				g.Do(w, "heartbeat to leader", i) // no holder answers the worker
 			}
-			g.Do(w, "checkin", i)
-			if why := w.Violation(); why != "" {
-				return why
+			g.Do(w, "heartbeat to holder", i)
+			if violation := w.Violation(); violation != "" {
+				return violation
 			}
 		}
 	}
 	for _, name := range w.names {
-		h, _ := w.leader.Holder(name)
-		if h == "" {
+		holder, _ := w.leader.Holder(name)
+		if holder == "" {
 			continue
 		}
-		s := &w.holders[h[1]-'0']
-		if k := s.holder.machines[name]; k == nil || k.dropped || !s.holder.GrantValid(w.leader.term, w.now) {
-			return name + " is not served again"
+		process := &w.holders[holder[1]-'0']
+		if machine := process.holder.machines[name]; machine == nil || machine.dropped || !process.holder.GrantValid(w.leader.term, w.now) {
+			return name + " is assigned to a holder that does not serve it"
 		}
 	}
 	if !w.entitled() {
-		return "nobody leads"
+		return "no leader is entitled"
 	}
 	return ""
 }
 
-// maxStates is how many states a case explores from each start. 200,000 states found
-// nothing more, and take long with the race detector.
-var maxStates = flag.Int("states", 9000, "states that TestExplore looks at")
+// maxStates is the number of states that a case explores from each start. Exploring 200,000
+// states finds no further faults and takes long with the race detector.
+var maxStates = flag.Int("states", 9000, "number of states that each case of TestExplore explores from each start")
 
-// TestExplore: never two valid holders of a machine, no answer outside the leader's
-// entitlement, no answer that the leader does not allow for, and every machine served
-// again. With a guard disabled the explorer finds the fault that it prevents.
+// TestExplore checks that a machine never has two valid holders, that no holder answers a
+// machine after the leader's entitlement has ended, that the leader accounts for all answers
+// of holders, and that every machine is served again once faults stop. With a guard
+// disabled, the explorer must find the fault that the guard prevents.
 func TestExplore(t *testing.T) {
 	tests := []struct {
 		name     string
 		disabled guard
 	}{
-		{"as it is", noGuard},
-		{"a grant counted from its answer", grantFromRequest},
-		{"a grant beyond the entitlement", grantWithinEntitlement},
-		{"a change that was sent but not taken in", confirmedByHolder},
-		{"a silent holder's machines taken at once", silentHolderUntilGrantEnds},
-		{"a leader that begins too early", leaderAfterEntitlement},
-		{"a holder that does not tell what it answered", reportsBeforeRevocation},
+		{"all guards enabled: no invariant is violated", noGuard},
+		{"fault found: the duration of a grant counts from the reply", grantFromRequest},
+		{"fault found: a grant ends after the leader's entitlement", grantWithinEntitlement},
+		{"fault found: a change takes effect when it is sent, before the holder confirms it", confirmedByHolder},
+		{"fault found: a silent holder loses its machines before its grant ends", silentHolderUntilGrantEnds},
+		{"fault found: a new leader starts before the entitlement of its predecessor ends", leaderAfterEntitlement},
+		{"fault found: a holder does not report the heartbeats that it answered", reportsBeforeRevocation},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -251,19 +260,19 @@
 			if tt.disabled == noGuard {
 				g.SettleInterval, g.Settle = 37, func(w *world) string { return runWithoutFaults(g, w) }
 			} else {
-				// One holder and one machine are enough, and go deeper.
+				// One holder and one machine suffice, and the exploration goes deeper with them.
 				holders = 1
 				g.Actions = slices.Clone(actions)
 				for a := range g.Actions {
 					g.Actions[a].Count = 1
 				}
 			}
-			// The holders have joined; one has a machine, then none has.
-			joined := g.Steps(holders, "ask", "arrive", "grant")
-			states, broken := g.ExploreFrom(slices.Concat(joined, g.Steps(1, "tick"), joined, g.Steps(1, "report"), joined, joined), joined)
-			t.Logf("%d states: %s", states, broken)
-			if (broken != "") != (tt.disabled != noGuard) {
-				t.Errorf("after %d states: %q", states, broken)
+			// All holders have joined in both starts. In the first, one also holds a machine.
+			joined := g.Steps(holders, "send request", "deliver request", "deliver reply")
+			states, violation := g.ExploreFrom(slices.Concat(joined, g.Steps(1, "wait interval"), joined, g.Steps(1, "heartbeat to leader"), joined, joined), joined)
+			t.Logf("explored %d states, violation: %q", states, violation)
+			if (violation != "") != (tt.disabled != noGuard) {
+				t.Errorf("explored %d states, found violation %q, want one exactly if a guard is disabled", states, violation)
 			}
 		})
 	}
--- a/internal/shard/explore_world_test.go
+++ b/internal/shard/explore_world_test.go
@@ -6,22 +6,23 @@
 	"time"
 )
 
-// The explorer tries every order of a few steps of two leaders, two holders and two
-// machines, with messages that are late or lost, and processes that end.
+// The explorer combines steps of successive leaders, two holders and two machines, with
+// delayed and lost messages and with restarts of holders, and looks for states that violate
+// an invariant.
 
-// guard is a rule that a world can disable, to check that the explorer finds the fault
-// that the rule prevents.
+// guard is a rule of the system. A world can disable one, to check that the explorer finds
+// the fault that the rule prevents.
 type guard uint8
 
 const (
 	noGuard                    guard = iota
-	grantFromRequest                 // a grant is counted from before the request, not from its answer
+	grantFromRequest                 // the duration of a grant counts from when its request was sent, not from the reply
 	grantWithinEntitlement           // a grant ends no later than the leader's entitlement
-	newestRequestOnly                // a request that is not the newest is refused
-	confirmedByHolder                // a change counts once the holder has confirmed it, not once it was sent
-	silentHolderUntilGrantEnds       // a silent holder retains its machines until its grant has ended
-	leaderAfterEntitlement           // a leader begins once the one before is no longer entitled
-	reportsBeforeRevocation          // a holder reports what it answered before it stopped
+	newestRequestOnly                // the leader refuses a request that is not the member's newest
+	confirmedByHolder                // a change of a shard takes effect when the holder confirms it, not when the leader sends it
+	silentHolderUntilGrantEnds       // a silent holder keeps its machines until its grant ends
+	leaderAfterEntitlement           // a new leader starts after the entitlement of its predecessor has ended
+	reportsBeforeRevocation          // a holder reports all heartbeats that it answered before a revocation is complete
 )
 
 const (
@@ -30,30 +31,30 @@
 	entitlementDuration = 2200 * time.Millisecond
 )
 
-// holderProcess is a holder with its connection to the leader: one message is in flight
-// at a time, and one that was given up may come late.
+// holderProcess is a holder with its connection to the leader. At most one message is in
+// flight. An abandoned request may still arrive late.
 type holderProcess struct {
 	holder          *Holder
 	incarnation     uint64
-	sent            time.Time
+	sent            time.Time // when the last request was sent
 	requestInFlight *Request
 	replyInFlight   *Reply
 	lateRequest     *Request
 }
 
-// world is two leaders, one after the other, with two holders and two machines.
+// world is a cluster with successive leaders, two holders and two machines.
 type world struct {
 	disabled        guard
 	now             time.Time
 	leader          *Assigner
-	entitledUntil   time.Time // when the leader's entitlement ends
-	deposed         bool
-	entitlementEnds map[uint64]time.Time // of the entitlement, by term
+	entitledUntil   time.Time            // when the leader's entitlement ends
+	deposed         bool                 // the leader cannot renew its entitlement
+	entitlementEnds map[uint64]time.Time // ends of the leaders' entitlements, by term
 	holders         [2]holderProcess
 	names           [2]string
 	seq             [2]uint64
-	lastAnswer      [2]time.Time // the last answer of a holder
-	assumedAnswer   [2]time.Time // the last answer that the leader knows of, or assumes
+	lastAnswer      [2]time.Time // when a holder last answered each machine
+	assumedAnswer   [2]time.Time // the latest answer to each machine that the leader knows or assumes
 	violation       string
 }
 
@@ -66,7 +67,7 @@
 	return w
 }
 
-// beginTerm begins a leader's term.
+// beginTerm starts the term of a new leader.
 func (w *world) beginTerm(term uint64) {
 	settings := Settings{
 		GrantDuration:  grantDuration,
@@ -77,10 +78,10 @@
 		LeaderCapacity: 2,
 	}
 	w.leader = NewAssigner(term, "lead", "", settings, w.now)
-	for _, n := range w.names {
-		w.leader.AddMachine(n, "")
+	for _, name := range w.names {
+		w.leader.AddMachine(name, "")
 	}
-	w.assumedAnswer = [2]time.Time{w.now, w.now} // a new leader counts from its own begin
+	w.assumedAnswer = [2]time.Time{w.now, w.now} // a new leader assumes answers up to the start of its term
 	w.deposed = false
 	w.renewEntitlement()
 }
@@ -94,62 +95,62 @@
 // entitled reports whether the leader may act.
 func (w *world) entitled() bool { return w.now.Before(w.entitledUntil) }
 
-// startHolder starts the process of a holder, or starts it anew.
+// startHolder starts or restarts the process of a holder.
 func (w *world) startHolder(i int) {
-	s := &w.holders[i]
-	s.incarnation++
-	if s.requestInFlight != nil {
-		s.lateRequest = s.requestInFlight
+	process := &w.holders[i]
+	process.incarnation++
+	if process.requestInFlight != nil {
+		process.lateRequest = process.requestInFlight
 	}
-	s.requestInFlight, s.replyInFlight = nil, nil
-	s.holder = NewHolder(fmt.Sprintf("h%d", i), "", s.incarnation)
+	process.requestInFlight, process.replyInFlight = nil, nil
+	process.holder = NewHolder(fmt.Sprintf("h%d", i), "", process.incarnation)
 }
 
-// recordRevocations notes the machines that the leader has revoked, and a fault if one was
-// answered later than it assumes.
+// recordRevocations records up to when the leader assumes answers to the machines that it has
+// revoked. It is a violation if a holder answered a machine later than that.
 func (w *world) recordRevocations(revocations []Revocation) {
-	for _, f := range revocations {
-		k := slices.Index(w.names[:], f.Name)
-		if f.Until.After(w.assumedAnswer[k]) {
-			w.assumedAnswer[k] = f.Until
+	for _, revocation := range revocations {
+		machine := slices.Index(w.names[:], revocation.Name)
+		if revocation.Until.After(w.assumedAnswer[machine]) {
+			w.assumedAnswer[machine] = revocation.Until
 		}
-		if w.lastAnswer[k].After(w.assumedAnswer[k]) {
-			w.violation = fmt.Sprintf("%s was answered at %v, and the leader counts from %v", f.Name, w.rel(w.lastAnswer[k]), w.rel(w.assumedAnswer[k]))
+		if w.lastAnswer[machine].After(w.assumedAnswer[machine]) {
+			w.violation = fmt.Sprintf("a holder answered %s at %v, but the leader assumes no answer after %v (both relative to now)", revocation.Name, w.rel(w.lastAnswer[machine]), w.rel(w.assumedAnswer[machine]))
 		}
 	}
 }
 
-// rel is a time relative to now.
+// rel returns a time relative to now.
 func (w *world) rel(t time.Time) time.Duration { return t.Sub(w.now) }
 
-// handleRequest has the leader handle a request, and returns its reply.
-func (w *world) handleRequest(r *Request) *Reply {
+// handleRequest makes the leader handle a request and returns its reply.
+func (w *world) handleRequest(request *Request) *Reply {
 	if !w.entitled() {
 		return &Reply{}
 	}
-	c := *r
-	if m := w.leader.members[c.Member]; w.disabled == confirmedByHolder && m != nil {
-		c.LastReply, c.Term = m.lastReply, w.leader.term
+	received := *request
+	if member := w.leader.members[received.Member]; w.disabled == confirmedByHolder && member != nil {
+		received.LastReply, received.Term = member.lastReply, w.leader.term
 	}
 	if w.disabled == reportsBeforeRevocation {
-		c.Reports = nil
+		received.Reports = nil
 	}
-	fs, ok := w.leader.HandleRequest(&c, w.now)
-	if ok && c.Term == w.leader.term {
-		for _, e := range c.Reports {
-			k := slices.Index(w.names[:], e.Machine)
-			if at := w.now.Add(-time.Duration(e.AgeMs) * time.Millisecond); at.After(w.assumedAnswer[k]) {
-				w.assumedAnswer[k] = at
+	revocations, ok := w.leader.HandleRequest(&received, w.now)
+	if ok && received.Term == w.leader.term {
+		for _, report := range received.Reports {
+			machine := slices.Index(w.names[:], report.Machine)
+			if at := w.now.Add(-time.Duration(report.AgeMs) * time.Millisecond); at.After(w.assumedAnswer[machine]) {
+				w.assumedAnswer[machine] = at
 			}
 		}
 	}
-	w.recordRevocations(fs)
+	w.recordRevocations(revocations)
 	if !ok {
 		return &Reply{}
 	}
-	p := w.leader.Reply(c.Member, w.now)
+	reply := w.leader.Reply(received.Member, w.now)
 	if w.disabled != grantWithinEntitlement {
-		p.GrantMs = min(p.GrantMs, w.entitledUntil.Sub(w.now).Milliseconds())
+		reply.GrantMs = min(reply.GrantMs, w.entitledUntil.Sub(w.now).Milliseconds())
 	}
-	return p
+	return reply
 }
