--- a/internal/shard/assigner.go
+++ b/internal/shard/assigner.go
@@ -112,7 +112,7 @@
 	return time.Time{}
 }
 
-// AddMachine adds a machine that has not sent a heartbeat in this term.
+// AddMachine adds a machine that has not sent a heartbeat yet.
 func (a *Assigner) AddMachine(name, zone string) {
 	if a.machines[name] == nil {
 		a.machines[name] = &machineState{name: name, zone: zone}
