--- a/internal/dynconfig/change.go
+++ b/internal/dynconfig/change.go
@@ -75,60 +75,60 @@
 // Propose returns the update for a change, or why it is refused. The update takes effect
 // once it is stored and applied. Its records may be stored in several transactions, since
 // the teams do not depend on each other.
-func (h *Home) Propose(c *Change) (Update, *Refusal) {
-	u := Update{Head: h.head}
-	if c.Base != 0 && c.Base != h.head.Revision {
-		return u, refuse(http.StatusConflict, "base_revision", "revision %d is in the meantime the last", h.head.Revision)
+func (h *Home) Propose(change *Change) (Update, *Refusal) {
+	update := Update{Head: h.head}
+	if change.Base != 0 && change.Base != h.head.Revision {
+		return update, refuse(http.StatusConflict, "base_revision", "revision %d is in the meantime the last", h.head.Revision)
 	}
-	if len(c.Teams)+len(c.Remove) == 0 {
-		return u, refuse(http.StatusBadRequest, "teams", "nothing is changed")
+	if len(change.Teams)+len(change.Remove) == 0 {
+		return update, refuse(http.StatusBadRequest, "teams", "nothing is changed")
 	}
-	records, refusal := h.proposedRecords(c)
+	records, refusal := h.proposedRecords(change)
 	if refusal != nil {
-		return u, refusal
+		return update, refusal
 	}
 	if added := h.countNewTeams(records); len(h.teams)+added > MaxTeams {
-		return u, refuse(http.StatusUnprocessableEntity, "teams", "there would be more than %d teams", MaxTeams)
+		return update, refuse(http.StatusUnprocessableEntity, "teams", "there would be more than %d teams", MaxTeams)
 	}
-	u.Head.Revision++
-	for _, r := range records {
-		r.Revision = u.Head.Revision
-		if next := h.reconcile(r, &u.Head); next != nil {
-			r = next
+	update.Head.Revision++
+	for _, record := range records {
+		record.Revision = update.Head.Revision
+		if next := h.reconcile(record, &update.Head); next != nil {
+			record = next
 		}
-		u.Records = append(u.Records, r)
+		update.Records = append(update.Records, record)
 	}
-	return u, nil
+	return update, nil
 }
 
 // proposedRecords checks the teams of a change and returns their records, in its order.
-func (h *Home) proposedRecords(c *Change) ([]*TeamRecord, *Refusal) {
+func (h *Home) proposedRecords(change *Change) ([]*TeamRecord, *Refusal) {
 	var records []*TeamRecord
 	named := map[string]bool{}
-	for i := range c.Teams {
-		team := &c.Teams[i]
+	for i := range change.Teams {
+		team := &change.Teams[i]
 		field := fmt.Sprintf("teams[%d]", i)
 		if named[team.Name] {
 			return nil, refuse(http.StatusBadRequest, field+".name", "%q is named twice", team.Name)
 		}
 		named[team.Name] = true
-		r, refusal := h.changedRecord(team, field)
+		record, refusal := h.changedRecord(team, field)
 		if refusal != nil {
 			return nil, refusal
 		}
-		records = append(records, r)
+		records = append(records, record)
 	}
-	for i, name := range c.Remove {
+	for i, name := range change.Remove {
 		field := fmt.Sprintf("remove[%d]", i)
 		if named[name] {
 			return nil, refuse(http.StatusBadRequest, field, "%q is named twice", name)
 		}
 		named[name] = true
-		r, refusal := h.removedRecord(name, field)
+		record, refusal := h.removedRecord(name, field)
 		if refusal != nil {
 			return nil, refusal
 		}
-		records = append(records, r)
+		records = append(records, record)
 	}
 	return records, nil
 }
@@ -153,19 +153,19 @@
 
 // changedRecord checks a team's new configuration and returns its record; field is the
 // path of the team in the change.
-func (h *Home) changedRecord(c *TeamChange, field string) (*TeamRecord, *Refusal) {
-	r := h.baseRecord(c.Name)
-	r.Removed = false
-	r.Adopted = false
-	r.Limit = c.Limit.amount(Unlimited)
-	r.Shares = map[string]Share{}
+func (h *Home) changedRecord(change *TeamChange, field string) (*TeamRecord, *Refusal) {
+	record := h.baseRecord(change.Name)
+	record.Removed = false
+	record.Adopted = false
+	record.Limit = change.Limit.amount(Unlimited)
+	record.Shares = map[string]Share{}
 	sum := Amount{}
-	for _, region := range slices.Sorted(maps.Keys(c.Regions)) {
+	for _, region := range slices.Sorted(maps.Keys(change.Regions)) {
 		path := field + ".regions." + region
 		if !slices.Contains(h.regions, region) {
 			return nil, refuse(http.StatusUnprocessableEntity, path, "is no region; there are %s", strings.Join(h.regions, ", "))
 		}
-		quota := c.Regions[region]
+		quota := change.Regions[region]
 		share := Share{
 			Limit:     quota.Limit.amount(Unlimited),
 			Guarantee: quota.Guarantee.amount(0),
@@ -174,12 +174,12 @@
 			return nil, refuse(http.StatusUnprocessableEntity, path+".guarantee", "is above the region's part of the limit")
 		}
 		sum = sum.plus(share.Limit)
-		r.Shares[region] = share
+		record.Shares[region] = share
 	}
-	if !sum.within(r.Limit) {
-		return nil, refuse(http.StatusUnprocessableEntity, field+".regions", "the parts of the limit add up to %s, more than %s", sum, r.Limit)
+	if !sum.within(record.Limit) {
+		return nil, refuse(http.StatusUnprocessableEntity, field+".regions", "the parts of the limit add up to %s, more than %s", sum, record.Limit)
 	}
-	return r, nil
+	return record, nil
 }
 
 // removedRecord checks the removal of a team and returns its record; field is the path of
@@ -200,11 +200,11 @@
 	if !known {
 		return nil, refuse(http.StatusUnprocessableEntity, field, "%q is no team", name)
 	}
-	r := h.baseRecord(name)
+	record := h.baseRecord(name)
 	if h.teams[name] == nil {
 		// Its shares stay as they are until the last of its jobs is over.
-		r = h.recordFromReports(name)
+		record = h.recordFromReports(name)
 	}
-	r.Removed = true
-	return r, nil
+	record.Removed = true
+	return record, nil
 }
--- a/internal/dynconfig/history.go
+++ b/internal/dynconfig/history.go
@@ -48,20 +48,20 @@
 
 // NewHistoryEntry describes the update that Propose made for a change, before it is applied.
 func (h *Home) NewHistoryEntry(u Update, now time.Time) *HistoryEntry {
-	e := &HistoryEntry{Revision: u.Head.Revision, At: now.UnixMilli()}
+	entry := &HistoryEntry{Revision: u.Head.Revision, At: now.UnixMilli()}
 	for _, r := range u.Records {
-		e.Teams = append(e.Teams, r.Name)
+		entry.Teams = append(entry.Teams, r.Name)
 		before := h.teams[r.Name]
 		if before == nil {
 			before = h.recordFromReports(r.Name)
 		}
 		if before == nil || before.Removed {
-			e.Added = append(e.Added, r.Name)
+			entry.Added = append(entry.Added, r.Name)
 		} else {
-			e.Before = append(e.Before, before.asChange())
+			entry.Before = append(entry.Before, before.asChange())
 		}
 	}
-	return e
+	return entry
 }
 
 // AddHistory adds the entry of a change that is stored.
@@ -122,28 +122,28 @@
 	added := map[string]bool{}        // teams to remove
 	reached := h.head.Revision        // the revision that the entries looked at lead back to
 	for i := len(h.history) - 1; i >= 0 && h.history[i].Revision > to; i-- {
-		e := h.history[i]
-		if e.Omitted {
-			return nil, refuse(http.StatusUnprocessableEntity, "revision", "what was there before revision %d was too large to be kept", e.Revision)
+		entry := h.history[i]
+		if entry.Omitted {
+			return nil, refuse(http.StatusUnprocessableEntity, "revision", "what was there before revision %d was too large to be kept", entry.Revision)
 		}
-		for _, name := range e.Added {
+		for _, name := range entry.Added {
 			delete(before, name)
 			added[name] = true
 		}
-		for _, c := range e.Before {
+		for _, c := range entry.Before {
 			delete(added, c.Name)
 			before[c.Name] = c
 		}
-		reached = e.Revision - 1
+		reached = entry.Revision - 1
 	}
 	if reached > to {
 		return nil, refuse(http.StatusUnprocessableEntity, "revision", "the history goes back to revision %d", reached)
 	}
-	c := &Change{Remove: slices.Sorted(maps.Keys(added))}
+	change := &Change{Remove: slices.Sorted(maps.Keys(added))}
 	for _, name := range slices.Sorted(maps.Keys(before)) {
-		c.Teams = append(c.Teams, before[name])
+		change.Teams = append(change.Teams, before[name])
 	}
 	// A team that is not there any more need not be removed.
-	c.Remove = slices.DeleteFunc(c.Remove, func(name string) bool { return h.teams[name] == nil || h.teams[name].Removed })
-	return c, nil
+	change.Remove = slices.DeleteFunc(change.Remove, func(name string) bool { return h.teams[name] == nil || h.teams[name].Removed })
+	return change, nil
 }
--- a/internal/dynconfig/home.go
+++ b/internal/dynconfig/home.go
@@ -80,17 +80,17 @@
 // recordFromReports builds the record of a team for which none is stored from what the
 // regions report of it, by their platforms' files or by grants; nil: no region knows it.
 func (h *Home) recordFromReports(name string) *TeamRecord {
-	r := &TeamRecord{Name: name, Shares: map[string]Share{}, Grants: map[string]Grant{}}
+	record := &TeamRecord{Name: name, Shares: map[string]Share{}, Grants: map[string]Grant{}}
 	for _, region := range h.regions {
 		report, ok := h.followers[region].reports[name]
 		if !ok {
 			continue
 		}
-		r.Limit = r.Limit.plus(report.Limit)
-		r.Shares[region] = Share{Limit: report.Limit, Guarantee: report.Guarantee}
+		record.Limit = record.Limit.plus(report.Limit)
+		record.Shares[region] = Share{Limit: report.Limit, Guarantee: report.Guarantee}
 	}
-	if len(r.Shares) == 0 {
+	if len(record.Shares) == 0 {
 		return nil
 	}
-	return r
+	return record
 }
--- a/internal/dynconfig/home_follow.go
+++ b/internal/dynconfig/home_follow.go
@@ -34,49 +34,49 @@
 // HandleRequest takes in a region's request. It returns the reply if the request is
 // refused or has to be repeated in full. A nil reply means that Reply answers it, now or
 // as soon as HasGrants reports that there is something to send.
-func (h *Home) HandleRequest(q *Request, now time.Time) *Reply {
-	f := h.followers[q.Region]
+func (h *Home) HandleRequest(request *Request, now time.Time) *Reply {
+	f := h.followers[request.Region]
 	if f == nil {
-		return &Reply{Refused: "region " + q.Region + " is not known at the home region"}
+		return &Reply{Refused: "region " + request.Region + " is not known at the home region"}
 	}
-	if q.Term < f.term || (q.Term == f.term && q.Number <= f.number) {
+	if request.Term < f.term || (request.Term == f.term && request.Number <= f.number) {
 		return &Reply{Refused: "a later request of the region was answered"}
 	}
-	f.term = q.Term
-	f.number = q.Number
+	f.term = request.Term
+	f.number = request.Number
 	f.lastRequest = now
-	if !q.Full && (!f.reported || q.HomeTerm != h.term) {
+	if !request.Full && (!f.reported || request.HomeTerm != h.term) {
 		f.reported = false
 		return &Reply{Term: h.term, Resync: true}
 	}
-	if q.Full {
+	if request.Full {
 		f.reported = true
 		clear(f.reports)
 		for name := range h.teams {
 			h.dirty[name] = true
 		}
 	}
-	f.storedSeq = q.After
+	f.storedSeq = request.After
 	// If the home region's store has lost its last writes, what is decided from now on
 	// has to count as newer than what the region has.
-	h.head.Seq = max(h.head.Seq, q.After)
-	h.head.Revision = max(h.head.Revision, q.Revision)
-	for _, report := range q.Reports {
+	h.head.Seq = max(h.head.Seq, request.After)
+	h.head.Revision = max(h.head.Revision, request.Revision)
+	for _, report := range request.Reports {
 		f.reports[report.Team] = report
 		h.dirty[report.Team] = true
 		h.updatePending(report.Team)
 	}
-	h.trackRevision(q.Region, now)
+	h.trackRevision(request.Region, now)
 	return nil
 }
 
 // Reply answers a request that HandleRequest took in. It sends only what is stored.
-func (h *Home) Reply(q *Request) *Reply {
-	f := h.followers[q.Region]
-	if f.term != q.Term || f.number != q.Number {
+func (h *Home) Reply(request *Request) *Reply {
+	f := h.followers[request.Region]
+	if f.term != request.Term || f.number != request.Number {
 		return &Reply{Refused: "a later request of the region was heard"}
 	}
-	grants, more := h.grantsAfter(q.Region, q.After)
+	grants, more := h.grantsAfter(request.Region, request.After)
 	return &Reply{Term: h.term, Grants: grants, More: more}
 }
 
--- a/internal/dynconfig/home_reconcile.go
+++ b/internal/dynconfig/home_reconcile.go
@@ -18,15 +18,15 @@
 			break
 		}
 		delete(h.dirty, name)
-		r := h.teams[name]
-		if r == nil {
-			if r = h.adopt(name); r == nil {
+		record := h.teams[name]
+		if record == nil {
+			if record = h.adopt(name); record == nil {
 				continue
 			}
 			u.Head.Revision++
-			r.Revision = u.Head.Revision
+			record.Revision = u.Head.Revision
 		}
-		if next := h.reconcile(r, &u.Head); next != nil {
+		if next := h.reconcile(record, &u.Head); next != nil {
 			u.Records = append(u.Records, next)
 		}
 	}
@@ -51,142 +51,142 @@
 	if !h.allReported() || !slices.ContainsFunc(slices.Collect(maps.Values(h.followers)), granted) {
 		return nil
 	}
-	r := h.recordFromReports(name)
-	r.Adopted = true
-	return r
+	record := h.recordFromReports(name)
+	record.Adopted = true
+	return record
 }
 
 // reconcile compares the grants of a team with its shares and with what the regions
 // report, and returns the record that has to be stored; nil: nothing has changed. Lower
 // grants come first, then raises as far as no other region holds the amount. New grants
 // are numbered by head.
-func (h *Home) reconcile(was *TeamRecord, head *Head) *TeamRecord {
-	r := was.clone()
+func (h *Home) reconcile(current *TeamRecord, head *Head) *TeamRecord {
+	record := current.clone()
 	changed := false
 	for _, region := range h.regions {
-		changed = h.updateGrant(r, region, head) || changed
+		changed = h.updateGrant(record, region, head) || changed
 	}
 	if h.allReported() {
 		for _, region := range h.regions {
-			changed = h.raiseGrant(r, region, head) || changed
+			changed = h.raiseGrant(record, region, head) || changed
 		}
 	}
 	if !changed {
 		return nil
 	}
-	return r
+	return record
 }
 
 // updateGrant brings a region's grant up to date without raising its limit, and reports
 // whether the record has to be stored for that.
-func (h *Home) updateGrant(r *TeamRecord, region string, head *Head) (changed bool) {
-	g, changed := h.reconcileReport(r, region)
-	if g.Seq == 0 && !h.followers[region].reported {
-		r.Grants[region] = g // nothing is sent to a region before it has reported
+func (h *Home) updateGrant(record *TeamRecord, region string, head *Head) (changed bool) {
+	grant, changed := h.reconcileReport(record, region)
+	if grant.Seq == 0 && !h.followers[region].reported {
+		record.Grants[region] = grant // nothing is sent to a region before it has reported
 		return false
 	}
-	share := h.currentShare(r, region)
-	limit := g.Limit.elementMin(share.Limit)
+	share := h.currentShare(record, region)
+	limit := grant.Limit.elementMin(share.Limit)
 	next := Grant{
-		Seq:       g.Seq,
+		Seq:       grant.Seq,
 		Limit:     limit,
 		Guarantee: share.Guarantee.elementMin(limit),
-		Target:    r.target(share),
-		Removed:   r.Removed,
-		Held:      g.Held,
+		Target:    record.target(share),
+		Removed:   record.Removed,
+		Held:      grant.Held,
 	}
-	if next != g || g.Seq == 0 {
+	if next != grant || grant.Seq == 0 {
 		changed = true
 		head.Seq++
 		next.Seq = head.Seq
 	}
-	r.Grants[region] = next
+	record.Grants[region] = next
 	return changed
 }
 
 // currentShare is the share that a region is to have now. Of a removed team the region
 // retains its share until it accepts no more jobs of it and the last one is over.
-func (h *Home) currentShare(r *TeamRecord, region string) Share {
-	g := r.Grants[region]
+func (h *Home) currentShare(record *TeamRecord, region string) Share {
+	grant := record.Grants[region]
 	f := h.followers[region]
-	report := f.reports[r.Name]
+	report := f.reports[record.Name]
 	// Once closed the share stays closed, unless a late job shows up.
-	closed := report.Seq == g.Seq || g.Limit == Amount{}
-	if r.Removed && g.Removed && f.reported && !report.Busy && closed {
+	closed := report.Seq == grant.Seq || grant.Limit == Amount{}
+	if record.Removed && grant.Removed && f.reported && !report.Busy && closed {
 		return Share{}
 	}
-	return r.configuredShare(region)
+	return record.configuredShare(region)
 }
 
 // reconcileReport is a region's grant with what is held for it after its last report. A
 // sequence number of 0 means that the region has to be sent a new grant; mustStore
 // reports whether the record has to be stored for the change.
-func (h *Home) reconcileReport(r *TeamRecord, region string) (g Grant, mustStore bool) {
-	g, known := r.Grants[region]
+func (h *Home) reconcileReport(record *TeamRecord, region string) (grant Grant, mustStore bool) {
+	grant, known := record.Grants[region]
 	f := h.followers[region]
-	report, reported := f.reports[r.Name]
+	report, reported := f.reports[record.Name]
 	switch {
 	case !f.reported && !known:
 		// It is not known what the region holds: nothing can be raised before it reports.
 		return Grant{Held: NoLimit()}, false
 	case !f.reported:
-		return g, false
-	case !known, g.Held == NoLimit() && g.Seq == 0:
+		return grant, false
+	case !known, grant.Held == NoLimit() && grant.Seq == 0:
 		return Grant{Limit: report.Limit, Held: report.Held.elementMax(report.Limit)}, true
 	case !reported:
-		return g, false
-	case grantLost(&g, &report, f.storedSeq):
-		g.Held = g.Held.elementMax(report.Held).elementMax(report.Limit)
-		g.Seq = 0
-		return g, true
-	case report.Seq < g.Seq:
+		return grant, false
+	case grantLost(&grant, &report, f.storedSeq):
+		grant.Held = grant.Held.elementMax(report.Held).elementMax(report.Limit)
+		grant.Seq = 0
+		return grant, true
+	case report.Seq < grant.Seq:
 		// The region has yet to store the grant. It may hold more than is known if its own
 		// store was restored to an earlier state.
-		held := g.Held.elementMax(report.Held).elementMax(report.Limit)
-		changed := held != g.Held
-		g.Held = held
-		return g, changed
+		held := grant.Held.elementMax(report.Held).elementMax(report.Limit)
+		changed := held != grant.Held
+		grant.Held = held
+		return grant, changed
 	}
-	held := g.Limit.elementMax(report.Held)
+	held := grant.Limit.elementMax(report.Held)
 	// A partial release is stored with the raise that relies on it, a complete one at once.
-	released := held != g.Held && held == g.Limit
-	g.Held = held
-	return g, released
+	released := held != grant.Held && held == grant.Limit
+	grant.Held = held
+	return grant, released
 }
 
 // grantLost reports whether the home region's store has lost a later grant than g: the
 // region reports one, or has stored grants up to storedSeq and not this one.
-func grantLost(g *Grant, report *TeamReport, storedSeq uint64) bool {
+func grantLost(grant *Grant, report *TeamReport, storedSeq uint64) bool {
 	switch {
-	case report.Seq > g.Seq:
+	case report.Seq > grant.Seq:
 		return true
-	case report.Seq == g.Seq:
-		return report.Limit != g.Limit
+	case report.Seq == grant.Seq:
+		return report.Limit != grant.Limit
 	}
-	return g.Seq <= storedSeq
+	return grant.Seq <= storedSeq
 }
 
 // raiseGrant raises a region's limit towards its share as far as no other region holds
 // the amount, and reports whether it did.
-func (h *Home) raiseGrant(r *TeamRecord, region string, head *Head) bool {
-	g := r.Grants[region]
-	share := h.currentShare(r, region)
-	free := r.Limit.minus(r.heldByOthers(region))
-	limit := g.Limit.elementMax(share.Limit.elementMin(free))
-	if limit.approxEqual(g.Limit) {
+func (h *Home) raiseGrant(record *TeamRecord, region string, head *Head) bool {
+	grant := record.Grants[region]
+	share := h.currentShare(record, region)
+	free := record.Limit.minus(record.heldByOthers(region))
+	limit := grant.Limit.elementMax(share.Limit.elementMin(free))
+	if limit.approxEqual(grant.Limit) {
 		return false
 	}
-	if !limit.approxEqual(share.Limit) && !worthRaising(g.Limit, limit, share.Limit) {
+	if !limit.approxEqual(share.Limit) && !worthRaising(grant.Limit, limit, share.Limit) {
 		return false
 	}
 	head.Seq++
-	r.Grants[region] = Grant{
+	record.Grants[region] = Grant{
 		Seq:       head.Seq,
 		Limit:     limit,
 		Guarantee: share.Guarantee.elementMin(limit),
-		Target:    r.target(share),
-		Removed:   r.Removed,
-		Held:      g.Held.elementMax(limit),
+		Target:    record.target(share),
+		Removed:   record.Removed,
+		Held:      grant.Held.elementMax(limit),
 	}
 	return true
 }
--- a/internal/dynconfig/replica.go
+++ b/internal/dynconfig/replica.go
@@ -51,7 +51,7 @@
 // answered.
 func (r *Replica) Request(usage UsageFunc) *Request {
 	r.requestNumber++
-	q := &Request{
+	request := &Request{
 		Region:   r.region,
 		Term:     r.term,
 		Number:   r.requestNumber,
@@ -66,14 +66,14 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(names)) {
 		report := r.teamReport(name, usage)
-		if q.Full || report != r.acknowledged[name] {
-			q.Reports = append(q.Reports, report)
+		if request.Full || report != r.acknowledged[name] {
+			request.Reports = append(request.Reports, report)
 		}
 	}
-	if q.Full {
-		q.HomeTerm = r.homeTerm
+	if request.Full {
+		request.HomeTerm = r.homeTerm
 	}
-	return q
+	return request
 }
 
 // teamReport is what the region reports about a team now.
@@ -101,28 +101,28 @@
 
 // HandleReply takes in the reply to a request and returns the grants that have to be stored
 // now, before they take effect. A reply of an earlier home leader is ignored.
-func (r *Replica) HandleReply(q *Request, p *Reply) []RegionGrant {
-	if p.Refused != "" || p.Term < r.homeTerm {
+func (r *Replica) HandleReply(request *Request, reply *Reply) []RegionGrant {
+	if reply.Refused != "" || reply.Term < r.homeTerm {
 		return nil
 	}
-	r.homeTerm = p.Term
-	if p.Resync {
+	r.homeTerm = reply.Term
+	if reply.Resync {
 		r.reportedTerm = 0
 		return nil
 	}
-	if q.Full {
-		r.reportedTerm = p.Term
+	if request.Full {
+		r.reportedTerm = reply.Term
 	}
-	for _, report := range q.Reports {
+	for _, report := range request.Reports {
 		r.acknowledged[report.Team] = report
 	}
 	var out []RegionGrant
-	for _, g := range p.Grants {
+	for _, g := range reply.Grants {
 		if g.Seq > r.lastSeq && g.Seq > r.teams[g.Team].Seq {
 			out = append(out, g)
 		}
 	}
-	if len(out) == 0 && !p.More {
+	if len(out) == 0 && !reply.More {
 		r.unconfirmed = false
 	}
 	return out
--- a/internal/dynconfig/status.go
+++ b/internal/dynconfig/status.go
@@ -65,30 +65,30 @@
 
 // inForce reports whether a team's share is in force in a region by the region's last
 // report.
-func (h *Home) inForce(r *TeamRecord, region string) bool {
-	g := r.Grants[region]
+func (h *Home) inForce(record *TeamRecord, region string) bool {
+	grant := record.Grants[region]
 	f := h.followers[region]
-	share := h.currentShare(r, region)
-	stored := f.reported && g.Seq > 0 && f.reports[r.Name].Seq == g.Seq
+	share := h.currentShare(record, region)
+	stored := f.reported && grant.Seq > 0 && f.reports[record.Name].Seq == grant.Seq
 	return stored &&
-		g.Limit.approxEqual(share.Limit) &&
-		g.Guarantee.approxEqual(share.Guarantee.elementMin(share.Limit)) &&
-		g.Removed == r.Removed
+		grant.Limit.approxEqual(share.Limit) &&
+		grant.Guarantee.approxEqual(share.Guarantee.elementMin(share.Limit)) &&
+		grant.Removed == record.Removed
 }
 
 // updatePending updates what the followers have of a team: its newest grant, and whether
 // its share is pending.
 func (h *Home) updatePending(name string) {
-	r := h.teams[name]
-	if r == nil {
+	record := h.teams[name]
+	if record == nil {
 		return
 	}
 	for region, f := range h.followers {
-		f.newestSeq = max(f.newestSeq, r.Grants[region].Seq)
-		if h.inForce(r, region) {
+		f.newestSeq = max(f.newestSeq, record.Grants[region].Seq)
+		if h.inForce(record, region) {
 			delete(f.pending, name)
 		} else if _, pending := f.pending[name]; !pending {
-			f.pending[name] = r.Revision
+			f.pending[name] = record.Revision
 		}
 	}
 }
@@ -131,7 +131,7 @@
 	f := h.followers[region]
 	revision, pending := h.revisionInForce(region)
 	h.trackRevision(region, now)
-	s := RegionStatus{
+	status := RegionStatus{
 		Region:       region,
 		Revision:     revision,
 		InForceS:     now.Sub(f.revisionSince).Seconds(),
@@ -140,37 +140,37 @@
 		PendingCount: len(pending),
 	}
 	if !f.lastRequest.IsZero() {
-		s.SilentS = now.Sub(f.lastRequest).Seconds()
+		status.SilentS = now.Sub(f.lastRequest).Seconds()
 	}
 	slices.Sort(pending)
 	for _, name := range pending[:min(len(pending), maxPendingListed)] {
-		s.Pending = append(s.Pending, h.pendingShare(h.teams[name], region))
+		status.Pending = append(status.Pending, h.pendingShare(h.teams[name], region))
 	}
-	return s
+	return status
 }
 
 // pendingShare describes a pending share and the regions that block it.
-func (h *Home) pendingShare(r *TeamRecord, region string) PendingShare {
-	g := r.Grants[region]
-	share := h.currentShare(r, region)
-	p := PendingShare{
-		Team:      r.Name,
-		InForce:   h.followers[region].reports[r.Name].Limit.quota(),
+func (h *Home) pendingShare(record *TeamRecord, region string) PendingShare {
+	grant := record.Grants[region]
+	share := h.currentShare(record, region)
+	pending := PendingShare{
+		Team:      record.Name,
+		InForce:   h.followers[region].reports[record.Name].Limit.quota(),
 		Target:    share.Limit.quota(),
 		BlockedBy: []string{},
 	}
-	if g.Limit.approxEqual(share.Limit) {
-		p.BlockedBy = append(p.BlockedBy, region) // it only has to store its grant
-		return p
+	if grant.Limit.approxEqual(share.Limit) {
+		pending.BlockedBy = append(pending.BlockedBy, region) // it only has to store its grant
+		return pending
 	}
 	for _, other := range h.regions {
-		held := r.Grants[other].Held
+		held := record.Grants[other].Held
 		silent := !h.followers[other].reported
-		if silent || (other != region && !held.within(h.currentShare(r, other).Limit)) {
-			p.BlockedBy = append(p.BlockedBy, other)
+		if silent || (other != region && !held.within(h.currentShare(record, other).Limit)) {
+			pending.BlockedBy = append(pending.BlockedBy, other)
 		}
 	}
-	return p
+	return pending
 }
 
 // Teams lists up to limit teams by name, from the first one after a name; more: there are
@@ -188,23 +188,23 @@
 	return out, false
 }
 
-func (h *Home) teamStatus(r *TeamRecord) TeamStatus {
-	t := TeamStatus{
-		Name:     r.Name,
-		Revision: r.Revision,
-		Removed:  r.Removed,
-		Limit:    r.Limit.quota(),
+func (h *Home) teamStatus(record *TeamRecord) TeamStatus {
+	status := TeamStatus{
+		Name:     record.Name,
+		Revision: record.Revision,
+		Removed:  record.Removed,
+		Limit:    record.Limit.quota(),
 		Regions:  map[string]RegionQuotaStatus{},
 	}
 	for _, region := range h.regions {
-		share := r.configuredShare(region)
-		g := r.Grants[region]
-		t.Regions[region] = RegionQuotaStatus{
+		share := record.configuredShare(region)
+		grant := record.Grants[region]
+		status.Regions[region] = RegionQuotaStatus{
 			Limit:     share.Limit.quota(),
 			Guarantee: share.Guarantee.quota(),
-			Granted:   g.Limit.quota(),
-			Held:      g.Held.quota(),
+			Granted:   grant.Limit.quota(),
+			Held:      grant.Held.quota(),
 		}
 	}
-	return t
+	return status
 }
