--- a/internal/dynconfig/change_test.go
+++ b/internal/dynconfig/change_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// followHome lets all regions send a request and store the grants so many times, without faults.
+// followHome runs a number of rounds without faults. In each round all regions send a request and
+// store the grants of the reply, and the home region reconciles.
 func (w *world) followHome(rounds int) {
 	for range rounds {
 		for j := range w.regions {
@@ -21,7 +22,8 @@
 	}
 }
 
-// TestRoundedPartsComeIntoForce: parts that add up to the limit but for their rounding come into force.
+// TestRoundedPartsComeIntoForce: regions' parts whose sum differs from the limit by a rounding
+// error come into force.
 func TestRoundedPartsComeIntoForce(t *testing.T) {
 	w := newWorld(noGuard)
 	part := func(v float64) RegionQuota { return RegionQuota{Limit: &Quota{CPUs: &v}} }
@@ -39,7 +41,7 @@
 		w.followHome(20)
 		for _, r := range w.home.Status(time.Time{}).Regions {
 			if r.Revision != uint64(i+1) {
-				t.Errorf("parts %v: %+v", parts, r)
+				t.Errorf("parts %v: status %+v, want the last revision in force", parts, r)
 			}
 		}
 		if why := w.Violation(); why != "" {
@@ -48,8 +50,8 @@
 	}
 }
 
-// TestLateJobOfRemovedTeam: a job of a removed team that shows up after its last one was over gets back
-// what the team had, until it is over.
+// TestLateJobOfRemovedTeam: if a region reports a job of a removed team after the team's last job
+// has ended, the team gets its share back until that job has ended.
 func TestLateJobOfRemovedTeam(t *testing.T) {
 	w := newWorld(noGuard)
 	follow := func(used float64) Amount {
@@ -69,18 +71,18 @@
 	}
 	for _, tt := range []struct{ used, want float64 }{{0, 0}, {1, limitCPUs}, {0, 0}} {
 		if got := follow(tt.used); got.CPUs != tt.want {
-			t.Errorf("with %v in use the limit is %v, want %v", tt.used, got.CPUs, tt.want)
+			t.Errorf("limit with %v CPUs in use is %v, want %v", tt.used, got.CPUs, tt.want)
 		}
 		if _, exists := w.regions[0].replica.Share(testTeam, w.regions[0].usage()); exists {
-			t.Error("the region accepts jobs of it again")
+			t.Error("the removed team exists again in the region")
 		}
 	}
 }
 
-// TestRollback: what came after a revision is undone by a change of its own.
+// TestRollback: the change that Rollback returns restores the configuration at a revision.
 func TestRollback(t *testing.T) {
 	w := newWorld(noGuard)
-	w.followHome(2) // every region has reported what it holds
+	w.followHome(2) // every region has reported its teams
 	apply := func(c *Change) {
 		u, refusal := w.home.Propose(c)
 		if refusal != nil {
@@ -96,21 +98,21 @@
 		apply(c)
 	}
 	tests := []struct {
-		to         uint64
-		red        float64 // region a's part
-		blue       bool
-		impossible bool
+		to          uint64
+		red         float64 // CPUs of region a's part
+		blue        bool
+		wantRefusal bool
 	}{
 		{to: 4, red: 1, blue: true},
 		{to: 2, red: 0, blue: false},
 		{to: 1, red: 3, blue: false},
-		{to: 99, impossible: true},
-		{to: 8, impossible: true},
+		{to: 99, wantRefusal: true},
+		{to: 8, wantRefusal: true},
 	}
 	for _, tt := range tests {
 		c, refusal := w.home.Rollback(tt.to)
-		if (refusal != nil) != tt.impossible {
-			t.Errorf("to %d: %v", tt.to, refusal)
+		if (refusal != nil) != tt.wantRefusal {
+			t.Errorf("rollback to revision %d: unexpected result, refusal %v", tt.to, refusal)
 		}
 		if refusal != nil {
 			continue
@@ -118,11 +120,11 @@
 		apply(c)
 		blue := w.home.teams["blue"]
 		if got := w.home.teams[testTeam].Shares["a"].Limit.CPUs; got != tt.red || (blue != nil && !blue.Removed) != tt.blue {
-			t.Errorf("to %d: region a has %v of red, blue is there: %v", tt.to, got, blue != nil && !blue.Removed)
+			t.Errorf("rollback to revision %d: part of team red in region a is %v, team blue exists: %v", tt.to, got, blue != nil && !blue.Removed)
 		}
 	}
 	w.home.history = w.home.history[len(w.home.history)-1:]
 	if _, refusal := w.home.Rollback(1); refusal == nil {
-		t.Error("went back further than the history")
+		t.Error("a rollback to a revision before the history was not refused")
 	}
 }
--- a/internal/dynconfig/explore_actions_test.go
+++ b/internal/dynconfig/explore_actions_test.go
@@ -6,7 +6,7 @@
 	"vetchstream/internal/explorer"
 )
 
-// regionAction is an action whose index chooses the region, modulo two.
+// regionAction returns an action whose index modulo two selects the region.
 func regionAction(name string, count int, do func(w *world, s *regionSim, i int) bool) explorer.Action[*world] {
 	return explorer.Action[*world]{
 		Name:  name,
@@ -15,12 +15,12 @@
 	}
 }
 
-// worldActions are all actions. Their order decides what a seed plays.
+// worldActions returns all actions. Their order determines the steps of a seed.
 func worldActions() []explorer.Action[*world] {
 	return slices.Concat(homeActions(), requestActions(), delayedMessageActions(), leaderActions(), taskActions(), failureActions())
 }
 
-// homeActions change and reconcile the configuration at the home region.
+// homeActions returns the actions that change and reconcile the configuration at the home region.
 func homeActions() []explorer.Action[*world] {
 	return []explorer.Action[*world]{
 		regionAction("change team", len(testChanges), func(w *world, _ *regionSim, i int) bool {
@@ -52,7 +52,7 @@
 	}
 }
 
-// requestActions carry requests and replies.
+// requestActions returns the actions that deliver requests and replies.
 func requestActions() []explorer.Action[*world] {
 	return []explorer.Action[*world]{
 		regionAction("send request", 2, func(w *world, s *regionSim, _ int) bool {
@@ -88,7 +88,8 @@
 	}
 }
 
-// delayedMessageActions carry requests that were abandoned, and the replies to them.
+// delayedMessageActions returns the actions that abandon requests, and deliver these and the
+// replies to them later.
 func delayedMessageActions() []explorer.Action[*world] {
 	return []explorer.Action[*world]{
 		regionAction("abandon request", 2, func(_ *world, s *regionSim, _ int) bool {
@@ -129,7 +130,7 @@
 	}
 }
 
-// leaderActions store grants and end the terms of the regions' leaders.
+// leaderActions returns the actions that store grants and end the terms of the regions' leaders.
 func leaderActions() []explorer.Action[*world] {
 	return []explorer.Action[*world]{
 		regionAction("store grants", 2, func(_ *world, s *regionSim, _ int) bool {
@@ -162,7 +163,7 @@
 	}
 }
 
-// taskActions start and finish tasks, a CPU each.
+// taskActions returns the actions that start and finish tasks of one CPU.
 func taskActions() []explorer.Action[*world] {
 	return []explorer.Action[*world]{
 		regionAction("start task", 2, func(_ *world, s *regionSim, _ int) bool {
@@ -183,7 +184,8 @@
 	}
 }
 
-// failureActions end the home leader's term and restore stores to an earlier state.
+// failureActions returns the actions that end the home leader's term and restore stores to an
+// earlier state.
 func failureActions() []explorer.Action[*world] {
 	return []explorer.Action[*world]{
 		regionAction("end home term", 1, func(w *world, _ *regionSim, _ int) bool {
--- a/internal/dynconfig/explore_world_test.go
+++ b/internal/dynconfig/explore_world_test.go
@@ -7,12 +7,12 @@
 	"vetchstream/internal/explorer"
 )
 
-// The explorer plays the orders in which a home region and two others that share the limit
-// of a team store records, exchange requests that may be lost, late or repeated, end terms,
-// and have their stores restored to an earlier state.
+// The explorer simulates a home region and two other regions that share a team's limit. It varies
+// the order in which they store records, exchange requests that may be lost, delayed or repeated,
+// end terms, and have their stores restored to an earlier state.
 
-// guard is a safety rule that can be disabled in a world, to check that the explorer finds
-// why it is needed.
+// guard is a safety rule that a world can disable, to check that the explorer then finds a
+// violation.
 type guard uint8
 
 const (
@@ -25,7 +25,7 @@
 	storedBeforeUse           // a grant takes effect, and is reported, once it is stored
 	fencing                   // a transaction of an earlier leader of the region fails
 	confirmation              // a region whose store was restored waits for the home region's confirmation
-	unconfirmedMark           // so does the leader after the next
+	unconfirmedMark           // the next leader waits for the confirmation as well
 )
 
 const (
@@ -39,25 +39,25 @@
 	stepTeams = 10
 )
 
-// regionSim is a region with its leader and what its store holds.
+// regionSim simulates a region with its leader and its store.
 type regionSim struct {
 	replica           *Replica
 	term              uint64
 	entries           map[string]RegionGrant // stored
 	previousEntries   map[string]RegionGrant // stored before the last transaction
-	markedUnconfirmed bool                   // stored: the limits have to be confirmed
+	markedUnconfirmed bool                   // stored mark that the limits have to be confirmed
 	used              float64
 	request           *Request
 	reply             *Reply
-	delayedRequest    *Request // abandoned, and delivered all the same
+	delayedRequest    *Request // abandoned, but still delivered
 	delayedReply      *Reply
 	storing           []RegionGrant
-	delayedTxn        []RegionGrant // of an earlier leader
-	highestSeq        uint64        // of the grants in effect since the store was last restored
+	delayedTxn        []RegionGrant // transaction of an earlier leader
+	highestSeq        uint64        // of the grants that took effect since the store was last restored
 	regression        string        // describes a grant that took effect after a later one
 }
 
-// world is the home region with its store, and the other regions.
+// world simulates the home region with its store, and the two other regions.
 type world struct {
 	disabled        guard
 	home            *Home
@@ -67,7 +67,7 @@
 	previousRecords map[string]*TeamRecord // stored before the last transaction
 	previousHead    Head
 	regions         [2]regionSim
-	restores        int // stores that were restored
+	restores        int // number of restored stores
 	changesMade     int
 	leaderEnds      int
 }
@@ -131,7 +131,7 @@
 	return s.usage()
 }
 
-// storeHome stores an update of the home region and applies it.
+// storeHome stores and applies an update of the home region.
 func (w *world) storeHome(u Update) {
 	w.previousRecords = map[string]*TeamRecord{}
 	w.previousHead = w.storedHead
@@ -151,7 +151,7 @@
 	}
 }
 
-// assumeReleased makes the home region act as if every region had reported its grants.
+// assumeReleased sets the home region's state as if every region had reported its last grants.
 func (w *world) assumeReleased() {
 	for _, r := range w.home.teams {
 		for region, g := range r.Grants {
@@ -163,7 +163,7 @@
 	}
 }
 
-// homeReply is the home's reply to a request.
+// homeReply returns the home region's reply to a request.
 func (w *world) homeReply(q *Request) *Reply {
 	if p := w.home.HandleRequest(q, time.Time{}); p != nil {
 		return p
@@ -171,7 +171,7 @@
 	return w.home.Reply(q)
 }
 
-// splitLimit is the change that divides the team's limit between the two regions.
+// splitLimit returns the change that divides the team's limit between the two regions.
 func splitLimit(a, b float64) *Change {
 	quota := func(cpus float64) *Quota {
 		gpus := 0.0
@@ -186,7 +186,7 @@
 
 var testChanges = []*Change{splitLimit(3, 0), splitLimit(0, 3), splitLimit(1, 2)}
 
-// store stores entries at a region.
+// store writes entries to the region's store.
 func (s *regionSim) store(entries []RegionGrant) {
 	s.previousEntries = map[string]RegionGrant{}
 	for n, e := range s.entries {
@@ -197,12 +197,12 @@
 	}
 }
 
-// applyStored puts stored entries into effect.
+// applyStored makes stored entries take effect.
 func (s *regionSim) applyStored(entries []RegionGrant) {
 	s.replica.ApplyStored(entries)
 	seq := s.replica.teams[testTeam].Seq
 	if seq < s.highestSeq {
-		s.regression = fmt.Sprintf("grant %d counts after %d", seq, s.highestSeq)
+		s.regression = fmt.Sprintf("grant %d took effect after the later grant %d", seq, s.highestSeq)
 	}
 	s.highestSeq = max(s.highestSeq, seq)
 }
@@ -229,12 +229,12 @@
 		p.Values("\n", s.used, s.markedUnconfirmed, s.entries, s.previousEntries, s.storing, s.delayedTxn, r.teams, r.lastSeq, r.homeTerm, r.reportedTerm, r.acknowledged, r.unconfirmed)
 		for _, q := range []*Request{s.request, s.delayedRequest} {
 			if q != nil {
-				p.Values(" asks ", q.HomeTerm, q.After, q.Full, q.Reports, q.Term == s.term)
+				p.Values(" request ", q.HomeTerm, q.After, q.Full, q.Reports, q.Term == s.term)
 			}
 		}
 		for _, a := range []*Reply{s.reply, s.delayedReply} {
 			if a != nil {
-				p.Values(" gets ", a.Term, a.Resync, a.Grants)
+				p.Values(" reply ", a.Term, a.Resync, a.Grants)
 			}
 		}
 	}
@@ -253,7 +253,7 @@
 		}
 	}
 	if sum > limitCPUs+tolerance {
-		return fmt.Sprintf("the regions may use %g of %d", sum, limitCPUs)
+		return fmt.Sprintf("the regions may use %g CPUs together, more than the limit of %d", sum, limitCPUs)
 	}
 	return ""
 }
--- a/internal/dynconfig/fixtures_test.go
+++ b/internal/dynconfig/fixtures_test.go
@@ -6,9 +6,8 @@
 	"vetchstream/internal/fixture"
 )
 
-// fixtures are the records of the teams' quotas stored in the consensus-backed
-// key-value store, the messages of Follow sent over gRPC between controllers,
-// and the configuration changes of the API.
+// fixtures are the records of the teams' quotas in the key-value store, the messages of Follow
+// between controllers, and the configuration changes and statuses of the API.
 var fixtures = []fixture.Row{
 	{File: "follow-request.cbor", Value: fixture.Filled[Request]()},
 	{File: "follow-reply.cbor", Value: fixture.Filled[Reply]()},
--- a/internal/dynconfig/history.go
+++ b/internal/dynconfig/history.go
@@ -8,29 +8,31 @@
 	"time"
 )
 
-// MaxHistory is how many changes are retained.
+// MaxHistory is the number of changes that are retained.
 const MaxHistory = 64
 
-// HistoryEntry is a change that was made, with the configuration before it, so that it can
-// be rolled back.
+// HistoryEntry is a change that took effect, with the configuration before it, so that the change
+// can be rolled back.
 type HistoryEntry struct {
 	Revision uint64 `codec:"revision"`
 	// At is the home leader's time of day, in milliseconds since 1970.
 	At int64 `codec:"at"`
-	// Teams are those that were changed or removed.
+	// Teams are the teams that were changed or removed.
 	Teams []string `codec:"teams"`
-	// Before are the teams as they were; Added those that did not exist, or were removed.
+	// Before are the teams that existed before the change, as they were configured. Added are
+	// the teams that did not exist or were removed at that time.
 	Before []TeamChange `codec:"before,omitempty"`
 	Added  []string     `codec:"added,omitempty"`
-	// Omitted: Before and Added are too large to be stored.
+	// Omitted means that Before and Added were too large to be stored.
 	Omitted bool `codec:"omitted,omitempty"`
 }
 
-// Slot is where the entry is stored: it replaces the one that is MaxHistory revisions older.
+// Slot returns the number under which the entry is stored. The entry replaces the one that is
+// MaxHistory revisions older.
 func (e *HistoryEntry) Slot() int { return int(e.Revision % MaxHistory) }
 
-// WithoutBefore is the entry without the earlier configuration, for where that is too large
-// to be stored.
+// WithoutBefore returns the entry without the earlier configuration, which may be too large to be
+// stored.
 func (e *HistoryEntry) WithoutBefore() *HistoryEntry {
 	return &HistoryEntry{
 		Revision: e.Revision,
@@ -40,13 +42,14 @@
 	}
 }
 
-// LoadHistory takes in the entries that earlier leaders have stored, in any order.
+// LoadHistory sets the history to the entries that earlier leaders have stored, in any order.
 func (h *Home) LoadHistory(entries []*HistoryEntry) {
 	h.history = slices.Clone(entries)
 	slices.SortFunc(h.history, func(a, b *HistoryEntry) int { return cmp.Compare(a.Revision, b.Revision) })
 }
 
-// NewHistoryEntry describes the update that Propose made for a change, before it is applied.
+// NewHistoryEntry returns the entry for an update that Propose returned. It has to be called
+// before the update is applied.
 func (h *Home) NewHistoryEntry(u Update, now time.Time) *HistoryEntry {
 	entry := &HistoryEntry{Revision: u.Head.Revision, At: now.UnixMilli()}
 	for _, r := range u.Records {
@@ -64,7 +67,7 @@
 	return entry
 }
 
-// AddHistory adds the entry of a change that is stored.
+// AddHistory adds a stored entry to the history, and drops the oldest one beyond MaxHistory.
 func (h *Home) AddHistory(e *HistoryEntry) {
 	h.history = append(h.history, e)
 	if len(h.history) > MaxHistory {
@@ -72,22 +75,24 @@
 	}
 }
 
-// HistorySummary is a retained change as the API shows it.
+// HistorySummary is a change of the history in the API.
 type HistorySummary struct {
 	Revision uint64 `codec:"revision" json:"revision"`
 	// At is the home leader's time of day, in milliseconds since 1970.
 	At int64 `codec:"at" json:"at_ms"`
-	// Teams are those that were changed or removed, at most maxTeamsListed, of Count.
+	// Teams are the teams that were changed or removed, at most maxTeamsListed of them. Count is
+	// the number of all.
 	Teams []string `codec:"teams" json:"teams"`
 	Count int      `codec:"count" json:"count"`
-	// Omitted: it cannot be rolled back, because the configuration before it is not stored.
+	// Omitted means that the change cannot be rolled back, because the configuration before it is
+	// not stored.
 	Omitted bool `codec:"omitted,omitempty" json:"omitted,omitempty"`
 }
 
 // maxTeamsListed bounds the teams in a HistorySummary.
 const maxTeamsListed = 20
 
-// History lists the retained changes, the last one first.
+// History returns the retained changes, the last one first.
 func (h *Home) History() (out []HistorySummary) {
 	for _, e := range slices.Backward(h.history) {
 		out = append(out, HistorySummary{
@@ -101,7 +106,7 @@
 	return out
 }
 
-// asChange is the change that would configure the team as it is.
+// asChange returns the change that results in the team's present configuration.
 func (r *TeamRecord) asChange() TeamChange {
 	limit := r.Limit.quota()
 	c := TeamChange{Name: r.Name, Limit: &limit, Regions: map[string]RegionQuota{}}
@@ -113,18 +118,18 @@
 	return c
 }
 
-// Rollback is the change that undoes all that came after a revision.
+// Rollback returns the change that restores the configuration at a revision.
 func (h *Home) Rollback(to uint64) (*Change, *Refusal) {
 	if to >= h.head.Revision {
-		return nil, refuse(http.StatusUnprocessableEntity, "revision", "%d is not before the last one, %d", to, h.head.Revision)
+		return nil, refuse(http.StatusUnprocessableEntity, "revision", "%d is not earlier than the last revision, %d", to, h.head.Revision)
 	}
 	before := map[string]TeamChange{} // teams to configure as they were
-	added := map[string]bool{}        // teams to remove
-	reached := h.head.Revision        // the revision that the entries looked at lead back to
+	added := map[string]bool{}        // teams to remove, which the revision did not have
+	reached := h.head.Revision        // the revision to which the entries processed so far lead back
 	for i := len(h.history) - 1; i >= 0 && h.history[i].Revision > to; i-- {
 		entry := h.history[i]
 		if entry.Omitted {
-			return nil, refuse(http.StatusUnprocessableEntity, "revision", "what was there before revision %d was too large to be kept", entry.Revision)
+			return nil, refuse(http.StatusUnprocessableEntity, "revision", "the configuration before revision %d was too large to be stored", entry.Revision)
 		}
 		for _, name := range entry.Added {
 			delete(before, name)
@@ -137,13 +142,13 @@
 		reached = entry.Revision - 1
 	}
 	if reached > to {
-		return nil, refuse(http.StatusUnprocessableEntity, "revision", "the history goes back to revision %d", reached)
+		return nil, refuse(http.StatusUnprocessableEntity, "revision", "the history goes back to revision %d only", reached)
 	}
 	change := &Change{Remove: slices.Sorted(maps.Keys(added))}
 	for _, name := range slices.Sorted(maps.Keys(before)) {
 		change.Teams = append(change.Teams, before[name])
 	}
-	// A team that is not there any more need not be removed.
+	// A team that does not exist or is removed already need not be removed.
 	change.Remove = slices.DeleteFunc(change.Remove, func(name string) bool { return h.teams[name] == nil || h.teams[name].Removed })
 	return change, nil
 }
--- a/internal/dynconfig/home.go
+++ b/internal/dynconfig/home.go
@@ -2,22 +2,23 @@
 
 import "slices"
 
-// MaxTeams bounds the teams, removed ones included: a region reports all of them in one
-// message.
+// MaxTeams bounds the number of teams, including removed ones, because a region reports all of
+// them in one message.
 const MaxTeams = 1000
 
-// Home is the configuration at the leader of the home region, for one term.
+// Home holds the configuration at the leader of the home region, for one term.
 type Home struct {
 	term      uint64
 	regions   []string
 	head      Head
 	teams     map[string]*TeamRecord
 	followers map[string]*follower // by region
-	dirty     map[string]bool      // names of teams that the next Step looks at
+	dirty     map[string]bool      // names of teams that Step has to reconcile
 	history   []*HistoryEntry      // retained changes, by revision
 }
 
-// NewHome starts a term with what earlier leaders have stored.
+// NewHome returns the configuration at the start of a term, from the head and the records that
+// earlier leaders have stored.
 func NewHome(term uint64, regions []string, head Head, records []*TeamRecord) *Home {
 	h := &Home{
 		term:      term,
@@ -43,10 +44,11 @@
 	return h
 }
 
-// Head is the stored position.
+// Head returns the numbers of the last change and of the last grant.
 func (h *Home) Head() Head { return h.head }
 
-// Update is what has to be stored at the home region before it takes effect.
+// Update holds the head and the records that the home region has to store before they take
+// effect.
 type Update struct {
 	Head    Head
 	Records []*TeamRecord
@@ -55,7 +57,7 @@
 // Empty reports whether there is nothing to store.
 func (u *Update) Empty() bool { return len(u.Records) == 0 }
 
-// Apply puts an update that is stored into effect.
+// Apply makes a stored update take effect.
 func (h *Home) Apply(u Update) {
 	h.head = Head{
 		Revision: max(h.head.Revision, u.Head.Revision),
@@ -64,21 +66,22 @@
 	for _, r := range u.Records {
 		h.teams[r.Name] = r
 		h.updatePending(r.Name)
-		// Lowering one region's grant may allow another's to be raised without a further
-		// report.
+		// If the update lowers the grant of one region, it may be possible to raise the grant of
+		// another one without a further report.
 		h.dirty[r.Name] = true
 	}
 }
 
-// Requeue lets Step look again at the teams of an update that could not be stored.
+// Requeue makes Step reconcile the teams of an update again that could not be stored.
 func (h *Home) Requeue(u Update) {
 	for _, r := range u.Records {
 		h.dirty[r.Name] = true
 	}
 }
 
-// recordFromReports builds the record of a team for which none is stored from what the
-// regions report of it, by their platforms' files or by grants; nil: no region knows it.
+// recordFromReports returns the record of a team that has none in the store. It is built from the
+// regions' reports, which follow the platform's file or stored grants. The result is nil if no
+// region reports the team.
 func (h *Home) recordFromReports(name string) *TeamRecord {
 	record := &TeamRecord{Name: name, Shares: map[string]Share{}, Grants: map[string]Grant{}}
 	for _, region := range h.regions {
--- a/internal/dynconfig/home_follow.go
+++ b/internal/dynconfig/home_follow.go
@@ -9,31 +9,32 @@
 // maxGrantsPerReply bounds the grants in one reply.
 const maxGrantsPerReply = 64
 
-// follower is what the home region's leader knows of a region.
+// follower is the state of a region at the leader of the home region.
 type follower struct {
-	// reported: the region has reported all its teams to this leader.
+	// reported means that the region has reported all its teams to this leader.
 	reported bool
 	// reports are the region's last reports, by team.
 	reports map[string]TeamReport
-	// storedSeq is the highest sequence number of grants that the region has stored, and
-	// newestSeq that of the grants made for it.
+	// storedSeq is the highest sequence number of the grants that the region has stored,
+	// newestSeq the highest one of the grants for the region.
 	storedSeq uint64
 	newestSeq uint64
-	// term and number are those of the region's last request, which came at lastRequest.
+	// term and number identify the region's last request, which arrived at lastRequest.
 	term        uint64
 	number      uint64
 	lastRequest time.Time
-	// pending are the teams whose shares are not in force in the region, with the first
-	// revision that is not.
+	// pending are the teams whose shares are not in force in the region, with the first revision
+	// that is not in force for the team.
 	pending map[string]uint64
-	// revision is the last one that is wholly in force there, since revisionSince.
+	// revision is the last revision that is completely in force in the region, since
+	// revisionSince.
 	revision      uint64
 	revisionSince time.Time
 }
 
-// HandleRequest takes in a region's request. It returns the reply if the request is
-// refused or has to be repeated in full. A nil reply means that Reply answers it, now or
-// as soon as HasGrants reports that there is something to send.
+// HandleRequest processes a region's request. It returns a reply if the request is refused or
+// has to be repeated with reports of all teams. If the reply is nil, the caller answers with
+// Reply, at once or as soon as HasGrants reports new grants.
 func (h *Home) HandleRequest(request *Request, now time.Time) *Reply {
 	f := h.followers[request.Region]
 	if f == nil {
@@ -57,8 +58,8 @@
 		}
 	}
 	f.storedSeq = request.After
-	// If the home region's store has lost its last writes, what is decided from now on
-	// has to count as newer than what the region has.
+	// If the home region's store has lost its last writes, new changes and grants still need
+	// higher numbers than those that the region has stored.
 	h.head.Seq = max(h.head.Seq, request.After)
 	h.head.Revision = max(h.head.Revision, request.Revision)
 	for _, report := range request.Reports {
@@ -70,7 +71,8 @@
 	return nil
 }
 
-// Reply answers a request that HandleRequest took in. It sends only what is stored.
+// Reply returns the reply to a request that HandleRequest has accepted. It holds stored grants
+// only.
 func (h *Home) Reply(request *Request) *Reply {
 	f := h.followers[request.Region]
 	if f.term != request.Term || f.number != request.Number {
@@ -80,8 +82,8 @@
 	return &Reply{Term: h.term, Grants: grants, More: more}
 }
 
-// grantsAfter lists a region's grants after a sequence number, in order, as many as one
-// reply takes; more: there are others.
+// grantsAfter returns a region's grants after a sequence number, in order, at most
+// maxGrantsPerReply. more reports whether there are further ones.
 func (h *Home) grantsAfter(region string, after uint64) (out []RegionGrant, more bool) {
 	for _, r := range h.teams {
 		g, ok := r.Grants[region]
@@ -105,7 +107,7 @@
 	return out, false
 }
 
-// HasGrants reports whether there are grants for a region after a sequence number.
+// HasGrants reports whether a region has grants after a sequence number.
 func (h *Home) HasGrants(region string, after uint64) bool {
 	f := h.followers[region]
 	return f != nil && f.newestSeq > after
--- a/internal/dynconfig/home_reconcile.go
+++ b/internal/dynconfig/home_reconcile.go
@@ -5,12 +5,12 @@
 	"slices"
 )
 
-// minRaiseFraction is the least part of a share by which a grant is raised before the
-// whole share is free: each raise is a write in both regions.
+// minRaiseFraction is the smallest fraction of a share by which a grant is raised while the whole
+// share is not free yet. It limits the raises, each of which is a write in both regions.
 const minRaiseFraction = 0.1
 
-// Step reconciles up to maxTeams teams that have changed or of which regions have
-// reported something new. The update takes effect once it is stored and applied.
+// Step reconciles teams that have changed or for which a region has sent a new report. The update
+// holds at most maxTeams records, and takes effect once it is stored and applied.
 func (h *Home) Step(maxTeams int) Update {
 	u := Update{Head: h.head}
 	for _, name := range slices.Sorted(maps.Keys(h.dirty)) {
@@ -33,8 +33,8 @@
 	return u
 }
 
-// allReported reports whether every region has reported all its teams to this leader.
-// Until then no grant is raised: the store may have lost the raise of another one.
+// allReported reports whether every region has reported all its teams to this leader. Until then
+// no grant is raised, because the store may have lost the raise of another region's grant.
 func (h *Home) allReported() bool {
 	for _, f := range h.followers {
 		if !f.reported {
@@ -44,8 +44,8 @@
 	return true
 }
 
-// adopt rebuilds the record of a team that a region has a grant for and the store has
-// lost; nil: no region has one, or not all have reported.
+// adopt rebuilds the record of a team that the store has lost although a region has a grant for
+// the team. The result is nil if no region has a grant or not all regions have reported.
 func (h *Home) adopt(name string) *TeamRecord {
 	granted := func(f *follower) bool { return f.reports[name].Seq > 0 }
 	if !h.allReported() || !slices.ContainsFunc(slices.Collect(maps.Values(h.followers)), granted) {
@@ -56,10 +56,10 @@
 	return record
 }
 
-// reconcile compares the grants of a team with its shares and with what the regions
-// report, and returns the record that has to be stored; nil: nothing has changed. Lower
-// grants come first, then raises as far as no other region holds the amount. New grants
-// are numbered by head.
+// reconcile adjusts the grants of a team to its shares and to the regions' reports, and returns
+// the record that has to be stored, or nil if it has not changed. It lowers grants first, and then
+// raises others as far as no other region holds the amount. New grants get their sequence numbers
+// from head.
 func (h *Home) reconcile(current *TeamRecord, head *Head) *TeamRecord {
 	record := current.clone()
 	changed := false
@@ -77,8 +77,8 @@
 	return record
 }
 
-// updateGrant brings a region's grant up to date without raising its limit, and reports
-// whether the record has to be stored for that.
+// updateGrant updates a region's grant without raising its limit, and reports whether the record
+// has to be stored.
 func (h *Home) updateGrant(record *TeamRecord, region string, head *Head) (changed bool) {
 	grant, changed := h.reconcileReport(record, region)
 	if grant.Seq == 0 && !h.followers[region].reported {
@@ -104,13 +104,13 @@
 	return changed
 }
 
-// currentShare is the share that a region is to have now. Of a removed team the region
-// retains its share until it accepts no more jobs of it and the last one is over.
+// currentShare returns the share that a region should have now. A region keeps its share of a
+// removed team until it accepts no more jobs of the team and the last one has ended.
 func (h *Home) currentShare(record *TeamRecord, region string) Share {
 	grant := record.Grants[region]
 	f := h.followers[region]
 	report := f.reports[record.Name]
-	// Once closed the share stays closed, unless a late job shows up.
+	// A share that is closed stays closed, unless the region reports a late job.
 	closed := report.Seq == grant.Seq || grant.Limit == Amount{}
 	if record.Removed && grant.Removed && f.reported && !report.Busy && closed {
 		return Share{}
@@ -118,16 +118,16 @@
 	return record.configuredShare(region)
 }
 
-// reconcileReport is a region's grant with what is held for it after its last report. A
-// sequence number of 0 means that the region has to be sent a new grant; mustStore
-// reports whether the record has to be stored for the change.
+// reconcileReport returns a region's grant with the amount that is held for the region after its
+// last report. A sequence number of 0 means that the region needs a new grant. mustStore reports
+// whether the change of the grant has to be stored.
 func (h *Home) reconcileReport(record *TeamRecord, region string) (grant Grant, mustStore bool) {
 	grant, known := record.Grants[region]
 	f := h.followers[region]
 	report, reported := f.reports[record.Name]
 	switch {
 	case !f.reported && !known:
-		// It is not known what the region holds: nothing can be raised before it reports.
+		// The amount that the region holds is unknown, so no grant can be raised before it reports.
 		return Grant{Held: NoLimit()}, false
 	case !f.reported:
 		return grant, false
@@ -140,22 +140,23 @@
 		grant.Seq = 0
 		return grant, true
 	case report.Seq < grant.Seq:
-		// The region has yet to store the grant. It may hold more than is known if its own
-		// store was restored to an earlier state.
+		// The region has not stored the grant yet. It may hold more than the record says if its
+		// own store was restored to an earlier state.
 		held := grant.Held.elementMax(report.Held).elementMax(report.Limit)
 		changed := held != grant.Held
 		grant.Held = held
 		return grant, changed
 	}
 	held := grant.Limit.elementMax(report.Held)
-	// A partial release is stored with the raise that relies on it, a complete one at once.
+	// A partial release is stored together with the raise that depends on it, a complete one at
+	// once.
 	released := held != grant.Held && held == grant.Limit
 	grant.Held = held
 	return grant, released
 }
 
-// grantLost reports whether the home region's store has lost a later grant than g: the
-// region reports one, or has stored grants up to storedSeq and not this one.
+// grantLost reports whether the home region's store has lost a later grant than this one: the
+// region reports a later one, or it has stored grants up to storedSeq but not this one.
 func grantLost(grant *Grant, report *TeamReport, storedSeq uint64) bool {
 	switch {
 	case report.Seq > grant.Seq:
@@ -166,8 +167,8 @@
 	return grant.Seq <= storedSeq
 }
 
-// raiseGrant raises a region's limit towards its share as far as no other region holds
-// the amount, and reports whether it did.
+// raiseGrant raises a region's limit towards its share as far as no other region holds the
+// amount, and reports whether it raised the limit.
 func (h *Home) raiseGrant(record *TeamRecord, region string, head *Head) bool {
 	grant := record.Grants[region]
 	share := h.currentShare(record, region)
@@ -191,7 +192,7 @@
 	return true
 }
 
-// worthRaising reports whether a raise is a large enough part of a share.
+// worthRaising reports whether a raise is at least minRaiseFraction of a share in one resource.
 func worthRaising(from, to, share Amount) bool {
 	enough := func(from, to, share float64) bool {
 		return to > from && to-from >= minRaiseFraction*share
--- a/internal/dynconfig/record.go
+++ b/internal/dynconfig/record.go
@@ -1,58 +1,58 @@
 package dynconfig
 
-// The records of the home region. Their codec tags are the names in the store: Go
-// names may change, tags may not.
+// The home region stores these records. The codec tags are the names in the store: Go names may
+// change, tags may not.
 
-// Share is the part of a team's limit that one region is to have, and what the team is
-// guaranteed there.
+// Share is the part of a team's limit that is configured for one region, and the team's guarantee
+// there.
 type Share struct {
 	Limit     Amount `codec:"limit"`
 	Guarantee Amount `codec:"guarantee"`
 }
 
-// Head is the position of the configuration.
+// Head holds the numbers of the last change and of the last grant.
 type Head struct {
-	// Revision numbers the changes; this is that of the last one.
+	// Revision is the number of the last change.
 	Revision uint64 `codec:"revision"`
-	// Seq numbers the grants of all teams and regions; this is that of the last one.
+	// Seq is the sequence number of the last grant, counted over all teams and regions.
 	Seq uint64 `codec:"seq"`
 }
 
 // TeamRecord is a team as the home region stores it.
 type TeamRecord struct {
 	Name string `codec:"name"`
-	// Limit holds over all regions together.
+	// Limit holds for all regions together.
 	Limit Amount `codec:"limit"`
-	// Shares are the configured parts of the limit, by region. A region that is not
-	// named gets nothing, or has no limit where the team has none.
+	// Shares are the configured parts of the limit, by region. A region that is not named gets
+	// nothing, or is unlimited if the team is.
 	Shares map[string]Share `codec:"shares"`
-	// Removed: no region accepts jobs of the team any more.
+	// Removed means that no region accepts jobs of the team any more.
 	Removed bool `codec:"removed,omitempty"`
-	// Adopted: the record was lost and rebuilt from what the regions reported. Until the
-	// team is changed again the configured shares are not known.
+	// Adopted means that the record was lost and rebuilt from the regions' reports. The
+	// configured shares are unknown until the team is changed again.
 	Adopted bool `codec:"adopted,omitempty"`
-	// Revision is that of the team's last change.
+	// Revision is the number of the team's last change.
 	Revision uint64 `codec:"revision"`
-	// Grants are the last grants sent, by region.
+	// Grants are the last grants of the regions, by region.
 	Grants map[string]Grant `codec:"grants"`
 }
 
-// Grant is the part of a team's limit that a region is allowed now. It never exceeds
-// what is held for the region.
+// Grant is the part of a team's limit that a region may use now. It never exceeds the amount that
+// is held for the region.
 type Grant struct {
 	Seq       uint64 `codec:"seq"`
 	Limit     Amount `codec:"limit"`
 	Guarantee Amount `codec:"guarantee"`
-	// Target is the limit that the region will have once other regions have released it.
+	// Target is the limit that the region gets once other regions have released enough.
 	Target  Amount `codec:"wants"`
 	Removed bool   `codec:"removed,omitempty"`
-	// Held is the most that the region may still use, by an earlier grant or by tasks that
-	// have not ended, until it reports otherwise. The sum over all regions never rises
-	// above the team's limit.
+	// Held is the most that the region may still use, under an earlier grant or by tasks that
+	// have not ended, until it reports otherwise. No raise brings the sum over all regions above
+	// the team's limit.
 	Held Amount `codec:"held"`
 }
 
-// configuredShare is the share that the team's last change gives a region.
+// configuredShare returns the share of a region according to the team's last change.
 func (r *TeamRecord) configuredShare(region string) Share {
 	s, ok := r.Shares[region]
 	if !ok && r.Limit == NoLimit() {
@@ -61,8 +61,8 @@
 	return s
 }
 
-// target is the limit that a region with this share is to reach; an adopted record may
-// come to any.
+// target returns the limit that a region with this share finally gets. It is unlimited for an
+// adopted record, because the configured limit is unknown.
 func (r *TeamRecord) target(share Share) Amount {
 	if r.Adopted {
 		return NoLimit()
@@ -70,7 +70,7 @@
 	return share.Limit
 }
 
-// heldByOthers adds up what is held for all regions except one.
+// heldByOthers returns the sum of the amounts that are held for all regions except one.
 func (r *TeamRecord) heldByOthers(except string) (sum Amount) {
 	for region, g := range r.Grants {
 		if region != except {
@@ -80,7 +80,7 @@
 	return sum
 }
 
-// clone copies the record and its grants. The shares are common to both.
+// clone returns a copy of the record with its own grants. The copy shares the map of shares.
 func (r *TeamRecord) clone() *TeamRecord {
 	c := *r
 	c.Grants = make(map[string]Grant, len(r.Grants))
--- a/internal/dynconfig/replica.go
+++ b/internal/dynconfig/replica.go
@@ -5,28 +5,29 @@
 	"slices"
 )
 
-// Replica is the configuration at the leader of a region, for one term.
+// Replica holds the configuration at the leader of a region, for one term.
 type Replica struct {
 	region        string
 	term          uint64
 	requestNumber uint64 // of the last request
-	// fileShares are the teams of the platform's file, in force where no grant is stored.
+	// fileShares are the shares of the teams in the platform's file. They are in force for teams
+	// without a stored grant.
 	fileShares map[string]Share
 	teams      map[string]RegionGrant // stored grants, by team
 	lastSeq    uint64                 // highest sequence number of the stored grants
 	homeTerm   uint64                 // highest term of a home leader that has answered
-	// reportedTerm is the home leader's term to which all teams were reported, and
-	// acknowledged are the last reports that it has answered.
+	// reportedTerm is the term of the home leader to which all teams were reported, acknowledged
+	// the last reports that a home leader has answered, by team.
 	reportedTerm uint64
 	acknowledged map[string]TeamReport
-	// unconfirmed: the region's own store has lost its last writes, and may hold a limit
-	// that was lowered since.
+	// unconfirmed means that the region's own store has lost its last writes. A stored limit may
+	// have been lowered in the meantime.
 	unconfirmed bool
 }
 
-// NewReplica starts a term with the grants that earlier leaders of the region have stored.
-// If the store has lost its last writes (restored), no team starts anything under a limit
-// until the home region has confirmed it.
+// NewReplica returns the configuration at the start of a term, from the grants that earlier
+// leaders of the region have stored. restored means that the store has lost its last writes: no
+// team starts a task under a limit until the home region has confirmed the limit.
 func NewReplica(region string, term uint64, fileShares map[string]Share, grants []RegionGrant, restored bool) *Replica {
 	r := &Replica{
 		region:       region,
@@ -43,11 +44,11 @@
 	return r
 }
 
-// UsageFunc returns what a team uses in the region at this moment, including everything
-// that may still be on a machine, and whether it has jobs that are not over.
+// UsageFunc returns what a team uses in the region now, including every task that may still be on
+// a machine, and whether the team has jobs that have not ended.
 type UsageFunc func(team string) (used Amount, busy bool)
 
-// Request is the next request to the home region. It repeats reports that have not been
+// Request returns the next request to the home region. It repeats reports that have not been
 // answered.
 func (r *Replica) Request(usage UsageFunc) *Request {
 	r.requestNumber++
@@ -76,7 +77,7 @@
 	return request
 }
 
-// teamReport is what the region reports about a team now.
+// teamReport returns the region's present report about a team.
 func (r *Replica) teamReport(name string, usage UsageFunc) TeamReport {
 	used, busy := usage(name)
 	share := r.fileShares[name]
@@ -95,12 +96,12 @@
 	}
 }
 
-// Unconfirmed reports whether the region's limits have to be confirmed by the home region
-// before anything starts under them. The next leader must know it as well.
+// Unconfirmed reports whether the home region has to confirm the region's limits before tasks may
+// start under them. The caller has to store this for the next leader.
 func (r *Replica) Unconfirmed() bool { return r.unconfirmed }
 
-// HandleReply takes in the reply to a request and returns the grants that have to be stored
-// now, before they take effect. A reply of an earlier home leader is ignored.
+// HandleReply processes the reply to a request and returns the grants that have to be stored
+// before they take effect. It ignores the reply of an earlier home leader.
 func (r *Replica) HandleReply(request *Request, reply *Reply) []RegionGrant {
 	if reply.Refused != "" || reply.Term < r.homeTerm {
 		return nil
@@ -128,7 +129,7 @@
 	return out
 }
 
-// ApplyStored puts grants that are stored into effect.
+// ApplyStored makes stored grants take effect.
 func (r *Replica) ApplyStored(grants []RegionGrant) {
 	for _, g := range grants {
 		if g.Seq > r.teams[g.Team].Seq {
@@ -138,8 +139,8 @@
 	}
 }
 
-// Share is a team's share in the region now; exists: there is such a team, and it was not
-// removed.
+// Share returns a team's present share in the region. exists reports whether the team exists and
+// was not removed.
 func (r *Replica) Share(team string, usage UsageFunc) (share Share, exists bool) {
 	share, exists = r.fileShares[team]
 	if g, ok := r.teams[team]; ok {
@@ -154,9 +155,9 @@
 	return share, exists
 }
 
-// Target is the limit that a team will have in the region, which may be more than it has
-// now. There is no limit to what an unconfirmed or unreadable grant (sequence number 0)
-// may become.
+// Target returns the limit that a team will get in the region, which may be higher than the
+// present one. It is unlimited for a grant that is not confirmed or could not be read (sequence
+// number 0), because any limit may follow.
 func (r *Replica) Target(team string) Amount {
 	g, ok := r.teams[team]
 	switch {
@@ -168,10 +169,10 @@
 	return r.fileShares[team].Limit
 }
 
-// LastSeq is the highest sequence number of the grants in effect.
+// LastSeq returns the highest sequence number of the grants in effect.
 func (r *Replica) LastSeq() uint64 { return r.lastSeq }
 
-// Revision is the highest revision of the grants in effect.
+// Revision returns the highest revision of the grants in effect.
 func (r *Replica) Revision() (revision uint64) {
 	for _, g := range r.teams {
 		revision = max(revision, g.Revision)
--- a/internal/dynconfig/status.go
+++ b/internal/dynconfig/status.go
@@ -6,29 +6,30 @@
 	"time"
 )
 
-// maxPendingListed bounds the pending shares that a status lists for each region.
+// maxPendingListed bounds the pending shares that a status lists per region.
 const maxPendingListed = 20
 
-// Status is how far the configuration is in force.
+// Status says which revision of the configuration is in force in each region.
 type Status struct {
-	// Revision is that of the last change.
+	// Revision is the number of the last change.
 	Revision uint64         `codec:"revision" json:"revision"`
 	Regions  []RegionStatus `codec:"regions" json:"regions"`
 }
 
-// RegionStatus is how far the configuration is in force in a region.
+// RegionStatus says which revision of the configuration is in force in a region.
 type RegionStatus struct {
 	Region string `codec:"region" json:"region"`
-	// Revision is the last one that is wholly in force there, InForceS for how many
-	// seconds it has been.
+	// Revision is the last revision that is completely in force in the region, InForceS the time
+	// since it is the last one, in seconds.
 	Revision uint64  `codec:"revision" json:"revision"`
 	InForceS float64 `codec:"in_force_s" json:"in_force_s"`
-	// Behind is by how many revisions the region is behind.
+	// Behind is the number of later revisions, which are not completely in force.
 	Behind uint64 `codec:"behind" json:"behind"`
-	// SilentS is the time since the region's last request, in seconds; below 0: this leader
-	// has had none.
+	// SilentS is the time since the region's last request, in seconds. It is negative if this
+	// leader has received none.
 	SilentS float64 `codec:"silent_s" json:"silent_s"`
-	// Pending are shares that are not in force, at most maxPendingListed, of PendingCount.
+	// Pending are shares that are not in force, at most maxPendingListed. PendingCount is the
+	// number of all of them.
 	PendingCount int            `codec:"waiting" json:"waiting"`
 	Pending      []PendingShare `codec:"waits,omitempty" json:"waits,omitempty"`
 }
@@ -36,15 +37,15 @@
 // PendingShare is a team whose share is not in force in a region.
 type PendingShare struct {
 	Team string `codec:"team" json:"team"`
-	// InForce is the limit in force, Target the limit that is to be.
+	// InForce is the limit in force, Target the limit that the team will get.
 	InForce Quota `codec:"has" json:"has"`
 	Target  Quota `codec:"wants" json:"wants"`
-	// BlockedBy are the regions that still hold what this one is to have, or this one if it
-	// has not stored its grant yet.
+	// BlockedBy are the regions that still hold an amount that this region needs, or this region
+	// if it has not stored its grant yet.
 	BlockedBy []string `codec:"for" json:"for"`
 }
 
-// TeamStatus is a team as configured, with the state of each region.
+// TeamStatus is the configuration of a team, with the state of each region.
 type TeamStatus struct {
 	Name     string                       `codec:"name" json:"name"`
 	Revision uint64                       `codec:"revision" json:"revision"`
@@ -55,7 +56,7 @@
 
 // RegionQuotaStatus is a region's part of a team's quota.
 type RegionQuotaStatus struct {
-	// Limit and Guarantee are those configured.
+	// Limit and Guarantee are the configured amounts.
 	Limit     Quota `codec:"limit" json:"limit"`
 	Guarantee Quota `codec:"guarantee" json:"guarantee"`
 	// Granted is the limit of the last grant, Held the most that the region may still use.
@@ -63,7 +64,7 @@
 	Held    Quota `codec:"held" json:"held"`
 }
 
-// inForce reports whether a team's share is in force in a region by the region's last
+// inForce reports whether a team's share is in force in a region according to the region's last
 // report.
 func (h *Home) inForce(record *TeamRecord, region string) bool {
 	grant := record.Grants[region]
@@ -76,8 +77,8 @@
 		grant.Removed == record.Removed
 }
 
-// updatePending updates what the followers have of a team: its newest grant, and whether
-// its share is pending.
+// updatePending updates the followers' state of a team: the newest grant, and whether the team's
+// share is pending.
 func (h *Home) updatePending(name string) {
 	record := h.teams[name]
 	if record == nil {
@@ -93,7 +94,7 @@
 	}
 }
 
-// revisionInForce is the last revision that is wholly in force in a region, and the teams
+// revisionInForce returns the last revision that is completely in force in a region, and the teams
 // whose shares are pending there.
 func (h *Home) revisionInForce(region string) (revision uint64, pending []string) {
 	f := h.followers[region]
@@ -108,7 +109,8 @@
 	return revision, pending
 }
 
-// trackRevision records the revision in force in a region, with the time if it has changed.
+// trackRevision records the revision in force in a region, and the time if the revision has
+// changed.
 func (h *Home) trackRevision(region string, now time.Time) {
 	f := h.followers[region]
 	revision, _ := h.revisionInForce(region)
@@ -118,7 +120,7 @@
 	}
 }
 
-// Status returns how far the configuration is in force in each region.
+// Status returns the status of the configuration in each region.
 func (h *Home) Status(now time.Time) Status {
 	out := Status{Revision: h.head.Revision}
 	for _, region := range h.regions {
@@ -160,7 +162,7 @@
 		BlockedBy: []string{},
 	}
 	if grant.Limit.approxEqual(share.Limit) {
-		pending.BlockedBy = append(pending.BlockedBy, region) // it only has to store its grant
+		pending.BlockedBy = append(pending.BlockedBy, region) // the region has to store its grant, and no other region blocks it
 		return pending
 	}
 	for _, other := range h.regions {
@@ -173,8 +175,8 @@
 	return pending
 }
 
-// Teams lists up to limit teams by name, from the first one after a name; more: there are
-// others.
+// Teams returns up to limit teams whose names follow the given one, in the order of their names.
+// more reports whether there are further ones.
 func (h *Home) Teams(after string, limit int) (out []TeamStatus, more bool) {
 	for _, name := range slices.Sorted(maps.Keys(h.teams)) {
 		if name <= after {
