--- a/internal/autoscale/backoff.go
+++ b/internal/autoscale/backoff.go
@@ -22,19 +22,19 @@
 	}
 }
 
-// Refused notes that the cloud had none, or too few, of an offer. The offer is not open for
+// RecordRefusal notes that the cloud had none, or too few, of an offer. The offer is not open for
 // a pause that doubles from one refusal to the next.
-func (b *Backoff) Refused(o Offer, now time.Time) {
+func (b *Backoff) RecordRefusal(o Offer, now time.Time) {
 	pause := min(maxBackoff, max(firstBackoff, 2*b.pause[o]))
 	b.pause[o] = pause
 	b.until[o] = now.Add(pause)
 }
 
-// Succeeded forgets the refusals of an offer.
-func (b *Backoff) Succeeded(o Offer) {
+// RecordSuccess forgets the refusals of an offer.
+func (b *Backoff) RecordSuccess(o Offer) {
 	delete(b.pause, o)
 	delete(b.until, o)
 }
 
-// Open reports whether the offer may be requested.
-func (b *Backoff) Open(o Offer, now time.Time) bool { return !now.Before(b.until[o]) }
+// Allows reports whether the offer may be requested.
+func (b *Backoff) Allows(o Offer, now time.Time) bool { return !now.Before(b.until[o]) }
--- a/internal/autoscale/backoff_test.go
+++ b/internal/autoscale/backoff_test.go
@@ -11,7 +11,7 @@
 	o := Offer{}
 	b := NewBackoff()
 	wait := func() (d time.Duration) {
-		for !b.Open(o, now.Add(d)) {
+		for !b.Allows(o, now.Add(d)) {
 			d += time.Second
 		}
 		return d
@@ -20,10 +20,10 @@
 		if got := wait(); got != want {
 			t.Errorf("after %d refusals closed for %v, want %v", i, got, want)
 		}
-		b.Refused(o, now)
+		b.RecordRefusal(o, now)
 	}
-	b.Succeeded(o)
-	if !b.Open(o, now) {
+	b.RecordSuccess(o)
+	if !b.Allows(o, now) {
 		t.Error("closed after it was served")
 	}
 }
--- a/internal/autoscale/plan.go
+++ b/internal/autoscale/plan.go
@@ -249,7 +249,7 @@
 
 // available reports whether machines of an offer may be requested now.
 func (in *Input) available(o Offer) bool {
-	return in.Backoff.Open(o, in.Now) && (in.Closed == nil || !in.Closed(o))
+	return in.Backoff.Allows(o, in.Now) && (in.Closed == nil || !in.Closed(o))
 }
 
 // costPerTask returns the cost of each of the given number of tasks that share a machine of
--- a/internal/autoscale/plan_test.go
+++ b/internal/autoscale/plan_test.go
@@ -33,7 +33,7 @@
 		{"little work, a small machine", []UnmetDemand{want(1, 4, nil)}, nil, map[Offer]int{smallSpot: 1}},
 		{"much work, a large one", []UnmetDemand{want(1, 64, nil)}, nil, map[Offer]int{largeSpot: 1}},
 		{"no spot machine where the job forbids it", []UnmetDemand{want(60, 1, func(w *UnmetDemand) { w.Demand.Spot = false })}, nil, map[Offer]int{largeA: 1}},
-		{"a refused offer is passed over", []UnmetDemand{want(1, 4, nil)}, func(s *Input) { s.Backoff.Refused(smallSpot, now) }, map[Offer]int{{0, 1, true}: 1}},
+		{"a refused offer is passed over", []UnmetDemand{want(1, 4, nil)}, func(s *Input) { s.Backoff.RecordRefusal(smallSpot, now) }, map[Offer]int{{0, 1, true}: 1}},
 		{"what comes is filled first", []UnmetDemand{want(1, 4, nil)}, func(s *Input) {
 			s.Pending = []PendingMachine{{smallSpot, place.Resources{CPUs: 4, MemGB: 16}}}
 		}, map[Offer]int{}},
@@ -51,7 +51,7 @@
 		{"a zone that refuses is not gathered in", []UnmetDemand{want(3, 2, func(w *UnmetDemand) { w.Urgent, w.Demand.OneZone, w.FitsByZone = true, true, []int{0, 1} })}, func(s *Input) {
 			for ty := range 2 {
 				for _, spot := range []bool{true, false} {
-					s.Backoff.Refused(Offer{ty, 1, spot}, now)
+					s.Backoff.RecordRefusal(Offer{ty, 1, spot}, now)
 				}
 			}
 		}, map[Offer]int{smallSpot: 2}},
--- a/internal/control/machine_scale_out.go
+++ b/internal/control/machine_scale_out.go
@@ -100,10 +100,10 @@
 		return false
 	}
 	onDemand := autoscale.Offer{Type: typeIdx, Zone: zoneIdx}
-	if mp.backoff.Open(onDemand, now) {
+	if mp.backoff.Allows(onDemand, now) {
 		return true
 	}
-	return spot && mp.backoff.Open(autoscale.Offer{Type: typeIdx, Zone: zoneIdx, Spot: true}, now)
+	return spot && mp.backoff.Allows(autoscale.Offer{Type: typeIdx, Zone: zoneIdx, Spot: true}, now)
 }
 
 // countZoneCapacity sets how many of its tasks fit in each zone, for the first gangs that
@@ -192,14 +192,14 @@
 func (mp *machinePool) provisioned(offer autoscale.Offer, req wire.RentalRequest, names []string, err error, requestedAt time.Time) {
 	if err != nil {
 		mp.log.Info("provisioning failed", "request", req.Request, "error", err)
-		mp.backoff.Refused(offer, time.Now())
+		mp.backoff.RecordRefusal(offer, time.Now())
 		return
 	}
 	mp.log.Info("machines provisioned", "request", req.Request, "machines", names)
 	if len(names) < req.Count {
-		mp.backoff.Refused(offer, time.Now())
+		mp.backoff.RecordRefusal(offer, time.Now())
 	} else {
-		mp.backoff.Succeeded(offer)
+		mp.backoff.RecordSuccess(offer)
 	}
 	for _, name := range names {
 		if mp.wasReleased(name) {
