--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -81,9 +81,9 @@
 	}
 }
 
-// TestRedirect: a worker that comes back after a redirect may be cut off from the
+// TestHeartbeatRedirect: a worker that comes back after a redirect may be cut off from the
 // leader, so its next heartbeat is forwarded.
-func TestRedirect(t *testing.T) {
+func TestHeartbeatRedirect(t *testing.T) {
 	backend := &fakeBackend{leader: "n2"}
 	h := New(backend, slog.New(slog.DiscardHandler), nil).Handler()
 	send := func(host string) int {
--- a/internal/autoscale/cloud_test.go
+++ b/internal/autoscale/cloud_test.go
@@ -11,9 +11,9 @@
 	"vetchstream/internal/wire"
 )
 
-// TestCloudErrors: a refusal for lack of capacity and a failure that may be repeated are told
+// TestProvisionErrors: a refusal for lack of capacity and a failure that may be repeated are told
 // apart.
-func TestCloudErrors(t *testing.T) {
+func TestProvisionErrors(t *testing.T) {
 	tests := []struct {
 		name   string
 		status int
--- a/internal/autoscale/plan_test.go
+++ b/internal/autoscale/plan_test.go
@@ -9,8 +9,8 @@
 	"vetchstream/internal/wire"
 )
 
-// TestRentals: what is requested for unmet demand.
-func TestRentals(t *testing.T) {
+// TestScaleOut: what is requested for unmet demand.
+func TestScaleOut(t *testing.T) {
 	now := time.Unix(1000, 0)
 	types := []wire.MachineType{
 		{Name: "small", CPUs: 4, MemGB: 16, Price: 0.2, SpotPrice: 0.05, BootS: 50, Zones: []string{"a", "b"}},
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// TestFieldError: a caller can tell which setting is invalid.
-func TestFieldError(t *testing.T) {
+// TestParseFieldError: a caller can tell which setting is invalid.
+func TestParseFieldError(t *testing.T) {
 	_, err := Parse([]byte(strings.Replace(validSettings, `txn_ops = 12`, `txn_ops = 1`, 1)))
 	var fieldErr *FieldError
 	if !errors.As(err, &fieldErr) || fieldErr.Field != "facts.state.txn_ops" {
--- a/internal/metrics/page_test.go
+++ b/internal/metrics/page_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// TestPage: what was counted and timed is on the page, within its bounds, and a nil meter
+// TestHandler: what was counted and timed is on the page, within its bounds, and a nil meter
 // accepts everything.
-func TestPage(t *testing.T) {
+func TestHandler(t *testing.T) {
 	tests := []struct {
 		name   string
 		record func(m *Meter)
--- a/internal/schema/schema_test.go
+++ b/internal/schema/schema_test.go
@@ -7,8 +7,8 @@
 	"vetchstream/internal/wire"
 )
 
-// TestDecode: an invalid document gives an error that names its first invalid field.
-func TestDecode(t *testing.T) {
+// TestDecodeFieldErrors: an invalid document gives an error that names its first invalid field.
+func TestDecodeFieldErrors(t *testing.T) {
 	s := New("test", []byte(`{"type": "object", "additionalProperties": false, "required": ["name"], "properties": {
 		"name": {"type": "string"}, "count": {"type": "integer"},
 		"to": {"type": "object", "required": ["image"], "properties": {"image": {"type": "string"}}}}}`))
