--- a/internal/autoscale/plan.go
+++ b/internal/autoscale/plan.go
@@ -98,8 +98,8 @@
 		requests: map[Offer]int{},
 	}
 	for i := range unmet {
-		p.serve(&unmet[i])
-		if p.full() {
+		p.assignDemand(&unmet[i])
+		if p.limitReached() {
 			break
 		}
 	}
@@ -114,11 +114,11 @@
 	requests map[Offer]int
 }
 
-// full reports whether the pass has requested as much as one pass may.
-func (p *pass) full() bool { return len(p.pending) > len(p.Pending)+maxMachinesPerPass }
+// limitReached reports whether the pass has requested as much as one pass may.
+func (p *pass) limitReached() bool { return len(p.pending) > len(p.Pending)+maxMachinesPerPass }
 
-// serve finds machines for an unmet demand.
-func (p *pass) serve(u *UnmetDemand) {
+// assignDemand finds machines for an unmet demand.
+func (p *pass) assignDemand(u *UnmetDemand) {
 	d := u.Demand
 	count := u.Count
 	u.ChosenZone = -1
@@ -133,33 +133,33 @@
 		d = &inZone
 		count -= min(count, u.FitsByZone[zone])
 	}
-	count = p.usePending(d, count)
-	p.request(u, d, count)
+	count = p.assignToPending(d, count)
+	p.requestMachines(u, d, count)
 }
 
-// usePending assigns tasks of a demand to machines that are pending, and returns how many
+// assignToPending assigns tasks of a demand to machines that are pending, and returns how many
 // of count are left.
-func (p *pass) usePending(d *place.Demand, count int) (left int) {
+func (p *pass) assignToPending(d *place.Demand, count int) (left int) {
 	for i := range p.pending {
 		if count == 0 {
 			break
 		}
 		m := &p.pending[i]
-		if !allows(d, m.Offer) {
+		if !allowsOffer(d, m.Offer) {
 			continue
 		}
 		n := min(count, m.Free.FitCount(d.Need))
-		m.Free = subtract(m.Free, d.Need, n)
+		m.Free = subtractTasks(m.Free, d.Need, n)
 		count -= n
 	}
 	return count
 }
 
-// request requests machines for count tasks of a demand; d is u.Demand, confined to the
+// requestMachines requests machines for count tasks of a demand; d is u.Demand, confined to the
 // chosen zone where there is one.
-func (p *pass) request(u *UnmetDemand, d *place.Demand, count int) {
-	for count > 0 && !p.full() {
-		best, ok := p.cheapest(u, d, count)
+func (p *pass) requestMachines(u *UnmetDemand, d *place.Demand, count int) {
+	for count > 0 && !p.limitReached() {
+		best, ok := p.cheapestOffer(u, d, count)
 		if !ok {
 			return
 		}
@@ -170,7 +170,7 @@
 		}
 		p.requests[best.offer]++
 		total := MachineResources(&p.Types[best.offer.Type])
-		p.pending = append(p.pending, PendingMachine{Offer: best.offer, Free: subtract(total, d.Need, n)})
+		p.pending = append(p.pending, PendingMachine{Offer: best.offer, Free: subtractTasks(total, d.Need, n)})
 		count -= n
 	}
 }
@@ -182,13 +182,13 @@
 func (p *pass) chooseGangZone(u *UnmetDemand) (zone int) {
 	zone = -1
 	fewest := 0
-	cheapest, hasCheapest := p.cheapest(u, u.Demand, u.Count)
+	cheapest, hasCheapest := p.cheapestOffer(u, u.Demand, u.Count)
 	for z, fit := range u.FitsByZone {
 		d := *u.Demand
 		d.Zone = z
-		missing := max(0, u.Count-fit-p.pendingFit(&d))
+		missing := max(0, u.Count-fit-p.countPendingFit(&d))
 		if missing > 0 {
-			if _, ok := p.cheapest(u, &d, missing); !ok {
+			if _, ok := p.cheapestOffer(u, &d, missing); !ok {
 				continue
 			}
 		}
@@ -200,10 +200,10 @@
 	return zone
 }
 
-// pendingFit returns how many tasks of a demand fit on the machines that are pending.
-func (p *pass) pendingFit(d *place.Demand) (n int) {
+// countPendingFit returns how many tasks of a demand fit on the machines that are pending.
+func (p *pass) countPendingFit(d *place.Demand) (n int) {
 	for i := range p.pending {
-		if m := &p.pending[i]; allows(d, m.Offer) {
+		if m := &p.pending[i]; allowsOffer(d, m.Offer) {
 			n += m.Free.FitCount(d.Need)
 		}
 	}
@@ -216,9 +216,9 @@
 	capacity int
 }
 
-// cheapest returns the offer that can be had with the lowest cost per task for count tasks
+// cheapestOffer returns the offer that can be had with the lowest cost per task for count tasks
 // of a demand; ok is false if there is none.
-func (in *Input) cheapest(u *UnmetDemand, d *place.Demand, count int) (best choice, ok bool) {
+func (in *Input) cheapestOffer(u *UnmetDemand, d *place.Demand, count int) (best choice, ok bool) {
 	lowest := math.Inf(1)
 	for i := range in.Types {
 		t := &in.Types[i]
@@ -233,7 +233,7 @@
 			}
 			for _, spot := range [...]bool{false, true} {
 				o := Offer{Type: i, Zone: zone, Spot: spot}
-				if !allows(d, o) || !in.available(o) {
+				if !allowsOffer(d, o) || !in.available(o) {
 					continue
 				}
 				if cost := in.costPerTask(o, u, min(capacity, count)); cost < lowest {
@@ -268,11 +268,11 @@
 	return cost
 }
 
-// allows reports whether a task of the demand may run on a machine of the offer.
-func allows(d *place.Demand, o Offer) bool { return d.Allows(o.Type, o.Zone, o.Spot) }
+// allowsOffer reports whether a task of the demand may run on a machine of the offer.
+func allowsOffer(d *place.Demand, o Offer) bool { return d.Allows(o.Type, o.Zone, o.Spot) }
 
-// subtract returns a less n times need.
-func subtract(a, need place.Resources, n int) place.Resources {
+// subtractTasks returns a less n times need.
+func subtractTasks(a, need place.Resources, n int) place.Resources {
 	k := float64(n)
 	return place.Resources{
 		CPUs:  a.CPUs - k*need.CPUs,
