--- a/internal/autoscale/backoff.go
+++ b/internal/autoscale/backoff.go
@@ -2,19 +2,20 @@
 
 import "time"
 
-// The pause after a refusal doubles from firstBackoff to maxBackoff.
+// The pause after consecutive refusals doubles from firstBackoff up to maxBackoff.
 const (
 	firstBackoff = 5 * time.Second
 	maxBackoff   = 40 * time.Second
 )
 
-// Backoff remembers which offers were refused lately. It is not safe for concurrent use.
+// Backoff delays requests for offers that the cloud has recently refused. It is not safe for
+// concurrent use.
 type Backoff struct {
-	until map[Offer]time.Time
-	pause map[Offer]time.Duration
+	until map[Offer]time.Time     // end of the current pause
+	pause map[Offer]time.Duration // length of the current pause
 }
 
-// NewBackoff returns a Backoff without refusals.
+// NewBackoff returns a Backoff that has recorded no refusals.
 func NewBackoff() *Backoff {
 	return &Backoff{
 		until: map[Offer]time.Time{},
@@ -22,19 +23,19 @@
 	}
 }
 
-// RecordRefusal notes that the cloud had none, or too few, of an offer. The offer is not open for
-// a pause that doubles from one refusal to the next.
+// RecordRefusal records that the cloud had too few machines of an offer or none. It blocks the
+// offer for a pause that doubles with each consecutive refusal.
 func (b *Backoff) RecordRefusal(o Offer, now time.Time) {
 	pause := min(maxBackoff, max(firstBackoff, 2*b.pause[o]))
 	b.pause[o] = pause
 	b.until[o] = now.Add(pause)
 }
 
-// RecordSuccess forgets the refusals of an offer.
+// RecordSuccess unblocks an offer and resets its pause.
 func (b *Backoff) RecordSuccess(o Offer) {
 	delete(b.pause, o)
 	delete(b.until, o)
 }
 
-// Allows reports whether the offer may be requested.
+// Allows reports whether the offer may be requested at the time now.
 func (b *Backoff) Allows(o Offer, now time.Time) bool { return !now.Before(b.until[o]) }
--- a/internal/autoscale/cloud.go
+++ b/internal/autoscale/cloud.go
@@ -1,5 +1,5 @@
-// Package autoscale scales the fleet out and in: the client of the cloud's API, and the pure
-// decision about which machines to request for unmet demand.
+// Package autoscale provides a client for the cloud's API, and decides without side effects
+// which machines to request for unmet demand.
 package autoscale
 
 import (
@@ -19,38 +19,40 @@
 	"vetchstream/internal/wire"
 )
 
-// noCapacity is the error in the body of a response that refuses a request for machines.
+// noCapacity is the error text in the body of a response that refuses a request for machines.
 const noCapacity = "no capacity"
 
 var (
-	// ErrNoCapacity means that the cloud has no machine of a type, zone and kind.
+	// ErrNoCapacity means that the cloud has no machine of the requested type in the zone, on
+	// demand or spot as requested.
 	ErrNoCapacity = errors.New(noCapacity)
-	// ErrUnavailable means that a request failed and may be repeated.
-	ErrUnavailable = errors.New("cloud trouble")
+	// ErrUnavailable means that a request failed and may be retried.
+	ErrUnavailable = errors.New("cloud request failed")
 )
 
 const (
 	requestTimeout  = 5 * time.Second
 	idleConnTimeout = time.Minute
 	maxConns        = 4
-	// maxResponseBytes bounds the body of a response.
+	// maxResponseBytes bounds how much of a response's body is read.
 	maxResponseBytes = 4 << 20
-	// listPageSize is the cloud's limit for one page of the machine list.
+	// listPageSize is the largest page of the machine list that the cloud returns.
 	listPageSize = 500
-	// rateShare is the share of the cloud's request rate that one controller uses. The rest is
-	// left to the other controllers: an earlier leader may have requests in flight, and all of
-	// them read the machine types.
+	// rateShare is the share of the cloud's request rate that one controller uses. The other
+	// controllers need the rest: all of them read the machine types, and a previous leader may
+	// still have requests in flight.
 	rateShare = 0.8
 )
 
-// Cloud is the client of the cloud's API. It is safe for concurrent use.
+// Cloud is a client for the cloud's API. It is safe for concurrent use.
 type Cloud struct {
 	baseURL string
 	client  *http.Client
 	limiter *rate.Limiter
 }
 
-// NewCloud returns a client for the API at addr, which allows rps requests per second.
+// NewCloud returns a client for the API at addr (host:port), which allows rps requests per
+// second from all controllers together.
 func NewCloud(addr string, dial state.DialFunc, rps float64) *Cloud {
 	transport := &http.Transport{
 		DialContext:         dial,
@@ -66,8 +68,10 @@
 	}
 }
 
-// do sends a request, with in as its body unless it is nil, and decodes the response into
-// out. Errors are ErrNoCapacity or wrap ErrUnavailable where the cloud caused them.
+// do sends a request, with in as its body unless in is nil, and decodes the response into out.
+// It returns ErrNoCapacity if the cloud refuses the request for lack of capacity, and an error that
+// wraps ErrUnavailable if it cannot send the request in time, the connection fails or the cloud
+// answers with another status than 200.
 func (c *Cloud) do(ctx context.Context, method, path string, in, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
@@ -93,7 +97,7 @@
 	return wire.Unmarshal(body, out)
 }
 
-// newRequest makes a request with in as its body unless it is nil.
+// newRequest returns a request with in as its body unless in is nil.
 func (c *Cloud) newRequest(ctx context.Context, method, path string, in any) (*http.Request, error) {
 	var body io.Reader
 	if in != nil {
@@ -105,7 +109,7 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, body)
 	if err != nil {
-		return nil, fmt.Errorf("cloud request: %w", err)
+		return nil, fmt.Errorf("create cloud request: %w", err)
 	}
 	req.Header.Set("Content-Type", wire.ContentType)
 	return req, nil
@@ -114,7 +118,7 @@
 // statusError returns the error for a response whose status is not 200.
 func statusError(status int, body []byte) error {
 	var e wire.Error
-	_ = wire.Unmarshal(body, &e) // the status says enough where the body is none
+	_ = wire.Unmarshal(body, &e) // a body that cannot be decoded leaves the status alone
 	if e.Error == noCapacity {
 		return ErrNoCapacity
 	}
@@ -133,12 +137,12 @@
 	var all []wire.CloudMachine
 	after := ""
 	for {
-		q := url.Values{"page": {strconv.Itoa(listPageSize)}}
+		query := url.Values{"page": {strconv.Itoa(listPageSize)}}
 		if after != "" {
-			q.Set("after", after)
+			query.Set("after", after)
 		}
 		var page wire.CloudMachinePage
-		if err := c.do(ctx, http.MethodGet, "/hosts?"+q.Encode(), nil, &page); err != nil {
+		if err := c.do(ctx, http.MethodGet, "/hosts?"+query.Encode(), nil, &page); err != nil {
 			return nil, err
 		}
 		all = append(all, page.Machines...)
@@ -150,15 +154,15 @@
 }
 
 // Provision requests machines and returns the names of those that the cloud has created, which
-// may be fewer. Repeating a request that has succeeded creates none.
-func (c *Cloud) Provision(ctx context.Context, h wire.RentalRequest) ([]string, error) {
+// may be fewer than requested. Repeating a request that has succeeded creates no further ones.
+func (c *Cloud) Provision(ctx context.Context, request wire.RentalRequest) ([]string, error) {
 	var out wire.MachineNames
-	err := c.do(ctx, http.MethodPost, "/hosts", h, &out)
+	err := c.do(ctx, http.MethodPost, "/hosts", request, &out)
 	return out.Names, err
 }
 
-// Release gives machines back to the cloud; without an error they and all tasks on them are
-// gone.
+// Release returns machines to the cloud. If it returns no error, the machines and all tasks on
+// them have ended.
 func (c *Cloud) Release(ctx context.Context, names []string) error {
 	var out struct{}
 	return c.do(ctx, http.MethodPost, "/hosts/release", wire.MachineNames{Names: names}, &out)
--- a/internal/autoscale/cloud_test.go
+++ b/internal/autoscale/cloud_test.go
@@ -11,8 +11,8 @@
 	"vetchstream/internal/wire"
 )
 
-// TestProvisionErrors: a refusal for lack of capacity and a failure that may be repeated are told
-// apart.
+// TestProvisionErrors checks that Provision returns ErrNoCapacity for a refusal for lack of
+// capacity, and ErrUnavailable for a failure that may be retried.
 func TestProvisionErrors(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -20,10 +20,10 @@
 		body   any
 		want   error
 	}{
-		{"granted", 200, wire.MachineNames{Names: []string{"host-000001"}}, nil},
-		{"no capacity", 503, wire.Error{Error: "no capacity"}, ErrNoCapacity},
-		{"outage", 503, wire.Error{Error: "trouble"}, ErrUnavailable},
-		{"too many requests", 429, nil, ErrUnavailable},
+		{"status 200: no error", 200, wire.MachineNames{Names: []string{"host-000001"}}, nil},
+		{"status 503 without capacity: ErrNoCapacity", 503, wire.Error{Error: "no capacity"}, ErrNoCapacity},
+		{"status 503 for an outage: ErrUnavailable", 503, wire.Error{Error: "trouble"}, ErrUnavailable},
+		{"status 429 without an error text: ErrUnavailable", 429, nil, ErrUnavailable},
 	}
 	for _, tt := range tests {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -38,7 +38,7 @@
 		_, err := cloud.Provision(context.Background(), wire.RentalRequest{})
 		server.Close()
 		if !errors.Is(err, tt.want) {
-			t.Errorf("%s: %v, want %v", tt.name, err, tt.want)
+			t.Errorf("%s: Provision returned error %v, want %v", tt.name, err, tt.want)
 		}
 	}
 }
--- a/internal/autoscale/plan.go
+++ b/internal/autoscale/plan.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// maxMachinesPerPass bounds what one call of ScaleOut requests. The rest follows when the
-	// cloud has shown what capacity it has.
+	// maxMachinesPerPass bounds the machines that one call of ScaleOut requests. Later calls
+	// request the rest once the cloud has shown how much capacity it has.
 	maxMachinesPerPass = 150
-	// minChargedS is for how long a machine costs at the least, in seconds.
+	// minChargedS is the shortest time that the cloud charges for a machine, in seconds.
 	minChargedS = 60
-	// zoneSpreadFactor is by how much each machine in a zone makes another one there count as
-	// dearer. It decides only between offers that cost the same.
+	// zoneSpreadFactor is the relative surcharge on an offer for each machine already in its
+	// zone. It is small enough to decide only between offers of equal cost.
 	zoneSpreadFactor = 0.001
 )
 
@@ -27,60 +27,60 @@
 	Spot bool
 }
 
-// UnmetDemand is a job with tasks that found no machine.
+// UnmetDemand describes a job with tasks that could not be placed on any machine.
 type UnmetDemand struct {
 	Demand *place.Demand
-	// Count is the number of those tasks.
+	// Count is the number of tasks that could not be placed.
 	Count int
 	// TaskS is the expected run time of a task, in seconds.
 	TaskS float64
-	// ImageGB is the size of the job's image.
+	// ImageGB is the size of the job's image, in GB.
 	ImageGB float64
-	// WaitedS is for how long the job has waited, in seconds.
+	// WaitedS is how long the job has waited, in seconds.
 	WaitedS float64
-	// Urgent: machines are requested however little of them the job fills.
+	// Urgent waives Input.MinFill: machines are requested however little of them the job fills.
 	Urgent bool
-	// FitsByZone is, for a gang that has to be in one zone, how many of its tasks fit now on
-	// the machines that are up, by zone; nil if unknown.
+	// FitsByZone is set for a gang that must run in one zone: by zone, the number of its tasks
+	// that fit now on the machines that are up. It is nil for other jobs and if unknown.
 	FitsByZone []int
-	// ChosenZone is set by ScaleOut to the zone that it has chosen for such a gang, and to -1
-	// for all others.
+	// ChosenZone is a result: ScaleOut sets it to the zone that it has chosen for a gang with
+	// FitsByZone, and to -1 otherwise.
 	ChosenZone int
 }
 
-// PendingMachine is a machine that was requested and is not up yet.
+// PendingMachine is a machine that has been requested and is not up yet.
 type PendingMachine struct {
 	Offer
-	// Free is what no unmet demand has been assigned of it.
+	// Free holds the resources that are not yet assigned to unmet demand.
 	Free place.Resources
 }
 
-// Input is all that a decision to scale out depends on, apart from the unmet demand.
+// Input holds everything besides the unmet demand that ScaleOut depends on.
 type Input struct {
 	Types []wire.MachineType
-	// ZoneIndex maps the names of zones to their indices.
+	// ZoneIndex maps zone names to zone indices.
 	ZoneIndex map[string]int
 	Pending   []PendingMachine
 	Backoff   *Backoff
-	// MachinesByZone counts the machines of each zone. Offers that cost the same are spread,
-	// so that a wave of spot notices or the loss of a zone takes few.
+	// MachinesByZone counts the machines of each zone. Offers of equal cost are spread over the
+	// zones, so that a wave of spot notices or the loss of a zone affects few machines.
 	MachinesByZone []int
-	// MinFill is the part of a machine that a job must fill for the machine to be requested
-	// before the job has waited for PatienceS seconds.
+	// MinFill is the fraction of a machine that a job must fill for the machine to be requested
+	// before the job has waited PatienceS seconds.
 	MinFill   float64
 	PatienceS float64
 	Now       time.Time
-	// Closed reports whether machines of an offer would only be released again for
-	// maintenance; nil means none.
+	// Closed reports whether a maintenance window closes an offer, so that its machines would
+	// be released again at once. A nil function closes no offer.
 	Closed func(Offer) bool
 }
 
-// MachineResources returns what a machine of a type has.
+// MachineResources returns the resources of a machine of a type.
 func MachineResources(t *wire.MachineType) place.Resources {
 	return place.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemGB: t.MemGB}
 }
 
-// HourlyPrice returns the price of a machine of a type, per hour.
+// HourlyPrice returns the price per hour of a machine of a type, spot or on demand.
 func HourlyPrice(t *wire.MachineType, spot bool) float64 {
 	if spot {
 		return t.SpotPrice
@@ -88,9 +88,10 @@
 	return t.Price
 }
 
-// ScaleOut decides how many machines of which offers to request. Unmet demand, in its
-// order, goes first to the machines that are pending and then to the offer that runs it at
-// the lowest cost, if it fills enough of the machine or has waited for long.
+// ScaleOut returns how many machines of each offer to request. It treats unmet demand in the
+// given order. It assigns tasks to pending machines first, and requests machines of the offer
+// with the lowest cost per task for the rest, if the job is urgent, fills enough of a machine or
+// has waited long enough.
 func ScaleOut(in Input, unmet []UnmetDemand) map[Offer]int {
 	p := &pass{
 		Input:    in,
@@ -106,18 +107,19 @@
 	return p.requests
 }
 
-// pass is one call of ScaleOut.
+// pass is the state of one call of ScaleOut.
 type pass struct {
 	Input
-	// pending are the machines of Input.Pending and those that this pass requests.
+	// pending holds the machines of Input.Pending and those that this pass requests.
 	pending  []PendingMachine
 	requests map[Offer]int
 }
 
-// limitReached reports whether the pass has requested as much as one pass may.
+// limitReached reports whether the pass has requested more than maxMachinesPerPass machines.
 func (p *pass) limitReached() bool { return len(p.pending) > len(p.Pending)+maxMachinesPerPass }
 
-// assignDemand finds machines for an unmet demand.
+// assignDemand assigns the tasks of an unmet demand to pending machines and requests machines
+// for the rest. It sets u.ChosenZone.
 func (p *pass) assignDemand(u *UnmetDemand) {
 	d := u.Demand
 	count := u.Count
@@ -137,8 +139,8 @@
 	p.requestMachines(u, d, count)
 }
 
-// assignToPending assigns tasks of a demand to machines that are pending, and returns how many
-// of count are left.
+// assignToPending assigns up to count tasks of a demand to pending machines, and returns how
+// many of them are left over.
 func (p *pass) assignToPending(d *place.Demand, count int) (left int) {
 	for i := range p.pending {
 		if count == 0 {
@@ -155,8 +157,8 @@
 	return count
 }
 
-// requestMachines requests machines for count tasks of a demand; d is u.Demand, confined to the
-// chosen zone where there is one.
+// requestMachines requests machines for count tasks of a demand. The demand d is u.Demand,
+// confined to u.ChosenZone if a zone was chosen.
 func (p *pass) requestMachines(u *UnmetDemand, d *place.Demand, count int) {
 	for count > 0 && !p.limitReached() {
 		best, ok := p.cheapestOffer(u, d, count)
@@ -175,10 +177,10 @@
 	}
 }
 
-// chooseGangZone chooses the zone of a gang that has to be in one: where the fewest tasks
-// lack room, counting the machines that are up and those pending; -1 if there is none.
-// Requesting wherever it is cheapest would bring one machine to each zone, idle and released
-// before the next comes, and the gang would wait for ever.
+// chooseGangZone returns the zone in which the fewest tasks of a one-zone gang lack room, on
+// machines that are up or pending, or -1 if no zone can provide the missing machines. A request
+// for the cheapest offer of any zone could create one machine in each zone in turn; each would
+// be released as idle before the next is up, and the gang would never start.
 func (p *pass) chooseGangZone(u *UnmetDemand) (zone int) {
 	zone = -1
 	fewest := 0
@@ -200,7 +202,7 @@
 	return zone
 }
 
-// countPendingFit returns how many tasks of a demand fit on the machines that are pending.
+// countPendingFit returns how many tasks of a demand fit on the pending machines.
 func (p *pass) countPendingFit(d *place.Demand) (n int) {
 	for i := range p.pending {
 		if m := &p.pending[i]; allowsOffer(d, m.Offer) {
@@ -210,14 +212,14 @@
 	return n
 }
 
-// choice is an offer with the number of tasks that fit on one of its machines.
+// choice is an offer and the number of tasks that fit on one of its machines.
 type choice struct {
 	offer    Offer
 	capacity int
 }
 
-// cheapestOffer returns the offer that can be had with the lowest cost per task for count tasks
-// of a demand; ok is false if there is none.
+// cheapestOffer returns the available offer with the lowest cost per task for count tasks of a
+// demand; ok is false if no offer is available.
 func (in *Input) cheapestOffer(u *UnmetDemand, d *place.Demand, count int) (best choice, ok bool) {
 	lowest := math.Inf(1)
 	for i := range in.Types {
@@ -247,14 +249,15 @@
 	return best, ok
 }
 
-// available reports whether machines of an offer may be requested now.
+// available reports whether machines of an offer may be requested now: neither the backoff nor a
+// maintenance window blocks it.
 func (in *Input) available(o Offer) bool {
 	return in.Backoff.Allows(o, in.Now) && (in.Closed == nil || !in.Closed(o))
 }
 
-// costPerTask returns the cost of each of the given number of tasks that share a machine of
-// an offer. The machine is charged from the request on, so that booting and the image fetch
-// count.
+// costPerTask returns the cost of one task when the given number of tasks share a machine of an
+// offer. It includes the boot and the image fetch, because the cloud charges for a machine from
+// the request on.
 func (in *Input) costPerTask(o Offer, u *UnmetDemand, tasks int) float64 {
 	t := &in.Types[o.Type]
 	seconds := t.BootS + u.TaskS
@@ -271,12 +274,12 @@
 // allowsOffer reports whether a task of the demand may run on a machine of the offer.
 func allowsOffer(d *place.Demand, o Offer) bool { return d.Allows(o.Type, o.Zone, o.Spot) }
 
-// subtractTasks returns a less n times need.
-func subtractTasks(a, need place.Resources, n int) place.Resources {
-	k := float64(n)
+// subtractTasks returns the free resources that remain after n tasks have taken need each.
+func subtractTasks(free, need place.Resources, n int) place.Resources {
+	count := float64(n)
 	return place.Resources{
-		CPUs:  a.CPUs - k*need.CPUs,
-		GPUs:  a.GPUs - k*need.GPUs,
-		MemGB: a.MemGB - k*need.MemGB,
+		CPUs:  free.CPUs - count*need.CPUs,
+		GPUs:  free.GPUs - count*need.GPUs,
+		MemGB: free.MemGB - count*need.MemGB,
 	}
 }
--- a/internal/autoscale/plan_test.go
+++ b/internal/autoscale/plan_test.go
@@ -16,55 +16,55 @@
 		{Name: "small", CPUs: 4, MemGB: 16, Price: 0.2, SpotPrice: 0.05, BootS: 50, Zones: []string{"a", "b"}},
 		{Name: "large", CPUs: 64, MemGB: 128, Price: 2.8, SpotPrice: 0.7, BootS: 20, Zones: []string{"a", "b"}},
 	}
-	want := func(cpus float64, n int, edit func(*UnmetDemand)) UnmetDemand {
-		w := UnmetDemand{Demand: &place.Demand{ID: 1, Need: place.Resources{CPUs: cpus, MemGB: 1}, Zone: -1, TasksByZone: make([]int, 2), Spot: true, Total: n}, Count: n, TaskS: 60}
+	demand := func(cpus float64, n int, edit func(*UnmetDemand)) UnmetDemand {
+		u := UnmetDemand{Demand: &place.Demand{ID: 1, Need: place.Resources{CPUs: cpus, MemGB: 1}, Zone: -1, TasksByZone: make([]int, 2), Spot: true, Total: n}, Count: n, TaskS: 60}
 		if edit != nil {
-			edit(&w)
+			edit(&u)
 		}
-		return w
+		return u
 	}
 	smallSpot, largeSpot, largeA := Offer{0, 0, true}, Offer{1, 0, true}, Offer{1, 0, false}
 	tests := []struct {
 		name  string
-		wants []UnmetDemand
+		unmet []UnmetDemand
 		edit  func(*Input)
 		want  map[Offer]int
 	}{
-		{"little work, a small machine", []UnmetDemand{want(1, 4, nil)}, nil, map[Offer]int{smallSpot: 1}},
-		{"much work, a large one", []UnmetDemand{want(1, 64, nil)}, nil, map[Offer]int{largeSpot: 1}},
-		{"no spot machine where the job forbids it", []UnmetDemand{want(60, 1, func(w *UnmetDemand) { w.Demand.Spot = false })}, nil, map[Offer]int{largeA: 1}},
-		{"a refused offer is passed over", []UnmetDemand{want(1, 4, nil)}, func(s *Input) { s.Backoff.RecordRefusal(smallSpot, now) }, map[Offer]int{{0, 1, true}: 1}},
-		{"what comes is filled first", []UnmetDemand{want(1, 4, nil)}, func(s *Input) {
-			s.Pending = []PendingMachine{{smallSpot, place.Resources{CPUs: 4, MemGB: 16}}}
+		{"tasks that fill a small machine: the small type", []UnmetDemand{demand(1, 4, nil)}, nil, map[Offer]int{smallSpot: 1}},
+		{"tasks that fill a large machine: the large type", []UnmetDemand{demand(1, 64, nil)}, nil, map[Offer]int{largeSpot: 1}},
+		{"a job that forbids spot machines: an on-demand machine", []UnmetDemand{demand(60, 1, func(u *UnmetDemand) { u.Demand.Spot = false })}, nil, map[Offer]int{largeA: 1}},
+		{"an offer that the cloud has refused: the same type in another zone", []UnmetDemand{demand(1, 4, nil)}, func(in *Input) { in.Backoff.RecordRefusal(smallSpot, now) }, map[Offer]int{{0, 1, true}: 1}},
+		{"tasks that fit on a pending machine: no request", []UnmetDemand{demand(1, 4, nil)}, func(in *Input) {
+			in.Pending = []PendingMachine{{smallSpot, place.Resources{CPUs: 4, MemGB: 16}}}
 		}, map[Offer]int{}},
-		{"too little work waits", []UnmetDemand{want(1, 1, nil)}, nil, map[Offer]int{}},
-		{"but not for ever", []UnmetDemand{want(1, 1, func(w *UnmetDemand) { w.WaitedS = 20 })}, nil, map[Offer]int{smallSpot: 1}},
-		{"an urgent gang does not wait", []UnmetDemand{want(1, 1, func(w *UnmetDemand) { w.Urgent = true })}, nil, map[Offer]int{smallSpot: 1}},
-		{"only the allowed zone", []UnmetDemand{want(1, 4, func(w *UnmetDemand) { w.Demand.Zone = 1 })}, nil, map[Offer]int{{0, 1, true}: 1}},
-		{"a job in one zone stays there", []UnmetDemand{want(1, 4, func(w *UnmetDemand) { w.Demand.OneZone, w.Demand.TasksByZone = true, []int{0, 2} })}, nil, map[Offer]int{{0, 1, true}: 1}},
-		{"equal offers are spread over zones", []UnmetDemand{want(1, 4, nil)}, func(s *Input) { s.MachinesByZone = []int{3, 1} }, map[Offer]int{{0, 1, true}: 1}},
-		{"a gang in one zone gathers where most of its room is", []UnmetDemand{want(3, 3, func(w *UnmetDemand) { w.Urgent, w.Demand.OneZone, w.FitsByZone = true, true, []int{0, 2} })}, nil, map[Offer]int{{0, 1, true}: 1}},
-		{"and counts what comes there alone", []UnmetDemand{want(3, 3, func(w *UnmetDemand) { w.Urgent, w.Demand.OneZone, w.FitsByZone = true, true, []int{0, 1} })}, func(s *Input) {
-			s.Pending = []PendingMachine{{smallSpot, place.Resources{CPUs: 4, MemGB: 16}}, {Offer{0, 1, true}, place.Resources{CPUs: 4, MemGB: 16}}}
+		{"a task that fills less than MinFill: no request yet", []UnmetDemand{demand(1, 1, nil)}, nil, map[Offer]int{}},
+		{"a task that fills less than MinFill and has waited over PatienceS: a machine", []UnmetDemand{demand(1, 1, func(u *UnmetDemand) { u.WaitedS = 20 })}, nil, map[Offer]int{smallSpot: 1}},
+		{"an urgent task that fills less than MinFill: a machine at once", []UnmetDemand{demand(1, 1, func(u *UnmetDemand) { u.Urgent = true })}, nil, map[Offer]int{smallSpot: 1}},
+		{"a job that is confined to a zone: a machine of that zone", []UnmetDemand{demand(1, 4, func(u *UnmetDemand) { u.Demand.Zone = 1 })}, nil, map[Offer]int{{0, 1, true}: 1}},
+		{"a one-zone job with running tasks: a machine of their zone", []UnmetDemand{demand(1, 4, func(u *UnmetDemand) { u.Demand.OneZone, u.Demand.TasksByZone = true, []int{0, 2} })}, nil, map[Offer]int{{0, 1, true}: 1}},
+		{"offers of equal cost: a machine of the zone with fewer machines", []UnmetDemand{demand(1, 4, nil)}, func(in *Input) { in.MachinesByZone = []int{3, 1} }, map[Offer]int{{0, 1, true}: 1}},
+		{"a one-zone gang: a machine of the zone with room for most of its tasks", []UnmetDemand{demand(3, 3, func(u *UnmetDemand) { u.Urgent, u.Demand.OneZone, u.FitsByZone = true, true, []int{0, 2} })}, nil, map[Offer]int{{0, 1, true}: 1}},
+		{"a one-zone gang with pending machines in two zones: only those of the chosen zone count", []UnmetDemand{demand(3, 3, func(u *UnmetDemand) { u.Urgent, u.Demand.OneZone, u.FitsByZone = true, true, []int{0, 1} })}, func(in *Input) {
+			in.Pending = []PendingMachine{{smallSpot, place.Resources{CPUs: 4, MemGB: 16}}, {Offer{0, 1, true}, place.Resources{CPUs: 4, MemGB: 16}}}
 		}, map[Offer]int{{0, 1, true}: 1}},
-		{"a gang that has room in one zone rents nothing", []UnmetDemand{want(3, 2, func(w *UnmetDemand) { w.Urgent, w.Demand.OneZone, w.FitsByZone = true, true, []int{0, 2} })}, nil, map[Offer]int{}},
-		{"a zone that refuses is not gathered in", []UnmetDemand{want(3, 2, func(w *UnmetDemand) { w.Urgent, w.Demand.OneZone, w.FitsByZone = true, true, []int{0, 1} })}, func(s *Input) {
-			for ty := range 2 {
+		{"a one-zone gang with room for all tasks in one zone: no request", []UnmetDemand{demand(3, 2, func(u *UnmetDemand) { u.Urgent, u.Demand.OneZone, u.FitsByZone = true, true, []int{0, 2} })}, nil, map[Offer]int{}},
+		{"a one-zone gang whose best zone has refused all offers: machines of another zone", []UnmetDemand{demand(3, 2, func(u *UnmetDemand) { u.Urgent, u.Demand.OneZone, u.FitsByZone = true, true, []int{0, 1} })}, func(in *Input) {
+			for typeIndex := range 2 {
 				for _, spot := range []bool{true, false} {
-					s.Backoff.RecordRefusal(Offer{ty, 1, spot}, now)
+					in.Backoff.RecordRefusal(Offer{typeIndex, 1, spot}, now)
 				}
 			}
 		}, map[Offer]int{smallSpot: 2}},
-		{"what fits nowhere rents nothing", []UnmetDemand{want(99, 1, nil)}, nil, map[Offer]int{}},
+		{"a task that fits on no machine type: no request", []UnmetDemand{demand(99, 1, nil)}, nil, map[Offer]int{}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			s := Input{Types: types, ZoneIndex: map[string]int{"a": 0, "b": 1}, Backoff: NewBackoff(), MinFill: 0.5, PatienceS: 15, Now: now}
+			in := Input{Types: types, ZoneIndex: map[string]int{"a": 0, "b": 1}, Backoff: NewBackoff(), MinFill: 0.5, PatienceS: 15, Now: now}
 			if tt.edit != nil {
-				tt.edit(&s)
+				tt.edit(&in)
 			}
-			if got := ScaleOut(s, tt.wants); !maps.Equal(got, tt.want) {
-				t.Errorf("rents %v, want %v", got, tt.want)
+			if got := ScaleOut(in, tt.unmet); !maps.Equal(got, tt.want) {
+				t.Errorf("ScaleOut requests %v, want %v", got, tt.want)
 			}
 		})
 	}
