--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -1,5 +1,5 @@
-// Package api is the HTTP server for users, workers, operators and health checks. It
-// reads and bounds requests, and passes them to a Backend, which knows who leads.
+// Package api provides a node's HTTP server for users, workers, operators and health checks. It
+// limits the size and the duration of requests and passes them to a Backend.
 package api
 
 import (
@@ -21,26 +21,27 @@
 	"vetchstream/internal/wire"
 )
 
-// Backend answers the requests that the server accepts.
+// Backend answers the requests that the server has read.
 type Backend interface {
-	// HandleUser answers a user's or an operator's request, whichever node leads.
-	HandleUser(ctx context.Context, q *rpc.Request) *rpc.Reply
-	// Heartbeat answers a worker's heartbeat; nil: this node does not answer for the
-	// worker's machine.
-	Heartbeat(ctx context.Context, q *rpc.Request) *rpc.Reply
-	// Leader names the leader as far as this node knows; empty: none, or this node.
+	// HandleUser answers a user's or an operator's request, whether or not this node leads.
+	HandleUser(ctx context.Context, request *rpc.Request) *rpc.Reply
+	// Heartbeat answers a worker's heartbeat. It returns nil if another node is responsible for
+	// the worker's machine.
+	Heartbeat(ctx context.Context, request *rpc.Request) *rpc.Reply
+	// Leader returns the leader's address as this node knows it, or an empty string if it knows no
+	// leader or leads itself.
 	Leader() string
-	// ForwardHeartbeat forwards a worker's heartbeat to the leader.
-	ForwardHeartbeat(ctx context.Context, q *rpc.Request) *rpc.Reply
-	// Healthy reports whether users should be sent to this node.
+	// ForwardHeartbeat forwards a worker's heartbeat to the leader and returns the leader's reply.
+	ForwardHeartbeat(ctx context.Context, request *rpc.Request) *rpc.Reply
+	// Healthy reports whether the load balancer should send users to this node.
 	Healthy() bool
 }
 
 // taskObserverKey is the key of a connection's task observer in its context.
 type taskObserverKey struct{}
 
-// WithTaskObserver returns the context of a connection whose server calls observe after
-// each heartbeat that comes in on it, with whether the worker has tasks.
+// WithTaskObserver returns a context for a connection. The server calls observe for each
+// heartbeat that it answers on that connection, and passes whether the worker has tasks.
 func WithTaskObserver(ctx context.Context, observe func(hasTasks bool)) context.Context {
 	return context.WithValue(ctx, taskObserverKey{}, observe)
 }
@@ -56,13 +57,13 @@
 type Server struct {
 	backend Backend
 	log     *slog.Logger
-	meter   *metrics.Meter // nil: off
+	meter   *metrics.Meter // nil: metrics are off
 
 	mu        sync.Mutex
-	redirects map[string]time.Time // when a worker was last redirected, by its host and the leader
+	redirects map[string]time.Time // time of a worker's last redirect, by its host and the leader
 }
 
-// New returns a server of a backend.
+// New returns a server that passes its requests to a backend. The meter may be nil.
 func New(backend Backend, log *slog.Logger, meter *metrics.Meter) *Server {
 	return &Server{
 		backend:   backend,
@@ -72,15 +73,15 @@
 	}
 }
 
-// Limits of the time for an answer. They are below the time that the client waits: 5 s
-// for submissions and other changes, 2 s for polls, and 4 s for heartbeats.
+// Time limits for the backend's answer. Each is shorter than the client's own time-out: 5 s for
+// submissions and other changes, 2 s for polls, and 4 s for heartbeats.
 const (
 	changeTimeout    = 3500 * time.Millisecond
 	statusTimeout    = 1700 * time.Millisecond
 	heartbeatTimeout = 3 * time.Second
 )
 
-// Handler returns the handler of all routes.
+// Handler returns a handler that serves all routes.
 func (s *Server) Handler() http.Handler {
 	router := httprouter.New()
 	router.HandleMethodNotAllowed = true
@@ -102,13 +103,13 @@
 	return router
 }
 
-// recoverPanic answers a request whose handler has panicked.
+// recoverPanic logs the panic of a request's handler and answers with status 500.
 func (s *Server) recoverPanic(w http.ResponseWriter, _ *http.Request, v any) {
 	s.log.Error("request handler panicked", "panic", v)
 	w.WriteHeader(http.StatusInternalServerError)
 }
 
-// routeJobs adds the protocol's routes for users.
+// routeJobs adds the routes for users' jobs, which the protocol defines.
 func (s *Server) routeJobs(router *httprouter.Router) {
 	router.POST("/api/jobs", func(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 		body, err := readBody(r)
@@ -126,28 +127,29 @@
 	})
 }
 
-// serveUser passes a user's or an operator's request to the backend and writes its reply.
-func (s *Server) serveUser(w http.ResponseWriter, r *http.Request, q *rpc.Request, timeout time.Duration) {
+// serveUser passes a user's or an operator's request to the backend, writes the reply, and records
+// the response time and the status.
+func (s *Server) serveUser(w http.ResponseWriter, r *http.Request, request *rpc.Request, timeout time.Duration) {
 	ctx, cancel := context.WithTimeout(r.Context(), timeout)
 	defer cancel()
-	begun := time.Now()
-	reply := s.backend.HandleUser(ctx, q)
-	kind := string(q.Kind)
-	s.meter.Observe(metrics.UserResponseTime, kind, time.Since(begun))
+	start := time.Now()
+	reply := s.backend.HandleUser(ctx, request)
+	kind := string(request.Kind)
+	s.meter.Observe(metrics.UserResponseTime, kind, time.Since(start))
 	s.meter.Add(metrics.UserResponses, kind+" "+strconv.Itoa(reply.Status), 1)
 	writeReply(w, reply)
 }
 
-// serveHealth answers the health checks of the load balancer.
+// serveHealth answers the load balancer's health checks.
 func (s *Server) serveHealth(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	if !s.backend.Healthy() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-// serveHeartbeat answers a worker's heartbeat. A node that does not answer for the
-// worker's machine redirects the worker to the leader, and forwards the heartbeat if
-// the worker comes back all the same.
+// serveHeartbeat answers a worker's heartbeat. A node that is not responsible for the worker's
+// machine redirects the worker to the leader. If the worker returns within redirectWindow, the
+// node forwards its heartbeats to the leader.
 func (s *Server) serveHeartbeat(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	body, err := readBody(r)
 	if err != nil {
@@ -156,8 +158,8 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), heartbeatTimeout)
 	defer cancel()
-	q := &rpc.Request{Kind: rpc.KindHeartbeat, Body: body}
-	if reply := s.backend.Heartbeat(ctx, q); reply != nil {
+	request := &rpc.Request{Kind: rpc.KindHeartbeat, Body: body}
+	if reply := s.backend.Heartbeat(ctx, request); reply != nil {
 		observeTasks(ctx, reply.HasTasks)
 		writeReply(w, reply)
 		return
@@ -169,30 +171,30 @@
 	}
 	host, _, _ := net.SplitHostPort(r.RemoteAddr)
 	if s.redirected(host, leader) {
-		writeReply(w, s.backend.ForwardHeartbeat(ctx, q))
+		writeReply(w, s.backend.ForwardHeartbeat(ctx, request))
 		return
 	}
 	writeReply(w, redirectReply(leader))
 }
 
 const (
-	// redirectWindow is how long a worker that comes back after a redirect is served
-	// through this node instead: it may be cut off from the leader.
+	// redirectWindow is how long after a redirect this node forwards the worker's heartbeats
+	// instead of redirecting it again, because the worker may be unable to reach the leader.
 	redirectWindow = 20 * time.Second
-	// maxRedirects bounds the redirects that are remembered. Beyond it all are forgotten,
-	// which costs some workers a second redirect.
+	// maxRedirects bounds the map of recent redirects. Beyond it the server clears the map, and
+	// some workers are redirected a second time.
 	maxRedirects = 1000
 )
 
-// redirected reports whether the worker on the host was redirected to this leader
-// within redirectWindow. If not, it records that the worker is redirected now.
+// redirected reports whether this node redirected the worker on the host to this leader within
+// the last redirectWindow. If not, it records a redirect at the current time.
 func (s *Server) redirected(host, leader string) bool {
 	now := time.Now()
 	key := host + " " + leader
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	last, ok := s.redirects[key]
-	if ok && now.Sub(last) < redirectWindow {
+	last, known := s.redirects[key]
+	if known && now.Sub(last) < redirectWindow {
 		return true
 	}
 	if len(s.redirects) > maxRedirects {
@@ -202,16 +204,16 @@
 	return false
 }
 
-// redirectReply is a 421 that names the leader.
+// redirectReply returns a reply with status 421 that contains the leader's address.
 func redirectReply(leader string) *rpc.Reply {
 	body, err := wire.Marshal(wire.Redirect{ReportTo: leader})
 	if err != nil {
-		body = nil // the worker tries the next node
+		body = nil // without an address the worker tries the next node
 	}
 	return &rpc.Reply{Status: http.StatusMisdirectedRequest, Body: body}
 }
 
-// errorReply is a refusal with a reason.
+// errorReply returns a reply with an error status and the reason.
 func errorReply(status int, reason string) *rpc.Reply {
 	body, err := wire.Marshal(wire.Error{Error: reason})
 	if err != nil {
@@ -220,10 +222,10 @@
 	return &rpc.Reply{Status: status, Body: body}
 }
 
-// errTooLarge is returned by readBody for a body over wire.MaxBody.
-var errTooLarge = errors.New("body is too large")
+// errTooLarge is the error of readBody for a body of more than wire.MaxBody bytes.
+var errTooLarge = errors.New("request body is too large")
 
-// readBody reads a request's body.
+// readBody reads a request's body of up to wire.MaxBody bytes.
 func readBody(r *http.Request) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, wire.MaxBody+1))
 	if err != nil {
@@ -244,5 +246,5 @@
 		header.Set("Retry-After", strconv.Itoa(reply.RetryAfter))
 	}
 	w.WriteHeader(reply.Status)
-	_, _ = w.Write(reply.Body) // fails only if the client has left
+	_, _ = w.Write(reply.Body) // fails only if the client has closed the connection
 }
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -13,19 +13,20 @@
 	"vetchstream/internal/wire"
 )
 
-// fakeBackend is a backend whose replies a test case chooses.
+// fakeBackend is a Backend with fixed replies that counts forwarded heartbeats and records users'
+// requests.
 type fakeBackend struct {
 	userReply      *rpc.Reply
 	heartbeatReply *rpc.Reply
 	leader         string
 	healthy        bool
 
-	forwarded int      // heartbeats that were forwarded
-	requests  []string // of users: "KIND ID"
+	forwarded int      // number of forwarded heartbeats
+	requests  []string // users' requests, as "KIND ID"
 }
 
-func (b *fakeBackend) HandleUser(_ context.Context, q *rpc.Request) *rpc.Reply {
-	b.requests = append(b.requests, string(q.Kind)+" "+q.ID)
+func (b *fakeBackend) HandleUser(_ context.Context, request *rpc.Request) *rpc.Reply {
+	b.requests = append(b.requests, string(request.Kind)+" "+request.ID)
 	return b.userReply
 }
 func (b *fakeBackend) Heartbeat(context.Context, *rpc.Request) *rpc.Reply { return b.heartbeatReply }
@@ -36,8 +37,8 @@
 	return &rpc.Reply{Status: http.StatusOK}
 }
 
-// TestRoutes: each route passes its request to the backend with the right kind and id,
-// and writes the status and Retry-After of the reply.
+// TestRoutes checks that each route passes its request to the backend with the right kind and ID,
+// and writes the status and the Retry-After header of the reply.
 func TestRoutes(t *testing.T) {
 	status := func(code int) *rpc.Reply { return &rpc.Reply{Status: code} }
 	busy := &rpc.Reply{Status: http.StatusServiceUnavailable, RetryAfter: 1}
@@ -45,23 +46,23 @@
 		name, method, path string
 		bodyBytes          int
 		backend            fakeBackend
-		want               int
-		request            string // that the backend gets; empty: none of a user
+		want               int    // status
+		request            string // user's request that the backend receives; empty: none
 		retryAfter         string
 	}{
-		{"submission", "POST", "/api/jobs", 5, fakeBackend{userReply: status(201)}, 201, "submit ", ""},
-		{"too large", "POST", "/api/jobs", wire.MaxBody + 1, fakeBackend{}, 400, "", ""},
-		{"largest", "POST", "/api/jobs", wire.MaxBody, fakeBackend{userReply: status(400)}, 400, "submit ", ""},
-		{"status", "GET", "/api/jobs/run-1", 0, fakeBackend{userReply: status(200)}, 200, "status run-1", ""},
-		{"cancellation", "POST", "/api/jobs/run-1/abort", 0, fakeBackend{userReply: busy}, 503, "abort run-1", "1"},
-		{"wrong method", "DELETE", "/api/jobs/run-1", 0, fakeBackend{}, 405, "", ""},
-		{"unknown route", "GET", "/api/job", 0, fakeBackend{}, 404, "", ""},
-		{"healthy", "GET", "/healthz", 0, fakeBackend{healthy: true}, 200, "", ""},
-		{"not healthy", "GET", "/healthz", 0, fakeBackend{}, 503, "", ""},
-		{"a heartbeat to the leader", "POST", "/checkin", 5, fakeBackend{heartbeatReply: status(200)}, 200, "", ""},
-		{"a heartbeat without a leader", "POST", "/checkin", 5, fakeBackend{}, 503, "", ""},
-		{"a heartbeat to another node", "POST", "/checkin", 5, fakeBackend{leader: "n2"}, 421, "", ""},
-		{"a heartbeat that is too large", "POST", "/checkin", wire.MaxBody + 1, fakeBackend{heartbeatReply: status(200)}, 400, "", ""},
+		{"submission: passed to the backend", "POST", "/api/jobs", 5, fakeBackend{userReply: status(201)}, 201, "submit ", ""},
+		{"submission over MaxBody: 400 without a request to the backend", "POST", "/api/jobs", wire.MaxBody + 1, fakeBackend{}, 400, "", ""},
+		{"submission of MaxBody bytes: passed to the backend", "POST", "/api/jobs", wire.MaxBody, fakeBackend{userReply: status(400)}, 400, "submit ", ""},
+		{"poll of a job: passed to the backend with its ID", "GET", "/api/jobs/run-1", 0, fakeBackend{userReply: status(200)}, 200, "status run-1", ""},
+		{"cancellation that the backend refuses for now: 503 with Retry-After", "POST", "/api/jobs/run-1/abort", 0, fakeBackend{userReply: busy}, 503, "abort run-1", "1"},
+		{"unsupported method of a known route: 405", "DELETE", "/api/jobs/run-1", 0, fakeBackend{}, 405, "", ""},
+		{"unknown route: 404", "GET", "/api/job", 0, fakeBackend{}, 404, "", ""},
+		{"health check of a healthy backend: 200", "GET", "/healthz", 0, fakeBackend{healthy: true}, 200, "", ""},
+		{"health check of an unhealthy backend: 503", "GET", "/healthz", 0, fakeBackend{}, 503, "", ""},
+		{"heartbeat that the backend answers: its reply", "POST", "/checkin", 5, fakeBackend{heartbeatReply: status(200)}, 200, "", ""},
+		{"heartbeat of another node's machine without a leader: 503", "POST", "/checkin", 5, fakeBackend{}, 503, "", ""},
+		{"heartbeat of another node's machine: 421", "POST", "/checkin", 5, fakeBackend{leader: "n2"}, 421, "", ""},
+		{"heartbeat over MaxBody: 400", "POST", "/checkin", wire.MaxBody + 1, fakeBackend{heartbeatReply: status(200)}, 400, "", ""},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -72,17 +73,17 @@
 				t.Errorf("status %d, want %d", w.Code, tt.want)
 			}
 			if got := strings.Join(tt.backend.requests, ","); got != tt.request {
-				t.Errorf("request %q, want %q", got, tt.request)
+				t.Errorf("the backend received the user request %q, want %q", got, tt.request)
 			}
 			if got := w.Header().Get("Retry-After"); got != tt.retryAfter {
-				t.Errorf("Retry-After %q, want %q", got, tt.retryAfter)
+				t.Errorf("Retry-After header %q, want %q", got, tt.retryAfter)
 			}
 		})
 	}
 }
 
-// TestHeartbeatRedirect: a worker that comes back after a redirect may be cut off from the
-// leader, so its next heartbeat is forwarded.
+// TestHeartbeatRedirect checks that a node forwards the heartbeat of a worker that returns after a
+// redirect to the same leader, because the worker may be unable to reach that leader.
 func TestHeartbeatRedirect(t *testing.T) {
 	backend := &fakeBackend{leader: "n2"}
 	h := New(backend, slog.New(slog.DiscardHandler), nil).Handler()
@@ -99,7 +100,7 @@
 	}{{"w1", "n2", 421}, {"w1", "n2", 200}, {"w2", "n2", 421}, {"w1", "n3", 421}, {"w1", "n3", 200}} {
 		backend.leader = step.leader
 		if got := send(step.host); got != step.want {
-			t.Errorf("step %d: status %d, want %d", i, got, step.want)
+			t.Errorf("heartbeat %d, of %s with leader %s: status %d, want %d", i, step.host, step.leader, got, step.want)
 		}
 	}
 	if backend.forwarded != 2 {
