--- a/internal/metrics/meter.go
+++ b/internal/metrics/meter.go
@@ -9,20 +9,21 @@
 )
 
 const (
-	// maxLabelValues bounds the values of a label: users choose the names of classes.
-	// Further values are counted together as otherLabel.
+	// maxLabelValues bounds the distinct values of a label, because users choose the names of
+	// job classes. Further values are recorded together as otherLabel.
 	maxLabelValues = 32
 	otherLabel     = "other"
 )
 
 const (
-	// maxObservation is the longest time that histograms record; longer ones count as it.
+	// maxObservation is the longest time that histograms record. Longer times are recorded as
+	// maxObservation.
 	maxObservation = time.Hour
-	// histogramDigits is the number of significant digits that histograms keep.
+	// histogramDigits is the number of significant digits that histograms retain.
 	histogramDigits = 2
 )
 
-// quantiles of times that the page shows.
+// quantiles lists the quantiles of times that the page shows.
 var quantiles = []float64{0.5, 0.9, 0.99}
 
 // series is a metric with one value of its label.
@@ -31,23 +32,23 @@
 	value string // empty: the metric has no label
 }
 
-// histogram is the distribution of a time.
+// histogram is the distribution of the times of a series.
 type histogram struct {
 	millis *hdrhistogram.Histogram
 	sum    time.Duration
 }
 
-// Meter holds the metrics of one process. All methods may be called on nil, and from
-// several goroutines.
+// Meter holds the metrics of one process. It is safe for concurrent use. Add, Set, SetLabeled and
+// Observe do nothing on a nil Meter.
 type Meter struct {
 	mu          sync.Mutex
 	counters    map[series]float64
 	gauges      map[series]float64
 	histograms  map[series]*histogram
-	labelValues map[string]map[string]bool // values that have been seen, by metric
+	labelValues map[string]map[string]bool // values recorded so far, by metric name
 }
 
-// New returns a meter that has recorded nothing.
+// New returns an empty meter.
 func New() *Meter {
 	return &Meter{
 		counters:    map[series]float64{},
@@ -67,7 +68,7 @@
 	m.counters[m.series(metric, label)] += float64(n)
 }
 
-// Set sets a gauge without a label.
+// Set sets a gauge that has no label.
 func (m *Meter) Set(metric Metric, n int) { m.SetLabeled(metric, "", n) }
 
 // SetLabeled sets a gauge for one value of its label.
@@ -80,7 +81,8 @@
 	m.gauges[m.series(metric, label)] = float64(n)
 }
 
-// Observe records a time. The label is ignored if the metric has none.
+// Observe records a time, limited to the range from 0 to maxObservation. The label is ignored if
+// the metric has none.
 func (m *Meter) Observe(metric Metric, label string, d time.Duration) {
 	if m == nil {
 		return
@@ -94,12 +96,12 @@
 		m.histograms[key] = h
 	}
 	d = min(max(0, d), maxObservation)
-	_ = h.millis.RecordValue(d.Milliseconds()) // cannot fail within the bounds
+	_ = h.millis.RecordValue(d.Milliseconds()) // fails only for times out of range
 	h.sum += d
 }
 
-// series returns the series of a metric for a value of its label, or for otherLabel if
-// there are too many values. The caller holds the lock.
+// series returns the series of a metric for a value of its label, or for otherLabel if the value is
+// new and the label already has maxLabelValues values. The caller must hold m.mu.
 func (m *Meter) series(metric Metric, label string) series {
 	if metric.label == "" {
 		return series{metric, ""}
@@ -116,11 +118,11 @@
 	return series{metric, label}
 }
 
-// Describe implements prometheus.Collector. It describes nothing, because series appear
-// as they are used.
+// Describe implements prometheus.Collector. It sends no descriptions, because series are created
+// when they are first used.
 func (m *Meter) Describe(chan<- *prometheus.Desc) {}
 
-// Collect implements prometheus.Collector.
+// Collect implements prometheus.Collector. It sends the current values of all series.
 func (m *Meter) Collect(out chan<- prometheus.Metric) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -139,7 +141,7 @@
 	}
 }
 
-// describe returns the description of a series and the values of its labels.
+// describe returns the description of a series and the value of its label, if it has one.
 func (s series) describe() (*prometheus.Desc, []string) {
 	if s.label == "" {
 		return prometheus.NewDesc(s.name, s.help, nil, nil), nil
@@ -147,7 +149,7 @@
 	return prometheus.NewDesc(s.name, s.help, []string{s.label}, nil), []string{s.value}
 }
 
-// quantileSeconds returns the quantiles that the page shows.
+// quantileSeconds returns the values of the quantiles that the page shows, in seconds.
 func (h *histogram) quantileSeconds() map[float64]float64 {
 	seconds := map[float64]float64{}
 	for _, q := range quantiles {
--- a/internal/metrics/page.go
+++ b/internal/metrics/page.go
@@ -11,7 +11,7 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// Limits of the metrics page's server.
+// Limits of the server of the metrics page.
 const (
 	maxPagesInFlight = 2
 	pageTimeout      = 5 * time.Second
@@ -21,11 +21,11 @@
 	maxHeaderBytes   = 8 << 10
 )
 
-// Handler returns the handler of GET /metrics.
+// Handler returns a handler that serves the metrics page at GET /metrics.
 func (m *Meter) Handler() (http.Handler, error) {
 	registry := prometheus.NewRegistry()
 	if err := registry.Register(m); err != nil {
-		return nil, fmt.Errorf("metrics: %w", err)
+		return nil, fmt.Errorf("metrics: register the meter: %w", err)
 	}
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", promhttp.HandlerFor(registry, promhttp.HandlerOpts{
@@ -35,9 +35,9 @@
 	return mux, nil
 }
 
-// Serve serves the metrics page on l until the context ends. It returns an error if the
-// listener fails before.
-func (m *Meter) Serve(ctx context.Context, l net.Listener) error {
+// Serve serves the metrics page on the listener until the context ends. It returns an error if it
+// stops serving before that.
+func (m *Meter) Serve(ctx context.Context, listener net.Listener) error {
 	handler, err := m.Handler()
 	if err != nil {
 		return err
@@ -51,8 +51,8 @@
 	}
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
-	if err := server.Serve(l); err != nil && ctx.Err() == nil {
-		return fmt.Errorf("metrics: %w", err)
+	if err := server.Serve(listener); err != nil && ctx.Err() == nil {
+		return fmt.Errorf("metrics: serve the page: %w", err)
 	}
 	return nil
 }
