--- a/internal/schema/schema.go
+++ b/internal/schema/schema.go
@@ -1,5 +1,5 @@
-// Package schema checks documents that operators and users send against a JSON schema,
-// and names the first field that is invalid.
+// Package schema validates documents from users and operators against a JSON schema. Its errors
+// name the first invalid field.
 package schema
 
 import (
@@ -15,7 +15,7 @@
 	"vetchstream/internal/wire"
 )
 
-// FieldError is the error for a document with an invalid field.
+// FieldError reports an invalid field of a document.
 type FieldError struct {
 	Field  string // path of the field, such as "to.image"
 	Reason string
@@ -24,16 +24,16 @@
 // Error implements error.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
 
-// ErrNotMap is returned by Decode for a body that is not a map.
+// ErrNotMap is the error of Decode for a body that encodes null instead of a map.
 var ErrNotMap = errors.New("body is not a map")
 
-// Schema is a JSON schema that is compiled when it is first needed.
+// Schema is a JSON schema that is compiled at its first use. It is safe for concurrent use.
 type Schema struct {
 	compile func() (*jsonschema.Schema, error)
 }
 
-// New returns the schema with the given text. The name appears in the errors of a text
-// that does not compile, which the first check returns.
+// New returns the schema with the given text. If the text does not compile, every check returns an
+// error that contains the name.
 func New(name string, text []byte) *Schema {
 	return &Schema{sync.OnceValues(func() (*jsonschema.Schema, error) { return compile(name, text) })}
 }
@@ -51,8 +51,8 @@
 	return compiler.Compile(url)
 }
 
-// Check validates a document that was decoded from CBOR. An invalid field gives a
-// *FieldError.
+// Check validates a document that was decoded from CBOR, and replaces its integers by floating
+// point numbers. It returns a *FieldError for an invalid field.
 func (s *Schema) Check(doc any) error {
 	compiled, err := s.compile()
 	if err != nil {
@@ -66,9 +66,9 @@
 	return err
 }
 
-// Decode checks an encoded document and decodes it into out. The fields named in
-// integers are counts: the schema has checked that they are whole, but JSON has one
-// kind of number.
+// Decode validates a document encoded in CBOR and decodes it into out. The top-level fields named
+// in integers are decoded as integers. The schema must ensure that they are whole numbers, because
+// Check has turned all numbers into floating point ones.
 func (s *Schema) Decode(body []byte, out any, integers ...string) error {
 	var doc map[string]any
 	if err := wire.Unmarshal(body, &doc); err != nil {
@@ -81,8 +81,8 @@
 		return err
 	}
 	for _, field := range integers {
-		if f, ok := doc[field].(float64); ok {
-			doc[field] = int64(f)
+		if number, ok := doc[field].(float64); ok {
+			doc[field] = int64(number)
 		}
 	}
 	body, err := wire.Marshal(doc)
@@ -92,8 +92,8 @@
 	return wire.Unmarshal(body, out)
 }
 
-// normalize replaces the integers of a decoded document by the floating point numbers
-// that the validator knows. It changes maps and lists in place.
+// normalize replaces the integers of a decoded document by floating point numbers, the only numbers
+// that the validator accepts. It changes maps and lists in place.
 func normalize(v any) any {
 	switch x := v.(type) {
 	case map[string]any:
@@ -112,7 +112,8 @@
 	return v
 }
 
-// firstFieldError returns the innermost first cause of a failed validation.
+// firstFieldError follows the first cause of a failed validation down to the innermost one, and
+// returns the error of that field.
 func firstFieldError(e *jsonschema.ValidationError) *FieldError {
 	for len(e.Causes) > 0 {
 		e = e.Causes[0]
@@ -125,12 +126,12 @@
 	}
 	reason := e.Error()
 	if i := strings.LastIndex(reason, ": "); i >= 0 {
-		reason = reason[i+2:] // without the location, which the library puts before it
+		reason = reason[i+2:] // the library puts the location before the reason
 	}
 	return &FieldError{fieldPath(e), reason}
 }
 
-// fieldPath joins the location of an error and further fields below it.
+// fieldPath returns the path of an error's location, or of a field below it, joined by dots.
 func fieldPath(e *jsonschema.ValidationError, fields ...string) string {
 	return strings.Join(append(e.InstanceLocation, fields...), ".")
 }
--- a/internal/schema/schema_test.go
+++ b/internal/schema/schema_test.go
@@ -7,7 +7,8 @@
 	"vetchstream/internal/wire"
 )
 
-// TestDecodeFieldErrors: an invalid document gives an error that names its first invalid field.
+// TestDecodeFieldErrors checks that Decode returns a FieldError with the first invalid field of a
+// document, and decodes a valid document with its integers.
 func TestDecodeFieldErrors(t *testing.T) {
 	s := New("test", []byte(`{"type": "object", "additionalProperties": false, "required": ["name"], "properties": {
 		"name": {"type": "string"}, "count": {"type": "integer"},
@@ -16,13 +17,13 @@
 		name  string
 		doc   map[string]any
 		field string // of the FieldError; empty: the document is valid
-		text  string
+		text  string // of the error
 	}{
-		{"valid", map[string]any{"name": "x", "count": 3.0}, "", ""},
-		{"missing", map[string]any{}, "name", "name: missing"},
-		{"missing below another", map[string]any{"name": "x", "to": map[string]any{}}, "to.image", "to.image: missing"},
-		{"unknown", map[string]any{"name": "x", "size": 1}, "size", "size: unknown field"},
-		{"wrong type", map[string]any{"name": 1}, "name", "name: got number, want string"},
+		{"valid document: decoded with an integer count", map[string]any{"name": "x", "count": 3.0}, "", ""},
+		{"missing required field: named", map[string]any{}, "name", "name: missing"},
+		{"missing required field of a nested map: named with its path", map[string]any{"name": "x", "to": map[string]any{}}, "to.image", "to.image: missing"},
+		{"unknown field: named", map[string]any{"name": "x", "size": 1}, "size", "size: unknown field"},
+		{"field of another type: named with both types", map[string]any{"name": 1}, "name", "name: got number, want string"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -38,10 +39,10 @@
 			switch {
 			case tt.field == "":
 				if err != nil || out.Count != 3 {
-					t.Errorf("count %d, error %v", out.Count, err)
+					t.Errorf("count %d, error %v; want count 3 without an error", out.Count, err)
 				}
 			case !errors.As(err, &invalid) || invalid.Field != tt.field || err.Error() != tt.text:
-				t.Errorf("error %v, want %q", err, tt.text)
+				t.Errorf("error %v, want a FieldError of field %q: %q", err, tt.field, tt.text)
 			}
 		})
 	}
