--- a/internal/config/settings_check.go
+++ b/internal/config/settings_check.go
@@ -7,8 +7,7 @@
 	"slices"
 )
 
-// FieldError is the error for a setting of the platform's file that is missing or
-// invalid.
+// FieldError reports a missing or invalid setting of the platform's file.
 type FieldError struct {
 	Field  string // path of the field, such as "facts.workers.lease_s"
 	Reason string
@@ -17,17 +16,17 @@
 // Error implements error.
 func (e *FieldError) Error() string { return "settings: " + e.Field + ": " + e.Reason }
 
-// Reasons of field errors.
+// Reasons that several field errors share.
 const (
 	reasonMissing     = "missing"
-	reasonDuplicate   = "missing or named twice"
-	reasonNotPositive = "missing or not above 0"
+	reasonDuplicate   = "missing or duplicate"
+	reasonNotPositive = "missing or not a finite number above 0"
 )
 
-// minTxnOps is the number of writes that the end of a job takes in one transaction.
+// minTxnOps is the number of puts and deletes in the transaction that ends a job.
 const minTxnOps = 2
 
-// validate returns a *FieldError for the first field that a controller cannot run with.
+// validate returns a *FieldError for the first setting with which a controller cannot run.
 func (s *Settings) validate() error {
 	if s.Member == "" {
 		return &FieldError{"member", reasonMissing}
@@ -101,12 +100,12 @@
 	return nil
 }
 
-// validateQuota checks the guaranteed share and the limit of a team.
+// validateQuota checks the guarantees and the limits of a team.
 func (t *Team) validateQuota(field string) error {
-	const belowGuarantee = "below the guarantee"
+	const belowGuarantee = "limit is below the guarantee"
 	switch {
 	case t.CPUs < 0 || t.CPUsMax < 0 || t.GPUs < 0 || t.GPUsMax < 0:
-		return &FieldError{field, "negative amount"}
+		return &FieldError{field, "a guarantee or a limit is negative"}
 	case t.CPUsMax > 0 && t.CPUs > t.CPUsMax:
 		return &FieldError{field + ".cpus_max", belowGuarantee}
 	case t.GPUsMax > 0 && t.GPUs > t.GPUsMax:
@@ -115,7 +114,7 @@
 	return nil
 }
 
-// validateNumbers checks the numbers that must be finite and above 0.
+// validateNumbers checks that numbers without a valid zero value are finite and above 0.
 func (f *Facts) validateNumbers() error {
 	for _, n := range []struct {
 		field string
@@ -134,7 +133,7 @@
 		{"facts.resources.ram_mb", f.Resources.RAMMB},
 		{"facts.resources.max_sockets", float64(f.Resources.MaxSockets)},
 	} {
-		positive := n.value > 0 // false for NaN too
+		positive := n.value > 0 // false for NaN
 		if !positive || math.IsInf(n.value, 0) {
 			return &FieldError{n.field, reasonNotPositive}
 		}
@@ -142,29 +141,28 @@
 	return nil
 }
 
-// validateRelations checks the numbers that must be above others.
+// validateRelations checks the numbers that must exceed another setting or a minimum.
 func (f *Facts) validateRelations() error {
 	switch {
 	case f.Workers.LeaseS <= f.Workers.ReportS:
-		return &FieldError{"facts.workers.lease_s", "not above report_s"}
+		return &FieldError{"facts.workers.lease_s", "must be above report_s"}
 	case f.Workers.CancelS <= f.Workers.LeaseS:
-		return &FieldError{"facts.workers.cancel_s", "not above lease_s"}
+		return &FieldError{"facts.workers.cancel_s", "must be above lease_s"}
 	case f.State.TxnOps < minTxnOps:
-		return &FieldError{"facts.state.txn_ops", fmt.Sprintf("below %d, which the end of a job takes", minTxnOps)}
+		return &FieldError{"facts.state.txn_ops", fmt.Sprintf("below %d, the writes in the transaction that ends a job", minTxnOps)}
 	}
 	return nil
 }
 
-// Warnings returns contradictions in the settings that a controller can run with, one
-// line each. They are not errors, because a cluster that does not start for the name of
-// a zone is the worse outcome.
+// Warnings describes contradictions in the settings, one per line. A controller runs in spite of
+// them: a cluster that refuses to start because of a zone's name would be worse.
 func (s *Settings) Warnings() (lines []string) {
 	if named := len(s.Siblings) + 1; s.Facts.Nodes != 0 && s.Facts.Nodes != named {
-		lines = append(lines, fmt.Sprintf("facts.nodes: %d, but %d controllers are named; those count", s.Facts.Nodes, named))
+		lines = append(lines, fmt.Sprintf("facts.nodes: %d, but %d controllers are named; using the named ones", s.Facts.Nodes, named))
 	}
 	checkZone := func(field, zone string) {
 		if zone != "" && !slices.Contains(s.Facts.Zones, zone) {
-			lines = append(lines, fmt.Sprintf("%s: %q is not among facts.zones; no machine counts as near it", field, zone))
+			lines = append(lines, fmt.Sprintf("%s: %q is not in facts.zones; no machine is treated as being in the same zone", field, zone))
 		}
 	}
 	checkZone("site", s.Site)
--- a/internal/config/tuning.go
+++ b/internal/config/tuning.go
@@ -13,135 +13,141 @@
 	"github.com/santhosh-tekuri/jsonschema/v6"
 )
 
-// Tuning holds the operators' own settings. Defaults gives the values of fields that
-// the file leaves out.
+// Tuning holds the operators' settings. Defaults returns the values of fields that the file leaves
+// out.
 type Tuning struct {
 	// LeaderLeaseMs is the length of the leader's lease in the key-value store, in
 	// milliseconds.
 	LeaderLeaseMs int `json:"leader_lease_ms"`
-	// PromiseMs is how long a sibling promises not to campaign, at a time, while the
-	// key-value store answers nobody, in milliseconds; 0: a leader that cannot renew its
-	// lease stops.
+	// PromiseMs is the length of one promise not to campaign, in milliseconds. The other
+	// controllers give such promises to the leader while no controller can reach the
+	// key-value store.
+	// 0 disables promises: a leader that cannot renew its lease stops leading.
 	PromiseMs int `json:"promise_ms"`
-	// TransferAfterS is how long a leader must have been overloaded, in seconds, before it
-	// transfers the leadership to a controller that computes at least twice as fast; 0:
-	// never.
+	// TransferAfterS is how long a leader must be overloaded, in seconds, before it transfers
+	// the leadership to a controller that computes at least twice as fast. 0 disables
+	// transfers.
 	TransferAfterS float64 `json:"yield_s"`
-	// Rollouts switches roll-outs of services on.
+	// Rollouts configures roll-outs of services.
 	Rollouts Rollouts `json:"rollouts"`
-	// Calendar switches reservations and maintenance windows on.
+	// Calendar configures reservations and maintenance windows.
 	Calendar Calendar `json:"calendar"`
-	// Sharding switches the assignment of machines to all controllers on.
+	// Sharding configures the assignment of machines to all controllers.
 	Sharding Sharding `json:"shares"`
 	// Regions names the regions that share one configuration.
 	Regions Regions `json:"regions"`
-	// MetricsListen is the address (host:port) of the metrics page; empty: there is none.
+	// MetricsListen is the address (host:port) of the metrics page; empty: metrics are off.
 	MetricsListen string `json:"metrics_listen"`
-	// Weights are those of the placement of tasks.
+	// Weights configures the placement of tasks.
 	Weights Weights `json:"weights"`
-	// Machines says when machines are rented and returned.
+	// Machines configures when machines are rented and returned.
 	Machines Machines `json:"hosts"`
 }
 
 // Rollouts holds the settings for roll-outs of services.
 type Rollouts struct {
 	Enabled bool `json:"enabled"`
-	// MaxServices is how many services may have a record of roll-outs.
+	// MaxServices bounds the services that have a record of roll-outs.
 	MaxServices int `json:"most"`
-	// MaxChecks is how many health checks may be in progress at a time.
+	// MaxChecks bounds the health checks in progress at any time.
 	MaxChecks int `json:"checks"`
 }
 
 // Calendar holds the settings for reservations and maintenance windows.
 type Calendar struct {
 	Enabled bool `json:"enabled"`
-	// Hold and Drain: machines are held for reservations, and drained for maintenance.
-	// Without them a calendar is a list that nothing follows from.
+	// Hold enables holding machines for reservations, and Drain enables draining them for
+	// maintenance. Without them the calendar has no effect on machines.
 	Hold  bool `json:"hold"`
 	Drain bool `json:"drain"`
-	// Backfill: held machines may run other work that is sure to end in time.
+	// Backfill allows held machines to run other work that is certain to end in time.
 	Backfill bool `json:"backfill"`
-	// HoldS is how long before a reservation's slot machines that are up are held for it,
-	// in seconds: until then only work that is sure to end in time is placed on them.
+	// HoldS is how long before a reservation's occurrence machines that are up are held for it,
+	// in seconds. During that time only work that is certain to end before the occurrence is
+	// placed on them.
 	HoldS float64 `json:"hold_s"`
-	// HorizonDays is how far ahead anything may be planned.
+	// HorizonDays is how many days ahead reservations and maintenance windows may be planned.
 	HorizonDays int `json:"days"`
-	// MaxReservations and MaxPerTeam bound the reservations of all teams and of one,
-	// MaxWindows the maintenance windows, and MaxOccurrences the slots of one reservation.
+	// MaxReservations bounds the reservations of all teams, and MaxPerTeam those of one team.
+	// MaxWindows bounds the maintenance windows, and MaxOccurrences the occurrences of one
+	// reservation.
 	MaxReservations int `json:"most"`
 	MaxPerTeam      int `json:"per_team"`
 	MaxWindows      int `json:"windows"`
 	MaxOccurrences  int `json:"occurrences"`
-	// AssumedCapacity is how many machines of a type reservations may count on in each
-	// zone; a type that is not named has no bound.
+	// AssumedCapacity maps a machine type to the number of machines that reservations may
+	// assume to be available in each zone. Types that are missing have no bound.
 	AssumedCapacity map[string]int `json:"count_on"`
 }
 
-// Sharding holds the settings for the assignment of machines to the controllers, which
-// answer their heartbeats for the leader.
+// Sharding holds the settings for the assignment of machines to controllers, which respond to
+// their heartbeats on behalf of the leader.
 type Sharding struct {
 	Enabled bool `json:"enabled"`
-	// MinMachines is the number of machines below which the leader deals with all.
+	// MinMachines is the number of machines below which the leader holds all machines.
 	MinMachines int `json:"least"`
-	// GrantMs is how long a holder may answer without hearing from the leader, in
-	// milliseconds; never beyond the leader's own entitlement.
+	// GrantMs is how long a holder may respond to heartbeats after its last contact with the
+	// leader, in milliseconds. A grant never outlasts the leader's own right to lead.
 	GrantMs int `json:"grant_ms"`
-	// JoinDelayS is how long a controller must be up before it gets machines, in seconds.
+	// JoinDelayS is how long a controller must be up before it is assigned machines, in
+	// seconds.
 	JoinDelayS float64 `json:"join_s"`
-	// RejoinDelayS is how long a controller that has failed gets no machines, in seconds.
-	// It doubles with each failure, up to MaxRejoinDelayS.
+	// RejoinDelayS is how long a controller is assigned no machines after a failure, in
+	// seconds. It doubles with each failure, up to MaxRejoinDelayS.
 	RejoinDelayS    float64 `json:"rest_s"`
 	MaxRejoinDelayS float64 `json:"rest_most_s"`
-	// MovesPerS is how many machines change their holder per second; 0: from core_share.
+	// MovesPerS is the number of machines that may change their holder per second; 0: derived
+	// from core_share.
 	MovesPerS float64 `json:"per_s"`
-	// LeaderWeight is the size of the leader's shard, where that of each other is 1.
+	// LeaderWeight is the size of the leader's shard relative to that of another controller.
 	LeaderWeight float64 `json:"own"`
 }
 
-// Regions holds the settings for several regions with one configuration.
+// Regions holds the settings for regions that share one configuration.
 type Regions struct {
-	// Name is this region's; empty: there is one region, and the platform's file is all
-	// the configuration there is.
+	// Name is the name of this region. If it is empty, there is only one region, and the
+	// platform's file is its whole configuration.
 	Name string `json:"name"`
-	// Home is the region in which changes are decided, and All are all of them.
+	// Home is the region in which changes are decided. All lists all regions.
 	Home string   `json:"home"`
 	All  []string `json:"all"`
-	// HomeAddresses are the peer addresses (host:port) of the home region's controllers;
-	// a controller of the home region needs none.
+	// HomeAddresses lists the peer addresses (host:port) of the home region's controllers. The
+	// home region itself needs none.
 	HomeAddresses []string `json:"home_addresses"`
 }
 
-// Weights are the weights of a machine's loads, and the penalties of unmet conditions,
-// in the distance that placement minimizes (package place).
+// Weights holds the weights of a machine's loads and the penalties for unmet conditions in the
+// distance that package place minimizes.
 type Weights struct {
 	Queue float64 `json:"queue"` // tasks that wait for the machine
 	Jobs  float64 `json:"jobs"`  // tasks on the machine
 	CPU   float64 `json:"cpu"`   // percentage of its CPUs in use
-	Price float64 `json:"price"`
+	Price float64 `json:"price"` // price of the machine
 
 	Image      float64 `json:"image"`      // the machine lacks the task's image
-	Sticky     float64 `json:"sticky"`     // it is not the one that the task was last on
-	SameZone   float64 `json:"same_zone"`  // for each replica of the service in its zone
-	Unreliable float64 `json:"unreliable"` // a task has failed on it lately
-	Empty      float64 `json:"empty"`      // no task is on it, so it could be returned
+	Sticky     float64 `json:"sticky"`     // the task last ran on another machine
+	SameZone   float64 `json:"same_zone"`  // for each replica of the service in the machine's zone
+	Unreliable float64 `json:"unreliable"` // a task has recently failed on the machine
+	Empty      float64 `json:"empty"`      // the machine has no task and could be returned
 }
 
 // Machines holds the settings for scaling out and in.
 type Machines struct {
-	// IdleBoots is how long an idle machine is retained, in boot times of its type.
+	// IdleBoots is how long an idle machine is retained, in multiples of its type's boot time.
 	IdleBoots float64 `json:"idle_boots"`
-	// GiveUpBoots is when a machine that has not come up is returned, in boot times.
+	// GiveUpBoots is how long after its request a machine that is not up is returned, in
+	// multiples of its type's boot time.
 	GiveUpBoots float64 `json:"give_up_boots"`
-	// MinFill is the share of a new machine that waiting work must fill.
+	// MinFill is the fraction of a new machine that waiting work must fill.
 	MinFill float64 `json:"min_fill"`
 	// PatienceS is how long a task may wait before MinFill is waived, in seconds.
 	PatienceS float64 `json:"patience_s"`
-	// QuarantineErrors is the number of unexplained errors in a row that put a machine
-	// into quarantine.
+	// QuarantineErrors is the number of consecutive unexplained errors after which a machine is
+	// quarantined.
 	QuarantineErrors int `json:"sick_errors"`
 }
 
-// Defaults returns the operators' settings where their file says nothing.
+// Defaults returns the settings that apply where the operators' file sets no others.
 func Defaults() *Tuning {
 	return &Tuning{
 		LeaderLeaseMs: 3000,
@@ -189,8 +195,8 @@
 	}
 }
 
-// LoadTuning reads the operators' settings over the defaults; an empty path gives the
-// defaults.
+// LoadTuning reads and validates the operators' file and applies it to the defaults. For an empty
+// path it returns the defaults.
 func LoadTuning(path string) (*Tuning, error) {
 	t := Defaults()
 	if path == "" {
@@ -206,8 +212,7 @@
 	return t, nil
 }
 
-// ParseTuning checks b against the schema and decodes it over t: fields that b leaves
-// out stay as they are.
+// ParseTuning validates b and decodes it into t. Fields that b leaves out keep their values.
 func ParseTuning(b []byte, t *Tuning) error {
 	schema, err := compileTuningSchema()
 	if err != nil {
@@ -232,7 +237,7 @@
 //go:embed schema.json
 var tuningSchemaJSON []byte
 
-// tuningSchemaURL names the schema to its compiler.
+// tuningSchemaURL identifies the schema to its compiler.
 const tuningSchemaURL = "urn:vetchstream:tuning"
 
 func compileTuningSchema() (*jsonschema.Schema, error) {
@@ -247,7 +252,7 @@
 	return compiler.Compile(tuningSchemaURL)
 }
 
-// validate checks what the schema cannot express. The error begins with the field.
+// validate checks rules that the schema cannot express. Its error begins with the field's path.
 func (t *Tuning) validate() error {
 	if err := t.Regions.validate(); err != nil {
 		return err
@@ -258,17 +263,18 @@
 	return nil
 }
 
-// validate checks that the regions name each other. The error begins with the field.
+// validate checks that the names and addresses of the regions are consistent. Its error begins with
+// the field's path.
 func (r *Regions) validate() error {
 	switch {
 	case r.Name == "":
 		return nil
 	case !slices.Contains(r.All, r.Name):
-		return fmt.Errorf("/regions/name: %q is not among /regions/all", r.Name)
+		return fmt.Errorf("/regions/name: %q is not in /regions/all", r.Name)
 	case !slices.Contains(r.All, r.Home):
-		return fmt.Errorf("/regions/home: %q is not among /regions/all", r.Home)
+		return fmt.Errorf("/regions/home: %q is not in /regions/all", r.Home)
 	case r.Name != r.Home && len(r.HomeAddresses) == 0:
-		return errors.New("/regions/home_addresses: missing")
+		return errors.New("/regions/home_addresses: missing outside the home region")
 	}
 	for i, address := range r.HomeAddresses {
 		if _, _, err := net.SplitHostPort(address); err != nil {
