--- a/internal/autoscale/backoff.go
+++ b/internal/autoscale/backoff.go
@@ -25,17 +25,17 @@
 
 // RecordRefusal records that the cloud had too few machines of an offer or none. It blocks the
 // offer for a pause that doubles with each consecutive refusal.
-func (b *Backoff) RecordRefusal(o Offer, now time.Time) {
-	pause := min(maxBackoff, max(firstBackoff, 2*b.pause[o]))
-	b.pause[o] = pause
-	b.until[o] = now.Add(pause)
+func (b *Backoff) RecordRefusal(offer Offer, now time.Time) {
+	pause := min(maxBackoff, max(firstBackoff, 2*b.pause[offer]))
+	b.pause[offer] = pause
+	b.until[offer] = now.Add(pause)
 }
 
 // RecordSuccess unblocks an offer and resets its pause.
-func (b *Backoff) RecordSuccess(o Offer) {
-	delete(b.pause, o)
-	delete(b.until, o)
+func (b *Backoff) RecordSuccess(offer Offer) {
+	delete(b.pause, offer)
+	delete(b.until, offer)
 }
 
 // Allows reports whether the offer may be requested at the time now.
-func (b *Backoff) Allows(o Offer, now time.Time) bool { return !now.Before(b.until[o]) }
+func (b *Backoff) Allows(offer Offer, now time.Time) bool { return !now.Before(b.until[offer]) }
--- a/internal/autoscale/plan.go
+++ b/internal/autoscale/plan.go
@@ -76,16 +76,16 @@
 }
 
 // MachineResources returns the resources of a machine of a type.
-func MachineResources(t *wire.MachineType) place.Resources {
-	return place.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemGB: t.MemGB}
+func MachineResources(machineType *wire.MachineType) place.Resources {
+	return place.Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs, MemGB: machineType.MemGB}
 }
 
 // HourlyPrice returns the price per hour of a machine of a type, spot or on demand.
-func HourlyPrice(t *wire.MachineType, spot bool) float64 {
+func HourlyPrice(machineType *wire.MachineType, spot bool) float64 {
 	if spot {
-		return t.SpotPrice
+		return machineType.SpotPrice
 	}
-	return t.Price
+	return machineType.Price
 }
 
 // ScaleOut returns how many machines of each offer to request. It treats unmet demand in the
@@ -119,60 +119,60 @@
 func (p *pass) limitReached() bool { return len(p.pending) > len(p.Pending)+maxMachinesPerPass }
 
 // assignDemand assigns the tasks of an unmet demand to pending machines and requests machines
-// for the rest. It sets u.ChosenZone.
-func (p *pass) assignDemand(u *UnmetDemand) {
-	d := u.Demand
-	count := u.Count
-	u.ChosenZone = -1
-	if u.FitsByZone != nil {
-		zone := p.chooseGangZone(u)
+// for the rest. It sets unmet.ChosenZone.
+func (p *pass) assignDemand(unmet *UnmetDemand) {
+	demand := unmet.Demand
+	count := unmet.Count
+	unmet.ChosenZone = -1
+	if unmet.FitsByZone != nil {
+		zone := p.chooseGangZone(unmet)
 		if zone < 0 {
 			return
 		}
-		u.ChosenZone = zone
-		inZone := *d
+		unmet.ChosenZone = zone
+		inZone := *demand
 		inZone.Zone = zone
-		d = &inZone
-		count -= min(count, u.FitsByZone[zone])
+		demand = &inZone
+		count -= min(count, unmet.FitsByZone[zone])
 	}
-	count = p.assignToPending(d, count)
-	p.requestMachines(u, d, count)
+	count = p.assignToPending(demand, count)
+	p.requestMachines(unmet, demand, count)
 }
 
 // assignToPending assigns up to count tasks of a demand to pending machines, and returns how
 // many of them are left over.
-func (p *pass) assignToPending(d *place.Demand, count int) (left int) {
+func (p *pass) assignToPending(demand *place.Demand, count int) (left int) {
 	for i := range p.pending {
 		if count == 0 {
 			break
 		}
-		m := &p.pending[i]
-		if !allowsOffer(d, m.Offer) {
+		machine := &p.pending[i]
+		if !allowsOffer(demand, machine.Offer) {
 			continue
 		}
-		n := min(count, m.Free.FitCount(d.Need))
-		m.Free = subtractTasks(m.Free, d.Need, n)
+		n := min(count, machine.Free.FitCount(demand.Need))
+		machine.Free = subtractTasks(machine.Free, demand.Need, n)
 		count -= n
 	}
 	return count
 }
 
-// requestMachines requests machines for count tasks of a demand. The demand d is u.Demand,
-// confined to u.ChosenZone if a zone was chosen.
-func (p *pass) requestMachines(u *UnmetDemand, d *place.Demand, count int) {
+// requestMachines requests machines for count tasks. Its demand is unmet.Demand, confined to
+// unmet.ChosenZone if a zone was chosen.
+func (p *pass) requestMachines(unmet *UnmetDemand, demand *place.Demand, count int) {
 	for count > 0 && !p.limitReached() {
-		best, ok := p.cheapestOffer(u, d, count)
+		best, ok := p.cheapestOffer(unmet, demand, count)
 		if !ok {
 			return
 		}
 		n := min(count, best.capacity)
 		fill := float64(n) / float64(best.capacity)
-		if !u.Urgent && fill < p.MinFill && u.WaitedS < p.PatienceS {
+		if !unmet.Urgent && fill < p.MinFill && unmet.WaitedS < p.PatienceS {
 			return
 		}
 		p.requests[best.offer]++
 		total := MachineResources(&p.Types[best.offer.Type])
-		p.pending = append(p.pending, PendingMachine{Offer: best.offer, Free: subtractTasks(total, d.Need, n)})
+		p.pending = append(p.pending, PendingMachine{Offer: best.offer, Free: subtractTasks(total, demand.Need, n)})
 		count -= n
 	}
 }
@@ -181,21 +181,21 @@
 // machines that are up or pending, or -1 if no zone can provide the missing machines. A request
 // for the cheapest offer of any zone could create one machine in each zone in turn; each would
 // be released as idle before the next is up, and the gang would never start.
-func (p *pass) chooseGangZone(u *UnmetDemand) (zone int) {
+func (p *pass) chooseGangZone(unmet *UnmetDemand) (zone int) {
 	zone = -1
 	fewest := 0
-	cheapest, hasCheapest := p.cheapestOffer(u, u.Demand, u.Count)
-	for z, fit := range u.FitsByZone {
-		d := *u.Demand
-		d.Zone = z
-		missing := max(0, u.Count-fit-p.countPendingFit(&d))
+	cheapest, hasCheapest := p.cheapestOffer(unmet, unmet.Demand, unmet.Count)
+	for candidate, fit := range unmet.FitsByZone {
+		demand := *unmet.Demand
+		demand.Zone = candidate
+		missing := max(0, unmet.Count-fit-p.countPendingFit(&demand))
 		if missing > 0 {
-			if _, ok := p.cheapestOffer(u, &d, missing); !ok {
+			if _, ok := p.cheapestOffer(unmet, &demand, missing); !ok {
 				continue
 			}
 		}
-		if zone < 0 || missing < fewest || (missing == fewest && hasCheapest && z == cheapest.offer.Zone) {
-			zone = z
+		if zone < 0 || missing < fewest || (missing == fewest && hasCheapest && candidate == cheapest.offer.Zone) {
+			zone = candidate
 			fewest = missing
 		}
 	}
@@ -203,10 +203,10 @@
 }
 
 // countPendingFit returns how many tasks of a demand fit on the pending machines.
-func (p *pass) countPendingFit(d *place.Demand) (n int) {
+func (p *pass) countPendingFit(demand *place.Demand) (n int) {
 	for i := range p.pending {
-		if m := &p.pending[i]; allowsOffer(d, m.Offer) {
-			n += m.Free.FitCount(d.Need)
+		if machine := &p.pending[i]; allowsOffer(demand, machine.Offer) {
+			n += machine.Free.FitCount(demand.Need)
 		}
 	}
 	return n
@@ -220,26 +220,26 @@
 
 // cheapestOffer returns the available offer with the lowest cost per task for count tasks of a
 // demand; ok is false if no offer is available.
-func (in *Input) cheapestOffer(u *UnmetDemand, d *place.Demand, count int) (best choice, ok bool) {
+func (in *Input) cheapestOffer(unmet *UnmetDemand, demand *place.Demand, count int) (best choice, ok bool) {
 	lowest := math.Inf(1)
 	for i := range in.Types {
-		t := &in.Types[i]
-		capacity := MachineResources(t).FitCount(d.Need)
+		machineType := &in.Types[i]
+		capacity := MachineResources(machineType).FitCount(demand.Need)
 		if capacity == 0 {
 			continue
 		}
-		for _, name := range t.Zones {
+		for _, name := range machineType.Zones {
 			zone, known := in.ZoneIndex[name]
 			if !known {
 				continue
 			}
 			for _, spot := range [...]bool{false, true} {
-				o := Offer{Type: i, Zone: zone, Spot: spot}
-				if !allowsOffer(d, o) || !in.available(o) {
+				offer := Offer{Type: i, Zone: zone, Spot: spot}
+				if !allowsOffer(demand, offer) || !in.available(offer) {
 					continue
 				}
-				if cost := in.costPerTask(o, u, min(capacity, count)); cost < lowest {
-					best = choice{offer: o, capacity: capacity}
+				if cost := in.costPerTask(offer, unmet, min(capacity, count)); cost < lowest {
+					best = choice{offer: offer, capacity: capacity}
 					lowest = cost
 					ok = true
 				}
@@ -251,28 +251,30 @@
 
 // available reports whether machines of an offer may be requested now: neither the backoff nor a
 // maintenance window blocks it.
-func (in *Input) available(o Offer) bool {
-	return in.Backoff.Allows(o, in.Now) && (in.Closed == nil || !in.Closed(o))
+func (in *Input) available(offer Offer) bool {
+	return in.Backoff.Allows(offer, in.Now) && (in.Closed == nil || !in.Closed(offer))
 }
 
 // costPerTask returns the cost of one task when the given number of tasks share a machine of an
 // offer. It includes the boot and the image fetch, because the cloud charges for a machine from
 // the request on.
-func (in *Input) costPerTask(o Offer, u *UnmetDemand, tasks int) float64 {
-	t := &in.Types[o.Type]
-	seconds := t.BootS + u.TaskS
-	if t.FetchRate > 0 {
-		seconds += u.ImageGB / t.FetchRate
+func (in *Input) costPerTask(offer Offer, unmet *UnmetDemand, tasks int) float64 {
+	machineType := &in.Types[offer.Type]
+	seconds := machineType.BootS + unmet.TaskS
+	if machineType.FetchRate > 0 {
+		seconds += unmet.ImageGB / machineType.FetchRate
 	}
-	cost := HourlyPrice(t, o.Spot) * max(minChargedS, seconds) / float64(tasks)
-	if o.Zone < len(in.MachinesByZone) {
-		cost *= 1 + zoneSpreadFactor*float64(in.MachinesByZone[o.Zone])
+	cost := HourlyPrice(machineType, offer.Spot) * max(minChargedS, seconds) / float64(tasks)
+	if offer.Zone < len(in.MachinesByZone) {
+		cost *= 1 + zoneSpreadFactor*float64(in.MachinesByZone[offer.Zone])
 	}
 	return cost
 }
 
 // allowsOffer reports whether a task of the demand may run on a machine of the offer.
-func allowsOffer(d *place.Demand, o Offer) bool { return d.Allows(o.Type, o.Zone, o.Spot) }
+func allowsOffer(demand *place.Demand, offer Offer) bool {
+	return demand.Allows(offer.Type, offer.Zone, offer.Spot)
+}
 
 // subtractTasks returns the free resources that remain after n tasks have taken need each.
 func subtractTasks(free, need place.Resources, n int) place.Resources {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -115,18 +115,18 @@
 
 // Load reads and validates the platform's file.
 func Load(path string) (*Settings, error) {
-	b, err := os.ReadFile(path)
+	data, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	return Parse(b)
+	return Parse(data)
 }
 
 // Parse decodes and validates the platform's settings. It ignores unknown fields, and returns a
 // *FieldError for a missing or invalid setting.
-func Parse(b []byte) (*Settings, error) {
-	s := &Settings{}
-	if err := toml.Unmarshal(b, s); err != nil {
+func Parse(data []byte) (*Settings, error) {
+	settings := &Settings{}
+	if err := toml.Unmarshal(data, settings); err != nil {
 		var decodeErr *toml.DecodeError
 		if errors.As(err, &decodeErr) {
 			row, _ := decodeErr.Position()
@@ -134,8 +134,8 @@
 		}
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	if err := s.validate(); err != nil {
+	if err := settings.validate(); err != nil {
 		return nil, err
 	}
-	return s, nil
+	return settings, nil
 }
--- a/internal/config/tuning.go
+++ b/internal/config/tuning.go
@@ -198,37 +198,37 @@
 // LoadTuning reads and validates the operators' file and applies it to the defaults. For an empty
 // path it returns the defaults.
 func LoadTuning(path string) (*Tuning, error) {
-	t := Defaults()
+	tuning := Defaults()
 	if path == "" {
-		return t, nil
+		return tuning, nil
 	}
-	b, err := os.ReadFile(path)
+	data, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("tuning: %w", err)
 	}
-	if err := ParseTuning(b, t); err != nil {
+	if err := ParseTuning(data, tuning); err != nil {
 		return nil, err
 	}
-	return t, nil
+	return tuning, nil
 }
 
-// ParseTuning validates b and decodes it into t. Fields that b leaves out keep their values.
-func ParseTuning(b []byte, t *Tuning) error {
+// ParseTuning validates data and decodes it into tuning. Fields that data leaves out keep their values.
+func ParseTuning(data []byte, tuning *Tuning) error {
 	schema, err := compileTuningSchema()
 	if err != nil {
 		return fmt.Errorf("tuning schema: %w", err)
 	}
-	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(b))
+	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(data))
 	if err != nil {
 		return fmt.Errorf("tuning: %w", err)
 	}
 	if err := schema.Validate(doc); err != nil {
 		return fmt.Errorf("tuning: %w", err)
 	}
-	if err := json.Unmarshal(b, t); err != nil {
+	if err := json.Unmarshal(data, tuning); err != nil {
 		return fmt.Errorf("tuning: %w", err)
 	}
-	if err := t.validate(); err != nil {
+	if err := tuning.validate(); err != nil {
 		return fmt.Errorf("tuning: %w", err)
 	}
 	return nil
--- a/internal/metrics/meter.go
+++ b/internal/metrics/meter.go
@@ -83,21 +83,21 @@
 
 // Observe records a time, limited to the range from 0 to maxObservation. The label is ignored if
 // the metric has none.
-func (m *Meter) Observe(metric Metric, label string, d time.Duration) {
+func (m *Meter) Observe(metric Metric, label string, duration time.Duration) {
 	if m == nil {
 		return
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	key := m.series(metric, label)
-	h := m.histograms[key]
-	if h == nil {
-		h = &histogram{millis: hdrhistogram.New(1, maxObservation.Milliseconds(), histogramDigits)}
-		m.histograms[key] = h
+	times := m.histograms[key]
+	if times == nil {
+		times = &histogram{millis: hdrhistogram.New(1, maxObservation.Milliseconds(), histogramDigits)}
+		m.histograms[key] = times
 	}
-	d = min(max(0, d), maxObservation)
-	_ = h.millis.RecordValue(d.Milliseconds()) // fails only for times out of range
-	h.sum += d
+	duration = min(max(0, duration), maxObservation)
+	_ = times.millis.RecordValue(duration.Milliseconds()) // fails only for times out of range
+	times.sum += duration
 }
 
 // series returns the series of a metric for a value of its label, or for otherLabel if the value is
--- a/internal/schema/schema.go
+++ b/internal/schema/schema.go
@@ -94,44 +94,44 @@
 
 // normalize replaces the integers of a decoded document by floating point numbers, the only numbers
 // that the validator accepts. It changes maps and lists in place.
-func normalize(v any) any {
-	switch x := v.(type) {
+func normalize(value any) any {
+	switch typed := value.(type) {
 	case map[string]any:
-		for key, element := range x {
-			x[key] = normalize(element)
+		for key, element := range typed {
+			typed[key] = normalize(element)
 		}
 	case []any:
-		for i, element := range x {
-			x[i] = normalize(element)
+		for i, element := range typed {
+			typed[i] = normalize(element)
 		}
 	case uint64:
-		return float64(x)
+		return float64(typed)
 	case int64:
-		return float64(x)
+		return float64(typed)
 	}
-	return v
+	return value
 }
 
 // firstFieldError follows the first cause of a failed validation down to the innermost one, and
 // returns the error of that field.
-func firstFieldError(e *jsonschema.ValidationError) *FieldError {
-	for len(e.Causes) > 0 {
-		e = e.Causes[0]
+func firstFieldError(invalid *jsonschema.ValidationError) *FieldError {
+	for len(invalid.Causes) > 0 {
+		invalid = invalid.Causes[0]
 	}
-	switch k := e.ErrorKind.(type) {
+	switch k := invalid.ErrorKind.(type) {
 	case *kind.Required:
-		return &FieldError{fieldPath(e, k.Missing[0]), "missing"}
+		return &FieldError{fieldPath(invalid, k.Missing[0]), "missing"}
 	case *kind.AdditionalProperties:
-		return &FieldError{fieldPath(e, k.Properties[0]), "unknown field"}
+		return &FieldError{fieldPath(invalid, k.Properties[0]), "unknown field"}
 	}
-	reason := e.Error()
+	reason := invalid.Error()
 	if i := strings.LastIndex(reason, ": "); i >= 0 {
 		reason = reason[i+2:] // the library puts the location before the reason
 	}
-	return &FieldError{fieldPath(e), reason}
+	return &FieldError{fieldPath(invalid), reason}
 }
 
 // fieldPath returns the path of an error's location, or of a field below it, joined by dots.
-func fieldPath(e *jsonschema.ValidationError, fields ...string) string {
-	return strings.Join(append(e.InstanceLocation, fields...), ".")
+func fieldPath(invalid *jsonschema.ValidationError, fields ...string) string {
+	return strings.Join(append(invalid.InstanceLocation, fields...), ".")
 }
