--- a/internal/autoscale/plan_test.go
+++ b/internal/autoscale/plan_test.go
@@ -9,7 +9,7 @@
 	"vetchstream/internal/wire"
 )
 
-// TestScaleOut: what is requested for unmet demand.
+// TestScaleOut checks how many machines of which offers ScaleOut requests for unmet demand.
 func TestScaleOut(t *testing.T) {
 	now := time.Unix(1000, 0)
 	types := []wire.MachineType{
