--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -28,7 +28,7 @@
 	// Heartbeat answers a worker's heartbeat. It returns nil if another node is responsible for
 	// the worker's machine.
 	Heartbeat(ctx context.Context, request *rpc.Request) *rpc.Reply
-	// Leader returns the leader's address as this node knows it, or an empty string if it knows no
+	// Leader returns the leader's member name as this node knows it, or an empty string if it knows no
 	// leader or leads itself.
 	Leader() string
 	// ForwardHeartbeat forwards a worker's heartbeat to the leader and returns the leader's reply.
@@ -204,11 +204,11 @@
 	return false
 }
 
-// redirectReply returns a reply with status 421 that contains the leader's address.
+// redirectReply returns a reply with status 421 that contains the leader's name.
 func redirectReply(leader string) *rpc.Reply {
 	body, err := wire.Marshal(wire.Redirect{ReportTo: leader})
 	if err != nil {
-		body = nil // without an address the worker tries the next node
+		body = nil // without a name the worker tries the next node
 	}
 	return &rpc.Reply{Status: http.StatusMisdirectedRequest, Body: body}
 }
