--- a/internal/autoscale/plan.go
+++ b/internal/autoscale/plan.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// maxMachinesPerPass bounds what one call of ScaleOut requests. The rest follows when the
-	// cloud has shown what capacity it has.
+	// maxMachinesPerPass bounds the machines that one call of ScaleOut requests. Later calls
+	// request the rest once the cloud has shown how much capacity it has.
 	maxMachinesPerPass = 150
-	// minChargedS is for how long a machine costs at the least, in seconds.
+	// minChargedS is the shortest time that the cloud charges for a machine, in seconds.
 	minChargedS = 60
-	// zoneSpreadFactor is by how much each machine in a zone makes another one there count as
-	// dearer. It decides only between offers that cost the same.
+	// zoneSpreadFactor is the relative surcharge on an offer for each machine already in its
+	// zone. It is small enough to decide only between offers of equal cost.
 	zoneSpreadFactor = 0.001
 )
 
@@ -27,70 +27,71 @@
 	Spot bool
 }
 
-// UnmetDemand is a job with tasks that found no machine.
+// UnmetDemand describes a job with tasks that could not be placed on any machine.
 type UnmetDemand struct {
 	Demand *place.Demand
-	// Count is the number of those tasks.
+	// Count is the number of tasks that could not be placed.
 	Count int
 	// TaskS is the expected run time of a task, in seconds.
 	TaskS float64
-	// ImageGB is the size of the job's image.
+	// ImageGB is the size of the job's image, in GB.
 	ImageGB float64
-	// WaitedS is for how long the job has waited, in seconds.
+	// WaitedS is how long the job has waited, in seconds.
 	WaitedS float64
-	// Urgent: machines are requested however little of them the job fills.
+	// Urgent waives Input.MinFill: machines are requested however little of them the job fills.
 	Urgent bool
-	// FitsByZone is, for a gang that has to be in one zone, how many of its tasks fit now on
-	// the machines that are up, by zone; nil if unknown.
+	// FitsByZone is set for a gang that must run in one zone: by zone, the number of its tasks
+	// that fit now on the machines that are up. It is nil for other jobs and if unknown.
 	FitsByZone []int
-	// ChosenZone is set by ScaleOut to the zone that it has chosen for such a gang, and to -1
-	// for all others.
+	// ChosenZone is a result: ScaleOut sets it to the zone that it has chosen for a gang with
+	// FitsByZone, and to -1 otherwise.
 	ChosenZone int
 }
 
-// PendingMachine is a machine that was requested and is not up yet.
+// PendingMachine is a machine that has been requested and is not up yet.
 type PendingMachine struct {
 	Offer
-	// Free is what no unmet demand has been assigned of it.
+	// Free holds the resources that are not yet assigned to unmet demand.
 	Free place.Resources
 }
 
-// Input is all that a decision to scale out depends on, apart from the unmet demand.
+// Input holds everything besides the unmet demand that ScaleOut depends on.
 type Input struct {
 	Types []wire.MachineType
-	// ZoneIndex maps the names of zones to their indices.
+	// ZoneIndex maps zone names to zone indices.
 	ZoneIndex map[string]int
 	Pending   []PendingMachine
 	Backoff   *Backoff
-	// MachinesByZone counts the machines of each zone. Offers that cost the same are spread,
-	// so that a wave of spot notices or the loss of a zone takes few.
+	// MachinesByZone counts the machines of each zone. Offers of equal cost are spread over the
+	// zones, so that a wave of spot notices or the loss of a zone affects few machines.
 	MachinesByZone []int
-	// MinFill is the part of a machine that a job must fill for the machine to be requested
-	// before the job has waited for PatienceS seconds.
+	// MinFill is the fraction of a machine that a job must fill for the machine to be requested
+	// before the job has waited PatienceS seconds.
 	MinFill   float64
 	PatienceS float64
 	Now       time.Time
-	// Closed reports whether machines of an offer would only be released again for
-	// maintenance; nil means none.
+	// Closed reports whether a maintenance window closes an offer, so that its machines would
+	// be released again at once. A nil function closes no offer.
 	Closed func(Offer) bool
 }
 
-// MachineResources returns what a machine of a type has.
-func MachineResources(t *wire.MachineType) place.Resources {
-	return place.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemGB: t.MemGB}
+// MachineResources returns the resources of a machine of a type.
+func MachineResources(machineType *wire.MachineType) place.Resources {
+	return place.Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs, MemGB: machineType.MemGB}
 }
 
-// HourlyPrice returns the price of a machine of a type, per hour.
-func HourlyPrice(t *wire.MachineType, spot bool) float64 {
+// HourlyPrice returns the price per hour of a machine of a type, spot or on demand.
+func HourlyPrice(machineType *wire.MachineType, spot bool) float64 {
 	if spot {
-		return t.SpotPrice
+		return machineType.SpotPrice
 	}
-	return t.Price
+	return machineType.Price
 }
 
-// ScaleOut decides how many machines of which offers to request. Unmet demand, in its
-// order, goes first to the machines that are pending and then to the offer that runs it at
-// the lowest cost, if it fills enough of the machine or has waited for long.
+// ScaleOut returns how many machines of each offer to request. It treats unmet demand in the
+// given order. It assigns tasks to pending machines first, and requests machines of the offer
+// with the lowest cost per task for the rest, if the job is urgent, fills enough of a machine or
+// has waited long enough.
 func ScaleOut(in Input, unmet []UnmetDemand) map[Offer]int {
 	p := &pass{
 		Input:    in,
@@ -98,146 +99,147 @@
 		requests: map[Offer]int{},
 	}
 	for i := range unmet {
-		p.serve(&unmet[i])
-		if p.full() {
+		p.assignDemand(&unmet[i])
+		if p.limitReached() {
 			break
 		}
 	}
 	return p.requests
 }
 
-// pass is one call of ScaleOut.
+// pass is the state of one call of ScaleOut.
 type pass struct {
 	Input
-	// pending are the machines of Input.Pending and those that this pass requests.
+	// pending holds the machines of Input.Pending and those that this pass requests.
 	pending  []PendingMachine
 	requests map[Offer]int
 }
 
-// full reports whether the pass has requested as much as one pass may.
-func (p *pass) full() bool { return len(p.pending) > len(p.Pending)+maxMachinesPerPass }
+// limitReached reports whether the pass has requested more than maxMachinesPerPass machines.
+func (p *pass) limitReached() bool { return len(p.pending) > len(p.Pending)+maxMachinesPerPass }
 
-// serve finds machines for an unmet demand.
-func (p *pass) serve(u *UnmetDemand) {
-	d := u.Demand
-	count := u.Count
-	u.ChosenZone = -1
-	if u.FitsByZone != nil {
-		zone := p.chooseGangZone(u)
+// assignDemand assigns the tasks of an unmet demand to pending machines and requests machines
+// for the rest. It sets unmet.ChosenZone.
+func (p *pass) assignDemand(unmet *UnmetDemand) {
+	demand := unmet.Demand
+	count := unmet.Count
+	unmet.ChosenZone = -1
+	if unmet.FitsByZone != nil {
+		zone := p.chooseGangZone(unmet)
 		if zone < 0 {
 			return
 		}
-		u.ChosenZone = zone
-		inZone := *d
+		unmet.ChosenZone = zone
+		inZone := *demand
 		inZone.Zone = zone
-		d = &inZone
-		count -= min(count, u.FitsByZone[zone])
+		demand = &inZone
+		count -= min(count, unmet.FitsByZone[zone])
 	}
-	count = p.usePending(d, count)
-	p.request(u, d, count)
+	count = p.assignToPending(demand, count)
+	p.requestMachines(unmet, demand, count)
 }
 
-// usePending assigns tasks of a demand to machines that are pending, and returns how many
-// of count are left.
-func (p *pass) usePending(d *place.Demand, count int) (left int) {
+// assignToPending assigns up to count tasks of a demand to pending machines, and returns how
+// many of them are left over.
+func (p *pass) assignToPending(demand *place.Demand, count int) (left int) {
 	for i := range p.pending {
 		if count == 0 {
 			break
 		}
-		m := &p.pending[i]
-		if !allows(d, m.Offer) {
+		machine := &p.pending[i]
+		if !allowsOffer(demand, machine.Offer) {
 			continue
 		}
-		n := min(count, m.Free.FitCount(d.Need))
-		m.Free = subtract(m.Free, d.Need, n)
+		n := min(count, machine.Free.FitCount(demand.Need))
+		machine.Free = subtractTasks(machine.Free, demand.Need, n)
 		count -= n
 	}
 	return count
 }
 
-// request requests machines for count tasks of a demand; d is u.Demand, confined to the
-// chosen zone where there is one.
-func (p *pass) request(u *UnmetDemand, d *place.Demand, count int) {
-	for count > 0 && !p.full() {
-		best, ok := p.cheapest(u, d, count)
+// requestMachines requests machines for count tasks. Its demand is unmet.Demand, confined to
+// unmet.ChosenZone if a zone was chosen.
+func (p *pass) requestMachines(unmet *UnmetDemand, demand *place.Demand, count int) {
+	for count > 0 && !p.limitReached() {
+		best, ok := p.cheapestOffer(unmet, demand, count)
 		if !ok {
 			return
 		}
 		n := min(count, best.capacity)
 		fill := float64(n) / float64(best.capacity)
-		if !u.Urgent && fill < p.MinFill && u.WaitedS < p.PatienceS {
+		if !unmet.Urgent && fill < p.MinFill && unmet.WaitedS < p.PatienceS {
 			return
 		}
 		p.requests[best.offer]++
 		total := MachineResources(&p.Types[best.offer.Type])
-		p.pending = append(p.pending, PendingMachine{Offer: best.offer, Free: subtract(total, d.Need, n)})
+		p.pending = append(p.pending, PendingMachine{Offer: best.offer, Free: subtractTasks(total, demand.Need, n)})
 		count -= n
 	}
 }
 
-// chooseGangZone chooses the zone of a gang that has to be in one: where the fewest tasks
-// lack room, counting the machines that are up and those pending; -1 if there is none.
-// Requesting wherever it is cheapest would bring one machine to each zone, idle and released
-// before the next comes, and the gang would wait for ever.
-func (p *pass) chooseGangZone(u *UnmetDemand) (zone int) {
+// chooseGangZone returns the zone in which the fewest tasks of a one-zone gang lack room, on
+// machines that are up or pending, or -1 if no zone can provide the missing machines. A request
+// for the cheapest offer of any zone could create one machine in each zone in turn; each would
+// be released as idle before the next is up, and the gang would never start.
+func (p *pass) chooseGangZone(unmet *UnmetDemand) (zone int) {
 	zone = -1
 	fewest := 0
-	cheapest, hasCheapest := p.cheapest(u, u.Demand, u.Count)
-	for z, fit := range u.FitsByZone {
-		d := *u.Demand
-		d.Zone = z
-		missing := max(0, u.Count-fit-p.pendingFit(&d))
+	cheapest, hasCheapest := p.cheapestOffer(unmet, unmet.Demand, unmet.Count)
+	for candidate, fit := range unmet.FitsByZone {
+		demand := *unmet.Demand
+		demand.Zone = candidate
+		missing := max(0, unmet.Count-fit-p.countPendingFit(&demand))
 		if missing > 0 {
-			if _, ok := p.cheapest(u, &d, missing); !ok {
+			if _, ok := p.cheapestOffer(unmet, &demand, missing); !ok {
 				continue
 			}
 		}
-		if zone < 0 || missing < fewest || (missing == fewest && hasCheapest && z == cheapest.offer.Zone) {
-			zone = z
+		if zone < 0 || missing < fewest || (missing == fewest && hasCheapest && candidate == cheapest.offer.Zone) {
+			zone = candidate
 			fewest = missing
 		}
 	}
 	return zone
 }
 
-// pendingFit returns how many tasks of a demand fit on the machines that are pending.
-func (p *pass) pendingFit(d *place.Demand) (n int) {
+// countPendingFit returns how many tasks of a demand fit on the pending machines.
+func (p *pass) countPendingFit(demand *place.Demand) (n int) {
 	for i := range p.pending {
-		if m := &p.pending[i]; allows(d, m.Offer) {
-			n += m.Free.FitCount(d.Need)
+		if machine := &p.pending[i]; allowsOffer(demand, machine.Offer) {
+			n += machine.Free.FitCount(demand.Need)
 		}
 	}
 	return n
 }
 
-// choice is an offer with the number of tasks that fit on one of its machines.
+// choice is an offer and the number of tasks that fit on one of its machines.
 type choice struct {
 	offer    Offer
 	capacity int
 }
 
-// cheapest returns the offer that can be had with the lowest cost per task for count tasks
-// of a demand; ok is false if there is none.
-func (in *Input) cheapest(u *UnmetDemand, d *place.Demand, count int) (best choice, ok bool) {
+// cheapestOffer returns the available offer with the lowest cost per task for count tasks of a
+// demand; ok is false if no offer is available.
+func (in *Input) cheapestOffer(unmet *UnmetDemand, demand *place.Demand, count int) (best choice, ok bool) {
 	lowest := math.Inf(1)
 	for i := range in.Types {
-		t := &in.Types[i]
-		capacity := MachineResources(t).FitCount(d.Need)
+		machineType := &in.Types[i]
+		capacity := MachineResources(machineType).FitCount(demand.Need)
 		if capacity == 0 {
 			continue
 		}
-		for _, name := range t.Zones {
+		for _, name := range machineType.Zones {
 			zone, known := in.ZoneIndex[name]
 			if !known {
 				continue
 			}
 			for _, spot := range [...]bool{false, true} {
-				o := Offer{Type: i, Zone: zone, Spot: spot}
-				if !allows(d, o) || !in.available(o) {
+				offer := Offer{Type: i, Zone: zone, Spot: spot}
+				if !allowsOffer(demand, offer) || !in.available(offer) {
 					continue
 				}
-				if cost := in.costPerTask(o, u, min(capacity, count)); cost < lowest {
-					best = choice{offer: o, capacity: capacity}
+				if cost := in.costPerTask(offer, unmet, min(capacity, count)); cost < lowest {
+					best = choice{offer: offer, capacity: capacity}
 					lowest = cost
 					ok = true
 				}
@@ -247,36 +249,39 @@
 	return best, ok
 }
 
-// available reports whether machines of an offer may be requested now.
-func (in *Input) available(o Offer) bool {
-	return in.Backoff.Open(o, in.Now) && (in.Closed == nil || !in.Closed(o))
+// available reports whether machines of an offer may be requested now: neither the backoff nor a
+// maintenance window blocks it.
+func (in *Input) available(offer Offer) bool {
+	return in.Backoff.Allows(offer, in.Now) && (in.Closed == nil || !in.Closed(offer))
 }
 
-// costPerTask returns the cost of each of the given number of tasks that share a machine of
-// an offer. The machine is charged from the request on, so that booting and the image fetch
-// count.
-func (in *Input) costPerTask(o Offer, u *UnmetDemand, tasks int) float64 {
-	t := &in.Types[o.Type]
-	seconds := t.BootS + u.TaskS
-	if t.FetchRate > 0 {
-		seconds += u.ImageGB / t.FetchRate
+// costPerTask returns the cost of one task when the given number of tasks share a machine of an
+// offer. It includes the boot and the image fetch, because the cloud charges for a machine from
+// the request on.
+func (in *Input) costPerTask(offer Offer, unmet *UnmetDemand, tasks int) float64 {
+	machineType := &in.Types[offer.Type]
+	seconds := machineType.BootS + unmet.TaskS
+	if machineType.FetchRate > 0 {
+		seconds += unmet.ImageGB / machineType.FetchRate
 	}
-	cost := HourlyPrice(t, o.Spot) * max(minChargedS, seconds) / float64(tasks)
-	if o.Zone < len(in.MachinesByZone) {
-		cost *= 1 + zoneSpreadFactor*float64(in.MachinesByZone[o.Zone])
+	cost := HourlyPrice(machineType, offer.Spot) * max(minChargedS, seconds) / float64(tasks)
+	if offer.Zone < len(in.MachinesByZone) {
+		cost *= 1 + zoneSpreadFactor*float64(in.MachinesByZone[offer.Zone])
 	}
 	return cost
 }
 
-// allows reports whether a task of the demand may run on a machine of the offer.
-func allows(d *place.Demand, o Offer) bool { return d.Allows(o.Type, o.Zone, o.Spot) }
+// allowsOffer reports whether a task of the demand may run on a machine of the offer.
+func allowsOffer(demand *place.Demand, offer Offer) bool {
+	return demand.Allows(offer.Type, offer.Zone, offer.Spot)
+}
 
-// subtract returns a less n times need.
-func subtract(a, need place.Resources, n int) place.Resources {
-	k := float64(n)
+// subtractTasks returns the free resources that remain after n tasks have taken need each.
+func subtractTasks(free, need place.Resources, n int) place.Resources {
+	count := float64(n)
 	return place.Resources{
-		CPUs:  a.CPUs - k*need.CPUs,
-		GPUs:  a.GPUs - k*need.GPUs,
-		MemGB: a.MemGB - k*need.MemGB,
+		CPUs:  free.CPUs - count*need.CPUs,
+		GPUs:  free.GPUs - count*need.GPUs,
+		MemGB: free.MemGB - count*need.MemGB,
 	}
 }
