--- a/internal/emulate/user_checks.go
+++ b/internal/emulate/user_checks.go
@@ -51,8 +51,8 @@
 	largestFraction = 10
 )
 
-// FaultsOver records that all faults are over.
-func (w *World) FaultsOver() {
+// FaultsEnded records that all faults are over.
+func (w *World) FaultsEnded() {
 	w.mu.Lock()
 	w.checker.users.faultsOver = time.Now()
 	w.mu.Unlock()
--- a/internal/node/sim_scenario_test.go
+++ b/internal/node/sim_scenario_test.go
@@ -123,7 +123,7 @@
 	}()
 	time.Sleep(100 * time.Second)
 	<-faultsEnded
-	s.FaultsOver()
+	s.FaultsEnded()
 	s.awaitJobs()
 	unfinished := s.UnfinishedJobs()
 	s.CheckServiceLevels(nil)
