--- a/cmd/vetchstream/demo_rollout.go
+++ b/cmd/vetchstream/demo_rollout.go
@@ -41,7 +41,7 @@
 
 // demoRollout is the command that demonstrates a good and a bad roll-out.
 func demoRollout(tuning *string) *cobra.Command {
-	em := emulationFlags{options: emulate.Options{Nodes: 3, MaxMachines: 24}}
+	em := emulationFlags{options: emulate.Options{Controllers: 3, MaxMachines: 24}}
 	cmd := &cobra.Command{
 		Use:   "rollout",
 		Short: "Show a good and a bad roll-out on an emulated cluster, in under a minute",
--- a/cmd/vetchstream/emulate.go
+++ b/cmd/vetchstream/emulate.go
@@ -31,7 +31,7 @@
 func (e *emulationFlags) register(cmd *cobra.Command, nodes int) {
 	const defaultMachines = 24
 	flags := cmd.Flags()
-	flags.IntVar(&e.options.Nodes, "nodes", nodes, "number of controllers, 1 to 9")
+	flags.IntVar(&e.options.Controllers, "nodes", nodes, "number of controllers, 1 to 9")
 	flags.IntVar(&e.options.MaxMachines, "machines", defaultMachines, "machines that the emulated cloud has, 1 to 1000")
 	flags.StringVar(&e.options.Listen, "listen", "127.0.0.1:8080", "loopback address of the first controller; the others follow on the next ports")
 	flags.StringVar(&e.troubles, "troubles", "", "what goes wrong when (JSON list, see docs/operations.md)")
--- a/internal/emulate/cluster.go
+++ b/internal/emulate/cluster.go
@@ -15,8 +15,8 @@
 
 // Options says what cluster is emulated on this machine.
 type Options struct {
-	// Nodes is the number of controllers, which the caller starts.
-	Nodes int
+	// Controllers is the number of controllers, which the caller starts.
+	Controllers int
 	// MaxMachines is the most that the cloud has.
 	MaxMachines int
 	// Listen is the address of the first controller for users and workers; the
@@ -73,8 +73,8 @@
 // check returns the address of the first controller, or an error that names the option that
 // cannot be emulated.
 func (o *Options) check() (address, error) {
-	if o.Nodes < 1 || o.Nodes > maxNodes {
-		return address{}, fmt.Errorf("emulation: %d controllers, not from 1 to %d", o.Nodes, maxNodes)
+	if o.Controllers < 1 || o.Controllers > maxNodes {
+		return address{}, fmt.Errorf("emulation: %d controllers, not from 1 to %d", o.Controllers, maxNodes)
 	}
 	if o.MaxMachines < 1 || o.MaxMachines > maxMachines {
 		return address{}, fmt.Errorf("emulation: %d machines, not from 1 to %d", o.MaxMachines, maxMachines)
@@ -88,7 +88,7 @@
 		return address{}, fmt.Errorf("emulation: %q is not an address of loopback", o.Listen)
 	}
 	port, err := strconv.Atoi(text)
-	if err != nil || port < 1 || port+peerPortOffset+o.Nodes > maxPort {
+	if err != nil || port < 1 || port+peerPortOffset+o.Controllers > maxPort {
 		return address{}, fmt.Errorf("emulation: port %q is not usable", text)
 	}
 	return address{host, port}, nil
@@ -117,7 +117,7 @@
 		cl.Close()
 		return nil, err
 	}
-	for i := range o.Nodes {
+	for i := range o.Controllers {
 		cl.Settings = append(cl.Settings, controllerSettings(settings, listen, i))
 	}
 	return cl, nil
@@ -127,7 +127,7 @@
 // are set to.
 func worldConfig(o *Options, network Network, store *Store, listen address, timings *config.Workers) Config {
 	var controllers []Controller
-	for i := range o.Nodes {
+	for i := range o.Controllers {
 		controllers = append(controllers, Controller{Member: nodeName(i), Addr: listen.user(i)})
 	}
 	return Config{
@@ -187,7 +187,7 @@
 func platformFacts(o Options) *config.Settings {
 	s := &config.Settings{}
 	f := &s.Facts
-	f.Nodes = o.Nodes
+	f.Nodes = o.Controllers
 	f.Zones = clusterZones
 	f.SkewMs = 50
 	f.Teams = []config.Team{{Name: "red"}, {Name: "blue"}}
--- a/internal/emulate/emulate_test.go
+++ b/internal/emulate/emulate_test.go
@@ -40,12 +40,12 @@
 		o    Options
 		want string
 	}{
-		{"three controllers", Options{Nodes: 3, MaxMachines: 5, Listen: "127.0.0.1:20000"}, ""},
-		{"none", Options{Nodes: 0, MaxMachines: 5, Listen: "127.0.0.1:20000"}, "controllers"},
-		{"no machines", Options{Nodes: 1, MaxMachines: 0, Listen: "127.0.0.1:20000"}, "machines"},
-		{"not loopback", Options{Nodes: 1, MaxMachines: 1, Listen: "10.0.0.1:20000"}, "loopback"},
-		{"no port", Options{Nodes: 1, MaxMachines: 1, Listen: "127.0.0.1"}, "port"},
-		{"no room for the peer ports", Options{Nodes: 3, MaxMachines: 1, Listen: "127.0.0.1:65500"}, "port"},
+		{"three controllers", Options{Controllers: 3, MaxMachines: 5, Listen: "127.0.0.1:20000"}, ""},
+		{"none", Options{Controllers: 0, MaxMachines: 5, Listen: "127.0.0.1:20000"}, "controllers"},
+		{"no machines", Options{Controllers: 1, MaxMachines: 0, Listen: "127.0.0.1:20000"}, "machines"},
+		{"not loopback", Options{Controllers: 1, MaxMachines: 1, Listen: "10.0.0.1:20000"}, "loopback"},
+		{"no port", Options{Controllers: 1, MaxMachines: 1, Listen: "127.0.0.1"}, "port"},
+		{"no room for the peer ports", Options{Controllers: 3, MaxMachines: 1, Listen: "127.0.0.1:65500"}, "port"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -69,7 +69,7 @@
 				if err != nil {
 					t.Fatalf("%v in\n%s", err, b)
 				}
-				if got.Member != set.Member || len(got.Siblings) != tt.o.Nodes-1 || got.External.State != set.External.State {
+				if got.Member != set.Member || len(got.Siblings) != tt.o.Controllers-1 || got.External.State != set.External.State {
 					t.Errorf("read back as %+v", got)
 				}
 			}
