--- a/internal/emulate/world.go
+++ b/internal/emulate/world.go
@@ -98,8 +98,8 @@
 	w.wg.Wait()
 }
 
-// Ended is closed when the world ends.
-func (w *World) Ended() <-chan struct{} { return w.done }
+// Done is closed when the world ends.
+func (w *World) Done() <-chan struct{} { return w.done }
 
 // Go runs f as a part of the world: Close waits for it.
 func (w *World) Go(f func()) { w.wg.Go(f) }
--- a/internal/node/sim_calendar_test.go
+++ b/internal/node/sim_calendar_test.go
@@ -137,7 +137,7 @@
 	var final wire.JobPhase
 	for {
 		select {
-		case <-sim.Ended():
+		case <-sim.Done():
 			return
 		case <-time.After(3 * time.Second):
 		}
--- a/internal/node/sim_users_test.go
+++ b/internal/node/sim_users_test.go
@@ -40,7 +40,7 @@
 	firstTry := int(s.requests.Add(1)) // a load balancer sends each request to another controller
 	for try := range userTries {
 		select {
-		case <-s.Ended():
+		case <-s.Done():
 			return false
 		default:
 		}
@@ -122,7 +122,7 @@
 // its acceptance (0: not at all), and polls it for the rest of the scenario.
 func (s *simulation) runUser(spec *job.Spec, at, cancelAfter time.Duration) {
 	select {
-	case <-s.Ended():
+	case <-s.Done():
 		return
 	case <-time.After(at):
 	}
@@ -182,7 +182,7 @@
 			return
 		}
 		select {
-		case <-s.Ended():
+		case <-s.Done():
 			return
 		case <-time.After(userPollInterval):
 		}
@@ -198,7 +198,7 @@
 		select {
 		case <-stop:
 			return
-		case <-s.Ended():
+		case <-s.Done():
 			return
 		case <-time.After(700 * time.Millisecond):
 		}
@@ -220,7 +220,7 @@
 	client := s.userClient(2 * time.Second)
 	for i := 0; ; i++ {
 		select {
-		case <-s.Ended():
+		case <-s.Done():
 			return
 		case <-time.After(7 * time.Second):
 		}
