--- a/internal/emulate/invariants.go
+++ b/internal/emulate/invariants.go
@@ -210,10 +210,10 @@
 // checkLimit checks that the task's team is within its limit; the caller holds the lock.
 func (w *World) checkLimit(t *task) {
 	limit := w.cfg.Limits[t.spec.Team]
-	if limit == (Limit{}) {
+	if limit == (Resources{}) {
 		return
 	}
-	used := Limit{t.spec.CPUs, t.spec.GPUs}
+	used := Resources{t.spec.CPUs, t.spec.GPUs}
 	for x, other := range w.tasks.byTeam[t.spec.Team] {
 		if x != t && other.occupies(x) {
 			used.CPUs += x.spec.CPUs
@@ -226,7 +226,7 @@
 }
 
 // exceededBy reports whether a team that uses that much is above its limit, but for rounding.
-func (l Limit) exceededBy(used Limit) bool {
+func (l Resources) exceededBy(used Resources) bool {
 	const rounding = 1e-6
 	return (l.CPUs > 0 && used.CPUs > l.CPUs+rounding) || (l.GPUs > 0 && used.GPUs > l.GPUs+rounding)
 }
--- a/internal/emulate/user_checks.go
+++ b/internal/emulate/user_checks.go
@@ -192,9 +192,9 @@
 
 // placedTasks counts the tasks on machines by job, and adds up their resources by team; the
 // caller holds the lock.
-func (w *World) placedTasks() (placed map[string]int, used map[string]Limit) {
+func (w *World) placedTasks() (placed map[string]int, used map[string]Resources) {
 	placed = map[string]int{}
-	used = map[string]Limit{}
+	used = map[string]Resources{}
 	for _, worker := range w.workers {
 		for _, t := range worker.tasks {
 			if t.spec == nil || t.phase == wire.TaskExited {
@@ -202,7 +202,7 @@
 			}
 			placed[t.jobID()]++
 			team := used[t.spec.Team]
-			used[t.spec.Team] = Limit{team.CPUs + t.spec.CPUs, team.GPUs + t.spec.GPUs}
+			used[t.spec.Team] = Resources{team.CPUs + t.spec.CPUs, team.GPUs + t.spec.GPUs}
 		}
 	}
 	return placed, used
@@ -210,7 +210,7 @@
 
 // starves reports whether an accepted job without a task on a machine waits beside free
 // resources; the caller holds the lock.
-func (w *World) starves(s *job.Spec, placed int, usedByTeam Limit) bool {
+func (w *World) starves(s *job.Spec, placed int, usedByTeam Resources) bool {
 	if w.checker.reportedPhase[s.ID] != phaseAccepted || w.checker.users.cancelled[s.ID] || placed > 0 {
 		return false
 	}
@@ -222,7 +222,7 @@
 	if s.ShapeName == gang {
 		least = waiting
 	}
-	withJob := Limit{usedByTeam.CPUs + float64(least)*s.CPUs, usedByTeam.GPUs + float64(least)*s.GPUs}
+	withJob := Resources{usedByTeam.CPUs + float64(least)*s.CPUs, usedByTeam.GPUs + float64(least)*s.GPUs}
 	return !w.cfg.Limits[s.Team].exceededBy(withJob) && w.spareCapacity(s) >= least
 }
 
--- a/internal/emulate/user_checks_test.go
+++ b/internal/emulate/user_checks_test.go
@@ -136,7 +136,7 @@
 		startTask(w, "b", "x", spec)
 	}, ""},
 	{"more accelerators than the limit", func(w *World) {
-		w.cfg.Limits = map[string]Limit{"red": {GPUs: 3}}
+		w.cfg.Limits = map[string]Resources{"red": {GPUs: 3}}
 		spec := &job.Spec{ID: "run-1", Team: "red", Tasks: 2, GPUs: 2}
 		startTask(w, "a", "x", spec)
 		startTask(w, "b", "x", spec)
@@ -155,7 +155,7 @@
 		checkWaitingJob(w, &job.Spec{ID: "run-1", Team: "red", ShapeName: "array", Tasks: 3, CPUs: 2, Zone: "y"})
 	}, ""},
 	{"its team is at its limit", func(w *World) {
-		w.cfg.Limits = map[string]Limit{"red": {CPUs: 1}}
+		w.cfg.Limits = map[string]Resources{"red": {CPUs: 1}}
 		checkWaitingJob(w, &job.Spec{ID: "run-1", Team: "red", ShapeName: "array", Tasks: 3, CPUs: 2})
 	}, ""},
 	{"it runs", func(w *World) {
--- a/internal/emulate/world.go
+++ b/internal/emulate/world.go
@@ -31,15 +31,15 @@
 	// is missing from the list.
 	ImagePull, ListLag time.Duration
 	// Limits are the teams'; 0 or none: unlimited.
-	Limits map[string]Limit
+	Limits map[string]Resources
 	// OnStarted is called with the first start of each task, and how long its user has waited
 	// since the submission, under the world's lock; nil: it is not.
 	OnStarted func(spec *job.Spec, waited time.Duration)
 	Log       *slog.Logger
 }
 
-// Limit is what a team may use at a time.
-type Limit struct{ CPUs, GPUs float64 }
+// Resources is what a team may use at a time.
+type Resources struct{ CPUs, GPUs float64 }
 
 // Controller is a controller as workers know it.
 type Controller struct{ Member, Addr string }
--- a/internal/node/accel_test.go
+++ b/internal/node/accel_test.go
@@ -37,7 +37,7 @@
 			c.Types = acceleratorTypes
 			c.MaxMachines = 14 * scale
 			c.ZoneCapacity = map[string]int{"a": 2 * scale}
-			c.Limits = map[string]emulate.Limit{"red": {GPUs: 14 * factor}, "blue": {GPUs: 48 * factor}}
+			c.Limits = map[string]emulate.Resources{"red": {GPUs: 14 * factor}, "blue": {GPUs: 48 * factor}}
 		},
 		submitWorkload: acceleratorWorkload,
 	}
--- a/internal/node/limits_test.go
+++ b/internal/node/limits_test.go
@@ -29,7 +29,7 @@
 		withOutagePromises(set, tun)
 		set.Facts.Teams[1].CPUsMax = 14
 	}
-	bothLimited.editCluster = func(c *emulate.Config) { c.Limits["blue"] = emulate.Limit{CPUs: 14} }
+	bothLimited.editCluster = func(c *emulate.Config) { c.Limits["blue"] = emulate.Resources{CPUs: 14} }
 	runScenarios(t, bothLimited, nil, []scenario{
 		{"both teams at their limits: jobs are cancelled and their workers hang, the leader crashes", onceAtLimit([]string{"red", "blue"},
 			fault{0, cancelRunningJobs(98, 8, 9*sec, 20*sec)},
--- a/internal/node/sim_rollout_test.go
+++ b/internal/node/sim_rollout_test.go
@@ -30,12 +30,12 @@
 	zones := []string{"a", "b", "c"}
 	editCluster := func(cluster *emulate.Config) {
 		cluster.MaxMachines = 30
-		cluster.Limits = map[string]emulate.Limit{}
+		cluster.Limits = map[string]emulate.Resources{}
 		cluster.Types = []wire.MachineType{
 			{Name: "small", CPUs: 4, MemGB: 64, CacheGB: 10, FetchRate: 1, Price: 0.2, SpotPrice: 0.05, BootS: 4, Zones: zones},
 		}
 		if replicaCPUs > 0 {
-			cluster.Limits["red"] = emulate.Limit{CPUs: 14}
+			cluster.Limits["red"] = emulate.Resources{CPUs: 14}
 		}
 	}
 	configure := func(settings *config.Settings, tuning *config.Tuning) {
--- a/internal/node/sim_test.go
+++ b/internal/node/sim_test.go
@@ -236,7 +236,7 @@
 		GangTimeout:       20 * time.Second,
 		ImagePull:         time.Second,
 		ListLag:           4 * time.Second,
-		Limits:            map[string]emulate.Limit{"red": {CPUs: 14 * float64(scale)}},
+		Limits:            map[string]emulate.Resources{"red": {CPUs: 14 * float64(scale)}},
 	}
 }
 
--- a/internal/scale/region.go
+++ b/internal/scale/region.go
@@ -144,13 +144,13 @@
 
 // teamLimits are the limits that each start is checked against. While they move from region to
 // region only their sums are checked, see operators.checkLimits.
-func (r *region) teamLimits() map[string]emulate.Limit {
+func (r *region) teamLimits() map[string]emulate.Resources {
 	if r.options.ChangesPerMinute > 0 {
 		return nil
 	}
-	out := map[string]emulate.Limit{}
+	out := map[string]emulate.Resources{}
 	for _, t := range r.teamNames() {
-		out[t] = emulate.Limit{CPUs: r.teamLimit()}
+		out[t] = emulate.Resources{CPUs: r.teamLimit()}
 	}
 	return out
 }
