--- a/internal/emulate/history.go
+++ b/internal/emulate/history.go
@@ -9,12 +9,12 @@
 
 // Event is a start of a task, or the end of one that ran.
 type Event struct {
-	At    time.Time
-	Task  string
-	Image string
-	Host  string
-	Zone  string
-	Start bool
+	At      time.Time
+	Task    string
+	Image   string
+	Machine string
+	Zone    string
+	Start   bool
 	// Cause is why it ended, as the worker reports it, or CauseLost.
 	Cause wire.ExitCause
 }
--- a/internal/emulate/worker.go
+++ b/internal/emulate/worker.go
@@ -174,7 +174,7 @@
 
 // event is an event of a task at a time.
 func (worker *Worker) event(t *task, now time.Time) Event {
-	return Event{At: now, Task: t.name, Image: t.spec.Image, Host: worker.name, Zone: worker.zone}
+	return Event{At: now, Task: t.name, Image: t.spec.Image, Machine: worker.name, Zone: worker.zone}
 }
 
 // recordEnd records the end of a task that ran before.
--- a/internal/node/maintenance_test.go
+++ b/internal/node/maintenance_test.go
@@ -165,7 +165,7 @@
 // the first job that were halted, except on the worker that could not be drained.
 func (sim *calendarSimulation) interruptedTasks(hungWorker string) (interrupted []string) {
 	for _, e := range sim.History() {
-		inWindow := e.Zone == "a" && e.Host != hungWorker && e.At.After(sim.start.Add(-70*time.Second))
+		inWindow := e.Zone == "a" && e.Machine != hungWorker && e.At.After(sim.start.Add(-70*time.Second))
 		halted := e.Cause == wire.CauseStopped && e.Task[:10] == "run-000001"
 		if !e.Start && inWindow && (e.Cause == emulate.CauseLost || halted) {
 			interrupted = append(interrupted, e.Task+" "+string(e.Cause))
--- a/internal/node/week_test.go
+++ b/internal/node/week_test.go
@@ -100,7 +100,7 @@
 func (r *weekResult) evaluateHistory(history []emulate.Event, submitted map[string]time.Time, windows map[time.Time]string) {
 	started := map[string]time.Time{}
 	for _, e := range history {
-		key := e.Task + " " + e.Host
+		key := e.Task + " " + e.Machine
 		if e.Start {
 			started[key] = e.At
 			continue
