--- a/internal/emulate/cluster.go
+++ b/internal/emulate/cluster.go
@@ -140,7 +140,7 @@
 		CancelTimeout:     config.Seconds(timings.CancelS),
 		HeartbeatInterval: config.Seconds(timings.ReportS),
 		GangTimeout:       config.Seconds(timings.GangWaitS),
-		ImagePull:         300 * time.Millisecond,
+		ImagePullTime:     300 * time.Millisecond,
 		ListLag:           time.Second,
 		Log:               o.Log,
 	}
--- a/internal/emulate/worker_commands.go
+++ b/internal/emulate/worker_commands.go
@@ -40,7 +40,7 @@
 		attempt:  o.Attempt,
 		spec:     spec,
 		phase:    wire.TaskFetching,
-		pulledAt: time.Now().Add(worker.world.cfg.ImagePull + worker.pullDelay),
+		pulledAt: time.Now().Add(worker.world.cfg.ImagePullTime + worker.pullDelay),
 	}
 	worker.addTask(id, t)
 	worker.changed = true
--- a/internal/emulate/world.go
+++ b/internal/emulate/world.go
@@ -27,9 +27,9 @@
 	LeaseDuration, CancelTimeout, HeartbeatInterval time.Duration
 	// GangTimeout is how long a gang's member waits for the others.
 	GangTimeout time.Duration
-	// ImagePull is how long an image takes to come, and ListLag how long a new machine
+	// ImagePullTime is how long an image takes to come, and ListLag how long a new machine
 	// is missing from the list.
-	ImagePull, ListLag time.Duration
+	ImagePullTime, ListLag time.Duration
 	// Limits are the teams'; 0 or none: unlimited.
 	Limits map[string]Resources
 	// OnStarted is called with the first start of each task, and how long its user has waited
--- a/internal/node/sim_test.go
+++ b/internal/node/sim_test.go
@@ -234,7 +234,7 @@
 		CancelTimeout:     25 * time.Second,
 		HeartbeatInterval: 2 * time.Second,
 		GangTimeout:       20 * time.Second,
-		ImagePull:         time.Second,
+		ImagePullTime:     time.Second,
 		ListLag:           4 * time.Second,
 		Limits:            map[string]emulate.Resources{"red": {CPUs: 14 * float64(scale)}},
 	}
--- a/internal/scale/region.go
+++ b/internal/scale/region.go
@@ -103,7 +103,7 @@
 		CancelTimeout:     cancelS * time.Second,
 		HeartbeatInterval: reportS * time.Second,
 		GangTimeout:       gangWaitS * time.Second,
-		ImagePull:         imagePullTime,
+		ImagePullTime:     imagePullTime,
 		ListLag:           listLagS * time.Second,
 		Limits:            r.teamLimits(),
 		OnStarted:         r.startWaits.started,
