--- a/internal/emulate/store.go
+++ b/internal/emulate/store.go
@@ -102,9 +102,9 @@
 	return e, ok
 }
 
-// Job finds the description of a job among the records that controllers store; nil: there is
+// JobSpec finds the description of a job among the records that controllers store; nil: there is
 // none. The emulated workers read there what users would have uploaded for them.
-func (s *Store) Job(id string) *job.Spec {
+func (s *Store) JobSpec(id string) *job.Spec {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, prefix := range []string{job.ActivePrefix, job.FinalPrefix} {
--- a/internal/emulate/world.go
+++ b/internal/emulate/world.go
@@ -120,7 +120,7 @@
 	if s := w.specs[id]; s != nil {
 		return s
 	}
-	s := w.cfg.Store.Job(id)
+	s := w.cfg.Store.JobSpec(id)
 	if s != nil {
 		w.specs[id] = s
 	}
