--- a/internal/emulate/store_faults.go
+++ b/internal/emulate/store_faults.go
@@ -18,9 +18,9 @@
 // Write implements http.ResponseWriter.
 func (discardResponse) Write(b []byte) (int, error) { return len(b), nil }
 
-// AnswersLost counts the transactions that were carried out at once and whose answers were
+// ResponsesLost counts the transactions that were carried out at once and whose answers were
 // lost.
-func (s *Store) AnswersLost() int {
+func (s *Store) ResponsesLost() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.answersLost
--- a/internal/node/sim_faults_store_test.go
+++ b/internal/node/sim_faults_store_test.go
@@ -83,7 +83,7 @@
 func lostAnswers(seed uint64, share float64, duration time.Duration) func(*simulation) {
 	return func(s *simulation) {
 		delayTransactions(s, seed, share, duration, func(*rand.Rand) time.Duration { return -3 * time.Second })
-		if s.store.AnswersLost() == 0 {
+		if s.store.ResponsesLost() == 0 {
 			s.reportUnreachedCondition("no answer to a transaction was lost")
 		}
 	}
