--- a/internal/emulate/store.go
+++ b/internal/emulate/store.go
@@ -31,7 +31,7 @@
 	refuses          func(from string) bool
 	latency          time.Duration
 	transactionDelay func() time.Duration
-	answersLost      int // to transactions that were carried out at once
+	responsesLost    int // to transactions that were carried out at once
 }
 
 const (
--- a/internal/emulate/store_faults.go
+++ b/internal/emulate/store_faults.go
@@ -23,7 +23,7 @@
 func (s *Store) ResponsesLost() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.answersLost
+	return s.responsesLost
 }
 
 // RefuseFrom refuses the hosts for which f is true, with status 503.
--- a/internal/emulate/store_http.go
+++ b/internal/emulate/store_http.go
@@ -119,7 +119,7 @@
 		switch d := s.transactionDelay(); {
 		case d < 0:
 			w = discardResponse{w}
-			s.answersLost++
+			s.responsesLost++
 			defer func() {
 				s.sleepUnlocked(-d)
 				panic(http.ErrAbortHandler) // ends the connection without an answer
