--- a/internal/emulate/worker_commands.go
+++ b/internal/emulate/worker_commands.go
@@ -85,8 +85,8 @@
 	rw.WriteHeader(http.StatusNotFound)
 }
 
-// lockAwake waits until the worker does not hang, and returns with the world's lock.
-func (worker *Worker) lockAwake() {
+// lockWhenResponsive waits until the worker does not hang, and returns with the world's lock.
+func (worker *Worker) lockWhenResponsive() {
 	const pollInterval = 50 * time.Millisecond
 	checker := &worker.world.checker
 	worker.world.mu.Lock()
@@ -108,7 +108,7 @@
 func (worker *Worker) serve(rw http.ResponseWriter, q *http.Request) {
 	var d wire.DirectCommands
 	decoded := q.URL.Path == "/do" && decode(q, &d)
-	worker.lockAwake()
+	worker.lockWhenResponsive()
 	defer worker.world.mu.Unlock()
 	if worker.removed {
 		return
