--- a/internal/emulate/worker_commands.go
+++ b/internal/emulate/worker_commands.go
@@ -20,7 +20,7 @@
 			}
 		case wire.CommandStop:
 			if t != nil && t.phase != wire.TaskExited {
-				worker.halt(t, o.GraceS)
+				worker.stop(t, o.GraceS)
 			}
 		case wire.CommandClear:
 			if t != nil && t.phase == wire.TaskExited {
@@ -52,8 +52,8 @@
 	}
 }
 
-// halt ends a task, after a checkpoint if the grace time (in seconds) is long enough for one.
-func (worker *Worker) halt(t *task, grace *float64) {
+// stop ends a task, after a checkpoint if the grace time (in seconds) is long enough for one.
+func (worker *Worker) stop(t *task, grace *float64) {
 	worker.changed = true
 	if t.phase == wire.TaskRunning && t.spec.CheckpointS > 0 && grace != nil && *grace >= t.spec.SaveS {
 		t.phase = wire.TaskCheckpointing
