--- a/internal/emulate/worker.go
+++ b/internal/emulate/worker.go
@@ -110,7 +110,7 @@
 			t.exit(wire.CauseGangIncomplete)
 		}
 	case wire.TaskRunning:
-		worker.advance(t, now)
+		worker.stepRunning(t, now)
 	case wire.TaskCheckpointing:
 		if now.After(t.checkpointedAt) {
 			t.exit(wire.CauseStopped)
@@ -140,8 +140,8 @@
 	}
 }
 
-// advance ends a running task whose time has come.
-func (worker *Worker) advance(t *task, now time.Time) {
+// stepRunning ends a running task whose time has come.
+func (worker *Worker) stepRunning(t *task, now time.Time) {
 	ran := now.Sub(t.runningSince)
 	crash := worker.world.images[t.spec.Image].CrashAfter
 	switch {
