--- a/internal/emulate/task_index.go
+++ b/internal/emulate/task_index.go
@@ -1,21 +1,21 @@
 package emulate
 
-// tasksOn are tasks with the machines that they are on.
-type tasksOn map[*task]*Worker
+// workerByTask are tasks with the machines that they are on.
+type workerByTask map[*task]*Worker
 
 // taskIndex finds the tasks of all machines by their names, jobs and teams, so that a start is
 // checked against the tasks that it concerns alone. Tasks of unknown jobs are not in it: nothing
 // is counted for them.
 type taskIndex struct {
-	byName, byJob, byTeam map[string]tasksOn
+	byName, byJob, byTeam map[string]workerByTask
 }
 
 func newTaskIndex() taskIndex {
-	return taskIndex{byName: map[string]tasksOn{}, byJob: map[string]tasksOn{}, byTeam: map[string]tasksOn{}}
+	return taskIndex{byName: map[string]workerByTask{}, byJob: map[string]workerByTask{}, byTeam: map[string]workerByTask{}}
 }
 
 // each calls f with the sets that a task belongs to, by their keys.
-func (index *taskIndex) each(t *task, f func(sets map[string]tasksOn, key string)) {
+func (index *taskIndex) each(t *task, f func(sets map[string]workerByTask, key string)) {
 	f(index.byName, t.name)
 	f(index.byJob, t.spec.ID)
 	f(index.byTeam, t.spec.Team)
@@ -27,9 +27,9 @@
 	if t.spec == nil {
 		return
 	}
-	worker.world.tasks.each(t, func(sets map[string]tasksOn, key string) {
+	worker.world.tasks.each(t, func(sets map[string]workerByTask, key string) {
 		if sets[key] == nil {
-			sets[key] = tasksOn{}
+			sets[key] = workerByTask{}
 		}
 		sets[key][t] = worker
 	})
@@ -42,7 +42,7 @@
 	if t.spec == nil {
 		return
 	}
-	worker.world.tasks.each(t, func(sets map[string]tasksOn, key string) {
+	worker.world.tasks.each(t, func(sets map[string]workerByTask, key string) {
 		delete(sets[key], t)
 		if len(sets[key]) == 0 {
 			delete(sets, key)
