--- a/internal/emulate/user_checks.go
+++ b/internal/emulate/user_checks.go
@@ -14,27 +14,27 @@
 
 // userObservations are what users check beside the invariants of the protocol.
 type userObservations struct {
-	submittedAt   map[string]time.Time // job -> its first submission
-	acceptedAt    map[string]time.Time
-	answeredAt    map[string]time.Time // job -> the last poll that was answered
-	startedAt     map[string]time.Time // job -> its first task that got its image
-	startedTasks  map[string]bool      // tasks that did
-	faultsOver    time.Time            // when the last fault was over; zero: it is not
-	forgotten     map[string]bool      // jobs that are reported as forgotten
-	cancelled     map[string]bool      // jobs that were cancelled beside what their own users do
-	starvingSince map[string]time.Time // job -> since when it waits beside free resources
+	submittedAt       map[string]time.Time // job -> its first submission
+	acceptedAt        map[string]time.Time
+	answeredAt        map[string]time.Time // job -> the last poll that was answered
+	startedAt         map[string]time.Time // job -> its first task that got its image
+	startedTasks      map[string]bool      // tasks that did
+	faultsOver        time.Time            // when the last fault was over; zero: it is not
+	reportedForgotten map[string]bool      // jobs that are reported as forgotten
+	cancelled         map[string]bool      // jobs that were cancelled beside what their own users do
+	starvingSince     map[string]time.Time // job -> since when it waits beside free resources
 }
 
 func newUserObservations() userObservations {
 	return userObservations{
-		submittedAt:   map[string]time.Time{},
-		acceptedAt:    map[string]time.Time{},
-		answeredAt:    map[string]time.Time{},
-		startedAt:     map[string]time.Time{},
-		startedTasks:  map[string]bool{},
-		forgotten:     map[string]bool{},
-		cancelled:     map[string]bool{},
-		starvingSince: map[string]time.Time{},
+		submittedAt:       map[string]time.Time{},
+		acceptedAt:        map[string]time.Time{},
+		answeredAt:        map[string]time.Time{},
+		startedAt:         map[string]time.Time{},
+		startedTasks:      map[string]bool{},
+		reportedForgotten: map[string]bool{},
+		cancelled:         map[string]bool{},
+		starvingSince:     map[string]time.Time{},
 	}
 }
 
@@ -75,7 +75,7 @@
 		return
 	}
 	since, ok := u.acceptedAt[id]
-	if !ok || u.faultsOver.IsZero() || u.forgotten[id] {
+	if !ok || u.faultsOver.IsZero() || u.reportedForgotten[id] {
 		return
 	}
 	for _, at := range []time.Time{u.answeredAt[id], u.faultsOver} {
@@ -84,7 +84,7 @@
 		}
 	}
 	if now.Sub(since) > unansweredLimit {
-		u.forgotten[id] = true
+		u.reportedForgotten[id] = true
 		w.addViolation("forgotten: no question about %s was answered for %v", id, now.Sub(since).Round(time.Second))
 	}
 }
