--- a/internal/emulate/invariants.go
+++ b/internal/emulate/invariants.go
@@ -150,7 +150,7 @@
 	if n := len(w.checker.completed[spec.ID]); phase == wire.JobDone && n != spec.Tasks {
 		w.addViolation("not_done: %s has %d of %d tasks", spec.ID, n, spec.Tasks)
 	}
-	if phase == wire.JobCancelled && !cancelled && !w.checker.users.cancelled[spec.ID] {
+	if phase == wire.JobCancelled && !cancelled && !w.checker.users.cancelledByScenario[spec.ID] {
 		w.addViolation("went_back: %s was not cancelled by its user", spec.ID)
 	}
 	if phase.Final() {
--- a/internal/emulate/user_checks.go
+++ b/internal/emulate/user_checks.go
@@ -14,27 +14,27 @@
 
 // userObservations are what users check beside the invariants of the protocol.
 type userObservations struct {
-	submittedAt       map[string]time.Time // job -> its first submission
-	acceptedAt        map[string]time.Time
-	answeredAt        map[string]time.Time // job -> the last poll that was answered
-	startedAt         map[string]time.Time // job -> its first task that got its image
-	startedTasks      map[string]bool      // tasks that did
-	faultsOver        time.Time            // when the last fault was over; zero: it is not
-	reportedForgotten map[string]bool      // jobs that are reported as forgotten
-	cancelled         map[string]bool      // jobs that were cancelled beside what their own users do
-	starvingSince     map[string]time.Time // job -> since when it waits beside free resources
+	submittedAt         map[string]time.Time // job -> its first submission
+	acceptedAt          map[string]time.Time
+	answeredAt          map[string]time.Time // job -> the last poll that was answered
+	startedAt           map[string]time.Time // job -> its first task that got its image
+	startedTasks        map[string]bool      // tasks that did
+	faultsOver          time.Time            // when the last fault was over; zero: it is not
+	reportedForgotten   map[string]bool      // jobs that are reported as forgotten
+	cancelledByScenario map[string]bool      // jobs that were cancelled beside what their own users do
+	starvingSince       map[string]time.Time // job -> since when it waits beside free resources
 }
 
 func newUserObservations() userObservations {
 	return userObservations{
-		submittedAt:       map[string]time.Time{},
-		acceptedAt:        map[string]time.Time{},
-		answeredAt:        map[string]time.Time{},
-		startedAt:         map[string]time.Time{},
-		startedTasks:      map[string]bool{},
-		reportedForgotten: map[string]bool{},
-		cancelled:         map[string]bool{},
-		starvingSince:     map[string]time.Time{},
+		submittedAt:         map[string]time.Time{},
+		acceptedAt:          map[string]time.Time{},
+		answeredAt:          map[string]time.Time{},
+		startedAt:           map[string]time.Time{},
+		startedTasks:        map[string]bool{},
+		reportedForgotten:   map[string]bool{},
+		cancelledByScenario: map[string]bool{},
+		starvingSince:       map[string]time.Time{},
 	}
 }
 
@@ -117,7 +117,7 @@
 	for _, worker := range w.workers {
 		for _, t := range worker.tasks {
 			id := t.jobID()
-			accepted := w.checker.reportedPhase[id] == phaseAccepted && !w.checker.users.cancelled[id]
+			accepted := w.checker.reportedPhase[id] == phaseAccepted && !w.checker.users.cancelledByScenario[id]
 			if t.spec != nil && worker.occupies(t) && accepted {
 				running[id] = t.spec
 			}
@@ -126,7 +126,7 @@
 	ids := slices.Sorted(maps.Keys(running))
 	r.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
 	for _, id := range ids[:min(n, len(ids))] {
-		w.checker.users.cancelled[id] = true
+		w.checker.users.cancelledByScenario[id] = true
 		out = append(out, running[id])
 	}
 	return out
@@ -144,10 +144,10 @@
 // caller holds the lock.
 func (w *World) notifyLastTaskDone(s *job.Spec) {
 	u := &w.checker.users
-	if w.onLastTaskDone == nil || w.checker.reportedPhase[s.ID] != phaseAccepted || u.cancelled[s.ID] || len(w.checker.completed[s.ID]) < s.Tasks {
+	if w.onLastTaskDone == nil || w.checker.reportedPhase[s.ID] != phaseAccepted || u.cancelledByScenario[s.ID] || len(w.checker.completed[s.ID]) < s.Tasks {
 		return
 	}
-	u.cancelled[s.ID] = true
+	u.cancelledByScenario[s.ID] = true
 	f := w.onLastTaskDone
 	w.wg.Go(func() { f(s) })
 }
@@ -211,7 +211,7 @@
 // starves reports whether an accepted job without a task on a machine waits beside free
 // resources; the caller holds the lock.
 func (w *World) starves(s *job.Spec, placed int, usedByTeam Resources) bool {
-	if w.checker.reportedPhase[s.ID] != phaseAccepted || w.checker.users.cancelled[s.ID] || placed > 0 {
+	if w.checker.reportedPhase[s.ID] != phaseAccepted || w.checker.users.cancelledByScenario[s.ID] || placed > 0 {
 		return false
 	}
 	waiting := s.Tasks - placed - len(w.checker.completed[s.ID])
