--- a/internal/emulate/user_checks.go
+++ b/internal/emulate/user_checks.go
@@ -19,7 +19,7 @@
 	answeredAt          map[string]time.Time // job -> the last poll that was answered
 	startedAt           map[string]time.Time // job -> its first task that got its image
 	startedTasks        map[string]bool      // tasks that did
-	faultsOver          time.Time            // when the last fault was over; zero: it is not
+	faultsEndedAt       time.Time            // when the last fault was over; zero: it is not
 	reportedForgotten   map[string]bool      // jobs that are reported as forgotten
 	cancelledByScenario map[string]bool      // jobs that were cancelled beside what their own users do
 	starvingSince       map[string]time.Time // job -> since when it waits beside free resources
@@ -54,7 +54,7 @@
 // FaultsEnded records that all faults are over.
 func (w *World) FaultsEnded() {
 	w.mu.Lock()
-	w.checker.users.faultsOver = time.Now()
+	w.checker.users.faultsEndedAt = time.Now()
 	w.mu.Unlock()
 }
 
@@ -75,10 +75,10 @@
 		return
 	}
 	since, ok := u.acceptedAt[id]
-	if !ok || u.faultsOver.IsZero() || u.reportedForgotten[id] {
+	if !ok || u.faultsEndedAt.IsZero() || u.reportedForgotten[id] {
 		return
 	}
-	for _, at := range []time.Time{u.answeredAt[id], u.faultsOver} {
+	for _, at := range []time.Time{u.answeredAt[id], u.faultsEndedAt} {
 		if at.After(since) {
 			since = at
 		}
--- a/internal/emulate/user_checks_test.go
+++ b/internal/emulate/user_checks_test.go
@@ -58,12 +58,12 @@
 var answerCases = []checkerCase{
 	{"forgotten: no answer for 80 s since the last trouble", func(w *World) {
 		acceptJob(w, &job.Spec{ID: "run-1", Tasks: 1}, 200*time.Second)
-		w.checker.users.faultsOver = ago(80 * time.Second)
+		w.checker.users.faultsEndedAt = ago(80 * time.Second)
 		w.PollUnanswered("run-1")
 	}, "forgotten"},
 	{"answered a minute ago", func(w *World) {
 		acceptJob(w, &job.Spec{ID: "run-1", Tasks: 1}, 200*time.Second)
-		w.checker.users.faultsOver = ago(80 * time.Second)
+		w.checker.users.faultsEndedAt = ago(80 * time.Second)
 		w.checker.users.answeredAt["run-1"] = ago(time.Minute)
 		w.PollUnanswered("run-1")
 	}, ""},
