--- a/internal/emulate/invariants.go
+++ b/internal/emulate/invariants.go
@@ -18,9 +18,9 @@
 	users      userObservations
 	violations []string
 
-	reportedPhase map[string]wire.JobPhase  // job -> the last final phase that a user was told, or phaseAccepted
-	cancelledAt   map[string]time.Time      // job -> the first answer that confirmed its cancellation
-	completed     map[string]map[int32]bool // job -> its tasks that are done
+	reportedPhase  map[string]wire.JobPhase  // job -> the last final phase that a user was told, or phaseAccepted
+	cancelledAt    map[string]time.Time      // job -> the first answer that confirmed its cancellation
+	completedTasks map[string]map[int32]bool // job -> its tasks that are done
 
 	starts                  int
 	startsAfterCancellation int            // of tasks whose cancellation was confirmed
@@ -46,7 +46,7 @@
 		users:              newUserObservations(),
 		reportedPhase:      map[string]wire.JobPhase{},
 		cancelledAt:        map[string]time.Time{},
-		completed:          map[string]map[int32]bool{},
+		completedTasks:     map[string]map[int32]bool{},
 		heartbeatsAnswered: map[string]int{},
 		unansweredTime:     hdrhistogram.New(1, time.Hour.Milliseconds(), 3),
 	}
@@ -147,7 +147,7 @@
 	if before != "" && phase != before {
 		w.addViolation("went_back: %s was %s, is %s", spec.ID, before, phase)
 	}
-	if n := len(w.checker.completed[spec.ID]); phase == wire.JobDone && n != spec.Tasks {
+	if n := len(w.checker.completedTasks[spec.ID]); phase == wire.JobDone && n != spec.Tasks {
 		w.addViolation("not_done: %s has %d of %d tasks", spec.ID, n, spec.Tasks)
 	}
 	if phase == wire.JobCancelled && !cancelled && !w.checker.users.cancelledByScenario[spec.ID] {
@@ -264,10 +264,10 @@
 // recordCompleted records a task that is done; the members of a gang complete together. The
 // caller holds the lock.
 func (w *World) recordCompleted(t *task) {
-	tasks := w.checker.completed[t.spec.ID]
+	tasks := w.checker.completedTasks[t.spec.ID]
 	if tasks == nil {
 		tasks = map[int32]bool{}
-		w.checker.completed[t.spec.ID] = tasks
+		w.checker.completedTasks[t.spec.ID] = tasks
 	}
 	tasks[t.index] = true
 	if t.spec.ShapeName == gang {
--- a/internal/emulate/user_checks.go
+++ b/internal/emulate/user_checks.go
@@ -144,7 +144,7 @@
 // caller holds the lock.
 func (w *World) notifyLastTaskDone(s *job.Spec) {
 	u := &w.checker.users
-	if w.onLastTaskDone == nil || w.checker.reportedPhase[s.ID] != phaseAccepted || u.cancelledByScenario[s.ID] || len(w.checker.completed[s.ID]) < s.Tasks {
+	if w.onLastTaskDone == nil || w.checker.reportedPhase[s.ID] != phaseAccepted || u.cancelledByScenario[s.ID] || len(w.checker.completedTasks[s.ID]) < s.Tasks {
 		return
 	}
 	u.cancelledByScenario[s.ID] = true
@@ -214,7 +214,7 @@
 	if w.checker.reportedPhase[s.ID] != phaseAccepted || w.checker.users.cancelledByScenario[s.ID] || placed > 0 {
 		return false
 	}
-	waiting := s.Tasks - placed - len(w.checker.completed[s.ID])
+	waiting := s.Tasks - placed - len(w.checker.completedTasks[s.ID])
 	if waiting < 1 {
 		return false
 	}
@@ -273,7 +273,7 @@
 // of the others those that are done.
 func (w *World) servedShare(s *job.Spec) float64 {
 	if s.ShapeName != service {
-		return float64(len(w.checker.completed[s.ID])) / float64(s.Tasks)
+		return float64(len(w.checker.completedTasks[s.ID])) / float64(s.Tasks)
 	}
 	n := 0
 	for t := range s.Tasks {
--- a/internal/emulate/user_checks_test.go
+++ b/internal/emulate/user_checks_test.go
@@ -172,7 +172,7 @@
 			acceptJob(w, &job.Spec{ID: id, Class: "c", Team: id, ShapeName: "array", Tasks: 1}, time.Minute)
 			w.checker.users.startedAt[id] = time.Now()
 		}
-		w.checker.completed["run-1"] = map[int32]bool{0: true}
+		w.checker.completedTasks["run-1"] = map[int32]bool{0: true}
 		w.CheckServiceLevels(nil)
 	}, "served: 1.0 of 3 jobs of class c"},
 	{"the largest began too late", func(w *World) {
@@ -183,7 +183,7 @@
 			}
 			acceptJob(w, spec, 300*time.Second)
 			w.checker.users.startedAt[id] = ago(100 * time.Second)
-			w.checker.completed[id] = map[int32]bool{0: true}
+			w.checker.completedTasks[id] = map[int32]bool{0: true}
 		}
 		w.checker.users.startedAt["run-3"] = ago(30 * time.Second)
 		w.CheckServiceLevels(nil)
--- a/internal/emulate/worker.go
+++ b/internal/emulate/worker.go
@@ -135,7 +135,7 @@
 	if worker.faulty {
 		t.exit(wire.CauseError)
 	}
-	if t.spec.ShapeName != service && worker.world.checker.completed[t.spec.ID][t.index] {
+	if t.spec.ShapeName != service && worker.world.checker.completedTasks[t.spec.ID][t.index] {
 		t.exit(wire.CauseDone)
 	}
 }
