--- a/internal/emulate/cloud.go
+++ b/internal/emulate/cloud.go
@@ -121,7 +121,7 @@
 		out = append(out, wire.CloudMachine{
 			Name:  name,
 			Addr:  worker.addr,
-			Type:  worker.typ,
+			Type:  worker.typeName,
 			Zone:  worker.zone,
 			Spot:  worker.spot,
 			Phase: phase,
@@ -145,7 +145,7 @@
 		world:      w,
 		name:       fmt.Sprintf("host-%06d", w.machinesCreated),
 		addr:       fmt.Sprintf("w%d:9000", w.machinesCreated),
-		typ:        typ,
+		typeName:   typ,
 		zone:       zone,
 		spot:       spot,
 		createdAt:  time.Now(),
--- a/internal/emulate/invariants.go
+++ b/internal/emulate/invariants.go
@@ -170,8 +170,8 @@
 	if worker.spot && !t.spec.Spot {
 		w.addViolation("wrong_place: %s on a spot machine", t.name)
 	}
-	if t.spec.Types != nil && !slices.Contains(t.spec.Types, worker.typ) {
-		w.addViolation("wrong_place: %s on a %s", t.name, worker.typ)
+	if t.spec.Types != nil && !slices.Contains(t.spec.Types, worker.typeName) {
+		w.addViolation("wrong_place: %s on a %s", t.name, worker.typeName)
 	}
 	if t.spec.Zone != "" && t.spec.Zone != worker.zone {
 		w.addViolation("wrong_place: %s in %s", t.name, worker.zone)
--- a/internal/emulate/user_checks.go
+++ b/internal/emulate/user_checks.go
@@ -252,7 +252,7 @@
 func (worker *Worker) fits(s *job.Spec) bool {
 	up := !time.Now().Before(worker.bootedAt) && !worker.hanging && !worker.faulty
 	zone := s.Zone == "" || s.Zone == worker.zone
-	typ := s.Types == nil || slices.Contains(s.Types, worker.typ)
+	typ := s.Types == nil || slices.Contains(s.Types, worker.typeName)
 	return up && zone && typ && (s.Spot || !worker.spot)
 }
 
--- a/internal/emulate/user_checks_test.go
+++ b/internal/emulate/user_checks_test.go
@@ -15,7 +15,7 @@
 
 // newTestWorker makes a worker whose lease has just begun.
 func newTestWorker(w *World, name, zone string) *Worker {
-	return &Worker{world: w, name: name, zone: zone, typ: "x", leaseStart: time.Now(), tasks: map[string]*task{}}
+	return &Worker{world: w, name: name, zone: zone, typeName: "x", leaseStart: time.Now(), tasks: map[string]*task{}}
 }
 
 // startTask starts a task of a job on a new worker.
--- a/internal/emulate/worker.go
+++ b/internal/emulate/worker.go
@@ -14,7 +14,7 @@
 	world     *World
 	name      string
 	addr      string
-	typ       string
+	typeName  string
 	zone      string
 	spot      bool
 	createdAt time.Time
@@ -58,7 +58,7 @@
 
 // hasRoom reports whether the machine has resources for n tasks of a job beside its own.
 func (worker *Worker) hasRoom(s *job.Spec, n int) bool {
-	typ := worker.world.machineType(worker.typ)
+	typ := worker.world.machineType(worker.typeName)
 	cpus := typ.CPUs + rounding - float64(n)*s.CPUs
 	gpus := typ.GPUs + rounding - float64(n)*s.GPUs
 	memGB := typ.MemGB + rounding - float64(n)*s.MemGB
--- a/internal/emulate/worker_heartbeat.go
+++ b/internal/emulate/worker_heartbeat.go
@@ -28,7 +28,7 @@
 	r := wire.Heartbeat{
 		Machine: worker.name,
 		Addr:    worker.addr,
-		Type:    worker.typ,
+		Type:    worker.typeName,
 		Zone:    worker.zone,
 		Spot:    worker.spot,
 		Session: worker.session,
