--- a/internal/emulate/cloud.go
+++ b/internal/emulate/cloud.go
@@ -142,17 +142,17 @@
 func (w *World) boot(typ, zone string, spot bool, bootTime time.Duration) string {
 	w.machinesCreated++
 	worker := &Worker{
-		world:      w,
-		name:       fmt.Sprintf("host-%06d", w.machinesCreated),
-		addr:       fmt.Sprintf("w%d:9000", w.machinesCreated),
-		typeName:   typ,
-		zone:       zone,
-		spot:       spot,
-		createdAt:  time.Now(),
-		bootedAt:   time.Now().Add(bootTime),
-		session:    1,
-		tasks:      map[string]*task{},
-		controller: w.machinesCreated % len(w.cfg.Controllers),
+		world:           w,
+		name:            fmt.Sprintf("host-%06d", w.machinesCreated),
+		addr:            fmt.Sprintf("w%d:9000", w.machinesCreated),
+		typeName:        typ,
+		zone:            zone,
+		spot:            spot,
+		createdAt:       time.Now(),
+		bootedAt:        time.Now().Add(bootTime),
+		session:         1,
+		tasks:           map[string]*task{},
+		controllerIndex: w.machinesCreated % len(w.cfg.Controllers),
 	}
 	w.workers[worker.name] = worker
 	w.wg.Go(worker.run)
--- a/internal/emulate/worker.go
+++ b/internal/emulate/worker.go
@@ -32,10 +32,10 @@
 	sequence uint64
 	token    uint64
 	// leaseStart is when the last answered heartbeat was sent.
-	leaseStart    time.Time
-	controller    int // index of the one that gets the next heartbeat
-	heartbeatSent time.Time
-	changed       bool // since the last heartbeat
+	leaseStart      time.Time
+	controllerIndex int // index of the one that gets the next heartbeat
+	heartbeatSent   time.Time
+	changed         bool // since the last heartbeat
 	// unansweredSince is when the first heartbeat without an answer since the last answered one
 	// was sent; zero: there is none.
 	unansweredSince time.Time
--- a/internal/emulate/worker_heartbeat.go
+++ b/internal/emulate/worker_heartbeat.go
@@ -134,7 +134,7 @@
 		return
 	}
 	w.mu.Lock()
-	controller := worker.controller
+	controller := worker.controllerIndex
 	if w.capturing && len(w.captured) < maxCapturedHeartbeats {
 		w.captured = append(w.captured, CapturedHeartbeat{worker.Host(), b})
 	}
@@ -185,14 +185,14 @@
 		worker.unansweredSince = sent
 	}
 	worker.heartbeatSent = time.Now().Add(failoverDelay - w.cfg.HeartbeatInterval)
-	worker.controller = (controller + 1) % len(w.cfg.Controllers)
+	worker.controllerIndex = (controller + 1) % len(w.cfg.Controllers)
 	var to wire.Redirect
 	if status != http.StatusMisdirectedRequest || wire.Unmarshal(body, &to) != nil {
 		return
 	}
 	isTarget := func(c Controller) bool { return c.Member == to.ReportTo }
 	if i := slices.IndexFunc(w.cfg.Controllers, isTarget); i >= 0 && i != controller {
-		worker.controller = i
+		worker.controllerIndex = i
 		worker.heartbeatSent = time.Time{}
 	}
 }
