--- a/internal/emulate/worker_commands.go
+++ b/internal/emulate/worker_commands.go
@@ -70,7 +70,7 @@
 
 // serveHealthCheck answers a health check of a replica.
 func (worker *Worker) serveHealthCheck(rw http.ResponseWriter, taskName string) {
-	if worker.world.dropChecks {
+	if worker.world.dropHealthChecks {
 		panic(http.ErrAbortHandler) // ends the connection without an answer
 	}
 	for _, t := range worker.tasks {
--- a/internal/emulate/world.go
+++ b/internal/emulate/world.go
@@ -60,10 +60,10 @@
 	provisioned     map[string][]string
 	machinesCreated int
 	// The next delayedBoots machines boot that much later.
-	delayedBoots int
-	bootDelay    time.Duration
-	zoneLimits   map[string]int // machines that are left to a zone in a shortage
-	dropChecks   bool           // health checks get no answer
+	delayedBoots     int
+	bootDelay        time.Duration
+	zoneLimits       map[string]int // machines that are left to a zone in a shortage
+	dropHealthChecks bool           // health checks get no answer
 
 	recording bool // events are added to the history
 	history   []Event
--- a/internal/emulate/world_faults.go
+++ b/internal/emulate/world_faults.go
@@ -42,7 +42,7 @@
 // cut off, or lets them go on.
 func (w *World) DropHealthChecks(on bool) {
 	w.mu.Lock()
-	w.dropChecks = on
+	w.dropHealthChecks = on
 	w.mu.Unlock()
 }
 
