--- a/internal/emulate/cluster.go
+++ b/internal/emulate/cluster.go
@@ -56,42 +56,42 @@
 	{Name: "large", CPUs: 16, MemGB: 64, CacheGB: 20, FetchRate: 2, Price: 0.8, SpotPrice: 0.24, BootS: 3, Zones: clusterZones},
 }
 
-// address is where the controllers of a cluster listen: a host of loopback and the first port.
-type address struct {
+// listenAddress is where the controllers of a cluster listen: a host of loopback and the first port.
+type listenAddress struct {
 	host string
 	port int
 }
 
 // user is the address of controller i for users and workers.
-func (a address) user(i int) string { return net.JoinHostPort(a.host, strconv.Itoa(a.port+i)) }
+func (a listenAddress) user(i int) string { return net.JoinHostPort(a.host, strconv.Itoa(a.port+i)) }
 
 // peer is the address of controller i for the other controllers.
-func (a address) peer(i int) string {
+func (a listenAddress) peer(i int) string {
 	return net.JoinHostPort(a.host, strconv.Itoa(a.port+peerPortOffset+i))
 }
 
 // check returns the address of the first controller, or an error that names the option that
 // cannot be emulated.
-func (o *Options) check() (address, error) {
+func (o *Options) check() (listenAddress, error) {
 	if o.Controllers < 1 || o.Controllers > maxNodes {
-		return address{}, fmt.Errorf("emulation: %d controllers, not from 1 to %d", o.Controllers, maxNodes)
+		return listenAddress{}, fmt.Errorf("emulation: %d controllers, not from 1 to %d", o.Controllers, maxNodes)
 	}
 	if o.MaxMachines < 1 || o.MaxMachines > maxMachines {
-		return address{}, fmt.Errorf("emulation: %d machines, not from 1 to %d", o.MaxMachines, maxMachines)
+		return listenAddress{}, fmt.Errorf("emulation: %d machines, not from 1 to %d", o.MaxMachines, maxMachines)
 	}
 	host, text, err := net.SplitHostPort(o.Listen)
 	if err != nil {
-		return address{}, fmt.Errorf("emulation: %w", err)
+		return listenAddress{}, fmt.Errorf("emulation: %w", err)
 	}
 	ip := net.ParseIP(host)
 	if ip == nil || !ip.IsLoopback() {
-		return address{}, fmt.Errorf("emulation: %q is not an address of loopback", o.Listen)
+		return listenAddress{}, fmt.Errorf("emulation: %q is not an address of loopback", o.Listen)
 	}
 	port, err := strconv.Atoi(text)
 	if err != nil || port < 1 || port+peerPortOffset+o.Controllers > maxPort {
-		return address{}, fmt.Errorf("emulation: port %q is not usable", text)
+		return listenAddress{}, fmt.Errorf("emulation: port %q is not usable", text)
 	}
-	return address{host, port}, nil
+	return listenAddress{host, port}, nil
 }
 
 // nodeName is the name of controller i as a member.
@@ -125,7 +125,7 @@
 
 // worldConfig is the cloud and the workers of a cluster, with the timings that its controllers
 // are set to.
-func worldConfig(o *Options, network Network, store *Store, listen address, timings *config.Workers) Config {
+func worldConfig(o *Options, network Network, store *Store, listen listenAddress, timings *config.Workers) Config {
 	var controllers []Controller
 	for i := range o.Controllers {
 		controllers = append(controllers, Controller{Member: nodeName(i), Addr: listen.user(i)})
@@ -164,7 +164,7 @@
 
 // controllerSettings are the settings of controller i: those of the platform, with its own
 // addresses and those of the others.
-func controllerSettings(platform *config.Settings, listen address, i int) *config.Settings {
+func controllerSettings(platform *config.Settings, listen listenAddress, i int) *config.Settings {
 	set := *platform
 	set.Member = nodeName(i)
 	set.Site = clusterZones[i%len(clusterZones)]
