--- a/internal/emulate/cluster.go
+++ b/internal/emulate/cluster.go
@@ -62,8 +62,10 @@
 	port int
 }
 
-// user is the address of controller i for users and workers.
-func (a listenAddress) user(i int) string { return net.JoinHostPort(a.host, strconv.Itoa(a.port+i)) }
+// userAddr is the address of controller i for users and workers.
+func (a listenAddress) userAddr(i int) string {
+	return net.JoinHostPort(a.host, strconv.Itoa(a.port+i))
+}
 
 // peer is the address of controller i for the other controllers.
 func (a listenAddress) peer(i int) string {
@@ -128,7 +130,7 @@
 func worldConfig(o *Options, network Network, store *Store, listen listenAddress, timings *config.Workers) Config {
 	var controllers []Controller
 	for i := range o.Controllers {
-		controllers = append(controllers, Controller{Member: nodeName(i), Addr: listen.user(i)})
+		controllers = append(controllers, Controller{Member: nodeName(i), Addr: listen.userAddr(i)})
 	}
 	return Config{
 		Network:           network,
@@ -168,7 +170,7 @@
 	set := *platform
 	set.Member = nodeName(i)
 	set.Site = clusterZones[i%len(clusterZones)]
-	set.Listen = listen.user(i)
+	set.Listen = listen.userAddr(i)
 	set.PeerListen = listen.peer(i)
 	for j := range platform.Facts.Nodes {
 		if j == i {
