--- a/internal/emulate/cluster.go
+++ b/internal/emulate/cluster.go
@@ -67,8 +67,8 @@
 	return net.JoinHostPort(a.host, strconv.Itoa(a.port+i))
 }
 
-// peer is the address of controller i for the other controllers.
-func (a listenAddress) peer(i int) string {
+// peerAddr is the address of controller i for the other controllers.
+func (a listenAddress) peerAddr(i int) string {
 	return net.JoinHostPort(a.host, strconv.Itoa(a.port+peerPortOffset+i))
 }
 
@@ -171,7 +171,7 @@
 	set.Member = nodeName(i)
 	set.Site = clusterZones[i%len(clusterZones)]
 	set.Listen = listen.userAddr(i)
-	set.PeerListen = listen.peer(i)
+	set.PeerListen = listen.peerAddr(i)
 	for j := range platform.Facts.Nodes {
 		if j == i {
 			continue
@@ -179,7 +179,7 @@
 		set.Siblings = append(set.Siblings, config.Sibling{
 			Member:  nodeName(j),
 			Site:    clusterZones[j%len(clusterZones)],
-			Address: listen.peer(j),
+			Address: listen.peerAddr(j),
 		})
 	}
 	return &set
