--- a/internal/emulate/cluster.go
+++ b/internal/emulate/cluster.go
@@ -72,9 +72,9 @@
 	return net.JoinHostPort(a.host, strconv.Itoa(a.port+peerPortOffset+i))
 }
 
-// check returns the address of the first controller, or an error that names the option that
+// validate returns the address of the first controller, or an error that names the option that
 // cannot be emulated.
-func (o *Options) check() (listenAddress, error) {
+func (o *Options) validate() (listenAddress, error) {
 	if o.Controllers < 1 || o.Controllers > maxNodes {
 		return listenAddress{}, fmt.Errorf("emulation: %d controllers, not from 1 to %d", o.Controllers, maxNodes)
 	}
@@ -101,7 +101,7 @@
 
 // Start begins an emulation on loopback.
 func Start(o Options) (*Cluster, error) {
-	listen, err := o.check()
+	listen, err := o.validate()
 	if err != nil {
 		return nil, err
 	}
