--- a/internal/emulate/cluster.go
+++ b/internal/emulate/cluster.go
@@ -27,9 +27,9 @@
 
 // Bounds of an emulation.
 const (
-	maxNodes    = 9
-	maxMachines = 1000
-	maxPort     = 65535
+	maxControllers = 9
+	maxMachines    = 1000
+	maxPort        = 65535
 )
 
 // peerPortOffset is how far above its port for users a controller's peer port is.
@@ -75,8 +75,8 @@
 // validate returns the address of the first controller, or an error that names the option that
 // cannot be emulated.
 func (o *Options) validate() (listenAddress, error) {
-	if o.Controllers < 1 || o.Controllers > maxNodes {
-		return listenAddress{}, fmt.Errorf("emulation: %d controllers, not from 1 to %d", o.Controllers, maxNodes)
+	if o.Controllers < 1 || o.Controllers > maxControllers {
+		return listenAddress{}, fmt.Errorf("emulation: %d controllers, not from 1 to %d", o.Controllers, maxControllers)
 	}
 	if o.MaxMachines < 1 || o.MaxMachines > maxMachines {
 		return listenAddress{}, fmt.Errorf("emulation: %d machines, not from 1 to %d", o.MaxMachines, maxMachines)
