--- a/internal/emulate/cluster.go
+++ b/internal/emulate/cluster.go
@@ -96,8 +96,8 @@
 	return listenAddress{host, port}, nil
 }
 
-// nodeName is the name of controller i as a member.
-func nodeName(i int) string { return fmt.Sprintf("node-%d", i) }
+// memberName is the name of controller i as a member.
+func memberName(i int) string { return fmt.Sprintf("node-%d", i) }
 
 // Start begins an emulation on loopback.
 func Start(o Options) (*Cluster, error) {
@@ -130,7 +130,7 @@
 func worldConfig(o *Options, network Network, store *Store, listen listenAddress, timings *config.Workers) Config {
 	var controllers []Controller
 	for i := range o.Controllers {
-		controllers = append(controllers, Controller{Member: nodeName(i), Addr: listen.userAddr(i)})
+		controllers = append(controllers, Controller{Member: memberName(i), Addr: listen.userAddr(i)})
 	}
 	return Config{
 		Network:           network,
@@ -168,7 +168,7 @@
 // addresses and those of the others.
 func controllerSettings(platform *config.Settings, listen listenAddress, i int) *config.Settings {
 	set := *platform
-	set.Member = nodeName(i)
+	set.Member = memberName(i)
 	set.Site = clusterZones[i%len(clusterZones)]
 	set.Listen = listen.userAddr(i)
 	set.PeerListen = listen.peerAddr(i)
@@ -177,7 +177,7 @@
 			continue
 		}
 		set.Siblings = append(set.Siblings, config.Sibling{
-			Member:  nodeName(j),
+			Member:  memberName(j),
 			Site:    clusterZones[j%len(clusterZones)],
 			Address: listen.peerAddr(j),
 		})
