--- a/internal/emulate/cluster.go
+++ b/internal/emulate/cluster.go
@@ -49,9 +49,9 @@
 // clusterZones are the zones of an emulated cluster.
 var clusterZones = []string{"east", "north", "south", "west"}
 
-// clusterTypes are the machine types of an emulated cluster. They boot fast, so that a newcomer
+// clusterMachineTypes are the machine types of an emulated cluster. They boot fast, so that a newcomer
 // need not wait.
-var clusterTypes = []wire.MachineType{
+var clusterMachineTypes = []wire.MachineType{
 	{Name: "small", CPUs: 4, MemGB: 16, CacheGB: 20, FetchRate: 2, Price: 0.2, SpotPrice: 0.06, BootS: 2, Zones: clusterZones},
 	{Name: "large", CPUs: 16, MemGB: 64, CacheGB: 20, FetchRate: 2, Price: 0.8, SpotPrice: 0.24, BootS: 3, Zones: clusterZones},
 }
@@ -135,7 +135,7 @@
 	return Config{
 		Network:           network,
 		Store:             store,
-		Types:             clusterTypes,
+		Types:             clusterMachineTypes,
 		MaxMachines:       o.MaxMachines,
 		Controllers:       controllers,
 		LeaseDuration:     config.Seconds(timings.LeaseS),
