--- a/internal/emulate/faults.go
+++ b/internal/emulate/faults.go
@@ -29,17 +29,17 @@
 // faultKind is a kind of fault: the fields that it needs, and how it is injected. inject calls
 // wait, which lasts as long as the fault does, before it undoes the fault.
 type faultKind struct {
-	machines, image, delay bool
-	inject                 func(cl *Cluster, f Fault, r *rand.Rand, wait func())
+	needsMachines, image, delay bool
+	inject                      func(cl *Cluster, f Fault, r *rand.Rand, wait func())
 }
 
 // faultKinds are the kinds of faults by their names.
 var faultKinds = map[string]faultKind{
 	"state_outage":    {inject: injectOutage},
 	"state_slow":      {delay: true, inject: injectLatency},
-	"machines_die":    {machines: true, inject: injectMachineLoss},
-	"machines_hang":   {machines: true, inject: injectHang},
-	"machines_sick":   {machines: true, inject: injectFaultyMachines},
+	"machines_die":    {needsMachines: true, inject: injectMachineLoss},
+	"machines_hang":   {needsMachines: true, inject: injectHang},
+	"machines_sick":   {needsMachines: true, inject: injectFaultyMachines},
 	"image_unhealthy": {image: true, inject: injectUnhealthyImage},
 	"image_crashes":   {image: true, inject: injectCrashingImage},
 }
@@ -125,7 +125,7 @@
 		return "at_s", "not from 0 to 1,000,000"
 	case f.ForS < 0 || f.ForS > maxFaultS:
 		return "for_s", "not from 0 to 1,000,000"
-	case kind.machines && f.Machines < 1:
+	case kind.needsMachines && f.Machines < 1:
 		return "machines", "not above 0"
 	case kind.image && f.Image == "":
 		return "image", "missing"
