--- a/internal/emulate/faults.go
+++ b/internal/emulate/faults.go
@@ -29,8 +29,8 @@
 // faultKind is a kind of fault: the fields that it needs, and how it is injected. inject calls
 // wait, which lasts as long as the fault does, before it undoes the fault.
 type faultKind struct {
-	needsMachines, image, delay bool
-	inject                      func(cl *Cluster, f Fault, r *rand.Rand, wait func())
+	needsMachines, needsImage, delay bool
+	inject                           func(cl *Cluster, f Fault, r *rand.Rand, wait func())
 }
 
 // faultKinds are the kinds of faults by their names.
@@ -40,8 +40,8 @@
 	"machines_die":    {needsMachines: true, inject: injectMachineLoss},
 	"machines_hang":   {needsMachines: true, inject: injectHang},
 	"machines_sick":   {needsMachines: true, inject: injectFaultyMachines},
-	"image_unhealthy": {image: true, inject: injectUnhealthyImage},
-	"image_crashes":   {image: true, inject: injectCrashingImage},
+	"image_unhealthy": {needsImage: true, inject: injectUnhealthyImage},
+	"image_crashes":   {needsImage: true, inject: injectCrashingImage},
 }
 
 func injectOutage(cl *Cluster, _ Fault, _ *rand.Rand, wait func()) {
@@ -127,7 +127,7 @@
 		return "for_s", "not from 0 to 1,000,000"
 	case kind.needsMachines && f.Machines < 1:
 		return "machines", "not above 0"
-	case kind.image && f.Image == "":
+	case kind.needsImage && f.Image == "":
 		return "image", "missing"
 	case kind.delay && (f.DelayMs < 1 || f.DelayMs > maxFaultDelayMs):
 		return "delay_ms", "not from 1 to 60,000"
