--- a/internal/emulate/faults.go
+++ b/internal/emulate/faults.go
@@ -29,14 +29,14 @@
 // faultKind is a kind of fault: the fields that it needs, and how it is injected. inject calls
 // wait, which lasts as long as the fault does, before it undoes the fault.
 type faultKind struct {
-	needsMachines, needsImage, delay bool
-	inject                           func(cl *Cluster, f Fault, r *rand.Rand, wait func())
+	needsMachines, needsImage, needsDelay bool
+	inject                                func(cl *Cluster, f Fault, r *rand.Rand, wait func())
 }
 
 // faultKinds are the kinds of faults by their names.
 var faultKinds = map[string]faultKind{
 	"state_outage":    {inject: injectOutage},
-	"state_slow":      {delay: true, inject: injectLatency},
+	"state_slow":      {needsDelay: true, inject: injectLatency},
 	"machines_die":    {needsMachines: true, inject: injectMachineLoss},
 	"machines_hang":   {needsMachines: true, inject: injectHang},
 	"machines_sick":   {needsMachines: true, inject: injectFaultyMachines},
@@ -129,7 +129,7 @@
 		return "machines", "not above 0"
 	case kind.needsImage && f.Image == "":
 		return "image", "missing"
-	case kind.delay && (f.DelayMs < 1 || f.DelayMs > maxFaultDelayMs):
+	case kind.needsDelay && (f.DelayMs < 1 || f.DelayMs > maxFaultDelayMs):
 		return "delay_ms", "not from 1 to 60,000"
 	}
 	return "", ""
