--- a/internal/emulate/faults.go
+++ b/internal/emulate/faults.go
@@ -72,20 +72,20 @@
 }
 
 func injectUnhealthyImage(cl *Cluster, f Fault, _ *rand.Rand, wait func()) {
-	cl.World.SetImageBehavior(f.Image, ImageBehavior{UnhealthyAfter: f.after()})
+	cl.World.SetImageBehavior(f.Image, ImageBehavior{UnhealthyAfter: f.failureDelay()})
 	wait()
 	cl.World.SetImageBehavior(f.Image, ImageBehavior{})
 }
 
 func injectCrashingImage(cl *Cluster, f Fault, _ *rand.Rand, wait func()) {
-	cl.World.SetImageBehavior(f.Image, ImageBehavior{CrashAfter: f.after()})
+	cl.World.SetImageBehavior(f.Image, ImageBehavior{CrashAfter: f.failureDelay()})
 	wait()
 	cl.World.SetImageBehavior(f.Image, ImageBehavior{})
 }
 
-// after is when an image's tasks fail, at least a millisecond after their start: 0 would mean
+// failureDelay is when an image's tasks fail, at least a millisecond failureDelay their start: 0 would mean
 // never.
-func (f Fault) after() time.Duration { return seconds(max(f.AfterS, 0.001)) }
+func (f Fault) failureDelay() time.Duration { return seconds(max(f.AfterS, 0.001)) }
 
 const (
 	// maxFaults bounds a list of faults.
