--- a/internal/emulate/faults.go
+++ b/internal/emulate/faults.go
@@ -35,7 +35,7 @@
 
 // faultKinds are the kinds of faults by their names.
 var faultKinds = map[string]faultKind{
-	"state_outage":    {inject: injectOutage},
+	"state_outage":    {inject: injectStoreOutage},
 	"state_slow":      {needsDelay: true, inject: injectLatency},
 	"machines_die":    {needsMachines: true, inject: injectMachineLoss},
 	"machines_hang":   {needsMachines: true, inject: injectHang},
@@ -44,7 +44,7 @@
 	"image_crashes":   {needsImage: true, inject: injectCrashingImage},
 }
 
-func injectOutage(cl *Cluster, _ Fault, _ *rand.Rand, wait func()) {
+func injectStoreOutage(cl *Cluster, _ Fault, _ *rand.Rand, wait func()) {
 	cl.Store.SetOutage(true)
 	wait()
 	cl.Store.SetOutage(false)
