--- a/internal/emulate/faults.go
+++ b/internal/emulate/faults.go
@@ -36,7 +36,7 @@
 // faultKinds are the kinds of faults by their names.
 var faultKinds = map[string]faultKind{
 	"state_outage":    {inject: injectStoreOutage},
-	"state_slow":      {needsDelay: true, inject: injectLatency},
+	"state_slow":      {needsDelay: true, inject: injectStoreLatency},
 	"machines_die":    {needsMachines: true, inject: injectMachineLoss},
 	"machines_hang":   {needsMachines: true, inject: injectHang},
 	"machines_sick":   {needsMachines: true, inject: injectFaultyMachines},
@@ -50,7 +50,7 @@
 	cl.Store.SetOutage(false)
 }
 
-func injectLatency(cl *Cluster, f Fault, _ *rand.Rand, wait func()) {
+func injectStoreLatency(cl *Cluster, f Fault, _ *rand.Rand, wait func()) {
 	cl.Store.SetLatency(time.Duration(f.DelayMs) * time.Millisecond)
 	wait()
 	cl.Store.SetLatency(0)
