--- a/internal/emulate/cloud.go
+++ b/internal/emulate/cloud.go
@@ -43,7 +43,7 @@
 // serveRelease takes machines away; the caller holds the lock.
 func (w *World) serveRelease(rw http.ResponseWriter, q *http.Request) {
 	var in wire.MachineNames
-	if !decode(q, &in) {
+	if !decodeRequest(q, &in) {
 		encode(rw, http.StatusBadRequest, wire.Error{Error: "malformed"})
 		return
 	}
@@ -58,7 +58,7 @@
 // serveProvision starts machines, once for each request; the caller holds the lock.
 func (w *World) serveProvision(rw http.ResponseWriter, q *http.Request) {
 	var in wire.RentalRequest
-	if !decode(q, &in) || w.machineType(in.Type) == nil {
+	if !decodeRequest(q, &in) || w.machineType(in.Type) == nil {
 		encode(rw, http.StatusBadRequest, wire.Error{Error: "malformed"})
 		return
 	}
--- a/internal/emulate/emulate.go
+++ b/internal/emulate/emulate.go
@@ -25,8 +25,8 @@
 // maxRequest bounds the body of a request, in bytes.
 const maxRequest = 4 * wire.MaxBody
 
-// decode reads the body of a request; false: it is malformed.
-func decode(q *http.Request, v any) bool {
+// decodeRequest reads the body of a request; false: it is malformed.
+func decodeRequest(q *http.Request, v any) bool {
 	b, err := io.ReadAll(io.LimitReader(q.Body, maxRequest))
 	return err == nil && wire.Unmarshal(b, v) == nil
 }
--- a/internal/emulate/store_http.go
+++ b/internal/emulate/store_http.go
@@ -110,7 +110,7 @@
 // for that; the caller holds the lock.
 func (s *Store) serveCommit(w http.ResponseWriter, q *http.Request) {
 	var t state.Txn
-	if !decode(q, &t) || len(t.Writes) > s.maxWrites {
+	if !decodeRequest(q, &t) || len(t.Writes) > s.maxWrites {
 		encode(w, http.StatusBadRequest, wire.Error{Error: "malformed"})
 		return
 	}
@@ -169,7 +169,7 @@
 	var in struct {
 		TTL int64 `codec:"ttl_ms"`
 	}
-	if !decode(q, &in) {
+	if !decodeRequest(q, &in) {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
--- a/internal/emulate/worker_commands.go
+++ b/internal/emulate/worker_commands.go
@@ -107,7 +107,7 @@
 // for an earlier session, is refused.
 func (worker *Worker) serve(rw http.ResponseWriter, q *http.Request) {
 	var d wire.DirectCommands
-	decoded := q.URL.Path == "/do" && decode(q, &d)
+	decoded := q.URL.Path == "/do" && decodeRequest(q, &d)
 	worker.lockWhenResponsive()
 	defer worker.world.mu.Unlock()
 	if worker.removed {
