--- a/internal/emulate/cloud.go
+++ b/internal/emulate/cloud.go
@@ -26,17 +26,17 @@
 	defer w.mu.Unlock()
 	switch q.URL.Path {
 	case "/machine_types":
-		encode(rw, http.StatusOK, wire.MachineTypes{Types: w.cfg.Types})
+		writeResponse(rw, http.StatusOK, wire.MachineTypes{Types: w.cfg.Types})
 	case "/hosts/release":
 		w.serveRelease(rw, q)
 	case "/hosts":
 		if q.Method == http.MethodGet {
-			encode(rw, http.StatusOK, w.machineList(q.URL.Query().Get("after")))
+			writeResponse(rw, http.StatusOK, w.machineList(q.URL.Query().Get("after")))
 			return
 		}
 		w.serveProvision(rw, q)
 	default:
-		encode(rw, http.StatusNotFound, wire.Error{Error: "no such route"})
+		writeResponse(rw, http.StatusNotFound, wire.Error{Error: "no such route"})
 	}
 }
 
@@ -44,7 +44,7 @@
 func (w *World) serveRelease(rw http.ResponseWriter, q *http.Request) {
 	var in wire.MachineNames
 	if !decodeRequest(q, &in) {
-		encode(rw, http.StatusBadRequest, wire.Error{Error: "malformed"})
+		writeResponse(rw, http.StatusBadRequest, wire.Error{Error: "malformed"})
 		return
 	}
 	for _, name := range in.Names {
@@ -52,23 +52,23 @@
 			worker.remove(time.Now())
 		}
 	}
-	encode(rw, http.StatusOK, map[string]any{})
+	writeResponse(rw, http.StatusOK, map[string]any{})
 }
 
 // serveProvision starts machines, once for each request; the caller holds the lock.
 func (w *World) serveProvision(rw http.ResponseWriter, q *http.Request) {
 	var in wire.RentalRequest
 	if !decodeRequest(q, &in) || w.machineType(in.Type) == nil {
-		encode(rw, http.StatusBadRequest, wire.Error{Error: "malformed"})
+		writeResponse(rw, http.StatusBadRequest, wire.Error{Error: "malformed"})
 		return
 	}
 	if old, ok := w.provisioned[in.Request]; ok {
-		encode(rw, http.StatusOK, wire.MachineNames{Names: old})
+		writeResponse(rw, http.StatusOK, wire.MachineNames{Names: old})
 		return
 	}
 	n := min(in.Count, w.cfg.MaxMachines-len(w.workers), w.zoneCapacity(in.Zone))
 	if n <= 0 {
-		encode(rw, http.StatusServiceUnavailable, wire.Error{Error: "no capacity"})
+		writeResponse(rw, http.StatusServiceUnavailable, wire.Error{Error: "no capacity"})
 		return
 	}
 	var names []string
@@ -81,7 +81,7 @@
 		names = append(names, w.boot(in.Type, in.Zone, in.Spot, bootTime))
 	}
 	w.provisioned[in.Request] = names
-	encode(rw, http.StatusOK, wire.MachineNames{Names: names})
+	writeResponse(rw, http.StatusOK, wire.MachineNames{Names: names})
 }
 
 // seconds is a time that settings give in seconds.
--- a/internal/emulate/emulate.go
+++ b/internal/emulate/emulate.go
@@ -31,8 +31,8 @@
 	return err == nil && wire.Unmarshal(b, v) == nil
 }
 
-// encode writes an answer.
-func encode(w http.ResponseWriter, status int, v any) {
+// writeResponse writes an answer.
+func writeResponse(w http.ResponseWriter, status int, v any) {
 	b, err := wire.Marshal(v)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
--- a/internal/emulate/store_http.go
+++ b/internal/emulate/store_http.go
@@ -93,17 +93,17 @@
 		}
 	}
 	page := min(len(out), s.pageSize)
-	encode(w, http.StatusOK, listAnswer{Entries: out[:page], More: page < len(out), Revision: s.revision})
+	writeResponse(w, http.StatusOK, listAnswer{Entries: out[:page], More: page < len(out), Revision: s.revision})
 }
 
 // serveEntry answers a read of one key; the caller holds the lock.
 func (s *Store) serveEntry(w http.ResponseWriter, key string) {
 	e, ok := s.entries[key]
 	if !ok {
-		encode(w, http.StatusNotFound, revisionAnswer{s.revision})
+		writeResponse(w, http.StatusNotFound, revisionAnswer{s.revision})
 		return
 	}
-	encode(w, http.StatusOK, e)
+	writeResponse(w, http.StatusOK, e)
 }
 
 // serveCommit carries out a transaction, late or without an answer where DelayTransactions asks
@@ -111,7 +111,7 @@
 func (s *Store) serveCommit(w http.ResponseWriter, q *http.Request) {
 	var t state.Txn
 	if !decodeRequest(q, &t) || len(t.Writes) > s.maxWrites {
-		encode(w, http.StatusBadRequest, wire.Error{Error: "malformed"})
+		writeResponse(w, http.StatusBadRequest, wire.Error{Error: "malformed"})
 		return
 	}
 	s.load.Writes += len(t.Writes)
@@ -142,12 +142,12 @@
 		}
 	}
 	if failed != nil {
-		encode(w, http.StatusConflict, conflictAnswer{Failed: failed, Revision: s.revision})
+		writeResponse(w, http.StatusConflict, conflictAnswer{Failed: failed, Revision: s.revision})
 		return
 	}
 	for _, x := range t.Writes {
 		if _, ok := s.leaseExpiry[x.Lease]; x.Lease != 0 && !ok {
-			encode(w, http.StatusBadRequest, wire.Error{Error: "no such lease"})
+			writeResponse(w, http.StatusBadRequest, wire.Error{Error: "no such lease"})
 			return
 		}
 	}
@@ -161,7 +161,7 @@
 		s.entries[x.Put] = state.Entry{Key: x.Put, Value: append(wire.Raw(nil), x.Value...), Version: s.revision, Lease: x.Lease}
 	}
 	s.notifyWatchers()
-	encode(w, http.StatusOK, revisionAnswer{s.revision})
+	writeResponse(w, http.StatusOK, revisionAnswer{s.revision})
 }
 
 // serveGrant grants a lease; the caller holds the lock.
@@ -176,7 +176,7 @@
 	s.lastLease++
 	s.leaseTTL[s.lastLease] = time.Duration(in.TTL) * time.Millisecond
 	s.leaseExpiry[s.lastLease] = time.Now().Add(s.leaseTTL[s.lastLease])
-	encode(w, http.StatusOK, grantAnswer{s.lastLease})
+	writeResponse(w, http.StatusOK, grantAnswer{s.lastLease})
 }
 
 // serveLease renews or ends a lease; the caller holds the lock.
@@ -191,7 +191,7 @@
 	} else {
 		s.leaseExpiry[id] = time.Now().Add(s.leaseTTL[id])
 	}
-	encode(w, http.StatusOK, struct{}{})
+	writeResponse(w, http.StatusOK, struct{}{})
 }
 
 // watchPollInterval is how often a watch looks for leases that have expired.
@@ -207,7 +207,7 @@
 		s.expireLeases()
 		events := s.events(v.Get("under"), after)
 		if (len(events) > 0 && !s.refuses(from)) || time.Now().After(end) {
-			encode(w, http.StatusOK, changesAnswer{Revision: s.revision, Events: events})
+			writeResponse(w, http.StatusOK, changesAnswer{Revision: s.revision, Events: events})
 			return
 		}
 		if !s.awaitChange(q) {
--- a/internal/emulate/worker_commands.go
+++ b/internal/emulate/worker_commands.go
@@ -122,17 +122,17 @@
 		worker.serveHealthCheck(rw, q.URL.Query().Get("piece"))
 		return
 	case !decoded:
-		encode(rw, http.StatusBadRequest, wire.Error{Error: "malformed"})
+		writeResponse(rw, http.StatusBadRequest, wire.Error{Error: "malformed"})
 		return
 	case !valid:
-		encode(rw, http.StatusConflict, worker.heartbeat())
+		writeResponse(rw, http.StatusConflict, worker.heartbeat())
 		return
 	default:
 		worker.raiseToken(d.Token)
 		worker.world.checker.directCommands++
 		worker.execute(d.Commands)
 	}
-	encode(rw, http.StatusOK, worker.heartbeat())
+	writeResponse(rw, http.StatusOK, worker.heartbeat())
 }
 
 // raiseToken takes over a higher fencing token.
