--- a/internal/emulate/emulate.go
+++ b/internal/emulate/emulate.go
@@ -22,12 +22,12 @@
 	Dialer(from string) state.DialFunc
 }
 
-// maxRequest bounds the body of a request, in bytes.
-const maxRequest = 4 * wire.MaxBody
+// maxBodyBytes bounds the body of a request, in bytes.
+const maxBodyBytes = 4 * wire.MaxBody
 
 // decodeRequest reads the body of a request; false: it is malformed.
 func decodeRequest(q *http.Request, v any) bool {
-	b, err := io.ReadAll(io.LimitReader(q.Body, maxRequest))
+	b, err := io.ReadAll(io.LimitReader(q.Body, maxBodyBytes))
 	return err == nil && wire.Unmarshal(b, v) == nil
 }
 
--- a/internal/emulate/worker_heartbeat.go
+++ b/internal/emulate/worker_heartbeat.go
@@ -144,7 +144,7 @@
 	status := 0
 	if err == nil {
 		status = res.StatusCode
-		body, err = io.ReadAll(io.LimitReader(res.Body, maxRequest))
+		body, err = io.ReadAll(io.LimitReader(res.Body, maxBodyBytes))
 		_ = res.Body.Close()
 	}
 	w.mu.Lock()
