--- a/internal/emulate/store_http.go
+++ b/internal/emulate/store_http.go
@@ -15,7 +15,7 @@
 
 // The answers of the key-value store, by their names on the wire.
 type (
-	listAnswer struct {
+	listResponse struct {
 		Entries  []state.Entry `codec:"entries"`
 		More     bool          `codec:"more"`
 		Revision uint64        `codec:"epoch"`
@@ -93,7 +93,7 @@
 		}
 	}
 	page := min(len(out), s.pageSize)
-	writeResponse(w, http.StatusOK, listAnswer{Entries: out[:page], More: page < len(out), Revision: s.revision})
+	writeResponse(w, http.StatusOK, listResponse{Entries: out[:page], More: page < len(out), Revision: s.revision})
 }
 
 // serveEntry answers a read of one key; the caller holds the lock.
