--- a/internal/emulate/store_http.go
+++ b/internal/emulate/store_http.go
@@ -20,7 +20,7 @@
 		More     bool          `codec:"more"`
 		Revision uint64        `codec:"epoch"`
 	}
-	revisionAnswer struct {
+	revisionResponse struct {
 		Revision uint64 `codec:"epoch"`
 	}
 	conflictAnswer struct {
@@ -100,7 +100,7 @@
 func (s *Store) serveEntry(w http.ResponseWriter, key string) {
 	e, ok := s.entries[key]
 	if !ok {
-		writeResponse(w, http.StatusNotFound, revisionAnswer{s.revision})
+		writeResponse(w, http.StatusNotFound, revisionResponse{s.revision})
 		return
 	}
 	writeResponse(w, http.StatusOK, e)
@@ -161,7 +161,7 @@
 		s.entries[x.Put] = state.Entry{Key: x.Put, Value: append(wire.Raw(nil), x.Value...), Version: s.revision, Lease: x.Lease}
 	}
 	s.notifyWatchers()
-	writeResponse(w, http.StatusOK, revisionAnswer{s.revision})
+	writeResponse(w, http.StatusOK, revisionResponse{s.revision})
 }
 
 // serveGrant grants a lease; the caller holds the lock.
