--- a/internal/emulate/store_http.go
+++ b/internal/emulate/store_http.go
@@ -23,7 +23,7 @@
 	revisionResponse struct {
 		Revision uint64 `codec:"epoch"`
 	}
-	conflictAnswer struct {
+	conflictResponse struct {
 		Failed   []string `codec:"failed"` // keys whose conditions do not hold
 		Revision uint64   `codec:"epoch"`
 	}
@@ -142,7 +142,7 @@
 		}
 	}
 	if failed != nil {
-		writeResponse(w, http.StatusConflict, conflictAnswer{Failed: failed, Revision: s.revision})
+		writeResponse(w, http.StatusConflict, conflictResponse{Failed: failed, Revision: s.revision})
 		return
 	}
 	for _, x := range t.Writes {
