--- a/internal/emulate/store_http.go
+++ b/internal/emulate/store_http.go
@@ -27,7 +27,7 @@
 		Failed   []string `codec:"failed"` // keys whose conditions do not hold
 		Revision uint64   `codec:"epoch"`
 	}
-	grantAnswer struct {
+	grantResponse struct {
 		Lease uint64 `codec:"tenure"`
 	}
 	changesAnswer struct {
@@ -176,7 +176,7 @@
 	s.lastLease++
 	s.leaseTTL[s.lastLease] = time.Duration(in.TTL) * time.Millisecond
 	s.leaseExpiry[s.lastLease] = time.Now().Add(s.leaseTTL[s.lastLease])
-	writeResponse(w, http.StatusOK, grantAnswer{s.lastLease})
+	writeResponse(w, http.StatusOK, grantResponse{s.lastLease})
 }
 
 // serveLease renews or ends a lease; the caller holds the lock.
