--- a/internal/emulate/store_http.go
+++ b/internal/emulate/store_http.go
@@ -30,7 +30,7 @@
 	grantResponse struct {
 		Lease uint64 `codec:"tenure"`
 	}
-	changesAnswer struct {
+	changesResponse struct {
 		Revision uint64   `codec:"epoch"`
 		Events   []change `codec:"events"`
 	}
@@ -207,7 +207,7 @@
 		s.expireLeases()
 		events := s.events(v.Get("under"), after)
 		if (len(events) > 0 && !s.refuses(from)) || time.Now().After(end) {
-			writeResponse(w, http.StatusOK, changesAnswer{Revision: s.revision, Events: events})
+			writeResponse(w, http.StatusOK, changesResponse{Revision: s.revision, Events: events})
 			return
 		}
 		if !s.awaitChange(q) {
