--- a/internal/emulate/worker_heartbeat.go
+++ b/internal/emulate/worker_heartbeat.go
@@ -18,8 +18,8 @@
 	minHeartbeatGap = 500 * time.Millisecond
 	// failoverDelay is how long a worker waits before it tries the next controller (protocol).
 	failoverDelay = time.Second
-	// answerTimeout is how late an answer may come (protocol).
-	answerTimeout = 4 * time.Second
+	// responseTimeout is how late an answer may come (protocol).
+	responseTimeout = 4 * time.Second
 )
 
 // heartbeat is the next heartbeat of the worker.
@@ -71,7 +71,7 @@
 	w.wg.Go(func() { _ = srv.Serve(ln) })
 	defer srv.Close()
 	transport := &http.Transport{DialContext: w.cfg.Network.Dialer(from), MaxIdleConnsPerHost: 1}
-	hc := &http.Client{Timeout: answerTimeout, Transport: transport}
+	hc := &http.Client{Timeout: responseTimeout, Transport: transport}
 	defer hc.CloseIdleConnections()
 	sending := make(chan struct{}, 1)
 	for w.sleep(stepInterval) {
@@ -164,7 +164,7 @@
 	if wire.Unmarshal(body, &a) != nil || a.Token < worker.token || session != worker.session {
 		return
 	}
-	if time.Since(sent) > answerTimeout || worker.removed || worker.hanging {
+	if time.Since(sent) > responseTimeout || worker.removed || worker.hanging {
 		return
 	}
 	worker.raiseToken(a.Token)
