--- a/internal/emulate/worker_heartbeat.go
+++ b/internal/emulate/worker_heartbeat.go
@@ -150,15 +150,15 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if err == nil && status == http.StatusOK {
-		worker.acceptAnswer(controller, body, heartbeat.Session, sent)
+		worker.handleResponse(controller, body, heartbeat.Session, sent)
 		return
 	}
 	worker.failover(controller, status, body, sent)
 }
 
-// acceptAnswer renews the lease by the answer to a heartbeat of a session and carries out its
+// handleResponse renews the lease by the answer to a heartbeat of a session and carries out its
 // orders, unless it comes late or from a leader that is superseded; the caller holds the lock.
-func (worker *Worker) acceptAnswer(controller int, body []byte, session uint64, sent time.Time) {
+func (worker *Worker) handleResponse(controller int, body []byte, session uint64, sent time.Time) {
 	w := worker.world
 	var a wire.HeartbeatResponse
 	if wire.Unmarshal(body, &a) != nil || a.Token < worker.token || session != worker.session {
