--- a/internal/emulate/store_faults.go
+++ b/internal/emulate/store_faults.go
@@ -49,8 +49,8 @@
 	s.mu.Unlock()
 }
 
-// outageLease is how long a lease lasts in an outage: longer than any outage.
-const outageLease = time.Hour
+// outageLeaseDuration is how long a lease lasts in an outage: longer than any outage.
+const outageLeaseDuration = time.Hour
 
 // SetOutage begins an outage, in which all are refused and no lease expires, or ends it;
 // afterwards leases have their full time.
@@ -60,7 +60,7 @@
 	if on {
 		s.refuses = func(string) bool { return true }
 		for id := range s.leaseExpiry {
-			s.leaseExpiry[id] = time.Now().Add(outageLease)
+			s.leaseExpiry[id] = time.Now().Add(outageLeaseDuration)
 		}
 		return
 	}
