--- a/internal/emulate/user_checks.go
+++ b/internal/emulate/user_checks.go
@@ -269,9 +269,9 @@
 	}
 }
 
-// servedShare is the part of a job that was served: of a service the tasks that have started,
+// servedFraction is the part of a job that was served: of a service the tasks that have started,
 // of the others those that are done.
-func (w *World) servedShare(s *job.Spec) float64 {
+func (w *World) servedFraction(s *job.Spec) float64 {
 	if s.ShapeName != service {
 		return float64(len(w.checker.completedTasks[s.ID])) / float64(s.Tasks)
 	}
@@ -313,7 +313,7 @@
 func (w *World) checkHalfServed(what string, jobs []*job.Spec) {
 	sum := 0.0
 	for _, s := range jobs {
-		sum += w.servedShare(s)
+		sum += w.servedFraction(s)
 	}
 	if 2*sum < float64(len(jobs)) {
 		w.addViolation("served: %.1f of %d jobs of %s", sum, len(jobs), what)
