--- a/internal/emulate/user_checks.go
+++ b/internal/emulate/user_checks.go
@@ -302,7 +302,7 @@
 	}
 	for _, class := range slices.Sorted(maps.Keys(byClass)) {
 		w.checkHalfServed("class "+class, byClass[class])
-		w.checkLargest("class "+class, byClass[class])
+		w.checkLargestJobs("class "+class, byClass[class])
 	}
 	for _, team := range slices.Sorted(maps.Keys(byTeam)) {
 		w.checkHalfServed("team "+team, byTeam[team])
@@ -320,9 +320,9 @@
 	}
 }
 
-// checkLargest checks that the largest jobs of a class are served and have started in time; the
+// checkLargestJobs checks that the largest jobs of a class are served and have started in time; the
 // caller holds the lock.
-func (w *World) checkLargest(class string, jobs []*job.Spec) {
+func (w *World) checkLargestJobs(class string, jobs []*job.Spec) {
 	slices.SortFunc(jobs, func(a, b *job.Spec) int {
 		return cmp.Or(-cmp.Compare(totalResources(a), totalResources(b)), cmp.Compare(a.ID, b.ID))
 	})
