--- a/internal/emulate/user_checks_test.go
+++ b/internal/emulate/user_checks_test.go
@@ -194,8 +194,8 @@
 	}, ""},
 }
 
-// TestJudge: the violations that the checker finds, each of which no scenario must have.
-func TestJudge(t *testing.T) {
+// TestInvariantViolationsAreDetected: the violations that the checker finds, each of which no scenario must have.
+func TestInvariantViolationsAreDetected(t *testing.T) {
 	for _, tt := range slices.Concat(answerCases, startCases, starvationCases, serviceLevelCases) {
 		w := New(Config{CancelTimeout: time.Minute, LeaseDuration: time.Hour})
 		tt.happen(w)
