--- a/internal/emulate/emulate_test.go
+++ b/internal/emulate/emulate_test.go
@@ -9,8 +9,8 @@
 	"vetchstream/internal/config"
 )
 
-// TestTroubles: mistakes in a list of troubles are named by place and field.
-func TestTroubles(t *testing.T) {
+// TestParseFaultsNamesInvalidField: mistakes in a list of troubles are named by place and field.
+func TestParseFaultsNamesInvalidField(t *testing.T) {
 	tests := []struct{ text, want string }{
 		{`[]`, ""},
 		{`[{"at_s":1,"for_s":2,"kind":"state_outage"},{"kind":"machines_die","machines":3}]`, ""},
