--- a/internal/emulate/emulate_test.go
+++ b/internal/emulate/emulate_test.go
@@ -32,9 +32,9 @@
 	}
 }
 
-// TestCluster: the settings that an emulation writes are ones that a controller
+// TestClusterSettingsAreValid: the settings that an emulation writes are ones that a controller
 // takes, and what cannot be emulated is refused.
-func TestCluster(t *testing.T) {
+func TestClusterSettingsAreValid(t *testing.T) {
 	tests := []struct {
 		name string
 		o    Options
