--- a/internal/emulate/cloud.go
+++ b/internal/emulate/cloud.go
@@ -26,25 +26,25 @@
 	defer w.mu.Unlock()
 	switch q.URL.Path {
 	case "/machine_types":
-		encode(rw, http.StatusOK, wire.MachineTypes{Types: w.cfg.Types})
+		writeResponse(rw, http.StatusOK, wire.MachineTypes{Types: w.cfg.Types})
 	case "/hosts/release":
 		w.serveRelease(rw, q)
 	case "/hosts":
 		if q.Method == http.MethodGet {
-			encode(rw, http.StatusOK, w.machineList(q.URL.Query().Get("after")))
+			writeResponse(rw, http.StatusOK, w.machineList(q.URL.Query().Get("after")))
 			return
 		}
 		w.serveProvision(rw, q)
 	default:
-		encode(rw, http.StatusNotFound, wire.Error{Error: "no such route"})
+		writeResponse(rw, http.StatusNotFound, wire.Error{Error: "no such route"})
 	}
 }
 
 // serveRelease takes machines away; the caller holds the lock.
 func (w *World) serveRelease(rw http.ResponseWriter, q *http.Request) {
 	var in wire.MachineNames
-	if !decode(q, &in) {
-		encode(rw, http.StatusBadRequest, wire.Error{Error: "malformed"})
+	if !decodeRequest(q, &in) {
+		writeResponse(rw, http.StatusBadRequest, wire.Error{Error: "malformed"})
 		return
 	}
 	for _, name := range in.Names {
@@ -52,23 +52,23 @@
 			worker.remove(time.Now())
 		}
 	}
-	encode(rw, http.StatusOK, map[string]any{})
+	writeResponse(rw, http.StatusOK, map[string]any{})
 }
 
 // serveProvision starts machines, once for each request; the caller holds the lock.
 func (w *World) serveProvision(rw http.ResponseWriter, q *http.Request) {
 	var in wire.RentalRequest
-	if !decode(q, &in) || w.machineType(in.Type) == nil {
-		encode(rw, http.StatusBadRequest, wire.Error{Error: "malformed"})
+	if !decodeRequest(q, &in) || w.machineType(in.Type) == nil {
+		writeResponse(rw, http.StatusBadRequest, wire.Error{Error: "malformed"})
 		return
 	}
 	if old, ok := w.provisioned[in.Request]; ok {
-		encode(rw, http.StatusOK, wire.MachineNames{Names: old})
+		writeResponse(rw, http.StatusOK, wire.MachineNames{Names: old})
 		return
 	}
 	n := min(in.Count, w.cfg.MaxMachines-len(w.workers), w.zoneCapacity(in.Zone))
 	if n <= 0 {
-		encode(rw, http.StatusServiceUnavailable, wire.Error{Error: "no capacity"})
+		writeResponse(rw, http.StatusServiceUnavailable, wire.Error{Error: "no capacity"})
 		return
 	}
 	var names []string
@@ -81,7 +81,7 @@
 		names = append(names, w.boot(in.Type, in.Zone, in.Spot, bootTime))
 	}
 	w.provisioned[in.Request] = names
-	encode(rw, http.StatusOK, wire.MachineNames{Names: names})
+	writeResponse(rw, http.StatusOK, wire.MachineNames{Names: names})
 }
 
 // seconds is a time that settings give in seconds.
@@ -121,7 +121,7 @@
 		out = append(out, wire.CloudMachine{
 			Name:  name,
 			Addr:  worker.addr,
-			Type:  worker.typ,
+			Type:  worker.typeName,
 			Zone:  worker.zone,
 			Spot:  worker.spot,
 			Phase: phase,
@@ -142,17 +142,17 @@
 func (w *World) boot(typ, zone string, spot bool, bootTime time.Duration) string {
 	w.machinesCreated++
 	worker := &Worker{
-		world:      w,
-		name:       fmt.Sprintf("host-%06d", w.machinesCreated),
-		addr:       fmt.Sprintf("w%d:9000", w.machinesCreated),
-		typ:        typ,
-		zone:       zone,
-		spot:       spot,
-		createdAt:  time.Now(),
-		bootedAt:   time.Now().Add(bootTime),
-		session:    1,
-		tasks:      map[string]*task{},
-		controller: w.machinesCreated % len(w.cfg.Controllers),
+		world:           w,
+		name:            fmt.Sprintf("host-%06d", w.machinesCreated),
+		addr:            fmt.Sprintf("w%d:9000", w.machinesCreated),
+		typeName:        typ,
+		zone:            zone,
+		spot:            spot,
+		createdAt:       time.Now(),
+		bootedAt:        time.Now().Add(bootTime),
+		session:         1,
+		tasks:           map[string]*task{},
+		controllerIndex: w.machinesCreated % len(w.cfg.Controllers),
 	}
 	w.workers[worker.name] = worker
 	w.wg.Go(worker.run)
--- a/internal/emulate/cluster.go
+++ b/internal/emulate/cluster.go
@@ -15,8 +15,8 @@
 
 // Options says what cluster is emulated on this machine.
 type Options struct {
-	// Nodes is the number of controllers, which the caller starts.
-	Nodes int
+	// Controllers is the number of controllers, which the caller starts.
+	Controllers int
 	// MaxMachines is the most that the cloud has.
 	MaxMachines int
 	// Listen is the address of the first controller for users and workers; the
@@ -27,9 +27,9 @@
 
 // Bounds of an emulation.
 const (
-	maxNodes    = 9
-	maxMachines = 1000
-	maxPort     = 65535
+	maxControllers = 9
+	maxMachines    = 1000
+	maxPort        = 65535
 )
 
 // peerPortOffset is how far above its port for users a controller's peer port is.
@@ -49,57 +49,59 @@
 // clusterZones are the zones of an emulated cluster.
 var clusterZones = []string{"east", "north", "south", "west"}
 
-// clusterTypes are the machine types of an emulated cluster. They boot fast, so that a newcomer
+// clusterMachineTypes are the machine types of an emulated cluster. They boot fast, so that a newcomer
 // need not wait.
-var clusterTypes = []wire.MachineType{
+var clusterMachineTypes = []wire.MachineType{
 	{Name: "small", CPUs: 4, MemGB: 16, CacheGB: 20, FetchRate: 2, Price: 0.2, SpotPrice: 0.06, BootS: 2, Zones: clusterZones},
 	{Name: "large", CPUs: 16, MemGB: 64, CacheGB: 20, FetchRate: 2, Price: 0.8, SpotPrice: 0.24, BootS: 3, Zones: clusterZones},
 }
 
-// address is where the controllers of a cluster listen: a host of loopback and the first port.
-type address struct {
+// listenAddress is where the controllers of a cluster listen: a host of loopback and the first port.
+type listenAddress struct {
 	host string
 	port int
 }
 
-// user is the address of controller i for users and workers.
-func (a address) user(i int) string { return net.JoinHostPort(a.host, strconv.Itoa(a.port+i)) }
+// userAddr is the address of controller i for users and workers.
+func (a listenAddress) userAddr(i int) string {
+	return net.JoinHostPort(a.host, strconv.Itoa(a.port+i))
+}
 
-// peer is the address of controller i for the other controllers.
-func (a address) peer(i int) string {
+// peerAddr is the address of controller i for the other controllers.
+func (a listenAddress) peerAddr(i int) string {
 	return net.JoinHostPort(a.host, strconv.Itoa(a.port+peerPortOffset+i))
 }
 
-// check returns the address of the first controller, or an error that names the option that
+// validate returns the address of the first controller, or an error that names the option that
 // cannot be emulated.
-func (o *Options) check() (address, error) {
-	if o.Nodes < 1 || o.Nodes > maxNodes {
-		return address{}, fmt.Errorf("emulation: %d controllers, not from 1 to %d", o.Nodes, maxNodes)
+func (o *Options) validate() (listenAddress, error) {
+	if o.Controllers < 1 || o.Controllers > maxControllers {
+		return listenAddress{}, fmt.Errorf("emulation: %d controllers, not from 1 to %d", o.Controllers, maxControllers)
 	}
 	if o.MaxMachines < 1 || o.MaxMachines > maxMachines {
-		return address{}, fmt.Errorf("emulation: %d machines, not from 1 to %d", o.MaxMachines, maxMachines)
+		return listenAddress{}, fmt.Errorf("emulation: %d machines, not from 1 to %d", o.MaxMachines, maxMachines)
 	}
 	host, text, err := net.SplitHostPort(o.Listen)
 	if err != nil {
-		return address{}, fmt.Errorf("emulation: %w", err)
+		return listenAddress{}, fmt.Errorf("emulation: %w", err)
 	}
 	ip := net.ParseIP(host)
 	if ip == nil || !ip.IsLoopback() {
-		return address{}, fmt.Errorf("emulation: %q is not an address of loopback", o.Listen)
+		return listenAddress{}, fmt.Errorf("emulation: %q is not an address of loopback", o.Listen)
 	}
 	port, err := strconv.Atoi(text)
-	if err != nil || port < 1 || port+peerPortOffset+o.Nodes > maxPort {
-		return address{}, fmt.Errorf("emulation: port %q is not usable", text)
+	if err != nil || port < 1 || port+peerPortOffset+o.Controllers > maxPort {
+		return listenAddress{}, fmt.Errorf("emulation: port %q is not usable", text)
 	}
-	return address{host, port}, nil
+	return listenAddress{host, port}, nil
 }
 
-// nodeName is the name of controller i as a member.
-func nodeName(i int) string { return fmt.Sprintf("node-%d", i) }
+// memberName is the name of controller i as a member.
+func memberName(i int) string { return fmt.Sprintf("node-%d", i) }
 
 // Start begins an emulation on loopback.
 func Start(o Options) (*Cluster, error) {
-	listen, err := o.check()
+	listen, err := o.validate()
 	if err != nil {
 		return nil, err
 	}
@@ -117,7 +119,7 @@
 		cl.Close()
 		return nil, err
 	}
-	for i := range o.Nodes {
+	for i := range o.Controllers {
 		cl.Settings = append(cl.Settings, controllerSettings(settings, listen, i))
 	}
 	return cl, nil
@@ -125,22 +127,22 @@
 
 // worldConfig is the cloud and the workers of a cluster, with the timings that its controllers
 // are set to.
-func worldConfig(o *Options, network Network, store *Store, listen address, timings *config.Workers) Config {
+func worldConfig(o *Options, network Network, store *Store, listen listenAddress, timings *config.Workers) Config {
 	var controllers []Controller
-	for i := range o.Nodes {
-		controllers = append(controllers, Controller{Member: nodeName(i), Addr: listen.user(i)})
+	for i := range o.Controllers {
+		controllers = append(controllers, Controller{Member: memberName(i), Addr: listen.userAddr(i)})
 	}
 	return Config{
 		Network:           network,
 		Store:             store,
-		Types:             clusterTypes,
+		Types:             clusterMachineTypes,
 		MaxMachines:       o.MaxMachines,
 		Controllers:       controllers,
 		LeaseDuration:     config.Seconds(timings.LeaseS),
 		CancelTimeout:     config.Seconds(timings.CancelS),
 		HeartbeatInterval: config.Seconds(timings.ReportS),
 		GangTimeout:       config.Seconds(timings.GangWaitS),
-		ImagePull:         300 * time.Millisecond,
+		ImagePullTime:     300 * time.Millisecond,
 		ListLag:           time.Second,
 		Log:               o.Log,
 	}
@@ -164,20 +166,20 @@
 
 // controllerSettings are the settings of controller i: those of the platform, with its own
 // addresses and those of the others.
-func controllerSettings(platform *config.Settings, listen address, i int) *config.Settings {
+func controllerSettings(platform *config.Settings, listen listenAddress, i int) *config.Settings {
 	set := *platform
-	set.Member = nodeName(i)
+	set.Member = memberName(i)
 	set.Site = clusterZones[i%len(clusterZones)]
-	set.Listen = listen.user(i)
-	set.PeerListen = listen.peer(i)
+	set.Listen = listen.userAddr(i)
+	set.PeerListen = listen.peerAddr(i)
 	for j := range platform.Facts.Nodes {
 		if j == i {
 			continue
 		}
 		set.Siblings = append(set.Siblings, config.Sibling{
-			Member:  nodeName(j),
+			Member:  memberName(j),
 			Site:    clusterZones[j%len(clusterZones)],
-			Address: listen.peer(j),
+			Address: listen.peerAddr(j),
 		})
 	}
 	return &set
@@ -187,7 +189,7 @@
 func platformFacts(o Options) *config.Settings {
 	s := &config.Settings{}
 	f := &s.Facts
-	f.Nodes = o.Nodes
+	f.Nodes = o.Controllers
 	f.Zones = clusterZones
 	f.SkewMs = 50
 	f.Teams = []config.Team{{Name: "red"}, {Name: "blue"}}
--- a/internal/emulate/emulate.go
+++ b/internal/emulate/emulate.go
@@ -22,17 +22,17 @@
 	Dialer(from string) state.DialFunc
 }
 
-// maxRequest bounds the body of a request, in bytes.
-const maxRequest = 4 * wire.MaxBody
+// maxBodyBytes bounds the body of a request, in bytes.
+const maxBodyBytes = 4 * wire.MaxBody
 
-// decode reads the body of a request; false: it is malformed.
-func decode(q *http.Request, v any) bool {
-	b, err := io.ReadAll(io.LimitReader(q.Body, maxRequest))
+// decodeRequest reads the body of a request; false: it is malformed.
+func decodeRequest(q *http.Request, v any) bool {
+	b, err := io.ReadAll(io.LimitReader(q.Body, maxBodyBytes))
 	return err == nil && wire.Unmarshal(b, v) == nil
 }
 
-// encode writes an answer.
-func encode(w http.ResponseWriter, status int, v any) {
+// writeResponse writes an answer.
+func writeResponse(w http.ResponseWriter, status int, v any) {
 	b, err := wire.Marshal(v)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
--- a/internal/emulate/faults.go
+++ b/internal/emulate/faults.go
@@ -29,28 +29,28 @@
 // faultKind is a kind of fault: the fields that it needs, and how it is injected. inject calls
 // wait, which lasts as long as the fault does, before it undoes the fault.
 type faultKind struct {
-	machines, image, delay bool
-	inject                 func(cl *Cluster, f Fault, r *rand.Rand, wait func())
+	needsMachines, needsImage, needsDelay bool
+	inject                                func(cl *Cluster, f Fault, r *rand.Rand, wait func())
 }
 
 // faultKinds are the kinds of faults by their names.
 var faultKinds = map[string]faultKind{
-	"state_outage":    {inject: injectOutage},
-	"state_slow":      {delay: true, inject: injectLatency},
-	"machines_die":    {machines: true, inject: injectMachineLoss},
-	"machines_hang":   {machines: true, inject: injectHang},
-	"machines_sick":   {machines: true, inject: injectFaultyMachines},
-	"image_unhealthy": {image: true, inject: injectUnhealthyImage},
-	"image_crashes":   {image: true, inject: injectCrashingImage},
+	"state_outage":    {inject: injectStoreOutage},
+	"state_slow":      {needsDelay: true, inject: injectStoreLatency},
+	"machines_die":    {needsMachines: true, inject: injectMachineLoss},
+	"machines_hang":   {needsMachines: true, inject: injectHang},
+	"machines_sick":   {needsMachines: true, inject: injectFaultyMachines},
+	"image_unhealthy": {needsImage: true, inject: injectUnhealthyImage},
+	"image_crashes":   {needsImage: true, inject: injectCrashingImage},
 }
 
-func injectOutage(cl *Cluster, _ Fault, _ *rand.Rand, wait func()) {
+func injectStoreOutage(cl *Cluster, _ Fault, _ *rand.Rand, wait func()) {
 	cl.Store.SetOutage(true)
 	wait()
 	cl.Store.SetOutage(false)
 }
 
-func injectLatency(cl *Cluster, f Fault, _ *rand.Rand, wait func()) {
+func injectStoreLatency(cl *Cluster, f Fault, _ *rand.Rand, wait func()) {
 	cl.Store.SetLatency(time.Duration(f.DelayMs) * time.Millisecond)
 	wait()
 	cl.Store.SetLatency(0)
@@ -72,20 +72,20 @@
 }
 
 func injectUnhealthyImage(cl *Cluster, f Fault, _ *rand.Rand, wait func()) {
-	cl.World.SetImageBehavior(f.Image, ImageBehavior{UnhealthyAfter: f.after()})
+	cl.World.SetImageBehavior(f.Image, ImageBehavior{UnhealthyAfter: f.failureDelay()})
 	wait()
 	cl.World.SetImageBehavior(f.Image, ImageBehavior{})
 }
 
 func injectCrashingImage(cl *Cluster, f Fault, _ *rand.Rand, wait func()) {
-	cl.World.SetImageBehavior(f.Image, ImageBehavior{CrashAfter: f.after()})
+	cl.World.SetImageBehavior(f.Image, ImageBehavior{CrashAfter: f.failureDelay()})
 	wait()
 	cl.World.SetImageBehavior(f.Image, ImageBehavior{})
 }
 
-// after is when an image's tasks fail, at least a millisecond after their start: 0 would mean
+// failureDelay is when an image's tasks fail, at least a millisecond failureDelay their start: 0 would mean
 // never.
-func (f Fault) after() time.Duration { return seconds(max(f.AfterS, 0.001)) }
+func (f Fault) failureDelay() time.Duration { return seconds(max(f.AfterS, 0.001)) }
 
 const (
 	// maxFaults bounds a list of faults.
@@ -125,11 +125,11 @@
 		return "at_s", "not from 0 to 1,000,000"
 	case f.ForS < 0 || f.ForS > maxFaultS:
 		return "for_s", "not from 0 to 1,000,000"
-	case kind.machines && f.Machines < 1:
+	case kind.needsMachines && f.Machines < 1:
 		return "machines", "not above 0"
-	case kind.image && f.Image == "":
+	case kind.needsImage && f.Image == "":
 		return "image", "missing"
-	case kind.delay && (f.DelayMs < 1 || f.DelayMs > maxFaultDelayMs):
+	case kind.needsDelay && (f.DelayMs < 1 || f.DelayMs > maxFaultDelayMs):
 		return "delay_ms", "not from 1 to 60,000"
 	}
 	return "", ""
--- a/internal/emulate/invariants.go
+++ b/internal/emulate/invariants.go
@@ -18,9 +18,9 @@
 	users      userObservations
 	violations []string
 
-	reportedPhase map[string]wire.JobPhase  // job -> the last final phase that a user was told, or phaseAccepted
-	cancelledAt   map[string]time.Time      // job -> the first answer that confirmed its cancellation
-	completed     map[string]map[int32]bool // job -> its tasks that are done
+	reportedPhase  map[string]wire.JobPhase  // job -> the last final phase that a user was told, or phaseAccepted
+	cancelledAt    map[string]time.Time      // job -> the first answer that confirmed its cancellation
+	completedTasks map[string]map[int32]bool // job -> its tasks that are done
 
 	starts                  int
 	startsAfterCancellation int            // of tasks whose cancellation was confirmed
@@ -46,7 +46,7 @@
 		users:              newUserObservations(),
 		reportedPhase:      map[string]wire.JobPhase{},
 		cancelledAt:        map[string]time.Time{},
-		completed:          map[string]map[int32]bool{},
+		completedTasks:     map[string]map[int32]bool{},
 		heartbeatsAnswered: map[string]int{},
 		unansweredTime:     hdrhistogram.New(1, time.Hour.Milliseconds(), 3),
 	}
@@ -147,10 +147,10 @@
 	if before != "" && phase != before {
 		w.addViolation("went_back: %s was %s, is %s", spec.ID, before, phase)
 	}
-	if n := len(w.checker.completed[spec.ID]); phase == wire.JobDone && n != spec.Tasks {
+	if n := len(w.checker.completedTasks[spec.ID]); phase == wire.JobDone && n != spec.Tasks {
 		w.addViolation("not_done: %s has %d of %d tasks", spec.ID, n, spec.Tasks)
 	}
-	if phase == wire.JobCancelled && !cancelled && !w.checker.users.cancelled[spec.ID] {
+	if phase == wire.JobCancelled && !cancelled && !w.checker.users.cancelledByScenario[spec.ID] {
 		w.addViolation("went_back: %s was not cancelled by its user", spec.ID)
 	}
 	if phase.Final() {
@@ -170,8 +170,8 @@
 	if worker.spot && !t.spec.Spot {
 		w.addViolation("wrong_place: %s on a spot machine", t.name)
 	}
-	if t.spec.Types != nil && !slices.Contains(t.spec.Types, worker.typ) {
-		w.addViolation("wrong_place: %s on a %s", t.name, worker.typ)
+	if t.spec.Types != nil && !slices.Contains(t.spec.Types, worker.typeName) {
+		w.addViolation("wrong_place: %s on a %s", t.name, worker.typeName)
 	}
 	if t.spec.Zone != "" && t.spec.Zone != worker.zone {
 		w.addViolation("wrong_place: %s in %s", t.name, worker.zone)
@@ -210,10 +210,10 @@
 // checkLimit checks that the task's team is within its limit; the caller holds the lock.
 func (w *World) checkLimit(t *task) {
 	limit := w.cfg.Limits[t.spec.Team]
-	if limit == (Limit{}) {
+	if limit == (Resources{}) {
 		return
 	}
-	used := Limit{t.spec.CPUs, t.spec.GPUs}
+	used := Resources{t.spec.CPUs, t.spec.GPUs}
 	for x, other := range w.tasks.byTeam[t.spec.Team] {
 		if x != t && other.occupies(x) {
 			used.CPUs += x.spec.CPUs
@@ -226,7 +226,7 @@
 }
 
 // exceededBy reports whether a team that uses that much is above its limit, but for rounding.
-func (l Limit) exceededBy(used Limit) bool {
+func (l Resources) exceededBy(used Resources) bool {
 	const rounding = 1e-6
 	return (l.CPUs > 0 && used.CPUs > l.CPUs+rounding) || (l.GPUs > 0 && used.GPUs > l.GPUs+rounding)
 }
@@ -264,10 +264,10 @@
 // recordCompleted records a task that is done; the members of a gang complete together. The
 // caller holds the lock.
 func (w *World) recordCompleted(t *task) {
-	tasks := w.checker.completed[t.spec.ID]
+	tasks := w.checker.completedTasks[t.spec.ID]
 	if tasks == nil {
 		tasks = map[int32]bool{}
-		w.checker.completed[t.spec.ID] = tasks
+		w.checker.completedTasks[t.spec.ID] = tasks
 	}
 	tasks[t.index] = true
 	if t.spec.ShapeName == gang {
--- a/internal/emulate/store_faults.go
+++ b/internal/emulate/store_faults.go
@@ -18,12 +18,12 @@
 // Write implements http.ResponseWriter.
 func (discardResponse) Write(b []byte) (int, error) { return len(b), nil }
 
-// AnswersLost counts the transactions that were carried out at once and whose answers were
+// ResponsesLost counts the transactions that were carried out at once and whose answers were
 // lost.
-func (s *Store) AnswersLost() int {
+func (s *Store) ResponsesLost() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.answersLost
+	return s.responsesLost
 }
 
 // RefuseFrom refuses the hosts for which f is true, with status 503.
@@ -49,8 +49,8 @@
 	s.mu.Unlock()
 }
 
-// outageLease is how long a lease lasts in an outage: longer than any outage.
-const outageLease = time.Hour
+// outageLeaseDuration is how long a lease lasts in an outage: longer than any outage.
+const outageLeaseDuration = time.Hour
 
 // SetOutage begins an outage, in which all are refused and no lease expires, or ends it;
 // afterwards leases have their full time.
@@ -60,7 +60,7 @@
 	if on {
 		s.refuses = func(string) bool { return true }
 		for id := range s.leaseExpiry {
-			s.leaseExpiry[id] = time.Now().Add(outageLease)
+			s.leaseExpiry[id] = time.Now().Add(outageLeaseDuration)
 		}
 		return
 	}
--- a/internal/emulate/user_checks.go
+++ b/internal/emulate/user_checks.go
@@ -14,27 +14,27 @@
 
 // userObservations are what users check beside the invariants of the protocol.
 type userObservations struct {
-	submittedAt   map[string]time.Time // job -> its first submission
-	acceptedAt    map[string]time.Time
-	answeredAt    map[string]time.Time // job -> the last poll that was answered
-	startedAt     map[string]time.Time // job -> its first task that got its image
-	startedTasks  map[string]bool      // tasks that did
-	faultsOver    time.Time            // when the last fault was over; zero: it is not
-	forgotten     map[string]bool      // jobs that are reported as forgotten
-	cancelled     map[string]bool      // jobs that were cancelled beside what their own users do
-	starvingSince map[string]time.Time // job -> since when it waits beside free resources
+	submittedAt         map[string]time.Time // job -> its first submission
+	acceptedAt          map[string]time.Time
+	answeredAt          map[string]time.Time // job -> the last poll that was answered
+	startedAt           map[string]time.Time // job -> its first task that got its image
+	startedTasks        map[string]bool      // tasks that did
+	faultsEndedAt       time.Time            // when the last fault was over; zero: it is not
+	reportedForgotten   map[string]bool      // jobs that are reported as forgotten
+	cancelledByScenario map[string]bool      // jobs that were cancelled beside what their own users do
+	starvingSince       map[string]time.Time // job -> since when it waits beside free resources
 }
 
 func newUserObservations() userObservations {
 	return userObservations{
-		submittedAt:   map[string]time.Time{},
-		acceptedAt:    map[string]time.Time{},
-		answeredAt:    map[string]time.Time{},
-		startedAt:     map[string]time.Time{},
-		startedTasks:  map[string]bool{},
-		forgotten:     map[string]bool{},
-		cancelled:     map[string]bool{},
-		starvingSince: map[string]time.Time{},
+		submittedAt:         map[string]time.Time{},
+		acceptedAt:          map[string]time.Time{},
+		answeredAt:          map[string]time.Time{},
+		startedAt:           map[string]time.Time{},
+		startedTasks:        map[string]bool{},
+		reportedForgotten:   map[string]bool{},
+		cancelledByScenario: map[string]bool{},
+		starvingSince:       map[string]time.Time{},
 	}
 }
 
@@ -51,10 +51,10 @@
 	largestFraction = 10
 )
 
-// FaultsOver records that all faults are over.
-func (w *World) FaultsOver() {
+// FaultsEnded records that all faults are over.
+func (w *World) FaultsEnded() {
 	w.mu.Lock()
-	w.checker.users.faultsOver = time.Now()
+	w.checker.users.faultsEndedAt = time.Now()
 	w.mu.Unlock()
 }
 
@@ -75,16 +75,16 @@
 		return
 	}
 	since, ok := u.acceptedAt[id]
-	if !ok || u.faultsOver.IsZero() || u.forgotten[id] {
+	if !ok || u.faultsEndedAt.IsZero() || u.reportedForgotten[id] {
 		return
 	}
-	for _, at := range []time.Time{u.answeredAt[id], u.faultsOver} {
+	for _, at := range []time.Time{u.answeredAt[id], u.faultsEndedAt} {
 		if at.After(since) {
 			since = at
 		}
 	}
 	if now.Sub(since) > unansweredLimit {
-		u.forgotten[id] = true
+		u.reportedForgotten[id] = true
 		w.addViolation("forgotten: no question about %s was answered for %v", id, now.Sub(since).Round(time.Second))
 	}
 }
@@ -117,7 +117,7 @@
 	for _, worker := range w.workers {
 		for _, t := range worker.tasks {
 			id := t.jobID()
-			accepted := w.checker.reportedPhase[id] == phaseAccepted && !w.checker.users.cancelled[id]
+			accepted := w.checker.reportedPhase[id] == phaseAccepted && !w.checker.users.cancelledByScenario[id]
 			if t.spec != nil && worker.occupies(t) && accepted {
 				running[id] = t.spec
 			}
@@ -126,7 +126,7 @@
 	ids := slices.Sorted(maps.Keys(running))
 	r.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
 	for _, id := range ids[:min(n, len(ids))] {
-		w.checker.users.cancelled[id] = true
+		w.checker.users.cancelledByScenario[id] = true
 		out = append(out, running[id])
 	}
 	return out
@@ -144,10 +144,10 @@
 // caller holds the lock.
 func (w *World) notifyLastTaskDone(s *job.Spec) {
 	u := &w.checker.users
-	if w.onLastTaskDone == nil || w.checker.reportedPhase[s.ID] != phaseAccepted || u.cancelled[s.ID] || len(w.checker.completed[s.ID]) < s.Tasks {
+	if w.onLastTaskDone == nil || w.checker.reportedPhase[s.ID] != phaseAccepted || u.cancelledByScenario[s.ID] || len(w.checker.completedTasks[s.ID]) < s.Tasks {
 		return
 	}
-	u.cancelled[s.ID] = true
+	u.cancelledByScenario[s.ID] = true
 	f := w.onLastTaskDone
 	w.wg.Go(func() { f(s) })
 }
@@ -192,9 +192,9 @@
 
 // placedTasks counts the tasks on machines by job, and adds up their resources by team; the
 // caller holds the lock.
-func (w *World) placedTasks() (placed map[string]int, used map[string]Limit) {
+func (w *World) placedTasks() (placed map[string]int, used map[string]Resources) {
 	placed = map[string]int{}
-	used = map[string]Limit{}
+	used = map[string]Resources{}
 	for _, worker := range w.workers {
 		for _, t := range worker.tasks {
 			if t.spec == nil || t.phase == wire.TaskExited {
@@ -202,7 +202,7 @@
 			}
 			placed[t.jobID()]++
 			team := used[t.spec.Team]
-			used[t.spec.Team] = Limit{team.CPUs + t.spec.CPUs, team.GPUs + t.spec.GPUs}
+			used[t.spec.Team] = Resources{team.CPUs + t.spec.CPUs, team.GPUs + t.spec.GPUs}
 		}
 	}
 	return placed, used
@@ -210,11 +210,11 @@
 
 // starves reports whether an accepted job without a task on a machine waits beside free
 // resources; the caller holds the lock.
-func (w *World) starves(s *job.Spec, placed int, usedByTeam Limit) bool {
-	if w.checker.reportedPhase[s.ID] != phaseAccepted || w.checker.users.cancelled[s.ID] || placed > 0 {
+func (w *World) starves(s *job.Spec, placed int, usedByTeam Resources) bool {
+	if w.checker.reportedPhase[s.ID] != phaseAccepted || w.checker.users.cancelledByScenario[s.ID] || placed > 0 {
 		return false
 	}
-	waiting := s.Tasks - placed - len(w.checker.completed[s.ID])
+	waiting := s.Tasks - placed - len(w.checker.completedTasks[s.ID])
 	if waiting < 1 {
 		return false
 	}
@@ -222,7 +222,7 @@
 	if s.ShapeName == gang {
 		least = waiting
 	}
-	withJob := Limit{usedByTeam.CPUs + float64(least)*s.CPUs, usedByTeam.GPUs + float64(least)*s.GPUs}
+	withJob := Resources{usedByTeam.CPUs + float64(least)*s.CPUs, usedByTeam.GPUs + float64(least)*s.GPUs}
 	return !w.cfg.Limits[s.Team].exceededBy(withJob) && w.spareCapacity(s) >= least
 }
 
@@ -252,7 +252,7 @@
 func (worker *Worker) fits(s *job.Spec) bool {
 	up := !time.Now().Before(worker.bootedAt) && !worker.hanging && !worker.faulty
 	zone := s.Zone == "" || s.Zone == worker.zone
-	typ := s.Types == nil || slices.Contains(s.Types, worker.typ)
+	typ := s.Types == nil || slices.Contains(s.Types, worker.typeName)
 	return up && zone && typ && (s.Spot || !worker.spot)
 }
 
@@ -269,11 +269,11 @@
 	}
 }
 
-// servedShare is the part of a job that was served: of a service the tasks that have started,
+// servedFraction is the part of a job that was served: of a service the tasks that have started,
 // of the others those that are done.
-func (w *World) servedShare(s *job.Spec) float64 {
+func (w *World) servedFraction(s *job.Spec) float64 {
 	if s.ShapeName != service {
-		return float64(len(w.checker.completed[s.ID])) / float64(s.Tasks)
+		return float64(len(w.checker.completedTasks[s.ID])) / float64(s.Tasks)
 	}
 	n := 0
 	for t := range s.Tasks {
@@ -302,7 +302,7 @@
 	}
 	for _, class := range slices.Sorted(maps.Keys(byClass)) {
 		w.checkHalfServed("class "+class, byClass[class])
-		w.checkLargest("class "+class, byClass[class])
+		w.checkLargestJobs("class "+class, byClass[class])
 	}
 	for _, team := range slices.Sorted(maps.Keys(byTeam)) {
 		w.checkHalfServed("team "+team, byTeam[team])
@@ -313,16 +313,16 @@
 func (w *World) checkHalfServed(what string, jobs []*job.Spec) {
 	sum := 0.0
 	for _, s := range jobs {
-		sum += w.servedShare(s)
+		sum += w.servedFraction(s)
 	}
 	if 2*sum < float64(len(jobs)) {
 		w.addViolation("served: %.1f of %d jobs of %s", sum, len(jobs), what)
 	}
 }
 
-// checkLargest checks that the largest jobs of a class are served and have started in time; the
+// checkLargestJobs checks that the largest jobs of a class are served and have started in time; the
 // caller holds the lock.
-func (w *World) checkLargest(class string, jobs []*job.Spec) {
+func (w *World) checkLargestJobs(class string, jobs []*job.Spec) {
 	slices.SortFunc(jobs, func(a, b *job.Spec) int {
 		return cmp.Or(-cmp.Compare(totalResources(a), totalResources(b)), cmp.Compare(a.ID, b.ID))
 	})
--- a/internal/emulate/user_checks_test.go
+++ b/internal/emulate/user_checks_test.go
@@ -15,7 +15,7 @@
 
 // newTestWorker makes a worker whose lease has just begun.
 func newTestWorker(w *World, name, zone string) *Worker {
-	return &Worker{world: w, name: name, zone: zone, typ: "x", leaseStart: time.Now(), tasks: map[string]*task{}}
+	return &Worker{world: w, name: name, zone: zone, typeName: "x", leaseStart: time.Now(), tasks: map[string]*task{}}
 }
 
 // startTask starts a task of a job on a new worker.
@@ -58,12 +58,12 @@
 var answerCases = []checkerCase{
 	{"forgotten: no answer for 80 s since the last trouble", func(w *World) {
 		acceptJob(w, &job.Spec{ID: "run-1", Tasks: 1}, 200*time.Second)
-		w.checker.users.faultsOver = ago(80 * time.Second)
+		w.checker.users.faultsEndedAt = ago(80 * time.Second)
 		w.PollUnanswered("run-1")
 	}, "forgotten"},
 	{"answered a minute ago", func(w *World) {
 		acceptJob(w, &job.Spec{ID: "run-1", Tasks: 1}, 200*time.Second)
-		w.checker.users.faultsOver = ago(80 * time.Second)
+		w.checker.users.faultsEndedAt = ago(80 * time.Second)
 		w.checker.users.answeredAt["run-1"] = ago(time.Minute)
 		w.PollUnanswered("run-1")
 	}, ""},
@@ -136,7 +136,7 @@
 		startTask(w, "b", "x", spec)
 	}, ""},
 	{"more accelerators than the limit", func(w *World) {
-		w.cfg.Limits = map[string]Limit{"red": {GPUs: 3}}
+		w.cfg.Limits = map[string]Resources{"red": {GPUs: 3}}
 		spec := &job.Spec{ID: "run-1", Team: "red", Tasks: 2, GPUs: 2}
 		startTask(w, "a", "x", spec)
 		startTask(w, "b", "x", spec)
@@ -155,7 +155,7 @@
 		checkWaitingJob(w, &job.Spec{ID: "run-1", Team: "red", ShapeName: "array", Tasks: 3, CPUs: 2, Zone: "y"})
 	}, ""},
 	{"its team is at its limit", func(w *World) {
-		w.cfg.Limits = map[string]Limit{"red": {CPUs: 1}}
+		w.cfg.Limits = map[string]Resources{"red": {CPUs: 1}}
 		checkWaitingJob(w, &job.Spec{ID: "run-1", Team: "red", ShapeName: "array", Tasks: 3, CPUs: 2})
 	}, ""},
 	{"it runs", func(w *World) {
@@ -172,7 +172,7 @@
 			acceptJob(w, &job.Spec{ID: id, Class: "c", Team: id, ShapeName: "array", Tasks: 1}, time.Minute)
 			w.checker.users.startedAt[id] = time.Now()
 		}
-		w.checker.completed["run-1"] = map[int32]bool{0: true}
+		w.checker.completedTasks["run-1"] = map[int32]bool{0: true}
 		w.CheckServiceLevels(nil)
 	}, "served: 1.0 of 3 jobs of class c"},
 	{"the largest began too late", func(w *World) {
@@ -183,7 +183,7 @@
 			}
 			acceptJob(w, spec, 300*time.Second)
 			w.checker.users.startedAt[id] = ago(100 * time.Second)
-			w.checker.completed[id] = map[int32]bool{0: true}
+			w.checker.completedTasks[id] = map[int32]bool{0: true}
 		}
 		w.checker.users.startedAt["run-3"] = ago(30 * time.Second)
 		w.CheckServiceLevels(nil)
@@ -194,8 +194,8 @@
 	}, ""},
 }
 
-// TestJudge: the violations that the checker finds, each of which no scenario must have.
-func TestJudge(t *testing.T) {
+// TestInvariantViolationsAreDetected: the violations that the checker finds, each of which no scenario must have.
+func TestInvariantViolationsAreDetected(t *testing.T) {
 	for _, tt := range slices.Concat(answerCases, startCases, starvationCases, serviceLevelCases) {
 		w := New(Config{CancelTimeout: time.Minute, LeaseDuration: time.Hour})
 		tt.happen(w)
--- a/internal/emulate/worker.go
+++ b/internal/emulate/worker.go
@@ -14,7 +14,7 @@
 	world     *World
 	name      string
 	addr      string
-	typ       string
+	typeName  string
 	zone      string
 	spot      bool
 	createdAt time.Time
@@ -32,10 +32,10 @@
 	sequence uint64
 	token    uint64
 	// leaseStart is when the last answered heartbeat was sent.
-	leaseStart    time.Time
-	controller    int // index of the one that gets the next heartbeat
-	heartbeatSent time.Time
-	changed       bool // since the last heartbeat
+	leaseStart      time.Time
+	controllerIndex int // index of the one that gets the next heartbeat
+	heartbeatSent   time.Time
+	changed         bool // since the last heartbeat
 	// unansweredSince is when the first heartbeat without an answer since the last answered one
 	// was sent; zero: there is none.
 	unansweredSince time.Time
@@ -58,7 +58,7 @@
 
 // hasRoom reports whether the machine has resources for n tasks of a job beside its own.
 func (worker *Worker) hasRoom(s *job.Spec, n int) bool {
-	typ := worker.world.machineType(worker.typ)
+	typ := worker.world.machineType(worker.typeName)
 	cpus := typ.CPUs + rounding - float64(n)*s.CPUs
 	gpus := typ.GPUs + rounding - float64(n)*s.GPUs
 	memGB := typ.MemGB + rounding - float64(n)*s.MemGB
@@ -110,7 +110,7 @@
 			t.exit(wire.CauseGangIncomplete)
 		}
 	case wire.TaskRunning:
-		worker.advance(t, now)
+		worker.stepRunning(t, now)
 	case wire.TaskCheckpointing:
 		if now.After(t.checkpointedAt) {
 			t.exit(wire.CauseStopped)
@@ -135,13 +135,13 @@
 	if worker.faulty {
 		t.exit(wire.CauseError)
 	}
-	if t.spec.ShapeName != service && worker.world.checker.completed[t.spec.ID][t.index] {
+	if t.spec.ShapeName != service && worker.world.checker.completedTasks[t.spec.ID][t.index] {
 		t.exit(wire.CauseDone)
 	}
 }
 
-// advance ends a running task whose time has come.
-func (worker *Worker) advance(t *task, now time.Time) {
+// stepRunning ends a running task whose time has come.
+func (worker *Worker) stepRunning(t *task, now time.Time) {
 	ran := now.Sub(t.runningSince)
 	crash := worker.world.images[t.spec.Image].CrashAfter
 	switch {
@@ -174,7 +174,7 @@
 
 // event is an event of a task at a time.
 func (worker *Worker) event(t *task, now time.Time) Event {
-	return Event{At: now, Task: t.name, Image: t.spec.Image, Host: worker.name, Zone: worker.zone}
+	return Event{At: now, Task: t.name, Image: t.spec.Image, Machine: worker.name, Zone: worker.zone}
 }
 
 // recordEnd records the end of a task that ran before.
--- a/internal/emulate/worker_commands.go
+++ b/internal/emulate/worker_commands.go
@@ -20,7 +20,7 @@
 			}
 		case wire.CommandStop:
 			if t != nil && t.phase != wire.TaskExited {
-				worker.halt(t, o.GraceS)
+				worker.stop(t, o.GraceS)
 			}
 		case wire.CommandClear:
 			if t != nil && t.phase == wire.TaskExited {
@@ -40,7 +40,7 @@
 		attempt:  o.Attempt,
 		spec:     spec,
 		phase:    wire.TaskFetching,
-		pulledAt: time.Now().Add(worker.world.cfg.ImagePull + worker.pullDelay),
+		pulledAt: time.Now().Add(worker.world.cfg.ImagePullTime + worker.pullDelay),
 	}
 	worker.addTask(id, t)
 	worker.changed = true
@@ -52,8 +52,8 @@
 	}
 }
 
-// halt ends a task, after a checkpoint if the grace time (in seconds) is long enough for one.
-func (worker *Worker) halt(t *task, grace *float64) {
+// stop ends a task, after a checkpoint if the grace time (in seconds) is long enough for one.
+func (worker *Worker) stop(t *task, grace *float64) {
 	worker.changed = true
 	if t.phase == wire.TaskRunning && t.spec.CheckpointS > 0 && grace != nil && *grace >= t.spec.SaveS {
 		t.phase = wire.TaskCheckpointing
@@ -70,7 +70,7 @@
 
 // serveHealthCheck answers a health check of a replica.
 func (worker *Worker) serveHealthCheck(rw http.ResponseWriter, taskName string) {
-	if worker.world.dropChecks {
+	if worker.world.dropHealthChecks {
 		panic(http.ErrAbortHandler) // ends the connection without an answer
 	}
 	for _, t := range worker.tasks {
@@ -85,8 +85,8 @@
 	rw.WriteHeader(http.StatusNotFound)
 }
 
-// lockAwake waits until the worker does not hang, and returns with the world's lock.
-func (worker *Worker) lockAwake() {
+// lockWhenResponsive waits until the worker does not hang, and returns with the world's lock.
+func (worker *Worker) lockWhenResponsive() {
 	const pollInterval = 50 * time.Millisecond
 	checker := &worker.world.checker
 	worker.world.mu.Lock()
@@ -107,8 +107,8 @@
 // for an earlier session, is refused.
 func (worker *Worker) serve(rw http.ResponseWriter, q *http.Request) {
 	var d wire.DirectCommands
-	decoded := q.URL.Path == "/do" && decode(q, &d)
-	worker.lockAwake()
+	decoded := q.URL.Path == "/do" && decodeRequest(q, &d)
+	worker.lockWhenResponsive()
 	defer worker.world.mu.Unlock()
 	if worker.removed {
 		return
@@ -122,17 +122,17 @@
 		worker.serveHealthCheck(rw, q.URL.Query().Get("piece"))
 		return
 	case !decoded:
-		encode(rw, http.StatusBadRequest, wire.Error{Error: "malformed"})
+		writeResponse(rw, http.StatusBadRequest, wire.Error{Error: "malformed"})
 		return
 	case !valid:
-		encode(rw, http.StatusConflict, worker.heartbeat())
+		writeResponse(rw, http.StatusConflict, worker.heartbeat())
 		return
 	default:
 		worker.raiseToken(d.Token)
 		worker.world.checker.directCommands++
 		worker.execute(d.Commands)
 	}
-	encode(rw, http.StatusOK, worker.heartbeat())
+	writeResponse(rw, http.StatusOK, worker.heartbeat())
 }
 
 // raiseToken takes over a higher fencing token.
--- a/internal/emulate/worker_heartbeat.go
+++ b/internal/emulate/worker_heartbeat.go
@@ -18,8 +18,8 @@
 	minHeartbeatGap = 500 * time.Millisecond
 	// failoverDelay is how long a worker waits before it tries the next controller (protocol).
 	failoverDelay = time.Second
-	// answerTimeout is how late an answer may come (protocol).
-	answerTimeout = 4 * time.Second
+	// responseTimeout is how late an answer may come (protocol).
+	responseTimeout = 4 * time.Second
 )
 
 // heartbeat is the next heartbeat of the worker.
@@ -28,7 +28,7 @@
 	r := wire.Heartbeat{
 		Machine: worker.name,
 		Addr:    worker.addr,
-		Type:    worker.typ,
+		Type:    worker.typeName,
 		Zone:    worker.zone,
 		Spot:    worker.spot,
 		Session: worker.session,
@@ -71,7 +71,7 @@
 	w.wg.Go(func() { _ = srv.Serve(ln) })
 	defer srv.Close()
 	transport := &http.Transport{DialContext: w.cfg.Network.Dialer(from), MaxIdleConnsPerHost: 1}
-	hc := &http.Client{Timeout: answerTimeout, Transport: transport}
+	hc := &http.Client{Timeout: responseTimeout, Transport: transport}
 	defer hc.CloseIdleConnections()
 	sending := make(chan struct{}, 1)
 	for w.sleep(stepInterval) {
@@ -134,7 +134,7 @@
 		return
 	}
 	w.mu.Lock()
-	controller := worker.controller
+	controller := worker.controllerIndex
 	if w.capturing && len(w.captured) < maxCapturedHeartbeats {
 		w.captured = append(w.captured, CapturedHeartbeat{worker.Host(), b})
 	}
@@ -144,27 +144,27 @@
 	status := 0
 	if err == nil {
 		status = res.StatusCode
-		body, err = io.ReadAll(io.LimitReader(res.Body, maxRequest))
+		body, err = io.ReadAll(io.LimitReader(res.Body, maxBodyBytes))
 		_ = res.Body.Close()
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if err == nil && status == http.StatusOK {
-		worker.acceptAnswer(controller, body, heartbeat.Session, sent)
+		worker.handleResponse(controller, body, heartbeat.Session, sent)
 		return
 	}
 	worker.failover(controller, status, body, sent)
 }
 
-// acceptAnswer renews the lease by the answer to a heartbeat of a session and carries out its
+// handleResponse renews the lease by the answer to a heartbeat of a session and carries out its
 // orders, unless it comes late or from a leader that is superseded; the caller holds the lock.
-func (worker *Worker) acceptAnswer(controller int, body []byte, session uint64, sent time.Time) {
+func (worker *Worker) handleResponse(controller int, body []byte, session uint64, sent time.Time) {
 	w := worker.world
 	var a wire.HeartbeatResponse
 	if wire.Unmarshal(body, &a) != nil || a.Token < worker.token || session != worker.session {
 		return
 	}
-	if time.Since(sent) > answerTimeout || worker.removed || worker.hanging {
+	if time.Since(sent) > responseTimeout || worker.removed || worker.hanging {
 		return
 	}
 	worker.raiseToken(a.Token)
@@ -185,14 +185,14 @@
 		worker.unansweredSince = sent
 	}
 	worker.heartbeatSent = time.Now().Add(failoverDelay - w.cfg.HeartbeatInterval)
-	worker.controller = (controller + 1) % len(w.cfg.Controllers)
+	worker.controllerIndex = (controller + 1) % len(w.cfg.Controllers)
 	var to wire.Redirect
 	if status != http.StatusMisdirectedRequest || wire.Unmarshal(body, &to) != nil {
 		return
 	}
 	isTarget := func(c Controller) bool { return c.Member == to.ReportTo }
 	if i := slices.IndexFunc(w.cfg.Controllers, isTarget); i >= 0 && i != controller {
-		worker.controller = i
+		worker.controllerIndex = i
 		worker.heartbeatSent = time.Time{}
 	}
 }
--- a/internal/emulate/world.go
+++ b/internal/emulate/world.go
@@ -27,19 +27,19 @@
 	LeaseDuration, CancelTimeout, HeartbeatInterval time.Duration
 	// GangTimeout is how long a gang's member waits for the others.
 	GangTimeout time.Duration
-	// ImagePull is how long an image takes to come, and ListLag how long a new machine
+	// ImagePullTime is how long an image takes to come, and ListLag how long a new machine
 	// is missing from the list.
-	ImagePull, ListLag time.Duration
+	ImagePullTime, ListLag time.Duration
 	// Limits are the teams'; 0 or none: unlimited.
-	Limits map[string]Limit
+	Limits map[string]Resources
 	// OnStarted is called with the first start of each task, and how long its user has waited
 	// since the submission, under the world's lock; nil: it is not.
 	OnStarted func(spec *job.Spec, waited time.Duration)
 	Log       *slog.Logger
 }
 
-// Limit is what a team may use at a time.
-type Limit struct{ CPUs, GPUs float64 }
+// Resources is what a team may use at a time.
+type Resources struct{ CPUs, GPUs float64 }
 
 // Controller is a controller as workers know it.
 type Controller struct{ Member, Addr string }
@@ -60,10 +60,10 @@
 	provisioned     map[string][]string
 	machinesCreated int
 	// The next delayedBoots machines boot that much later.
-	delayedBoots int
-	bootDelay    time.Duration
-	zoneLimits   map[string]int // machines that are left to a zone in a shortage
-	dropChecks   bool           // health checks get no answer
+	delayedBoots     int
+	bootDelay        time.Duration
+	zoneLimits       map[string]int // machines that are left to a zone in a shortage
+	dropHealthChecks bool           // health checks get no answer
 
 	recording bool // events are added to the history
 	history   []Event
@@ -98,8 +98,8 @@
 	w.wg.Wait()
 }
 
-// Ended is closed when the world ends.
-func (w *World) Ended() <-chan struct{} { return w.done }
+// Done is closed when the world ends.
+func (w *World) Done() <-chan struct{} { return w.done }
 
 // Go runs f as a part of the world: Close waits for it.
 func (w *World) Go(f func()) { w.wg.Go(f) }
@@ -120,7 +120,7 @@
 	if s := w.specs[id]; s != nil {
 		return s
 	}
-	s := w.cfg.Store.Job(id)
+	s := w.cfg.Store.JobSpec(id)
 	if s != nil {
 		w.specs[id] = s
 	}
