--- a/internal/explorer/explorer.go
+++ b/internal/explorer/explorer.go
@@ -1,7 +1,7 @@
-// Package explorer is a model checker for tests of pure state machines, which are stepped with
-// messages and with time passed in. It explores every order of a few actions breadth first,
-// visits states with the same fingerprint once, and finds the shortest order that violates an
-// invariant. It also walks random orders, which reach deeper.
+// Package explorer is a model checker for tests of pure state machines, whose inputs are messages
+// and the current time. It explores all sequences of a few actions breadth first, visits states
+// with equal fingerprints once, and so finds a shortest sequence that violates an invariant. It
+// also runs random sequences, which reach states at a greater depth.
 package explorer
 
 import (
@@ -12,47 +12,49 @@
 	"time"
 )
 
-// World is the state that is explored. It is made anew for each order of actions, so it need
-// not be copied.
+// World is the state under exploration. The explorer makes a new one for each sequence of actions
+// and never copies it.
 type World interface {
-	// Fingerprint identifies the state: worlds with the same one behave alike from then on.
+	// Fingerprint identifies the state: worlds with equal fingerprints react alike to all
+	// later actions.
 	Fingerprint() string
-	// Violation describes an invariant that does not hold; empty: all do.
+	// Violation describes a violated invariant, or is empty if all invariants hold.
 	Violation() string
 }
 
-// Action is an action that can be taken for each of several subjects, 0 to Count-1.
+// Action is an action on one of several subjects, numbered 0 to Count-1.
 type Action[W World] struct {
 	Name  string
 	Count int
-	// Do takes the action for subject i, and reports whether it could be taken.
-	Do func(w W, i int) bool
+	// Do executes the action on a subject and reports whether the action was possible.
+	Do func(world W, subject int) bool
 }
 
-// Step is one action for one subject, by their indices.
+// Step is an action on a subject; both are indices.
 type Step struct{ Action, Index int }
 
-// Explorer explores a world by its actions.
+// Explorer explores the states that actions lead to from a new world.
 type Explorer[W World] struct {
 	New     func() W
 	Actions []Action[W]
-	// Start are the steps before the first that is explored.
+	// Start lists the steps that lead from a new world to the state where exploration starts.
 	Start []Step
-	// MaxStates is how many states are visited.
+	// MaxStates ends the exploration after so many distinct states.
 	MaxStates int
-	// SettleInterval is how often, in states, Settle lets a state go on without faults; 0:
-	// never. Settle describes what does not come about; empty: all does.
+	// SettleInterval makes Explore call Settle on every SettleInterval-th new state, or on
+	// none if it is 0. Settle continues a state without faults and describes the expected
+	// outcome that it does not reach, or returns an empty text if it reaches all.
 	SettleInterval int
-	Settle         func(w W) string
+	Settle         func(world W) string
 }
 
-// ExploreFrom explores from each of several starts, up to the first violation, and returns how
-// many states were visited in all.
-func (g *Explorer[W]) ExploreFrom(starts ...[]Step) (states int, violation string) {
+// ExploreFrom explores from each start until it finds a violation. It returns the total number of
+// states visited.
+func (e *Explorer[W]) ExploreFrom(starts ...[]Step) (states int, violation string) {
 	for _, start := range starts {
-		g.Start = start
-		n, found := g.Explore()
-		states += n
+		e.Start = start
+		visited, found := e.Explore()
+		states += visited
 		if found != "" {
 			return states, found
 		}
@@ -60,20 +62,20 @@
 	return states, ""
 }
 
-// Explore returns how many states it has visited, and the first order of steps with a violation
-// that it leads to; empty: none does.
-func (g *Explorer[W]) Explore() (states int, violation string) {
+// Explore returns the number of states visited, and the first sequence of steps that leads to a
+// violation, with the violation. The text is empty if there is none.
+func (e *Explorer[W]) Explore() (states int, violation string) {
 	seen := map[string]bool{}
 	level := [][]Step{nil}
 	for len(level) > 0 {
 		var next [][]Step
 		for _, path := range level {
-			extended, found := g.extend(path, seen)
+			extended, found := e.extend(path, seen)
 			if found != "" {
 				return len(seen), found
 			}
 			next = append(next, extended...)
-			if len(seen) >= g.MaxStates {
+			if len(seen) >= e.MaxStates {
 				return len(seen), ""
 			}
 		}
@@ -82,133 +84,133 @@
 	return len(seen), ""
 }
 
-// extend takes each possible step after a path, and returns the paths to states that were not
-// seen before.
-func (g *Explorer[W]) extend(path []Step, seen map[string]bool) (extended [][]Step, violation string) {
-	for a := range g.Actions {
-		for i := range g.Actions[a].Count {
-			w := g.replay(path)
-			taken := g.Actions[a].Do(w, i)
-			longer := append(slices.Clone(path), Step{a, i})
-			if why := w.Violation(); why != "" {
-				return nil, g.describe(longer) + ": " + why
+// extend tries each step after path and returns the longer paths that lead to unseen states.
+func (e *Explorer[W]) extend(path []Step, seen map[string]bool) (extended [][]Step, violation string) {
+	for action := range e.Actions {
+		for subject := range e.Actions[action].Count {
+			world := e.replay(path)
+			taken := e.Actions[action].Do(world, subject)
+			longer := append(slices.Clone(path), Step{action, subject})
+			if failure := world.Violation(); failure != "" {
+				return nil, e.describe(longer) + ": " + failure
 			}
-			fingerprint := w.Fingerprint()
+			fingerprint := world.Fingerprint()
 			if !taken || seen[fingerprint] {
 				continue
 			}
 			seen[fingerprint] = true
 			extended = append(extended, longer)
-			if g.SettleInterval == 0 || len(seen)%g.SettleInterval != 0 {
+			if e.SettleInterval == 0 || len(seen)%e.SettleInterval != 0 {
 				continue
 			}
-			if why := g.Settle(w); why != "" {
-				return nil, g.describe(longer) + ", then without faults: " + why
+			if failure := e.Settle(world); failure != "" {
+				return nil, e.describe(longer) + ", then without faults: " + failure
 			}
 		}
 	}
 	return extended, ""
 }
 
-// RandomWalk walks drawn orders of so many steps that could be taken, and lets each go on
-// without faults. It reaches deeper than Explore, and finds no shortest order. It returns how
-// many steps were taken, and the first order with a violation that it leads to.
-func (g *Explorer[W]) RandomWalk(r *rand.Rand, walks, steps int) (taken int, violation string) {
+// RandomWalk runs random sequences of up to steps possible steps each and then settles the state
+// that each one reaches. It reaches deeper states than Explore, but the sequence it finds is not
+// the shortest. It returns the number of steps taken, and the first sequence that leads to a
+// violation, with the violation.
+func (e *Explorer[W]) RandomWalk(random *rand.Rand, walks, steps int) (taken int, violation string) {
 	for range walks {
-		w, path, found := g.walk(r, steps)
+		world, path, found := e.walk(random, steps)
 		taken += len(path)
 		if found != "" {
-			return taken, g.describe(path) + ": " + found
+			return taken, e.describe(path) + ": " + found
 		}
-		if g.Settle == nil {
+		if e.Settle == nil {
 			continue
 		}
-		if why := g.Settle(w); why != "" {
-			return taken, g.describe(path) + ", then without faults: " + why
+		if failure := e.Settle(world); failure != "" {
+			return taken, e.describe(path) + ", then without faults: " + failure
 		}
 	}
 	return taken, ""
 }
 
-// walk takes drawn steps until a violation.
-func (g *Explorer[W]) walk(r *rand.Rand, steps int) (w W, path []Step, violation string) {
-	w = g.replay(nil)
+// walk takes random steps until it has taken enough of them or finds a violation.
+func (e *Explorer[W]) walk(random *rand.Rand, steps int) (world W, path []Step, violation string) {
+	world = e.replay(nil)
 	for draws := 0; len(path) < steps && draws < maxDrawsPerStep*steps; draws++ {
-		a := r.IntN(len(g.Actions))
-		i := r.IntN(g.Actions[a].Count)
-		if !g.Actions[a].Do(w, i) {
+		action := random.IntN(len(e.Actions))
+		subject := random.IntN(e.Actions[action].Count)
+		if !e.Actions[action].Do(world, subject) {
 			continue
 		}
-		path = append(path, Step{a, i})
-		if why := w.Violation(); why != "" {
-			return w, path, why
+		path = append(path, Step{action, subject})
+		if failure := world.Violation(); failure != "" {
+			return world, path, failure
 		}
 	}
-	return w, path, ""
+	return world, path, ""
 }
 
-// maxDrawsPerStep bounds the draws of steps that cannot be taken.
+// maxDrawsPerStep bounds a walk's draws, since some draw steps that are not possible.
 const maxDrawsPerStep = 20
 
-// replay makes a world and takes the steps of the start and of a path.
-func (g *Explorer[W]) replay(path []Step) W {
-	w := g.New()
-	for _, s := range slices.Concat(g.Start, path) {
-		g.Actions[s.Action].Do(w, s.Index)
+// replay makes a new world and executes the steps of Start and of path.
+func (e *Explorer[W]) replay(path []Step) W {
+	world := e.New()
+	for _, step := range slices.Concat(e.Start, path) {
+		e.Actions[step.Action].Do(world, step.Index)
 	}
-	return w
+	return world
 }
 
-// Do takes an action by its name.
-func (g *Explorer[W]) Do(w W, name string, i int) {
-	for a := range g.Actions {
-		if g.Actions[a].Name == name {
-			g.Actions[a].Do(w, i)
+// Do executes the named action on a subject. It panics if there is no such action.
+func (e *Explorer[W]) Do(world W, name string, subject int) {
+	for action := range e.Actions {
+		if e.Actions[action].Name == name {
+			e.Actions[action].Do(world, subject)
 			return
 		}
 	}
-	panic("no action is named " + name)
+	panic("explorer: no action is named " + name)
 }
 
-// Steps are the steps of actions by their names, each for subjects 0 to n-1.
-func (g *Explorer[W]) Steps(n int, names ...string) (out []Step) {
+// Steps returns the steps of the named actions, each on subjects 0 to count-1.
+func (e *Explorer[W]) Steps(count int, names ...string) (steps []Step) {
 	for _, name := range names {
-		for a := range g.Actions {
-			if g.Actions[a].Name != name {
+		for action := range e.Actions {
+			if e.Actions[action].Name != name {
 				continue
 			}
-			for i := range n {
-				out = append(out, Step{a, i})
+			for subject := range count {
+				steps = append(steps, Step{action, subject})
 			}
 		}
 	}
-	return out
+	return steps
 }
 
-// Printer builds a fingerprint. Times are printed relative to now, so that states that differ
-// in the time of day alone have the same one.
+// Printer builds a fingerprint. It prints times relative to Now, so that states that differ only
+// in the time of day have equal fingerprints.
 type Printer struct {
 	strings.Builder
 	Now time.Time
-	// MaxAge is the age beyond which all times count as equally old.
+	// MaxAge is the age beyond which all times print alike.
 	MaxAge time.Duration
 }
 
-// Times adds times.
+// Times appends times, in milliseconds relative to Now.
 func (p *Printer) Times(times ...time.Time) {
 	for _, t := range times {
 		fmt.Fprintf(p, "%d ", max(-p.MaxAge, t.Sub(p.Now))/time.Millisecond)
 	}
 }
 
-// Values adds values.
+// Values appends the printed form of values.
 func (p *Printer) Values(values ...any) { fmt.Fprint(p, values...) }
 
-// describe names the steps of a path.
-func (g *Explorer[W]) describe(path []Step) string {
+// describe returns the steps of path as text: the name of each action and its subject.
+func (e *Explorer[W]) describe(path []Step) string {
 	var names []string
-	for _, s := range path {
-		names = append(names, fmt.Sprintf("%s%d", g.Actions[s.Action].Name, s.Index))
+	for _, step := range path {
+		names = append(names, fmt.Sprintf("%s%d", e.Actions[step.Action].Name, step.Index))
 	}
 	return strings.Join(names, " ")
 }
