--- a/internal/explorer/explorer.go
+++ b/internal/explorer/explorer.go
@@ -31,7 +31,7 @@
 }
 
 // Step is an action on a subject; both are indices.
-type Step struct{ Action, Index int }
+type Step struct{ Action, Subject int }
 
 // Explorer explores the states that actions lead to from a new world.
 type Explorer[W World] struct {
@@ -156,7 +156,7 @@
 func (e *Explorer[W]) replay(path []Step) W {
 	world := e.New()
 	for _, step := range slices.Concat(e.Start, path) {
-		e.Actions[step.Action].Do(world, step.Index)
+		e.Actions[step.Action].Do(world, step.Subject)
 	}
 	return world
 }
@@ -210,7 +210,7 @@
 func (e *Explorer[W]) describe(path []Step) string {
 	var names []string
 	for _, step := range path {
-		names = append(names, fmt.Sprintf("%s%d", e.Actions[step.Action].Name, step.Index))
+		names = append(names, fmt.Sprintf("%s%d", e.Actions[step.Action].Name, step.Subject))
 	}
 	return strings.Join(names, " ")
 }
