--- a/cmd/vetchstream/scale.go
+++ b/cmd/vetchstream/scale.go
@@ -96,7 +96,7 @@
 	} else {
 		report.Print(w)
 	}
-	if len(report.RulesBroken) > 0 {
+	if len(report.Violations) > 0 {
 		return errors.Join(err, errRulesBroken)
 	}
 	return err
--- a/cmd/vetchstream/scale_test.go
+++ b/cmd/vetchstream/scale_test.go
@@ -65,8 +65,8 @@
 	if report.Starts == 0 || report.Worker.Sent <= 0 || report.Configuration.Changes == 0 {
 		t.Errorf("%d starts, %v bytes a second, %d changes", report.Starts, report.Worker.Sent, report.Configuration.Changes)
 	}
-	if len(report.RulesBroken) > 0 {
-		t.Error(report.RulesBroken)
+	if len(report.Violations) > 0 {
+		t.Error(report.Violations)
 	}
 	for _, region := range report.Regions {
 		for _, controller := range region.Controllers {
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -35,7 +35,7 @@
 	RunningPeak int           `json:"running_peak"`
 	RunS        float64       `json:"task_run_s"`
 	Jobs        jobCounts     `json:"jobs"`
-	RulesBroken []string      `json:"rules_broken"`
+	Violations  []string      `json:"rules_broken"`
 	Worker      workerTraffic `json:"worker"`
 	// Configuration is how long changes of the teams took.
 	Configuration configurationReport `json:"configuration"`
@@ -125,14 +125,14 @@
 		ReadyS:        ready.Seconds(),
 		RequestedPerS: o.starts(),
 		RunS:          o.runTime().Seconds(),
-		RulesBroken:   []string{},
+		Violations:    []string{},
 		Worker:        perWorker(before.traffic, after.traffic, took),
 		EmulationCPU:  cpu.Seconds() / took.Seconds(),
 	}
 	for i, region := range r.regions {
 		p.Workers += region.workers
 		p.Starts += after.starts[i] - before.starts[i]
-		p.RulesBroken = append(p.RulesBroken, region.world.Violations()...)
+		p.Violations = append(p.Violations, region.world.Violations()...)
 		p.Jobs.Submitted += region.users.submitted.Load()
 		p.Jobs.Accepted += region.users.accepted.Load()
 		p.Jobs.Refused += region.users.refused.Load()
@@ -197,7 +197,7 @@
 		}
 	}
 	_ = t.Flush()
-	for _, b := range p.RulesBroken {
+	for _, b := range p.Violations {
 		fmt.Fprintln(w, "BROKEN:", b)
 	}
 }
