--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -26,11 +26,11 @@
 	ReadyS float64 `json:"ready_s"`
 	// Stopped is why the run has ended before its time; empty: it has not.
 	Stopped string `json:"stopped,omitempty"`
-	// RequestedPerS is the rate of task starts that users requested, StartsPerS the rate of those
+	// RequestedStartsPerS is the rate of task starts that users requested, StartsPerS the rate of those
 	// that there were.
-	RequestedPerS float64 `json:"asked_starts_per_s"`
-	Starts        int     `json:"starts"`
-	StartsPerS    float64 `json:"starts_per_s"`
+	RequestedStartsPerS float64 `json:"asked_starts_per_s"`
+	Starts              int     `json:"starts"`
+	StartsPerS          float64 `json:"starts_per_s"`
 	// RunningPeak is the largest number of tasks on their machines at a time.
 	RunningPeak int           `json:"running_peak"`
 	RunS        float64       `json:"task_run_s"`
@@ -118,16 +118,16 @@
 func (r *run) report(before, after counterReading, took, ready, cpu time.Duration) *Report {
 	o := &r.options
 	p := &Report{
-		Factor:        o.Factor,
-		Controllers:   o.Controllers,
-		Teams:         o.teams(),
-		DurationS:     took.Seconds(),
-		ReadyS:        ready.Seconds(),
-		RequestedPerS: o.starts(),
-		RunS:          o.runTime().Seconds(),
-		Violations:    []string{},
-		Worker:        perWorker(before.traffic, after.traffic, took),
-		EmulationCPU:  cpu.Seconds() / took.Seconds(),
+		Factor:              o.Factor,
+		Controllers:         o.Controllers,
+		Teams:               o.teams(),
+		DurationS:           took.Seconds(),
+		ReadyS:              ready.Seconds(),
+		RequestedStartsPerS: o.starts(),
+		RunS:                o.runTime().Seconds(),
+		Violations:          []string{},
+		Worker:              perWorker(before.traffic, after.traffic, took),
+		EmulationCPU:        cpu.Seconds() / took.Seconds(),
 	}
 	for i, region := range r.regions {
 		p.Workers += region.workers
@@ -176,7 +176,7 @@
 	if p.Stopped != "" {
 		fmt.Fprintf(w, "stopped early: %s\n", p.Stopped)
 	}
-	fmt.Fprintf(w, "task starts: %d, %.0f a second of %.0f asked for; at most %d at a time, of %.0f s\n", p.Starts, p.StartsPerS, p.RequestedPerS, p.RunningPeak, p.RunS)
+	fmt.Fprintf(w, "task starts: %d, %.0f a second of %.0f asked for; at most %d at a time, of %.0f s\n", p.Starts, p.StartsPerS, p.RequestedStartsPerS, p.RunningPeak, p.RunS)
 	fmt.Fprintf(w, "jobs: %d submitted, %d accepted, %d refused, %d told done\n", p.Jobs.Submitted, p.Jobs.Accepted, p.Jobs.Refused, p.Jobs.Done)
 	fmt.Fprintf(w, "a worker sends %.0f and receives %.0f bytes a second (most: %.0f together), %.2f messages a second\n", p.Worker.Sent, p.Worker.Received, p.Worker.Most, p.Worker.Messages)
 	fmt.Fprintf(w, "start of urgent tasks, ms: %d of them, p50 %d, p99 %d, most %d; of others: %d, p50 %d, p99 %d, most %d\n",
