--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -32,11 +32,11 @@
 	Starts              int     `json:"starts"`
 	StartsPerS          float64 `json:"starts_per_s"`
 	// RunningPeak is the largest number of tasks on their machines at a time.
-	RunningPeak int           `json:"running_peak"`
-	RunS        float64       `json:"task_run_s"`
-	Jobs        jobCounts     `json:"jobs"`
-	Violations  []string      `json:"rules_broken"`
-	Worker      workerTraffic `json:"worker"`
+	RunningPeak  int           `json:"running_peak"`
+	MeanTaskRunS float64       `json:"task_run_s"`
+	Jobs         jobCounts     `json:"jobs"`
+	Violations   []string      `json:"rules_broken"`
+	Worker       workerTraffic `json:"worker"`
 	// Configuration is how long changes of the teams took.
 	Configuration configurationReport `json:"configuration"`
 	UrgentMs      quantiles           `json:"urgent_start_ms"`
@@ -124,7 +124,7 @@
 		DurationS:           took.Seconds(),
 		ReadyS:              ready.Seconds(),
 		RequestedStartsPerS: o.starts(),
-		RunS:                o.runTime().Seconds(),
+		MeanTaskRunS:        o.runTime().Seconds(),
 		Violations:          []string{},
 		Worker:              perWorker(before.traffic, after.traffic, took),
 		EmulationCPU:        cpu.Seconds() / took.Seconds(),
@@ -176,7 +176,7 @@
 	if p.Stopped != "" {
 		fmt.Fprintf(w, "stopped early: %s\n", p.Stopped)
 	}
-	fmt.Fprintf(w, "task starts: %d, %.0f a second of %.0f asked for; at most %d at a time, of %.0f s\n", p.Starts, p.StartsPerS, p.RequestedStartsPerS, p.RunningPeak, p.RunS)
+	fmt.Fprintf(w, "task starts: %d, %.0f a second of %.0f asked for; at most %d at a time, of %.0f s\n", p.Starts, p.StartsPerS, p.RequestedStartsPerS, p.RunningPeak, p.MeanTaskRunS)
 	fmt.Fprintf(w, "jobs: %d submitted, %d accepted, %d refused, %d told done\n", p.Jobs.Submitted, p.Jobs.Accepted, p.Jobs.Refused, p.Jobs.Done)
 	fmt.Fprintf(w, "a worker sends %.0f and receives %.0f bytes a second (most: %.0f together), %.2f messages a second\n", p.Worker.Sent, p.Worker.Received, p.Worker.Most, p.Worker.Messages)
 	fmt.Fprintf(w, "start of urgent tasks, ms: %d of them, p50 %d, p99 %d, most %d; of others: %d, p50 %d, p99 %d, most %d\n",
