--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -84,7 +84,7 @@
 	HeartbeatsPerS     float64            `json:"reports_per_s"`
 	DirectCommandsPerS float64            `json:"direct_commands_per_s"`
 	StateRequestsPerS  float64            `json:"state_requests_per_s"`
-	StateWrites        float64            `json:"state_writes_per_s"`
+	StateWritesPerS    float64            `json:"state_writes_per_s"`
 	StateKeys          int                `json:"state_keys"`
 	Controllers        []controllerReport `json:"controllers"`
 }
@@ -160,7 +160,7 @@
 		HeartbeatsPerS:     perS(before.loads[i].Heartbeats, after.loads[i].Heartbeats),
 		DirectCommandsPerS: perS(before.loads[i].DirectCommands, after.loads[i].DirectCommands),
 		StateRequestsPerS:  perS(before.stores[i].Requests, after.stores[i].Requests),
-		StateWrites:        perS(before.stores[i].Writes, after.stores[i].Writes),
+		StateWritesPerS:    perS(before.stores[i].Writes, after.stores[i].Writes),
 		StateKeys:          r.store.CountKeys(""),
 	}
 	for _, c := range r.controllers {
@@ -188,7 +188,7 @@
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(t, "REGION\tZONES\tWORKERS\tSTARTS/S\tREPORTS/S\tDIRECT/S\tSTATE REQ/S\tWRITES/S\tKEYS")
 	for _, g := range p.Regions {
-		fmt.Fprintf(t, "%s\t%d\t%d\t%.0f\t%.0f\t%.0f\t%.0f\t%.1f\t%d\n", g.Name, g.Zones, g.Workers, g.StartsPerS, g.HeartbeatsPerS, g.DirectCommandsPerS, g.StateRequestsPerS, g.StateWrites, g.StateKeys)
+		fmt.Fprintf(t, "%s\t%d\t%d\t%.0f\t%.0f\t%.0f\t%.0f\t%.1f\t%d\n", g.Name, g.Zones, g.Workers, g.StartsPerS, g.HeartbeatsPerS, g.DirectCommandsPerS, g.StateRequestsPerS, g.StateWritesPerS, g.StateKeys)
 	}
 	fmt.Fprintln(t, "CONTROLLER\tCPU MEAN\tCPU PEAK\tMEMORY MB\tSOCKETS\tENDS")
 	for _, g := range p.Regions {
