--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -62,7 +62,7 @@
 	Count int64 `json:"count"`
 	P50   int64 `json:"p50"`
 	P99   int64 `json:"p99"`
-	Most  int64 `json:"most"`
+	Max   int64 `json:"most"`
 }
 
 // quantilesOf are the quantiles of a histogram of milliseconds.
@@ -71,7 +71,7 @@
 		Count: h.TotalCount(),
 		P50:   h.ValueAtQuantile(50),
 		P99:   h.ValueAtQuantile(99),
-		Most:  h.Max(),
+		Max:   h.Max(),
 	}
 }
 
@@ -180,10 +180,10 @@
 	fmt.Fprintf(w, "jobs: %d submitted, %d accepted, %d refused, %d told done\n", p.Jobs.Submitted, p.Jobs.Accepted, p.Jobs.Refused, p.Jobs.Done)
 	fmt.Fprintf(w, "a worker sends %.0f and receives %.0f bytes a second (most: %.0f together), %.2f messages a second\n", p.Worker.Sent, p.Worker.Received, p.Worker.Most, p.Worker.Messages)
 	fmt.Fprintf(w, "start of urgent tasks, ms: %d of them, p50 %d, p99 %d, most %d; of others: %d, p50 %d, p99 %d, most %d\n",
-		p.UrgentMs.Count, p.UrgentMs.P50, p.UrgentMs.P99, p.UrgentMs.Most, p.OtherMs.Count, p.OtherMs.P50, p.OtherMs.P99, p.OtherMs.Most)
+		p.UrgentMs.Count, p.UrgentMs.P50, p.UrgentMs.P99, p.UrgentMs.Max, p.OtherMs.Count, p.OtherMs.P50, p.OtherMs.P99, p.OtherMs.Max)
 	c := &p.Configuration
 	fmt.Fprintf(w, "configuration: %d changes, %d refused, %d not in force at the end; in force everywhere, ms: p50 %d, p99 %d, most %d; %d waited for another region, most %d\n",
-		c.Changes, c.Refused, c.Unsettled, c.InForceMs.P50, c.InForceMs.P99, c.InForceMs.Most, c.InUseMs.Count, c.InUseMs.Most)
+		c.Changes, c.Refused, c.Unsettled, c.InForceMs.P50, c.InForceMs.P99, c.InForceMs.Max, c.InUseMs.Count, c.InUseMs.Max)
 	fmt.Fprintf(w, "stand-ins: %.2f cores, %.0f MB; all processes %.0f MB\n", p.EmulationCPU, p.EmulationMB, p.TotalMB)
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(t, "REGION\tZONES\tWORKERS\tSTARTS/S\tREPORTS/S\tDIRECT/S\tSTATE REQ/S\tWRITES/S\tKEYS")
