--- a/internal/scale/network.go
+++ b/internal/scale/network.go
@@ -182,7 +182,7 @@
 	// the mean of all workers and of the one with the most.
 	Sent     float64 `json:"sent_bytes_per_s"`
 	Received float64 `json:"received_bytes_per_s"`
-	Most     float64 `json:"most_bytes_per_s"`
+	MaxTotal float64 `json:"most_bytes_per_s"`
 	// Messages are requests and answers that the worker sends.
 	Messages float64 `json:"messages_per_s"`
 }
@@ -214,7 +214,7 @@
 			w.Sent += sent
 			w.Received += received
 			w.Messages += float64(now.messages-was.messages) / seconds
-			w.Most = max(w.Most, sent+received)
+			w.MaxTotal = max(w.MaxTotal, sent+received)
 		}
 	}
 	if workers > 0 {
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -178,7 +178,7 @@
 	}
 	fmt.Fprintf(w, "task starts: %d, %.0f a second of %.0f asked for; at most %d at a time, of %.0f s\n", p.Starts, p.StartsPerS, p.RequestedStartsPerS, p.RunningPeak, p.MeanTaskRunS)
 	fmt.Fprintf(w, "jobs: %d submitted, %d accepted, %d refused, %d told done\n", p.Jobs.Submitted, p.Jobs.Accepted, p.Jobs.Refused, p.Jobs.Done)
-	fmt.Fprintf(w, "a worker sends %.0f and receives %.0f bytes a second (most: %.0f together), %.2f messages a second\n", p.Worker.Sent, p.Worker.Received, p.Worker.Most, p.Worker.Messages)
+	fmt.Fprintf(w, "a worker sends %.0f and receives %.0f bytes a second (most: %.0f together), %.2f messages a second\n", p.Worker.Sent, p.Worker.Received, p.Worker.MaxTotal, p.Worker.Messages)
 	fmt.Fprintf(w, "start of urgent tasks, ms: %d of them, p50 %d, p99 %d, most %d; of others: %d, p50 %d, p99 %d, most %d\n",
 		p.UrgentMs.Count, p.UrgentMs.P50, p.UrgentMs.P99, p.UrgentMs.Max, p.OtherMs.Count, p.OtherMs.P50, p.OtherMs.P99, p.OtherMs.Max)
 	c := &p.Configuration
