--- a/internal/scale/configuration.go
+++ b/internal/scale/configuration.go
@@ -44,8 +44,8 @@
 	// have reported that they decide by the change.
 	StoredMs  quantiles `json:"stored_ms"`
 	InForceMs quantiles `json:"in_force_everywhere_ms"`
-	// InUseMs is the same of changes of which a raise was seen to wait for another region.
-	InUseMs quantiles `json:"in_force_after_waiting_ms"`
+	// InForceAfterWaitMs is the same of changes of which a raise was seen to wait for another region.
+	InForceAfterWaitMs quantiles `json:"in_force_after_waiting_ms"`
 }
 
 // operators change the parts of the regions in teams' limits while the load lasts.
@@ -246,12 +246,12 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return configurationReport{
-		Changes:   o.stored.TotalCount(),
-		Refused:   o.refused.Load(),
-		Unsettled: o.unsettled.Load(),
-		StoredMs:  quantilesOf(o.stored),
-		InForceMs: quantilesOf(o.inForce),
-		InUseMs:   quantilesOf(o.inForceAfterWait),
+		Changes:            o.stored.TotalCount(),
+		Refused:            o.refused.Load(),
+		Unsettled:          o.unsettled.Load(),
+		StoredMs:           quantilesOf(o.stored),
+		InForceMs:          quantilesOf(o.inForce),
+		InForceAfterWaitMs: quantilesOf(o.inForceAfterWait),
 	}
 }
 
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -183,7 +183,7 @@
 		p.UrgentMs.Count, p.UrgentMs.P50, p.UrgentMs.P99, p.UrgentMs.Max, p.OtherMs.Count, p.OtherMs.P50, p.OtherMs.P99, p.OtherMs.Max)
 	c := &p.Configuration
 	fmt.Fprintf(w, "configuration: %d changes, %d refused, %d not in force at the end; in force everywhere, ms: p50 %d, p99 %d, most %d; %d waited for another region, most %d\n",
-		c.Changes, c.Refused, c.Unsettled, c.InForceMs.P50, c.InForceMs.P99, c.InForceMs.Max, c.InUseMs.Count, c.InUseMs.Max)
+		c.Changes, c.Refused, c.Unsettled, c.InForceMs.P50, c.InForceMs.P99, c.InForceMs.Max, c.InForceAfterWaitMs.Count, c.InForceAfterWaitMs.Max)
 	fmt.Fprintf(w, "stand-ins: %.2f cores, %.0f MB; all processes %.0f MB\n", p.EmulationCPU, p.EmulationMB, p.TotalMB)
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(t, "REGION\tZONES\tWORKERS\tSTARTS/S\tREPORTS/S\tDIRECT/S\tSTATE REQ/S\tWRITES/S\tKEYS")
