--- a/cmd/vetchstream/scale_test.go
+++ b/cmd/vetchstream/scale_test.go
@@ -70,7 +70,7 @@
 	}
 	for _, region := range report.Regions {
 		for _, controller := range region.Controllers {
-			if controller.Ends > 0 {
+			if controller.UnexpectedExits > 0 {
 				t.Errorf("%s ended by itself", controller.Member)
 			}
 		}
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -69,8 +69,8 @@
 	// RSSPeakMB is the largest resident memory, in MB.
 	RSSPeakMB   float64 `json:"rss_peak_mb"`
 	SocketsPeak int     `json:"sockets_peak"`
-	// Ends counts the ends that were not expected.
-	Ends int `json:"ends"`
+	// UnexpectedExits counts the ends that were not expected.
+	UnexpectedExits int `json:"ends"`
 
 	cpuTime, sampledTime time.Duration
 }
@@ -145,7 +145,7 @@
 	}
 	c.cmd = nil
 	if !c.endExpected {
-		c.stats.Ends++
+		c.stats.UnexpectedExits++
 	}
 }
 
@@ -196,8 +196,8 @@
 	c.sample(now)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	ends := c.stats.Ends
-	c.stats = controllerStats{Ends: ends}
+	ends := c.stats.UnexpectedExits
+	c.stats = controllerStats{UnexpectedExits: ends}
 }
 
 // statistics is what the process has used since the last reset.
--- a/internal/scale/region.go
+++ b/internal/scale/region.go
@@ -312,7 +312,7 @@
 
 // controllerEnded reports whether a controller has ended unexpectedly.
 func (r *region) controllerEnded() bool {
-	return slices.ContainsFunc(r.controllers, func(c *controller) bool { return c.statistics().Ends > 0 })
+	return slices.ContainsFunc(r.controllers, func(c *controller) bool { return c.statistics().UnexpectedExits > 0 })
 }
 
 // healthy reports whether the health checks of all controllers succeed.
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -193,7 +193,7 @@
 	fmt.Fprintln(t, "CONTROLLER\tCPU MEAN\tCPU PEAK\tMEMORY MB\tSOCKETS\tENDS")
 	for _, g := range p.Regions {
 		for _, c := range g.Controllers {
-			fmt.Fprintf(t, "%s\t%.2f\t%.2f\t%.0f\t%d\t%d\n", c.Member, c.CPUMean, c.CPUPeak, c.RSSPeakMB, c.SocketsPeak, c.Ends)
+			fmt.Fprintf(t, "%s\t%.2f\t%.2f\t%.0f\t%d\t%d\n", c.Member, c.CPUMean, c.CPUPeak, c.RSSPeakMB, c.SocketsPeak, c.UnexpectedExits)
 		}
 	}
 	_ = t.Flush()
