--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -52,13 +52,13 @@
 	tuningFile string // operators' settings
 	logFile    string // file of its standard error
 
-	mu          sync.Mutex
-	cmd         *exec.Cmd // nil: it does not run
-	ended       chan struct{}
-	endExpected bool // it is being killed
-	stats       controllerStats
-	lastUsage   usage
-	lastSampled time.Time
+	mu           sync.Mutex
+	cmd          *exec.Cmd // nil: it does not run
+	ended        chan struct{}
+	exitExpected bool // it is being killed
+	stats        controllerStats
+	lastUsage    usage
+	lastSampled  time.Time
 }
 
 // controllerStats is what a controller's process has used.
@@ -125,7 +125,7 @@
 	ended := make(chan struct{})
 	c.cmd = cmd
 	c.ended = ended
-	c.endExpected = false
+	c.exitExpected = false
 	c.lastUsage = usage{}
 	c.lastSampled = time.Now()
 	go func() {
@@ -144,7 +144,7 @@
 		return
 	}
 	c.cmd = nil
-	if !c.endExpected {
+	if !c.exitExpected {
 		c.stats.UnexpectedExits++
 	}
 }
@@ -153,7 +153,7 @@
 func (c *controller) kill() {
 	c.mu.Lock()
 	cmd, ended := c.cmd, c.ended
-	c.endExpected = true
+	c.exitExpected = true
 	c.mu.Unlock()
 	if cmd == nil {
 		return
