--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -207,8 +207,8 @@
 	return c.stats
 }
 
-// lastLine is the last line of the log.
-func (c *controller) lastLine() string {
+// lastLogLine is the last line of the log.
+func (c *controller) lastLogLine() string {
 	b, err := os.ReadFile(c.logFile)
 	if err != nil {
 		return err.Error()
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -158,7 +158,7 @@
 	for _, region := range r.regions {
 		for !region.healthy(r.client) {
 			if region.controllerEnded() || !sleep(ctx, readyInterval) {
-				return fmt.Errorf("the controllers of %s were not ready within %v; the first says: %s", region.name, readyTimeout, region.controllers[0].lastLine())
+				return fmt.Errorf("the controllers of %s were not ready within %v; the first says: %s", region.name, readyTimeout, region.controllers[0].lastLogLine())
 			}
 		}
 	}
