--- a/internal/scale/faults.go
+++ b/internal/scale/faults.go
@@ -11,8 +11,8 @@
 
 // Kinds of faults.
 const (
-	// KindController kills the controller that leads the region and starts it again after ForS.
-	KindController = "controller_killed"
+	// KindLeaderKilled kills the controller that leads the region and starts it again after ForS.
+	KindLeaderKilled = "controller_killed"
 	// KindRack takes Machines workers of one zone away at once.
 	KindRack = "rack_gone"
 	// KindZone cuts the workers of the region's first zone from everything.
@@ -65,7 +65,7 @@
 }
 
 // faultKinds are the kinds of faults.
-var faultKinds = []string{KindController, KindRack, KindZone, KindRegions, KindState}
+var faultKinds = []string{KindLeaderKilled, KindRack, KindZone, KindRegions, KindState}
 
 // invalidField names the first field that is not valid, and why; empty: all are.
 func (f Fault) invalidField(regions []string) (field, why string) {
@@ -95,7 +95,7 @@
 	region := r.regions[slices.IndexFunc(r.regions, func(x *region) bool { return x.name == f.Region })]
 	wait := func() { sleep(ctx, seconds(f.ForS)) }
 	switch f.Kind {
-	case KindController:
+	case KindLeaderKilled:
 		r.killLeader(ctx, region, wait)
 	case KindRack:
 		workers := region.world.WorkersInZone(region.zones[random.IntN(len(region.zones))])
