--- a/internal/scale/faults.go
+++ b/internal/scale/faults.go
@@ -13,8 +13,8 @@
 const (
 	// KindLeaderKilled kills the controller that leads the region and starts it again after ForS.
 	KindLeaderKilled = "controller_killed"
-	// KindRack takes Machines workers of one zone away at once.
-	KindRack = "rack_gone"
+	// KindRackLost takes Machines workers of one zone away at once.
+	KindRackLost = "rack_gone"
 	// KindZone cuts the workers of the region's first zone from everything.
 	KindZone = "zone_cut"
 	// KindRegions cuts the region from the region Other, or from all others.
@@ -65,7 +65,7 @@
 }
 
 // faultKinds are the kinds of faults.
-var faultKinds = []string{KindLeaderKilled, KindRack, KindZone, KindRegions, KindState}
+var faultKinds = []string{KindLeaderKilled, KindRackLost, KindZone, KindRegions, KindState}
 
 // invalidField names the first field that is not valid, and why; empty: all are.
 func (f Fault) invalidField(regions []string) (field, why string) {
@@ -80,7 +80,7 @@
 		return "region", fmt.Sprintf("%q is not a region", f.Region)
 	case f.Other != "" && (!slices.Contains(regions, f.Other) || f.Other == f.Region):
 		return "other", fmt.Sprintf("%q is not another region", f.Other)
-	case f.Kind == KindRack && f.Machines < 1:
+	case f.Kind == KindRackLost && f.Machines < 1:
 		return "machines", "not above 0"
 	}
 	return "", ""
@@ -97,7 +97,7 @@
 	switch f.Kind {
 	case KindLeaderKilled:
 		r.killLeader(ctx, region, wait)
-	case KindRack:
+	case KindRackLost:
 		workers := region.world.WorkersInZone(region.zones[random.IntN(len(region.zones))])
 		region.world.Kill(workers[:min(len(workers), f.Machines)])
 	case KindZone:
