--- a/internal/scale/faults.go
+++ b/internal/scale/faults.go
@@ -15,8 +15,8 @@
 	KindLeaderKilled = "controller_killed"
 	// KindRackLost takes Machines workers of one zone away at once.
 	KindRackLost = "rack_gone"
-	// KindZone cuts the workers of the region's first zone from everything.
-	KindZone = "zone_cut"
+	// KindZonePartition cuts the workers of the region's first zone from everything.
+	KindZonePartition = "zone_cut"
 	// KindRegions cuts the region from the region Other, or from all others.
 	KindRegions = "regions_cut"
 	// KindState is an outage of the region's key-value store.
@@ -65,7 +65,7 @@
 }
 
 // faultKinds are the kinds of faults.
-var faultKinds = []string{KindLeaderKilled, KindRackLost, KindZone, KindRegions, KindState}
+var faultKinds = []string{KindLeaderKilled, KindRackLost, KindZonePartition, KindRegions, KindState}
 
 // invalidField names the first field that is not valid, and why; empty: all are.
 func (f Fault) invalidField(regions []string) (field, why string) {
@@ -100,7 +100,7 @@
 	case KindRackLost:
 		workers := region.world.WorkersInZone(region.zones[random.IntN(len(region.zones))])
 		region.world.Kill(workers[:min(len(workers), f.Machines)])
-	case KindZone:
+	case KindZonePartition:
 		region.partitionFirstZone(wait)
 	case KindRegions:
 		r.setRegionsPartitioned(f.Region, f.Other, true)
