--- a/internal/scale/faults.go
+++ b/internal/scale/faults.go
@@ -17,8 +17,8 @@
 	KindRackLost = "rack_gone"
 	// KindZonePartition cuts the workers of the region's first zone from everything.
 	KindZonePartition = "zone_cut"
-	// KindRegions cuts the region from the region Other, or from all others.
-	KindRegions = "regions_cut"
+	// KindRegionPartition cuts the region from the region Other, or from all others.
+	KindRegionPartition = "regions_cut"
 	// KindState is an outage of the region's key-value store.
 	KindState = "state_out"
 )
@@ -65,7 +65,7 @@
 }
 
 // faultKinds are the kinds of faults.
-var faultKinds = []string{KindLeaderKilled, KindRackLost, KindZonePartition, KindRegions, KindState}
+var faultKinds = []string{KindLeaderKilled, KindRackLost, KindZonePartition, KindRegionPartition, KindState}
 
 // invalidField names the first field that is not valid, and why; empty: all are.
 func (f Fault) invalidField(regions []string) (field, why string) {
@@ -102,7 +102,7 @@
 		region.world.Kill(workers[:min(len(workers), f.Machines)])
 	case KindZonePartition:
 		region.partitionFirstZone(wait)
-	case KindRegions:
+	case KindRegionPartition:
 		r.setRegionsPartitioned(f.Region, f.Other, true)
 		wait()
 		r.setRegionsPartitioned(f.Region, f.Other, false)
