--- a/internal/scale/faults.go
+++ b/internal/scale/faults.go
@@ -19,8 +19,8 @@
 	KindZonePartition = "zone_cut"
 	// KindRegionPartition cuts the region from the region Other, or from all others.
 	KindRegionPartition = "regions_cut"
-	// KindState is an outage of the region's key-value store.
-	KindState = "state_out"
+	// KindStoreOutage is an outage of the region's key-value store.
+	KindStoreOutage = "state_out"
 )
 
 // Fault is a fault that is injected at a time, and undone after another.
@@ -65,7 +65,7 @@
 }
 
 // faultKinds are the kinds of faults.
-var faultKinds = []string{KindLeaderKilled, KindRackLost, KindZonePartition, KindRegionPartition, KindState}
+var faultKinds = []string{KindLeaderKilled, KindRackLost, KindZonePartition, KindRegionPartition, KindStoreOutage}
 
 // invalidField names the first field that is not valid, and why; empty: all are.
 func (f Fault) invalidField(regions []string) (field, why string) {
@@ -106,7 +106,7 @@
 		r.setRegionsPartitioned(f.Region, f.Other, true)
 		wait()
 		r.setRegionsPartitioned(f.Region, f.Other, false)
-	case KindState:
+	case KindStoreOutage:
 		region.store.SetOutage(true)
 		wait()
 		region.store.SetOutage(false)
