--- a/internal/scale/faults.go
+++ b/internal/scale/faults.go
@@ -26,9 +26,9 @@
 // Fault is a fault that is injected at a time, and undone after another.
 type Fault struct {
 	Kind string `json:"kind"`
-	// AtS is when it begins, in seconds after the load has, and ForS how long it lasts.
-	AtS  float64 `json:"at_s"`
-	ForS float64 `json:"for_s"`
+	// StartS is when it begins, in seconds after the load has, and ForS how long it lasts.
+	StartS float64 `json:"at_s"`
+	ForS   float64 `json:"for_s"`
 	// Region is where; Other the region that it is cut from, empty: from all.
 	Region   string `json:"region"`
 	Other    string `json:"other"`
@@ -72,7 +72,7 @@
 	switch {
 	case !slices.Contains(faultKinds, f.Kind):
 		return "kind", fmt.Sprintf("%q is not a kind of trouble", f.Kind)
-	case f.AtS < 0 || f.AtS > maxFaultAtS:
+	case f.StartS < 0 || f.StartS > maxFaultAtS:
 		return "at_s", fmt.Sprintf("not from 0 to %d", maxFaultAtS)
 	case f.ForS < 0 || f.ForS > maxFaultAtS:
 		return "for_s", fmt.Sprintf("not from 0 to %d", maxFaultAtS)
@@ -88,7 +88,7 @@
 
 // injectFault injects a fault at its time, and undoes it, unless the context ends before.
 func (r *run) injectFault(ctx context.Context, f Fault, random *rand.Rand) {
-	if !sleep(ctx, seconds(f.AtS)) {
+	if !sleep(ctx, seconds(f.StartS)) {
 		return
 	}
 	r.options.Log.Info("injecting a fault", "kind", f.Kind, "region", f.Region, "other_region", f.Other, "duration_s", f.ForS)
