--- a/internal/scale/faults.go
+++ b/internal/scale/faults.go
@@ -27,8 +27,8 @@
 type Fault struct {
 	Kind string `json:"kind"`
 	// StartS is when it begins, in seconds after the load has, and ForS how long it lasts.
-	StartS float64 `json:"at_s"`
-	ForS   float64 `json:"for_s"`
+	StartS    float64 `json:"at_s"`
+	DurationS float64 `json:"for_s"`
 	// Region is where; Other the region that it is cut from, empty: from all.
 	Region   string `json:"region"`
 	Other    string `json:"other"`
@@ -74,7 +74,7 @@
 		return "kind", fmt.Sprintf("%q is not a kind of trouble", f.Kind)
 	case f.StartS < 0 || f.StartS > maxFaultAtS:
 		return "at_s", fmt.Sprintf("not from 0 to %d", maxFaultAtS)
-	case f.ForS < 0 || f.ForS > maxFaultAtS:
+	case f.DurationS < 0 || f.DurationS > maxFaultAtS:
 		return "for_s", fmt.Sprintf("not from 0 to %d", maxFaultAtS)
 	case !slices.Contains(regions, f.Region):
 		return "region", fmt.Sprintf("%q is not a region", f.Region)
@@ -91,9 +91,9 @@
 	if !sleep(ctx, seconds(f.StartS)) {
 		return
 	}
-	r.options.Log.Info("injecting a fault", "kind", f.Kind, "region", f.Region, "other_region", f.Other, "duration_s", f.ForS)
+	r.options.Log.Info("injecting a fault", "kind", f.Kind, "region", f.Region, "other_region", f.Other, "duration_s", f.DurationS)
 	region := r.regions[slices.IndexFunc(r.regions, func(x *region) bool { return x.name == f.Region })]
-	wait := func() { sleep(ctx, seconds(f.ForS)) }
+	wait := func() { sleep(ctx, seconds(f.DurationS)) }
 	switch f.Kind {
 	case KindLeaderKilled:
 		r.killLeader(ctx, region, wait)
