--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -13,14 +13,14 @@
 
 // The size that the system is planned for, that of a run with factor 1.
 const (
-	PlannedWorkers     = 4600
-	PlannedStartsPerS  = 3200
-	PlannedRunning     = 120_000
-	PlannedTeams       = 190
-	PlannedZones       = 16
-	PlannedRegions     = 5
-	PlannedControllers = 11
-	PlannedGang        = 256
+	PlannedWorkers      = 4600
+	PlannedStartsPerS   = 3200
+	PlannedRunningTasks = 120_000
+	PlannedTeams        = 190
+	PlannedZones        = 16
+	PlannedRegions      = 5
+	PlannedControllers  = 11
+	PlannedGang         = 256
 )
 
 // Bounds of a run, so that it ends and leaves resources of the machine to others.
@@ -135,7 +135,7 @@
 // runTime is the mean run time of a task: what the planned rate and number of running
 // tasks imply, and in a short run no more than a quarter of it, so that tasks end in it.
 func (o *Options) runTime() time.Duration {
-	planned := time.Duration(float64(time.Second) * PlannedRunning / PlannedStartsPerS)
+	planned := time.Duration(float64(time.Second) * PlannedRunningTasks / PlannedStartsPerS)
 	return min(planned, o.Duration/4)
 }
 
