--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -20,7 +20,7 @@
 	PlannedZones        = 16
 	PlannedRegions      = 5
 	PlannedControllers  = 11
-	PlannedGang         = 256
+	PlannedLargestGang  = 256
 )
 
 // Bounds of a run, so that it ends and leaves resources of the machine to others.
--- a/internal/scale/users.go
+++ b/internal/scale/users.go
@@ -35,7 +35,7 @@
 // classes are the planned load: most starts are of arrays, some of gangs, a few urgent.
 func (o *Options) classes() []class {
 	batch := max(8, 600*math.Sqrt(min(1, o.Factor))) // mean size of an array
-	gangs := gangSizes(int(PlannedGang * min(1, max(o.Factor, 0.05))))
+	gangs := gangSizes(int(PlannedLargestGang * min(1, max(o.Factor, 0.05))))
 	sum := 0
 	for _, n := range gangs {
 		sum += n
