--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -99,18 +99,18 @@
 	}
 	sum := 0.0
 	for i := 1; i < regions; i++ {
-		sum += smallerWeight(i, regions)
+		sum += regionWeight(i, regions)
 	}
 	rest := 1 - out[0]
 	for i := 1; i < regions; i++ {
-		out = append(out, rest*smallerWeight(i, regions)/sum)
+		out = append(out, rest*regionWeight(i, regions)/sum)
 	}
 	return out
 }
 
-// smallerWeight is the weight of a region after the first: the second has about twice
+// regionWeight is the weight of a region after the first: the second has about twice
 // that of the last.
-func smallerWeight(i, regions int) float64 { return float64(2*regions - i) }
+func regionWeight(i, regions int) float64 { return float64(2*regions - i) }
 
 // regionNames are the names of the regions, the home region first.
 func (o *Options) regionNames() []string {
