--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -121,8 +121,8 @@
 	return names
 }
 
-// starts is the rate of task starts that users ask for in all.
-func (o *Options) starts() float64 {
+// requestedStartsPerS is the rate of task requestedStartsPerS that users ask for in all.
+func (o *Options) requestedStartsPerS() float64 {
 	if o.StartsPerS > 0 {
 		return o.StartsPerS
 	}
@@ -154,7 +154,7 @@
 			p.zones = append(p.zones, fmt.Sprintf("%s-%c", p.name, 'a'+z))
 		}
 		p.workers = max(1, int(math.Round(PlannedWorkers*o.Factor*parts[i])))
-		p.startsPerS = o.starts() * parts[i]
+		p.startsPerS = o.requestedStartsPerS() * parts[i]
 		p.controllers = o.Controllers / o.Regions
 		if i < o.Controllers%o.Regions {
 			p.controllers++
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -123,7 +123,7 @@
 		Teams:               o.teams(),
 		DurationS:           took.Seconds(),
 		ReadyS:              ready.Seconds(),
-		RequestedStartsPerS: o.starts(),
+		RequestedStartsPerS: o.requestedStartsPerS(),
 		MeanTaskRunS:        o.runTime().Seconds(),
 		Violations:          []string{},
 		Worker:              perWorker(before.traffic, after.traffic, took),
