--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -129,8 +129,8 @@
 	return PlannedStartsPerS * o.Factor
 }
 
-// teams is the number of teams.
-func (o *Options) teams() int { return max(4, int(math.Round(PlannedTeams*o.Factor))) }
+// teamCount is the number of teamCount.
+func (o *Options) teamCount() int { return max(4, int(math.Round(PlannedTeams*o.Factor))) }
 
 // runTime is the mean run time of a task: what the planned rate and number of running
 // tasks imply, and in a short run no more than a quarter of it, so that tasks end in it.
--- a/internal/scale/region.go
+++ b/internal/scale/region.go
@@ -127,7 +127,7 @@
 
 // teamLimit is the CPUs that a team may use in this region.
 func (r *region) teamLimit() float64 {
-	return limitFactor * float64(r.workers) * machineType.CPUs / float64(r.options.teams())
+	return limitFactor * float64(r.workers) * machineType.CPUs / float64(r.options.teamCount())
 }
 
 // teamGuarantee is the CPUs that a team is guaranteed in this region: half of an even part.
@@ -135,7 +135,7 @@
 
 // teamNames are the names of all teams.
 func (r *region) teamNames() []string {
-	names := make([]string, r.options.teams())
+	names := make([]string, r.options.teamCount())
 	for i := range names {
 		names[i] = fmt.Sprintf("team-%03d", i)
 	}
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -120,7 +120,7 @@
 	p := &Report{
 		Factor:              o.Factor,
 		Controllers:         o.Controllers,
-		Teams:               o.teams(),
+		Teams:               o.teamCount(),
 		DurationS:           took.Seconds(),
 		ReadyS:              ready.Seconds(),
 		RequestedStartsPerS: o.requestedStartsPerS(),
