--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -132,9 +132,9 @@
 // teamCount is the number of teamCount.
 func (o *Options) teamCount() int { return max(4, int(math.Round(PlannedTeams*o.Factor))) }
 
-// runTime is the mean run time of a task: what the planned rate and number of running
+// meanTaskRunTime is the mean run time of a task: what the planned rate and number of running
 // tasks imply, and in a short run no more than a quarter of it, so that tasks end in it.
-func (o *Options) runTime() time.Duration {
+func (o *Options) meanTaskRunTime() time.Duration {
 	planned := time.Duration(float64(time.Second) * PlannedRunningTasks / PlannedStartsPerS)
 	return min(planned, o.Duration/4)
 }
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -124,7 +124,7 @@
 		DurationS:           took.Seconds(),
 		ReadyS:              ready.Seconds(),
 		RequestedStartsPerS: o.requestedStartsPerS(),
-		MeanTaskRunS:        o.runTime().Seconds(),
+		MeanTaskRunS:        o.meanTaskRunTime().Seconds(),
 		Violations:          []string{},
 		Worker:              perWorker(before.traffic, after.traffic, took),
 		EmulationCPU:        cpu.Seconds() / took.Seconds(),
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -216,7 +216,7 @@
 	}
 	var lastJobID atomic.Int64
 	for i, region := range r.regions {
-		u := newUsers(region.world, region.addresses, region.teamNames(), r.options.runTime(), &lastJobID)
+		u := newUsers(region.world, region.addresses, region.teamNames(), r.options.meanTaskRunTime(), &lastJobID)
 		region.startLoad(ctx, u, r.options.Seed+uint64(i)<<32)
 	}
 }
