--- a/internal/scale/configuration.go
+++ b/internal/scale/configuration.go
@@ -27,8 +27,8 @@
 	maxWatchedChanges = 200
 	// maxMovedShare is the share of a region's part of a limit that a change moves, at most.
 	maxMovedShare = 0.2
-	// rounding is what a sum of CPUs may be off.
-	rounding = 1e-6
+	// cpuTolerance is what a sum of CPUs may be off.
+	cpuTolerance = 1e-6
 	// maxAnswer bounds the body of an answer, in bytes.
 	maxAnswer = 16 * wire.MaxBody
 )
@@ -264,7 +264,7 @@
 		}
 	}
 	for team, cpus := range used {
-		if cpus > o.totalLimit()+rounding {
+		if cpus > o.totalLimit()+cpuTolerance {
 			o.regions[0].world.ReportViolation("quota: %s uses %g of %g CPUs in all regions", team, cpus, o.totalLimit())
 		}
 	}
