--- a/internal/scale/configuration.go
+++ b/internal/scale/configuration.go
@@ -29,8 +29,8 @@
 	maxMovedShare = 0.2
 	// cpuTolerance is what a sum of CPUs may be off.
 	cpuTolerance = 1e-6
-	// maxAnswer bounds the body of an answer, in bytes.
-	maxAnswer = 16 * wire.MaxBody
+	// maxResponseBytes bounds the body of an answer, in bytes.
+	maxResponseBytes = 16 * wire.MaxBody
 )
 
 // configurationReport is how long changes took.
@@ -174,7 +174,7 @@
 		return false
 	}
 	defer res.Body.Close()
-	answer, err := io.ReadAll(io.LimitReader(res.Body, maxAnswer))
+	answer, err := io.ReadAll(io.LimitReader(res.Body, maxResponseBytes))
 	return err == nil && res.StatusCode == http.StatusOK && wire.Unmarshal(answer, out) == nil
 }
 
