--- a/internal/scale/network.go
+++ b/internal/scale/network.go
@@ -201,8 +201,8 @@
 	return out
 }
 
-// perWorker is the traffic between two readings of all networks, per worker and second.
-func perWorker(before, after []map[string]counters, took time.Duration) (w workerTraffic) {
+// trafficPerWorker is the traffic between two readings of all networks, per worker and second.
+func trafficPerWorker(before, after []map[string]counters, took time.Duration) (w workerTraffic) {
 	workers := 0.0
 	seconds := took.Seconds()
 	for i := range after {
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -126,7 +126,7 @@
 		RequestedStartsPerS: o.requestedStartsPerS(),
 		MeanTaskRunS:        o.meanTaskRunTime().Seconds(),
 		Violations:          []string{},
-		Worker:              perWorker(before.traffic, after.traffic, took),
+		Worker:              trafficPerWorker(before.traffic, after.traffic, took),
 		EmulationCPU:        cpu.Seconds() / took.Seconds(),
 	}
 	for i, region := range r.regions {
