--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -32,8 +32,8 @@
 	probeTimeout   = time.Second
 )
 
-// errMemory ends a run that uses more of the machine's memory than it may.
-var errMemory = errors.New("half of this machine's memory is used")
+// errMemoryLimit ends a run that uses more of the machine's memory than it may.
+var errMemoryLimit = errors.New("half of this machine's memory is used")
 
 // run is a run under way.
 type run struct {
@@ -227,7 +227,7 @@
 	for sleep(ctx, sampleInterval) {
 		check()
 		if r.sample() > r.memoryLimitMB {
-			return errMemory
+			return errMemoryLimit
 		}
 	}
 	r.sample()
