--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -42,7 +42,7 @@
 	regions       []*region
 	relays        map[link]*relay
 	startWaits    *startWaits
-	guard         net.Listener // reserves the block of addresses
+	blockListener net.Listener // reserves the block of addresses
 	client        *http.Client
 	memoryLimitMB float64
 
@@ -144,7 +144,7 @@
 		block := firstBlock + (os.Getpid()+i)%blocks
 		ln, err := net.Listen("tcp4", fmt.Sprintf(guardAddress, block))
 		if err == nil {
-			r.guard = ln
+			r.blockListener = ln
 			return emulate.NewLoopbackAt(byte(block)), nil
 		}
 	}
@@ -266,8 +266,8 @@
 		region.close(r.options.Log)
 	}
 	r.client.CloseIdleConnections()
-	if r.guard != nil {
-		_ = r.guard.Close()
+	if r.blockListener != nil {
+		_ = r.blockListener.Close()
 	}
 	r.launcher.close()
 }
