--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -133,7 +133,7 @@
 // Blocks of loopback addresses that a run may take: 127.100.0.0/16 and so on.
 const (
 	firstBlock, lastBlock = 100, 199
-	guardAddress          = "127.%d.255.254:1079"
+	blockAddress          = "127.%d.255.254:1079"
 )
 
 // claimAddressBlock reserves a block of loopback addresses that no other run on this machine
@@ -142,7 +142,7 @@
 	blocks := lastBlock - firstBlock + 1
 	for i := range blocks {
 		block := firstBlock + (os.Getpid()+i)%blocks
-		ln, err := net.Listen("tcp4", fmt.Sprintf(guardAddress, block))
+		ln, err := net.Listen("tcp4", fmt.Sprintf(blockAddress, block))
 		if err == nil {
 			r.blockListener = ln
 			return emulate.NewLoopbackAt(byte(block)), nil
