--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -211,8 +211,8 @@
 	return u.cpu
 }
 
-// ownMemoryLimitMB is the memory of the machine that a run may use.
-func ownMemoryLimitMB() (float64, error) {
+// memoryLimitMB is the memory of the machine that a run may use.
+func memoryLimitMB() (float64, error) {
 	fs, err := procfs.NewDefaultFS()
 	if err != nil {
 		return 0, err
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -77,7 +77,7 @@
 		client:     &http.Client{Timeout: probeTimeout},
 	}
 	defer r.close()
-	if r.memoryLimitMB, err = ownMemoryLimitMB(); err != nil {
+	if r.memoryLimitMB, err = memoryLimitMB(); err != nil {
 		return nil, err
 	}
 	begun := time.Now()
