--- a/internal/scale/users.go
+++ b/internal/scale/users.go
@@ -21,7 +21,7 @@
 
 // class is a class of jobs that users submit.
 type class struct {
-	name, shape, rank string
+	name, shape, priority string
 	// share is the part of the task starts that are of this class.
 	share float64
 	// drawTasks draws the number of a job's tasks, of which meanTasks is the mean.
@@ -44,7 +44,7 @@
 		{
 			name:      "batch",
 			shape:     job.ArrayName,
-			rank:      job.StandardName,
+			priority:  job.StandardName,
 			share:     0.83,
 			drawTasks: func(r *rand.Rand) int { return 1 + int(batch*(0.25+1.5*r.Float64())) },
 			meanTasks: 1 + batch,
@@ -52,7 +52,7 @@
 		{
 			name:      "gang",
 			shape:     job.GangName,
-			rank:      job.StandardName,
+			priority:  job.StandardName,
 			share:     0.14,
 			drawTasks: func(r *rand.Rand) int { return gangs[r.IntN(len(gangs))] },
 			meanTasks: float64(sum) / float64(len(gangs)),
@@ -60,7 +60,7 @@
 		{
 			name:      urgentClass,
 			shape:     job.ArrayName,
-			rank:      job.UrgentName,
+			priority:  job.UrgentName,
 			share:     0.03,
 			drawTasks: func(r *rand.Rand) int { return 1 + r.IntN(7) },
 			meanTasks: 4,
@@ -183,7 +183,7 @@
 		Class:        c.name,
 		Team:         u.teams[r.IntN(len(u.teams))],
 		ShapeName:    c.shape,
-		PriorityName: c.rank,
+		PriorityName: c.priority,
 		Tasks:        c.drawTasks(r),
 		CPUs:         taskCPUs,
 		MemGB:        taskMemGB,
