--- a/internal/scale/users.go
+++ b/internal/scale/users.go
@@ -137,19 +137,19 @@
 
 	submitted, accepted, refused, done atomic.Int64
 
-	followed chan struct{} // holds one for each job that is followed
-	wg       sync.WaitGroup
+	followSlots chan struct{} // holds one for each job that is followed
+	wg          sync.WaitGroup
 }
 
 func newUsers(w *emulate.World, servers, teams []string, runTime time.Duration, lastJobID *atomic.Int64) *users {
 	return &users{
-		world:     w,
-		servers:   servers,
-		teams:     teams,
-		runTime:   runTime,
-		lastJobID: lastJobID,
-		client:    &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, MaxConnsPerHost: 256}},
-		followed:  make(chan struct{}, maxFollowedJobs),
+		world:       w,
+		servers:     servers,
+		teams:       teams,
+		runTime:     runTime,
+		lastJobID:   lastJobID,
+		client:      &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, MaxConnsPerHost: 256}},
+		followSlots: make(chan struct{}, maxFollowedJobs),
 	}
 }
 
@@ -164,9 +164,9 @@
 		spec := u.drawJob(c, r)
 		server := u.servers[r.IntN(len(u.servers))]
 		select {
-		case u.followed <- struct{}{}:
+		case u.followSlots <- struct{}{}:
 			u.wg.Go(func() {
-				defer func() { <-u.followed }()
+				defer func() { <-u.followSlots }()
 				u.follow(ctx, spec, server)
 			})
 		default:
