--- a/internal/scale/region.go
+++ b/internal/scale/region.go
@@ -27,12 +27,12 @@
 
 // Timings and limits of the emulated regions, those of a large site.
 const (
-	heartbeatIntervalS, leaseS, gangTimeoutS, gangPeerS, cancelS = 6, 31, 35, 6, 51
-	stateRPS, stateWriteRPS, valueKB, txnOps                     = 600, 250, 32, 12
-	cloudRPS, listLagS                                           = 6, 8
-	controllerMB, controllerSockets                              = 1024, 6000
-	imagePullTime                                                = 300 * time.Millisecond
-	userPort, peerPort                                           = "8080", "8081"
+	heartbeatIntervalS, leaseS, gangTimeoutS, gangPeerS, cancelTimeoutS = 6, 31, 35, 6, 51
+	stateRPS, stateWriteRPS, valueKB, txnOps                            = 600, 250, 32, 12
+	cloudRPS, listLagS                                                  = 6, 8
+	controllerMB, controllerSockets                                     = 1024, 6000
+	imagePullTime                                                       = 300 * time.Millisecond
+	userPort, peerPort                                                  = "8080", "8081"
 	// urgentS is the time, in seconds, within which urgentShare of the urgent tasks are to start.
 	urgentS, urgentShare = 5.6, 0.99
 	// promiseMs and yieldS are those of deploy/shares.json.
@@ -100,7 +100,7 @@
 		MaxMachines:       r.workers,
 		Controllers:       controllers,
 		LeaseDuration:     leaseS * time.Second,
-		CancelTimeout:     cancelS * time.Second,
+		CancelTimeout:     cancelTimeoutS * time.Second,
 		HeartbeatInterval: heartbeatIntervalS * time.Second,
 		GangTimeout:       gangTimeoutS * time.Second,
 		ImagePull:         imagePullTime,
@@ -188,7 +188,7 @@
 		f.Teams = append(f.Teams, config.Team{Name: team, CPUs: r.teamGuarantee(), CPUsMax: r.teamLimit()})
 	}
 	f.Objectives = []config.Objective{{Kind: config.ObjectiveWait, Class: urgentClass, WithinS: urgentS, Share: urgentShare}}
-	f.Workers = config.Workers{ReportS: heartbeatIntervalS, LeaseS: leaseS, GangWaitS: gangTimeoutS, GangPeerS: gangPeerS, CancelS: cancelS}
+	f.Workers = config.Workers{ReportS: heartbeatIntervalS, LeaseS: leaseS, GangWaitS: gangTimeoutS, GangPeerS: gangPeerS, CancelS: cancelTimeoutS}
 	f.State.RPS = stateRPS
 	f.State.WriteRPS = stateWriteRPS
 	f.State.ValueKB = valueKB
