--- a/internal/scale/region.go
+++ b/internal/scale/region.go
@@ -30,7 +30,7 @@
 	heartbeatIntervalS, leaseS, gangTimeoutS, gangPeerS, cancelTimeoutS = 6, 31, 35, 6, 51
 	stateRPS, stateWriteRPS, valueKB, txnOps                            = 600, 250, 32, 12
 	cloudRPS, listLagS                                                  = 6, 8
-	controllerMB, controllerSockets                                     = 1024, 6000
+	controllerMemoryMB, controllerSockets                               = 1024, 6000
 	imagePullTime                                                       = 300 * time.Millisecond
 	userPort, peerPort                                                  = "8080", "8081"
 	// urgentS is the time, in seconds, within which urgentShare of the urgent tasks are to start.
@@ -196,7 +196,7 @@
 	f.Cloud.RPS = cloudRPS
 	f.Cloud.ListLagS = listLagS
 	f.Resources.CoreShare = 1
-	f.Resources.RAMMB = controllerMB
+	f.Resources.RAMMB = controllerMemoryMB
 	f.Resources.MaxSockets = controllerSockets
 	return s, nil
 }
