--- a/internal/scale/region.go
+++ b/internal/scale/region.go
@@ -33,8 +33,8 @@
 	controllerMemoryMB, controllerSockets                               = 1024, 6000
 	imagePullTime                                                       = 300 * time.Millisecond
 	userPort, peerPort                                                  = "8080", "8081"
-	// urgentS is the time, in seconds, within which urgentShare of the urgent tasks are to start.
-	urgentS, urgentShare = 5.6, 0.99
+	// urgentStartS is the time, in seconds, within which urgentShare of the urgent tasks are to start.
+	urgentStartS, urgentShare = 5.6, 0.99
 	// promiseMs and yieldS are those of deploy/shares.json.
 	promiseMs, yieldS = 2000, 5
 	// idleBoots is for how many boot times idle machines are retained: the fleet stays as it is.
@@ -187,7 +187,7 @@
 	for _, team := range r.teamNames() {
 		f.Teams = append(f.Teams, config.Team{Name: team, CPUs: r.teamGuarantee(), CPUsMax: r.teamLimit()})
 	}
-	f.Objectives = []config.Objective{{Kind: config.ObjectiveWait, Class: urgentClass, WithinS: urgentS, Share: urgentShare}}
+	f.Objectives = []config.Objective{{Kind: config.ObjectiveWait, Class: urgentClass, WithinS: urgentStartS, Share: urgentShare}}
 	f.Workers = config.Workers{ReportS: heartbeatIntervalS, LeaseS: leaseS, GangWaitS: gangTimeoutS, GangPeerS: gangPeerS, CancelS: cancelTimeoutS}
 	f.State.RPS = stateRPS
 	f.State.WriteRPS = stateWriteRPS
