--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -12,8 +12,8 @@
 	"vetchstream/internal/emulate"
 )
 
-// TestPlan: the planned size is divided among the regions without a rest.
-func TestPlan(t *testing.T) {
+// TestPlanDividesFleetAmongRegions: the planned size is divided among the regions without a rest.
+func TestPlanDividesFleetAmongRegions(t *testing.T) {
 	for _, tt := range []struct {
 		factor               float64
 		regions, controllers int
