--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// TestTroubles: an error names the fault that is not valid, and its field.
-func TestTroubles(t *testing.T) {
+// TestFaultCheckNamesInvalidField: an error names the fault that is not valid, and its field.
+func TestFaultCheckNamesInvalidField(t *testing.T) {
 	for _, tt := range []struct{ text, want string }{
 		{`[{"kind":"zone_cut","region":"region-0"}]`, ""},
 		{`[{"kind":"nothing","region":"region-0"}]`, "troubles[0].kind"},
