--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -57,9 +57,9 @@
 	}
 }
 
-// TestCut: data to and from a host that is partitioned, or through a relay between regions, is
+// TestPartitionHoldsTraffic: data to and from a host that is partitioned, or through a relay between regions, is
 // held and then delivered, and a closed connection does not wait for that.
-func TestCut(t *testing.T) {
+func TestPartitionHoldsTraffic(t *testing.T) {
 	l := emulate.NewLoopbackAt(firstBlock - 1)
 	n := newNetwork("r", l)
 	ln, err := n.Listen("w1:0")
