--- a/internal/scale/configuration.go
+++ b/internal/scale/configuration.go
@@ -27,10 +27,10 @@
 	maxWatchedChanges = 200
 	// maxMovedShare is the share of a region's part of a limit that a change moves, at most.
 	maxMovedShare = 0.2
-	// rounding is what a sum of CPUs may be off.
-	rounding = 1e-6
-	// maxAnswer bounds the body of an answer, in bytes.
-	maxAnswer = 16 * wire.MaxBody
+	// cpuTolerance is what a sum of CPUs may be off.
+	cpuTolerance = 1e-6
+	// maxResponseBytes bounds the body of an answer, in bytes.
+	maxResponseBytes = 16 * wire.MaxBody
 )
 
 // configurationReport is how long changes took.
@@ -44,8 +44,8 @@
 	// have reported that they decide by the change.
 	StoredMs  quantiles `json:"stored_ms"`
 	InForceMs quantiles `json:"in_force_everywhere_ms"`
-	// InUseMs is the same of changes of which a raise was seen to wait for another region.
-	InUseMs quantiles `json:"in_force_after_waiting_ms"`
+	// InForceAfterWaitMs is the same of changes of which a raise was seen to wait for another region.
+	InForceAfterWaitMs quantiles `json:"in_force_after_waiting_ms"`
 }
 
 // operators change the parts of the regions in teams' limits while the load lasts.
@@ -174,7 +174,7 @@
 		return false
 	}
 	defer res.Body.Close()
-	answer, err := io.ReadAll(io.LimitReader(res.Body, maxAnswer))
+	answer, err := io.ReadAll(io.LimitReader(res.Body, maxResponseBytes))
 	return err == nil && res.StatusCode == http.StatusOK && wire.Unmarshal(answer, out) == nil
 }
 
@@ -246,12 +246,12 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return configurationReport{
-		Changes:   o.stored.TotalCount(),
-		Refused:   o.refused.Load(),
-		Unsettled: o.unsettled.Load(),
-		StoredMs:  quantilesOf(o.stored),
-		InForceMs: quantilesOf(o.inForce),
-		InUseMs:   quantilesOf(o.inForceAfterWait),
+		Changes:            o.stored.TotalCount(),
+		Refused:            o.refused.Load(),
+		Unsettled:          o.unsettled.Load(),
+		StoredMs:           quantilesOf(o.stored),
+		InForceMs:          quantilesOf(o.inForce),
+		InForceAfterWaitMs: quantilesOf(o.inForceAfterWait),
 	}
 }
 
@@ -264,7 +264,7 @@
 		}
 	}
 	for team, cpus := range used {
-		if cpus > o.totalLimit()+rounding {
+		if cpus > o.totalLimit()+cpuTolerance {
 			o.regions[0].world.ReportViolation("quota: %s uses %g of %g CPUs in all regions", team, cpus, o.totalLimit())
 		}
 	}
--- a/internal/scale/faults.go
+++ b/internal/scale/faults.go
@@ -11,24 +11,24 @@
 
 // Kinds of faults.
 const (
-	// KindController kills the controller that leads the region and starts it again after ForS.
-	KindController = "controller_killed"
-	// KindRack takes Machines workers of one zone away at once.
-	KindRack = "rack_gone"
-	// KindZone cuts the workers of the region's first zone from everything.
-	KindZone = "zone_cut"
-	// KindRegions cuts the region from the region Other, or from all others.
-	KindRegions = "regions_cut"
-	// KindState is an outage of the region's key-value store.
-	KindState = "state_out"
+	// KindLeaderKilled kills the controller that leads the region and starts it again after ForS.
+	KindLeaderKilled = "controller_killed"
+	// KindRackLost takes Machines workers of one zone away at once.
+	KindRackLost = "rack_gone"
+	// KindZonePartition cuts the workers of the region's first zone from everything.
+	KindZonePartition = "zone_cut"
+	// KindRegionPartition cuts the region from the region Other, or from all others.
+	KindRegionPartition = "regions_cut"
+	// KindStoreOutage is an outage of the region's key-value store.
+	KindStoreOutage = "state_out"
 )
 
 // Fault is a fault that is injected at a time, and undone after another.
 type Fault struct {
 	Kind string `json:"kind"`
-	// AtS is when it begins, in seconds after the load has, and ForS how long it lasts.
-	AtS  float64 `json:"at_s"`
-	ForS float64 `json:"for_s"`
+	// StartS is when it begins, in seconds after the load has, and ForS how long it lasts.
+	StartS    float64 `json:"at_s"`
+	DurationS float64 `json:"for_s"`
 	// Region is where; Other the region that it is cut from, empty: from all.
 	Region   string `json:"region"`
 	Other    string `json:"other"`
@@ -65,22 +65,22 @@
 }
 
 // faultKinds are the kinds of faults.
-var faultKinds = []string{KindController, KindRack, KindZone, KindRegions, KindState}
+var faultKinds = []string{KindLeaderKilled, KindRackLost, KindZonePartition, KindRegionPartition, KindStoreOutage}
 
 // invalidField names the first field that is not valid, and why; empty: all are.
 func (f Fault) invalidField(regions []string) (field, why string) {
 	switch {
 	case !slices.Contains(faultKinds, f.Kind):
 		return "kind", fmt.Sprintf("%q is not a kind of trouble", f.Kind)
-	case f.AtS < 0 || f.AtS > maxFaultAtS:
+	case f.StartS < 0 || f.StartS > maxFaultAtS:
 		return "at_s", fmt.Sprintf("not from 0 to %d", maxFaultAtS)
-	case f.ForS < 0 || f.ForS > maxFaultAtS:
+	case f.DurationS < 0 || f.DurationS > maxFaultAtS:
 		return "for_s", fmt.Sprintf("not from 0 to %d", maxFaultAtS)
 	case !slices.Contains(regions, f.Region):
 		return "region", fmt.Sprintf("%q is not a region", f.Region)
 	case f.Other != "" && (!slices.Contains(regions, f.Other) || f.Other == f.Region):
 		return "other", fmt.Sprintf("%q is not another region", f.Other)
-	case f.Kind == KindRack && f.Machines < 1:
+	case f.Kind == KindRackLost && f.Machines < 1:
 		return "machines", "not above 0"
 	}
 	return "", ""
@@ -88,25 +88,25 @@
 
 // injectFault injects a fault at its time, and undoes it, unless the context ends before.
 func (r *run) injectFault(ctx context.Context, f Fault, random *rand.Rand) {
-	if !sleep(ctx, seconds(f.AtS)) {
+	if !sleep(ctx, seconds(f.StartS)) {
 		return
 	}
-	r.options.Log.Info("injecting a fault", "kind", f.Kind, "region", f.Region, "other_region", f.Other, "duration_s", f.ForS)
+	r.options.Log.Info("injecting a fault", "kind", f.Kind, "region", f.Region, "other_region", f.Other, "duration_s", f.DurationS)
 	region := r.regions[slices.IndexFunc(r.regions, func(x *region) bool { return x.name == f.Region })]
-	wait := func() { sleep(ctx, seconds(f.ForS)) }
+	wait := func() { sleep(ctx, seconds(f.DurationS)) }
 	switch f.Kind {
-	case KindController:
+	case KindLeaderKilled:
 		r.killLeader(ctx, region, wait)
-	case KindRack:
+	case KindRackLost:
 		workers := region.world.WorkersInZone(region.zones[random.IntN(len(region.zones))])
 		region.world.Kill(workers[:min(len(workers), f.Machines)])
-	case KindZone:
+	case KindZonePartition:
 		region.partitionFirstZone(wait)
-	case KindRegions:
+	case KindRegionPartition:
 		r.setRegionsPartitioned(f.Region, f.Other, true)
 		wait()
 		r.setRegionsPartitioned(f.Region, f.Other, false)
-	case KindState:
+	case KindStoreOutage:
 		region.store.SetOutage(true)
 		wait()
 		region.store.SetOutage(false)
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -13,14 +13,14 @@
 
 // The size that the system is planned for, that of a run with factor 1.
 const (
-	PlannedWorkers     = 4600
-	PlannedStartsPerS  = 3200
-	PlannedRunning     = 120_000
-	PlannedTeams       = 190
-	PlannedZones       = 16
-	PlannedRegions     = 5
-	PlannedControllers = 11
-	PlannedGang        = 256
+	PlannedWorkers      = 4600
+	PlannedStartsPerS   = 3200
+	PlannedRunningTasks = 120_000
+	PlannedTeams        = 190
+	PlannedZones        = 16
+	PlannedRegions      = 5
+	PlannedControllers  = 11
+	PlannedLargestGang  = 256
 )
 
 // Bounds of a run, so that it ends and leaves resources of the machine to others.
@@ -99,18 +99,18 @@
 	}
 	sum := 0.0
 	for i := 1; i < regions; i++ {
-		sum += smallerWeight(i, regions)
+		sum += regionWeight(i, regions)
 	}
 	rest := 1 - out[0]
 	for i := 1; i < regions; i++ {
-		out = append(out, rest*smallerWeight(i, regions)/sum)
+		out = append(out, rest*regionWeight(i, regions)/sum)
 	}
 	return out
 }
 
-// smallerWeight is the weight of a region after the first: the second has about twice
+// regionWeight is the weight of a region after the first: the second has about twice
 // that of the last.
-func smallerWeight(i, regions int) float64 { return float64(2*regions - i) }
+func regionWeight(i, regions int) float64 { return float64(2*regions - i) }
 
 // regionNames are the names of the regions, the home region first.
 func (o *Options) regionNames() []string {
@@ -121,21 +121,21 @@
 	return names
 }
 
-// starts is the rate of task starts that users ask for in all.
-func (o *Options) starts() float64 {
+// requestedStartsPerS is the rate of task requestedStartsPerS that users ask for in all.
+func (o *Options) requestedStartsPerS() float64 {
 	if o.StartsPerS > 0 {
 		return o.StartsPerS
 	}
 	return PlannedStartsPerS * o.Factor
 }
 
-// teams is the number of teams.
-func (o *Options) teams() int { return max(4, int(math.Round(PlannedTeams*o.Factor))) }
+// teamCount is the number of teamCount.
+func (o *Options) teamCount() int { return max(4, int(math.Round(PlannedTeams*o.Factor))) }
 
-// runTime is the mean run time of a task: what the planned rate and number of running
+// meanTaskRunTime is the mean run time of a task: what the planned rate and number of running
 // tasks imply, and in a short run no more than a quarter of it, so that tasks end in it.
-func (o *Options) runTime() time.Duration {
-	planned := time.Duration(float64(time.Second) * PlannedRunning / PlannedStartsPerS)
+func (o *Options) meanTaskRunTime() time.Duration {
+	planned := time.Duration(float64(time.Second) * PlannedRunningTasks / PlannedStartsPerS)
 	return min(planned, o.Duration/4)
 }
 
@@ -154,7 +154,7 @@
 			p.zones = append(p.zones, fmt.Sprintf("%s-%c", p.name, 'a'+z))
 		}
 		p.workers = max(1, int(math.Round(PlannedWorkers*o.Factor*parts[i])))
-		p.startsPerS = o.starts() * parts[i]
+		p.startsPerS = o.requestedStartsPerS() * parts[i]
 		p.controllers = o.Controllers / o.Regions
 		if i < o.Controllers%o.Regions {
 			p.controllers++
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -52,13 +52,13 @@
 	tuningFile string // operators' settings
 	logFile    string // file of its standard error
 
-	mu          sync.Mutex
-	cmd         *exec.Cmd // nil: it does not run
-	ended       chan struct{}
-	endExpected bool // it is being killed
-	stats       controllerStats
-	lastUsage   usage
-	lastSampled time.Time
+	mu           sync.Mutex
+	cmd          *exec.Cmd // nil: it does not run
+	ended        chan struct{}
+	exitExpected bool // it is being killed
+	stats        controllerStats
+	lastUsage    usage
+	lastSampled  time.Time
 }
 
 // controllerStats is what a controller's process has used.
@@ -69,8 +69,8 @@
 	// RSSPeakMB is the largest resident memory, in MB.
 	RSSPeakMB   float64 `json:"rss_peak_mb"`
 	SocketsPeak int     `json:"sockets_peak"`
-	// Ends counts the ends that were not expected.
-	Ends int `json:"ends"`
+	// UnexpectedExits counts the ends that were not expected.
+	UnexpectedExits int `json:"ends"`
 
 	cpuTime, sampledTime time.Duration
 }
@@ -125,7 +125,7 @@
 	ended := make(chan struct{})
 	c.cmd = cmd
 	c.ended = ended
-	c.endExpected = false
+	c.exitExpected = false
 	c.lastUsage = usage{}
 	c.lastSampled = time.Now()
 	go func() {
@@ -144,8 +144,8 @@
 		return
 	}
 	c.cmd = nil
-	if !c.endExpected {
-		c.stats.Ends++
+	if !c.exitExpected {
+		c.stats.UnexpectedExits++
 	}
 }
 
@@ -153,7 +153,7 @@
 func (c *controller) kill() {
 	c.mu.Lock()
 	cmd, ended := c.cmd, c.ended
-	c.endExpected = true
+	c.exitExpected = true
 	c.mu.Unlock()
 	if cmd == nil {
 		return
@@ -196,8 +196,8 @@
 	c.sample(now)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	ends := c.stats.Ends
-	c.stats = controllerStats{Ends: ends}
+	ends := c.stats.UnexpectedExits
+	c.stats = controllerStats{UnexpectedExits: ends}
 }
 
 // statistics is what the process has used since the last reset.
@@ -207,8 +207,8 @@
 	return c.stats
 }
 
-// lastLine is the last line of the log.
-func (c *controller) lastLine() string {
+// lastLogLine is the last line of the log.
+func (c *controller) lastLogLine() string {
 	b, err := os.ReadFile(c.logFile)
 	if err != nil {
 		return err.Error()
--- a/internal/scale/region.go
+++ b/internal/scale/region.go
@@ -27,14 +27,14 @@
 
 // Timings and limits of the emulated regions, those of a large site.
 const (
-	reportS, leaseS, gangWaitS, gangPeerS, cancelS = 6, 31, 35, 6, 51
-	stateRPS, stateWriteRPS, valueKB, txnOps       = 600, 250, 32, 12
-	cloudRPS, listLagS                             = 6, 8
-	controllerMB, controllerSockets                = 1024, 6000
-	imagePullTime                                  = 300 * time.Millisecond
-	userPort, peerPort                             = "8080", "8081"
-	// urgentS is the time, in seconds, within which urgentShare of the urgent tasks are to start.
-	urgentS, urgentShare = 5.6, 0.99
+	heartbeatIntervalS, leaseS, gangTimeoutS, gangPeerS, cancelTimeoutS = 6, 31, 35, 6, 51
+	stateRPS, stateWriteRPS, valueKB, txnOps                            = 600, 250, 32, 12
+	cloudRPS, listLagS                                                  = 6, 8
+	controllerMemoryMB, controllerSockets                               = 1024, 6000
+	imagePullTime                                                       = 300 * time.Millisecond
+	userPort, peerPort                                                  = "8080", "8081"
+	// urgentStartS is the time, in seconds, within which urgentShare of the urgent tasks are to start.
+	urgentStartS, urgentShare = 5.6, 0.99
 	// promiseMs and yieldS are those of deploy/shares.json.
 	promiseMs, yieldS = 2000, 5
 	// idleBoots is for how many boot times idle machines are retained: the fleet stays as it is.
@@ -100,9 +100,9 @@
 		MaxMachines:       r.workers,
 		Controllers:       controllers,
 		LeaseDuration:     leaseS * time.Second,
-		CancelTimeout:     cancelS * time.Second,
-		HeartbeatInterval: reportS * time.Second,
-		GangTimeout:       gangWaitS * time.Second,
+		CancelTimeout:     cancelTimeoutS * time.Second,
+		HeartbeatInterval: heartbeatIntervalS * time.Second,
+		GangTimeout:       gangTimeoutS * time.Second,
 		ImagePullTime:     imagePullTime,
 		ListLag:           listLagS * time.Second,
 		Limits:            r.teamLimits(),
@@ -127,7 +127,7 @@
 
 // teamLimit is the CPUs that a team may use in this region.
 func (r *region) teamLimit() float64 {
-	return limitFactor * float64(r.workers) * machineType.CPUs / float64(r.options.teams())
+	return limitFactor * float64(r.workers) * machineType.CPUs / float64(r.options.teamCount())
 }
 
 // teamGuarantee is the CPUs that a team is guaranteed in this region: half of an even part.
@@ -135,7 +135,7 @@
 
 // teamNames are the names of all teams.
 func (r *region) teamNames() []string {
-	names := make([]string, r.options.teams())
+	names := make([]string, r.options.teamCount())
 	for i := range names {
 		names[i] = fmt.Sprintf("team-%03d", i)
 	}
@@ -187,8 +187,8 @@
 	for _, team := range r.teamNames() {
 		f.Teams = append(f.Teams, config.Team{Name: team, CPUs: r.teamGuarantee(), CPUsMax: r.teamLimit()})
 	}
-	f.Objectives = []config.Objective{{Kind: config.ObjectiveWait, Class: urgentClass, WithinS: urgentS, Share: urgentShare}}
-	f.Workers = config.Workers{ReportS: reportS, LeaseS: leaseS, GangWaitS: gangWaitS, GangPeerS: gangPeerS, CancelS: cancelS}
+	f.Objectives = []config.Objective{{Kind: config.ObjectiveWait, Class: urgentClass, WithinS: urgentStartS, Share: urgentShare}}
+	f.Workers = config.Workers{ReportS: heartbeatIntervalS, LeaseS: leaseS, GangWaitS: gangTimeoutS, GangPeerS: gangPeerS, CancelS: cancelTimeoutS}
 	f.State.RPS = stateRPS
 	f.State.WriteRPS = stateWriteRPS
 	f.State.ValueKB = valueKB
@@ -196,7 +196,7 @@
 	f.Cloud.RPS = cloudRPS
 	f.Cloud.ListLagS = listLagS
 	f.Resources.CoreShare = 1
-	f.Resources.RAMMB = controllerMB
+	f.Resources.RAMMB = controllerMemoryMB
 	f.Resources.MaxSockets = controllerSockets
 	return s, nil
 }
@@ -312,7 +312,7 @@
 
 // controllerEnded reports whether a controller has ended unexpectedly.
 func (r *region) controllerEnded() bool {
-	return slices.ContainsFunc(r.controllers, func(c *controller) bool { return c.statistics().Ends > 0 })
+	return slices.ContainsFunc(r.controllers, func(c *controller) bool { return c.statistics().UnexpectedExits > 0 })
 }
 
 // healthy reports whether the health checks of all controllers succeed.
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -26,17 +26,17 @@
 	ReadyS float64 `json:"ready_s"`
 	// Stopped is why the run has ended before its time; empty: it has not.
 	Stopped string `json:"stopped,omitempty"`
-	// RequestedPerS is the rate of task starts that users requested, StartsPerS the rate of those
+	// RequestedStartsPerS is the rate of task starts that users requested, StartsPerS the rate of those
 	// that there were.
-	RequestedPerS float64 `json:"asked_starts_per_s"`
-	Starts        int     `json:"starts"`
-	StartsPerS    float64 `json:"starts_per_s"`
+	RequestedStartsPerS float64 `json:"asked_starts_per_s"`
+	Starts              int     `json:"starts"`
+	StartsPerS          float64 `json:"starts_per_s"`
 	// RunningPeak is the largest number of tasks on their machines at a time.
-	RunningPeak int           `json:"running_peak"`
-	RunS        float64       `json:"task_run_s"`
-	Jobs        jobCounts     `json:"jobs"`
-	RulesBroken []string      `json:"rules_broken"`
-	Worker      workerTraffic `json:"worker"`
+	RunningPeak  int           `json:"running_peak"`
+	MeanTaskRunS float64       `json:"task_run_s"`
+	Jobs         jobCounts     `json:"jobs"`
+	Violations   []string      `json:"rules_broken"`
+	Worker       workerTraffic `json:"worker"`
 	// Configuration is how long changes of the teams took.
 	Configuration configurationReport `json:"configuration"`
 	UrgentMs      quantiles           `json:"urgent_start_ms"`
@@ -62,7 +62,7 @@
 	Count int64 `json:"count"`
 	P50   int64 `json:"p50"`
 	P99   int64 `json:"p99"`
-	Most  int64 `json:"most"`
+	Max   int64 `json:"most"`
 }
 
 // quantilesOf are the quantiles of a histogram of milliseconds.
@@ -71,22 +71,22 @@
 		Count: h.TotalCount(),
 		P50:   h.ValueAtQuantile(50),
 		P99:   h.ValueAtQuantile(99),
-		Most:  h.Max(),
+		Max:   h.Max(),
 	}
 }
 
 // regionReport is what one region did and used.
 type regionReport struct {
-	Name          string             `json:"name"`
-	Zones         int                `json:"zones"`
-	Workers       int                `json:"workers"`
-	StartsPerS    float64            `json:"starts_per_s"`
-	ReportsPerS   float64            `json:"reports_per_s"`
-	DirectsPerS   float64            `json:"direct_commands_per_s"`
-	StateRequests float64            `json:"state_requests_per_s"`
-	StateWrites   float64            `json:"state_writes_per_s"`
-	StateKeys     int                `json:"state_keys"`
-	Controllers   []controllerReport `json:"controllers"`
+	Name               string             `json:"name"`
+	Zones              int                `json:"zones"`
+	Workers            int                `json:"workers"`
+	StartsPerS         float64            `json:"starts_per_s"`
+	HeartbeatsPerS     float64            `json:"reports_per_s"`
+	DirectCommandsPerS float64            `json:"direct_commands_per_s"`
+	StateRequestsPerS  float64            `json:"state_requests_per_s"`
+	StateWritesPerS    float64            `json:"state_writes_per_s"`
+	StateKeys          int                `json:"state_keys"`
+	Controllers        []controllerReport `json:"controllers"`
 }
 
 // controllerReport is what one controller used.
@@ -118,21 +118,21 @@
 func (r *run) report(before, after counterReading, took, ready, cpu time.Duration) *Report {
 	o := &r.options
 	p := &Report{
-		Factor:        o.Factor,
-		Controllers:   o.Controllers,
-		Teams:         o.teams(),
-		DurationS:     took.Seconds(),
-		ReadyS:        ready.Seconds(),
-		RequestedPerS: o.starts(),
-		RunS:          o.runTime().Seconds(),
-		RulesBroken:   []string{},
-		Worker:        perWorker(before.traffic, after.traffic, took),
-		EmulationCPU:  cpu.Seconds() / took.Seconds(),
+		Factor:              o.Factor,
+		Controllers:         o.Controllers,
+		Teams:               o.teamCount(),
+		DurationS:           took.Seconds(),
+		ReadyS:              ready.Seconds(),
+		RequestedStartsPerS: o.requestedStartsPerS(),
+		MeanTaskRunS:        o.meanTaskRunTime().Seconds(),
+		Violations:          []string{},
+		Worker:              trafficPerWorker(before.traffic, after.traffic, took),
+		EmulationCPU:        cpu.Seconds() / took.Seconds(),
 	}
 	for i, region := range r.regions {
 		p.Workers += region.workers
 		p.Starts += after.starts[i] - before.starts[i]
-		p.RulesBroken = append(p.RulesBroken, region.world.Violations()...)
+		p.Violations = append(p.Violations, region.world.Violations()...)
 		p.Jobs.Submitted += region.users.submitted.Load()
 		p.Jobs.Accepted += region.users.accepted.Load()
 		p.Jobs.Refused += region.users.refused.Load()
@@ -153,15 +153,15 @@
 func (r *region) report(i int, before, after counterReading, seconds float64) regionReport {
 	perS := func(was, now int) float64 { return float64(now-was) / seconds }
 	out := regionReport{
-		Name:          r.name,
-		Zones:         len(r.zones),
-		Workers:       r.workers,
-		StartsPerS:    perS(before.starts[i], after.starts[i]),
-		ReportsPerS:   perS(before.loads[i].Heartbeats, after.loads[i].Heartbeats),
-		DirectsPerS:   perS(before.loads[i].DirectCommands, after.loads[i].DirectCommands),
-		StateRequests: perS(before.stores[i].Requests, after.stores[i].Requests),
-		StateWrites:   perS(before.stores[i].Writes, after.stores[i].Writes),
-		StateKeys:     r.store.CountKeys(""),
+		Name:               r.name,
+		Zones:              len(r.zones),
+		Workers:            r.workers,
+		StartsPerS:         perS(before.starts[i], after.starts[i]),
+		HeartbeatsPerS:     perS(before.loads[i].Heartbeats, after.loads[i].Heartbeats),
+		DirectCommandsPerS: perS(before.loads[i].DirectCommands, after.loads[i].DirectCommands),
+		StateRequestsPerS:  perS(before.stores[i].Requests, after.stores[i].Requests),
+		StateWritesPerS:    perS(before.stores[i].Writes, after.stores[i].Writes),
+		StateKeys:          r.store.CountKeys(""),
 	}
 	for _, c := range r.controllers {
 		out.Controllers = append(out.Controllers, controllerReport{c.member, c.statistics()})
@@ -176,28 +176,28 @@
 	if p.Stopped != "" {
 		fmt.Fprintf(w, "stopped early: %s\n", p.Stopped)
 	}
-	fmt.Fprintf(w, "task starts: %d, %.0f a second of %.0f asked for; at most %d at a time, of %.0f s\n", p.Starts, p.StartsPerS, p.RequestedPerS, p.RunningPeak, p.RunS)
+	fmt.Fprintf(w, "task starts: %d, %.0f a second of %.0f asked for; at most %d at a time, of %.0f s\n", p.Starts, p.StartsPerS, p.RequestedStartsPerS, p.RunningPeak, p.MeanTaskRunS)
 	fmt.Fprintf(w, "jobs: %d submitted, %d accepted, %d refused, %d told done\n", p.Jobs.Submitted, p.Jobs.Accepted, p.Jobs.Refused, p.Jobs.Done)
-	fmt.Fprintf(w, "a worker sends %.0f and receives %.0f bytes a second (most: %.0f together), %.2f messages a second\n", p.Worker.Sent, p.Worker.Received, p.Worker.Most, p.Worker.Messages)
+	fmt.Fprintf(w, "a worker sends %.0f and receives %.0f bytes a second (most: %.0f together), %.2f messages a second\n", p.Worker.Sent, p.Worker.Received, p.Worker.MaxTotal, p.Worker.Messages)
 	fmt.Fprintf(w, "start of urgent tasks, ms: %d of them, p50 %d, p99 %d, most %d; of others: %d, p50 %d, p99 %d, most %d\n",
-		p.UrgentMs.Count, p.UrgentMs.P50, p.UrgentMs.P99, p.UrgentMs.Most, p.OtherMs.Count, p.OtherMs.P50, p.OtherMs.P99, p.OtherMs.Most)
+		p.UrgentMs.Count, p.UrgentMs.P50, p.UrgentMs.P99, p.UrgentMs.Max, p.OtherMs.Count, p.OtherMs.P50, p.OtherMs.P99, p.OtherMs.Max)
 	c := &p.Configuration
 	fmt.Fprintf(w, "configuration: %d changes, %d refused, %d not in force at the end; in force everywhere, ms: p50 %d, p99 %d, most %d; %d waited for another region, most %d\n",
-		c.Changes, c.Refused, c.Unsettled, c.InForceMs.P50, c.InForceMs.P99, c.InForceMs.Most, c.InUseMs.Count, c.InUseMs.Most)
+		c.Changes, c.Refused, c.Unsettled, c.InForceMs.P50, c.InForceMs.P99, c.InForceMs.Max, c.InForceAfterWaitMs.Count, c.InForceAfterWaitMs.Max)
 	fmt.Fprintf(w, "stand-ins: %.2f cores, %.0f MB; all processes %.0f MB\n", p.EmulationCPU, p.EmulationMB, p.TotalMB)
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(t, "REGION\tZONES\tWORKERS\tSTARTS/S\tREPORTS/S\tDIRECT/S\tSTATE REQ/S\tWRITES/S\tKEYS")
 	for _, g := range p.Regions {
-		fmt.Fprintf(t, "%s\t%d\t%d\t%.0f\t%.0f\t%.0f\t%.0f\t%.1f\t%d\n", g.Name, g.Zones, g.Workers, g.StartsPerS, g.ReportsPerS, g.DirectsPerS, g.StateRequests, g.StateWrites, g.StateKeys)
+		fmt.Fprintf(t, "%s\t%d\t%d\t%.0f\t%.0f\t%.0f\t%.0f\t%.1f\t%d\n", g.Name, g.Zones, g.Workers, g.StartsPerS, g.HeartbeatsPerS, g.DirectCommandsPerS, g.StateRequestsPerS, g.StateWritesPerS, g.StateKeys)
 	}
 	fmt.Fprintln(t, "CONTROLLER\tCPU MEAN\tCPU PEAK\tMEMORY MB\tSOCKETS\tENDS")
 	for _, g := range p.Regions {
 		for _, c := range g.Controllers {
-			fmt.Fprintf(t, "%s\t%.2f\t%.2f\t%.0f\t%d\t%d\n", c.Member, c.CPUMean, c.CPUPeak, c.RSSPeakMB, c.SocketsPeak, c.Ends)
+			fmt.Fprintf(t, "%s\t%.2f\t%.2f\t%.0f\t%d\t%d\n", c.Member, c.CPUMean, c.CPUPeak, c.RSSPeakMB, c.SocketsPeak, c.UnexpectedExits)
 		}
 	}
 	_ = t.Flush()
-	for _, b := range p.RulesBroken {
+	for _, b := range p.Violations {
 		fmt.Fprintln(w, "BROKEN:", b)
 	}
 }
@@ -211,8 +211,8 @@
 	return u.cpu
 }
 
-// ownMemoryLimitMB is the memory of the machine that a run may use.
-func ownMemoryLimitMB() (float64, error) {
+// memoryLimitMB is the memory of the machine that a run may use.
+func memoryLimitMB() (float64, error) {
 	fs, err := procfs.NewDefaultFS()
 	if err != nil {
 		return 0, err
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -32,8 +32,8 @@
 	probeTimeout   = time.Second
 )
 
-// errMemory ends a run that uses more of the machine's memory than it may.
-var errMemory = errors.New("half of this machine's memory is used")
+// errMemoryLimit ends a run that uses more of the machine's memory than it may.
+var errMemoryLimit = errors.New("half of this machine's memory is used")
 
 // run is a run under way.
 type run struct {
@@ -42,7 +42,7 @@
 	regions       []*region
 	relays        map[link]*relay
 	startWaits    *startWaits
-	guard         net.Listener // reserves the block of addresses
+	blockListener net.Listener // reserves the block of addresses
 	client        *http.Client
 	memoryLimitMB float64
 
@@ -77,7 +77,7 @@
 		client:     &http.Client{Timeout: probeTimeout},
 	}
 	defer r.close()
-	if r.memoryLimitMB, err = ownMemoryLimitMB(); err != nil {
+	if r.memoryLimitMB, err = memoryLimitMB(); err != nil {
 		return nil, err
 	}
 	begun := time.Now()
@@ -133,7 +133,7 @@
 // Blocks of loopback addresses that a run may take: 127.100.0.0/16 and so on.
 const (
 	firstBlock, lastBlock = 100, 199
-	guardAddress          = "127.%d.255.254:1079"
+	blockAddress          = "127.%d.255.254:1079"
 )
 
 // claimAddressBlock reserves a block of loopback addresses that no other run on this machine
@@ -142,9 +142,9 @@
 	blocks := lastBlock - firstBlock + 1
 	for i := range blocks {
 		block := firstBlock + (os.Getpid()+i)%blocks
-		ln, err := net.Listen("tcp4", fmt.Sprintf(guardAddress, block))
+		ln, err := net.Listen("tcp4", fmt.Sprintf(blockAddress, block))
 		if err == nil {
-			r.guard = ln
+			r.blockListener = ln
 			return emulate.NewLoopbackAt(byte(block)), nil
 		}
 	}
@@ -158,7 +158,7 @@
 	for _, region := range r.regions {
 		for !region.healthy(r.client) {
 			if region.controllerEnded() || !sleep(ctx, readyInterval) {
-				return fmt.Errorf("the controllers of %s were not ready within %v; the first says: %s", region.name, readyTimeout, region.controllers[0].lastLine())
+				return fmt.Errorf("the controllers of %s were not ready within %v; the first says: %s", region.name, readyTimeout, region.controllers[0].lastLogLine())
 			}
 		}
 	}
@@ -216,7 +216,7 @@
 	}
 	var lastJobID atomic.Int64
 	for i, region := range r.regions {
-		u := newUsers(region.world, region.addresses, region.teamNames(), r.options.runTime(), &lastJobID)
+		u := newUsers(region.world, region.addresses, region.teamNames(), r.options.meanTaskRunTime(), &lastJobID)
 		region.startLoad(ctx, u, r.options.Seed+uint64(i)<<32)
 	}
 }
@@ -227,7 +227,7 @@
 	for sleep(ctx, sampleInterval) {
 		check()
 		if r.sample() > r.memoryLimitMB {
-			return errMemory
+			return errMemoryLimit
 		}
 	}
 	r.sample()
@@ -266,8 +266,8 @@
 		region.close(r.options.Log)
 	}
 	r.client.CloseIdleConnections()
-	if r.guard != nil {
-		_ = r.guard.Close()
+	if r.blockListener != nil {
+		_ = r.blockListener.Close()
 	}
 	r.launcher.close()
 }
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -12,8 +12,8 @@
 	"vetchstream/internal/emulate"
 )
 
-// TestPlan: the planned size is divided among the regions without a rest.
-func TestPlan(t *testing.T) {
+// TestPlanDividesFleetAmongRegions: the planned size is divided among the regions without a rest.
+func TestPlanDividesFleetAmongRegions(t *testing.T) {
 	for _, tt := range []struct {
 		factor               float64
 		regions, controllers int
@@ -36,8 +36,8 @@
 	}
 }
 
-// TestTroubles: an error names the fault that is not valid, and its field.
-func TestTroubles(t *testing.T) {
+// TestFaultCheckNamesInvalidField: an error names the fault that is not valid, and its field.
+func TestFaultCheckNamesInvalidField(t *testing.T) {
 	for _, tt := range []struct{ text, want string }{
 		{`[{"kind":"zone_cut","region":"region-0"}]`, ""},
 		{`[{"kind":"nothing","region":"region-0"}]`, "troubles[0].kind"},
@@ -57,9 +57,9 @@
 	}
 }
 
-// TestCut: data to and from a host that is partitioned, or through a relay between regions, is
+// TestPartitionHoldsTraffic: data to and from a host that is partitioned, or through a relay between regions, is
 // held and then delivered, and a closed connection does not wait for that.
-func TestCut(t *testing.T) {
+func TestPartitionHoldsTraffic(t *testing.T) {
 	l := emulate.NewLoopbackAt(firstBlock - 1)
 	n := newNetwork("r", l)
 	ln, err := n.Listen("w1:0")
--- a/internal/scale/users.go
+++ b/internal/scale/users.go
@@ -21,7 +21,7 @@
 
 // class is a class of jobs that users submit.
 type class struct {
-	name, shape, rank string
+	name, shape, priority string
 	// share is the part of the task starts that are of this class.
 	share float64
 	// drawTasks draws the number of a job's tasks, of which meanTasks is the mean.
@@ -35,7 +35,7 @@
 // classes are the planned load: most starts are of arrays, some of gangs, a few urgent.
 func (o *Options) classes() []class {
 	batch := max(8, 600*math.Sqrt(min(1, o.Factor))) // mean size of an array
-	gangs := gangSizes(int(PlannedGang * min(1, max(o.Factor, 0.05))))
+	gangs := gangSizes(int(PlannedLargestGang * min(1, max(o.Factor, 0.05))))
 	sum := 0
 	for _, n := range gangs {
 		sum += n
@@ -44,7 +44,7 @@
 		{
 			name:      "batch",
 			shape:     job.ArrayName,
-			rank:      job.StandardName,
+			priority:  job.StandardName,
 			share:     0.83,
 			drawTasks: func(r *rand.Rand) int { return 1 + int(batch*(0.25+1.5*r.Float64())) },
 			meanTasks: 1 + batch,
@@ -52,7 +52,7 @@
 		{
 			name:      "gang",
 			shape:     job.GangName,
-			rank:      job.StandardName,
+			priority:  job.StandardName,
 			share:     0.14,
 			drawTasks: func(r *rand.Rand) int { return gangs[r.IntN(len(gangs))] },
 			meanTasks: float64(sum) / float64(len(gangs)),
@@ -60,7 +60,7 @@
 		{
 			name:      urgentClass,
 			shape:     job.ArrayName,
-			rank:      job.UrgentName,
+			priority:  job.UrgentName,
 			share:     0.03,
 			drawTasks: func(r *rand.Rand) int { return 1 + r.IntN(7) },
 			meanTasks: 4,
@@ -137,19 +137,19 @@
 
 	submitted, accepted, refused, done atomic.Int64
 
-	followed chan struct{} // holds one for each job that is followed
-	wg       sync.WaitGroup
+	followSlots chan struct{} // holds one for each job that is followed
+	wg          sync.WaitGroup
 }
 
 func newUsers(w *emulate.World, servers, teams []string, runTime time.Duration, lastJobID *atomic.Int64) *users {
 	return &users{
-		world:     w,
-		servers:   servers,
-		teams:     teams,
-		runTime:   runTime,
-		lastJobID: lastJobID,
-		client:    &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, MaxConnsPerHost: 256}},
-		followed:  make(chan struct{}, maxFollowedJobs),
+		world:       w,
+		servers:     servers,
+		teams:       teams,
+		runTime:     runTime,
+		lastJobID:   lastJobID,
+		client:      &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, MaxConnsPerHost: 256}},
+		followSlots: make(chan struct{}, maxFollowedJobs),
 	}
 }
 
@@ -164,9 +164,9 @@
 		spec := u.drawJob(c, r)
 		server := u.servers[r.IntN(len(u.servers))]
 		select {
-		case u.followed <- struct{}{}:
+		case u.followSlots <- struct{}{}:
 			u.wg.Go(func() {
-				defer func() { <-u.followed }()
+				defer func() { <-u.followSlots }()
 				u.follow(ctx, spec, server)
 			})
 		default:
@@ -183,7 +183,7 @@
 		Class:        c.name,
 		Team:         u.teams[r.IntN(len(u.teams))],
 		ShapeName:    c.shape,
-		PriorityName: c.rank,
+		PriorityName: c.priority,
 		Tasks:        c.drawTasks(r),
 		CPUs:         taskCPUs,
 		MemGB:        taskMemGB,
