--- a/internal/rollout/desired.go
+++ b/internal/rollout/desired.go
@@ -25,14 +25,14 @@
 }
 
 // Desired returns what should run now. The result depends on the record and the view alone.
-func Desired(r *Record, v *View) DesiredState {
-	replicas := max(len(v.Old), len(v.New))
-	d := DesiredState{
+func Desired(r *Record, view *View) DesiredState {
+	replicas := max(len(view.Old), len(view.New))
+	desired := DesiredState{
 		Old: make([]bool, replicas),
 		New: make([]Placement, replicas),
 	}
-	for i := range d.Old {
-		d.Old[i] = true
+	for i := range desired.Old {
+		desired.Old[i] = true
 	}
 	state := r.State
 	if state == Paused {
@@ -40,35 +40,35 @@
 	}
 	switch state {
 	case Pending, RolledBack, Failed, Done:
-		return d // the current version alone: Done has swapped the two versions
+		return desired // the current version alone: Done has swapped the two versions
 	}
 	for i := range r.Batches {
-		b := &r.Batches[i]
+		batch := &r.Batches[i]
 		switch {
 		case i > r.BatchIndex:
 			// The batch has not started.
 		case i < r.BatchIndex:
-			for _, replica := range b.Replicas {
-				d.replaceOld(replica, b.Zone)
+			for _, replica := range batch.Replicas {
+				desired.replaceOld(replica, batch.Zone)
 			}
 		case state == RollingBack:
 			// The whole batch is rolled back at once, because its new instances are bad.
 		case r.State == Paused:
-			retainBatch(v, b, &d)
+			retainBatch(view, batch, &desired)
 		default:
-			r.changeBatch(v, b, &d)
+			r.changeBatch(view, batch, &desired)
 		}
 	}
-	return d
+	return desired
 }
 
 // retainBatch leaves the instances of a paused batch as they are. A replica without a new
 // instance runs its old one, which is started if it is missing.
-func retainBatch(v *View, b *Batch, d *DesiredState) {
-	for _, replica := range b.Replicas {
-		if v.newInstance(replica).Live {
-			d.Old[replica] = v.oldInstance(replica).Live
-			d.addNew(replica, b.Zone)
+func retainBatch(view *View, batch *Batch, desired *DesiredState) {
+	for _, replica := range batch.Replicas {
+		if view.newInstance(replica).Live {
+			desired.Old[replica] = view.oldInstance(replica).Live
+			desired.addNew(replica, batch.Zone)
 		}
 	}
 }
@@ -77,18 +77,18 @@
 // if the surge limit allows one more, or once the old instance has ended. An old instance is
 // stopped once its new one has been healthy for the ready time, because a bad build can look
 // healthy for a moment, or if one more replica may be unavailable.
-func (r *Record) changeBatch(v *View, b *Batch, d *DesiredState) {
-	surge, unavailable := r.retainChanging(v, b, d)
-	for _, replica := range b.Replicas {
-		if d.New[replica].Wanted || !d.Old[replica] {
+func (r *Record) changeBatch(view *View, batch *Batch, desired *DesiredState) {
+	surge, unavailable := r.retainChanging(view, batch, desired)
+	for _, replica := range batch.Replicas {
+		if desired.New[replica].Wanted || !desired.Old[replica] {
 			continue
 		}
 		switch {
 		case surge > 0:
-			d.addNew(replica, b.Zone)
+			desired.addNew(replica, batch.Zone)
 			surge--
 		case unavailable > 0:
-			d.Old[replica] = false // the new one starts once the old one has ended
+			desired.Old[replica] = false // the new one starts once the old one has ended
 			unavailable--
 		}
 	}
@@ -96,26 +96,26 @@
 
 // retainChanging continues the replicas of a batch whose change has started. It returns how many
 // more surplus and unavailable instances the limits allow.
-func (r *Record) retainChanging(v *View, b *Batch, d *DesiredState) (surge, unavailable int) {
+func (r *Record) retainChanging(view *View, batch *Batch, desired *DesiredState) (surge, unavailable int) {
 	surge, unavailable = r.Spec.maxSurge(), r.Spec.maxUnavailable()
-	for _, replica := range b.Replicas {
-		old, next := v.oldInstance(replica), v.newInstance(replica)
+	for _, replica := range batch.Replicas {
+		old, next := view.oldInstance(replica), view.newInstance(replica)
 		ready := next.readyAfter(r.Spec.readySeconds()) && !next.Lost && next.Health == Healthy
 		switch {
 		case next.Live && !old.Live:
-			d.replaceOld(replica, b.Zone)
+			desired.replaceOld(replica, batch.Zone)
 			if !ready {
 				unavailable--
 			}
 		case next.Live && ready:
-			d.replaceOld(replica, b.Zone)
+			desired.replaceOld(replica, batch.Zone)
 			surge--
 		case next.Live:
-			d.addNew(replica, b.Zone)
+			desired.addNew(replica, batch.Zone)
 			surge--
 		case !old.Live:
 			// Neither instance runs: the old one ended by itself, or was stopped for this change.
-			d.replaceOld(replica, b.Zone)
+			desired.replaceOld(replica, batch.Zone)
 			unavailable--
 		}
 	}
--- a/internal/rollout/sample.go
+++ b/internal/rollout/sample.go
@@ -27,22 +27,22 @@
 }
 
 // sample returns the sample of a batch's new instances.
-func (r *Record) sample(v *View, b *Batch) Sample {
-	s := Sample{Replicas: len(b.Replicas)}
+func (r *Record) sample(view *View, batch *Batch) Sample {
+	sample := Sample{Replicas: len(batch.Replicas)}
 	var healthy, unhealthy, unknown int
 	failedMachines := map[string]bool{}
 	youngest := -1.0
-	for _, replica := range b.Replicas {
+	for _, replica := range batch.Replicas {
 		failure := r.Failures[replica]
-		s.Failures = max(s.Failures, failure.Count)
-		s.AllFailures += failure.Count
+		sample.Failures = max(sample.Failures, failure.Count)
+		sample.AllFailures += failure.Count
 		for _, machine := range failure.Machines {
 			failedMachines[machine] = true
 		}
-		instance := v.newInstance(replica)
+		instance := view.newInstance(replica)
 		switch {
 		case instance.Lost:
-			s.Lost++
+			sample.Lost++
 			continue
 		case !instance.Running:
 			unknown++
@@ -50,7 +50,7 @@
 			healthy++
 		case instance.Health == Unhealthy:
 			unhealthy++
-			s.UnhealthyS = max(s.UnhealthyS, instance.UnhealthyS)
+			sample.UnhealthyS = max(sample.UnhealthyS, instance.UnhealthyS)
 		default:
 			unknown++
 		}
@@ -58,14 +58,14 @@
 			youngest = instance.SinceS
 		}
 	}
-	s.SinceS = max(0, youngest)
-	s.FailedMachines = len(failedMachines)
-	if n := float64(s.Replicas - s.Lost); n > 0 {
-		s.Healthy = float64(healthy) / n
-		s.Unhealthy = float64(unhealthy) / n
-		s.Unknown = float64(unknown) / n
+	sample.SinceS = max(0, youngest)
+	sample.FailedMachines = len(failedMachines)
+	if n := float64(sample.Replicas - sample.Lost); n > 0 {
+		sample.Healthy = float64(healthy) / n
+		sample.Unhealthy = float64(unhealthy) / n
+		sample.Unknown = float64(unknown) / n
 	}
-	return s
+	return sample
 }
 
 // describeSample describes a sample for the reason of a state. It is not a method of Sample,
--- a/internal/rollout/status.go
+++ b/internal/rollout/status.go
@@ -36,8 +36,8 @@
 }
 
 // NewStatus returns the status of a roll-out. It uses only the time and the instances of the view.
-func NewStatus(r *Record, v *View) Status {
-	s := Status{
+func NewStatus(r *Record, view *View) Status {
+	status := Status{
 		Service: r.Service,
 		Handle:  r.Handle,
 		Current: r.Current,
@@ -45,45 +45,45 @@
 		State:   string(r.State),
 		Reason:  r.Reason,
 		Batch:   min(r.BatchIndex+1, len(r.Batches)),
-		SinceS:  roundToTenth(secondsSince(r.StateSince, v.Now)),
-		TookS:   roundToTenth(secondsSince(r.StartedAt, v.Now)),
+		SinceS:  roundToTenth(secondsSince(r.StateSince, view.Now)),
+		TookS:   roundToTenth(secondsSince(r.StartedAt, view.Now)),
 	}
 	if r.State.Ended() {
-		s.TookS = roundToTenth(float64(r.StateSince-r.StartedAt) / 1000)
+		status.TookS = roundToTenth(float64(r.StateSince-r.StartedAt) / 1000)
 	}
-	instances := v.New
+	instances := view.New
 	if r.State == Done {
-		instances = v.Old // Done has swapped the two versions
+		instances = view.Old // Done has swapped the two versions
 	}
 	for i := range r.Batches {
-		s.Batches = append(s.Batches, r.batchStatus(&r.Batches[i], instances))
+		status.Batches = append(status.Batches, r.batchStatus(&r.Batches[i], instances))
 	}
-	s.WaitingFor = r.waitingFor(s.Batches)
-	return s
+	status.WaitingFor = r.waitingFor(status.Batches)
+	return status
 }
 
 // roundToTenth rounds to one decimal.
 func roundToTenth(x float64) float64 { return math.Round(10*x) / 10 }
 
 // batchStatus returns the status of a batch with these instances.
-func (r *Record) batchStatus(b *Batch, instances []Instance) BatchStatus {
-	s := BatchStatus{Zone: b.Zone, Replicas: len(b.Replicas)}
-	for _, replica := range b.Replicas {
-		s.Failures += r.Failures[replica].Count
+func (r *Record) batchStatus(batch *Batch, instances []Instance) BatchStatus {
+	status := BatchStatus{Zone: batch.Zone, Replicas: len(batch.Replicas)}
+	for _, replica := range batch.Replicas {
+		status.Failures += r.Failures[replica].Count
 		instance := instanceOf(instances, replica)
 		if instance.Running {
-			s.Running++
+			status.Running++
 		}
 		switch {
 		case instance.Lost:
-			s.Lost++
+			status.Lost++
 		case instance.Running && instance.Health == Healthy:
-			s.Healthy++
+			status.Healthy++
 		case instance.Running && instance.Health == Unhealthy:
-			s.Unhealthy++
+			status.Unhealthy++
 		}
 	}
-	return s
+	return status
 }
 
 // waitingFor says what a roll-out waits for. The text is empty if it waits for nothing.
@@ -91,13 +91,13 @@
 	if r.State.Ended() || len(batches) == 0 {
 		return ""
 	}
-	b := batches[min(r.BatchIndex, len(batches)-1)]
+	batch := batches[min(r.BatchIndex, len(batches)-1)]
 	switch r.State {
 	case Advancing:
-		if b.Healthy == b.Replicas {
+		if batch.Healthy == batch.Replicas {
 			return "the old copies of the batch to go"
 		}
-		return fmt.Sprintf("%d of %d copies to be healthy, within %.0f s", b.Replicas-b.Healthy, b.Replicas, r.Spec.deadlineSeconds())
+		return fmt.Sprintf("%d of %d copies to be healthy, within %.0f s", batch.Replicas-batch.Healthy, batch.Replicas, r.Spec.deadlineSeconds())
 	case Soaking:
 		return fmt.Sprintf("the batch to stay healthy for %.0f s", r.Spec.soakSeconds())
 	case RollingBack:
--- a/internal/rollout/step.go
+++ b/internal/rollout/step.go
@@ -13,39 +13,39 @@
 // a nil gate means that the expressions cannot be compiled, and pauses the roll-out. A copy of a
 // record may share its batches and failures with the original, because Step never changes these
 // in place.
-func Step(r *Record, v *View, gate *Gate) bool {
+func Step(r *Record, view *View, gate *Gate) bool {
 	if r.State.Ended() {
 		return false
 	}
-	if v.Cancelled {
-		r.setState(Failed, v.Now, "the service was cancelled by its user")
+	if view.Cancelled {
+		r.setState(Failed, view.Now, "the service was cancelled by its user")
 		return true
 	}
 	if gate == nil {
 		// The gate compiled when the roll-out was requested: another release stored the record.
-		return r.pauseForOperator(v.Now, "the gate cannot be read")
+		return r.pauseForOperator(view.Now, "the gate cannot be read")
 	}
 	switch r.State {
 	case Pending:
-		r.startBatch(0, v)
+		r.startBatch(0, view)
 		return true
 	case RollingBack:
-		return r.stepRollingBack(v)
+		return r.stepRollingBack(view)
 	}
-	if reason := r.gateFailure(v, gate); reason != "" {
+	if reason := r.gateFailure(view, gate); reason != "" {
 		if r.Spec.autoRollback() {
-			r.rollBack(v.Now, reason)
+			r.rollBack(view.Now, reason)
 			return true
 		}
-		return r.pauseForOperator(v.Now, reason)
+		return r.pauseForOperator(view.Now, reason)
 	}
 	switch r.State {
 	case Paused:
-		return r.stepPaused(v)
+		return r.stepPaused(view)
 	case Advancing:
-		return r.stepAdvancing(v, gate)
+		return r.stepAdvancing(view, gate)
 	case Soaking:
-		return r.stepSoaking(v, gate)
+		return r.stepSoaking(view, gate)
 	}
 	return false
 }
@@ -53,12 +53,12 @@
 // gateFailure describes the first batch that fails the gate. The reason is empty if none fails.
 // It looks at all batches that have started, also during a pause: an instance that passed at
 // first and fails later stops the roll-out as well.
-func (r *Record) gateFailure(v *View, gate *Gate) (reason string) {
-	if r.BatchIndex >= len(r.Batches) || v.ChecksUnreachable {
+func (r *Record) gateFailure(view *View, gate *Gate) (reason string) {
+	if r.BatchIndex >= len(r.Batches) || view.ChecksUnreachable {
 		return ""
 	}
 	for i := 0; i <= r.BatchIndex; i++ {
-		if s := r.sample(v, &r.Batches[i]); gate.Fails(s) {
+		if s := r.sample(view, &r.Batches[i]); gate.Fails(s) {
 			return fmt.Sprintf("batch %d: %s", i+1, describeSample(s))
 		}
 	}
@@ -76,22 +76,22 @@
 // another zone. The swap is only possible before the batch starts, because afterwards the new
 // version may have run in its zone. If the zones of all later batches are unavailable as well,
 // the roll-out is paused.
-func (r *Record) startBatch(index int, v *View) {
+func (r *Record) startBatch(index int, view *View) {
 	r.BatchIndex = index
-	r.BatchStartedAt = v.Now.UnixMilli()
+	r.BatchStartedAt = view.Now.UnixMilli()
 	for i := index; i < len(r.Batches); i++ {
-		if v.UnavailableZones[r.Batches[i].Zone] {
+		if view.UnavailableZones[r.Batches[i].Zone] {
 			continue
 		}
 		if i != index {
 			r.Batches = slices.Clone(r.Batches)
 			r.Batches[index], r.Batches[i] = r.Batches[i], r.Batches[index]
 		}
-		r.setState(Advancing, v.Now, "")
+		r.setState(Advancing, view.Now, "")
 		return
 	}
 	r.State = Advancing
-	r.pause(v.Now, zoneUnavailableReason+r.Batches[index].Zone)
+	r.pause(view.Now, zoneUnavailableReason+r.Batches[index].Zone)
 }
 
 // pause stops the roll-out in its current state. The desired instances stay the same.
@@ -129,20 +129,20 @@
 )
 
 // stepPaused resumes a roll-out if the reason of its pause no longer holds.
-func (r *Record) stepPaused(v *View) bool {
-	if r.ManualResume || v.ChecksUnreachable || (r.BatchIndex < len(r.Batches) && v.UnavailableZones[r.Batches[r.BatchIndex].Zone]) {
+func (r *Record) stepPaused(view *View) bool {
+	if r.ManualResume || view.ChecksUnreachable || (r.BatchIndex < len(r.Batches) && view.UnavailableZones[r.Batches[r.BatchIndex].Zone]) {
 		return false
 	}
 	switch {
 	case r.Reason == checksUnreachableReason || strings.HasPrefix(r.Reason, zoneUnavailableReason):
 	case strings.HasPrefix(r.Reason, machinesLostReason):
-		if r.batchLost(v) {
+		if r.batchLost(view) {
 			return false
 		}
 	default:
 		return false
 	}
-	r.resume(v.Now)
+	r.resume(view.Now)
 	return true
 }
 
@@ -150,9 +150,9 @@
 func (r *Record) currentBatch() *Batch { return &r.Batches[min(r.BatchIndex, len(r.Batches)-1)] }
 
 // batchLost reports whether a machine of the current batch is lost.
-func (r *Record) batchLost(v *View) bool {
+func (r *Record) batchLost(view *View) bool {
 	return slices.ContainsFunc(r.currentBatch().Replicas, func(replica int32) bool {
-		return v.oldInstance(replica).Lost || v.newInstance(replica).Lost
+		return view.oldInstance(replica).Lost || view.newInstance(replica).Lost
 	})
 }
 
@@ -171,33 +171,33 @@
 
 // stepAdvancing starts the soak of a batch that is changed and passes the gate, or stops the
 // roll-out if the batch is past its deadline.
-func (r *Record) stepAdvancing(v *View, gate *Gate) bool {
-	b := &r.Batches[r.BatchIndex]
-	if v.ChecksUnreachable {
-		r.pause(v.Now, checksUnreachableReason)
+func (r *Record) stepAdvancing(view *View, gate *Gate) bool {
+	batch := &r.Batches[r.BatchIndex]
+	if view.ChecksUnreachable {
+		r.pause(view.Now, checksUnreachableReason)
 		return true
 	}
-	if v.UnavailableZones[b.Zone] {
+	if view.UnavailableZones[batch.Zone] {
 		// The batch has started, so the roll-out waits for its zone and starts no other batch.
-		r.pause(v.Now, zoneUnavailableReason+b.Zone)
+		r.pause(view.Now, zoneUnavailableReason+batch.Zone)
 		return true
 	}
-	s := r.sample(v, b)
-	if s.Lost == 0 && b.changed(v) && gate.Passes(s) {
-		r.setState(Soaking, v.Now, "")
+	s := r.sample(view, batch)
+	if s.Lost == 0 && batch.changed(view) && gate.Passes(s) {
+		r.setState(Soaking, view.Now, "")
 		return true
 	}
-	if secondsSince(r.BatchStartedAt, v.Now) <= r.Spec.deadlineSeconds() {
+	if secondsSince(r.BatchStartedAt, view.Now) <= r.Spec.deadlineSeconds() {
 		return false
 	}
-	r.stopOverdueBatch(s, v.Now)
+	r.stopOverdueBatch(s, view.Now)
 	return true
 }
 
 // changed reports whether every replica of a batch runs its new instance and no old one.
-func (b *Batch) changed(v *View) bool {
+func (b *Batch) changed(view *View) bool {
 	return !slices.ContainsFunc(b.Replicas, func(replica int32) bool {
-		return !v.newInstance(replica).Running || v.oldInstance(replica).Live
+		return !view.newInstance(replica).Running || view.oldInstance(replica).Live
 	})
 }
 
@@ -216,57 +216,57 @@
 }
 
 // stepSoaking starts the next batch once the current one has passed the gate for the soak time.
-func (r *Record) stepSoaking(v *View, gate *Gate) bool {
-	if v.ChecksUnreachable {
-		r.pause(v.Now, checksUnreachableReason)
+func (r *Record) stepSoaking(view *View, gate *Gate) bool {
+	if view.ChecksUnreachable {
+		r.pause(view.Now, checksUnreachableReason)
 		return true
 	}
-	if s := r.sample(v, &r.Batches[r.BatchIndex]); s.Lost > 0 || !gate.Passes(s) {
-		r.setState(Advancing, v.Now, "") // the batch has to pass again before its deadline
+	if s := r.sample(view, &r.Batches[r.BatchIndex]); s.Lost > 0 || !gate.Passes(s) {
+		r.setState(Advancing, view.Now, "") // the batch has to pass again before its deadline
 		return true
 	}
-	if secondsSince(r.StateSince, v.Now) < r.Spec.soakSeconds() {
+	if secondsSince(r.StateSince, view.Now) < r.Spec.soakSeconds() {
 		return false
 	}
 	if r.BatchIndex+1 < len(r.Batches) {
-		r.startBatch(r.BatchIndex+1, v)
+		r.startBatch(r.BatchIndex+1, view)
 		return true
 	}
 	r.BatchIndex = len(r.Batches)
 	r.Current, r.Next = r.Next, r.Current
-	r.setState(Done, v.Now, "")
+	r.setState(Done, view.Now, "")
 	return true
 }
 
 // stepRollingBack rolls back one batch after the other. It does not wait for a batch that is past
 // its deadline, because the other batches would stay on the bad version.
-func (r *Record) stepRollingBack(v *View) bool {
-	overdue := secondsSince(r.BatchStartedAt, v.Now) > r.Spec.deadlineSeconds()
-	if !r.currentBatch().rolledBack(v, r.Spec.readySeconds()) && !overdue {
+func (r *Record) stepRollingBack(view *View) bool {
+	overdue := secondsSince(r.BatchStartedAt, view.Now) > r.Spec.deadlineSeconds()
+	if !r.currentBatch().rolledBack(view, r.Spec.readySeconds()) && !overdue {
 		return false
 	}
 	if r.BatchIndex > 0 {
 		r.BatchIndex--
-		r.BatchStartedAt = v.Now.UnixMilli()
+		r.BatchStartedAt = view.Now.UnixMilli()
 		return true
 	}
 	reason := r.Reason
 	if overdue {
-		for i, old := range v.Old {
+		for i, old := range view.Old {
 			if !old.readyAfter(r.Spec.readySeconds()) {
-				r.setState(Failed, v.Now, fmt.Sprintf("%s; rolled back, but the old version does not come up either (replica %d)", reason, i))
+				r.setState(Failed, view.Now, fmt.Sprintf("%s; rolled back, but the old version does not come up either (replica %d)", reason, i))
 				return true
 			}
 		}
 	}
-	r.setState(RolledBack, v.Now, reason)
+	r.setState(RolledBack, view.Now, reason)
 	return true
 }
 
 // rolledBack reports whether no new instance of a batch is live and every old one has run for
 // readySeconds.
-func (b *Batch) rolledBack(v *View, readySeconds float64) bool {
+func (b *Batch) rolledBack(view *View, readySeconds float64) bool {
 	return !slices.ContainsFunc(b.Replicas, func(replica int32) bool {
-		return v.newInstance(replica).Live || !v.oldInstance(replica).readyAfter(readySeconds)
+		return view.newInstance(replica).Live || !view.oldInstance(replica).readyAfter(readySeconds)
 	})
 }
