--- a/internal/scale/configuration.go
+++ b/internal/scale/configuration.go
@@ -21,38 +21,39 @@
 
 const (
 	configPath = "/api/config"
-	// statusInterval is how often the status is polled.
+	// statusInterval is the interval between polls of the configuration status.
 	statusInterval = 50 * time.Millisecond
-	// maxWatchedChanges bounds the changes that are watched at a time.
+	// maxWatchedChanges bounds the number of changes that are watched concurrently.
 	maxWatchedChanges = 200
-	// maxMovedShare is the share of a region's part of a limit that a change moves, at most.
+	// maxMovedShare bounds the share of a region's limit that one change moves.
 	maxMovedShare = 0.2
-	// cpuTolerance is what a sum of CPUs may be off.
+	// cpuTolerance is the permitted rounding error of a sum of CPUs.
 	cpuTolerance = 1e-6
-	// maxResponseBytes bounds the body of an answer, in bytes.
+	// maxResponseBytes bounds the body of a response.
 	maxResponseBytes = 16 * wire.MaxBody
 )
 
-// configurationReport is how long changes took.
+// configurationReport counts the changes of the configuration and measures their delays.
 type configurationReport struct {
-	// Changes were stored, Refused were not taken, Unsettled were not in force everywhere
-	// when the run ended.
+	// Changes counts stored changes, Refused rejected ones, and Unsettled those that were not
+	// in force in all regions when the run ended.
 	Changes   int64 `json:"changes"`
 	Refused   int64 `json:"refused"`
 	Unsettled int64 `json:"unsettled"`
-	// StoredMs is the time to the answer, InForceMs that from the answer until all regions
-	// have reported that they decide by the change.
+	// StoredMs is the time from a request to its response. InForceMs is the time from the
+	// response until all regions have reported that they apply the change.
 	StoredMs  quantiles `json:"stored_ms"`
 	InForceMs quantiles `json:"in_force_everywhere_ms"`
-	// InForceAfterWaitMs is the same of changes of which a raise was seen to wait for another region.
+	// InForceAfterWaitMs is the same time for changes whose raise of a region's limit was seen
+	// to wait for another region. InForceMs excludes them.
 	InForceAfterWaitMs quantiles `json:"in_force_after_waiting_ms"`
 }
 
-// operators change the parts of the regions in teams' limits while the load lasts.
+// operators move parts of teams' limits between the regions during the load.
 type operators struct {
 	run     *run
 	regions []*region
-	limits  map[string][]float64 // of each team in each region, as last requested
+	limits  map[string][]float64 // by team, for each region, as last requested
 
 	refused, unsettled atomic.Int64
 
@@ -82,7 +83,7 @@
 	return o
 }
 
-// totalLimit is a team's limit in all regions.
+// totalLimit returns the limit of a team, summed over all regions.
 func (o *operators) totalLimit() (sum float64) {
 	for _, region := range o.regions {
 		sum += region.teamLimit()
@@ -90,7 +91,7 @@
 	return sum
 }
 
-// changeLimits makes changes at a rate until the context ends.
+// changeLimits requests changes at the given rate until the context ends.
 func (o *operators) changeLimits(ctx context.Context, perMinute float64, r *rand.Rand) {
 	if perMinute <= 0 {
 		return
@@ -116,7 +117,7 @@
 	}
 }
 
-// drawChange moves a share of a team's limit from one region to another.
+// drawChange draws a change that moves a part of the team's limit from one region to another.
 func (o *operators) drawChange(team string, r *rand.Rand) *dynconfig.Change {
 	limits := o.limits[team]
 	from, to := r.IntN(len(limits)), r.IntN(len(limits))
@@ -140,7 +141,7 @@
 	return &dynconfig.Change{Teams: []dynconfig.TeamChange{change}}
 }
 
-// apply makes a change at the home region, and returns its revision.
+// apply sends a change to the home region and returns the revision of the change.
 func (o *operators) apply(ctx context.Context, c *dynconfig.Change) (revision uint64, ok bool) {
 	body, err := wire.Marshal(c)
 	if err != nil {
@@ -153,7 +154,7 @@
 	return out.Revision, ok
 }
 
-// request makes a request at the home region's controllers in turn, until one answers it.
+// request sends a request to the controllers of the home region in turn until one responds with 200.
 func (o *operators) request(ctx context.Context, method, path string, body []byte, out any) bool {
 	for _, server := range o.regions[0].addresses {
 		if o.requestFrom(ctx, method, "http://"+server+path, body, out) {
@@ -163,7 +164,8 @@
 	return false
 }
 
-// requestFrom makes a request and decodes the answer to out.
+// requestFrom sends a request and decodes the response into out. It reports whether the request
+// succeeded.
 func (o *operators) requestFrom(ctx context.Context, method, url string, body []byte, out any) bool {
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
@@ -178,7 +180,7 @@
 	return err == nil && res.StatusCode == http.StatusOK && wire.Unmarshal(answer, out) == nil
 }
 
-// pollStatus polls the status until the context ends.
+// pollStatus polls the configuration status until the context ends.
 func (o *operators) pollStatus(ctx context.Context) {
 	for sleep(ctx, statusInterval) {
 		var s dynconfig.Status
@@ -190,7 +192,7 @@
 	}
 }
 
-// awaitInForce waits until a team's change is in force everywhere.
+// awaitInForce waits until a team's change is in force in all regions, and records the delay.
 func (o *operators) awaitInForce(ctx context.Context, team string, revision uint64) {
 	begun := time.Now()
 	waited := false
@@ -213,8 +215,8 @@
 	o.unsettled.Add(1)
 }
 
-// pendingChange reports whether a team's change is not in force somewhere, and whether that is
-// because a region has tasks that take more than its new part.
+// pendingChange reports whether a region does not apply a team's change yet, and whether a region
+// waits because running tasks of another region exceed that region's reduced limit.
 func pendingChange(s *dynconfig.Status, team string, revision uint64) (behind, inUse bool) {
 	if s.Revision < revision {
 		return true, false
@@ -225,7 +227,7 @@
 		}
 		i := slices.IndexFunc(r.Pending, func(w dynconfig.PendingShare) bool { return w.Team == team })
 		if i < 0 {
-			behind = behind || r.PendingCount > len(r.Pending) // the list is cut off
+			behind = behind || r.PendingCount > len(r.Pending) // the list is truncated
 			continue
 		}
 		behind = true
@@ -234,14 +236,14 @@
 	return behind, inUse
 }
 
-// record adds a time to a histogram.
+// record adds a delay to a histogram.
 func (o *operators) record(h *hdrhistogram.Histogram, took time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	_ = h.RecordValue(min(max(1, took.Milliseconds()), maxWaitMs)) // within its range
+	_ = h.RecordValue(min(max(1, took.Milliseconds()), maxWaitMs)) // clamped to the range of the histogram
 }
 
-// report sums up the changes so far.
+// report summarizes the changes made so far.
 func (o *operators) report() configurationReport {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -255,7 +257,7 @@
 	}
 }
 
-// checkLimits checks that the regions together stay within each team's limit.
+// checkLimits checks that the CPUs a team uses in all regions together do not exceed its limit.
 func (o *operators) checkLimits() {
 	used := map[string]float64{}
 	for _, region := range o.regions {
@@ -270,8 +272,8 @@
 	}
 }
 
-// regionSettings are the settings of the other regions for the controllers of a region, with
-// relays on the way to the home region.
+// regionSettings returns the settings that tell a region's controllers about the other regions. It
+// starts relays, through which the controllers reach the home region.
 func (r *run) regionSettings(of *region) (config.Regions, error) {
 	home := r.regions[0]
 	set := config.Regions{Name: of.name, Home: home.name, All: r.options.regionNames(), HomeAddresses: []string{}}
--- a/internal/scale/faults.go
+++ b/internal/scale/faults.go
@@ -11,25 +11,28 @@
 
 // Kinds of faults.
 const (
-	// KindLeaderKilled kills the controller that leads the region and starts it again after ForS.
+	// KindLeaderKilled kills the leader of the region and restarts it after DurationS.
 	KindLeaderKilled = "controller_killed"
-	// KindRackLost takes Machines workers of one zone away at once.
+	// KindRackLost kills up to Machines workers of one zone at once.
 	KindRackLost = "rack_gone"
-	// KindZonePartition cuts the workers of the region's first zone from everything.
+	// KindZonePartition partitions the workers of the region's first zone from the network.
 	KindZonePartition = "zone_cut"
-	// KindRegionPartition cuts the region from the region Other, or from all others.
+	// KindRegionPartition partitions the region from the region Other, or from all others.
 	KindRegionPartition = "regions_cut"
-	// KindStoreOutage is an outage of the region's key-value store.
+	// KindStoreOutage makes the region's key-value store unavailable.
 	KindStoreOutage = "state_out"
 )
 
-// Fault is a fault that is injected at a time, and undone after another.
+// Fault is a fault that a run injects and, after a duration, reverts.
 type Fault struct {
 	Kind string `json:"kind"`
-	// StartS is when it begins, in seconds after the load has, and ForS how long it lasts.
+	// StartS is the start of the fault, in seconds after the start of the load, and DurationS
+	// its duration in seconds.
 	StartS    float64 `json:"at_s"`
 	DurationS float64 `json:"for_s"`
-	// Region is where; Other the region that it is cut from, empty: from all.
+	// Region is the affected region. Other is the region that KindRegionPartition separates it
+	// from; if it is empty, that is every other region. Machines is the number of workers that
+	// KindRackLost kills.
 	Region   string `json:"region"`
 	Other    string `json:"other"`
 	Machines int    `json:"machines"`
@@ -40,21 +43,21 @@
 	maxFaultAtS = 3600
 )
 
-// ParseFaults reads a list of faults (JSON). Run checks them.
+// ParseFaults decodes a JSON list of faults. It does not check their values; Run does.
 func ParseFaults(b []byte) ([]Fault, error) {
-	d := json.NewDecoder(bytes.NewReader(b))
-	d.DisallowUnknownFields()
-	var ts []Fault
-	if err := d.Decode(&ts); err != nil {
+	decoder := json.NewDecoder(bytes.NewReader(b))
+	decoder.DisallowUnknownFields()
+	var faults []Fault
+	if err := decoder.Decode(&faults); err != nil {
 		return nil, fmt.Errorf("troubles: %w", err)
 	}
-	return ts, nil
+	return faults, nil
 }
 
-// checkFaults returns an error that names the fault, from 0, and the field.
+// checkFaults returns an error that names the index and the field of the first invalid fault.
 func checkFaults(faults []Fault, regions []string) error {
 	if len(faults) > maxFaults {
-		return fmt.Errorf("troubles: %d of them, more than %d", len(faults), maxFaults)
+		return fmt.Errorf("troubles: %d faults in the list, at most %d are allowed", len(faults), maxFaults)
 	}
 	for i, f := range faults {
 		if field, why := f.invalidField(regions); field != "" {
@@ -64,35 +67,37 @@
 	return nil
 }
 
-// faultKinds are the kinds of faults.
+// faultKinds lists all kinds of faults.
 var faultKinds = []string{KindLeaderKilled, KindRackLost, KindZonePartition, KindRegionPartition, KindStoreOutage}
 
-// invalidField names the first field that is not valid, and why; empty: all are.
+// invalidField returns the name of the first invalid field and the reason, or empty texts if all
+// fields are valid.
 func (f Fault) invalidField(regions []string) (field, why string) {
 	switch {
 	case !slices.Contains(faultKinds, f.Kind):
-		return "kind", fmt.Sprintf("%q is not a kind of trouble", f.Kind)
+		return "kind", fmt.Sprintf("%q is not a kind of fault", f.Kind)
 	case f.StartS < 0 || f.StartS > maxFaultAtS:
-		return "at_s", fmt.Sprintf("not from 0 to %d", maxFaultAtS)
+		return "at_s", fmt.Sprintf("must be from 0 to %d", maxFaultAtS)
 	case f.DurationS < 0 || f.DurationS > maxFaultAtS:
-		return "for_s", fmt.Sprintf("not from 0 to %d", maxFaultAtS)
+		return "for_s", fmt.Sprintf("must be from 0 to %d", maxFaultAtS)
 	case !slices.Contains(regions, f.Region):
 		return "region", fmt.Sprintf("%q is not a region", f.Region)
 	case f.Other != "" && (!slices.Contains(regions, f.Other) || f.Other == f.Region):
 		return "other", fmt.Sprintf("%q is not another region", f.Other)
 	case f.Kind == KindRackLost && f.Machines < 1:
-		return "machines", "not above 0"
+		return "machines", "must be greater than 0"
 	}
 	return "", ""
 }
 
-// injectFault injects a fault at its time, and undoes it, unless the context ends before.
+// injectFault injects a fault at its start time and reverts it after its duration. If the context
+// ends before the start time, it does nothing.
 func (r *run) injectFault(ctx context.Context, f Fault, random *rand.Rand) {
 	if !sleep(ctx, seconds(f.StartS)) {
 		return
 	}
-	r.options.Log.Info("injecting a fault", "kind", f.Kind, "region", f.Region, "other_region", f.Other, "duration_s", f.DurationS)
-	region := r.regions[slices.IndexFunc(r.regions, func(x *region) bool { return x.name == f.Region })]
+	r.options.Log.Info("injecting fault", "kind", f.Kind, "region", f.Region, "other_region", f.Other, "duration_s", f.DurationS)
+	region := r.regions[slices.IndexFunc(r.regions, func(candidate *region) bool { return candidate.name == f.Region })]
 	wait := func() { sleep(ctx, seconds(f.DurationS)) }
 	switch f.Kind {
 	case KindLeaderKilled:
@@ -113,8 +118,8 @@
 	}
 }
 
-// killLeader kills the controller that leads a region, and starts it again after a wait unless
-// the context has ended.
+// killLeader kills the leader of a region and restarts it after wait returns, unless the context
+// has ended by then.
 func (r *run) killLeader(ctx context.Context, region *region, wait func()) {
 	c := region.leader()
 	c.kill()
@@ -123,11 +128,11 @@
 		return
 	}
 	if err := c.start(r.launcher); err != nil {
-		r.options.Log.Error("restarting a controller failed", "member", c.member, "error", err)
+		r.options.Log.Error("failed to restart a controller", "member", c.member, "error", err)
 	}
 }
 
-// partitionFirstZone cuts the workers of the first zone off from everything during a wait.
+// partitionFirstZone partitions the workers of the first zone from the network until wait returns.
 func (r *region) partitionFirstZone(wait func()) {
 	var ips []string
 	for _, worker := range r.world.WorkersInZone(r.zones[0]) {
@@ -138,7 +143,8 @@
 	r.network.setPartitioned(ips, false)
 }
 
-// setRegionsPartitioned cuts a region off from another, or from all others (empty), or ends that.
+// setRegionsPartitioned starts or ends the network partition between a region and another one, or
+// all others if other is empty.
 func (r *run) setRegionsPartitioned(region, other string, partitioned bool) {
 	isOther := func(name string) bool { return other == "" || name == other }
 	for l, relay := range r.relays {
--- a/internal/scale/network.go
+++ b/internal/scale/network.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// pass waits until the gate is open; false: done was closed first.
+// pass waits until the gate is open. It reports false if done is closed first.
 func (g *gate) pass(done <-chan struct{}) bool {
 	g.mu.Lock()
 	open := g.open
@@ -53,15 +53,15 @@
 	}
 }
 
-// traffic counts what one host has sent and received, in bytes of payload, and its writes. A
-// request or an answer takes one write as long as it fits into a buffer.
+// traffic counts the payload bytes that one host has sent and received, and its writes. A request
+// or a response is one write if it fits into a buffer.
 type traffic struct {
 	sent, received, messages atomic.Int64
 	gate                     *gate
 }
 
-// network is a region's part of the loopback network. It counts what the workers send and
-// receive, and can partition them from everything.
+// network is the loopback network of one region. It counts the workers' traffic and can partition
+// hosts from the rest of the network.
 type network struct {
 	region string
 	*emulate.Loopback
@@ -74,7 +74,7 @@
 	return &network{region: region, Loopback: l, hosts: map[string]*traffic{}}
 }
 
-// host is the traffic of a host.
+// host returns the traffic of the host at an address.
 func (n *network) host(ip string) *traffic {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -86,14 +86,15 @@
 	return t
 }
 
-// setPartitioned cuts hosts off from everything, or ends that.
-func (n *network) setPartitioned(ips []string, on bool) {
+// setPartitioned starts or ends the partition of hosts from the network.
+func (n *network) setPartitioned(ips []string, partitioned bool) {
 	for _, ip := range ips {
-		n.host(ip).gate.set(!on)
+		n.host(ip).gate.set(!partitioned)
 	}
 }
 
-// Listen implements emulate.Network. Hosts of different regions may have the same name.
+// Listen implements emulate.Network. It adds the region to the host name, since hosts of different
+// regions may have the same name.
 func (n *network) Listen(addr string) (net.Listener, error) {
 	host, port, err := net.SplitHostPort(addr)
 	if err != nil {
@@ -122,7 +123,7 @@
 	}
 }
 
-// countedListener counts the payload of the connections that it accepts.
+// countedListener counts the traffic of the connections that it accepts.
 type countedListener struct {
 	net.Listener
 	traffic *traffic
@@ -137,7 +138,7 @@
 	return newCountedConn(c, l.traffic), nil
 }
 
-// countedConn is a connection whose payload is counted, and held while its host is cut off.
+// countedConn counts the traffic of a connection and blocks it while the host is partitioned.
 type countedConn struct {
 	net.Conn
 	traffic *traffic
@@ -176,21 +177,22 @@
 	return c.Conn.Close()
 }
 
-// workerTraffic is what workers send and receive, per worker and second.
+// workerTraffic is the traffic of workers, per worker and second.
 type workerTraffic struct {
-	// Sent and Received are bytes of payload (HTTP headers included, TCP and IP not), as
-	// the mean of all workers and of the one with the most.
+	// Sent and Received are means over all workers, in bytes of payload: HTTP headers count,
+	// TCP and IP headers do not. MaxTotal is the sum of both for the worker with the most
+	// traffic.
 	Sent     float64 `json:"sent_bytes_per_s"`
 	Received float64 `json:"received_bytes_per_s"`
 	MaxTotal float64 `json:"most_bytes_per_s"`
-	// Messages are requests and answers that the worker sends.
+	// Messages counts the requests and responses that a worker sends.
 	Messages float64 `json:"messages_per_s"`
 }
 
-// counters are a host's traffic up to a moment.
+// counters is a snapshot of a host's traffic.
 type counters struct{ sent, received, messages int64 }
 
-// totals are the counters of each host.
+// totals returns the current counters of all hosts, by address.
 func (n *network) totals() map[string]counters {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -201,7 +203,7 @@
 	return out
 }
 
-// trafficPerWorker is the traffic between two readings of all networks, per worker and second.
+// trafficPerWorker returns the traffic between two snapshots of all networks, per worker and second.
 func trafficPerWorker(before, after []map[string]counters, took time.Duration) (w workerTraffic) {
 	workers := 0.0
 	seconds := took.Seconds()
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -1,7 +1,7 @@
-// Package scale runs the controllers as real processes, in several regions, beside
-// workers that run no tasks, and measures what each role takes as the fleet grows.
-// Workers, state services, clouds and users are emulated in the calling process (package
-// emulate), and speak the published protocol over loopback in real time.
+// Package scale runs controllers of several regions as real processes against emulated workers,
+// and measures the resources that each role needs as the fleet grows. Package emulate provides the
+// workers, which run no tasks, and the key-value stores, clouds and users, all in the calling
+// process. They use the published protocol over loopback in real time.
 package scale
 
 import (
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// The size that the system is planned for, that of a run with factor 1.
+// The size that the system is planned for, which is the size of a run with factor 1.
 const (
 	PlannedWorkers      = 4600
 	PlannedStartsPerS   = 3200
@@ -23,54 +23,54 @@
 	PlannedLargestGang  = 256
 )
 
-// Bounds of a run, so that it ends and leaves resources of the machine to others.
+// Bounds of a run. They limit its duration and its use of the machine's resources.
 const (
 	maxFactor      = 2
 	maxControllers = 40
 	maxRegions     = 10
 	maxDuration    = time.Hour
-	maxChanges     = 1000 // of the configuration, a minute
+	maxChanges     = 1000 // of the configuration, per minute
 	minDuration    = 5 * time.Second
 )
 
-// Options says what is run.
+// Options configures a run.
 type Options struct {
-	// Factor of the planned size: workers, starts a second and teams.
+	// Factor multiplies the planned number of workers, task starts per second and teams.
 	Factor float64
-	// Regions and Controllers are how many there are in all; each region has at least one
-	// controller.
+	// Regions is the number of regions, and Controllers that of controllers in all regions.
+	// Each region has at least one controller.
 	Regions, Controllers int
-	// StartsPerS is how many task starts the users ask for a second; 0: the planned rate
-	// times Factor.
+	// StartsPerS is the rate of task starts that the users request per second; 0 stands for
+	// the planned rate times Factor.
 	StartsPerS float64
-	// Duration is how long the load lasts.
+	// Duration is the duration of the load.
 	Duration time.Duration
-	// Seed draws the jobs.
+	// Seed seeds the random draws of jobs, configuration changes and fault targets.
 	Seed uint64
-	// Faults are injected, each at its time.
+	// Faults lists the faults to inject.
 	Faults []Fault
-	// ChangesPerMinute is how many changes of the configuration are made a minute; 0: none.
+	// ChangesPerMinute is the rate of configuration changes; 0 stands for none.
 	ChangesPerMinute float64
-	// Binary is the controllers' program.
+	// Binary is the path of the program that runs as a controller.
 	Binary string
 	Log    *slog.Logger
 }
 
-// Check returns an error that names the first option that is out of bounds.
+// Check returns an error that names the first option outside its bounds.
 func (o *Options) Check() error {
 	switch {
 	case !(o.Factor > 0 && o.Factor <= maxFactor):
-		return fmt.Errorf("--factor %v is not above 0 and up to %d", o.Factor, maxFactor)
+		return fmt.Errorf("--factor %v must be greater than 0 and at most %d", o.Factor, maxFactor)
 	case o.Regions < 1 || o.Regions > maxRegions:
-		return fmt.Errorf("--regions %d is not from 1 to %d", o.Regions, maxRegions)
+		return fmt.Errorf("--regions %d must be from 1 to %d", o.Regions, maxRegions)
 	case o.Controllers < o.Regions || o.Controllers > maxControllers:
-		return fmt.Errorf("--controllers %d is not from the number of regions to %d", o.Controllers, maxControllers)
+		return fmt.Errorf("--controllers %d must be from the number of regions to %d", o.Controllers, maxControllers)
 	case !(o.StartsPerS >= 0 && o.StartsPerS <= maxFactor*PlannedStartsPerS):
-		return fmt.Errorf("--starts %v is not from 0 to %d", o.StartsPerS, maxFactor*PlannedStartsPerS)
+		return fmt.Errorf("--starts %v must be from 0 to %d", o.StartsPerS, maxFactor*PlannedStartsPerS)
 	case o.Duration < minDuration || o.Duration > maxDuration:
-		return fmt.Errorf("--duration %v is not from %v to %v", o.Duration, minDuration, maxDuration)
+		return fmt.Errorf("--duration %v must be from %v to %v", o.Duration, minDuration, maxDuration)
 	case !(o.ChangesPerMinute >= 0 && o.ChangesPerMinute <= maxChanges):
-		return fmt.Errorf("--changes %v is not from 0 to %d", o.ChangesPerMinute, maxChanges)
+		return fmt.Errorf("--changes %v must be from 0 to %d", o.ChangesPerMinute, maxChanges)
 	}
 	return checkFaults(o.Faults, o.regionNames())
 }
@@ -84,11 +84,11 @@
 	startsPerS  float64
 }
 
-// largestShare is the part of the fleet that is in the first region.
+// largestShare is the share of the fleet in the first region if there are three regions or more.
 const largestShare = 1.0 / 3
 
-// regionShares are the regions' parts of the fleet: a third in the first, the others ever
-// smaller.
+// regionShares returns each region's share of the fleet. Of three or more regions, the first has a
+// third, and each later one less than the one before.
 func regionShares(regions int) []float64 {
 	if regions == 1 {
 		return []float64{1}
@@ -108,11 +108,11 @@
 	return out
 }
 
-// regionWeight is the weight of a region after the first: the second has about twice
-// that of the last.
+// regionWeight returns the relative weight of a region after the first. The weight of the second is
+// about twice that of the last.
 func regionWeight(i, regions int) float64 { return float64(2*regions - i) }
 
-// regionNames are the names of the regions, the home region first.
+// regionNames returns the names of the regions, the home region first.
 func (o *Options) regionNames() []string {
 	names := make([]string, o.Regions)
 	for i := range names {
@@ -121,7 +121,7 @@
 	return names
 }
 
-// requestedStartsPerS is the rate of task requestedStartsPerS that users ask for in all.
+// requestedStartsPerS returns the rate of task starts that users of all regions request together.
 func (o *Options) requestedStartsPerS() float64 {
 	if o.StartsPerS > 0 {
 		return o.StartsPerS
@@ -129,19 +129,19 @@
 	return PlannedStartsPerS * o.Factor
 }
 
-// teamCount is the number of teamCount.
+// teamCount returns the number of teams, which is at least four.
 func (o *Options) teamCount() int { return max(4, int(math.Round(PlannedTeams*o.Factor))) }
 
-// meanTaskRunTime is the mean run time of a task: what the planned rate and number of running
-// tasks imply, and in a short run no more than a quarter of it, so that tasks end in it.
+// meanTaskRunTime returns the mean run time of tasks. It follows from the planned start rate and
+// number of running tasks, and is at most a quarter of the run, so that tasks also end in short runs.
 func (o *Options) meanTaskRunTime() time.Duration {
 	planned := time.Duration(float64(time.Second) * PlannedRunningTasks / PlannedStartsPerS)
 	return min(planned, o.Duration/4)
 }
 
-// plan divides the fleet among the regions.
+// plan divides the zones, workers, controllers and load among the regions.
 func (o *Options) plan() []regionPlan {
-	parts, names := regionShares(o.Regions), o.regionNames()
+	shares, names := regionShares(o.Regions), o.regionNames()
 	plans := make([]regionPlan, o.Regions)
 	for i := range plans {
 		zones := PlannedZones / o.Regions
@@ -153,8 +153,8 @@
 		for z := range max(1, zones) {
 			p.zones = append(p.zones, fmt.Sprintf("%s-%c", p.name, 'a'+z))
 		}
-		p.workers = max(1, int(math.Round(PlannedWorkers*o.Factor*parts[i])))
-		p.startsPerS = o.requestedStartsPerS() * parts[i]
+		p.workers = max(1, int(math.Round(PlannedWorkers*o.Factor*shares[i])))
+		p.startsPerS = o.requestedStartsPerS() * shares[i]
 		p.controllers = o.Controllers / o.Regions
 		if i < o.Controllers%o.Regions {
 			p.controllers++
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -13,14 +13,14 @@
 	"github.com/prometheus/procfs"
 )
 
-// usage is what resources a process uses at one moment.
+// usage is a snapshot of the resources that a process uses.
 type usage struct {
-	cpu     time.Duration // since its start
+	cpu     time.Duration // processor time since the start of the process
 	rssMB   float64
 	sockets int
 }
 
-// usageOf reads the usage from /proc; it fails when the process has ended.
+// usageOf reads the usage of a process from /proc. It fails if the process has exited.
 func usageOf(pid int) (u usage, err error) {
 	proc, err := procfs.NewProc(pid)
 	if err != nil {
@@ -36,52 +36,53 @@
 	if err != nil {
 		return u, err
 	}
-	for _, f := range files {
-		if strings.HasPrefix(f, "socket:") {
+	for _, target := range files {
+		if strings.HasPrefix(target, "socket:") {
 			u.sockets++
 		}
 	}
 	return u, nil
 }
 
-// controller is a controller's process, which can be killed and started again.
+// controller manages the process of a controller, which can be killed and restarted.
 type controller struct {
 	region     string
 	member     string
 	command    []string
-	tuningFile string // operators' settings
-	logFile    string // file of its standard error
+	tuningFile string // file of the operators' settings
+	logFile    string // file that receives the standard error
 
 	mu           sync.Mutex
-	cmd          *exec.Cmd // nil: it does not run
-	ended        chan struct{}
-	exitExpected bool // it is being killed
+	cmd          *exec.Cmd // nil while no process runs
+	exited       chan struct{}
+	exitExpected bool // kill has been called
 	stats        controllerStats
 	lastUsage    usage
 	lastSampled  time.Time
 }
 
-// controllerStats is what a controller's process has used.
+// controllerStats summarizes the resources that a controller's process has used.
 type controllerStats struct {
-	// CPUMean and CPUPeak are parts of a core, the peak over two seconds.
+	// CPUMean and CPUPeak are in cores. CPUPeak is the maximum over sampleInterval.
 	CPUMean float64 `json:"cpu_mean"`
 	CPUPeak float64 `json:"cpu_peak"`
-	// RSSPeakMB is the largest resident memory, in MB.
+	// RSSPeakMB is the maximum of the resident memory.
 	RSSPeakMB   float64 `json:"rss_peak_mb"`
 	SocketsPeak int     `json:"sockets_peak"`
-	// UnexpectedExits counts the ends that were not expected.
+	// UnexpectedExits counts the exits of the process that kill did not cause.
 	UnexpectedExits int `json:"ends"`
 
 	cpuTime, sampledTime time.Duration
 }
 
-// launcher starts processes from one thread that lives as long as the launcher: the kernel
-// kills a child with the thread that started it, and so no child outlives this process.
+// launcher starts all processes from one locked thread. The parent death signal kills a child when
+// the thread that started it exits, so that no child outlives this process, and that thread has to
+// run as long as the launcher.
 type launcher struct {
 	calls chan func()
 }
 
-// newLauncher starts a launcher, which runs until close.
+// newLauncher starts a launcher. The caller has to close it.
 func newLauncher() *launcher {
 	l := &launcher{calls: make(chan func())}
 	go func() {
@@ -95,7 +96,7 @@
 
 func (l *launcher) close() { close(l.calls) }
 
-// start starts a command whose standard error goes to a file.
+// start starts a command and appends its standard error to a log file.
 func (l *launcher) start(command []string, log string) (cmd *exec.Cmd, err error) {
 	done := make(chan struct{})
 	l.calls <- func() {
@@ -114,7 +115,7 @@
 	return cmd, err
 }
 
-// start starts the controller's process, and notices its end.
+// start starts the controller's process and a goroutine that waits for its exit.
 func (c *controller) start(l *launcher) error {
 	cmd, err := l.start(c.command, c.logFile)
 	if err != nil {
@@ -122,22 +123,22 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	ended := make(chan struct{})
+	exited := make(chan struct{})
 	c.cmd = cmd
-	c.ended = ended
+	c.exited = exited
 	c.exitExpected = false
 	c.lastUsage = usage{}
 	c.lastSampled = time.Now()
 	go func() {
-		defer close(ended)
+		defer close(exited)
 		c.wait(cmd)
 	}()
 	return nil
 }
 
-// wait waits for the end of the process, and counts it unless it was expected.
+// wait waits for the exit of the process and counts it if it is unexpected.
 func (c *controller) wait(cmd *exec.Cmd) {
-	_ = cmd.Wait() // whether the end was expected matters, not how it came
+	_ = cmd.Wait() // the exit status does not matter
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.cmd != cmd {
@@ -149,20 +150,21 @@
 	}
 }
 
-// kill kills the process and waits for its end.
+// kill kills the process and waits for its exit.
 func (c *controller) kill() {
 	c.mu.Lock()
-	cmd, ended := c.cmd, c.ended
+	cmd, exited := c.cmd, c.exited
 	c.exitExpected = true
 	c.mu.Unlock()
 	if cmd == nil {
 		return
 	}
 	_ = cmd.Process.Kill()
-	<-ended
+	<-exited
 }
 
-// sample reads what the process uses now, and adds it to the statistics.
+// sample reads the current usage of the process and adds it to the statistics. It returns zero
+// usage if the process does not run.
 func (c *controller) sample(now time.Time) usage {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -171,7 +173,7 @@
 	}
 	u, err := usageOf(c.cmd.Process.Pid)
 	if err != nil {
-		return usage{} // it has just ended
+		return usage{} // the process has exited in the meantime
 	}
 	cpuTime := u.cpu - c.lastUsage.cpu
 	elapsed := now.Sub(c.lastSampled)
@@ -186,28 +188,29 @@
 	return u
 }
 
-// cores is a processor time as a part of a core, 0 if no time has elapsed.
+// cores returns the mean number of cores that a processor time occupies over the elapsed time.
 func cores(cpuTime, elapsed time.Duration) float64 {
 	return cpuTime.Seconds() / max(elapsed.Seconds(), 1e-9)
 }
 
-// reset restarts the statistics, without what the start of the process has used.
+// reset clears the statistics, so that they exclude the start of the process. It keeps the number of
+// unexpected exits.
 func (c *controller) reset(now time.Time) {
 	c.sample(now)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	ends := c.stats.UnexpectedExits
-	c.stats = controllerStats{UnexpectedExits: ends}
+	unexpectedExits := c.stats.UnexpectedExits
+	c.stats = controllerStats{UnexpectedExits: unexpectedExits}
 }
 
-// statistics is what the process has used since the last reset.
+// statistics returns the usage since the last reset.
 func (c *controller) statistics() controllerStats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.stats
 }
 
-// lastLogLine is the last line of the log.
+// lastLogLine returns the last line of the log file, or the error of reading it.
 func (c *controller) lastLogLine() string {
 	b, err := os.ReadFile(c.logFile)
 	if err != nil {
--- a/internal/scale/region.go
+++ b/internal/scale/region.go
@@ -21,11 +21,11 @@
 	"vetchstream/internal/wire"
 )
 
-// machineType is the type of all workers. It has resources for the planned tasks and a quarter
-// more.
+// machineType is the type of all machines. With it, a fleet of the planned size has a quarter more
+// resources than the planned number of running tasks needs.
 var machineType = wire.MachineType{Name: "c32", CPUs: 32, MemGB: 128, CacheGB: 100, FetchRate: 1, Price: 1, SpotPrice: 0.3, BootS: 30}
 
-// Timings and limits of the emulated regions, those of a large site.
+// Timings and limits of the emulated regions, as of a large site.
 const (
 	heartbeatIntervalS, leaseS, gangTimeoutS, gangPeerS, cancelTimeoutS = 6, 31, 35, 6, 51
 	stateRPS, stateWriteRPS, valueKB, txnOps                            = 600, 250, 32, 12
@@ -33,17 +33,18 @@
 	controllerMemoryMB, controllerSockets                               = 1024, 6000
 	imagePullTime                                                       = 300 * time.Millisecond
 	userPort, peerPort                                                  = "8080", "8081"
-	// urgentStartS is the time, in seconds, within which urgentShare of the urgent tasks are to start.
+	// The objective is that the share urgentShare of the urgent tasks starts within urgentStartS.
 	urgentStartS, urgentShare = 5.6, 0.99
-	// promiseMs and yieldS are those of deploy/shares.json.
+	// promiseMs and yieldS equal the values in deploy/shares.json.
 	promiseMs, yieldS = 2000, 5
-	// idleBoots is for how many boot times idle machines are retained: the fleet stays as it is.
+	// idleBoots is the retention period of idle machines, in boot times. It is long, so that
+	// the size of the fleet does not change during a run.
 	idleBoots = 100
-	// limitFactor is a team's limit in even parts of the region's CPUs.
+	// limitFactor is the ratio of a team's limit to an even share of the region's CPUs.
 	limitFactor = 8
 )
 
-// region is a cell: a key-value store, a cloud with its workers, controllers and users.
+// region consists of controllers, and of an emulated key-value store, cloud with workers, and users.
 type region struct {
 	regionPlan
 	options     *Options
@@ -53,16 +54,15 @@
 	startWaits  *startWaits
 	users       *users
 	controllers []*controller
-	// addresses are those of the controllers for users and workers, peerAddresses those for
+	// addresses are the controllers' addresses for users and workers, peerAddresses those for
 	// other controllers.
 	addresses     []string
 	peerAddresses []string
 	servers       []*http.Server
 }
 
-// newRegion starts the systems that a region's controllers work with, and writes the settings
-// of the controllers below dir. If they cannot be written, it returns the region with the
-// error, so that it can be closed.
+// newRegion starts the emulated systems of a region and writes the settings of its controllers to
+// files in dir. If writing fails, it returns the region along with the error, for the caller to close.
 func newRegion(o *Options, p regionPlan, l *emulate.Loopback, startWaits *startWaits, dir string) (*region, error) {
 	r := &region{
 		regionPlan: p,
@@ -89,14 +89,14 @@
 	return r, r.writeSettings(settings, dir)
 }
 
-// worldConfig is the cloud and the workers of the region.
+// worldConfig returns the configuration of the region's cloud and workers.
 func (r *region) worldConfig(controllers []emulate.Controller) emulate.Config {
-	typ := machineType
-	typ.Zones = r.zones
+	regionType := machineType
+	regionType.Zones = r.zones
 	return emulate.Config{
 		Network:           r.network,
 		Store:             r.store,
-		Types:             []wire.MachineType{typ},
+		Types:             []wire.MachineType{regionType},
 		MaxMachines:       r.workers,
 		Controllers:       controllers,
 		LeaseDuration:     leaseS * time.Second,
@@ -111,10 +111,10 @@
 	}
 }
 
-// member is the name of controller i.
+// member returns the member name of controller i.
 func (r *region) member(i int) string { return fmt.Sprintf("%s-controller-%d", r.name, i) }
 
-// reserveAddress is an address of its own for a controller.
+// reserveAddress returns a loopback address for the exclusive use of a controller.
 func (r *region) reserveAddress(l *emulate.Loopback, host string) (ip string, err error) {
 	ln, err := l.Listen(r.name + "/" + host + ":0")
 	if err != nil {
@@ -125,15 +125,16 @@
 	return ip, err
 }
 
-// teamLimit is the CPUs that a team may use in this region.
+// teamLimit returns the number of CPUs that a team may use in the region.
 func (r *region) teamLimit() float64 {
 	return limitFactor * float64(r.workers) * machineType.CPUs / float64(r.options.teamCount())
 }
 
-// teamGuarantee is the CPUs that a team is guaranteed in this region: half of an even part.
+// teamGuarantee returns the number of CPUs that the region guarantees to a team, which is half of an
+// even share.
 func (r *region) teamGuarantee() float64 { return r.teamLimit() / (2 * limitFactor) }
 
-// teamNames are the names of all teams.
+// teamNames returns the names of all teams.
 func (r *region) teamNames() []string {
 	names := make([]string, r.options.teamCount())
 	for i := range names {
@@ -142,8 +143,8 @@
 	return names
 }
 
-// teamLimits are the limits that each start is checked against. While they move from region to
-// region only their sums are checked, see operators.checkLimits.
+// teamLimits returns the limits that the emulation checks at each task start. It returns none if the
+// run moves limits between regions: then operators.checkLimits checks only the sums.
 func (r *region) teamLimits() map[string]emulate.Limit {
 	if r.options.ChangesPerMinute > 0 {
 		return nil
@@ -155,23 +156,24 @@
 	return out
 }
 
-// serve serves a part of the region at an address of its own, which it returns.
+// serve starts an HTTP server for an emulated system of the region and returns its address.
 func (r *region) serve(l *emulate.Loopback, name string, h http.Handler) (addr string, err error) {
 	ln, err := l.Listen(r.name + "/" + name + ":0")
 	if err != nil {
-		return "", fmt.Errorf("%s of %s: %w", name, r.name, err)
+		return "", fmt.Errorf("listening for %s of %s: %w", name, r.name, err)
 	}
 	srv := &http.Server{Handler: h, ReadHeaderTimeout: 10 * time.Second, IdleTimeout: time.Minute}
 	r.servers = append(r.servers, srv)
 	go func() {
 		if err := srv.Serve(ln); err != nil && !errors.Is(err, http.ErrServerClosed) {
-			r.options.Log.Error("emulation server failed", "region", r.name, "server", name, "error", err)
+			r.options.Log.Error("server of an emulated system failed", "region", r.name, "server", name, "error", err)
 		}
 	}()
 	return ln.Addr().String(), nil
 }
 
-// settings are the settings that all controllers of the region share.
+// settings starts the servers of the key-value store and the cloud, and returns the settings that
+// all controllers of the region share.
 func (r *region) settings(l *emulate.Loopback) (s *config.Settings, err error) {
 	s = &config.Settings{}
 	if s.External.State, err = r.serve(l, "state", r.store); err != nil {
@@ -201,8 +203,8 @@
 	return s, nil
 }
 
-// controllerSettings are the settings of controller i: the shared ones, its own addresses and
-// those of the others.
+// controllerSettings returns the settings of controller i: the shared ones, its own addresses, and
+// those of the other controllers of the region.
 func (r *region) controllerSettings(shared *config.Settings, i int) *config.Settings {
 	set := *shared
 	set.Member = r.member(i)
@@ -222,13 +224,13 @@
 	return &set
 }
 
-// writeSettings writes a file of settings for each controller.
+// writeSettings writes the settings file of each controller and adds the controller to the region.
 func (r *region) writeSettings(shared *config.Settings, dir string) error {
 	for i := range r.addresses {
 		set := r.controllerSettings(shared, i)
 		b, err := toml.Marshal(set)
 		if err != nil {
-			return fmt.Errorf("settings: %w", err)
+			return fmt.Errorf("encoding the settings: %w", err)
 		}
 		base := filepath.Join(dir, set.Member)
 		settingsFile, tuningFile := base+".toml", base+".json"
@@ -246,7 +248,7 @@
 	return nil
 }
 
-// tuning is the operators' settings that differ from the defaults.
+// tuning holds the operators' settings that differ from the defaults.
 type tuning struct {
 	PromiseMs int     `json:"promise_ms"`
 	YieldS    float64 `json:"yield_s"`
@@ -259,7 +261,7 @@
 	Regions config.Regions `json:"regions"`
 }
 
-// writeTuning writes the operators' settings of each controller.
+// writeTuning writes the operators' settings to a file for each controller.
 func (r *region) writeTuning(regions config.Regions) error {
 	t := tuning{PromiseMs: promiseMs, YieldS: yieldS, Regions: regions}
 	t.Shares.Enabled = true
@@ -276,15 +278,15 @@
 	return nil
 }
 
-// bootWorkers boots all workers, spread over a time.
-func (r *region) bootWorkers(within time.Duration) {
+// bootWorkers boots all workers, spread evenly over a duration.
+func (r *region) bootWorkers(duration time.Duration) {
 	for i := range r.workers {
-		after := within * time.Duration(i) / time.Duration(r.workers)
+		after := duration * time.Duration(i) / time.Duration(r.workers)
 		r.world.Boot(machineType.Name, r.zones[i%len(r.zones)], false, after)
 	}
 }
 
-// startLoad lets the users submit until the context ends.
+// startLoad starts the users, who submit jobs until the context ends.
 func (r *region) startLoad(ctx context.Context, u *users, seed uint64) {
 	r.users = u
 	for i, class := range r.options.classes() {
@@ -293,8 +295,8 @@
 	}
 }
 
-// leader is the controller that holds the leader's lease in the key-value store, or the first
-// one.
+// leader returns the controller that holds the leader's lease in the key-value store, or the first
+// controller if none does.
 func (r *region) leader() *controller {
 	var holder struct {
 		Member string `codec:"member"`
@@ -310,7 +312,7 @@
 // holderKey is the key of the leader's lease.
 const holderKey = "lead/holder"
 
-// controllerEnded reports whether a controller has ended unexpectedly.
+// controllerEnded reports whether a controller has exited unexpectedly.
 func (r *region) controllerEnded() bool {
 	return slices.ContainsFunc(r.controllers, func(c *controller) bool { return c.statistics().UnexpectedExits > 0 })
 }
@@ -330,14 +332,14 @@
 	return true
 }
 
-// close ends the region's processes and the emulated systems.
+// close kills the controllers and stops the emulated systems of the region.
 func (r *region) close(log *slog.Logger) {
 	for _, c := range r.controllers {
 		c.kill()
 	}
 	for _, s := range r.servers {
 		if err := s.Close(); err != nil {
-			log.Debug("closing an emulation server failed", "region", r.name, "error", err)
+			log.Debug("failed to close the server of an emulated system", "region", r.name, "error", err)
 		}
 	}
 	r.world.Close()
--- a/internal/scale/relay.go
+++ b/internal/scale/relay.go
@@ -6,8 +6,9 @@
 	"sync"
 )
 
-// relay forwards connections to a controller of another region, and can partition the two
-// regions: data under way is held, and new connections hang.
+// relay forwards connections to a controller of another region and can simulate a network partition
+// of the two regions. During a partition it holds data in transit and leaves new connections without
+// a response.
 type relay struct {
 	listener net.Listener
 	target   string
@@ -16,17 +17,17 @@
 	wg       sync.WaitGroup
 }
 
-// newRelay forwards the connections of a listener to target.
+// newRelay starts a relay that forwards the connections of a listener to target.
 func newRelay(ln net.Listener, target string) *relay {
 	r := &relay{listener: ln, target: target, gate: newGate(), done: make(chan struct{})}
 	r.wg.Go(r.accept)
 	return r
 }
 
-// addr is the address of the relay.
+// addr returns the address that the relay listens on.
 func (r *relay) addr() string { return r.listener.Addr().String() }
 
-// close ends the relay and its connections.
+// close stops the relay and closes its connections.
 func (r *relay) close() {
 	close(r.done)
 	_ = r.listener.Close()
@@ -44,7 +45,7 @@
 	}
 }
 
-// serve forwards a connection until either side or the relay ends.
+// serve forwards a connection until one side closes it or the relay is closed.
 func (r *relay) serve(from net.Conn) {
 	defer from.Close()
 	if !r.gate.pass(r.done) {
@@ -57,7 +58,7 @@
 	defer to.Close()
 	var wg sync.WaitGroup
 	pipe := func(dst, src net.Conn) {
-		_, _ = io.Copy(&gatedWriter{dst, r}, src) // an end of either side ends both
+		_, _ = io.Copy(&gatedWriter{dst, r}, src) // an error or end of file closes both sides
 		_ = dst.Close()
 		_ = src.Close()
 	}
@@ -74,16 +75,16 @@
 	}
 }
 
-// gatedWriter writes to dst once the relay's gate is open.
+// gatedWriter delays writes to dst while the relay's gate is closed.
 type gatedWriter struct {
 	dst   net.Conn
 	relay *relay
 }
 
 // Write implements io.Writer.
-func (h *gatedWriter) Write(b []byte) (int, error) {
-	if !h.relay.gate.pass(h.relay.done) {
+func (w *gatedWriter) Write(b []byte) (int, error) {
+	if !w.relay.gate.pass(w.relay.done) {
 		return 0, net.ErrClosed
 	}
-	return h.dst.Write(b)
+	return w.dst.Write(b)
 }
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -14,42 +14,44 @@
 	"vetchstream/internal/emulate"
 )
 
-// Report is what a run has measured. Workers, state services, clouds and users are
-// emulated; controllers are real processes.
+// Report holds the measurements of a run. The controllers are real processes; workers, key-value
+// stores, clouds and users are emulated.
 type Report struct {
 	Factor      float64 `json:"factor"`
 	Workers     int     `json:"workers"`
 	Controllers int     `json:"controllers"`
 	Teams       int     `json:"teams"`
 	DurationS   float64 `json:"duration_s"`
-	// ReadyS is the time from the first process until the workers had answers.
+	// ReadyS is the time from the start of the run until the workers had got their first
+	// responses.
 	ReadyS float64 `json:"ready_s"`
-	// Stopped is why the run has ended before its time; empty: it has not.
+	// Stopped is the reason why the run ended early, or empty if it did not.
 	Stopped string `json:"stopped,omitempty"`
-	// RequestedStartsPerS is the rate of task starts that users requested, StartsPerS the rate of those
-	// that there were.
+	// RequestedStartsPerS is the rate of task starts that users requested, StartsPerS the
+	// actual rate.
 	RequestedStartsPerS float64 `json:"asked_starts_per_s"`
 	Starts              int     `json:"starts"`
 	StartsPerS          float64 `json:"starts_per_s"`
-	// RunningPeak is the largest number of tasks on their machines at a time.
+	// RunningPeak is the maximum number of tasks that ran at the same time.
 	RunningPeak  int           `json:"running_peak"`
 	MeanTaskRunS float64       `json:"task_run_s"`
 	Jobs         jobCounts     `json:"jobs"`
 	Violations   []string      `json:"rules_broken"`
 	Worker       workerTraffic `json:"worker"`
-	// Configuration is how long changes of the teams took.
+	// Configuration describes the changes of teams' limits.
 	Configuration configurationReport `json:"configuration"`
 	UrgentMs      quantiles           `json:"urgent_start_ms"`
 	OtherMs       quantiles           `json:"other_start_ms"`
 	Regions       []regionReport      `json:"regions"`
-	// EmulationCPU is what emulated workers, key-value stores, clouds and users used together, in
-	// cores, and EmulationMB their memory.
+	// EmulationCPU is the processor time of this process, which emulates workers, key-value
+	// stores, clouds and users, in cores. EmulationMB is the peak of its memory, and TotalMB
+	// that of all processes together.
 	EmulationCPU float64 `json:"stand_ins_cpu"`
 	EmulationMB  float64 `json:"stand_ins_mb"`
 	TotalMB      float64 `json:"total_mb"`
 }
 
-// jobCounts counts the jobs by what became of them.
+// jobCounts counts jobs by outcome, as the users observe it.
 type jobCounts struct {
 	Submitted int64 `json:"submitted"`
 	Accepted  int64 `json:"accepted"`
@@ -57,7 +59,7 @@
 	Done      int64 `json:"told_done"`
 }
 
-// quantiles of a time, in milliseconds.
+// quantiles summarizes a distribution of times, in milliseconds.
 type quantiles struct {
 	Count int64 `json:"count"`
 	P50   int64 `json:"p50"`
@@ -65,7 +67,7 @@
 	Max   int64 `json:"most"`
 }
 
-// quantilesOf are the quantiles of a histogram of milliseconds.
+// quantilesOf returns the quantiles of a histogram of milliseconds.
 func quantilesOf(h *hdrhistogram.Histogram) quantiles {
 	return quantiles{
 		Count: h.TotalCount(),
@@ -75,7 +77,7 @@
 	}
 }
 
-// regionReport is what one region did and used.
+// regionReport holds the measurements of one region.
 type regionReport struct {
 	Name               string             `json:"name"`
 	Zones              int                `json:"zones"`
@@ -89,13 +91,13 @@
 	Controllers        []controllerReport `json:"controllers"`
 }
 
-// controllerReport is what one controller used.
+// controllerReport holds the resource usage of one controller.
 type controllerReport struct {
 	Member string `json:"member"`
 	controllerStats
 }
 
-// counterReading is the counters of a moment.
+// counterReading is a snapshot of the counters of all regions, in their order.
 type counterReading struct {
 	traffic []map[string]counters
 	starts  []int
@@ -103,55 +105,56 @@
 	stores  []emulate.StoreLoad
 }
 
-func (r *run) readCounters() (out counterReading) {
+func (r *run) readCounters() (reading counterReading) {
 	for _, region := range r.regions {
-		out.traffic = append(out.traffic, region.network.totals())
-		out.starts = append(out.starts, region.world.Starts())
-		out.loads = append(out.loads, region.world.Load())
-		out.stores = append(out.stores, region.store.Load())
+		reading.traffic = append(reading.traffic, region.network.totals())
+		reading.starts = append(reading.starts, region.world.Starts())
+		reading.loads = append(reading.loads, region.world.Load())
+		reading.stores = append(reading.stores, region.store.Load())
 	}
-	return out
+	return reading
 }
 
-// report compares two readings, took apart. ready is how long the start took, cpu the processor
-// time of this process in between.
+// report derives the report from two readings that are took apart. ready is the duration of the
+// start, cpu the processor time of this process between the readings.
 func (r *run) report(before, after counterReading, took, ready, cpu time.Duration) *Report {
-	o := &r.options
-	p := &Report{
-		Factor:              o.Factor,
-		Controllers:         o.Controllers,
-		Teams:               o.teamCount(),
+	options := &r.options
+	report := &Report{
+		Factor:              options.Factor,
+		Controllers:         options.Controllers,
+		Teams:               options.teamCount(),
 		DurationS:           took.Seconds(),
 		ReadyS:              ready.Seconds(),
-		RequestedStartsPerS: o.requestedStartsPerS(),
-		MeanTaskRunS:        o.meanTaskRunTime().Seconds(),
+		RequestedStartsPerS: options.requestedStartsPerS(),
+		MeanTaskRunS:        options.meanTaskRunTime().Seconds(),
 		Violations:          []string{},
 		Worker:              trafficPerWorker(before.traffic, after.traffic, took),
 		EmulationCPU:        cpu.Seconds() / took.Seconds(),
 	}
 	for i, region := range r.regions {
-		p.Workers += region.workers
-		p.Starts += after.starts[i] - before.starts[i]
-		p.Violations = append(p.Violations, region.world.Violations()...)
-		p.Jobs.Submitted += region.users.submitted.Load()
-		p.Jobs.Accepted += region.users.accepted.Load()
-		p.Jobs.Refused += region.users.refused.Load()
-		p.Jobs.Done += region.users.done.Load()
-		p.Regions = append(p.Regions, region.report(i, before, after, took.Seconds()))
+		report.Workers += region.workers
+		report.Starts += after.starts[i] - before.starts[i]
+		report.Violations = append(report.Violations, region.world.Violations()...)
+		report.Jobs.Submitted += region.users.submitted.Load()
+		report.Jobs.Accepted += region.users.accepted.Load()
+		report.Jobs.Refused += region.users.refused.Load()
+		report.Jobs.Done += region.users.done.Load()
+		report.Regions = append(report.Regions, region.report(i, before, after, took.Seconds()))
 	}
-	p.StartsPerS = float64(p.Starts) / took.Seconds()
-	p.UrgentMs, p.OtherMs = r.startWaits.quantiles()
+	report.StartsPerS = float64(report.Starts) / took.Seconds()
+	report.UrgentMs, report.OtherMs = r.startWaits.quantiles()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	p.RunningPeak = r.runningPeak
-	p.EmulationMB = r.emulationMB
-	p.TotalMB = r.totalMB
-	return p
+	report.RunningPeak = r.runningPeak
+	report.EmulationMB = r.emulationMB
+	report.TotalMB = r.totalMB
+	return report
 }
 
-// report compares two readings of region i, that many seconds apart.
+// report derives the report of the region, which has index i, from two readings. seconds is the time
+// between them.
 func (r *region) report(i int, before, after counterReading, seconds float64) regionReport {
-	perS := func(was, now int) float64 { return float64(now-was) / seconds }
+	perS := func(first, last int) float64 { return float64(last-first) / seconds }
 	out := regionReport{
 		Name:               r.name,
 		Zones:              len(r.zones),
@@ -171,38 +174,39 @@
 
 // Print writes the report as text with tables.
 func (p *Report) Print(w io.Writer) {
-	fmt.Fprintf(w, "%d workers in %d regions, %d controllers, %d teams, %.0f s (ready after %.0f s); workers and outside systems are emulated\n",
+	fmt.Fprintf(w, "%d workers in %d regions, %d controllers, %d teams, %.0f s (ready after %.0f s); workers and external systems are emulated\n",
 		p.Workers, len(p.Regions), p.Controllers, p.Teams, p.DurationS, p.ReadyS)
 	if p.Stopped != "" {
 		fmt.Fprintf(w, "stopped early: %s\n", p.Stopped)
 	}
-	fmt.Fprintf(w, "task starts: %d, %.0f a second of %.0f asked for; at most %d at a time, of %.0f s\n", p.Starts, p.StartsPerS, p.RequestedStartsPerS, p.RunningPeak, p.MeanTaskRunS)
-	fmt.Fprintf(w, "jobs: %d submitted, %d accepted, %d refused, %d told done\n", p.Jobs.Submitted, p.Jobs.Accepted, p.Jobs.Refused, p.Jobs.Done)
-	fmt.Fprintf(w, "a worker sends %.0f and receives %.0f bytes a second (most: %.0f together), %.2f messages a second\n", p.Worker.Sent, p.Worker.Received, p.Worker.MaxTotal, p.Worker.Messages)
-	fmt.Fprintf(w, "start of urgent tasks, ms: %d of them, p50 %d, p99 %d, most %d; of others: %d, p50 %d, p99 %d, most %d\n",
+	fmt.Fprintf(w, "task starts: %d, %.0f per second of %.0f requested; at most %d running tasks, mean run time %.0f s\n", p.Starts, p.StartsPerS, p.RequestedStartsPerS, p.RunningPeak, p.MeanTaskRunS)
+	fmt.Fprintf(w, "jobs: %d submitted, %d accepted, %d refused, %d reported done\n", p.Jobs.Submitted, p.Jobs.Accepted, p.Jobs.Refused, p.Jobs.Done)
+	fmt.Fprintf(w, "traffic per worker: %.0f bytes/s sent, %.0f bytes/s received (maximum of both: %.0f), %.2f messages/s\n", p.Worker.Sent, p.Worker.Received, p.Worker.MaxTotal, p.Worker.Messages)
+	fmt.Fprintf(w, "start wait of urgent tasks, ms: %d tasks, p50 %d, p99 %d, max %d; of other tasks: %d tasks, p50 %d, p99 %d, max %d\n",
 		p.UrgentMs.Count, p.UrgentMs.P50, p.UrgentMs.P99, p.UrgentMs.Max, p.OtherMs.Count, p.OtherMs.P50, p.OtherMs.P99, p.OtherMs.Max)
-	c := &p.Configuration
-	fmt.Fprintf(w, "configuration: %d changes, %d refused, %d not in force at the end; in force everywhere, ms: p50 %d, p99 %d, most %d; %d waited for another region, most %d\n",
-		c.Changes, c.Refused, c.Unsettled, c.InForceMs.P50, c.InForceMs.P99, c.InForceMs.Max, c.InForceAfterWaitMs.Count, c.InForceAfterWaitMs.Max)
-	fmt.Fprintf(w, "stand-ins: %.2f cores, %.0f MB; all processes %.0f MB\n", p.EmulationCPU, p.EmulationMB, p.TotalMB)
-	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(t, "REGION\tZONES\tWORKERS\tSTARTS/S\tREPORTS/S\tDIRECT/S\tSTATE REQ/S\tWRITES/S\tKEYS")
-	for _, g := range p.Regions {
-		fmt.Fprintf(t, "%s\t%d\t%d\t%.0f\t%.0f\t%.0f\t%.0f\t%.1f\t%d\n", g.Name, g.Zones, g.Workers, g.StartsPerS, g.HeartbeatsPerS, g.DirectCommandsPerS, g.StateRequestsPerS, g.StateWritesPerS, g.StateKeys)
+	changes := &p.Configuration
+	fmt.Fprintf(w, "configuration: %d changes, %d refused, %d not in force at the end; delay until in force everywhere, ms: p50 %d, p99 %d, max %d; %d waited for another region, max %d\n",
+		changes.Changes, changes.Refused, changes.Unsettled, changes.InForceMs.P50, changes.InForceMs.P99, changes.InForceMs.Max, changes.InForceAfterWaitMs.Count, changes.InForceAfterWaitMs.Max)
+	fmt.Fprintf(w, "emulation: %.2f cores, %.0f MB; all processes: %.0f MB\n", p.EmulationCPU, p.EmulationMB, p.TotalMB)
+	table := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
+	fmt.Fprintln(table, "REGION\tZONES\tWORKERS\tSTARTS/S\tHEARTBEATS/S\tDIRECT/S\tSTATE REQ/S\tWRITES/S\tKEYS")
+	for _, region := range p.Regions {
+		fmt.Fprintf(table, "%s\t%d\t%d\t%.0f\t%.0f\t%.0f\t%.0f\t%.1f\t%d\n", region.Name, region.Zones, region.Workers, region.StartsPerS,
+			region.HeartbeatsPerS, region.DirectCommandsPerS, region.StateRequestsPerS, region.StateWritesPerS, region.StateKeys)
 	}
-	fmt.Fprintln(t, "CONTROLLER\tCPU MEAN\tCPU PEAK\tMEMORY MB\tSOCKETS\tENDS")
-	for _, g := range p.Regions {
-		for _, c := range g.Controllers {
-			fmt.Fprintf(t, "%s\t%.2f\t%.2f\t%.0f\t%d\t%d\n", c.Member, c.CPUMean, c.CPUPeak, c.RSSPeakMB, c.SocketsPeak, c.UnexpectedExits)
+	fmt.Fprintln(table, "CONTROLLER\tCPU MEAN\tCPU PEAK\tMEMORY MB\tSOCKETS\tUNEXPECTED EXITS")
+	for _, region := range p.Regions {
+		for _, c := range region.Controllers {
+			fmt.Fprintf(table, "%s\t%.2f\t%.2f\t%.0f\t%d\t%d\n", c.Member, c.CPUMean, c.CPUPeak, c.RSSPeakMB, c.SocketsPeak, c.UnexpectedExits)
 		}
 	}
-	_ = t.Flush()
-	for _, b := range p.Violations {
-		fmt.Fprintln(w, "BROKEN:", b)
+	_ = table.Flush()
+	for _, violation := range p.Violations {
+		fmt.Fprintln(w, "BROKEN:", violation)
 	}
 }
 
-// ownCPU is the processor time that this process has used.
+// ownCPU returns the processor time that this process has used, or 0 if it cannot be read.
 func ownCPU() time.Duration {
 	u, err := usageOf(os.Getpid())
 	if err != nil {
@@ -211,7 +215,7 @@
 	return u.cpu
 }
 
-// memoryLimitMB is the memory of the machine that a run may use.
+// memoryLimitMB returns the amount of memory that the processes of a run may use together.
 func memoryLimitMB() (float64, error) {
 	fs, err := procfs.NewDefaultFS()
 	if err != nil {
@@ -222,7 +226,7 @@
 		return 0, err
 	}
 	if info.MemTotal == nil {
-		return 0, errors.New("meminfo: no MemTotal")
+		return 0, errors.New("/proc/meminfo has no MemTotal")
 	}
-	return maxMemoryShare * float64(*info.MemTotal) / 1024, nil // it is in KB
+	return maxMemoryShare * float64(*info.MemTotal) / 1024, nil // MemTotal is in KB
 }
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -17,46 +17,47 @@
 )
 
 const (
-	// readyTimeout is how long controllers and workers may take until they are ready, and
-	// readyInterval how often they are asked.
+	// readyTimeout bounds the time until controllers and workers are ready, and readyInterval is
+	// the interval between checks.
 	readyTimeout  = 90 * time.Second
 	readyInterval = 200 * time.Millisecond
-	// bootsPerS is how many workers boot a second.
+	// bootsPerS is the rate at which the workers of a region boot, per second.
 	bootsPerS = 400
-	// readyShare is the part of the workers that needs an answer before the load begins.
+	// readyShare is the share of the workers that must have got a response before the load
+	// starts.
 	readyShare = 0.98
-	// sampleInterval is how often the usage of the processes is read.
+	// sampleInterval is the interval between samples of the usage of the processes.
 	sampleInterval = 2 * time.Second
-	// maxMemoryShare is the part of the machine's memory that a run may take.
+	// maxMemoryShare is the share of the machine's memory that a run may use.
 	maxMemoryShare = 0.5
 	probeTimeout   = time.Second
 )
 
-// errMemoryLimit ends a run that uses more of the machine's memory than it may.
-var errMemoryLimit = errors.New("half of this machine's memory is used")
+// errMemoryLimit stops a run whose processes exceed the memory limit.
+var errMemoryLimit = errors.New("the processes of the run use more than half of the machine's memory")
 
-// run is a run under way.
+// run holds the state of a run.
 type run struct {
 	options       Options
 	launcher      *launcher
 	regions       []*region
 	relays        map[link]*relay
 	startWaits    *startWaits
-	blockListener net.Listener // reserves the block of addresses
+	blockListener net.Listener // reserves the block of loopback addresses
 	client        *http.Client
 	memoryLimitMB float64
 
-	mu          sync.Mutex // guards the peaks
+	mu          sync.Mutex // guards the peaks below
 	runningPeak int        // tasks
 	emulationMB float64    // of this process
 	totalMB     float64    // of all processes
 }
 
-// link is the path from a region to a controller of another.
+// link identifies the connection from a region to a controller of another region.
 type link struct{ from, to, address string }
 
-// Run runs the controllers under load and measures them. Everything that it has started has
-// ended when it returns.
+// Run runs the controllers under load and measures them. Before it returns, it stops all processes
+// and goroutines that it has started.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	if err := o.Check(); err != nil {
 		return nil, err
@@ -90,7 +91,7 @@
 	return r.measure(ctx, time.Since(begun))
 }
 
-// prepare starts the regions and their controllers.
+// prepare starts the emulated systems of all regions, then the controllers.
 func (r *run) prepare(dir string) error {
 	loopback, err := r.claimAddressBlock()
 	if err != nil {
@@ -113,7 +114,7 @@
 	return nil
 }
 
-// startControllers starts the controllers of a region.
+// startControllers writes the operators' settings of a region and starts its controllers.
 func (r *run) startControllers(region *region) error {
 	regions, err := r.regionSettings(region)
 	if err != nil {
@@ -130,13 +131,13 @@
 	return nil
 }
 
-// Blocks of loopback addresses that a run may take: 127.100.0.0/16 and so on.
+// Blocks of loopback addresses that runs choose from: 127.100.0.0/16 to 127.199.0.0/16.
 const (
 	firstBlock, lastBlock = 100, 199
 	blockAddress          = "127.%d.255.254:1079"
 )
 
-// claimAddressBlock reserves a block of loopback addresses that no other run on this machine
+// claimAddressBlock reserves a block of loopback addresses that no other run on the same machine
 // uses.
 func (r *run) claimAddressBlock() (*emulate.Loopback, error) {
 	blocks := lastBlock - firstBlock + 1
@@ -148,17 +149,18 @@
 			return emulate.NewLoopbackAt(byte(block)), nil
 		}
 	}
-	return nil, errors.New("no block of loopback addresses is free")
+	return nil, errors.New("other runs use all blocks of loopback addresses")
 }
 
-// waitReady waits for the controllers, then boots the workers and waits for them.
+// waitReady waits until the controllers are healthy, boots the workers and waits until the controllers
+// have responded to readyShare of them.
 func (r *run) waitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for _, region := range r.regions {
 		for !region.healthy(r.client) {
 			if region.controllerEnded() || !sleep(ctx, readyInterval) {
-				return fmt.Errorf("the controllers of %s were not ready within %v; the first says: %s", region.name, readyTimeout, region.controllers[0].lastLogLine())
+				return fmt.Errorf("the controllers of %s were not healthy within %v; last log line of the first: %s", region.name, readyTimeout, region.controllers[0].lastLogLine())
 			}
 		}
 	}
@@ -168,15 +170,15 @@
 	for _, region := range r.regions {
 		for region.world.AnsweredWorkers() < int(readyShare*float64(region.workers)) {
 			if !sleep(ctx, readyInterval) {
-				return fmt.Errorf("%d of %d workers of %s were answered within %v", region.world.AnsweredWorkers(), region.workers, region.name, readyTimeout)
+				return fmt.Errorf("only %d of %d workers of %s got a response within %v", region.world.AnsweredWorkers(), region.workers, region.name, readyTimeout)
 			}
 		}
 	}
 	return nil
 }
 
-// measure applies the load, injects the faults, and reports.
-func (r *run) measure(ctx context.Context, tookReady time.Duration) (*Report, error) {
+// measure applies the load, injects the faults and returns the report.
+func (r *run) measure(ctx context.Context, startup time.Duration) (*Report, error) {
 	load, cancel := context.WithTimeout(ctx, r.options.Duration)
 	defer cancel()
 	begun := time.Now()
@@ -193,7 +195,7 @@
 	err := r.watch(load, operators.checkLimits)
 	cancel()
 	took := time.Since(begun)
-	report := r.report(before, r.readCounters(), took, tookReady, ownCPU()-cpu)
+	report := r.report(before, r.readCounters(), took, startup, ownCPU()-cpu)
 	if err != nil {
 		report.Stopped = err.Error()
 	}
@@ -206,8 +208,8 @@
 	return report, ctx.Err()
 }
 
-// startLoad restarts the statistics of the controllers and lets the users of all regions submit
-// until the context ends.
+// startLoad resets the statistics of the controllers and starts the users of all regions, who submit
+// jobs until the context ends.
 func (r *run) startLoad(ctx context.Context, begun time.Time) {
 	for _, region := range r.regions {
 		for _, c := range region.controllers {
@@ -221,8 +223,8 @@
 	}
 }
 
-// watch samples the processes and calls check until the load ends, or the processes use more
-// memory than they may.
+// watch samples the processes and calls check at intervals until the load ends. It returns
+// errMemoryLimit if the processes exceed the memory limit.
 func (r *run) watch(ctx context.Context, check func()) error {
 	for sleep(ctx, sampleInterval) {
 		check()
@@ -234,12 +236,12 @@
 	return nil
 }
 
-// sample reads the usage of all processes and returns their memory together, in MB.
+// sample reads the usage of all processes and returns the sum of their memory, in MB.
 func (r *run) sample() float64 {
 	now := time.Now()
 	own, err := usageOf(os.Getpid())
 	if err != nil {
-		r.options.Log.Error("reading own resource usage failed", "error", err)
+		r.options.Log.Error("failed to read the resource usage of this process", "error", err)
 	}
 	totalMB := own.rssMB
 	running := 0
@@ -257,7 +259,7 @@
 	return totalMB
 }
 
-// close ends all that the run has started.
+// close stops everything that the run has started.
 func (r *run) close() {
 	for _, relay := range r.relays {
 		relay.close()
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -12,7 +12,8 @@
 	"vetchstream/internal/emulate"
 )
 
-// TestPlanDividesFleetAmongRegions: the planned size is divided among the regions without a rest.
+// TestPlanDividesFleetAmongRegions checks that the regions together have the planned number of
+// workers, up to rounding, and exactly the planned controllers, zones and start rate.
 func TestPlanDividesFleetAmongRegions(t *testing.T) {
 	for _, tt := range []struct {
 		factor               float64
@@ -31,12 +32,14 @@
 			starts += p.startsPerS
 		}
 		if math.Abs(float64(workers-tt.workers)) > float64(tt.regions) || controllers != tt.controllers || zones != PlannedZones || math.Abs(starts-PlannedStartsPerS*tt.factor) > 1e-6 {
-			t.Errorf("%+v: %d workers, %d controllers, %d zones, %v starts", tt, workers, controllers, zones, starts)
+			t.Errorf("plan for %+v: the regions together have %d workers, %d controllers, %d zones and %v starts per second, want %d, %d, %d and %v", tt, workers, controllers, zones, starts,
+				tt.workers, tt.controllers, PlannedZones, PlannedStartsPerS*tt.factor)
 		}
 	}
 }
 
-// TestFaultCheckNamesInvalidField: an error names the fault that is not valid, and its field.
+// TestFaultCheckNamesInvalidField checks that the error for an invalid list of faults names the index
+// and the field of the invalid fault.
 func TestFaultCheckNamesInvalidField(t *testing.T) {
 	for _, tt := range []struct{ text, want string }{
 		{`[{"kind":"zone_cut","region":"region-0"}]`, ""},
@@ -52,72 +55,72 @@
 			err = checkFaults(faults, []string{"region-0"})
 		}
 		if (err == nil) != (tt.want == "") || (err != nil && !strings.Contains(err.Error(), tt.want)) {
-			t.Errorf("%s: %v", tt.text, err)
+			t.Errorf("faults %s: error %v, want one that contains %q (none if empty)", tt.text, err, tt.want)
 		}
 	}
 }
 
-// TestPartitionHoldsTraffic: data to and from a host that is partitioned, or through a relay between regions, is
-// held and then delivered, and a closed connection does not wait for that.
+// TestPartitionHoldsTraffic checks that a partition of a host, or of two regions at the relay between
+// them, holds data and delivers it after the partition, and that the sent bytes are counted.
 func TestPartitionHoldsTraffic(t *testing.T) {
-	l := emulate.NewLoopbackAt(firstBlock - 1)
-	n := newNetwork("r", l)
-	ln, err := n.Listen("w1:0")
+	loopback := emulate.NewLoopbackAt(firstBlock - 1)
+	network := newNetwork("r", loopback)
+	listener, err := network.Listen("w1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
+	defer listener.Close()
 	go func() {
 		for {
-			c, err := ln.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			go func() { _, _ = io.Copy(c, c) }()
 		}
 	}()
-	host, _, _ := net.SplitHostPort(ln.Addr().String())
-	front, err := l.Listen("relay:0")
+	host, _, _ := net.SplitHostPort(listener.Addr().String())
+	relayListener, err := loopback.Listen("relay:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := newRelay(front, ln.Addr().String())
-	defer r.close()
-	for name, cut := range map[string]func(on bool){
-		"host":  func(on bool) { n.setPartitioned([]string{host}, on) },
-		"relay": func(on bool) { r.gate.set(!on) },
+	relay := newRelay(relayListener, listener.Addr().String())
+	defer relay.close()
+	for name, setPartitioned := range map[string]func(partitioned bool){
+		"host partitioned from the network": func(partitioned bool) { network.setPartitioned([]string{host}, partitioned) },
+		"regions partitioned at the relay":  func(partitioned bool) { relay.gate.set(!partitioned) },
 	} {
-		c, err := (&net.Dialer{}).DialContext(context.Background(), "tcp4", r.addr())
+		conn, err := (&net.Dialer{}).DialContext(context.Background(), "tcp4", relay.addr())
 		if err != nil {
 			t.Fatal(err)
 		}
 		echo := make(chan string, 1)
-		cut(true)
-		if _, err := c.Write([]byte("a")); err != nil {
+		setPartitioned(true)
+		if _, err := conn.Write([]byte("a")); err != nil {
 			t.Fatal(err)
 		}
 		go func() {
 			b := make([]byte, 1)
-			_, _ = io.ReadFull(c, b)
+			_, _ = io.ReadFull(conn, b)
 			echo <- string(b)
 		}()
 		select {
 		case <-echo:
-			t.Errorf("%s: a message has passed the cut", name)
+			t.Errorf("%s: a message was delivered during the partition", name)
 		case <-time.After(50 * time.Millisecond):
 		}
-		cut(false)
+		setPartitioned(false)
 		if got := <-echo; got != "a" {
-			t.Errorf("%s: %q came back", name, got)
+			t.Errorf("%s: received %q after the partition, want \"a\"", name, got)
 		}
-		_ = c.Close()
+		_ = conn.Close()
 	}
-	// A write is counted once it has returned, which may be after its bytes have arrived.
-	sent := n.host(host).sent.Load()
-	for deadline := time.Now().Add(time.Second); sent < 2 && time.Now().Before(deadline); sent = n.host(host).sent.Load() {
+	// A write is counted after it returns, which may be after its bytes have arrived.
+	sent := network.host(host).sent.Load()
+	for deadline := time.Now().Add(time.Second); sent < 2 && time.Now().Before(deadline); sent = network.host(host).sent.Load() {
 		time.Sleep(time.Millisecond)
 	}
 	if sent != 2 {
-		t.Errorf("%d bytes were counted, not 2", sent)
+		t.Errorf("the counter of sent bytes is %d, want 2", sent)
 	}
 }
--- a/internal/scale/users.go
+++ b/internal/scale/users.go
@@ -19,12 +19,12 @@
 	"vetchstream/internal/wire"
 )
 
-// class is a class of jobs that users submit.
+// class describes a class of jobs that users submit.
 type class struct {
 	name, shape, priority string
-	// share is the part of the task starts that are of this class.
+	// share is the share of this class in the task starts.
 	share float64
-	// drawTasks draws the number of a job's tasks, of which meanTasks is the mean.
+	// drawTasks draws the number of tasks of a job, with mean meanTasks.
 	drawTasks func(r *rand.Rand) int
 	meanTasks float64
 }
@@ -32,9 +32,10 @@
 // urgentClass is the class of urgent jobs.
 const urgentClass = "urgent"
 
-// classes are the planned load: most starts are of arrays, some of gangs, a few urgent.
+// classes returns the classes of the planned load. Most task starts belong to arrays, some to gangs,
+// and a few are urgent.
 func (o *Options) classes() []class {
-	batch := max(8, 600*math.Sqrt(min(1, o.Factor))) // mean size of an array
+	batch := max(8, 600*math.Sqrt(min(1, o.Factor))) // mean number of tasks of an array job
 	gangs := gangSizes(int(PlannedLargestGang * min(1, max(o.Factor, 0.05))))
 	sum := 0
 	for _, n := range gangs {
@@ -68,7 +69,7 @@
 	}
 }
 
-// gangSizes are powers of two up to the largest.
+// gangSizes returns the powers of two from 2 up to the largest size.
 func gangSizes(largest int) []int {
 	sizes := []int{2}
 	for n := 4; n <= largest; n *= 2 {
@@ -78,26 +79,27 @@
 }
 
 const (
-	// A user polls a job with this interval, and submits it that often at the most.
-	pollInterval     = 5 * time.Second
-	pollTimeout      = 2 * time.Second
-	submitTimeout    = 5 * time.Second
+	// pollInterval is the interval between polls of a job by its user.
+	pollInterval  = 5 * time.Second
+	pollTimeout   = 2 * time.Second
+	submitTimeout = 5 * time.Second
+	// maxSubmissions bounds the attempts to submit a job.
 	maxSubmissions   = 12
 	submitRetryDelay = time.Second
-	// maxFirstDelay is how soon the first job of a class comes.
+	// maxFirstDelay bounds the delay of the first job of a class.
 	maxFirstDelay = time.Second
-	// maxFollowedJobs bounds the jobs that are followed at a time in a region.
+	// maxFollowedJobs bounds the jobs that the users of a region follow at the same time.
 	maxFollowedJobs = 20_000
-	// taskCPUs and taskMemGB are what a task takes of its machine.
+	// taskCPUs and taskMemGB are the resources that a task requests.
 	taskCPUs, taskMemGB = 1, 1
 	// maxWaitMs is the longest wait that the histograms can record, in milliseconds.
 	maxWaitMs = int64(time.Hour / time.Millisecond)
 )
 
-// newWaitHistogram makes a histogram of waits in milliseconds.
+// newWaitHistogram returns an empty histogram of waits in milliseconds.
 func newWaitHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxWaitMs, 3) }
 
-// startWaits are how long tasks waited for their start, in milliseconds.
+// startWaits records the times that tasks waited for their start.
 type startWaits struct {
 	mu     sync.Mutex
 	urgent *hdrhistogram.Histogram
@@ -116,28 +118,28 @@
 	if spec.Class == urgentClass {
 		h = w.urgent
 	}
-	_ = h.RecordValue(min(max(1, waited.Milliseconds()), maxWaitMs)) // within its range
+	_ = h.RecordValue(min(max(1, waited.Milliseconds()), maxWaitMs)) // clamped to the range of the histogram
 }
 
-// quantiles are those of the waits of urgent and of other tasks.
+// quantiles returns the quantiles of the waits of urgent tasks and of all other tasks.
 func (w *startWaits) quantiles() (urgent, other quantiles) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return quantilesOf(w.urgent), quantilesOf(w.other)
 }
 
-// users are the users of one region.
+// users emulates the users of one region.
 type users struct {
 	world     *emulate.World
 	servers   []string // the controllers' addresses
 	teams     []string
-	runTime   time.Duration // mean of the tasks
-	lastJobID *atomic.Int64 // in all regions
+	runTime   time.Duration // mean run time of tasks
+	lastJobID *atomic.Int64 // shared by all regions
 	client    *http.Client
 
 	submitted, accepted, refused, done atomic.Int64
 
-	followSlots chan struct{} // holds one for each job that is followed
+	followSlots chan struct{} // holds one element for each job that is followed
 	wg          sync.WaitGroup
 }
 
@@ -153,7 +155,8 @@
 	}
 }
 
-// submit submits jobs of a class at a rate of task starts a second until the context ends.
+// submit submits jobs of a class until the context ends. startsPerS is the rate of task starts of all
+// classes. It drops jobs, and counts them as refused, while maxFollowedJobs are being followed.
 func (u *users) submit(ctx context.Context, c class, startsPerS float64, r *rand.Rand) {
 	jobsPerS := startsPerS * c.share / c.meanTasks
 	if jobsPerS <= 0 {
@@ -193,7 +196,7 @@
 	}
 }
 
-// follow submits a job and polls it until it is over or the context ends.
+// follow submits a job and polls it until the job has ended or the context ends.
 func (u *users) follow(ctx context.Context, spec *job.Spec, server string) {
 	body, err := wire.Marshal(spec)
 	if err != nil {
@@ -220,7 +223,8 @@
 	}
 }
 
-// submitUntilAccepted repeats a submission until it is accepted.
+// submitUntilAccepted repeats a submission until a controller accepts it. It gives up after
+// maxSubmissions attempts, a rejection, or the end of the context.
 func (u *users) submitUntilAccepted(ctx context.Context, id, server string, body []byte) bool {
 	for range maxSubmissions {
 		status, _ := u.request(ctx, submitTimeout, http.MethodPost, server, "/api/jobs", body)
@@ -228,7 +232,7 @@
 		case http.StatusOK, http.StatusCreated:
 			return true
 		case http.StatusBadRequest, http.StatusUnprocessableEntity:
-			u.world.ReportViolation("refused: %s got %d", id, status)
+			u.world.ReportViolation("refused: the submission of %s got status %d", id, status)
 			return false
 		}
 		if !sleep(ctx, submitRetryDelay) {
@@ -238,9 +242,9 @@
 	return false
 }
 
-// request makes a request with a time limit; a status of 0 means that there was no answer.
-func (u *users) request(ctx context.Context, limit time.Duration, method, server, path string, body []byte) (status int, phase wire.JobPhase) {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+// request sends a request with a time-out. It returns status 0 if there is no complete response.
+func (u *users) request(ctx context.Context, timeout time.Duration, method, server, path string, body []byte) (status int, phase wire.JobPhase) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+server+path, bytes.NewReader(body))
 	if err != nil {
@@ -257,27 +261,27 @@
 		return 0, ""
 	}
 	var s wire.JobStatus
-	_ = wire.Unmarshal(b, &s) // a refusal has another body
+	_ = wire.Unmarshal(b, &s) // the body of a refusal has another format
 	return res.StatusCode, s.Phase
 }
 
-// close waits for the users; their context has ended.
+// close waits until the users have stopped. The context of the load must have ended.
 func (u *users) close() {
 	u.wg.Wait()
 	u.client.CloseIdleConnections()
 }
 
-// seconds is a time that is given in seconds.
+// seconds converts a number of seconds to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// sleep waits; false: the context has ended before.
+// sleep waits for a duration. It reports false if the context ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 		return false
-	case <-t.C:
+	case <-timer.C:
 		return true
 	}
 }
