--- a/internal/scale/configuration.go
+++ b/internal/scale/configuration.go
@@ -92,7 +92,7 @@
 }
 
 // changeLimits requests changes at the given rate until the context ends.
-func (o *operators) changeLimits(ctx context.Context, perMinute float64, r *rand.Rand) {
+func (o *operators) changeLimits(ctx context.Context, perMinute float64, random *rand.Rand) {
 	if perMinute <= 0 {
 		return
 	}
@@ -100,8 +100,8 @@
 	slots := make(chan struct{}, maxWatchedChanges)
 	names := o.regions[0].teamNames()
 	for sleep(ctx, seconds(60/perMinute)) {
-		team := names[r.IntN(len(names))]
-		change := o.drawChange(team, r)
+		team := names[random.IntN(len(names))]
+		change := o.drawChange(team, random)
 		begun := time.Now()
 		revision, ok := o.apply(ctx, change)
 		if !ok {
@@ -118,10 +118,10 @@
 }
 
 // drawChange draws a change that moves a part of the team's limit from one region to another.
-func (o *operators) drawChange(team string, r *rand.Rand) *dynconfig.Change {
+func (o *operators) drawChange(team string, random *rand.Rand) *dynconfig.Change {
 	limits := o.limits[team]
-	from, to := r.IntN(len(limits)), r.IntN(len(limits))
-	moved := limits[from] * maxMovedShare * r.Float64()
+	from, to := random.IntN(len(limits)), random.IntN(len(limits))
+	moved := limits[from] * maxMovedShare * random.Float64()
 	limits[from] -= moved
 	limits[to] += moved
 	total := o.totalLimit()
@@ -142,16 +142,16 @@
 }
 
 // apply sends a change to the home region and returns the revision of the change.
-func (o *operators) apply(ctx context.Context, c *dynconfig.Change) (revision uint64, ok bool) {
-	body, err := wire.Marshal(c)
+func (o *operators) apply(ctx context.Context, change *dynconfig.Change) (revision uint64, ok bool) {
+	body, err := wire.Marshal(change)
 	if err != nil {
 		return 0, false
 	}
-	var out struct {
+	var reply struct {
 		Revision uint64 `codec:"revision"`
 	}
-	ok = o.request(ctx, http.MethodPost, configPath, body, &out)
-	return out.Revision, ok
+	ok = o.request(ctx, http.MethodPost, configPath, body, &reply)
+	return reply.Revision, ok
 }
 
 // request sends a request to the controllers of the home region in turn until one responds with 200.
@@ -183,10 +183,10 @@
 // pollStatus polls the configuration status until the context ends.
 func (o *operators) pollStatus(ctx context.Context) {
 	for sleep(ctx, statusInterval) {
-		var s dynconfig.Status
-		if o.request(ctx, http.MethodGet, configPath+"/status", nil, &s) {
+		var status dynconfig.Status
+		if o.request(ctx, http.MethodGet, configPath+"/status", nil, &status) {
 			o.mu.Lock()
-			o.status = s
+			o.status = status
 			o.mu.Unlock()
 		}
 	}
@@ -198,9 +198,9 @@
 	waited := false
 	for sleep(ctx, statusInterval) {
 		o.mu.Lock()
-		s := o.status
+		status := o.status
 		o.mu.Unlock()
-		behind, inUse := pendingChange(&s, team, revision)
+		behind, inUse := pendingChange(&status, team, revision)
 		waited = waited || inUse
 		switch {
 		case behind:
@@ -217,21 +217,21 @@
 
 // pendingChange reports whether a region does not apply a team's change yet, and whether a region
 // waits because running tasks of another region exceed that region's reduced limit.
-func pendingChange(s *dynconfig.Status, team string, revision uint64) (behind, inUse bool) {
-	if s.Revision < revision {
+func pendingChange(status *dynconfig.Status, team string, revision uint64) (behind, inUse bool) {
+	if status.Revision < revision {
 		return true, false
 	}
-	for _, r := range s.Regions {
-		if r.Revision >= revision {
+	for _, region := range status.Regions {
+		if region.Revision >= revision {
 			continue
 		}
-		i := slices.IndexFunc(r.Pending, func(w dynconfig.PendingShare) bool { return w.Team == team })
+		i := slices.IndexFunc(region.Pending, func(share dynconfig.PendingShare) bool { return share.Team == team })
 		if i < 0 {
-			behind = behind || r.PendingCount > len(r.Pending) // the list is truncated
+			behind = behind || region.PendingCount > len(region.Pending) // the list is truncated
 			continue
 		}
 		behind = true
-		inUse = inUse || slices.ContainsFunc(r.Pending[i].BlockedBy, func(other string) bool { return other != r.Region })
+		inUse = inUse || slices.ContainsFunc(region.Pending[i].BlockedBy, func(other string) bool { return other != region.Region })
 	}
 	return behind, inUse
 }
@@ -276,18 +276,18 @@
 // starts relays, through which the controllers reach the home region.
 func (r *run) regionSettings(of *region) (config.Regions, error) {
 	home := r.regions[0]
-	set := config.Regions{Name: of.name, Home: home.name, All: r.options.regionNames(), HomeAddresses: []string{}}
+	settings := config.Regions{Name: of.name, Home: home.name, All: r.options.regionNames(), HomeAddresses: []string{}}
 	if of == home {
-		return set, nil
+		return settings, nil
 	}
 	for i, target := range home.peerAddresses {
-		ln, err := of.network.Loopback.Listen(fmt.Sprintf("%s/relay-%d:0", of.name, i))
+		listener, err := of.network.Loopback.Listen(fmt.Sprintf("%s/relay-%d:0", of.name, i))
 		if err != nil {
-			return set, err
+			return settings, err
 		}
-		relay := newRelay(ln, target)
+		relay := newRelay(listener, target)
 		r.relays[link{of.name, home.name, target}] = relay
-		set.HomeAddresses = append(set.HomeAddresses, relay.addr())
+		settings.HomeAddresses = append(settings.HomeAddresses, relay.addr())
 	}
-	return set, nil
+	return settings, nil
 }
--- a/internal/scale/network.go
+++ b/internal/scale/network.go
@@ -70,8 +70,8 @@
 	hosts map[string]*traffic // by address
 }
 
-func newNetwork(region string, l *emulate.Loopback) *network {
-	return &network{region: region, Loopback: l, hosts: map[string]*traffic{}}
+func newNetwork(region string, loopback *emulate.Loopback) *network {
+	return &network{region: region, Loopback: loopback, hosts: map[string]*traffic{}}
 }
 
 // host returns the traffic of the host at an address.
@@ -196,33 +196,33 @@
 func (n *network) totals() map[string]counters {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	out := make(map[string]counters, len(n.hosts))
+	totals := make(map[string]counters, len(n.hosts))
 	for ip, t := range n.hosts {
-		out[ip] = counters{t.sent.Load(), t.received.Load(), t.messages.Load()}
+		totals[ip] = counters{t.sent.Load(), t.received.Load(), t.messages.Load()}
 	}
-	return out
+	return totals
 }
 
 // trafficPerWorker returns the traffic between two snapshots of all networks, per worker and second.
-func trafficPerWorker(before, after []map[string]counters, took time.Duration) (w workerTraffic) {
+func trafficPerWorker(before, after []map[string]counters, took time.Duration) (mean workerTraffic) {
 	workers := 0.0
 	seconds := took.Seconds()
 	for i := range after {
-		for ip, now := range after[i] {
-			was := before[i][ip]
-			sent := float64(now.sent-was.sent) / seconds
-			received := float64(now.received-was.received) / seconds
+		for ip, last := range after[i] {
+			first := before[i][ip]
+			sent := float64(last.sent-first.sent) / seconds
+			received := float64(last.received-first.received) / seconds
 			workers++
-			w.Sent += sent
-			w.Received += received
-			w.Messages += float64(now.messages-was.messages) / seconds
-			w.MaxTotal = max(w.MaxTotal, sent+received)
+			mean.Sent += sent
+			mean.Received += received
+			mean.Messages += float64(last.messages-first.messages) / seconds
+			mean.MaxTotal = max(mean.MaxTotal, sent+received)
 		}
 	}
 	if workers > 0 {
-		w.Sent /= workers
-		w.Received /= workers
-		w.Messages /= workers
+		mean.Sent /= workers
+		mean.Received /= workers
+		mean.Messages /= workers
 	}
-	return w
+	return mean
 }
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -93,19 +93,19 @@
 	if regions == 1 {
 		return []float64{1}
 	}
-	out := []float64{largestShare}
+	shares := []float64{largestShare}
 	if regions == 2 {
-		out[0] = 0.6
+		shares[0] = 0.6
 	}
 	sum := 0.0
 	for i := 1; i < regions; i++ {
 		sum += regionWeight(i, regions)
 	}
-	rest := 1 - out[0]
+	rest := 1 - shares[0]
 	for i := 1; i < regions; i++ {
-		out = append(out, rest*regionWeight(i, regions)/sum)
+		shares = append(shares, rest*regionWeight(i, regions)/sum)
 	}
-	return out
+	return shares
 }
 
 // regionWeight returns the relative weight of a region after the first. The weight of the second is
--- a/internal/scale/region.go
+++ b/internal/scale/region.go
@@ -63,17 +63,17 @@
 
 // newRegion starts the emulated systems of a region and writes the settings of its controllers to
 // files in dir. If writing fails, it returns the region along with the error, for the caller to close.
-func newRegion(o *Options, p regionPlan, l *emulate.Loopback, startWaits *startWaits, dir string) (*region, error) {
+func newRegion(o *Options, p regionPlan, loopback *emulate.Loopback, startWaits *startWaits, dir string) (*region, error) {
 	r := &region{
 		regionPlan: p,
 		options:    o,
-		network:    newNetwork(p.name, l),
+		network:    newNetwork(p.name, loopback),
 		store:      emulate.NewStore(),
 		startWaits: startWaits,
 	}
 	var controllers []emulate.Controller
 	for i := range p.controllers {
-		ip, err := r.reserveAddress(l, fmt.Sprintf("controller-%d", i))
+		ip, err := r.reserveAddress(loopback, fmt.Sprintf("controller-%d", i))
 		if err != nil {
 			return nil, err
 		}
@@ -82,7 +82,7 @@
 		controllers = append(controllers, emulate.Controller{Member: r.member(i), Addr: r.addresses[i]})
 	}
 	r.world = emulate.New(r.worldConfig(controllers))
-	settings, err := r.settings(l)
+	settings, err := r.settings(loopback)
 	if err != nil {
 		return nil, err
 	}
@@ -115,8 +115,8 @@
 func (r *region) member(i int) string { return fmt.Sprintf("%s-controller-%d", r.name, i) }
 
 // reserveAddress returns a loopback address for the exclusive use of a controller.
-func (r *region) reserveAddress(l *emulate.Loopback, host string) (ip string, err error) {
-	ln, err := l.Listen(r.name + "/" + host + ":0")
+func (r *region) reserveAddress(loopback *emulate.Loopback, host string) (ip string, err error) {
+	ln, err := loopback.Listen(r.name + "/" + host + ":0")
 	if err != nil {
 		return "", err
 	}
@@ -149,16 +149,16 @@
 	if r.options.ChangesPerMinute > 0 {
 		return nil
 	}
-	out := map[string]emulate.Limit{}
-	for _, t := range r.teamNames() {
-		out[t] = emulate.Limit{CPUs: r.teamLimit()}
+	limits := map[string]emulate.Limit{}
+	for _, team := range r.teamNames() {
+		limits[team] = emulate.Limit{CPUs: r.teamLimit()}
 	}
-	return out
+	return limits
 }
 
 // serve starts an HTTP server for an emulated system of the region and returns its address.
-func (r *region) serve(l *emulate.Loopback, name string, h http.Handler) (addr string, err error) {
-	ln, err := l.Listen(r.name + "/" + name + ":0")
+func (r *region) serve(loopback *emulate.Loopback, name string, h http.Handler) (addr string, err error) {
+	ln, err := loopback.Listen(r.name + "/" + name + ":0")
 	if err != nil {
 		return "", fmt.Errorf("listening for %s of %s: %w", name, r.name, err)
 	}
@@ -174,72 +174,72 @@
 
 // settings starts the servers of the key-value store and the cloud, and returns the settings that
 // all controllers of the region share.
-func (r *region) settings(l *emulate.Loopback) (s *config.Settings, err error) {
+func (r *region) settings(loopback *emulate.Loopback) (s *config.Settings, err error) {
 	s = &config.Settings{}
-	if s.External.State, err = r.serve(l, "state", r.store); err != nil {
+	if s.External.State, err = r.serve(loopback, "state", r.store); err != nil {
 		return nil, err
 	}
-	if s.External.Cloud, err = r.serve(l, "cloud", r.world); err != nil {
+	if s.External.Cloud, err = r.serve(loopback, "cloud", r.world); err != nil {
 		return nil, err
 	}
-	f := &s.Facts
-	f.Nodes = r.regionPlan.controllers
-	f.Zones = r.zones
-	f.SkewMs = 50
+	facts := &s.Facts
+	facts.Nodes = r.regionPlan.controllers
+	facts.Zones = r.zones
+	facts.SkewMs = 50
 	for _, team := range r.teamNames() {
-		f.Teams = append(f.Teams, config.Team{Name: team, CPUs: r.teamGuarantee(), CPUsMax: r.teamLimit()})
+		facts.Teams = append(facts.Teams, config.Team{Name: team, CPUs: r.teamGuarantee(), CPUsMax: r.teamLimit()})
 	}
-	f.Objectives = []config.Objective{{Kind: config.ObjectiveWait, Class: urgentClass, WithinS: urgentStartS, Share: urgentShare}}
-	f.Workers = config.Workers{ReportS: heartbeatIntervalS, LeaseS: leaseS, GangWaitS: gangTimeoutS, GangPeerS: gangPeerS, CancelS: cancelTimeoutS}
-	f.State.RPS = stateRPS
-	f.State.WriteRPS = stateWriteRPS
-	f.State.ValueKB = valueKB
-	f.State.TxnOps = txnOps
-	f.Cloud.RPS = cloudRPS
-	f.Cloud.ListLagS = listLagS
-	f.Resources.CoreShare = 1
-	f.Resources.RAMMB = controllerMemoryMB
-	f.Resources.MaxSockets = controllerSockets
+	facts.Objectives = []config.Objective{{Kind: config.ObjectiveWait, Class: urgentClass, WithinS: urgentStartS, Share: urgentShare}}
+	facts.Workers = config.Workers{ReportS: heartbeatIntervalS, LeaseS: leaseS, GangWaitS: gangTimeoutS, GangPeerS: gangPeerS, CancelS: cancelTimeoutS}
+	facts.State.RPS = stateRPS
+	facts.State.WriteRPS = stateWriteRPS
+	facts.State.ValueKB = valueKB
+	facts.State.TxnOps = txnOps
+	facts.Cloud.RPS = cloudRPS
+	facts.Cloud.ListLagS = listLagS
+	facts.Resources.CoreShare = 1
+	facts.Resources.RAMMB = controllerMemoryMB
+	facts.Resources.MaxSockets = controllerSockets
 	return s, nil
 }
 
 // controllerSettings returns the settings of controller i: the shared ones, its own addresses, and
 // those of the other controllers of the region.
 func (r *region) controllerSettings(shared *config.Settings, i int) *config.Settings {
-	set := *shared
-	set.Member = r.member(i)
-	set.Site = r.zones[i%len(r.zones)]
-	set.Listen = r.addresses[i]
-	set.PeerListen = r.peerAddresses[i]
+	settings := *shared
+	settings.Member = r.member(i)
+	settings.Site = r.zones[i%len(r.zones)]
+	settings.Listen = r.addresses[i]
+	settings.PeerListen = r.peerAddresses[i]
 	for j := range r.addresses {
 		if j == i {
 			continue
 		}
-		set.Siblings = append(set.Siblings, config.Sibling{
+		settings.Siblings = append(settings.Siblings, config.Sibling{
 			Member:  r.member(j),
 			Site:    r.zones[j%len(r.zones)],
 			Address: r.peerAddresses[j],
 		})
 	}
-	return &set
+	return &settings
 }
 
 // writeSettings writes the settings file of each controller and adds the controller to the region.
 func (r *region) writeSettings(shared *config.Settings, dir string) error {
 	for i := range r.addresses {
-		set := r.controllerSettings(shared, i)
-		b, err := toml.Marshal(set)
+		settings := r.controllerSettings(shared, i)
+		encoded, err := toml.Marshal(settings)
 		if err != nil {
 			return fmt.Errorf("encoding the settings: %w", err)
 		}
-		base := filepath.Join(dir, set.Member)
+		base := filepath.Join(dir, settings.Member)
 		settingsFile, tuningFile := base+".toml", base+".json"
-		if err := os.WriteFile(settingsFile, b, 0o600); err != nil {
+		if err := os.WriteFile(settingsFile, encoded, 0o600); err != nil {
 			return err
 		}
 		r.controllers = append(r.controllers, &controller{
 			region:     r.name,
-			member:     set.Member,
+			member:     settings.Member,
 			tuningFile: tuningFile,
 			logFile:    base + ".log",
 			command:    []string{r.options.Binary, "--tuning", tuningFile, "--config", settingsFile},
@@ -263,15 +263,15 @@
 
 // writeTuning writes the operators' settings to a file for each controller.
 func (r *region) writeTuning(regions config.Regions) error {
-	t := tuning{PromiseMs: promiseMs, YieldS: yieldS, Regions: regions}
-	t.Shares.Enabled = true
-	t.Hosts.IdleBoots = idleBoots
-	b, err := json.Marshal(t)
+	settings := tuning{PromiseMs: promiseMs, YieldS: yieldS, Regions: regions}
+	settings.Shares.Enabled = true
+	settings.Hosts.IdleBoots = idleBoots
+	encoded, err := json.Marshal(settings)
 	if err != nil {
 		return err
 	}
 	for _, c := range r.controllers {
-		if err := os.WriteFile(c.tuningFile, b, 0o600); err != nil {
+		if err := os.WriteFile(c.tuningFile, encoded, 0o600); err != nil {
 			return err
 		}
 	}
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -119,7 +119,7 @@
 // start, cpu the processor time of this process between the readings.
 func (r *run) report(before, after counterReading, took, ready, cpu time.Duration) *Report {
 	options := &r.options
-	report := &Report{
+	result := &Report{
 		Factor:              options.Factor,
 		Controllers:         options.Controllers,
 		Teams:               options.teamCount(),
@@ -132,23 +132,23 @@
 		EmulationCPU:        cpu.Seconds() / took.Seconds(),
 	}
 	for i, region := range r.regions {
-		report.Workers += region.workers
-		report.Starts += after.starts[i] - before.starts[i]
-		report.Violations = append(report.Violations, region.world.Violations()...)
-		report.Jobs.Submitted += region.users.submitted.Load()
-		report.Jobs.Accepted += region.users.accepted.Load()
-		report.Jobs.Refused += region.users.refused.Load()
-		report.Jobs.Done += region.users.done.Load()
-		report.Regions = append(report.Regions, region.report(i, before, after, took.Seconds()))
+		result.Workers += region.workers
+		result.Starts += after.starts[i] - before.starts[i]
+		result.Violations = append(result.Violations, region.world.Violations()...)
+		result.Jobs.Submitted += region.users.submitted.Load()
+		result.Jobs.Accepted += region.users.accepted.Load()
+		result.Jobs.Refused += region.users.refused.Load()
+		result.Jobs.Done += region.users.done.Load()
+		result.Regions = append(result.Regions, region.report(i, before, after, took.Seconds()))
 	}
-	report.StartsPerS = float64(report.Starts) / took.Seconds()
-	report.UrgentMs, report.OtherMs = r.startWaits.quantiles()
+	result.StartsPerS = float64(result.Starts) / took.Seconds()
+	result.UrgentMs, result.OtherMs = r.startWaits.quantiles()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	report.RunningPeak = r.runningPeak
-	report.EmulationMB = r.emulationMB
-	report.TotalMB = r.totalMB
-	return report
+	result.RunningPeak = r.runningPeak
+	result.EmulationMB = r.emulationMB
+	result.TotalMB = r.totalMB
+	return result
 }
 
 // report derives the report of the region, which has index i, from two readings. seconds is the time
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -32,8 +32,7 @@
 			starts += p.startsPerS
 		}
 		if math.Abs(float64(workers-tt.workers)) > float64(tt.regions) || controllers != tt.controllers || zones != PlannedZones || math.Abs(starts-PlannedStartsPerS*tt.factor) > 1e-6 {
-			t.Errorf("plan for %+v: the regions together have %d workers, %d controllers, %d zones and %v starts per second, want %d, %d, %d and %v", tt, workers, controllers, zones, starts,
-				tt.workers, tt.controllers, PlannedZones, PlannedStartsPerS*tt.factor)
+			t.Errorf("plan for %+v: the regions together have %d workers, %d controllers, %d zones and %v starts per second, which is not the planned size", tt, workers, controllers, zones, starts)
 		}
 	}
 }
--- a/internal/scale/users.go
+++ b/internal/scale/users.go
@@ -25,7 +25,7 @@
 	// share is the share of this class in the task starts.
 	share float64
 	// drawTasks draws the number of tasks of a job, with mean meanTasks.
-	drawTasks func(r *rand.Rand) int
+	drawTasks func(random *rand.Rand) int
 	meanTasks float64
 }
 
@@ -47,7 +47,7 @@
 			shape:     job.ArrayName,
 			priority:  job.StandardName,
 			share:     0.83,
-			drawTasks: func(r *rand.Rand) int { return 1 + int(batch*(0.25+1.5*r.Float64())) },
+			drawTasks: func(random *rand.Rand) int { return 1 + int(batch*(0.25+1.5*random.Float64())) },
 			meanTasks: 1 + batch,
 		},
 		{
@@ -55,7 +55,7 @@
 			shape:     job.GangName,
 			priority:  job.StandardName,
 			share:     0.14,
-			drawTasks: func(r *rand.Rand) int { return gangs[r.IntN(len(gangs))] },
+			drawTasks: func(random *rand.Rand) int { return gangs[random.IntN(len(gangs))] },
 			meanTasks: float64(sum) / float64(len(gangs)),
 		},
 		{
@@ -63,7 +63,7 @@
 			shape:     job.ArrayName,
 			priority:  job.UrgentName,
 			share:     0.03,
-			drawTasks: func(r *rand.Rand) int { return 1 + r.IntN(7) },
+			drawTasks: func(random *rand.Rand) int { return 1 + random.IntN(7) },
 			meanTasks: 4,
 		},
 	}
@@ -143,9 +143,9 @@
 	wg          sync.WaitGroup
 }
 
-func newUsers(w *emulate.World, servers, teams []string, runTime time.Duration, lastJobID *atomic.Int64) *users {
+func newUsers(world *emulate.World, servers, teams []string, runTime time.Duration, lastJobID *atomic.Int64) *users {
 	return &users{
-		world:       w,
+		world:       world,
 		servers:     servers,
 		teams:       teams,
 		runTime:     runTime,
@@ -157,15 +157,15 @@
 
 // submit submits jobs of a class until the context ends. startsPerS is the rate of task starts of all
 // classes. It drops jobs, and counts them as refused, while maxFollowedJobs are being followed.
-func (u *users) submit(ctx context.Context, c class, startsPerS float64, r *rand.Rand) {
+func (u *users) submit(ctx context.Context, c class, startsPerS float64, random *rand.Rand) {
 	jobsPerS := startsPerS * c.share / c.meanTasks
 	if jobsPerS <= 0 {
 		return
 	}
-	wait := time.Duration(r.Float64() * float64(min(maxFirstDelay, seconds(1/jobsPerS))))
+	wait := time.Duration(random.Float64() * float64(min(maxFirstDelay, seconds(1/jobsPerS))))
 	for sleep(ctx, wait) {
-		spec := u.drawJob(c, r)
-		server := u.servers[r.IntN(len(u.servers))]
+		spec := u.drawJob(c, random)
+		server := u.servers[random.IntN(len(u.servers))]
 		select {
 		case u.followSlots <- struct{}{}:
 			u.wg.Go(func() {
@@ -175,24 +175,24 @@
 		default:
 			u.refused.Add(1)
 		}
-		wait = seconds(r.ExpFloat64() / jobsPerS)
+		wait = seconds(random.ExpFloat64() / jobsPerS)
 	}
 }
 
 // drawJob draws a job of a class.
-func (u *users) drawJob(c class, r *rand.Rand) *job.Spec {
+func (u *users) drawJob(c class, random *rand.Rand) *job.Spec {
 	return &job.Spec{
 		ID:           fmt.Sprintf("run-%d", u.lastJobID.Add(1)),
 		Class:        c.name,
-		Team:         u.teams[r.IntN(len(u.teams))],
+		Team:         u.teams[random.IntN(len(u.teams))],
 		ShapeName:    c.shape,
 		PriorityName: c.priority,
-		Tasks:        c.drawTasks(r),
+		Tasks:        c.drawTasks(random),
 		CPUs:         taskCPUs,
 		MemGB:        taskMemGB,
-		Image:        fmt.Sprintf("img-%02d", r.IntN(20)),
+		Image:        fmt.Sprintf("img-%02d", random.IntN(20)),
 		ImageGB:      0.5,
-		EstimateS:    u.runTime.Seconds() * (0.5 + r.Float64()),
+		EstimateS:    u.runTime.Seconds() * (0.5 + random.Float64()),
 	}
 }
 
@@ -256,13 +256,13 @@
 		return 0, ""
 	}
 	defer res.Body.Close()
-	b, err := io.ReadAll(io.LimitReader(res.Body, wire.MaxBody))
+	responseBody, err := io.ReadAll(io.LimitReader(res.Body, wire.MaxBody))
 	if err != nil {
 		return 0, ""
 	}
-	var s wire.JobStatus
-	_ = wire.Unmarshal(b, &s) // the body of a refusal has another format
-	return res.StatusCode, s.Phase
+	var jobStatus wire.JobStatus
+	_ = wire.Unmarshal(responseBody, &jobStatus) // the body of a refusal has another format
+	return res.StatusCode, jobStatus.Phase
 }
 
 // close waits until the users have stopped. The context of the load must have ended.
