--- a/internal/scale/configuration.go
+++ b/internal/scale/configuration.go
@@ -200,10 +200,10 @@
 		o.mu.Lock()
 		status := o.status
 		o.mu.Unlock()
-		behind, inUse := pendingChange(&status, team, revision)
-		waited = waited || inUse
+		pending, waits := pendingChange(&status, team, revision)
+		waited = waited || waits
 		switch {
-		case behind:
+		case pending:
 		case waited:
 			o.record(o.inForceAfterWait, time.Since(begun))
 			return
@@ -217,7 +217,7 @@
 
 // pendingChange reports whether a region does not apply a team's change yet, and whether a region
 // waits because running tasks of another region exceed that region's reduced limit.
-func pendingChange(status *dynconfig.Status, team string, revision uint64) (behind, inUse bool) {
+func pendingChange(status *dynconfig.Status, team string, revision uint64) (pending, waits bool) {
 	if status.Revision < revision {
 		return true, false
 	}
@@ -227,13 +227,13 @@
 		}
 		i := slices.IndexFunc(region.Pending, func(share dynconfig.PendingShare) bool { return share.Team == team })
 		if i < 0 {
-			behind = behind || region.PendingCount > len(region.Pending) // the list is truncated
+			pending = pending || region.PendingCount > len(region.Pending) // the list is truncated
 			continue
 		}
-		behind = true
-		inUse = inUse || slices.ContainsFunc(region.Pending[i].BlockedBy, func(other string) bool { return other != region.Region })
+		pending = true
+		waits = waits || slices.ContainsFunc(region.Pending[i].BlockedBy, func(other string) bool { return other != region.Region })
 	}
-	return behind, inUse
+	return pending, waits
 }
 
 // record adds a delay to a histogram.
--- a/internal/scale/network.go
+++ b/internal/scale/network.go
@@ -196,11 +196,11 @@
 func (n *network) totals() map[string]counters {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	totals := make(map[string]counters, len(n.hosts))
+	current := make(map[string]counters, len(n.hosts))
 	for ip, t := range n.hosts {
-		totals[ip] = counters{t.sent.Load(), t.received.Load(), t.messages.Load()}
+		current[ip] = counters{t.sent.Load(), t.received.Load(), t.messages.Load()}
 	}
-	return totals
+	return current
 }
 
 // trafficPerWorker returns the traffic between two snapshots of all networks, per worker and second.
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -179,20 +179,20 @@
 
 // measure applies the load, injects the faults and returns the report.
 func (r *run) measure(ctx context.Context, startup time.Duration) (*Report, error) {
-	load, cancel := context.WithTimeout(ctx, r.options.Duration)
+	loadCtx, cancel := context.WithTimeout(ctx, r.options.Duration)
 	defer cancel()
 	begun := time.Now()
 	before := r.readCounters()
 	cpu := ownCPU()
-	r.startLoad(load, begun)
+	r.startLoad(loadCtx, begun)
 	var wg sync.WaitGroup
 	for i, f := range r.options.Faults {
-		wg.Go(func() { r.injectFault(load, f, rand.New(rand.NewPCG(r.options.Seed, uint64(i)))) })
+		wg.Go(func() { r.injectFault(loadCtx, f, rand.New(rand.NewPCG(r.options.Seed, uint64(i)))) })
 	}
 	operators := newOperators(r)
 	random := rand.New(rand.NewPCG(r.options.Seed, uint64(len(r.regions))))
-	wg.Go(func() { operators.changeLimits(load, r.options.ChangesPerMinute, random) })
-	err := r.watch(load, operators.checkLimits)
+	wg.Go(func() { operators.changeLimits(loadCtx, r.options.ChangesPerMinute, random) })
+	err := r.watch(loadCtx, operators.checkLimits)
 	cancel()
 	took := time.Since(begun)
 	report := r.report(before, r.readCounters(), took, startup, ownCPU()-cpu)
