--- a/internal/dynconfig/explore_world_test.go
+++ b/internal/dynconfig/explore_world_test.go
@@ -209,7 +209,7 @@
 
 // Fingerprint implements explorer.World.
 func (w *world) Fingerprint() string {
-	p := &explorer.Printer{}
+	p := &explorer.FingerprintBuilder{}
 	p.Values(w.storedHead, " ", w.changesMade, w.leaderEnds, w.restores, len(w.home.dirty), w.home.head)
 	for _, n := range regionNames {
 		for _, recs := range []map[string]*TeamRecord{w.home.teams, w.records, w.previousRecords} {
--- a/internal/election/promise_test.go
+++ b/internal/election/promise_test.go
@@ -221,7 +221,7 @@
 
 // Fingerprint implements explorer.World.
 func (w *world) Fingerprint() string {
-	printer := &explorer.Printer{Now: w.now, MaxAge: 2 * promiseDuration}
+	printer := &explorer.FingerprintBuilder{Now: w.now, MaxAge: 2 * promiseDuration}
 	printer.Values(w.storeDown, w.leader)
 	printer.Times(w.leaseExpires)
 	for i := range w.members {
--- a/internal/explorer/explorer.go
+++ b/internal/explorer/explorer.go
@@ -187,9 +187,9 @@
 	return steps
 }
 
-// Printer builds a fingerprint. It prints times relative to Now, so that states that differ only
+// FingerprintBuilder builds a fingerprint. It prints times relative to Now, so that states that differ only
 // in the time of day have equal fingerprints.
-type Printer struct {
+type FingerprintBuilder struct {
 	strings.Builder
 	Now time.Time
 	// MaxAge is the age beyond which all times print alike.
@@ -197,14 +197,14 @@
 }
 
 // Times appends times, in milliseconds relative to Now.
-func (p *Printer) Times(times ...time.Time) {
+func (p *FingerprintBuilder) Times(times ...time.Time) {
 	for _, t := range times {
 		fmt.Fprintf(p, "%d ", max(-p.MaxAge, t.Sub(p.Now))/time.Millisecond)
 	}
 }
 
 // Values appends the printed form of values.
-func (p *Printer) Values(values ...any) { fmt.Fprint(p, values...) }
+func (p *FingerprintBuilder) Values(values ...any) { fmt.Fprint(p, values...) }
 
 // describe returns the steps of path as text: the name of each action and its subject.
 func (e *Explorer[W]) describe(path []Step) string {
--- a/internal/fleet/explore_test.go
+++ b/internal/fleet/explore_test.go
@@ -68,7 +68,7 @@
 
 // Fingerprint implements explorer.World.
 func (w *world) Fingerprint() string {
-	p := &explorer.Printer{Now: w.now, MaxAge: cancelTimeout + reportInterval}
+	p := &explorer.FingerprintBuilder{Now: w.now, MaxAge: cancelTimeout + reportInterval}
 	p.Values(w.fleet.Term, w.launched, w.endedBeforeTerm, w.retainedByLeader, w.worker.session, w.worker.token, w.worker.phase, len(w.delayedCommands), w.holder.Term(), " ")
 	p.Times(w.cancelledAt, w.worker.leaseRenewedAt, w.grantEnd, w.machine.leaseRenewedAt, w.machine.directLaunchAt)
 	by, asked := w.assigner.Holder("host-1")
--- a/internal/shard/explore_test.go
+++ b/internal/shard/explore_test.go
@@ -150,7 +150,7 @@
 
 // Fingerprint describes the state: times are relative to now, and those long past are equal.
 func (w *world) Fingerprint() string {
-	p := &explorer.Printer{Now: w.now, MaxAge: 4 * tick}
+	p := &explorer.FingerprintBuilder{Now: w.now, MaxAge: 4 * tick}
 	a := w.leader
 	p.Values(a.term, w.deposed)
 	p.Times(w.entitledUntil)
