--- a/internal/scale/network.go
+++ b/internal/scale/network.go
@@ -105,7 +105,7 @@
 		return nil, err
 	}
 	ip, _, _ := net.SplitHostPort(ln.Addr().String())
-	return &countedListener{ln, n.host(ip)}, nil
+	return &countingListener{ln, n.host(ip)}, nil
 }
 
 // Dialer implements emulate.Network; from is the address of a host.
@@ -123,14 +123,14 @@
 	}
 }
 
-// countedListener counts the traffic of the connections that it accepts.
-type countedListener struct {
+// countingListener counts the traffic of the connections that it accepts.
+type countingListener struct {
 	net.Listener
 	traffic *traffic
 }
 
 // Accept implements net.Listener.
-func (l *countedListener) Accept() (net.Conn, error) {
+func (l *countingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
