--- a/internal/scale/network.go
+++ b/internal/scale/network.go
@@ -138,20 +138,20 @@
 	return newCountedConn(c, l.traffic), nil
 }
 
-// countedConn counts the traffic of a connection and blocks it while the host is partitioned.
-type countedConn struct {
+// countingConn counts the traffic of a connection and blocks it while the host is partitioned.
+type countingConn struct {
 	net.Conn
 	traffic *traffic
 	closed  chan struct{}
 	once    sync.Once
 }
 
-func newCountedConn(c net.Conn, t *traffic) *countedConn {
-	return &countedConn{Conn: c, traffic: t, closed: make(chan struct{})}
+func newCountedConn(c net.Conn, t *traffic) *countingConn {
+	return &countingConn{Conn: c, traffic: t, closed: make(chan struct{})}
 }
 
 // Read implements net.Conn.
-func (c *countedConn) Read(b []byte) (int, error) {
+func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 && !c.traffic.gate.pass(c.closed) {
 		return 0, net.ErrClosed
@@ -161,7 +161,7 @@
 }
 
 // Write implements net.Conn.
-func (c *countedConn) Write(b []byte) (int, error) {
+func (c *countingConn) Write(b []byte) (int, error) {
 	if !c.traffic.gate.pass(c.closed) {
 		return 0, net.ErrClosed
 	}
@@ -172,7 +172,7 @@
 }
 
 // Close implements net.Conn.
-func (c *countedConn) Close() error {
+func (c *countingConn) Close() error {
 	c.once.Do(func() { close(c.closed) })
 	return c.Conn.Close()
 }
