--- a/internal/scale/network.go
+++ b/internal/scale/network.go
@@ -119,7 +119,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return newCountedConn(c, t), nil
+		return newCountingConn(c, t), nil
 	}
 }
 
@@ -135,7 +135,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return newCountedConn(c, l.traffic), nil
+	return newCountingConn(c, l.traffic), nil
 }
 
 // countingConn counts the traffic of a connection and blocks it while the host is partitioned.
@@ -146,7 +146,7 @@
 	once    sync.Once
 }
 
-func newCountedConn(c net.Conn, t *traffic) *countingConn {
+func newCountingConn(c net.Conn, t *traffic) *countingConn {
 	return &countingConn{Conn: c, traffic: t, closed: make(chan struct{})}
 }
 
