--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -84,8 +84,8 @@
 	startsPerS  float64
 }
 
-// largestShare is the share of the fleet in the first region if there are three regions or more.
-const largestShare = 1.0 / 3
+// firstRegionShare is the share of the fleet in the first region if there are three regions or more.
+const firstRegionShare = 1.0 / 3
 
 // regionShares returns each region's share of the fleet. Of three or more regions, the first has a
 // third, and each later one less than the one before.
@@ -93,7 +93,7 @@
 	if regions == 1 {
 		return []float64{1}
 	}
-	shares := []float64{largestShare}
+	shares := []float64{firstRegionShare}
 	if regions == 2 {
 		shares[0] = 0.6
 	}
