--- a/internal/scale/region.go
+++ b/internal/scale/region.go
@@ -312,8 +312,8 @@
 // holderKey is the key of the leader's lease.
 const holderKey = "lead/holder"
 
-// controllerEnded reports whether a controller has exited unexpectedly.
-func (r *region) controllerEnded() bool {
+// controllerExited reports whether a controller has exited unexpectedly.
+func (r *region) controllerExited() bool {
 	return slices.ContainsFunc(r.controllers, func(c *controller) bool { return c.statistics().UnexpectedExits > 0 })
 }
 
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -159,7 +159,7 @@
 	defer cancel()
 	for _, region := range r.regions {
 		for !region.healthy(r.client) {
-			if region.controllerEnded() || !sleep(ctx, readyInterval) {
+			if region.controllerExited() || !sleep(ctx, readyInterval) {
 				return fmt.Errorf("the controllers of %s were not healthy within %v; last log line of the first: %s", region.name, readyTimeout, region.controllers[0].lastLogLine())
 			}
 		}
