--- a/internal/scale/users.go
+++ b/internal/scale/users.go
@@ -19,8 +19,8 @@
 	"vetchstream/internal/wire"
 )
 
-// class describes a class of jobs that users submit.
-type class struct {
+// jobClass describes a jobClass of jobs that users submit.
+type jobClass struct {
 	name, shape, priority string
 	// share is the share of this class in the task starts.
 	share float64
@@ -34,14 +34,14 @@
 
 // classes returns the classes of the planned load. Most task starts belong to arrays, some to gangs,
 // and a few are urgent.
-func (o *Options) classes() []class {
+func (o *Options) classes() []jobClass {
 	batch := max(8, 600*math.Sqrt(min(1, o.Factor))) // mean number of tasks of an array job
 	gangs := gangSizes(int(PlannedLargestGang * min(1, max(o.Factor, 0.05))))
 	sum := 0
 	for _, n := range gangs {
 		sum += n
 	}
-	return []class{
+	return []jobClass{
 		{
 			name:      "batch",
 			shape:     job.ArrayName,
@@ -157,7 +157,7 @@
 
 // submit submits jobs of a class until the context ends. startsPerS is the rate of task starts of all
 // classes. It drops jobs, and counts them as refused, while maxFollowedJobs are being followed.
-func (u *users) submit(ctx context.Context, c class, startsPerS float64, random *rand.Rand) {
+func (u *users) submit(ctx context.Context, c jobClass, startsPerS float64, random *rand.Rand) {
 	jobsPerS := startsPerS * c.share / c.meanTasks
 	if jobsPerS <= 0 {
 		return
@@ -180,7 +180,7 @@
 }
 
 // drawJob draws a job of a class.
-func (u *users) drawJob(c class, random *rand.Rand) *job.Spec {
+func (u *users) drawJob(c jobClass, random *rand.Rand) *job.Spec {
 	return &job.Spec{
 		ID:           fmt.Sprintf("run-%d", u.lastJobID.Add(1)),
 		Class:        c.name,
