--- a/internal/explorer/explorer.go
+++ b/internal/explorer/explorer.go
@@ -187,8 +187,8 @@
 	return steps
 }
 
-// FingerprintBuilder builds a fingerprint. It prints times relative to Now, so that states that differ only
-// in the time of day have equal fingerprints.
+// FingerprintBuilder builds a fingerprint. It prints times relative to Now, so that states that
+// differ only in the time of day have equal fingerprints.
 type FingerprintBuilder struct {
 	strings.Builder
 	Now time.Time
@@ -197,14 +197,14 @@
 }
 
 // Times appends times, in milliseconds relative to Now.
-func (p *FingerprintBuilder) Times(times ...time.Time) {
+func (b *FingerprintBuilder) Times(times ...time.Time) {
 	for _, t := range times {
-		fmt.Fprintf(p, "%d ", max(-p.MaxAge, t.Sub(p.Now))/time.Millisecond)
+		fmt.Fprintf(b, "%d ", max(-b.MaxAge, t.Sub(b.Now))/time.Millisecond)
 	}
 }
 
 // Values appends the printed form of values.
-func (p *FingerprintBuilder) Values(values ...any) { fmt.Fprint(p, values...) }
+func (b *FingerprintBuilder) Values(values ...any) { fmt.Fprint(b, values...) }
 
 // describe returns the steps of path as text: the name of each action and its subject.
 func (e *Explorer[W]) describe(path []Step) string {
--- a/internal/scale/configuration.go
+++ b/internal/scale/configuration.go
@@ -176,8 +176,8 @@
 		return false
 	}
 	defer res.Body.Close()
-	answer, err := io.ReadAll(io.LimitReader(res.Body, maxResponseBytes))
-	return err == nil && res.StatusCode == http.StatusOK && wire.Unmarshal(answer, out) == nil
+	responseBody, err := io.ReadAll(io.LimitReader(res.Body, maxResponseBytes))
+	return err == nil && res.StatusCode == http.StatusOK && wire.Unmarshal(responseBody, out) == nil
 }
 
 // pollStatus polls the configuration status until the context ends.
--- a/internal/scale/users.go
+++ b/internal/scale/users.go
@@ -19,7 +19,7 @@
 	"vetchstream/internal/wire"
 )
 
-// jobClass describes a jobClass of jobs that users submit.
+// jobClass describes a class of jobs that users submit.
 type jobClass struct {
 	name, shape, priority string
 	// share is the share of this class in the task starts.
@@ -157,14 +157,14 @@
 
 // submit submits jobs of a class until the context ends. startsPerS is the rate of task starts of all
 // classes. It drops jobs, and counts them as refused, while maxFollowedJobs are being followed.
-func (u *users) submit(ctx context.Context, c jobClass, startsPerS float64, random *rand.Rand) {
-	jobsPerS := startsPerS * c.share / c.meanTasks
+func (u *users) submit(ctx context.Context, class jobClass, startsPerS float64, random *rand.Rand) {
+	jobsPerS := startsPerS * class.share / class.meanTasks
 	if jobsPerS <= 0 {
 		return
 	}
 	wait := time.Duration(random.Float64() * float64(min(maxFirstDelay, seconds(1/jobsPerS))))
 	for sleep(ctx, wait) {
-		spec := u.drawJob(c, random)
+		spec := u.drawJob(class, random)
 		server := u.servers[random.IntN(len(u.servers))]
 		select {
 		case u.followSlots <- struct{}{}:
@@ -180,14 +180,14 @@
 }
 
 // drawJob draws a job of a class.
-func (u *users) drawJob(c jobClass, random *rand.Rand) *job.Spec {
+func (u *users) drawJob(class jobClass, random *rand.Rand) *job.Spec {
 	return &job.Spec{
 		ID:           fmt.Sprintf("run-%d", u.lastJobID.Add(1)),
-		Class:        c.name,
+		Class:        class.name,
 		Team:         u.teams[random.IntN(len(u.teams))],
-		ShapeName:    c.shape,
-		PriorityName: c.priority,
-		Tasks:        c.drawTasks(random),
+		ShapeName:    class.shape,
+		PriorityName: class.priority,
+		Tasks:        class.drawTasks(random),
 		CPUs:         taskCPUs,
 		MemGB:        taskMemGB,
 		Image:        fmt.Sprintf("img-%02d", random.IntN(20)),
