--- a/internal/scale/network.go
+++ b/internal/scale/network.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// pass waits until the gate is open; false: done was closed first.
+// pass waits until the gate is open. It reports false if done is closed first.
 func (g *gate) pass(done <-chan struct{}) bool {
 	g.mu.Lock()
 	open := g.open
@@ -53,15 +53,15 @@
 	}
 }
 
-// traffic counts what one host has sent and received, in bytes of payload, and its writes. A
-// request or an answer takes one write as long as it fits into a buffer.
+// traffic counts the payload bytes that one host has sent and received, and its writes. A request
+// or a response is one write if it fits into a buffer.
 type traffic struct {
 	sent, received, messages atomic.Int64
 	gate                     *gate
 }
 
-// network is a region's part of the loopback network. It counts what the workers send and
-// receive, and can partition them from everything.
+// network is the loopback network of one region. It counts the workers' traffic and can partition
+// hosts from the rest of the network.
 type network struct {
 	region string
 	*emulate.Loopback
@@ -70,11 +70,11 @@
 	hosts map[string]*traffic // by address
 }
 
-func newNetwork(region string, l *emulate.Loopback) *network {
-	return &network{region: region, Loopback: l, hosts: map[string]*traffic{}}
+func newNetwork(region string, loopback *emulate.Loopback) *network {
+	return &network{region: region, Loopback: loopback, hosts: map[string]*traffic{}}
 }
 
-// host is the traffic of a host.
+// host returns the traffic of the host at an address.
 func (n *network) host(ip string) *traffic {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -86,14 +86,15 @@
 	return t
 }
 
-// setPartitioned cuts hosts off from everything, or ends that.
-func (n *network) setPartitioned(ips []string, on bool) {
+// setPartitioned starts or ends the partition of hosts from the network.
+func (n *network) setPartitioned(ips []string, partitioned bool) {
 	for _, ip := range ips {
-		n.host(ip).gate.set(!on)
+		n.host(ip).gate.set(!partitioned)
 	}
 }
 
-// Listen implements emulate.Network. Hosts of different regions may have the same name.
+// Listen implements emulate.Network. It adds the region to the host name, since hosts of different
+// regions may have the same name.
 func (n *network) Listen(addr string) (net.Listener, error) {
 	host, port, err := net.SplitHostPort(addr)
 	if err != nil {
@@ -104,7 +105,7 @@
 		return nil, err
 	}
 	ip, _, _ := net.SplitHostPort(ln.Addr().String())
-	return &countedListener{ln, n.host(ip)}, nil
+	return &countingListener{ln, n.host(ip)}, nil
 }
 
 // Dialer implements emulate.Network; from is the address of a host.
@@ -118,39 +119,39 @@
 		if err != nil {
 			return nil, err
 		}
-		return newCountedConn(c, t), nil
+		return newCountingConn(c, t), nil
 	}
 }
 
-// countedListener counts the payload of the connections that it accepts.
-type countedListener struct {
+// countingListener counts the traffic of the connections that it accepts.
+type countingListener struct {
 	net.Listener
 	traffic *traffic
 }
 
 // Accept implements net.Listener.
-func (l *countedListener) Accept() (net.Conn, error) {
+func (l *countingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return newCountedConn(c, l.traffic), nil
+	return newCountingConn(c, l.traffic), nil
 }
 
-// countedConn is a connection whose payload is counted, and held while its host is cut off.
-type countedConn struct {
+// countingConn counts the traffic of a connection and blocks it while the host is partitioned.
+type countingConn struct {
 	net.Conn
 	traffic *traffic
 	closed  chan struct{}
 	once    sync.Once
 }
 
-func newCountedConn(c net.Conn, t *traffic) *countedConn {
-	return &countedConn{Conn: c, traffic: t, closed: make(chan struct{})}
+func newCountingConn(c net.Conn, t *traffic) *countingConn {
+	return &countingConn{Conn: c, traffic: t, closed: make(chan struct{})}
 }
 
 // Read implements net.Conn.
-func (c *countedConn) Read(b []byte) (int, error) {
+func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 && !c.traffic.gate.pass(c.closed) {
 		return 0, net.ErrClosed
@@ -160,7 +161,7 @@
 }
 
 // Write implements net.Conn.
-func (c *countedConn) Write(b []byte) (int, error) {
+func (c *countingConn) Write(b []byte) (int, error) {
 	if !c.traffic.gate.pass(c.closed) {
 		return 0, net.ErrClosed
 	}
@@ -171,56 +172,57 @@
 }
 
 // Close implements net.Conn.
-func (c *countedConn) Close() error {
+func (c *countingConn) Close() error {
 	c.once.Do(func() { close(c.closed) })
 	return c.Conn.Close()
 }
 
-// workerTraffic is what workers send and receive, per worker and second.
+// workerTraffic is the traffic of workers, per worker and second.
 type workerTraffic struct {
-	// Sent and Received are bytes of payload (HTTP headers included, TCP and IP not), as
-	// the mean of all workers and of the one with the most.
+	// Sent and Received are means over all workers, in bytes of payload: HTTP headers count,
+	// TCP and IP headers do not. MaxTotal is the sum of both for the worker with the most
+	// traffic.
 	Sent     float64 `json:"sent_bytes_per_s"`
 	Received float64 `json:"received_bytes_per_s"`
 	MaxTotal float64 `json:"most_bytes_per_s"`
-	// Messages are requests and answers that the worker sends.
+	// Messages counts the requests and responses that a worker sends.
 	Messages float64 `json:"messages_per_s"`
 }
 
-// counters are a host's traffic up to a moment.
+// counters is a snapshot of a host's traffic.
 type counters struct{ sent, received, messages int64 }
 
-// totals are the counters of each host.
+// totals returns the current counters of all hosts, by address.
 func (n *network) totals() map[string]counters {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	out := make(map[string]counters, len(n.hosts))
+	current := make(map[string]counters, len(n.hosts))
 	for ip, t := range n.hosts {
-		out[ip] = counters{t.sent.Load(), t.received.Load(), t.messages.Load()}
+		current[ip] = counters{t.sent.Load(), t.received.Load(), t.messages.Load()}
 	}
-	return out
+	return current
 }
 
-// trafficPerWorker is the traffic between two readings of all networks, per worker and second.
-func trafficPerWorker(before, after []map[string]counters, took time.Duration) (w workerTraffic) {
+// trafficPerWorker returns the traffic between two snapshots of all networks, per worker and second.
+func trafficPerWorker(before, after []map[string]counters, took time.Duration) (mean workerTraffic) {
 	workers := 0.0
 	seconds := took.Seconds()
 	for i := range after {
-		for ip, now := range after[i] {
-			was := before[i][ip]
-			sent := float64(now.sent-was.sent) / seconds
-			received := float64(now.received-was.received) / seconds
+		for ip, last := range after[i] {
+			first := before[i][ip]
+			sent := float64(last.sent-first.sent) / seconds
+			received := float64(last.received-first.received) / seconds
 			workers++
-			w.Sent += sent
-			w.Received += received
-			w.Messages += float64(now.messages-was.messages) / seconds
-			w.MaxTotal = max(w.MaxTotal, sent+received)
+			mean.Sent += sent
+			mean.Received += received
+			mean.Messages += float64(last.messages-first.messages) / seconds
+			mean.MaxTotal = max(mean.MaxTotal, sent+received)
 		}
 	}
 	if workers > 0 {
-		w.Sent /= workers
-		w.Received /= workers
-		w.Messages /= workers
+		mean.Sent /= workers
+		mean.Received /= workers
+		mean.Messages /= workers
 	}
-	return w
+	return mean
 }
--- a/internal/scale/region.go
+++ b/internal/scale/region.go
@@ -21,11 +21,11 @@
 	"vetchstream/internal/wire"
 )
 
-// machineType is the type of all workers. It has resources for the planned tasks and a quarter
-// more.
+// machineType is the type of all machines. With it, a fleet of the planned size has a quarter more
+// resources than the planned number of running tasks needs.
 var machineType = wire.MachineType{Name: "c32", CPUs: 32, MemGB: 128, CacheGB: 100, FetchRate: 1, Price: 1, SpotPrice: 0.3, BootS: 30}
 
-// Timings and limits of the emulated regions, those of a large site.
+// Timings and limits of the emulated regions, as of a large site.
 const (
 	heartbeatIntervalS, leaseS, gangTimeoutS, gangPeerS, cancelTimeoutS = 6, 31, 35, 6, 51
 	stateRPS, stateWriteRPS, valueKB, txnOps                            = 600, 250, 32, 12
@@ -33,17 +33,18 @@
 	controllerMemoryMB, controllerSockets                               = 1024, 6000
 	imagePullTime                                                       = 300 * time.Millisecond
 	userPort, peerPort                                                  = "8080", "8081"
-	// urgentStartS is the time, in seconds, within which urgentShare of the urgent tasks are to start.
+	// The objective is that the share urgentShare of the urgent tasks starts within urgentStartS.
 	urgentStartS, urgentShare = 5.6, 0.99
-	// promiseMs and yieldS are those of deploy/shares.json.
+	// promiseMs and yieldS equal the values in deploy/shares.json.
 	promiseMs, yieldS = 2000, 5
-	// idleBoots is for how many boot times idle machines are retained: the fleet stays as it is.
+	// idleBoots is the retention period of idle machines, in boot times. It is long, so that
+	// the size of the fleet does not change during a run.
 	idleBoots = 100
-	// limitFactor is a team's limit in even parts of the region's CPUs.
+	// limitFactor is the ratio of a team's limit to an even share of the region's CPUs.
 	limitFactor = 8
 )
 
-// region is a cell: a key-value store, a cloud with its workers, controllers and users.
+// region consists of controllers, and of an emulated key-value store, cloud with workers, and users.
 type region struct {
 	regionPlan
 	options     *Options
@@ -53,27 +54,26 @@
 	startWaits  *startWaits
 	users       *users
 	controllers []*controller
-	// addresses are those of the controllers for users and workers, peerAddresses those for
+	// addresses are the controllers' addresses for users and workers, peerAddresses those for
 	// other controllers.
 	addresses     []string
 	peerAddresses []string
 	servers       []*http.Server
 }
 
-// newRegion starts the systems that a region's controllers work with, and writes the settings
-// of the controllers below dir. If they cannot be written, it returns the region with the
-// error, so that it can be closed.
-func newRegion(o *Options, p regionPlan, l *emulate.Loopback, startWaits *startWaits, dir string) (*region, error) {
+// newRegion starts the emulated systems of a region and writes the settings of its controllers to
+// files in dir. If writing fails, it returns the region along with the error, for the caller to close.
+func newRegion(o *Options, p regionPlan, loopback *emulate.Loopback, startWaits *startWaits, dir string) (*region, error) {
 	r := &region{
 		regionPlan: p,
 		options:    o,
-		network:    newNetwork(p.name, l),
+		network:    newNetwork(p.name, loopback),
 		store:      emulate.NewStore(),
 		startWaits: startWaits,
 	}
 	var controllers []emulate.Controller
 	for i := range p.controllers {
-		ip, err := r.reserveAddress(l, fmt.Sprintf("controller-%d", i))
+		ip, err := r.reserveAddress(loopback, fmt.Sprintf("controller-%d", i))
 		if err != nil {
 			return nil, err
 		}
@@ -82,21 +82,21 @@
 		controllers = append(controllers, emulate.Controller{Member: r.member(i), Addr: r.addresses[i]})
 	}
 	r.world = emulate.New(r.worldConfig(controllers))
-	settings, err := r.settings(l)
+	settings, err := r.settings(loopback)
 	if err != nil {
 		return nil, err
 	}
 	return r, r.writeSettings(settings, dir)
 }
 
-// worldConfig is the cloud and the workers of the region.
+// worldConfig returns the configuration of the region's cloud and workers.
 func (r *region) worldConfig(controllers []emulate.Controller) emulate.Config {
-	typ := machineType
-	typ.Zones = r.zones
+	regionType := machineType
+	regionType.Zones = r.zones
 	return emulate.Config{
 		Network:           r.network,
 		Store:             r.store,
-		Types:             []wire.MachineType{typ},
+		Types:             []wire.MachineType{regionType},
 		MaxMachines:       r.workers,
 		Controllers:       controllers,
 		LeaseDuration:     leaseS * time.Second,
@@ -111,12 +111,12 @@
 	}
 }
 
-// member is the name of controller i.
+// member returns the member name of controller i.
 func (r *region) member(i int) string { return fmt.Sprintf("%s-controller-%d", r.name, i) }
 
-// reserveAddress is an address of its own for a controller.
-func (r *region) reserveAddress(l *emulate.Loopback, host string) (ip string, err error) {
-	ln, err := l.Listen(r.name + "/" + host + ":0")
+// reserveAddress returns a loopback address for the exclusive use of a controller.
+func (r *region) reserveAddress(loopback *emulate.Loopback, host string) (ip string, err error) {
+	ln, err := loopback.Listen(r.name + "/" + host + ":0")
 	if err != nil {
 		return "", err
 	}
@@ -125,15 +125,16 @@
 	return ip, err
 }
 
-// teamLimit is the CPUs that a team may use in this region.
+// teamLimit returns the number of CPUs that a team may use in the region.
 func (r *region) teamLimit() float64 {
 	return limitFactor * float64(r.workers) * machineType.CPUs / float64(r.options.teamCount())
 }
 
-// teamGuarantee is the CPUs that a team is guaranteed in this region: half of an even part.
+// teamGuarantee returns the number of CPUs that the region guarantees to a team, which is half of an
+// even share.
 func (r *region) teamGuarantee() float64 { return r.teamLimit() / (2 * limitFactor) }
 
-// teamNames are the names of all teams.
+// teamNames returns the names of all teams.
 func (r *region) teamNames() []string {
 	names := make([]string, r.options.teamCount())
 	for i := range names {
@@ -142,102 +143,103 @@
 	return names
 }
 
-// teamLimits are the limits that each start is checked against. While they move from region to
-// region only their sums are checked, see operators.checkLimits.
+// teamLimits returns the limits that the emulation checks at each task start. It returns none if the
+// run moves limits between regions: then operators.checkLimits checks only the sums.
 func (r *region) teamLimits() map[string]emulate.Resources {
 	if r.options.ChangesPerMinute > 0 {
 		return nil
 	}
-	out := map[string]emulate.Resources{}
-	for _, t := range r.teamNames() {
-		out[t] = emulate.Resources{CPUs: r.teamLimit()}
+	limits := map[string]emulate.Resources{}
+	for _, team := range r.teamNames() {
+		limits[team] = emulate.Resources{CPUs: r.teamLimit()}
 	}
-	return out
+	return limits
 }
 
-// serve serves a part of the region at an address of its own, which it returns.
-func (r *region) serve(l *emulate.Loopback, name string, h http.Handler) (addr string, err error) {
-	ln, err := l.Listen(r.name + "/" + name + ":0")
+// serve starts an HTTP server for an emulated system of the region and returns its address.
+func (r *region) serve(loopback *emulate.Loopback, name string, h http.Handler) (addr string, err error) {
+	ln, err := loopback.Listen(r.name + "/" + name + ":0")
 	if err != nil {
-		return "", fmt.Errorf("%s of %s: %w", name, r.name, err)
+		return "", fmt.Errorf("listening for %s of %s: %w", name, r.name, err)
 	}
 	srv := &http.Server{Handler: h, ReadHeaderTimeout: 10 * time.Second, IdleTimeout: time.Minute}
 	r.servers = append(r.servers, srv)
 	go func() {
 		if err := srv.Serve(ln); err != nil && !errors.Is(err, http.ErrServerClosed) {
-			r.options.Log.Error("emulation server failed", "region", r.name, "server", name, "error", err)
+			r.options.Log.Error("server of an emulated system failed", "region", r.name, "server", name, "error", err)
 		}
 	}()
 	return ln.Addr().String(), nil
 }
 
-// settings are the settings that all controllers of the region share.
-func (r *region) settings(l *emulate.Loopback) (s *config.Settings, err error) {
+// settings starts the servers of the key-value store and the cloud, and returns the settings that
+// all controllers of the region share.
+func (r *region) settings(loopback *emulate.Loopback) (s *config.Settings, err error) {
 	s = &config.Settings{}
-	if s.External.State, err = r.serve(l, "state", r.store); err != nil {
+	if s.External.State, err = r.serve(loopback, "state", r.store); err != nil {
 		return nil, err
 	}
-	if s.External.Cloud, err = r.serve(l, "cloud", r.world); err != nil {
+	if s.External.Cloud, err = r.serve(loopback, "cloud", r.world); err != nil {
 		return nil, err
 	}
-	f := &s.Facts
-	f.Nodes = r.regionPlan.controllers
-	f.Zones = r.zones
-	f.SkewMs = 50
+	facts := &s.Facts
+	facts.Nodes = r.regionPlan.controllers
+	facts.Zones = r.zones
+	facts.SkewMs = 50
 	for _, team := range r.teamNames() {
-		f.Teams = append(f.Teams, config.Team{Name: team, CPUs: r.teamGuarantee(), CPUsMax: r.teamLimit()})
+		facts.Teams = append(facts.Teams, config.Team{Name: team, CPUs: r.teamGuarantee(), CPUsMax: r.teamLimit()})
 	}
-	f.Objectives = []config.Objective{{Kind: config.ObjectiveWait, Class: urgentClass, WithinS: urgentStartS, Share: urgentShare}}
-	f.Workers = config.Workers{ReportS: heartbeatIntervalS, LeaseS: leaseS, GangWaitS: gangTimeoutS, GangPeerS: gangPeerS, CancelS: cancelTimeoutS}
-	f.State.RPS = stateRPS
-	f.State.WriteRPS = stateWriteRPS
-	f.State.ValueKB = valueKB
-	f.State.TxnOps = txnOps
-	f.Cloud.RPS = cloudRPS
-	f.Cloud.ListLagS = listLagS
-	f.Resources.CoreShare = 1
-	f.Resources.RAMMB = controllerMemoryMB
-	f.Resources.MaxSockets = controllerSockets
+	facts.Objectives = []config.Objective{{Kind: config.ObjectiveWait, Class: urgentClass, WithinS: urgentStartS, Share: urgentShare}}
+	facts.Workers = config.Workers{ReportS: heartbeatIntervalS, LeaseS: leaseS, GangWaitS: gangTimeoutS, GangPeerS: gangPeerS, CancelS: cancelTimeoutS}
+	facts.State.RPS = stateRPS
+	facts.State.WriteRPS = stateWriteRPS
+	facts.State.ValueKB = valueKB
+	facts.State.TxnOps = txnOps
+	facts.Cloud.RPS = cloudRPS
+	facts.Cloud.ListLagS = listLagS
+	facts.Resources.CoreShare = 1
+	facts.Resources.RAMMB = controllerMemoryMB
+	facts.Resources.MaxSockets = controllerSockets
 	return s, nil
 }
 
-// controllerSettings are the settings of controller i: the shared ones, its own addresses and
-// those of the others.
+// controllerSettings returns the settings of controller i: the shared ones, its own addresses, and
+// those of the other controllers of the region.
 func (r *region) controllerSettings(shared *config.Settings, i int) *config.Settings {
-	set := *shared
-	set.Member = r.member(i)
-	set.Site = r.zones[i%len(r.zones)]
-	set.Listen = r.addresses[i]
-	set.PeerListen = r.peerAddresses[i]
+	settings := *shared
+	settings.Member = r.member(i)
+	settings.Site = r.zones[i%len(r.zones)]
+	settings.Listen = r.addresses[i]
+	settings.PeerListen = r.peerAddresses[i]
 	for j := range r.addresses {
 		if j == i {
 			continue
 		}
-		set.Siblings = append(set.Siblings, config.Sibling{
+		settings.Siblings = append(settings.Siblings, config.Sibling{
 			Member:  r.member(j),
 			Site:    r.zones[j%len(r.zones)],
 			Address: r.peerAddresses[j],
 		})
 	}
-	return &set
+	return &settings
 }
 
-// writeSettings writes a file of settings for each controller.
+// writeSettings writes the settings file of each controller and adds the controller to the region.
 func (r *region) writeSettings(shared *config.Settings, dir string) error {
 	for i := range r.addresses {
-		set := r.controllerSettings(shared, i)
-		b, err := toml.Marshal(set)
+		settings := r.controllerSettings(shared, i)
+		encoded, err := toml.Marshal(settings)
 		if err != nil {
-			return fmt.Errorf("settings: %w", err)
+			return fmt.Errorf("encoding the settings: %w", err)
 		}
-		base := filepath.Join(dir, set.Member)
+		base := filepath.Join(dir, settings.Member)
 		settingsFile, tuningFile := base+".toml", base+".json"
-		if err := os.WriteFile(settingsFile, b, 0o600); err != nil {
+		if err := os.WriteFile(settingsFile, encoded, 0o600); err != nil {
 			return err
 		}
 		r.controllers = append(r.controllers, &controller{
 			region:     r.name,
-			member:     set.Member,
+			member:     settings.Member,
 			tuningFile: tuningFile,
 			logFile:    base + ".log",
 			command:    []string{r.options.Binary, "--tuning", tuningFile, "--config", settingsFile},
@@ -246,7 +248,7 @@
 	return nil
 }
 
-// tuning is the operators' settings that differ from the defaults.
+// tuning holds the operators' settings that differ from the defaults.
 type tuning struct {
 	PromiseMs int     `json:"promise_ms"`
 	YieldS    float64 `json:"yield_s"`
@@ -259,32 +261,32 @@
 	Regions config.Regions `json:"regions"`
 }
 
-// writeTuning writes the operators' settings of each controller.
+// writeTuning writes the operators' settings to a file for each controller.
 func (r *region) writeTuning(regions config.Regions) error {
-	t := tuning{PromiseMs: promiseMs, YieldS: yieldS, Regions: regions}
-	t.Shares.Enabled = true
-	t.Hosts.IdleBoots = idleBoots
-	b, err := json.Marshal(t)
+	settings := tuning{PromiseMs: promiseMs, YieldS: yieldS, Regions: regions}
+	settings.Shares.Enabled = true
+	settings.Hosts.IdleBoots = idleBoots
+	encoded, err := json.Marshal(settings)
 	if err != nil {
 		return err
 	}
 	for _, c := range r.controllers {
-		if err := os.WriteFile(c.tuningFile, b, 0o600); err != nil {
+		if err := os.WriteFile(c.tuningFile, encoded, 0o600); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// bootWorkers boots all workers, spread over a time.
-func (r *region) bootWorkers(within time.Duration) {
+// bootWorkers boots all workers, spread evenly over a duration.
+func (r *region) bootWorkers(duration time.Duration) {
 	for i := range r.workers {
-		after := within * time.Duration(i) / time.Duration(r.workers)
+		after := duration * time.Duration(i) / time.Duration(r.workers)
 		r.world.Boot(machineType.Name, r.zones[i%len(r.zones)], false, after)
 	}
 }
 
-// startLoad lets the users submit until the context ends.
+// startLoad starts the users, who submit jobs until the context ends.
 func (r *region) startLoad(ctx context.Context, u *users, seed uint64) {
 	r.users = u
 	for i, class := range r.options.classes() {
@@ -293,8 +295,8 @@
 	}
 }
 
-// leader is the controller that holds the leader's lease in the key-value store, or the first
-// one.
+// leader returns the controller that holds the leader's lease in the key-value store, or the first
+// controller if none does.
 func (r *region) leader() *controller {
 	var holder struct {
 		Member string `codec:"member"`
@@ -310,8 +312,8 @@
 // holderKey is the key of the leader's lease.
 const holderKey = "lead/holder"
 
-// controllerEnded reports whether a controller has ended unexpectedly.
-func (r *region) controllerEnded() bool {
+// controllerExited reports whether a controller has exited unexpectedly.
+func (r *region) controllerExited() bool {
 	return slices.ContainsFunc(r.controllers, func(c *controller) bool { return c.statistics().UnexpectedExits > 0 })
 }
 
@@ -330,14 +332,14 @@
 	return true
 }
 
-// close ends the region's processes and the emulated systems.
+// close kills the controllers and stops the emulated systems of the region.
 func (r *region) close(log *slog.Logger) {
 	for _, c := range r.controllers {
 		c.kill()
 	}
 	for _, s := range r.servers {
 		if err := s.Close(); err != nil {
-			log.Debug("closing an emulation server failed", "region", r.name, "error", err)
+			log.Debug("failed to close the server of an emulated system", "region", r.name, "error", err)
 		}
 	}
 	r.world.Close()
--- a/internal/shard/explore_test.go
+++ b/internal/shard/explore_test.go
@@ -157,7 +157,7 @@
 // Fingerprint identifies the state. It has times relative to now, and one value for all times
 // that are long past.
 func (w *world) Fingerprint() string {
-	printer := &explorer.Printer{Now: w.now, MaxAge: 4 * waitInterval}
+	printer := &explorer.FingerprintBuilder{Now: w.now, MaxAge: 4 * waitInterval}
 	leader := w.leader
 	printer.Values(leader.term, w.deposed)
 	printer.Times(w.entitledUntil)
