--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -189,12 +189,12 @@
 		changes.Changes, changes.Refused, changes.Unsettled, changes.InForceMs.P50, changes.InForceMs.P99, changes.InForceMs.Max, changes.InForceAfterWaitMs.Count, changes.InForceAfterWaitMs.Max)
 	fmt.Fprintf(w, "emulation: %.2f cores, %.0f MB; all processes: %.0f MB\n", p.EmulationCPU, p.EmulationMB, p.TotalMB)
 	table := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(table, "REGION\tZONES\tWORKERS\tSTARTS/S\tHEARTBEATS/S\tDIRECT/S\tSTATE REQ/S\tWRITES/S\tKEYS")
+	fmt.Fprintln(table, "REGION\tZONES\tWORKERS\tSTARTS/S\tREPORTS/S\tDIRECT/S\tSTATE REQ/S\tWRITES/S\tKEYS")
 	for _, region := range p.Regions {
 		fmt.Fprintf(table, "%s\t%d\t%d\t%.0f\t%.0f\t%.0f\t%.0f\t%.1f\t%d\n", region.Name, region.Zones, region.Workers, region.StartsPerS,
 			region.HeartbeatsPerS, region.DirectCommandsPerS, region.StateRequestsPerS, region.StateWritesPerS, region.StateKeys)
 	}
-	fmt.Fprintln(table, "CONTROLLER\tCPU MEAN\tCPU PEAK\tMEMORY MB\tSOCKETS\tUNEXPECTED EXITS")
+	fmt.Fprintln(table, "CONTROLLER\tCPU MEAN\tCPU PEAK\tMEMORY MB\tSOCKETS\tENDS")
 	for _, region := range p.Regions {
 		for _, c := range region.Controllers {
 			fmt.Fprintf(table, "%s\t%.2f\t%.2f\t%.0f\t%d\t%d\n", c.Member, c.CPUMean, c.CPUPeak, c.RSSPeakMB, c.SocketsPeak, c.UnexpectedExits)
