--- a/cmd/vetchstream/demo.go
+++ b/cmd/vetchstream/demo.go
@@ -96,7 +96,7 @@
 	}
 	ctx, stop := e.runContext(cmd)
 	defer stop()
-	c, err := startCluster(ctx, e.options, tuning, logger())
+	c, err := startCluster(ctx, e.options, tuning, newLogger())
 	if err != nil {
 		return err
 	}
--- a/cmd/vetchstream/demo_rollout.go
+++ b/cmd/vetchstream/demo_rollout.go
@@ -57,7 +57,7 @@
 			em.duration = demoTime
 			ctx, stop := em.runContext(cmd)
 			defer stop()
-			c, err := startCluster(ctx, em.options, tun, logger())
+			c, err := startCluster(ctx, em.options, tun, newLogger())
 			if err != nil {
 				return err
 			}
--- a/cmd/vetchstream/emulate.go
+++ b/cmd/vetchstream/emulate.go
@@ -98,7 +98,7 @@
 	if settingsFile == "" {
 		return usageError{errors.New("--settings FILE is needed: that is where the controllers' settings go")}
 	}
-	e.options.Log = logger()
+	e.options.Log = newLogger()
 	cluster, err := emulate.Start(e.options)
 	if err != nil {
 		return usageError{err}
--- a/cmd/vetchstream/main.go
+++ b/cmd/vetchstream/main.go
@@ -115,8 +115,8 @@
 	return signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 }
 
-// logger returns a logger to standard error, with the level that LOG_LEVEL says.
-func logger() *slog.Logger {
+// newLogger returns a newLogger to standard error, with the level that LOG_LEVEL says.
+func newLogger() *slog.Logger {
 	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: logLevel()}))
 }
 
@@ -141,7 +141,7 @@
 		return err
 	}
 	limitRuntime(settings.Facts.Resources.RAMMB)
-	log := logger()
+	log := newLogger()
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	return node.Run(ctx, settings, tuning, node.SystemNetwork(), log)
--- a/cmd/vetchstream/scale.go
+++ b/cmd/vetchstream/scale.go
@@ -85,7 +85,7 @@
 		}
 		s.options.Binary = binary
 	}
-	s.options.Log = logger()
+	s.options.Log = newLogger()
 	report, err := scale.Run(ctx, s.options)
 	if err != nil {
 		return err
