--- a/cmd/vetchstream/main.go
+++ b/cmd/vetchstream/main.go
@@ -30,7 +30,7 @@
 // Exit codes.
 const (
 	exitOK     = 0
-	exitFailed = 1
+	exitFailure = 1
 	exitUsage  = 2 // a mistake in the call
 )
 
@@ -60,7 +60,7 @@
 		fmt.Fprintln(out, cmd.UsageString())
 		return exitUsage
 	}
-	return exitFailed
+	return exitFailure
 }
 
 // rootCommand returns the command line. The client waits between its attempts with sleep.
