--- a/cmd/vetchstream/demo_rollout.go
+++ b/cmd/vetchstream/demo_rollout.go
@@ -16,8 +16,8 @@
 	"vetchstream/internal/wire"
 )
 
-// demoTime bounds the whole demonstration.
-const demoTime = 58 * time.Second
+// demoTimeout bounds the whole demonstration.
+const demoTimeout = 58 * time.Second
 
 // errDemo is returned for a demonstration that did not go as it should.
 var errDemo = errors.New("the demonstration did not go as it should")
@@ -54,7 +54,7 @@
 				return err
 			}
 			tun.Rollouts.Enabled = true
-			em.duration = demoTime
+			em.duration = demoTimeout
 			ctx, stop := em.runContext(cmd)
 			defer stop()
 			c, err := startCluster(ctx, em.options, tun, newLogger())
