--- a/cmd/vetchstream/demo.go
+++ b/cmd/vetchstream/demo.go
@@ -83,7 +83,7 @@
 		},
 	}
 	flags.register(cmd, demoNodes)
-	cmd.AddCommand(demoRollout(tuning))
+	cmd.AddCommand(demoRolloutCommand(tuning))
 	return cmd
 }
 
--- a/cmd/vetchstream/demo_rollout.go
+++ b/cmd/vetchstream/demo_rollout.go
@@ -39,8 +39,8 @@
 	demoPollInterval = 200 * time.Millisecond
 )
 
-// demoRollout is the command that demonstrates a good and a bad roll-out.
-func demoRollout(tuning *string) *cobra.Command {
+// demoRolloutCommand is the command that demonstrates a good and a bad roll-out.
+func demoRolloutCommand(tuning *string) *cobra.Command {
 	em := emulationFlags{options: emulate.Options{Controllers: 3, MaxMachines: 24}}
 	cmd := &cobra.Command{
 		Use:   "rollout",
