--- a/cmd/vetchstream/demo_rollout.go
+++ b/cmd/vetchstream/demo_rollout.go
@@ -19,8 +19,8 @@
 // demoTimeout bounds the whole demonstration.
 const demoTimeout = 58 * time.Second
 
-// errDemo is returned for a demonstration that did not go as it should.
-var errDemo = errors.New("the demonstration did not go as it should")
+// errDemoFailed is returned for a demonstration that did not go as it should.
+var errDemoFailed = errors.New("the demonstration did not go as it should")
 
 // The service of the demonstration and its builds.
 const (
@@ -178,7 +178,7 @@
 		return err
 	}
 	if rollout.State(s.State) != want {
-		return fmt.Errorf("%w: %s is %s", errDemo, image, s.State)
+		return fmt.Errorf("%w: %s is %s", errDemoFailed, image, s.State)
 	}
 	return nil
 }
@@ -201,7 +201,7 @@
 	fmt.Fprintf(w, "  the bad build ran as %d, in a batch of at most %d\n", bad, demoBatch)
 	fmt.Fprintf(w, "  broken rules: %d\n", broken)
 	if good != demoReplicas || bad > demoBatch || broken > 0 {
-		return errDemo
+		return errDemoFailed
 	}
 	return nil
 }
