--- a/cmd/vetchstream/demo_rollout.go
+++ b/cmd/vetchstream/demo_rollout.go
@@ -63,7 +63,7 @@
 			}
 			c.World.RecordHistory()
 			c.World.SetImageBehavior(badImage, emulate.ImageBehavior{UnhealthyAfter: unhealthyAfter})
-			err = playRollouts(ctx, cmd, c, em.options.Listen)
+			err = runRolloutDemo(ctx, cmd, c, em.options.Listen)
 			return errors.Join(err, c.close())
 		},
 	}
@@ -78,8 +78,8 @@
 	out io.Writer
 }
 
-// playRollouts plays the demonstration and reports on it.
-func playRollouts(ctx context.Context, cmd *cobra.Command, c *cluster, server string) error {
+// runRolloutDemo plays the demonstration and reports on it.
+func runRolloutDemo(ctx context.Context, cmd *cobra.Command, c *cluster, server string) error {
 	d := &rolloutDemo{
 		client: &client{server: server, output: "table", sleep: pauseUntil(ctx)},
 		cmd:    cmd,
