--- a/cmd/vetchstream/demo_rollout.go
+++ b/cmd/vetchstream/demo_rollout.go
@@ -81,7 +81,7 @@
 // runRolloutDemo plays the demonstration and reports on it.
 func runRolloutDemo(ctx context.Context, cmd *cobra.Command, c *cluster, server string) error {
 	d := &rolloutDemo{
-		client: &client{server: server, output: "table", sleep: pauseUntil(ctx)},
+		client: &client{server: server, output: "table", sleep: contextSleep(ctx)},
 		cmd:    cmd,
 		out:    cmd.OutOrStdout(),
 	}
@@ -98,8 +98,8 @@
 	return reportRollouts(d.out, c)
 }
 
-// pauseUntil makes a function that pauses for a time, or until a context is done.
-func pauseUntil(ctx context.Context) func(time.Duration) {
+// contextSleep makes a function that pauses for a time, or until a context is done.
+func contextSleep(ctx context.Context) func(time.Duration) {
 	return func(d time.Duration) {
 		t := time.NewTimer(d)
 		defer t.Stop()
