--- a/cmd/vetchstream/demo_rollout.go
+++ b/cmd/vetchstream/demo_rollout.go
@@ -89,10 +89,10 @@
 	if err := d.startService(ctx); err != nil {
 		return err
 	}
-	if err := d.roll("a good", goodJob, goodImage, rollout.Done); err != nil {
+	if err := d.rollOutTo("a good", goodJob, goodImage, rollout.Done); err != nil {
 		return err
 	}
-	if err := d.roll("a bad", badJob, badImage, rollout.RolledBack); err != nil {
+	if err := d.rollOutTo("a bad", badJob, badImage, rollout.RolledBack); err != nil {
 		return err
 	}
 	return reportRollouts(d.out, c)
@@ -154,8 +154,8 @@
 	return nil
 }
 
-// roll rolls the service out to a build, and checks the state in which that ends.
-func (d *rolloutDemo) roll(what, id, image string, want rollout.State) error {
+// rollOutTo rolls the service out to a build, and checks the state in which that ends.
+func (d *rolloutDemo) rollOutTo(what, id, image string, want rollout.State) error {
 	fmt.Fprintf(d.out, "\nIt is rolled out to %s build %s.\n", what, image)
 	spec := map[string]any{
 		"service":    demoService,
