--- a/cmd/vetchstream/demo.go
+++ b/cmd/vetchstream/demo.go
@@ -103,7 +103,7 @@
 	w := cmd.OutOrStdout()
 	fmt.Fprintln(w, emulatedNotice)
 	fmt.Fprintf(w, "Clients: --server %s (and %d more controllers on the next ports). ctrl-C ends it.\n", e.options.Listen, e.options.Controllers-1)
-	err = e.playTroubles(ctx, c.Cluster)
+	err = e.injectFaults(ctx, c.Cluster)
 	if err == nil {
 		c.printStatus(ctx, w, e.options.Listen)
 	}
--- a/cmd/vetchstream/emulate.go
+++ b/cmd/vetchstream/emulate.go
@@ -38,8 +38,8 @@
 	flags.DurationVar(&e.duration, "for", 0, "end after that long; 0: on ctrl-C")
 }
 
-// playTroubles starts the troubles of --troubles, which happen until the context ends.
-func (e *emulationFlags) playTroubles(ctx context.Context, cluster *emulate.Cluster) error {
+// injectFaults starts the troubles of --troubles, which happen until the context ends.
+func (e *emulationFlags) injectFaults(ctx context.Context, cluster *emulate.Cluster) error {
 	if e.troubles == "" {
 		return nil
 	}
@@ -115,7 +115,7 @@
 	}
 	ctx, stop := e.runContext(cmd)
 	defer stop()
-	if err := e.playTroubles(ctx, cluster); err != nil {
+	if err := e.injectFaults(ctx, cluster); err != nil {
 		return err
 	}
 	<-ctx.Done()
