--- a/cmd/vetchstream/emulate.go
+++ b/cmd/vetchstream/emulate.go
@@ -24,7 +24,7 @@
 type emulationFlags struct {
 	options  emulate.Options
 	duration time.Duration // 0: until ctrl-C
-	troubles string        // file of the troubles; empty: none
+	faultsFile string        // file of the troubles; empty: none
 }
 
 // register adds the flags to a command; nodes is the default number of controllers.
@@ -34,16 +34,16 @@
 	flags.IntVar(&e.options.Controllers, "nodes", nodes, "number of controllers, 1 to 9")
 	flags.IntVar(&e.options.MaxMachines, "machines", defaultMachines, "machines that the emulated cloud has, 1 to 1000")
 	flags.StringVar(&e.options.Listen, "listen", "127.0.0.1:8080", "loopback address of the first controller; the others follow on the next ports")
-	flags.StringVar(&e.troubles, "troubles", "", "what goes wrong when (JSON list, see docs/operations.md)")
+	flags.StringVar(&e.faultsFile, "troubles", "", "what goes wrong when (JSON list, see docs/operations.md)")
 	flags.DurationVar(&e.duration, "for", 0, "end after that long; 0: on ctrl-C")
 }
 
 // injectFaults starts the troubles of --troubles, which happen until the context ends.
 func (e *emulationFlags) injectFaults(ctx context.Context, cluster *emulate.Cluster) error {
-	if e.troubles == "" {
+	if e.faultsFile == "" {
 		return nil
 	}
-	b, err := os.ReadFile(e.troubles)
+	b, err := os.ReadFile(e.faultsFile)
 	if err != nil {
 		return fmt.Errorf("troubles: %w", err)
 	}
