--- a/cmd/vetchstream/scale.go
+++ b/cmd/vetchstream/scale.go
@@ -17,7 +17,7 @@
 // scaleFlags are the flags of the scale command.
 type scaleFlags struct {
 	options  scale.Options
-	troubles string // file of the troubles; empty: none
+	faultsFile string // file of the troubles; empty: none
 	output   string // outputTable or outputJSON
 }
 
@@ -53,7 +53,7 @@
 	flags.DurationVar(&s.options.Duration, "duration", time.Minute, "how long the load lasts")
 	flags.Float64Var(&s.options.ChangesPerMinute, "changes", 60, "changes of teams' quotas a minute; the plan has 7 as a mean and 500 in a burst")
 	flags.Uint64Var(&s.options.Seed, "seed", 1, "draws the jobs and what troubles hit")
-	flags.StringVar(&s.troubles, "troubles", "", "what goes wrong when (JSON list, see docs/CAPACITY.md)")
+	flags.StringVar(&s.faultsFile, "troubles", "", "what goes wrong when (JSON list, see docs/CAPACITY.md)")
 	flags.StringVar(&s.output, "output", outputTable, outputUsage)
 }
 
@@ -62,8 +62,8 @@
 	if err := checkOutput(s.output); err != nil {
 		return err
 	}
-	if s.troubles != "" {
-		b, err := os.ReadFile(s.troubles)
+	if s.faultsFile != "" {
+		b, err := os.ReadFile(s.faultsFile)
 		if err != nil {
 			return fmt.Errorf("--troubles: %w", err)
 		}
