--- a/cmd/vetchstream/scale.go
+++ b/cmd/vetchstream/scale.go
@@ -11,8 +11,8 @@
 	"vetchstream/internal/scale"
 )
 
-// errRulesBroken ends a run in which a rule of the protocol was broken.
-var errRulesBroken = errors.New("rules were broken")
+// errInvariantsViolated ends a run in which a rule of the protocol was broken.
+var errInvariantsViolated = errors.New("rules were broken")
 
 // scaleFlags are the flags of the scale command.
 type scaleFlags struct {
@@ -97,7 +97,7 @@
 		report.Print(w)
 	}
 	if len(report.Violations) > 0 {
-		return errors.Join(err, errRulesBroken)
+		return errors.Join(err, errInvariantsViolated)
 	}
 	return err
 }
