--- a/cmd/vetchstream/demo_rollout.go
+++ b/cmd/vetchstream/demo_rollout.go
@@ -171,7 +171,7 @@
 	if err := d.post(rolloutPath, spec, &s); err != nil {
 		return err
 	}
-	if err := d.watchRollout(d.cmd, demoService); err != nil && !errors.Is(err, errNotDone) {
+	if err := d.watchRollout(d.cmd, demoService); err != nil && !errors.Is(err, errRolloutNotDone) {
 		return err
 	}
 	if err := d.call(d.cmd, http.MethodGet, rolloutPath+"/"+demoService, nil, &s); err != nil {
--- a/cmd/vetchstream/rollout.go
+++ b/cmd/vetchstream/rollout.go
@@ -120,8 +120,8 @@
 // watchInterval is how often a watched roll-out is requested.
 const watchInterval = time.Second
 
-// errNotDone is returned for a watched roll-out that ended in another state than done.
-var errNotDone = errors.New("the roll-out is over and not done")
+// errRolloutNotDone is returned for a watched roll-out that ended in another state than done.
+var errRolloutNotDone = errors.New("the roll-out is over and not done")
 
 // watchRollout shows a roll-out whenever it changes, until it is over.
 func (c *client) watchRollout(cmd *cobra.Command, service string) error {
@@ -141,7 +141,7 @@
 		case state == rollout.Done:
 			return nil
 		case state.Ended():
-			return errNotDone
+			return errRolloutNotDone
 		}
 		c.sleep(watchInterval)
 	}
