--- a/cmd/vetchstream/client_call.go
+++ b/cmd/vetchstream/client_call.go
@@ -50,7 +50,7 @@
 			if res.status == http.StatusOK || res.status == http.StatusCreated {
 				return wire.Unmarshal(res.body, out)
 			}
-			err = res.refusal()
+			err = res.responseError()
 			if res.final() {
 				return err
 			}
@@ -62,8 +62,8 @@
 	}
 }
 
-// refusal is the error that the answer stands for.
-func (r *response) refusal() error {
+// responseError is the error that the answer stands for.
+func (r *response) responseError() error {
 	var refusal wire.Error
 	_ = wire.Unmarshal(r.body, &refusal) // a refusal may have no body
 	return fmt.Errorf("%s: %s", http.StatusText(r.status), refusal.Error)
