--- a/cmd/vetchstream/client_call.go
+++ b/cmd/vetchstream/client_call.go
@@ -51,7 +51,7 @@
 				return wire.Unmarshal(res.body, out)
 			}
 			err = res.responseError()
-			if res.final() {
+			if res.permanent() {
 				return err
 			}
 		}
@@ -69,8 +69,8 @@
 	return fmt.Errorf("%s: %s", http.StatusText(r.status), refusal.Error)
 }
 
-// final reports whether another attempt would get the same answer.
-func (r *response) final() bool {
+// permanent reports whether another attempt would get the same answer.
+func (r *response) permanent() bool {
 	return r.status >= 400 && r.status < 500 && r.status != http.StatusTooManyRequests
 }
 
