--- a/cmd/vetchstream/client.go
+++ b/cmd/vetchstream/client.go
@@ -152,13 +152,13 @@
 	return enc.Encode(v)
 }
 
-// standardInput is the file name that stands for standard input.
-const standardInput = "-"
+// stdinName is the file name that stands for standard input.
+const stdinName = "-"
 
 // encodeFile reads a JSON document and encodes it as the body of a request.
 func encodeFile(path string) ([]byte, error) {
 	in := io.Reader(os.Stdin)
-	if path != standardInput {
+	if path != stdinName {
 		f, err := os.Open(path)
 		if err != nil {
 			return nil, err
