--- a/cmd/vetchstream/configuration.go
+++ b/cmd/vetchstream/configuration.go
@@ -79,7 +79,7 @@
 	if _, err := dynconfig.ParseChange(body); err != nil {
 		return usageError{err}
 	}
-	return c.changeConfig(cmd, configRoute, body, dryRun)
+	return c.requestConfigChange(cmd, configRoute, body, dryRun)
 }
 
 // rollbackConfig takes back all changes after a revision, or only checks whether it can.
@@ -87,11 +87,11 @@
 	if _, err := strconv.ParseUint(revision, 10, 64); err != nil {
 		return usageError{fmt.Errorf("%q is not a revision", revision)}
 	}
-	return c.changeConfig(cmd, configRoute+"/rollback/"+revision, nil, dryRun)
+	return c.requestConfigChange(cmd, configRoute+"/rollback/"+revision, nil, dryRun)
 }
 
-// changeConfig requests a change and prints its revision.
-func (c *client) changeConfig(cmd *cobra.Command, path string, body []byte, dryRun bool) error {
+// requestConfigChange requests a change and prints its revision.
+func (c *client) requestConfigChange(cmd *cobra.Command, path string, body []byte, dryRun bool) error {
 	if dryRun {
 		path += "?dry_run=true"
 	}
