--- a/cmd/vetchstream/scale_test.go
+++ b/cmd/vetchstream/scale_test.go
@@ -12,12 +12,12 @@
 	"vetchstream/internal/scale"
 )
 
-// childVariable is an environment variable that makes the test binary run as the command,
+// childProcessVariable is an environment variable that makes the test binary run as the command,
 // for the controllers that a scale run starts.
-const childVariable = "VETCHSTREAM_TEST_CHILD"
+const childProcessVariable = "VETCHSTREAM_TEST_CHILD"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(childVariable) != "" {
+	if os.Getenv(childProcessVariable) != "" {
 		main()
 	}
 	os.Exit(m.Run())
@@ -30,7 +30,7 @@
 // TestScale: a small run of five regions and eleven controllers ends by itself, reports
 // what it has measured, and leaves no files. It takes twenty seconds of real time.
 func TestScale(t *testing.T) {
-	t.Setenv(childVariable, "1")
+	t.Setenv(childProcessVariable, "1")
 	t.Setenv("LOG_LEVEL", "error")
 	dir := t.TempDir()
 	t.Setenv("TMPDIR", dir)
