--- a/cmd/vetchstream/scale_test.go
+++ b/cmd/vetchstream/scale_test.go
@@ -23,8 +23,8 @@
 	os.Exit(m.Run())
 }
 
-// scaleTroubles cut a region off and kill a controller.
-const scaleTroubles = `[{"kind":"regions_cut","at_s":5,"for_s":3,"region":"region-1"},
+// scaleFaults cut a region off and kill a controller.
+const scaleFaults = `[{"kind":"regions_cut","at_s":5,"for_s":3,"region":"region-1"},
 	{"kind":"controller_killed","at_s":9,"for_s":2,"region":"region-0"}]`
 
 // TestScale: a small run of five regions and eleven controllers ends by itself, reports
@@ -35,7 +35,7 @@
 	dir := t.TempDir()
 	t.Setenv("TMPDIR", dir)
 	troubles := filepath.Join(dir, "troubles.json")
-	if err := os.WriteFile(troubles, []byte(scaleTroubles), 0o600); err != nil {
+	if err := os.WriteFile(troubles, []byte(scaleFaults), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	var out, errs bytes.Buffer
