--- a/cmd/vetchstream/scale_test.go
+++ b/cmd/vetchstream/scale_test.go
@@ -27,9 +27,9 @@
 const scaleFaults = `[{"kind":"regions_cut","at_s":5,"for_s":3,"region":"region-1"},
 	{"kind":"controller_killed","at_s":9,"for_s":2,"region":"region-0"}]`
 
-// TestScale: a small run of five regions and eleven controllers ends by itself, reports
+// TestScaleRunReportsAndCleansUp: a small run of five regions and eleven controllers ends by itself, reports
 // what it has measured, and leaves no files. It takes twenty seconds of real time.
-func TestScale(t *testing.T) {
+func TestScaleRunReportsAndCleansUp(t *testing.T) {
 	t.Setenv(childProcessVariable, "1")
 	t.Setenv("LOG_LEVEL", "error")
 	dir := t.TempDir()
