--- a/cmd/vetchstream/scale_test.go
+++ b/cmd/vetchstream/scale_test.go
@@ -77,8 +77,8 @@
 	}
 }
 
-// TestScaleFlags: a flag that cannot be used is named in one line.
-func TestScaleFlags(t *testing.T) {
+// TestScaleNamesInvalidFlagOnOneLine: a flag that cannot be used is named in one line.
+func TestScaleNamesInvalidFlagOnOneLine(t *testing.T) {
 	tests := []struct {
 		args []string
 		want string
