--- a/cmd/vetchstream/main_test.go
+++ b/cmd/vetchstream/main_test.go
@@ -54,9 +54,9 @@
 	return file
 }
 
-// TestCommandLine: exit codes and outputs of the commands, and the wait that a client
+// TestCommandExitCodesAndOutput: exit codes and outputs of the commands, and the wait that a client
 // makes when the service asks for it.
-func TestCommandLine(t *testing.T) {
+func TestCommandExitCodesAndOutput(t *testing.T) {
 	service := &fakeService{t: t}
 	srv := httptest.NewServer(service)
 	defer srv.Close()
