--- a/cmd/vetchstream/calendar.go
+++ b/cmd/vetchstream/calendar.go
@@ -16,32 +16,32 @@
 	reservationPath = "/api/reservations"
 	maintenancePath = "/api/maintenance"
 	cancelSuffix    = "/cancel"
-	// defaultTimelineDays and maxTimelineDays bound the days of a timeline.
+	// defaultTimelineDays and maxTimelineDays are the default and the largest value of --days.
 	defaultTimelineDays = 7
 	maxTimelineDays     = 400
 )
 
-// clientLimits are those of the client's own check of a file. The service checks it against
-// its operators' limits.
+// clientLimits are the limits against which the client validates a file before it sends it.
+// The service validates it again, against the limits that its operators have set.
 var clientLimits = calendar.Limits{HorizonDays: maxTimelineDays, Occurrences: 1000}
 
-// calendarClient is the commands for reservations and maintenance windows.
+// calendarClient implements the commands for reservations and maintenance windows.
 type calendarClient struct {
 	*client
-	team string // see and change this team's reservations alone; empty: an operator
+	team string // restricts requests to this team's reservations; empty for an operator
 }
 
-// calendarCommands are the commands for reservations and maintenance windows.
+// calendarCommands returns the commands for reservations and maintenance windows.
 func calendarCommands(c *client) []*cobra.Command {
 	cc := &calendarClient{client: c}
 	cmds := []*cobra.Command{cc.reserveCommand(), cc.maintenanceCommand(), cc.calendarCommand()}
 	for _, cmd := range cmds {
-		cmd.PersistentFlags().StringVar(&cc.team, "team", "", "see and change this team's reservations alone")
+		cmd.PersistentFlags().StringVar(&cc.team, "team", "", "list and change only the reservations of this team")
 	}
 	return cmds
 }
 
-// commandGroup is a command that only has subcommands.
+// commandGroup returns a command that has subcommands and no action of its own.
 func commandGroup(use, short, subcommands string) *cobra.Command {
 	return &cobra.Command{
 		Use:   use,
@@ -49,16 +49,16 @@
 		Long:  short + ". See docs/calendar.md.",
 		Args:  noArgs,
 		RunE: func(*cobra.Command, []string) error {
-			return usageError{errors.New("one of " + subcommands + " is needed")}
+			return usageError{errors.New("missing subcommand: one of " + subcommands + " is needed")}
 		},
 	}
 }
 
-// reserveCommand is the command for reservations.
+// reserveCommand returns the reserve command and its subcommands.
 func (cc *calendarClient) reserveCommand() *cobra.Command {
 	create := &cobra.Command{
 		Use:   "create FILE",
-		Short: "Make a reservation described in a JSON file (- for standard input)",
+		Short: "Create the reservation described in a JSON file (- for standard input)",
 		Args:  exactlyOne,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			body, err := encodeFile(args[0])
@@ -86,7 +86,7 @@
 	}
 	show := &cobra.Command{
 		Use:   "show NAME",
-		Short: "Show a reservation: its machines, its next occurrences, what became of the last",
+		Short: "Show a reservation: its machines, its next occurrence and its past outcomes",
 		Args:  exactlyOne,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return cc.reservation(cmd, http.MethodGet, cc.entryPath(reservationPath, args[0], ""), nil)
@@ -94,22 +94,22 @@
 	}
 	cancel := &cobra.Command{
 		Use:   "cancel NAME",
-		Short: "Cancel a reservation; what runs goes on as ordinary work",
+		Short: "Cancel a reservation; its running tasks continue as ordinary tasks",
 		Args:  exactlyOne,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return cc.reservation(cmd, http.MethodPost, cc.entryPath(reservationPath, args[0], cancelSuffix), nil)
 		},
 	}
-	reserve := commandGroup("reserve", "Reserve room at a time", "create, list, show and cancel")
+	reserve := commandGroup("reserve", "Reserve capacity for a period of time", "create, list, show and cancel")
 	reserve.AddCommand(create, list, show, cancel)
 	return reserve
 }
 
-// maintenanceCommand is the command for maintenance windows.
+// maintenanceCommand returns the maintenance command and its subcommands.
 func (cc *calendarClient) maintenanceCommand() *cobra.Command {
 	plan := &cobra.Command{
 		Use:   "plan FILE",
-		Short: "Plan a maintenance window described in a JSON file (- for standard input)",
+		Short: "Plan the maintenance window described in a JSON file (- for standard input)",
 		Args:  exactlyOne,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			body, err := encodeFile(args[0])
@@ -137,7 +137,7 @@
 	}
 	show := &cobra.Command{
 		Use:   "show NAME",
-		Short: "Show a maintenance window: its machines, and what it may cut off",
+		Short: "Show a maintenance window: its machines and the tasks that it may stop",
 		Args:  exactlyOne,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return cc.window(cmd, http.MethodGet, cc.entryPath(maintenancePath, args[0], ""), nil)
@@ -151,12 +151,13 @@
 			return cc.window(cmd, http.MethodPost, cc.entryPath(maintenancePath, args[0], cancelSuffix), nil)
 		},
 	}
-	maintenance := commandGroup("maintenance", "Plan the service of machines", "plan, list, show and cancel")
+	maintenance := commandGroup("maintenance", "Plan maintenance of machines", "plan, list, show and cancel")
 	maintenance.AddCommand(plan, list, show, cancel)
 	return maintenance
 }
 
-// calendarCommand is the command for the whole calendar.
+// calendarCommand returns the command that shows or exports reservations and maintenance windows
+// together.
 func (cc *calendarClient) calendarCommand() *cobra.Command {
 	var days int
 	show := &cobra.Command{
@@ -165,7 +166,7 @@
 		Args:  noArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if days < 1 || days > maxTimelineDays {
-				return usageError{errors.New("--days is not from 1 to 400")}
+				return usageError{errors.New("--days must be from 1 to 400")}
 			}
 			reservations, windows, err := cc.all(cmd)
 			if err != nil {
@@ -175,10 +176,10 @@
 			return cc.print(cmd, doc, func(w io.Writer) { showTimeline(w, reservations, windows, time.Now(), days) })
 		},
 	}
-	show.Flags().IntVar(&days, "days", defaultTimelineDays, "how many days ahead")
+	show.Flags().IntVar(&days, "days", defaultTimelineDays, "number of days to show")
 	export := &cobra.Command{
 		Use:   "export",
-		Short: "Write the calendar as iCalendar (RFC 5545)",
+		Short: "Write the calendar to standard output as iCalendar (RFC 5545)",
 		Args:  noArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			reservations, windows, err := cc.all(cmd)
@@ -188,12 +189,13 @@
 			return iCalendar(reservations, windows, time.Now()).SerializeTo(cmd.OutOrStdout())
 		},
 	}
-	both := commandGroup("calendar", "Show or export the calendar", "show and export")
-	both.AddCommand(show, export)
-	return both
+	group := commandGroup("calendar", "Show or export the calendar", "show and export")
+	group.AddCommand(show, export)
+	return group
 }
 
-// teamQuery is the part of a query that restricts a request to the team, after a separator.
+// teamQuery returns the query parameter that restricts a request to the team, preceded by
+// separator, or an empty string for an operator.
 func (cc *calendarClient) teamQuery(separator string) string {
 	if cc.team == "" {
 		return ""
@@ -201,12 +203,12 @@
 	return separator + "team=" + url.QueryEscape(cc.team)
 }
 
-// entryPath is the path of a request about one reservation or window.
+// entryPath returns the path and query of a request about one reservation or maintenance window.
 func (cc *calendarClient) entryPath(path, name, suffix string) string {
 	return path + "/" + url.PathEscape(name) + suffix + cc.teamQuery("?")
 }
 
-// reservation makes a request and shows the reservation in the reply.
+// reservation sends a request and prints the reservation in the response.
 func (cc *calendarClient) reservation(cmd *cobra.Command, method, path string, body []byte) error {
 	var s calendar.Status
 	if err := cc.call(cmd, method, path, body, &s); err != nil {
@@ -215,7 +217,7 @@
 	return cc.print(cmd, s, func(w io.Writer) { showReservation(w, &s) })
 }
 
-// window makes a request and shows the maintenance window in the reply.
+// window sends a request and prints the maintenance window in the response.
 func (cc *calendarClient) window(cmd *cobra.Command, method, path string, body []byte) error {
 	var s calendar.WindowStatus
 	if err := cc.call(cmd, method, path, body, &s); err != nil {
@@ -224,7 +226,7 @@
 	return cc.print(cmd, s, func(w io.Writer) { showWindow(w, &s) })
 }
 
-// reservations reads all pages of the reservations.
+// reservations requests all reservations, page by page.
 func (cc *calendarClient) reservations(cmd *cobra.Command) ([]calendar.Status, error) {
 	all := []calendar.Status{}
 	for after := ""; ; after = all[len(all)-1].Spec.Name {
@@ -242,7 +244,7 @@
 	}
 }
 
-// windows reads all pages of the maintenance windows.
+// windows requests all maintenance windows, page by page.
 func (cc *calendarClient) windows(cmd *cobra.Command) ([]calendar.WindowStatus, error) {
 	all := []calendar.WindowStatus{}
 	for after := ""; ; after = all[len(all)-1].Spec.Name {
@@ -260,7 +262,7 @@
 	}
 }
 
-// all reads all reservations and maintenance windows.
+// all requests all reservations and maintenance windows.
 func (cc *calendarClient) all(cmd *cobra.Command) ([]calendar.Status, []calendar.WindowStatus, error) {
 	reservations, err := cc.reservations(cmd)
 	if err != nil {
--- a/cmd/vetchstream/calendar_output.go
+++ b/cmd/vetchstream/calendar_output.go
@@ -13,7 +13,7 @@
 	"vetchstream/internal/calendar"
 )
 
-// listReservations prints reservations as a table.
+// listReservations prints a table with one line for each reservation.
 func listReservations(w io.Writer, all []calendar.Status) {
 	t := newTable(w)
 	fmt.Fprintln(t, "NAME\tTEAM\tSTATE\tPARTS\tNEXT\tUNTIL\tLEFT\tHELD\tCLAIMER\tLAST")
@@ -24,10 +24,10 @@
 	_ = t.Flush()
 }
 
-// listWindows prints maintenance windows as a table.
+// listWindows prints a table with one line for each maintenance window.
 func listWindows(w io.Writer, all []calendar.WindowStatus) {
 	t := newTable(w)
-	fmt.Fprintln(t, "NAME\tSTATE\tSTART\tEND\tMACHINES\tBUSY\tMAY BE CUT")
+	fmt.Fprintln(t, "NAME\tSTATE\tSTART\tEND\tMACHINES\tBUSY\tMAY BE STOPPED")
 	for _, s := range all {
 		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%d\t%d\t%d\n",
 			s.Spec.Name, s.State, formatMillis(s.From), formatMillis(s.To), s.Machines, s.Busy, len(s.Late))
@@ -35,10 +35,10 @@
 	_ = t.Flush()
 }
 
-// formatMillis formats a time of day in milliseconds.
+// formatMillis formats a Unix time in milliseconds as RFC 3339 in UTC.
 func formatMillis(ms int64) string { return time.UnixMilli(ms).UTC().Format("2006-01-02T15:04:05Z") }
 
-// lastOutcome describes the last of the outcomes.
+// lastOutcome describes the latest outcome, or returns "-" if there is none.
 func lastOutcome(outcomes []calendar.Outcome) string {
 	if len(outcomes) == 0 {
 		return "-"
@@ -46,7 +46,7 @@
 	return describeOutcome(outcomes[len(outcomes)-1])
 }
 
-// describeOutcome describes an outcome.
+// describeOutcome returns the kind of an outcome and, if it was late, the delay.
 func describeOutcome(o calendar.Outcome) string {
 	if o.LateS > 0 {
 		return fmt.Sprintf("%s by %.0f s", o.Kind, o.LateS)
@@ -54,11 +54,11 @@
 	return string(o.Kind)
 }
 
-// showReservation prints a reservation.
+// showReservation prints the details of a reservation.
 func showReservation(w io.Writer, s *calendar.Status) {
 	fmt.Fprintf(w, "%s: %s, %d parts for team %s, %d occurrences left", s.Spec.Name, s.State, s.Spec.Parts, s.Spec.Team, s.Remaining)
 	if s.Revoked > 0 {
-		fmt.Fprintf(w, ", %d of them retired by maintenance", s.Revoked)
+		fmt.Fprintf(w, ", %d revoked by maintenance", s.Revoked)
 	}
 	fmt.Fprintln(w)
 	if s.Next != "" {
@@ -78,36 +78,37 @@
 	}
 }
 
-// showWindow prints a maintenance window.
+// showWindow prints the details of a maintenance window.
 func showWindow(w io.Writer, s *calendar.WindowStatus) {
 	fmt.Fprintf(w, "%s: %s, %s to %s, %d machines, %d of them busy\n",
 		s.Spec.Name, s.State, formatMillis(s.From), formatMillis(s.To), s.Machines, s.Busy)
-	printNames(w, "reservations that moved", s.Moved)
-	printNames(w, "reservations that lost their room", s.Revoked)
-	printNames(w, "tasks that may be cut off", s.Late)
+	printNames(w, "moved reservations", s.Moved)
+	printNames(w, "reservations without machines", s.Revoked)
+	printNames(w, "tasks that may be stopped", s.Late)
 }
 
-// printNames prints a line of names, if there are any.
+// printNames prints a title and the names on one line. It prints nothing if there are no names.
 func printNames(w io.Writer, title string, names []string) {
 	if len(names) > 0 {
 		fmt.Fprintf(w, "  %s: %s\n", title, strings.Join(names, ", "))
 	}
 }
 
-// Marks and width of a timeline.
+// Width of a timeline and the characters that mark spans in it.
 const (
 	timelineColumns = 72
 	occurrenceMark  = '#'
 	windowMark      = '='
 )
 
-// timelinePeriod is the period that a timeline shows.
+// timelinePeriod maps times to the columns of a timeline.
 type timelinePeriod struct {
-	from   time.Time
-	column time.Duration
+	from   time.Time     // start of the first column
+	column time.Duration // length of one column
 }
 
-// showTimeline draws reservations and windows over the days ahead, a line each.
+// showTimeline draws the next days as a timeline with one line for each reservation and each
+// maintenance window.
 func showTimeline(w io.Writer, reservations []calendar.Status, windows []calendar.WindowStatus, now time.Time, days int) {
 	period := timelinePeriod{
 		from:   now.UTC().Truncate(time.Hour),
@@ -134,7 +135,7 @@
 	}
 }
 
-// line draws spans with a mark.
+// line returns one line of the timeline, in which mark fills the columns that the spans overlap.
 func (p timelinePeriod) line(spans []calendar.Span, mark byte) []byte {
 	line := []byte(strings.Repeat(".", timelineColumns))
 	for _, s := range spans {
@@ -147,13 +148,14 @@
 	return line
 }
 
-// position is how many columns after the begin a time of day in milliseconds is.
+// position returns the distance of a Unix time in milliseconds from the start, in columns.
 func (p timelinePeriod) position(ms int64) float64 {
 	return float64(time.UnixMilli(ms).Sub(p.from)) / float64(p.column)
 }
 
-// iCalendar is the calendar in the form that calendar programs read. Recurrences are written
-// out, so that a program's own rules of daylight saving do not matter.
+// iCalendar returns the reservations and maintenance windows as an iCalendar document. Each
+// occurrence is an event of its own instead of a recurrence rule, so that the result does not
+// depend on the daylight-saving rules of the program that reads it.
 func iCalendar(reservations []calendar.Status, windows []calendar.WindowStatus, now time.Time) *ics.Calendar {
 	cal := ics.NewCalendarFor("vetchstream")
 	cal.SetMethod(ics.MethodPublish)
--- a/cmd/vetchstream/client.go
+++ b/cmd/vetchstream/client.go
@@ -18,25 +18,26 @@
 
 // Values of --output.
 const (
-	outputTable = "table" // for people
+	outputTable = "table" // human-readable
 	outputJSON  = "json"
 )
 
-const outputUsage = "how to print: table, for people, or json"
+const outputUsage = "output format: table or json"
 
-// client is what the subcommands that talk to a running service share.
+// client holds the flags that all subcommands for a running service share, and sends their requests.
 type client struct {
-	server string // host:port
-	output string // one of the values of --output
-	sleep  func(time.Duration)
+	server string              // host:port
+	output string              // one of the values of --output
+	sleep  func(time.Duration) // waits between two attempts
 }
 
-// clientCommands returns the subcommands that talk to a running service, and check.
+// clientCommands returns the subcommands that send requests to a running service, and the check
+// command, which needs none.
 func clientCommands(tuning *string, sleep func(time.Duration)) []*cobra.Command {
 	c := &client{sleep: sleep}
 	commands := []*cobra.Command{
 		c.submitCommand(),
-		c.jobCommand("get JOB", "Show a job's state", http.MethodGet, ""),
+		c.jobCommand("get JOB", "Show the state of a job", http.MethodGet, ""),
 		c.jobCommand("abort JOB", "Cancel a job", http.MethodPost, "/abort"),
 		rolloutCommands(c),
 		configCommands(c),
@@ -52,7 +53,7 @@
 func (c *client) submitCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "submit FILE",
-		Short: "Submit a job described in a JSON file (- for standard input)",
+		Short: "Submit the job described in a JSON file (- for standard input)",
 		Args:  exactlyOne,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			body, err := encodeFile(args[0])
@@ -67,8 +68,8 @@
 	}
 }
 
-// jobCommand returns a command that makes a request about a job; suffix is what follows
-// the job's id in the path.
+// jobCommand returns a command that sends a request about one job. The path of the request ends in
+// the job's ID and suffix.
 func (c *client) jobCommand(use, short, method, suffix string) *cobra.Command {
 	return &cobra.Command{
 		Use:   use,
@@ -77,18 +78,18 @@
 		RunE: func(cmd *cobra.Command, args []string) error {
 			id := args[0]
 			if !job.ValidID(id) {
-				return usageError{fmt.Errorf("%q is not a job id", id)}
+				return usageError{fmt.Errorf("%q is not a valid job ID", id)}
 			}
 			return c.showJob(cmd, method, "/api/jobs/"+id+suffix, nil)
 		},
 	}
 }
 
-// checkCommand returns the command that checks settings files without a service.
+// checkCommand returns the command that validates settings files without a running service.
 func checkCommand(tuning *string) *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE",
-		Short: "Check a platform settings file, and the operators' settings of --tuning",
+		Short: "Validate a platform settings file and the operators' settings file of --tuning",
 		Args:  exactlyOne,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			settings, err := config.Load(args[0])
@@ -107,7 +108,7 @@
 	}
 }
 
-// showJob makes a request and prints the status of the job that it is answered with.
+// showJob sends a request and prints the job status in the response.
 func (c *client) showJob(cmd *cobra.Command, method, path string, body []byte) error {
 	var s wire.JobStatus
 	if err := c.call(cmd, method, path, body, &s); err != nil {
@@ -125,7 +126,7 @@
 	})
 }
 
-// print writes an answer in the form that --output names: v as JSON, or the table.
+// print writes a response in the format that --output selects: v as JSON, or what table prints.
 func (c *client) print(cmd *cobra.Command, v any, table func(io.Writer)) error {
 	if err := checkOutput(c.output); err != nil {
 		return usageError{err}
@@ -138,7 +139,7 @@
 	return nil
 }
 
-// checkOutput returns an error if the value of --output is unknown.
+// checkOutput returns an error unless output is a valid value of --output.
 func checkOutput(output string) error {
 	if output != outputTable && output != outputJSON {
 		return fmt.Errorf("--output %q is neither table nor json", output)
@@ -152,10 +153,10 @@
 	return enc.Encode(v)
 }
 
-// stdinName is the file name that stands for standard input.
+// stdinName is the file name argument that selects standard input.
 const stdinName = "-"
 
-// encodeFile reads a JSON document and encodes it as the body of a request.
+// encodeFile reads a JSON object from a file and encodes it as the body of a request.
 func encodeFile(path string) ([]byte, error) {
 	in := io.Reader(os.Stdin)
 	if path != stdinName {
@@ -170,7 +171,8 @@
 	if err := json.NewDecoder(in).Decode(&doc); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	// JSON has one kind of number, but the number of tasks is sent as an integer.
+	// encoding/json decodes every number as a float64, but the service requires an integer
+	// number of tasks.
 	const tasksField = "pieces"
 	if n, ok := doc[tasksField].(float64); ok && n == math.Trunc(n) && n >= 0 && n <= job.MaxTasks {
 		doc[tasksField] = uint64(n)
--- a/cmd/vetchstream/configuration.go
+++ b/cmd/vetchstream/configuration.go
@@ -18,51 +18,51 @@
 	"vetchstream/internal/dynconfig"
 )
 
-// configRoute is the path of the service's routes for the configuration.
+// configRoute is the path prefix of the service's configuration routes.
 const configRoute = "/api/config"
 
-// configCommands returns the commands for the configuration of several regions.
+// configCommands returns the commands that change and show the configuration shared by the regions.
 func configCommands(c *client) *cobra.Command {
 	group := &cobra.Command{
 		Use:   "config",
-		Short: "Change teams and quotas while the regions serve",
-		Long:  "Change teams and quotas while the regions serve. See docs/configuration.md.",
+		Short: "Change teams and quotas of all regions at run time",
+		Long:  "Change teams and quotas of all regions at run time. See docs/configuration.md.",
 		Args:  noArgs,
 		RunE: func(*cobra.Command, []string) error {
-			return usageError{errors.New("one of apply, show, status, history and rollback is needed")}
+			return usageError{errors.New("missing subcommand: one of apply, show, status, history and rollback is needed")}
 		},
 	}
 	var dryRun bool
 	apply := &cobra.Command{
 		Use:   "apply FILE",
-		Short: "Make the change described in a JSON file (- for standard input)",
+		Short: "Apply the change described in a JSON file (- for standard input)",
 		Args:  exactlyOne,
 		RunE:  func(cmd *cobra.Command, args []string) error { return c.applyConfig(cmd, args[0], dryRun) },
 	}
 	rollback := &cobra.Command{
 		Use:   "rollback REVISION",
-		Short: "Take back all that came after a revision, as a change of its own",
+		Short: "Revert all changes after a revision, in a new revision",
 		Args:  exactlyOne,
 		RunE:  func(cmd *cobra.Command, args []string) error { return c.rollbackConfig(cmd, args[0], dryRun) },
 	}
 	for _, cmd := range []*cobra.Command{apply, rollback} {
-		cmd.Flags().BoolVar(&dryRun, "dry-run", false, "only say whether the change would be taken")
+		cmd.Flags().BoolVar(&dryRun, "dry-run", false, "validate the change without storing it")
 	}
 	history := &cobra.Command{
 		Use:   "history",
-		Short: "Show the changes that are kept, the last one first",
+		Short: "Show the retained changes, latest first",
 		Args:  noArgs,
 		RunE:  func(cmd *cobra.Command, _ []string) error { return c.configHistory(cmd) },
 	}
 	show := &cobra.Command{
 		Use:   "show",
-		Short: "Show the teams as configured, and what each region is told",
+		Short: "Show the configured teams and the quotas granted to each region",
 		Args:  noArgs,
 		RunE:  func(cmd *cobra.Command, _ []string) error { return c.showConfig(cmd) },
 	}
 	status := &cobra.Command{
 		Use:   "status",
-		Short: "Show how far each region is, and what waits for whom",
+		Short: "Show the revision in force in each region, and the changes that are pending",
 		Args:  noArgs,
 		RunE:  func(cmd *cobra.Command, _ []string) error { return c.configStatus(cmd) },
 	}
@@ -70,7 +70,7 @@
 	return group
 }
 
-// applyConfig makes the change described in a file, or only checks it.
+// applyConfig applies the change described in a file, or validates it if dryRun is set.
 func (c *client) applyConfig(cmd *cobra.Command, file string, dryRun bool) error {
 	body, err := encodeFile(file)
 	if err != nil {
@@ -82,15 +82,16 @@
 	return c.requestConfigChange(cmd, configRoute, body, dryRun)
 }
 
-// rollbackConfig takes back all changes after a revision, or only checks whether it can.
+// rollbackConfig reverts all changes after a revision, or checks that this is possible if dryRun is
+// set.
 func (c *client) rollbackConfig(cmd *cobra.Command, revision string, dryRun bool) error {
 	if _, err := strconv.ParseUint(revision, 10, 64); err != nil {
-		return usageError{fmt.Errorf("%q is not a revision", revision)}
+		return usageError{fmt.Errorf("%q is not a revision number", revision)}
 	}
 	return c.requestConfigChange(cmd, configRoute+"/rollback/"+revision, nil, dryRun)
 }
 
-// requestConfigChange requests a change and prints its revision.
+// requestConfigChange sends a change to the service and prints the new revision.
 func (c *client) requestConfigChange(cmd *cobra.Command, path string, body []byte, dryRun bool) error {
 	if dryRun {
 		path += "?dry_run=true"
@@ -104,14 +105,14 @@
 	}
 	return c.print(cmd, answer, func(w io.Writer) {
 		if answer.DryRun {
-			fmt.Fprintf(w, "the change would be taken as revision %d\n", answer.Revision)
+			fmt.Fprintf(w, "the change is valid and would be stored as revision %d\n", answer.Revision)
 			return
 		}
-		fmt.Fprintf(w, "revision %d is stored; config status tells where it is in force\n", answer.Revision)
+		fmt.Fprintf(w, "revision %d is stored; use config status to see in which regions it is in force\n", answer.Revision)
 	})
 }
 
-// configHistory prints the changes that are retained, the last one first.
+// configHistory prints the retained changes, latest first.
 func (c *client) configHistory(cmd *cobra.Command) error {
 	var history struct {
 		Changes []dynconfig.HistorySummary `codec:"changes" json:"changes"`
@@ -134,14 +135,14 @@
 	})
 }
 
-// configPage is a page of the configured teams, by name.
+// configPage is one page of the configured teams, sorted by name.
 type configPage struct {
 	Revision uint64                 `codec:"revision" json:"revision"`
 	Teams    []dynconfig.TeamStatus `codec:"teams" json:"teams"`
-	More     bool                   `codec:"more" json:"-"` // the list goes on after this page
+	More     bool                   `codec:"more" json:"-"` // more pages follow
 }
 
-// showConfig prints all teams.
+// showConfig prints all teams and their quotas in each region.
 func (c *client) showConfig(cmd *cobra.Command) error {
 	all, err := c.allTeams(cmd)
 	if err != nil {
@@ -158,7 +159,7 @@
 	})
 }
 
-// allTeams reads all pages of the teams and joins them.
+// allTeams requests all pages of the configured teams and merges them into one.
 func (c *client) allTeams(cmd *cobra.Command) (configPage, error) {
 	all := configPage{Teams: []dynconfig.TeamStatus{}}
 	for after := ""; ; {
@@ -175,7 +176,7 @@
 	}
 }
 
-// printTeam prints a line for each region of a team.
+// printTeam prints one table row for each region of a team.
 func printTeam(w io.Writer, team *dynconfig.TeamStatus) {
 	name := team.Name
 	if team.Removed {
@@ -188,7 +189,8 @@
 	}
 }
 
-// configStatus prints which revision is in force in each region, and what it waits for.
+// configStatus prints the revision in force in each region, and the teams whose changes are pending
+// with the regions that block them.
 func (c *client) configStatus(cmd *cobra.Command) error {
 	var s dynconfig.Status
 	if err := c.call(cmd, http.MethodGet, configRoute+"/status", nil, &s); err != nil {
@@ -197,9 +199,9 @@
 	return c.print(cmd, s, func(w io.Writer) {
 		fmt.Fprintf(w, "revision %d\n", s.Revision)
 		t := newTable(w)
-		fmt.Fprintln(t, "REGION\tREVISION\tFOR\tBEHIND\tHEARD\tWAITING TEAMS")
+		fmt.Fprintln(t, "REGION\tREVISION\tFOR\tBEHIND\tLAST CONTACT\tWAITING TEAMS")
 		for _, r := range s.Regions {
-			lastContact := "never by this leader"
+			lastContact := "none since this leader took over"
 			if r.SilentS >= 0 {
 				lastContact = fmt.Sprintf("%.1f s ago", r.SilentS)
 			}
@@ -207,26 +209,26 @@
 		}
 		_ = t.Flush()
 		for _, r := range s.Regions {
-			for _, wait := range r.Pending {
-				fmt.Fprintf(w, "%s of %s has %s, is to have %s, waits for %s\n", wait.Team, r.Region,
-					formatQuota(wait.InForce), formatQuota(wait.Target), strings.Join(wait.BlockedBy, ", "))
+			for _, pending := range r.Pending {
+				fmt.Fprintf(w, "%s in %s: quota %s, target %s, blocked by %s\n", pending.Team, r.Region,
+					formatQuota(pending.InForce), formatQuota(pending.Target), strings.Join(pending.BlockedBy, ", "))
 			}
 		}
 	})
 }
 
-// newTable returns a writer that aligns columns separated by tabs. It must be flushed.
+// newTable returns a writer that aligns tab-separated columns. The caller must flush it.
 func newTable(w io.Writer) *tabwriter.Writer {
 	const minWidth, tabWidth, padding = 0, 4, 2
 	return tabwriter.NewWriter(w, minWidth, tabWidth, padding, ' ', 0)
 }
 
-// formatQuota returns a quota as "CPUS/GPUS".
+// formatQuota formats a quota as "CPUS/GPUS".
 func formatQuota(q dynconfig.Quota) string {
 	return formatLimit(q.CPUs) + "/" + formatLimit(q.GPUs)
 }
 
-// formatLimit returns an amount, or "any" if it is not limited.
+// formatLimit formats a limit; it returns "any" if the amount is unlimited.
 func formatLimit(amount *float64) string {
 	if amount == nil {
 		return "any"
--- a/cmd/vetchstream/emulate.go
+++ b/cmd/vetchstream/emulate.go
@@ -22,8 +22,8 @@
 
 // emulationFlags are the flags that emulate and demo share.
 type emulationFlags struct {
-	options  emulate.Options
-	duration time.Duration // 0: until ctrl-C
+	options    emulate.Options
+	duration   time.Duration // 0: until ctrl-C
 	faultsFile string        // file of the troubles; empty: none
 }
 
--- a/cmd/vetchstream/main.go
+++ b/cmd/vetchstream/main.go
@@ -29,9 +29,9 @@
 
 // Exit codes.
 const (
-	exitOK     = 0
+	exitOK      = 0
 	exitFailure = 1
-	exitUsage  = 2 // a mistake in the call
+	exitUsage   = 2 // a mistake in the call
 )
 
 // usageError is a mistake in the call. It is shown with the command's help.
--- a/cmd/vetchstream/scale.go
+++ b/cmd/vetchstream/scale.go
@@ -16,9 +16,9 @@
 
 // scaleFlags are the flags of the scale command.
 type scaleFlags struct {
-	options  scale.Options
+	options    scale.Options
 	faultsFile string // file of the troubles; empty: none
-	output   string // outputTable or outputJSON
+	output     string // outputTable or outputJSON
 }
 
 // scaleCommand returns the command that measures real controllers beside workers that
