--- a/cmd/vetchstream/main.go
+++ b/cmd/vetchstream/main.go
@@ -1,5 +1,5 @@
-// Command vetchstream is the cluster scheduler: the controller daemon, its client, and
-// emulations to try and to measure it.
+// Command vetchstream is a cluster scheduler. It contains the controller daemon, a command-line
+// client, and emulated clusters for demonstrations and measurements.
 package main
 
 import (
@@ -21,30 +21,30 @@
 	"vetchstream/internal/node"
 )
 
-// version is set by releases with -ldflags "-X main.version=...".
+// version is the program's version. Release builds set it with -ldflags "-X main.version=...".
 var version = "0.1.0-dev"
 
-// tuningVariable is the environment variable with the default of --tuning.
+// tuningVariable is the environment variable that sets the default of --tuning.
 const tuningVariable = "VETCHSTREAM_TUNING"
 
 // Exit codes.
 const (
 	exitOK      = 0
 	exitFailure = 1
-	exitUsage   = 2 // a mistake in the call
+	exitUsage   = 2 // invalid command line
 )
 
-// usageError is a mistake in the call. It is shown with the command's help.
+// usageError is an invalid command line. run prints it followed by the usage of the command.
 type usageError struct{ error }
 
-// flagError is a flag that cannot be used. It is shown in one line, without help.
+// flagError is an invalid flag. run prints it on one line, without the usage of the command.
 type flagError struct{ error }
 
 func main() {
 	os.Exit(run(rootCommand(time.Sleep), os.Stderr))
 }
 
-// run executes a command line and returns the exit code. Errors are written to out.
+// run executes a command, writes its error, if any, to out, and returns the exit code.
 func run(root *cobra.Command, out io.Writer) int {
 	cmd, err := root.ExecuteC()
 	if err == nil {
@@ -63,13 +63,14 @@
 	return exitFailure
 }
 
-// rootCommand returns the command line. The client waits between its attempts with sleep.
+// rootCommand returns the vetchstream command with all subcommands. The client calls sleep to wait
+// between two attempts of a request.
 func rootCommand(sleep func(time.Duration)) *cobra.Command {
 	var settings, tuning string
 	root := &cobra.Command{
 		Use:           "vetchstream",
 		Short:         "A cluster scheduler: controller daemon and client",
-		Long:          "vetchstream runs a controller with --config, and talks to one with its subcommands.",
+		Long:          "vetchstream runs a controller if --config is given. Its subcommands send requests to a running service.",
 		Version:       version,
 		SilenceErrors: true,
 		SilenceUsage:  true,
@@ -81,8 +82,8 @@
 			return runController(settings, tuning)
 		},
 	}
-	root.Flags().StringVar(&settings, "config", "", "settings file of the platform (TOML)")
-	root.PersistentFlags().StringVar(&tuning, "tuning", os.Getenv(tuningVariable), "operators' own settings (JSON); also "+tuningVariable)
+	root.Flags().StringVar(&settings, "config", "", "platform settings file (TOML)")
+	root.PersistentFlags().StringVar(&tuning, "tuning", os.Getenv(tuningVariable), "operators' settings file (JSON); defaults to $"+tuningVariable)
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError{err} })
 	root.AddCommand(clientCommands(&tuning, sleep)...)
 	root.AddCommand(emulateCommands(&tuning)...)
@@ -90,7 +91,7 @@
 	return root
 }
 
-// noArgs refuses arguments.
+// noArgs returns a usage error if there are arguments.
 func noArgs(_ *cobra.Command, args []string) error {
 	if len(args) > 0 {
 		return usageError{fmt.Errorf("unexpected argument %q", args[0])}
@@ -98,7 +99,7 @@
 	return nil
 }
 
-// exactlyOne requires exactly one argument.
+// exactlyOne returns a usage error unless there is exactly one argument.
 func exactlyOne(cmd *cobra.Command, args []string) error {
 	if err := cobra.ExactArgs(1)(cmd, args); err != nil {
 		return usageError{err}
@@ -106,7 +107,7 @@
 	return nil
 }
 
-// commandContext returns the context of a command that ends on ctrl-C or SIGTERM.
+// commandContext returns a context derived from the command's that ends on SIGINT or SIGTERM.
 func commandContext(cmd *cobra.Command) (context.Context, context.CancelFunc) {
 	ctx := cmd.Context()
 	if ctx == nil {
@@ -120,6 +121,7 @@
 	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: logLevel()}))
 }
 
+// logLevel returns the level that LOG_LEVEL names; any value but debug and error means info.
 func logLevel() slog.Level {
 	switch os.Getenv("LOG_LEVEL") {
 	case "debug":
@@ -130,7 +132,7 @@
 	return slog.LevelInfo
 }
 
-// runController runs a controller until ctrl-C or SIGTERM.
+// runController runs a controller until SIGINT or SIGTERM.
 func runController(settingsFile, tuningFile string) error {
 	settings, err := config.Load(settingsFile)
 	if err != nil {
@@ -148,15 +150,16 @@
 }
 
 const (
-	// gcPercent makes garbage collection rare while there is memory.
+	// gcPercent makes garbage collection less frequent while memory use is below the soft limit.
 	gcPercent = 200
-	// softMemoryShare is the share of the memory from which on collection becomes
-	// frequent: a process that exceeds its memory is killed.
+	// softMemoryShare is the Go memory limit as a share of the controller's memory. Above the
+	// limit, garbage collection becomes frequent, because a process that exceeds its memory is
+	// killed.
 	softMemoryShare = 0.6
 )
 
-// limitRuntime fits the Go runtime to a controller's resources: a share of one core, and
-// memory in MiB.
+// limitRuntime adapts the Go runtime to the resources of a controller, which are a share of one
+// core and memoryMB MiB of memory.
 func limitRuntime(memoryMB float64) {
 	runtime.GOMAXPROCS(1)
 	debug.SetGCPercent(gcPercent)
--- a/cmd/vetchstream/rollout.go
+++ b/cmd/vetchstream/rollout.go
@@ -15,37 +15,37 @@
 	"vetchstream/internal/rpc"
 )
 
-// rolloutPath is the path of the requests about roll-outs.
+// rolloutPath is the path prefix of the service's roll-out routes.
 const rolloutPath = "/api/rollouts"
 
-// rolloutCommands are the operators' commands for roll-outs.
+// rolloutCommands returns the rollout command and its subcommands, which are for operators.
 func rolloutCommands(c *client) *cobra.Command {
 	root := &cobra.Command{
 		Use:   "rollout",
-		Short: "Roll a service out to its next version, batch by batch",
-		Long: "A roll-out moves a service to its next version in batches, one zone at a time, while health gates pass, and takes\n" +
-			"it back by itself when they fail. See docs/rollouts.md.",
+		Short: "Move a service to its next version, batch by batch",
+		Long: "A roll-out moves a service to its next version in batches, one zone at a time, while health gates pass, and rolls\n" +
+			"the service back automatically when a gate fails. See docs/rollouts.md.",
 		Args: noArgs,
 		RunE: func(*cobra.Command, []string) error {
-			return usageError{errors.New("one of start, status, list, pause, resume and undo is needed")}
+			return usageError{errors.New("missing subcommand: one of start, status, list, pause, resume and undo is needed")}
 		},
 	}
 	root.AddCommand(
 		c.rolloutStartCommand(),
 		c.rolloutStatusCommand(),
 		c.rolloutListCommand(),
-		c.rolloutVerbCommand(rpc.VerbPause, "Stop a roll-out where it is"),
-		c.rolloutVerbCommand(rpc.VerbResume, "Go on with a paused roll-out"),
-		c.rolloutVerbCommand(rpc.VerbRollback, "Roll back"),
+		c.rolloutVerbCommand(rpc.VerbPause, "Pause a roll-out in its current batch"),
+		c.rolloutVerbCommand(rpc.VerbResume, "Resume a paused roll-out"),
+		c.rolloutVerbCommand(rpc.VerbRollback, "Roll a service back to its previous version"),
 	)
 	return root
 }
 
-// rolloutStartCommand starts a roll-out.
+// rolloutStartCommand returns the command that starts a roll-out.
 func (c *client) rolloutStartCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "start FILE",
-		Short: "Start a roll-out described in a JSON file (- for standard input)",
+		Short: "Start the roll-out described in a JSON file (- for standard input)",
 		Args:  exactlyOne,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			body, err := encodeFile(args[0])
@@ -60,12 +60,13 @@
 	}
 }
 
-// rolloutStatusCommand shows a roll-out, once or until it is over.
+// rolloutStatusCommand returns the command that shows a roll-out, once or at every change until it
+// ends.
 func (c *client) rolloutStatusCommand() *cobra.Command {
 	var watch bool
 	status := &cobra.Command{
 		Use:   "status SERVICE",
-		Short: "Show a roll-out: its batches, their health, what it waits for",
+		Short: "Show a roll-out: its batches, their health and the condition it waits for",
 		Args:  exactlyOne,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if !watch {
@@ -74,11 +75,11 @@
 			return c.watchRollout(cmd, args[0])
 		},
 	}
-	status.Flags().BoolVar(&watch, "watch", false, "show every change until the roll-out is over; exits with 1 if it is not done then")
+	status.Flags().BoolVar(&watch, "watch", false, "print every change until the roll-out ends; exit with 1 unless it ends as done")
 	return status
 }
 
-// rolloutListCommand lists the roll-outs.
+// rolloutListCommand returns the command that lists the roll-outs.
 func (c *client) rolloutListCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "list",
@@ -96,7 +97,7 @@
 	}
 }
 
-// rolloutVerbCommand makes a request about a roll-out that is under way.
+// rolloutVerbCommand returns the command that sends a verb, such as pause, to an active roll-out.
 func (c *client) rolloutVerbCommand(verb rpc.Verb, short string) *cobra.Command {
 	return &cobra.Command{
 		Use:   string(verb) + " SERVICE",
@@ -108,7 +109,7 @@
 	}
 }
 
-// rollout makes a request and shows the roll-out in the reply.
+// rollout sends a request and prints the roll-out in the response.
 func (c *client) rollout(cmd *cobra.Command, method, path string, body []byte) error {
 	var s rollout.Status
 	if err := c.call(cmd, method, path, body, &s); err != nil {
@@ -117,13 +118,13 @@
 	return c.print(cmd, s, func(w io.Writer) { showRollout(w, &s) })
 }
 
-// watchInterval is how often a watched roll-out is requested.
+// watchInterval is the time between two status requests for a watched roll-out.
 const watchInterval = time.Second
 
-// errRolloutNotDone is returned for a watched roll-out that ended in another state than done.
-var errRolloutNotDone = errors.New("the roll-out is over and not done")
+// errRolloutNotDone is returned if a watched roll-out ends in any state but done.
+var errRolloutNotDone = errors.New("the roll-out ended without being done")
 
-// watchRollout shows a roll-out whenever it changes, until it is over.
+// watchRollout polls a roll-out and prints it at every change until it ends.
 func (c *client) watchRollout(cmd *cobra.Command, service string) error {
 	shown := ""
 	for {
@@ -147,14 +148,15 @@
 	}
 }
 
-// summarize is what has to differ for a roll-out to be shown again: all but its times.
+// summarize returns a string that changes with every field of the status except its durations,
+// which grow with every request.
 func summarize(s rollout.Status) string {
 	s.SinceS = 0
 	s.TookS = 0
 	return fmt.Sprint(s)
 }
 
-// listRollouts prints roll-outs as a table.
+// listRollouts prints a table with one line for each roll-out.
 func listRollouts(w io.Writer, all []rollout.Status) {
 	t := newTable(w)
 	fmt.Fprintln(t, "SERVICE\tSTATE\tBATCH\tCURRENT\tNEXT\tREASON")
@@ -164,15 +166,15 @@
 	_ = t.Flush()
 }
 
-// showRollout prints a roll-out and its batches.
+// showRollout prints the status of a roll-out and a table of its batches.
 func showRollout(w io.Writer, s *rollout.Status) {
 	fmt.Fprintf(w, "%s: %s, batch %d of %d, %.0f s", s.Service, s.State, s.Batch, len(s.Batches), s.TookS)
 	fmt.Fprintf(w, " (runs %s, other version %s)\n", s.Current, s.Next)
 	if s.Reason != "" {
-		fmt.Fprintf(w, "  because: %s\n", s.Reason)
+		fmt.Fprintf(w, "  reason: %s\n", s.Reason)
 	}
 	if s.WaitingFor != "" {
-		fmt.Fprintf(w, "  waits for: %s\n", s.WaitingFor)
+		fmt.Fprintf(w, "  waiting for: %s\n", s.WaitingFor)
 	}
 	t := tabwriter.NewWriter(w, 2, 4, 2, ' ', 0)
 	fmt.Fprintln(t, "  BATCH\tZONE\tREPLICAS\tRUNNING\tHEALTHY\tUNHEALTHY\tLOST\tFAILURES")
