--- a/cmd/vetchstream/demo.go
+++ b/cmd/vetchstream/demo.go
@@ -17,24 +17,24 @@
 )
 
 const (
-	// demoNodes is the number of controllers unless --nodes says otherwise.
+	// demoNodes is the default of --nodes.
 	demoNodes = 3
-	// statusInterval is the time between two lines of the demo about the cluster's status.
+	// statusInterval is the time between two status lines of the demo.
 	statusInterval = 5 * time.Second
 )
 
-// cluster is an emulation together with its controllers, in one process.
+// cluster is an emulated cluster whose controllers run in this process.
 type cluster struct {
 	*emulate.Cluster
 	controllers sync.WaitGroup
-	stop        context.CancelFunc // ends the controllers
+	stop        context.CancelFunc // stops the controllers
 
 	mu  sync.Mutex
-	err error // of the controllers that have failed
+	err error // joined errors of the failed controllers
 }
 
-// startCluster starts an emulation and its controllers. They run until the cluster is
-// closed or one of them fails, also after the end of the context.
+// startCluster starts an emulation and its controllers. The controllers run until close is called
+// or one of them fails; the end of ctx does not stop them.
 func startCluster(ctx context.Context, options emulate.Options, tuning *config.Tuning, log *slog.Logger) (*cluster, error) {
 	emulated, err := emulate.Start(options)
 	if err != nil {
@@ -59,7 +59,7 @@
 	c.err = errors.Join(c.err, err)
 }
 
-// close ends the controllers, then the emulation, and returns the controllers' errors.
+// close stops the controllers, then the emulation, and returns the controllers' errors.
 func (c *cluster) close() error {
 	c.stop()
 	c.controllers.Wait()
@@ -74,10 +74,10 @@
 	var flags emulationFlags
 	cmd := &cobra.Command{
 		Use:   "demo",
-		Short: "Run a whole cluster on this machine: emulated machines and three controllers",
+		Short: "Run a whole cluster on this machine: three controllers and emulated machines",
 		Args:  noArgs,
-		Long: "demo runs three controllers in one process on an emulated state service, cloud and workers, and says how it stands\n" +
-			"until ctrl-C. The client commands reach it at their default address.\n\n" + emulatedNotice,
+		Long: "demo runs three controllers in one process with an emulated key-value store, cloud and workers, and prints the\n" +
+			"status of the cluster until ctrl-C. The client commands reach it at their default address.\n\n" + emulatedNotice,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return flags.runDemo(cmd, *tuning)
 		},
@@ -87,8 +87,8 @@
 	return cmd
 }
 
-// runDemo runs a cluster and prints its status until the duration is over, ctrl-C, or
-// the failure of a controller.
+// runDemo runs a cluster and prints its status until the duration of --for has passed, a signal
+// arrives or a controller fails.
 func (e *emulationFlags) runDemo(cmd *cobra.Command, tuningFile string) error {
 	tuning, err := config.LoadTuning(tuningFile)
 	if err != nil {
@@ -102,7 +102,7 @@
 	}
 	w := cmd.OutOrStdout()
 	fmt.Fprintln(w, emulatedNotice)
-	fmt.Fprintf(w, "Clients: --server %s (and %d more controllers on the next ports). ctrl-C ends it.\n", e.options.Listen, e.options.Controllers-1)
+	fmt.Fprintf(w, "Clients: --server %s (%d more controllers listen on the next ports). Press ctrl-C to stop.\n", e.options.Listen, e.options.Controllers-1)
 	err = e.injectFaults(ctx, c.Cluster)
 	if err == nil {
 		c.printStatus(ctx, w, e.options.Listen)
@@ -110,8 +110,8 @@
 	return errors.Join(err, c.close())
 }
 
-// printStatus prints the cluster's status at intervals until the context ends or the
-// controllers have.
+// printStatus prints the status of the cluster every statusInterval until the context ends or all
+// controllers have stopped.
 func (c *cluster) printStatus(ctx context.Context, w io.Writer, server string) {
 	ticker := time.NewTicker(statusInterval)
 	defer ticker.Stop()
--- a/cmd/vetchstream/demo_rollout.go
+++ b/cmd/vetchstream/demo_rollout.go
@@ -16,13 +16,13 @@
 	"vetchstream/internal/wire"
 )
 
-// demoTimeout bounds the whole demonstration.
+// demoTimeout limits the duration of the whole demonstration, which is announced as under a minute.
 const demoTimeout = 58 * time.Second
 
-// errDemoFailed is returned for a demonstration that did not go as it should.
-var errDemoFailed = errors.New("the demonstration did not go as it should")
+// errDemoFailed is returned if a roll-out of the demonstration has an unexpected result.
+var errDemoFailed = errors.New("the demonstration had an unexpected result")
 
-// The service of the demonstration and its builds.
+// The service of the demonstration, and the jobs and images of its builds.
 const (
 	demoService  = "captions"
 	demoReplicas = 6
@@ -33,20 +33,21 @@
 	goodImage    = "captions-2"
 	badJob       = "run-502"
 	badImage     = "captions-3"
-	// unhealthyAfter is how long an instance of the bad build runs before it turns unhealthy.
+	// unhealthyAfter is the run time after which a replica of the bad build becomes unhealthy.
 	unhealthyAfter = 2 * time.Second
-	// demoPollInterval is how often the start of the service is polled.
+	// demoPollInterval is the time between two status requests while the service starts.
 	demoPollInterval = 200 * time.Millisecond
 )
 
-// demoRolloutCommand is the command that demonstrates a good and a bad roll-out.
+// demoRolloutCommand returns the command that demonstrates a roll-out to a good build and one to a
+// bad build.
 func demoRolloutCommand(tuning *string) *cobra.Command {
 	em := emulationFlags{options: emulate.Options{Controllers: 3, MaxMachines: 24}}
 	cmd := &cobra.Command{
 		Use:   "rollout",
-		Short: "Show a good and a bad roll-out on an emulated cluster, in under a minute",
-		Long: "rollout runs a cluster as demo does, rolls a service out to a good build and then to a bad one, which turns unhealthy\n" +
-			"two seconds after it starts, and reports from the emulated machines' own history which build ran where.\n\n" + emulatedNotice,
+		Short: "Demonstrate a good and a bad roll-out on an emulated cluster, in under a minute",
+		Long: "rollout runs a cluster as demo does, rolls a service out to a good build and then to a bad one, which becomes unhealthy\n" +
+			"two seconds after it starts, and reports from the history of the emulated machines how many replicas ran each build.\n\n" + emulatedNotice,
 		Args: noArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			tun, err := config.LoadTuning(*tuning)
@@ -71,14 +72,15 @@
 	return cmd
 }
 
-// rolloutDemo is a demonstration under way.
+// rolloutDemo is a running demonstration.
 type rolloutDemo struct {
 	*client
 	cmd *cobra.Command
 	out io.Writer
 }
 
-// runRolloutDemo plays the demonstration and reports on it.
+// runRolloutDemo starts the service, rolls it out to the good and to the bad build, and prints the
+// report.
 func runRolloutDemo(ctx context.Context, cmd *cobra.Command, c *cluster, server string) error {
 	d := &rolloutDemo{
 		client: &client{server: server, output: "table", sleep: contextSleep(ctx)},
@@ -98,7 +100,7 @@
 	return reportRollouts(d.out, c)
 }
 
-// contextSleep makes a function that pauses for a time, or until a context is done.
+// contextSleep returns a sleep function that returns early when the context ends.
 func contextSleep(ctx context.Context) func(time.Duration) {
 	return func(d time.Duration) {
 		t := time.NewTimer(d)
@@ -110,7 +112,7 @@
 	}
 }
 
-// post posts a document and decodes the reply.
+// post sends a document in a POST request and decodes the response into reply.
 func (d *rolloutDemo) post(path string, doc map[string]any, reply any) error {
 	body, err := wire.Marshal(doc)
 	if err != nil {
@@ -119,9 +121,9 @@
 	return d.call(d.cmd, http.MethodPost, path, body, reply)
 }
 
-// startService submits the service and waits until all replicas run.
+// startService submits the service and waits until all its replicas run.
 func (d *rolloutDemo) startService(ctx context.Context) error {
-	fmt.Fprintf(d.out, "A service of %d replicas starts.\n", demoReplicas)
+	fmt.Fprintf(d.out, "Starting a service of %d replicas.\n", demoReplicas)
 	spec := map[string]any{
 		"uid":          demoJob,
 		"breed":        demoService,
@@ -154,9 +156,9 @@
 	return nil
 }
 
-// rollOutTo rolls the service out to a build, and checks the state in which that ends.
+// rollOutTo rolls the service out to a build and checks that the roll-out ends in state want.
 func (d *rolloutDemo) rollOutTo(what, id, image string, want rollout.State) error {
-	fmt.Fprintf(d.out, "\nIt is rolled out to %s build %s.\n", what, image)
+	fmt.Fprintf(d.out, "\nRolling the service out to %s build, %s.\n", what, image)
 	spec := map[string]any{
 		"service":    demoService,
 		"from":       demoJob,
@@ -178,14 +180,15 @@
 		return err
 	}
 	if rollout.State(s.State) != want {
-		return fmt.Errorf("%w: %s is %s", errDemoFailed, image, s.State)
+		return fmt.Errorf("%w: the roll-out of %s ended as %s", errDemoFailed, image, s.State)
 	}
 	return nil
 }
 
-// reportRollouts reports from the machines' history which build ran where.
+// reportRollouts prints from the history of the machines how many replicas ran each build, and
+// returns an error if a number is not as expected.
 func reportRollouts(w io.Writer, c *cluster) error {
-	tasks := map[string]map[string]bool{} // that ran an image
+	tasks := map[string]map[string]bool{} // by image, the tasks that started with it
 	for _, e := range c.World.History() {
 		if !e.Start {
 			continue
@@ -196,10 +199,10 @@
 		tasks[e.Image][e.Task] = true
 	}
 	good, bad, broken := len(tasks[goodImage]), len(tasks[badImage]), len(c.World.Violations())
-	fmt.Fprintf(w, "\nReport, from the emulated machines' history:\n")
-	fmt.Fprintf(w, "  the good build ran as %d of %d replicas\n", good, demoReplicas)
-	fmt.Fprintf(w, "  the bad build ran as %d, in a batch of at most %d\n", bad, demoBatch)
-	fmt.Fprintf(w, "  broken rules: %d\n", broken)
+	fmt.Fprintf(w, "\nReport from the history of the emulated machines:\n")
+	fmt.Fprintf(w, "  replicas that ran the good build: %d of %d\n", good, demoReplicas)
+	fmt.Fprintf(w, "  replicas that ran the bad build: %d, in a batch of at most %d\n", bad, demoBatch)
+	fmt.Fprintf(w, "  invariant violations: %d\n", broken)
 	if good != demoReplicas || bad > demoBatch || broken > 0 {
 		return errDemoFailed
 	}
--- a/cmd/vetchstream/emulate.go
+++ b/cmd/vetchstream/emulate.go
@@ -16,29 +16,29 @@
 	"vetchstream/internal/emulate"
 )
 
-// emulatedNotice is shown wherever a cluster is emulated: nobody should take it for one
-// that stores anything.
-const emulatedNotice = "Machines and state service are emulated: nothing runs for real, and all of it is gone at the end."
+// emulatedNotice is printed by every command that emulates a cluster, so that users do not
+// mistake it for one that keeps their data.
+const emulatedNotice = "Machines and key-value store are emulated: no task really runs, and all data is lost at exit."
 
-// emulationFlags are the flags that emulate and demo share.
+// emulationFlags holds the flags that the emulate and demo commands share.
 type emulationFlags struct {
 	options    emulate.Options
-	duration   time.Duration // 0: until ctrl-C
-	faultsFile string        // file of the troubles; empty: none
+	duration   time.Duration // 0: no limit
+	faultsFile string        // JSON file with the faults to inject; empty: none
 }
 
-// register adds the flags to a command; nodes is the default number of controllers.
+// register adds the flags to a command. The default number of controllers is nodes.
 func (e *emulationFlags) register(cmd *cobra.Command, nodes int) {
 	const defaultMachines = 24
 	flags := cmd.Flags()
 	flags.IntVar(&e.options.Controllers, "nodes", nodes, "number of controllers, 1 to 9")
-	flags.IntVar(&e.options.MaxMachines, "machines", defaultMachines, "machines that the emulated cloud has, 1 to 1000")
+	flags.IntVar(&e.options.MaxMachines, "machines", defaultMachines, "number of machines in the emulated cloud, 1 to 1000")
 	flags.StringVar(&e.options.Listen, "listen", "127.0.0.1:8080", "loopback address of the first controller; the others follow on the next ports")
-	flags.StringVar(&e.faultsFile, "troubles", "", "what goes wrong when (JSON list, see docs/operations.md)")
-	flags.DurationVar(&e.duration, "for", 0, "end after that long; 0: on ctrl-C")
+	flags.StringVar(&e.faultsFile, "troubles", "", "file with the faults to inject and their times (JSON list, see docs/operations.md)")
+	flags.DurationVar(&e.duration, "for", 0, "time after which the command ends; 0: run until interrupted")
 }
 
-// injectFaults starts the troubles of --troubles, which happen until the context ends.
+// injectFaults reads the file of --troubles and injects its faults until the context ends.
 func (e *emulationFlags) injectFaults(ctx context.Context, cluster *emulate.Cluster) error {
 	if e.faultsFile == "" {
 		return nil
@@ -47,15 +47,15 @@
 	if err != nil {
 		return fmt.Errorf("troubles: %w", err)
 	}
-	troubles, err := emulate.ParseFaults(b)
+	faults, err := emulate.ParseFaults(b)
 	if err != nil {
 		return err
 	}
-	cluster.InjectFaults(ctx, troubles)
+	cluster.InjectFaults(ctx, faults)
 	return nil
 }
 
-// runContext returns a context that ends after the duration of --for or on a signal.
+// runContext returns a context that ends after the duration of --for, or on SIGINT or SIGTERM.
 func (e *emulationFlags) runContext(cmd *cobra.Command) (context.Context, context.CancelFunc) {
 	ctx, stop := commandContext(cmd)
 	if e.duration <= 0 {
@@ -68,35 +68,35 @@
 	}
 }
 
-// emulateCommands returns the commands that emulate what surrounds the controllers.
+// emulateCommands returns the commands that run an emulated cluster.
 func emulateCommands(tuning *string) []*cobra.Command {
 	return []*cobra.Command{emulateCommand(), demoCommand(tuning)}
 }
 
-// emulateCommand returns the command that emulates everything but the controllers.
+// emulateCommand returns the command that emulates a cluster without its controllers.
 func emulateCommand() *cobra.Command {
 	var flags emulationFlags
 	var settingsFile string
 	cmd := &cobra.Command{
 		Use:   "emulate --settings OUT.toml",
-		Short: "Emulate state service, cloud and workers on loopback, for controllers started by hand",
+		Short: "Emulate key-value store, cloud and workers on loopback for controllers started separately",
 		Args:  noArgs,
-		Long: "emulate runs a state service, a cloud and its workers on loopback in real time and writes the settings for the\n" +
-			"controllers that are to live on them: OUT.toml, and OUT-2.toml and so on with --nodes.\n\n" + emulatedNotice,
+		Long: "emulate runs a key-value store, a cloud and its workers on loopback in real time. It writes a settings file for\n" +
+			"each controller: OUT.toml for the first, OUT-2.toml and so on for the others (see --nodes).\n\n" + emulatedNotice,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return flags.runEmulation(cmd, settingsFile)
 		},
 	}
 	flags.register(cmd, 1)
-	cmd.Flags().StringVar(&settingsFile, "settings", "", "where to write the settings of the first controller (TOML)")
+	cmd.Flags().StringVar(&settingsFile, "settings", "", "settings file to write for the first controller (TOML)")
 	return cmd
 }
 
-// runEmulation emulates state service, cloud and workers until the duration is over or
-// ctrl-C.
+// runEmulation emulates key-value store, cloud and workers until the duration of --for has passed,
+// or until SIGINT or SIGTERM.
 func (e *emulationFlags) runEmulation(cmd *cobra.Command, settingsFile string) error {
 	if settingsFile == "" {
-		return usageError{errors.New("--settings FILE is needed: that is where the controllers' settings go")}
+		return usageError{errors.New("--settings FILE is needed: emulate writes the controllers' settings to it")}
 	}
 	e.options.Log = newLogger()
 	cluster, err := emulate.Start(e.options)
@@ -122,8 +122,8 @@
 	return nil
 }
 
-// writeSettings writes a settings file for each controller and returns their names:
-// out, and then out with -2, -3 and so on before its extension.
+// writeSettings writes a settings file for each controller and returns the file names. The first
+// is out; the others have -2, -3 and so on before the extension.
 func writeSettings(out string, settings []*config.Settings) (files []string, err error) {
 	ext := filepath.Ext(out)
 	for i, s := range settings {
--- a/cmd/vetchstream/scale.go
+++ b/cmd/vetchstream/scale.go
@@ -11,26 +11,26 @@
 	"vetchstream/internal/scale"
 )
 
-// errInvariantsViolated ends a run in which a rule of the protocol was broken.
-var errInvariantsViolated = errors.New("rules were broken")
+// errInvariantsViolated is returned if a run has violated an invariant of the protocol.
+var errInvariantsViolated = errors.New("invariants were violated")
 
-// scaleFlags are the flags of the scale command.
+// scaleFlags holds the flags of the scale command.
 type scaleFlags struct {
 	options    scale.Options
-	faultsFile string // file of the troubles; empty: none
+	faultsFile string // JSON file with the faults to inject; empty: none
 	output     string // outputTable or outputJSON
 }
 
-// scaleCommand returns the command that measures real controllers beside workers that
-// run no tasks.
+// scaleCommand returns the command that measures real controllers with emulated workers, which run
+// no tasks.
 func scaleCommand() *cobra.Command {
 	var flags scaleFlags
 	cmd := &cobra.Command{
 		Use:   "scale",
-		Short: "Measure real controllers of several regions beside workers that run no tasks",
+		Short: "Measure real controllers of several regions with emulated workers that run no tasks",
 		Args:  noArgs,
-		Long: "scale starts the controllers of several regions as processes of this program, on emulated state services and clouds,\n" +
-			"with thousands of emulated workers and users, and measures what each role takes. See docs/CAPACITY.md.\n\n" + emulatedNotice,
+		Long: "scale starts the controllers of several regions as processes of this program, with emulated key-value stores and clouds,\n" +
+			"and thousands of emulated workers and users. It measures the resources that each role uses. See docs/CAPACITY.md.\n\n" + emulatedNotice,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if err := flags.check(); err != nil {
 				return flagError{err}
@@ -46,18 +46,18 @@
 // register adds the flags to the command.
 func (s *scaleFlags) register(cmd *cobra.Command) {
 	flags := cmd.Flags()
-	flags.Float64Var(&s.options.Factor, "factor", 0.02, "part of the planned size: 1 is 4,600 workers and 3,200 task starts a second")
+	flags.Float64Var(&s.options.Factor, "factor", 0.02, "fraction of the planned size: 1 is 4,600 workers and 3,200 task starts a second")
 	flags.IntVar(&s.options.Regions, "regions", scale.PlannedRegions, "number of regions; the first holds a third of the workers")
 	flags.IntVar(&s.options.Controllers, "controllers", scale.PlannedControllers, "number of controllers in all regions together")
-	flags.Float64Var(&s.options.StartsPerS, "starts", 0, "task starts a second that users ask for; 0: as planned, times the factor")
-	flags.DurationVar(&s.options.Duration, "duration", time.Minute, "how long the load lasts")
-	flags.Float64Var(&s.options.ChangesPerMinute, "changes", 60, "changes of teams' quotas a minute; the plan has 7 as a mean and 500 in a burst")
-	flags.Uint64Var(&s.options.Seed, "seed", 1, "draws the jobs and what troubles hit")
-	flags.StringVar(&s.faultsFile, "troubles", "", "what goes wrong when (JSON list, see docs/CAPACITY.md)")
+	flags.Float64Var(&s.options.StartsPerS, "starts", 0, "task starts a second that users request; 0: the planned rate times the factor")
+	flags.DurationVar(&s.options.Duration, "duration", time.Minute, "duration of the load")
+	flags.Float64Var(&s.options.ChangesPerMinute, "changes", 60, "changes of team quotas a minute; the plan has a mean of 7 and bursts of 500")
+	flags.Uint64Var(&s.options.Seed, "seed", 1, "seed for drawing the jobs and the targets of faults")
+	flags.StringVar(&s.faultsFile, "troubles", "", "file with the faults to inject and their times (JSON list, see docs/CAPACITY.md)")
 	flags.StringVar(&s.output, "output", outputTable, outputUsage)
 }
 
-// check checks the flags and reads the troubles. The error names the flag.
+// check validates the flags and reads the file of faults. Its error names the invalid flag.
 func (s *scaleFlags) check() error {
 	if err := checkOutput(s.output); err != nil {
 		return err
@@ -74,7 +74,8 @@
 	return s.options.Check()
 }
 
-// run measures until the end of the load, ctrl-C or SIGTERM, and prints the report.
+// run measures until the load ends or SIGINT or SIGTERM arrives, and prints the report. It returns
+// an error if an invariant was violated.
 func (s *scaleFlags) run(cmd *cobra.Command) error {
 	ctx, stop := commandContext(cmd)
 	defer stop()
