--- a/cmd/vetchstream/main_test.go
+++ b/cmd/vetchstream/main_test.go
@@ -14,7 +14,8 @@
 	"vetchstream/internal/wire"
 )
 
-// fakeService asks its client to come back after 3 s once, and then answers.
+// fakeService answers the first request with status 503 and Retry-After: 3, and later requests with
+// a job status, or with status 404 for job run-9.
 type fakeService struct {
 	t        *testing.T
 	requests int
@@ -42,7 +43,7 @@
 	_, _ = w.Write(body)
 }
 
-// writeJobFile writes the specification of job run-1 and returns its file's name.
+// writeJobFile writes the specification of job run-1 to a file and returns the file's name.
 func writeJobFile(t *testing.T) string {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "job.json")
@@ -54,8 +55,8 @@
 	return file
 }
 
-// TestCommandExitCodesAndOutput: exit codes and outputs of the commands, and the wait that a client
-// makes when the service asks for it.
+// TestCommandExitCodesAndOutput checks the exit code and output of each command, and that the client
+// waits for the duration of a Retry-After header before it retries.
 func TestCommandExitCodesAndOutput(t *testing.T) {
 	service := &fakeService{t: t}
 	srv := httptest.NewServer(service)
@@ -101,10 +102,10 @@
 		root.SetOut(&out)
 		code := run(root, &out)
 		if code != tt.code || !strings.Contains(out.String(), tt.out) {
-			t.Errorf("%v: code %d, want %d with %q, got %s", tt.args, code, tt.code, tt.out, out.String())
+			t.Errorf("vetchstream %v: exit code %d, want %d with output that contains %q; got output %s", tt.args, code, tt.code, tt.out, out.String())
 		}
 		if service.requests > 0 && !slices.Equal(waits, []time.Duration{3 * time.Second}) {
-			t.Errorf("%v: waited %v, want the 3 s that were asked for", tt.args, waits)
+			t.Errorf("vetchstream %v: waited %v between attempts, want one wait of 3 s as in the Retry-After header", tt.args, waits)
 		}
 	}
 }
--- a/cmd/vetchstream/scale_test.go
+++ b/cmd/vetchstream/scale_test.go
@@ -12,8 +12,8 @@
 	"vetchstream/internal/scale"
 )
 
-// childProcessVariable is an environment variable that makes the test binary run as the command,
-// for the controllers that a scale run starts.
+// childProcessVariable is an environment variable that makes the test binary run as the vetchstream
+// command. A scale run starts its controllers from its own binary, which in a test is this one.
 const childProcessVariable = "VETCHSTREAM_TEST_CHILD"
 
 func TestMain(m *testing.M) {
@@ -23,12 +23,13 @@
 	os.Exit(m.Run())
 }
 
-// scaleFaults cut a region off and kill a controller.
+// scaleFaults disconnects region-1 for 3 s and kills a controller of region-0.
 const scaleFaults = `[{"kind":"regions_cut","at_s":5,"for_s":3,"region":"region-1"},
 	{"kind":"controller_killed","at_s":9,"for_s":2,"region":"region-0"}]`
 
-// TestScaleRunReportsAndCleansUp: a small run of five regions and eleven controllers ends by itself, reports
-// what it has measured, and leaves no files. It takes twenty seconds of real time.
+// TestScaleRunReportsAndCleansUp checks that a small run of five regions and eleven controllers ends
+// without intervention, reports its measurements and deletes its temporary files. It takes 20 s of
+// real time.
 func TestScaleRunReportsAndCleansUp(t *testing.T) {
 	t.Setenv(childProcessVariable, "1")
 	t.Setenv("LOG_LEVEL", "error")
@@ -43,7 +44,7 @@
 	root.SetOut(&out)
 	root.SetArgs([]string{"scale", "--factor", "0.02", "--duration", "20s", "--output", "json", "--troubles", troubles})
 	if code := run(root, &errs); code != exitOK {
-		t.Fatalf("exit %d: %s", code, errs.String())
+		t.Fatalf("exit code %d, want success; output: %s", code, errs.String())
 	}
 	var report scale.Report
 	if err := json.Unmarshal(out.Bytes(), &report); err != nil {
@@ -51,19 +52,19 @@
 	}
 	checkScaleReport(t, &report)
 	if left, _ := filepath.Glob(filepath.Join(dir, "vetchstream-scale-*")); len(left) > 0 {
-		t.Errorf("left behind: %v", left)
+		t.Errorf("temporary files not deleted after the run: %v", left)
 	}
 }
 
-// checkScaleReport checks the size of a run, that it measured something, that no rule was
-// broken, and that no controller has ended by itself.
+// checkScaleReport checks that the run had the expected size, that its measurements are not zero,
+// that it violated no invariant, and that no controller exited unexpectedly.
 func checkScaleReport(t *testing.T, report *scale.Report) {
 	t.Helper()
 	if report.Workers < 88 || report.Workers > 96 || len(report.Regions) != 5 || report.Controllers != 11 {
-		t.Errorf("%d workers, %d regions, %d controllers", report.Workers, len(report.Regions), report.Controllers)
+		t.Errorf("size of the run: %d workers, %d regions, %d controllers; want 88 to 96, 5 and 11", report.Workers, len(report.Regions), report.Controllers)
 	}
 	if report.Starts == 0 || report.Worker.Sent <= 0 || report.Configuration.Changes == 0 {
-		t.Errorf("%d starts, %v bytes a second, %d changes", report.Starts, report.Worker.Sent, report.Configuration.Changes)
+		t.Errorf("%d task starts, %v bytes a second sent by workers, %d configuration changes; want all above 0", report.Starts, report.Worker.Sent, report.Configuration.Changes)
 	}
 	if len(report.Violations) > 0 {
 		t.Error(report.Violations)
@@ -71,13 +72,14 @@
 	for _, region := range report.Regions {
 		for _, controller := range region.Controllers {
 			if controller.UnexpectedExits > 0 {
-				t.Errorf("%s ended by itself", controller.Member)
+				t.Errorf("controller %s exited unexpectedly", controller.Member)
 			}
 		}
 	}
 }
 
-// TestScaleNamesInvalidFlagOnOneLine: a flag that cannot be used is named in one line.
+// TestScaleNamesInvalidFlagOnOneLine checks that the error for an invalid flag is one line that names
+// the flag.
 func TestScaleNamesInvalidFlagOnOneLine(t *testing.T) {
 	tests := []struct {
 		args []string
@@ -100,7 +102,7 @@
 		var errs strings.Builder
 		code := run(root, &errs)
 		if code != exitUsage || strings.Count(errs.String(), "\n") != 1 || !strings.Contains(errs.String(), tt.want) {
-			t.Errorf("%v: exit %d, %q", tt.args, code, errs.String())
+			t.Errorf("scale %v: exit code %d with output %q; want a usage error on one line that names the flag", tt.args, code, errs.String())
 		}
 	}
 }
