--- a/cmd/vetchstream/demo_rollout.go
+++ b/cmd/vetchstream/demo_rollout.go
@@ -16,13 +16,13 @@
 	"vetchstream/internal/wire"
 )
 
-// demoTime bounds the whole demonstration.
-const demoTime = 58 * time.Second
+// demoTimeout limits the duration of the whole demonstration, which is announced as under a minute.
+const demoTimeout = 58 * time.Second
 
-// errDemo is returned for a demonstration that did not go as it should.
-var errDemo = errors.New("the demonstration did not go as it should")
+// errDemoFailed is returned if a roll-out of the demonstration has an unexpected result.
+var errDemoFailed = errors.New("the demonstration had an unexpected result")
 
-// The service of the demonstration and its builds.
+// The service of the demonstration, and the jobs and images of its builds.
 const (
 	demoService  = "captions"
 	demoReplicas = 6
@@ -33,20 +33,21 @@
 	goodImage    = "captions-2"
 	badJob       = "run-502"
 	badImage     = "captions-3"
-	// unhealthyAfter is how long an instance of the bad build runs before it turns unhealthy.
+	// unhealthyAfter is the run time after which a replica of the bad build becomes unhealthy.
 	unhealthyAfter = 2 * time.Second
-	// demoPollInterval is how often the start of the service is polled.
+	// demoPollInterval is the time between two status requests while the service starts.
 	demoPollInterval = 200 * time.Millisecond
 )
 
-// demoRollout is the command that demonstrates a good and a bad roll-out.
-func demoRollout(tuning *string) *cobra.Command {
+// demoRolloutCommand returns the command that demonstrates a roll-out to a good build and one to a
+// bad build.
+func demoRolloutCommand(tuning *string) *cobra.Command {
 	em := emulationFlags{options: emulate.Options{Controllers: 3, MaxMachines: 24}}
 	cmd := &cobra.Command{
 		Use:   "rollout",
-		Short: "Show a good and a bad roll-out on an emulated cluster, in under a minute",
-		Long: "rollout runs a cluster as demo does, rolls a service out to a good build and then to a bad one, which turns unhealthy\n" +
-			"two seconds after it starts, and reports from the emulated machines' own history which build ran where.\n\n" + emulatedNotice,
+		Short: "Demonstrate a good and a bad roll-out on an emulated cluster, in under a minute",
+		Long: "rollout runs a cluster as demo does, rolls a service out to a good build and then to a bad one, which becomes unhealthy\n" +
+			"two seconds after it starts, and reports from the history of the emulated machines how many replicas ran each build.\n\n" + emulatedNotice,
 		Args: noArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			tun, err := config.LoadTuning(*tuning)
@@ -54,16 +55,16 @@
 				return err
 			}
 			tun.Rollouts.Enabled = true
-			em.duration = demoTime
+			em.duration = demoTimeout
 			ctx, stop := em.runContext(cmd)
 			defer stop()
-			c, err := startCluster(ctx, em.options, tun, logger())
+			c, err := startCluster(ctx, em.options, tun, newLogger())
 			if err != nil {
 				return err
 			}
 			c.World.RecordHistory()
 			c.World.SetImageBehavior(badImage, emulate.ImageBehavior{UnhealthyAfter: unhealthyAfter})
-			err = playRollouts(ctx, cmd, c, em.options.Listen)
+			err = runRolloutDemo(ctx, cmd, c, em.options.Listen)
 			return errors.Join(err, c.close())
 		},
 	}
@@ -71,17 +72,18 @@
 	return cmd
 }
 
-// rolloutDemo is a demonstration under way.
+// rolloutDemo is a running demonstration.
 type rolloutDemo struct {
 	*client
 	cmd *cobra.Command
 	out io.Writer
 }
 
-// playRollouts plays the demonstration and reports on it.
-func playRollouts(ctx context.Context, cmd *cobra.Command, c *cluster, server string) error {
+// runRolloutDemo starts the service, rolls it out to the good and to the bad build, and prints the
+// report.
+func runRolloutDemo(ctx context.Context, cmd *cobra.Command, c *cluster, server string) error {
 	d := &rolloutDemo{
-		client: &client{server: server, output: "table", sleep: pauseUntil(ctx)},
+		client: &client{server: server, output: "table", sleep: contextSleep(ctx)},
 		cmd:    cmd,
 		out:    cmd.OutOrStdout(),
 	}
@@ -89,17 +91,17 @@
 	if err := d.startService(ctx); err != nil {
 		return err
 	}
-	if err := d.roll("a good", goodJob, goodImage, rollout.Done); err != nil {
+	if err := d.rollOutTo("a good", goodJob, goodImage, rollout.Done); err != nil {
 		return err
 	}
-	if err := d.roll("a bad", badJob, badImage, rollout.RolledBack); err != nil {
+	if err := d.rollOutTo("a bad", badJob, badImage, rollout.RolledBack); err != nil {
 		return err
 	}
 	return reportRollouts(d.out, c)
 }
 
-// pauseUntil makes a function that pauses for a time, or until a context is done.
-func pauseUntil(ctx context.Context) func(time.Duration) {
+// contextSleep returns a sleep function that returns early when the context ends.
+func contextSleep(ctx context.Context) func(time.Duration) {
 	return func(d time.Duration) {
 		t := time.NewTimer(d)
 		defer t.Stop()
@@ -110,7 +112,7 @@
 	}
 }
 
-// post posts a document and decodes the reply.
+// post sends a document in a POST request and decodes the response into reply.
 func (d *rolloutDemo) post(path string, doc map[string]any, reply any) error {
 	body, err := wire.Marshal(doc)
 	if err != nil {
@@ -119,9 +121,9 @@
 	return d.call(d.cmd, http.MethodPost, path, body, reply)
 }
 
-// startService submits the service and waits until all replicas run.
+// startService submits the service and waits until all its replicas run.
 func (d *rolloutDemo) startService(ctx context.Context) error {
-	fmt.Fprintf(d.out, "A service of %d replicas starts.\n", demoReplicas)
+	fmt.Fprintf(d.out, "Starting a service of %d replicas.\n", demoReplicas)
 	spec := map[string]any{
 		"uid":          demoJob,
 		"breed":        demoService,
@@ -154,9 +156,9 @@
 	return nil
 }
 
-// roll rolls the service out to a build, and checks the state in which that ends.
-func (d *rolloutDemo) roll(what, id, image string, want rollout.State) error {
-	fmt.Fprintf(d.out, "\nIt is rolled out to %s build %s.\n", what, image)
+// rollOutTo rolls the service out to a build and checks that the roll-out ends in state want.
+func (d *rolloutDemo) rollOutTo(what, id, image string, want rollout.State) error {
+	fmt.Fprintf(d.out, "\nRolling the service out to %s build, %s.\n", what, image)
 	spec := map[string]any{
 		"service":    demoService,
 		"from":       demoJob,
@@ -171,21 +173,22 @@
 	if err := d.post(rolloutPath, spec, &s); err != nil {
 		return err
 	}
-	if err := d.watchRollout(d.cmd, demoService); err != nil && !errors.Is(err, errNotDone) {
+	if err := d.watchRollout(d.cmd, demoService); err != nil && !errors.Is(err, errRolloutNotDone) {
 		return err
 	}
 	if err := d.call(d.cmd, http.MethodGet, rolloutPath+"/"+demoService, nil, &s); err != nil {
 		return err
 	}
 	if rollout.State(s.State) != want {
-		return fmt.Errorf("%w: %s is %s", errDemo, image, s.State)
+		return fmt.Errorf("%w: the roll-out of %s ended as %s", errDemoFailed, image, s.State)
 	}
 	return nil
 }
 
-// reportRollouts reports from the machines' history which build ran where.
+// reportRollouts prints from the history of the machines how many replicas ran each build, and
+// returns an error if a number is not as expected.
 func reportRollouts(w io.Writer, c *cluster) error {
-	tasks := map[string]map[string]bool{} // that ran an image
+	tasks := map[string]map[string]bool{} // by image, the tasks that started with it
 	for _, e := range c.World.History() {
 		if !e.Start {
 			continue
@@ -196,12 +199,12 @@
 		tasks[e.Image][e.Task] = true
 	}
 	good, bad, broken := len(tasks[goodImage]), len(tasks[badImage]), len(c.World.Violations())
-	fmt.Fprintf(w, "\nReport, from the emulated machines' history:\n")
-	fmt.Fprintf(w, "  the good build ran as %d of %d replicas\n", good, demoReplicas)
-	fmt.Fprintf(w, "  the bad build ran as %d, in a batch of at most %d\n", bad, demoBatch)
-	fmt.Fprintf(w, "  broken rules: %d\n", broken)
+	fmt.Fprintf(w, "\nReport from the history of the emulated machines:\n")
+	fmt.Fprintf(w, "  replicas that ran the good build: %d of %d\n", good, demoReplicas)
+	fmt.Fprintf(w, "  replicas that ran the bad build: %d, in a batch of at most %d\n", bad, demoBatch)
+	fmt.Fprintf(w, "  invariant violations: %d\n", broken)
 	if good != demoReplicas || bad > demoBatch || broken > 0 {
-		return errDemo
+		return errDemoFailed
 	}
 	return nil
 }
