--- a/internal/emulate/user_checks_test.go
+++ b/internal/emulate/user_checks_test.go
@@ -49,9 +49,9 @@
 
 // checkerCase is what happens in a world, and the violation that the checker has to find.
 type checkerCase struct {
-	name   string
-	happen func(w *World)
-	want   string // empty: none
+	name string
+	act  func(w *World)
+	want string // empty: none
 }
 
 // answerCases are answers that users get, or miss.
@@ -198,7 +198,7 @@
 func TestInvariantViolationsAreDetected(t *testing.T) {
 	for _, tt := range slices.Concat(answerCases, startCases, starvationCases, serviceLevelCases) {
 		w := New(Config{CancelTimeout: time.Minute, LeaseDuration: time.Hour})
-		tt.happen(w)
+		tt.act(w)
 		if got := strings.Join(w.Violations(), "; "); (tt.want == "") != (got == "") || !strings.Contains(got, tt.want) {
 			t.Errorf("%s: %q, want %q", tt.name, got, tt.want)
 		}
