--- a/internal/emulate/invariants.go
+++ b/internal/emulate/invariants.go
@@ -12,33 +12,33 @@
 	"vetchstream/internal/wire"
 )
 
-// invariantChecker records what users were told and what has run, and the violated invariants
-// of the protocol. The world's lock guards it.
+// invariantChecker records the phases that were reported to users, the tasks that have run and the
+// violations of the protocol's invariants. The world's lock guards it.
 type invariantChecker struct {
 	users      userObservations
 	violations []string
 
-	reportedPhase  map[string]wire.JobPhase  // job -> the last final phase that a user was told, or phaseAccepted
-	cancelledAt    map[string]time.Time      // job -> the first answer that confirmed its cancellation
-	completedTasks map[string]map[int32]bool // job -> its tasks that are done
+	reportedPhase  map[string]wire.JobPhase  // by job: the final phase last reported to a user, or phaseAccepted
+	cancelledAt    map[string]time.Time      // by job: time of the first response that confirmed its cancellation
+	completedTasks map[string]map[int32]bool // by job: indexes of its tasks that are done
 
 	starts                  int
-	startsAfterCancellation int            // of tasks whose cancellation was confirmed
-	tasksLost               int            // tasks that ran when their machine was lost or its lease expired
+	startsAfterCancellation int            // starts of tasks after the cancellation of their job was confirmed
+	tasksLost               int            // tasks that were running when their machine was lost or its lease expired
 	heartbeatsAnswered      map[string]int // by controller
 	directCommands          int
-	// overdueLaunches counts the launches by direct command that reached a worker when their
-	// job's tasks had to be gone already, overdueExecuted those of them that it carried out.
+	// overdueLaunches counts the launch commands sent directly that reached a worker after the
+	// cancel timeout of their job, overdueExecuted those of them that the worker executed.
 	overdueLaunches, overdueExecuted int
-	// blockedCommands counts the direct commands that wait at machines that hang,
-	// maxBlockedCommands how many did at a time.
+	// blockedCommands counts the direct requests that currently wait at hanging machines,
+	// maxBlockedCommands is the highest count so far.
 	blockedCommands, maxBlockedCommands int
-	// unansweredTime is how long workers went without an answer, from the first heartbeat that
-	// had none, in milliseconds.
+	// unansweredTime has the times in milliseconds from a worker's first unanswered heartbeat to its
+	// next answered one.
 	unansweredTime *hdrhistogram.Histogram
 }
 
-// phaseAccepted is the reported phase of a job that is accepted and not over.
+// phaseAccepted is the reported phase of an accepted job without a reported final phase.
 const phaseAccepted = "accepted"
 
 func newInvariantChecker() invariantChecker {
@@ -52,7 +52,7 @@
 	}
 }
 
-// maxViolations bounds the list of violations: one fault can cause thousands.
+// maxViolations bounds the list of violations because a single fault can cause thousands.
 const maxViolations = 20
 
 // addViolation records a violated invariant; the caller holds the lock.
@@ -62,26 +62,26 @@
 	}
 }
 
-// ReportViolation records a violated invariant that a user has seen.
+// ReportViolation records a violated invariant that a user has observed.
 func (w *World) ReportViolation(format string, a ...any) {
 	w.mu.Lock()
 	w.addViolation(format, a...)
 	w.mu.Unlock()
 }
 
-// Violations are the invariants that were violated, the first ones of many.
+// Violations returns the violations recorded so far, at most maxViolations.
 func (w *World) Violations() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return slices.Clone(w.checker.violations)
 }
 
-// recordDirectCommands counts the overdue launches among direct commands that reach a worker; the
-// caller holds the lock.
-func (w *World) recordDirectCommands(orders []wire.Command, carriedOut bool) {
-	for _, o := range orders {
-		id, _, ok := job.SplitTaskName(o.Task)
-		if !ok || o.Verb != wire.CommandLaunch {
+// recordDirectCommands counts the launch commands that reach a worker directly after the cancel
+// timeout of their job; the caller holds the lock.
+func (w *World) recordDirectCommands(commands []wire.Command, carriedOut bool) {
+	for _, command := range commands {
+		id, _, ok := job.SplitTaskName(command.Task)
+		if !ok || command.Verb != wire.CommandLaunch {
 			continue
 		}
 		if at, cancelled := w.checker.cancelledAt[id]; cancelled && time.Since(at) > w.cfg.CancelTimeout {
@@ -93,8 +93,8 @@
 	}
 }
 
-// UnfinishedJobs lists the jobs whose users have not been told that they are over, with
-// what they were told.
+// UnfinishedJobs returns the jobs without a reported final phase, with the phase that was last
+// reported.
 func (w *World) UnfinishedJobs() map[string]wire.JobPhase {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -107,7 +107,7 @@
 	return unfinished
 }
 
-// JobAccepted records that a user was told that a job is accepted.
+// JobAccepted records that a controller has accepted a user's job.
 func (w *World) JobAccepted(id string) {
 	w.mu.Lock()
 	w.checker.reportedPhase[id] = phaseAccepted
@@ -115,7 +115,7 @@
 	w.mu.Unlock()
 }
 
-// CancellationAnswered records the answer to a cancellation.
+// CancellationAnswered records the phase in the response to a cancellation.
 func (w *World) CancellationAnswered(id string, phase wire.JobPhase) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -123,35 +123,35 @@
 	w.recordCancelled(id, phase)
 }
 
-// recordCancelled records when a cancellation was first confirmed, by any controller and in
-// answer to any request; the caller holds the lock.
+// recordCancelled records when a cancellation was first confirmed, by any controller and in the
+// response to any request; the caller holds the lock.
 func (w *World) recordCancelled(id string, phase wire.JobPhase) {
 	if _, known := w.checker.cancelledAt[id]; phase == wire.JobCancelled && !known {
 		w.checker.cancelledAt[id] = time.Now()
 	}
 }
 
-// CheckPoll checks the answer to a poll against the final phase that was told before (empty:
-// none), and against whether the job's user has cancelled it. It returns the final phase to
-// check the next answer against.
+// CheckPoll checks the response to a poll of a job. before is the final phase that was reported
+// earlier, or empty; cancelled says whether the job's user has cancelled it. CheckPoll returns the
+// value of before for the next poll.
 func (w *World) CheckPoll(spec *job.Spec, status int, phase, before wire.JobPhase, cancelled bool) wire.JobPhase {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if status == http.StatusNotFound {
-		w.addViolation("forgotten: %s got 404", spec.ID)
+		w.addViolation("forgotten: a poll of job %s got 404", spec.ID)
 	}
 	w.recordPoll(spec.ID, status == http.StatusOK)
 	if status != http.StatusOK {
 		return before
 	}
 	if before != "" && phase != before {
-		w.addViolation("went_back: %s was %s, is %s", spec.ID, before, phase)
+		w.addViolation("went_back: job %s was reported as %s, then as %s", spec.ID, before, phase)
 	}
 	if n := len(w.checker.completedTasks[spec.ID]); phase == wire.JobDone && n != spec.Tasks {
-		w.addViolation("not_done: %s has %d of %d tasks", spec.ID, n, spec.Tasks)
+		w.addViolation("not_done: job %s was reported as done with %d of %d tasks completed", spec.ID, n, spec.Tasks)
 	}
 	if phase == wire.JobCancelled && !cancelled && !w.checker.users.cancelledByScenario[spec.ID] {
-		w.addViolation("went_back: %s was not cancelled by its user", spec.ID)
+		w.addViolation("went_back: job %s was reported as cancelled, but nobody has cancelled it", spec.ID)
 	}
 	if phase.Final() {
 		w.checker.reportedPhase[spec.ID] = phase
@@ -161,48 +161,49 @@
 	return before
 }
 
-// checkStart checks a task that gets its image; the caller holds the lock.
+// checkStart checks the invariants that concern a task when it starts, once its image is pulled;
+// the caller holds the lock.
 func (w *World) checkStart(worker *Worker, t *task) {
 	w.recordStart(t)
 	w.checkSingleCopy(worker, t)
 	w.checkLimit(t)
 	w.checkZones(worker, t)
 	if worker.spot && !t.spec.Spot {
-		w.addViolation("wrong_place: %s on a spot machine", t.name)
+		w.addViolation("wrong_place: task %s starts on a spot machine, which its job does not allow", t.name)
 	}
 	if t.spec.Types != nil && !slices.Contains(t.spec.Types, worker.typeName) {
-		w.addViolation("wrong_place: %s on a %s", t.name, worker.typeName)
+		w.addViolation("wrong_place: task %s starts on machine type %s, which its job does not allow", t.name, worker.typeName)
 	}
 	if t.spec.Zone != "" && t.spec.Zone != worker.zone {
-		w.addViolation("wrong_place: %s in %s", t.name, worker.zone)
+		w.addViolation("wrong_place: task %s starts in zone %s, which its job does not allow", t.name, worker.zone)
 	}
 	if at, ok := w.checker.cancelledAt[t.spec.ID]; ok {
 		w.checker.startsAfterCancellation++
 		if time.Since(at) > w.cfg.CancelTimeout {
-			w.addViolation("ran_cancelled: %s starts %v after the answer", t.name, time.Since(at))
+			w.addViolation("ran_cancelled: task %s starts %v after the cancellation was confirmed", t.name, time.Since(at))
 		}
 	}
 }
 
-// recordStart records the start of a task, which may be the first of its job; the caller holds
-// the lock.
+// recordStart records the start of a task and, for the first one of a job, that of the job; the
+// caller holds the lock.
 func (w *World) recordStart(t *task) {
 	w.checker.starts++
-	u := &w.checker.users
-	if _, ok := u.startedAt[t.spec.ID]; !ok {
-		u.startedAt[t.spec.ID] = time.Now()
+	users := &w.checker.users
+	if _, ok := users.startedAt[t.spec.ID]; !ok {
+		users.startedAt[t.spec.ID] = time.Now()
 	}
-	if !u.startedTasks[t.name] && w.cfg.OnStarted != nil {
-		w.cfg.OnStarted(t.spec, time.Since(u.submittedAt[t.spec.ID]))
+	if !users.startedTasks[t.name] && w.cfg.OnStarted != nil {
+		w.cfg.OnStarted(t.spec, time.Since(users.submittedAt[t.spec.ID]))
 	}
-	u.startedTasks[t.name] = true
+	users.startedTasks[t.name] = true
 }
 
-// checkSingleCopy checks that the task is on no other machine; the caller holds the lock.
+// checkSingleCopy checks that the task runs on no other machine; the caller holds the lock.
 func (w *World) checkSingleCopy(worker *Worker, t *task) {
 	for x, other := range w.tasks.byName[t.name] {
 		if x != t && other.occupies(x) {
-			w.addViolation("ran_twice: %s starts on %s while it is on %s", t.name, worker.name, other.name)
+			w.addViolation("ran_twice: task %s starts on %s while it runs on %s", t.name, worker.name, other.name)
 		}
 	}
 }
@@ -221,18 +222,18 @@
 		}
 	}
 	if limit.exceededBy(used) {
-		w.addViolation("quota: %s uses %v of %v", t.spec.Team, used, limit)
+		w.addViolation("quota: team %s uses %v, its limit is %v", t.spec.Team, used, limit)
 	}
 }
 
-// exceededBy reports whether a team that uses that much is above its limit, but for rounding.
+// exceededBy reports whether the used resources exceed the limit, apart from rounding errors.
 func (l Resources) exceededBy(used Resources) bool {
 	const rounding = 1e-6
 	return (l.CPUs > 0 && used.CPUs > l.CPUs+rounding) || (l.GPUs > 0 && used.GPUs > l.GPUs+rounding)
 }
 
-// checkZones checks the zones of a job that stays in one or is spread over several; the caller
-// holds the lock.
+// checkZones checks the zones of a job that has to run in one zone or to be spread over several;
+// the caller holds the lock.
 func (w *World) checkZones(worker *Worker, t *task) {
 	if !t.spec.OneZone && !t.spec.Spread {
 		return
@@ -245,24 +246,24 @@
 		if other.zone == worker.zone {
 			inZone++
 		} else if t.spec.OneZone {
-			w.addViolation("wrong_place: %s in %s and %s", t.spec.ID, other.zone, worker.zone)
+			w.addViolation("wrong_place: one-zone job %s runs in zones %s and %s", t.spec.ID, other.zone, worker.zone)
 		}
 	}
 	if t.spec.Spread && inZone > (t.spec.Tasks+1)/2 {
-		w.addViolation("wrong_place: %d of %d tasks of %s in %s", inZone, t.spec.Tasks, t.spec.ID, worker.zone)
+		w.addViolation("wrong_place: %d of %d tasks of spread job %s run in zone %s", inZone, t.spec.Tasks, t.spec.ID, worker.zone)
 	}
 }
 
-// checkRunning checks that a task on its machine is not one that had to be gone; the caller holds
+// checkRunning checks that a task does not run after the cancel timeout of its job; the caller holds
 // the lock.
 func (w *World) checkRunning(worker *Worker, t *task) {
 	if at, ok := w.checker.cancelledAt[t.jobID()]; ok && worker.occupies(t) && time.Since(at) > w.cfg.CancelTimeout {
-		w.addViolation("ran_cancelled: %s is on %s %v after the answer", t.name, worker.name, time.Since(at))
+		w.addViolation("ran_cancelled: task %s runs on %s %v after the cancellation was confirmed", t.name, worker.name, time.Since(at))
 	}
 }
 
-// recordCompleted records a task that is done; the members of a gang complete together. The
-// caller holds the lock.
+// recordCompleted records a task as done. The members of a gang complete together. The caller holds
+// the lock.
 func (w *World) recordCompleted(t *task) {
 	tasks := w.checker.completedTasks[t.spec.ID]
 	if tasks == nil {
--- a/internal/emulate/user_checks.go
+++ b/internal/emulate/user_checks.go
@@ -12,17 +12,17 @@
 	"vetchstream/internal/wire"
 )
 
-// userObservations are what users check beside the invariants of the protocol.
+// userObservations records what users observe; the checks of user-visible guarantees use it.
 type userObservations struct {
-	submittedAt         map[string]time.Time // job -> its first submission
+	submittedAt         map[string]time.Time // by job: time of its first submission
 	acceptedAt          map[string]time.Time
-	answeredAt          map[string]time.Time // job -> the last poll that was answered
-	startedAt           map[string]time.Time // job -> its first task that got its image
-	startedTasks        map[string]bool      // tasks that did
-	faultsEndedAt       time.Time            // when the last fault was over; zero: it is not
-	reportedForgotten   map[string]bool      // jobs that are reported as forgotten
-	cancelledByScenario map[string]bool      // jobs that were cancelled beside what their own users do
-	starvingSince       map[string]time.Time // job -> since when it waits beside free resources
+	answeredAt          map[string]time.Time // by job: time of the last answered poll
+	startedAt           map[string]time.Time // by job: time when the first of its tasks started
+	startedTasks        map[string]bool      // names of the tasks that have started
+	faultsEndedAt       time.Time            // zero while faults are still injected
+	reportedForgotten   map[string]bool      // jobs whose violation "forgotten" is recorded already
+	cancelledByScenario map[string]bool      // jobs that the scenario cancels, in addition to cancellations by their own users
+	starvingSince       map[string]time.Time // by job: since when it has waited although resources are free
 }
 
 func newUserObservations() userObservations {
@@ -39,34 +39,36 @@
 }
 
 const (
-	// unansweredLimit is how long no poll of an accepted job may be answered once all faults
-	// are over.
+	// unansweredLimit bounds the time without an answered poll of an accepted job, counted after
+	// the last fault has ended.
 	unansweredLimit = 75 * time.Second
-	// largestStartLimit is how soon the largest jobs of a class have to begin.
+	// largestStartLimit bounds the time from submission to start of the largest jobs of a class.
 	largestStartLimit = 4 * time.Minute
-	// starvationLimit is how long a job may wait beside a machine that fits it and has the
-	// resources once all faults are over.
+	// starvationLimit bounds the time that a job may wait while suitable machines have free
+	// resources, counted after the last fault has ended.
 	starvationLimit = 90 * time.Second
-	// largestFraction: the largest jobs of a class are one in that many, at least one.
+	// largestFraction is the divisor that gives the number of largest jobs of a class: a tenth of
+	// its jobs, at least one.
 	largestFraction = 10
 )
 
-// FaultsEnded records that all faults are over.
+// FaultsEnded records that the last fault has ended.
 func (w *World) FaultsEnded() {
 	w.mu.Lock()
 	w.checker.users.faultsEndedAt = time.Now()
 	w.mu.Unlock()
 }
 
-// PollUnanswered checks a poll of a job that had no answer, or none from which anything
-// follows.
+// PollUnanswered records a poll of a job that got no response, or one that does not give the job's
+// phase.
 func (w *World) PollUnanswered(id string) {
 	w.mu.Lock()
 	w.recordPoll(id, false)
 	w.mu.Unlock()
 }
 
-// recordPoll records a poll of a job; the caller holds the lock.
+// recordPoll records a poll of a job and adds a violation if polls have gone unanswered for more
+// than unansweredLimit; the caller holds the lock.
 func (w *World) recordPoll(id string, answered bool) {
 	u := &w.checker.users
 	now := time.Now()
@@ -85,12 +87,12 @@
 	}
 	if now.Sub(since) > unansweredLimit {
 		u.reportedForgotten[id] = true
-		w.addViolation("forgotten: no question about %s was answered for %v", id, now.Sub(since).Round(time.Second))
+		w.addViolation("forgotten: no poll of job %s was answered for %v", id, now.Sub(since).Round(time.Second))
 	}
 }
 
-// FinalPhase is the final phase of a job that a user was told by any controller, or empty. A
-// poll that begins now must not get an older answer.
+// FinalPhase returns the final phase of a job that any controller has reported to a user, or an
+// empty phase. A poll that is sent from now on must not report an earlier phase.
 func (w *World) FinalPhase(id string) wire.JobPhase {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -100,16 +102,16 @@
 	return ""
 }
 
-// ReportedPhases are what users were told last of each accepted job: accepted, or its final
-// phase.
+// ReportedPhases returns, for each accepted job, the phase that was last reported to a user:
+// accepted or a final phase.
 func (w *World) ReportedPhases() map[string]wire.JobPhase {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return maps.Clone(w.checker.reportedPhase)
 }
 
-// SelectForCancellation draws up to n accepted jobs that run and that nobody has cancelled, for
-// users who do so now.
+// SelectForCancellation selects up to n random accepted jobs that are running and not cancelled by
+// the scenario. It records them as cancelled; the caller has to cancel them.
 func (w *World) SelectForCancellation(r *rand.Rand, n int) (out []*job.Spec) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -132,16 +134,17 @@
 	return out
 }
 
-// OnLastTaskDone lets f be called with each accepted job that nobody has cancelled, the moment
-// its last task has completed, and records that f may cancel it; nil: no longer.
+// OnLastTaskDone makes the world call f for each accepted job, unless the scenario has cancelled
+// it, as soon as the last of its tasks has completed. The job is recorded as cancelled because f
+// may cancel it. A nil f disables the calls.
 func (w *World) OnLastTaskDone(f func(*job.Spec)) {
 	w.mu.Lock()
 	w.onLastTaskDone = f
 	w.mu.Unlock()
 }
 
-// notifyLastTaskDone calls the function of OnLastTaskDone if all tasks of a job are done; the
-// caller holds the lock.
+// notifyLastTaskDone calls the function set by OnLastTaskDone if all tasks of the job are done;
+// the caller holds the lock.
 func (w *World) notifyLastTaskDone(s *job.Spec) {
 	u := &w.checker.users
 	if w.onLastTaskDone == nil || w.checker.reportedPhase[s.ID] != phaseAccepted || u.cancelledByScenario[s.ID] || len(w.checker.completedTasks[s.ID]) < s.Tasks {
@@ -152,7 +155,7 @@
 	w.wg.Go(func() { f(s) })
 }
 
-// WorkersWithJobs are up to n workers that have a task of one of the jobs.
+// WorkersWithJobs returns up to n workers that run a task of one of the jobs.
 func (w *World) WorkersWithJobs(jobs []*job.Spec, n int) (out []*Worker) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -166,9 +169,9 @@
 	return out
 }
 
-// CheckStarvation checks the jobs that wait now: none does for long while machines that fit it
-// have the resources for one of its tasks, of a gang for all of them, and its team is under its
-// limit. It is called again and again once all faults are over.
+// CheckStarvation adds a violation for each job that has waited for more than starvationLimit
+// although its team is below its limit and suitable machines have free resources for one of its
+// tasks (for all tasks of a gang). Callers call it periodically after the last fault has ended.
 func (w *World) CheckStarvation() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -184,14 +187,14 @@
 			starvingSince[id] = now
 		}
 		if d := now.Sub(starvingSince[id]); d > starvationLimit {
-			w.addViolation("idle: %s has waited for %v beside room that fits", id, d.Round(time.Second))
+			w.addViolation("idle: job %s has waited for %v although suitable machines have free resources", id, d.Round(time.Second))
 			delete(starvingSince, id)
 		}
 	}
 }
 
-// placedTasks counts the tasks on machines by job, and adds up their resources by team; the
-// caller holds the lock.
+// placedTasks returns the number of tasks on machines for each job and the resources that they
+// take for each team; the caller holds the lock.
 func (w *World) placedTasks() (placed map[string]int, used map[string]Resources) {
 	placed = map[string]int{}
 	used = map[string]Resources{}
@@ -208,8 +211,8 @@
 	return placed, used
 }
 
-// starves reports whether an accepted job without a task on a machine waits beside free
-// resources; the caller holds the lock.
+// starves reports whether an accepted job has no task on a machine although free resources would
+// allow it to start; the caller holds the lock.
 func (w *World) starves(s *job.Spec, placed int, usedByTeam Resources) bool {
 	if w.checker.reportedPhase[s.ID] != phaseAccepted || w.checker.users.cancelledByScenario[s.ID] || placed > 0 {
 		return false
@@ -218,7 +221,7 @@
 	if waiting < 1 {
 		return false
 	}
-	least := 1 // tasks that have to be placed at a time
+	least := 1 // tasks that have to be placed together
 	if s.ShapeName == gang {
 		least = waiting
 	}
@@ -226,8 +229,9 @@
 	return !w.cfg.Limits[s.Team].exceededBy(withJob) && w.spareCapacity(s) >= least
 }
 
-// spareCapacity is how many more tasks of a job the machines that are up have the resources for,
-// of a job that stays in a zone in the best of them; the caller holds the lock.
+// spareCapacity returns the number of tasks of a job for which suitable machines have free
+// resources. If the job has to run in one zone, only the zone with the most free resources counts.
+// The caller holds the lock.
 func (w *World) spareCapacity(s *job.Spec) (most int) {
 	byZone := map[string]int{}
 	for _, worker := range w.workers {
@@ -248,7 +252,7 @@
 	return most
 }
 
-// fits reports whether the worker is up and one on which tasks of the job may run.
+// fits reports whether the worker is running and tasks of the job may run on it.
 func (worker *Worker) fits(s *job.Spec) bool {
 	up := !time.Now().Before(worker.bootedAt) && !worker.hanging && !worker.faulty
 	zone := s.Zone == "" || s.Zone == worker.zone
@@ -256,21 +260,21 @@
 	return up && zone && typ && (s.Spot || !worker.spot)
 }
 
-// CheckResubmission checks the answer to a submission that is repeated; final is the job's final
-// phase that users had been told when they asked, or empty.
+// CheckResubmission checks the response to a repeated submission. final is the final phase that had
+// been reported for the job when the submission was sent, or empty.
 func (w *World) CheckResubmission(spec *job.Spec, status int, phase, final wire.JobPhase) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	switch {
 	case status == http.StatusBadRequest || status == http.StatusNotFound || status == http.StatusUnprocessableEntity:
-		w.addViolation("forgotten: a repeated submission of %s got %d", spec.ID, status)
+		w.addViolation("forgotten: a repeated submission of job %s got status %d", spec.ID, status)
 	case final != "" && (status == http.StatusCreated || (status == http.StatusOK && phase != final)):
-		w.addViolation("went_back: %s was %s, a repeated submission got %d %s", spec.ID, final, status, phase)
+		w.addViolation("went_back: job %s was reported as %s, but a repeated submission got status %d with phase %q", spec.ID, final, status, phase)
 	}
 }
 
-// servedFraction is the part of a job that was served: of a service the tasks that have started,
-// of the others those that are done.
+// servedFraction returns the fraction of a job's tasks that were served: tasks of a service are
+// served once they have started, tasks of other jobs once they are done.
 func (w *World) servedFraction(s *job.Spec) float64 {
 	if s.ShapeName != service {
 		return float64(len(w.checker.completedTasks[s.ID])) / float64(s.Tasks)
@@ -284,10 +288,10 @@
 	return float64(n) / float64(s.Tasks)
 }
 
-// CheckServiceLevels checks all jobs as a whole: of each class, of each team and of the largest
-// jobs of each class at least half is served, and the largest have started in time. Jobs that
-// their users have cancelled do not count. Those for which possible is false could not run on
-// the machines that there were; nil: all could.
+// CheckServiceLevels checks that at least half of the jobs of each class, of each team and of the
+// largest jobs of each class are served, and that the largest jobs have started in time. It ignores
+// cancelled jobs and those for which possible returns false because the machines of the scenario
+// could not run them. A nil possible means that all jobs could run.
 func (w *World) CheckServiceLevels(possible func(*job.Spec) bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -309,19 +313,19 @@
 	}
 }
 
-// checkHalfServed checks that at least half of some jobs is served; the caller holds the lock.
+// checkHalfServed checks that at least half of the jobs are served; the caller holds the lock.
 func (w *World) checkHalfServed(what string, jobs []*job.Spec) {
 	sum := 0.0
 	for _, s := range jobs {
 		sum += w.servedFraction(s)
 	}
 	if 2*sum < float64(len(jobs)) {
-		w.addViolation("served: %.1f of %d jobs of %s", sum, len(jobs), what)
+		w.addViolation("served: only %.1f of %d jobs of %s were served", sum, len(jobs), what)
 	}
 }
 
-// checkLargestJobs checks that the largest jobs of a class are served and have started in time; the
-// caller holds the lock.
+// checkLargestJobs checks that the largest jobs of a class are served and have started in time;
+// the caller holds the lock.
 func (w *World) checkLargestJobs(class string, jobs []*job.Spec) {
 	slices.SortFunc(jobs, func(a, b *job.Spec) int {
 		return cmp.Or(-cmp.Compare(totalResources(a), totalResources(b)), cmp.Compare(a.ID, b.ID))
@@ -334,10 +338,10 @@
 			at = time.Now()
 		}
 		if took := at.Sub(w.checker.users.submittedAt[s.ID]); took > largestStartLimit {
-			w.addViolation("largest: %s of %s began after %v", s.ID, class, took.Round(time.Second))
+			w.addViolation("largest: job %s of %s started %v after its submission", s.ID, class, took.Round(time.Second))
 		}
 	}
 }
 
-// totalResources is what all tasks of a job take, in the resource of which they take more.
+// totalResources returns the CPUs or the accelerators of all tasks of a job, whichever is more.
 func totalResources(s *job.Spec) float64 { return float64(s.Tasks) * max(s.CPUs, s.GPUs) }
--- a/internal/emulate/user_checks_test.go
+++ b/internal/emulate/user_checks_test.go
@@ -10,15 +10,15 @@
 	"vetchstream/internal/wire"
 )
 
-// ago is a time before now.
+// ago returns the time that was the given duration before now.
 func ago(d time.Duration) time.Time { return time.Now().Add(-d) }
 
-// newTestWorker makes a worker whose lease has just begun.
+// newTestWorker returns a worker whose lease has just started.
 func newTestWorker(w *World, name, zone string) *Worker {
 	return &Worker{world: w, name: name, zone: zone, typeName: "x", leaseStart: time.Now(), tasks: map[string]*task{}}
 }
 
-// startTask starts a task of a job on a new worker.
+// startTask starts a task of the job on a new worker.
 func startTask(w *World, name, zone string, spec *job.Spec) {
 	worker := newTestWorker(w, name, zone)
 	w.workers[name] = worker
@@ -27,14 +27,15 @@
 	w.checkStart(worker, t)
 }
 
-// acceptJob records a job that was submitted and accepted some time ago.
+// acceptJob records a job as submitted and accepted the given duration ago.
 func acceptJob(w *World, spec *job.Spec, since time.Duration) {
 	w.specs[spec.ID] = spec
 	w.checker.users.submittedAt[spec.ID] = ago(since)
 	w.checker.users.acceptedAt[spec.ID] = ago(since)
 }
 
-// checkWaitingJob checks an accepted job beside a free worker, and once more 100 seconds later.
+// checkWaitingJob runs the starvation check on an accepted job and one free worker, then once more as
+// if 100 seconds had passed.
 func checkWaitingJob(w *World, spec *job.Spec) {
 	w.cfg.Types = []wire.MachineType{{Name: "x", CPUs: 5}}
 	w.workers["a"] = newTestWorker(w, "a", "x")
@@ -47,81 +48,81 @@
 	w.CheckStarvation()
 }
 
-// checkerCase is what happens in a world, and the violation that the checker has to find.
+// checkerCase is an action on a world and the violation that the checker has to record.
 type checkerCase struct {
 	name string
 	act  func(w *World)
-	want string // empty: none
+	want string // contained in the violations; empty if there must be none
 }
 
-// answerCases are answers that users get, or miss.
+// answerCases are responses that users get, or do not get.
 var answerCases = []checkerCase{
-	{"forgotten: no answer for 80 s since the last trouble", func(w *World) {
+	{"polls unanswered for 80 s after the last fault are a violation", func(w *World) {
 		acceptJob(w, &job.Spec{ID: "run-1", Tasks: 1}, 200*time.Second)
 		w.checker.users.faultsEndedAt = ago(80 * time.Second)
 		w.PollUnanswered("run-1")
 	}, "forgotten"},
-	{"answered a minute ago", func(w *World) {
+	{"an unanswered poll a minute after an answered one is allowed", func(w *World) {
 		acceptJob(w, &job.Spec{ID: "run-1", Tasks: 1}, 200*time.Second)
 		w.checker.users.faultsEndedAt = ago(80 * time.Second)
 		w.checker.users.answeredAt["run-1"] = ago(time.Minute)
 		w.PollUnanswered("run-1")
 	}, ""},
-	{"the troubles are not over", func(w *World) {
+	{"unanswered polls are allowed while faults last", func(w *World) {
 		acceptJob(w, &job.Spec{ID: "run-1", Tasks: 1}, 200*time.Second)
 		w.PollUnanswered("run-1")
 	}, ""},
-	{"a repeated submission is refused", func(w *World) {
+	{"refusing the repeated submission of a done job is a violation", func(w *World) {
 		w.CheckResubmission(&job.Spec{ID: "run-1"}, 422, "", wire.JobDone)
 	}, "forgotten"},
-	{"a repeated submission begins anew", func(w *World) {
+	{"accepting a done job again on a repeated submission is a violation", func(w *World) {
 		w.CheckResubmission(&job.Spec{ID: "run-1"}, 201, "pending", wire.JobDone)
 	}, "went_back"},
-	{"a repeated submission finds the end", func(w *World) {
+	{"a repeated submission may report the final phase", func(w *World) {
 		w.CheckResubmission(&job.Spec{ID: "run-1"}, 200, wire.JobDone, wire.JobDone)
 	}, ""},
-	{"a repeated submission right after the acceptance", func(w *World) {
+	{"a repeated submission of a job without a final phase may be accepted", func(w *World) {
 		w.CheckResubmission(&job.Spec{ID: "run-1"}, 201, "pending", "")
 	}, ""},
-	{"it is not known", func(w *World) {
+	{"refusing a repeated submission of a job without a final phase is a violation", func(w *World) {
 		w.CheckResubmission(&job.Spec{ID: "run-1"}, 422, "", "")
 	}, "forgotten"},
-	{"a poll that is older than what another controller told", func(w *World) {
+	{"a poll that reports an earlier phase than another controller did is a violation", func(w *World) {
 		w.checker.reportedPhase["run-1"] = wire.JobCancelled
 		w.CheckPoll(&job.Spec{ID: "run-1"}, 200, wire.JobRunning, w.FinalPhase("run-1"), true)
 	}, "went_back"},
 }
 
-// startCases are starts of tasks.
+// startCases start tasks on machines that the job allows or does not allow.
 var startCases = []checkerCase{
-	{"a task starts after the time that its cancelled job has", func(w *World) {
+	{"a start after the cancel timeout of the job is a violation", func(w *World) {
 		w.cfg.CancelTimeout = 25 * time.Second
 		w.checker.cancelledAt["run-1"] = ago(26 * time.Second)
 		startTask(w, "a", "x", &job.Spec{ID: "run-1", Tasks: 1})
 	}, "ran_cancelled"},
-	{"a task starts within it", func(w *World) {
+	{"a start within the cancel timeout of the job is allowed", func(w *World) {
 		w.cfg.CancelTimeout = 25 * time.Second
 		w.checker.cancelledAt["run-1"] = ago(24 * time.Second)
 		startTask(w, "a", "x", &job.Spec{ID: "run-1", Tasks: 1})
 	}, ""},
-	{"three of four replicas in a zone", func(w *World) {
+	{"three of four spread replicas in one zone are a violation", func(w *World) {
 		spec := &job.Spec{ID: "run-1", Tasks: 4, Spread: true}
 		startTask(w, "a", "x", spec)
 		startTask(w, "b", "x", spec)
 		startTask(w, "c", "x", spec)
 	}, "wrong_place"},
-	{"three of five replicas in a zone", func(w *World) {
+	{"three of five spread replicas in one zone are allowed", func(w *World) {
 		spec := &job.Spec{ID: "run-1", Tasks: 5, Spread: true}
 		startTask(w, "a", "x", spec)
 		startTask(w, "b", "x", spec)
 		startTask(w, "c", "x", spec)
 	}, ""},
-	{"a job of one zone in two", func(w *World) {
+	{"a one-zone job in two zones is a violation", func(w *World) {
 		spec := &job.Spec{ID: "run-1", Tasks: 2, OneZone: true}
 		startTask(w, "a", "x", spec)
 		startTask(w, "b", "y", spec)
 	}, "wrong_place"},
-	{"a task on two machines", func(w *World) {
+	{"a task that runs on two machines is a violation", func(w *World) {
 		spec := &job.Spec{ID: "run-1", Tasks: 2}
 		startTask(w, "a", "x", spec)
 		worker := newTestWorker(w, "b", "x")
@@ -129,13 +130,13 @@
 		worker.addTask("again", again)
 		w.checkStart(worker, again)
 	}, "ran_twice"},
-	{"a task on a machine that has lost it", func(w *World) {
+	{"a task may start again after its machine is killed", func(w *World) {
 		spec := &job.Spec{ID: "run-1", Tasks: 1}
 		startTask(w, "a", "x", spec)
 		w.Kill([]*Worker{w.workers["a"]})
 		startTask(w, "b", "x", spec)
 	}, ""},
-	{"more accelerators than the limit", func(w *World) {
+	{"using more accelerators than the team's limit is a violation", func(w *World) {
 		w.cfg.Limits = map[string]Resources{"red": {GPUs: 3}}
 		spec := &job.Spec{ID: "run-1", Team: "red", Tasks: 2, GPUs: 2}
 		startTask(w, "a", "x", spec)
@@ -143,39 +144,39 @@
 	}, "quota"},
 }
 
-// starvationCases are jobs that wait beside a free worker.
+// starvationCases are accepted jobs and one worker with free resources.
 var starvationCases = []checkerCase{
-	{"a job waits beside room", func(w *World) {
+	{"a job that waits although resources are free is a violation", func(w *World) {
 		checkWaitingJob(w, &job.Spec{ID: "run-1", Team: "red", ShapeName: "array", Tasks: 3, CPUs: 2})
-	}, "idle: run-1"},
-	{"a gang waits beside room for half of it", func(w *World) {
+	}, "idle: job run-1"},
+	{"a gang may wait if only some of its members fit", func(w *World) {
 		checkWaitingJob(w, &job.Spec{ID: "run-1", Team: "red", ShapeName: gang, Tasks: 3, CPUs: 2})
 	}, ""},
-	{"there is room in another zone", func(w *World) {
+	{"a job may wait if only another zone has free resources", func(w *World) {
 		checkWaitingJob(w, &job.Spec{ID: "run-1", Team: "red", ShapeName: "array", Tasks: 3, CPUs: 2, Zone: "y"})
 	}, ""},
-	{"its team is at its limit", func(w *World) {
+	{"a job may wait if it would exceed the limit of its team", func(w *World) {
 		w.cfg.Limits = map[string]Resources{"red": {CPUs: 1}}
 		checkWaitingJob(w, &job.Spec{ID: "run-1", Team: "red", ShapeName: "array", Tasks: 3, CPUs: 2})
 	}, ""},
-	{"it runs", func(w *World) {
+	{"a job that runs is not waiting", func(w *World) {
 		spec := &job.Spec{ID: "run-1", Team: "red", ShapeName: "array", Tasks: 1, CPUs: 2}
 		startTask(w, "b", "x", spec)
 		checkWaitingJob(w, spec)
 	}, ""},
 }
 
-// serviceLevelCases are whole days.
+// serviceLevelCases are jobs of a whole scenario.
 var serviceLevelCases = []checkerCase{
-	{"less than half of a class", func(w *World) {
+	{"a class with less than half of its jobs served is a violation", func(w *World) {
 		for _, id := range []string{"run-1", "run-2", "run-3"} {
 			acceptJob(w, &job.Spec{ID: id, Class: "c", Team: id, ShapeName: "array", Tasks: 1}, time.Minute)
 			w.checker.users.startedAt[id] = time.Now()
 		}
 		w.checker.completedTasks["run-1"] = map[int32]bool{0: true}
 		w.CheckServiceLevels(nil)
-	}, "served: 1.0 of 3 jobs of class c"},
-	{"the largest began too late", func(w *World) {
+	}, "served: only 1.0 of 3 jobs of class c were served"},
+	{"a late start of the largest job is a violation", func(w *World) {
 		for _, id := range []string{"run-1", "run-2", "run-3"} {
 			spec := &job.Spec{ID: id, Class: "c", Team: "red", ShapeName: "array", Tasks: 1, CPUs: 1}
 			if id == "run-3" {
@@ -187,20 +188,21 @@
 		}
 		w.checker.users.startedAt["run-3"] = ago(30 * time.Second)
 		w.CheckServiceLevels(nil)
-	}, "largest: run-3"},
-	{"it could not run on the day's machines", func(w *World) {
+	}, "largest: job run-3"},
+	{"jobs that could not run on the machines of the scenario are ignored", func(w *World) {
 		acceptJob(w, &job.Spec{ID: "run-1", Class: "c", ShapeName: "array", Tasks: 1}, 300*time.Second)
 		w.CheckServiceLevels(func(*job.Spec) bool { return false })
 	}, ""},
 }
 
-// TestInvariantViolationsAreDetected: the violations that the checker finds, each of which no scenario must have.
+// TestInvariantViolationsAreDetected checks that the checker records each kind of violation, and
+// none for behaviour that is allowed.
 func TestInvariantViolationsAreDetected(t *testing.T) {
 	for _, tt := range slices.Concat(answerCases, startCases, starvationCases, serviceLevelCases) {
 		w := New(Config{CancelTimeout: time.Minute, LeaseDuration: time.Hour})
 		tt.act(w)
 		if got := strings.Join(w.Violations(), "; "); (tt.want == "") != (got == "") || !strings.Contains(got, tt.want) {
-			t.Errorf("%s: %q, want %q", tt.name, got, tt.want)
+			t.Errorf("%s: violations %q, want them to contain %q", tt.name, got, tt.want)
 		}
 	}
 }
