--- a/internal/emulate/cloud.go
+++ b/internal/emulate/cloud.go
@@ -10,7 +10,7 @@
 	"vetchstream/internal/wire"
 )
 
-// machineType is a machine type; nil: there is none of that name.
+// machineType returns the machine type with the given name, or nil.
 func (w *World) machineType(name string) *wire.MachineType {
 	for i := range w.cfg.Types {
 		if w.cfg.Types[i].Name == name {
@@ -20,34 +20,34 @@
 	return nil
 }
 
-// ServeHTTP implements http.Handler: the published protocol of the cloud.
-func (w *World) ServeHTTP(rw http.ResponseWriter, q *http.Request) {
+// ServeHTTP implements http.Handler. It serves the published protocol of the cloud.
+func (w *World) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	switch q.URL.Path {
+	switch r.URL.Path {
 	case "/machine_types":
 		writeResponse(rw, http.StatusOK, wire.MachineTypes{Types: w.cfg.Types})
 	case "/hosts/release":
-		w.serveRelease(rw, q)
+		w.serveRelease(rw, r)
 	case "/hosts":
-		if q.Method == http.MethodGet {
-			writeResponse(rw, http.StatusOK, w.machineList(q.URL.Query().Get("after")))
+		if r.Method == http.MethodGet {
+			writeResponse(rw, http.StatusOK, w.machineList(r.URL.Query().Get("after")))
 			return
 		}
-		w.serveProvision(rw, q)
+		w.serveProvision(rw, r)
 	default:
 		writeResponse(rw, http.StatusNotFound, wire.Error{Error: "no such route"})
 	}
 }
 
-// serveRelease takes machines away; the caller holds the lock.
-func (w *World) serveRelease(rw http.ResponseWriter, q *http.Request) {
-	var in wire.MachineNames
-	if !decodeRequest(q, &in) {
+// serveRelease removes the named machines; the caller holds the lock.
+func (w *World) serveRelease(rw http.ResponseWriter, r *http.Request) {
+	var request wire.MachineNames
+	if !decodeRequest(r, &request) {
 		writeResponse(rw, http.StatusBadRequest, wire.Error{Error: "malformed"})
 		return
 	}
-	for _, name := range in.Names {
+	for _, name := range request.Names {
 		if worker := w.workers[name]; worker != nil {
 			worker.remove(time.Now())
 		}
@@ -55,39 +55,41 @@
 	writeResponse(rw, http.StatusOK, map[string]any{})
 }
 
-// serveProvision starts machines, once for each request; the caller holds the lock.
-func (w *World) serveProvision(rw http.ResponseWriter, q *http.Request) {
-	var in wire.RentalRequest
-	if !decodeRequest(q, &in) || w.machineType(in.Type) == nil {
+// serveProvision creates machines. A repeated request gets the machines that were created the first
+// time. The caller holds the lock.
+func (w *World) serveProvision(rw http.ResponseWriter, r *http.Request) {
+	var request wire.RentalRequest
+	if !decodeRequest(r, &request) || w.machineType(request.Type) == nil {
 		writeResponse(rw, http.StatusBadRequest, wire.Error{Error: "malformed"})
 		return
 	}
-	if old, ok := w.provisioned[in.Request]; ok {
-		writeResponse(rw, http.StatusOK, wire.MachineNames{Names: old})
+	if names, ok := w.provisioned[request.Request]; ok {
+		writeResponse(rw, http.StatusOK, wire.MachineNames{Names: names})
 		return
 	}
-	n := min(in.Count, w.cfg.MaxMachines-len(w.workers), w.zoneCapacity(in.Zone))
+	n := min(request.Count, w.cfg.MaxMachines-len(w.workers), w.zoneCapacity(request.Zone))
 	if n <= 0 {
 		writeResponse(rw, http.StatusServiceUnavailable, wire.Error{Error: "no capacity"})
 		return
 	}
 	var names []string
 	for range n {
-		bootTime := seconds(w.machineType(in.Type).BootS)
+		bootTime := seconds(w.machineType(request.Type).BootS)
 		if w.delayedBoots > 0 {
 			w.delayedBoots--
 			bootTime += w.bootDelay
 		}
-		names = append(names, w.boot(in.Type, in.Zone, in.Spot, bootTime))
+		names = append(names, w.boot(request.Type, request.Zone, request.Spot, bootTime))
 	}
-	w.provisioned[in.Request] = names
+	w.provisioned[request.Request] = names
 	writeResponse(rw, http.StatusOK, wire.MachineNames{Names: names})
 }
 
-// seconds is a time that settings give in seconds.
+// seconds converts a number of seconds, as in settings and messages, to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// zoneCapacity is how many more machines a zone has; the caller holds the lock.
+// zoneCapacity returns the number of machines that can still be created in a zone; the caller holds
+// the lock.
 func (w *World) zoneCapacity(zone string) int {
 	capacity, bounded := w.cfg.ZoneCapacity[zone]
 	if limit, ok := w.zoneLimits[zone]; ok {
@@ -104,8 +106,8 @@
 	return capacity
 }
 
-// machineList is the list of machines with names after one, which lags; the caller holds the
-// lock.
+// machineList returns the machines whose names follow after. Machines are missing from the list
+// until they are older than Config.ListLag. The caller holds the lock.
 func (w *World) machineList(after string) wire.CloudMachinePage {
 	out := []wire.CloudMachine{}
 	for _, name := range slices.Sorted(maps.Keys(w.workers)) {
@@ -131,14 +133,14 @@
 	return wire.CloudMachinePage{Machines: out}
 }
 
-// Boot starts a machine that no controller has asked for, and returns its name.
+// Boot creates a machine without a request by a controller and returns its name.
 func (w *World) Boot(typ, zone string, spot bool, bootTime time.Duration) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.boot(typ, zone, spot, bootTime)
 }
 
-// boot starts a worker; the caller holds the lock.
+// boot creates a machine, starts its worker and returns its name; the caller holds the lock.
 func (w *World) boot(typ, zone string, spot bool, bootTime time.Duration) string {
 	w.machinesCreated++
 	worker := &Worker{
@@ -159,7 +161,7 @@
 	return worker.name
 }
 
-// MachineCounts is how many machines there are, and how many of them are up.
+// MachineCounts returns the number of machines, and how many of them have booted.
 func (w *World) MachineCounts() (all, up int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -172,7 +174,7 @@
 	return all, up
 }
 
-// MachinesProvisioned is how many machines controllers have provisioned so far.
+// MachinesProvisioned returns the number of machines that controllers have provisioned so far.
 func (w *World) MachinesProvisioned() (n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -182,7 +184,7 @@
 	return n
 }
 
-// IdleMachines is how many machines are up without a task.
+// IdleMachines returns the number of machines that have booted and run no task.
 func (w *World) IdleMachines() (n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/emulate/faults.go
+++ b/internal/emulate/faults.go
@@ -9,31 +9,32 @@
 	"time"
 )
 
-// Fault is a fault that is injected at a time, and undone after another.
+// Fault is a fault to inject, with its start time and duration.
 type Fault struct {
-	// AtS is when it begins, in seconds from the start, and ForS how long it lasts.
+	// AtS is the start of the fault in seconds since the start of the emulation, ForS its duration
+	// in seconds.
 	AtS  float64 `json:"at_s"`
 	ForS float64 `json:"for_s"`
-	// Kind is what fails, one of faultKinds.
+	// Kind is a key of faultKinds.
 	Kind string `json:"kind"`
-	// Machines is how many it hits.
+	// Machines is the number of affected machines.
 	Machines int `json:"machines"`
-	// Image is the image whose tasks crash, or whose replicas turn unhealthy, AfterS
-	// seconds after they start.
+	// Image is the image whose tasks crash or whose replicas become unhealthy AfterS seconds after
+	// their start.
 	Image  string  `json:"image"`
 	AfterS float64 `json:"after_s"`
-	// DelayMs is what an answer takes longer, in milliseconds.
+	// DelayMs is the added latency of responses, in milliseconds.
 	DelayMs int `json:"delay_ms"`
 }
 
-// faultKind is a kind of fault: the fields that it needs, and how it is injected. inject calls
-// wait, which lasts as long as the fault does, before it undoes the fault.
+// faultKind describes a kind of fault: the fields that it requires and the function that injects
+// it. A fault that can be undone is undone after wait returns, which blocks for its duration.
 type faultKind struct {
 	needsMachines, needsImage, needsDelay bool
 	inject                                func(cl *Cluster, f Fault, r *rand.Rand, wait func())
 }
 
-// faultKinds are the kinds of faults by their names.
+// faultKinds has the kinds of faults by name.
 var faultKinds = map[string]faultKind{
 	"state_outage":    {inject: injectStoreOutage},
 	"state_slow":      {needsDelay: true, inject: injectStoreLatency},
@@ -83,8 +84,8 @@
 	cl.World.SetImageBehavior(f.Image, ImageBehavior{})
 }
 
-// failureDelay is when an image's tasks fail, at least a millisecond failureDelay their start: 0 would mean
-// never.
+// failureDelay returns the time from the start of an image's tasks to their failure. It is at least
+// a millisecond because 0 disables the failure in ImageBehavior.
 func (f Fault) failureDelay() time.Duration { return seconds(max(f.AfterS, 0.001)) }
 
 const (
@@ -96,7 +97,8 @@
 	maxFaultDelayMs = 60_000
 )
 
-// ParseFaults reads a list of faults (JSON). An error names the fault, from 0, and the field.
+// ParseFaults parses a JSON list of faults. An error about a fault contains its index and the invalid
+// field.
 func ParseFaults(b []byte) ([]Fault, error) {
 	d := json.NewDecoder(bytes.NewReader(b))
 	d.DisallowUnknownFields()
@@ -105,7 +107,7 @@
 		return nil, fmt.Errorf("troubles: %w", err)
 	}
 	if len(faults) > maxFaults {
-		return nil, fmt.Errorf("troubles: %d of them, more than %d", len(faults), maxFaults)
+		return nil, fmt.Errorf("troubles: the list has %d faults, but may have at most %d", len(faults), maxFaults)
 	}
 	for i, f := range faults {
 		if field, why := f.invalidField(); field != "" {
@@ -115,28 +117,28 @@
 	return faults, nil
 }
 
-// invalidField names the first field that is not valid, and why; empty: all are.
+// invalidField returns the name of the first invalid field and the reason, or empty strings.
 func (f Fault) invalidField() (field, why string) {
 	kind, ok := faultKinds[f.Kind]
 	switch {
 	case !ok:
-		return "kind", fmt.Sprintf("%q is not a kind of trouble", f.Kind)
+		return "kind", fmt.Sprintf("%q is not a known kind of fault", f.Kind)
 	case f.AtS < 0 || f.AtS > maxFaultS:
-		return "at_s", "not from 0 to 1,000,000"
+		return "at_s", "must be from 0 to 1,000,000"
 	case f.ForS < 0 || f.ForS > maxFaultS:
-		return "for_s", "not from 0 to 1,000,000"
+		return "for_s", "must be from 0 to 1,000,000"
 	case kind.needsMachines && f.Machines < 1:
-		return "machines", "not above 0"
+		return "machines", "must be at least 1"
 	case kind.needsImage && f.Image == "":
 		return "image", "missing"
 	case kind.needsDelay && (f.DelayMs < 1 || f.DelayMs > maxFaultDelayMs):
-		return "delay_ms", "not from 1 to 60,000"
+		return "delay_ms", "must be from 1 to 60,000"
 	}
 	return "", ""
 }
 
-// InjectFaults injects the faults, each at its time, until the context ends. It does not wait
-// for them.
+// InjectFaults starts to inject each fault at its start time, until the context ends, and returns
+// at once.
 func (cl *Cluster) InjectFaults(ctx context.Context, faults []Fault) {
 	for i, f := range faults {
 		go func() {
@@ -149,7 +151,7 @@
 	}
 }
 
-// sleep waits; false: the context has ended before.
+// sleep waits for d. It returns false if the context ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/emulate/history.go
+++ b/internal/emulate/history.go
@@ -7,7 +7,7 @@
 	"vetchstream/internal/wire"
 )
 
-// Event is a start of a task, or the end of one that ran.
+// Event is the start of a task or the end of a running one.
 type Event struct {
 	At      time.Time
 	Task    string
@@ -15,14 +15,15 @@
 	Machine string
 	Zone    string
 	Start   bool
-	// Cause is why it ended, as the worker reports it, or CauseLost.
+	// Cause is the cause of the end that the worker reports, or CauseLost.
 	Cause wire.ExitCause
 }
 
-// CauseLost is the cause of an end with the machine or its lease, which no worker reports.
+// CauseLost is the cause of an end by the loss of the machine or the expiry of its lease. Workers do
+// not report it.
 const CauseLost = "lost"
 
-// RecordHistory lets the world record the history of starts and ends from now on, which grows
+// RecordHistory makes the world record starts and ends of tasks from now on. The history grows
 // without bound.
 func (w *World) RecordHistory() {
 	w.mu.Lock()
@@ -30,21 +31,21 @@
 	w.mu.Unlock()
 }
 
-// record adds to the history; the caller holds the lock.
+// record adds an event to the history if it is recorded; the caller holds the lock.
 func (w *World) record(e Event) {
 	if w.recording {
 		w.history = append(w.history, e)
 	}
 }
 
-// History is what has happened so far, in order.
+// History returns the events recorded so far, in the order of their occurrence.
 func (w *World) History() []Event {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return slices.Clone(w.history)
 }
 
-// WorkersInZone are the workers of a zone.
+// WorkersInZone returns the workers of a zone.
 func (w *World) WorkersInZone(zone string) (out []*Worker) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/emulate/image.go
+++ b/internal/emulate/image.go
@@ -6,18 +6,18 @@
 	"vetchstream/internal/wire"
 )
 
-// ImageBehavior is how the tasks of an image behave.
+// ImageBehavior describes how the tasks of an image behave. The zero value has no failures.
 type ImageBehavior struct {
-	// CrashAfter is when they fail; 0: never.
+	// CrashAfter is the time from start to crash; 0 means that tasks do not crash.
 	CrashAfter time.Duration
-	// UnhealthyAfter is when a replica's health turns bad; 0: never. With FlapPeriod it turns
-	// good and bad again with that period from then on.
+	// UnhealthyAfter is the time after which a replica becomes unhealthy; 0 means never. With a
+	// FlapPeriod above 0 the health then alternates between bad and good, each for one FlapPeriod.
 	UnhealthyAfter, FlapPeriod time.Duration
-	// OmitHealth: its workers do not report its health.
+	// OmitHealth makes workers report no health for the image's replicas.
 	OmitHealth bool
 }
 
-// health is what a worker reports of a replica that has run for that long.
+// health returns the health that a worker reports for a replica that has run for the given time.
 func (b ImageBehavior) health(ran time.Duration) wire.ReplicaHealth {
 	switch {
 	case b.OmitHealth:
@@ -30,7 +30,7 @@
 	return wire.HealthBad
 }
 
-// SetImageBehavior sets how an image's tasks behave from now on.
+// SetImageBehavior sets the behaviour of an image's tasks, also of those that run already.
 func (w *World) SetImageBehavior(image string, b ImageBehavior) {
 	w.mu.Lock()
 	w.images[image] = b
--- a/internal/emulate/world.go
+++ b/internal/emulate/world.go
@@ -9,42 +9,43 @@
 	"vetchstream/internal/wire"
 )
 
-// Config says what is emulated.
+// Config configures a World.
 type Config struct {
 	Network Network
 	Store   *Store
-	// Types is the cloud's price list.
+	// Types are the machine types of the cloud.
 	Types []wire.MachineType
-	// MaxMachines is how many machines the cloud has, and ZoneCapacity how many of them in a
-	// zone; a zone that is not named has no bound of its own.
+	// MaxMachines bounds the machines of the cloud, ZoneCapacity those of a zone. A zone without
+	// an entry is bounded by MaxMachines alone.
 	MaxMachines  int
 	ZoneCapacity map[string]int
-	// Controllers are the addresses for workers and users.
+	// Controllers are the controllers that workers send heartbeats to.
 	Controllers []Controller
-	// LeaseDuration is how long a worker's tasks run on without an answer to a heartbeat,
-	// CancelTimeout how long a cancelled task may stay, and HeartbeatInterval how often a
-	// worker sends heartbeats.
+	// LeaseDuration is the time for which a worker keeps its tasks running without a response to a
+	// heartbeat. CancelTimeout bounds the time from a confirmed cancellation to the end of the
+	// job's tasks. HeartbeatInterval is the time between heartbeats of a worker.
 	LeaseDuration, CancelTimeout, HeartbeatInterval time.Duration
-	// GangTimeout is how long a gang's member waits for the others.
+	// GangTimeout bounds the time that a member of a gang waits for the others.
 	GangTimeout time.Duration
-	// ImagePullTime is how long an image takes to come, and ListLag how long a new machine
-	// is missing from the list.
+	// ImagePullTime is the time to pull an image. ListLag is the time for which a new machine is
+	// missing from the cloud's list.
 	ImagePullTime, ListLag time.Duration
-	// Limits are the teams'; 0 or none: unlimited.
+	// Limits are the resource limits by team. A resource of 0 and a team without an entry are
+	// unlimited.
 	Limits map[string]Resources
-	// OnStarted is called with the first start of each task, and how long its user has waited
-	// since the submission, under the world's lock; nil: it is not.
+	// OnStarted, if set, is called at the first start of each task, with the time since the
+	// submission of its job. The world's lock is held during the call.
 	OnStarted func(spec *job.Spec, waited time.Duration)
 	Log       *slog.Logger
 }
 
-// Resources is what a team may use at a time.
+// Resources are amounts of CPUs and accelerators that a team uses or may use at most.
 type Resources struct{ CPUs, GPUs float64 }
 
-// Controller is a controller as workers know it.
+// Controller is the name of a controller and its address for workers.
 type Controller struct{ Member, Addr string }
 
-// World is the cloud and its workers, with the checker of the invariants.
+// World emulates the cloud and its workers, and checks the invariants of the scheduler.
 type World struct {
 	cfg Config
 
@@ -54,27 +55,28 @@
 	tasks          taskIndex
 	images         map[string]ImageBehavior
 	checker        invariantChecker
-	onLastTaskDone func(*job.Spec) // called with jobs whose last task has completed
+	onLastTaskDone func(*job.Spec) // see OnLastTaskDone
 
-	// provisioned are the machines of each request, machinesCreated counts all.
+	// provisioned has the names of the machines that were created for each request;
+	// machinesCreated counts all machines so far, also those that no request asked for.
 	provisioned     map[string][]string
 	machinesCreated int
-	// The next delayedBoots machines boot that much later.
+	// bootDelay is added to the boot time of the next delayedBoots machines.
 	delayedBoots     int
 	bootDelay        time.Duration
-	zoneLimits       map[string]int // machines that are left to a zone in a shortage
-	dropHealthChecks bool           // health checks get no answer
+	zoneLimits       map[string]int // capacity of a zone while LimitZone replaces its configured one
+	dropHealthChecks bool           // health checks get no response
 
-	recording bool // events are added to the history
+	recording bool // whether events are added to the history
 	history   []Event
-	capturing bool // heartbeats are captured
+	capturing bool // whether heartbeats are captured
 	captured  []CapturedHeartbeat
 
 	wg   sync.WaitGroup
 	done chan struct{}
 }
 
-// New makes a world without machines.
+// New returns a world without machines.
 func New(cfg Config) *World {
 	if cfg.Log == nil {
 		cfg.Log = slog.New(slog.DiscardHandler)
@@ -92,20 +94,20 @@
 	}
 }
 
-// Close ends all workers and waits for them.
+// Close stops all workers and waits until they have ended.
 func (w *World) Close() {
 	close(w.done)
 	w.wg.Wait()
 }
 
-// Done is closed when the world ends.
+// Done returns a channel that Close closes.
 func (w *World) Done() <-chan struct{} { return w.done }
 
-// Go runs f as a part of the world: Close waits for it.
+// Go runs f in a goroutine that Close waits for.
 func (w *World) Go(f func()) { w.wg.Go(f) }
 
-// DescribeJob uploads a job's description, as its user does. A job that was not
-// described is looked up among the controllers' records.
+// DescribeJob makes a job's specification available to the workers, as its user does by uploading
+// it. The specifications of other jobs are read from the controllers' records in the store.
 func (w *World) DescribeJob(spec *job.Spec) {
 	w.mu.Lock()
 	w.specs[spec.ID] = spec
@@ -115,14 +117,14 @@
 	w.mu.Unlock()
 }
 
-// spec is a job's description; the caller holds the lock.
+// spec returns a job's specification, or nil if the job is unknown; the caller holds the lock.
 func (w *World) spec(id string) *job.Spec {
-	if s := w.specs[id]; s != nil {
-		return s
+	if spec := w.specs[id]; spec != nil {
+		return spec
 	}
-	s := w.cfg.Store.JobSpec(id)
-	if s != nil {
-		w.specs[id] = s
+	spec := w.cfg.Store.JobSpec(id)
+	if spec != nil {
+		w.specs[id] = spec
 	}
-	return s
+	return spec
 }
--- a/internal/emulate/world_faults.go
+++ b/internal/emulate/world_faults.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// RandomWorkers draws up to n workers.
+// RandomWorkers returns up to n randomly selected workers.
 func (w *World) RandomWorkers(r *rand.Rand, n int) (out []*Worker) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -20,7 +20,7 @@
 	return out
 }
 
-// Kill takes machines away without notice.
+// Kill removes the workers' machines without notice.
 func (w *World) Kill(workers []*Worker) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -29,7 +29,7 @@
 	}
 }
 
-// Hang stops workers, or lets them go on.
+// Hang makes the workers hang if on is true, and lets them continue otherwise.
 func (w *World) Hang(workers []*Worker, on bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -38,15 +38,15 @@
 	}
 }
 
-// DropHealthChecks lets no health check get an answer, as if only the checking controller were
-// cut off, or lets them go on.
+// DropHealthChecks sets whether all health checks of replicas go unanswered. This simulates that
+// only the controller that checks the replicas is cut off from them.
 func (w *World) DropHealthChecks(on bool) {
 	w.mu.Lock()
 	w.dropHealthChecks = on
 	w.mu.Unlock()
 }
 
-// DelayBoots lets the next n provisioned machines boot that much later.
+// DelayBoots adds a delay to the boot time of the next n provisioned machines.
 func (w *World) DelayBoots(n int, by time.Duration) {
 	w.mu.Lock()
 	w.delayedBoots = n
@@ -54,9 +54,9 @@
 	w.mu.Unlock()
 }
 
-// Reboot ends workers and starts them again at once, with nothing on them and without
-// memory of their sessions, messages and fencing tokens. The protocol does not say what such a
-// worker calls its session; it is the first one here, as of a new machine.
+// Reboot restarts workers at once. They lose their tasks, sessions, sequence numbers and fencing
+// tokens. The protocol does not define the session number of a rebooted worker; here it starts
+// again at 1, like that of a new machine.
 func (w *World) Reboot(workers []*Worker) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -70,24 +70,23 @@
 	}
 }
 
-// CapturedHeartbeat is a heartbeat as its worker sent it.
+// CapturedHeartbeat is an encoded heartbeat as its worker sent it.
 type CapturedHeartbeat struct {
-	Host string // of the worker, on the network
+	Host string // network name of the worker
 	Body []byte
 }
 
-// maxCapturedHeartbeats bounds the captured heartbeats.
+// maxCapturedHeartbeats bounds the number of captured heartbeats.
 const maxCapturedHeartbeats = 2000
 
-// CaptureHeartbeats lets the world capture the heartbeats that are sent from now on, or stops
-// it.
+// CaptureHeartbeats sets whether heartbeats that workers send are captured.
 func (w *World) CaptureHeartbeats(on bool) {
 	w.mu.Lock()
 	w.capturing = on
 	w.mu.Unlock()
 }
 
-// CapturedHeartbeats takes the heartbeats that were captured.
+// CapturedHeartbeats returns the captured heartbeats and clears the list.
 func (w *World) CapturedHeartbeats() []CapturedHeartbeat {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -96,7 +95,7 @@
 	return captured
 }
 
-// MakeFaulty lets machines fail every task.
+// MakeFaulty makes the workers fail every task from now on.
 func (w *World) MakeFaulty(workers []*Worker) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -105,7 +104,7 @@
 	}
 }
 
-// LimitZone bounds the machines of a zone; below 0: by its capacity, as before.
+// LimitZone replaces the capacity of a zone. A negative limit restores the configured capacity.
 func (w *World) LimitZone(zone string, limit int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -116,7 +115,7 @@
 	}
 }
 
-// SlowImagePulls lets the machines take that much longer to pull an image.
+// SlowImagePulls adds a delay to each image pull of the workers.
 func (w *World) SlowImagePulls(workers []*Worker, by time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
