--- a/internal/emulate/task.go
+++ b/internal/emulate/task.go
@@ -8,7 +8,7 @@
 	"vetchstream/internal/wire"
 )
 
-// Shapes of jobs by their names on the wire.
+// Names of job shapes in messages.
 const (
 	gang    = job.GangName
 	service = job.ServiceName
@@ -17,32 +17,32 @@
 // task is one attempt of a task on a worker.
 type task struct {
 	name    string
-	spec    *job.Spec // nil: the job is not known
+	spec    *job.Spec // nil if the job is unknown
 	index   int32
 	attempt uint64
 	phase   wire.TaskPhase
-	cause   wire.ExitCause     // of its end
-	health  wire.ReplicaHealth // of a replica, as it was last reported
+	cause   wire.ExitCause     // cause of its end
+	health  wire.ReplicaHealth // last health of a replica
 
-	pulledAt       time.Time // it has its image from then on
+	pulledAt       time.Time // time at which the image pull completes
 	runningSince   time.Time
-	checkpointedAt time.Time // it has saved its checkpoint from then on
+	checkpointedAt time.Time // time at which saving the checkpoint completes
 	checkpointed   bool
 }
 
-// run starts the task.
+// run marks the task as running.
 func (t *task) run(now time.Time) {
 	t.phase = wire.TaskRunning
 	t.runningSince = now
 }
 
-// exit ends the task.
+// exit marks the task as exited with the given cause.
 func (t *task) exit(cause wire.ExitCause) {
 	t.phase = wire.TaskExited
 	t.cause = cause
 }
 
-// jobID is the job's id, or empty if it is not known.
+// jobID returns the id of the job, or an empty string if the job is unknown.
 func (t *task) jobID() string {
 	if t.spec == nil {
 		return ""
@@ -50,5 +50,5 @@
 	return t.spec.ID
 }
 
-// taskKey names an attempt of a task on its worker.
+// taskKey returns the key of an attempt of a task in Worker.tasks.
 func taskKey(name string, attempt uint64) string { return fmt.Sprintf("%s#%d", name, attempt) }
--- a/internal/emulate/worker.go
+++ b/internal/emulate/worker.go
@@ -9,7 +9,7 @@
 	"vetchstream/internal/wire"
 )
 
-// Worker is a machine that is up, or boots. The world's lock guards it.
+// Worker is an emulated machine, booting or running, with its worker. The world's lock guards it.
 type Worker struct {
 	world     *World
 	name      string
@@ -21,47 +21,48 @@
 	bootedAt  time.Time
 	tasks     map[string]*task // by taskKey
 
-	removed   bool          // from the cloud
-	hanging   bool          // it does nothing
-	faulty    bool          // every task fails
-	pullDelay time.Duration // images take that much longer
+	removed   bool          // whether the machine was removed from the cloud
+	hanging   bool          // whether the worker hangs: it does not run tasks, send or respond
+	faulty    bool          // whether every task fails at its start
+	pullDelay time.Duration // added to the time of each image pull
 
-	// session and sequence number the worker's messages, token is the highest fencing token of
-	// a controller that it has seen.
+	// session and sequence identify the worker's messages. token is the highest fencing token that
+	// the worker has received from a controller.
 	session  uint64
 	sequence uint64
 	token    uint64
-	// leaseStart is when the last answered heartbeat was sent.
+	// leaseStart is the time at which the last answered heartbeat was sent.
 	leaseStart      time.Time
-	controllerIndex int // index of the one that gets the next heartbeat
+	controllerIndex int // index of the controller for the next heartbeat
 	heartbeatSent   time.Time
-	changed         bool // since the last heartbeat
-	// unansweredSince is when the first heartbeat without an answer since the last answered one
-	// was sent; zero: there is none.
+	changed         bool // whether there are changes since the last heartbeat
+	// unansweredSince is the time at which the first unanswered heartbeat after the last answered one
+	// was sent. It is zero if there is none.
 	unansweredSince time.Time
 }
 
-// Name is the machine's name in the cloud.
+// Name returns the machine's name in the cloud.
 func (worker *Worker) Name() string { return worker.name }
 
-// Host is the worker's name on the network.
+// Host returns the worker's host name on the network.
 func (worker *Worker) Host() string {
 	host, _, _ := net.SplitHostPort(worker.addr)
 	return host
 }
 
-// overcommitted reports whether the tasks take more than the machine has.
+// overcommitted reports whether the tasks need more resources than the machine has.
 func (worker *Worker) overcommitted() bool { return !worker.hasRoom(&job.Spec{}, 0) }
 
-// rounding is what a sum of resources may be off.
+// rounding is the tolerance for rounding errors in sums of resources.
 const rounding = 1e-9
 
-// hasRoom reports whether the machine has resources for n tasks of a job beside its own.
-func (worker *Worker) hasRoom(s *job.Spec, n int) bool {
-	typ := worker.world.machineType(worker.typeName)
-	cpus := typ.CPUs + rounding - float64(n)*s.CPUs
-	gpus := typ.GPUs + rounding - float64(n)*s.GPUs
-	memGB := typ.MemGB + rounding - float64(n)*s.MemGB
+// hasRoom reports whether the machine has resources for n tasks of a job in addition to its current
+// tasks.
+func (worker *Worker) hasRoom(spec *job.Spec, n int) bool {
+	machineType := worker.world.machineType(worker.typeName)
+	cpus := machineType.CPUs + rounding - float64(n)*spec.CPUs
+	gpus := machineType.GPUs + rounding - float64(n)*spec.GPUs
+	memGB := machineType.MemGB + rounding - float64(n)*spec.MemGB
 	for _, t := range worker.tasks {
 		if t.phase != wire.TaskExited && t.spec != nil {
 			cpus -= t.spec.CPUs
@@ -72,16 +73,16 @@
 	return cpus >= 0 && gpus >= 0 && memGB >= 0
 }
 
-// occupies reports whether the task counts as running on its machine: it has its image, and
-// the lease has not expired.
+// occupies reports whether the task counts as running on its machine: its image is pulled, it has
+// not exited, and the machine's lease has not expired.
 func (worker *Worker) occupies(t *task) bool {
 	runs := t.phase != wire.TaskExited && t.phase != wire.TaskFetching
 	leased := time.Since(worker.leaseStart) <= worker.world.cfg.LeaseDuration
 	return runs && !worker.removed && leased
 }
 
-// step lets time pass: an expired lease ends all tasks, and each task goes on. Ends are recorded
-// after all tasks have gone on.
+// step advances the worker's tasks to the given time. If the lease has expired it drops all tasks
+// and starts a new session. Ends of tasks are recorded after all tasks have advanced.
 func (worker *Worker) step(now time.Time) {
 	if now.Sub(worker.leaseStart) > worker.world.cfg.LeaseDuration {
 		worker.dropTasks(now)
@@ -90,15 +91,15 @@
 		worker.changed = true
 	}
 	for _, t := range worker.tasks {
-		was := t.phase
-		defer worker.recordEnd(t, was, now)
+		previous := t.phase
+		defer worker.recordEnd(t, previous, now)
 		worker.stepTask(t, now)
 		worker.world.checkRunning(worker, t)
-		worker.changed = worker.changed || was != t.phase
+		worker.changed = worker.changed || previous != t.phase
 	}
 }
 
-// stepTask lets a task go on to its next phase when the time has come.
+// stepTask moves a task to its next phase if the task is due for it.
 func (worker *Worker) stepTask(t *task, now time.Time) {
 	switch t.phase {
 	case wire.TaskFetching:
@@ -119,7 +120,7 @@
 	}
 }
 
-// finishPull starts a task once it has its image.
+// finishPull starts a task if its image pull has completed.
 func (worker *Worker) finishPull(t *task, now time.Time) {
 	if now.Before(t.pulledAt) {
 		return
@@ -140,7 +141,8 @@
 	}
 }
 
-// stepRunning ends a running task whose time has come.
+// stepRunning ends a running task that has completed, crashed or lost a member of its gang, and
+// updates the health of a replica.
 func (worker *Worker) stepRunning(t *task, now time.Time) {
 	ran := now.Sub(t.runningSince)
 	crash := worker.world.images[t.spec.Image].CrashAfter
@@ -160,8 +162,8 @@
 	}
 }
 
-// countGangMembers counts the gang's members of the same attempt in one of the phases, without
-// those that failed.
+// countGangMembers counts the tasks of t's gang and attempt that are in one of the phases and have not
+// failed.
 func (w *World) countGangMembers(t *task, phases ...wire.TaskPhase) (n int) {
 	for member := range w.tasks.byJob[t.jobID()] {
 		failed := member.phase == wire.TaskExited && member.cause != wire.CauseDone
@@ -172,28 +174,28 @@
 	return n
 }
 
-// event is an event of a task at a time.
+// event returns an event of a task at the given time.
 func (worker *Worker) event(t *task, now time.Time) Event {
 	return Event{At: now, Task: t.name, Image: t.spec.Image, Machine: worker.name, Zone: worker.zone}
 }
 
-// recordEnd records the end of a task that ran before.
-func (worker *Worker) recordEnd(t *task, was wire.TaskPhase, now time.Time) {
-	if (was == wire.TaskRunning || was == wire.TaskCheckpointing) && t.phase == wire.TaskExited {
+// recordEnd records the end of a task whose previous phase counts as running.
+func (worker *Worker) recordEnd(t *task, previous wire.TaskPhase, now time.Time) {
+	if (previous == wire.TaskRunning || previous == wire.TaskCheckpointing) && t.phase == wire.TaskExited {
 		end := worker.event(t, now)
 		end.Cause = t.cause
 		worker.world.record(end)
 	}
 }
 
-// remove takes the machine away with all that is on it.
+// remove removes the machine and its tasks from the world.
 func (worker *Worker) remove(now time.Time) {
 	worker.dropTasks(now)
 	worker.removed = true
 	delete(worker.world.workers, worker.name)
 }
 
-// dropTasks forgets all tasks, and records that those that ran are lost.
+// dropTasks deletes all tasks and records those that were running as lost.
 func (worker *Worker) dropTasks(now time.Time) {
 	for id, t := range worker.tasks {
 		worker.deleteTask(id)
--- a/internal/emulate/worker_commands.go
+++ b/internal/emulate/worker_commands.go
@@ -8,19 +8,19 @@
 	"vetchstream/internal/wire"
 )
 
-// execute carries out a controller's orders.
-func (worker *Worker) execute(orders []wire.Command) {
-	for _, o := range orders {
-		id := taskKey(o.Task, o.Attempt)
+// execute executes commands of a controller.
+func (worker *Worker) execute(commands []wire.Command) {
+	for _, command := range commands {
+		id := taskKey(command.Task, command.Attempt)
 		t := worker.tasks[id]
-		switch o.Verb {
+		switch command.Verb {
 		case wire.CommandLaunch:
 			if t == nil {
-				worker.launch(id, o)
+				worker.launch(id, command)
 			}
 		case wire.CommandStop:
 			if t != nil && t.phase != wire.TaskExited {
-				worker.stop(t, o.GraceS)
+				worker.stop(t, command.GraceS)
 			}
 		case wire.CommandClear:
 			if t != nil && t.phase == wire.TaskExited {
@@ -30,14 +30,15 @@
 	}
 }
 
-// launch begins to pull the image of a task.
-func (worker *Worker) launch(id string, o wire.Command) {
-	jobID, index, _ := job.SplitTaskName(o.Task)
+// launch adds a task and starts to pull its image. The task exits at once if its job is unknown or
+// the machine lacks resources.
+func (worker *Worker) launch(id string, command wire.Command) {
+	jobID, index, _ := job.SplitTaskName(command.Task)
 	spec := worker.world.spec(jobID)
 	t := &task{
-		name:     o.Task,
+		name:     command.Task,
 		index:    index,
-		attempt:  o.Attempt,
+		attempt:  command.Attempt,
 		spec:     spec,
 		phase:    wire.TaskFetching,
 		pulledAt: time.Now().Add(worker.world.cfg.ImagePullTime + worker.pullDelay),
@@ -52,26 +53,27 @@
 	}
 }
 
-// stop ends a task, after a checkpoint if the grace time (in seconds) is long enough for one.
-func (worker *Worker) stop(t *task, grace *float64) {
+// stop stops a task. If the grace time (in seconds) is long enough, a task with checkpoints saves one
+// first.
+func (worker *Worker) stop(t *task, graceS *float64) {
 	worker.changed = true
-	if t.phase == wire.TaskRunning && t.spec.CheckpointS > 0 && grace != nil && *grace >= t.spec.SaveS {
+	if t.phase == wire.TaskRunning && t.spec.CheckpointS > 0 && graceS != nil && *graceS >= t.spec.SaveS {
 		t.phase = wire.TaskCheckpointing
 		t.checkpointedAt = time.Now().Add(seconds(t.spec.SaveS))
 		return
 	}
-	if t.phase == wire.TaskCheckpointing && grace != nil && *grace > 0 {
+	if t.phase == wire.TaskCheckpointing && graceS != nil && *graceS > 0 {
 		return
 	}
-	was := t.phase
+	previous := t.phase
 	t.exit(wire.CauseStopped)
-	worker.recordEnd(t, was, time.Now())
+	worker.recordEnd(t, previous, time.Now())
 }
 
-// serveHealthCheck answers a health check of a replica.
+// serveHealthCheck responds to a health check of a replica.
 func (worker *Worker) serveHealthCheck(rw http.ResponseWriter, taskName string) {
 	if worker.world.dropHealthChecks {
-		panic(http.ErrAbortHandler) // ends the connection without an answer
+		panic(http.ErrAbortHandler) // closes the connection without a response
 	}
 	for _, t := range worker.tasks {
 		if t.name != taskName || t.phase != wire.TaskRunning {
@@ -85,7 +87,7 @@
 	rw.WriteHeader(http.StatusNotFound)
 }
 
-// lockWhenResponsive waits until the worker does not hang, and returns with the world's lock.
+// lockWhenResponsive waits until the worker does not hang, and returns holding the world's lock.
 func (worker *Worker) lockWhenResponsive() {
 	const pollInterval = 50 * time.Millisecond
 	checker := &worker.world.checker
@@ -103,23 +105,23 @@
 	checker.blockedCommands--
 }
 
-// serve answers direct commands and health checks. A command of a leader that is superseded, or
-// for an earlier session, is refused.
-func (worker *Worker) serve(rw http.ResponseWriter, q *http.Request) {
-	var d wire.DirectCommands
-	decoded := q.URL.Path == "/do" && decodeRequest(q, &d)
+// serve responds to direct commands and health checks. It refuses commands of a superseded leader and
+// commands for an earlier session.
+func (worker *Worker) serve(rw http.ResponseWriter, r *http.Request) {
+	var request wire.DirectCommands
+	decoded := r.URL.Path == "/do" && decodeRequest(r, &request)
 	worker.lockWhenResponsive()
 	defer worker.world.mu.Unlock()
 	if worker.removed {
 		return
 	}
 	worker.step(time.Now())
-	valid := d.Token >= worker.token && d.Session == worker.session
-	worker.world.recordDirectCommands(d.Commands, valid)
+	valid := request.Token >= worker.token && request.Session == worker.session
+	worker.world.recordDirectCommands(request.Commands, valid)
 	switch {
-	case q.URL.Path == "/show":
-	case q.Method == http.MethodGet:
-		worker.serveHealthCheck(rw, q.URL.Query().Get("piece"))
+	case r.URL.Path == "/show":
+	case r.Method == http.MethodGet:
+		worker.serveHealthCheck(rw, r.URL.Query().Get("piece"))
 		return
 	case !decoded:
 		writeResponse(rw, http.StatusBadRequest, wire.Error{Error: "malformed"})
@@ -128,14 +130,14 @@
 		writeResponse(rw, http.StatusConflict, worker.heartbeat())
 		return
 	default:
-		worker.raiseToken(d.Token)
+		worker.raiseToken(request.Token)
 		worker.world.checker.directCommands++
-		worker.execute(d.Commands)
+		worker.execute(request.Commands)
 	}
 	writeResponse(rw, http.StatusOK, worker.heartbeat())
 }
 
-// raiseToken takes over a higher fencing token.
+// raiseToken raises the worker's fencing token if the given one is higher.
 func (worker *Worker) raiseToken(token uint64) {
 	if token > worker.token {
 		worker.token = token
--- a/internal/emulate/worker_heartbeat.go
+++ b/internal/emulate/worker_heartbeat.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	// stepInterval is how often a worker lets its tasks go on.
+	// stepInterval is the time between steps of a worker's tasks.
 	stepInterval = 100 * time.Millisecond
-	// minHeartbeatGap is the least time between heartbeats that report changes (protocol).
+	// minHeartbeatGap is the protocol's minimum time between heartbeats that report changes.
 	minHeartbeatGap = 500 * time.Millisecond
-	// failoverDelay is how long a worker waits before it tries the next controller (protocol).
+	// failoverDelay is the protocol's delay before a worker tries the next controller.
 	failoverDelay = time.Second
-	// responseTimeout is how late an answer may come (protocol).
+	// responseTimeout is the protocol's timeout for the response to a heartbeat.
 	responseTimeout = 4 * time.Second
 )
 
-// heartbeat is the next heartbeat of the worker.
+// heartbeat returns the worker's next heartbeat.
 func (worker *Worker) heartbeat() wire.Heartbeat {
 	worker.sequence++
-	r := wire.Heartbeat{
+	heartbeat := wire.Heartbeat{
 		Machine: worker.name,
 		Addr:    worker.addr,
 		Type:    worker.typeName,
@@ -38,7 +38,7 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(worker.tasks)) {
 		t := worker.tasks[id]
-		r.Tasks = append(r.Tasks, wire.TaskStatus{
+		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{
 			Task:            t.name,
 			Attempt:         t.attempt,
 			Phase:           t.phase,
@@ -47,55 +47,56 @@
 			Health:          t.health,
 		})
 	}
-	return r
+	return heartbeat
 }
 
-// run is the life of a worker: it boots, then serves and sends heartbeats until it is removed or
-// the world ends.
+// run boots the worker, then serves requests and sends heartbeats until the worker is removed or the
+// world is closed.
 func (worker *Worker) run() {
 	w := worker.world
 	if !w.sleep(time.Until(worker.bootedAt)) {
 		return
 	}
-	ln, err := w.cfg.Network.Listen(worker.addr)
+	listener, err := w.cfg.Network.Listen(worker.addr)
 	if err != nil {
 		w.cfg.Log.Error("worker cannot listen", "machine", worker.name, "error", err)
 		return
 	}
 	w.mu.Lock()
 	worker.leaseStart = time.Now()
-	worker.addr = ln.Addr().String()
+	worker.addr = listener.Addr().String()
 	from := worker.Host()
 	w.mu.Unlock()
-	srv := &http.Server{Handler: http.HandlerFunc(worker.serve), ReadHeaderTimeout: 10 * time.Second}
-	w.wg.Go(func() { _ = srv.Serve(ln) })
-	defer srv.Close()
+	server := &http.Server{Handler: http.HandlerFunc(worker.serve), ReadHeaderTimeout: 10 * time.Second}
+	w.wg.Go(func() { _ = server.Serve(listener) })
+	defer server.Close()
 	transport := &http.Transport{DialContext: w.cfg.Network.Dialer(from), MaxIdleConnsPerHost: 1}
-	hc := &http.Client{Timeout: responseTimeout, Transport: transport}
-	defer hc.CloseIdleConnections()
+	client := &http.Client{Timeout: responseTimeout, Transport: transport}
+	defer client.CloseIdleConnections()
 	sending := make(chan struct{}, 1)
 	for w.sleep(stepInterval) {
-		if !worker.tick(hc, sending) {
+		if !worker.tick(client, sending) {
 			return
 		}
 	}
 }
 
-// sleep waits; false: the world has ended before.
+// sleep waits for d. It returns false if the world is closed first.
 func (w *World) sleep(d time.Duration) bool {
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
 	case <-w.done:
 		return false
-	case <-t.C:
+	case <-timer.C:
 		return true
 	}
 }
 
-// tick lets the worker's tasks go on and sends a heartbeat if one is due and none is under way,
-// for which sending has room. It returns false once the worker is removed.
-func (worker *Worker) tick(hc *http.Client, sending chan struct{}) bool {
+// tick steps the worker's tasks and sends a heartbeat if one is due and none is being sent. The
+// channel sending holds an element while a heartbeat is being sent. tick returns false once the
+// worker is removed.
+func (worker *Worker) tick(client *http.Client, sending chan struct{}) bool {
 	w := worker.world
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -118,17 +119,17 @@
 		heartbeat := worker.heartbeat()
 		w.wg.Go(func() {
 			defer func() { <-sending }()
-			worker.sendHeartbeat(hc, heartbeat, now)
+			worker.sendHeartbeat(client, heartbeat, now)
 		})
 	default:
 	}
 	return true
 }
 
-// sendHeartbeat sends a heartbeat to a controller and deals with its answer.
-func (worker *Worker) sendHeartbeat(hc *http.Client, heartbeat wire.Heartbeat, sent time.Time) {
+// sendHeartbeat sends a heartbeat to the current controller and handles the response.
+func (worker *Worker) sendHeartbeat(client *http.Client, heartbeat wire.Heartbeat, sent time.Time) {
 	w := worker.world
-	b, err := wire.Marshal(heartbeat)
+	encoded, err := wire.Marshal(heartbeat)
 	if err != nil {
 		w.cfg.Log.Error("heartbeat cannot be encoded", "machine", worker.name, "error", err)
 		return
@@ -136,16 +137,16 @@
 	w.mu.Lock()
 	controller := worker.controllerIndex
 	if w.capturing && len(w.captured) < maxCapturedHeartbeats {
-		w.captured = append(w.captured, CapturedHeartbeat{worker.Host(), b})
+		w.captured = append(w.captured, CapturedHeartbeat{worker.Host(), encoded})
 	}
 	w.mu.Unlock()
-	res, err := hc.Post("http://"+w.cfg.Controllers[controller].Addr+"/checkin", wire.ContentType, bytes.NewReader(b))
+	response, err := client.Post("http://"+w.cfg.Controllers[controller].Addr+"/checkin", wire.ContentType, bytes.NewReader(encoded))
 	var body []byte
 	status := 0
 	if err == nil {
-		status = res.StatusCode
-		body, err = io.ReadAll(io.LimitReader(res.Body, maxBodyBytes))
-		_ = res.Body.Close()
+		status = response.StatusCode
+		body, err = io.ReadAll(io.LimitReader(response.Body, maxBodyBytes))
+		_ = response.Body.Close()
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -156,29 +157,30 @@
 	worker.failover(controller, status, body, sent)
 }
 
-// handleResponse renews the lease by the answer to a heartbeat of a session and carries out its
-// orders, unless it comes late or from a leader that is superseded; the caller holds the lock.
+// handleResponse renews the lease and executes the commands of the response to a heartbeat. It ignores
+// a response that is late, that comes from a superseded leader or that belongs to an earlier session.
+// The caller holds the lock.
 func (worker *Worker) handleResponse(controller int, body []byte, session uint64, sent time.Time) {
 	w := worker.world
-	var a wire.HeartbeatResponse
-	if wire.Unmarshal(body, &a) != nil || a.Token < worker.token || session != worker.session {
+	var response wire.HeartbeatResponse
+	if wire.Unmarshal(body, &response) != nil || response.Token < worker.token || session != worker.session {
 		return
 	}
 	if time.Since(sent) > responseTimeout || worker.removed || worker.hanging {
 		return
 	}
-	worker.raiseToken(a.Token)
+	worker.raiseToken(response.Token)
 	worker.leaseStart = sent
 	if !worker.unansweredSince.IsZero() {
-		_ = w.checker.unansweredTime.RecordValue(max(1, time.Since(worker.unansweredSince).Milliseconds())) // within its range
+		_ = w.checker.unansweredTime.RecordValue(max(1, time.Since(worker.unansweredSince).Milliseconds())) // the value is within the histogram's range
 		worker.unansweredSince = time.Time{}
 	}
 	w.checker.heartbeatsAnswered[w.cfg.Controllers[controller].Member]++
-	worker.execute(a.Commands)
+	worker.execute(response.Commands)
 }
 
-// failover turns to the next controller after a heartbeat without an answer, or at once to the
-// one that a redirect names; the caller holds the lock.
+// failover selects the next controller after a heartbeat without a valid response. After a redirect
+// it selects the controller that the redirect names, without a delay. The caller holds the lock.
 func (worker *Worker) failover(controller, status int, body []byte, sent time.Time) {
 	w := worker.world
 	if worker.unansweredSince.IsZero() {
@@ -186,11 +188,11 @@
 	}
 	worker.heartbeatSent = time.Now().Add(failoverDelay - w.cfg.HeartbeatInterval)
 	worker.controllerIndex = (controller + 1) % len(w.cfg.Controllers)
-	var to wire.Redirect
-	if status != http.StatusMisdirectedRequest || wire.Unmarshal(body, &to) != nil {
+	var redirect wire.Redirect
+	if status != http.StatusMisdirectedRequest || wire.Unmarshal(body, &redirect) != nil {
 		return
 	}
-	isTarget := func(c Controller) bool { return c.Member == to.ReportTo }
+	isTarget := func(c Controller) bool { return c.Member == redirect.ReportTo }
 	if i := slices.IndexFunc(w.cfg.Controllers, isTarget); i >= 0 && i != controller {
 		worker.controllerIndex = i
 		worker.heartbeatSent = time.Time{}
