--- a/internal/emulate/emulate_test.go
+++ b/internal/emulate/emulate_test.go
@@ -9,7 +9,8 @@
 	"vetchstream/internal/config"
 )
 
-// TestParseFaultsNamesInvalidField: mistakes in a list of troubles are named by place and field.
+// TestParseFaultsNamesInvalidField checks that the error about an invalid fault contains its index
+// and the field.
 func TestParseFaultsNamesInvalidField(t *testing.T) {
 	tests := []struct{ text, want string }{
 		{`[]`, ""},
@@ -27,32 +28,32 @@
 	for _, tt := range tests {
 		_, err := ParseFaults([]byte(tt.text))
 		if (err == nil) != (tt.want == "") || (err != nil && !strings.Contains(err.Error(), tt.want)) {
-			t.Errorf("%s: %v, want %q", tt.text, err, tt.want)
+			t.Errorf("parsing %s: error %v, want one that contains %q", tt.text, err, tt.want)
 		}
 	}
 }
 
-// TestClusterSettingsAreValid: the settings that an emulation writes are ones that a controller
-// takes, and what cannot be emulated is refused.
+// TestClusterSettingsAreValid checks that a controller can parse the settings that Start returns, and
+// that Start refuses invalid options.
 func TestClusterSettingsAreValid(t *testing.T) {
 	tests := []struct {
-		name string
-		o    Options
-		want string
+		name    string
+		options Options
+		want    string
 	}{
-		{"three controllers", Options{Controllers: 3, MaxMachines: 5, Listen: "127.0.0.1:20000"}, ""},
-		{"none", Options{Controllers: 0, MaxMachines: 5, Listen: "127.0.0.1:20000"}, "controllers"},
-		{"no machines", Options{Controllers: 1, MaxMachines: 0, Listen: "127.0.0.1:20000"}, "machines"},
-		{"not loopback", Options{Controllers: 1, MaxMachines: 1, Listen: "10.0.0.1:20000"}, "loopback"},
-		{"no port", Options{Controllers: 1, MaxMachines: 1, Listen: "127.0.0.1"}, "port"},
-		{"no room for the peer ports", Options{Controllers: 3, MaxMachines: 1, Listen: "127.0.0.1:65500"}, "port"},
+		{"three controllers are accepted", Options{Controllers: 3, MaxMachines: 5, Listen: "127.0.0.1:20000"}, ""},
+		{"no controllers are refused", Options{Controllers: 0, MaxMachines: 5, Listen: "127.0.0.1:20000"}, "controllers"},
+		{"no machines are refused", Options{Controllers: 1, MaxMachines: 0, Listen: "127.0.0.1:20000"}, "machines"},
+		{"an address outside loopback is refused", Options{Controllers: 1, MaxMachines: 1, Listen: "10.0.0.1:20000"}, "loopback"},
+		{"an address without a port is refused", Options{Controllers: 1, MaxMachines: 1, Listen: "127.0.0.1"}, "port"},
+		{"a port without room for the peer ports is refused", Options{Controllers: 3, MaxMachines: 1, Listen: "127.0.0.1:65500"}, "port"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			cl, err := Start(tt.o)
+			cl, err := Start(tt.options)
 			if tt.want != "" {
 				if err == nil || !strings.Contains(err.Error(), tt.want) {
-					t.Errorf("%v, want %q", err, tt.want)
+					t.Errorf("Start: error %v, want one that contains %q", err, tt.want)
 				}
 				return
 			}
@@ -60,17 +61,17 @@
 				t.Fatal(err)
 			}
 			defer cl.Close()
-			for _, set := range cl.Settings {
-				b, err := toml.Marshal(set)
+			for _, settings := range cl.Settings {
+				encoded, err := toml.Marshal(settings)
 				if err != nil {
 					t.Fatal(err)
 				}
-				got, err := config.Parse(b)
+				got, err := config.Parse(encoded)
 				if err != nil {
-					t.Fatalf("%v in\n%s", err, b)
+					t.Fatalf("parsing the settings: %v\n%s", err, encoded)
 				}
-				if got.Member != set.Member || len(got.Siblings) != tt.o.Controllers-1 || got.External.State != set.External.State {
-					t.Errorf("read back as %+v", got)
+				if got.Member != settings.Member || len(got.Siblings) != tt.options.Controllers-1 || got.External.State != settings.External.State {
+					t.Errorf("parsed settings are %+v, want the encoded %+v", got, settings)
 				}
 			}
 		})
--- a/internal/emulate/loopback.go
+++ b/internal/emulate/loopback.go
@@ -10,28 +10,28 @@
 	"vetchstream/internal/state"
 )
 
-// Loopback is the machine's own network. Each host has an address of its own in 127.0.0.0/8,
-// by which controllers tell workers apart.
+// Loopback is a Network on the loopback interface. Each host has an address of its own in
+// 127.0.0.0/8 because controllers distinguish workers by their addresses.
 type Loopback struct {
-	block byte // second number of its addresses
+	block byte // second byte of the hosts' addresses
 
 	mu    sync.Mutex
 	hosts map[string]net.IP
 }
 
-// defaultBlock is where the addresses of an emulation begin: 127.64.0.1.
+// defaultBlock is the default second byte of the hosts' addresses; the first host has 127.64.0.1.
 const defaultBlock = 64
 
-// NewLoopback makes a network of this machine.
+// NewLoopback returns a network whose hosts have addresses in 127.64.0.0/16.
 func NewLoopback() *Loopback { return NewLoopbackAt(defaultBlock) }
 
-// NewLoopbackAt makes a network whose hosts have the addresses of 127.block.0.0/16.
+// NewLoopbackAt returns a network whose hosts have addresses in 127.block.0.0/16.
 func NewLoopbackAt(block byte) *Loopback {
 	return &Loopback{block: block, hosts: map[string]net.IP{}}
 }
 
-// ip is the address of a host. A host without one gets the next of the block, and one that is
-// named by its address has that.
+// ip returns the address of a host. A host name that is an address stands for itself; any other
+// host gets the next address of the block at its first use.
 func (l *Loopback) ip(host string) net.IP {
 	if ip := net.ParseIP(host); ip != nil {
 		return ip
@@ -47,7 +47,7 @@
 	return ip
 }
 
-// Listen implements Network: the host's name becomes an address, and port 0 a free port.
+// Listen implements Network. It listens at the address of the host; port 0 selects a free port.
 func (l *Loopback) Listen(addr string) (net.Listener, error) {
 	host, port, err := net.SplitHostPort(addr)
 	if err != nil {
@@ -58,8 +58,8 @@
 
 // Dialer implements Network.
 func (l *Loopback) Dialer(from string) state.DialFunc {
-	d := &net.Dialer{Timeout: time.Second, LocalAddr: &net.TCPAddr{IP: l.ip(from)}}
+	dialer := &net.Dialer{Timeout: time.Second, LocalAddr: &net.TCPAddr{IP: l.ip(from)}}
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
-		return d.DialContext(ctx, network, addr)
+		return dialer.DialContext(ctx, network, addr)
 	}
 }
--- a/internal/emulate/memory_conn.go
+++ b/internal/emulate/memory_conn.go
@@ -55,7 +55,7 @@
 type memConn struct {
 	net.Conn
 	from, to string
-	reset    func() // breaks the connection
+	reset    func() // closes both ends at once
 }
 
 // RemoteAddr implements net.Conn.
@@ -66,12 +66,13 @@
 
 const (
 	packetLatency = 2 * time.Millisecond
-	// partitionPoll is how often held packets look whether a partition is over.
+	// partitionPoll is the time between checks whether held packets can be delivered.
 	partitionPoll = 50 * time.Millisecond
-	// maxPackets and maxPacketSize bound what is under way in one direction of a connection.
+	// maxPackets and maxPacketSize (in bytes) bound the data in flight in one direction of a
+	// connection.
 	maxPackets    = 4096
 	maxPacketSize = 32 << 10
-	// listenBacklog bounds the connections that a listener has not accepted yet.
+	// listenBacklog bounds the connections that wait to be accepted by a listener.
 	listenBacklog = 64
 )
 
@@ -80,8 +81,8 @@
 	errConnectionRefused = errors.New("connection refused")
 )
 
-// connect makes the two ends of a connection from a host to an address of another. Packets are
-// forwarded between two pipes, one of each end.
+// connect returns the two ends of a connection from a host to an address of another host. Each end
+// is a pipe, and packets are forwarded between the pipes.
 func (n *MemoryNetwork) connect(from, to, addr string) (client, server *memConn) {
 	clientPipe, clientSide := net.Pipe()
 	serverSide, serverPipe := net.Pipe()
@@ -110,14 +111,14 @@
 	return client, server
 }
 
-// packet is data under way.
+// packet is data in flight.
 type packet struct {
 	deliverAt time.Time
 	payload   []byte
 }
 
-// forward carries packets from one end of a connection to the other until the connection is
-// closed or broken, and holds them while held is true.
+// forward forwards packets from one end of a connection to the other until the connection is closed
+// or reset. It holds them while held returns true.
 func (n *MemoryNetwork) forward(src, dst net.Conn, broken <-chan struct{}, held func() bool) {
 	packets := make(chan packet, maxPackets)
 	go n.readPackets(src, packets, broken)
@@ -137,7 +138,7 @@
 	_ = dst.Close()
 }
 
-// readPackets reads what an end of a connection sends, and closes packets when it sends no more.
+// readPackets reads the data that an end of a connection sends, and closes packets at its end.
 func (n *MemoryNetwork) readPackets(src net.Conn, packets chan<- packet, broken <-chan struct{}) {
 	defer close(packets)
 	buf := make([]byte, maxPacketSize)
--- a/internal/emulate/memory_network.go
+++ b/internal/emulate/memory_network.go
@@ -9,29 +9,29 @@
 	"vetchstream/internal/state"
 )
 
-// MemoryNetwork is a network in memory with partitions, for simulated time. Packets that meet a
-// partition are held and delivered in order once it ends, even when the sender has closed
-// meanwhile.
+// MemoryNetwork is an in-memory network with partitions, for use with simulated time. A partition
+// holds packets and delivers them in order when it ends, even if the sender has closed the
+// connection in the meantime.
 type MemoryNetwork struct {
 	mu          sync.Mutex
 	listeners   map[string]*memListener // by address
-	connections map[*memConn]bool       // the ends that have opened one
-	delay       time.Duration           // of every packet
+	connections map[*memConn]bool       // the client ends of open connections
+	delay       time.Duration           // latency of every packet
 
-	// Each chooses traffic from one host to another, see the methods that set them.
+	// Filters of traffic from one host to another; see the methods that set them.
 	partitioned       linkFilter
 	partitionedOneWay linkFilter
 	heldRequests      linkFilter
 	denied            linkFilter
 }
 
-// linkFilter chooses traffic from one host to another.
+// linkFilter reports whether it selects the traffic from one host to another.
 type linkFilter = func(from, to string) bool
 
-// noLink chooses nothing.
+// noLink is a filter that selects no traffic.
 func noLink(_, _ string) bool { return false }
 
-// NewMemoryNetwork makes a network without partitions.
+// NewMemoryNetwork returns a network without partitions.
 func NewMemoryNetwork() *MemoryNetwork {
 	return &MemoryNetwork{
 		listeners:         map[string]*memListener{},
@@ -44,22 +44,22 @@
 	}
 }
 
-// AddDelay delays every packet by that much beside the usual latency.
+// AddDelay sets a delay of every packet in addition to packetLatency. It replaces an earlier delay.
 func (n *MemoryNetwork) AddDelay(d time.Duration) {
 	n.mu.Lock()
 	n.delay = packetLatency + d
 	n.mu.Unlock()
 }
 
-// packetDelay is how long a packet takes.
+// packetDelay returns the latency of a packet.
 func (n *MemoryNetwork) packetDelay() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.delay
 }
 
-// DenyConnections lets no connection be opened from one host to another for which f is true, and
-// breaks those that are. The other may open one in the other direction.
+// DenyConnections refuses new connections from one host to another for which f is true, and resets
+// the open ones. Connections in the opposite direction are not affected.
 func (n *MemoryNetwork) DenyConnections(f func(from, to string) bool) {
 	n.mu.Lock()
 	n.denied = f
@@ -67,9 +67,9 @@
 	n.resetOpenedBy(f)
 }
 
-// HoldRequests holds what a host sends on connections that it has opened to another for which f
-// is true: its requests. Answers to them pass, and so does what goes over connections that the
-// other has opened.
+// HoldRequests holds the packets that a host sends on connections that it has opened to another host
+// for which f is true, which are its requests. It does not hold the responses or packets on
+// connections that the other host has opened.
 func (n *MemoryNetwork) HoldRequests(f func(from, to string) bool) {
 	n.mu.Lock()
 	n.heldRequests = f
@@ -90,8 +90,8 @@
 	return n.partitioned(from, to) || n.partitioned(to, from) || n.partitionedOneWay(from, to)
 }
 
-// PartitionOneWay holds the packets from one host to another for which f is true, and not those
-// in the other direction.
+// PartitionOneWay holds the packets from one host to another for which f is true, but not those in
+// the opposite direction.
 func (n *MemoryNetwork) PartitionOneWay(f func(from, to string) bool) {
 	n.mu.Lock()
 	n.partitionedOneWay = f
@@ -153,14 +153,14 @@
 	}
 }
 
-// ResetConnections breaks the connections between two hosts for which match is true, whichever has
-// opened them, as when the process of a host ends.
+// ResetConnections resets the connections between two hosts for which match is true in either
+// direction, as when the process of a host ends.
 func (n *MemoryNetwork) ResetConnections(match func(from, to string) bool) {
 	n.resetOpenedBy(func(from, to string) bool { return match(from, to) || match(to, from) })
 }
 
-// resetOpenedBy breaks the connections that were opened from one host to another for which match
-// is true.
+// resetOpenedBy resets the connections from one host to another for which match is true, where the
+// first host has opened them.
 func (n *MemoryNetwork) resetOpenedBy(match func(from, to string) bool) {
 	n.mu.Lock()
 	var matching []*memConn
--- a/internal/emulate/statistics.go
+++ b/internal/emulate/statistics.go
@@ -7,63 +7,65 @@
 	"vetchstream/internal/wire"
 )
 
-// Starts counts the tasks that got their image.
+// Starts returns the number of task starts, counted when the image pull completes.
 func (w *World) Starts() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.checker.starts
 }
 
-// StartsAfterCancellation counts the tasks that got their image after the cancellation of their
-// job was confirmed: launches that were in flight.
+// StartsAfterCancellation returns the number of task starts after the cancellation of their job was
+// confirmed. Launches that were in flight cause them.
 func (w *World) StartsAfterCancellation() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.checker.startsAfterCancellation
 }
 
-// OverdueLaunches counts the direct commands to launch a task that reached a worker after
-// the last moment at which a task of the cancelled job may be on a machine, and those of
-// them that it carried out. Such a task may still be halted before it has its image.
+// OverdueLaunches returns the number of direct launch commands that reached a worker after the cancel
+// timeout of their job, and how many of them the worker executed. A task that was launched so late
+// may still be stopped before its image is pulled.
 func (w *World) OverdueLaunches() (arrived, carriedOut int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.checker.overdueLaunches, w.checker.overdueExecuted
 }
 
-// MaxBlockedCommands is how many direct commands have waited at hanging machines at a time.
+// MaxBlockedCommands returns the highest number of direct requests that waited at hanging machines at
+// the same time.
 func (w *World) MaxBlockedCommands() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.checker.maxBlockedCommands
 }
 
-// TasksLost counts the tasks that ran when their machine was lost or its lease expired.
+// TasksLost returns the number of tasks that were running when their machine was lost or its lease
+// expired.
 func (w *World) TasksLost() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.checker.tasksLost
 }
 
-// HeartbeatsByController counts the heartbeats that each controller has answered.
+// HeartbeatsByController returns the number of heartbeats that each controller has answered.
 func (w *World) HeartbeatsByController() map[string]int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return maps.Clone(w.checker.heartbeatsAnswered)
 }
 
-// UnansweredQuantiles are quantiles of how long workers went without an answer, from the first
-// heartbeat that had none: the median, 99 % and the longest; n is how many did.
-func (w *World) UnansweredQuantiles() (n int64, half, most99, longest time.Duration) {
+// UnansweredQuantiles returns the number of periods in which a worker got no response to its
+// heartbeats, with the median, the 99th percentile and the maximum of their lengths. A period starts
+// with the first unanswered heartbeat and ends with the next answered one.
+func (w *World) UnansweredQuantiles() (n int64, median, p99, longest time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	ms := func(v int64) time.Duration { return time.Duration(v) * time.Millisecond }
-	h := w.checker.unansweredTime
-	return h.TotalCount(), ms(h.ValueAtQuantile(50)), ms(h.ValueAtQuantile(99)), ms(h.Max())
+	milliseconds := func(v int64) time.Duration { return time.Duration(v) * time.Millisecond }
+	times := w.checker.unansweredTime
+	return times.TotalCount(), milliseconds(times.ValueAtQuantile(50)), milliseconds(times.ValueAtQuantile(99)), milliseconds(times.Max())
 }
 
-// TeamCPUs is how many CPUs the tasks of a team take, those that are halted but not gone
-// included.
+// TeamCPUs returns the CPUs that the tasks of a team take, including tasks that are being stopped.
 func (w *World) TeamCPUs(team string) (cpus float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -77,7 +79,7 @@
 	return cpus
 }
 
-// CPUsByTeam is how many CPUs the tasks of each team take.
+// CPUsByTeam returns the CPUs that the tasks of each team take.
 func (w *World) CPUsByTeam() map[string]float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -92,8 +94,8 @@
 	return out
 }
 
-// CancellationsConfirmed counts the cancellations that were first confirmed from one moment to
-// another.
+// CancellationsConfirmed returns the number of cancellations that were first confirmed at or after
+// from and before to.
 func (w *World) CancellationsConfirmed(from, to time.Time) (n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -105,33 +107,33 @@
 	return n
 }
 
-// Load is what the workers do at a time, and have done.
+// Load has the current number of tasks on the workers and the number of messages so far.
 type Load struct {
-	// RunningTasks counts the tasks that hold their machines.
+	// RunningTasks counts the tasks that count as running on their machines.
 	RunningTasks int
-	// Heartbeats counts the answered ones, DirectCommands those that arrived.
+	// Heartbeats counts the answered heartbeats, DirectCommands the accepted direct requests.
 	Heartbeats, DirectCommands int
 }
 
-// Load is what the workers do now.
+// Load returns the current load of the workers.
 func (w *World) Load() Load {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	l := Load{DirectCommands: w.checker.directCommands}
+	load := Load{DirectCommands: w.checker.directCommands}
 	for _, n := range w.checker.heartbeatsAnswered {
-		l.Heartbeats += n
+		load.Heartbeats += n
 	}
 	for _, worker := range w.workers {
 		for _, t := range worker.tasks {
 			if worker.occupies(t) {
-				l.RunningTasks++
+				load.RunningTasks++
 			}
 		}
 	}
-	return l
+	return load
 }
 
-// AnsweredWorkers counts the workers that have had an answer to a heartbeat.
+// AnsweredWorkers returns the number of workers that have received a response to a heartbeat.
 func (w *World) AnsweredWorkers() (n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -143,7 +145,7 @@
 	return n
 }
 
-// RunningTasks counts the running tasks of a job.
+// RunningTasks returns the number of running tasks of a job.
 func (w *World) RunningTasks(id string) (n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/emulate/store.go
+++ b/internal/emulate/store.go
@@ -10,28 +10,28 @@
 	"vetchstream/internal/wire"
 )
 
-// Store is an emulated key-value store, after its published protocol. All entries are lost
-// with it.
+// Store emulates the key-value store according to its published protocol. It keeps its entries in
+// memory.
 type Store struct {
 	mu          sync.Mutex
 	revision    uint64
 	entries     map[string]state.Entry
-	deletedAt   map[string]uint64 // key -> revision of its last deletion
+	deletedAt   map[string]uint64 // by key: revision of its last deletion
 	leaseExpiry map[uint64]time.Time
 	leaseTTL    map[uint64]time.Duration
 	lastLease   uint64
-	changed     chan struct{} // closed and replaced with each change
+	changed     chan struct{} // closed and replaced at each change
 	load        StoreLoad
 
-	maxWrites int // in a transaction
-	pageSize  int // entries in a listing
+	maxWrites int // maximum number of writes in a transaction
+	pageSize  int // maximum number of entries in a page of a listing
 
-	// refuses chooses the hosts that are refused, latency delays all answers, and
-	// transactionDelay says how late a transaction is carried out, see DelayTransactions.
+	// refuses selects the hosts whose requests are refused. latency is added to all responses.
+	// transactionDelay returns the delay of a transaction, see DelayTransactions.
 	refuses          func(from string) bool
 	latency          time.Duration
 	transactionDelay func() time.Duration
-	responsesLost    int // to transactions that were carried out at once
+	responsesLost    int // see ResponsesLost
 }
 
 const (
@@ -39,29 +39,29 @@
 	defaultPageSize  = 500
 )
 
-// StoreLoad counts the requests to a store so far.
+// StoreLoad has the number of requests to a store so far.
 type StoreLoad struct {
-	// Requests counts all requests, watches and lease renewals included.
+	// Requests counts all requests, including watches and lease renewals.
 	Requests int `json:"requests"`
-	// Writes counts the puts and deletes of transactions, those of failed ones included.
+	// Writes counts the puts and deletes of all transactions, including failed ones.
 	Writes int `json:"writes"`
 }
 
-// Load counts the requests so far.
+// Load returns the number of requests so far.
 func (s *Store) Load() StoreLoad {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.load
 }
 
-// SetPageSize sets how many entries a listing may have.
+// SetPageSize sets the maximum number of entries in a page of a listing.
 func (s *Store) SetPageSize(entries int) {
 	s.mu.Lock()
 	s.pageSize = entries
 	s.mu.Unlock()
 }
 
-// NewStore makes an empty store.
+// NewStore returns an empty store.
 func NewStore() *Store {
 	return &Store{
 		entries:     map[string]state.Entry{},
@@ -75,14 +75,14 @@
 	}
 }
 
-// SetMaxWrites sets the most writes in a transaction.
+// SetMaxWrites sets the maximum number of writes in a transaction.
 func (s *Store) SetMaxWrites(writes int) {
 	s.mu.Lock()
 	s.maxWrites = writes
 	s.mu.Unlock()
 }
 
-// CountKeys is how many keys are below a prefix.
+// CountKeys returns the number of keys with the given prefix.
 func (s *Store) CountKeys(prefix string) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,7 +94,7 @@
 	return n
 }
 
-// Entry reads a key.
+// Entry returns the entry of a key and whether there is one.
 func (s *Store) Entry(key string) (state.Entry, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -102,8 +102,8 @@
 	return e, ok
 }
 
-// JobSpec finds the description of a job among the records that controllers store; nil: there is
-// none. The emulated workers read there what users would have uploaded for them.
+// JobSpec returns the specification of a job from the records that controllers store, or nil if
+// there is none. Emulated workers read it there instead of from the uploads of users.
 func (s *Store) JobSpec(id string) *job.Spec {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -127,23 +127,23 @@
 	return nil
 }
 
-// notifyWatchers wakes the watches; the caller holds the lock.
+// notifyWatchers wakes all watches; the caller holds the lock.
 func (s *Store) notifyWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// expireLeases ends the leases that have expired; the caller holds the lock.
+// expireLeases deletes the leases that have expired and their keys; the caller holds the lock.
 func (s *Store) expireLeases() {
 	now := time.Now()
-	for id, until := range s.leaseExpiry {
-		if now.After(until) {
+	for id, expiry := range s.leaseExpiry {
+		if now.After(expiry) {
 			s.endLease(id)
 		}
 	}
 }
 
-// endLease deletes a lease and the keys under it; the caller holds the lock.
+// endLease deletes a lease and the keys that are attached to it; the caller holds the lock.
 func (s *Store) endLease(id uint64) {
 	delete(s.leaseExpiry, id)
 	for k, e := range s.entries {
--- a/internal/emulate/store_faults.go
+++ b/internal/emulate/store_faults.go
@@ -9,7 +9,7 @@
 	"vetchstream/internal/wire"
 )
 
-// discardResponse drops an answer.
+// discardResponse is a response writer that discards the response.
 type discardResponse struct{ http.ResponseWriter }
 
 // WriteHeader implements http.ResponseWriter.
@@ -18,42 +18,43 @@
 // Write implements http.ResponseWriter.
 func (discardResponse) Write(b []byte) (int, error) { return len(b), nil }
 
-// ResponsesLost counts the transactions that were carried out at once and whose answers were
-// lost.
+// ResponsesLost returns the number of transactions that were applied at once but whose responses
+// were lost.
 func (s *Store) ResponsesLost() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.responsesLost
 }
 
-// RefuseFrom refuses the hosts for which f is true, with status 503.
+// RefuseFrom makes the store refuse requests with status 503 if f is true for their host.
 func (s *Store) RefuseFrom(f func(from string) bool) {
 	s.mu.Lock()
 	s.refuses = f
 	s.mu.Unlock()
 }
 
-// DelayTransactions lets each transaction go without an answer for as long as f says, and
-// carries it out then. Below 0 it is carried out at once, and only the answer is lost; 0: it is
-// served. nil: all are served.
+// DelayTransactions makes the store call f for each transaction. If the result is above 0, the store
+// applies the transaction and responds after that delay. If it is below 0, the store applies the
+// transaction at once and closes the connection without a response after the absolute value of the
+// result. If it is 0, or f is nil, the store serves the transaction normally.
 func (s *Store) DelayTransactions(f func() time.Duration) {
 	s.mu.Lock()
 	s.transactionDelay = f
 	s.mu.Unlock()
 }
 
-// SetLatency makes every answer but those of watches take that much longer.
+// SetLatency sets a delay that is added to every response except those to watches.
 func (s *Store) SetLatency(d time.Duration) {
 	s.mu.Lock()
 	s.latency = d
 	s.mu.Unlock()
 }
 
-// outageLeaseDuration is how long a lease lasts in an outage: longer than any outage.
+// outageLeaseDuration is the time to live of leases during an outage, longer than any outage.
 const outageLeaseDuration = time.Hour
 
-// SetOutage begins an outage, in which all are refused and no lease expires, or ends it;
-// afterwards leases have their full time.
+// SetOutage starts or ends an outage. During an outage the store refuses all requests and no lease
+// expires. At its end all leases are renewed.
 func (s *Store) SetOutage(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,21 +71,21 @@
 	}
 }
 
-// Put sets a key without conditions, as an operator who restores an older state does.
+// Put writes a key without conditions, like an operator who restores an older state.
 func (s *Store) Put(key string, data any) error {
-	b, err := wire.Marshal(data)
+	value, err := wire.Marshal(data)
 	if err != nil {
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
-	s.entries[key] = state.Entry{Key: key, Value: b, Version: s.revision}
+	s.entries[key] = state.Entry{Key: key, Value: value, Version: s.revision}
 	s.notifyWatchers()
 	return nil
 }
 
-// Snapshot is the entries below a prefix.
+// Snapshot returns the entries whose keys have the given prefix.
 func (s *Store) Snapshot(prefix string) (entries []state.Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -96,8 +97,8 @@
 	return entries
 }
 
-// Restore replaces the entries below a prefix by a snapshot, without conditions, as in a store
-// that has lost its last writes.
+// Restore replaces the entries whose keys have the given prefix by a snapshot, without conditions.
+// This simulates a store that has lost its last writes.
 func (s *Store) Restore(prefix string, entries []state.Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/emulate/store_http.go
+++ b/internal/emulate/store_http.go
@@ -13,7 +13,7 @@
 	"vetchstream/internal/wire"
 )
 
-// The answers of the key-value store, by their names on the wire.
+// Responses of the key-value store.
 type (
 	listResponse struct {
 		Entries  []state.Entry `codec:"entries"`
@@ -34,7 +34,7 @@
 		Revision uint64   `codec:"epoch"`
 		Events   []change `codec:"events"`
 	}
-	// change is a key that was put or deleted.
+	// change is the event of a put or a deletion of a key.
 	change struct {
 		Put      string   `codec:"put,omitempty"`
 		Delete   string   `codec:"drop,omitempty"`
@@ -43,13 +43,13 @@
 	}
 )
 
-// ServeHTTP implements http.Handler: the published protocol of the key-value store.
-func (s *Store) ServeHTTP(w http.ResponseWriter, q *http.Request) {
-	from, _, _ := net.SplitHostPort(q.RemoteAddr)
+// ServeHTTP implements http.Handler. It serves the published protocol of the key-value store.
+func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	from, _, _ := net.SplitHostPort(r.RemoteAddr)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.load.Requests++
-	path := q.URL.Path
+	path := r.URL.Path
 	if s.latency > 0 && path != "/changes" {
 		s.sleepUnlocked(s.latency)
 	}
@@ -60,32 +60,32 @@
 	s.expireLeases()
 	switch {
 	case path == "/kv":
-		s.serveList(w, q)
+		s.serveList(w, r)
 	case strings.HasPrefix(path, "/kv/"):
 		s.serveEntry(w, path[len("/kv/"):])
 	case path == "/commit":
-		s.serveCommit(w, q)
+		s.serveCommit(w, r)
 	case path == "/leases":
-		s.serveGrant(w, q)
+		s.serveGrant(w, r)
 	case strings.HasPrefix(path, "/leases/"):
-		s.serveLease(w, q)
+		s.serveLease(w, r)
 	case path == "/changes":
-		s.serveChanges(w, q, from)
+		s.serveChanges(w, r, from)
 	default:
 		w.WriteHeader(http.StatusNotFound)
 	}
 }
 
-// sleepUnlocked waits without the lock; the caller holds it before and after.
+// sleepUnlocked releases the lock, waits and acquires the lock again; the caller holds it.
 func (s *Store) sleepUnlocked(wait time.Duration) {
 	s.mu.Unlock()
 	time.Sleep(wait)
 	s.mu.Lock()
 }
 
-// serveList answers a listing by prefix; the caller holds the lock.
-func (s *Store) serveList(w http.ResponseWriter, q *http.Request) {
-	under, after := q.URL.Query().Get("under"), q.URL.Query().Get("after")
+// serveList responds to a listing by prefix; the caller holds the lock.
+func (s *Store) serveList(w http.ResponseWriter, r *http.Request) {
+	under, after := r.URL.Query().Get("under"), r.URL.Query().Get("after")
 	out := []state.Entry{}
 	for _, k := range slices.Sorted(maps.Keys(s.entries)) {
 		if strings.HasPrefix(k, under) && k > after {
@@ -96,7 +96,7 @@
 	writeResponse(w, http.StatusOK, listResponse{Entries: out[:page], More: page < len(out), Revision: s.revision})
 }
 
-// serveEntry answers a read of one key; the caller holds the lock.
+// serveEntry responds to a read of one key; the caller holds the lock.
 func (s *Store) serveEntry(w http.ResponseWriter, key string) {
 	e, ok := s.entries[key]
 	if !ok {
@@ -106,87 +106,87 @@
 	writeResponse(w, http.StatusOK, e)
 }
 
-// serveCommit carries out a transaction, late or without an answer where DelayTransactions asks
-// for that; the caller holds the lock.
-func (s *Store) serveCommit(w http.ResponseWriter, q *http.Request) {
-	var t state.Txn
-	if !decodeRequest(q, &t) || len(t.Writes) > s.maxWrites {
+// serveCommit applies a transaction, delayed or without a response if DelayTransactions has been
+// called with such a function; the caller holds the lock.
+func (s *Store) serveCommit(w http.ResponseWriter, r *http.Request) {
+	var txn state.Txn
+	if !decodeRequest(r, &txn) || len(txn.Writes) > s.maxWrites {
 		writeResponse(w, http.StatusBadRequest, wire.Error{Error: "malformed"})
 		return
 	}
-	s.load.Writes += len(t.Writes)
+	s.load.Writes += len(txn.Writes)
 	if s.transactionDelay != nil {
-		switch d := s.transactionDelay(); {
-		case d < 0:
+		switch delay := s.transactionDelay(); {
+		case delay < 0:
 			w = discardResponse{w}
 			s.responsesLost++
 			defer func() {
-				s.sleepUnlocked(-d)
-				panic(http.ErrAbortHandler) // ends the connection without an answer
+				s.sleepUnlocked(-delay)
+				panic(http.ErrAbortHandler) // closes the connection without a response
 			}()
-		case d > 0:
-			// The client gives up long before; the transaction is carried out all the same.
-			s.sleepUnlocked(d)
+		case delay > 0:
+			// The client times out long before the transaction is applied.
+			s.sleepUnlocked(delay)
 			s.expireLeases()
 		}
 	}
-	s.commit(w, &t)
+	s.commit(w, &txn)
 }
 
-// commit applies a transaction whose conditions hold; the caller holds the lock.
-func (s *Store) commit(w http.ResponseWriter, t *state.Txn) {
+// commit applies a transaction if its conditions hold; the caller holds the lock.
+func (s *Store) commit(w http.ResponseWriter, txn *state.Txn) {
 	var failed []string
-	for _, c := range t.If {
-		if s.entries[c.Key].Version != c.Version {
-			failed = append(failed, c.Key)
+	for _, condition := range txn.If {
+		if s.entries[condition.Key].Version != condition.Version {
+			failed = append(failed, condition.Key)
 		}
 	}
 	if failed != nil {
 		writeResponse(w, http.StatusConflict, conflictResponse{Failed: failed, Revision: s.revision})
 		return
 	}
-	for _, x := range t.Writes {
-		if _, ok := s.leaseExpiry[x.Lease]; x.Lease != 0 && !ok {
+	for _, write := range txn.Writes {
+		if _, ok := s.leaseExpiry[write.Lease]; write.Lease != 0 && !ok {
 			writeResponse(w, http.StatusBadRequest, wire.Error{Error: "no such lease"})
 			return
 		}
 	}
 	s.revision++
-	for _, x := range t.Writes {
-		if x.Delete != "" {
-			delete(s.entries, x.Delete)
-			s.deletedAt[x.Delete] = s.revision
+	for _, write := range txn.Writes {
+		if write.Delete != "" {
+			delete(s.entries, write.Delete)
+			s.deletedAt[write.Delete] = s.revision
 			continue
 		}
-		s.entries[x.Put] = state.Entry{Key: x.Put, Value: append(wire.Raw(nil), x.Value...), Version: s.revision, Lease: x.Lease}
+		s.entries[write.Put] = state.Entry{Key: write.Put, Value: append(wire.Raw(nil), write.Value...), Version: s.revision, Lease: write.Lease}
 	}
 	s.notifyWatchers()
 	writeResponse(w, http.StatusOK, revisionResponse{s.revision})
 }
 
 // serveGrant grants a lease; the caller holds the lock.
-func (s *Store) serveGrant(w http.ResponseWriter, q *http.Request) {
-	var in struct {
+func (s *Store) serveGrant(w http.ResponseWriter, r *http.Request) {
+	var request struct {
 		TTL int64 `codec:"ttl_ms"`
 	}
-	if !decodeRequest(q, &in) {
+	if !decodeRequest(r, &request) {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	s.lastLease++
-	s.leaseTTL[s.lastLease] = time.Duration(in.TTL) * time.Millisecond
+	s.leaseTTL[s.lastLease] = time.Duration(request.TTL) * time.Millisecond
 	s.leaseExpiry[s.lastLease] = time.Now().Add(s.leaseTTL[s.lastLease])
 	writeResponse(w, http.StatusOK, grantResponse{s.lastLease})
 }
 
-// serveLease renews or ends a lease; the caller holds the lock.
-func (s *Store) serveLease(w http.ResponseWriter, q *http.Request) {
-	id, _ := strconv.ParseUint(strings.TrimSuffix(q.URL.Path[len("/leases/"):], "/extend"), 10, 64)
+// serveLease renews or deletes a lease; the caller holds the lock.
+func (s *Store) serveLease(w http.ResponseWriter, r *http.Request) {
+	id, _ := strconv.ParseUint(strings.TrimSuffix(r.URL.Path[len("/leases/"):], "/extend"), 10, 64)
 	if _, ok := s.leaseExpiry[id]; !ok {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	if q.Method == http.MethodDelete {
+	if r.Method == http.MethodDelete {
 		s.endLease(id)
 	} else {
 		s.leaseExpiry[id] = time.Now().Add(s.leaseTTL[id])
@@ -194,29 +194,31 @@
 	writeResponse(w, http.StatusOK, struct{}{})
 }
 
-// watchPollInterval is how often a watch looks for leases that have expired.
+// watchPollInterval is the time between a watch's checks for expired leases.
 const watchPollInterval = 100 * time.Millisecond
 
-// serveChanges answers a watch; the caller holds the lock.
-func (s *Store) serveChanges(w http.ResponseWriter, q *http.Request, from string) {
-	v := q.URL.Query()
-	after, _ := strconv.ParseUint(v.Get("after"), 10, 64)
-	wait, _ := strconv.Atoi(v.Get("wait_ms"))
+// serveChanges responds to a watch at the first change, or without changes after its wait time; the
+// caller holds the lock.
+func (s *Store) serveChanges(w http.ResponseWriter, r *http.Request, from string) {
+	query := r.URL.Query()
+	after, _ := strconv.ParseUint(query.Get("after"), 10, 64)
+	wait, _ := strconv.Atoi(query.Get("wait_ms"))
 	end := time.Now().Add(time.Duration(wait) * time.Millisecond)
 	for {
 		s.expireLeases()
-		events := s.events(v.Get("under"), after)
+		events := s.events(query.Get("under"), after)
 		if (len(events) > 0 && !s.refuses(from)) || time.Now().After(end) {
 			writeResponse(w, http.StatusOK, changesResponse{Revision: s.revision, Events: events})
 			return
 		}
-		if !s.awaitChange(q) {
+		if !s.awaitChange(r) {
 			return
 		}
 	}
 }
 
-// events are the changes below a prefix after a revision; the caller holds the lock.
+// events returns the changes after a revision to keys with the given prefix; the caller holds the
+// lock.
 func (s *Store) events(under string, after uint64) []change {
 	events := []change{}
 	for k, e := range s.entries {
@@ -224,24 +226,24 @@
 			events = append(events, change{Put: k, Value: e.Value, Revision: e.Version})
 		}
 	}
-	for k, rev := range s.deletedAt {
-		if strings.HasPrefix(k, under) && rev > after {
-			events = append(events, change{Delete: k, Revision: rev})
+	for k, revision := range s.deletedAt {
+		if strings.HasPrefix(k, under) && revision > after {
+			events = append(events, change{Delete: k, Revision: revision})
 		}
 	}
 	return events
 }
 
-// awaitChange waits without the lock for a change or for a lease that may have expired; false: the
-// watcher has left.
-func (s *Store) awaitChange(q *http.Request) bool {
+// awaitChange waits for a change, or at most for watchPollInterval because a lease may have expired.
+// It releases the lock while it waits. It returns false if the client has closed the watch.
+func (s *Store) awaitChange(r *http.Request) bool {
 	changed := s.changed
 	s.mu.Unlock()
 	defer s.mu.Lock()
 	select {
 	case <-changed:
 	case <-time.After(watchPollInterval):
-	case <-q.Context().Done():
+	case <-r.Context().Done():
 		return false
 	}
 	return true
