--- a/internal/emulate/cloud.go
+++ b/internal/emulate/cloud.go
@@ -109,7 +109,7 @@
 // machineList returns the machines whose names follow after. Machines are missing from the list
 // until they are older than Config.ListLag. The caller holds the lock.
 func (w *World) machineList(after string) wire.CloudMachinePage {
-	out := []wire.CloudMachine{}
+	machines := []wire.CloudMachine{}
 	for _, name := range slices.Sorted(maps.Keys(w.workers)) {
 		worker := w.workers[name]
 		phase := wire.MachineRunning
@@ -120,7 +120,7 @@
 		if name <= after || age <= w.cfg.ListLag {
 			continue
 		}
-		out = append(out, wire.CloudMachine{
+		machines = append(machines, wire.CloudMachine{
 			Name:  name,
 			Addr:  worker.addr,
 			Type:  worker.typeName,
@@ -130,7 +130,7 @@
 			AgeS:  age.Seconds(),
 		})
 	}
-	return wire.CloudMachinePage{Machines: out}
+	return wire.CloudMachinePage{Machines: machines}
 }
 
 // Boot creates a machine without a request by a controller and returns its name.
--- a/internal/emulate/faults.go
+++ b/internal/emulate/faults.go
@@ -93,32 +93,32 @@
 	maxFaults = 1000
 	// maxFaultS bounds the times of a fault, in seconds.
 	maxFaultS = 1e6
-	// maxFaultDelayMs bounds the delay of an answer, in milliseconds.
+	// maxFaultDelayMs bounds the delay of a response, in milliseconds.
 	maxFaultDelayMs = 60_000
 )
 
 // ParseFaults parses a JSON list of faults. An error about a fault contains its index and the invalid
 // field.
-func ParseFaults(b []byte) ([]Fault, error) {
-	d := json.NewDecoder(bytes.NewReader(b))
-	d.DisallowUnknownFields()
+func ParseFaults(data []byte) ([]Fault, error) {
+	decoder := json.NewDecoder(bytes.NewReader(data))
+	decoder.DisallowUnknownFields()
 	var faults []Fault
-	if err := d.Decode(&faults); err != nil {
+	if err := decoder.Decode(&faults); err != nil {
 		return nil, fmt.Errorf("troubles: %w", err)
 	}
 	if len(faults) > maxFaults {
 		return nil, fmt.Errorf("troubles: the list has %d faults, but may have at most %d", len(faults), maxFaults)
 	}
 	for i, f := range faults {
-		if field, why := f.invalidField(); field != "" {
-			return nil, fmt.Errorf("troubles[%d].%s: %s", i, field, why)
+		if field, reason := f.invalidField(); field != "" {
+			return nil, fmt.Errorf("troubles[%d].%s: %s", i, field, reason)
 		}
 	}
 	return faults, nil
 }
 
 // invalidField returns the name of the first invalid field and the reason, or empty strings.
-func (f Fault) invalidField() (field, why string) {
+func (f Fault) invalidField() (field, reason string) {
 	kind, ok := faultKinds[f.Kind]
 	switch {
 	case !ok:
--- a/internal/emulate/history.go
+++ b/internal/emulate/history.go
@@ -46,13 +46,13 @@
 }
 
 // WorkersInZone returns the workers of a zone.
-func (w *World) WorkersInZone(zone string) (out []*Worker) {
+func (w *World) WorkersInZone(zone string) (workers []*Worker) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, worker := range w.workers {
 		if worker.zone == zone {
-			out = append(out, worker)
+			workers = append(workers, worker)
 		}
 	}
-	return out
+	return workers
 }
--- a/internal/emulate/invariants.go
+++ b/internal/emulate/invariants.go
@@ -56,16 +56,16 @@
 const maxViolations = 20
 
 // addViolation records a violated invariant; the caller holds the lock.
-func (w *World) addViolation(format string, a ...any) {
+func (w *World) addViolation(format string, args ...any) {
 	if len(w.checker.violations) < maxViolations {
-		w.checker.violations = append(w.checker.violations, fmt.Sprintf(format, a...))
+		w.checker.violations = append(w.checker.violations, fmt.Sprintf(format, args...))
 	}
 }
 
 // ReportViolation records a violated invariant that a user has observed.
-func (w *World) ReportViolation(format string, a ...any) {
+func (w *World) ReportViolation(format string, args ...any) {
 	w.mu.Lock()
-	w.addViolation(format, a...)
+	w.addViolation(format, args...)
 	w.mu.Unlock()
 }
 
@@ -78,7 +78,7 @@
 
 // recordDirectCommands counts the launch commands that reach a worker directly after the cancel
 // timeout of their job; the caller holds the lock.
-func (w *World) recordDirectCommands(commands []wire.Command, carriedOut bool) {
+func (w *World) recordDirectCommands(commands []wire.Command, executed bool) {
 	for _, command := range commands {
 		id, _, ok := job.SplitTaskName(command.Task)
 		if !ok || command.Verb != wire.CommandLaunch {
@@ -86,7 +86,7 @@
 		}
 		if at, cancelled := w.checker.cancelledAt[id]; cancelled && time.Since(at) > w.cfg.CancelTimeout {
 			w.checker.overdueLaunches++
-			if carriedOut {
+			if executed {
 				w.checker.overdueExecuted++
 			}
 		}
@@ -227,9 +227,9 @@
 }
 
 // exceededBy reports whether the used resources exceed the limit, apart from rounding errors.
-func (l Resources) exceededBy(used Resources) bool {
+func (r Resources) exceededBy(used Resources) bool {
 	const rounding = 1e-6
-	return (l.CPUs > 0 && used.CPUs > l.CPUs+rounding) || (l.GPUs > 0 && used.GPUs > l.GPUs+rounding)
+	return (r.CPUs > 0 && used.CPUs > r.CPUs+rounding) || (r.GPUs > 0 && used.GPUs > r.GPUs+rounding)
 }
 
 // checkZones checks the zones of a job that has to run in one zone or to be spread over several;
--- a/internal/emulate/memory_conn.go
+++ b/internal/emulate/memory_conn.go
@@ -93,8 +93,8 @@
 	reset := func() {
 		once.Do(func() {
 			close(broken)
-			for _, c := range []net.Conn{clientPipe, clientSide, serverSide, serverPipe} {
-				_ = c.Close()
+			for _, end := range []net.Conn{clientPipe, clientSide, serverSide, serverPipe} {
+				_ = end.Close()
 			}
 			n.mu.Lock()
 			delete(n.connections, client)
--- a/internal/emulate/memory_network.go
+++ b/internal/emulate/memory_network.go
@@ -112,14 +112,14 @@
 	if n.listeners[addr] != nil {
 		return nil, errAddressInUse
 	}
-	l := &memListener{
+	listener := &memListener{
 		network:  n,
 		addr:     addr,
 		accepted: make(chan net.Conn, listenBacklog),
 		closed:   make(chan struct{}),
 	}
-	n.listeners[addr] = l
-	return l, nil
+	n.listeners[addr] = listener
+	return listener, nil
 }
 
 // Dialer implements Network.
@@ -134,18 +134,18 @@
 			}
 		}
 		n.mu.Lock()
-		l := n.listeners[addr]
+		listener := n.listeners[addr]
 		if n.denied(from, to) {
-			l = nil
+			listener = nil
 		}
 		n.mu.Unlock()
-		if l == nil {
+		if listener == nil {
 			return nil, errConnectionRefused
 		}
 		client, server := n.connect(from, to, addr)
 		select {
-		case l.accepted <- server:
-		case <-l.closed:
+		case listener.accepted <- server:
+		case <-listener.closed:
 			client.reset()
 			return nil, errConnectionRefused
 		}
--- a/internal/emulate/statistics.go
+++ b/internal/emulate/statistics.go
@@ -25,7 +25,7 @@
 // OverdueLaunches returns the number of direct launch commands that reached a worker after the cancel
 // timeout of their job, and how many of them the worker executed. A task that was launched so late
 // may still be stopped before its image is pulled.
-func (w *World) OverdueLaunches() (arrived, carriedOut int) {
+func (w *World) OverdueLaunches() (arrived, executed int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.checker.overdueLaunches, w.checker.overdueExecuted
@@ -83,15 +83,15 @@
 func (w *World) CPUsByTeam() map[string]float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	out := map[string]float64{}
+	byTeam := map[string]float64{}
 	for _, worker := range w.workers {
 		for _, t := range worker.tasks {
 			if t.spec != nil && worker.occupies(t) {
-				out[t.spec.Team] += t.spec.CPUs
+				byTeam[t.spec.Team] += t.spec.CPUs
 			}
 		}
 	}
-	return out
+	return byTeam
 }
 
 // CancellationsConfirmed returns the number of cancellations that were first confirmed at or after
--- a/internal/emulate/store_http.go
+++ b/internal/emulate/store_http.go
@@ -86,14 +86,14 @@
 // serveList responds to a listing by prefix; the caller holds the lock.
 func (s *Store) serveList(w http.ResponseWriter, r *http.Request) {
 	under, after := r.URL.Query().Get("under"), r.URL.Query().Get("after")
-	out := []state.Entry{}
+	entries := []state.Entry{}
 	for _, k := range slices.Sorted(maps.Keys(s.entries)) {
 		if strings.HasPrefix(k, under) && k > after {
-			out = append(out, s.entries[k])
+			entries = append(entries, s.entries[k])
 		}
 	}
-	page := min(len(out), s.pageSize)
-	writeResponse(w, http.StatusOK, listResponse{Entries: out[:page], More: page < len(out), Revision: s.revision})
+	page := min(len(entries), s.pageSize)
+	writeResponse(w, http.StatusOK, listResponse{Entries: entries[:page], More: page < len(entries), Revision: s.revision})
 }
 
 // serveEntry responds to a read of one key; the caller holds the lock.
--- a/internal/emulate/user_checks.go
+++ b/internal/emulate/user_checks.go
@@ -70,23 +70,23 @@
 // recordPoll records a poll of a job and adds a violation if polls have gone unanswered for more
 // than unansweredLimit; the caller holds the lock.
 func (w *World) recordPoll(id string, answered bool) {
-	u := &w.checker.users
+	users := &w.checker.users
 	now := time.Now()
 	if answered {
-		u.answeredAt[id] = now
+		users.answeredAt[id] = now
 		return
 	}
-	since, ok := u.acceptedAt[id]
-	if !ok || u.faultsEndedAt.IsZero() || u.reportedForgotten[id] {
+	since, ok := users.acceptedAt[id]
+	if !ok || users.faultsEndedAt.IsZero() || users.reportedForgotten[id] {
 		return
 	}
-	for _, at := range []time.Time{u.answeredAt[id], u.faultsEndedAt} {
+	for _, at := range []time.Time{users.answeredAt[id], users.faultsEndedAt} {
 		if at.After(since) {
 			since = at
 		}
 	}
 	if now.Sub(since) > unansweredLimit {
-		u.reportedForgotten[id] = true
+		users.reportedForgotten[id] = true
 		w.addViolation("forgotten: no poll of job %s was answered for %v", id, now.Sub(since).Round(time.Second))
 	}
 }
@@ -112,7 +112,7 @@
 
 // SelectForCancellation selects up to n random accepted jobs that are running and not cancelled by
 // the scenario. It records them as cancelled; the caller has to cancel them.
-func (w *World) SelectForCancellation(r *rand.Rand, n int) (out []*job.Spec) {
+func (w *World) SelectForCancellation(r *rand.Rand, n int) (selected []*job.Spec) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	running := map[string]*job.Spec{}
@@ -129,9 +129,9 @@
 	r.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
 	for _, id := range ids[:min(n, len(ids))] {
 		w.checker.users.cancelledByScenario[id] = true
-		out = append(out, running[id])
+		selected = append(selected, running[id])
 	}
-	return out
+	return selected
 }
 
 // OnLastTaskDone makes the world call f for each accepted job, unless the scenario has cancelled
@@ -145,28 +145,28 @@
 
 // notifyLastTaskDone calls the function set by OnLastTaskDone if all tasks of the job are done;
 // the caller holds the lock.
-func (w *World) notifyLastTaskDone(s *job.Spec) {
-	u := &w.checker.users
-	if w.onLastTaskDone == nil || w.checker.reportedPhase[s.ID] != phaseAccepted || u.cancelledByScenario[s.ID] || len(w.checker.completedTasks[s.ID]) < s.Tasks {
+func (w *World) notifyLastTaskDone(spec *job.Spec) {
+	users := &w.checker.users
+	if w.onLastTaskDone == nil || w.checker.reportedPhase[spec.ID] != phaseAccepted || users.cancelledByScenario[spec.ID] || len(w.checker.completedTasks[spec.ID]) < spec.Tasks {
 		return
 	}
-	u.cancelledByScenario[s.ID] = true
+	users.cancelledByScenario[spec.ID] = true
 	f := w.onLastTaskDone
-	w.wg.Go(func() { f(s) })
+	w.wg.Go(func() { f(spec) })
 }
 
 // WorkersWithJobs returns up to n workers that run a task of one of the jobs.
-func (w *World) WorkersWithJobs(jobs []*job.Spec, n int) (out []*Worker) {
+func (w *World) WorkersWithJobs(jobs []*job.Spec, n int) (workers []*Worker) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, name := range slices.Sorted(maps.Keys(w.workers)) {
 		worker := w.workers[name]
 		hasTask := func(t *task) bool { return worker.occupies(t) && slices.Contains(jobs, t.spec) }
-		if len(out) < n && slices.ContainsFunc(slices.Collect(maps.Values(worker.tasks)), hasTask) {
-			out = append(out, worker)
+		if len(workers) < n && slices.ContainsFunc(slices.Collect(maps.Values(worker.tasks)), hasTask) {
+			workers = append(workers, worker)
 		}
 	}
-	return out
+	return workers
 }
 
 // CheckStarvation adds a violation for each job that has waited for more than starvationLimit
@@ -178,16 +178,16 @@
 	now := time.Now()
 	placed, used := w.placedTasks()
 	starvingSince := w.checker.users.starvingSince
-	for id, s := range w.specs {
-		if !w.starves(s, placed[id], used[s.Team]) {
+	for id, spec := range w.specs {
+		if !w.starves(spec, placed[id], used[spec.Team]) {
 			delete(starvingSince, id)
 			continue
 		}
 		if _, ok := starvingSince[id]; !ok {
 			starvingSince[id] = now
 		}
-		if d := now.Sub(starvingSince[id]); d > starvationLimit {
-			w.addViolation("idle: job %s has waited for %v although suitable machines have free resources", id, d.Round(time.Second))
+		if waited := now.Sub(starvingSince[id]); waited > starvationLimit {
+			w.addViolation("idle: job %s has waited for %v although suitable machines have free resources", id, waited.Round(time.Second))
 			delete(starvingSince, id)
 		}
 	}
@@ -213,51 +213,51 @@
 
 // starves reports whether an accepted job has no task on a machine although free resources would
 // allow it to start; the caller holds the lock.
-func (w *World) starves(s *job.Spec, placed int, usedByTeam Resources) bool {
-	if w.checker.reportedPhase[s.ID] != phaseAccepted || w.checker.users.cancelledByScenario[s.ID] || placed > 0 {
+func (w *World) starves(spec *job.Spec, placed int, usedByTeam Resources) bool {
+	if w.checker.reportedPhase[spec.ID] != phaseAccepted || w.checker.users.cancelledByScenario[spec.ID] || placed > 0 {
 		return false
 	}
-	waiting := s.Tasks - placed - len(w.checker.completedTasks[s.ID])
+	waiting := spec.Tasks - placed - len(w.checker.completedTasks[spec.ID])
 	if waiting < 1 {
 		return false
 	}
-	least := 1 // tasks that have to be placed together
-	if s.ShapeName == gang {
-		least = waiting
+	minimum := 1 // tasks that have to be placed together
+	if spec.ShapeName == gang {
+		minimum = waiting
 	}
-	withJob := Resources{usedByTeam.CPUs + float64(least)*s.CPUs, usedByTeam.GPUs + float64(least)*s.GPUs}
-	return !w.cfg.Limits[s.Team].exceededBy(withJob) && w.spareCapacity(s) >= least
+	withJob := Resources{usedByTeam.CPUs + float64(minimum)*spec.CPUs, usedByTeam.GPUs + float64(minimum)*spec.GPUs}
+	return !w.cfg.Limits[spec.Team].exceededBy(withJob) && w.spareCapacity(spec) >= minimum
 }
 
 // spareCapacity returns the number of tasks of a job for which suitable machines have free
 // resources. If the job has to run in one zone, only the zone with the most free resources counts.
 // The caller holds the lock.
-func (w *World) spareCapacity(s *job.Spec) (most int) {
+func (w *World) spareCapacity(spec *job.Spec) (capacity int) {
 	byZone := map[string]int{}
 	for _, worker := range w.workers {
-		if !worker.fits(s) {
+		if !worker.fits(spec) {
 			continue
 		}
 		n := 0
-		for worker.hasRoom(s, n+1) {
+		for worker.hasRoom(spec, n+1) {
 			n++
 		}
 		zone := worker.zone
-		if !s.OneZone {
+		if !spec.OneZone {
 			zone = ""
 		}
 		byZone[zone] += n
-		most = max(most, byZone[zone])
+		capacity = max(capacity, byZone[zone])
 	}
-	return most
+	return capacity
 }
 
 // fits reports whether the worker is running and tasks of the job may run on it.
-func (worker *Worker) fits(s *job.Spec) bool {
-	up := !time.Now().Before(worker.bootedAt) && !worker.hanging && !worker.faulty
-	zone := s.Zone == "" || s.Zone == worker.zone
-	typ := s.Types == nil || slices.Contains(s.Types, worker.typeName)
-	return up && zone && typ && (s.Spot || !worker.spot)
+func (worker *Worker) fits(spec *job.Spec) bool {
+	running := !time.Now().Before(worker.bootedAt) && !worker.hanging && !worker.faulty
+	zoneAllowed := spec.Zone == "" || spec.Zone == worker.zone
+	typeAllowed := spec.Types == nil || slices.Contains(spec.Types, worker.typeName)
+	return running && zoneAllowed && typeAllowed && (spec.Spot || !worker.spot)
 }
 
 // CheckResubmission checks the response to a repeated submission. final is the final phase that had
@@ -275,17 +275,17 @@
 
 // servedFraction returns the fraction of a job's tasks that were served: tasks of a service are
 // served once they have started, tasks of other jobs once they are done.
-func (w *World) servedFraction(s *job.Spec) float64 {
-	if s.ShapeName != service {
-		return float64(len(w.checker.completedTasks[s.ID])) / float64(s.Tasks)
+func (w *World) servedFraction(spec *job.Spec) float64 {
+	if spec.ShapeName != service {
+		return float64(len(w.checker.completedTasks[spec.ID])) / float64(spec.Tasks)
 	}
 	n := 0
-	for t := range s.Tasks {
-		if w.checker.users.startedTasks[job.TaskName(s.ID, int32(t))] {
+	for t := range spec.Tasks {
+		if w.checker.users.startedTasks[job.TaskName(spec.ID, int32(t))] {
 			n++
 		}
 	}
-	return float64(n) / float64(s.Tasks)
+	return float64(n) / float64(spec.Tasks)
 }
 
 // CheckServiceLevels checks that at least half of the jobs of each class, of each team and of the
@@ -296,13 +296,13 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	byClass, byTeam := map[string][]*job.Spec{}, map[string][]*job.Spec{}
-	for id, s := range w.specs {
+	for id, spec := range w.specs {
 		_, accepted := w.checker.users.acceptedAt[id]
-		if !accepted || w.checker.reportedPhase[id] == wire.JobCancelled || (possible != nil && !possible(s)) {
+		if !accepted || w.checker.reportedPhase[id] == wire.JobCancelled || (possible != nil && !possible(spec)) {
 			continue
 		}
-		byClass[s.Class] = append(byClass[s.Class], s)
-		byTeam[s.Team] = append(byTeam[s.Team], s)
+		byClass[spec.Class] = append(byClass[spec.Class], spec)
+		byTeam[spec.Team] = append(byTeam[spec.Team], spec)
 	}
 	for _, class := range slices.Sorted(maps.Keys(byClass)) {
 		w.checkHalfServed("class "+class, byClass[class])
@@ -314,13 +314,13 @@
 }
 
 // checkHalfServed checks that at least half of the jobs are served; the caller holds the lock.
-func (w *World) checkHalfServed(what string, jobs []*job.Spec) {
-	sum := 0.0
-	for _, s := range jobs {
-		sum += w.servedFraction(s)
+func (w *World) checkHalfServed(group string, jobs []*job.Spec) {
+	served := 0.0
+	for _, spec := range jobs {
+		served += w.servedFraction(spec)
 	}
-	if 2*sum < float64(len(jobs)) {
-		w.addViolation("served: only %.1f of %d jobs of %s were served", sum, len(jobs), what)
+	if 2*served < float64(len(jobs)) {
+		w.addViolation("served: only %.1f of %d jobs of %s were served", served, len(jobs), group)
 	}
 }
 
@@ -332,16 +332,16 @@
 	})
 	largest := jobs[:max(1, len(jobs)/largestFraction)]
 	w.checkHalfServed("the largest of "+class, largest)
-	for _, s := range largest {
-		at, ok := w.checker.users.startedAt[s.ID]
+	for _, spec := range largest {
+		at, ok := w.checker.users.startedAt[spec.ID]
 		if !ok {
 			at = time.Now()
 		}
-		if took := at.Sub(w.checker.users.submittedAt[s.ID]); took > largestStartLimit {
-			w.addViolation("largest: job %s of %s started %v after its submission", s.ID, class, took.Round(time.Second))
+		if took := at.Sub(w.checker.users.submittedAt[spec.ID]); took > largestStartLimit {
+			w.addViolation("largest: job %s of %s started %v after its submission", spec.ID, class, took.Round(time.Second))
 		}
 	}
 }
 
 // totalResources returns the CPUs or the accelerators of all tasks of a job, whichever is more.
-func totalResources(s *job.Spec) float64 { return float64(s.Tasks) * max(s.CPUs, s.GPUs) }
+func totalResources(spec *job.Spec) float64 { return float64(spec.Tasks) * max(spec.CPUs, spec.GPUs) }
--- a/internal/emulate/world_faults.go
+++ b/internal/emulate/world_faults.go
@@ -8,16 +8,16 @@
 )
 
 // RandomWorkers returns up to n randomly selected workers.
-func (w *World) RandomWorkers(r *rand.Rand, n int) (out []*Worker) {
+func (w *World) RandomWorkers(r *rand.Rand, n int) (workers []*Worker) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	names := slices.Sorted(maps.Keys(w.workers))
 	for range min(n, len(names)) {
 		i := r.IntN(len(names))
-		out = append(out, w.workers[names[i]])
+		workers = append(workers, w.workers[names[i]])
 		names = slices.Delete(names, i, i+1)
 	}
-	return out
+	return workers
 }
 
 // Kill removes the workers' machines without notice.
