--- a/internal/emulate/cloud.go
+++ b/internal/emulate/cloud.go
@@ -134,20 +134,20 @@
 }
 
 // Boot creates a machine without a request by a controller and returns its name.
-func (w *World) Boot(typ, zone string, spot bool, bootTime time.Duration) string {
+func (w *World) Boot(typeName, zone string, spot bool, bootTime time.Duration) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.boot(typ, zone, spot, bootTime)
+	return w.boot(typeName, zone, spot, bootTime)
 }
 
 // boot creates a machine, starts its worker and returns its name; the caller holds the lock.
-func (w *World) boot(typ, zone string, spot bool, bootTime time.Duration) string {
+func (w *World) boot(typeName, zone string, spot bool, bootTime time.Duration) string {
 	w.machinesCreated++
 	worker := &Worker{
 		world:           w,
 		name:            fmt.Sprintf("host-%06d", w.machinesCreated),
 		addr:            fmt.Sprintf("w%d:9000", w.machinesCreated),
-		typeName:        typ,
+		typeName:        typeName,
 		zone:            zone,
 		spot:            spot,
 		createdAt:       time.Now(),
--- a/internal/emulate/user_checks.go
+++ b/internal/emulate/user_checks.go
@@ -47,9 +47,9 @@
 	// starvationLimit bounds the time that a job may wait while suitable machines have free
 	// resources, counted after the last fault has ended.
 	starvationLimit = 90 * time.Second
-	// largestFraction is the divisor that gives the number of largest jobs of a class: a tenth of
-	// its jobs, at least one.
-	largestFraction = 10
+	// largestDivisor divides the number of jobs of a class to get that of its largest jobs, at least
+	// one.
+	largestDivisor = 10
 )
 
 // FaultsEnded records that the last fault has ended.
@@ -330,7 +330,7 @@
 	slices.SortFunc(jobs, func(a, b *job.Spec) int {
 		return cmp.Or(-cmp.Compare(totalResources(a), totalResources(b)), cmp.Compare(a.ID, b.ID))
 	})
-	largest := jobs[:max(1, len(jobs)/largestFraction)]
+	largest := jobs[:max(1, len(jobs)/largestDivisor)]
 	w.checkHalfServed("the largest of "+class, largest)
 	for _, spec := range largest {
 		at, ok := w.checker.users.startedAt[spec.ID]
--- a/internal/emulate/user_checks_test.go
+++ b/internal/emulate/user_checks_test.go
@@ -93,7 +93,7 @@
 	}, "went_back"},
 }
 
-// startCases start tasks on machines that the job allows or does not allow.
+// startCases start tasks, with and without a violation.
 var startCases = []checkerCase{
 	{"a start after the cancel timeout of the job is a violation", func(w *World) {
 		w.cfg.CancelTimeout = 25 * time.Second
