--- a/cmd/vetchstream/calendar.go
+++ b/cmd/vetchstream/calendar.go
@@ -210,20 +210,20 @@
 
 // reservation sends a request and prints the reservation in the response.
 func (cc *calendarClient) reservation(cmd *cobra.Command, method, path string, body []byte) error {
-	var s calendar.Status
-	if err := cc.call(cmd, method, path, body, &s); err != nil {
+	var status calendar.Status
+	if err := cc.call(cmd, method, path, body, &status); err != nil {
 		return err
 	}
-	return cc.print(cmd, s, func(w io.Writer) { showReservation(w, &s) })
+	return cc.print(cmd, status, func(w io.Writer) { showReservation(w, &status) })
 }
 
 // window sends a request and prints the maintenance window in the response.
 func (cc *calendarClient) window(cmd *cobra.Command, method, path string, body []byte) error {
-	var s calendar.WindowStatus
-	if err := cc.call(cmd, method, path, body, &s); err != nil {
+	var status calendar.WindowStatus
+	if err := cc.call(cmd, method, path, body, &status); err != nil {
 		return err
 	}
-	return cc.print(cmd, s, func(w io.Writer) { showWindow(w, &s) })
+	return cc.print(cmd, status, func(w io.Writer) { showWindow(w, &status) })
 }
 
 // reservations requests all reservations, page by page.
--- a/cmd/vetchstream/calendar_output.go
+++ b/cmd/vetchstream/calendar_output.go
@@ -15,24 +15,24 @@
 
 // listReservations prints a table with one line for each reservation.
 func listReservations(w io.Writer, all []calendar.Status) {
-	t := newTable(w)
-	fmt.Fprintln(t, "NAME\tTEAM\tSTATE\tPARTS\tNEXT\tUNTIL\tLEFT\tHELD\tCLAIMER\tLAST")
+	table := newTable(w)
+	fmt.Fprintln(table, "NAME\tTEAM\tSTATE\tPARTS\tNEXT\tUNTIL\tLEFT\tHELD\tCLAIMER\tLAST")
 	for _, s := range all {
-		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\t%s\t%d\t%d\t%s\t%s\n",
+		fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%s\t%s\t%d\t%d\t%s\t%s\n",
 			s.Spec.Name, s.Spec.Team, s.State, s.Spec.Parts, s.Next, s.Until, s.Remaining, s.Held, s.Claimer, lastOutcome(s.Outcomes))
 	}
-	_ = t.Flush()
+	_ = table.Flush()
 }
 
 // listWindows prints a table with one line for each maintenance window.
 func listWindows(w io.Writer, all []calendar.WindowStatus) {
-	t := newTable(w)
-	fmt.Fprintln(t, "NAME\tSTATE\tSTART\tEND\tMACHINES\tBUSY\tMAY BE STOPPED")
+	table := newTable(w)
+	fmt.Fprintln(table, "NAME\tSTATE\tSTART\tEND\tMACHINES\tBUSY\tMAY BE STOPPED")
 	for _, s := range all {
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%d\t%d\t%d\n",
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\t%d\t%d\n",
 			s.Spec.Name, s.State, formatMillis(s.From), formatMillis(s.To), s.Machines, s.Busy, len(s.Late))
 	}
-	_ = t.Flush()
+	_ = table.Flush()
 }
 
 // formatMillis formats a Unix time in milliseconds as RFC 3339 in UTC.
@@ -55,36 +55,36 @@
 }
 
 // showReservation prints the details of a reservation.
-func showReservation(w io.Writer, s *calendar.Status) {
-	fmt.Fprintf(w, "%s: %s, %d parts for team %s, %d occurrences left", s.Spec.Name, s.State, s.Spec.Parts, s.Spec.Team, s.Remaining)
-	if s.Revoked > 0 {
-		fmt.Fprintf(w, ", %d revoked by maintenance", s.Revoked)
+func showReservation(w io.Writer, status *calendar.Status) {
+	fmt.Fprintf(w, "%s: %s, %d parts for team %s, %d occurrences left", status.Spec.Name, status.State, status.Spec.Parts, status.Spec.Team, status.Remaining)
+	if status.Revoked > 0 {
+		fmt.Fprintf(w, ", %d of them revoked by maintenance", status.Revoked)
 	}
 	fmt.Fprintln(w)
-	if s.Next != "" {
-		fmt.Fprintf(w, "  next: %s to %s\n", s.Next, s.Until)
+	if status.Next != "" {
+		fmt.Fprintf(w, "  next: %s to %s\n", status.Next, status.Until)
 	}
-	for _, a := range s.Allocations {
+	for _, a := range status.Allocations {
 		fmt.Fprintf(w, "  machines: %d of %s in %s, for %d parts\n", a.Machines, a.Type, a.Zone, a.Parts)
 	}
-	if s.Held > 0 {
-		fmt.Fprintf(w, "  held now: %d machines\n", s.Held)
+	if status.Held > 0 {
+		fmt.Fprintf(w, "  held now: %d machines\n", status.Held)
 	}
-	if s.Claimer != "" {
-		fmt.Fprintf(w, "  claimed by: %s\n", s.Claimer)
+	if status.Claimer != "" {
+		fmt.Fprintf(w, "  claimed by: %s\n", status.Claimer)
 	}
-	for _, o := range s.Outcomes {
+	for _, o := range status.Outcomes {
 		fmt.Fprintf(w, "  %s: %s %s\n", formatMillis(o.Start), describeOutcome(o), o.Job)
 	}
 }
 
 // showWindow prints the details of a maintenance window.
-func showWindow(w io.Writer, s *calendar.WindowStatus) {
+func showWindow(w io.Writer, status *calendar.WindowStatus) {
 	fmt.Fprintf(w, "%s: %s, %s to %s, %d machines, %d of them busy\n",
-		s.Spec.Name, s.State, formatMillis(s.From), formatMillis(s.To), s.Machines, s.Busy)
-	printNames(w, "moved reservations", s.Moved)
-	printNames(w, "reservations without machines", s.Revoked)
-	printNames(w, "tasks that may be stopped", s.Late)
+		status.Spec.Name, status.State, formatMillis(status.From), formatMillis(status.To), status.Machines, status.Busy)
+	printNames(w, "moved reservations", status.Moved)
+	printNames(w, "reservations that lost their capacity", status.Revoked)
+	printNames(w, "tasks that may be stopped", status.Late)
 }
 
 // printNames prints a title and the names on one line. It prints nothing if there are no names.
--- a/cmd/vetchstream/client.go
+++ b/cmd/vetchstream/client.go
@@ -33,7 +33,7 @@
 
 // clientCommands returns the subcommands that send requests to a running service, and the check
 // command, which needs none.
-func clientCommands(tuning *string, sleep func(time.Duration)) []*cobra.Command {
+func clientCommands(tuningFile *string, sleep func(time.Duration)) []*cobra.Command {
 	c := &client{sleep: sleep}
 	commands := []*cobra.Command{
 		c.submitCommand(),
@@ -47,7 +47,7 @@
 		cmd.PersistentFlags().StringVar(&c.server, "server", "127.0.0.1:8080", "address of a controller or of the load balancer")
 		cmd.PersistentFlags().StringVar(&c.output, "output", outputTable, outputUsage)
 	}
-	return append(commands, checkCommand(tuning))
+	return append(commands, checkCommand(tuningFile))
 }
 
 func (c *client) submitCommand() *cobra.Command {
@@ -86,7 +86,7 @@
 }
 
 // checkCommand returns the command that validates settings files without a running service.
-func checkCommand(tuning *string) *cobra.Command {
+func checkCommand(tuningFile *string) *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE",
 		Short: "Validate a platform settings file and the operators' settings file of --tuning",
@@ -96,7 +96,7 @@
 			if err != nil {
 				return err
 			}
-			if _, err := config.LoadTuning(*tuning); err != nil {
+			if _, err := config.LoadTuning(*tuningFile); err != nil {
 				return err
 			}
 			for _, line := range settings.Warnings() {
@@ -110,18 +110,18 @@
 
 // showJob sends a request and prints the job status in the response.
 func (c *client) showJob(cmd *cobra.Command, method, path string, body []byte) error {
-	var s wire.JobStatus
-	if err := c.call(cmd, method, path, body, &s); err != nil {
+	var status wire.JobStatus
+	if err := c.call(cmd, method, path, body, &status); err != nil {
 		return err
 	}
-	doc := map[string]any{"uid": s.ID, "phase": s.Phase, "done": s.Done, "running": s.Running}
-	if s.Notice != "" {
-		doc["notice"] = s.Notice
+	doc := map[string]any{"uid": status.ID, "phase": status.Phase, "done": status.Done, "running": status.Running}
+	if status.Notice != "" {
+		doc["notice"] = status.Notice
 	}
 	return c.print(cmd, doc, func(w io.Writer) {
-		fmt.Fprintf(w, "%s: %s, %d tasks done, %d running\n", s.ID, s.Phase, s.Done, s.Running)
-		if s.Notice != "" {
-			fmt.Fprintf(w, "  notice: %s\n", s.Notice)
+		fmt.Fprintf(w, "%s: %s, %d tasks done, %d running\n", status.ID, status.Phase, status.Done, status.Running)
+		if status.Notice != "" {
+			fmt.Fprintf(w, "  notice: %s\n", status.Notice)
 		}
 	})
 }
--- a/cmd/vetchstream/configuration.go
+++ b/cmd/vetchstream/configuration.go
@@ -121,17 +121,17 @@
 		return err
 	}
 	return c.print(cmd, history, func(w io.Writer) {
-		t := newTable(w)
-		fmt.Fprintln(t, "REVISION\tAT\tTEAMS")
+		table := newTable(w)
+		fmt.Fprintln(table, "REVISION\tAT\tTEAMS")
 		for _, change := range history.Changes {
 			teams := strings.Join(change.Teams, " ")
 			if more := change.Count - len(change.Teams); more > 0 {
 				teams += fmt.Sprintf(" and %d more", more)
 			}
 			at := time.UnixMilli(change.At).UTC().Format(time.RFC3339)
-			fmt.Fprintf(t, "%d\t%s\t%s\n", change.Revision, at, teams)
+			fmt.Fprintf(table, "%d\t%s\t%s\n", change.Revision, at, teams)
 		}
-		_ = t.Flush()
+		_ = table.Flush()
 	})
 }
 
@@ -150,12 +150,12 @@
 	}
 	return c.print(cmd, all, func(w io.Writer) {
 		fmt.Fprintf(w, "revision %d\n", all.Revision)
-		t := newTable(w)
-		fmt.Fprintln(t, "TEAM\tREVISION\tLIMIT\tREGION\tPART\tGUARANTEE\tTOLD\tHELD")
+		table := newTable(w)
+		fmt.Fprintln(table, "TEAM\tREVISION\tLIMIT\tREGION\tPART\tGUARANTEE\tTOLD\tHELD")
 		for i := range all.Teams {
-			printTeam(t, &all.Teams[i])
+			printTeam(table, &all.Teams[i])
 		}
-		_ = t.Flush()
+		_ = table.Flush()
 	})
 }
 
@@ -192,23 +192,23 @@
 // configStatus prints the revision in force in each region, and the teams whose changes are pending
 // with the regions that block them.
 func (c *client) configStatus(cmd *cobra.Command) error {
-	var s dynconfig.Status
-	if err := c.call(cmd, http.MethodGet, configRoute+"/status", nil, &s); err != nil {
+	var status dynconfig.Status
+	if err := c.call(cmd, http.MethodGet, configRoute+"/status", nil, &status); err != nil {
 		return err
 	}
-	return c.print(cmd, s, func(w io.Writer) {
-		fmt.Fprintf(w, "revision %d\n", s.Revision)
-		t := newTable(w)
-		fmt.Fprintln(t, "REGION\tREVISION\tFOR\tBEHIND\tLAST CONTACT\tWAITING TEAMS")
-		for _, r := range s.Regions {
+	return c.print(cmd, status, func(w io.Writer) {
+		fmt.Fprintf(w, "revision %d\n", status.Revision)
+		table := newTable(w)
+		fmt.Fprintln(table, "REGION\tREVISION\tFOR\tBEHIND\tLAST CONTACT\tWAITING TEAMS")
+		for _, r := range status.Regions {
 			lastContact := "none since this leader took over"
 			if r.SilentS >= 0 {
 				lastContact = fmt.Sprintf("%.1f s ago", r.SilentS)
 			}
-			fmt.Fprintf(t, "%s\t%d\t%.0f s\t%d\t%s\t%d\n", r.Region, r.Revision, r.InForceS, r.Behind, lastContact, r.PendingCount)
+			fmt.Fprintf(table, "%s\t%d\t%.0f s\t%d\t%s\t%d\n", r.Region, r.Revision, r.InForceS, r.Behind, lastContact, r.PendingCount)
 		}
-		_ = t.Flush()
-		for _, r := range s.Regions {
+		_ = table.Flush()
+		for _, r := range status.Regions {
 			for _, pending := range r.Pending {
 				fmt.Fprintf(w, "%s in %s: quota %s, target %s, blocked by %s\n", pending.Team, r.Region,
 					formatQuota(pending.InForce), formatQuota(pending.Target), strings.Join(pending.BlockedBy, ", "))
--- a/cmd/vetchstream/demo.go
+++ b/cmd/vetchstream/demo.go
@@ -70,7 +70,7 @@
 }
 
 // demoCommand returns the command that runs a whole cluster in one process.
-func demoCommand(tuning *string) *cobra.Command {
+func demoCommand(tuningFile *string) *cobra.Command {
 	var flags emulationFlags
 	cmd := &cobra.Command{
 		Use:   "demo",
@@ -79,11 +79,11 @@
 		Long: "demo runs three controllers in one process with an emulated key-value store, cloud and workers, and prints the\n" +
 			"status of the cluster until ctrl-C. The client commands reach it at their default address.\n\n" + emulatedNotice,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return flags.runDemo(cmd, *tuning)
+			return flags.runDemo(cmd, *tuningFile)
 		},
 	}
 	flags.register(cmd, demoNodes)
-	cmd.AddCommand(demoRolloutCommand(tuning))
+	cmd.AddCommand(demoRolloutCommand(tuningFile))
 	return cmd
 }
 
--- a/cmd/vetchstream/demo_rollout.go
+++ b/cmd/vetchstream/demo_rollout.go
@@ -41,8 +41,8 @@
 
 // demoRolloutCommand returns the command that demonstrates a roll-out to a good build and one to a
 // bad build.
-func demoRolloutCommand(tuning *string) *cobra.Command {
-	em := emulationFlags{options: emulate.Options{Controllers: 3, MaxMachines: 24}}
+func demoRolloutCommand(tuningFile *string) *cobra.Command {
+	flags := emulationFlags{options: emulate.Options{Controllers: 3, MaxMachines: 24}}
 	cmd := &cobra.Command{
 		Use:   "rollout",
 		Short: "Demonstrate a good and a bad roll-out on an emulated cluster, in under a minute",
@@ -50,25 +50,25 @@
 			"two seconds after it starts, and reports from the history of the emulated machines how many replicas ran each build.\n\n" + emulatedNotice,
 		Args: noArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			tun, err := config.LoadTuning(*tuning)
+			tuning, err := config.LoadTuning(*tuningFile)
 			if err != nil {
 				return err
 			}
-			tun.Rollouts.Enabled = true
-			em.duration = demoTimeout
-			ctx, stop := em.runContext(cmd)
+			tuning.Rollouts.Enabled = true
+			flags.duration = demoTimeout
+			ctx, stop := flags.runContext(cmd)
 			defer stop()
-			c, err := startCluster(ctx, em.options, tun, newLogger())
+			c, err := startCluster(ctx, flags.options, tuning, newLogger())
 			if err != nil {
 				return err
 			}
 			c.World.RecordHistory()
 			c.World.SetImageBehavior(badImage, emulate.ImageBehavior{UnhealthyAfter: unhealthyAfter})
-			err = runRolloutDemo(ctx, cmd, c, em.options.Listen)
+			err = runRolloutDemo(ctx, cmd, c, flags.options.Listen)
 			return errors.Join(err, c.close())
 		},
 	}
-	cmd.Flags().StringVar(&em.options.Listen, "listen", "127.0.0.1:8080", "loopback address of the first controller; the others follow on the next ports")
+	cmd.Flags().StringVar(&flags.options.Listen, "listen", "127.0.0.1:8080", "loopback address of the first controller; the others follow on the next ports")
 	return cmd
 }
 
@@ -169,18 +169,18 @@
 		"soak_s":     3.0,
 		"deadline_s": 20.0,
 	}
-	var s rollout.Status
-	if err := d.post(rolloutPath, spec, &s); err != nil {
+	var status rollout.Status
+	if err := d.post(rolloutPath, spec, &status); err != nil {
 		return err
 	}
 	if err := d.watchRollout(d.cmd, demoService); err != nil && !errors.Is(err, errRolloutNotDone) {
 		return err
 	}
-	if err := d.call(d.cmd, http.MethodGet, rolloutPath+"/"+demoService, nil, &s); err != nil {
+	if err := d.call(d.cmd, http.MethodGet, rolloutPath+"/"+demoService, nil, &status); err != nil {
 		return err
 	}
-	if rollout.State(s.State) != want {
-		return fmt.Errorf("%w: the roll-out of %s ended as %s", errDemoFailed, image, s.State)
+	if rollout.State(status.State) != want {
+		return fmt.Errorf("%w: the roll-out of %s ended as %s", errDemoFailed, image, status.State)
 	}
 	return nil
 }
--- a/cmd/vetchstream/emulate.go
+++ b/cmd/vetchstream/emulate.go
@@ -69,8 +69,8 @@
 }
 
 // emulateCommands returns the commands that run an emulated cluster.
-func emulateCommands(tuning *string) []*cobra.Command {
-	return []*cobra.Command{emulateCommand(), demoCommand(tuning)}
+func emulateCommands(tuningFile *string) []*cobra.Command {
+	return []*cobra.Command{emulateCommand(), demoCommand(tuningFile)}
 }
 
 // emulateCommand returns the command that emulates a cluster without its controllers.
--- a/cmd/vetchstream/main.go
+++ b/cmd/vetchstream/main.go
@@ -66,7 +66,7 @@
 // rootCommand returns the vetchstream command with all subcommands. The client calls sleep to wait
 // between two attempts of a request.
 func rootCommand(sleep func(time.Duration)) *cobra.Command {
-	var settings, tuning string
+	var settingsFile, tuningFile string
 	root := &cobra.Command{
 		Use:           "vetchstream",
 		Short:         "A cluster scheduler: controller daemon and client",
@@ -76,17 +76,17 @@
 		SilenceUsage:  true,
 		Args:          noArgs,
 		RunE: func(*cobra.Command, []string) error {
-			if settings == "" {
+			if settingsFile == "" {
 				return usageError{errors.New("--config FILE is needed to run a controller")}
 			}
-			return runController(settings, tuning)
+			return runController(settingsFile, tuningFile)
 		},
 	}
-	root.Flags().StringVar(&settings, "config", "", "platform settings file (TOML)")
-	root.PersistentFlags().StringVar(&tuning, "tuning", os.Getenv(tuningVariable), "operators' settings file (JSON); defaults to $"+tuningVariable)
+	root.Flags().StringVar(&settingsFile, "config", "", "platform settings file (TOML)")
+	root.PersistentFlags().StringVar(&tuningFile, "tuning", os.Getenv(tuningVariable), "operators' settings file (JSON); defaults to $"+tuningVariable)
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError{err} })
-	root.AddCommand(clientCommands(&tuning, sleep)...)
-	root.AddCommand(emulateCommands(&tuning)...)
+	root.AddCommand(clientCommands(&tuningFile, sleep)...)
+	root.AddCommand(emulateCommands(&tuningFile)...)
 	root.AddCommand(scaleCommand())
 	return root
 }
@@ -116,7 +116,7 @@
 	return signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 }
 
-// newLogger returns a newLogger to standard error, with the level that LOG_LEVEL says.
+// newLogger returns a logger that writes to standard error at the level of LOG_LEVEL.
 func newLogger() *slog.Logger {
 	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: logLevel()}))
 }
--- a/cmd/vetchstream/rollout.go
+++ b/cmd/vetchstream/rollout.go
@@ -111,11 +111,11 @@
 
 // rollout sends a request and prints the roll-out in the response.
 func (c *client) rollout(cmd *cobra.Command, method, path string, body []byte) error {
-	var s rollout.Status
-	if err := c.call(cmd, method, path, body, &s); err != nil {
+	var status rollout.Status
+	if err := c.call(cmd, method, path, body, &status); err != nil {
 		return err
 	}
-	return c.print(cmd, s, func(w io.Writer) { showRollout(w, &s) })
+	return c.print(cmd, status, func(w io.Writer) { showRollout(w, &status) })
 }
 
 // watchInterval is the time between two status requests for a watched roll-out.
@@ -128,17 +128,17 @@
 func (c *client) watchRollout(cmd *cobra.Command, service string) error {
 	shown := ""
 	for {
-		var s rollout.Status
-		if err := c.call(cmd, http.MethodGet, rolloutPath+"/"+service, nil, &s); err != nil {
+		var status rollout.Status
+		if err := c.call(cmd, http.MethodGet, rolloutPath+"/"+service, nil, &status); err != nil {
 			return err
 		}
-		if summary := summarize(s); summary != shown {
+		if summary := summarize(status); summary != shown {
 			shown = summary
-			if err := c.print(cmd, s, func(w io.Writer) { showRollout(w, &s) }); err != nil {
+			if err := c.print(cmd, status, func(w io.Writer) { showRollout(w, &status) }); err != nil {
 				return err
 			}
 		}
-		switch state := rollout.State(s.State); {
+		switch state := rollout.State(status.State); {
 		case state == rollout.Done:
 			return nil
 		case state.Ended():
@@ -158,32 +158,32 @@
 
 // listRollouts prints a table with one line for each roll-out.
 func listRollouts(w io.Writer, all []rollout.Status) {
-	t := newTable(w)
-	fmt.Fprintln(t, "SERVICE\tSTATE\tBATCH\tCURRENT\tNEXT\tREASON")
+	table := newTable(w)
+	fmt.Fprintln(table, "SERVICE\tSTATE\tBATCH\tCURRENT\tNEXT\tREASON")
 	for _, s := range all {
-		fmt.Fprintf(t, "%s\t%s\t%d/%d\t%s\t%s\t%s\n", s.Service, s.State, s.Batch, len(s.Batches), s.Current, s.Next, s.Reason)
+		fmt.Fprintf(table, "%s\t%s\t%d/%d\t%s\t%s\t%s\n", s.Service, s.State, s.Batch, len(s.Batches), s.Current, s.Next, s.Reason)
 	}
-	_ = t.Flush()
+	_ = table.Flush()
 }
 
 // showRollout prints the status of a roll-out and a table of its batches.
-func showRollout(w io.Writer, s *rollout.Status) {
-	fmt.Fprintf(w, "%s: %s, batch %d of %d, %.0f s", s.Service, s.State, s.Batch, len(s.Batches), s.TookS)
-	fmt.Fprintf(w, " (runs %s, other version %s)\n", s.Current, s.Next)
-	if s.Reason != "" {
-		fmt.Fprintf(w, "  reason: %s\n", s.Reason)
+func showRollout(w io.Writer, status *rollout.Status) {
+	fmt.Fprintf(w, "%s: %s, batch %d of %d, %.0f s", status.Service, status.State, status.Batch, len(status.Batches), status.TookS)
+	fmt.Fprintf(w, " (runs %s, other version %s)\n", status.Current, status.Next)
+	if status.Reason != "" {
+		fmt.Fprintf(w, "  reason: %s\n", status.Reason)
 	}
-	if s.WaitingFor != "" {
-		fmt.Fprintf(w, "  waiting for: %s\n", s.WaitingFor)
+	if status.WaitingFor != "" {
+		fmt.Fprintf(w, "  waiting for: %s\n", status.WaitingFor)
 	}
-	t := tabwriter.NewWriter(w, 2, 4, 2, ' ', 0)
-	fmt.Fprintln(t, "  BATCH\tZONE\tREPLICAS\tRUNNING\tHEALTHY\tUNHEALTHY\tLOST\tFAILURES")
-	for i, b := range s.Batches {
+	table := tabwriter.NewWriter(w, 2, 4, 2, ' ', 0)
+	fmt.Fprintln(table, "  BATCH\tZONE\tREPLICAS\tRUNNING\tHEALTHY\tUNHEALTHY\tLOST\tFAILURES")
+	for i, b := range status.Batches {
 		zone := b.Zone
 		if strings.TrimSpace(zone) == "" {
 			zone = "any"
 		}
-		fmt.Fprintf(t, "  %d\t%s\t%d\t%d\t%d\t%d\t%d\t%d\n", i+1, zone, b.Replicas, b.Running, b.Healthy, b.Unhealthy, b.Lost, b.Failures)
+		fmt.Fprintf(table, "  %d\t%s\t%d\t%d\t%d\t%d\t%d\t%d\n", i+1, zone, b.Replicas, b.Running, b.Healthy, b.Unhealthy, b.Lost, b.Failures)
 	}
-	_ = t.Flush()
+	_ = table.Flush()
 }
