--- a/cmd/vetchstream/demo_rollout.go
+++ b/cmd/vetchstream/demo_rollout.go
@@ -24,15 +24,15 @@
 
 // The service of the demonstration, and the jobs and images of its builds.
 const (
-	demoService  = "captions"
-	demoReplicas = 6
-	demoBatch    = 2
-	demoJob      = "run-500"
-	demoImage    = "captions-1"
-	goodJob      = "run-501"
-	goodImage    = "captions-2"
-	badJob       = "run-502"
-	badImage     = "captions-3"
+	demoService   = "captions"
+	demoReplicas  = 6
+	demoBatchSize = 2
+	demoJob       = "run-500"
+	demoImage     = "captions-1"
+	goodJob       = "run-501"
+	goodImage     = "captions-2"
+	badJob        = "run-502"
+	badImage      = "captions-3"
 	// unhealthyAfter is the run time after which a replica of the bad build becomes unhealthy.
 	unhealthyAfter = 2 * time.Second
 	// demoPollInterval is the time between two status requests while the service starts.
@@ -163,7 +163,7 @@
 		"service":    demoService,
 		"from":       demoJob,
 		"to":         map[string]any{"uid": id, "reel": image},
-		"batch":      demoBatch,
+		"batch":      demoBatchSize,
 		"most_extra": 1,
 		"ready_s":    1.0,
 		"soak_s":     3.0,
@@ -198,12 +198,12 @@
 		}
 		tasks[e.Image][e.Task] = true
 	}
-	good, bad, broken := len(tasks[goodImage]), len(tasks[badImage]), len(c.World.Violations())
+	good, bad, violations := len(tasks[goodImage]), len(tasks[badImage]), len(c.World.Violations())
 	fmt.Fprintf(w, "\nReport from the history of the emulated machines:\n")
 	fmt.Fprintf(w, "  replicas that ran the good build: %d of %d\n", good, demoReplicas)
-	fmt.Fprintf(w, "  replicas that ran the bad build: %d, in a batch of at most %d\n", bad, demoBatch)
-	fmt.Fprintf(w, "  invariant violations: %d\n", broken)
-	if good != demoReplicas || bad > demoBatch || broken > 0 {
+	fmt.Fprintf(w, "  replicas that ran the bad build: %d, in a batch of at most %d\n", bad, demoBatchSize)
+	fmt.Fprintf(w, "  invariant violations: %d\n", violations)
+	if good != demoReplicas || bad > demoBatchSize || violations > 0 {
 		return errDemoFailed
 	}
 	return nil
--- a/cmd/vetchstream/main_test.go
+++ b/cmd/vetchstream/main_test.go
@@ -64,9 +64,9 @@
 	server := strings.TrimPrefix(srv.URL, "http://")
 	jobFile := writeJobFile(t)
 	tests := []struct {
-		args []string
-		code int
-		out  string
+		args       []string
+		wantCode   int
+		wantOutput string
 	}{
 		{[]string{"get", "run-1", "--server", server}, 0, "run-1: running, 3 tasks done, 2 running"},
 		{[]string{"get", "run-1", "--server", server, "--output", "json"}, 0, `"phase": "running"`},
@@ -101,8 +101,8 @@
 		root.SetArgs(tt.args)
 		root.SetOut(&out)
 		code := run(root, &out)
-		if code != tt.code || !strings.Contains(out.String(), tt.out) {
-			t.Errorf("vetchstream %v: exit code %d, want %d with output that contains %q; got output %s", tt.args, code, tt.code, tt.out, out.String())
+		if code != tt.wantCode || !strings.Contains(out.String(), tt.wantOutput) {
+			t.Errorf("vetchstream %v: exit code %d, want %d with output that contains %q; got output %s", tt.args, code, tt.wantCode, tt.wantOutput, out.String())
 		}
 		if service.requests > 0 && !slices.Equal(waits, []time.Duration{3 * time.Second}) {
 			t.Errorf("vetchstream %v: waited %v between attempts, want one wait of 3 s as in the Retry-After header", tt.args, waits)
--- a/cmd/vetchstream/scale_test.go
+++ b/cmd/vetchstream/scale_test.go
@@ -35,14 +35,14 @@
 	t.Setenv("LOG_LEVEL", "error")
 	dir := t.TempDir()
 	t.Setenv("TMPDIR", dir)
-	troubles := filepath.Join(dir, "troubles.json")
-	if err := os.WriteFile(troubles, []byte(scaleFaults), 0o600); err != nil {
+	faultsFile := filepath.Join(dir, "troubles.json")
+	if err := os.WriteFile(faultsFile, []byte(scaleFaults), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	var out, errs bytes.Buffer
 	root := rootCommand(time.Sleep)
 	root.SetOut(&out)
-	root.SetArgs([]string{"scale", "--factor", "0.02", "--duration", "20s", "--output", "json", "--troubles", troubles})
+	root.SetArgs([]string{"scale", "--factor", "0.02", "--duration", "20s", "--output", "json", "--troubles", faultsFile})
 	if code := run(root, &errs); code != exitOK {
 		t.Fatalf("exit code %d, want success; output: %s", code, errs.String())
 	}
