--- a/internal/place/cost.go
+++ b/internal/place/length.go
@@ -2,7 +2,7 @@
 
 import "vetchstream/internal/job"
 
-// Weights scales the dimensions of the load vector behind Cost.
+// Weights scales the dimensions of the load vector whose length is the cost (see Length).
 type Weights struct {
 	// Queue weighs the tasks that wait for their image, Jobs all tasks on the machine, and CPU
 	// the percentage of CPUs in use.
@@ -24,9 +24,9 @@
 	Empty float64
 }
 
-// Cost returns the cost of placing a task of d on m, which is the squared length of the
-// weighted load vector. The machine with the lowest cost is the best.
-func Cost(w *Weights, m *Machine, d *Demand) float64 {
+// Length returns the squared length of the weighted load vector for placing a task of d on m.
+// It is the cost of the placement: the machine with the smallest length is the best.
+func Length(w *Weights, m *Machine, d *Demand) float64 {
 	sum := square(w.Queue*m.Scale*float64(m.WaitingTasks)) + square(w.Jobs*m.Scale*float64(m.Tasks)) + square(w.Price*m.Price)
 	if m.Total.CPUs > 0 {
 		sum += square(w.CPU * 100 * (1 - m.Free.CPUs/m.Total.CPUs))
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -2,7 +2,7 @@
 // the time are passed in, and the same input gives the same plan.
 //
 // Hard constraints (eligible) rule machines out. Among the remaining machines with room, the
-// one with the lowest cost (Cost) is chosen. The cost function follows Hać and Johnson's paper
+// one with the lowest cost (Length) is chosen. The cost function follows Hać and Johnson's paper
 // on load balancing: the best machine has the shortest vector of weighted loads and unmet
 // preferences. A demand that finds no room may preempt other tasks.
 package place
--- a/internal/place/queue.go
+++ b/internal/place/queue.go
@@ -120,7 +120,7 @@
 }
 
 func (q *candidateQueue) cost(m *Machine) float64 {
-	return Cost(&q.planner.Weights, m, q.demand)
+	return Length(&q.planner.Weights, m, q.demand)
 }
 
 // next returns the index of the best machine for a task, or -1 if there is none.
--- a/internal/place/reference_test.go
+++ b/internal/place/reference_test.go
@@ -25,7 +25,7 @@
 		if (zone >= 0 && m.Zone != zone) || !m.available(d).Fits(d.Need) || !p.eligible(m, d) || m.UnclearedExits[TaskKey{d.ID, task}] {
 			continue
 		}
-		if cost := Cost(&p.Weights, m, d); cost < lowest {
+		if cost := Length(&p.Weights, m, d); cost < lowest {
 			best, lowest = i, cost
 		}
 	}
@@ -44,7 +44,7 @@
 		if m < 0 {
 			break
 		}
-		cost += Cost(&p.Weights, &p.Machines[m], d)
+		cost += Length(&p.Weights, &p.Machines[m], d)
 		p.assign(d, m)
 		assignments = append(assignments, Assignment{i, task, m})
 	}
