--- a/cmd/vetchstream/calendar_output.go
+++ b/cmd/vetchstream/calendar_output.go
@@ -27,7 +27,7 @@
 // listWindows prints a table with one line for each maintenance window.
 func listWindows(w io.Writer, all []calendar.WindowStatus) {
 	table := newTable(w)
-	fmt.Fprintln(table, "NAME\tSTATE\tSTART\tEND\tMACHINES\tBUSY\tMAY BE STOPPED")
+	fmt.Fprintln(table, "NAME\tSTATE\tSTART\tEND\tMACHINES\tBUSY\tMAY BE CUT")
 	for _, s := range all {
 		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\t%d\t%d\n",
 			s.Spec.Name, s.State, formatMillis(s.From), formatMillis(s.To), s.Machines, s.Busy, len(s.Late))
--- a/cmd/vetchstream/configuration.go
+++ b/cmd/vetchstream/configuration.go
@@ -199,7 +199,7 @@
 	return c.print(cmd, status, func(w io.Writer) {
 		fmt.Fprintf(w, "revision %d\n", status.Revision)
 		table := newTable(w)
-		fmt.Fprintln(table, "REGION\tREVISION\tFOR\tBEHIND\tLAST CONTACT\tWAITING TEAMS")
+		fmt.Fprintln(table, "REGION\tREVISION\tFOR\tBEHIND\tHEARD\tWAITING TEAMS")
 		for _, r := range status.Regions {
 			lastContact := "none since this leader took over"
 			if r.SilentS >= 0 {
